--- /dev/null
+++ b/tests/test_module_boundaries.py
@@ -0,0 +1,106 @@
+"""Decision modules do no I/O, read no clock and import nothing beyond a named few; the README's example runs."""
+
+import ast
+import re
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parent.parent
+PACKAGE = ROOT / "lapispick"
+
+STANDARD_LIBRARY = {
+    "__future__",
+    "bisect",
+    "collections",
+    "collections.abc",
+    "datetime",
+    "enum",
+    "heapq",
+    "itertools",
+    "math",
+    "msgspec",
+    "random",
+    "re",
+    "typing",
+}
+PROJECT = {"lapispick.digests", "lapispick.faults", "lapispick.fleet.hosts"}
+
+# Each group of decision modules, the paths that belong to it, and the decision modules outside it that it may import.
+GROUPS = {
+    "admission": (["control.py", "interface.py", "state.py"], []),
+    "handover": (["handover"], ["lapispick.interface"]),
+    "members": (["members"], []),
+    "rollout": (["rollout"], []),
+    "shares": (["shares"], []),
+    "durable": (["durable/budget.py", "durable/commits.py", "durable/keys.py"], []),
+    "health": (["host/duty.py", "host/figures.py"], []),
+    "jitter": (["spread.py"], []),
+}
+CLOCK_AND_IO = {"open", "print", "input", "eval", "exec", "__import__", "now", "utcnow", "today", "SystemRandom"}
+
+
+def _files(paths):
+    for path in paths:
+        full = PACKAGE / path
+        yield from sorted(full.rglob("*.py")) if full.is_dir() else [full]
+
+
+DECISION_MODULES = [(group, path) for group, (paths, _) in GROUPS.items() for path in _files(paths)]
+
+
+def _module_name(path):
+    name = ".".join(path.relative_to(ROOT).with_suffix("").parts)
+    return name.removesuffix(".__init__")
+
+
+def _imports(tree):
+    for node in ast.walk(tree):
+        if isinstance(node, ast.Import):
+            yield from (alias.name for alias in node.names)
+        elif isinstance(node, ast.ImportFrom):
+            assert node.level == 0, "imports name the whole module"
+            yield node.module
+
+
+def _allowed(name, group):
+    own = {_module_name(path) for owner, path in DECISION_MODULES if owner == group}
+    packages = {module.rpartition(".")[0] for module in own}
+    return name in STANDARD_LIBRARY | PROJECT | own | packages | set(GROUPS[group][1])
+
+
+def _parse(path):
+    return ast.parse(path.read_text(encoding="utf-8"))
+
+
+@pytest.mark.parametrize(("group", "path"), DECISION_MODULES, ids=lambda value: str(value).rpartition("lapispick/")[2])
+def test_decision_modules_import_only_what_is_named(group, path):
+    assert [name for name in _imports(_parse(path)) if not _allowed(name, group)] == []
+
+
+def _called_names(path):
+    """Return the names and attributes that a module calls, such as ``open`` and the ``now`` of ``datetime.now()``."""
+    functions = [node.func for node in ast.walk(_parse(path)) if isinstance(node, ast.Call)]
+    names = {function.id for function in functions if isinstance(function, ast.Name)}
+    return names | {function.attr for function in functions if isinstance(function, ast.Attribute)}
+
+
+@pytest.mark.parametrize("path", [path for _, path in DECISION_MODULES], ids=_module_name)
+def test_decision_modules_call_no_clock_and_do_no_io(path):
+    assert _called_names(path) & CLOCK_AND_IO == set()
+
+
+def test_the_decision_module_draws_only_from_a_seeded_generator():
+    used = {
+        node.attr
+        for path in _files(["control.py"])
+        for node in ast.walk(_parse(path))
+        if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name) and node.value.id == "random"
+    }
+    assert used <= {"Random"}
+
+
+def test_the_readme_example_runs(capsys):
+    code = re.search(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S).group(1)
+    exec(compile(code, "README", "exec"), {})
+    assert "start 1" in capsys.readouterr().out
