--- a/benchmarks/detectors.py
+++ b/benchmarks/detectors.py
@@ -27,8 +27,9 @@
 class Heartbeats:
     """Silence for a fixed time is a death."""
 
-    def __init__(self, name: str, life: int, names: Iterable[str], now: float, rng: Any, period: float = 1.0,
-                 silent: float = 5.0) -> None:
+    def __init__(
+        self, name: str, life: int, names: Iterable[str], now: float, rng: Any, period: float = 1.0, silent: float = 5.0
+    ) -> None:
         self.name, self.life, self.period, self.silent = name, life, period, silent
         self._others = [each for each in names if each != name]
         self._next = now + rng.random() * period
--- a/benchmarks/durable.py
+++ b/benchmarks/durable.py
@@ -175,13 +175,29 @@
         for name, make in BACKENDS.items():
             took, syncs = latency(make, rate, seconds)
             took.sort()
-            rows.append((rate, name, len(took), f"{syncs / len(took):.2f}", f"{statistics.median(took):.2f}",
-                         f"{took[int(len(took) * 0.99)]:.2f}"))
-    show("a write until it is on the disk",
-         ("a second", "store", "writes", "syncs a write", "p50, ms", "p99, ms"), rows)
-    show("opening and reading all", ("keys", "store", "ms", "bytes a key"), (
-        (count, name, f"{spent:.0f}", f"{size:.0f}") for count in KEYS for name, make in BACKENDS.items()
-        for spent, size in [recovery(make, count)]))
+            rows.append(
+                (
+                    rate,
+                    name,
+                    len(took),
+                    f"{syncs / len(took):.2f}",
+                    f"{statistics.median(took):.2f}",
+                    f"{took[int(len(took) * 0.99)]:.2f}",
+                )
+            )
+    show(
+        "a write until it is on the disk", ("a second", "store", "writes", "syncs a write", "p50, ms", "p99, ms"), rows
+    )
+    show(
+        "opening and reading all",
+        ("keys", "store", "ms", "bytes a key"),
+        (
+            (count, name, f"{spent:.0f}", f"{size:.0f}")
+            for count in KEYS
+            for name, make in BACKENDS.items()
+            for spent, size in [recovery(make, count)]
+        ),
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/inventory.py
+++ b/benchmarks/inventory.py
@@ -37,8 +37,11 @@
 
 def csv_list(count: int, other: int = -1) -> str:
     """Return a list in CSV; the box with the number ``other`` has another port."""
-    rows = [f"disp-{n:04d}.pipera.example.org,shops,127.{n // 62500}.{n // 250 % 250}.{n % 250 + 1},"
-            f"{5 if n == other else 4},bookings,book,pipera\n" for n in range(1, count + 1)]
+    rows = [
+        f"disp-{n:04d}.pipera.example.org,shops,127.{n // 62500}.{n // 250 % 250}.{n % 250 + 1},"
+        f"{5 if n == other else 4},bookings,book,pipera\n"
+        for n in range(1, count + 1)
+    ]
     return "host,group,ansible_host,amqp_port,amqp_queue,amqp_class,site\n" + "".join(rows)
 
 
@@ -46,11 +49,13 @@
     """Return the same list in YAML."""
     made = ["all:\n  children:\n    shops:\n      vars: {amqp_user: shop}\n      hosts:\n"]
     for n in range(1, count + 1):
-        made.append(f"        disp-{n:04d}.pipera.example.org:\n"
-                    f"          ansible_host: 127.{n // 62500}.{n // 250 % 250}.{n % 250 + 1}\n"
-                    f"          amqp_port: {5 if n == other else 4}\n"
-                    f"          amqp_queues:\n            - amqp_queue: bookings\n"
-                    f"              amqp_class: book\n          site: pipera\n")
+        made.append(
+            f"        disp-{n:04d}.pipera.example.org:\n"
+            f"          ansible_host: 127.{n // 62500}.{n // 250 % 250}.{n % 250 + 1}\n"
+            f"          amqp_port: {5 if n == other else 4}\n"
+            f"          amqp_queues:\n            - amqp_queue: bookings\n"
+            f"              amqp_class: book\n          site: pipera\n"
+        )
     return "".join(made)
 
 
@@ -101,8 +106,9 @@
                 change.append(two)
             one, two = statistics.median(first), statistics.median(change)
             rows.append((form, size, f"{one:.0f}", f"{two:.2f}", f"{two / one:.3f}"))
-    show("the helper process, ms (medians)", ("form", "boxes", "start and first load", "one box changed", "ratio"),
-         rows)
+    show(
+        "the helper process, ms (medians)", ("form", "boxes", "start and first load", "one box changed", "ratio"), rows
+    )
 
 
 def _helper(form: str, old: str, new: str) -> tuple[float, float]:
@@ -151,8 +157,9 @@
         for turn, spare in enumerate(spares):
             spare.write_text(FORMS[form](size, 1 + turn * size // rounds))
         told = Settings(path=path, group="shops", look=0.05, settle=0.1, settle_most=1.0)
-        front = AmqpFront(loop, Bounds(lives=8), info, settings_from(info), lambda item: None,
-                          Names(loop, 1.0, None), 60.0)
+        front = AmqpFront(
+            loop, Bounds(lives=8), info, settings_from(info), lambda item: None, Names(loop, 1.0, None), 60.0
+        )
         inventory = Inventory(loop, told, listing.schema(info), front.take)
 
         def beat() -> None:
@@ -198,11 +205,19 @@
     rows: list[tuple[Any, ...]] = []
     for form in FORMS:
         for size in SIZES:
-            told = subprocess.run([sys.executable, "-m", "benchmarks.inventory", "stalls", form, str(size),
-                                   str(rounds)], capture_output=True, text=True, check=True, timeout=90)
+            told = subprocess.run(
+                [sys.executable, "-m", "benchmarks.inventory", "stalls", form, str(size), str(rounds)],
+                capture_output=True,
+                text=True,
+                check=True,
+                timeout=90,
+            )
             rows.append((form, size, *told.stdout.split()))
-    show("longest gap between two turns of the loop, ms; memory at the peak, MB", (
-        "form", "boxes", "idle", "first load", "one box changed", "helper", "host and front"), rows)
+    show(
+        "longest gap between two turns of the loop, ms; memory at the peak, MB",
+        ("form", "boxes", "idle", "first load", "one box changed", "helper", "host and front"),
+        rows,
+    )
 
 
 def off(rounds: int = 5, requests: int = 1200) -> None:
@@ -226,10 +241,12 @@
     rows = []
     for at, what in enumerate(("memory at start, MB", "CPU for a request, us")):
         before, now = ([values[at] for values in found[name]] for name in ("before", "now"))
-        rows.append((what, f"{statistics.median(before):.2f}", f"{statistics.median(now):.2f}",
-                     ratio(before, now)))
-    show(f"a host with all of it off against {BEFORE} (medians of {rounds} runs each)",
-         ("", "before", "now", "ratio"), rows)
+        rows.append((what, f"{statistics.median(before):.2f}", f"{statistics.median(now):.2f}", ratio(before, now)))
+    show(
+        f"a host with all of it off against {BEFORE} (medians of {rounds} runs each)",
+        ("", "before", "now", "ratio"),
+        rows,
+    )
 
 
 LOG_SCRIPT = """
@@ -261,8 +278,15 @@
     """Compare the host's formatter with structlog: memory of the import, cost of a line."""
     rows = []
     for name, tool in (("the host's formatter", False), ("structlog, as the tools use it", True)):
-        made = [subprocess.run([sys.executable, "-c", LOG_SCRIPT.replace("{tool}", str(tool))],
-                               capture_output=True, text=True, check=True).stdout.split() for _ in range(rounds)]
+        made = [
+            subprocess.run(
+                [sys.executable, "-c", LOG_SCRIPT.replace("{tool}", str(tool))],
+                capture_output=True,
+                text=True,
+                check=True,
+            ).stdout.split()
+            for _ in range(rounds)
+        ]
         rows.append((name, *(f"{statistics.median(float(m[at]) for m in made):.1f}" for at in (0, 1))))
     show("log lines (medians)", ("", "memory of the import, MB", "a line, us"), rows)
 
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -75,8 +75,7 @@
     notices = sorted({by: at - DIES for at, by, who in world.deaths() if who == gone and at >= DIES}.values())
     false = len({(by, who) for at, by, who in world.deaths() if who != gone or at < DIES})
     whole = notices and len(notices) == play.size - 1
-    return (notices[0] if notices else -1.0, notices[-1] if whole else -1.0, false,
-            world.bytes / play.size / SECONDS)
+    return (notices[0] if notices else -1.0, notices[-1] if whole else -1.0, false, world.bytes / play.size / SECONDS)
 
 
 def _detectors(pool: ProcessPoolExecutor, plays: int) -> list[dict[str, object]]:
@@ -85,34 +84,59 @@
         for detector in ("swim", "swim, no health", "heartbeats", "phi accrual"):
             found = list(pool.map(detected, [Play(detector, fault, seed) for seed in range(1, plays + 1)], chunksize=4))
             first, last = ([f[at] for f in found if f[at] >= 0] for at in (0, 1))
-            rows.append({"fault": fault, "detector": detector, "plays": plays,
-                         "first_s": round(sum(first) / max(1, len(first)), 1),
-                         "last_s": round(sum(last) / max(1, len(last)), 1), "unnoticed": plays - len(first),
-                         "false": sum(f[2] for f in found), "plays_with_false": sum(f[2] > 0 for f in found),
-                         "bytes": round(sum(f[3] for f in found) / plays)})
+            rows.append(
+                {
+                    "fault": fault,
+                    "detector": detector,
+                    "plays": plays,
+                    "first_s": round(sum(first) / max(1, len(first)), 1),
+                    "last_s": round(sum(last) / max(1, len(last)), 1),
+                    "unnoticed": plays - len(first),
+                    "false": sum(f[2] for f in found),
+                    "plays_with_false": sum(f[2] > 0 for f in found),
+                    "bytes": round(sum(f[3] for f in found) / plays),
+                }
+            )
     return rows
 
 
 def _sizes(pool: ProcessPoolExecutor, _plays: int) -> list[dict[str, object]]:
     script = "20s kill 5% for 1000s"
-    told = [runs.Run(14, 60.0, 0.0, 1, script), runs.Run(200, 60.0, 0.0, 1, script),
-            runs.Run(1000, 60.0, 0.0, 1, script), runs.Run(5000, 30.0, 0.0, 1, "5s kill 1% for 1000s")]
+    told = [
+        runs.Run(14, 60.0, 0.0, 1, script),
+        runs.Run(200, 60.0, 0.0, 1, script),
+        runs.Run(1000, 60.0, 0.0, 1, script),
+        runs.Run(5000, 30.0, 0.0, 1, "5s kill 1% for 1000s"),
+    ]
     return [msgspec.structs.asdict(found) for found in pool.map(runs.played, told)]
 
 
 def _turns(pool: ProcessPoolExecutor, plays: int) -> list[dict[str, object]]:
-    faults = {"none": ("", 0.0), "loss 20%": ("", 0.2),
-              "a part of 2 in 5 cut off": ("20s part disp-0001,disp-0002 for 60s", 0.0),
-              "deaths": ("\n".join(f"{20 + 10 * n}s kill disp-{n % 5 + 1:04} for 3s" for n in range(9)), 0.0)}
+    faults = {
+        "none": ("", 0.0),
+        "loss 20%": ("", 0.2),
+        "a part of 2 in 5 cut off": ("20s part disp-0001,disp-0002 for 60s", 0.0),
+        "deaths": ("\n".join(f"{20 + 10 * n}s kill disp-{n % 5 + 1:04} for 3s" for n in range(9)), 0.0),
+    }
     rows = []
     for name, (script, loss) in faults.items():
         for want in (1, 5):
-            found = list(pool.map(runs.played, [runs.Run(5, 120.0, loss, seed, script, want)
-                                                for seed in range(1, max(2, plays // 4) + 1)]))
+            found = list(
+                pool.map(
+                    runs.played,
+                    [runs.Run(5, 120.0, loss, seed, script, want) for seed in range(1, max(2, plays // 4) + 1)],
+                )
+            )
             had = sum(f.turns for f in found)
-            rows.append({"fault": name, "want": want, "turns": had,
-                         "wait_s": round(sum(f.turn_wait * f.turns for f in found) / max(1, had), 2),
-                         "overlaps": sum(f.overlaps for f in found)})
+            rows.append(
+                {
+                    "fault": name,
+                    "want": want,
+                    "turns": had,
+                    "wait_s": round(sum(f.turn_wait * f.turns for f in found) / max(1, had), 2),
+                    "overlaps": sum(f.overlaps for f in found),
+                }
+            )
     return rows
 
 
@@ -187,21 +211,39 @@
 
 
 def _herd(_pool: ProcessPoolExecutor, plays: int) -> list[dict[str, object]]:
-    before = {"reconnects": lambda s: _reconnects(lambda p, d: p * (0.7 + 0.3 * d), s),
-              "look-ups": lambda s: _lookups(lambda p, d: p, s), "probes": lambda s: _probes(False, s)}
-    after = {"reconnects": lambda s: _reconnects(spread.pause, s), "look-ups": lambda s: _lookups(spread.period, s),
-             "probes": lambda s: _probes(True, s)}
+    before = {
+        "reconnects": lambda s: _reconnects(lambda p, d: p * (0.7 + 0.3 * d), s),
+        "look-ups": lambda s: _lookups(lambda p, d: p, s),
+        "probes": lambda s: _probes(False, s),
+    }
+    after = {
+        "reconnects": lambda s: _reconnects(spread.pause, s),
+        "look-ups": lambda s: _lookups(spread.period, s),
+        "probes": lambda s: _probes(True, s),
+    }
     spans, rows = {"reconnects": 30.0, "look-ups": 3600.0, "probes": 20.0}, []
     for what, span in spans.items():
         for when, made in (("before", before), ("now", after)):
             found = [_instants(made[what](seed), span) for seed in range(1, min(plays, 5) + 1)]
-            rows.append({"what": what, "when": when, "instants": round(sum(f[0] for f in found) / len(found), 3),
-                         "worst": round(sum(f[1] for f in found) / len(found), 1)})
+            rows.append(
+                {
+                    "what": what,
+                    "when": when,
+                    "instants": round(sum(f[0] for f in found) / len(found), 3),
+                    "worst": round(sum(f[1] for f in found) / len(found), 1),
+                }
+            )
     for turn in (False, True):
         times = _undoing(turn, 1)
-        rows.append({"what": "undoing", "when": "now" if turn else "before", "boxes": len(times),
-                     "at_once": max(sum(abs(a - b) < 1.0 for b in times) for a in times),
-                     "seconds": round(times[-1] - times[0], 1)})
+        rows.append(
+            {
+                "what": "undoing",
+                "when": "now" if turn else "before",
+                "boxes": len(times),
+                "at_once": max(sum(abs(a - b) < 1.0 for b in times) for a in times),
+                "seconds": round(times[-1] - times[0], 1),
+            }
+        )
     return rows
 
 
--- a/benchmarks/plainfold.py
+++ b/benchmarks/plainfold.py
@@ -73,12 +73,24 @@
                 found.poorer = True
             elif type(action) is api.Refuse:
                 grounds[action.ground or "not told"] = grounds.get(action.ground or "not told", 0) + 1
-    made: dict[str, Any] = {"whole": Worth(), "classes": {}, "accounts": {}, "windows": {}, "gaps": gaps,
-                            "grounds": dict(sorted(grounds.items())), "waits": waits, "runs": runs}
+    made: dict[str, Any] = {
+        "whole": Worth(),
+        "classes": {},
+        "accounts": {},
+        "windows": {},
+        "gaps": gaps,
+        "grounds": dict(sorted(grounds.items())),
+        "waits": waits,
+        "runs": runs,
+    }
     for one in requests:
         window = str(int(one.born // WINDOW_MS * WINDOW_MS))
-        for into in (made["whole"], made["classes"].setdefault(one.name, Worth()),
-                     made["accounts"].setdefault(one.account, Worth()), made["windows"].setdefault(window, Worth())):
+        for into in (
+            made["whole"],
+            made["classes"].setdefault(one.name, Worth()),
+            made["accounts"].setdefault(one.account, Worth()),
+            made["windows"].setdefault(window, Worth()),
+        ):
             _count(into, one)
     return made
 
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -47,7 +47,7 @@
     """Play one stage of a fleet whose boxes differ, drift and share a wave of load."""
     fleet = Fleet(stage.seed, stage.changed + stage.old, drift=0.001)
     names = list(fleet.boxes)
-    changed, old = names[:stage.changed], names[stage.changed:]
+    changed, old = names[: stage.changed], names[stage.changed :]
     judge = Judge(Bounds(), {name: 1 for name in names})
     for each in fleet.boxes.values():
         each.procs[1], each.state.lives = (OLD, -100.0), [_life()]
@@ -117,8 +117,14 @@
     fleet = Fleet(1, size, rate=20.0)
     course = fleet.play(20_000)
     serving = sum(b.serving(fleet.now)[0] == NEW for b in fleet.boxes.values())
-    return {"boxes": size, "phase": course.phase, "serving": serving, "hours": round(fleet.now / 3600, 2),
-            "down_most": fleet.worst_down, "cpu_s": round(time.process_time() - began, 1)}
+    return {
+        "boxes": size,
+        "phase": course.phase,
+        "serving": serving,
+        "hours": round(fleet.now / 3600, 2),
+        "down_most": fleet.worst_down,
+        "cpu_s": round(time.process_time() - began, 1),
+    }
 
 
 def _stages(pool: ProcessPoolExecutor, plays: int) -> list[dict[str, object]]:
@@ -129,10 +135,18 @@
             told = [Stage(seed, changed, old, worse) for seed in range(1, many + 1)]
             found = list(pool.map(played, told, chunksize=5))
             stops = sorted(f.judge for f in found if f.judge)
-            rows.append({"changed": changed, "old": old, "worse": worse, "plays": many,
-                         "judge": len(stops) / many, "raw": sum(f.raw > 0 for f in found) / many,
-                         "slices": stops[len(stops) // 2] if stops else 0,
-                         "good": sum(f.outcome == "good" for f in found) / many})
+            rows.append(
+                {
+                    "changed": changed,
+                    "old": old,
+                    "worse": worse,
+                    "plays": many,
+                    "judge": len(stops) / many,
+                    "raw": sum(f.raw > 0 for f in found) / many,
+                    "slices": stops[len(stops) // 2] if stops else 0,
+                    "good": sum(f.outcome == "good" for f in found) / many,
+                }
+            )
     return rows
 
 
@@ -176,8 +190,12 @@
     options.add_argument("--plot", metavar="FILE", help="draw detection by boxes, for the part stages")
     told = options.parse_args()
     with ProcessPoolExecutor(told.jobs) as pool:
-        parts = {"whole": lambda: _whole(pool, told.plays), "stages": lambda: _stages(pool, told.plays),
-                 "lost": lambda: _lost(pool, 8), "large": lambda: list(pool.map(large, (200, 1000)))}
+        parts = {
+            "whole": lambda: _whole(pool, told.plays),
+            "stages": lambda: _stages(pool, told.plays),
+            "lost": lambda: _lost(pool, 8),
+            "large": lambda: list(pool.map(large, (200, 1000))),
+        }
         for part in told.parts or parts:
             found = parts[part]()
             print(part, msgspec.json.encode(found).decode(), flush=True)
--- a/benchmarks/rollout_fleet.py
+++ b/benchmarks/rollout_fleet.py
@@ -29,8 +29,10 @@
 
 def run(seed: int, boxes: int, rate: float, work_s: float, rolls: bool) -> tuple[float, float, float]:
     """Return (worth served of that asked for, seconds, executor runs a request) of one run."""
-    with tempfile.TemporaryDirectory() as folder, \
-            Fleet(Path(folder), seed, boxes, gateways=3, rate=rate, work={"work_s": work_s}) as fleet:
+    with (
+        tempfile.TemporaryDirectory() as folder,
+        Fleet(Path(folder), seed, boxes, gateways=3, rate=rate, work={"work_s": work_s}) as fleet,
+    ):
         steering = Steering(fleet, PLAN)
         try:
             steering.up()
@@ -66,8 +68,11 @@
         order = ((True, False), (False, True))[seed % 2]
         found = {rolls: run(seed, told.boxes, told.rate, told.work_ms / 1000, rolls) for rolls in order}
         rolled, still = found[True], found[False]
-        print(f"seed {seed}: worth with a rollout {rolled[0]:.4f} in {rolled[1]:.0f} s, without {still[0]:.4f}, "
-              f"ratio {rolled[0] / still[0]:.4f}; runs a try {rolled[2]:.3f} and {still[2]:.3f}", flush=True)
+        print(
+            f"seed {seed}: worth with a rollout {rolled[0]:.4f} in {rolled[1]:.0f} s, without {still[0]:.4f}, "
+            f"ratio {rolled[0] / still[0]:.4f}; runs a try {rolled[2]:.3f} and {still[2]:.3f}",
+            flush=True,
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/rollout_model.py
+++ b/benchmarks/rollout_model.py
@@ -94,17 +94,36 @@
 class Fleet:
     """Boxes, their load, a controller and its judge."""
 
-    def __init__(self, seed: int, size: int, plan: dict[str, Any] | None = None, wants: tuple[str, ...] = WANTS,
-                 rate: float = 60.0, effect: Effect | None = None, harm: float = 0.0, drift: float = 0.002) -> None:
+    def __init__(
+        self,
+        seed: int,
+        size: int,
+        plan: dict[str, Any] | None = None,
+        wants: tuple[str, ...] = WANTS,
+        rate: float = 60.0,
+        effect: Effect | None = None,
+        harm: float = 0.0,
+        drift: float = 0.002,
+    ) -> None:
         self.rng, self.now, self.rate, self.effect = random.Random(seed), 0.0, rate, effect
         self.harm, self.drift = harm, drift
         self.boxes = {f"d{n:04}": Box(f"d{n:04}", random.Random(f"{seed} {n}")) for n in range(size)}
-        workers = [Worker(name, f"{name}:1", agent=f"{name}:2", zone=f"z{n % 3}", machine="old" if n % 2 else "new")
-                   for n, name in enumerate(self.boxes)]
+        workers = [
+            Worker(name, f"{name}:1", agent=f"{name}:2", zone=f"z{n % 3}", machine="old" if n % 2 else "new")
+            for n, name in enumerate(self.boxes)
+        ]
         bounds = stages.Bounds(0.6)
         most = max(2, size // 20)
-        held = {"warm_up": 10.0, "bake": 60.0, "bake_most": 180.0, "confirm": 900.0, "watch": 30.0, "back_most": most,
-                "pace": pace.Bounds(most, 0.8), **(plan or {})}
+        held = {
+            "warm_up": 10.0,
+            "bake": 60.0,
+            "bake_most": 180.0,
+            "confirm": 900.0,
+            "watch": 30.0,
+            "back_most": most,
+            "pace": pace.Bounds(most, 0.8),
+            **(plan or {}),
+        }
         assigned = stages.assign(workers, [stages.want(w) for w in wants], f"r{seed}", bounds)
         kinds = {w.name: w.kind for w in workers}
         self.course = Course(f"r{seed}", Plan(NEW, tuple(map(tuple, assigned)), kinds=kinds, **held))
@@ -151,8 +170,11 @@
         self.common = max(0.0, 0.9 * self.common + self.rng.gauss(0, 0.02))
         new = sum(each.serving(self.now)[0] == NEW for each in self.boxes.values())
         harmed = self.harm * new / len(self.boxes)
-        slices = {n: s for n, each in self.boxes.items()
-                  if (s := self.slice(each, harmed if each.serving(self.now)[0] == OLD else 0.0)) is not None}
+        slices = {
+            n: s
+            for n, each in self.boxes.items()
+            if (s := self.slice(each, harmed if each.serving(self.now)[0] == OLD else 0.0)) is not None
+        }
         self.weigh(slices)
         heard = {name: each.heard(self.now) for name, each in self.boxes.items()}
         self.course, calls = steering.step(self.course, self.now, Fence(1, "sim"), heard, self.verdict)
--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -48,8 +48,12 @@
 
 def parts() -> list[tuple[str, float]]:
     """Return what an import of the host spends, ms of itself by package, the largest first."""
-    told = subprocess.run([sys.executable, "-X", "importtime", "-c", "import lapispick.host.__main__"],
-                          capture_output=True, text=True, check=True).stderr
+    told = subprocess.run(
+        [sys.executable, "-X", "importtime", "-c", "import lapispick.host.__main__"],
+        capture_output=True,
+        text=True,
+        check=True,
+    ).stderr
     spent: dict[str, float] = {}
     for line in told.splitlines()[1:]:
         own, _, name = line.removeprefix("import time:").split("|")
@@ -73,8 +77,10 @@
         n = len(seen)
         print(f"{busy:10}  {loaded[n // 2]:10.2f}  {ready[n // 2]:9.2f}  {ready[int(n * 0.9)]:.2f}  {ready[-1]:.2f}")
     spent = parts()
-    print(f"one import alone: {sum(ms for _, ms in spent):.0f} ms, of these",
-          ", ".join(f"{name} {ms:.0f}" for name, ms in spent[:8]))
+    print(
+        f"one import alone: {sum(ms for _, ms in spent):.0f} ms, of these",
+        ", ".join(f"{name} {ms:.0f}" for name, ms in spent[:8]),
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -42,7 +42,7 @@
         names = sorted(b.name for b in backends)
         random.Random(n // count).shuffle(names)
         at = n % count * size
-        made[host] = tuple(names[at:at + size])
+        made[host] = tuple(names[at : at + size])
     return made
 
 
@@ -81,12 +81,17 @@
         found = subsets.moved(chosen, way(hosts, [b for b in backends if b != lost], least))
         apart += len(found.begun)
     pairs = sum(map(len, chosen.values()))
-    return {"worst_load": round(max(load.values()) / mean, 2), "least_load": round(min(load.values()) / mean, 2),
-            "worst_fitted": round(max(fitted.values()) / (len(hosts) / len(backends)), 2),
-            "hosts_least": min(map(len, holders.values())), "hosts_most": max(map(len, holders.values())),
-            "zones_least": min(len({zone[h] for h in each}) for each in holders.values()),
-            "host_gone_moves": round(moves / max(1, needs), 2),
-            "backend_gone_moves_of_all": round(apart / min(plays, len(backends)) / pairs, 3), "s": round(took, 3)}
+    return {
+        "worst_load": round(max(load.values()) / mean, 2),
+        "least_load": round(min(load.values()) / mean, 2),
+        "worst_fitted": round(max(fitted.values()) / (len(hosts) / len(backends)), 2),
+        "hosts_least": min(map(len, holders.values())),
+        "hosts_most": max(map(len, holders.values())),
+        "zones_least": min(len({zone[h] for h in each}) for each in holders.values()),
+        "host_gone_moves": round(moves / max(1, needs), 2),
+        "backend_gone_moves_of_all": round(apart / min(plays, len(backends)) / pairs, 3),
+        "s": round(took, 3),
+    }
 
 
 def main() -> None:
--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -37,8 +37,9 @@
 from lapispick.trace.kinds import Answered, Arrival, Step
 
 SEED, RATE = 7, 130.0  # requests a second
-SETTINGS = settings_from(msgspec.convert({
-    **INFO, "FamilyInfo": {**INFO["FamilyInfo"], "Cores": 3, "CallsOut": 30.0}}, Info))
+SETTINGS = settings_from(
+    msgspec.convert({**INFO, "FamilyInfo": {**INFO["FamilyInfo"], "Cores": 3, "CallsOut": 30.0}}, Info)
+)
 NAMES = [s["Name"] for s in INFO["Services"]]
 
 
@@ -80,8 +81,19 @@
                 heappush(due, (now + rng.expovariate(RATE) * 1000, count, "arrive", None))
             tries[last] = told
             due_at = told.born + rng.choice((2900, 3000, 4000))
-            events.append(api.Request(last, float(due_at), rng.randrange(10_000) / 10_000, now - told.born, told.prior,
-                                      0.0, rng.randrange(100, 560) / 10, told.cls, rng.randrange(4)))
+            events.append(
+                api.Request(
+                    last,
+                    float(due_at),
+                    rng.randrange(10_000) / 10_000,
+                    now - told.born,
+                    told.prior,
+                    0.0,
+                    rng.randrange(100, 560) / 10,
+                    told.cls,
+                    rng.randrange(4),
+                )
+            )
             notes.append(Arrival(last, f"account-{told.account}", told.subject, float(told.born)))
         elif what == "timer":
             events.append(api.TimerFired(told, (round(rng.uniform(0.2, 1), 3), float(rng.randrange(30)), 0.1, 3.0)))
@@ -108,8 +120,10 @@
             elif kind in (api.Refuse, api.Fail) and (one := tries.pop(action.id, None)):
                 notes.append(Answered(action.id, "refused" if kind is api.Refuse else "failed", now - one.born))
                 if rng.random() < 0.2:
-                    heappush(due, (now + rng.expovariate(1 / 200), count, "again", one._replace(
-                        prior=action.id, born=int(now))))
+                    heappush(
+                        due,
+                        (now + rng.expovariate(1 / 200), count, "again", one._replace(prior=action.id, born=int(now))),
+                    )
         yield Step(now, tuple(events), tuple(actions), tuple(notes))
 
 
@@ -128,8 +142,7 @@
     """Sum up JSON lines, as a short script would."""
     with gzip.open(path, "rb") as file:
         header = lines.read_header(file.readline())
-        return plainfold.fold([folding.source(s) for s in header.sources],
-                              (lines.read_step(line, 0) for line in file))
+        return plainfold.fold([folding.source(s) for s in header.sources], (lines.read_step(line, 0) for line in file))
 
 
 def _decoded(path: Path) -> int:
@@ -145,11 +158,19 @@
 
 def file(minutes: float) -> None:
     """Take a long trace through cut, merge, anonymise and replay; the same records as gzipped JSON lines beside it."""
-    header = files.blank(box="n3", incarnation="1", seed=SEED, module_now=1_764_576_000_000.0, classes=NAMES,
-                         settings=msgspec.json.encode(SETTINGS), accounts=[f"account-{n}" for n in range(6)])
+    header = files.blank(
+        box="n3",
+        incarnation="1",
+        seed=SEED,
+        module_now=1_764_576_000_000.0,
+        classes=NAMES,
+        settings=msgspec.json.encode(SETTINGS),
+        accounts=[f"account-{n}" for n in range(6)],
+    )
     with tempfile.TemporaryDirectory() as folder:
-        path, beside, part, other, back = (Path(folder) / name for name in (
-            "x.lptrace", "x.jsonl.gz", "a.lptrace", "b.lptrace", "c.lptrace"))
+        path, beside, part, other, back = (
+            Path(folder) / name for name in ("x.lptrace", "x.jsonl.gz", "a.lptrace", "b.lptrace", "c.lptrace")
+        )
         writing, count = _timed(lambda: files.write(path, header, drive(minutes)))
         with files.Reader(path) as reader, gzip.open(beside, "wb", compresslevel=6) as out:
             for line in lines.write(header, reader.steps()):
@@ -173,17 +194,25 @@
             made.header(header)
             files.write(part, header, made.steps(reader.steps()))
         hidden = _nameless(_summary(part)) == _nameless(before)
-        show(f"a trace of {minutes:g} minutes at {RATE:g} requests a second", ("", "value"), (
-            ("requests, tries, steps", f"{before.whole.requests}, {before.whole.tries}, {count}"),
-            ("bytes", path.stat().st_size), ("bytes of gzipped JSON lines", beside.stat().st_size),
-            ("size ratio", f"{path.stat().st_size / beside.stat().st_size:.3f}"),
-            ("made and written, s", f"{writing:.0f}"), ("summarise, s", f"{ours:.2f}"),
-            ("summarise the JSON lines, s", f"{theirs:.1f}, {theirs / ours:.1f} times ours"),
-            ("only decode the JSON lines, s", f"{only:.1f}, {only / ours:.1f} times ours"),
-            ("both summaries agree", plain["whole"] == before.whole and plain["accounts"] == before.accounts),
-            ("a minute's cut", f"{cutting:.2f} s, reads {share:.2%}"),
-            ("cut in two and merged: the same summary", merged), ("anonymised: the same summary", hidden),
-            ("replay: steps, that differ", f"{result.steps}, {result.differing}")))
+        show(
+            f"a trace of {minutes:g} minutes at {RATE:g} requests a second",
+            ("", "value"),
+            (
+                ("requests, tries, steps", f"{before.whole.requests}, {before.whole.tries}, {count}"),
+                ("bytes", path.stat().st_size),
+                ("bytes of gzipped JSON lines", beside.stat().st_size),
+                ("size ratio", f"{path.stat().st_size / beside.stat().st_size:.3f}"),
+                ("made and written, s", f"{writing:.0f}"),
+                ("summarise, s", f"{ours:.2f}"),
+                ("summarise the JSON lines, s", f"{theirs:.1f}, {theirs / ours:.1f} times ours"),
+                ("only decode the JSON lines, s", f"{only:.1f}, {only / ours:.1f} times ours"),
+                ("both summaries agree", plain["whole"] == before.whole and plain["accounts"] == before.accounts),
+                ("a minute's cut", f"{cutting:.2f} s, reads {share:.2%}"),
+                ("cut in two and merged: the same summary", merged),
+                ("anonymised: the same summary", hidden),
+                ("replay: steps, that differ", f"{result.steps}, {result.differing}"),
+            ),
+        )
 
 
 WAVE = 30  # requests at once on one connection
@@ -224,12 +253,23 @@
             host.close()
     ratios = sorted(on / off for off, on in zip(found["off"], found["on"], strict=True))
     low, high = ratios[turns // 4], ratios[3 * turns // 4]
-    show("CPU of the host for a request, us", ("", "off", "on", "ratio"), [
-        ("mean", *(f"{statistics.mean(found[n]):.1f}" for n in found),
-         f"{statistics.mean(found['on']) / statistics.mean(found['off']):.3f}"),
-        ("median", *(f"{statistics.median(found[n]):.1f}" for n in found),
-         f"{statistics.median(ratios):.3f} (half of the turns: {low:.3f} to {high:.3f})"),
-        ("the writer's process", "", f"{writing:.1f}", "")])
+    show(
+        "CPU of the host for a request, us",
+        ("", "off", "on", "ratio"),
+        [
+            (
+                "mean",
+                *(f"{statistics.mean(found[n]):.1f}" for n in found),
+                f"{statistics.mean(found['on']) / statistics.mean(found['off']):.3f}",
+            ),
+            (
+                "median",
+                *(f"{statistics.median(found[n]):.1f}" for n in found),
+                f"{statistics.median(ratios):.3f} (half of the turns: {low:.3f} to {high:.3f})",
+            ),
+            ("the writer's process", "", f"{writing:.1f}", ""),
+        ],
+    )
 
 
 def clocks(seeds: int = 50, apart: float = 1000.0, drift: float = 50e-6) -> None:
@@ -246,8 +286,10 @@
                 shown = {"a": lambda t: t, "b": lambda t: t * (1 + drift) + apart}
                 first, then = rng.sample(sorted(shown), 2)
                 subject = b"%06d" % n
-                tries += [clocking.Try(subject, first, shown[first](at - 20), shown[first](at), False),
-                          clocking.Try(subject, then, shown[then](at + took), shown[then](at + took + 30), True)]
+                tries += [
+                    clocking.Try(subject, first, shown[first](at - 20), shown[first](at), False),
+                    clocking.Try(subject, then, shown[then](at + took), shown[then](at + took + 30), True),
+                ]
             reference, found = estimate(tries, shown)
             other = "b" if reference == "a" else "a"
             clock, middle = found[other], 1_800_000.0
@@ -258,11 +300,22 @@
             met = ways(tries)
             both = [statistics.mean(d for _, d in met[a, b]) for a, b in ((reference, other), (other, reference))]
             plain.append(abs((both[0] - both[1]) / 2 - truth))
-        rows.append((count, f"{len(ours)} of {seeds}", f"{statistics.median(ours):.1f}", f"{max(ours):.1f}",
-                     f"{held} of {len(ours)}", f"{statistics.median(plain):.1f}",
-                     f"{statistics.median(ours) / statistics.median(plain):.3f}"))
-    show("clocks a second apart that drift by 50 parts in a million: how far the estimate is off, ms", (
-        "retries", "told", "median", "worst", "within its error", "mean of both ways", "ratio"), rows)
+        rows.append(
+            (
+                count,
+                f"{len(ours)} of {seeds}",
+                f"{statistics.median(ours):.1f}",
+                f"{max(ours):.1f}",
+                f"{held} of {len(ours)}",
+                f"{statistics.median(plain):.1f}",
+                f"{statistics.median(ours) / statistics.median(plain):.3f}",
+            )
+        )
+    show(
+        "clocks a second apart that drift by 50 parts in a million: how far the estimate is off, ms",
+        ("retries", "told", "median", "worst", "within its error", "mean of both ways", "ratio"),
+        rows,
+    )
 
 
 def main() -> None:
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -100,9 +100,12 @@
         gaps[name] = statistics.median(gap for _, _, gap in made)
         rows.append((name, sum(c for c, _, _ in made), sum(o for _, o, _ in made), f"{gaps[name]:.0f}"))
     part = gaps["upgrade"] / gaps["stop and start"]
-    show(f"one release under load, {rounds} runs each with seeds 0 to {rounds - 1}: requests that met a closed door, "
-         f"that were not served, and the longest span with none served, ms (median; ratio {part:.3f})",
-         ("", "closed", "not served", "longest gap"), rows)
+    show(
+        f"one release under load, {rounds} runs each with seeds 0 to {rounds - 1}: requests that met a closed door, "
+        f"that were not served, and the longest span with none served, ms (median; ratio {part:.3f})",
+        ("", "closed", "not served", "longest gap"),
+        rows,
+    )
 
 
 READER = """
@@ -132,8 +135,9 @@
             began, before, first = time.monotonic(), cpu_s(host.process.pid), sum(len(s.served) for s in shops)
             # A process of its own either way, or what is measured would be the load's own interpreter.
             script = READER if reading else "import sys, time; time.sleep(float(sys.argv[2]))"
-            told = subprocess.run([sys.executable, "-c", script, host.ops, str(2 * SPAN_S)], capture_output=True,
-                                  text=True, check=True)
+            told = subprocess.run(
+                [sys.executable, "-c", script, host.ops, str(2 * SPAN_S)], capture_output=True, text=True, check=True
+            )
             slowest += map(float, told.stdout.split())
             count = sum(len(s.served) for s in shops) - first
             served[reading].append(count / (time.monotonic() - began))
@@ -142,11 +146,21 @@
             for shop in shops:
                 shop.join()
             host.close()
-    rows = [(name, f"{statistics.median(values[False]):.0f}", f"{statistics.median(values[True]):.0f}",
-             ratio(values[False], values[True]))
-            for name, values in (("served a second", served), ("CPU for a request, us", cpu))]
-    show(f"figures read ten times a second under load, {rounds} runs each; slowest of {len(slowest)} calls "
-         f"{max(slowest):.0f} ms, median {statistics.median(slowest):.1f} ms", ("", "not read", "read", "ratio"), rows)
+    rows = [
+        (
+            name,
+            f"{statistics.median(values[False]):.0f}",
+            f"{statistics.median(values[True]):.0f}",
+            ratio(values[False], values[True]),
+        )
+        for name, values in (("served a second", served), ("CPU for a request, us", cpu))
+    ]
+    show(
+        f"figures read ten times a second under load, {rounds} runs each; slowest of {len(slowest)} calls "
+        f"{max(slowest):.0f} ms, median {statistics.median(slowest):.1f} ms",
+        ("", "not read", "read", "ratio"),
+        rows,
+    )
 
 
 def keys(counts: tuple[int, ...] = (100, 2000, 10_000)) -> None:
@@ -167,8 +181,11 @@
             rows.append((count, f"{took:.2f}", f"{both:.0f}"))
             new.close()
             old.close()
-    show("from the start of the new process to its yes, s, and the memory of both at the peak, MB",
-         ("keys", "yes after", "memory"), rows)
+    show(
+        "from the start of the new process to its yes, s, and the memory of both at the peak, MB",
+        ("keys", "yes after", "memory"),
+        rows,
+    )
 
 
 def main() -> None:
--- a/lapispick/agent/controller.py
+++ b/lapispick/agent/controller.py
@@ -61,9 +61,18 @@
 class Controller:
     """Steers one rollout."""
 
-    def __init__(self, ledger: Ledger, course: Course, workers: list[Worker], who: str, judging: Judging, hours: Hours,
-                 look: float, listed: Callable[[], list[Worker] | None] | None = None,
-                 names_file: Path | None = None) -> None:
+    def __init__(
+        self,
+        ledger: Ledger,
+        course: Course,
+        workers: list[Worker],
+        who: str,
+        judging: Judging,
+        hours: Hours,
+        look: float,
+        listed: Callable[[], list[Worker] | None] | None = None,
+        names_file: Path | None = None,
+    ) -> None:
         self.loop = Loop()
         self.work, self._names = Work(self.loop), Names(self.loop, ASK_S, names_file)
         self.ledger, self.course, self.who, self._judging, self._hours = ledger, course, who, judging, hours
@@ -119,7 +128,7 @@
         course, calls = steering.step(course, now, self.fence, self._heard(), self._verdict, why)
         if course != self.course:
             self.point("decided")
-            fresh = course.notes[self._noted:] if len(course.notes) >= self._noted else course.notes[-1:]
+            fresh = course.notes[self._noted :] if len(course.notes) >= self._noted else course.notes[-1:]
             self.work.do(self.ledger.keep, course, now, fresh)
             for _, text in fresh:
                 log(LOG, logging.INFO, "course", rollout=course.name, note=text)
@@ -135,14 +144,20 @@
 
     def _heard(self) -> dict[str, Heard]:
         now = time.monotonic()
-        return {name: Heard(box.status, now - box.heard_at if box.status is not None else float("inf"),
-                            box.memory_kb, box.broken) for name, box in self.boxes.items()}
+        return {
+            name: Heard(
+                box.status, now - box.heard_at if box.status is not None else float("inf"), box.memory_kb, box.broken
+            )
+            for name, box in self.boxes.items()
+        }
 
     def _shown(self) -> dict[str, Any]:
         """Return what people see of the fleet."""
         heard = self._heard()
-        boxes = {name: [each.status.serving, each.status.phase, each.status.fault] if each.status else ["", "", ""]
-                 for name, each in sorted(heard.items())}
+        boxes = {
+            name: [each.status.serving, each.status.phase, each.status.fault] if each.status else ["", "", ""]
+            for name, each in sorted(heard.items())
+        }
         return {"deviations": steering.deviations(self.course, heard), "boxes": boxes}
 
     # Figures.
@@ -153,14 +168,13 @@
         if now - self._slice_at < steering.slice_span(course.plan):
             return
         self._slice_at = now
-        slices = {name: whole for name, box in self.boxes.items()
-                  if (whole := figures.merged(box.slices)) is not None}
+        slices = {name: whole for name, box in self.boxes.items() if (whole := figures.merged(box.slices)) is not None}
         slices = {name: whole._replace(box=name) for name, whole in slices.items()}
         for box in self.boxes.values():
             box.slices.clear()
         phase, stage = course.phase, (course.stage, course.name)
         if phase in (steering.WATCHING, steering.WAITING, steering.HOLDING):
-            self._old = [*self._old, slices][-REDRAW * 3:]
+            self._old = [*self._old, slices][-REDRAW * 3 :]
         if phase not in (steering.CHANGING, steering.BAKING):
             return
         changed, old = steering.groups(course, self._heard())
@@ -172,10 +186,20 @@
         if changed and old:
             self._judge.after(changed, old, slices)
         self._verdict = self._judge.verdict()
-        self._old = [*self._old, {n: s for n, s in slices.items() if n not in course.touched}][-REDRAW * 3:]
-        self.work.do(self.ledger.explain, course.name, time.time(), {
-            "stage": course.stage + 1, "outcome": self._verdict.outcome.value, "ground": self._verdict.ground,
-            "changed": changed, "old": old, "rows": [row._asdict() for row in self._verdict.rows]})
+        self._old = [*self._old, {n: s for n, s in slices.items() if n not in course.touched}][-REDRAW * 3 :]
+        self.work.do(
+            self.ledger.explain,
+            course.name,
+            time.time(),
+            {
+                "stage": course.stage + 1,
+                "outcome": self._verdict.outcome.value,
+                "ground": self._verdict.ground,
+                "changed": changed,
+                "old": old,
+                "rows": [row._asdict() for row in self._verdict.rows],
+            },
+        )
 
     # Calls.
 
@@ -236,8 +260,14 @@
         except (OSError, ValueError) as err:
             return log(LOG, logging.WARNING, "call-unanswered", box=box.worker.name, call=line, error=err)
         said = answer[0] if answer else "nothing"
-        log(LOG, logging.INFO if said.startswith("OK") else logging.WARNING, "called", box=box.worker.name, call=line,
-            answer=said)
+        log(
+            LOG,
+            logging.INFO if said.startswith("OK") else logging.WARNING,
+            "called",
+            box=box.worker.name,
+            call=line,
+            answer=said,
+        )
         if said.startswith("ERR fenced") and words.fence(said.split()[2]) > self.fence:
             self.fenced = said
         return None
--- a/lapispick/agent/ledger.py
+++ b/lapispick/agent/ledger.py
@@ -58,8 +58,9 @@
             if not self._db.execute("select 1 from sqlite_master where name = 'meta'").fetchone():
                 for statement in _SCHEMA.split(";"):
                     self._db.execute(statement)
-                self._db.executemany("insert into meta values (?, ?)",
-                                     [("version", VERSION), ("epoch", 0), ("who", ""), ("seen", 0.0)])
+                self._db.executemany(
+                    "insert into meta values (?, ?)", [("version", VERSION), ("epoch", 0), ("who", ""), ("seen", 0.0)]
+                )
             (version,) = self._db.execute("select value from meta where name = 'version'").fetchone()
             if version > VERSION:
                 raise Unusable(f"{self.path}: has version {version}; this program knows {VERSION}")
@@ -97,15 +98,21 @@
         """Let this be the state of a rollout; raises ``Fenced`` and ``sqlite3.Error``."""
         with self._write():
             ended = now if course.phase in OVER else None
-            self._db.execute("insert into rollouts values (?, ?, ?, ?) on conflict (name) do update set "
-                             "ended = excluded.ended, course = excluded.course",
-                             (course.name, now, ended, msgspec.json.encode(course)))
-            self._db.executemany("insert into events (rollout, at, text) values (?, ?, ?)",
-                                 [(course.name, at, text) for at, text in notes])
-            self._db.execute("delete from events where number <= (select max(number) from events) - ?",
-                             (EVENTS_MOST,))
-            self._db.execute("delete from rollouts where name in (select name from rollouts where ended is not null "
-                             "order by began desc limit -1 offset ?)", (ROLLOUTS_MOST,))
+            self._db.execute(
+                "insert into rollouts values (?, ?, ?, ?) on conflict (name) do update set "
+                "ended = excluded.ended, course = excluded.course",
+                (course.name, now, ended, msgspec.json.encode(course)),
+            )
+            self._db.executemany(
+                "insert into events (rollout, at, text) values (?, ?, ?)",
+                [(course.name, at, text) for at, text in notes],
+            )
+            self._db.execute("delete from events where number <= (select max(number) from events) - ?", (EVENTS_MOST,))
+            self._db.execute(
+                "delete from rollouts where name in (select name from rollouts where ended is not null "
+                "order by began desc limit -1 offset ?)",
+                (ROLLOUTS_MOST,),
+            )
             for table in ("looks", "explained", "orders"):
                 self._db.execute(f"delete from {table} where rollout not in (select name from rollouts)")
 
@@ -113,14 +120,16 @@
         """Say that this controller steers still, and what it saw of the boxes; raises ``Fenced``."""
         with self._write():
             self._db.execute("update meta set value = ? where name = 'seen'", (now,))
-            self._db.execute("insert or replace into looks values (?, ?, ?)",
-                             (rollout, now, msgspec.json.encode(boxes)))
+            self._db.execute(
+                "insert or replace into looks values (?, ?, ?)", (rollout, now, msgspec.json.encode(boxes))
+            )
 
     def explain(self, rollout: str, now: float, told: Any) -> None:
         """Keep why the judge decides as it does."""
         with self._write():
-            self._db.execute("insert or replace into explained values (?, ?, ?)",
-                             (rollout, now, msgspec.json.encode(told)))
+            self._db.execute(
+                "insert or replace into explained values (?, ?, ?)", (rollout, now, msgspec.json.encode(told))
+            )
 
     def orders(self, rollout: str) -> list[str]:
         """Take the words that people left for the controller."""
@@ -139,15 +148,22 @@
 
     def course(self, rollout: str = "") -> Course | None:
         """Return a rollout's state; by default that of the newest."""
-        found = self._db.execute("select course from rollouts where name = ?" if rollout else
-                                 "select course from rollouts order by began desc, name desc limit 1",
-                                 (rollout,) if rollout else ()).fetchone()
+        found = self._db.execute(
+            "select course from rollouts where name = ?"
+            if rollout
+            else "select course from rollouts order by began desc, name desc limit 1",
+            (rollout,) if rollout else (),
+        ).fetchone()
         return _course(found[0]) if found else None
 
     def history(self) -> list[tuple[str, float, float | None, Course]]:
         """Return all rollouts, the newest last."""
-        return [(name, began, ended, _course(course)) for name, began, ended, course in
-                self._db.execute("select name, began, ended, course from rollouts order by began, name")]
+        return [
+            (name, began, ended, _course(course))
+            for name, began, ended, course in self._db.execute(
+                "select name, began, ended, course from rollouts order by began, name"
+            )
+        ]
 
     def events(self, rollout: str) -> list[tuple[float, str]]:
         """Return what happened in a rollout."""
--- a/lapispick/agent/processes.py
+++ b/lapispick/agent/processes.py
@@ -67,8 +67,15 @@
         if life in self.alive():
             return
         with log.open("ab") as out:
-            child = subprocess.Popen(command, cwd=cwd, env={**environ, MARK: f"{self._mark}#{life}"},
-                                     stdin=subprocess.DEVNULL, stdout=out, stderr=out, start_new_session=True)
+            child = subprocess.Popen(
+                command,
+                cwd=cwd,
+                env={**environ, MARK: f"{self._mark}#{life}"},
+                stdin=subprocess.DEVNULL,
+                stdout=out,
+                stderr=out,
+                start_new_session=True,
+            )
         self._children[life], self._pids[life] = child, (child.pid, _began(child.pid))
 
     def alive(self) -> frozenset[int]:
--- a/lapispick/agent/service.py
+++ b/lapispick/agent/service.py
@@ -113,16 +113,28 @@
             signal.signal(number, lambda *_: self.loop.stop())
         self.loop.spawn(self.operators.serve)
         self.loop.spawn(self._serve)
-        log(LOG, logging.INFO, "agent-started", box=self.name, at=self.operators.address, phase=self.state.phase,
-            good=self.state.good or "none", lives=len(self.processes.alive()))
+        log(
+            LOG,
+            logging.INFO,
+            "agent-started",
+            box=self.name,
+            at=self.operators.address,
+            phase=self.state.phase,
+            good=self.state.good or "none",
+            lives=len(self.processes.alive()),
+        )
         self.loop.run()
 
     # Looks.
 
     def _serve(self) -> None:
         for life in self.state.lives:  # the agent before this one may have ended before it told the process
-            if life.role == box.SERVING and life.took and life.number in self.processes.alive() \
-                    and life.generation in self._known:
+            if (
+                life.role == box.SERVING
+                and life.took
+                and life.number in self.processes.alive()
+                and life.generation in self._known
+            ):
                 self._configure(life)
                 self.processes.signal(life.number, signal.SIGHUP)
         while True:
@@ -140,8 +152,9 @@
     def _look(self) -> None:
         self._known = self.work.do(self._housekept)
         alive = self.processes.alive()
-        answers = {life.number: self._asked(life.slot, "check") for life in list(self.state.lives)
-                   if life.number in alive}
+        answers = {
+            life.number: self._asked(life.slot, "check") for life in list(self.state.lives) if life.number in alive
+        }
         self._takes = frozenset(number for number, answer in answers.items() if answer == ["OK"])
         self._silent = frozenset(number for number, answer in answers.items() if answer is None)
         if self.settings.turn:
@@ -167,8 +180,9 @@
         return self.shelf.all()
 
     def _bounds(self) -> Bounds:
-        return Bounds(self.settings.start, self.settings.stop,
-                      turn_wait=self.settings.turn_wait if self.settings.turn else 0.0)
+        return Bounds(
+            self.settings.start, self.settings.stop, turn_wait=self.settings.turn_wait if self.settings.turn else 0.0
+        )
 
     def _do(self, decide: Callable[[], tuple[State, list[Any]]]) -> list[Any]:
         """Decide, keep what was decided, and only then do it; one at a time."""
@@ -193,8 +207,16 @@
     def _tell(self, state: State) -> None:
         was = self.state
         if (was.phase, was.wanted, was.fault) != (state.phase, state.wanted, state.fault):
-            log(LOG, logging.INFO, "agent-phase", phase=state.phase, wanted=state.wanted, good=state.good,
-                rollout=state.rollout or "none", fault=state.fault or "none")
+            log(
+                LOG,
+                logging.INFO,
+                "agent-phase",
+                phase=state.phase,
+                wanted=state.wanted,
+                good=state.good,
+                rollout=state.rollout or "none",
+                fault=state.fault or "none",
+            )
 
     def _act(self, action: box.Action) -> None:
         if isinstance(action, Start):
@@ -227,8 +249,12 @@
     def _configure(self, life: box.Life) -> None:
         """Write the platform's configuration for a life."""
         generation = self._known[life.generation]
-        told = {**self._base, **generation.config, "ops": self.settings.slot_ops[life.slot],
-                "seed": os.urandom(8).hex()}
+        told = {
+            **self._base,
+            **generation.config,
+            "ops": self.settings.slot_ops[life.slot],
+            "seed": os.urandom(8).hex(),
+        }
         if self.settings.slot_executors:
             told["executor"] = self.settings.slot_executors[life.slot]
         path, _ = self._paths(life.number)
@@ -240,9 +266,14 @@
         shared = self.folder / "tmp"
         shared.mkdir(exist_ok=True)
         environ = {k: v for k, v in os.environ.items() if not k.startswith(("LB_", "LAPISPICK_"))}
-        environ |= {"LB_CONFIG": str(config), "LAPISPICK_CONF": str(home / CONF), "TMPDIR": str(shared),
-                    "PYTHONPATH": str(home / PROGRAM), "PYTHONDONTWRITEBYTECODE": "1",
-                    "LAPISPICK_GENERATION": life.generation}
+        environ |= {
+            "LB_CONFIG": str(config),
+            "LAPISPICK_CONF": str(home / CONF),
+            "TMPDIR": str(shared),
+            "PYTHONPATH": str(home / PROGRAM),
+            "PYTHONDONTWRITEBYTECODE": "1",
+            "LAPISPICK_GENERATION": life.generation,
+        }
         self.processes.start(life.number, [self._python, "-m", processes.PROGRAM], home / PROGRAM, environ, logged)
         for old in self.folder.glob(f"{LIVES}/*.*"):  # what lives before left; nothing may grow with time
             if old.stem.isdecimal() and int(old.stem) <= life.number - LIVES_KEPT:
--- a/lapispick/agent/shelf.py
+++ b/lapispick/agent/shelf.py
@@ -47,8 +47,13 @@
     """Ask a program what it speaks; one that has no word for it speaks nothing that others must read."""
     if not (program / "lapispick" / "versions.py").is_file():
         return {}
-    done = subprocess.run([python, "-m", "lapispick.versions"], cwd=program, capture_output=True, timeout=SPEAKS_S,
-                          env={**os.environ, "PYTHONPATH": str(program), "PYTHONDONTWRITEBYTECODE": "1"})
+    done = subprocess.run(
+        [python, "-m", "lapispick.versions"],
+        cwd=program,
+        capture_output=True,
+        timeout=SPEAKS_S,
+        env={**os.environ, "PYTHONPATH": str(program), "PYTHONDONTWRITEBYTECODE": "1"},
+    )
     if done.returncode:
         raise Unfit(f"{program}: does not start: {done.stderr.decode(errors='replace').strip()[-200:]}")
     try:
--- a/lapispick/cli/agent.py
+++ b/lapispick/cli/agent.py
@@ -73,11 +73,18 @@
 
 @agent.command()
 @FILE
-@click.option("--program", type=click.Path(path_type=Path, exists=True, file_okay=False), required=True,
-              help="The folder that holds the package lapispick.")
+@click.option(
+    "--program",
+    type=click.Path(path_type=Path, exists=True, file_okay=False),
+    required=True,
+    help="The folder that holds the package lapispick.",
+)
 @click.option("--settings", type=click.Path(path_type=Path, exists=True), help="The operators' settings file of it.")
-@click.option("--config", type=click.Path(path_type=Path, exists=True),
-              help="JSON: what it changes of the platform's configuration, such as stop_ms.")
+@click.option(
+    "--config",
+    type=click.Path(path_type=Path, exists=True),
+    help="JSON: what it changes of the platform's configuration, such as stop_ms.",
+)
 @click.option("--label", default="", help="A word for people.")
 def add(file: Path | None, program: Path, settings: Path | None, config: Path | None, label: str) -> None:
     """Put a generation on this box's shelf and print its digest; nothing runs it so far."""
@@ -107,9 +114,14 @@
     found = [(g, held.verify(g.digest)) for g in held.all().values()]
     if json_:
         return as_json([{**msgspec.to_builtins(g), "fault": fault} for g, fault in found])
-    table("generations", ("digest", "label", "program", "settings", "changes", "fault"),
-          ((g.digest, g.label, g.program, g.conf, " ".join(f"{k}={v}" for k, v in g.config.items()), fault or "none")
-           for g, fault in found))
+    table(
+        "generations",
+        ("digest", "label", "program", "settings", "changes", "fault"),
+        (
+            (g.digest, g.label, g.program, g.conf, " ".join(f"{k}={v}" for k, v in g.config.items()), fault or "none")
+            for g, fault in found
+        ),
+    )
     sys.exit(DIFFERS if any(fault for _, fault in found) else 0)
 
 
--- a/lapispick/cli/config.py
+++ b/lapispick/cli/config.py
@@ -13,8 +13,12 @@
 from lapispick.conf import settings as conf
 from lapispick.faults import Faulty
 
-FILE = click.option("--conf", "file", type=click.Path(path_type=Path),
-                    help="The settings file; by default LAPISPICK_CONF or deploy/lapispick.conf.")
+FILE = click.option(
+    "--conf",
+    "file",
+    type=click.Path(path_type=Path),
+    help="The settings file; by default LAPISPICK_CONF or deploy/lapispick.conf.",
+)
 
 
 def load(file: Path | None) -> conf.Settings:
--- a/lapispick/cli/demo.py
+++ b/lapispick/cli/demo.py
@@ -63,8 +63,9 @@
         (folder / "brokers.yml").write_text(BROKERS.format(host=host, port=port))
         info = {**INFO, "FamilyInfo": {**INFO["FamilyInfo"], "CallsOut": 50.0}}
         self.executor = Executor(WORK_S, CORES)
-        self.host = Host(folder, environ={"LAPISPICK_CONF": str(folder / "own.conf")}, info=info,
-                         executor=self.executor)
+        self.host = Host(
+            folder, environ={"LAPISPICK_CONF": str(folder / "own.conf")}, info=info, executor=self.executor
+        )
         self.host.logged("consuming")
         self.gateway, self._params = Pool(self.host.at, self._heard), asked
         self.asked: dict[int, str] = {}  # JSON-RPC: number -> kind
@@ -88,8 +89,9 @@
             self.gateway.ask(cls, number, self._params(body, patience=patience, **more))
         else:
             self.put[key] = kind
-            self.broker.put("jobs", body, type=cls, correlation_id=key, message_id=key, reply_to="answers",
-                            expiration=str(patience))
+            self.broker.put(
+                "jobs", body, type=cls, correlation_id=key, message_id=key, reply_to="answers", expiration=str(patience)
+            )
 
     def _heard(self, number: int, answer: Any) -> None:
         self.answers[number] = answer
@@ -108,8 +110,9 @@
         """Wait for all answers and count them by front and kind."""
         found: dict[tuple[str, str], collections.Counter[str]] = {}
         end = time.monotonic() + ANSWERS_S
-        while ((len(self.broker.replies) < len(self.put) or len(self.answers) < len(self.asked))
-               and time.monotonic() < end):
+        while (
+            len(self.broker.replies) < len(self.put) or len(self.answers) < len(self.asked)
+        ) and time.monotonic() < end:
             time.sleep(0.02)
         for number, kind in self.asked.items():
             found.setdefault(("json-rpc", kind), collections.Counter())[_word(self.answers.get(number))] += 1
@@ -132,16 +135,23 @@
 
 @click.command()
 @click.option("--seconds", default=4.0, show_default=True, type=click.FloatRange(0.5, 60))
-@click.option("--load", default=1.6, show_default=True, type=click.FloatRange(0.1, 3),
-              help="Requests asked for, as a multiple of what the two stand-in cores can do.")
+@click.option(
+    "--load",
+    default=1.6,
+    show_default=True,
+    type=click.FloatRange(0.1, 3),
+    help="Requests asked for, as a multiple of what the two stand-in cores can do.",
+)
 @click.option("--seed", default=7, show_default=True)
 @click.option("--json", "json_", is_flag=True, help="For programs.")
 def demo(seconds: float, load: float, seed: int, json_: bool) -> None:
     """Try it: one worker host on loopback among stand-ins, more requests than it can do, over both fronts."""
     with tempfile.TemporaryDirectory() as folder:
         if not json_:
-            say(f"seed {seed}: a worker host with {CORES} stand-in cores, {load:g} times what they can do, "
-                f"for {seconds:g} s ...")
+            say(
+                f"seed {seed}: a worker host with {CORES} stand-in cores, {load:g} times what they can do, "
+                f"for {seconds:g} s ..."
+            )
         try:
             made = _Demo(seed, Path(folder))
             try:
@@ -162,11 +172,15 @@
     words = ("served", "refused", "failed", "unanswered")
     grounds = sorted({line.split('text="')[1].rstrip('"') for line in log.splitlines() if 'text="' in line})
     if json_:
-        rows: list[dict[str, Any]] = [{"front": f, "kind": k, **{w: c[w] for w in words}}
-                                      for (f, k), c in sorted(found.items())]
+        rows: list[dict[str, Any]] = [
+            {"front": f, "kind": k, **{w: c[w] for w in words}} for (f, k), c in sorted(found.items())
+        ]
         return as_json({"outcomes": rows, "doubles": doubles, "grounds": grounds})
-    table("what became of them", ("front", "request", *words),
-          ((front, kind, *(count[w] for w in words)) for (front, kind), count in sorted(found.items())))
+    table(
+        "what became of them",
+        ("front", "request", *words),
+        ((front, kind, *(count[w] for w in words)) for (front, kind), count in sorted(found.items())),
+    )
     say("why requests were turned away, in the decision module's words:")
     for ground in grounds:
         say(f"  {ground}")
--- a/lapispick/cli/inventory.py
+++ b/lapispick/cli/inventory.py
@@ -134,11 +134,21 @@
     if not reading.faults and accepted is not None:
         objection = Acceptance(policy(settings), accepted).objection(0.0, made)
         remarks += [f"a host holds it back: {objection}"] if objection else []
-    remarks += [f"one box under several spellings: {', '.join(box.spellings)}"
-                for box in reading.boxes.values() if len(box.spellings) > 1]
+    remarks += [
+        f"one box under several spellings: {', '.join(box.spellings)}"
+        for box in reading.boxes.values()
+        if len(box.spellings) > 1
+    ]
     if json_:
-        as_json({"boxes": len(made.boxes), "digest": made.digest, "remarks": remarks,
-                 "faults": [str(f) for f in reading.faults], "faults_left_out": reading.left_out})
+        as_json(
+            {
+                "boxes": len(made.boxes),
+                "digest": made.digest,
+                "remarks": remarks,
+                "faults": [str(f) for f in reading.faults],
+                "faults_left_out": reading.left_out,
+            }
+        )
     else:
         for fault in reading.faults:
             complain(str(fault))
@@ -169,13 +179,35 @@
         sys.exit(NO_STATE)
     boxes = [made.boxes[name] for name in sorted(made.boxes)]
     if json_:
-        as_json([{"name": b.name, "host": b.host, "port": b.port, "vars": b.shown(schema), "items": b.items,
-                  "spellings": b.spellings, "places": [str(p) for p in b.places]} for b in boxes])
+        as_json(
+            [
+                {
+                    "name": b.name,
+                    "host": b.host,
+                    "port": b.port,
+                    "vars": b.shown(schema),
+                    "items": b.items,
+                    "spellings": b.spellings,
+                    "places": [str(p) for p in b.places],
+                }
+                for b in boxes
+            ]
+        )
     else:
-        table(f"{len(boxes)} boxes, digest {made.digest}", ("name", "at", "variables", "queues", "place"),
-              ((b.name, f"{b.host}:{b.port}", pairs({k: v for k, v in b.shown(schema).items() if v != ""}),
-                ", ".join(str(item.get(schema.item_name, "")) for item in b.items), b.places[0] if b.places else "")
-               for b in boxes))
+        table(
+            f"{len(boxes)} boxes, digest {made.digest}",
+            ("name", "at", "variables", "queues", "place"),
+            (
+                (
+                    b.name,
+                    f"{b.host}:{b.port}",
+                    pairs({k: v for k, v in b.shown(schema).items() if v != ""}),
+                    ", ".join(str(item.get(schema.item_name, "")) for item in b.items),
+                    b.places[0] if b.places else "",
+                )
+                for b in boxes
+            ),
+        )
 
 
 def _named(word: str, where: Source) -> Snapshot:
@@ -230,8 +262,9 @@
     items_old, items_new = ({item[schema.item_name]: item for item in b.items} for b in (old, new))
     for key in sorted(items_old.keys() | items_new.keys()):
         if items_old.get(key) != items_new.get(key):
-            parts.append(f"queue {key} " + ("left" if key not in items_new else
-                                            "joined" if key not in items_old else "changed"))
+            parts.append(
+                f"queue {key} " + ("left" if key not in items_new else "joined" if key not in items_old else "changed")
+            )
     return f" ({'; '.join(parts)})" if parts else ""
 
 
@@ -244,9 +277,14 @@
     entries, status = lastgood.history(folder), lastgood.status(folder)
     if json_:
         return as_json({"history": entries, "status": status})
-    table("accepted lists", ("at", "digest", "boxes", "change", "ground"), (
-        (_when(e.at), e.digest[:12], e.boxes, pairs({k: v for k, v in e.counts.items() if v}) or "none", e.ground)
-        for e in entries))
+    table(
+        "accepted lists",
+        ("at", "digest", "boxes", "change", "ground"),
+        (
+            (_when(e.at), e.digest[:12], e.boxes, pairs({k: v for k, v in e.counts.items() if v}) or "none", e.ground)
+            for e in entries
+        ),
+    )
     if status is None:
         say("no host has said where it stands")
         sys.exit(NO_STATE)
--- a/lapispick/cli/members.py
+++ b/lapispick/cli/members.py
@@ -51,8 +51,14 @@
         what = " ".join(filter(None, (kind, subject, text or f"{value:g}")))
         says.setdefault(author, []).append(f"{what} ({age:.0f} s)")
     for each in sorted(told["members"], key=lambda m: (m["state"] == "alive", m["name"])):
-        made.add_row(each["name"], each["state"], str(each["life"]), str(each["incarnation"]), each["at"],
-                     ", ".join(says.get(each["name"], ())))
+        made.add_row(
+            each["name"],
+            each["state"],
+            str(each["life"]),
+            str(each["incarnation"]),
+            each["at"],
+            ", ".join(says.get(each["name"], ())),
+        )
     return made
 
 
--- a/lapispick/cli/model.py
+++ b/lapispick/cli/model.py
@@ -20,8 +20,11 @@
     click.option("--seconds", default=60.0, show_default=True, help="Simulated time."),
     click.option("--loss", default=0.0, show_default=True, help="Share of words that are lost."),
     click.option("--seed", default=1, show_default=True),
-    click.option("--script", type=click.Path(exists=True, dir_okay=False, path_type=Path),
-                 help="Faults, a line each: AT KIND BOXES [for SPAN] [VALUE]."),
+    click.option(
+        "--script",
+        type=click.Path(exists=True, dir_okay=False, path_type=Path),
+        help="Faults, a line each: AT KIND BOXES [for SPAN] [VALUE].",
+    ),
     click.option("--want", default=0, show_default=True, help="Members that want the turn all the time."),
 )
 
@@ -64,8 +67,9 @@
 @_options
 @click.option("--json", "json_", is_flag=True, help="For programs.")
 @click.option("--save", type=click.Path(path_type=Path), help="Write the rows here, for plot.")
-def sweep(sizes: str, seconds: float, loss: float, seed: int, script: Path | None, want: int, json_: bool,
-          save: Path | None) -> None:
+def sweep(
+    sizes: str, seconds: float, loss: float, seed: int, script: Path | None, want: int, json_: bool, save: Path | None
+) -> None:
     """Play fleets of several sizes by one script."""
     from lapispick.model import runs
 
--- a/lapispick/cli/ops.py
+++ b/lapispick/cli/ops.py
@@ -100,9 +100,11 @@
     return command
 
 
-for _word, _doc in (("check", "Tell whether the process takes clients."),
-                    ("drain-on", "Send clients away; what still comes is answered as always."),
-                    ("drain-off", "End the drain.")):
+for _word, _doc in (
+    ("check", "Tell whether the process takes clients."),
+    ("drain-on", "Send clients away; what still comes is answered as always."),
+    ("drain-off", "End the drain."),
+):
     ops.add_command(_simple(_word, _doc))
 
 
--- a/lapispick/cli/output.py
+++ b/lapispick/cli/output.py
@@ -35,10 +35,15 @@
 def setup_logs() -> Any:
     """Return a logger whose lines are the host's own, with the same limit on lines a second."""
     structlog.configure(
-        processors=[_limited, structlog.processors.add_log_level,
-                    structlog.processors.TimeStamper(fmt="iso", utc=True, key="ts"),
-                    structlog.processors.format_exc_info, _line],
-        logger_factory=structlog.PrintLoggerFactory(sys.stderr))
+        processors=[
+            _limited,
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso", utc=True, key="ts"),
+            structlog.processors.format_exc_info,
+            _line,
+        ],
+        logger_factory=structlog.PrintLoggerFactory(sys.stderr),
+    )
     return structlog.get_logger()
 
 
--- a/lapispick/cli/rollout.py
+++ b/lapispick/cli/rollout.py
@@ -31,11 +31,13 @@
 JSON = click.option("--json", "json_", is_flag=True, help="For programs.")
 NAME = click.argument("name", default="")
 FOLDER = click.Path(path_type=Path, exists=True, file_okay=False)
-PROGRAM = click.option("--program", type=FOLDER, required=True,
-                       help="The folder that holds the package lapispick.")
+PROGRAM = click.option("--program", type=FOLDER, required=True, help="The folder that holds the package lapispick.")
 OWN = click.option("--settings", type=click.Path(path_type=Path, exists=True), help="Its operators' settings file.")
-CONFIG = click.option("--config", type=click.Path(path_type=Path, exists=True),
-                      help="JSON: what it changes of the platform's configuration.")
+CONFIG = click.option(
+    "--config",
+    type=click.Path(path_type=Path, exists=True),
+    help="JSON: what it changes of the platform's configuration.",
+)
 STEERED_S = 10.0  # s; a controller that gave no sign for longer is taken for gone
 
 
@@ -59,9 +61,14 @@
         return _Made("", {}, [str(err)])
     data = own.read_bytes() if own is not None else b""
     if own is not None:  # read by the program that will read it
-        done = subprocess.run([sys.executable, "-m", "lapispick", "config", "check", "--conf", str(own.absolute())],
-                              cwd=program, capture_output=True, text=True, timeout=shelf.SPEAKS_S,
-                              env={**os.environ, "PYTHONPATH": str(program.absolute()), "PYTHONDONTWRITEBYTECODE": "1"})
+        done = subprocess.run(
+            [sys.executable, "-m", "lapispick", "config", "check", "--conf", str(own.absolute())],
+            cwd=program,
+            capture_output=True,
+            text=True,
+            timeout=shelf.SPEAKS_S,
+            env={**os.environ, "PYTHONPATH": str(program.absolute()), "PYTHONDONTWRITEBYTECODE": "1"},
+        )
         faults += [line for line in done.stderr.splitlines() if line] if done.returncode else []
     return _Made(generations.named(code, generations.digest([(shelf.CONF, data)]), changes), speaks, faults)
 
@@ -99,10 +106,24 @@
 
 def _plan(fleet: _Fleet, generation: str, limit_mb: float) -> Plan:
     told = fleet.settings
-    return Plan(generation, tuple(tuple(stage) for stage in fleet.stages), tuple(int(n) for n in told.hold),
-                {w.name: w.kind for w in fleet.workers}, told.warm_up, told.bake, told.bake_most, told.confirm,
-                max(told.warm_up, told.bake / 2), pace.Bounds(told.change_most, told.serving_least), told.back_most,
-                told.unreached, told.fire, told.controls, told.memory_most, limit_mb)
+    return Plan(
+        generation,
+        tuple(tuple(stage) for stage in fleet.stages),
+        tuple(int(n) for n in told.hold),
+        {w.name: w.kind for w in fleet.workers},
+        told.warm_up,
+        told.bake,
+        told.bake_most,
+        told.confirm,
+        max(told.warm_up, told.bake / 2),
+        pace.Bounds(told.change_most, told.serving_least),
+        told.back_most,
+        told.unreached,
+        told.fire,
+        told.controls,
+        told.memory_most,
+        limit_mb,
+    )
 
 
 @click.group()
@@ -123,10 +144,19 @@
         as_json({"stages": fleet.stages, "remarks": fleet.remarks, "faults": fleet.faults})
     else:
         zones = {w.name: f"{w.zone}/{w.machine}".strip("/") for w in fleet.workers}
-        table(f"{len(fleet.workers)} boxes in {len(fleet.stages)} stages", ("stage", "boxes", "of", "names"), (
-            (number, len(stage), " ".join(sorted({zones[n] for n in stage})),
-             " ".join(stage[:8]) + " ..." * (len(stage) > 8))
-            for number, stage in enumerate(fleet.stages, 1)))
+        table(
+            f"{len(fleet.workers)} boxes in {len(fleet.stages)} stages",
+            ("stage", "boxes", "of", "names"),
+            (
+                (
+                    number,
+                    len(stage),
+                    " ".join(sorted({zones[n] for n in stage})),
+                    " ".join(stage[:8]) + " ..." * (len(stage) > 8),
+                )
+                for number, stage in enumerate(fleet.stages, 1)
+            ),
+        )
         for remark in fleet.remarks:
             say(remark)
     sys.exit(FAULTY if fleet.faults else 0)
@@ -139,8 +169,9 @@
 @CONFIG
 @click.option("--old", type=FOLDER, help="The program that runs now.")
 @JSON
-def check(file: Path | None, program: Path, settings: Path | None, config: Path | None, old: Path | None,
-          json_: bool) -> None:
+def check(
+    file: Path | None, program: Path, settings: Path | None, config: Path | None, old: Path | None, json_: bool
+) -> None:
     """Name what a rollout would break, without a fleet; ends with 2 where there is anything."""
     fleet, made = _fleet(file, "next"), _generation(program, settings, config)
     faults = [*fleet.faults, *made.faults]
@@ -188,8 +219,9 @@
 @CONFIG
 @click.option("--name", default="", help="Names the rollout; by default it is counted up.")
 @click.option("--memory-mb", default=192.0, show_default=True, help="The limit of hosts whose agents tell none.")
-def start(file: Path | None, program: Path, settings: Path | None, config: Path | None, name: str,
-          memory_mb: float) -> None:
+def start(
+    file: Path | None, program: Path, settings: Path | None, config: Path | None, name: str, memory_mb: float
+) -> None:
     """Begin a rollout and steer it until it is over; `resume` goes on where a controller ended."""
     ledger, made = _ledger(file), _generation(program, settings, config)
     before = ledger.history()
@@ -260,9 +292,17 @@
         return list(hosts.workers(verdict.accepted.boxes.values())[0]) if verdict.accepted is not None else None
 
     judging = Judging(told.alarm, max(1, len(course.plan.stages)), told.worse, limit_kb=memory_mb * 1024)
-    made = Controller(ledger, course, list(fleet.workers), told.who, judging,
-                      Hours(pace.hours(told.hours), told.not_days), told.look, listed,
-                      Path(str(fleet.source.settings.names_file)) if fleet.source.settings.names_file else None)
+    made = Controller(
+        ledger,
+        course,
+        list(fleet.workers),
+        told.who,
+        judging,
+        Hours(pace.hours(told.hours), told.not_days),
+        told.look,
+        listed,
+        Path(str(fleet.source.settings.names_file)) if fleet.source.settings.names_file else None,
+    )
     ended = made.run()
     if made.fenced:
         complain(f"another controller steers, or this one failed: {made.fenced}")
@@ -278,11 +318,24 @@
     serving: dict[str, int] = {}
     for generation, _, _ in boxes.values():
         serving[generation or "nobody"] = serving.get(generation or "nobody", 0) + 1
-    return {"rollout": course.name, "generation": course.plan.generation, "phase": course.phase,
-            "reason": course.reason, "stage": course.stage + 1, "stages": len(course.plan.stages),
-            "since": course.since, "steered_by": f"{epoch}.{who}", "seen_s_ago": round(time.time() - seen, 1),
-            "serving": serving, "changing": course.boxes, "controls": course.controls, "over": len(course.past),
-            "later": course.later, "deviations": looked[1]["deviations"] if looked else [], "boxes": boxes}
+    return {
+        "rollout": course.name,
+        "generation": course.plan.generation,
+        "phase": course.phase,
+        "reason": course.reason,
+        "stage": course.stage + 1,
+        "stages": len(course.plan.stages),
+        "since": course.since,
+        "steered_by": f"{epoch}.{who}",
+        "seen_s_ago": round(time.time() - seen, 1),
+        "serving": serving,
+        "changing": course.boxes,
+        "controls": course.controls,
+        "over": len(course.past),
+        "later": course.later,
+        "deviations": looked[1]["deviations"] if looked else [],
+        "boxes": boxes,
+    }
 
 
 @rollout.command()
@@ -351,9 +404,11 @@
     return command
 
 
-for _word, _doc in (("hold", "Begin nothing more; what has changed is watched on."),
-                    ("go", "Go on where the plan holds or a person is asked."),
-                    ("back", "Take every box of the rollout back to what it ran before.")):
+for _word, _doc in (
+    ("hold", "Begin nothing more; what has changed is watched on."),
+    ("go", "Go on where the plan holds or a person is asked."),
+    ("back", "Take every box of the rollout back to what it ran before."),
+):
     rollout.add_command(_order(_word, _doc))
 
 
@@ -373,11 +428,27 @@
         return None
     rows = ledger.history()
     if json_:
-        return as_json([{"rollout": n, "began": b, "ended": e, "generation": c.plan.generation, "phase": c.phase,
-                         "reason": c.reason} for n, b, e, c in rows])
-    table("rollouts", ("name", "began", "generation", "phase", "ground"),
-          ((n, time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(b)), c.plan.generation, c.phase, c.reason)
-           for n, b, _, c in rows))
+        return as_json(
+            [
+                {
+                    "rollout": n,
+                    "began": b,
+                    "ended": e,
+                    "generation": c.plan.generation,
+                    "phase": c.phase,
+                    "reason": c.reason,
+                }
+                for n, b, e, c in rows
+            ]
+        )
+    table(
+        "rollouts",
+        ("name", "began", "generation", "phase", "ground"),
+        (
+            (n, time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(b)), c.plan.generation, c.phase, c.reason)
+            for n, b, _, c in rows
+        ),
+    )
     return None
 
 
@@ -398,9 +469,22 @@
         return as_json({"at": at, **told})
     say(f"{course.name} stage {told['stage']}: {told['outcome']}: {told['ground']}")
     say(f"changed: {' '.join(told['changed']) or 'none warm'}; held against: {' '.join(told['old']) or 'none'}")
-    table("figures, more is worse",
-          ("figure", "slices", "worse by", "between", "margin", "evidence", "needed", "cleared", "old boxes"),
-          ((r["figure"], r["slices"], f"{r['mean']:+.2%}", f"{r['low']:+.2%} {r['high']:+.2%}", f"{r['margin']:.1%}",
-            f"{r['evidence']:.3g}", f"{r['needed']:.3g}", f"{r['cleared']:.3g}", f"{r['old_change']:+.2%}")
-           for r in told["rows"]))
+    table(
+        "figures, more is worse",
+        ("figure", "slices", "worse by", "between", "margin", "evidence", "needed", "cleared", "old boxes"),
+        (
+            (
+                r["figure"],
+                r["slices"],
+                f"{r['mean']:+.2%}",
+                f"{r['low']:+.2%} {r['high']:+.2%}",
+                f"{r['margin']:.1%}",
+                f"{r['evidence']:.3g}",
+                f"{r['needed']:.3g}",
+                f"{r['cleared']:.3g}",
+                f"{r['old_change']:+.2%}",
+            )
+            for r in told["rows"]
+        ),
+    )
     return None
--- a/lapispick/cli/shares.py
+++ b/lapispick/cli/shares.py
@@ -76,12 +76,20 @@
     found = subsets.loads(hosts, parts)
     if json_:
         return as_json({"hosts": parts, "loads": found})
-    table("hosts", ["host", "backends"], [[name, " ".join(f"{b}:{part:.0%}" for b, part in row.items())]
-                                          for name, row in parts.items()])
+    table(
+        "hosts",
+        ["host", "backends"],
+        [[name, " ".join(f"{b}:{part:.0%}" for b, part in row.items())] for name, row in parts.items()],
+    )
     mean = sum(found.values()) / max(1, len(found))
-    return table("backends", ["backend", "hosts", "load over the mean"],
-                 [[b.name, sum(b.name in mine for mine in chosen.values()), f"{found.get(b.name, 0.0) / mean:.2f}"]
-                  for b in backends])
+    return table(
+        "backends",
+        ["backend", "hosts", "load over the mean"],
+        [
+            [b.name, sum(b.name in mine for mine in chosen.values()), f"{found.get(b.name, 0.0) / mean:.2f}"]
+            for b in backends
+        ],
+    )
 
 
 @shares.command()
@@ -93,8 +101,12 @@
     _known(name, hosts)
     found = subsets.explained(name, hosts, backends, least)
     if json_:
-        return as_json({"name": name, "backends": [
-            {"backend": backend, "place": place, "needs": many} for backend, place, many in found]})
+        return as_json(
+            {
+                "name": name,
+                "backends": [{"backend": backend, "place": place, "needs": many} for backend, place, many in found],
+            }
+        )
     return table(name, ["backend", "place in its order", "hosts that it needs"], found)
 
 
@@ -103,8 +115,16 @@
 @click.option("--boxes", type=click.IntRange(1, 100_000), help="So many hosts: the last go, or new ones come.")
 @click.option("--list", "other", type=PATH, help="Another list of worker hosts.")
 @_lists
-def what_if(without: tuple[str, ...], boxes: int | None, other: Path | None, file: Path | None, backends_: Path,
-            group: str, least: int, json_: bool) -> None:
+def what_if(
+    without: tuple[str, ...],
+    boxes: int | None,
+    other: Path | None,
+    file: Path | None,
+    backends_: Path,
+    group: str,
+    least: int,
+    json_: bool,
+) -> None:
     """Say before a change of the fleet what would move: which hosts would let go of backends, and which take them."""
     if sum((bool(without), boxes is not None, other is not None)) != 1:
         complain("name one of --without, --boxes, --list")
@@ -123,8 +143,17 @@
     found = subsets.moved(old, new)
     many = [sum(b.name in mine for mine in new.values()) for b in backends]
     if json_:
-        return as_json({"hosts": len(later), "least": min(many, default=0), "needed": found.needed,
-                        "ended": found.ended, "begun": found.begun})
-    say(f"{len(hosts)} hosts become {len(later)}: {len(found.begun)} of {sum(map(len, new.values()))} pairs begin, "
-        f"{len(found.ended)} end; {found.needed} had to. Hosts of a backend: {min(many, default=0)} at least")
+        return as_json(
+            {
+                "hosts": len(later),
+                "least": min(many, default=0),
+                "needed": found.needed,
+                "ended": found.ended,
+                "begun": found.begun,
+            }
+        )
+    say(
+        f"{len(hosts)} hosts become {len(later)}: {len(found.begun)} of {sum(map(len, new.values()))} pairs begin, "
+        f"{len(found.ended)} end; {found.needed} had to. Hosts of a backend: {min(many, default=0)} at least"
+    )
     return table("begin", ["host", "backend"], found.begun)
--- a/lapispick/cli/trace.py
+++ b/lapispick/cli/trace.py
@@ -31,13 +31,22 @@
 
 def _told(reader: Reader) -> dict[str, Any]:
     header, places = reader.header, reader.places
-    return {"file": str(reader.path), "box": ",".join(dict.fromkeys(s.box for s in reader.sources)),
-            "incarnation": header.incarnation, "sequence": header.sequence, "version": f"{MAJOR}.{reader.minor}",
-            "made": "; ".join(reader.whole_header.made) or "recorded", "bytes": reader.size, "blocks": len(places),
-            "steps": sum(p.steps for p in places), "first": when(min(p.first for p in places)) if places else "",
-            "last": when(max(p.last for p in places)) if places else "", "indexed": reader.indexed,
-            "damaged_bytes": sum(d.length for d in reader.damage),
-            "module": "present" if header.module == module_digest() else header.module}
+    return {
+        "file": str(reader.path),
+        "box": ",".join(dict.fromkeys(s.box for s in reader.sources)),
+        "incarnation": header.incarnation,
+        "sequence": header.sequence,
+        "version": f"{MAJOR}.{reader.minor}",
+        "made": "; ".join(reader.whole_header.made) or "recorded",
+        "bytes": reader.size,
+        "blocks": len(places),
+        "steps": sum(p.steps for p in places),
+        "first": when(min(p.first for p in places)) if places else "",
+        "last": when(max(p.last for p in places)) if places else "",
+        "indexed": reader.indexed,
+        "damaged_bytes": sum(d.length for d in reader.damage),
+        "module": "present" if header.module == module_digest() else header.module,
+    }
 
 
 @trace.command()
@@ -99,17 +108,38 @@
     The boxes need one `subject-key`. Ends with 1 where something cannot be told.
     """
     opened = readers(paths)
-    reference, found = estimate(meetings.kept(meetings.tries(r.sources, steps(r)) for r in opened),
-                                {s.box for r in opened for s in r.sources})
+    reference, found = estimate(
+        meetings.kept(meetings.tries(r.sources, steps(r)) for r in opened), {s.box for r in opened for s in r.sources}
+    )
     unknown = [box for box, clock in found.items() if isinstance(clock, Unknown)]
     if json_:
-        as_json({"reference": reference, "clocks": {
-            box: {"why": c.why} if isinstance(c, Unknown) else msgspec.to_builtins(c) for box, c in found.items()}})
+        as_json(
+            {
+                "reference": reference,
+                "clocks": {
+                    box: {"why": c.why} if isinstance(c, Unknown) else msgspec.to_builtins(c)
+                    for box, c in found.items()
+                },
+            }
+        )
     else:
-        table(f"clocks against {reference}", ("box", "ahead, ms", "gains, ms a s", "within, ms", "pairs", ""), (
-            (box, "", "", "", "", c.why) if isinstance(c, Unknown) else
-            (box, f"{c.offset:.1f}", f"{c.drift:.3f}" if c.drift_told else "not told", f"{c.error:.1f}", c.pairs,
-             "the reference" if box == reference else "") for box, c in found.items()))
+        table(
+            f"clocks against {reference}",
+            ("box", "ahead, ms", "gains, ms a s", "within, ms", "pairs", ""),
+            (
+                (box, "", "", "", "", c.why)
+                if isinstance(c, Unknown)
+                else (
+                    box,
+                    f"{c.offset:.1f}",
+                    f"{c.drift:.3f}" if c.drift_told else "not told",
+                    f"{c.error:.1f}",
+                    c.pairs,
+                    "the reference" if box == reference else "",
+                )
+                for box, c in found.items()
+            ),
+        )
     sys.exit(DIFFERS if unknown else 0)
 
 
@@ -117,15 +147,40 @@
 
 
 def _show(made: folding.Summary) -> None:
-    for title, parts in (("whole", {"all": made.whole}), ("by class", made.classes), ("by account", made.accounts),
-                         ("by 10 s", {when(float(k)): v for k, v in made.windows.items()}),
-                         ("worst 10 s", {when(float(k)): made.windows[k] for k in made.worst})):
-        table(title, COLUMNS, ((name or "not told", w.requests, w.tries, f"{w.asked:g}", f"{w.served:g}",
-                                f"{w.served / w.asked:.3f}" if w.asked else "-", w.in_aim, w.late, w.poorer,
-                                w.refused, w.failed, w.gone) for name, w in parts.items()))
+    for title, parts in (
+        ("whole", {"all": made.whole}),
+        ("by class", made.classes),
+        ("by account", made.accounts),
+        ("by 10 s", {when(float(k)): v for k, v in made.windows.items()}),
+        ("worst 10 s", {when(float(k)): made.windows[k] for k in made.worst}),
+    ):
+        table(
+            title,
+            COLUMNS,
+            (
+                (
+                    name or "not told",
+                    w.requests,
+                    w.tries,
+                    f"{w.asked:g}",
+                    f"{w.served:g}",
+                    f"{w.served / w.asked:.3f}" if w.asked else "-",
+                    w.in_aim,
+                    w.late,
+                    w.poorer,
+                    w.refused,
+                    w.failed,
+                    w.gone,
+                )
+                for name, w in parts.items()
+            ),
+        )
     for title, spans in (("waits before a run, ms", made.waits), ("runs, ms", made.runs)):
-        table(title, ("class", "count", "p50", "p90", "p99", "most"),
-              ((name, s.count, s.p50, s.p90, s.p99, s.most) for name, s in spans.items()))
+        table(
+            title,
+            ("class", "count", "p50", "p90", "p99", "most"),
+            ((name, s.count, s.p50, s.p90, s.p99, s.most) for name, s in spans.items()),
+        )
     table("refused tries by ground", ("ground", "tries"), made.grounds.items())
     if made.gaps:
         say(f"{made.gaps} steps are missing")
@@ -151,5 +206,3 @@
     if json_:
         return as_json(made)
     return _show(made)
-
-
--- a/lapispick/cli/trace_common.py
+++ b/lapispick/cli/trace_common.py
@@ -47,8 +47,9 @@
         return (made if made.tzinfo else made.replace(tzinfo=UTC)).timestamp() * 1000
 
 
-SINCE = click.option("--since", type=Moment(), default=float("-inf"),
-                     help="The first that is kept; Unix ms or ISO 8601.")
+SINCE = click.option(
+    "--since", type=Moment(), default=float("-inf"), help="The first that is kept; Unix ms or ISO 8601."
+)
 UNTIL = click.option("--until", type=Moment(), default=float("inf"), help="The first that is not.")
 
 
@@ -70,8 +71,10 @@
                 fail(str(err))
     if not found:
         fail("no trace there")
-    return sorted(found, key=lambda r: (r.header.box, r.header.incarnation, r.header.sequence,
-                                        r.places[0].first if r.places else 0.0))
+    return sorted(
+        found,
+        key=lambda r: (r.header.box, r.header.incarnation, r.header.sequence, r.places[0].first if r.places else 0.0),
+    )
 
 
 def lives(found: Iterable[Reader]) -> list[list[Reader]]:
@@ -105,8 +108,14 @@
     if not console.is_terminal:
         yield lambda _: None
         return
-    with Progress(TextColumn(title), BarColumn(), TextColumn("{task.percentage:>3.0f}%"), TimeRemainingColumn(),
-                  console=console, transient=True) as shown:
+    with Progress(
+        TextColumn(title),
+        BarColumn(),
+        TextColumn("{task.percentage:>3.0f}%"),
+        TimeRemainingColumn(),
+        console=console,
+        transient=True,
+    ) as shown:
         task = shown.add_task(title, total=sum(r.size for r in found))
         yield lambda read: shown.advance(task, read)
 
--- a/lapispick/cli/trace_compare.py
+++ b/lapispick/cli/trace_compare.py
@@ -27,19 +27,30 @@
 
 def _from_the_first(opened: list[Reader]) -> bool:
     """Tell whether these are all files of one life from its start on, none of them cut."""
-    return (len(lives(opened)) == 1 and len(opened[0].sources) == 1
-            and [r.header.sequence for r in opened] == list(range(len(opened)))
-            and not any(made.startswith("cut") for r in opened for made in r.whole_header.made))
+    return (
+        len(lives(opened)) == 1
+        and len(opened[0].sources) == 1
+        and [r.header.sequence for r in opened] == list(range(len(opened)))
+        and not any(made.startswith("cut") for r in opened for made in r.whole_header.made)
+    )
 
 
 def _shown(left: dict[str, comparing.Choice], right: dict[str, comparing.Choice], titles: tuple[str, str]) -> None:
     fields = ("run", "refused", "failed", "poorer")
     columns = ("class", *(f"{f}, {t}" for f in fields for t in titles), *(f"worth, {t}" for t in titles))
     none = comparing.Choice()
-    table("decisions by class", columns, (
-        (name, *(getattr(side.get(name, none), f) for f in fields for side in (left, right)),
-         *(f"{side.get(name, none).worth:.0f}" for side in (left, right)))
-        for name in sorted(left.keys() | right.keys())))
+    table(
+        "decisions by class",
+        columns,
+        (
+            (
+                name,
+                *(getattr(side.get(name, none), f) for f in fields for side in (left, right)),
+                *(f"{side.get(name, none).worth:.0f}" for side in (left, right)),
+            )
+            for name in sorted(left.keys() | right.keys())
+        ),
+    )
 
 
 @click.command()
@@ -61,17 +72,32 @@
         present.add(step, got)
 
     with bar("replay", opened) as tell:
-        made = replaying.replay(header.settings, header.seed, header.module_now,
-                                (step for reader in opened for step in steps(reader, tell)), seen)
+        made = replaying.replay(
+            header.settings,
+            header.seed,
+            header.module_now,
+            (step for reader in opened for step in steps(reader, tell)),
+            seen,
+        )
     if made.differing:
         comparing.estimate(recorded.made, present.made, _worth(opened))
-    told = {"steps": made.steps, "differing": made.differing, "gaps": made.gaps,
-            "same_module": header.module == module_digest(),
-            "recorded": dict(made.recorded), "replayed": dict(made.replayed),
-            "decisions": msgspec.to_builtins({"recorded": recorded.made, "replayed": present.made}),
-            "first": None if made.first is None else {
-                "step": made.first.number, "now": made.first.now, "recorded": [str(a) for a in made.first.recorded],
-                "replayed": [str(a) for a in made.first.replayed]}}
+    told = {
+        "steps": made.steps,
+        "differing": made.differing,
+        "gaps": made.gaps,
+        "same_module": header.module == module_digest(),
+        "recorded": dict(made.recorded),
+        "replayed": dict(made.replayed),
+        "decisions": msgspec.to_builtins({"recorded": recorded.made, "replayed": present.made}),
+        "first": None
+        if made.first is None
+        else {
+            "step": made.first.number,
+            "now": made.first.now,
+            "recorded": [str(a) for a in made.first.recorded],
+            "replayed": [str(a) for a in made.first.replayed],
+        },
+    }
     if json_:
         as_json(told)
     else:
@@ -92,8 +118,11 @@
 def diff(path: Path, other: Path, json_: bool) -> None:
     """Hold two traces against each other, step by step and by what was decided; ends with 1 where they differ."""
     (left,), (right,) = readers((path,)), readers((other,))
-    headers = [name for name in ("box", "incarnation", "settings", "seed", "module")
-               if [getattr(s, name) for s in left.sources] != [getattr(s, name) for s in right.sources]]
+    headers = [
+        name
+        for name in ("box", "incarnation", "settings", "seed", "module")
+        if [getattr(s, name) for s in left.sources] != [getattr(s, name) for s in right.sources]
+    ]
     sides = comparing.Decisions(names(left.sources)), comparing.Decisions(names(right.sources))
     kinds: tuple[Counter[str], Counter[str]] = (Counter(), Counter())
 
@@ -108,16 +137,29 @@
         for name, worth in _worth([reader]).items():
             side.made.setdefault(name, comparing.Choice()).worth = worth
     if json_:
-        as_json({"headers": headers, "first": split, "decisions": [side.made for side in sides],
-                 "grounds": [dict(side.grounds) for side in sides], "records": [dict(k) for k in kinds]})
+        as_json(
+            {
+                "headers": headers,
+                "first": split,
+                "decisions": [side.made for side in sides],
+                "grounds": [dict(side.grounds) for side in sides],
+                "records": [dict(k) for k in kinds],
+            }
+        )
     else:
         say("the headers differ in " + ", ".join(headers) if headers else "the headers agree")
-        say("all steps agree" if split is None else
-            f"first at step {split.step}, {split.part}: {split.left} against {split.right}")
+        say(
+            "all steps agree"
+            if split is None
+            else f"first at step {split.step}, {split.part}: {split.left} against {split.right}"
+        )
         _shown(sides[0].made, sides[1].made, ("left", "right"))
         differing = [k for k in sorted(kinds[0] | kinds[1]) if kinds[0][k] != kinds[1][k]]
-        table("records that differ in number", ("kind", "left", "right"),
-              ((k, kinds[0][k], kinds[1][k]) for k in differing))
+        table(
+            "records that differ in number",
+            ("kind", "left", "right"),
+            ((k, kinds[0][k], kinds[1][k]) for k in differing),
+        )
     sys.exit(DIFFERS if headers or split is not None else 0)
 
 
@@ -130,8 +172,9 @@
             points.append((step.now, control.limit.value, control.prices.hold_price))
 
     header = opened[0].header
-    told = replaying.replay(header.settings, header.seed, header.module_now,
-                            (step for reader in opened for step in steps(reader)), seen)
+    told = replaying.replay(
+        header.settings, header.seed, header.module_now, (step for reader in opened for step in steps(reader)), seen
+    )
     if told.differing:
         return complain("limit and price are left out: the present module decides otherwise")
     made.limit = series.sampled([(now, limit) for now, limit, _ in points], made)
@@ -141,8 +184,9 @@
 
 @click.command()
 @click.argument("paths", nargs=-1, required=True, type=click.Path(path_type=Path))
-@click.option("--out", required=True, type=click.Path(path_type=Path),
-              help="A .png, or a .html that needs nothing else.")
+@click.option(
+    "--out", required=True, type=click.Path(path_type=Path), help="A .png, or a .html that needs nothing else."
+)
 @JSON
 def plot(paths: tuple[Path, ...], out: Path, json_: bool) -> None:
     """Draw worth over time, answers, refusals by ground, waits, and the module's limit and price."""
@@ -156,8 +200,11 @@
         fail("no steps there")
     with bar("plot", opened) as tell:
         summary = folding.summarise(opened[0].sources, (b for reader in opened for b in blocks(reader, tell)))
-    made = series.series(((block, times(reader.sources, block)) for reader in opened for block in blocks(reader)),
-                         min(p.first for p in places), max(p.last for p in places))
+    made = series.series(
+        ((block, times(reader.sources, block)) for reader in opened for block in blocks(reader)),
+        min(p.first for p in places),
+        max(p.last for p in places),
+    )
     if _from_the_first(opened):
         _sampled(opened, made)
     title = ", ".join(dict.fromkeys(s.box for s in opened[0].sources))
@@ -166,5 +213,3 @@
     if json_:
         return as_json(made)
     return say(f"{out}: {summary.whole.requests} requests, {summary.whole.served:g} of {summary.whole.asked:g} served")
-
-
--- a/lapispick/cli/trace_page.py
+++ b/lapispick/cli/trace_page.py
@@ -32,8 +32,15 @@
     keys = sorted(summary.windows, key=int)
     at = [(int(k) - made.begin) / 1000 for k in keys]
     for name, colour in (("asked", "#9aa0a6"), ("served", COLOURS["served"])):
-        worth.bar(at, [getattr(summary.windows[k], name) for k in keys], width=WINDOW_MS / 1000, align="edge",
-                  label=name, color=colour, alpha=0.9 if name == "served" else 0.5)
+        worth.bar(
+            at,
+            [getattr(summary.windows[k], name) for k in keys],
+            width=WINDOW_MS / 1000,
+            align="edge",
+            label=name,
+            color=colour,
+            alpha=0.9 if name == "served" else 0.5,
+        )
     worth.set_ylabel("worth, by 10 s of birth")
     per = 1000 / made.span
     for name, counts in made.answers.items():
@@ -60,8 +67,15 @@
         for time, what in made.marks:
             axes.axvline((time - made.begin) / 1000, color="#555555", linestyle=":", linewidth=0.8)
             if axes is worth:
-                axes.annotate(what, ((time - made.begin) / 1000, 1), xycoords=("data", "axes fraction"), fontsize=7,
-                              rotation=90, va="top", ha="right")
+                axes.annotate(
+                    what,
+                    ((time - made.begin) / 1000, 1),
+                    xycoords=("data", "axes fraction"),
+                    fontsize=7,
+                    rotation=90,
+                    va="top",
+                    ha="right",
+                )
         if axes.get_legend_handles_labels()[0]:
             axes.legend(loc="upper left", fontsize=8)
     limit.set_xlabel(f"s since {when(made.begin)}")
@@ -82,25 +96,51 @@
 
 def _worths(title: str, parts: dict[str, Worth]) -> str:
     columns = ("", "requests", "tries", "asked", "served", "share", "late", "poorer", "refused", "failed", "gone")
-    return _table(title, columns, (
-        (name or "not told", w.requests, w.tries, f"{w.asked:g}", f"{w.served:g}",
-         f"{w.served / w.asked:.3f}" if w.asked else "-", w.late, w.poorer, w.refused, w.failed, w.gone)
-        for name, w in parts.items()))
+    return _table(
+        title,
+        columns,
+        (
+            (
+                name or "not told",
+                w.requests,
+                w.tries,
+                f"{w.asked:g}",
+                f"{w.served:g}",
+                f"{w.served / w.asked:.3f}" if w.asked else "-",
+                w.late,
+                w.poorer,
+                w.refused,
+                w.failed,
+                w.gone,
+            )
+            for name, w in parts.items()
+        ),
+    )
 
 
 def page(title: str, summary: Summary, drawn: bytes) -> str:
     """Return an HTML page with the picture in it; it asks for nothing else."""
     picture = base64.b64encode(drawn).decode()
-    spans = [(kind, name, s.count, s.p50, s.p90, s.p99, s.most)
-             for kind, of in (("wait", summary.waits), ("run", summary.runs)) for name, s in of.items()]
-    tables = [_worths("Whole", {"all": summary.whole}), _worths("By class", summary.classes),
-              _worths("By account", summary.accounts),
-              _worths("Worst 10 s", {when(float(k)): summary.windows[k] for k in summary.worst}),
-              _table("Refused tries by ground", ("ground", "tries"), summary.grounds.items()),
-              _table("Waits before a run, and runs; ms", ("", "class", "count", "p50", "p90", "p99", "most"), spans)]
-    style = ("body{font:14px sans-serif;margin:2em;max-width:70em}table{border-collapse:collapse}"
-             "td,th{padding:.2em .7em;text-align:right;border-bottom:1px solid #ddd}img{max-width:100%}")
-    return ("<!doctype html><html lang=en><meta charset=utf-8>"
-            f"<title>{html.escape(title)}</title><style>{style}</style>"
-            f"<h1>{html.escape(title)}</h1><img alt='worth, answers, refusals, waits and limit over time' "
-            f"src='data:image/png;base64,{picture}'>{''.join(tables)}</html>\n")
+    spans = [
+        (kind, name, s.count, s.p50, s.p90, s.p99, s.most)
+        for kind, of in (("wait", summary.waits), ("run", summary.runs))
+        for name, s in of.items()
+    ]
+    tables = [
+        _worths("Whole", {"all": summary.whole}),
+        _worths("By class", summary.classes),
+        _worths("By account", summary.accounts),
+        _worths("Worst 10 s", {when(float(k)): summary.windows[k] for k in summary.worst}),
+        _table("Refused tries by ground", ("ground", "tries"), summary.grounds.items()),
+        _table("Waits before a run, and runs; ms", ("", "class", "count", "p50", "p90", "p99", "most"), spans),
+    ]
+    style = (
+        "body{font:14px sans-serif;margin:2em;max-width:70em}table{border-collapse:collapse}"
+        "td,th{padding:.2em .7em;text-align:right;border-bottom:1px solid #ddd}img{max-width:100%}"
+    )
+    return (
+        "<!doctype html><html lang=en><meta charset=utf-8>"
+        f"<title>{html.escape(title)}</title><style>{style}</style>"
+        f"<h1>{html.escape(title)}</h1><img alt='worth, answers, refusals, waits and limit over time' "
+        f"src='data:image/png;base64,{picture}'>{''.join(tables)}</html>\n"
+    )
--- a/lapispick/cli/trace_write.py
+++ b/lapispick/cli/trace_write.py
@@ -45,25 +45,51 @@
 @click.option("--class", "classes", multiple=True, help="Requests of this class only; may be given again.")
 @click.option("--account", "accounts", multiple=True, help="Requests of this account only.")
 @click.option("--outcome", "outcomes", multiple=True, type=click.Choice(["served", "refused", "failed", "gone"]))
-@click.option("--edges", type=click.Choice([MARK, WHOLE, DROP]), default=MARK, show_default=True,
-              help="What becomes of requests that an edge of the window cuts through.")
+@click.option(
+    "--edges",
+    type=click.Choice([MARK, WHOLE, DROP]),
+    default=MARK,
+    show_default=True,
+    help="What becomes of requests that an edge of the window cuts through.",
+)
 @JSON
-def cut(path: Path, out: Path, since: float, until: float, classes: tuple[str, ...], accounts: tuple[str, ...],
-        outcomes: tuple[str, ...], edges: str, json_: bool) -> None:
+def cut(
+    path: Path,
+    out: Path,
+    since: float,
+    until: float,
+    classes: tuple[str, ...],
+    accounts: tuple[str, ...],
+    outcomes: tuple[str, ...],
+    edges: str,
+    json_: bool,
+) -> None:
     """Write a part of a file to OUT: a time window, or some requests; only the blocks around the window are read."""
     (reader,) = readers((path,))
     known = {name for source in reader.sources for name in source.classes}
     if unknown := set(classes) - known:
         fail(f"--class: the trace knows {', '.join(sorted(known))}, not {', '.join(sorted(unknown))}")
     wanted = Wanted(since, until, frozenset(classes), frozenset(accounts), frozenset(outcomes), edges)
-    longest = max((c.deadline_ms for s in reader.sources if s.settings
-                   for c in msgspec.json.decode(s.settings, type=api.Settings).classes), default=10_000.0)
+    longest = max(
+        (
+            c.deadline_ms
+            for s in reader.sources
+            if s.settings
+            for c in msgspec.json.decode(s.settings, type=api.Settings).classes
+        ),
+        default=10_000.0,
+    )
     selector = Selector(wanted, names(reader.sources), longest, lambda step: files.when(reader.sources, step))
     header = Header.FromString(reader.whole_header.SerializeToString())
     header.made.append("cut" + (f" to {edges}" if edges != MARK else "") + (" by request" if wanted.by_request else ""))
     count = files.write(out, header, selector.run(reader.steps(since - selector.margin, until + selector.margin)))
-    _done(json_, f"{count} steps, {reader.read_bytes} of {reader.size} bytes read", steps=count,
-          read_bytes=reader.read_bytes, bytes=reader.size)
+    _done(
+        json_,
+        f"{count} steps, {reader.read_bytes} of {reader.size} bytes read",
+        steps=count,
+        read_bytes=reader.read_bytes,
+        bytes=reader.size,
+    )
 
 
 @click.command()
@@ -94,8 +120,11 @@
 
     header = Header(sources=told, made=["merged by corrected clocks" if correct_clocks else "merged"])
     with bar("merge", opened) as tell:
-        count = files.write(out, header, merging.merge([stream(many, tell) for many in lives(opened)],
-                                                       lambda step: files.when(told, step)))
+        count = files.write(
+            out,
+            header,
+            merging.merge([stream(many, tell) for many in lives(opened)], lambda step: files.when(told, step)),
+        )
     for why in left:
         complain(f"not corrected: {why}")
     _done(json_, f"{count} steps of {len(told)} lives", steps=count, lives=len(told), not_corrected=left)
@@ -105,8 +134,12 @@
 @click.command()
 @PATH
 @OUT
-@click.option("--key", required=True, type=click.Path(path_type=Path, exists=True, dir_okay=False),
-              help="A file of 16 to 64 bytes; the same key gives the same stand-ins.")
+@click.option(
+    "--key",
+    required=True,
+    type=click.Path(path_type=Path, exists=True, dir_okay=False),
+    help="A file of 16 to 64 bytes; the same key gives the same stand-ins.",
+)
 @click.option("--boxes", is_flag=True, help="Replace the boxes' names too.")
 @JSON
 def anonymise(path: Path, out: Path, key: Path, boxes: bool, json_: bool) -> None:
@@ -147,8 +180,11 @@
         for place in reader.places:
             texts.append({word for column in reader.columns(place).columns.values() for word in column.words})
             whole = b"\0".join(texts[-1] - fine)
-            found |= {name for name, raw in wanted.items()
-                      if any(raw in words for words in texts) or (len(raw) >= WITHIN_LEAST and raw in whole)}
+            found |= {
+                name
+                for name, raw in wanted.items()
+                if any(raw in words for words in texts) or (len(raw) >= WITHIN_LEAST and raw in whole)
+            }
             texts = texts[:1]
     return found
 
--- a/lapispick/cli/turns.py
+++ b/lapispick/cli/turns.py
@@ -34,8 +34,11 @@
         return as_json(told)
     rows = []
     for each in told:
-        what = f"granted to {each['granted_to']}" if each["granted_to"] else \
-            (f"held, fence {each['fence']}" if each["fence"] else "waits")
+        what = (
+            f"granted to {each['granted_to']}"
+            if each["granted_to"]
+            else (f"held, fence {each['fence']}" if each["fence"] else "waits")
+        )
         rows.append([each["slot"], each["owner"], what, f"{each['left']:.1f} s", " ".join(each["waiting"])])
     return table("turns", ["slot", "owner", "what", "lease left", "waiting"], rows)
 
@@ -45,11 +48,16 @@
 @click.argument("turn")
 def show(at: str | None, turn: str) -> None:
     """Say who has a turn, as far as this box's vote tells. Ends with 1 where nobody has."""
-    found = [each for each in asked(located(at), "turns")
-             if each["slot"].split("/")[0] == turn and (each["granted_to"] or each["fence"])]
+    found = [
+        each
+        for each in asked(located(at), "turns")
+        if each["slot"].split("/")[0] == turn and (each["granted_to"] or each["fence"])
+    ]
     for each in found:
-        say(f"{each['slot']}: {each['granted_to'] or 'this box, for ' + each['owner']}, fence {each['fence']}, "
-            f"{each['left']:.1f} s left")
+        say(
+            f"{each['slot']}: {each['granted_to'] or 'this box, for ' + each['owner']}, fence {each['fence']}, "
+            f"{each['left']:.1f} s left"
+        )
     if not found:
         say(f"nobody has {turn}, as far as this box's vote tells")
         sys.exit(DIFFERS)
--- a/lapispick/conf/kinds.py
+++ b/lapispick/conf/kinds.py
@@ -108,6 +108,9 @@
         low, high = self.low, self.high
         if (low is not None and made < low) or (high is not None and made > high):
             # A span is told in seconds and a share in parts of 1, as the value is kept.
-            raise ValueError(f"{word!r} is outside of {shown(low)} to {shown(high)}"
-                             if low is not None and high is not None else f"{word!r} is out of bounds")
+            raise ValueError(
+                f"{word!r} is outside of {shown(low)} to {shown(high)}"
+                if low is not None and high is not None
+                else f"{word!r} is out of bounds"
+            )
         return made
--- a/lapispick/conf/legacy.py
+++ b/lapispick/conf/legacy.py
@@ -41,7 +41,7 @@
         raise Faulty(faults.found)
     if not told.get("enabled", False):
         return settings
-    kept = msgspec.structs.replace(settings.inventory, path=path.parent / told["inventory"],
-                                   group=told.get("group", "amqp"))
-    return msgspec.structs.replace(settings, inventory=kept,
-                                   amqp=Amqp(enabled=True, drain=settings.amqp.drain))
+    kept = msgspec.structs.replace(
+        settings.inventory, path=path.parent / told["inventory"], group=told.get("group", "amqp")
+    )
+    return msgspec.structs.replace(settings, inventory=kept, amqp=Amqp(enabled=True, drain=settings.amqp.drain))
--- a/lapispick/conf/settings.py
+++ b/lapispick/conf/settings.py
@@ -30,8 +30,7 @@
     path: Annotated[PurePath | None, _of(kinds.path, "the file or folder with the list")] = None
     group: Annotated[str, _of(kinds.text, "the group whose boxes count")] = "amqp"
     domain: Annotated[str, _of(kinds.text, "put behind names without a dot")] = ""
-    delimiter: Annotated[str, _of(kinds.text, "of CSV", choices=("auto", "comma", "semicolon", "tab", "bar"))] \
-        = "auto"
+    delimiter: Annotated[str, _of(kinds.text, "of CSV", choices=("auto", "comma", "semicolon", "tab", "bar"))] = "auto"
     end_marker: Annotated[str, _of(kinds.text, "the last line of a whole file")] = ""
     final_newline: Annotated[bool, _of(kinds.flag, "a whole file ends with a line end")] = True
     look: Annotated[float, _of(kinds.span, "between two looks at the files", 0.02, 3600)] = 0.5
@@ -74,15 +73,17 @@
 
     enabled: Annotated[bool, _of(kinds.flag, "record what the decisions are handed and order")] = False
     folder: Annotated[PurePath | None, _of(kinds.path, "where the files go; a disk that lasts")] = None
-    buffer: Annotated[int, _of(kinds.size, "that may wait for the disk; beyond it steps are left out",
-                               64 << 10, 64 << 20)] = 1 << 20
+    buffer: Annotated[
+        int, _of(kinds.size, "that may wait for the disk; beyond it steps are left out", 64 << 10, 64 << 20)
+    ] = 1 << 20
     flush: Annotated[float, _of(kinds.span, "at most between two hand-overs", 0.05, 10)] = 0.25
     rotate_size: Annotated[int, _of(kinds.size, "of a file, then the next one begins", 64 << 10)] = 64 << 20
     rotate_age: Annotated[float, _of(kinds.span, "of a file, then the next one begins", 1)] = 3600.0
     keep_size: Annotated[int, _of(kinds.size, "of all files; the oldest go", 64 << 10)] = 1 << 30
     keep_age: Annotated[float, _of(kinds.span, "of a file; older ones go", 1)] = 7 * 86_400.0
-    subject_key: Annotated[PurePath | None, _of(kinds.path, "a secret that boxes share, to compare their traces")] \
-        = None
+    subject_key: Annotated[PurePath | None, _of(kinds.path, "a secret that boxes share, to compare their traces")] = (
+        None
+    )
     sync: Annotated[str, _of(kinds.text, "when the disk must have it", choices=("no", "file", "block"))] = "file"
 
 
@@ -109,8 +110,9 @@
     period: Annotated[float, _of(kinds.span, "between two probes", 0.05, 60)] = 1.0
     timeout: Annotated[float, _of(kinds.span, "for a direct answer; then others are asked", 0.01, 60)] = 0.3
     helpers: Annotated[int, _of(kinds.count, "that are asked then", 0, 16)] = 3
-    suspicion: Annotated[int, _of(kinds.count, "periods that a suspicion lasts at least, times the size's log10",
-                                  1, 100)] = 5
+    suspicion: Annotated[
+        int, _of(kinds.count, "periods that a suspicion lasts at least, times the size's log10", 1, 100)
+    ] = 5
     sync: Annotated[float, _of(kinds.span, "between two whole views over a stream", 0.2, 3600)] = 30.0
     rate: Annotated[int, _of(kinds.count, "words a second that are taken of one box", 5, 10_000)] = 100
     lease: Annotated[float, _of(kinds.span, "of a turn", 0.2, 600)] = 10.0
@@ -119,7 +121,12 @@
     lists: Annotated[float, _of(kinds.span, "that a replaced list counts on for claims", 0.2, 3600)] = 30.0
     keep: Annotated[float, _of(kinds.span, "that an owner of a turn may be silent", 0.2, 3600)] = 5.0
     turns: Annotated[tuple[str, ...], _of(kinds.text, "named turns as NAME:K, K boxes at once", many=True)] = (
-        "restart:1", "probe:1", "compact:1", "list:2", "return:2")
+        "restart:1",
+        "probe:1",
+        "compact:1",
+        "list:2",
+        "return:2",
+    )
 
 
 class Agent(msgspec.Struct, frozen=True):
@@ -128,10 +135,12 @@
     folder: Annotated[PurePath | None, _of(kinds.path, "its state and generations; a disk that lasts")] = None
     config: Annotated[PurePath | None, _of(kinds.path, "the platform's configuration of this box")] = None
     listen: Annotated[str, _of(kinds.text, "where controllers call, IP:PORT")] = "127.0.0.1:0"
-    slot_ops: Annotated[tuple[str, ...], _of(kinds.text, "two operators' addresses: of a process and the next one",
-                                             many=True)] = ()
-    slot_executors: Annotated[tuple[str, ...], _of(kinds.text, "the executor's addresses for both, where they differ",
-                                                   many=True)] = ()
+    slot_ops: Annotated[
+        tuple[str, ...], _of(kinds.text, "two operators' addresses: of a process and the next one", many=True)
+    ] = ()
+    slot_executors: Annotated[
+        tuple[str, ...], _of(kinds.text, "the executor's addresses for both, where they differ", many=True)
+    ] = ()
     look: Annotated[float, _of(kinds.span, "between two looks at the processes", 0.02, 10)] = 0.2
     start: Annotated[float, _of(kinds.span, "for a process to take clients", 0.5, 600)] = 6.0
     stop: Annotated[float, _of(kinds.span, "for a process that was told to leave; then it is killed", 0.5, 600)] = 6.0
@@ -145,8 +154,9 @@
 
     state_folder: Annotated[PurePath | None, _of(kinds.path, "the ledger of rollouts; a disk that lasts")] = None
     who: Annotated[str, _of(kinds.text, "names this controller to the agents")] = "controller"
-    stages: Annotated[tuple[str, ...], _of(kinds.text, "each a count (1), a share in all (25%) or box:NAME,NAME",
-                                           many=True)] = ("1", "10%", "50%", "100%")
+    stages: Annotated[
+        tuple[str, ...], _of(kinds.text, "each a count (1), a share in all (25%) or box:NAME,NAME", many=True)
+    ] = ("1", "10%", "50%", "100%")
     hold: Annotated[tuple[str, ...], _of(kinds.text, "stages after which a person says go, from 1", many=True)] = ()
     warm_up: Annotated[float, _of(kinds.span, "after a start; a box counts from then on", 0, 3600)] = 20.0
     bake: Annotated[float, _of(kinds.span, "for a stage to be watched, at least", 0.5, 604_800)] = 120.0
@@ -157,8 +167,12 @@
     serving_least: Annotated[float, _of(kinds.share, "of the fleet serves, or nothing begins", 0, 1)] = 0.8
     zone_most: Annotated[float, _of(kinds.share, "of a zone or failure domain in one stage", 0.01, 1)] = 0.6
     hours: Annotated[str, _of(kinds.text, "when stages may begin, HH:MM-HH:MM of local time")] = ""
-    not_days: Annotated[tuple[str, ...], _of(kinds.text, "on which nothing begins", many=True,
-                                             choices=("mon", "tue", "wed", "thu", "fri", "sat", "sun"))] = ()
+    not_days: Annotated[
+        tuple[str, ...],
+        _of(
+            kinds.text, "on which nothing begins", many=True, choices=("mon", "tue", "wed", "thu", "fri", "sat", "sun")
+        ),
+    ] = ()
     controls: Annotated[bool, _of(kinds.flag, "start as many like boxes anew in their own generation")] = True
     look: Annotated[float, _of(kinds.span, "between two looks at the fleet", 0.1, 60)] = 2.0
     unreached: Annotated[float, _of(kinds.span, "a box without an answer counts as down after", 0.1, 3600)] = 10.0
@@ -171,8 +185,9 @@
 class Log(msgspec.Struct, frozen=True):
     """Log lines."""
 
-    level: Annotated[str, _of(kinds.text, "the least that is written",
-                              choices=("debug", "info", "warning", "error"))] = "info"
+    level: Annotated[
+        str, _of(kinds.text, "the least that is written", choices=("debug", "info", "warning", "error"))
+    ] = "info"
 
 
 class Settings(msgspec.Struct, frozen=True):
@@ -190,9 +205,18 @@
     log: Log = Log()
 
 
-SECTIONS: dict[str, type[msgspec.Struct]] = {"inventory": Inventory, "fleet": Fleet, "amqp": Amqp, "trace": Trace,
-                                             "handover": Handover, "figures": Figures, "members": Members,
-                                             "agent": Agent, "rollout": Rollout, "log": Log}
+SECTIONS: dict[str, type[msgspec.Struct]] = {
+    "inventory": Inventory,
+    "fleet": Fleet,
+    "amqp": Amqp,
+    "trace": Trace,
+    "handover": Handover,
+    "figures": Figures,
+    "members": Members,
+    "agent": Agent,
+    "rollout": Rollout,
+    "log": Log,
+}
 
 
 def directives(section: type[msgspec.Struct]) -> dict[str, Directive]:
@@ -212,8 +236,7 @@
     return made
 
 
-def _take(line: Line, directive: Directive, held: dict[str, Any], first: dict[str, Place],
-          faults: Collector) -> None:
+def _take(line: Line, directive: Directive, held: dict[str, Any], first: dict[str, Place], faults: Collector) -> None:
     key = line.name.replace("-", "_")
     if line.name in first and not directive.many:
         return faults.add(line.place, line.name, f"stands twice, first at {first[line.name]}")
--- a/lapispick/control.py
+++ b/lapispick/control.py
@@ -116,8 +116,9 @@
 CALL_PAUSE_MS = 60.0  # ms; before a call that was turned away is made again
 
 
-def solve_prices(types: Sequence[tuple[float, float, float, float]], hold_budget: float,
-                 cost_budget: float) -> tuple[float, float]:
+def solve_prices(
+    types: Sequence[tuple[float, float, float, float]], hold_budget: float, cost_budget: float
+) -> tuple[float, float]:
     """Find the duals of: maximise sum w*v*x, sum w*h*x <= hold_budget, sum w*c*x <= cost_budget, 0 <= x <= 1.
 
     ``types`` holds (weight, value, hold, cost). The dual is piecewise linear and convex in the prices, so
@@ -247,8 +248,12 @@
         on_core = max(0.0, took - r.call_ms)
         pace = on_core / max(1.0, self.core(r))
         self.counts[r.cls] = n = min(ESTIMATE_STEPS, self.counts[r.cls] + 1)
-        for table, seen in ((self.cores, on_core), (self.holds, took), (self.calls, r.call_ms),
-                            (self.in_call, r.in_call_ms)):
+        for table, seen in (
+            (self.cores, on_core),
+            (self.holds, took),
+            (self.calls, r.call_ms),
+            (self.in_call, r.in_call_ms),
+        ):
             table[r.cls] += (seen - table[r.cls]) / n
         if r.cost > 0:
             self.ratio_count = min(2 * ESTIMATE_STEPS, self.ratio_count + 1)
@@ -263,8 +268,7 @@
     would keep it at its floor until the usual time has followed.
     """
 
-    __slots__ = ("hopeful", "limit", "lost", "mean", "others", "out", "recent", "settings", "since", "usual",
-                 "waiting")
+    __slots__ = ("hopeful", "limit", "lost", "mean", "others", "out", "recent", "settings", "since", "usual", "waiting")
 
     def __init__(self, settings: Settings, now: float) -> None:
         self.settings, self.since, self.limit = settings, now, settings.calls_out * CALLS_PART
@@ -454,10 +458,39 @@
 class Controller:
     """Orders the parts: one step takes events and returns actions, with no clock and no I/O of its own."""
 
-    __slots__ = ("advert", "alarms", "batch", "born", "calls", "entries", "est", "handlers", "keys",
-                 "late_from", "leave_at", "limit", "links", "logged", "memory", "next_window", "now",
-                 "on_core", "order", "others", "out", "prices", "queued_ms", "queues", "rng", "s", "seq",
-                 "stop_at", "thinned", "tries", "unread")
+    __slots__ = (
+        "advert",
+        "alarms",
+        "batch",
+        "born",
+        "calls",
+        "entries",
+        "est",
+        "handlers",
+        "keys",
+        "late_from",
+        "leave_at",
+        "limit",
+        "links",
+        "logged",
+        "memory",
+        "next_window",
+        "now",
+        "on_core",
+        "order",
+        "others",
+        "out",
+        "prices",
+        "queued_ms",
+        "queues",
+        "rng",
+        "s",
+        "seq",
+        "stop_at",
+        "thinned",
+        "tries",
+        "unread",
+    )
 
     def __init__(self, settings: Settings, seed: int, now: float) -> None:
         settings.validate()
@@ -477,8 +510,14 @@
         self.others = (0.0, 0.0)  # runs and KB that another process of this server has in hand
         self.out: list[Action] = []
         self.handlers = {
-            Request: self._request, Gone: self._gone, RunEnded: self._ended, NeedsCall: self._needs,
-            CallEnded: self._called, Leave: self._leave, TimerFired: self._timer}
+            Request: self._request,
+            Gone: self._gone,
+            RunEnded: self._ended,
+            NeedsCall: self._needs,
+            CallEnded: self._called,
+            Leave: self._leave,
+            TimerFired: self._timer,
+        }
 
     def step(self, now: float, events: Sequence[Event]) -> list[Action]:
         """Take in what happened at ``now`` and return what to do."""
@@ -497,8 +536,18 @@
     def learned(self) -> Learned:
         """Return what a process that takes this one's place should know; see ``adopt``."""
         e, c, p = self.est, self.calls, self.prices
-        return Learned(tuple(e.cores), tuple(e.holds), tuple(e.calls), tuple(e.in_call), tuple(e.counts),
-                       self.limit.value, (c.usual, c.recent), c.limit, (p.hold_price, p.cost_price), p.frozen)
+        return Learned(
+            tuple(e.cores),
+            tuple(e.holds),
+            tuple(e.calls),
+            tuple(e.in_call),
+            tuple(e.counts),
+            self.limit.value,
+            (c.usual, c.recent),
+            c.limit,
+            (p.hold_price, p.cost_price),
+            p.frozen,
+        )
 
     def adopt(self, known: Learned) -> None:
         """Begin with what another process learned at these cores; what was seen here goes before it."""
@@ -658,8 +707,14 @@
             self.out.append(Run(r.id))
         over = self.on_core - stopping - int(THIN_PART * slots)
         if over > 0:  # a second start of an effect is never risked
-            runs = [r for r in self.entries.values() if r.state == RUNNING and not r.answered
-                    and r not in self.thinned and self.s.classes[r.cls].effect is Effect.SAFE]
+            runs = [
+                r
+                for r in self.entries.values()
+                if r.state == RUNNING
+                and not r.answered
+                and r not in self.thinned
+                and self.s.classes[r.cls].effect is Effect.SAFE
+            ]
             for r in sorted(runs, key=lambda r: -r.aim_at)[:over]:
                 r.thinned = True
                 self.thinned.append(r)
--- a/lapispick/durable/database.py
+++ b/lapispick/durable/database.py
@@ -69,8 +69,9 @@
             if not self._db.execute("select 1 from sqlite_master where name = 'meta'").fetchone():
                 for statement in _SCHEMA.split(";"):
                     self._db.execute(statement)
-                self._db.executemany("insert into meta values (?, ?)",
-                                     [("version", VERSION), ("box", box), ("life", 0)])
+                self._db.executemany(
+                    "insert into meta values (?, ?)", [("version", VERSION), ("box", box), ("life", 0)]
+                )
             told = dict(self._db.execute("select name, value from meta"))
             if told["version"] > VERSION:
                 raise Unusable(f"{self.path}: has version {told['version']}; this program knows {VERSION}")
@@ -89,7 +90,8 @@
         """Yield all keys."""
         states = {int(state): state for state in State}
         for key, state, life, born, until, body, result in self._db.execute(
-                "select key, state, life, born, until, body, result from keys"):
+            "select key, state, life, born, until, body, result from keys"
+        ):
             yield key, Known(states[state], life, born, until, body, result)
 
     @contextmanager
@@ -118,15 +120,17 @@
                 if known is None:
                     self._db.execute("delete from keys where key = ?", (key,))
                 else:
-                    self._db.execute("insert or replace into keys values (?, ?, ?, ?, ?, ?, ?)",
-                                     (key, int(known.state), known.life, known.born, known.until, known.body,
-                                      known.result))
+                    self._db.execute(
+                        "insert or replace into keys values (?, ?, ?, ?, ?, ?, ?)",
+                        (key, int(known.state), known.life, known.born, known.until, known.body, known.result),
+                    )
 
     def expire(self, now: float, most: int) -> int:
         """Remove up to so many keys whose window is over; return how many went."""
         with self._transaction():
-            return self._db.execute("delete from keys where key in (select key from keys where until <= ? limit ?)",
-                                    (now, most)).rowcount
+            return self._db.execute(
+                "delete from keys where key in (select key from keys where until <= ? limit ?)", (now, most)
+            ).rowcount
 
     def _back(self) -> None:
         try:
--- a/lapispick/faults.py
+++ b/lapispick/faults.py
@@ -39,8 +39,10 @@
 
     def __init__(self, faults: Iterable[Fault]) -> None:
         self.faults = tuple(faults)
-        super().__init__("; ".join(str(f) for f in self.faults[:3])
-                         + (f"; and {len(self.faults) - 3} more" if len(self.faults) > 3 else ""))
+        super().__init__(
+            "; ".join(str(f) for f in self.faults[:3])
+            + (f"; and {len(self.faults) - 3} more" if len(self.faults) > 3 else "")
+        )
 
 
 class Collector:
--- a/lapispick/fleet/acceptance.py
+++ b/lapispick/fleet/acceptance.py
@@ -95,8 +95,7 @@
         accepted = self._judge(now, seen)
         diff = Difference()
         if accepted is not None:
-            diff = difference(self.accepted, accepted) if self.accepted else Difference(
-                tuple(sorted(accepted.boxes)))
+            diff = difference(self.accepted, accepted) if self.accepted else Difference(tuple(sorted(accepted.boxes)))
             self._accept(now, accepted)
         return Verdict(self.phase, self.ground, (self.phase, self.ground, self._mark) != before, accepted, diff)
 
@@ -113,8 +112,12 @@
     def _judge(self, now: float, seen: Seen) -> Snapshot | None:
         """Set the phase of the present candidate; return it where it is accepted just now."""
         snapshot, policy = seen.snapshot, self.policy
-        if snapshot is not None and self.accepted is not None and not seen.unfinished \
-                and snapshot.total == self.accepted.total:
+        if (
+            snapshot is not None
+            and self.accepted is not None
+            and not seen.unfinished
+            and snapshot.total == self.accepted.total
+        ):
             self.phase, self.ground = Phase.ACCEPTED, "as accepted"
             return None
         if snapshot is not None and len(seen.accept) >= ACCEPT_LEAST and snapshot.digest.startswith(seen.accept):
--- a/lapispick/fleet/boxes.py
+++ b/lapispick/fleet/boxes.py
@@ -37,8 +37,10 @@
 
     def shown(self, wanted: Schema) -> dict[str, Any]:
         """Return the variables with secrets hidden."""
-        return {k: "***" if (v := wanted.box.get(k)) is not None and v.secret and told else told
-                for k, told in self.vars.items()}
+        return {
+            k: "***" if (v := wanted.box.get(k)) is not None and v.secret and told else told
+            for k, told in self.vars.items()
+        }
 
 
 class _Part:
@@ -121,8 +123,7 @@
             part.port = told.value
         elif wanted.port and part.port is None:
             part.port = wanted.box[wanted.port].default
-        part.apart = tuple(part.told[k].value if k in part.told else wanted.box[k].default
-                           for k in wanted.apart)
+        part.apart = tuple(part.told[k].value if k in part.told else wanted.box[k].default for k in wanted.apart)
         part.named, part.at = (part.name, part.apart), (part.host, part.port, part.apart)
         self._items(part, rows)
         return part
@@ -169,16 +170,16 @@
                 part.items.append((row, entry.vars[wanted.item_name].place))
             return
         if not isinstance(listed.value, list) or wanted.item_name in row:
-            return part.faults.add(listed.place, wanted.items,
-                                   f"must be a list, and then there is no {wanted.item_name}")
+            return part.faults.add(
+                listed.place, wanted.items, f"must be a list, and then there is no {wanted.item_name}"
+            )
         if len(listed.value) > ITEMS_MOST:
             return part.faults.add(listed.place, wanted.items, f"holds more than {ITEMS_MOST}")
         for each in listed.value:
             if isinstance(each, Map):
                 part.items.append((self._item(part, row, each), each.place))
             elif isinstance(each, str):
-                part.items.append((self._item(part, row, {wanted.item_name: Var(each, listed.place)}),
-                                   listed.place))
+                part.items.append((self._item(part, row, {wanted.item_name: Var(each, listed.place)}), listed.place))
             else:
                 part.faults.add(listed.place, wanted.items, "holds what is neither a name nor a mapping")
 
@@ -208,8 +209,7 @@
         reached = min(parts, key=lambda p: (identity.address(p.host) is None, p.host))
         for part in parts:
             self._agree(lead.name, reached, part, faults)
-        vars_ = {key: v.default for key, v in wanted.box.items()
-                 if v.default is not None and key not in wanted.host}
+        vars_ = {key: v.default for key, v in wanted.box.items() if v.default is not None and key not in wanted.host}
         vars_ |= {key: var.value for key, var in told.items()}
         items: dict[str, tuple[dict[str, Any], Place]] = {}
         for part in parts:
@@ -218,20 +218,35 @@
         ordered = tuple(items[name][0] for name in sorted(items))
         spellings = tuple(dict.fromkeys(p.entry.name for p in parts))
         packed = _pack.encode((lead.name, reached.host, reached.port, vars_, ordered))
-        return Box(lead.name, reached.host, reached.port, vars_, ordered, blake2b(packed, digest_size=16).digest(),
-                   spellings, tuple(p.entry.place for p in parts))
+        return Box(
+            lead.name,
+            reached.host,
+            reached.port,
+            vars_,
+            ordered,
+            blake2b(packed, digest_size=16).digest(),
+            spellings,
+            tuple(p.entry.place for p in parts),
+        )
 
     def _agree(self, name: str, reached: _Part, part: _Part, faults: Collector) -> None:
         """Two entries of one box may be reached by a name and its address, not at two addresses or ports."""
         if identity.address(part.host) and part.host != reached.host:
-            faults.add(part.entry.place, "host",
-                       f"{name} is at {part.host} here, but at {reached.host} at {reached.entry.place}")
+            faults.add(
+                part.entry.place,
+                "host",
+                f"{name} is at {part.host} here, but at {reached.host} at {reached.entry.place}",
+            )
         if part.port != reached.port:
-            faults.add(part.entry.place, self._schema.port or "host",
-                       f"{name} has port {part.port} here, but {reached.port} at {reached.entry.place}")
-
-    def _add_item(self, items: dict[str, tuple[dict[str, Any], Place]], item: dict[str, Any], place: Place,
-                  faults: Collector) -> None:
+            faults.add(
+                part.entry.place,
+                self._schema.port or "host",
+                f"{name} has port {part.port} here, but {reached.port} at {reached.entry.place}",
+            )
+
+    def _add_item(
+        self, items: dict[str, tuple[dict[str, Any], Place]], item: dict[str, Any], place: Place, faults: Collector
+    ) -> None:
         wanted = self._schema
         full = {key: v.default for key, v in wanted.item.items() if v.default is not None} | item
         name = full.get(wanted.item_name)
@@ -263,5 +278,7 @@
     for at, part in enumerate(parts):
         made.setdefault(find(at), []).append(part)
     # The order of the files is no matter: the same parts in another order are the same box.
-    return [sorted(many, key=lambda p: (p.name, p.entry.name, p.entry.place.line)) if len(many) > 1 else many
-            for many in made.values()]
+    return [
+        sorted(many, key=lambda p: (p.name, p.entry.name, p.entry.place.line)) if len(many) > 1 else many
+        for many in made.values()
+    ]
--- a/lapispick/fleet/csvform.py
+++ b/lapispick/fleet/csvform.py
@@ -60,8 +60,11 @@
         faults.add(place, "", f"{len(header)} columns; {COLUMNS_MOST} are the most")
     for column, key in enumerate(header, 1):
         if header.index(key) != column - 1:
-            faults.add(Place(file, line, column), key or "a column without a name",
-                       f"the header has this column twice, first as column {header.index(key) + 1}")
+            faults.add(
+                Place(file, line, column),
+                key or "a column without a name",
+                f"the header has this column twice, first as column {header.index(key) + 1}",
+            )
     return header
 
 
@@ -69,8 +72,7 @@
 Cache = dict[tuple[str, ...], Rows]  # what was made of a row's cells; places in it may have moved since
 
 
-def read(file: str, text: str, delimiter: str, most: int, faults: Collector,
-         cache: Cache) -> tuple[Rows, Cache]:
+def read(file: str, text: str, delimiter: str, most: int, faults: Collector, cache: Cache) -> tuple[Rows, Cache]:
     """Return the rows and what to keep for the next time; faults are collected.
 
     ``delimiter`` may be ``auto``. A row that stands in ``cache`` is taken from there.
--- a/lapispick/fleet/files.py
+++ b/lapispick/fleet/files.py
@@ -70,8 +70,9 @@
         finally:
             os.close(fd)
         mark = (after.st_dev, after.st_ino, after.st_size, after.st_mtime_ns)
-        still = (before.st_size, before.st_mtime_ns) == (after.st_size, after.st_mtime_ns) == (
-            len(data), after.st_mtime_ns)
+        still = (
+            (before.st_size, before.st_mtime_ns) == (after.st_size, after.st_mtime_ns) == (len(data), after.st_mtime_ns)
+        )
         if still:
             return data, mark, True
     return data[:most], mark, False
--- a/lapispick/fleet/groups.py
+++ b/lapispick/fleet/groups.py
@@ -125,8 +125,7 @@
             faults.add(Place("inventory"), wanted, f"there is no such group; there are {known[:300]}")
             return []
         if loop := _cycle(tree.groups):
-            faults.add(tree.groups[loop[0]].children[loop[1]], loop[0],
-                       f"groups hold each other: {' -> '.join(loop)}")
+            faults.add(tree.groups[loop[0]].children[loop[1]], loop[0], f"groups hold each other: {' -> '.join(loop)}")
             return []
         depths, parents = _depths(tree.groups), _parents(tree.groups)
         below = _below(tree.groups, wanted)
@@ -146,8 +145,9 @@
         kept: dict[str, tuple[tuple[Any, ...], Entry]] = {}
         for name, direct in own_groups.items():
             if wanted == ALL or below.intersection(direct):
-                made.append(self._host(tree, name, tuple(direct), inherited(tuple(direct)), host_vars, domain,
-                                       kept, faults))
+                made.append(
+                    self._host(tree, name, tuple(direct), inherited(tuple(direct)), host_vars, domain, kept, faults)
+                )
         rows: dict[int, tuple[tuple[Any, ...], Entry]] = {}
         for group_name, row in tree.rows:
             if not group_name or wanted == ALL or group_name in below:
@@ -164,8 +164,17 @@
         self._shared[direct] = fresh
         return fresh
 
-    def _host(self, tree: Tree, name: str, direct: tuple[str, ...], inherited: dict[str, Var],
-              host_vars: dict[str, Map], domain: str, kept: dict[str, Any], faults: Collector) -> Entry:
+    def _host(
+        self,
+        tree: Tree,
+        name: str,
+        direct: tuple[str, ...],
+        inherited: dict[str, Var],
+        host_vars: dict[str, Map],
+        domain: str,
+        kept: dict[str, Any],
+        faults: Collector,
+    ) -> Entry:
         told = [tree.groups[g].hosts[name] for g in direct]
         more = host_vars.get(name) or host_vars.get(_canonical(name, domain)) if host_vars else None
         parts = (*(t[0] for t in told), more, inherited)
@@ -186,8 +195,9 @@
         kept[name] = (parts, entry)
         return entry
 
-    def _row(self, row: Entry, inherited: dict[str, Var], host_vars: dict[str, Map], domain: str,
-             rows: dict[int, Any]) -> Entry:
+    def _row(
+        self, row: Entry, inherited: dict[str, Var], host_vars: dict[str, Map], domain: str, rows: dict[int, Any]
+    ) -> Entry:
         more = host_vars.get(_canonical(row.name, domain)) if host_vars else None
         if not inherited and not more:
             return row
@@ -234,7 +244,7 @@
                 path.pop()
                 done.add(name)
             elif name in path:
-                return [*path[path.index(name):], name]
+                return [*path[path.index(name) :], name]
             elif name not in done:
                 path.append(name)
                 stack.append((name, True))
@@ -267,8 +277,9 @@
     return found
 
 
-def _inherit(groups: dict[str, Group], direct: tuple[str, ...], parents: dict[str, list[str]],
-             depths: dict[str, int]) -> dict[str, Var]:
+def _inherit(
+    groups: dict[str, Group], direct: tuple[str, ...], parents: dict[str, list[str]], depths: dict[str, int]
+) -> dict[str, Var]:
     found: set[str] = {ALL} & groups.keys()
     stack = [name for name in direct if name in groups]
     while stack:
--- a/lapispick/fleet/helper.py
+++ b/lapispick/fleet/helper.py
@@ -67,8 +67,11 @@
         accept = lastgood.accepting(self._folder) if self._folder else ""
         mark = files.signature(self._path)
         if mark is not None and mark == self._signature and self._last is not None:
-            return [msgspec.structs.replace(self._last, parts=0, accept=accept,
-                                            took_ms=(time.perf_counter() - began) * 1000)]
+            return [
+                msgspec.structs.replace(
+                    self._last, parts=0, accept=accept, took_ms=(time.perf_counter() - began) * 1000
+                )
+            ]
         found = files.read(self._path, self._begin.size_most)
         self._signature = found.signature
         parts: list[Part] = []
@@ -76,13 +79,13 @@
             listed = Listed(faults=found.faults)
         else:
             reading = self._reader.read(found.files)
-            listed = Listed(faults=reading.faults, left_out=reading.left_out,
-                            unfinished=found.unfinished or reading.unfinished)
+            listed = Listed(
+                faults=reading.faults, left_out=reading.left_out, unfinished=found.unfinished or reading.unfinished
+            )
             if not reading.faults:
                 fresh = _next(self._sent, reading.boxes)
                 diff = snapshot.difference(self._sent, fresh)
-                parts = _parts([fresh.boxes[n] for n in (*diff.joined, *diff.moved, *diff.changed)],
-                               list(diff.left))
+                parts = _parts([fresh.boxes[n] for n in (*diff.joined, *diff.moved, *diff.changed)], list(diff.left))
                 listed.parts, listed.digest, self._sent = len(parts), fresh.digest, fresh
                 self._lists[fresh.digest] = fresh
                 while len(self._lists) > LISTS:
@@ -99,9 +102,13 @@
             if known is not None:
                 lastgood.keep(self._folder, self._source, known, message.at, message.ground)
             size = len(known.boxes) if known is not None else 0
-            lastgood.remember(self._folder, lastgood.Entry(
-                message.at, message.digest, message.ground, size, counts=message.counts, **message.names),
-                self._begin.history)
+            lastgood.remember(
+                self._folder,
+                lastgood.Entry(
+                    message.at, message.digest, message.ground, size, counts=message.counts, **message.names
+                ),
+                self._begin.history,
+            )
             if message.digest.startswith(lastgood.accepting(self._folder) or "-"):
                 lastgood.accepted(self._folder)
         except OSError as err:
@@ -121,8 +128,11 @@
 def _next(base: Snapshot, boxes: dict[str, Box]) -> Snapshot:
     """Return a list as a change of the one before, so that both share what is the same."""
     known = base.boxes
-    put = [box for name, box in boxes.items()
-           if (old := known.get(name)) is not box and (old is None or old.digest != box.digest)]
+    put = [
+        box
+        for name, box in boxes.items()
+        if (old := known.get(name)) is not box and (old is None or old.digest != box.digest)
+    ]
     gone = [name for name in known if name not in boxes] if put or len(boxes) != len(known) else []
     return base.changed(put, gone)
 
--- a/lapispick/fleet/hosts.py
+++ b/lapispick/fleet/hosts.py
@@ -25,7 +25,9 @@
         "lapispick_machine": Variable("text", "", 0, 63, doc="the type of machine; like is compared with like"),
         "lapispick_weight": Variable("number", 1.0, 0.001, 1000.0, doc="its share of the load beside the others'"),
     },
-    host=("lapispick_host", "ansible_host"), port="lapispick_port")
+    host=("lapispick_host", "ansible_host"),
+    port="lapispick_port",
+)
 
 
 class Worker(msgspec.Struct, frozen=True, order=True):
@@ -71,10 +73,17 @@
 def worker(box: Box) -> Worker:
     """Return the worker host that a box is; raises ``ValueError`` for an address that is none."""
     told = box.vars
-    return Worker(box.name, _joined(box.host, box.port or told["lapispick_port"]),
-                  _address(told["lapispick_ops"], box.host), _address(told["lapispick_agent"], box.host),
-                  told["lapispick_zone"], told["lapispick_domain"], told["lapispick_machine"], told["lapispick_weight"],
-                  _address(told["lapispick_members"], box.host))
+    return Worker(
+        box.name,
+        _joined(box.host, box.port or told["lapispick_port"]),
+        _address(told["lapispick_ops"], box.host),
+        _address(told["lapispick_agent"], box.host),
+        told["lapispick_zone"],
+        told["lapispick_domain"],
+        told["lapispick_machine"],
+        told["lapispick_weight"],
+        _address(told["lapispick_members"], box.host),
+    )
 
 
 def workers(boxes: Iterable[Box]) -> tuple[tuple[Worker, ...], tuple[Fault, ...]]:
--- a/lapispick/fleet/plan.py
+++ b/lapispick/fleet/plan.py
@@ -115,15 +115,23 @@
     def ended(self, life: int) -> None:
         """Take note that a life is over."""
         known = self.lives.pop(life, None)
-        if known is not None and known.key in self.wanted \
-                and all(other.key != known.key for other in self.lives.values()):
+        if (
+            known is not None
+            and known.key in self.wanted
+            and all(other.key != known.key for other in self.lives.values())
+        ):
             self._fresh.add(known.key)
 
     def in_change(self, now: float) -> int:
         """Return how many units are opening or draining and not stuck."""
-        return len({life.key for life in self.lives.values()
-                    if (life.state is State.OPENING or (life.state is State.DRAINING and life.served))
-                    and now - life.since < self.bounds.wait})
+        return len(
+            {
+                life.key
+                for life in self.lives.values()
+                if (life.state is State.OPENING or (life.state is State.DRAINING and life.served))
+                and now - life.since < self.bounds.wait
+            }
+        )
 
     def step(self, now: float) -> list[Action]:
         """Return what to do now; the lives count as begun or draining from here on."""
@@ -171,8 +179,11 @@
         return stale if ready else [life for life in stale if life.state is State.OPENING]
 
     def _overdue(self, now: float) -> list[Action]:
-        late = [life for life in self.lives.values()
-                if life.state is State.DRAINING and now - life.since >= self.bounds.drain]
+        late = [
+            life
+            for life in self.lives.values()
+            if life.state is State.DRAINING and now - life.since >= self.bounds.drain
+        ]
         for life in late:
             self.ended(life.number)
         return [Close(life.number, life.key) for life in late]
@@ -190,8 +201,6 @@
 
 def next_due(plan: Plan, now: float) -> float:
     """Return after how many seconds a step is worth while though nothing happens."""
-    spans = [plan.bounds.drain - (now - life.since) for life in plan.lives.values()
-             if life.state is State.DRAINING]
-    spans += [plan.bounds.wait - (now - life.since) for life in plan.lives.values()
-              if life.state is not State.OPEN]
+    spans = [plan.bounds.drain - (now - life.since) for life in plan.lives.values() if life.state is State.DRAINING]
+    spans += [plan.bounds.wait - (now - life.since) for life in plan.lives.values() if life.state is not State.OPEN]
     return max(0.01, min((s for s in spans if s > 0), default=60.0))
--- a/lapispick/fleet/reading.py
+++ b/lapispick/fleet/reading.py
@@ -146,8 +146,9 @@
         if path.suffix in CSV:
             if not same or file.name not in self._rows:
                 cache = self._rows[file.name][1] if file.name in self._rows else {}
-                self._rows[file.name] = csvform.read(file.name, text, self._options.delimiter,
-                                                     self._options.boxes_most, faults, cache)
+                self._rows[file.name] = csvform.read(
+                    file.name, text, self._options.delimiter, self._options.boxes_most, faults, cache
+                )
             self._broken = self._broken or not self._rows[file.name][1]
             return tree.add_rows(self._rows[file.name][0])
         document = self._documents.get(file.name)
--- a/lapispick/fleet/schema.py
+++ b/lapispick/fleet/schema.py
@@ -60,8 +60,13 @@
 
 def _wanted(variable: Variable) -> str:
     low, high = variable.low, variable.high
-    what = {"integer": "a whole number", "number": "a number", "flag": "true or false", "host": "a host name",
-            "text": "a text"}[variable.kind]
+    what = {
+        "integer": "a whole number",
+        "number": "a number",
+        "flag": "true or false",
+        "host": "a host name",
+        "text": "a text",
+    }[variable.kind]
     if variable.kind == "text":
         return f"a text of {low or 0:g} to {high or TEXT_MOST:g} bytes"
     return f"{what} from {low:g} to {high:g}" if low is not None and high is not None else what
@@ -84,8 +89,7 @@
     if not (variable.low or 0) <= len(text.encode()) <= (variable.high or TEXT_MOST):
         raise fault
     if variable.choices and text and text not in variable.choices:
-        raise ValueError(f"{_short(value)} is none of {', '.join(variable.choices)}"
-                         f"{nearest(text, variable.choices)}")
+        raise ValueError(f"{_short(value)} is none of {', '.join(variable.choices)}{nearest(text, variable.choices)}")
     return text
 
 
@@ -105,8 +109,11 @@
     except ValueError:
         raise fault from None
     # Not a number compares false with every bound.
-    if not (variable.low if variable.low is not None else -1e300) <= number \
-            <= (variable.high if variable.high is not None else 1e300):
+    if (
+        not (variable.low if variable.low is not None else -1e300)
+        <= number
+        <= (variable.high if variable.high is not None else 1e300)
+    ):
         raise fault
     if variable.kind == "integer":
         if number != int(number):
--- a/lapispick/fleet/yamlform.py
+++ b/lapispick/fleet/yamlform.py
@@ -138,8 +138,7 @@
             elif not isinstance(key, ScalarNode):
                 self.faults.add(self.place(key), "", "a key must be a plain text")
             elif key.value in made:
-                self.faults.add(self.place(key), key.value,
-                                f"this key stands twice, first at {made[key.value].place}")
+                self.faults.add(self.place(key), key.value, f"this key stands twice, first at {made[key.value].place}")
             else:
                 made[key.value] = Var(self.value(value), self.place(key))
         for other in merged:
@@ -230,8 +229,12 @@
         faults = Collector()
         try:
             node = _compose(self.file, chunk, faults)
-            if not isinstance(node, MappingNode) or node.flow_style or not node.value \
-                    or any(key.start_mark.column != segment.column for key, _ in node.value):
+            if (
+                not isinstance(node, MappingNode)
+                or node.flow_style
+                or not node.value
+                or any(key.start_mark.column != segment.column for key, _ in node.value)
+            ):
                 return False
             convert = _Converter(self.file, faults, begin)
             convert.check(node)
@@ -241,9 +244,13 @@
         keys, fresh = list(made), [key.start_mark.line + begin for key, _ in node.value]
         gone = segment.keys[first:last]
         lists = _lists(made) - {id(made)}
-        if faults or any(id(s.map) in lists for s in convert.segments) or not _upward(fresh) \
-                or any(k in segment.map and k not in gone for k in keys) \
-                or any(s is not segment and begin <= s.starts[0] < end for s in self._segments):
+        if (
+            faults
+            or any(id(s.map) in lists for s in convert.segments)
+            or not _upward(fresh)
+            or any(k in segment.map and k not in gone for k in keys)
+            or any(s is not segment and begin <= s.starts[0] < end for s in self._segments)
+        ):
             return False
         for key in gone:
             del segment.map[key]
--- a/lapispick/handover/messages.py
+++ b/lapispick/handover/messages.py
@@ -150,8 +150,25 @@
     return newest if newest >= max(LOWEST, hello.lowest or hello.version) else None
 
 
-ANY = (Hello | Welcome | No | Known | Doubt | Whole | Claimed | Claim | Granted | Denied | Over | Freed | Serving
-       | Usage | Drain | Leaving | Done)
+ANY = (
+    Hello
+    | Welcome
+    | No
+    | Known
+    | Doubt
+    | Whole
+    | Claimed
+    | Claim
+    | Granted
+    | Denied
+    | Over
+    | Freed
+    | Serving
+    | Usage
+    | Drain
+    | Leaving
+    | Done
+)
 decode = msgspec.json.Decoder(ANY).decode
 _encode = msgspec.json.Encoder().encode
 
--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -68,32 +68,52 @@
         limits, settings = config.limits, config.start
         self.loop, self.config, self.signals, self.leaving = Loop(limits.unsent), config, signals, False
         loop = self.loop
-        self.centre = centre = Core(loop, settings, int(config.seed, 16), limits.kept, limits.open,
-                                         [s.name for s in config.settings.services])
+        self.centre = centre = Core(
+            loop, settings, int(config.seed, 16), limits.kept, limits.open, [s.name for s in config.settings.services]
+        )
         self.executor = centre.executor = ExecutorLink(loop, config.address("executor"), centre.post)
         self.store = centre.store = StoreClient(loop, config.store_address, centre.post, most=limits.calls)
         self.roster = Roster(loop, config.address("roster"), config.name)
         centre.on_duty = self.roster.set
-        self.gateways = Gateways(loop, config.address("listen"), config.settings, settings,
-                                 limits.connections, centre.post, lambda: centre.advice)
+        self.gateways = Gateways(
+            loop,
+            config.address("listen"),
+            config.settings,
+            settings,
+            limits.connections,
+            centre.post,
+            lambda: centre.advice,
+        )
         centre.fronts.append(self.gateways)
         self.operators = None
         if config.ops:
-            self.operators = Operators(loop, config.address("ops"), limits.operators, {
-                "check": self._check, "vars": self._figures,
-                "drain-on": lambda: self._drain(True), "drain-off": lambda: self._drain(False)})
+            self.operators = Operators(
+                loop,
+                config.address("ops"),
+                limits.operators,
+                {
+                    "check": self._check,
+                    "vars": self._figures,
+                    "drain-on": lambda: self._drain(True),
+                    "drain-off": lambda: self._drain(False),
+                },
+            )
         self.members = self._members(own) if own.members.enabled else None
         self.handover = self._handover(own)
         if own.figures.enabled:
-            centre.wide = Wide([s.name for s in config.settings.services],
-                               [(c.aim_ms, c.worth, c.late_worth) for c in settings.classes],
-                               os.environ.get("LAPISPICK_GENERATION", ""), _memory_kb)
+            centre.wide = Wide(
+                [s.name for s in config.settings.services],
+                [(c.aim_ms, c.worth, c.late_worth) for c in settings.classes],
+                os.environ.get("LAPISPICK_GENERATION", ""),
+                _memory_kb,
+            )
         self.recorder = None
         if own.trace.enabled:
             from lapispick.host.recorder import Recorder
 
             self.recorder = centre.recorder = Recorder(
-                loop, own.trace, config.name, config.settings, config.limits.memory_mb)
+                loop, own.trace, config.name, config.settings, config.limits.memory_mb
+            )
         if own.amqp.enabled:
             self._consume(own)
 
@@ -107,10 +127,8 @@
 
         config, told, centre = self.config, own.inventory, self.centre
         names = Names(self.loop, told.names_timeout, told.names_file)
-        bounds = Bounds(told.change_most, told.change_least, told.change_wait, own.amqp.drain,
-                        config.limits.brokers)
-        front = AmqpFront(self.loop, bounds, config.settings, config.start, centre.post, names,
-                          told.names_every)
+        bounds = Bounds(told.change_most, told.change_least, told.change_wait, own.amqp.drain, config.limits.brokers)
+        front = AmqpFront(self.loop, bounds, config.settings, config.start, centre.post, names, told.names_every)
         centre.fronts.append(front)
         inventory = Inventory(self.loop, told, listing.schema(config.settings), front.take)
         front.start()
@@ -124,8 +142,9 @@
         self.watched = Watched(self.centre.post)
         self.store.post = self.watched.post
         listing = msgspec.structs.replace(own.inventory, group=own.fleet.group, state_folder=own.fleet.state_folder)
-        made = Members(self.loop, own.members, listing, config.name, int(config.seed, 16), self._facts,
-                       config.limits.unsent // 4)
+        made = Members(
+            self.loop, own.members, listing, config.name, int(config.seed, 16), self._facts, config.limits.unsent // 4
+        )
         if self.operators is not None:
             self.operators.answers(made.calls(), made.call)
         return made
@@ -133,9 +152,11 @@
     def _facts(self) -> list[tuple[str, str, float, int, str]]:
         """Return what the other worker hosts are told of this one: kind, subject, value, count, text."""
         centre, duty = self.centre, self.centre.duty
-        made = [("draining", "", float(duty.drained or duty.leaving), 1, ""),
-                ("load", "", round(centre.owed / max(1, self.config.limits.open), 2), 1, ""),
-                ("cold", "", float(not duty.ready), 1, "")]
+        made = [
+            ("draining", "", float(duty.drained or duty.leaving), 1, ""),
+            ("load", "", round(centre.owed / max(1, self.config.limits.open), 2), 1, ""),
+            ("cold", "", float(not duty.ready), 1, ""),
+        ]
         if (store := self.watched.fact()) is not None:
             made.append(("store", self.config.store, *store, ""))
         if generation := os.environ.get("LAPISPICK_GENERATION", ""):
@@ -149,8 +170,16 @@
         made = None
         if own.handover.enabled and folder and config.address("listen")[1]:
             try:
-                made = Handover(self.loop, Path(folder), config.name, config.listen, config.limits.unsent,
-                                self.gateways, centre.post, self._share)
+                made = Handover(
+                    self.loop,
+                    Path(folder),
+                    config.name,
+                    config.listen,
+                    config.limits.unsent,
+                    self.gateways,
+                    centre.post,
+                    self._share,
+                )
             except OSError as err:  # a platform that has no place for it: alone, as before
                 log(LOG, logging.WARNING, "handover-off", error=err)
         if made is None or made.owns:
@@ -202,9 +231,18 @@
         if self.members is not None:
             self.loop.spawn(self.members.serve)
         limits = self.config.limits
-        log(LOG, logging.INFO, "started", name=self.config.name, listen=self.gateways.address,
-            ops=self.operators.address if self.operators else "no", cores=limits.cores, memory_mb=limits.memory_mb,
-            sockets=limits.sockets, stop_ms=self.config.stop_ms)
+        log(
+            LOG,
+            logging.INFO,
+            "started",
+            name=self.config.name,
+            listen=self.gateways.address,
+            ops=self.operators.address if self.operators else "no",
+            cores=limits.cores,
+            memory_mb=limits.memory_mb,
+            sockets=limits.sockets,
+            stop_ms=self.config.stop_ms,
+        )
         gc.freeze()
         self.loop.run()
 
@@ -260,8 +298,7 @@
 
     def _done(self) -> bool:
         """Tell whether all that came was read and answered, and the answers handed to the system."""
-        return (self.centre.owed == 0 and self.gateways.quiet()
-                and all(front.flushed() for front in self.centre.fronts))
+        return self.centre.owed == 0 and self.gateways.quiet() and all(front.flushed() for front in self.centre.fronts)
 
     def _hand_over(self, handover: Handover) -> None:
         """End once all that was read here is answered; the other process of this worker host goes on."""
--- a/lapispick/host/amqp/codec.py
+++ b/lapispick/host/amqp/codec.py
@@ -133,8 +133,7 @@
         raise CodecError(f"unknown field type {kind!r}")
 
 
-VALUES = {"b": "b", "B": "B", "s": "h", "u": "H", "I": "i", "i": "I", "l": "q", "L": "Q", "f": "f", "d": "d",
-          "T": "Q"}
+VALUES = {"b": "b", "B": "B", "s": "h", "u": "H", "I": "i", "i": "I", "l": "q", "L": "Q", "f": "f", "d": "d", "T": "Q"}
 
 
 def _text(raw: bytes) -> str:
--- a/lapispick/host/amqp/consumer.py
+++ b/lapispick/host/amqp/consumer.py
@@ -46,8 +46,18 @@
 class Delivery:
     """One message that was taken, until its final answer is safe with the broker."""
 
-    __slots__ = ("answer", "body", "channel", "properties", "redelivered", "request", "size", "tag", "tries",
-                 "unroutable")
+    __slots__ = (
+        "answer",
+        "body",
+        "channel",
+        "properties",
+        "redelivered",
+        "request",
+        "size",
+        "tag",
+        "tries",
+        "unroutable",
+    )
 
     def __init__(self, channel: Channel, args: dict[str, Any]) -> None:
         self.channel, self.tag, self.redelivered = channel, args["delivery"], args["redelivered"]
@@ -68,8 +78,9 @@
         by_worth = sorted(range(len(self.names)), key=lambda i: (settings.classes[i].worth, i))
         self.ranks = {cls: (place + 0.5) / len(by_worth) for place, cls in enumerate(by_worth)}
 
-    def request(self, delivery: Delivery, queue: Queue, caller: int,
-                reply: Callable[[core.Answer], None]) -> core.Request:
+    def request(
+        self, delivery: Delivery, queue: Queue, caller: int, reply: Callable[[core.Answer], None]
+    ) -> core.Request:
         """Return a message's request; raises ``Unusable``."""
         p, now = delivery.properties, time.time() * 1000
         if p is None:
@@ -88,13 +99,21 @@
             raise Unusable(f"{name} needs a message-id, or a second copy could run")
         born = min(now, self._born(p) or now)
         return core.Request(
-            tag=f"{random.getrandbits(64):016x}", handler=name, cls=cls,
-            body=base64.b64encode(delivery.body).decode(), born=born, due_at=self._due(p, born, cls),
-            held_kb=self._size(p, queue), rank=self.ranks[cls], caller=caller,
-            key=("amqp", customer, name, p.message_id) if keyed else None, reply=reply,
+            tag=f"{random.getrandbits(64):016x}",
+            handler=name,
+            cls=cls,
+            body=base64.b64encode(delivery.body).decode(),
+            born=born,
+            due_at=self._due(p, born, cls),
+            held_kb=self._size(p, queue),
+            rank=self.ranks[cls],
+            caller=caller,
+            key=("amqp", customer, name, p.message_id) if keyed else None,
+            reply=reply,
             account=str(customer or ""),
             # Guards the rule on duplicates: what another life or another box was given may have run there.
-            known_only=delivery.redelivered and self.classes[cls].effect is not api.Effect.SAFE)
+            known_only=delivery.redelivered and self.classes[cls].effect is not api.Effect.SAFE,
+        )
 
     def _born(self, p: Properties) -> float:
         """Unix ms from the header that brokers and shops use for it, else from the property in seconds."""
@@ -133,12 +152,20 @@
         self._receiving: Delivery | None = None  # a message whose header or body is still to come
         self._body_left = -1  # -1: the header is still to come
         self._takers: dict[str, Callable[[dict[str, Any]], None]] = {
-            "channel.open-ok": self._open_ok, "confirm.select-ok": self._select_ok,
-            "basic.qos-ok": self._qos_ok, "basic.consume-ok": self._consume_ok,
-            "basic.cancel-ok": self._cancel_ok, "basic.cancel": self._cancelled_by_broker,
-            "basic.deliver": self._deliver, "basic.return": self._return, "basic.ack": self._confirmed,
-            "basic.nack": self._unconfirmed, "channel.close": self._closed_by_broker,
-            "channel.close-ok": self._close_ok, "channel.flow": self._flow}
+            "channel.open-ok": self._open_ok,
+            "confirm.select-ok": self._select_ok,
+            "basic.qos-ok": self._qos_ok,
+            "basic.consume-ok": self._consume_ok,
+            "basic.cancel-ok": self._cancel_ok,
+            "basic.cancel": self._cancelled_by_broker,
+            "basic.deliver": self._deliver,
+            "basic.return": self._return,
+            "basic.ack": self._confirmed,
+            "basic.nack": self._unconfirmed,
+            "channel.close": self._closed_by_broker,
+            "channel.close-ok": self._close_ok,
+            "channel.flow": self._flow,
+        }
 
     def send(self, name: str, **args: Any) -> None:
         """Send a method on this channel."""
@@ -176,13 +203,27 @@
             self.check_end()
         elif not self.cancelled:
             self._consume_sent = True
-            self.send("basic.consume", queue=self.queue.name, tag=self.tag, no_local=False, no_ack=False,
-                      exclusive=False, nowait=False, arguments={})
+            self.send(
+                "basic.consume",
+                queue=self.queue.name,
+                tag=self.tag,
+                no_local=False,
+                no_ack=False,
+                exclusive=False,
+                nowait=False,
+                arguments={},
+            )
 
     def _consume_ok(self, args: dict[str, Any]) -> None:
         self.consuming, self._consume_sent = True, False
-        log(LOG, logging.INFO, "consuming", broker=self.session.name, queue=self.queue.name,
-            prefetch=self.queue.prefetch)
+        log(
+            LOG,
+            logging.INFO,
+            "consuming",
+            broker=self.session.name,
+            queue=self.queue.name,
+            prefetch=self.queue.prefetch,
+        )
         self._report()
         if self.cancelled:
             self.cancel()
@@ -237,8 +278,15 @@
 
     def _closed_by_broker(self, args: dict[str, Any]) -> None:
         """Open the channel again; a channel error costs this channel only, and its messages come again."""
-        log(LOG, logging.WARNING, "channel-closed", broker=self.session.name, queue=self.queue.name,
-            code=args["code"], text=args["text"])
+        log(
+            LOG,
+            logging.WARNING,
+            "channel-closed",
+            broker=self.session.name,
+            queue=self.queue.name,
+            code=args["code"],
+            text=args["text"],
+        )
         self.send("channel.close-ok")
         self._report()
         self.session.replace(self)
@@ -289,7 +337,8 @@
         front = self.session.front
         try:
             delivery.request = front.translator.request(
-                delivery, self.queue, self.session.caller(self), lambda answer: self.answer(delivery, answer))
+                delivery, self.queue, self.session.caller(self), lambda answer: self.answer(delivery, answer)
+            )
         except Unusable as err:
             log(LOG, logging.WARNING, "message-unusable", queue=self.queue.name, error=err)
             return self.answer(delivery, core.Answer(core.FAILED))
@@ -318,8 +367,13 @@
         if answer.advice is not None:
             headers["advice"] = float(answer.advice)
         body = base64.b64decode(answer.result or "")
-        reply = Properties(headers=headers, type=answer.kind, correlation_id=p.correlation_id or p.message_id,
-                           message_id=f"{self.number}-{delivery.tag}", timestamp=int(time.time()))
+        reply = Properties(
+            headers=headers,
+            type=answer.kind,
+            correlation_id=p.correlation_id or p.message_id,
+            message_id=f"{self.number}-{delivery.tag}",
+            timestamp=int(time.time()),
+        )
         self.published += 1
         delivery.tries += 1
         self.unconfirmed[self.published] = delivery
--- a/lapispick/host/amqp/front.py
+++ b/lapispick/host/amqp/front.py
@@ -50,8 +50,16 @@
 class AmqpFront:
     """All brokers of the list."""
 
-    def __init__(self, loop: Loop, bounds: Bounds, info: Info, settings: api.Settings,
-                 post: Callable[[Any], None], names: Names, names_every: float) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        bounds: Bounds,
+        info: Info,
+        settings: api.Settings,
+        post: Callable[[Any], None],
+        names: Names,
+        names_every: float,
+    ) -> None:
         self.loop, self.post, self.translator = loop, post, Translator(info, settings)
         self.leaving = False
         self._names, self._names_every = names, names_every
--- a/lapispick/host/amqp/listing.py
+++ b/lapispick/host/amqp/listing.py
@@ -24,7 +24,11 @@
     classes = tuple(s.name for s in info.services) if info else ()
     customers = tuple(p.name for p in info.parties) if info else ()
     return Schema(
-        prefix="amqp_", box=VARIABLES, items="amqp_queues", item_name="amqp_queue", item_needed=True,
+        prefix="amqp_",
+        box=VARIABLES,
+        items="amqp_queues",
+        item_name="amqp_queue",
+        item_needed=True,
         item={
             "amqp_queue": Variable("text", None, 1, 255),
             "amqp_prefetch": Variable("integer", 32, 1, 1000, doc="messages in hand"),
@@ -32,8 +36,11 @@
             "amqp_customer": Variable("text", "", choices=customers),
             "amqp_held_kb": Variable("number", 24.0, 0.1, 1999.0, doc="booked memory"),
         },
-        host=("amqp_host", "ansible_host"), port="amqp_port", apart=("amqp_vhost",),
-        environ={"amqp_password_env": "amqp_password"})
+        host=("amqp_host", "ansible_host"),
+        port="amqp_port",
+        apart=("amqp_vhost",),
+        environ={"amqp_password_env": "amqp_password"},
+    )
 
 
 class Queue(msgspec.Struct, frozen=True):
@@ -65,11 +72,21 @@
 def broker(box: Box) -> Broker:
     """Return the broker that a box is."""
     told = box.vars
-    return Broker(box.host, box.port or told["amqp_port"], told["amqp_vhost"], told["amqp_user"],
-                  told["amqp_password"], told["amqp_heartbeat"])
+    return Broker(
+        box.host,
+        box.port or told["amqp_port"],
+        told["amqp_vhost"],
+        told["amqp_user"],
+        told["amqp_password"],
+        told["amqp_heartbeat"],
+    )
 
 
 def queues(box: Box) -> dict[str, Queue]:
     """Return the queues of a box by name."""
-    return {item["amqp_queue"]: Queue(item["amqp_queue"], item["amqp_prefetch"], item["amqp_class"],
-                                      item["amqp_customer"], item["amqp_held_kb"]) for item in box.items}
+    return {
+        item["amqp_queue"]: Queue(
+            item["amqp_queue"], item["amqp_prefetch"], item["amqp_class"], item["amqp_customer"], item["amqp_held_kb"]
+        )
+        for item in box.items
+    }
--- a/lapispick/host/amqp/session.py
+++ b/lapispick/host/amqp/session.py
@@ -21,8 +21,12 @@
 BACKOFF_S = (0.1, 10.0)  # s; first and longest pause before the next try
 FRAME_MOST = 131_072  # bytes; the longest frame we ask for
 CHANNELS_MOST = 255
-CAPABILITIES = {"publisher_confirms": True, "consumer_cancel_notify": True, "basic.nack": True,
-                "authentication_failure_close": True}
+CAPABILITIES = {
+    "publisher_confirms": True,
+    "consumer_cancel_notify": True,
+    "basic.nack": True,
+    "authentication_failure_close": True,
+}
 
 
 class Front(Protocol):
@@ -99,8 +103,7 @@
             opened, self._addresses = True, []
             self._consume()
         except (OSError, Closed) as err:  # time-outs among them
-            log(LOG, logging.WARNING, "connection-lost" if opened else "connect-failed", broker=self.name,
-                error=err)
+            log(LOG, logging.WARNING, "connection-lost" if opened else "connect-failed", broker=self.name, error=err)
         except CodecError as err:
             self._hang_up(codec.SYNTAX_ERROR, str(err))
         except BrokerClosed as err:
@@ -126,8 +129,7 @@
     def _hang_up(self, code: int, text: str) -> None:
         log(LOG, logging.WARNING, "connection-closed", broker=self.name, error=text)
         if code:
-            self.send(codec.encode_method(0, "connection.close", code=code, text=text[:200], class_id=0,
-                                          method_id=0))
+            self.send(codec.encode_method(0, "connection.close", code=code, text=text[:200], class_id=0, method_id=0))
 
     def _read(self, timeout: float | None) -> codec.Frame:
         stream = self._stream
@@ -137,8 +139,7 @@
         if size > self.frame_max - codec.OVERHEAD:
             raise BrokerClosed(f"a frame of {size} bytes", codec.FRAME_ERROR)
         payload = stream.read_exactly(size + 1, timeout)
-        if payload[-1] != codec.FRAME_END or kind not in (
-                codec.METHOD, codec.HEADER, codec.BODY, codec.HEARTBEAT):
+        if payload[-1] != codec.FRAME_END or kind not in (codec.METHOD, codec.HEADER, codec.BODY, codec.HEARTBEAT):
             raise BrokerClosed("a frame without its end, or of an unknown type", codec.FRAME_ERROR)
         return codec.Frame(kind, channel, payload[:-1])
 
@@ -168,18 +169,25 @@
         start = self._expect("connection.start").args
         if b"PLAIN" not in start["mechanisms"].split():
             raise BrokerClosed("the broker does not take PLAIN")
-        self.send(codec.encode_method(
-            0, "connection.start-ok", mechanism="PLAIN", locale="en_US",
-            client_properties={"product": "lapispick", "capabilities": CAPABILITIES},
-            response=f"\0{broker.user}\0{broker.password}".encode()))
+        self.send(
+            codec.encode_method(
+                0,
+                "connection.start-ok",
+                mechanism="PLAIN",
+                locale="en_US",
+                client_properties={"product": "lapispick", "capabilities": CAPABILITIES},
+                response=f"\0{broker.user}\0{broker.password}".encode(),
+            )
+        )
         tune = self._expect("connection.tune").args
         frame_max = min(FRAME_MOST, tune["frame_max"] or FRAME_MOST)
         channels = min(CHANNELS_MOST, tune["channel_max"] or CHANNELS_MOST)
         heartbeat = min(broker.heartbeat_s, tune["heartbeat"]) or broker.heartbeat_s
         if frame_max < codec.FRAME_MIN:
             raise BrokerClosed(f"the broker's longest frame is {frame_max} bytes; the least is {codec.FRAME_MIN}")
-        self.send(codec.encode_method(0, "connection.tune-ok", channel_max=channels, frame_max=frame_max,
-                                      heartbeat=heartbeat))
+        self.send(
+            codec.encode_method(0, "connection.tune-ok", channel_max=channels, frame_max=frame_max, heartbeat=heartbeat)
+        )
         self.send(codec.encode_method(0, "connection.open", vhost=broker.vhost))
         self.frame_max, self._heartbeat = frame_max, float(heartbeat)
         self._expect("connection.open-ok")
@@ -224,8 +232,9 @@
     def _open_channel(self, queue: Queue) -> None:
         number = next(n for n in range(1, CHANNELS_MOST + 1) if n not in self.channels)
         if number > self._channels_most:
-            return log(LOG, logging.ERROR, "queue-left-out", broker=self.name, queue=queue.name,
-                       channels=self._channels_most)
+            return log(
+                LOG, logging.ERROR, "queue-left-out", broker=self.name, queue=queue.name, channels=self._channels_most
+            )
         self.channels[number] = channel = Channel(self, number, queue)
         channel.cancelled = self.leaving
         channel.open()
@@ -236,9 +245,13 @@
         stream, queue = self._stream, channel.queue
 
         def again() -> None:
-            if self._stream is stream and stream is not None and not self.leaving \
-                    and self.queues.get(queue.name) == queue and not any(
-                        c.queue == queue and not c.retired for c in self.channels.values()):
+            if (
+                self._stream is stream
+                and stream is not None
+                and not self.leaving
+                and self.queues.get(queue.name) == queue
+                and not any(c.queue == queue and not c.retired for c in self.channels.values())
+            ):
                 self._open_channel(queue)
 
         if not channel.retired:
@@ -280,15 +293,18 @@
 
     def check_end(self) -> None:
         """Close the connection where we leave and nothing is in hand."""
-        if self.leaving and not self.ended and self._handshaken \
-                and all(c.quiet for c in self.channels.values()):
+        if self.leaving and not self.ended and self._handshaken and all(c.quiet for c in self.channels.values()):
             self.ended = True
-            self.send(codec.encode_method(0, "connection.close", code=codec.REPLY_SUCCESS, text="leaving",
-                                          class_id=0, method_id=0))
+            self.send(
+                codec.encode_method(
+                    0, "connection.close", code=codec.REPLY_SUCCESS, text="leaving", class_id=0, method_id=0
+                )
+            )
         elif self.leaving and not self._handshaken and self._stream is not None:
             self._stream.close()  # nothing was taken so far
 
     def flushed(self) -> bool:
         """Tell whether all that was taken is answered and handed over."""
         return not any(c.in_hand for c in self.channels.values()) and not (
-            self._stream is not None and self._stream.unsent)
+            self._stream is not None and self._stream.unsent
+        )
--- a/lapispick/host/clients.py
+++ b/lapispick/host/clients.py
@@ -210,9 +210,16 @@
         stopped = self.stream.stalled() > STOPPED_S
         # A message that was received whole and has not had its turn yet is as good as open.
         owed = bool(self.open or self._fresh or self.stream.holds_line() or (self.stream.unsent and not stopped))
-        return room.Standing(self.since, self.used_at, self.stream.heard_at, self.stream.pieces,
-                             (self.part_since or self.stream.heard_at) if part else 0.0, owed,
-                             self.proven, self.faults > 0 or self.stream.ending or stopped)
+        return room.Standing(
+            self.since,
+            self.used_at,
+            self.stream.heard_at,
+            self.stream.pieces,
+            (self.part_since or self.stream.heard_at) if part else 0.0,
+            owed,
+            self.proven,
+            self.faults > 0 or self.stream.ending or stopped,
+        )
 
     def _take(self, line: bytes) -> None:
         try:
@@ -236,8 +243,7 @@
         if cls is None:
             return self._fault(number, NO_METHOD, "no such class")
         try:
-            check(message.params, self.front.settings.classes[cls], self.front.customers,
-                  self.front.needs_patience)
+            check(message.params, self.front.settings.classes[cls], self.front.customers, self.front.needs_patience)
         except Faulty as err:
             return self._fault(number, INVALID, str(err))
         if len(self.open) >= OPEN_MOST:
@@ -258,10 +264,20 @@
         p = message.params
         self.proven = True
         self.open[number] = self._fresh[number] = core.Request(
-            tag=p.trace, handler=message.method, cls=cls, body=p.doc or "", born=p.born,
-            due_at=p.born + p.patience if p.patience else 0.0, held_kb=p.size, rank=p.order,
-            caller=p.client, key=("nonce", p.nonce) if p.nonce else None,
-            account=p.customer, redo=bool(p.redo), reply=lambda answer: self._answer(number, answer))
+            tag=p.trace,
+            handler=message.method,
+            cls=cls,
+            body=p.doc or "",
+            born=p.born,
+            due_at=p.born + p.patience if p.patience else 0.0,
+            held_kb=p.size,
+            rank=p.order,
+            caller=p.client,
+            key=("nonce", p.nonce) if p.nonce else None,
+            account=p.customer,
+            redo=bool(p.redo),
+            reply=lambda answer: self._answer(number, answer),
+        )
 
     def _hand_over(self) -> None:
         if self._fresh:
@@ -338,8 +354,9 @@
     def _health(self, number: int, good: bool, advice: float | None) -> None:
         self._send(number, "result", {"healthy": good}, advice)
 
-    def _error(self, number: int | None, code: int, text: str, advice: float | None = None,
-               data: dict[str, Any] | None = None) -> None:
+    def _error(
+        self, number: int | None, code: int, text: str, advice: float | None = None, data: dict[str, Any] | None = None
+    ) -> None:
         data = data or {}
         if advice is None:
             advice = self.front.advice()
@@ -357,8 +374,16 @@
 class Gateways:
     """Listens, and keeps the connections within the limit on descriptors."""
 
-    def __init__(self, loop: Loop, listen: tuple[str, int], info: Info, settings: api.Settings, most: int,
-                 post: Callable[[Any], None], advice: Callable[[], float | None]) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        listen: tuple[str, int],
+        info: Info,
+        settings: api.Settings,
+        most: int,
+        post: Callable[[Any], None],
+        advice: Callable[[], float | None],
+    ) -> None:
         self.loop, self.post, self.advice = loop, post, advice
         self.classes = {s.name: i for i, s in enumerate(info.services)}
         self.settings, self.customers = settings, {p.name for p in info.parties}
@@ -474,8 +499,10 @@
 
     def quiet(self) -> bool:
         """Tell whether nothing is open, unread or half read on any connection that still takes something."""
-        return not any(c.open or c.stream.unsent or not (c.stream.deaf or c.stream.ended or c.stream.quiet())
-                       for c in self.connections)
+        return not any(
+            c.open or c.stream.unsent or not (c.stream.deaf or c.stream.ended or c.stream.quiet())
+            for c in self.connections
+        )
 
     def finish(self) -> None:
         """End all connections; what was written on them is still on its way."""
--- a/lapispick/host/config.py
+++ b/lapispick/host/config.py
@@ -122,8 +122,11 @@
         raise ConfigError(_key_of(err)) from None
     except msgspec.DecodeError as err:
         raise ConfigError(f"the configuration is not JSON: {err}") from None
-    _check("store", bool(config.store) or config.settings.family_info.below != "shared",
-           "must be there where settings.FamilyInfo.Below is shared")
+    _check(
+        "store",
+        bool(config.store) or config.settings.family_info.below != "shared",
+        "must be there where settings.FamilyInfo.Below is shared",
+    )
     for key in ("listen", "executor", "roster", *(key for key in ("store", "ops") if getattr(config, key))):
         try:
             address(getattr(config, key), least=0 if key in ("listen", "ops") else 1)
@@ -174,4 +177,3 @@
             raise ConfigError(f"LB_OPS: {err}") from None
         config.ops = told
     return config
-
--- a/lapispick/host/core.py
+++ b/lapispick/host/core.py
@@ -281,8 +281,15 @@
 class Core:
     """Turns what happens into the Controller's events, and its actions into what is done."""
 
-    def __init__(self, loop: Loop, settings: api.Settings, seed: int, kept_most: int = KEPT_MOST,
-                 open_most: int = OPEN_MOST, names: Sequence[str] = ()) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        settings: api.Settings,
+        seed: int,
+        kept_most: int = KEPT_MOST,
+        open_most: int = OPEN_MOST,
+        names: Sequence[str] = (),
+    ) -> None:
         self.settings, self.seed = settings, seed
         self._kept_most, self._open_most, self._open_part = kept_most, open_most, 1.0
         self.table = KeyTable(kept_most)
@@ -313,20 +320,42 @@
         self._open = 0  # requests that are owed an answer
         self._gone = 0
         self._takers: dict[type, Callable[[Any, list[api.Event]], None]] = {
-            Arrived: self._arrived, GaveUp: self._gave_up, Probed: self._probed, ExecutorUp: self._up,
-            RunOver: self._run_over, RunUnknown: self._run_unknown, RunUnsure: self._run_unsure,
+            Arrived: self._arrived,
+            GaveUp: self._gave_up,
+            Probed: self._probed,
+            ExecutorUp: self._up,
+            RunOver: self._run_over,
+            RunUnknown: self._run_unknown,
+            RunUnsure: self._run_unsure,
             CallWanted: self._call_wanted,
-            CallOver: self._call_over, Metered: self._metered, Diagnosed: self._diagnosed,
-            PeerUp: self._peer_up, PeerSaid: self._peer_said, PeerLost: self._peer_lost,
-            _Settled: self._settled, _SnapshotDue: self._snapshot_due,
-            Departing: self._departing, Drained: self._drained, _TimerDue: self._timer_due, _JoinOver: self._join_over,
+            CallOver: self._call_over,
+            Metered: self._metered,
+            Diagnosed: self._diagnosed,
+            PeerUp: self._peer_up,
+            PeerSaid: self._peer_said,
+            PeerLost: self._peer_lost,
+            _Settled: self._settled,
+            _SnapshotDue: self._snapshot_due,
+            Departing: self._departing,
+            Drained: self._drained,
+            _TimerDue: self._timer_due,
+            _JoinOver: self._join_over,
             _HolderOver: self._holder_over,
         }
         self._doers: dict[type, Callable[[Any], None]] = {
-            api.Run: self._run, api.Stop: self._stop, api.Refuse: self._refuse, api.Fail: self._fail,
-            api.Call: self._call, api.GoWithout: self._go_without, api.Join: self._join,
-            api.KeepKey: self._keep_key, api.ForgetKey: self._forget_key, api.SetHealth: self._set_health,
-            api.LimitIdle: self._limit_idle, api.Advertise: self._advertise, api.SetTimer: self._set_timer,
+            api.Run: self._run,
+            api.Stop: self._stop,
+            api.Refuse: self._refuse,
+            api.Fail: self._fail,
+            api.Call: self._call,
+            api.GoWithout: self._go_without,
+            api.Join: self._join,
+            api.KeepKey: self._keep_key,
+            api.ForgetKey: self._forget_key,
+            api.SetHealth: self._set_health,
+            api.LimitIdle: self._limit_idle,
+            api.Advertise: self._advertise,
+            api.SetTimer: self._set_timer,
             api.Log: lambda a: log("module", logging.INFO, "module", text=a.text),
         }
 
@@ -378,8 +407,7 @@
     def _up(self, item: ExecutorUp, events: list[api.Event]) -> None:
         if self.control is not None or self.duty.leaving:  # told to leave before it was up: it never takes anything
             return
-        settings = msgspec.structs.replace(
-            self.settings, cold=item.cold, gauges=(*api.OTHERS, *self.settings.gauges))
+        settings = msgspec.structs.replace(self.settings, cold=item.cold, gauges=(*api.OTHERS, *self.settings.gauges))
         self.control = Controller(settings, self.seed, self._now - item.spent)
         if self.recorder is not None:
             self.recorder.begin(settings, self.seed, self._now - item.spent)
@@ -418,8 +446,11 @@
             # Two tries in one batch see each other, though the module has kept neither so far. One may
             # have been given up in this very batch and is no task any more.
             for other in reversed(events):
-                if type(other) is api.Request and (first := self._tasks.get(other.id)) is not None \
-                        and first.request.key == request.key:
+                if (
+                    type(other) is api.Request
+                    and (first := self._tasks.get(other.id)) is not None
+                    and first.request.key == request.key
+                ):
                     prior, what = other.id, digest(first.request.handler, first.request.body)
                     break
         if what is not None and what != digest(request.handler, request.body):
@@ -430,9 +461,19 @@
         self._tasks[task.id] = self._by_tag[request.tag] = task
         if self.recorder is not None:
             self.recorder.arrival(task.id, request)
-        events.append(api.Request(
-            task.id, request.due_at, request.rank, max(0.0, self._now - request.born), prior, 0.0,
-            request.held_kb, request.cls, request.caller))
+        events.append(
+            api.Request(
+                task.id,
+                request.due_at,
+                request.rank,
+                max(0.0, self._now - request.born),
+                prior,
+                0.0,
+                request.held_kb,
+                request.cls,
+                request.caller,
+            )
+        )
 
     def _gave_up(self, item: GaveUp, events: list[api.Event]) -> None:
         if item.at_once:
@@ -720,8 +761,12 @@
         if task is None or not task.running or task.answered:
             return
         cls = self.settings.classes[task.request.cls]
-        task.ticket = self.store.call(task.request.tag, task.wanted_body, action.timeout or cls.deadline_ms,
-                                      once=cls.effect is not api.Effect.SAFE)
+        task.ticket = self.store.call(
+            task.request.tag,
+            task.wanted_body,
+            action.timeout or cls.deadline_ms,
+            once=cls.effect is not api.Effect.SAFE,
+        )
 
     def _go_without(self, action: api.GoWithout) -> None:
         if (task := self._tasks.get(action.id)) is not None and task.running:
@@ -836,6 +881,14 @@
 
     def _report(self) -> None:
         self._loop.later(TALLY_S, self._report)
-        log(LOG, logging.INFO, "tally", **{kind: self.figures.total(kind) for kind in (SERVED, REFUSED, FAILED)},
-            gone=self._gone, owed=self._open, tasks=len(self._tasks),
-            keys=len(self.table), advice=self.advice)
+        log(
+            LOG,
+            logging.INFO,
+            "tally",
+            **{kind: self.figures.total(kind) for kind in (SERVED, REFUSED, FAILED)},
+            gone=self._gone,
+            owed=self._open,
+            tasks=len(self._tasks),
+            keys=len(self.table),
+            advice=self.advice,
+        )
