--- a/lapispick/host/executor.py
+++ b/lapispick/host/executor.py
@@ -23,8 +23,7 @@
 LAST_S = 0.3  # s; the longest wait for the answer that ends a link which is given up for a new address
 LONGEST = 1 << 20  # bytes of one notice; results hold up to 4 KiB
 OUT_MOST = 4 << 20  # bytes of commands kept for an executor that does not read
-ENDS = {"complete": Outcome.OK, "error": Outcome.ERROR, "cancelled": Outcome.CANCELLED,
-        "unknown": Outcome.MOOT}
+ENDS = {"complete": Outcome.OK, "error": Outcome.ERROR, "cancelled": Outcome.CANCELLED, "unknown": Outcome.MOOT}
 FENCE = "fence"  # the METER whose answer says that all notices of the time without a link were read
 LAST = "last"  # the METER whose answer says that all commands before it were carried out
 
@@ -67,8 +66,13 @@
         self._encode = msgspec.json.Encoder().encode
         self._decode = msgspec.json.Decoder(Notice).decode
         self._takers: dict[str, Callable[[Notice], None]] = {
-            "EXIT": self._exit, "CALLOUT": self._callout, "METERS": self._meters,
-            "DIAGNOSED": self._diagnosed, "BAD": self._bad, "LOG": lambda n: None}
+            "EXIT": self._exit,
+            "CALLOUT": self._callout,
+            "METERS": self._meters,
+            "DIAGNOSED": self._diagnosed,
+            "BAD": self._bad,
+            "LOG": lambda n: None,
+        }
 
     # Commands, from the core.
 
@@ -262,5 +266,8 @@
         log(LOG, logging.WARNING, "command-refused", command=notice.outcome, tag=notice.task)
         if notice.outcome in ("EXEC", "KILL", "WAKE") and self._open.pop(notice.task, None) is not None:
             # Either way nothing runs, and no other notice will say so.
-            self._post(core.RunUnknown(notice.task) if notice.outcome == "EXEC"
-                       else core.RunOver(notice.task, Outcome.CANCELLED, 0.0, ""))
+            self._post(
+                core.RunUnknown(notice.task)
+                if notice.outcome == "EXEC"
+                else core.RunOver(notice.task, Outcome.CANCELLED, 0.0, "")
+            )
--- a/lapispick/host/figures.py
+++ b/lapispick/host/figures.py
@@ -34,8 +34,11 @@
 
     def lines(self, inflight: int) -> list[str]:
         """Write all figures, ``|c`` for counts and ``|g`` for the state of this moment."""
-        made = [f"app.{KINDS[kind]}.{name}:{count}|c"
-                for kind, counts in self._counts.items() for name, count in zip(self._names, counts, strict=True)]
+        made = [
+            f"app.{KINDS[kind]}.{name}:{count}|c"
+            for kind, counts in self._counts.items()
+            for name, count in zip(self._names, counts, strict=True)
+        ]
         return [*made, f"app.backend_calls:{self.runs}|c", f"app.inflight:{inflight}|g"]
 
 
@@ -49,8 +52,13 @@
 
     __slots__ = ("_aims", "_generation", "_late", "_memory", "_names", "_times", "_worth", "broken")
 
-    def __init__(self, names: Sequence[str], aims: Sequence[tuple[float, float, float]], generation: str,
-                 memory: Callable[[], tuple[int, int]]) -> None:
+    def __init__(
+        self,
+        names: Sequence[str],
+        aims: Sequence[tuple[float, float, float]],
+        generation: str,
+        memory: Callable[[], tuple[int, int]],
+    ) -> None:
         """``aims`` holds of each class its aim in ms, its worth, and the part that is left of it after the aim.
 
         ``memory`` tells what the process holds now and what it held at worst, kB.
@@ -74,9 +82,12 @@
         made = []
         for cls, name in enumerate(self._names):
             made += [f"app.worth.{name}:{self._worth[cls]}|c", f"app.late.{name}:{self._late[cls]}|c"]
-            made += [f"app.took.{name}.{bound}:{count}|c"
-                     for bound, count in zip((*TIMES, "more"), self._times[cls], strict=True)]
-        made += [f"app.{name}:{value}|g"
-                 for name, value in zip(("memory_kb", "memory_most_kb"), self._memory(), strict=True)]
+            made += [
+                f"app.took.{name}.{bound}:{count}|c"
+                for bound, count in zip((*TIMES, "more"), self._times[cls], strict=True)
+            ]
+        made += [
+            f"app.{name}:{value}|g" for name, value in zip(("memory_kb", "memory_most_kb"), self._memory(), strict=True)
+        ]
         made.append(f"app.broken:{self.broken}|c")
         return [*made, f"app.generation.{self._generation}:1|g"] if self._generation else made
--- a/lapispick/host/handover.py
+++ b/lapispick/host/handover.py
@@ -88,8 +88,17 @@
 class Handover:
     """Finds the other process, takes over from it, and hands over to the next."""
 
-    def __init__(self, loop: Loop, folder: Path, name: str, listen: str, unsent: int, gateways: Gateways,
-                 post: Callable[[Any], None], share: Share) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        folder: Path,
+        name: str,
+        listen: str,
+        unsent: int,
+        gateways: Gateways,
+        post: Callable[[Any], None],
+        share: Share,
+    ) -> None:
         """Take the lock or leave it; raises ``OSError`` where the folder has no room for one."""
         self._loop, self._name, self._listen, self._unsent = loop, name, listen, unsent
         self._gateways, self._post, self._share = gateways, post, share
@@ -99,7 +108,8 @@
         if len(os.fsencode(self._path)) > PATH_MOST:
             self._path = f"/proc/self/fd/{self._folder}/lapispick-{stem}.sock"
         self._lock, self._seat = (
-            os.open(folder / f"lapispick-{stem}.{part}", FLAGS, 0o600) for part in ("lock", "next"))
+            os.open(folder / f"lapispick-{stem}.{part}", FLAGS, 0o600) for part in ("lock", "next")
+        )
         socket.socket(socket.AF_UNIX, socket.SOCK_STREAM).close()  # where these are refused, it says so here
         self.last_end = 0.0  # Unix s; when an earlier life in this folder ended, at the latest
         self.peer: Peer | None = None
@@ -229,8 +239,13 @@
         peer.stream.close()
         self.peer = None
         self._share(None)
-        log(LOG, logging.INFO if done else logging.WARNING, "link-ended", role="follower" if peer.owns else "owner",
-            done=done)
+        log(
+            LOG,
+            logging.INFO if done else logging.WARNING,
+            "link-ended",
+            role="follower" if peer.owns else "owner",
+            done=done,
+        )
         self._post(core.PeerLost(peer, done or not peer.owns))
         return done
 
@@ -258,8 +273,9 @@
         self.serve()
 
     def _open(self, opened: Callable[[socket.socket | None], None], ready: Callable[[], bool], late: float) -> None:
-        while not (ready() and (self.owns or (self.peer is not None and self.peer.complete)
-                                or time.monotonic() > late)):
+        while not (
+            ready() and (self.owns or (self.peer is not None and self.peer.complete) or time.monotonic() > late)
+        ):
             self._loop.sleep(RETRY_S / 5)
         if not self.owns and not (self.peer is not None and self.peer.complete):
             log(LOG, logging.WARNING, "serving-unlinked")
--- a/lapispick/host/inventory.py
+++ b/lapispick/host/inventory.py
@@ -41,8 +41,15 @@
 
 def options(settings: Settings, schema: Schema) -> Options:
     """Return how the files are read."""
-    return Options(settings.group, schema, settings.domain, settings.delimiter, settings.end_marker,
-                   settings.final_newline, settings.boxes_most)
+    return Options(
+        settings.group,
+        schema,
+        settings.domain,
+        settings.delimiter,
+        settings.end_marker,
+        settings.final_newline,
+        settings.boxes_most,
+    )
 
 
 def policy(settings: Settings) -> Policy:
@@ -84,8 +91,12 @@
         try:
             # A session of its own: a Ctrl-C meant for the host must not end the helper before a drain is over.
             self._process = subprocess.Popen(
-                [sys.executable, "-m", "lapispick.fleet.helper"], stdin=theirs, stdout=subprocess.DEVNULL,
-                stderr=subprocess.DEVNULL, start_new_session=True)
+                [sys.executable, "-m", "lapispick.fleet.helper"],
+                stdin=theirs,
+                stdout=subprocess.DEVNULL,
+                stderr=subprocess.DEVNULL,
+                start_new_session=True,
+            )
         finally:
             theirs.close()
         self._stream = Stream(self._loop, ours, LINE_MOST)
@@ -128,8 +139,15 @@
 
     def _follow(self) -> None:
         settings = self._settings
-        self._send(Begin(str(settings.path), settings.size_most, options(settings, self._schema),
-                         str(settings.state_folder or ""), settings.history))
+        self._send(
+            Begin(
+                str(settings.path),
+                settings.size_most,
+                options(settings, self._schema),
+                str(settings.state_folder or ""),
+                settings.history,
+            )
+        )
         kept = self._read()
         if not isinstance(kept, Kept):
             raise Disagreement(f"{type(kept).__name__} came first")
@@ -141,8 +159,7 @@
             if not isinstance(listed, Listed):
                 raise Disagreement(f"{type(listed).__name__} came in place of a list")
             self._parts(listed)
-            seen = Seen(None if listed.faults else self._received, listed.faults, listed.unfinished,
-                        listed.accept)
+            seen = Seen(None if listed.faults else self._received, listed.faults, listed.unfinished, listed.accept)
             self._judged(self.acceptance.see(time.monotonic(), seen), listed)
             self._loop.sleep(settings.look)
 
@@ -152,8 +169,14 @@
         if not kept.digest or self.acceptance.accepted is not None:
             return
         now = time.time()
-        log(LOG, logging.WARNING, "last-good", boxes=len(self._received.boxes), digest=kept.digest[:12],
-            age_s=int(max(0.0, now - kept.at)))
+        log(
+            LOG,
+            logging.WARNING,
+            "last-good",
+            boxes=len(self._received.boxes),
+            digest=kept.digest[:12],
+            age_s=int(max(0.0, now - kept.at)),
+        )
         diff = Difference(tuple(self._received.boxes))
         self.acceptance.accepted = self._received
         self.history.add(Version(kept.at, self._received, diff, "last good"))
@@ -167,18 +190,34 @@
             return
         self._tell(verdict, listed)
         accepted = self.acceptance.accepted
-        self._send(Status({
-            "at": time.time(), "phase": verdict.phase.value, "ground": verdict.ground,
-            "accepted": accepted.digest if accepted else "", "boxes": len(accepted.boxes) if accepted else 0,
-            "candidate": listed.digest, "faults": [str(f) for f in listed.faults]}))
+        self._send(
+            Status(
+                {
+                    "at": time.time(),
+                    "phase": verdict.phase.value,
+                    "ground": verdict.ground,
+                    "accepted": accepted.digest if accepted else "",
+                    "boxes": len(accepted.boxes) if accepted else 0,
+                    "candidate": listed.digest,
+                    "faults": [str(f) for f in listed.faults],
+                }
+            )
+        )
 
     def _accepted(self, verdict: Verdict, accepted: Snapshot) -> None:
         now, diff = time.time(), verdict.difference
         self.history.add(Version(now, accepted, diff, verdict.ground))
         for member in self.members.apply(time.monotonic(), diff.joined, diff.left):
             log(LOG, logging.INFO, "box-returned", name=member.name, incarnation=member.incarnation)
-        log(LOG, logging.INFO, "inventory-accepted", digest=accepted.digest[:12], boxes=len(accepted.boxes),
-            ground=verdict.ground, **diff.counts())
+        log(
+            LOG,
+            logging.INFO,
+            "inventory-accepted",
+            digest=accepted.digest[:12],
+            boxes=len(accepted.boxes),
+            ground=verdict.ground,
+            **diff.counts(),
+        )
         self._take(accepted, diff)
         names = {key: list(part[:NAMES_MOST]) for key, part in zip(diff._fields, diff, strict=True)}
         self._send(Keep(accepted.digest, now, verdict.ground, names, diff.counts()))
@@ -190,5 +229,11 @@
             for fault in listed.faults[1:]:
                 log(LOG, logging.ERROR, "inventory-fault", fault=fault)
         elif verdict.phase is Phase.HELD:
-            log(LOG, logging.WARNING, "inventory-held", digest=listed.digest[:12], ground=verdict.ground,
-                hold_s=self._settings.hold)
+            log(
+                LOG,
+                logging.WARNING,
+                "inventory-held",
+                digest=listed.digest[:12],
+                ground=verdict.ground,
+                hold_s=self._settings.hold,
+            )
--- a/lapispick/host/logs.py
+++ b/lapispick/host/logs.py
@@ -15,8 +15,12 @@
     def format(self, record: logging.LogRecord) -> str:
         """Write a record as pairs; values with spaces or quotes are quoted."""
         stamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
-        pairs = {"ts": f"{stamp}.{int(record.msecs):03d}Z", "level": record.levelname.lower(),
-                 "event": record.getMessage(), **getattr(record, "pairs", {})}
+        pairs = {
+            "ts": f"{stamp}.{int(record.msecs):03d}Z",
+            "level": record.levelname.lower(),
+            "event": record.getMessage(),
+            **getattr(record, "pairs", {}),
+        }
         if record.exc_info:
             pairs["trace"] = self.formatException(record.exc_info)
         return render(pairs)
--- a/lapispick/host/loop.py
+++ b/lapispick/host/loop.py
@@ -232,8 +232,15 @@
 class Stream:
     """A socket with buffers. One greenlet reads; ``write`` never blocks and its backlog is bounded."""
 
-    def __init__(self, loop: Loop, sock: socket.socket, longest: int = CHUNK,
-                 out_most: int = OUT_MOST, chunk: int = CHUNK, urgent: bool = False) -> None:
+    def __init__(
+        self,
+        loop: Loop,
+        sock: socket.socket,
+        longest: int = CHUNK,
+        out_most: int = OUT_MOST,
+        chunk: int = CHUNK,
+        urgent: bool = False,
+    ) -> None:
         sock.setblocking(False)
         if sock.family != socket.AF_UNIX:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/lapispick/host/members.py
+++ b/lapispick/host/members.py
@@ -94,10 +94,15 @@
 
 def bounds(told: Settings) -> Bounds:
     """Return the times that the settings say."""
-    return Bounds(view.Bounds(told.period, told.timeout, told.helpers, float(told.suspicion),
-                              joining=max(10.0, 10 * told.period)),
-                  turns.Bounds(told.lease, told.drift, told.answer, min(0.5, told.answer / 2), told.lists,
-                               max(5.0, 4 * told.answer)), keep=told.keep)
+    return Bounds(
+        view.Bounds(
+            told.period, told.timeout, told.helpers, float(told.suspicion), joining=max(10.0, 10 * told.period)
+        ),
+        turns.Bounds(
+            told.lease, told.drift, told.answer, min(0.5, told.answer / 2), told.lists, max(5.0, 4 * told.answer)
+        ),
+        keep=told.keep,
+    )
 
 
 class Watched:
@@ -120,8 +125,9 @@
 class Members:
     """The other worker hosts of the list, as far as this one hears them."""
 
-    def __init__(self, loop: Loop, settings: Settings, listing: Listing, name: str, seed: int, facts: Facts,
-                 most: int) -> None:
+    def __init__(
+        self, loop: Loop, settings: Settings, listing: Listing, name: str, seed: int, facts: Facts, most: int
+    ) -> None:
         """``most``: bytes of a whole view at most. Raises ``OSError`` and ``ValueError`` for a faulty address."""
         self._loop, self.settings, self.name, self._facts, self._most = loop, settings, name, facts, most
         self._listen = address(settings.listen)
@@ -228,8 +234,17 @@
         if self.node is None and self._accepted is not None and self.name in self._workers:
             names, digest = self._accepted
             kinds = {name: int(most) for name, _, most in (each.partition(":") for each in self.settings.turns)}
-            self.node = Node(self.name, self.settings.name, self._life, names, digest, kinds, bounds(self.settings),
-                             self._rng, time.monotonic())
+            self.node = Node(
+                self.name,
+                self.settings.name,
+                self._life,
+                names,
+                digest,
+                kinds,
+                bounds(self.settings),
+                self._rng,
+                time.monotonic(),
+            )
         return self.node
 
     # Words.
@@ -382,17 +397,30 @@
             if self.node is not None and not self._left:
                 now = time.monotonic()
                 for kind, subject, value, count, text in self._facts():
-                    self.node.say(now, kind, subject[:words.TEXT_MOST], value, count, text[:words.TEXT_MOST])
+                    self.node.say(now, kind, subject[: words.TEXT_MOST], value, count, text[: words.TEXT_MOST])
 
     def _news(self, node: Node, now: float) -> None:
         for change in node.changes():
             self._why.setdefault(change.name, deque(maxlen=CAUSES)).append(
-                (time.time(), view.WORDS[change.state], change.cause))
-            log(LOG, logging.INFO, "member-" + ("returned" if change.returned else view.WORDS[change.state]),
-                name=change.name, cause=change.cause or "unknown")
+                (time.time(), view.WORDS[change.state], change.cause)
+            )
+            log(
+                LOG,
+                logging.INFO,
+                "member-" + ("returned" if change.returned else view.WORDS[change.state]),
+                name=change.name,
+                cause=change.cause or "unknown",
+            )
         for event in node.events():
-            log(LOG, logging.DEBUG if event.what == "renewed" else logging.INFO, f"turn-{event.what}", slot=event.slot,
-                fence=event.fence, owner=event.owner or "none", left=f"{event.until - now:.3f}")
+            log(
+                LOG,
+                logging.DEBUG if event.what == "renewed" else logging.INFO,
+                f"turn-{event.what}",
+                slot=event.slot,
+                fence=event.fence,
+                owner=event.owner or "none",
+                left=f"{event.until - now:.3f}",
+            )
         told = (node.view.seen(), node.view.size())
         if told != self._told:
             self._told = told
@@ -448,12 +476,28 @@
         names = sorted(shown.names - {self.name})
         if len(names) > LISTED_MOST:
             names = [name for name in names if shown.state(name) is not State.ALIVE][:LISTED_MOST]
-        seen = [Seen(name, view.WORDS[held.state], held.incarnation, held.life, self._workers[name].members)
-                for name in names if name in self._workers and (held := shown.held(name))]
+        seen = [
+            Seen(name, view.WORDS[held.state], held.incarnation, held.life, self._workers[name].members)
+            for name in names
+            if name in self._workers and (held := shown.held(name))
+        ]
         facts = sorted(node.signals.all(time.monotonic()), key=lambda f: (f.kind, f.subject, f.author))
-        told = Told(node.name, node.life, shown.incarnation, shown.health, shown.digest, shown.size(), shown.seen(),
-                    shown.majority(), shown.replaced, seen, facts[:LISTED_MOST], {**shown.dropped, **self._dropped},
-                    self._sent, self._received)
+        told = Told(
+            node.name,
+            node.life,
+            shown.incarnation,
+            shown.health,
+            shown.digest,
+            shown.size(),
+            shown.seen(),
+            shown.majority(),
+            shown.replaced,
+            seen,
+            facts[:LISTED_MOST],
+            {**shown.dropped, **self._dropped},
+            self._sent,
+            self._received,
+        )
         return ["OK", msgspec.json.encode(told).decode()]
 
     def _turns(self) -> list[str]:
@@ -470,6 +514,9 @@
         state = node.view.state(name) if node is not None else None
         if node is None or state is None:
             return [f"ERR {name} is not on the list"]
-        told: dict[str, Any] = {"name": name, "state": view.WORDS[state],
-                                "changes": [list(each) for each in self._why.get(name, ())]}
+        told: dict[str, Any] = {
+            "name": name,
+            "state": view.WORDS[state],
+            "changes": [list(each) for each in self._why.get(name, ())],
+        }
         return ["OK", msgspec.json.encode(told).decode()]
--- a/lapispick/host/ops.py
+++ b/lapispick/host/ops.py
@@ -27,8 +27,9 @@
 class Operators:
     """Listens for operators and answers each call from the table that it is given."""
 
-    def __init__(self, loop: Loop, listen: tuple[str, int], most: int, calls: dict[str, Call],
-                 worded: Worded | None = None) -> None:
+    def __init__(
+        self, loop: Loop, listen: tuple[str, int], most: int, calls: dict[str, Call], worded: Worded | None = None
+    ) -> None:
         self._loop, self._most, self._calls, self._worded = loop, most, calls, worded
         self._open: dict[Stream, float] = {}  # with the time when each came; 0 = it has its answer
         family = socket.AF_INET6 if ":" in listen[0] else socket.AF_INET
--- a/lapispick/host/recorder.py
+++ b/lapispick/host/recorder.py
@@ -56,13 +56,24 @@
     def begin(self, settings: api.Settings, seed: int, now: float) -> None:
         """Start the process that writes; ``now`` is the module's clock at its start, ms."""
         told = self._settings
-        self._begin = msgspec.json.encode({
-            "folder": str(told.folder), "box": self._name,
-            "incarnation": f"{int(time.time() * 1000):012x}-{os.getpid()}",
-            "rotate_size": told.rotate_size, "rotate_age": told.rotate_age, "keep_size": told.keep_size,
-            "keep_age": told.keep_age, "sync": told.sync, "seed": seed, "module_now": now,
-            "started_ms": time.time() * 1000, "settings": msgspec.json.encode(settings).decode(),
-            "classes": [s.name for s in self._info.services], "accounts": [p.name for p in self._info.parties]})
+        self._begin = msgspec.json.encode(
+            {
+                "folder": str(told.folder),
+                "box": self._name,
+                "incarnation": f"{int(time.time() * 1000):012x}-{os.getpid()}",
+                "rotate_size": told.rotate_size,
+                "rotate_age": told.rotate_age,
+                "keep_size": told.keep_size,
+                "keep_age": told.keep_age,
+                "sync": told.sync,
+                "seed": seed,
+                "module_now": now,
+                "started_ms": time.time() * 1000,
+                "settings": msgspec.json.encode(settings).decode(),
+                "classes": [s.name for s in self._info.services],
+                "accounts": [p.name for p in self._info.parties],
+            }
+        )
         self._start()
         self._loop.later(told.flush, self._beat)
 
@@ -73,8 +84,13 @@
         ours, theirs = socket.socketpair()
         with theirs:
             # A session of its own: a Ctrl-C meant for the host must not end it before the last step is written.
-            subprocess.Popen([sys.executable, "-m", "lapispick.trace.helper"], stdin=theirs,
-                             stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL, start_new_session=True)
+            subprocess.Popen(
+                [sys.executable, "-m", "lapispick.trace.helper"],
+                stdin=theirs,
+                stdout=subprocess.DEVNULL,
+                stderr=subprocess.DEVNULL,
+                start_new_session=True,
+            )
         self._handed = self._written = 0
         self._stream = Stream(self._loop, ours, out_most=self._buffer + (64 << 10))
         self._send(self._begin)
@@ -115,8 +131,9 @@
             return
         # Records encode as they are, all their kinds beside them: a tuple made for each would cost as much again.
         numbers = NUMBERS
-        kinds = bytes([numbers[type(one)] for _, events, actions, _ in steps for part in (events, actions)
-                       for one in part])
+        kinds = bytes(
+            [numbers[type(one)] for _, events, actions, _ in steps for part in (events, actions) for one in part]
+        )
         data = self._encode((kinds, steps))
         if stream.closed or stream.unsent + len(data) > self._buffer:
             if not self._lost:
@@ -137,8 +154,8 @@
         """Take the writer's word of what it wrote, log what it complains of, and start another one if it ends."""
         try:
             while (line := stream.read_line()) is not None:
-                if line.startswith(WROTE) and line[len(WROTE):].isdigit():
-                    self._written += int(line[len(WROTE):])
+                if line.startswith(WROTE) and line[len(WROTE) :].isdigit():
+                    self._written += int(line[len(WROTE) :])
                     self._pause = RESTART_S
                 else:
                     log(LOG, logging.ERROR, "trace-failed", fault=line.decode(errors="replace"))
--- a/lapispick/host/room.py
+++ b/lapispick/host/room.py
@@ -69,8 +69,9 @@
 
 def order(connections: Iterable[tuple[C, Standing]], now: float) -> list[tuple[C, int]]:
     """Return those that may go with their kind, whom it costs least first; who writes a message goes last of all."""
-    ranked = [(place, at, c) for at, (c, standing) in enumerate(connections)
-              if (place := rank(standing, now)) is not None]
+    ranked = [
+        (place, at, c) for at, (c, standing) in enumerate(connections) if (place := rank(standing, now)) is not None
+    ]
     return [(c, place[0]) for place, _, c in sorted(ranked, key=lambda r: r[:2])]
 
 
--- a/lapispick/host/store.py
+++ b/lapispick/host/store.py
@@ -198,8 +198,10 @@
         wait = max(1, int((deadline - time.monotonic()) * 1000))
         assert ticket.address is not None
         host, port = ticket.address
-        head = (f"POST /query HTTP/1.1\r\nHost: {host}:{port}\r\nX-For-Request: {ticket.tag}\r\n"
-                f"X-Wait-Ms: {wait}\r\nContent-Length: {len(body)}\r\n\r\n")
+        head = (
+            f"POST /query HTTP/1.1\r\nHost: {host}:{port}\r\nX-For-Request: {ticket.tag}\r\n"
+            f"X-Wait-Ms: {wait}\r\nContent-Length: {len(body)}\r\n\r\n"
+        )
         stream = ticket.stream
         stream.write(head.encode() + body)
         try:
@@ -235,8 +237,9 @@
         while self._idle and len(self._idle) + self._busy > self._bound:
             self._idle.popleft()[1].close()
         try:
-            return connect(self._loop, ticket.address, min(CONNECT_S, ticket.timeout), longest=LONGEST_HEAD,
-                           chunk=CHUNK)
+            return connect(
+                self._loop, ticket.address, min(CONNECT_S, ticket.timeout), longest=LONGEST_HEAD, chunk=CHUNK
+            )
         except OSError:
             if ticket.address == self._address:
                 raise
--- a/lapispick/interface.py
+++ b/lapispick/interface.py
@@ -275,6 +275,18 @@
 
 
 Action = (
-    Run | Stop | Refuse | Fail | Call | GoWithout | Join | KeepKey | ForgetKey | SetHealth | LimitIdle
-    | Advertise | SetTimer | Log
+    Run
+    | Stop
+    | Refuse
+    | Fail
+    | Call
+    | GoWithout
+    | Join
+    | KeepKey
+    | ForgetKey
+    | SetHealth
+    | LimitIdle
+    | Advertise
+    | SetTimer
+    | Log
 )
--- a/lapispick/members/node.py
+++ b/lapispick/members/node.py
@@ -69,8 +69,19 @@
 class Node:
     """One member of the fleet."""
 
-    def __init__(self, name: str, fleet: str, life: int, names: Iterable[str], digest: str, kinds: Mapping[str, int],
-                 bounds: Bounds, rng: Random, now: float, fresh: bool = False) -> None:
+    def __init__(
+        self,
+        name: str,
+        fleet: str,
+        life: int,
+        names: Iterable[str],
+        digest: str,
+        kinds: Mapping[str, int],
+        bounds: Bounds,
+        rng: Random,
+        now: float,
+        fresh: bool = False,
+    ) -> None:
         """``kinds``: how many may hold each named turn. ``fresh``: it is known that there was no life before."""
         self.name, self.bounds, self.kinds, self._rng = name, bounds, dict(kinds), rng
         self.view = View(name, fleet, life, names, bounds.view, rng, now, digest)
@@ -145,8 +156,16 @@
 
     def whole(self, now: float, answer: bool = False) -> Whole:
         """Return all that is held."""
-        return Whole(self.view.fleet, self.name, self.life, self.view.incarnation, list=self.view.digest,
-                     states=tuple(self.view.records()), held=self.signals.all(now), answer=answer)
+        return Whole(
+            self.view.fleet,
+            self.name,
+            self.life,
+            self.view.incarnation,
+            list=self.view.digest,
+            states=tuple(self.view.records()),
+            held=self.signals.all(now),
+            answer=answer,
+        )
 
     def merge(self, now: float, word: Whole) -> bool:
         """Take another's whole view; False where it is a stranger's."""
@@ -157,7 +176,7 @@
         most = self.view.size()
         for rumour in word.states[:most]:
             self.view.heard(now, rumour, word.sender)
-        for fact in word.held[:most * self.bounds.signals.most]:
+        for fact in word.held[: most * self.bounds.signals.most]:
             self._fact(now, fact)
         return True
 
@@ -165,8 +184,9 @@
 
     def say(self, now: float, kind: str, subject: str, value: float, count: int = 1, text: str = "") -> None:
         """Say a fact of this member's own."""
-        self.signals.say(now, self.name, self.life, self.view.health, self.view.size(), kind, subject, value, count,
-                         text)
+        self.signals.say(
+            now, self.name, self.life, self.view.health, self.view.size(), kind, subject, value, count, text
+        )
 
     # Turns.
 
@@ -195,9 +215,18 @@
 
     def turns(self, now: float) -> list[tuple[str, Held]]:
         """Return what is wanted or held here, with its owners."""
-        return [(want.owner, Held(want.turn, want.claimer.slot, want.claimer.fence if want.claimer.holds(now) else 0,
-                                  max(0.0, want.claimer.until - now)))
-                for want in self._wants.values()]
+        return [
+            (
+                want.owner,
+                Held(
+                    want.turn,
+                    want.claimer.slot,
+                    want.claimer.fence if want.claimer.holds(now) else 0,
+                    max(0.0, want.claimer.until - now),
+                ),
+            )
+            for want in self._wants.values()
+        ]
 
     def changes(self) -> list[Change]:
         """Take what changed in the view."""
--- a/lapispick/members/signals.py
+++ b/lapispick/members/signals.py
@@ -73,12 +73,27 @@
 
     # Telling.
 
-    def say(self, now: float, author: str, life: int, health: int, size: int, kind: str, subject: str, value: float,
-            count: int = 1, text: str = "") -> None:
+    def say(
+        self,
+        now: float,
+        author: str,
+        life: int,
+        health: int,
+        size: int,
+        kind: str,
+        subject: str,
+        value: float,
+        count: int = 1,
+        text: str = "",
+    ) -> None:
         """Say a fact of one's own; the same value again only once the last word is a third of its time old."""
         held = self._held.get(author, {}).get((kind, subject))
-        if held is not None and held.fact.life == life and (held.fact.value, held.fact.text) == (value, text) \
-                and now - held.born < self.bounds.forget / 3:
+        if (
+            held is not None
+            and held.fact.life == life
+            and (held.fact.value, held.fact.text) == (value, text)
+            and now - held.born < self.bounds.forget / 3
+        ):
             return
         self._number += 1
         self.hear(now, Fact(author, life, self._number, kind, subject, value, count, 0.0, health, text), size)
@@ -107,9 +122,16 @@
 
     @staticmethod
     def _fit(fact: Fact) -> bool:
-        return (fact.kind in KINDS and max(len(fact.subject), len(fact.text)) <= TEXT_MOST
-                and 0 <= fact.value < 1e9 and 0 <= fact.age < 1e9 and 0 < fact.count < 1 << 40
-                and 0 <= fact.health < 100 and 0 <= fact.number < LIFE_MOST and 0 <= fact.life < LIFE_MOST)
+        return (
+            fact.kind in KINDS
+            and max(len(fact.subject), len(fact.text)) <= TEXT_MOST
+            and 0 <= fact.value < 1e9
+            and 0 <= fact.age < 1e9
+            and 0 < fact.count < 1 << 40
+            and 0 <= fact.health < 100
+            and 0 <= fact.number < LIFE_MOST
+            and 0 <= fact.life < LIFE_MOST
+        )
 
     def news(self, now: float) -> tuple[Fact, ...]:
         """Take what goes with the next word: what was told least so far goes first."""
@@ -129,8 +151,12 @@
 
     def all(self, now: float) -> tuple[Fact, ...]:
         """Return all facts with their ages of now."""
-        return tuple(_aged(held, now) for of in self._held.values() for held in of.values()
-                     if now - held.born < self.bounds.forget)
+        return tuple(
+            _aged(held, now)
+            for of in self._held.values()
+            for held in of.values()
+            if now - held.born < self.bounds.forget
+        )
 
     # Forgetting.
 
--- a/lapispick/members/turns.py
+++ b/lapispick/members/turns.py
@@ -187,6 +187,7 @@
 
     def _first(self, now: float, slot: str) -> str:
         """Return whose turn it is: who was passed too often, else by priority and waiting."""
+
         def rank(item: tuple[str, _Waiter]) -> tuple[bool, int, str]:
             name, waiter = item
             # In whole steps: all voters must see one order. Those who began to wait at one instant came to each of them
@@ -222,8 +223,9 @@
 class Claimer:
     """Claims one slot, and holds it while its lease runs."""
 
-    def __init__(self, name: str, life: int, slot: str, bounds: Bounds, lists: Lists, priority: int = 0,
-                 highest: int = 0) -> None:
+    def __init__(
+        self, name: str, life: int, slot: str, bounds: Bounds, lists: Lists, priority: int = 0, highest: int = 0
+    ) -> None:
         self.name, self.life, self.slot, self.bounds, self.lists = name, life, slot, bounds, lists
         self.priority, self.fence, self.until = priority, 0, NEVER
         self._ballot: Ballot | None = None
--- a/lapispick/members/view.py
+++ b/lapispick/members/view.py
@@ -119,8 +119,17 @@
 class View:
     """The view that this member has of the fleet."""
 
-    def __init__(self, name: str, fleet: str, life: int, names: Iterable[str], bounds: Bounds, rng: Random,
-                 now: float = 0.0, digest: str = "") -> None:
+    def __init__(
+        self,
+        name: str,
+        fleet: str,
+        life: int,
+        names: Iterable[str],
+        bounds: Bounds,
+        rng: Random,
+        now: float = 0.0,
+        digest: str = "",
+    ) -> None:
         self.name, self.fleet, self.life, self.bounds, self.digest = name, fleet, life, bounds, digest
         self.incarnation, self.health = 0, 0
         self.names: frozenset[str] = frozenset()  # that the list names
@@ -249,8 +258,11 @@
             self.health = min(self.bounds.health_most - 1, self.health + 1)
             held = self.held(out.target)
             if held.state in (State.ALIVE, State.SUSPECT):
-                self._hold(now, Rumour(out.target, WORDS[State.SUSPECT], held.incarnation, held.life, self.name),
-                           "no answer to this member nor to those it asked")
+                self._hold(
+                    now,
+                    Rumour(out.target, WORDS[State.SUSPECT], held.incarnation, held.life, self.name),
+                    "no answer to this member nor to those it asked",
+                )
         return []
 
     def _probe(self, now: float) -> list[Send]:
@@ -258,8 +270,9 @@
             return []
         if not self._order:
             # The dead are probed too, once a round: a partition that heals is found by those on both sides.
-            self._order = sorted(name for name in self.names
-                                 if name != self.name and self.held(name).state is not State.LEFT)
+            self._order = sorted(
+                name for name in self.names if name != self.name and self.held(name).state is not State.LEFT
+            )
             self._rng.shuffle(self._order)
         if not self._order:
             return []
@@ -375,8 +388,10 @@
 
     def records(self) -> list[Rumour]:
         """Return all that is held, for a member that asks for the whole view."""
-        return [Rumour(self.name, WORDS[State.ALIVE], self.incarnation, self.life),
-                *(Rumour(name, WORDS[held.state], held.incarnation, held.life) for name, held in self.members.items())]
+        return [
+            Rumour(self.name, WORDS[State.ALIVE], self.incarnation, self.life),
+            *(Rumour(name, WORDS[held.state], held.incarnation, held.life) for name, held in self.members.items()),
+        ]
 
     # Rumours.
 
@@ -391,8 +406,11 @@
     def _word(self, kind: Callable[..., Word], to: str, older: bool = False, **more: object) -> Word:
         # Whoever is held for suspect or dead is told so with each word, and can refute it, whatever rumours were lost.
         held = self.held(to)
-        own = () if held.state is State.ALIVE and not older else (
-            Rumour(to, WORDS[held.state], held.incarnation, held.life),)
+        own = (
+            ()
+            if held.state is State.ALIVE and not older
+            else (Rumour(to, WORDS[held.state], held.incarnation, held.life),)
+        )
         # Those told least so far go first, so that news is not kept from going by what is old.
         chosen = nsmallest(RUMOURS_MOST, self._rumours.items(), key=lambda r: (-r[1][1], r[0])) if self._rumours else ()
         for name, (rumour, left) in chosen:
--- a/lapispick/model/properties.py
+++ b/lapispick/model/properties.py
@@ -35,6 +35,7 @@
 
 # Turns, whatever breaks.
 
+
 class _Owners:
     """Everybody wants the one turn, keeps it for a while, and every instant is looked at."""
 
@@ -127,8 +128,13 @@
     names = [f"disp-{n:04}" for n in range(1, 10)]
     old, new = frozenset(names[:5]), frozenset(names[4:])
     rng = random.Random(seed)
-    world = World(seed, 9, lambda name, life, now, draws: Node(
-        name, "model", life, old, "old", {"job": 1}, Bounds(), draws, now, fresh=True))
+    world = World(
+        seed,
+        9,
+        lambda name, life, now, draws: Node(
+            name, "model", life, old, "old", {"job": 1}, Bounds(), draws, now, fresh=True
+        ),
+    )
     world.late = 0.3
     owners = _Owners(world)
 
@@ -276,7 +282,7 @@
 
 def ageing(seed: int) -> None:
     """Waiting makes up for priority: one without any goes before a newcomer that has some, in time."""
-    bounds = turns.Bounds(passes=10 ** 6)
+    bounds = turns.Bounds(passes=10**6)
     voter = Voter(bounds, Lists(["a", "b", "c"], "l", bounds), 0.0, fresh=True)
     held = voter.take(0.0, Claim(SLOT, Ballot(1, "c"), 1, "l"))
     for step in range(1, 40):
@@ -354,6 +360,7 @@
 
 # The view.
 
+
 def no_false_death(seed: int) -> None:
     """With a word in twenty lost nobody that answers is called dead; with one in five seldom, and not for long.
 
@@ -447,9 +454,14 @@
     """A member whose life went back with its disk and clock is alive for all again, as a later life than before."""
     names = [f"disp-{n:04}" for n in range(1, 6)]
     known = frozenset(names)
-    world = World(seed, 5, lambda name, life, now, draws: Node(
-        name, "model", 1000 if life == 1 else 3, known, "l", {"job": 1}, Bounds(), draws, now),
-        [Step(10.0, "kill", names[0], 30.0)])
+    world = World(
+        seed,
+        5,
+        lambda name, life, now, draws: Node(
+            name, "model", 1000 if life == 1 else 3, known, "l", {"job": 1}, Bounds(), draws, now
+        ),
+        [Step(10.0, "kill", names[0], 30.0)],
+    )
     world.run(100.0)
     found = _agree(world, set(names), set())
     _hold(not found, found)
@@ -463,8 +475,10 @@
     node.listed(["a"], "m", 100.0)
     node.listed(["a", "b"], "n", 200.0)
     node.take(300.0, words.Probe("f", "b", 1, 0, (Rumour("a", "alive", 0, 9),), number=1))
-    _hold(node.view.replaced and not node.tick(301.0) and node.want(301.0, "job", "x") is None,
-          "an earlier process goes on beside the one that has its name")
+    _hold(
+        node.view.replaced and not node.tick(301.0) and node.want(301.0, "job", "x") is None,
+        "an earlier process goes on beside the one that has its name",
+    )
 
 
 def strangers(seed: int) -> None:
@@ -473,18 +487,45 @@
     node.take(0.0, words.Probe("f", "b", 5, 0, number=1))
     before = msgspec.json.encode(node.whole(1.0).states)
     bad = Rumour("c", "dead", 7, 9)
-    for over in ({"fleet": "g"}, {"sender": "z"}, {"life": 4}, {"sender": "a"}, {"life": words.LIFE_MOST + 1},
-                 {"incarnation": words.LIFE_MOST + 1}):
-        node.take(1.0, words.Probe(**{"fleet": "f", "sender": "b", "life": 5, "incarnation": 0, "rumours": (bad,),
-                                      "facts": (Fact("c", 1, 1, "load", "", 1.0),), **over}))
-    node.take(1.0, words.Probe("f", "b", 5, 0, (Rumour("z", "dead", 0, 1), Rumour("c", "odd", 9, 9),
-                                                Rumour("c", "dead", words.LIFE_MOST + 1, 1))))
+    for over in (
+        {"fleet": "g"},
+        {"sender": "z"},
+        {"life": 4},
+        {"sender": "a"},
+        {"life": words.LIFE_MOST + 1},
+        {"incarnation": words.LIFE_MOST + 1},
+    ):
+        node.take(
+            1.0,
+            words.Probe(
+                **{
+                    "fleet": "f",
+                    "sender": "b",
+                    "life": 5,
+                    "incarnation": 0,
+                    "rumours": (bad,),
+                    "facts": (Fact("c", 1, 1, "load", "", 1.0),),
+                    **over,
+                }
+            ),
+        )
+    node.take(
+        1.0,
+        words.Probe(
+            "f",
+            "b",
+            5,
+            0,
+            (Rumour("z", "dead", 0, 1), Rumour("c", "odd", 9, 9), Rumour("c", "dead", words.LIFE_MOST + 1, 1)),
+        ),
+    )
     _hold(msgspec.json.encode(node.whole(1.0).states) == before, "a stranger's rumour counts")
     _hold(not node.signals.all(1.0), "a stranger's fact counts")
 
 
 # Facts.
 
+
 def _facts(rng: random.Random, n: int) -> list[Fact]:
     made = {}
     for _ in range(n):
@@ -492,8 +533,11 @@
         key = (author, life, number)  # an author says one thing under one number
         kind, subject = made.get(key, (rng.choice(("load", "cold")), rng.choice(("", "x"))))
         made[key] = (kind, subject)
-    return [Fact(a, life, number, kind, subject, float(number), 1, rng.choice((0.0, 1.0, 3.0)))
-            for (a, life, number), (kind, subject) in made.items() for _ in range(2)]
+    return [
+        Fact(a, life, number, kind, subject, float(number), 1, rng.choice((0.0, 1.0, 3.0)))
+        for (a, life, number), (kind, subject) in made.items()
+        for _ in range(2)
+    ]
 
 
 def facts_merge(seed: int) -> None:
@@ -553,12 +597,27 @@
         node.take(now, words.Ask("f", "b", 1, n, (Rumour(f"x{n}", "dead", 0, 1),), "l", facts, number=n, target="c"))
         node.take(now, words.Claims("f", "b", 1, n, claim=Claim(f"s{n}/0", Ballot(n + 1, "b"), 1, "l")))
         node.want(now, "job", f"o{n}")
-    sizes = (len(node.signals), len(node.view._rumours), len(node.view.members), len(node.view._helping),
-             len(node.voter._waiters), len(node._wants))
-    _hold(sizes[0] <= 16 and sizes[1] <= 3 and sizes[2] <= 2 and sizes[3] <= 3 and sizes[4] <= 1 and sizes[5] <= 64,
-          f"tables hold {sizes}")
-    word = words.Probe("f", "a" * 200, 1, 0, tuple(Rumour("n" * 200, "dead", 0, 1) for _ in range(8)), "l",
-                       tuple(Fact("a" * 200, 1, 1, "load", "s" * 64, 1.0, text="t" * 64) for _ in range(4)))
+    sizes = (
+        len(node.signals),
+        len(node.view._rumours),
+        len(node.view.members),
+        len(node.view._helping),
+        len(node.voter._waiters),
+        len(node._wants),
+    )
+    _hold(
+        sizes[0] <= 16 and sizes[1] <= 3 and sizes[2] <= 2 and sizes[3] <= 3 and sizes[4] <= 1 and sizes[5] <= 64,
+        f"tables hold {sizes}",
+    )
+    word = words.Probe(
+        "f",
+        "a" * 200,
+        1,
+        0,
+        tuple(Rumour("n" * 200, "dead", 0, 1) for _ in range(8)),
+        "l",
+        tuple(Fact("a" * 200, 1, 1, "load", "s" * 64, 1.0, text="t" * 64) for _ in range(4)),
+    )
     _hold(len(words.datagram(word)) <= words.LONGEST, "a word is longer than a datagram")
 
 
@@ -576,10 +635,38 @@
 
 
 Property = Callable[[int], None]
-ALL: dict[str, Property] = {each.__name__: each for each in (
-    one_holder, numbers_survive, lists_change, one_owner, all_at_once, slots_used, silent_owner, fair, ageing,
-    majority_of_the_list, leases_end, quiet_start, another_life, no_false_death, stalls, long_sleep, one_way,
-    deaths_found, converge, lost_life, replaced, strangers, facts_merge, facts_age, two_authors, bounded, refutes)}
+ALL: dict[str, Property] = {
+    each.__name__: each
+    for each in (
+        one_holder,
+        numbers_survive,
+        lists_change,
+        one_owner,
+        all_at_once,
+        slots_used,
+        silent_owner,
+        fair,
+        ageing,
+        majority_of_the_list,
+        leases_end,
+        quiet_start,
+        another_life,
+        no_false_death,
+        stalls,
+        long_sleep,
+        one_way,
+        deaths_found,
+        converge,
+        lost_life,
+        replaced,
+        strangers,
+        facts_merge,
+        facts_age,
+        two_authors,
+        bounded,
+        refutes,
+    )
+}
 
 
 def check(names: Sequence[str], seeds: range) -> list[tuple[str, int, str]]:
--- a/lapispick/model/runs.py
+++ b/lapispick/model/runs.py
@@ -75,8 +75,12 @@
 
     def check(self) -> None:
         """Count the instants at which two members hold the turn, each by its own clock."""
-        holders = [name for name in self._since if name not in self.world.dead
-                   and any(held.fence for _, held in self.world.nodes[name].turns(self.world.clock(name)))]
+        holders = [
+            name
+            for name in self._since
+            if name not in self.world.dead
+            and any(held.fence for _, held in self.world.nodes[name].turns(self.world.clock(name)))
+        ]
         self.overlaps += len(holders) > 1
 
 
@@ -87,7 +91,7 @@
     world = World(run.seed, run.size, members(names, bounds), parse(run.script), run.loss)
     killed: dict[str, float] = {}
     _watch(world, killed)
-    owners = _Turns(world, world.names[:run.want])
+    owners = _Turns(world, world.names[: run.want])
     world.run(run.seconds, owners.check if run.want else None)
     deaths = world.deaths()
     first, last = dict[str, float](), dict[str, float]()
@@ -97,9 +101,20 @@
             last[who] = at - killed[who]
     noticed = len(first)
     false = {who for at, _, who in deaths if who not in killed}
-    return Found(run.size, world.sent / run.size / run.seconds, world.bytes / run.size / run.seconds, len(killed),
-                 noticed, _mean(first), _mean(last), len(false), owners.got,
-                 owners.waits / owners.got if owners.got else -1.0, owners.overlaps, time.process_time() - began)
+    return Found(
+        run.size,
+        world.sent / run.size / run.seconds,
+        world.bytes / run.size / run.seconds,
+        len(killed),
+        noticed,
+        _mean(first),
+        _mean(last),
+        len(false),
+        owners.got,
+        owners.waits / owners.got if owners.got else -1.0,
+        owners.overlaps,
+        time.process_time() - began,
+    )
 
 
 def _mean(values: dict[str, float]) -> float:
@@ -108,6 +123,7 @@
 
 def _watch(world: World, killed: dict[str, float]) -> None:
     """Note when members die; they are looked at every tenth of a second."""
+
     def look() -> None:
         for name in world.dead:
             killed.setdefault(name, world.now)
@@ -126,7 +142,9 @@
     figure, axes = pyplot.subplots(1, 3, figsize=(11, 3.2))
     values: tuple[tuple[str, Callable[[Found], float]], ...] = (
         ("s until the first knows of a death", lambda r: r.notice_first),
-        ("words a member and second", lambda r: r.words), ("bytes a member and second", lambda r: r.bytes))
+        ("words a member and second", lambda r: r.words),
+        ("bytes a member and second", lambda r: r.bytes),
+    )
     for axis, (label, value) in zip(axes, values, strict=True):
         axis.plot([row.size for row in rows], [value(row) for row in rows], marker="o")
         axis.set_xscale("log")
--- a/lapispick/model/world.py
+++ b/lapispick/model/world.py
@@ -167,5 +167,6 @@
 def members(names: Sequence[str], bounds: Bounds | None = None, kinds: dict[str, int] | None = None) -> Make:
     """Return what makes real members of these names, which hold one list in common."""
     known, times = frozenset(names), bounds or Bounds()
-    return lambda name, life, now, rng: Node(name, "model", life, known, "l", kinds or {"job": 1}, times, rng, now,
-                                             fresh=life == 1)
+    return lambda name, life, now, rng: Node(
+        name, "model", life, known, "l", kinds or {"job": 1}, times, rng, now, fresh=life == 1
+    )
--- a/lapispick/rollout/box.py
+++ b/lapispick/rollout/box.py
@@ -222,7 +222,7 @@
     def _settled(self, life: Life | None) -> bool:
         """Tell whether this life is what the present change wants."""
         s = self.s
-        return (life is not None and life.generation == s.wanted and not (s.again and life.change != s.change))
+        return life is not None and life.generation == s.wanted and not (s.again and life.change != s.change)
 
     def _go_over(self) -> None:
         s, serving, coming = self.s, self.s.life(SERVING), self.s.life(COMING)
@@ -272,8 +272,12 @@
         what serves as far as anybody knows, so it may wait; but not for ever, as a turn needs a majority.
         """
         s = self.s
-        return (s.phase == RETURNING and s.fault == LATE and not self.seen.turn
-                and self.now < s.deadline + self.bounds.turn_wait)
+        return (
+            s.phase == RETURNING
+            and s.fault == LATE
+            and not self.seen.turn
+            and self.now < s.deadline + self.bounds.turn_wait
+        )
 
     def _arrived(self) -> None:
         s = self.s
@@ -333,6 +337,7 @@
 
 # Calls.
 
+
 def call(state: State, asked: words.Call, now: float, seen: Seen) -> tuple[State, list[str]]:
     """Return what is so after a call, and its answer; nothing is done before the state is on disk."""
     if not words.admits(state.fence, asked.fence):
@@ -410,8 +415,19 @@
     takes = serving is not None and serving.number in seen.takes
     generation = seen.shelf.get(serving.generation) if serving is not None else None
     return words.Status(
-        state.box, state.phase, serving.generation if serving is not None and takes else "", state.good, state.wanted,
-        state.rollout, str(state.fence), state.fault, state.undone,
+        state.box,
+        state.phase,
+        serving.generation if serving is not None and takes else "",
+        state.good,
+        state.wanted,
+        state.rollout,
+        str(state.fence),
+        state.fault,
+        state.undone,
         max(0.0, state.deadline - now) if state.phase == PROVING else 0.0,
-        now - serving.asked if serving is not None and takes else 0.0, state.last, state.crashes,
-        tuple(sorted(seen.shelf)), generation.speaks if generation is not None else {})
+        now - serving.asked if serving is not None and takes else 0.0,
+        state.last,
+        state.crashes,
+        tuple(sorted(seen.shelf)),
+        generation.speaks if generation is not None else {},
+    )
--- a/lapispick/rollout/compat.py
+++ b/lapispick/rollout/compat.py
@@ -29,8 +29,7 @@
     """Read what a program says that it speaks; raises ``ValueError``."""
     found = {}
     for kind, value in told.items():
-        if (not isinstance(value, list | tuple) or len(value) != 3
-                or not all(type(v) is int and v >= 0 for v in value)):
+        if not isinstance(value, list | tuple) or len(value) != 3 or not all(type(v) is int and v >= 0 for v in value):
             raise ValueError(f"{kind}: {value!r} is not [writes, oldest read, newest read]")
         made = Spoken(*value)
         if not made.oldest <= made.writes <= made.newest:
@@ -45,11 +44,15 @@
     for kind in sorted(old.keys() & new.keys() - set(OWN)):
         was, now = old[kind], new[kind]
         if not now.reads(was.writes):
-            found.append(f"{kind}: the new one reads {now.oldest} to {now.newest}, the old one writes {was.writes}; "
-                         f"take a step between that reads both")
+            found.append(
+                f"{kind}: the new one reads {now.oldest} to {now.newest}, the old one writes {was.writes}; "
+                f"take a step between that reads both"
+            )
         if not was.reads(now.writes):
-            found.append(f"{kind}: the new one writes {now.writes}, the old one reads {was.oldest} to {was.newest}; "
-                         f"first roll out one that reads {now.writes} and still writes {was.writes}")
+            found.append(
+                f"{kind}: the new one writes {now.writes}, the old one reads {was.oldest} to {was.newest}; "
+                f"first roll out one that reads {now.writes} and still writes {was.writes}"
+            )
     return found
 
 
--- a/lapispick/rollout/figures.py
+++ b/lapispick/rollout/figures.py
@@ -75,8 +75,11 @@
 
 def sliced(box: str, was: Told, now: Told) -> Slice | None:
     """Return what came between two tellings; None where another process tells, or nothing can be read of it."""
-    if now.at <= was.at or now.generation != was.generation \
-            or any(now.counts.get(name, -1) < value for name, value in was.counts.items()):
+    if (
+        now.at <= was.at
+        or now.generation != was.generation
+        or any(now.counts.get(name, -1) < value for name, value in was.counts.items())
+    ):
         return None
     change = {name: value - was.counts.get(name, 0) for name, value in now.counts.items()}
     classes = {}
@@ -91,7 +94,7 @@
     times, head = dict[float, int](), f"took.{name}."
     for key, value in change.items():
         if value and key.startswith(head):
-            bound = key[len(head):]
+            bound = key[len(head) :]
             times[float("inf") if bound == MORE else float(bound)] = value
     late, worth = change.get(f"late.{name}", 0), change.get(f"worth.{name}", 0) / 1000
     return Class(sum(counts), counts[1], counts[2], late, worth, times)
@@ -114,8 +117,13 @@
     classes: dict[str, Class] = {}
     for name in {name for each in held for name in each.classes}:
         classes[name] = joined([each.classes[name] for each in held if name in each.classes])
-    return Slice("", sum(each.span for each in held) / len(held), classes, sum(each.runs for each in held),
-                 max(each.memory_kb for each in held))
+    return Slice(
+        "",
+        sum(each.span for each in held) / len(held),
+        classes,
+        sum(each.runs for each in held),
+        max(each.memory_kb for each in held),
+    )
 
 
 def quantile(times: Mapping[float, int], part: float) -> float:
--- a/lapispick/rollout/generations.py
+++ b/lapispick/rollout/generations.py
@@ -43,8 +43,13 @@
 
 def named(program: str, conf: str, config: Mapping[str, Any]) -> str:
     """Return the digest of a generation."""
-    return digest([("program", program.encode()), ("conf", conf.encode()),
-                   ("config", msgspec.json.encode(dict(config), order="deterministic"))])
+    return digest(
+        [
+            ("program", program.encode()),
+            ("conf", conf.encode()),
+            ("config", msgspec.json.encode(dict(config), order="deterministic")),
+        ]
+    )
 
 
 def faults(config: Mapping[str, Any]) -> list[str]:
--- a/lapispick/rollout/judge.py
+++ b/lapispick/rollout/judge.py
@@ -102,7 +102,7 @@
             one = variance(self.peers, self.peers_before, floor=(self.margin / FLOOR) ** 2)
             drift = self.peers.total - self.peers.n * self.peers_before.mean
             # Without a drift of its own this is the square of a standard normal variable, over 4 once in twenty.
-            seen = drift ** 2 / (self.peers.n * one * inflation(self.peers.n, self.peers_before.n))
+            seen = drift**2 / (self.peers.n * one * inflation(self.peers.n, self.peers_before.n))
             over = min(OVER_MOST, max(1.0, seen / OVER_USUAL))
         return self.after.n * self.one * inflation(self.after.n, self.before.n) * over
 
@@ -154,8 +154,9 @@
         self._take(changed, old, slices, before=False)
 
     def _refer(self) -> None:
-        self._reference = {name: (figures.quantile(times, 0.5), figures.quantile(times, 0.99))
-                           for name, times in self._times.items()}
+        self._reference = {
+            name: (figures.quantile(times, 0.5), figures.quantile(times, 0.99)) for name, times in self._times.items()
+        }
 
     def _take(self, changed: Iterable[str], old: Iterable[str], slices: Mapping[str, Slice], before: bool) -> None:
         ours, theirs = ([n for n in group if n in slices] for group in (changed, old))
@@ -178,8 +179,9 @@
             (held.before if before else held.after).add(a - b)
             (held.old_before if before else held.old_after).add(b)
 
-    def _held(self, pair: tuple[object, str, bool], one: list[Slice],
-              two: list[Slice]) -> dict[str, tuple[float, float]]:
+    def _held(
+        self, pair: tuple[object, str, bool], one: list[Slice], two: list[Slice]
+    ) -> dict[str, tuple[float, float]]:
         """Return the figures of two groups side by side, of those classes that were asked often enough for shares.
 
         A class that is asked seldom waits until both groups were asked often enough. Were its thin slices left out
@@ -204,8 +206,11 @@
 
     def _shares(self, name: str, cls: Class) -> dict[str, float]:
         """Return the figures of one class of a group of boxes, all so that more is worse."""
-        found = {f"unserved {name}": (cls.refused + cls.failed) / cls.asked, f"failed {name}": cls.failed / cls.asked,
-                 f"late {name}": cls.late / cls.asked}
+        found = {
+            f"unserved {name}": (cls.refused + cls.failed) / cls.asked,
+            f"failed {name}": cls.failed / cls.asked,
+            f"late {name}": cls.late / cls.asked,
+        }
         median, far = self._reference.get(name, (0.0, 0.0))
         if cls.times and median:
             found[f"slow {name}"] = figures.slower(cls.times, median)
@@ -238,8 +243,20 @@
             mean, reach = total / n, radius(n, spread, one, self.bounds.alarm)
             worse = log_evidence(total - n * held.margin, spread, one)
             fine = log_evidence(2 * n * held.margin - total, spread, one)
-            made.append(Row(name, n, mean, mean - reach, mean + reach, held.margin, exp(min(worse, 300.0)), needed,
-                            exp(min(fine, 300.0)), held.old_change))
+            made.append(
+                Row(
+                    name,
+                    n,
+                    mean,
+                    mean - reach,
+                    mean + reach,
+                    held.margin,
+                    exp(min(worse, 300.0)),
+                    needed,
+                    exp(min(fine, 300.0)),
+                    held.old_change,
+                )
+            )
         return tuple(made)
 
     def _needed(self) -> float:
@@ -251,17 +268,28 @@
         rows = self.rows()
         for row in sorted(rows, key=lambda r: -r.evidence):
             if row.evidence >= row.needed and row.slices >= SLICES_LEAST:
-                return Verdict(Outcome.WORSE, f"{row.figure}: worse by {row.mean:.1%} over {row.slices} slices, "
-                                              f"evidence {row.evidence:.3g} of {row.needed:.3g}", rows)
+                return Verdict(
+                    Outcome.WORSE,
+                    f"{row.figure}: worse by {row.mean:.1%} over {row.slices} slices, "
+                    f"evidence {row.evidence:.3g} of {row.needed:.3g}",
+                    rows,
+                )
         if not rows:
             return Verdict(Outcome.UNSURE, "there is nothing to compare with", rows)
         for row in rows:
             if row.old_change > row.margin:
-                return Verdict(Outcome.UNSURE, f"{row.figure}: the boxes that stay as they are got worse by "
-                                               f"{row.old_change:.1%} meanwhile", rows)
+                return Verdict(
+                    Outcome.UNSURE,
+                    f"{row.figure}: the boxes that stay as they are got worse by {row.old_change:.1%} meanwhile",
+                    rows,
+                )
         open_ = [row for row in rows if row.slices < SLICES_LEAST or row.cleared < 1 / self.bounds.sure]
         if open_:
             row = open_[0]
-            return Verdict(Outcome.UNSURE, f"{row.figure}: {row.slices} slices, between {row.low:+.1%} and "
-                                           f"{row.high:+.1%}; {len(open_)} of {len(rows)} figures can't be told", rows)
+            return Verdict(
+                Outcome.UNSURE,
+                f"{row.figure}: {row.slices} slices, between {row.low:+.1%} and "
+                f"{row.high:+.1%}; {len(open_)} of {len(rows)} figures can't be told",
+                rows,
+            )
         return Verdict(Outcome.GOOD, f"none of {len(rows)} figures is worse by more than twice its margin", rows)
--- a/lapispick/rollout/stages.py
+++ b/lapispick/rollout/stages.py
@@ -129,14 +129,17 @@
             taken.update(_groups(by_name[name]))
         for group, count in sorted(taken.items()):
             if count > room[group]:
-                found.append(f"stage {number} takes {count} boxes of {' '.join(filter(None, group))}; "
-                             f"{room[group]} may go at once")
+                found.append(
+                    f"stage {number} takes {count} boxes of {' '.join(filter(None, group))}; "
+                    f"{room[group]} may go at once"
+                )
         kinds = {by_name[name].kind for name in stage}
         rest = [box for box in boxes if box.name not in {n for s in stages[:number] for n in s}]
         for kind in sorted(kinds - {box.kind for box in rest}):
             if number < len(stages):
-                found.append(f"stage {number} leaves no box of {'/'.join(filter(None, kind)) or 'its kind'} "
-                             "to compare with")
+                found.append(
+                    f"stage {number} leaves no box of {'/'.join(filter(None, kind)) or 'its kind'} to compare with"
+                )
     missing = by_name.keys() - {name for stage in stages for name in stage}
     if missing:
         found.append(f"{len(missing)} boxes stay as they are, such as {min(missing)}")
--- a/lapispick/rollout/steering.py
+++ b/lapispick/rollout/steering.py
@@ -110,23 +110,37 @@
     return f"{course.name}.c"
 
 
-def step(course: Course, now: float, fence: Fence, heard: Mapping[str, Heard], verdict: Verdict | None,
-         may_begin: str = "") -> tuple[Course, list[Told]]:
+def step(
+    course: Course, now: float, fence: Fence, heard: Mapping[str, Heard], verdict: Verdict | None, may_begin: str = ""
+) -> tuple[Course, list[Told]]:
     """Return the course from now on, and the calls to make once it is kept.
 
     ``heard`` holds all boxes of the list; ``may_begin`` says why no stage may begin now, empty where one may.
     """
-    made = msgspec.structs.replace(course, boxes=list(course.boxes), controls=list(course.controls),
-                                   later=list(course.later), past=list(course.past), gone=list(course.gone),
-                                   notes=list(course.notes))
+    made = msgspec.structs.replace(
+        course,
+        boxes=list(course.boxes),
+        controls=list(course.controls),
+        later=list(course.later),
+        past=list(course.past),
+        gone=list(course.gone),
+        notes=list(course.notes),
+    )
     return _Step(made, now, fence, heard, verdict, may_begin).run()
 
 
 class _Step:
     """One look at the fleet."""
 
-    def __init__(self, course: Course, now: float, fence: Fence, heard: Mapping[str, Heard],
-                 verdict: Verdict | None, may_begin: str) -> None:
+    def __init__(
+        self,
+        course: Course,
+        now: float,
+        fence: Fence,
+        heard: Mapping[str, Heard],
+        verdict: Verdict | None,
+        may_begin: str,
+    ) -> None:
         self.c, self.now, self.fence, self.heard = course, now, fence, heard
         self.verdict, self.may_begin, self.calls = verdict, may_begin, list[Told]()
 
@@ -138,9 +152,15 @@
         self._orders()
         if c.phase in (CHANGING, BAKING, CONFIRMING, WAITING, HOLDING, ASKING) and (why := self._alarm()):
             self._enter(RETURNING, why)
-        handler = {WATCHING: self._watching, CHANGING: self._changing, BAKING: self._baking,
-                   WAITING: self._waiting, CONFIRMING: self._confirming, RETURNING: self._returning,
-                   BURNING: self._burning}.get(c.phase)
+        handler = {
+            WATCHING: self._watching,
+            CHANGING: self._changing,
+            BAKING: self._baking,
+            WAITING: self._waiting,
+            CONFIRMING: self._confirming,
+            RETURNING: self._returning,
+            BURNING: self._burning,
+        }.get(c.phase)
         if handler is not None:
             handler()
         return c, self.calls
@@ -158,7 +178,7 @@
     def _listed(self) -> None:
         """Strike off boxes that left the list, and let those that joined or came back be asked later."""
         c = self.c
-        begun = c.plan.stages[:c.stage + (c.phase != WATCHING)]
+        begun = c.plan.stages[: c.stage + (c.phase != WATCHING)]
         planned, over = ({name for stage in stages for name in stage} for stages in (c.plan.stages, begun))
         c.gone = sorted((planned | c.touched | set(c.later)) - self.heard.keys())
         for part in (c.boxes, c.later, c.controls):
@@ -232,8 +252,14 @@
     def _matched(self) -> list[str]:
         """Return a like box of the old generation for each of the stage, as far as there are any left."""
         c, kinds = self.c, self.c.plan.kinds
-        left = [name for name in sorted(self.heard) if name not in c.touched and name not in c.later
-                and (status := self._status(name)) is not None and status.phase == "steady"]
+        left = [
+            name
+            for name in sorted(self.heard)
+            if name not in c.touched
+            and name not in c.later
+            and (status := self._status(name)) is not None
+            and status.phase == "steady"
+        ]
         found = []
         for name in c.boxes:
             like = next((other for other in left if kinds.get(other) == kinds.get(name)), None)
@@ -345,8 +371,11 @@
         c = self.c
         c.past += c.boxes
         c.boxes, c.controls = [], []
-        strays = [name for name in c.past if (status := self._status(name)) is not None
-                  and status.phase == "steady" and not self._is_good(name)]
+        strays = [
+            name
+            for name in c.past
+            if (status := self._status(name)) is not None and status.phase == "steady" and not self._is_good(name)
+        ]
         c.past = [name for name in c.past if name not in strays]
         c.later += strays  # they came back in the old generation
         if c.stage + 1 >= len(c.plan.stages) and not c.later:
@@ -363,8 +392,11 @@
     def _returning(self) -> None:
         c, plan = self.c, self.c.plan
         left = sorted(n for n in {*c.touched, *c.later} if n in self.heard and not self._returned(n))
-        controls = [n for n in c.controls if (s := self._status(n)) is not None and s.rollout == control(c)
-                    and s.phase == "proving"]
+        controls = [
+            n
+            for n in c.controls
+            if (s := self._status(n)) is not None and s.rollout == control(c) and s.phase == "proving"
+        ]
         for name in controls:  # they run what they ran: they are kept as they are
             self.calls.append(Told(name, Confirm(self.fence, control(c))))
         if not left:
@@ -414,8 +446,11 @@
 def groups(course: Course, heard: Mapping[str, Heard]) -> tuple[list[str], list[str]]:
     """Return the changed boxes of the stage that are warm, and the old ones that are as warm, to be compared."""
     plan = course.plan
-    warm = {name: each.status for name, each in heard.items()
-            if each.status is not None and each.age < plan.unreached and each.status.since_s >= plan.warm_up}
+    warm = {
+        name: each.status
+        for name, each in heard.items()
+        if each.status is not None and each.age < plan.unreached and each.status.since_s >= plan.warm_up
+    }
     changed = [name for name in course.boxes if name in warm and warm[name].serving == plan.generation]
     old = [name for name, status in warm.items() if name not in course.touched and status.serving != plan.generation]
     # Controls began anew when the changed ones did; where there are any of a kind, they are the ones to compare with.
--- a/lapispick/rollout/words.py
+++ b/lapispick/rollout/words.py
@@ -78,8 +78,9 @@
 def write(call: Call) -> str:
     """Write a call as a line, without its end."""
     if isinstance(call, Change):
-        return (f"{'restart' if call.again else 'change'} {call.fence} {call.rollout} {call.generation} "
-                f"{call.confirm_s:g}")
+        return (
+            f"{'restart' if call.again else 'change'} {call.fence} {call.rollout} {call.generation} {call.confirm_s:g}"
+        )
     if isinstance(call, Confirm):
         return f"confirm {call.fence} {call.rollout}"
     if isinstance(call, Back):
--- a/lapispick/shares/subsets.py
+++ b/lapispick/shares/subsets.py
@@ -114,7 +114,6 @@
             self._many[backend] += 1
             self._in_zone[backend, zone] += 1
 
-
     def fill(self, host: str, least: int) -> None:
         """Let a host have some backends at least: those with the fewest hosts, by score."""
         mine = self.chosen[host]
@@ -179,5 +178,7 @@
     """Return for each backend of a host by which place in that backend's order it has it, and how many it needs."""
     mine = assign(hosts, backends, least).get(name, ())
     wanted = needs(backends, len(hosts), least)
-    return [(backend, 1 + sum(score(each.name, backend) > score(name, backend) for each in hosts), wanted[backend])
-            for backend in mine]
+    return [
+        (backend, 1 + sum(score(each.name, backend) > score(name, backend) for each in hosts), wanted[backend])
+        for backend in mine
+    ]
--- a/lapispick/standins/account.py
+++ b/lapispick/standins/account.py
@@ -105,8 +105,12 @@
 
     def excused(self, made):
         """Tell whether a fault touched a try's box or gateway while it was open."""
-        return any(start <= made.due + SLACK_S and (end or time.time()) >= made.written - SLACK_S
-                   and names & {made.box, made.gateway} for start, end, _, names in self.faults)
+        return any(
+            start <= made.due + SLACK_S
+            and (end or time.time()) >= made.written - SLACK_S
+            and names & {made.box, made.gateway}
+            for start, end, _, names in self.faults
+        )
 
     # What became of the load.
 
@@ -121,8 +125,7 @@
     def effects(self):
         """Count executors' runs by key, over the whole fleet."""
         keys = {t.trace: t.key for t in list(self.tries.values()) if t.key}
-        return collections.Counter(keys[r.trace] for r in list(self.runs)
-                                   if r.where == "executor" and r.trace in keys)
+        return collections.Counter(keys[r.trace] for r in list(self.runs) if r.where == "executor" and r.trace in keys)
 
 
 def kind(message):
@@ -142,8 +145,15 @@
     ``window_s``: for so long a key must not run again; ``grace_s``: what came later after a notice must not run.
     """
     account = account.copy()  # of this moment: the load may go on
-    return [*_lost(account), *_doubled(account), *_twice(account, window_s), *_changed(account, result),
-            *_late_starts(account, grace_s + SOCKETS_S), *_refused_after_run(account), *_memory(account)]
+    return [
+        *_lost(account),
+        *_doubled(account),
+        *_twice(account, window_s),
+        *_changed(account, result),
+        *_late_starts(account, grace_s + SOCKETS_S),
+        *_refused_after_run(account),
+        *_memory(account),
+    ]
 
 
 def _lost(account):
@@ -182,8 +192,12 @@
     for run in account.runs:
         made = account.tries.get(run.trace)
         for at, box, process in account.leaves:
-            if made and run.where == "executor" and (run.box, run.process) == (box, process) \
-                    and made.written > at + grace_s:
+            if (
+                made
+                and run.where == "executor"
+                and (run.box, run.process) == (box, process)
+                and made.written > at + grace_s
+            ):
                 yield "drain", f"{run.trace} ran at {box}; it came {made.written - at:.2f} s after the notice"
 
 
--- a/lapispick/standins/agents.py
+++ b/lapispick/standins/agents.py
@@ -47,10 +47,12 @@
         self.listens = f"127.0.0.1:{free_port()}"
         self.at = box.fleet.net.tcp(STEER, box.name, self.listens)  # controllers come through here
         self.conf = self.folder / "agent.conf"
-        self.conf.write_text(f"section agent\n folder {self.folder}\n config {config}\n listen {self.listens}\n"
-                             f" slot-ops {' '.join(self.slots)}\n"
-                             f" slot-executors {' '.join(slot['executor'] for slot in slots)}\n"
-                             f" look {look}s\n start {start}s\n stop {stop}s\nend\n")
+        self.conf.write_text(
+            f"section agent\n folder {self.folder}\n config {config}\n listen {self.listens}\n"
+            f" slot-ops {' '.join(self.slots)}\n"
+            f" slot-executors {' '.join(slot['executor'] for slot in slots)}\n"
+            f" look {look}s\n start {start}s\n stop {stop}s\nend\n"
+        )
         box.agent = self
 
     def add(self, folder=None, conf=FIGURES, config=None, label=""):
@@ -66,8 +68,13 @@
         words_ = ["agent", "run", "--conf", str(self.conf), *(["--adopt", adopt] if adopt else [])]
         head = ["-c", DYING, dies_at, str(times)] if dies_at else ["-m", "lapispick"]
         environ = {k: v for k, v in self.box.environ().items() if not k.startswith(("LB_", "LAPISPICK_"))}
-        self.process = subprocess.Popen([sys.executable, *head, *words_], env=environ, cwd=ROOT,
-                                        stderr=self.log_path.open("w"), start_new_session=True)
+        self.process = subprocess.Popen(
+            [sys.executable, *head, *words_],
+            env=environ,
+            cwd=ROOT,
+            stderr=self.log_path.open("w"),
+            start_new_session=True,
+        )
         if wait:
             self.started()
         return self
@@ -88,6 +95,7 @@
 
     def order(self, line):
         """Call the agent, and again while its host is held up and does not answer it: a controller does the same."""
+
         def said():
             lines = self.call(line)
             return lines if lines and lines[0] != "ERR nothing serves here" else None
@@ -101,6 +109,7 @@
 
     def phase(self, *phases, **told):
         """Wait until the box is in one of these phases, with these values."""
+
         def there():
             found = self.status()
             good = found is not None and found.phase in phases
@@ -110,6 +119,7 @@
 
     def serves(self, generation):
         """Wait until a generation takes clients."""
+
         def there():
             found = self.status()
             return found if found is not None and found.serving == generation else None
@@ -164,15 +174,19 @@
         self.list = self.folder / "boxes.csv"
         self.write(boxes or [box.name for box in fleet.boxes])
         self.conf = self.folder / "steering.conf"
-        self.conf.write_text(f"section inventory\n path {self.list}\n settle 0s\n look 100ms\n loss 100%\nend\n"
-                             "section fleet\n group all\nend\n"
-                             f"section rollout\n state-folder {self.folder}/ledger\n{told}\nend\n")
+        self.conf.write_text(
+            f"section inventory\n path {self.list}\n settle 0s\n look 100ms\n loss 100%\nend\n"
+            "section fleet\n group all\nend\n"
+            f"section rollout\n state-folder {self.folder}/ledger\n{told}\nend\n"
+        )
         self._runs, self.controllers = 0, []
 
     def write(self, names):
-        rows = "".join(f"{name},{self.fleet[name].at.rsplit(':')[1]},{self.agents[name].slots[0]},"
-                       f"{self.agents[name].at},{self.fleet[name].zone},{self.fleet[name].machine},127.0.0.1\n"
-                       for name in names)
+        rows = "".join(
+            f"{name},{self.fleet[name].at.rsplit(':')[1]},{self.agents[name].slots[0]},"
+            f"{self.agents[name].at},{self.fleet[name].zone},{self.fleet[name].machine},127.0.0.1\n"
+            for name in names
+        )
         fresh = self.list.with_suffix(".new")
         fresh.write_text(LIST + rows)
         fresh.replace(self.list)
@@ -211,8 +225,12 @@
         self._runs += 1
         log = self.folder / f"controller-{self._runs}.log"
         head = ["-c", CONTROLLER_DYING, dies_at, str(times)] if dies_at else ["-m", "lapispick"]
-        made = subprocess.Popen([sys.executable, *head, "rollout", words_[0], "--conf", str(self.conf), *words_[1:]],
-                                cwd=ROOT, stderr=log.open("w"), stdout=subprocess.DEVNULL)
+        made = subprocess.Popen(
+            [sys.executable, *head, "rollout", words_[0], "--conf", str(self.conf), *words_[1:]],
+            cwd=ROOT,
+            stderr=log.open("w"),
+            stdout=subprocess.DEVNULL,
+        )
         made.log = log.read_text
         self.controllers.append(made)
         return made
@@ -239,8 +257,14 @@
         """Say go, and wait until it goes on: it may ask again before ``status`` has answered, or its controller end."""
         asked = self._asked()
         self.tool("go")
-        self._noted(lambda: self._asked() > asked or self.told()["phase"] != "asking"
-                    or (dying is not None and dying.poll() is not None), "that it goes on")
+        self._noted(
+            lambda: (
+                self._asked() > asked
+                or self.told()["phase"] != "asking"
+                or (dying is not None and dying.poll() is not None)
+            ),
+            "that it goes on",
+        )
 
     def _asked(self):
         return sum(c.log().count('note="asking') for c in self.controllers)
--- a/lapispick/standins/broker.py
+++ b/lapispick/standins/broker.py
@@ -42,8 +42,16 @@
         file = link.makefile("rb")
         assert file.read(8) == codec.PROTOCOL_HEADER
         state = LINKS[link] = {}
-        self.say(link, 0, "connection.start", major=0, minor=9, server_properties={"product": "stand-in"},
-                 mechanisms=b"PLAIN AMQPLAIN", locales=b"en_US")
+        self.say(
+            link,
+            0,
+            "connection.start",
+            major=0,
+            minor=9,
+            server_properties={"product": "stand-in"},
+            mechanisms=b"PLAIN AMQPLAIN",
+            locales=b"en_US",
+        )
         try:
             while head := file.read(7):
                 kind, channel, size = codec.FRAME_HEAD.unpack(head)
@@ -57,7 +65,8 @@
                             self.lose = None
                             return
                         getattr(self, "on_" + method.name.replace(".", "_").replace("-", "_"))(
-                            link, channel, state, method.args)
+                            link, channel, state, method.args
+                        )
                     elif kind == codec.HEARTBEAT:
                         self.beats += 1
                     else:
@@ -87,9 +96,17 @@
                 c["unacked"][c["next"]] = message
                 message.given += 1
                 self.most_held = max(self.most_held, len(c["unacked"]))
-                link.sendall(codec.encode_method(
-                    number, "basic.deliver", tag=c["tag"], delivery=c["next"], exchange="",
-                    redelivered=message.redelivered, routing_key=c["queue"]))
+                link.sendall(
+                    codec.encode_method(
+                        number,
+                        "basic.deliver",
+                        tag=c["tag"],
+                        delivery=c["next"],
+                        exchange="",
+                        redelivered=message.redelivered,
+                        routing_key=c["queue"],
+                    )
+                )
                 content = codec.encode_content(number, message.properties, message.body, 4096)
                 link.sendall(message.raw(number) if message.raw and message.given == 1 else content)
 
@@ -173,8 +190,7 @@
             self.nacks -= 1
             return self.say(link, channel, "basic.nack", delivery=number, multiple=False, requeue=False)
         if self.unroutable:
-            self.say(link, channel, "basic.return", code=312, text="NO_ROUTE", exchange="",
-                     routing_key=publish[0])
+            self.say(link, channel, "basic.return", code=312, text="NO_ROUTE", exchange="", routing_key=publish[0])
             link.sendall(codec.encode_content(channel, publish[1], publish[2], 4096))
         else:
             self.replies.append((publish[0], publish[1], publish[2].decode()))
--- a/lapispick/standins/fleet.py
+++ b/lapispick/standins/fleet.py
@@ -107,10 +107,19 @@
         return {"ops": f"127.0.0.1:{free_port()}", "executor": made.at}
 
     def config(self, **over):
-        return {"name": self.name, "listen": self.at, "executor": "", "roster": self.roster_at, "store": self.store_at,
-                "seed": f"{self.fleet.random.getrandbits(64):016x}", "stop_ms": self.fleet.stop_ms, "ops": "",
-                "limits": {"cores": 1.0, "memory_mb": self.fleet.memory_mb, "sockets": 256},
-                "settings": self.fleet.info, **over}
+        return {
+            "name": self.name,
+            "listen": self.at,
+            "executor": "",
+            "roster": self.roster_at,
+            "store": self.store_at,
+            "seed": f"{self.fleet.random.getrandbits(64):016x}",
+            "stop_ms": self.fleet.stop_ms,
+            "ops": "",
+            "limits": {"cores": 1.0, "memory_mb": self.fleet.memory_mb, "sockets": 256},
+            "settings": self.fleet.info,
+            **over,
+        }
 
     def environ(self, **over):
         return {**os.environ, "TMPDIR": str(self.folder / "tmp"), "PYTHONPATH": str(ROOT), **over}
@@ -126,8 +135,12 @@
         self.skew = skew
         if skew:
             environ["PYTHONPATH"] = f"{self._skewed(skew)}{os.pathsep}{environ['PYTHONPATH']}"
-        process = subprocess.Popen([sys.executable, "-m", "lapispick.host"], env=environ, cwd=program or ROOT,
-                                   stderr=path.with_suffix(".log").open("w"))
+        process = subprocess.Popen(
+            [sys.executable, "-m", "lapispick.host"],
+            env=environ,
+            cwd=program or ROOT,
+            stderr=path.with_suffix(".log").open("w"),
+        )
         self.processes.append(process)
         process.ops, process.name = slot["ops"], self.executors[-1].process
         self.yes(process.ops)
@@ -138,7 +151,8 @@
         folder = self.folder / "skew"
         folder.mkdir(exist_ok=True)
         (folder / "sitecustomize.py").write_text(
-            f"import time\n_true = time.time\ntime.time = lambda: _true() + {skew!r}\n")
+            f"import time\n_true = time.time\ntime.time = lambda: _true() + {skew!r}\n"
+        )
         return folder
 
     def yes(self, ops):
@@ -219,8 +233,15 @@
                 return self.outcomes.append((began, cls, False, now - began))
             box = self.random.choice(boxes)
         made = Try(f"{self.random.getrandbits(64):016x}", self.name, box.name, cls, body, key, now, due, redo)
-        params = asked(body, trace=made.trace, born=now * 1000, patience=(due - now) * 1000, client=int(self.name[1:]),
-                       **({"nonce": key} if key else {}), **({"redo": 1} if redo else {}))
+        params = asked(
+            body,
+            trace=made.trace,
+            born=now * 1000,
+            patience=(due - now) * 1000,
+            client=int(self.name[1:]),
+            **({"nonce": key} if key else {}),
+            **({"redo": 1} if redo else {}),
+        )
         again = (cls, body, key, began, due, left)
         self.fleet.account.wrote(made)
         try:
@@ -265,8 +286,22 @@
 class Fleet:
     """N boxes with all their peers; use it as a context."""
 
-    def __init__(self, folder, seed, boxes=3, zones=("pipera",), gateways=2, rate=20.0, calls=0.2, info=INFO, work=None,
-                 stop_ms=2500, memory_mb=192, patience=3.0, paces=None):
+    def __init__(
+        self,
+        folder,
+        seed,
+        boxes=3,
+        zones=("pipera",),
+        gateways=2,
+        rate=20.0,
+        calls=0.2,
+        info=INFO,
+        work=None,
+        stop_ms=2500,
+        memory_mb=192,
+        patience=3.0,
+        paces=None,
+    ):
         print("seed", seed)
         self.folder, self.seed, self.random, self.account = folder, seed, random.Random(seed), Account()
         self.info, self.stop_ms, self.memory_mb, self.patience = info, stop_ms, memory_mb, patience
@@ -297,10 +332,9 @@
     def listed(self, _gateway):
         """Return the boxes that report in time, as all gateways learn them."""
         now, last = time.monotonic(), {}
-        for at, word in self.roster.reports[-200 * len(self.boxes):]:
+        for at, word in self.roster.reports[-200 * len(self.boxes) :]:
             last[word.split()[1]] = (at, word.endswith(" on"))
-        return [box for box in self.boxes if last.get(box.name, (0.0, False)) > (now - LISTED_S,)
-                and last[box.name][1]]
+        return [box for box in self.boxes if last.get(box.name, (0.0, False)) > (now - LISTED_S,) and last[box.name][1]]
 
     def start(self, **over):
         """Start all boxes at once and wait until each takes clients."""
@@ -337,8 +371,13 @@
             for pid in box.serving():
                 self.account.held(box.name, box.memory_mb(pid), self.memory_mb)
         windows = [s["Window"] for s in self.info["Services"] if s["Idempotency"] == "deduplicated"]
-        return list(check(self.account, window_s=max(windows, default=0.0) / 1000,
-                          grace_s=self.info["Guarantees"]["DrainGrace"] / 1000))
+        return list(
+            check(
+                self.account,
+                window_s=max(windows, default=0.0) / 1000,
+                grace_s=self.info["Guarantees"]["DrainGrace"] / 1000,
+            )
+        )
 
     def worth(self, since=0.0, until=float("inf")):
         """Return worth served over worth asked, of requests asked in a span."""
--- a/lapispick/standins/net.py
+++ b/lapispick/standins/net.py
@@ -90,8 +90,10 @@
         Returns the addresses by which the first knows the second and the second the first; datagrams come from there.
         """
         for _ in range(50):
-            there, back = (Link(self, ends, target, socket.SOCK_DGRAM)
-                           for ends, target in (((one, other), at_other), ((other, one), at_one)))
+            there, back = (
+                Link(self, ends, target, socket.SOCK_DGRAM)
+                for ends, target in (((one, other), at_other), ((other, one), at_one))
+            )
             there.out, back.out = back, there
             made = [there, back]
             try:
@@ -253,9 +255,9 @@
                 return None
             part = data
             if flow.way.rate:
-                part = data[:max(1, int(flow.way.rate * 0.02))]
+                part = data[: max(1, int(flow.way.rate * 0.02))]
             if flow.way.cut_at:
-                part = part[:max(0, flow.way.cut_at - flow.passed)]
+                part = part[: max(0, flow.way.cut_at - flow.passed)]
             try:
                 sent = flow.sink.send(part) if part else 0
             except BlockingIOError:
--- a/lapispick/standins/pauses.py
+++ b/lapispick/standins/pauses.py
@@ -55,8 +55,9 @@
 
     def held(self, box, since, until):
         """Return for how long the rig and this box were held up in a span, s."""
-        return sum(held for start, end, whom, held in list(self.spans)
-                   if whom in ("", box) and start < until and end > since)
+        return sum(
+            held for start, end, whom, held in list(self.spans) if whom in ("", box) and start < until and end > since
+        )
 
     def stop(self):
         self._over.set()
--- a/lapispick/standins/peers.py
+++ b/lapispick/standins/peers.py
@@ -21,19 +21,48 @@
 OWED = 3.0  # s; by then a bad client has its refusal, error or close
 INFO = {
     "Bounds": {"MaxRetryAfter": 1000.0, "RetryAfter": True},
-    "FamilyInfo": {"Advert": "level", "Below": "shared", "CallsOut": 5.0, "ClassSkipWorth": [0.3, 0.0],
-                   "Cold": False, "Cores": 2, "DepWindow": 5000.0, "Halt": "drop", "Idle": 30000.0,
-                   "Gauges": ["core_use", "on_cores", "heap_share", "links"], "KbPerKey": 10.0,
-                   "MemoryKb": 100000.0, "RunMemFactor": 8.0, "Upstreams": 3, "Readiness": True,
-                   "PassesDeadline": True},
+    "FamilyInfo": {
+        "Advert": "level",
+        "Below": "shared",
+        "CallsOut": 5.0,
+        "ClassSkipWorth": [0.3, 0.0],
+        "Cold": False,
+        "Cores": 2,
+        "DepWindow": 5000.0,
+        "Halt": "drop",
+        "Idle": 30000.0,
+        "Gauges": ["core_use", "on_cores", "heap_share", "links"],
+        "KbPerKey": 10.0,
+        "MemoryKb": 100000.0,
+        "RunMemFactor": 8.0,
+        "Upstreams": 3,
+        "Readiness": True,
+        "PassesDeadline": True,
+    },
     "Guarantees": {"ColdFrom": 0.2, "DrainGrace": 1800.0, "FallMultiple": 8.0, "WarmUp": 16000.0},
-    "Layer": 0, "ValueBy": "request",
+    "Layer": 0,
+    "ValueBy": "request",
     "Parties": [{"Name": "shop"}],
     "Services": [
-        {"GiveUp": 4800.0, "Idempotency": "idempotent", "LateWorth": 0.0, "Name": "track", "Promise": 2000.0,
-         "Window": 5000.0, "Worth": 1.0},
-        {"GiveUp": 4800.0, "Idempotency": "deduplicated", "LateWorth": 0.2, "Name": "book",
-         "Promise": 2000.0, "Window": 3000.0, "Worth": 5.0}],
+        {
+            "GiveUp": 4800.0,
+            "Idempotency": "idempotent",
+            "LateWorth": 0.0,
+            "Name": "track",
+            "Promise": 2000.0,
+            "Window": 5000.0,
+            "Worth": 1.0,
+        },
+        {
+            "GiveUp": 4800.0,
+            "Idempotency": "deduplicated",
+            "LateWorth": 0.2,
+            "Name": "book",
+            "Promise": 2000.0,
+            "Window": 3000.0,
+            "Worth": 5.0,
+        },
+    ],
 }
 
 
@@ -168,7 +197,7 @@
         if not self.up:
             return
         self.send(link, verb="WELCOME", outcome="hot", spent=1000)
-        for notice in self.notices[0 if self.forgetful else command["index"]:][-self.kept:]:
+        for notice in self.notices[0 if self.forgetful else command["index"] :][-self.kept :]:
             self.send(link, **notice)
 
     def come_up(self):
@@ -230,15 +259,20 @@
 
 OK = b"HTTP/1.1 200 OK\r\n"
 SPOILT = {  # replies that can't be used; the connection stays open
-    "noise": [b"\x00\xff\x17 nothing\r\n\r\n"], "bare": [OK + b"\r\n"],
+    "noise": [b"\x00\xff\x17 nothing\r\n\r\n"],
+    "bare": [OK + b"\r\n"],
     "minus": [OK + b"Content-Length: -4\r\n\r\n"],
-    "both": [OK + b"Content-Length: 4\r\nContent-Length: 7\r\n\r\nfour"], "odd": [OK + b"no header\r\n\r\n"],
+    "both": [OK + b"Content-Length: 4\r\nContent-Length: 7\r\n\r\nfour"],
+    "odd": [OK + b"no header\r\n\r\n"],
     "endless": itertools.repeat(b"X-More: of it\r\n" * 99),
     "interim": itertools.repeat(b"HTTP/1.1 102 Wait\r\n\r\n"),
-    "huge": itertools.chain([OK + b"Content-Length: 3000000000\r\n\r\n"], itertools.repeat(b"x" * 65536))}
+    "huge": itertools.chain([OK + b"Content-Length: 3000000000\r\n\r\n"], itertools.repeat(b"x" * 65536)),
+}
 EXTRA = {  # what stands before and after a good reply
     "early": (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n", b""),
-    "double": (b"", OK + b"Content-Length: 5\r\n\r\nwrong"), "trail": (b"", b"noise\r\n")}
+    "double": (b"", OK + b"Content-Length: 5\r\n\r\nwrong"),
+    "trail": (b"", b"noise\r\n"),
+}
 
 
 class Store(Server):
@@ -284,7 +318,7 @@
             if body == "hang up" and link in self.used:  # ends in the moment in which the next call is written
                 return
             if body.startswith("cut "):  # a good reply that ends after so many bytes
-                link.sendall((OK + b"Content-Length: 5\r\n\r\nreply")[:int(body[4:])])
+                link.sendall((OK + b"Content-Length: 5\r\n\r\nreply")[: int(body[4:])])
                 return
             body = "200" if body == "hang up" else body
             self.used.add(link)
@@ -331,8 +365,17 @@
 
 def asked(body="x", **over):
     """Return what a request says, with changes."""
-    return {"trace": f"{random.getrandbits(64):016x}", "born": time.time() * 1000, "client": 1,
-            "customer": "shop", "patience": 4000, "size": 20.0, "order": 0.5, "doc": b64(body), **over}
+    return {
+        "trace": f"{random.getrandbits(64):016x}",
+        "born": time.time() * 1000,
+        "client": 1,
+        "customer": "shop",
+        "patience": 4000,
+        "size": 20.0,
+        "order": 0.5,
+        "doc": b64(body),
+        **over,
+    }
 
 
 class Gateway:
@@ -404,24 +447,48 @@
 class Host:
     """The real program as a process, with stand-ins for its peers."""
 
-    def __init__(self, folder, stop_ms=1500, environ=None, info=None, ready=True, cwd=None, listen="127.0.0.1:0",
-                 started=True, without=(), limits=None, command=(sys.executable, "-m", "lapispick.host"),
-                 seed="8c1f30d27a5be964", **peers):
+    def __init__(
+        self,
+        folder,
+        stop_ms=1500,
+        environ=None,
+        info=None,
+        ready=True,
+        cwd=None,
+        listen="127.0.0.1:0",
+        started=True,
+        without=(),
+        limits=None,
+        command=(sys.executable, "-m", "lapispick.host"),
+        seed="8c1f30d27a5be964",
+        **peers,
+    ):
         self.executor = peers.get("executor") or Executor()
         self.store = peers.get("store") or Store()
         self.roster = peers.get("roster") or Roster()
         self.config = {
-            "name": "n3", "listen": listen, "executor": self.executor.at, "roster": self.roster.at,
-            "store": self.store.at, "seed": seed, "stop_ms": stop_ms, "ops": "127.0.0.1:0",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256, **(limits or {})}, "settings": info or INFO}
+            "name": "n3",
+            "listen": listen,
+            "executor": self.executor.at,
+            "roster": self.roster.at,
+            "store": self.store.at,
+            "seed": seed,
+            "stop_ms": stop_ms,
+            "ops": "127.0.0.1:0",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256, **(limits or {})},
+            "settings": info or INFO,
+        }
         self.config = {key: value for key, value in self.config.items() if key not in without}
         self.folder = folder
         self.path = path = folder / f"config{len(list(folder.glob('config*.json'))) or ''}.json"
         path.write_text(json.dumps(self.config))
         self.log_path = path.with_suffix(".log")
         self.process = subprocess.Popen(
-            command, stderr=self.log_path.open("w"), cwd=cwd,
-            env={**os.environ, "LB_CONFIG": str(path), **(environ or {})})
+            command,
+            stderr=self.log_path.open("w"),
+            cwd=cwd,
+            env={**os.environ, "LB_CONFIG": str(path), **(environ or {})},
+        )
         self.at = listen
         if not started:
             return
@@ -438,8 +505,13 @@
 
     def beside(self, **over):
         """Start the program again beside this one, as an upgrade does: only operators and executor move."""
-        told = {"store": self.store, "roster": self.roster, "listen": self.config["listen"],
-                "stop_ms": self.config["stop_ms"], "info": self.config["settings"]}
+        told = {
+            "store": self.store,
+            "roster": self.roster,
+            "listen": self.config["listen"],
+            "stop_ms": self.config["stop_ms"],
+            "info": self.config["settings"],
+        }
         return Host(self.folder, **{**told, **over})
 
     def log(self):
--- a/lapispick/standins/talk.py
+++ b/lapispick/standins/talk.py
@@ -23,8 +23,11 @@
 """
 
 # Ten times slower than QUICK where words are late: a machine that is busy otherwise is no fault of the members.
-STEADY = (QUICK.replace("period 200ms", "period 500ms").replace("timeout 80ms", "timeout 250ms")
-          .replace("suspicion 4", "suspicion 8"))
+STEADY = (
+    QUICK.replace("period 200ms", "period 500ms")
+    .replace("timeout 80ms", "timeout 250ms")
+    .replace("suspicion 4", "suspicion 8")
+)
 
 
 class Resource:
@@ -104,7 +107,7 @@
         self.at = {box.name: f"127.0.0.1:{free_port()}" for box in fleet.boxes}
         self.reach = {box.name: {} for box in fleet.boxes}  # who -> whom -> the address that it knows
         for n, one in enumerate(fleet.boxes):
-            for other in fleet.boxes[n + 1:]:
+            for other in fleet.boxes[n + 1 :]:
                 there, back = fleet.net.pair(one.name, other.name, self.at[one.name], self.at[other.name])
                 self.reach[one.name][other.name], self.reach[other.name][one.name] = there, back
         self.conf, self.csv = {}, {}
@@ -117,13 +120,17 @@
                 f"section inventory\n path {self.csv[box.name]}\n settle 0s\n look 100ms\n loss 100%\n"
                 " turnover 100%\nend\nsection fleet\n group all\nend\n"
                 f"section members\n enabled yes\n listen {self.at[box.name]}\n state-folder {box.folder}/members\n"
-                f"{self.told}end\n")
+                f"{self.told}end\n"
+            )
 
     def list(self, names, at=None):
         """Let these boxes be the list, at all boxes or some."""
         for who in at or [b.name for b in self.fleet.boxes]:
-            rows = "".join(f"{name},{self.fleet[name].at.rsplit(':')[1]},"
-                           f"{self.at[name] if name == who else self.reach[who][name]},127.0.0.1\n" for name in names)
+            rows = "".join(
+                f"{name},{self.fleet[name].at.rsplit(':')[1]},"
+                f"{self.at[name] if name == who else self.reach[who][name]},127.0.0.1\n"
+                for name in names
+            )
             fresh = self.csv[who].with_suffix(".new")
             fresh.write_text(LIST + rows)
             fresh.replace(self.csv[who])
@@ -154,8 +161,9 @@
         """Tell whether some boxes see some alive and some dead or left."""
         for name in at:
             found = self.states(name)
-            if any(found.get(other) != "alive" for other in alive if other != name) \
-                    or any(found.get(other) not in ("dead", "left") for other in gone):
+            if any(found.get(other) != "alive" for other in alive if other != name) or any(
+                found.get(other) not in ("dead", "left") for other in gone
+            ):
                 return False
         return True
 
@@ -172,8 +180,11 @@
         found = []
         for box in self.fleet.boxes:
             for path in sorted(box.folder.glob("config-*.log")):
-                found += [(box.name, line.split(" name=")[1].split()[0]) for line in path.read_text().splitlines()
-                          if "event=member-dead " in line]
+                found += [
+                    (box.name, line.split(" name=")[1].split()[0])
+                    for line in path.read_text().splitlines()
+                    if "event=member-dead " in line
+                ]
         return found
 
     def want(self, turn="job", names=None, hold=0.6):
@@ -200,12 +211,16 @@
 
     def overlaps(self, slots=1):
         """Return pairs of owners of different boxes that believed to hold one slot at one instant."""
-        spans = sorted((from_, to, slot, fence, owner.box.name) for owner in self.owners
-                       for slot, fence, from_, to in owner.held)
+        spans = sorted(
+            (from_, to, slot, fence, owner.box.name) for owner in self.owners for slot, fence, from_, to in owner.held
+        )
         found = []
         for n, one in enumerate(spans):
-            found += [(one, other) for other in spans[n + 1:] if other[2] == one[2] and other[0] < one[1]
-                      and other[3] != one[3]]
+            found += [
+                (one, other)
+                for other in spans[n + 1 :]
+                if other[2] == one[2] and other[0] < one[1] and other[3] != one[3]
+            ]
         return found
 
     def kept(self):
@@ -215,4 +230,3 @@
         by_slot = {}
         for _, slot, fence, box in self.resource.acts:
             assert by_slot.setdefault((slot, fence), box) == box, f"two boxes have fence {fence} of {slot}"
-
--- a/lapispick/state.py
+++ b/lapispick/state.py
@@ -10,9 +10,28 @@
 class Entry:
     """One request that this server has read."""
 
-    __slots__ = ("aim_at", "answered", "arrived", "call_ms", "caller", "cls", "cost", "due_at", "id",
-                 "in_call_ms", "kb", "needed", "queue", "queued_ms", "rank", "since", "state", "thinned", "tries",
-                 "worth")
+    __slots__ = (
+        "aim_at",
+        "answered",
+        "arrived",
+        "call_ms",
+        "caller",
+        "cls",
+        "cost",
+        "due_at",
+        "id",
+        "in_call_ms",
+        "kb",
+        "needed",
+        "queue",
+        "queued_ms",
+        "rank",
+        "since",
+        "state",
+        "thinned",
+        "tries",
+        "worth",
+    )
 
     def __init__(self, e: Request, now: float) -> None:
         self.id, self.cls, self.caller = e.id, e.cls, e.caller
--- a/lapispick/trace/anonymising.py
+++ b/lapispick/trace/anonymising.py
@@ -75,8 +75,10 @@
         for step in steps:
             events, notes = step.events, step.notes
             if any(type(one) is api.Request for one in events):
-                events = tuple(one._replace(caller=self._stand_in("caller", one.caller))
-                               if type(one) is api.Request else one for one in events)
+                events = tuple(
+                    one._replace(caller=self._stand_in("caller", one.caller)) if type(one) is api.Request else one
+                    for one in events
+                )
             if notes:
                 notes = tuple(self._note(one) for one in notes)
             yield step._replace(events=events, notes=notes)
--- a/lapispick/trace/clocks.py
+++ b/lapispick/trace/clocks.py
@@ -165,7 +165,8 @@
                 whys[b] = link.why
     reference = max(names, key=lambda name: (len(links[name]), met[name]), default="")
     clocks: dict[str, Clock | Unknown] = {
-        name: Unknown(whys.get(name, "cannot tell: no subject was tried at both")) for name in names}
+        name: Unknown(whys.get(name, "cannot tell: no subject was tried at both")) for name in names
+    }
     if not reference:
         return "", clocks
     queue: list[tuple[float, str, Clock]] = [(0.0, reference, Clock(0.0, 0.0, 0.0, 0.0, met[reference], True))]
@@ -184,5 +185,11 @@
 def _joined(clock: Clock, link: _Link) -> Clock:
     """Return the clock of a box that is told over another one's."""
     at = link.at - clock.ahead(link.at)  # by the reference, near enough for a drift of some parts in a thousand
-    return Clock(clock.ahead(at) + link.offset, clock.drift + link.drift, at, clock.error + link.error,
-                 min(clock.pairs, link.pairs) if clock.pairs else link.pairs, clock.drift_told and link.drift_told)
+    return Clock(
+        clock.ahead(at) + link.offset,
+        clock.drift + link.drift,
+        at,
+        clock.error + link.error,
+        min(clock.pairs, link.pairs) if clock.pairs else link.pairs,
+        clock.drift_told and link.drift_told,
+    )
--- a/lapispick/trace/comparing.py
+++ b/lapispick/trace/comparing.py
@@ -90,7 +90,12 @@
 
 def _split(number: int, a: Step | None, b: Step | None) -> Split:
     if a is None or b is None:
-        return Split(number, (a or b).now, "end", "ended" if a is None else "goes on",  # type: ignore[union-attr]
-                     "ended" if b is None else "goes on")
+        return Split(
+            number,
+            (a or b).now,
+            "end",
+            "ended" if a is None else "goes on",  # type: ignore[union-attr]
+            "ended" if b is None else "goes on",
+        )
     part = next(name for name in Step._fields if getattr(a, name) != getattr(b, name))
     return Split(number, a.now, part, repr(getattr(a, part)), repr(getattr(b, part)))
--- a/lapispick/trace/folding.py
+++ b/lapispick/trace/folding.py
@@ -130,8 +130,9 @@
             histogram.record_value(one, int(dense[one]))
         if not histogram.get_total_count():
             return Spans()
-        return Spans(histogram.get_total_count(),
-                     *(float(histogram.get_value_at_percentile(p)) for p in (50, 90, 99, 100)))
+        return Spans(
+            histogram.get_total_count(), *(float(histogram.get_value_at_percentile(p)) for p in (50, 90, 99, 100))
+        )
 
 
 class Fold:
@@ -143,13 +144,23 @@
         self._names, told = [name for name, _ in known], [c for _, c in known]
         self._aim, self._worth, self._late, self._skip = (
             np.array([getattr(c, name) for c in told], np.float64)
-            for name in ("aim_ms", "worth", "late_worth", "skip_worth"))
+            for name in ("aim_ms", "worth", "late_worth", "skip_worth")
+        )
         self._kept = np.array([max(c.window_ms, c.deadline_ms) + REPEATED_MS for c in told], np.float64)
         self._clock = [np.array([getattr(s, name) for s in sources]) for name in ("offset", "drift", "at")]
-        self._tries = [_Table(id=np.int64, root=np.int64, open=np.bool_, waits=np.bool_, came=np.float64)
-                       for _ in sources]
-        self._roots = _Table(born=np.float64, cls=np.int64, account=np.int64, kind=np.uint8, age=np.float64,
-                             poorer=np.bool_, tries=np.int64, void=np.bool_)
+        self._tries = [
+            _Table(id=np.int64, root=np.int64, open=np.bool_, waits=np.bool_, came=np.float64) for _ in sources
+        ]
+        self._roots = _Table(
+            born=np.float64,
+            cls=np.int64,
+            account=np.int64,
+            kind=np.uint8,
+            age=np.float64,
+            poorer=np.bool_,
+            tries=np.int64,
+            void=np.bool_,
+        )
         self._subjects: dict[bytes, int] = {}
         self._accounts: dict[str, int] = {"": 0}
         self._now = -np.inf
@@ -249,8 +260,13 @@
     def _arrivals(self, rows: Rows) -> None:
         if not rows.count:
             return
-        named = np.array([self._accounts.setdefault(word.decode(errors="replace"), len(self._accounts))
-                          for word in rows.words("account")], np.int64)[rows.column("account")]
+        named = np.array(
+            [
+                self._accounts.setdefault(word.decode(errors="replace"), len(self._accounts))
+                for word in rows.words("account")
+            ],
+            np.int64,
+        )[rows.column("account")]
         places, _ = self._found(rows)
         held = (places >= 0) & (named > 0)
         held[held] = self._roots["account"][places[held]] == 0
@@ -350,9 +366,18 @@
         in_aim = served & (age <= self._aim[cls])
         worth = np.where(served, self._worth[cls], 0.0) * np.where(in_aim, 1.0, self._late[cls])
         worth *= np.where(poorer, self._skip[cls], 1.0)
-        columns = {"requests": np.ones(len(kept), np.int64), "tries": roots["tries"][kept], "asked": self._worth[cls],
-                   "served": worth, "in_aim": in_aim, "late": served & ~in_aim, "poorer": served & poorer,
-                   "refused": kind == REFUSED, "failed": kind == FAILED, "gone": kind == OPEN}
+        columns = {
+            "requests": np.ones(len(kept), np.int64),
+            "tries": roots["tries"][kept],
+            "asked": self._worth[cls],
+            "served": worth,
+            "in_aim": in_aim,
+            "late": served & ~in_aim,
+            "poorer": served & poorer,
+            "refused": kind == REFUSED,
+            "failed": kind == FAILED,
+            "gone": kind == OPEN,
+        }
         made, accounts = self._made, list(self._accounts)
         windows = (roots["born"][kept] // WINDOW_MS).astype(np.int64)
         _sum(columns, np.zeros(len(kept), np.int64), lambda _: made.whole)
@@ -379,16 +404,21 @@
     words = notes.words("subject")
     if not any(words):
         return [b""] * rows.count
-    told = {(box, number): words[place] for box, number, place in zip(
-        box_of[notes.steps].tolist(), notes.column("id").tolist(), notes.column("subject").tolist(), strict=True)}
+    told = {
+        (box, number): words[place]
+        for box, number, place in zip(
+            box_of[notes.steps].tolist(), notes.column("id").tolist(), notes.column("subject").tolist(), strict=True
+        )
+    }
     return [told.get(key, b"") for key in zip(boxes.tolist(), ids.tolist(), strict=True)]
 
 
 def _sum(columns: dict[str, Any], groups: Any, of: Any) -> None:
     """Add columns up by group."""
     found, places = np.unique(groups, return_inverse=True)
-    sums = {name: np.bincount(places, weights=column, minlength=len(found)).tolist()
-            for name, column in columns.items()}
+    sums = {
+        name: np.bincount(places, weights=column, minlength=len(found)).tolist() for name, column in columns.items()
+    }
     for at, group in enumerate(found.tolist()):
         into = of(group)
         for name, values in sums.items():
--- a/lapispick/trace/helper.py
+++ b/lapispick/trace/helper.py
@@ -62,9 +62,14 @@
     """Return the steps of one hand-over, as the recorder encodes them."""
     kinds, found = msgspec.msgpack.decode(data)
     numbers = iter(kinds)
-    return [Step(now, *(tuple(_record(next(numbers), values) for values in part) for part in (events, actions)),
-                 tuple(_record(number, values) for number, *values in notes))
-            for now, events, actions, notes in found]
+    return [
+        Step(
+            now,
+            *(tuple(_record(next(numbers), values) for values in part) for part in (events, actions)),
+            tuple(_record(number, values) for number, *values in notes),
+        )
+        for now, events, actions, notes in found
+    ]
 
 
 def _record(number: int, values: list[Any]) -> Any:
@@ -79,8 +84,9 @@
 def _next(folder: Path, name: str) -> int:
     """Return the number of the next file of this life: another writer may have begun it and ended early."""
     with suppress(OSError):
-        found = [entry.name.removeprefix(name).split(".")[0] for entry in os.scandir(folder)
-                 if entry.name.startswith(name)]
+        found = [
+            entry.name.removeprefix(name).split(".")[0] for entry in os.scandir(folder) if entry.name.startswith(name)
+        ]
         return max((int(number) + 1 for number in found if number.isdigit()), default=0)
     return 0
 
@@ -147,11 +153,22 @@
             self._path = self._folder / (name + OPEN)
             self._file = open(self._path, "wb")  # noqa: SIM115  # closed by ``close``
             self._opened = now
-            self._writer = Writer(self._file, blank(
-                box=begin.box, incarnation=begin.incarnation, sequence=self._sequence, seed=begin.seed,
-                started_ms=begin.started_ms, module_now=begin.module_now, settings=begin.settings.encode(),
-                module=self._module, created_ms=time.time() * 1000, classes=begin.classes,
-                accounts=begin.accounts))
+            self._writer = Writer(
+                self._file,
+                blank(
+                    box=begin.box,
+                    incarnation=begin.incarnation,
+                    sequence=self._sequence,
+                    seed=begin.seed,
+                    started_ms=begin.started_ms,
+                    module_now=begin.module_now,
+                    settings=begin.settings.encode(),
+                    module=self._module,
+                    created_ms=time.time() * 1000,
+                    classes=begin.classes,
+                    accounts=begin.accounts,
+                ),
+            )
             self._file.flush()  # whoever looks finds a trace, not an empty file
             self._sequence += 1
         return self._writer
--- a/lapispick/trace/kinds.py
+++ b/lapispick/trace/kinds.py
@@ -10,10 +10,30 @@
 from lapispick import interface as api
 
 EVENTS: tuple[type, ...] = (
-    api.Request, api.Gone, api.RunEnded, api.NeedsCall, api.CallEnded, api.Leave, api.TimerFired)
+    api.Request,
+    api.Gone,
+    api.RunEnded,
+    api.NeedsCall,
+    api.CallEnded,
+    api.Leave,
+    api.TimerFired,
+)
 ACTIONS: tuple[type, ...] = (
-    api.Run, api.Stop, api.Refuse, api.Fail, api.Call, api.GoWithout, api.Join, api.KeepKey, api.ForgetKey,
-    api.SetHealth, api.LimitIdle, api.Advertise, api.SetTimer, api.Log)
+    api.Run,
+    api.Stop,
+    api.Refuse,
+    api.Fail,
+    api.Call,
+    api.GoWithout,
+    api.Join,
+    api.KeepKey,
+    api.ForgetKey,
+    api.SetHealth,
+    api.LimitIdle,
+    api.Advertise,
+    api.SetTimer,
+    api.Log,
+)
 
 
 class Arrival(NamedTuple):
--- a/lapispick/trace/lines.py
+++ b/lapispick/trace/lines.py
@@ -47,8 +47,9 @@
         made["source"] = step.box
     for name in PARTS:
         if part := getattr(step, name):
-            made[name] = [{"record": type(one).__name__, **{k: _shown(v) for k, v in one._asdict().items()}}
-                          for one in part]
+            made[name] = [
+                {"record": type(one).__name__, **{k: _shown(v) for k, v in one._asdict().items()}} for one in part
+            ]
     return msgspec.json.encode(made)
 
 
--- a/lapispick/trace/records.py
+++ b/lapispick/trace/records.py
@@ -23,18 +23,47 @@
 # A shape is the numbers of a step's records, a byte each: events, 0, actions, 0, notes. Few differ in a block.
 SHAPE_END = b"\0"
 LENGTHS = 64  # a list's lengths stand under its field's number and this
-ZERO: dict[str, Any] = {"int": 0, "float": 0.0, "bool": False, "str": "", "bytes": b"", "Outcome": api.Outcome.ERROR,
-                        "tuple[float, ...]": ()}
+ZERO: dict[str, Any] = {
+    "int": 0,
+    "float": 0.0,
+    "bool": False,
+    "str": "",
+    "bytes": b"",
+    "Outcome": api.Outcome.ERROR,
+    "tuple[float, ...]": (),
+}
 OUTCOMES = {int(one): one for one in api.Outcome}
 
 _TABLE: dict[str, tuple[tuple[str, str], ...]] = {
-    "Column": (("record", "UINT32"), ("field", "UINT32"), ("form", "UINT32"), ("scale", "UINT32"), ("delta", "BOOL"),
-               ("width", "UINT32"), ("against", "UINT32"), ("words", "*BYTES"), ("data", "BYTES")),
+    "Column": (
+        ("record", "UINT32"),
+        ("field", "UINT32"),
+        ("form", "UINT32"),
+        ("scale", "UINT32"),
+        ("delta", "BOOL"),
+        ("width", "UINT32"),
+        ("against", "UINT32"),
+        ("words", "*BYTES"),
+        ("data", "BYTES"),
+    ),
     "Block": (("steps", "UINT32"), ("columns", "*Column")),
-    "Source": (("box", "STRING"), ("incarnation", "STRING"), ("sequence", "UINT64"), ("started_ms", "DOUBLE"),
-               ("module_now", "DOUBLE"), ("seed", "UINT64"), ("settings", "BYTES"), ("module", "STRING"),
-               ("created_ms", "DOUBLE"), ("classes", "*STRING"), ("accounts", "*STRING"), ("offset", "DOUBLE"),
-               ("drift", "DOUBLE"), ("at", "DOUBLE"), ("error", "DOUBLE")),
+    "Source": (
+        ("box", "STRING"),
+        ("incarnation", "STRING"),
+        ("sequence", "UINT64"),
+        ("started_ms", "DOUBLE"),
+        ("module_now", "DOUBLE"),
+        ("seed", "UINT64"),
+        ("settings", "BYTES"),
+        ("module", "STRING"),
+        ("created_ms", "DOUBLE"),
+        ("classes", "*STRING"),
+        ("accounts", "*STRING"),
+        ("offset", "DOUBLE"),
+        ("drift", "DOUBLE"),
+        ("at", "DOUBLE"),
+        ("error", "DOUBLE"),
+    ),
     "Header": (("sources", "*Source"), ("made", "*STRING")),
     "Entry": (("offset", "UINT64"), ("first", "DOUBLE"), ("last", "DOUBLE"), ("steps", "UINT64")),
     "Index": (("entries", "*Entry"),),
@@ -48,9 +77,12 @@
         for number, (name, kind) in enumerate(fields, 1):
             of = kind.lstrip("*")
             message.field.add(
-                name=name, number=number, label=_F.LABEL_REPEATED if kind[0] == "*" else _F.LABEL_OPTIONAL,
+                name=name,
+                number=number,
+                label=_F.LABEL_REPEATED if kind[0] == "*" else _F.LABEL_OPTIONAL,
                 type=_F.TYPE_MESSAGE if of in _TABLE else getattr(_F, f"TYPE_{of}"),
-                type_name=f".lapispick.{of}" if of in _TABLE else None)
+                type_name=f".lapispick.{of}" if of in _TABLE else None,
+            )
     pool = descriptor_pool.DescriptorPool()
     pool.Add(file)
     return {name: message_factory.GetMessageClass(pool.FindMessageTypeByName(f"lapispick.{name}")) for name in _TABLE}
@@ -174,8 +206,9 @@
             if self.count and (int(lengths.min()) < 0 or int(lengths.max()) > ITEMS_MOST or int(ends[-1]) > ITEMS_MOST):
                 raise ValueError("is no block: a list without bounds")
             flat = self._block.numbers(NUMBERS[self.kind], at, int(ends[-1]) if self.count else 0).tolist()
-            return [tuple(flat[end - length : end]) for length, end in
-                    zip(lengths.tolist(), ends.tolist(), strict=True)]
+            return [
+                tuple(flat[end - length : end]) for length, end in zip(lengths.tolist(), ends.tolist(), strict=True)
+            ]
         found = self.column(name).tolist()
         if annotation == "Outcome":
             if not set(found) <= set(OUTCOMES):
@@ -211,8 +244,9 @@
         column = self.columns.get((record, field))
         if column is None:
             return None
-        return coding.numbers(coding.Coded(column.form, column.scale, column.delta, column.width, column.data,
-                                           column.against), count, now)
+        return coding.numbers(
+            coding.Coded(column.form, column.scale, column.delta, column.width, column.data, column.against), count, now
+        )
 
     def _of_steps(self, field: int, kind: Any) -> Any:
         got = self.numbers(0, field, self.count)
@@ -224,7 +258,8 @@
             column, shapes = self.columns.get((0, SHAPE)), self._of_steps(SHAPE, np.int64)
             known = [word.split(SHAPE_END) for word in column.words] if column is not None else []
             if any(len(parts) < 3 for parts in known) or (
-                    self.count and not 0 <= int(shapes.min()) <= int(shapes.max()) < len(known)):
+                self.count and not 0 <= int(shapes.min()) <= int(shapes.max()) < len(known)
+            ):
                 raise ValueError("is no block: a step without a shape")
             flat = np.frombuffer(b"".join(parts[at] for parts in known), dtype=np.uint8)
             lengths = np.array([len(parts[at]) for parts in known], dtype=np.int64)
--- a/lapispick/trace/replaying.py
+++ b/lapispick/trace/replaying.py
@@ -39,8 +39,13 @@
     replayed: Counter[str] = dataclasses.field(default_factory=Counter)
 
 
-def replay(settings: bytes, seed: int, module_now: float, steps: Iterable[Step],
-           seen: Callable[[Step, tuple[Any, ...], Controller], None] | None = None) -> Result:
+def replay(
+    settings: bytes,
+    seed: int,
+    module_now: float,
+    steps: Iterable[Step],
+    seen: Callable[[Step, tuple[Any, ...], Controller], None] | None = None,
+) -> Result:
     """Run the module over the steps of one incarnation from its first on; ends at a gap.
 
     ``seen`` gets each step, what the module orders now, and the module.
--- a/lapispick/trace/selecting.py
+++ b/lapispick/trace/selecting.py
@@ -55,8 +55,9 @@
 class Selector:
     """Takes the steps around a window, in order, and yields what is kept."""
 
-    def __init__(self, wanted: Wanted, names: Callable[[int, int], str], deadline_ms: float,
-                 when: Callable[[Step], float]) -> None:
+    def __init__(
+        self, wanted: Wanted, names: Callable[[int, int], str], deadline_ms: float, when: Callable[[Step], float]
+    ) -> None:
         self._wanted, self._names, self._when = wanted, names, when
         self._horizon = deadline_ms + SLACK_MS
         self._tries: dict[Number, _Try] = {}
@@ -107,9 +108,11 @@
         wanted = self._wanted
         if held is None:
             return not wanted.by_request
-        return ((not wanted.classes or held.cls in wanted.classes)
-                and (not wanted.accounts or held.account in wanted.accounts)
-                and (not wanted.outcomes or (held.outcome or GONE) in wanted.outcomes))
+        return (
+            (not wanted.classes or held.cls in wanted.classes)
+            and (not wanted.accounts or held.account in wanted.accounts)
+            and (not wanted.outcomes or (held.outcome or GONE) in wanted.outcomes)
+        )
 
     def _straddles(self, held: _Try) -> tuple[bool, bool]:
         before = not held.whole_begin or held.since < self._wanted.since
@@ -130,8 +133,10 @@
     def _give(self, waiting: tuple[float, Step, list[Number]]) -> Iterator[Step]:
         now, step, numbers = waiting
         inside = self._wanted.since <= now < self._wanted.until
-        parts = [tuple(r for r in part if self._keep(_number(step, r), inside))
-                 for part in (step.events, step.actions, step.notes)]
+        parts = [
+            tuple(r for r in part if self._keep(_number(step, r), inside))
+            for part in (step.events, step.actions, step.notes)
+        ]
         if inside and self._wanted.edges == MARK:
             for number in dict.fromkeys(numbers):
                 if number in self._tries and number not in self._marked and self._chosen(self._tries[number]):
--- a/lapispick/trace/series.py
+++ b/lapispick/trace/series.py
@@ -84,9 +84,16 @@
         marks += [(time, "leave") for time in times[block.rows(api.Leave).steps].tolist()]
     arrived = came.made.get("all", np.zeros(count, np.int64))
     ended = sum(answers.made.values(), gone.made.get("all", np.zeros(count, np.int64)))
-    return Series(first, span, arrived.tolist(), answers.lists(), grounds.lists(),
-                  np.maximum(0, np.cumsum(arrived - ended)).tolist(),
-                  [float(np.median(held)) if held else 0.0 for held in ages], marks)
+    return Series(
+        first,
+        span,
+        arrived.tolist(),
+        answers.lists(),
+        grounds.lists(),
+        np.maximum(0, np.cumsum(arrived - ended)).tolist(),
+        [float(np.median(held)) if held else 0.0 for held in ages],
+        marks,
+    )
 
 
 def _by_word(rows: Any, field: str, into: _Rows, at: Any, times: Any) -> None:
--- a/lapispick/wire.py
+++ b/lapispick/wire.py
@@ -23,8 +23,23 @@
     TERMINATE_SOON: struct.Struct(">Id"),
 }
 
-(DISPATCH, PIN, INVOKE, SAY, FATAL, JOIN, EMIT, YANK, IDLE_LIMIT, SAY_NO, GO_ON, RELEASE_KEY, MARK_HEALTH,
- ARM, REPORT_FAILURE) = range(1, 16)
+(
+    DISPATCH,
+    PIN,
+    INVOKE,
+    SAY,
+    FATAL,
+    JOIN,
+    EMIT,
+    YANK,
+    IDLE_LIMIT,
+    SAY_NO,
+    GO_ON,
+    RELEASE_KEY,
+    MARK_HEALTH,
+    ARM,
+    REPORT_FAILURE,
+) = range(1, 16)
 ACTIONS: dict[int, struct.Struct] = {
     DISPATCH: struct.Struct(">BIQ"),
     PIN: struct.Struct(">BIQd"),
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,19 +11,46 @@
 
 
 def make_class(**over):
-    base = dict(aim_ms=1000, aim_stretch=0, deadline_ms=4000, effect=api.Effect.SAFE, window_ms=5000, worth=1,
-                late_worth=0, skip_worth=0)
+    base = dict(
+        aim_ms=1000,
+        aim_stretch=0,
+        deadline_ms=4000,
+        effect=api.Effect.SAFE,
+        window_ms=5000,
+        worth=1,
+        late_worth=0,
+        skip_worth=0,
+    )
     return ClassSettings(**{**base, **over})
 
 
 def make_settings(**over):
     base = dict(
-        classes=(make_class(), make_class(effect=api.Effect.KEYED, worth=3),
-                 make_class(effect=api.Effect.UNSAFE, worth=5), make_class(skip_worth=0.5)),
-        worth_by_work=False, callers=4, lower_tier=False, cores=2, memory_kb=100_000, run_factor=8,
-        key_kb=10, cold=False, cold_from=0.25, warm_up_ms=10_000, fall_multiple=8, drain_grace_ms=1000,
-        halt=api.Halting.DROP, advert=api.Advert.LEVEL, calls_out=0, calls_window_ms=5000,
-        max_retry_after_ms=1000, idle_ms=30_000, gauges=("core_use", "on_cores"),
+        classes=(
+            make_class(),
+            make_class(effect=api.Effect.KEYED, worth=3),
+            make_class(effect=api.Effect.UNSAFE, worth=5),
+            make_class(skip_worth=0.5),
+        ),
+        worth_by_work=False,
+        callers=4,
+        lower_tier=False,
+        cores=2,
+        memory_kb=100_000,
+        run_factor=8,
+        key_kb=10,
+        cold=False,
+        cold_from=0.25,
+        warm_up_ms=10_000,
+        fall_multiple=8,
+        drain_grace_ms=1000,
+        halt=api.Halting.DROP,
+        advert=api.Advert.LEVEL,
+        calls_out=0,
+        calls_window_ms=5000,
+        max_retry_after_ms=1000,
+        idle_ms=30_000,
+        gauges=("core_use", "on_cores"),
     )
     return Settings(**{**base, **over})
 
@@ -56,8 +83,7 @@
 
     def request(self, cls=0, **over):
         self.next_id += 1
-        base = dict(id=self.next_id, due_at=0, rank=0.5, age=0, prior=0, cost=0,
-                    held_kb=10, cls=cls, caller=0)
+        base = dict(id=self.next_id, due_at=0, rank=0.5, age=0, prior=0, cost=0, held_kb=10, cls=cls, caller=0)
         return api.Request(**{**base, **over})
 
     def of(self, kind, rid=None):
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -27,8 +27,7 @@
 
     def __init__(self, accepted=None, **over):
         self.now, self.verdicts = 0.0, []
-        self.it = Acceptance(Policy(**{**{f: getattr(POLICY, f) for f in POLICY.__struct_fields__}, **over}),
-                             accepted)
+        self.it = Acceptance(Policy(**{**{f: getattr(POLICY, f) for f in POLICY.__struct_fields__}, **over}), accepted)
 
     def see(self, seen, seconds=0.5):
         """Let this be seen for a span; return the last verdict."""
@@ -61,8 +60,10 @@
     assert 100 < j.size < 108 and "changing" in next(v.ground for v in j.verdicts if v.accepted)
 
 
-@pytest.mark.parametrize("seen,ground", [
-    (FAULT, "f:1: broken"), (Seen(None), "there is no file"), (Seen(fleet(names(9)), unfinished="cut"), "cut")])
+@pytest.mark.parametrize(
+    "seen,ground",
+    [(FAULT, "f:1: broken"), (Seen(None), "there is no file"), (Seen(fleet(names(9)), unfinished="cut"), "cut")],
+)
 def test_what_is_faulty_missing_or_cut_is_refused_and_the_last_list_stays(seen, ground):
     j = Judge(fleet(names(10)))
     assert j.see(seen, 0.5).phase is Phase.SETTLING  # a tool may be in the middle of writing it
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -78,8 +78,14 @@
     for word in (f"change 6.a {change}", f"change 7.a {change}", "confirm 6.a r1", "back 1.z r1", "steer 7.a"):
         assert agent.call(word)[0] == f"ERR fenced: 7.b steers, not {word.split()[1]}"
     assert agent.call("steer 8.a")[0] == "OK" and agent.call("steer 7.b")[0].startswith("ERR fenced")
-    for word in ("change 8.a r1 nowhere 9", "change 8.a r1", "jump 8.a", "steer x", f"change 8.a r/1 {made.new} 9",
-                 f"change 8.a r1 {made.new} nan"):
+    for word in (
+        "change 8.a r1 nowhere 9",
+        "change 8.a r1",
+        "jump 8.a",
+        "steer x",
+        f"change 8.a r/1 {made.new} 9",
+        f"change 8.a r1 {made.new} nan",
+    ):
         assert agent.call(word)[0].startswith("ERR")
     assert agent.status().phase == "steady"
 
@@ -102,10 +108,15 @@
 PATCHES = {
     "does not start": [("host/__main__.py", "def main() -> int:", "raise SystemExit(3)\ndef main() -> int:")],
     "hangs": [("host/__main__.py", "    setup()\n", "    setup()\n    time.sleep(60)\n")],
-    "dies a second after": [("host/core.py", "    def serve(self) -> None:",
-                             "    def serve(self) -> None:\n        self._loop.later(1.0, os._exit, 9)\n        "
-                             "return self.serves()\n\n    def serves(self) -> None:"),
-                            ("host/core.py", "import logging\n", "import logging\nimport os\n")],
+    "dies a second after": [
+        (
+            "host/core.py",
+            "    def serve(self) -> None:",
+            "    def serve(self) -> None:\n        self._loop.later(1.0, os._exit, 9)\n        "
+            "return self.serves()\n\n    def serves(self) -> None:",
+        ),
+        ("host/core.py", "import logging\n", "import logging\nimport os\n"),
+    ],
 }
 
 
@@ -149,8 +160,18 @@
 
 
 # (point, times it is passed before the agent dies there)
-POINTS = [("kept", 1), ("starting", 1), ("started", 1), ("answering", 1), ("decided", 2), ("kept", 2), ("kept", 3),
-          ("telling", 1), ("told", 1), ("decided", 4)]
+POINTS = [
+    ("kept", 1),
+    ("starting", 1),
+    ("started", 1),
+    ("answering", 1),
+    ("decided", 2),
+    ("kept", 2),
+    ("kept", 3),
+    ("telling", 1),
+    ("told", 1),
+    ("decided", 4),
+]
 
 
 @pytest.mark.parametrize("point,times", POINTS)
@@ -160,8 +181,10 @@
     agent = made.agent
     agent.kill()
     agent.start(dies_at=point, times=times)
-    until(lambda: agent.process.poll() is not None or getattr(agent.status(), "serving", "") == made.good,
-          "the agent at work")
+    until(
+        lambda: agent.process.poll() is not None or getattr(agent.status(), "serving", "") == made.good,
+        "the agent at work",
+    )
     made.loaded()
     agent.call(f"change 1.a r1 {made.new} 60")
     agent.ended()
@@ -244,11 +267,16 @@
 
 def test_settings_that_read_well_and_kill_the_host_a_second_after_its_start_are_undone(made, tmp_path):
     """Both generations are one program: what differs is a line of the settings that it does not survive."""
-    patches = [("host/core.py", "    def serve(self) -> None:",
-                "    def serve(self) -> None:\n        if logging.getLogger().isEnabledFor(logging.DEBUG):\n"
-                "            self._loop.later(1.0, os._exit, 9)\n        return self.serves()\n\n"
-                "    def serves(self) -> None:"),
-               ("host/core.py", "import logging\n", "import logging\nimport os\n")]
+    patches = [
+        (
+            "host/core.py",
+            "    def serve(self) -> None:",
+            "    def serve(self) -> None:\n        if logging.getLogger().isEnabledFor(logging.DEBUG):\n"
+            "            self._loop.later(1.0, os._exit, 9)\n        return self.serves()\n\n"
+            "    def serves(self) -> None:",
+        ),
+        ("host/core.py", "import logging\n", "import logging\nimport os\n"),
+    ]
     one = program(tmp_path / "one", patches)
     made.good = made.agent.add(one, label="good")
     bad = made.agent.add(one, conf=FIGURES + "section log\n level debug\nend\n")
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -34,7 +34,8 @@
         broker = broker or Broker()
         name, port = broker.at.split(":")
         (tmp_path / "shops.csv").write_text(
-            f"{ROW}a,shops,{name},{port},jobs,{prefetch},shop,{heartbeat}\nb,others,,,,,,\n")
+            f"{ROW}a,shops,{name},{port},jobs,{prefetch},shop,{heartbeat}\nb,others,,,,,,\n"
+        )
         (tmp_path / "own.conf").write_text(CONF)
         h = host(environ={"LAPISPICK_CONF": str(tmp_path / "own.conf")}, **over)
         h.broker = broker
@@ -51,20 +52,28 @@
 def ask(broker, body, cls="track", correlation=None, reply_to="answers", **over):
     """Put a request; return the message and its correlation id."""
     correlation = correlation or f"c{len(broker.messages)}"
-    properties = {"type": cls, "correlation_id": correlation, "reply_to": reply_to, "expiration": "4000",
-                  "message_id": f"m-{correlation}", **over}
+    properties = {
+        "type": cls,
+        "correlation_id": correlation,
+        "reply_to": reply_to,
+        "expiration": "4000",
+        "message_id": f"m-{correlation}",
+        **over,
+    }
     return broker.put("jobs", body, **properties), correlation
 
 
 def test_the_codec_writes_the_bytes_of_the_specification():
     assert codec.encode_frame(codec.HEARTBEAT, 0, b"") == bytes.fromhex("08 0000 00000000 ce")
     assert codec.encode_method(1, "basic.ack", delivery=2, multiple=True) == bytes.fromhex(
-        "01 0001 0000000d 003c 0050 0000000000000002 01 ce")
-    assert codec.encode_method(1, "basic.consume", queue="q", tag="t", no_local=False, no_ack=True,
-                               exclusive=False, nowait=True, arguments={}) == bytes.fromhex(
-        "01 0001 0000000f 003c 0014 0000 01 71 01 74 0a 00000000 ce")
+        "01 0001 0000000d 003c 0050 0000000000000002 01 ce"
+    )
+    assert codec.encode_method(
+        1, "basic.consume", queue="q", tag="t", no_local=False, no_ack=True, exclusive=False, nowait=True, arguments={}
+    ) == bytes.fromhex("01 0001 0000000f 003c 0014 0000 01 71 01 74 0a 00000000 ce")
     assert codec.encode_header(1, 3, Properties(content_type="a", message_id="m")) == bytes.fromhex(
-        "02 0001 00000012 003c 0000 0000000000000003 8080 01 61 01 6d ce")
+        "02 0001 00000012 003c 0000 0000000000000003 8080 01 61 01 6d ce"
+    )
 
 
 def test_methods_properties_and_tables_come_back_as_written():
@@ -73,18 +82,33 @@
     frame = codec.encode_header(7, 99, every)
     assert codec.decode_properties(frame[7:-1]) == every and codec.decode_size(frame[7:-1]) == 99
     for name in codec.IDS:
-        args = {key: {"s": "text", "S": b"long", "F": table, "t": True}.get(code, 3)
-                for key, code in codec.SPECS[name] if not key.startswith("*")}
+        args = {
+            key: {"s": "text", "S": b"long", "F": table, "t": True}.get(code, 3)
+            for key, code in codec.SPECS[name]
+            if not key.startswith("*")
+        }
         method = codec.decode_method(codec.encode_method(1, name, **args)[7:-1])
         assert method.name == name and method.args.items() >= args.items()
-    kinds = b"\x01xb\xff" b"\x01yA\x00\x00\x00\x04t\x01t\x00" b"\x01zV" b"\x01dD\x02\x00\x00\x01\x00"
+    kinds = b"\x01xb\xff\x01yA\x00\x00\x00\x04t\x01t\x00\x01zV\x01dD\x02\x00\x00\x01\x00"
     assert codec.Reader(struct.pack(">I", len(kinds)) + kinds).table() == {
-        "x": -1, "y": [True, False], "z": None, "d": 2.56}
-
-
-@pytest.mark.parametrize("payload", [
-    b"", b"\x00", b"\x00\x63\x00\x01", b"\x00\x3c\x00\x3c\xff", b"\x00\x3c\x00\x3c\x02\xff\xfe",
-    b"\x00\x0a\x00\x0a\x00\x09\xff\xff\xff\xff"])
+        "x": -1,
+        "y": [True, False],
+        "z": None,
+        "d": 2.56,
+    }
+
+
+@pytest.mark.parametrize(
+    "payload",
+    [
+        b"",
+        b"\x00",
+        b"\x00\x63\x00\x01",
+        b"\x00\x3c\x00\x3c\xff",
+        b"\x00\x3c\x00\x3c\x02\xff\xfe",
+        b"\x00\x0a\x00\x0a\x00\x09\xff\xff\xff\xff",
+    ],
+)
 def test_malformed_methods_are_codec_errors(payload):
     with pytest.raises(codec.CodecError):
         codec.decode_method(payload)
@@ -201,9 +225,17 @@
     assert not h.executor.runs
 
 
-@pytest.mark.parametrize("over", [
-    {"cls": "nothing"}, {"headers": {"customer": "nobody"}}, {"expiration": "soon"},
-    {"headers": {"size": -1}}, {"headers": {"size": True}}, {"body": "x" * 5000}])
+@pytest.mark.parametrize(
+    "over",
+    [
+        {"cls": "nothing"},
+        {"headers": {"customer": "nobody"}},
+        {"expiration": "soon"},
+        {"headers": {"size": -1}},
+        {"headers": {"size": True}},
+        {"body": "x" * 5000},
+    ],
+)
 def test_a_malformed_message_costs_itself_only(edge, over):
     h = edge()
     bad, _ = ask(h.broker, over.pop("body", "bad"), reply_to=None, **over)
@@ -213,14 +245,18 @@
     assert len(h.executor.runs) == 1
 
 
-@pytest.mark.parametrize("raw", [
-    lambda n: codec.encode_frame(codec.BODY, n, b"early"),
-    lambda n: codec.encode_frame(codec.HEADER, n, b"\x00"),
-    lambda n: codec.encode_frame(codec.HEADER, 9000, b"\x00" * 14),
-    lambda n: codec.encode_frame(codec.METHOD, n, b"\xff\xff\xff\xff"),
-    lambda n: codec.encode_frame(codec.HEARTBEAT, 0, b"")[:-1] + b"\x00",
-    lambda n: codec.FRAME_HEAD.pack(codec.METHOD, n, 1 << 31),
-    lambda n: b"\x77" * 50])
+@pytest.mark.parametrize(
+    "raw",
+    [
+        lambda n: codec.encode_frame(codec.BODY, n, b"early"),
+        lambda n: codec.encode_frame(codec.HEADER, n, b"\x00"),
+        lambda n: codec.encode_frame(codec.HEADER, 9000, b"\x00" * 14),
+        lambda n: codec.encode_frame(codec.METHOD, n, b"\xff\xff\xff\xff"),
+        lambda n: codec.encode_frame(codec.HEARTBEAT, 0, b"")[:-1] + b"\x00",
+        lambda n: codec.FRAME_HEAD.pack(codec.METHOD, n, 1 << 31),
+        lambda n: b"\x77" * 50,
+    ],
+)
 def test_malformed_frames_cost_the_connection_and_a_new_one_follows(edge, raw):
     h = edge()
     h.broker.put("jobs", "broken", raw=raw)
@@ -241,9 +277,14 @@
 
 def test_malformed_properties_cost_the_message_only(edge):
     h = edge()
-    bad = h.broker.put("jobs", "x", raw=lambda n: codec.encode_frame(
-        codec.HEADER, n, struct.pack(">HHQH", 60, 0, 1, 0x2000) + b"\x00\x00\xff\xff")
-        + codec.encode_frame(codec.BODY, n, b"x"))
+    bad = h.broker.put(
+        "jobs",
+        "x",
+        raw=lambda n: (
+            codec.encode_frame(codec.HEADER, n, struct.pack(">HHQH", 60, 0, 1, 0x2000) + b"\x00\x00\xff\xff")
+            + codec.encode_frame(codec.BODY, n, b"x")
+        ),
+    )
     _, c = ask(h.broker, "good")
     assert until(lambda: h.broker.reply(c), "the next one")[0] == "served"
     assert bad.fate == "reject" and bad.given == 1
--- a/tests/test_coding.py
+++ b/tests/test_coding.py
@@ -47,8 +47,13 @@
 
 def test_a_column_that_lies_about_its_length_is_told():
     column = coding.whole([1, 2, 300])
-    for wrong in (column._replace(width=9), column._replace(data=column.data[:-1]), column._replace(form=9),
-                  column._replace(scale=63), column._replace(against=7)):
+    for wrong in (
+        column._replace(width=9),
+        column._replace(data=column.data[:-1]),
+        column._replace(form=9),
+        column._replace(scale=63),
+        column._replace(against=7),
+    ):
         with pytest.raises(ValueError, match="contradicts"):
             coding.numbers(wrong, 3)
     with pytest.raises(OverflowError):
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -20,8 +20,11 @@
 
 
 def test_sections_units_quotes_and_includes(tmp_path):
-    path = write(tmp_path, a='include more/*.conf\nsection inventory # here\n path "my list.yml"\n settle 200ms\n'
-                 ' loss 17%\n size-most 2MB\n end-marker "# end"\nend\n')
+    path = write(
+        tmp_path,
+        a='include more/*.conf\nsection inventory # here\n path "my list.yml"\n settle 200ms\n'
+        ' loss 17%\n size-most 2MB\n end-marker "# end"\nend\n',
+    )
     (tmp_path / "more").mkdir()
     (tmp_path / "more/x.conf").write_text("section amqp\n enabled yes\n drain 1m\nend\n")
     made = settings.parse(path)
@@ -30,27 +33,31 @@
     assert (kept.settle, kept.loss, kept.size_most, kept.end_marker) == (0.2, 0.17, 2 << 20, "# end")
 
 
-@pytest.mark.parametrize("text,fault", [
-    ("path x\n", "a.conf:1: path: stands outside of a section"),
-    ("section inventory\npath x\n", "a.conf:1: section: inventory has no end"),
-    ("section inventory\nsection amqp\nend\n", "a.conf:2: section: inventory has no end before this"),
-    ("end\n", "a.conf:1: end: there is no section to end"),
-    ("section inventry\nend\n", "a.conf:1: section: inventry is unknown; did you mean inventory?"),
-    ("section amqp\nenable yes\nend\n", "a.conf:2: enable: unknown in section amqp; did you mean enabled?"),
-    ("section amqp\nenabled maybe\nend\n", "a.conf:2: enabled: 'maybe' is neither yes nor no"),
-    ("section amqp\nenabled\nend\n", "a.conf:2: enabled: takes one value, not 0"),
-    ("section amqp\nenabled yes\nend\n", "a.conf:1: enabled: needs a path in section inventory"),
-    ("section inventory\nloss 120%\nend\n", "a.conf:2: loss: '120%' is not a share such as 17%"),
-    ("section inventory\nloss nan\nend\n", "a.conf:2: loss: 'nan' is not a share"),
-    ("section inventory\nsettle 5 s\nend\n", "a.conf:2: settle: takes one value, not 2"),
-    ("section inventory\nsettle 5q\nend\n", "a.conf:2: settle: '5q' is not a span such as 5s; units are ms, s"),
-    ("section inventory\nlook 1ms\nend\n", "a.conf:2: look: '1ms' is outside of 0.02 to 3600"),
-    ("section inventory\nsettle 9s\nend\n", "a.conf:1: settle-most: must not be under settle"),
-    ("section inventory\ndelimiter dot\nend\n", "a.conf:2: delimiter: 'dot' is none of auto, comma"),
-    ("section inventory\ngroup 'a\nend\n", "a.conf:2: group: can't be split into words: No closing quotation"),
-    ("section inventory\ngroup a\ngroup b\nend\n", "a.conf:3: group: stands twice, first at"),
-    ("include no.conf\n", "a.conf:1: include: "), ("include a.conf\n", "a.conf:1: include: a file includes itself"),
-])
+@pytest.mark.parametrize(
+    "text,fault",
+    [
+        ("path x\n", "a.conf:1: path: stands outside of a section"),
+        ("section inventory\npath x\n", "a.conf:1: section: inventory has no end"),
+        ("section inventory\nsection amqp\nend\n", "a.conf:2: section: inventory has no end before this"),
+        ("end\n", "a.conf:1: end: there is no section to end"),
+        ("section inventry\nend\n", "a.conf:1: section: inventry is unknown; did you mean inventory?"),
+        ("section amqp\nenable yes\nend\n", "a.conf:2: enable: unknown in section amqp; did you mean enabled?"),
+        ("section amqp\nenabled maybe\nend\n", "a.conf:2: enabled: 'maybe' is neither yes nor no"),
+        ("section amqp\nenabled\nend\n", "a.conf:2: enabled: takes one value, not 0"),
+        ("section amqp\nenabled yes\nend\n", "a.conf:1: enabled: needs a path in section inventory"),
+        ("section inventory\nloss 120%\nend\n", "a.conf:2: loss: '120%' is not a share such as 17%"),
+        ("section inventory\nloss nan\nend\n", "a.conf:2: loss: 'nan' is not a share"),
+        ("section inventory\nsettle 5 s\nend\n", "a.conf:2: settle: takes one value, not 2"),
+        ("section inventory\nsettle 5q\nend\n", "a.conf:2: settle: '5q' is not a span such as 5s; units are ms, s"),
+        ("section inventory\nlook 1ms\nend\n", "a.conf:2: look: '1ms' is outside of 0.02 to 3600"),
+        ("section inventory\nsettle 9s\nend\n", "a.conf:1: settle-most: must not be under settle"),
+        ("section inventory\ndelimiter dot\nend\n", "a.conf:2: delimiter: 'dot' is none of auto, comma"),
+        ("section inventory\ngroup 'a\nend\n", "a.conf:2: group: can't be split into words: No closing quotation"),
+        ("section inventory\ngroup a\ngroup b\nend\n", "a.conf:3: group: stands twice, first at"),
+        ("include no.conf\n", "a.conf:1: include: "),
+        ("include a.conf\n", "a.conf:1: include: a file includes itself"),
+    ],
+)
 def test_faults_name_file_line_and_directive(tmp_path, text, fault):
     with pytest.raises(Faulty) as caught:
         settings.parse(write(tmp_path, a=text))
@@ -71,7 +78,7 @@
 
 
 def test_what_is_shown_reads_back_the_same(tmp_path):
-    made = settings.parse(write(tmp_path, a="section inventory\npath \"it's here.yml\"\nlook 70ms\nend\n"))
+    made = settings.parse(write(tmp_path, a='section inventory\npath "it\'s here.yml"\nlook 70ms\nend\n'))
     again = write(tmp_path, a="\n".join(settings.lines(made)) + "\n")
     assert settings.parse(again) == made
     assert settings.parse(settings.located({})) == settings.load({})  # the repository's own is in order
@@ -95,8 +102,13 @@
 
 
 def tool(*words, **environ):
-    return subprocess.run([sys.executable, "-m", "lapispick", *words], capture_output=True, text=True,
-                          timeout=30, env={**os.environ, **environ})
+    return subprocess.run(
+        [sys.executable, "-m", "lapispick", *words],
+        capture_output=True,
+        text=True,
+        timeout=30,
+        env={**os.environ, **environ},
+    )
 
 
 def test_the_command_checks_and_shows(tmp_path):
@@ -120,8 +132,7 @@
     found = json.loads(made.stdout)
     assert [b["name"] for b in found] == ["a", "b"] and "geheim" not in made.stdout
     assert found[0]["spellings"] == ["A.", "a"]
-    assert "one box under several spellings: A., a" in tool(
-        "inventory", "check", "--path", str(one), *options).stdout
+    assert "one box under several spellings: A., a" in tool("inventory", "check", "--path", str(one), *options).stdout
     made = tool("inventory", "diff", str(one), str(two), *options)
     assert made.returncode == 1 and "joined   c" in made.stdout and "moved    b (b:2 -> b:3)" in made.stdout
     assert "queue r left" in made.stdout
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -57,8 +57,19 @@
 
 
 def request(tag, answers, cls=0, key=None, **over):
-    told = dict(tag=tag, handler="any", cls=cls, body="", born=1.0, due_at=0.0, held_kb=1.0, rank=0.5,
-                caller=1, key=key, reply=lambda answer: answers.append((tag, answer.kind)))
+    told = dict(
+        tag=tag,
+        handler="any",
+        cls=cls,
+        body="",
+        born=1.0,
+        due_at=0.0,
+        held_kb=1.0,
+        rank=0.5,
+        caller=1,
+        key=key,
+        reply=lambda answer: answers.append((tag, answer.kind)),
+    )
     return core.Request(**{**told, **over})
 
 
@@ -158,8 +169,12 @@
         loop.later(0.02, centre.post, core.RunOver(f"t{n}", api.Outcome.OK, 1.0, "r" * 100))
         loop.later(0.04, centre.post, core.Arrived(request(f"again{n}", answers, cls=1, key=n)))
     loop.run()
-    assert dict(answers) == {**{f"t{n}": core.SERVED for n in range(5)}, "again3": core.SERVED,
-                             "again4": core.SERVED, **{f"again{n}": core.FAILED for n in range(3)}}
+    assert dict(answers) == {
+        **{f"t{n}": core.SERVED for n in range(5)},
+        "again3": core.SERVED,
+        "again4": core.SERVED,
+        **{f"again{n}": core.FAILED for n in range(3)},
+    }
     assert centre.executor.runs == [f"t{n}" for n in range(5)] and centre.table.kept_bytes == 200
 
 
@@ -200,8 +215,11 @@
     answers, link = [], Link()
     centre.post(core.PeerUp(link, owns=True))
     centre.post(core.Arrived(request("a", answers, cls=1, key=("k",))))
-    for after, message in ((0.02, say.Claimed(("k",), 6000.0, digest("any", ""))), (0.03, say.Denied(1, ("k",))),
-                           (0.05, say.Over(("k",), "r"))):
+    for after, message in (
+        (0.02, say.Claimed(("k",), 6000.0, digest("any", ""))),
+        (0.03, say.Denied(1, ("k",))),
+        (0.05, say.Over(("k",), "r")),
+    ):
         loop.later(after, centre.post, core.PeerSaid(link, message))
     loop.run()
     assert answers == [("a", core.SERVED)] and not centre.executor.runs and not centre._tasks
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -196,10 +196,13 @@
         f"sys.path.remove({str(tmp_path)!r})\n"
         "del sys.modules['msgspec']\n"
         "import msgspec\n"
-        "sys.modules['msgspec'] = msgspec\n")
+        "sys.modules['msgspec'] = msgspec\n"
+    )
     run = tomllib.loads(Path("deploy/balancer.toml").read_text())["run"]
-    h = host(environ={"PYTHONPATH": str(tmp_path)},
-             command=["/bin/sh", "-c", run.replace(".venv/bin/python", sys.executable)])
+    h = host(
+        environ={"PYTHONPATH": str(tmp_path)},
+        command=["/bin/sh", "-c", run.replace(".venv/bin/python", sys.executable)],
+    )
     g = h.gateway()
     assert g.result(g.request("track", "alive")) == "did alive"
     h.reload()
@@ -236,16 +239,23 @@
     def in_system():
         with open("/proc/net/tcp") as file:
             rows = [line.split() for line in file.read().splitlines()[1:]]
-        ends = [[row[4].split(":")[side] for row in rows if int(row[2 - side].split(":")[1], 16) == mine]
-                for side in (0, 1)]  # what the program wrote and nobody took, and what the gateway has not read
+        ends = [
+            [row[4].split(":")[side] for row in rows if int(row[2 - side].split(":")[1], 16) == mine] for side in (0, 1)
+        ]  # what the program wrote and nobody took, and what the gateway has not read
         return sum(int(size, 16) for sizes in ends for size in sizes)
 
     waits = 0
     while waits < 60_000:  # of the 256 KB that are kept for a slow reader; a round of requests has 80,000
         for _ in range(30):
             g.request("track", "x" * 2000)
-        figures = until(lambda: (now := h.figures())["inflight"] == 0 and g.last == sum(
-            n for name, n in now.items() if name.endswith(".track")) and now, "the answers")
+        figures = until(
+            lambda: (
+                (now := h.figures())["inflight"] == 0
+                and g.last == sum(n for name, n in now.items() if name.endswith(".track"))
+                and now
+            ),
+            "the answers",
+        )
         waits = figures["success.track"] * ANSWER - in_system()
     return g
 
@@ -434,12 +444,21 @@
 
 
 FAULTY = [  # what an executor may say in a fault, and the line that ONCALL names for it, if it deserves one
-    (b"not JSON", "notice-malformed"), (b"[1]", "notice-malformed"), (b'{"verb":7}', "notice-malformed"),
-    (b'{"verb":"EXIT","index":"x"}', "notice-malformed"), (b'{"verb":"METERS","readings":["a"]}', "notice-malformed"),
-    (b'{"verb":"SING"}', "notice-unknown"), (b'{"verb":"BAD","outcome":"EXEC","task":"none"}', "command-refused"),
-    (b'{"verb":"EXIT","task":"none","outcome":"complete"}', ""), (b'{"verb":"CALLOUT","task":"none"}', ""),
-    (b'{"verb":"METERS","nonce":"tick","readings":[]}', ""), (b'{"verb":"DIAGNOSED","nonce":"none"}', ""),
-    (b'{"verb":"WELCOME","outcome":"chilly","spent":5}', "link-up"), (b"\xff\xfe", "notice-malformed"), (b"", "")]
+    (b"not JSON", "notice-malformed"),
+    (b"[1]", "notice-malformed"),
+    (b'{"verb":7}', "notice-malformed"),
+    (b'{"verb":"EXIT","index":"x"}', "notice-malformed"),
+    (b'{"verb":"METERS","readings":["a"]}', "notice-malformed"),
+    (b'{"verb":"SING"}', "notice-unknown"),
+    (b'{"verb":"BAD","outcome":"EXEC","task":"none"}', "command-refused"),
+    (b'{"verb":"EXIT","task":"none","outcome":"complete"}', ""),
+    (b'{"verb":"CALLOUT","task":"none"}', ""),
+    (b'{"verb":"METERS","nonce":"tick","readings":[]}', ""),
+    (b'{"verb":"DIAGNOSED","nonce":"none"}', ""),
+    (b'{"verb":"WELCOME","outcome":"chilly","spent":5}', "link-up"),
+    (b"\xff\xfe", "notice-malformed"),
+    (b"", ""),
+]
 
 
 def test_what_an_executor_says_in_a_fault_changes_nothing_else(host):
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -25,25 +25,47 @@
 def test_the_least_loss_goes_first_and_what_is_open_or_young_stays():
     now = 100.0
     kinds = {
-        "fault": NEW._replace(at_fault=True, served=True, used_at=99.0), "silent": NEW._replace(since=99.5),
-        "older silent": NEW._replace(since=98.0), "stalled": NEW._replace(since=99.0, begun_at=99.0, heard_at=99.1),
+        "fault": NEW._replace(at_fault=True, served=True, used_at=99.0),
+        "silent": NEW._replace(since=99.5),
+        "older silent": NEW._replace(since=98.0),
+        "stalled": NEW._replace(since=99.0, begun_at=99.0, heard_at=99.1),
         "longer stalled": NEW._replace(since=99.0, begun_at=99.0, heard_at=99.0),
-        "idle": NEW._replace(served=True, used_at=99.0), "begun": NEW._replace(begun_at=99.8, heard_at=99.8),
+        "idle": NEW._replace(served=True, used_at=99.0),
+        "begun": NEW._replace(begun_at=99.8, heard_at=99.8),
         "going on": NEW._replace(begun_at=98.0, heard_at=99.5, pieces=4),
         "gave up": NEW._replace(begun_at=98.0, heard_at=99.2, pieces=4),
         "just served": NEW._replace(served=True, used_at=99.8),
-        "young": NEW._replace(since=99.95), "open": NEW._replace(open=True, served=True),
-        "open and at fault": NEW._replace(open=True, at_fault=True)}
+        "young": NEW._replace(since=99.95),
+        "open": NEW._replace(open=True, served=True),
+        "open and at fault": NEW._replace(open=True, at_fault=True),
+    }
     mixed = list(kinds.items())
     random.Random(1).shuffle(mixed)
     assert [c for c, _ in room.order(mixed, now)] == [
-        "fault", "older silent", "silent", "longer stalled", "stalled", "gave up", "idle", "begun", "young",
-        "just served", "going on"]
-
-
-@pytest.mark.parametrize("standing,late", [
-    (NEW, True), (NEW._replace(served=True), False), (NEW._replace(served=True, begun_at=5.0), True),
-    (NEW._replace(since=9.0), False), (NEW._replace(served=True, begun_at=9.0), False)])
+        "fault",
+        "older silent",
+        "silent",
+        "longer stalled",
+        "stalled",
+        "gave up",
+        "idle",
+        "begun",
+        "young",
+        "just served",
+        "going on",
+    ]
+
+
+@pytest.mark.parametrize(
+    "standing,late",
+    [
+        (NEW, True),
+        (NEW._replace(served=True), False),
+        (NEW._replace(served=True, begun_at=5.0), True),
+        (NEW._replace(since=9.0), False),
+        (NEW._replace(served=True, begun_at=9.0), False),
+    ],
+)
 def test_a_message_has_its_time_from_connecting_or_from_its_first_byte(standing, late):
     assert room.overdue(standing, 5.0 + FIRST_S) is late
     assert 2.0 < FIRST_S < 3.0 - 0.5 and max(QUIET_S) < FIRST_S  # true requests take 2 s, bad clients are owed 3 s
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -203,7 +203,11 @@
 def test_settings_that_contradict_themselves_are_refused():
     good = make_settings()
     bad = [
-        {"classes": ()}, {"cores": 0}, {"memory_kb": 0}, {"callers": -1}, {"cold_from": 0},
+        {"classes": ()},
+        {"cores": 0},
+        {"memory_kb": 0},
+        {"callers": -1},
+        {"cold_from": 0},
         {"classes": (make_class(aim_ms=5000),)},
         {"classes": (make_class(effect=api.Effect.KEYED, window_ms=0),)},
     ]
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -23,9 +23,16 @@
     return Known(state, life, born, until, b"body", result if state is State.FINISHED else None)
 
 
-@pytest.mark.parametrize("state,wanted", [
-    (State.INTENDED, Verdict.JOIN), (State.STARTED, Verdict.JOIN), (State.FINISHED, Verdict.RESULT),
-    (State.FAILED, Verdict.FAIL), (State.DOUBT, Verdict.FAIL)])
+@pytest.mark.parametrize(
+    "state,wanted",
+    [
+        (State.INTENDED, Verdict.JOIN),
+        (State.STARTED, Verdict.JOIN),
+        (State.FINISHED, Verdict.RESULT),
+        (State.FAILED, Verdict.FAIL),
+        (State.DOUBT, Verdict.FAIL),
+    ],
+)
 def test_what_a_try_gets(state, wanted):
     one = known(state)
     assert keys.verdict(one, b"body", 5.0) is wanted
@@ -43,10 +50,15 @@
 
 
 def test_steps_out_of_order_are_faults_of_the_program():
-    for step in (lambda: keys.finish(known(State.INTENDED), b""), lambda: keys.fail(known(State.DOUBT)),
-                 lambda: keys.started(known(State.STARTED)), lambda: keys.withdraw(known(State.STARTED)),
-                 lambda: keys.intend(known(State.FAILED), 1, b"", 0.0, WINDOW, 5.0),
-                 lambda: keys.recover(known(State.STARTED, life=3), 3, 5.0), lambda: keys.resolve(known(), b"")):
+    for step in (
+        lambda: keys.finish(known(State.INTENDED), b""),
+        lambda: keys.fail(known(State.DOUBT)),
+        lambda: keys.started(known(State.STARTED)),
+        lambda: keys.withdraw(known(State.STARTED)),
+        lambda: keys.intend(known(State.FAILED), 1, b"", 0.0, WINDOW, 5.0),
+        lambda: keys.recover(known(State.STARTED, life=3), 3, 5.0),
+        lambda: keys.resolve(known(), b""),
+    ):
         with pytest.raises(Broken):
             step()
 
--- a/tests/test_files.py
+++ b/tests/test_files.py
@@ -14,20 +14,40 @@
 
 
 def test_a_folder_is_read_in_the_order_of_names_without_what_tools_leave_there(tmp_path):
-    for name in ("20.yml", "10.csv", "x.yml~", ".swp.yml", "notes.txt", "group_vars/all.yml",
-                 "group_vars/shops/1.yml", "host_vars/b.yaml", "other/deep.yml"):
+    for name in (
+        "20.yml",
+        "10.csv",
+        "x.yml~",
+        ".swp.yml",
+        "notes.txt",
+        "group_vars/all.yml",
+        "group_vars/shops/1.yml",
+        "host_vars/b.yaml",
+        "other/deep.yml",
+    ):
         (tmp_path / name).parent.mkdir(parents=True, exist_ok=True)
         (tmp_path / name).write_text(f"# {name}\n")
     found = files.read(tmp_path, MOST)
-    assert [f.name for f in found.files] == ["10.csv", "20.yml", "group_vars/all.yml", "group_vars/shops/1.yml",
-                                             "host_vars/b.yaml"]
+    assert [f.name for f in found.files] == [
+        "10.csv",
+        "20.yml",
+        "group_vars/all.yml",
+        "group_vars/shops/1.yml",
+        "host_vars/b.yaml",
+    ]
     assert files.read(tmp_path / "20.yml", MOST).files[0].name == "20.yml"
 
 
-@pytest.mark.parametrize("make,fault", [
-    (lambda p: None, "No such file"), (lambda p: os.mkfifo(p), "no regular file"),
-    (lambda p: p.symlink_to(p), "Too many levels"), (lambda p: p.write_bytes(b"x" * (MOST + 1)), "over 1048576"),
-    (lambda p: p.symlink_to("/dev/zero"), "no regular file")])
+@pytest.mark.parametrize(
+    "make,fault",
+    [
+        (lambda p: None, "No such file"),
+        (lambda p: os.mkfifo(p), "no regular file"),
+        (lambda p: p.symlink_to(p), "Too many levels"),
+        (lambda p: p.write_bytes(b"x" * (MOST + 1)), "over 1048576"),
+        (lambda p: p.symlink_to("/dev/zero"), "no regular file"),
+    ],
+)
 def test_what_cannot_be_read_is_a_fault_and_blocks_nothing(tmp_path, make, fault):
     path = tmp_path / "list.csv"
     make(path)
@@ -73,8 +93,10 @@
     one, two = (snapshot.of(boxes(csv_list({"a": n}), "f.csv")) for n in (1, 2))
     lastgood.keep(tmp_path, "source", one, 5.0, "")
     for step in ("fsync", "replace"):
+
         def fail(*_):
             raise OSError("no space")
+
         with monkeypatch.context() as patch:
             patch.setattr(os, step, fail)
             with pytest.raises(OSError, match="no space"):
--- a/tests/test_folding.py
+++ b/tests/test_folding.py
@@ -11,8 +11,10 @@
 from lapispick.trace.records import Block, pack
 from tests.conftest import make_class
 
-CLASSES = (("track", make_class(aim_ms=1000, worth=2, late_worth=0.5, skip_worth=0.25)),
-           ("book", make_class(effect=api.Effect.KEYED, worth=5, window_ms=5000)))
+CLASSES = (
+    ("track", make_class(aim_ms=1000, worth=2, late_worth=0.5, skip_worth=0.25)),
+    ("book", make_class(effect=api.Effect.KEYED, worth=5, window_ms=5000)),
+)
 ONE, TWO = [Source(CLASSES)], [Source(CLASSES), Source(CLASSES, 1000.0, 0.05, 2000.0)]
 
 
@@ -59,9 +61,17 @@
 
 
 def test_waits_runs_windows_and_those_that_went():
-    made = fold(asked(0, 1), Step(40, (), (api.Run(1),)), Step(90, (api.RunEnded(1, api.Outcome.OK, 50.0),)),
-                answered(90, 1), asked(10_100, 2), Step(10_200, (api.Gone(2),)), answered(10_250, 2),
-                asked(10_300, 3), Step(10_400, (), (), (Gap(7),)))
+    made = fold(
+        asked(0, 1),
+        Step(40, (), (api.Run(1),)),
+        Step(90, (api.RunEnded(1, api.Outcome.OK, 50.0),)),
+        answered(90, 1),
+        asked(10_100, 2),
+        Step(10_200, (api.Gone(2),)),
+        answered(10_250, 2),
+        asked(10_300, 3),
+        Step(10_400, (), (), (Gap(7),)),
+    )
     assert (made.waits["track"].count, made.waits["track"].p50, made.runs["track"].most) == (1, 40, 50)
     assert {k: v.requests for k, v in made.windows.items()} == {"0": 1, "10000": 2}
     assert made.whole.gone == 2 and made.gaps == 7 and made.worst == ["10000", "0"]
@@ -73,19 +83,30 @@
 
 
 def test_refusals_by_ground():
-    made = fold(asked(0, 1), Step(1, (), (api.Refuse(1, 5.0, True, "price"), api.Refuse(2, 5.0, True),
-                                          api.Refuse(3, 5.0, True, "price"))))
+    made = fold(
+        asked(0, 1),
+        Step(1, (), (api.Refuse(1, 5.0, True, "price"), api.Refuse(2, 5.0, True), api.Refuse(3, 5.0, True, "price"))),
+    )
     assert made.grounds == {"not told": 1, "price": 2}
 
 
 def test_a_write_that_two_boxes_saw_is_one_request_by_the_corrected_clock():
     # The second box's clock is a second ahead: what it says at 1,700 was at 715 or so, before its aim.
-    steps = (asked(100, 1, 1, subject=b"s"), answered(400, 1, "refused"), asked(1600, 7, 1, subject=b"s", box=1),
-             answered(1700, 7, box=1))
+    steps = (
+        asked(100, 1, 1, subject=b"s"),
+        answered(400, 1, "refused"),
+        asked(1600, 7, 1, subject=b"s", box=1),
+        answered(1700, 7, box=1),
+    )
     made = fold(*steps, sources=TWO)
     assert (made.whole.requests, made.whole.tries, made.whole.in_aim) == (1, 2, 1)
-    apart = fold(*(s._replace(notes=tuple(n._replace(subject=b"") if type(n) is Arrival else n for n in s.notes))
-                   for s in steps), sources=TWO)
+    apart = fold(
+        *(
+            s._replace(notes=tuple(n._replace(subject=b"") if type(n) is Arrival else n for n in s.notes))
+            for s in steps
+        ),
+        sources=TWO,
+    )
     assert (apart.whole.requests, apart.whole.refused) == (2, 1)
 
 
@@ -113,8 +134,9 @@
                 keyed = rng.random() < 0.5
                 events.append(request(last[box], int(keyed), known if rng.random() < 0.3 else 0, rng.uniform(0, 9)))
                 if rng.random() < 0.9:
-                    notes.append(Arrival(last[box], rng.choice(("", "a", "b")), bytes([rng.randrange(40)]) * keyed,
-                                         now))
+                    notes.append(
+                        Arrival(last[box], rng.choice(("", "a", "b")), bytes([rng.randrange(40)]) * keyed, now)
+                    )
             elif what == 3:
                 events.append(api.Gone(known))
             elif what == 4:
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -39,14 +39,17 @@
     def __init__(self, folder, brokers=2):
         self.folder, self.file = folder, folder / "shops.csv"
         self.brokers = {f"broker-{name}": Broker() for name in "abcdef"[:brokers]}
-        self.rows = {name: {"queue": "jobs", "prefetch": "32", "password": "", "host": b.at.split(":")[0]}
-                     for name, b in self.brokers.items()}
+        self.rows = {
+            name: {"queue": "jobs", "prefetch": "32", "password": "", "host": b.at.split(":")[0]}
+            for name, b in self.brokers.items()
+        }
         self.write()
 
     def text(self, order=None):
         def row(name):
             told, port = self.rows[name], self.brokers[name].at.split(":")[1]
             return f"{name},{told['host']},{port},{told['queue']},{told['prefetch']},shop,{told['password']}\n"
+
         return HEAD + "".join(row(n) for n in (order or self.rows))
 
     def write(self, text=None, order=None):
@@ -68,16 +71,28 @@
 
     def ask(self, name, body, cls="book", queue="jobs", **over):
         correlation = over.pop("correlation", body)
-        return self.brokers[name].put(queue, body, type=cls, correlation_id=correlation, reply_to="answers",
-                                      expiration="4000", **{"message_id": f"m-{correlation}", **over})
+        return self.brokers[name].put(
+            queue,
+            body,
+            type=cls,
+            correlation_id=correlation,
+            reply_to="answers",
+            expiration="4000",
+            **{"message_id": f"m-{correlation}", **over},
+        )
 
     def seen(self, event, count=1):
         until(lambda: self.host.log().count(f"event={event}") >= count, f"{count} log lines {event}")
 
     def tool(self, *words, code=0):
         """Run the command line as an operator would."""
-        made = subprocess.run([sys.executable, "-m", "lapispick", *words], capture_output=True, text=True,
-                              timeout=30, env={**os.environ, **self.environ})
+        made = subprocess.run(
+            [sys.executable, "-m", "lapispick", *words],
+            capture_output=True,
+            text=True,
+            timeout=30,
+            env={**os.environ, **self.environ},
+        )
         assert made.returncode == code, (made.stdout, made.stderr)
         return made.stdout
 
@@ -85,6 +100,7 @@
 def consumers(broker):
     """Return the tags that consume now, over all links of a broker."""
     from lapispick.standins.broker import LINKS
+
     return [c["tag"] for link in list(broker.links) for c in list(LINKS.get(link, {}).values()) if c.get("tag")]
 
 
@@ -212,14 +228,16 @@
     row = f.rows.pop("broker-a")
     f.write()
     f.consumed("broker-b")
-    f.brokers["broker-b"].put("jobs", "job", type="book", message_id="m-job", correlation_id="again",
-                              reply_to="answers", redelivered=True)
+    f.brokers["broker-b"].put(
+        "jobs", "job", type="book", message_id="m-job", correlation_id="again", reply_to="answers", redelivered=True
+    )
     assert until(lambda: f.brokers["broker-b"].reply("again"), "the reply")[:2] == ("served", "did job")
     f.rows["broker-a"] = row
     f.write()
     f.consumed(*f.brokers)
-    f.brokers["broker-a"].put("jobs", "job", type="book", message_id="m-job", correlation_id="third",
-                              reply_to="answers")
+    f.brokers["broker-a"].put(
+        "jobs", "job", type="book", message_id="m-job", correlation_id="third", reply_to="answers"
+    )
     assert until(lambda: f.brokers["broker-a"].reply("third"), "the reply")[:2] == ("served", "did job")
     assert len(f.host.executor.ran("job")) == 1
 
@@ -263,6 +281,7 @@
     names.write_text("127.0.0.1 shop-b.invalid other\n")
     f.consumed("broker-a", "broker-b")
     import socket
+
     moved = f.brokers["broker-c"]
     moved.close()
     moved.sock = socket.create_server(("127.0.0.2", int(f.brokers["broker-b"].at.split(":")[1])))
@@ -292,9 +311,15 @@
     f.consumed(*f.rows)
     told = json.loads(f.tool("inventory", "history", "--json"))
     assert [e["boxes"] for e in told["history"]] == [5, 3] and told["status"]["phase"] == "accepted"
-    assert "nothing is held back" in subprocess.run(
-        [sys.executable, "-m", "lapispick", "inventory", "accept"], capture_output=True, text=True,
-        env={**os.environ, **f.environ}).stderr
+    assert (
+        "nothing is held back"
+        in subprocess.run(
+            [sys.executable, "-m", "lapispick", "inventory", "accept"],
+            capture_output=True,
+            text=True,
+            env={**os.environ, **f.environ},
+        ).stderr
+    )
     assert not (f.folder / "state/accept").exists()
 
 
@@ -347,8 +372,11 @@
 
 def children(pid):
     """Return the numbers of a process's children that live."""
-    return [int(p) for p in Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
-            if Path(f"/proc/{p}/cmdline").exists() and b"helper" in Path(f"/proc/{p}/cmdline").read_bytes()]
+    return [
+        int(p)
+        for p in Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
+        if Path(f"/proc/{p}/cmdline").exists() and b"helper" in Path(f"/proc/{p}/cmdline").read_bytes()
+    ]
 
 
 def test_a_drain_goes_on_while_the_list_changes(fleet, host):
@@ -375,8 +403,10 @@
     assert "event=amqp-toml-old" in f.host.log()
 
 
-OFF = re.compile(r"lapispick\.(fleet|cli|standins|trace|conf\.legacy|host\.(amqp|inventory|names|recorder))"
-                 r"|immutables|idna|yaml|click|structlog|rich|google|zstandard|google_crc32c|difflib|subprocess|tomllib")
+OFF = re.compile(
+    r"lapispick\.(fleet|cli|standins|trace|conf\.legacy|host\.(amqp|inventory|names|recorder))"
+    r"|immutables|idna|yaml|click|structlog|rich|google|zstandard|google_crc32c|difflib|subprocess|tomllib"
+)
 
 
 def test_a_host_with_all_this_off_imports_nothing_of_it(host):
@@ -390,13 +420,30 @@
 
 def test_a_faulty_settings_file_ends_the_start_with_every_fault(tmp_path):
     from lapispick.standins.peers import INFO
+
     conf, config = tmp_path / "own.conf", tmp_path / "config.json"
     conf.write_text("section amqp\n  enable yes\n  drain 5x\nend\n")
-    config.write_text(json.dumps({"name": "n", "listen": "127.0.0.1:0", "executor": "127.0.0.1:1",
-                                  "roster": "127.0.0.1:1", "store": "127.0.0.1:1", "seed": "1", "stop_ms": 9,
-                                  "settings": INFO}))
-    made = subprocess.run([sys.executable, "-m", "lapispick.host"], capture_output=True, text=True, timeout=20,
-                          env={**os.environ, "LAPISPICK_CONF": str(conf), "LB_CONFIG": str(config)})
+    config.write_text(
+        json.dumps(
+            {
+                "name": "n",
+                "listen": "127.0.0.1:0",
+                "executor": "127.0.0.1:1",
+                "roster": "127.0.0.1:1",
+                "store": "127.0.0.1:1",
+                "seed": "1",
+                "stop_ms": 9,
+                "settings": INFO,
+            }
+        )
+    )
+    made = subprocess.run(
+        [sys.executable, "-m", "lapispick.host"],
+        capture_output=True,
+        text=True,
+        timeout=20,
+        env={**os.environ, "LAPISPICK_CONF": str(conf), "LB_CONFIG": str(config)},
+    )
     assert made.returncode == 2 and made.stderr.count("event=config-faulty") == 2
     assert "own.conf:2: enable: unknown in section amqp; did you mean enabled?" in made.stderr
     assert "own.conf:3: drain: '5x' is not a span such as 5s; units are ms, s, m, h, d" in made.stderr
@@ -404,8 +451,9 @@
 
 @pytest.mark.parametrize("options", [[], ["--load", "3", "--seconds", "1.5"]])
 def test_two_commands_of_the_readme_show_something(options):
-    made = subprocess.run([sys.executable, "-m", "lapispick", "demo", "--json", *options],
-                          capture_output=True, text=True, timeout=60)
+    made = subprocess.run(
+        [sys.executable, "-m", "lapispick", "demo", "--json", *options], capture_output=True, text=True, timeout=60
+    )
     found = json.loads(made.stdout)
     assert made.returncode == 0 and found["doubles"] == 0
     assert {r["front"] for r in found["outcomes"]} == {"amqp", "json-rpc"}
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -30,8 +30,10 @@
     assert g.answer(probe)["result"]["healthy"] is True and "advice" in g.answer(probe)["result"]
 
 
-@pytest.mark.parametrize("call,served", [
-    ("200", "reply 1"), ("503 n", "poorer"), ("500", "poorer"), ("break", "poorer"), ("409 n", "poorer")])
+@pytest.mark.parametrize(
+    "call,served",
+    [("200", "reply 1"), ("503 n", "poorer"), ("500", "poorer"), ("break", "poorer"), ("409 n", "poorer")],
+)
 def test_calls_go_to_the_store_and_back_or_are_left_out(host, call, served):
     h = host()
     g = h.gateway()
@@ -190,7 +192,7 @@
     flood, sent = b'{"jsonrpc":"2.0","id":1,"method":"probe"}\n' * 2000, 0
     while "event=slow-reader-dropped" not in h.log():
         try:
-            sent += slow.sock.send(flood[sent % len(flood):])
+            sent += slow.sock.send(flood[sent % len(flood) :])
         except BlockingIOError:
             began = time.monotonic()
             assert g.result(g.request("track", "between")) == "did between"
@@ -300,17 +302,31 @@
     assert h.process.wait(5) == 0 and time.monotonic() - began < 3
 
 
-@pytest.mark.parametrize("change,key", [
-    ({"listen": "nowhere"}, "listen"), ({"store": "store:9042"}, "store"),
-    ({"seed": "xyz"}, "seed"), ({"stop_ms": "soon"}, "stop_ms"),
-    ({"limits": {"sockets": 3}}, "limits.sockets"), 
-    ({"settings": {**INFO, "Services": []}}, "settings.Services"),
-    ({"settings": {k: v for k, v in INFO.items() if k != "Layer"}}, "settings.Layer")])
+@pytest.mark.parametrize(
+    "change,key",
+    [
+        ({"listen": "nowhere"}, "listen"),
+        ({"store": "store:9042"}, "store"),
+        ({"seed": "xyz"}, "seed"),
+        ({"stop_ms": "soon"}, "stop_ms"),
+        ({"limits": {"sockets": 3}}, "limits.sockets"),
+        ({"settings": {**INFO, "Services": []}}, "settings.Services"),
+        ({"settings": {k: v for k, v in INFO.items() if k != "Layer"}}, "settings.Layer"),
+    ],
+)
 def test_a_faulty_configuration_names_its_key(change, key):
     from lapispick.host import config
 
-    base = {"name": "n3", "listen": "127.0.0.1:1", "executor": "127.0.0.1:2", "roster": "127.0.0.1:3",
-            "store": "127.0.0.1:4", "seed": "8c", "stop_ms": 3200, "settings": INFO}
+    base = {
+        "name": "n3",
+        "listen": "127.0.0.1:1",
+        "executor": "127.0.0.1:2",
+        "roster": "127.0.0.1:3",
+        "store": "127.0.0.1:4",
+        "seed": "8c",
+        "stop_ms": 3200,
+        "settings": INFO,
+    }
     assert config.parse(json.dumps(base).encode()).limits.sockets == 1024
     with pytest.raises(config.ConfigError, match=f"^{key}"):
         config.parse(json.dumps({**base, **change}).encode())
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -10,18 +10,38 @@
 HEAD = "host,group,amqp_host,amqp_port,amqp_queue,amqp_user\n"
 
 
-@pytest.mark.parametrize("text,same", [
-    ("DISP-07.Pipera.example.org.", "disp-07.pipera.example.org"), ("disp-07", "disp-07.pipera.example.org"),
-    ("Bücher.example", "xn--bcher-kva.example"), ("b\u00fccher\u3002example", "xn--bcher-kva.example"),
-    ("::ffff:10.0.0.1", "10.0.0.1"), ("0:0::1", "::1"), ("[::1]", "::1"), ("a_b.example.", "a_b.example")])
+@pytest.mark.parametrize(
+    "text,same",
+    [
+        ("DISP-07.Pipera.example.org.", "disp-07.pipera.example.org"),
+        ("disp-07", "disp-07.pipera.example.org"),
+        ("Bücher.example", "xn--bcher-kva.example"),
+        ("b\u00fccher\u3002example", "xn--bcher-kva.example"),
+        ("::ffff:10.0.0.1", "10.0.0.1"),
+        ("0:0::1", "::1"),
+        ("[::1]", "::1"),
+        ("a_b.example.", "a_b.example"),
+    ],
+)
 def test_spellings_have_one_form(text, same):
     assert identity.name(text, "pipera.example.org") == same
     assert identity.name(same, "pipera.example.org") == same
 
 
-@pytest.mark.parametrize("text,what", [
-    ("", "empty"), (".", "empty"), ("a..b", "Empty"), ("-a", "hyphen"), ("1.2.3", "broken address"),
-    ("fe80::1%eth0", "zone"), ("a b", "U\\+0020"), ("x" * 64, "long"), ("a." * 127 + "toolong", "253")])
+@pytest.mark.parametrize(
+    "text,what",
+    [
+        ("", "empty"),
+        (".", "empty"),
+        ("a..b", "Empty"),
+        ("-a", "hyphen"),
+        ("1.2.3", "broken address"),
+        ("fe80::1%eth0", "zone"),
+        ("a b", "U\\+0020"),
+        ("x" * 64, "long"),
+        ("a." * 127 + "toolong", "253"),
+    ],
+)
 def test_what_is_no_name_says_why(text, what):
     with pytest.raises(identity.NameFault, match=what):
         identity.name(text)
@@ -36,47 +56,77 @@
     assert identity.name(once, "x.example") == once
 
 
-@pytest.mark.parametrize("text,host,port", [
-    ("b.example:5672", "b.example", 5672), ("[::1]:5671", "::1", 5671), ("::1", "::1", None),
-    ("10.0.0.1:5", "10.0.0.1", 5), ("b.example", "b.example", None)])
+@pytest.mark.parametrize(
+    "text,host,port",
+    [
+        ("b.example:5672", "b.example", 5672),
+        ("[::1]:5671", "::1", 5671),
+        ("::1", "::1", None),
+        ("10.0.0.1:5", "10.0.0.1", 5),
+        ("b.example", "b.example", None),
+    ],
+)
 def test_ports_behind_names(text, host, port):
     assert identity.endpoint(text) == (host, port)
     with pytest.raises(identity.NameFault, match="port from 1"):
         identity.endpoint("b:0")
 
 
-@pytest.mark.parametrize("text,names", [
-    ("disp-[08:11].x", ["disp-08.x", "disp-09.x", "disp-10.x", "disp-11.x"]),
-    ("d[0:6:3]", ["d0", "d3", "d6"]), ("b-[a:c]", ["b-a", "b-b", "b-c"]),
-    ("r[1:2]-[x:y]", ["r1-x", "r1-y", "r2-x", "r2-y"]), ("[::1]", ["[::1]"]), ("plain", ["plain"])])
+@pytest.mark.parametrize(
+    "text,names",
+    [
+        ("disp-[08:11].x", ["disp-08.x", "disp-09.x", "disp-10.x", "disp-11.x"]),
+        ("d[0:6:3]", ["d0", "d3", "d6"]),
+        ("b-[a:c]", ["b-a", "b-b", "b-c"]),
+        ("r[1:2]-[x:y]", ["r1-x", "r1-y", "r2-x", "r2-y"]),
+        ("[::1]", ["[::1]"]),
+        ("plain", ["plain"]),
+    ],
+)
 def test_ranges_are_written_out(text, names):
     assert ranges.expand(text, 100) == names
 
 
-@pytest.mark.parametrize("text,what", [
-    ("d[3:1]", "upwards"), ("d[01:100]", "widths"), ("d[c:A]", "one case"), ("d[1:5:0]", "step"),
-    ("d[1:200]", "more than 100"), ("d[1:x]", "no range"), ("d[1:9]-[1:99]", "more than 100"),
-    ("d[0:99999999999]", "too long")])
+@pytest.mark.parametrize(
+    "text,what",
+    [
+        ("d[3:1]", "upwards"),
+        ("d[01:100]", "widths"),
+        ("d[c:A]", "one case"),
+        ("d[1:5:0]", "step"),
+        ("d[1:200]", "more than 100"),
+        ("d[1:x]", "no range"),
+        ("d[1:9]-[1:99]", "more than 100"),
+        ("d[0:99999999999]", "too long"),
+    ],
+)
 def test_ranges_that_cannot_be_written_out(text, what):
     with pytest.raises(ranges.RangeFault, match=what):
         ranges.expand(text, 100)
 
 
 def test_one_box_under_many_spellings_is_one_box():
-    text = HEAD + ("disp-07,shops,,,q1,\nDISP-07.pipera.example.org.,shops,,5672,q2,\n"
-                   "disp-07.pipera.example.org:5672,shops,::ffff:10.0.0.7,,q3,\n10.0.0.7,shops,,,q4,\n")
+    text = HEAD + (
+        "disp-07,shops,,,q1,\nDISP-07.pipera.example.org.,shops,,5672,q2,\n"
+        "disp-07.pipera.example.org:5672,shops,::ffff:10.0.0.7,,q3,\n10.0.0.7,shops,,,q4,\n"
+    )
     (box,) = boxes(text, "f.csv", domain="pipera.example.org").values()
     assert (box.name, box.host, box.port) == ("disp-07.pipera.example.org", "10.0.0.7", 5672)
     assert [q["amqp_queue"] for q in box.items] == ["q1", "q2", "q3", "q4"] and len(box.spellings) == 4
 
 
-@pytest.mark.parametrize("row,fault", [
-    ("B1.,shops,,5673,q2,", r"f\.csv:3:1: amqp_port: b1 has port 5673 here, but 5672 at f\.csv:2:1"),
-    ("b1,shops,10.0.0.2,,q2,", r"f\.csv:3:1: host: b1 is at 10\.0\.0\.2 here, but at 10\.0\.0\.1 at f\.csv:2"),
-    ("b2,shops,10.0.0.1,,q2,other", r"f\.csv:3:6: amqp_user: b1 has 'other' here, but 'me' at f\.csv:2:6"),
-    ("b1,shops,10.0.0.1,,q1,me", r"f\.csv:3:5: amqp_queue: 'q1' stands twice, first at f\.csv:2:5")])
+@pytest.mark.parametrize(
+    "row,fault",
+    [
+        ("B1.,shops,,5673,q2,", r"f\.csv:3:1: amqp_port: b1 has port 5673 here, but 5672 at f\.csv:2:1"),
+        ("b1,shops,10.0.0.2,,q2,", r"f\.csv:3:1: host: b1 is at 10\.0\.0\.2 here, but at 10\.0\.0\.1 at f\.csv:2"),
+        ("b2,shops,10.0.0.1,,q2,other", r"f\.csv:3:6: amqp_user: b1 has 'other' here, but 'me' at f\.csv:2:6"),
+        ("b1,shops,10.0.0.1,,q1,me", r"f\.csv:3:5: amqp_queue: 'q1' stands twice, first at f\.csv:2:5"),
+    ],
+)
 def test_spellings_that_contradict_each_other_name_both_places(row, fault):
     import re
+
     found = faults(HEAD + "b1,shops,10.0.0.1,,q1,me\n" + row + "\n", "f.csv")
     assert any(re.search(fault, f) for f in found), found
 
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -12,11 +12,37 @@
 
 from lapispick.standins.fleet import ROOT
 
-OFF = ("lapispick.trace", "lapispick.host.recorder", "lapispick.fleet", "lapispick.host.amqp",
-       "lapispick.host.inventory", "lapispick.durable", "lapispick.members", "lapispick.host.members",
-       "lapispick.shares", "lapispick.model", "lapispick.disk", "lapispick.rollout", "lapispick.agent",
-       "lapispick.versions", "lapispick.cli", "lapispick.standins", "numpy", "matplotlib", "_hashlib", "google",
-       "zstandard", "yaml", "sqlite3", "click", "rich", "structlog", "hdrh", "immutables", "idna")
+OFF = (
+    "lapispick.trace",
+    "lapispick.host.recorder",
+    "lapispick.fleet",
+    "lapispick.host.amqp",
+    "lapispick.host.inventory",
+    "lapispick.durable",
+    "lapispick.members",
+    "lapispick.host.members",
+    "lapispick.shares",
+    "lapispick.model",
+    "lapispick.disk",
+    "lapispick.rollout",
+    "lapispick.agent",
+    "lapispick.versions",
+    "lapispick.cli",
+    "lapispick.standins",
+    "numpy",
+    "matplotlib",
+    "_hashlib",
+    "google",
+    "zstandard",
+    "yaml",
+    "sqlite3",
+    "click",
+    "rich",
+    "structlog",
+    "hdrh",
+    "immutables",
+    "idna",
+)
 
 
 def imported(h):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -10,10 +10,16 @@
 TEST = "tests/test_known_red.py::test_a_line_passes_over_its_test"
 
 
-@pytest.mark.parametrize("text,told", [
-    (f"{TEST} | a cause | 27\n", None), ("", None), (f"{TEST} | a cause\n", "not 'test | cause | issue'"),
-    ("tests/test_known_red.py::test_nothing | a cause | 27\n", "no such test"),
-    (f"{TEST} | a cause | 27\n" * 4, "4 lines")])
+@pytest.mark.parametrize(
+    "text,told",
+    [
+        (f"{TEST} | a cause | 27\n", None),
+        ("", None),
+        (f"{TEST} | a cause\n", "not 'test | cause | issue'"),
+        ("tests/test_known_red.py::test_nothing | a cause | 27\n", "no such test"),
+        (f"{TEST} | a cause | 27\n" * 4, "4 lines"),
+    ],
+)
 def test_a_line_passes_over_its_test(tmp_path, text, told):
     root = Path(__file__).parent.parent
     (tmp_path / ".ci").mkdir()
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -23,8 +23,14 @@
 LONG = {"one_holder": 24, "lists_change": 6, "no_false_death": 4, "converge": 4, "bounded": 1, "one_owner": 4}
 
 
-@pytest.mark.parametrize("name,seeds", [(name, range(at, min(at + 4, LONG.get(name, 3))))
-                                        for name in properties.ALL for at in range(0, LONG.get(name, 3), 4)])
+@pytest.mark.parametrize(
+    "name,seeds",
+    [
+        (name, range(at, min(at + 4, LONG.get(name, 3))))
+        for name in properties.ALL
+        for at in range(0, LONG.get(name, 3), 4)
+    ],
+)
 def test_what_must_hold_does(name, seeds):
     assert properties.check([name], seeds) == []
 
@@ -32,8 +38,13 @@
 def test_a_run_of_the_model_is_the_same_again_word_by_word():
     found = []
     for _ in range(2):
-        world = World(7, 20, members([f"disp-{n:04}" for n in range(1, 21)]),
-                      script.parse("5s kill 20% for 20s\n8s part disp-0001,disp-0002 for 10s"), loss=0.1)
+        world = World(
+            7,
+            20,
+            members([f"disp-{n:04}" for n in range(1, 21)]),
+            script.parse("5s kill 20% for 20s\n8s part disp-0001,disp-0002 for 10s"),
+            loss=0.1,
+        )
         world.run(40.0)
         found.append((world.sent, world.bytes, [(at, by, change) for at, by, change in world.changes]))
     assert found[0] == found[1] and found[0][2]
@@ -60,10 +71,16 @@
     assert not new.merge(3.0, words.Whole("other", "m0", 1, 0))
 
 
-@pytest.mark.parametrize("text,what", [
-    ("10s fly all", "line 1: fly is none of"), ("x stop all", "line 1: 'x' is not a span"),
-    ("1s loss all for 2s", "takes one value"), ("\n1s stop 5% for 1s 3", "line 2: stop takes no value"),
-    ("1s", "line 1")])
+@pytest.mark.parametrize(
+    "text,what",
+    [
+        ("10s fly all", "line 1: fly is none of"),
+        ("x stop all", "line 1: 'x' is not a span"),
+        ("1s loss all for 2s", "takes one value"),
+        ("\n1s stop 5% for 1s 3", "line 2: stop takes no value"),
+        ("1s", "line 1"),
+    ],
+)
 def test_a_faulty_script_names_its_line(text, what):
     with pytest.raises(ValueError, match=what):
         script.parse(text)
@@ -72,8 +89,10 @@
 def test_the_models_commands(tmp_path):
     (tmp_path / "s").write_text("5s kill 20% for 100s\n")
     runner, rows = CliRunner(), tmp_path / "rows.json"
-    done = runner.invoke(cli, ["model", "run", "--size", "10", "--seconds", "40", "--want", "3", "--json", "--script",
-                               str(tmp_path / "s")])
+    done = runner.invoke(
+        cli,
+        ["model", "run", "--size", "10", "--seconds", "40", "--want", "3", "--json", "--script", str(tmp_path / "s")],
+    )
     found = json.loads(done.output)
     assert (found["killed"], found["noticed"], found["false_deaths"], found["overlaps"]) == (2, 2, 0, 0)
     assert found["turns"] > 5
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -188,8 +188,16 @@
 
 
 def test_the_address_is_read_from_file_and_environment_and_checked(tmp_path):
-    base = {"name": "n3", "listen": "127.0.0.1:1", "executor": "127.0.0.1:2", "roster": "127.0.0.1:3",
-            "store": "127.0.0.1:4", "seed": "8c", "stop_ms": 3200, "settings": INFO}
+    base = {
+        "name": "n3",
+        "listen": "127.0.0.1:1",
+        "executor": "127.0.0.1:2",
+        "roster": "127.0.0.1:3",
+        "store": "127.0.0.1:4",
+        "seed": "8c",
+        "stop_ms": 3200,
+        "settings": INFO,
+    }
     path = tmp_path / "config.json"
     path.write_text(json.dumps(base))
     told = {"LB_CONFIG": str(path)}
--- a/tests/test_pause.py
+++ b/tests/test_pause.py
@@ -78,6 +78,7 @@
 @pytest.fixture
 def crowd(host):
     """Return a host whose runs have all come back from their calls at once, and the requests; ``cls`` of each."""
+
     def made(cls=TRACK, ends=False, stop_ms=6000, **over):
         h = host(executor=Pausing(), store=Gated(), info=settings(), stop_ms=stop_ms)
         h.executor.ends = ends
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -74,10 +74,16 @@
     assert p.step(2.0) == [Open(3, "a", 2)]
 
 
-moves = st.lists(st.one_of(
-    st.dictionaries(st.sampled_from("abcdefgh"), st.integers(1, 2)),
-    st.tuples(st.just("open"), st.integers(0, 9)), st.tuples(st.just("end"), st.integers(0, 9)),
-    st.tuples(st.just("lose"), st.integers(0, 9)), st.tuples(st.just("wait"), st.integers(0, 20))), max_size=40)
+moves = st.lists(
+    st.one_of(
+        st.dictionaries(st.sampled_from("abcdefgh"), st.integers(1, 2)),
+        st.tuples(st.just("open"), st.integers(0, 9)),
+        st.tuples(st.just("end"), st.integers(0, 9)),
+        st.tuples(st.just("lose"), st.integers(0, 9)),
+        st.tuples(st.just("wait"), st.integers(0, 20)),
+    ),
+    max_size=40,
+)
 
 
 @given(moves, st.integers(1, 3), st.integers(2, 6))
--- a/tests/test_prices.py
+++ b/tests/test_prices.py
@@ -46,9 +46,11 @@
     needs_cost = sum(w * c for w, _, _, c in kinds)
     if needs_hold <= hold_budget and needs_cost <= cost_budget:
         assert all(v >= ph * h + pc * c - 1e-6 for _, v, h, c in kinds)
+
     # No other pair of prices may give a lower dual value.
     def dual(a, b):
         return a * hold_budget + b * cost_budget + sum(w * max(0, v - a * h - b * c) for w, v, h, c in kinds)
+
     for a, b in [(0, 0), (ph * 1.1 + 0.01, pc), (ph, pc * 1.1 + 0.01), (ph * 0.9, pc), (ph, pc * 0.9)]:
         assert dual(ph, pc) <= dual(a, b) * (1 + 1e-6) + 1e-6
 
@@ -92,4 +94,5 @@
 
 def type_end(q):
     from lapispick.interface import Outcome, RunEnded
+
     return RunEnded(q.id, Outcome.OK, 20)
