--- a/tests/test_reading.py
+++ b/tests/test_reading.py
@@ -37,29 +37,48 @@
     assert set(found) == {"b1", "b2"}
     one, two = found["b1"], found["b2"]
     assert (one.host, one.port, one.vars["amqp_user"], one.vars["amqp_password"]) == (
-        "127.0.0.1", 5672, "shop", "secret")
+        "127.0.0.1",
+        5672,
+        "shop",
+        "secret",
+    )
     assert [(q["amqp_queue"], q["amqp_prefetch"], q["amqp_class"]) for q in one.items] == [
-        ("books", 9, "book"), ("jobs", 5, "")]
+        ("books", 9, "book"),
+        ("jobs", 5, ""),
+    ]
     assert (two.host, two.port, two.vars["amqp_user"]) == ("127.0.0.2", 5673, "other")
 
 
 def test_several_files_and_folders_of_variables_are_merged_in_their_order():
-    found = boxes({
-        "10-base.yml": "shops: {hosts: {'b[1:2]': {amqp_queue: q}}, vars: {amqp_user: base, amqp_port: 1}}\n",
-        "20-site.yml": "shops: {vars: {amqp_user: site}}\n",
-        "30-more.csv": "host;group;amqp_queue\nb3;shops;\"a\nb\"\n",
-        "group_vars/all.yml": "amqp_prefetch: 7\namqp_user: everyone\n",
-        "group_vars/shops/x.yml": "amqp_vhost: /shops\n",
-        "host_vars/B2.yml": "amqp_port: 9\n"})
+    found = boxes(
+        {
+            "10-base.yml": "shops: {hosts: {'b[1:2]': {amqp_queue: q}}, vars: {amqp_user: base, amqp_port: 1}}\n",
+            "20-site.yml": "shops: {vars: {amqp_user: site}}\n",
+            "30-more.csv": 'host;group;amqp_queue\nb3;shops;"a\nb"\n',
+            "group_vars/all.yml": "amqp_prefetch: 7\namqp_user: everyone\n",
+            "group_vars/shops/x.yml": "amqp_vhost: /shops\n",
+            "host_vars/B2.yml": "amqp_port: 9\n",
+        }
+    )
     assert {n: (b.port, b.vars["amqp_user"], b.vars["amqp_vhost"]) for n, b in found.items()} == {
-        "b1": (1, "site", "/shops"), "b2": (9, "site", "/shops"), "b3": (1, "site", "/shops")}
+        "b1": (1, "site", "/shops"),
+        "b2": (9, "site", "/shops"),
+        "b3": (1, "site", "/shops"),
+    }
     assert found["b3"].items[0]["amqp_queue"] == "a\nb" and found["b3"].items[0]["amqp_prefetch"] == 7
 
 
-@pytest.mark.parametrize("data", [
-    csv_list({"a": 1}).encode("utf-8-sig"), csv_list({"a": 1}).encode("utf-16"),
-    csv_list({"a": 1}).replace("\n", "\r\n").encode(), csv_list({"a": 1}).replace(",", ";").encode(),
-    csv_list({"a": 1}).replace(",", "\t").encode(), b"# made by a tool\n\n" + csv_list({"a": 1}).encode()])
+@pytest.mark.parametrize(
+    "data",
+    [
+        csv_list({"a": 1}).encode("utf-8-sig"),
+        csv_list({"a": 1}).encode("utf-16"),
+        csv_list({"a": 1}).replace("\n", "\r\n").encode(),
+        csv_list({"a": 1}).replace(",", ";").encode(),
+        csv_list({"a": 1}).replace(",", "\t").encode(),
+        b"# made by a tool\n\n" + csv_list({"a": 1}).encode(),
+    ],
+)
 def test_csv_in_its_dialects(data):
     assert boxes(data, "f.csv")["a"].port == 1
 
@@ -67,45 +86,59 @@
 H = "host,amqp_queue,amqp_port\n"
 
 
-@pytest.mark.parametrize("name,text,where", [
-    ("i.csv", H + "b,q,x\n", r"i\.csv:2:3: amqp_port: 'x' is not a whole number from 1 to 65535"),
-    ("i.csv", H + "b,q,1\nc,,2\n", r"i\.csv:3:1: amqp_queue: is not told"),
-    ("i.csv", "host,amqp_host,amqp_queue\nb,no host,q\n", r"i\.csv:2:2: amqp_host: 'no host' is no host name"),
-    ("i.csv", H + ",q,1\n", r"i\.csv:2: host: is empty"),
-    ("i.csv", H + "b,q\n", r"i\.csv:2: amqp_port: 2 cells under 3 columns"),
-    ("i.csv", "name,x\n", r"i\.csv:1: host: the header has no such column, only name, x"),
-    ("i.csv", "host,host\n", r"i\.csv:1:2: host: the header has this column twice, first as column 1"),
-    ("i.csv", 'host,amqp_queue\n"b,q\n', r"i\.csv:1: can't be read as CSV behind this line: unexpected end"),
-    ("i.csv", "", r"i\.csv:1: host: there is no header"),
-    ("i.csv", H, r"inventory: shops: no box is in this group; the list is empty|there is no such group"),
-    ("i.csv", H + "b,q,1\nc\0,q,1\n", r"i\.csv:3: a NUL byte"),
-    ("i.csv", H + "d-[1:x],q,1\n", r"i\.csv:2:1: host: \[1:x\] is no range"),
-    ("i.csv", "host,amqp_queue,amqp_prefech\nb,q,3\n",
-     r"i\.csv:2:3: amqp_prefech: unknown variable; did you mean amqp_prefetch\?"),
-    ("i.csv", "host,amqp_queue,amqp_class\nb,q,bok\n",
-     r"i\.csv:2:3: amqp_class: 'bok' is none of track, book; did you mean book\?"),
-    ("i.csv", b"host,amqp_queue\nb,\xff\n", r"i\.csv:2: is no UTF-8 at byte 18"),
-    ("i.yml", YAML.replace("5673", "0"), r"i\.yml:14:\d+: amqp_port: 0 is not a whole number"),
-    ("i.yml", YAML.replace("amqp_prefetch: 9", "amqp_prefetch: true"), r"i\.yml:13:\d+: amqp_prefetch: True is"),
-    ("i.yml", YAML.replace("amqp_class: book", "amqp_clas: book"), r"i\.yml:13:\d+: amqp_clas: unknown here"),
-    ("i.yml", YAML.replace("SHOP_WORD", "NO_WORD"), r"i\.yml:5:\d+: amqp_password_env: NO_WORD is not set"),
-    ("i.yml", YAML.replace("    elsewhere", "    shops"), r"i\.yml:15:5: shops: .*twice, first at i\.yml:4:5"),
-    ("i.yml", YAML.replace("hosts: {b3", "host: {b3"), r"i\.yml:16:7: host: a group has only hosts, vars"),
-    ("i.yml", YAML.replace("    shops", "    shop"), r"shops: there is no such group; there are all, elsewhere"),
-    ("i.yml", "all: [\n", r"i\.yml:2:1: can't be read as YAML"),
-    ("i.yml", "all: 3\n", r"i\.yml:1:1: all: must be a mapping"),
-    ("i.yml", "- a\n", r"i\.yml:1: the whole must be a mapping"),
-    ("i.yml", "? [a]\n: b\n", r"i\.yml:1:3: a key must be a plain text"),
-    ("i.yml", "shops: &a {children: {b: *a}}\n", r"i\.yml:1:8: an alias within its own anchor"),
-    ("i.yml", "shops: {hosts: {a: {amqp_queue: !vault x}}}\n", r"amqp_queue: has the tag !vault"),
-    ("i.yml", "shops: {children: {a: {children: {shops: {}}}}}\n",
-     r"groups hold each other: a -> shops -> a"),
-    ("i.yml", "shops: " + "{children: {a: " * 40 + "{}" + "}}" * 40 + "\n", r"nested more than"),
-    ("i.yml", "a0: &a0 [x,x]\n" + "".join(f"a{n}: &a{n} [{','.join([f'*a{n - 1}'] * 9)}]\n"
-                                           for n in range(1, 12)), r"stands for more than 2000000 values"),
-    ("i.yml", "shops: {hosts: {a: {amqp_queue: q}}, children: {x: {hosts: {a: {amqp_queue: r}}}}}\n",
-     r"amqp_queue: a has another value at i\.yml:1"),
-])
+@pytest.mark.parametrize(
+    "name,text,where",
+    [
+        ("i.csv", H + "b,q,x\n", r"i\.csv:2:3: amqp_port: 'x' is not a whole number from 1 to 65535"),
+        ("i.csv", H + "b,q,1\nc,,2\n", r"i\.csv:3:1: amqp_queue: is not told"),
+        ("i.csv", "host,amqp_host,amqp_queue\nb,no host,q\n", r"i\.csv:2:2: amqp_host: 'no host' is no host name"),
+        ("i.csv", H + ",q,1\n", r"i\.csv:2: host: is empty"),
+        ("i.csv", H + "b,q\n", r"i\.csv:2: amqp_port: 2 cells under 3 columns"),
+        ("i.csv", "name,x\n", r"i\.csv:1: host: the header has no such column, only name, x"),
+        ("i.csv", "host,host\n", r"i\.csv:1:2: host: the header has this column twice, first as column 1"),
+        ("i.csv", 'host,amqp_queue\n"b,q\n', r"i\.csv:1: can't be read as CSV behind this line: unexpected end"),
+        ("i.csv", "", r"i\.csv:1: host: there is no header"),
+        ("i.csv", H, r"inventory: shops: no box is in this group; the list is empty|there is no such group"),
+        ("i.csv", H + "b,q,1\nc\0,q,1\n", r"i\.csv:3: a NUL byte"),
+        ("i.csv", H + "d-[1:x],q,1\n", r"i\.csv:2:1: host: \[1:x\] is no range"),
+        (
+            "i.csv",
+            "host,amqp_queue,amqp_prefech\nb,q,3\n",
+            r"i\.csv:2:3: amqp_prefech: unknown variable; did you mean amqp_prefetch\?",
+        ),
+        (
+            "i.csv",
+            "host,amqp_queue,amqp_class\nb,q,bok\n",
+            r"i\.csv:2:3: amqp_class: 'bok' is none of track, book; did you mean book\?",
+        ),
+        ("i.csv", b"host,amqp_queue\nb,\xff\n", r"i\.csv:2: is no UTF-8 at byte 18"),
+        ("i.yml", YAML.replace("5673", "0"), r"i\.yml:14:\d+: amqp_port: 0 is not a whole number"),
+        ("i.yml", YAML.replace("amqp_prefetch: 9", "amqp_prefetch: true"), r"i\.yml:13:\d+: amqp_prefetch: True is"),
+        ("i.yml", YAML.replace("amqp_class: book", "amqp_clas: book"), r"i\.yml:13:\d+: amqp_clas: unknown here"),
+        ("i.yml", YAML.replace("SHOP_WORD", "NO_WORD"), r"i\.yml:5:\d+: amqp_password_env: NO_WORD is not set"),
+        ("i.yml", YAML.replace("    elsewhere", "    shops"), r"i\.yml:15:5: shops: .*twice, first at i\.yml:4:5"),
+        ("i.yml", YAML.replace("hosts: {b3", "host: {b3"), r"i\.yml:16:7: host: a group has only hosts, vars"),
+        ("i.yml", YAML.replace("    shops", "    shop"), r"shops: there is no such group; there are all, elsewhere"),
+        ("i.yml", "all: [\n", r"i\.yml:2:1: can't be read as YAML"),
+        ("i.yml", "all: 3\n", r"i\.yml:1:1: all: must be a mapping"),
+        ("i.yml", "- a\n", r"i\.yml:1: the whole must be a mapping"),
+        ("i.yml", "? [a]\n: b\n", r"i\.yml:1:3: a key must be a plain text"),
+        ("i.yml", "shops: &a {children: {b: *a}}\n", r"i\.yml:1:8: an alias within its own anchor"),
+        ("i.yml", "shops: {hosts: {a: {amqp_queue: !vault x}}}\n", r"amqp_queue: has the tag !vault"),
+        ("i.yml", "shops: {children: {a: {children: {shops: {}}}}}\n", r"groups hold each other: a -> shops -> a"),
+        ("i.yml", "shops: " + "{children: {a: " * 40 + "{}" + "}}" * 40 + "\n", r"nested more than"),
+        (
+            "i.yml",
+            "a0: &a0 [x,x]\n" + "".join(f"a{n}: &a{n} [{','.join([f'*a{n - 1}'] * 9)}]\n" for n in range(1, 12)),
+            r"stands for more than 2000000 values",
+        ),
+        (
+            "i.yml",
+            "shops: {hosts: {a: {amqp_queue: q}}, children: {x: {hosts: {a: {amqp_queue: r}}}}}\n",
+            r"amqp_queue: a has another value at i\.yml:1",
+        ),
+    ],
+)
 def test_faults_name_file_line_key_value_and_what_is_wanted(name, text, where):
     found = faults(text, name)
     assert any(re.search(where, f) for f in found), found
@@ -122,8 +155,9 @@
     assert (boxes(text)["a"].port, boxes(text)["a"].vars["amqp_user"]) == (8, "me")
 
 
-@pytest.mark.parametrize("over,whole", [
-    ({"final_newline": True}, False), ({"final_newline": False}, True), ({"end_marker": "# end"}, False)])
+@pytest.mark.parametrize(
+    "over,whole", [({"final_newline": True}, False), ({"final_newline": False}, True), ({"end_marker": "# end"}, False)]
+)
 def test_a_text_that_may_be_cut_is_told(over, whole):
     text = csv_list({"a": 1, "b": 2})
     assert bool(read(text[:-1], "f.csv", **over).unfinished) != whole
@@ -163,10 +197,40 @@
     return [plain(v) for v in value] if isinstance(value, list) else value
 
 
-edits = st.lists(st.tuples(st.integers(0, 200), st.integers(0, 3), st.sampled_from([
-    "    b3:", "    zz: {amqp_queue: x}", "      amqp_port: 4", "  vars: {}", "other:", "# x", "", "    'q",
-    "        - more", "      note: |", "        text", "   odd: 1", "    w: [1,", "    ? x", "- y", "    k: &a 1",
-    "      s: 'a", "        b'", "\t", "    b5: {}", "    l:", "    - m"])), min_size=1, max_size=3)
+edits = st.lists(
+    st.tuples(
+        st.integers(0, 200),
+        st.integers(0, 3),
+        st.sampled_from(
+            [
+                "    b3:",
+                "    zz: {amqp_queue: x}",
+                "      amqp_port: 4",
+                "  vars: {}",
+                "other:",
+                "# x",
+                "",
+                "    'q",
+                "        - more",
+                "      note: |",
+                "        text",
+                "   odd: 1",
+                "    w: [1,",
+                "    ? x",
+                "- y",
+                "    k: &a 1",
+                "      s: 'a",
+                "        b'",
+                "\t",
+                "    b5: {}",
+                "    l:",
+                "    - m",
+            ]
+        ),
+    ),
+    min_size=1,
+    max_size=3,
+)
 
 
 @given(st.integers(4, 24), edits)
@@ -230,9 +294,11 @@
 
 def test_no_word_of_a_file_without_this_user_is_checked():
     from lapispick.fleet.schema import FLEET
+
     assert set(Reader(read_options(FLEET), {}).read(files("host,amqp_port,x\na,none,\n", "f.csv")).boxes) == {"a"}
 
 
 def read_options(schema):
     from lapispick.fleet.reading import Options
+
     return Options("all", schema)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -37,14 +37,22 @@
 ODD = "int(request.tag, 16) % 5 == 0"
 SINS = {
     "lost": [("host/core.py", REPLY, f"        if not {ODD}:\n    {REPLY}")],
-    "doubled": [("host/clients.py", '(_encode({"jsonrpc": "2.0", "id": number, member: fields}) + b"\\n")',
-                 '(2 * (_encode({"jsonrpc": "2.0", "id": number, member: fields}) + b"\\n"))')],
-    "twice": [("host/core.py", "key = self.table.at(request.key, request.born) if", "key = None if"),
-              ("host/core.py", "held = self.table.get(request.key)", "held = None"),
-              ("host/core.py", "key.ran not in (0, ELSEWHERE)", "key.ran == -9"),
-              ("host/core.py", "verdict = self.sharing.claim(", "verdict = Verdict.RUN if True else (")],
-    "changed": [("host/core.py", REPLY,
-                 f"        answer = answer._replace(result=answer.result and 'd3Jvbmc=')\n{REPLY}")],
+    "doubled": [
+        (
+            "host/clients.py",
+            '(_encode({"jsonrpc": "2.0", "id": number, member: fields}) + b"\\n")',
+            '(2 * (_encode({"jsonrpc": "2.0", "id": number, member: fields}) + b"\\n"))',
+        )
+    ],
+    "twice": [
+        ("host/core.py", "key = self.table.at(request.key, request.born) if", "key = None if"),
+        ("host/core.py", "held = self.table.get(request.key)", "held = None"),
+        ("host/core.py", "key.ran not in (0, ELSEWHERE)", "key.ran == -9"),
+        ("host/core.py", "verdict = self.sharing.claim(", "verdict = Verdict.RUN if True else ("),
+    ],
+    "changed": [
+        ("host/core.py", REPLY, f"        answer = answer._replace(result=answer.result and 'd3Jvbmc=')\n{REPLY}")
+    ],
     "refused": [("host/core.py", REPLY, f"        if {ODD}:\n            answer = Answer(REFUSED)\n{REPLY}")],
     "drain": [("settings.py", "drain_grace_ms=", "drain_grace_ms=5 * ")],
     "memory": [("host/core.py", "TALLY_S = ", "HOG = b'x' * (200 << 20)\nTALLY_S = ")],
@@ -121,8 +129,10 @@
             fleet.answered(60)
             fleet.net.heal()
         count = sum(t.box == box.name and bool(t.answers) for t in fleet.account.tries.values())
-        until(lambda: sum(t.box == box.name and bool(t.answers) for t in list(fleet.account.tries.values()))
-              > count + 20, "service by the box again")
+        until(
+            lambda: sum(t.box == box.name and bool(t.answers) for t in list(fleet.account.tries.values())) > count + 20,
+            "service by the box again",
+        )
         assert fleet.broken_rules() == []
         assert max(fleet.account.effects().values()) == 1
 
@@ -168,9 +178,15 @@
 
 def test_an_answer_is_late_by_what_the_machine_did_not_take():
     """It is 300 ms late: what the machine did not take of it has to be within the slack."""
-    for spans, late in (([], True), ([("x", 0.0, 0.25)], False), ([("", 0.0, 0.25)], False),
-                        ([("x", 0.0, 0.15)], True), ([("y", 0.0, 0.25)], True), ([("x", -9.0, 0.25)], True),
-                        ([("", 0.0, 0.1), ("x", 0.1, 0.15)], False)):
+    for spans, late in (
+        ([], True),
+        ([("x", 0.0, 0.25)], False),
+        ([("", 0.0, 0.25)], False),
+        ([("x", 0.0, 0.15)], True),
+        ([("y", 0.0, 0.25)], True),
+        ([("x", -9.0, 0.25)], True),
+        ([("", 0.0, 0.1), ("x", 0.1, 0.15)], False),
+    ):
         book, pauses = Account(), Pauses([])
         book.held_up, now = pauses.held, time.time()
         made = Try("a", "g0", "x", "track", "b", "", now - 1.3, now - 0.3)
@@ -184,8 +200,10 @@
 def test_a_process_that_finds_no_core_is_seen_to_be_held_up(tmp_path):
     """Three that want one core: each waits for the others two thirds of the time."""
     core = min(os.sched_getaffinity(0))
-    loops = [subprocess.Popen([sys.executable, "-c", f"import os\nos.sched_setaffinity(0, [{core}])\nwhile 1: pass"])
-             for _ in range(3)]
+    loops = [
+        subprocess.Popen([sys.executable, "-c", f"import os\nos.sched_setaffinity(0, [{core}])\nwhile 1: pass"])
+        for _ in range(3)
+    ]
     box = types.SimpleNamespace(name="x", serving=lambda: [loops[0].pid])
     pauses = Pauses([box])
     pauses.start()
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -67,10 +67,15 @@
     kept(s)
 
 
-BAD = [("host/core.py", "        self.figures.answered(answer.kind, request.cls)\n",
+BAD = [
+    (
+        "host/core.py",
+        "        self.figures.answered(answer.kind, request.cls)\n",
         "        if request.key is not None and int(request.tag, 16) % 10 < {tenths}:\n"
         "            answer = Answer(FAILED)\n"
-        "        self.figures.answered(answer.kind, request.cls)\n")]
+        "        self.figures.answered(answer.kind, request.cls)\n",
+    )
+]
 
 
 def bad(tenths):
@@ -119,8 +124,11 @@
 
 def test_a_program_that_does_not_start_stops_at_once(made, tmp_path):
     s = made().up()
-    _, words = s.shelve(program(tmp_path / "bad", [("host/__main__.py", "def main() -> int:",
-                                                      "raise SystemExit(3)\ndef main() -> int:")]))
+    _, words = s.shelve(
+        program(
+            tmp_path / "bad", [("host/__main__.py", "def main() -> int:", "raise SystemExit(3)\ndef main() -> int:")]
+        )
+    )
     controller = s.steer("start", *words)
     found = s.phase("undone")
     assert "ended before it took clients" in found["reason"] and controller.wait(20) == 1
@@ -129,8 +137,16 @@
 
 
 # (point, how often it is passed before the controller dies there)
-POINTS = [("steering", 1), ("decided", 1), ("kept", 1), ("telling", 1), ("told", 1), ("kept", 3), ("telling", 3),
-          ("decided", 5)]
+POINTS = [
+    ("steering", 1),
+    ("decided", 1),
+    ("kept", 1),
+    ("telling", 1),
+    ("told", 1),
+    ("kept", 3),
+    ("telling", 3),
+    ("decided", 5),
+]
 
 
 @pytest.mark.parametrize("point,times", POINTS)
@@ -168,8 +184,13 @@
 
 
 def test_a_partition_from_half_of_the_boxes_past_the_confirm_time_undoes_what_nobody_confirmed(made):
-    s = made(QUICK.replace("confirm 60s", "confirm 4s").replace("stages 1 100%", "stages 100%")
-             .replace("bake 2s", "bake 2.5s").replace("bake-most 6s", "bake-most 3s"), boxes=4).up()
+    s = made(
+        QUICK.replace("confirm 60s", "confirm 4s")
+        .replace("stages 1 100%", "stages 100%")
+        .replace("bake 2s", "bake 2.5s")
+        .replace("bake-most 6s", "bake-most 3s"),
+        boxes=4,
+    ).up()
     _, words = s.shelve(config={"stop_ms": 2400})
     s.steer("start", *words)
     s.baking()
@@ -230,10 +251,19 @@
 
 def test_a_memory_that_grows_past_its_bound_stops_at_once(made, tmp_path):
     s = made(QUICK.replace("bake 2s", "bake 20s").replace("bake-most 6s", "bake-most 40s") + " memory-most 30%\n").up()
-    _, words = s.shelve(program(tmp_path / "leak", [
-        ("host/core.py", "        request.reply(",
-         "        LEAK.append(bytearray(b'x') * (1 << 20))\n        request.reply("),
-        ("host/core.py", "TALLY_S = ", "LEAK = []\nTALLY_S = ")]))
+    _, words = s.shelve(
+        program(
+            tmp_path / "leak",
+            [
+                (
+                    "host/core.py",
+                    "        request.reply(",
+                    "        LEAK.append(bytearray(b'x') * (1 << 20))\n        request.reply(",
+                ),
+                ("host/core.py", "TALLY_S = ", "LEAK = []\nTALLY_S = "),
+            ],
+        )
+    )
     s.steer("start", *words)
     found = s.phase("undone")
     assert "MB of at most" in found["reason"] and set(s.serving().values()) == {s.good}
@@ -242,9 +272,12 @@
 
 def test_a_change_that_breaks_a_rule_stops_at_once(made, tmp_path):
     s = made(QUICK.replace("bake 2s", "bake 20s").replace("bake-most 6s", "bake-most 40s")).up()
-    _, words = s.shelve(program(tmp_path / "late", [
-        ("host/core.py", "request.read <= due_at < self._now - SLACK_MS",
-         "int(request.tag, 16) % 40 == 0")]))
+    _, words = s.shelve(
+        program(
+            tmp_path / "late",
+            [("host/core.py", "request.read <= due_at < self._now - SLACK_MS", "int(request.tag, 16) % 40 == 0")],
+        )
+    )
     s.steer("start", *words)
     found = s.phase("undone")
     assert "broke a rule" in found["reason"] and set(s.serving().values()) == {s.good}
@@ -303,8 +336,13 @@
 
 
 def test_a_change_that_takes_from_the_shared_store_is_not_good_because_it_does_as_well_as_the_rest(made):
-    s = made(QUICK.replace("stages 1 100%", "stages 2 100%").replace("bake 2s", "bake 6s")
-             .replace("bake-most 6s", "bake-most 12s"), calls=0.9, rate=60).up()
+    s = made(
+        QUICK.replace("stages 1 100%", "stages 2 100%")
+        .replace("bake 2s", "bake 6s")
+        .replace("bake-most 6s", "bake-most 12s"),
+        calls=0.9,
+        rate=60,
+    ).up()
     new, words = s.shelve(config={"stop_ms": 2400})
     over = threading.Event()
 
@@ -327,13 +365,23 @@
 
 
 def test_a_change_that_is_fine_cold_and_bad_warm_is_stopped(made, tmp_path):
-    s = made(QUICK.replace("warm-up 0.5s", "warm-up 3s").replace("bake 2s", "bake 8s")
-             .replace("bake-most 6s", "bake-most 30s"), rate=60).up()
+    s = made(
+        QUICK.replace("warm-up 0.5s", "warm-up 3s")
+        .replace("bake 2s", "bake 8s")
+        .replace("bake-most 6s", "bake-most 30s"),
+        rate=60,
+    ).up()
     head, body = BAD[0][2].split("int(request.tag", 1)
     warm = f"{head}time.monotonic() - BORN > 3 and int(request.tag{body}"
-    _, words = s.shelve(program(tmp_path / "bad", [
-        (BAD[0][0], BAD[0][1], warm.format(tenths=4)),
-        ("host/core.py", "TALLY_S = ", "BORN = time.monotonic()\nTALLY_S = ")]))
+    _, words = s.shelve(
+        program(
+            tmp_path / "bad",
+            [
+                (BAD[0][0], BAD[0][1], warm.format(tenths=4)),
+                ("host/core.py", "TALLY_S = ", "BORN = time.monotonic()\nTALLY_S = "),
+            ],
+        )
+    )
     s.steer("start", *words)
     found = s.phase("undone", "asking", "done")
     assert found["phase"] == "undone" and "book" in found["reason"], found
@@ -342,10 +390,19 @@
 
 def test_memory_that_grows_slowly_is_stopped_long_before_its_bound(made, tmp_path):
     s = made(QUICK.replace("bake 2s", "bake 20s").replace("bake-most 6s", "bake-most 60s"), rate=60).up()
-    _, words = s.shelve(program(tmp_path / "leak", [
-        ("host/core.py", "        request.reply(",
-         "        LEAK.append(bytearray(b'x') * 40_000)\n        request.reply("),
-        ("host/core.py", "TALLY_S = ", "LEAK = []\nTALLY_S = ")]))
+    _, words = s.shelve(
+        program(
+            tmp_path / "leak",
+            [
+                (
+                    "host/core.py",
+                    "        request.reply(",
+                    "        LEAK.append(bytearray(b'x') * 40_000)\n        request.reply(",
+                ),
+                ("host/core.py", "TALLY_S = ", "LEAK = []\nTALLY_S = "),
+            ],
+        )
+    )
     s.steer("start", *words)
     found = s.phase("undone", "asking", "done")
     assert found["phase"] == "undone" and found["reason"].startswith("memory: worse by"), found
@@ -353,9 +410,15 @@
 
 
 def test_a_change_that_is_worse_by_a_tenth_for_one_class_is_stopped(made, tmp_path):
-    s = made(QUICK.replace("stages 1 100%", "stages 2 100%").replace("worse 8%", "worse 2%")
-             .replace("bake 2s", "bake 50s").replace("bake-most 6s", "bake-most 120s")
-             .replace("confirm 60s", "confirm 200s"), boxes=4, rate=110).up()
+    s = made(
+        QUICK.replace("stages 1 100%", "stages 2 100%")
+        .replace("worse 8%", "worse 2%")
+        .replace("bake 2s", "bake 50s")
+        .replace("bake-most 6s", "bake-most 120s")
+        .replace("confirm 60s", "confirm 200s"),
+        boxes=4,
+        rate=110,
+    ).up()
     _, words = s.shelve(program(tmp_path / "bad", bad(1)))
     s.steer("start", *words)
     found = s.phase("undone", "asking", "done", within=180.0)
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -15,16 +15,53 @@
 
 
 ODD = [
-    dict(born="now"), dict(born=1), dict(born=1e300), dict(born=-5), dict(born=None), dict(patience=-1),
-    dict(patience=0), dict(patience=1e12), dict(patience=None), dict(size=0), dict(size=-3), dict(size=2000),
-    dict(size="x"), dict(size=None), dict(order=1), dict(order=-0.1), dict(order=None), dict(client=-1),
-    dict(client=1.5), dict(customer="nobody"), dict(customer=None), dict(trace="short"), dict(trace=None),
-    dict(redo=7), dict(doc=None), dict(doc="***"), dict(doc=b64("x" * 3000)), dict(number=None),
-    dict(number="one"), dict(number=0), dict(number=-4), dict(number=10**22), dict(method="nothing"),
-    dict(method="book"), dict(method="book", nonce="abc")]
-LINES = [b"\xff\xfe{", b"[]", b"7", b'{"method":7,"id":1}', b"{" * 5000, b"x" * 100_000, b"Length: -5",
-         b'{"jsonrpc":"2.0","method":"giveUp","params":{"id":5}}',
-         b'{"jsonrpc":"2.0","id":1,"method":"track","params":{"born":NaN}}']
+    dict(born="now"),
+    dict(born=1),
+    dict(born=1e300),
+    dict(born=-5),
+    dict(born=None),
+    dict(patience=-1),
+    dict(patience=0),
+    dict(patience=1e12),
+    dict(patience=None),
+    dict(size=0),
+    dict(size=-3),
+    dict(size=2000),
+    dict(size="x"),
+    dict(size=None),
+    dict(order=1),
+    dict(order=-0.1),
+    dict(order=None),
+    dict(client=-1),
+    dict(client=1.5),
+    dict(customer="nobody"),
+    dict(customer=None),
+    dict(trace="short"),
+    dict(trace=None),
+    dict(redo=7),
+    dict(doc=None),
+    dict(doc="***"),
+    dict(doc=b64("x" * 3000)),
+    dict(number=None),
+    dict(number="one"),
+    dict(number=0),
+    dict(number=-4),
+    dict(number=10**22),
+    dict(method="nothing"),
+    dict(method="book"),
+    dict(method="book", nonce="abc"),
+]
+LINES = [
+    b"\xff\xfe{",
+    b"[]",
+    b"7",
+    b'{"method":7,"id":1}',
+    b"{" * 5000,
+    b"x" * 100_000,
+    b"Length: -5",
+    b'{"jsonrpc":"2.0","method":"giveUp","params":{"id":5}}',
+    b'{"jsonrpc":"2.0","id":1,"method":"track","params":{"born":NaN}}',
+]
 
 
 def test_what_is_odd_is_answered_or_closed_and_never_runs(host):
@@ -89,8 +126,10 @@
     g, bad, key = h.gateway(), h.gateway(), uuid.uuid4().hex
     lines = []
     for n in range(1, 201):
-        lines += [bad.line("book", "gone", number=n, nonce=key),
-                  b'{"jsonrpc":"2.0","method":"giveUp","params":{"id":%d}}' % n]
+        lines += [
+            bad.line("book", "gone", number=n, nonce=key),
+            b'{"jsonrpc":"2.0","method":"giveUp","params":{"id":%d}}' % n,
+        ]
     with contextlib.suppress(OSError):
         bad.raw(b"\n".join(lines))
     assert g.result(g.request("book", "gone", key)) == "did gone"
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -98,8 +98,14 @@
     q = r.request()
     r.step(q)
     r.step(RunEnded(q.id, Outcome.OK, 5), at=5)
-    late = r.step(RunEnded(q.id, Outcome.MOOT, 0), Gone(q.id), NeedsCall(q.id),
-                  CallEnded(99, Outcome.OK, 1.0), RunEnded(98, Outcome.OK, 1), at=9)
+    late = r.step(
+        RunEnded(q.id, Outcome.MOOT, 0),
+        Gone(q.id),
+        NeedsCall(q.id),
+        CallEnded(99, Outcome.OK, 1.0),
+        RunEnded(98, Outcome.OK, 1),
+        at=9,
+    )
     assert late == []
 
 
@@ -177,10 +183,18 @@
     assert not r.of(Stop) and Join(again.id) in r.step(again, at=90)
 
 
-@pytest.mark.parametrize("outcome,repeats", [
-    (Outcome.FULL, True), (Outcome.CONNECT_FAILED, True), (Outcome.MOOT, True),
-    (Outcome.ERROR, False), (Outcome.TIMEOUT, False), (Outcome.RESET, False), (Outcome.CANCELLED, False),
-])
+@pytest.mark.parametrize(
+    "outcome,repeats",
+    [
+        (Outcome.FULL, True),
+        (Outcome.CONNECT_FAILED, True),
+        (Outcome.MOOT, True),
+        (Outcome.ERROR, False),
+        (Outcome.TIMEOUT, False),
+        (Outcome.RESET, False),
+        (Outcome.CANCELLED, False),
+    ],
+)
 def test_unsafe_call_is_repeated_only_after_proof_that_it_never_ran(rig, outcome, repeats):
     r = rig()
     q = r.request(UNSAFE)
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -67,8 +67,12 @@
 def test_calls_states_and_generations_of_version_1_are_read():
     fence, lines = Fence(12, "alpha"), (SPOKEN / "agent-1.txt").read_text().splitlines()
     assert [words.read(line) for line in lines[:5]] == [
-        Change(fence, "r1", G, 30.0), Change(fence, "r1.c", G, 30.0, True), Confirm(fence, "r1"), Back(fence, "r1"),
-        Steer(fence)]
+        Change(fence, "r1", G, 30.0),
+        Change(fence, "r1.c", G, 30.0, True),
+        Confirm(fence, "r1"),
+        Back(fence, "r1"),
+        Steer(fence),
+    ]
     status = words.heard(lines[5:])
     assert (status.box, status.left_s, status.speaks) == ("disp-01", 9.5, {"handover": (1, 1, 1)})
     state = msgspec.json.decode((SPOKEN / "state-1.json").read_bytes(), type=box.State)
@@ -104,14 +108,18 @@
 
 def test_what_is_written_today_is_among_the_samples():
     """Whoever raises a version stores what the one before wrote."""
-    assert {p.name for p in SPOKEN.iterdir()} >= {f"{kind}-{writes}.{end}" for kind, end in (
-        ("handover", "jsonl"), ("agent", "txt"), ("ledger", "sql"), ("durable", "sql"))
-        for writes in [versions.SPOKEN[kind][0]]}
+    assert {p.name for p in SPOKEN.iterdir()} >= {
+        f"{kind}-{writes}.{end}"
+        for kind, end in (("handover", "jsonl"), ("agent", "txt"), ("ledger", "sql"), ("durable", "sql"))
+        for writes in [versions.SPOKEN[kind][0]]
+    }
 
 
-LATER = [("handover/messages.py", "VERSION, LOWEST = 1, 1", "VERSION, LOWEST = 2, 1"),
-         ("handover/messages.py", "0 = no other\n", "0 = no other\n    brand_new: str = 'x'\n"),
-         ("versions.py", '"handover": (1, 1, 1)', '"handover": (1, 1, 2)')]
+LATER = [
+    ("handover/messages.py", "VERSION, LOWEST = 1, 1", "VERSION, LOWEST = 2, 1"),
+    ("handover/messages.py", "0 = no other\n", "0 = no other\n    brand_new: str = 'x'\n"),
+    ("versions.py", '"handover": (1, 1, 1)', '"handover": (1, 1, 2)'),
+]
 
 
 def test_keyed_retries_reach_old_and_new_processes_in_turn_and_no_effect_comes_twice(tmp_path):
@@ -130,8 +138,9 @@
             gateway = fleet.gateways[0]
             for n in range(100_000):
                 key = keys[n % 200]
-                gateway._try("book", f"again-{key}", key, time.time(), min(due, time.time() + 3), fleet.boxes[0], 1,
-                             n >= 200)
+                gateway._try(
+                    "book", f"again-{key}", key, time.time(), min(due, time.time() + 3), fleet.boxes[0], 1, n >= 200
+                )
                 if over.wait(rng.uniform(0.002, 0.01)):
                     return
 
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -22,8 +22,11 @@
 
 
 def workers(*sizes):
-    return [Worker(f"z{z}-{n}", f"z{z}-{n}:1", agent="x:1", zone=f"z{z}", domain=f"r{n % 2}", machine=f"m{n % 2}")
-            for z, size in enumerate(sizes) for n in range(size)]
+    return [
+        Worker(f"z{z}-{n}", f"z{z}-{n}:1", agent="x:1", zone=f"z{z}", domain=f"r{n % 2}", machine=f"m{n % 2}")
+        for z, size in enumerate(sizes)
+        for n in range(size)
+    ]
 
 
 SAME = settings(derandomize=True)  # the same verdict every time
@@ -31,8 +34,12 @@
 
 
 @SAME
-@given(st.lists(st.integers(1, 30), min_size=1, max_size=5), st.sampled_from(WANTS), st.floats(0.1, 1.0),
-       st.text(min_size=1, max_size=8))
+@given(
+    st.lists(st.integers(1, 30), min_size=1, max_size=5),
+    st.sampled_from(WANTS),
+    st.floats(0.1, 1.0),
+    st.text(min_size=1, max_size=8),
+)
 def test_every_box_has_one_stage_and_none_takes_all_of_a_zone(sizes, wants, most, name):
     boxes, bounds = workers(*sizes), stages.Bounds(most)
     made = stages.assign(boxes, [want(w) for w in wants], name, bounds)
@@ -61,8 +68,11 @@
 
 
 @SAME
-@given(st.lists(st.tuples(st.booleans(), st.booleans(), st.booleans()), min_size=1, max_size=40), st.integers(1, 9),
-       st.floats(0, 1))
+@given(
+    st.lists(st.tuples(st.booleans(), st.booleans(), st.booleans()), min_size=1, max_size=40),
+    st.integers(1, 9),
+    st.floats(0, 1),
+)
 def test_the_pace_never_begins_too_many_nor_leaves_too_few(rows, most, least):
     places = [Place(str(n), *row) for n, row in enumerate(rows)]
     begun, why = pace.next_boxes(places, pace.Bounds(most, least))
@@ -74,17 +84,25 @@
     assert why or sum(p.waits and not p.in_change for p in places) == len(begun)
 
 
-@pytest.mark.parametrize("at,span,not_days,open_", [
-    ("2026-12-01 10:00", "09:00-17:00", (), True), ("2026-12-01 08:59", "09:00-17:00", (), False),
-    ("2026-12-01 17:00", "09:00-17:00", (), False), ("2026-12-05 10:00", "", ("sat",), False),
-    ("2026-12-05 01:00", "22:00-04:00", ("sat",), True), ("2026-12-06 01:00", "22:00-04:00", ("sat",), False),
-    ("2026-12-06 12:00", "22:00-04:00", (), False)])
+@pytest.mark.parametrize(
+    "at,span,not_days,open_",
+    [
+        ("2026-12-01 10:00", "09:00-17:00", (), True),
+        ("2026-12-01 08:59", "09:00-17:00", (), False),
+        ("2026-12-01 17:00", "09:00-17:00", (), False),
+        ("2026-12-05 10:00", "", ("sat",), False),
+        ("2026-12-05 01:00", "22:00-04:00", ("sat",), True),
+        ("2026-12-06 01:00", "22:00-04:00", ("sat",), False),
+        ("2026-12-06 12:00", "22:00-04:00", (), False),
+    ],
+)
 def test_hours_and_days_in_which_nothing_begins(at, span, not_days, open_):
     assert (not pace.open_at(datetime.datetime.fromisoformat(at), pace.hours(span), not_days)) is open_
 
 
 # A box, its agent dying at any instant: what was decided is on disk, done or half done.
 
+
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.integers(0, 10**9))
 def test_a_box_ends_in_one_generation_that_was_asked_for_whatever_dies_when(seed):
@@ -95,7 +113,7 @@
         now += rng.choice((0.1, 0.1, 0.5, 3.0))
         state, actions = box.step(made.state, now, made.seen(now), box.Bounds())
         made.state = state  # kept; the agent may die after any action
-        for action in actions[:rng.choice((0, 1, 9, 9, 9))]:
+        for action in actions[: rng.choice((0, 1, 9, 9, 9))]:
             made.act(action, now)
         if rng.random() < 0.03 and made.procs:
             made.procs.pop(rng.choice(list(made.procs)))  # a process is killed
@@ -156,9 +174,17 @@
     assert state.wanted == OLD and "before the change was confirmed" in state.fault and state.lives[0].generation == OLD
 
 
-@pytest.mark.parametrize("held,asked,admitted", [
-    ((0, ""), (1, "a"), True), ((7, "a"), (7, "a"), True), ((7, "a"), (8, "b"), True), ((7, "a"), (7, "b"), False),
-    ((7, "a"), (6, "a"), False), ((0, ""), (0, "a"), False)])
+@pytest.mark.parametrize(
+    "held,asked,admitted",
+    [
+        ((0, ""), (1, "a"), True),
+        ((7, "a"), (7, "a"), True),
+        ((7, "a"), (8, "b"), True),
+        ((7, "a"), (7, "b"), False),
+        ((7, "a"), (6, "a"), False),
+        ((0, ""), (0, "a"), False),
+    ],
+)
 def test_only_the_newest_fence_counts_and_one_epoch_has_one_holder(held, asked, admitted):
     assert words.admits(Fence(*held), Fence(*asked)) is admitted
     state = box.State("x", good=OLD, epoch=held[0], who=held[1])
@@ -182,13 +208,21 @@
 
 # What two versions must read of each other.
 
+
 def spoken(writes, oldest, newest):
     return {"handover": compat.Spoken(writes, oldest, newest)}
 
 
-@pytest.mark.parametrize("old,new,words_", [
-    ((1, 1, 1), (1, 1, 2), []), ((1, 1, 2), (2, 1, 2), []), ((1, 1, 1), (2, 1, 2), ["first roll out one that reads 2"]),
-    ((2, 1, 2), (2, 2, 3), []), ((1, 1, 1), (2, 2, 2), ["take a step between", "first roll out one that reads 2"])])
+@pytest.mark.parametrize(
+    "old,new,words_",
+    [
+        ((1, 1, 1), (1, 1, 2), []),
+        ((1, 1, 2), (2, 1, 2), []),
+        ((1, 1, 1), (2, 1, 2), ["first roll out one that reads 2"]),
+        ((2, 1, 2), (2, 2, 3), []),
+        ((1, 1, 1), (2, 2, 2), ["take a step between", "first roll out one that reads 2"]),
+    ],
+)
 def test_a_step_is_allowed_where_each_reads_what_the_other_writes(old, new, words_):
     found = compat.objections(spoken(*old), spoken(*new))
     assert len(found) == len(words_) and all(w in f for w, f in zip(words_, found, strict=True))
@@ -217,6 +251,7 @@
 
 # The course of a fleet, with the agents' own decisions.
 
+
 def test_a_good_rollout_of_many_boxes_ends_with_all_of_them_and_keeps_its_pace():
     fleet = Fleet(3, 60)
     course = fleet.play()
@@ -277,6 +312,7 @@
 
 # The judge.
 
+
 def test_the_evidence_is_a_fair_game_and_grows_with_a_true_difference():
     rng, passed = random.Random(1), 0
     for _ in range(400):
@@ -338,8 +374,14 @@
 
 
 def test_figures_of_another_process_make_no_slice():
-    lines = ["app.success.book:5|c", "app.busy.book:1|c", "app.took.book.16:6|c", "app.memory_kb:9|g",
-             "app.generation.ab:1|g", "END"]
+    lines = [
+        "app.success.book:5|c",
+        "app.busy.book:1|c",
+        "app.took.book.16:6|c",
+        "app.memory_kb:9|g",
+        "app.generation.ab:1|g",
+        "END",
+    ]
     was = figures.read(lines, 1.0)
     now = figures.read([lines[0].replace(":5", ":9"), *lines[1:]], 2.0)
     assert figures.sliced("x", was, now).classes["book"][:2] == (4, 0) and was.generation == "ab"
@@ -374,6 +416,7 @@
 
 # What an agent answers, one rule at a time.
 
+
 def proving(rollout="r1"):
     made = Box("x", random.Random(1))
     for n in range(6):
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -12,13 +12,16 @@
 from lapispick.shares.subsets import Backend, Host, assign, loads, moved, needs, rooms, shares
 
 WEIGHTS = st.sampled_from((0.5, 1.0, 2.0))
-FLEETS = st.integers(1, 24).flatmap(lambda n: st.lists(
-    st.tuples(st.sampled_from(("pipera", "militari", "otopeni")), WEIGHTS), min_size=n, max_size=n))
+FLEETS = st.integers(1, 24).flatmap(
+    lambda n: st.lists(st.tuples(st.sampled_from(("pipera", "militari", "otopeni")), WEIGHTS), min_size=n, max_size=n)
+)
 
 
 def made(told, backends):
-    return ([Host(f"disp-{n:02}", zone, weight) for n, (zone, weight) in enumerate(told)],
-            [Backend(f"broker-{n:02}", weight) for n, weight in enumerate(backends)])
+    return (
+        [Host(f"disp-{n:02}", zone, weight) for n, (zone, weight) in enumerate(told)],
+        [Backend(f"broker-{n:02}", weight) for n, weight in enumerate(backends)],
+    )
 
 
 def consumers(chosen, backend):
@@ -84,12 +87,15 @@
 
 
 def test_the_commands_tell_a_subset_and_what_a_change_would_move(tmp_path):
-    (tmp_path / "boxes.csv").write_text("host,lapispick_zone,ansible_host\n" + "".join(
-        f"disp-{n:02},z{n % 3},10.0.0.{n}\n" for n in range(1, 13)))
-    (tmp_path / "brokers.csv").write_text("host,amqp_queue,ansible_host\n" + "".join(
-        f"broker-{n},q,10.0.1.{n}\n" for n in range(1, 9)))
+    (tmp_path / "boxes.csv").write_text(
+        "host,lapispick_zone,ansible_host\n" + "".join(f"disp-{n:02},z{n % 3},10.0.0.{n}\n" for n in range(1, 13))
+    )
+    (tmp_path / "brokers.csv").write_text(
+        "host,amqp_queue,ansible_host\n" + "".join(f"broker-{n},q,10.0.1.{n}\n" for n in range(1, 9))
+    )
     (tmp_path / "own.conf").write_text(
-        f"section inventory\n path {tmp_path / 'boxes.csv'}\nend\nsection fleet\n group all\nend\n")
+        f"section inventory\n path {tmp_path / 'boxes.csv'}\nend\nsection fleet\n group all\nend\n"
+    )
     told = ["--conf", str(tmp_path / "own.conf"), "--backends", str(tmp_path / "brokers.csv"), "--least", "3"]
     runner = CliRunner()
     shown = json.loads(runner.invoke(cli, ["shares", "subset", "disp-04", "--json", *told]).output)
--- a/tests/test_talk.py
+++ b/tests/test_talk.py
@@ -1,6 +1,5 @@
 """Members and turns on running hosts: partitions, stalls, deaths, lost words, lists that change."""
 
-
 import contextlib
 import json
 import os
@@ -64,7 +63,7 @@
 
 def split(talk, *groups):
     """Cut the links between groups of boxes; returns what heals them."""
-    ends = [talk.fleet.part(one, other) for n, one in enumerate(groups) for other in groups[n + 1:]]
+    ends = [talk.fleet.part(one, other) for n, one in enumerate(groups) for other in groups[n + 1 :]]
     return lambda: [end() for end in ends]
 
 
@@ -180,8 +179,11 @@
 
 def test_a_member_that_stalls_for_two_seconds_is_not_dead_at_the_times_of_service(talking):
     """Times as in service but for the period: a suspicion lasts 5 s at least, and a stall of 2 s is no death."""
-    talk = talking(told=QUICK.replace("period 200ms", "period 1s").replace("timeout 80ms", "timeout 300ms")
-                   .replace("suspicion 4", "suspicion 5")).start()
+    talk = talking(
+        told=QUICK.replace("period 200ms", "period 1s")
+        .replace("timeout 80ms", "timeout 300ms")
+        .replace("suspicion 4", "suspicion 5")
+    ).start()
     all_ = names(talk)
     talk.agree(all_)
     for name in all_[:3]:
@@ -296,8 +298,10 @@
 
 def test_clocks_that_are_minutes_off_change_nothing(talking):
     talk = talking(told=STEADY)
-    threads = [threading.Thread(target=box.start, kwargs={"conf": talk.conf[box.name], "skew": skew})
-               for box, skew in zip(talk.fleet.boxes, (0.0, 300.0, -300.0, 7200.0, -60.0), strict=True)]
+    threads = [
+        threading.Thread(target=box.start, kwargs={"conf": talk.conf[box.name], "skew": skew})
+        for box, skew in zip(talk.fleet.boxes, (0.0, 300.0, -300.0, 7200.0, -60.0), strict=True)
+    ]
     for each in threads:
         each.start()
     for each in threads:
@@ -323,14 +327,15 @@
 
 def test_strangers_nonsense_and_floods_cost_themselves_only(talking):
 
-
     talk = talking(3, told=STEADY).start()
     all_ = names(talk)
     talk.agree(all_)
     host, port = talk.at[all_[0]].split(":")
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger, socket.socket() as stream:
-        word = (b'{"say":"probe","fleet":"fleet","sender":"disp-02","life":99999999999999,"incarnation":9,'
-                b'"rumours":[["disp-03","dead",9,99999999999999]]}')
+        word = (
+            b'{"say":"probe","fleet":"fleet","sender":"disp-02","life":99999999999999,"incarnation":9,'
+            b'"rumours":[["disp-03","dead",9,99999999999999]]}'
+        )
         for n in range(2000):
             stranger.sendto(word if n % 2 else b"\xff{" * (n % 700), (host, int(port)))
         stream.connect((host, int(port)))
@@ -367,8 +372,9 @@
 
 
 def tool(*told, **more):
-    return subprocess.run([sys.executable, "-m", "lapispick", *told], capture_output=True, text=True, timeout=60,
-                          cwd=ROOT, **more)
+    return subprocess.run(
+        [sys.executable, "-m", "lapispick", *told], capture_output=True, text=True, timeout=60, cwd=ROOT, **more
+    )
 
 
 def test_the_commands_show_the_view_and_hold_a_turn_for_a_command(talking, tmp_path):
@@ -378,8 +384,14 @@
     ops = [talk.fleet[name].processes[-1].ops for name in all_]
     shown = tool("members", "show", "--at", ops[0])
     assert shown.returncode == 0 and "sees 3 of 3" in shown.stdout and all_[2] in shown.stdout
-    until(lambda: [f for f in json.loads(tool("members", "show", "--json", "--at", ops[0]).stdout)["facts"]
-                   if (f[0], f[3]) == (all_[1], "load")], "what another box says of itself")
+    until(
+        lambda: [
+            f
+            for f in json.loads(tool("members", "show", "--json", "--at", ops[0]).stdout)["facts"]
+            if (f[0], f[3]) == (all_[1], "load")
+        ],
+        "what another box says of itself",
+    )
     talk.fleet[all_[2]].kill()
     talk.agree(all_[:2], gone=[all_[2]])
     why = tool("members", "why", all_[2], "--at", ops[0])
@@ -387,8 +399,12 @@
     assert tool("members", "why", "nobody", "--at", ops[0]).returncode == 1
     out = tmp_path / "out"
     script = f"echo $LAPISPICK_FENCE begins >> {out}; sleep 0.4; echo $LAPISPICK_FENCE ends >> {out}; exit 7"
-    held = [subprocess.Popen([sys.executable, "-m", "lapispick", "turns", "hold", "--at", at, "job", "--", "sh", "-c",
-                              script], cwd=ROOT) for at in ops[:2] * 2]
+    held = [
+        subprocess.Popen(
+            [sys.executable, "-m", "lapispick", "turns", "hold", "--at", at, "job", "--", "sh", "-c", script], cwd=ROOT
+        )
+        for at in ops[:2] * 2
+    ]
     assert [each.wait(60) for each in held] == [7] * 4
     lines = [line.split() for line in out.read_text().splitlines()]
     assert [word for _, word in lines] == ["begins", "ends"] * 4  # one after the other
@@ -403,9 +419,24 @@
     all_ = names(talk)
     talk.agree(all_)
     out = tmp_path / "out"
-    held = subprocess.Popen([sys.executable, "-m", "lapispick", "turns", "hold", "--at",
-                             talk.fleet[all_[0]].processes[-1].ops, "job", "--", "sh", "-c",
-                             f"echo $LAPISPICK_FENCE > {out}; exec sleep 60"], cwd=ROOT, stderr=subprocess.PIPE)
+    held = subprocess.Popen(
+        [
+            sys.executable,
+            "-m",
+            "lapispick",
+            "turns",
+            "hold",
+            "--at",
+            talk.fleet[all_[0]].processes[-1].ops,
+            "job",
+            "--",
+            "sh",
+            "-c",
+            f"echo $LAPISPICK_FENCE > {out}; exec sleep 60",
+        ],
+        cwd=ROOT,
+        stderr=subprocess.PIPE,
+    )
     until(lambda: out.exists() and out.read_text().strip(), "the command's start")
     talk.fleet.part([all_[0]], all_[1:])  # the holder is cut off from the majority
     began = time.monotonic()
@@ -438,15 +469,28 @@
 
 
 def test_members_that_share_one_busy_core_are_not_dead_at_the_times_of_service(talking):
-    talk = talking(3, told=QUICK.replace("period 200ms", "period 1s").replace("timeout 80ms", "timeout 300ms")
-                   .replace("suspicion 4", "suspicion 5")).start()
+    talk = talking(
+        3,
+        told=QUICK.replace("period 200ms", "period 1s")
+        .replace("timeout 80ms", "timeout 300ms")
+        .replace("suspicion 4", "suspicion 5"),
+    ).start()
     all_ = names(talk)
     talk.agree(all_)
     core = min(os.sched_getaffinity(0))
     for name in all_[:2]:
         os.sched_setaffinity(talk.fleet[name].processes[-1].pid, {core})
-    busy = [subprocess.Popen([sys.executable, "-c", f"import os, time\nos.sched_setaffinity(0, {{{core}}})\n"
-                              "end = time.monotonic() + 10\nwhile time.monotonic() < end: pass"]) for _ in range(3)]
+    busy = [
+        subprocess.Popen(
+            [
+                sys.executable,
+                "-c",
+                f"import os, time\nos.sched_setaffinity(0, {{{core}}})\n"
+                "end = time.monotonic() + 10\nwhile time.monotonic() < end: pass",
+            ]
+        )
+        for _ in range(3)
+    ]
     try:
         for each in busy:
             each.wait(30)
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -35,8 +35,9 @@
         for i in range(count):
             folder = tmp_path / f"h{i}"
             folder.mkdir()
-            hosts.append(Host(folder, executor=executor(), store=store, started=False,
-                              seed=f"{i * 7919 + 5:016x}", **over))
+            hosts.append(
+                Host(folder, executor=executor(), store=store, started=False, seed=f"{i * 7919 + 5:016x}", **over)
+            )
         for h in hosts:
             h.at = until(lambda h=h: re.search(r"event=started .*listen=(\S+)", h.log()), "the start").group(1)
             if ready:
@@ -152,8 +153,11 @@
 
 @pytest.mark.parametrize("sockets", [64, 256])
 def test_idle_clients_that_fill_the_descriptors_keep_nobody_else_out(host, sockets):
-    h = host(limits={"sockets": sockets}, info=settings(Cores=16, CallsOut=100.0), command=[
-        "/bin/sh", "-c", f"ulimit -n {sockets}; exec {sys.executable} -m lapispick.host"])
+    h = host(
+        limits={"sockets": sockets},
+        info=settings(Cores=16, CallsOut=100.0),
+        command=["/bin/sh", "-c", f"ulimit -n {sockets}; exec {sys.executable} -m lapispick.host"],
+    )
     h.roster.close()  # discovery is down
     first = h.gateway()
     for n in range(1, 15):  # calls of which none ends: as many as there are descriptors for at the least limit
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -25,8 +25,18 @@
 
 
 def header(box="a", incarnation="1", **over):
-    return files.blank(**{**dict(box=box, incarnation=incarnation, classes=NAMES, accounts=["shop", "bar"],
-                                 settings=msgspec.json.encode(make_settings())), **over})
+    return files.blank(
+        **{
+            **dict(
+                box=box,
+                incarnation=incarnation,
+                classes=NAMES,
+                accounts=["shop", "bar"],
+                settings=msgspec.json.encode(make_settings()),
+            ),
+            **over,
+        }
+    )
 
 
 def run(number, at, box=0):
@@ -39,13 +49,25 @@
     return list(selector.run(s for s in steps if since - selector.margin <= s.now < until + selector.margin))
 
 
-STEPS = [asked(0, 1), run(1, 10), asked(100, 2, 1, account="bar"), answered(150, 1), run(2, 200), asked(300, 3),
-         Step(310, (), (api.Advertise(0.5),)), answered(320, 3, "refused"), answered(400, 2), asked(500, 4)]
+STEPS = [
+    asked(0, 1),
+    run(1, 10),
+    asked(100, 2, 1, account="bar"),
+    answered(150, 1),
+    run(2, 200),
+    asked(300, 3),
+    Step(310, (), (api.Advertise(0.5),)),
+    answered(320, 3, "refused"),
+    answered(400, 2),
+    asked(500, 4),
+]
 
 
 def ids(steps):
-    return [(s.now, *(r.id for part in s[1:4] for r in part if hasattr(r, "id") and type(r) is not Straddles))
-            for s in steps]
+    return [
+        (s.now, *(r.id for part in s[1:4] for r in part if hasattr(r, "id") and type(r) is not Straddles))
+        for s in steps
+    ]
 
 
 def marks(steps):
@@ -66,10 +88,16 @@
     assert cut(STEPS, since=7000.0, until=8000.0) == []
 
 
-@pytest.mark.parametrize("wanted,kept", [
-    (dict(classes=frozenset({"book"})), {2}), (dict(accounts=frozenset({"shop"})), {1, 3, 4}),
-    (dict(outcomes=frozenset({"refused"})), {3}), (dict(outcomes=frozenset({"gone"})), {4}),
-    (dict(classes=frozenset({"track"}), outcomes=frozenset({"served"})), {1})])
+@pytest.mark.parametrize(
+    "wanted,kept",
+    [
+        (dict(classes=frozenset({"book"})), {2}),
+        (dict(accounts=frozenset({"shop"})), {1, 3, 4}),
+        (dict(outcomes=frozenset({"refused"})), {3}),
+        (dict(outcomes=frozenset({"gone"})), {4}),
+        (dict(classes=frozenset({"track"}), outcomes=frozenset({"served"})), {1}),
+    ],
+)
 def test_requests_are_chosen_by_class_account_and_outcome(wanted, kept):
     made = cut(STEPS, **wanted)
     assert {number for one in ids(made) for number in one[1:]} == kept
@@ -77,8 +105,10 @@
 
 
 def test_what_a_cut_holds_does_not_grow_with_the_trace():
-    selector, most = Selector(Wanted(outcomes=frozenset({"served"})), lambda box, cls: "track", 4000.0,
-                              lambda s: s.now), 0
+    selector, most = (
+        Selector(Wanted(outcomes=frozenset({"served"})), lambda box, cls: "track", 4000.0, lambda s: s.now),
+        0,
+    )
 
     def steps():
         nonlocal most
@@ -105,8 +135,9 @@
 
 
 def test_sources_of_one_life_are_one_and_clocks_are_corrected_where_they_are_told():
-    told, places = merging.sources([header(sequence=0).sources, header(sequence=1).sources,
-                                    header("b").sources, header(incarnation="2").sources])
+    told, places = merging.sources(
+        [header(sequence=0).sources, header(sequence=1).sources, header("b").sources, header(incarnation="2").sources]
+    )
     assert [(s.box, s.incarnation) for s in told] == [("a", "1"), ("b", "1"), ("a", "2")]
     assert places == [[0], [0], [1], [2]]
     left = merging.corrected(told, {"a": Clock(0.0, 0.0, 0.0, 0.0, 9, True), "b": Unknown("cannot tell: no")})
@@ -119,9 +150,15 @@
 def test_tries_that_are_kept_are_of_the_same_subjects_at_all_boxes():
     rng = random.Random(3)
     subjects = [rng.randbytes(8) for _ in range(3000)]
-    many = [list(meetings.tries(header(box).sources, (
-        step for n, s in enumerate(subjects) for step in (asked(n, n + 1, 1, subject=s), answered(n, n + 1)))))
-        for box in "ab"]
+    many = [
+        list(
+            meetings.tries(
+                header(box).sources,
+                (step for n, s in enumerate(subjects) for step in (asked(n, n + 1, 1, subject=s), answered(n, n + 1))),
+            )
+        )
+        for box in "ab"
+    ]
     held = meetings.kept(many, 1000)
     assert 300 < len(held) <= 1000
     assert {t.subject for t in held if t.box == "b"} <= {t.subject for t in held if t.box == "a"}
@@ -178,13 +215,18 @@
     assert len(side._cls) <= 101 and side.made["track"].run == 999
 
 
-@pytest.mark.parametrize("line,why", [
-    (b"{", "line 7"), (b'{"now": "x"}', "line 7: Expected `float`"),
-    (b'{"now": 1, "events": [{"record": "Run", "id": 1}]}', "no record 'Run' among the events"),
-    (b'{"now": 1, "actions": [{"record": "Run"}]}', "line 7: 'id'"),
-    (b'{"now": 1, "actions": [{"record": "Run", "id": 1, "x": 2}]}', "Run has no field 'x'"),
-    (b'{"now": 1, "events": [{"record": "RunEnded", "id": 1, "outcome": "GOOD", "took": 1}]}', "GOOD"),
-    (b'{"now": 1, "notes": [{"record": "Arrival", "id": 1, "account": "a", "subject": "?", "born": 1}]}', "line 7")])
+@pytest.mark.parametrize(
+    "line,why",
+    [
+        (b"{", "line 7"),
+        (b'{"now": "x"}', "line 7: Expected `float`"),
+        (b'{"now": 1, "events": [{"record": "Run", "id": 1}]}', "no record 'Run' among the events"),
+        (b'{"now": 1, "actions": [{"record": "Run"}]}', "line 7: 'id'"),
+        (b'{"now": 1, "actions": [{"record": "Run", "id": 1, "x": 2}]}', "Run has no field 'x'"),
+        (b'{"now": 1, "events": [{"record": "RunEnded", "id": 1, "outcome": "GOOD", "took": 1}]}', "GOOD"),
+        (b'{"now": 1, "notes": [{"record": "Arrival", "id": 1, "account": "a", "subject": "?", "born": 1}]}', "line 7"),
+    ],
+)
 def test_lines_that_are_no_step_are_named(line, why):
     with pytest.raises(lines.LineFault, match=why):
         lines.read_step(line, 7)
@@ -261,8 +303,11 @@
     folder = tmp_path / "traces"
     folder.mkdir()
     for life in "12":
-        files.write(folder / f"a-{life}.lptrace", header(incarnation=life),
-                    [asked(100.0 * int(life), 1), answered(100.0 * int(life) + 50, 1)])
+        files.write(
+            folder / f"a-{life}.lptrace",
+            header(incarnation=life),
+            [asked(100.0 * int(life), 1), answered(100.0 * int(life) + 50, 1)],
+        )
     assert [one["incarnation"] for one in json.loads(tool("info", folder, "--json"))] == ["1", "2"]
     assert "needs files of one life" in tool("summarise", folder, code=2)
     out = tmp_path / "m.lptrace"
@@ -346,10 +391,13 @@
         assert read(tmp_path / "o.lptrace") == []
 
 
-
-
-@pytest.mark.parametrize("broken,words", [("lapispick.standins.pool.Pool.ask", ["demo", "--seconds", "0.5"]),
-                                          ("lapispick.cli.ops.call", ["ops", "check", "--at", "127.0.0.1:1"])])
+@pytest.mark.parametrize(
+    "broken,words",
+    [
+        ("lapispick.standins.pool.Pool.ask", ["demo", "--seconds", "0.5"]),
+        ("lapispick.cli.ops.call", ["ops", "check", "--at", "127.0.0.1:1"]),
+    ],
+)
 def test_a_peer_that_hangs_up_on_a_command_is_a_message_and_never_silence(monkeypatch, broken, words):
     def hang_up(*_, **__):
         raise BrokenPipeError(32, "Broken pipe")
@@ -361,8 +409,12 @@
 
 @pytest.mark.parametrize("unbuffered", ["", "1"])
 def test_a_reader_that_left_is_no_fault_of_a_peer(unbuffered):
-    made = subprocess.Popen([sys.executable, "-m", "lapispick", "config", "show"], stdout=subprocess.PIPE,
-                            stderr=subprocess.PIPE, env={**os.environ, "PYTHONUNBUFFERED": unbuffered})
+    made = subprocess.Popen(
+        [sys.executable, "-m", "lapispick", "config", "show"],
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        env={**os.environ, "PYTHONUNBUFFERED": unbuffered},
+    )
     made.stdout.close()
     assert made.stderr.read() == b"" and made.wait(20) == 1
     made.stderr.close()
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -29,9 +29,12 @@
 
 def step(n):
     request = api.Request(n, 5.5, 0.5, 0.0, 0, 0.0, 24.0, 1, 3)
-    return Step(float(n), (request, api.TimerFired(0, (1.0, 2.0)), api.RunEnded(n, api.Outcome.OK, 3.0)),
-                (api.Run(n), api.Log("two words"), api.SetHealth(False, True)),
-                (Arrival(n, "shop", b"12345678", 1e12), Answered(n, "served", 7.0)))
+    return Step(
+        float(n),
+        (request, api.TimerFired(0, (1.0, 2.0)), api.RunEnded(n, api.Outcome.OK, 3.0)),
+        (api.Run(n), api.Log("two words"), api.SetHealth(False, True)),
+        (Arrival(n, "shop", b"12345678", 1e12), Answered(n, "served", 7.0)),
+    )
 
 
 def blocks(*sizes):
@@ -65,8 +68,15 @@
 
 
 def test_every_kind_of_record_comes_back():
-    samples = {"int": 3, "float": 2.5, "bool": True, "str": "é", "bytes": b"\0\xff", "Outcome": api.Outcome.ERROR,
-               "tuple[float, ...]": (1.0, 0.0)}
+    samples = {
+        "int": 3,
+        "float": 2.5,
+        "bool": True,
+        "str": "é",
+        "bytes": b"\0\xff",
+        "Outcome": api.Outcome.ERROR,
+        "tuple[float, ...]": (1.0, 0.0),
+    }
     items = {kind: kind(*(samples[a] for a in records.fields_of(kind).values())) for kind in KINDS.values()}
     whole = Step(1.5, *(tuple(items[k] for k in part) for part in (EVENTS, ACTIONS, NOTES)))
     assert records.unpack(b"".join(records.pack([whole]))) == [whole]
@@ -77,7 +87,7 @@
     made = blocks(3, 4, 5)
     data = files.in_memory(HEADER, made)
     ends = [p.offset for p in read(put(tmp_path, data))[1].places]
-    offset = layout.TRAILER.unpack(data[-layout.TRAILER.size:])[0]
+    offset = layout.TRAILER.unpack(data[-layout.TRAILER.size :])[0]
     for at in range(ends[1], len(data)):
         found, reader = read(put(tmp_path, data[:at]))
         whole = 1 + (at >= ends[2]) + (at >= offset)
@@ -134,8 +144,10 @@
     # Made by benchmarks.trace.drive; this file is never written again, and what it says does not change.
     path = Path(__file__).parent / "data" / "v1.lptrace"
     found, reader = read(path)
-    assert sha256(b"\n".join(lines.write(reader.whole_header, found))).hexdigest() == \
-        "b07abaca2938159900b21ea08595b5fe553a70cbbb57bb4b4e1d8b6cd0ac92f2"
+    assert (
+        sha256(b"\n".join(lines.write(reader.whole_header, found))).hexdigest()
+        == "b07abaca2938159900b21ea08595b5fe553a70cbbb57bb4b4e1d8b6cd0ac92f2"
+    )
     with files.Reader(path) as reader:
         made = folding.summarise(reader.sources, (reader.columns(place) for place in reader.places))
     assert (made.whole.requests, made.whole.tries, made.whole.served, made.whole.refused) == (266, 289, 292.0, 102)
@@ -192,7 +204,7 @@
 @settings(max_examples=300, deadline=None)
 def test_no_bytes_break_the_reader(tmp_path_factory, noise, at):
     data = files.in_memory(HEADER, blocks(3, 3))
-    path = put(tmp_path_factory.mktemp("fuzz"), data[: at % len(data)] + noise + data[at % len(data) + len(noise):])
+    path = put(tmp_path_factory.mktemp("fuzz"), data[: at % len(data)] + noise + data[at % len(data) + len(noise) :])
     try:
         with files.Reader(path) as reader:
             for place in reader.places:
@@ -238,8 +250,13 @@
         numbers = []
         for _ in range(count):
             book = self.asked % 3 == 0
-            numbers.append(self.gateway.request("book" if book else "track", "call:200" if self.asked % 2 else "x",
-                                                uuid.uuid4().hex if book else None))
+            numbers.append(
+                self.gateway.request(
+                    "book" if book else "track",
+                    "call:200" if self.asked % 2 else "x",
+                    uuid.uuid4().hex if book else None,
+                )
+            )
             self.asked += 1
             if len(numbers) % 8 == 0:
                 for number in numbers[-8:]:
@@ -256,8 +273,9 @@
 
 
 def tool(*words, code=0):
-    made = subprocess.run([sys.executable, "-m", "lapispick", "trace", *map(str, words)], capture_output=True,
-                          text=True, timeout=60)
+    made = subprocess.run(
+        [sys.executable, "-m", "lapispick", "trace", *map(str, words)], capture_output=True, text=True, timeout=60
+    )
     assert made.returncode == code, (made.stdout, made.stderr)
     return made.stdout
 
@@ -280,7 +298,10 @@
     notes = [n for s in found for n in s.notes]
     assert sum(type(n) is Arrival for n in notes) == r.asked
     assert [(n.what, n.told) for n in notes if type(n) is Happened] == [
-        ("drain-on", ""), ("drain-off", ""), ("reloaded", "stop_ms")]
+        ("drain-on", ""),
+        ("drain-off", ""),
+        ("reloaded", "stop_ms"),
+    ]
     refused = {a.id: a.ground for s in found for a in s.actions if type(a) is api.Refuse}
     assert all(refused.values()) and bool(refused) == ("refused" in {n.kind for n in notes if type(n) is Answered})
     answers = [n for n in notes if type(n) is Answered]
@@ -293,9 +314,12 @@
     out = tmp_path / "cut.lptrace"
     tool("cut", r.files()[0], out, "--since", first, "--until", (first + last) / 2)
     assert 0 < len(read(out)[0]) < len(found) and len(tool("cat", out).splitlines()) == len(read(out)[0])
-    assert "needs all files" in subprocess.run(
-        [sys.executable, "-m", "lapispick", "trace", "replay", str(r.files()[1])], capture_output=True,
-        text=True).stderr
+    assert (
+        "needs all files"
+        in subprocess.run(
+            [sys.executable, "-m", "lapispick", "trace", "replay", str(r.files()[1])], capture_output=True, text=True
+        ).stderr
+    )
 
 
 def test_a_host_killed_under_load_leaves_a_whole_file(tmp_path, host):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -420,8 +420,12 @@
         until(lambda: sum(s.answered for s in shops) > 60, "some load")
         new = host(beside=old, executor=Executor(work_s=0.003), started=False)
         either = {"old": old, "new": new}
-        until(lambda: f"event={point}" in new.log() or f"event={point}" in old.log()
-              or (new.log() and new_says_yes(new, old)), "the point")
+        until(
+            lambda: (
+                f"event={point}" in new.log() or f"event={point}" in old.log() or (new.log() and new_says_yes(new, old))
+            ),
+            "the point",
+        )
         if rng.random() < 0.5:
             time.sleep(rng.random() * 0.05)
         either[victim].process.kill()
@@ -526,8 +530,11 @@
         link, _ = sock.accept()
         assert isinstance(say.decode(link.recv(1000).strip()), say.Hello)
         socket.send_fds(link, [b"\n"], [clients.fileno()])
-        told = [say.Welcome(say.VERSION), say.Doubt(0.0),
-                say.Known(("nonce", known), time.time() * 1000 + 60_000, digest("book", b64("ran")), True, b64("kept"))]
+        told = [
+            say.Welcome(say.VERSION),
+            say.Doubt(0.0),
+            say.Known(("nonce", known), time.time() * 1000 + 60_000, digest("book", b64("ran")), True, b64("kept")),
+        ]
         link.sendall(b"".join(map(say.encode, told)) + tail)
         link.close()
         fcntl.flock(held, fcntl.LOCK_UN)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -14,26 +14,66 @@
 from lapispick.settings import Info, settings_from
 
 BATCH = bytes.fromhex(
-    "00000083" "40c06e2000000000" "0000000c"
-    "05" "00000003" "0008f0695d3a91c4" "40c0e62000000000" "91f03b7c55d20a64" "3f200000" "3ffd99999999999a"
-    "000f167b0e6f2b19" "01" "00000000" "41c40000" "4028000000000000" "0000" "00000011"
-    "08" "00000003" "000000000000004d" "04" "3f1eb852404000003ed1eb8542f00000"
-    "04" "00000005" "000f167b0e6f2b19"
+    "00000083"
+    "40c06e2000000000"
+    "0000000c"
+    "05"
+    "00000003"
+    "0008f0695d3a91c4"
+    "40c0e62000000000"
+    "91f03b7c55d20a64"
+    "3f200000"
+    "3ffd99999999999a"
+    "000f167b0e6f2b19"
+    "01"
+    "00000000"
+    "41c40000"
+    "4028000000000000"
+    "0000"
+    "00000011"
+    "08"
+    "00000003"
+    "000000000000004d"
+    "04"
+    "3f1eb852404000003ed1eb8542f00000"
+    "04"
+    "00000005"
+    "000f167b0e6f2b19"
 )
 INFO = {
     "Bounds": {"MaxRetryAfter": 1000.0, "RetryAfter": True},
-    "FamilyInfo": {"Advert": "level", "Below": "tier", "CallsOut": 0.0, "ClassSkipWorth": [0.5],
-                   "Cold": False, "Cores": 6, "DepWindow": 5000.0,
-                   "Gauges": ["core_use", "unheard_of"], "Halt": "pause",
-                   "KbPerKey": 136.6, "MemoryKb": 29472.0, "RunMemFactor": 8.0, "NewKey": {"x": 1}},
+    "FamilyInfo": {
+        "Advert": "level",
+        "Below": "tier",
+        "CallsOut": 0.0,
+        "ClassSkipWorth": [0.5],
+        "Cold": False,
+        "Cores": 6,
+        "DepWindow": 5000.0,
+        "Gauges": ["core_use", "unheard_of"],
+        "Halt": "pause",
+        "KbPerKey": 136.6,
+        "MemoryKb": 29472.0,
+        "RunMemFactor": 8.0,
+        "NewKey": {"x": 1},
+    },
     "Guarantees": {"ColdFrom": 0.23, "DrainGrace": 1800.0, "FallMultiple": 8.0, "WarmUp": 13000.0},
     "Layer": 0,
     "ObjectiveMix": {"Whole": 0.5, "WorstClass": 0.2, "WorstTenant": 0.1, "WorstWindow": 0.2},
     "OverShareWorth": 0.05,
     "Parties": [{"Name": "a", "QuotaRps": 84.0, "Share": 1.0}],
     "PeersTotal": 12,
-    "Services": [{"GiveUp": 5400.0, "Idempotency": "idempotent", "LateWorth": 0.0, "Name": "x",
-                  "Promise": 2100.0, "Window": 5000.0, "Worth": 1.0}],
+    "Services": [
+        {
+            "GiveUp": 5400.0,
+            "Idempotency": "idempotent",
+            "LateWorth": 0.0,
+            "Name": "x",
+            "Promise": 2100.0,
+            "Window": 5000.0,
+            "Worth": 1.0,
+        }
+    ],
     "ValueBy": "work",
 }
 
@@ -49,15 +89,28 @@
 
 
 def knock(inst=3, rid=5):
-    return struct.pack(">BIQdQfdQBIfdHI", wire.KNOCK, inst, rid, 5000.0, 0, 0.5, 1.0, 0, 1, 0, 20.0, 100.0,
-                       0, 1)
+    return struct.pack(">BIQdQfdQBIfdHI", wire.KNOCK, inst, rid, 5000.0, 0, 0.5, 1.0, 0, 1, 0, 20.0, 100.0, 0, 1)
 
 
 def test_the_described_batch_decodes():
     clock, number, records = wire.decode_batch(BATCH)
     assert (clock, number) == (8412.25, 12)
-    assert records[0] == (5, 3, 0x8F0695D3A91C4, 8652.25, 0x91F03B7C55D20A64, 0.625, pytest.approx(1.85),
-                          0xF167B0E6F2B19, 1, 0, 24.5, 12.0, 0, 17)
+    assert records[0] == (
+        5,
+        3,
+        0x8F0695D3A91C4,
+        8652.25,
+        0x91F03B7C55D20A64,
+        0.625,
+        pytest.approx(1.85),
+        0xF167B0E6F2B19,
+        1,
+        0,
+        24.5,
+        12.0,
+        0,
+        17,
+    )
     code, inst, token, gauges = records[1]
     assert (code, inst, token) == (8, 3, 0x4D)
     assert gauges == pytest.approx((0.62, 3.0, 0.41, 120.0), rel=1e-6)
@@ -71,18 +124,30 @@
         wire.encode_text(wire.EMIT, 5, "two servers known"),
     ]
     assert wire.encode_reply(12, parts).hex() == (
-        "00000046" "00000003" "0000000c" "01" "00000003" "0008f0695d3a91c4"
-        "0e" "00000003" "407f400000000000" "000000000000004d"
-        "07" "00000005" "0011" "74776f2073657276657273206b6e6f776e"
+        "00000046"
+        "00000003"
+        "0000000c"
+        "01"
+        "00000003"
+        "0008f0695d3a91c4"
+        "0e"
+        "00000003"
+        "407f400000000000"
+        "000000000000004d"
+        "07"
+        "00000005"
+        "0011"
+        "74776f2073657276657273206b6e6f776e"
     )
     assert wire.encode_reply(1, []).hex() == "0000000c0000000000000001"
 
 
 def test_described_single_records():
     assert wire.ACTIONS[wire.SAY_NO].pack(wire.SAY_NO, 3, 0xF167B0E6F2B19, 250.0, 1).hex() == (
-        "0a00000003000f167b0e6f2b19406f40000000000001")
+        "0a00000003000f167b0e6f2b19406f40000000000001"
+    )
     assert wire.ACTIONS[wire.SAY].pack(wire.SAY, 3, 0.25).hex() == "04000000033e800000"
-    over = frame(bytes.fromhex("01" "00000003" "0008f0695d3a91c4" "01" "4032800000000000"))
+    over = frame(bytes.fromhex("01000000030008f0695d3a91c4014032800000000000"))
     assert wire.decode_batch(over)[2] == [(1, 3, 0x8F0695D3A91C4, 1, 18.5)]
 
 
@@ -91,19 +156,22 @@
     return subprocess.run(command, input=data, capture_output=True, timeout=30)
 
 
-@pytest.mark.parametrize("data,says", [
-    (b"\x00\x00", "truncated frame"),
-    (frame(born())[:-5], "truncated frame"),
-    (b"\x7f\xff\xff\xff", "over-long frame"),
-    (b"\x00\x00\x00\x04", "shorter than"),
-    (frame(b"\x63\x00\x00\x00\x03"), "unknown event code 99"),
-    (frame(knock()[:-4]), "truncated record"),
-    (frame(born(b"{nope")), "not JSON"),
-    (frame(born({k: v for k, v in INFO.items() if k != "Services"})), "Services"),
-    (frame(born({**INFO, "Services": []})), "malformed"),
-    (frame(knock(inst=8)), "instance 8, which was never born"),
-    (frame(born(), struct.pack(">BIQBd", wire.RUN_OVER, 3, 5, 77, 1.0)), "unknown outcome"),
-])
+@pytest.mark.parametrize(
+    "data,says",
+    [
+        (b"\x00\x00", "truncated frame"),
+        (frame(born())[:-5], "truncated frame"),
+        (b"\x7f\xff\xff\xff", "over-long frame"),
+        (b"\x00\x00\x00\x04", "shorter than"),
+        (frame(b"\x63\x00\x00\x00\x03"), "unknown event code 99"),
+        (frame(knock()[:-4]), "truncated record"),
+        (frame(born(b"{nope")), "not JSON"),
+        (frame(born({k: v for k, v in INFO.items() if k != "Services"})), "Services"),
+        (frame(born({**INFO, "Services": []})), "malformed"),
+        (frame(knock(inst=8)), "instance 8, which was never born"),
+        (frame(born(), struct.pack(">BIQBd", wire.RUN_OVER, 3, 5, 77, 1.0)), "unknown outcome"),
+    ],
+)
 def test_malformed_input_ends_with_a_plain_message(data, says):
     done = run_adapter(data)
     assert done.returncode != 0
