--- a/benchmarks/detectors.py
+++ b/benchmarks/detectors.py
@@ -12,7 +12,7 @@
 from math import erfc, log10, sqrt
 from typing import Any
 
-from lapispick.members.view import Change, Send, State
+from lapispick.members.membership_view import Change, Send, State
 
 BEAT = b'{"say":"beat","fleet":"model","sender":"disp-0001","life":1}'  # as long as a word without news
 
--- a/benchmarks/inventory.py
+++ b/benchmarks/inventory.py
@@ -22,13 +22,13 @@
 
 from benchmarks.common import against, cpu_s, memory_mb, ratio, show
 from lapispick.conf.settings import Inventory as Settings
+from lapispick.fakes.peers import INFO
 from lapispick.fleet import snapshot
 from lapispick.fleet.messages import Begin, FromHelper, Look
-from lapispick.fleet.plan import Bounds
 from lapispick.fleet.reading import File, Options, Reader
+from lapispick.fleet.reconciler import Bounds
 from lapispick.host.amqp import listing
-from lapispick.settings import Info, settings_from
-from lapispick.standins.peers import INFO
+from lapispick.platform_settings import Info, settings_from
 
 SIZES = (14, 500, 5000)
 BEFORE = "8ba3416"  # the last version without inventory files
@@ -144,9 +144,9 @@
 def _stalls(size: int, form: str, rounds: int) -> tuple[float, float, float, float, float]:
     """Return (idle, first load, change) longest gaps between turns in ms, helper's and own memory in MB."""
     from lapispick.host.amqp.front import AmqpFront
+    from lapispick.host.dns_resolver import Names
     from lapispick.host.inventory import Inventory
-    from lapispick.host.loop import Loop
-    from lapispick.host.names import Names
+    from lapispick.host.scheduler import Loop
 
     info = msgspec.convert(INFO, Info)
     loop, worst, phase = Loop(), {"idle": 0.0, "first": 0.0, "change": 0.0}, ["idle"]
@@ -222,7 +222,7 @@
 
 def off(rounds: int = 5, requests: int = 1200) -> None:
     """Compare a host that has all of it off with an earlier version: memory at start, CPU for a request."""
-    from lapispick.standins.peers import Host
+    from lapispick.fakes.peers import Host
 
     found: dict[str, list[tuple[float, float]]] = {"before": [], "now": []}
     with against(BEFORE) as old, tempfile.TemporaryDirectory() as folder:
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -18,10 +18,10 @@
 import msgspec
 
 from benchmarks.detectors import Accrual, Heartbeats
-from lapispick import spread
-from lapispick.members.node import Bounds
-from lapispick.members.view import Bounds as Times
-from lapispick.members.view import View
+from lapispick import jitter
+from lapispick.members.member import Bounds
+from lapispick.members.membership_view import Bounds as Times
+from lapispick.members.membership_view import View
 from lapispick.model import runs
 from lapispick.model.script import Step
 from lapispick.model.world import Make, World, members
@@ -217,8 +217,8 @@
         "probes": lambda s: _probes(False, s),
     }
     after = {
-        "reconnects": lambda s: _reconnects(spread.pause, s),
-        "look-ups": lambda s: _lookups(spread.period, s),
+        "reconnects": lambda s: _reconnects(jitter.pause, s),
+        "look-ups": lambda s: _lookups(jitter.period, s),
         "probes": lambda s: _probes(True, s),
     }
     spans, rows = {"reconnects": 30.0, "look-ups": 3600.0, "probes": 20.0}, []
--- a/benchmarks/members_host.py
+++ b/benchmarks/members_host.py
@@ -12,8 +12,8 @@
 import time
 from pathlib import Path
 
-from lapispick.standins.fleet import Fleet
-from lapispick.standins.talk import Talk
+from lapispick.fakes.fleet import Fleet
+from lapispick.fakes.member_cluster import Talk
 
 TICK = os.sysconf("SC_CLK_TCK")
 
--- a/benchmarks/plainfold.py
+++ b/benchmarks/plainfold.py
@@ -1,4 +1,4 @@
-"""A fold of requests step by step and record by record: the baseline for ``lapispick.trace.folding``, and its check.
+"""Aggregates requests record by record: the baseline for ``lapispick.trace.aggregation``, and its check.
 
 It says what a summary means in the plainest way, keeps all it has seen, and is as slow as that makes it.
 """
@@ -8,13 +8,13 @@
 from collections.abc import Iterable
 from typing import Any
 
-from lapispick import interface as api
-from lapispick.trace.folding import REPEATED_MS, WINDOW_MS, Source, Worth
-from lapispick.trace.kinds import Answered, Arrival, Gap, Step
+from lapispick import admission
+from lapispick.trace.aggregation import REPEATED_MS, WINDOW_MS, Source, Worth
+from lapispick.trace.record_types import Answered, Arrival, Gap, Step
 
 
 class _Request:
-    def __init__(self, name: str, cls: api.ClassSettings, born: float) -> None:
+    def __init__(self, name: str, cls: admission.ClassSettings, born: float) -> None:
         self.name, self.cls, self.born = name, cls, born
         self.until = born + max(cls.window_ms, cls.deadline_ms) + REPEATED_MS
         self.account, self.kind, self.age, self.poorer, self.tries = "", "", 0.0, False, 1
@@ -38,7 +38,7 @@
 
         for event in step.events:
             kind = type(event)
-            if kind is api.Request:
+            if kind is admission.Request:
                 subject = arrived[event.id].subject if event.id in arrived else b""
                 first = live(event.prior) if event.prior else None
                 if first is None and subject and (first := subjects.get(subject)) and first.until <= now:
@@ -53,9 +53,9 @@
                 tries[box, event.id] = first
                 open_.add((box, event.id))
                 came[box, event.id] = now
-            elif kind is api.Gone:
+            elif kind is admission.Gone:
                 open_.discard((box, event.id))
-            elif kind is api.RunEnded and event.outcome <= api.Outcome.OK and (found := live(event.id)):
+            elif kind is admission.RunEnded and event.outcome <= admission.Outcome.OK and (found := live(event.id)):
                 runs.setdefault(found.name, []).append(event.took)
         for note in step.notes:
             if type(note) is Arrival and (found := live(note.id)):
@@ -67,11 +67,11 @@
                 if found.kind != "served" and note.kind in ("served", "refused", "failed"):
                     found.kind, found.age = note.kind, now - found.born
         for action in step.actions:
-            if type(action) is api.Run and (found := live(action.id)) and (box, action.id) in came:
+            if type(action) is admission.Run and (found := live(action.id)) and (box, action.id) in came:
                 waits.setdefault(found.name, []).append(now - came.pop((box, action.id)))
-            elif type(action) is api.GoWithout and (found := live(action.id)):
+            elif type(action) is admission.GoWithout and (found := live(action.id)):
                 found.poorer = True
-            elif type(action) is api.Refuse:
+            elif type(action) is admission.Refuse:
                 grounds[action.ground or "not told"] = grounds.get(action.ground or "not told", 0) + 1
     made: dict[str, Any] = {
         "whole": Worth(),
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -17,10 +17,10 @@
 import msgspec
 
 from benchmarks.rollout_model import NEW, OLD, Fleet
-from lapispick.rollout import figures, steering
-from lapispick.rollout.box import SERVING, Life
-from lapispick.rollout.figures import Class, Slice
-from lapispick.rollout.judge import Bounds, Judge, Outcome
+from lapispick.rollout import metrics, rollout_state
+from lapispick.rollout.canary_analysis import Bounds, Judge, Outcome
+from lapispick.rollout.host_state import SERVING, Life
+from lapispick.rollout.metrics import Class, Slice
 
 BAKE, BEFORE = 60, 60  # slices
 RAW = 0.05  # of a share, over the old boxes' in the last ten slices: what a pager rule with a fixed threshold has
@@ -83,7 +83,7 @@
 
 
 def _unserved(slices: dict[str, Slice], names: list[str]) -> float:
-    whole = figures.merged([slices[name] for name in names])
+    whole = metrics.merged([slices[name] for name in names])
     assert whole is not None
     return max((c.refused + c.failed) / max(1, c.asked) for c in whole.classes.values())
 
@@ -100,7 +100,7 @@
     """
     made = []
     for staged in (True, False):
-        plan = {} if staged else {"pace": steering.pace.Bounds(60, 0.0), "back_most": 60, "controls": False}
+        plan = {} if staged else {"pace": rollout_state.pace.Bounds(60, 0.0), "back_most": 60, "controls": False}
         fleet = Fleet(seed, 60, plan, effect=lambda cls, warm: 0.3)
         if not staged:
             fleet.course.plan = msgspec.structs.replace(fleet.course.plan, stages=(tuple(fleet.boxes),))
--- a/benchmarks/rollout_fleet.py
+++ b/benchmarks/rollout_fleet.py
@@ -11,8 +11,8 @@
 import time
 from pathlib import Path
 
-from lapispick.standins.agents import FIGURES, Steering
-from lapispick.standins.fleet import Fleet
+from lapispick.fakes.agents import FIGURES, Steering
+from lapispick.fakes.fleet import Fleet
 
 PLAN = """ stages 1 50% 100%
  warm-up 1s
--- a/benchmarks/rollout_model.py
+++ b/benchmarks/rollout_model.py
@@ -13,15 +13,15 @@
 from typing import Any
 
 from lapispick.fleet.hosts import Worker
-from lapispick.rollout import box, pace, stages, steering
-from lapispick.rollout.box import Bounds, Kill, Reload, Seen, Start, State, Term
+from lapispick.rollout import host_state, pacing, rollout_state, stages
+from lapispick.rollout.canary_analysis import Bounds as Judging
+from lapispick.rollout.canary_analysis import Judge, Outcome
 from lapispick.rollout.compat import Spoken
-from lapispick.rollout.figures import Class, Slice, merged
 from lapispick.rollout.generations import Generation
-from lapispick.rollout.judge import Bounds as Judging
-from lapispick.rollout.judge import Judge, Outcome
-from lapispick.rollout.steering import Course, Heard, Plan
-from lapispick.rollout.words import Fence
+from lapispick.rollout.host_state import Bounds, Kill, Reload, Seen, Start, State, Term
+from lapispick.rollout.messages import Fence
+from lapispick.rollout.metrics import Class, Slice, merged
+from lapispick.rollout.rollout_state import Course, Heard, Plan
 
 SPEAKS = {"handover": Spoken(1, 1, 1)}
 OLD, NEW = "a" * 16, "b" * 16
@@ -52,11 +52,11 @@
         """Let the agent look once."""
         if not self.agent_up:
             return
-        self.state, actions = box.step(self.state, now, self.seen(now), Bounds())
+        self.state, actions = host_state.step(self.state, now, self.seen(now), Bounds())
         for action in actions:
             self.act(action, now)
 
-    def act(self, action: box.Action, now: float) -> None:
+    def act(self, action: host_state.Action, now: float) -> None:
         """Do what the agent orders."""
         if isinstance(action, Start):
             if action.life.number not in self.procs:
@@ -72,12 +72,12 @@
     def heard(self, now: float) -> Heard:
         """Return what a controller knows of it."""
         if self.agent_up and self.reached:
-            self.told = (now, box.status(self.state, now, self.seen(now)))
+            self.told = (now, host_state.status(self.state, now, self.seen(now)))
         return Heard(None, math.inf) if self.told is None else Heard(self.told[1], now - self.told[0])
 
     def serving(self, now: float) -> tuple[str, float]:
         """Return what serves here, and since when; nothing where nothing does."""
-        life = self.state.life(box.SERVING)
+        life = self.state.life(host_state.SERVING)
         if life is None or life.number not in self.procs or self.procs[life.number][1] > now:
             return "", 0.0
         return self.procs[life.number][0], now - self.procs[life.number][1]
@@ -121,7 +121,7 @@
             "confirm": 900.0,
             "watch": 30.0,
             "back_most": most,
-            "pace": pace.Bounds(most, 0.8),
+            "pace": pacing.Bounds(most, 0.8),
             **(plan or {}),
         }
         assigned = stages.assign(workers, [stages.want(w) for w in wants], f"r{seed}", bounds)
@@ -177,18 +177,18 @@
         }
         self.weigh(slices)
         heard = {name: each.heard(self.now) for name, each in self.boxes.items()}
-        self.course, calls = steering.step(self.course, self.now, Fence(1, "sim"), heard, self.verdict)
+        self.course, calls = rollout_state.step(self.course, self.now, Fence(1, "sim"), heard, self.verdict)
         for told in calls:
             each = self.boxes[told.box]
             if each.agent_up and each.reached:
-                each.state, _ = box.call(each.state, told.call, self.now, each.seen(self.now))
+                each.state, _ = host_state.call(each.state, told.call, self.now, each.seen(self.now))
 
     def weigh(self, slices: dict[str, Slice]) -> None:
         """Do as the controller does with its judge."""
         course = self.course
-        if course.phase in (steering.CHANGING, steering.BAKING):
+        if course.phase in (rollout_state.CHANGING, rollout_state.BAKING):
             heard = {name: each.heard(self.now) for name, each in self.boxes.items()}
-            changed, old = steering.groups(course, heard)
+            changed, old = rollout_state.groups(course, heard)
             if self._stage != course.stage:
                 self._stage, self.verdict = course.stage, None
                 self.judge = Judge(Judging(stages=len(course.plan.stages)), dict(course.plan.kinds))
@@ -199,13 +199,13 @@
                 self.judge.after(changed, old, slices)
             if int(self.now) % 3 == 0:
                 self.verdict = self.judge.verdict()
-        if course.phase not in (steering.DONE, steering.UNDONE):
+        if course.phase not in (rollout_state.DONE, rollout_state.UNDONE):
             self.old = [*self.old, {n: s for n, s in slices.items() if n not in course.touched}][-60:]
 
     def play(self, most: float = 5000.0, person: str = "go") -> Course:
         """Play until the rollout is over; a person answers each question in the same way."""
-        while self.course.phase not in steering.OVER and self.now < most:
-            if self.course.phase == steering.ASKING:
+        while self.course.phase not in rollout_state.OVER and self.now < most:
+            if self.course.phase == rollout_state.ASKING:
                 self.course.told = person
             self.second()
         return self.course
--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -14,7 +14,7 @@
 import time
 from pathlib import Path
 
-from lapispick.standins.peers import Host
+from lapispick.fakes.peers import Host
 
 SPIN = "import time\nend = time.time() + 120\nwhile time.time() < end: pass"
 
--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -26,15 +26,15 @@
 
 from benchmarks import plainfold
 from benchmarks.common import cpu_s, show
-from lapispick import interface as api
-from lapispick.control import Controller
-from lapispick.settings import Info, settings_from
-from lapispick.standins.peers import INFO
-from lapispick.trace import clocks as clocking
-from lapispick.trace import files, folding, lines, merging, replaying
+from lapispick import admission
+from lapispick.admission.controller import Controller
+from lapispick.fakes.peers import INFO
+from lapispick.platform_settings import Info, settings_from
+from lapispick.trace import aggregation, files, lines, merging, replaying
+from lapispick.trace import clock_skew as clocking
 from lapispick.trace.anonymising import Anonymiser
-from lapispick.trace.clocks import Clock, estimate, ways
-from lapispick.trace.kinds import Answered, Arrival, Step
+from lapispick.trace.clock_skew import Clock, estimate, ways
+from lapispick.trace.record_types import Answered, Arrival, Step
 
 SEED, RATE = 7, 130.0  # requests a second
 SETTINGS = settings_from(
@@ -82,7 +82,7 @@
             tries[last] = told
             due_at = told.born + rng.choice((2900, 3000, 4000))
             events.append(
-                api.Request(
+                admission.Request(
                     last,
                     float(due_at),
                     rng.randrange(10_000) / 10_000,
@@ -96,14 +96,16 @@
             )
             notes.append(Arrival(last, f"account-{told.account}", told.subject, float(told.born)))
         elif what == "timer":
-            events.append(api.TimerFired(told, (round(rng.uniform(0.2, 1), 3), float(rng.randrange(30)), 0.1, 3.0)))
+            events.append(
+                admission.TimerFired(told, (round(rng.uniform(0.2, 1), 3), float(rng.randrange(30)), 0.1, 3.0))
+            )
         elif what == "called" and told in tries:
-            events.append(api.CallEnded(told, api.Outcome.OK, round(rng.uniform(3, 40), 3)))
+            events.append(admission.CallEnded(told, admission.Outcome.OK, round(rng.uniform(3, 40), 3)))
             heappush(due, (now + rng.expovariate(1 / 30.0), count, "end", told))
         elif what == "call" and told in tries:
-            events.append(api.NeedsCall(told))
+            events.append(admission.NeedsCall(told))
         elif what == "end" and told in tries:
-            events.append(api.RunEnded(told, api.Outcome.OK, round(rng.uniform(20, 90), 3)))
+            events.append(admission.RunEnded(told, admission.Outcome.OK, round(rng.uniform(20, 90), 3)))
             notes.append(Answered(told, "served", now - tries.pop(told).born))
         else:
             continue
@@ -111,14 +113,16 @@
         for action in actions:
             count += 1
             kind = type(action)
-            if kind is api.Run:
+            if kind is admission.Run:
                 heappush(due, (now + rng.expovariate(1 / 30.0), count, "call", action.id))
-            elif kind in (api.Call, api.GoWithout):
-                heappush(due, (now + rng.uniform(3, 40), count, "called" if kind is api.Call else "end", action.id))
-            elif kind is api.SetTimer and now < start + minutes * 60_000 + 10_000:
+            elif kind in (admission.Call, admission.GoWithout):
+                heappush(
+                    due, (now + rng.uniform(3, 40), count, "called" if kind is admission.Call else "end", action.id)
+                )
+            elif kind is admission.SetTimer and now < start + minutes * 60_000 + 10_000:
                 heappush(due, (now + action.after, count, "timer", action.token))
-            elif kind in (api.Refuse, api.Fail) and (one := tries.pop(action.id, None)):
-                notes.append(Answered(action.id, "refused" if kind is api.Refuse else "failed", now - one.born))
+            elif kind in (admission.Refuse, admission.Fail) and (one := tries.pop(action.id, None)):
+                notes.append(Answered(action.id, "refused" if kind is admission.Refuse else "failed", now - one.born))
                 if rng.random() < 0.2:
                     heappush(
                         due,
@@ -135,14 +139,16 @@
 
 def _summary(path: Path) -> Any:
     with files.Reader(path) as reader:
-        return folding.summarise(reader.sources, (reader.columns(place) for place in reader.places))
+        return aggregation.summarise(reader.sources, (reader.columns(place) for place in reader.places))
 
 
 def _plain(path: Path) -> Any:
     """Sum up JSON lines, as a short script would."""
     with gzip.open(path, "rb") as file:
         header = lines.read_header(file.readline())
-        return plainfold.fold([folding.source(s) for s in header.sources], (lines.read_step(line, 0) for line in file))
+        return plainfold.fold(
+            [aggregation.source(s) for s in header.sources], (lines.read_step(line, 0) for line in file)
+        )
 
 
 def _decoded(path: Path) -> int:
@@ -223,7 +229,7 @@
 
     Turns of some milliseconds on one core: what else the machine does meets both alike.
     """
-    from lapispick.standins.peers import Host
+    from lapispick.fakes.peers import Host
 
     core = min(os.sched_getaffinity(0))
     with tempfile.TemporaryDirectory() as folder:
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 
 from benchmarks.common import cpu_s, memory_mb, ratio, show
-from lapispick.standins.peers import Executor, Gateway, Host, until
+from lapispick.fakes.peers import Executor, Gateway, Host, until
 
 SPAN_S = 1.5  # s of load before and after
 
@@ -111,7 +111,7 @@
 READER = """
 import sys, time
 from lapispick.cli.ops import call
-from lapispick.host.loop import address
+from lapispick.host.scheduler import address
 at, end = address(sys.argv[1]), time.monotonic() + float(sys.argv[2])
 while time.monotonic() < end:
     began = time.monotonic()
--- a/lapispick/__init__.py
+++ b/lapispick/__init__.py
@@ -1,6 +1,6 @@
 """Overload control inside each server: admission by worth against priced slots."""
 
-from lapispick.control import Controller
-from lapispick.interface import ClassSettings, Settings
+from lapispick.admission import ClassSettings, Settings
+from lapispick.admission.controller import Controller
 
 __all__ = ["ClassSettings", "Controller", "Settings"]
--- /dev/null
+++ b/lapispick/admission/__init__.py
@@ -0,0 +1,70 @@
+"""The decision module: which requests are admitted, in which order, and which are rejected. No I/O and no clock.
+
+The types of its interface are exported here; ``controller.Controller`` decides.
+"""
+
+from lapispick.admission.actions import (
+    Action,
+    Advertise,
+    Call,
+    Fail,
+    ForgetKey,
+    GoWithout,
+    Join,
+    KeepKey,
+    LimitIdle,
+    Log,
+    Refuse,
+    Run,
+    SetHealth,
+    SetTimer,
+    Stop,
+)
+from lapispick.admission.events import (
+    OTHERS,
+    CallEnded,
+    Event,
+    Gone,
+    Learned,
+    Leave,
+    NeedsCall,
+    Outcome,
+    Request,
+    RunEnded,
+    TimerFired,
+)
+from lapispick.admission.settings import Advert, ClassSettings, Effect, Halting, Settings
+
+__all__ = [
+    "OTHERS",
+    "Action",
+    "Advert",
+    "Advertise",
+    "Call",
+    "CallEnded",
+    "ClassSettings",
+    "Effect",
+    "Event",
+    "Fail",
+    "ForgetKey",
+    "GoWithout",
+    "Gone",
+    "Halting",
+    "Join",
+    "KeepKey",
+    "Learned",
+    "Leave",
+    "LimitIdle",
+    "Log",
+    "NeedsCall",
+    "Outcome",
+    "Refuse",
+    "Request",
+    "Run",
+    "RunEnded",
+    "SetHealth",
+    "SetTimer",
+    "Settings",
+    "Stop",
+    "TimerFired",
+]
--- /dev/null
+++ b/lapispick/admission/actions.py
@@ -0,0 +1,117 @@
+"""The actions that the decision module orders.
+
+All times are milliseconds.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+
+class Run(NamedTuple):
+    """Start a held request."""
+
+    id: int
+
+
+class Stop(NamedTuple):
+    """Stop a running request."""
+
+    id: int
+
+
+class Refuse(NamedTuple):
+    """Final answer: turned away, never ran."""
+
+    id: int
+    retry_after: float
+    no_retry: bool
+    ground: str = ""  # the bound that it met, for those who look; no caller is told
+
+
+class Fail(NamedTuple):
+    """Final answer: failed; promises nothing."""
+
+    id: int
+
+
+class Call(NamedTuple):
+    """Make the call that a request waits for."""
+
+    id: int
+    timeout: float
+
+
+class GoWithout(NamedTuple):
+    """Go on without the call."""
+
+    id: int
+
+
+class Join(NamedTuple):
+    """Answer a held request with the result of the one it repeats."""
+
+    id: int
+
+
+class KeepKey(NamedTuple):
+    """Put a request in the table of keys for a span."""
+
+    id: int
+    span: float
+
+
+class ForgetKey(NamedTuple):
+    """Take a request's entry out of the table of keys."""
+
+    id: int
+
+
+class SetHealth(NamedTuple):
+    """Answer health checks so from now on; from store: without work for each check."""
+
+    good: bool
+    from_store: bool
+
+
+class LimitIdle(NamedTuple):
+    """Close connections that carried nothing for this long; 0 = as late as can be."""
+
+    span: float
+
+
+class Advertise(NamedTuple):
+    """The value that goes out with every answer from now on."""
+
+    value: float
+
+
+class SetTimer(NamedTuple):
+    """Ask for a ``TimerFired`` after a span."""
+
+    after: float
+    token: int
+
+
+class Log(NamedTuple):
+    """A line for those on call."""
+
+    text: str
+
+
+Action = (
+    Run
+    | Stop
+    | Refuse
+    | Fail
+    | Call
+    | GoWithout
+    | Join
+    | KeepKey
+    | ForgetKey
+    | SetHealth
+    | LimitIdle
+    | Advertise
+    | SetTimer
+    | Log
+)
--- a/lapispick/control.py
+++ b/lapispick/admission/controller.py
@@ -1,4 +1,4 @@
-"""Every decision of lapispick. The types, events and actions are in ``lapispick/interface.py``.
+"""Every decision of lapispick. Its settings, events and actions are modules of ``lapispick.admission``.
 
 A request is admitted under pressure only if its worth clears the shadow prices on the hold and cost it uses,
 and runs only under the limit L. Around that path stand the guards of the four rules. ``Controller`` is last.
@@ -13,7 +13,7 @@
 from itertools import combinations
 from math import exp, inf
 
-from lapispick.interface import (
+from lapispick.admission import (
     Action,
     Advert,
     Advertise,
@@ -45,7 +45,7 @@
     Stop,
     TimerFired,
 )
-from lapispick.state import CALLING, HELD, JOINED, OVER, PAUSED, RUNNING, WANTS_CALL, Entry
+from lapispick.admission.request_state import CALLING, HELD, JOINED, OVER, PAUSED, RUNNING, WANTS_CALL, Entry
 
 # Tuned values: unit, then the reason.
 TICK_MS = 40.0  # ms; the one timer: under the slack of the due time, few enough to be cheap
--- /dev/null
+++ b/lapispick/admission/events.py
@@ -0,0 +1,99 @@
+"""The events that the decision module is handed.
+
+All times are milliseconds, all memory is in kilobytes. Times called ``*_at`` are clock times, the others are spans.
+"""
+
+from __future__ import annotations
+
+from enum import IntEnum
+from typing import NamedTuple
+
+
+class Outcome(IntEnum):
+    """How a run or a downstream call ended."""
+
+    ERROR = 0
+    OK = 1
+    FULL = 2
+    TIMEOUT = 3
+    CONNECT_FAILED = 4
+    RESET = 5
+    CANCELLED = 6
+    MOOT = 7
+
+
+class Learned(NamedTuple):
+    """What a server has learned of its runs, for a process that takes its place while it is young."""
+
+    cores: tuple[float, ...]  # ms by class, as are the next three
+    holds: tuple[float, ...]
+    calls: tuple[float, ...]
+    in_call: tuple[float, ...]
+    counts: tuple[int, ...]  # runs that these rest on
+    limit: float
+    call_times: tuple[float, float]  # usual and recent, ms
+    call_limit: float
+    prices: tuple[float, float]  # of hold and cost
+    frozen: bool  # the prices were learned
+
+
+OTHERS = ("other_runs", "other_kb", "other_calls")  # gauges: what another process of this server has in hand
+
+
+class Request(NamedTuple):
+    """A request was read and is now held; it is owed one final answer."""
+
+    id: int
+    due_at: float  # when the caller stops waiting; 0 = not told
+    rank: float  # place in [0, 1) by class worth, lowest first
+    age: float  # since it reached the machine
+    prior: int  # the request that this one repeats; 0 = none
+    cost: float  # expected work; 0 = no hint
+    held_kb: float
+    cls: int
+    caller: int
+
+
+class Gone(NamedTuple):
+    """Nobody waits for this request any more."""
+
+    id: int
+
+
+class RunEnded(NamedTuple):
+    """A run or a join is over."""
+
+    id: int
+    outcome: Outcome
+    took: float
+
+
+class NeedsCall(NamedTuple):
+    """A running request cannot go on without a downstream call."""
+
+    id: int
+
+
+class CallEnded(NamedTuple):
+    """A downstream call is over."""
+
+    id: int
+    outcome: Outcome
+    took: float
+
+
+class Leave(NamedTuple):
+    """The server is to leave and is stopped at the given time."""
+
+    stop_at: float
+    handed: bool = False  # another process of this server goes on: nothing that came is turned away for it
+
+
+class TimerFired(NamedTuple):
+    """A timer ran out; the gauges come in the order of ``Settings.gauges``."""
+
+    token: int
+    gauges: tuple[float, ...]
+
+
+Event = Request | Gone | RunEnded | NeedsCall | CallEnded | Leave | TimerFired
--- a/lapispick/state.py
+++ b/lapispick/admission/request_state.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lapispick.interface import Request
+from lapispick.admission import Request
 
 HELD, RUNNING, CALLING, WANTS_CALL, PAUSED, JOINED, OVER = range(7)
 
--- a/lapispick/agent/controller.py
+++ b/lapispick/agent/controller.py
@@ -1,4 +1,4 @@
-"""A rollout's controller: asks the agents, keeps the course, and tells them what ``rollout/steering.py`` decides.
+"""A rollout's controller: asks the agents, keeps the course, and tells them what ``rollout/rollout_state.py`` decides.
 
 The course is on disk before anything that follows from it is told. A controller may end at any instant; another one
 goes on from the ledger, with a higher epoch, and the agents take nothing from the one before any more.
@@ -15,18 +15,18 @@
 
 import msgspec
 
-from lapispick.agent.ledger import Fenced, Ledger
+from lapispick.agent.rollout_store import Fenced, Ledger
 from lapispick.fleet.hosts import Worker
+from lapispick.host.dns_resolver import Names
 from lapispick.host.logs import log
-from lapispick.host.loop import Closed, Loop, Overlong, connect
-from lapispick.host.names import Names
-from lapispick.host.work import Work
-from lapispick.rollout import figures, pace, steering, words
-from lapispick.rollout.figures import Told
-from lapispick.rollout.judge import Bounds as Judging
-from lapispick.rollout.judge import Judge, Verdict
-from lapispick.rollout.steering import Course, Heard
-from lapispick.rollout.words import Fence, Status
+from lapispick.host.scheduler import Closed, Loop, Overlong, connect
+from lapispick.host.worker_threads import Work
+from lapispick.rollout import messages, metrics, pacing, rollout_state
+from lapispick.rollout.canary_analysis import Bounds as Judging
+from lapispick.rollout.canary_analysis import Judge, Verdict
+from lapispick.rollout.messages import Fence, Status
+from lapispick.rollout.metrics import Told
+from lapispick.rollout.rollout_state import Course, Heard
 
 LOG = "rollout"
 ASK_S = 2.0  # s; for one answer of an agent
@@ -55,7 +55,7 @@
         self.worker, self.status, self.heard_at = worker, None, 0.0
         self.status: Status | None
         self.told: Told | None = None
-        self.memory_kb, self.broken, self.slices = 0, 0, list[figures.Slice]()
+        self.memory_kb, self.broken, self.slices = 0, 0, list[metrics.Slice]()
 
 
 class Controller:
@@ -82,7 +82,7 @@
         self._judge: Judge | None = None
         self._judged: tuple[int, str] = (-1, "")
         self._verdict: Verdict | None = None
-        self._old: list[dict[str, figures.Slice]] = []  # slices of boxes that no stage has touched, for their offsets
+        self._old: list[dict[str, metrics.Slice]] = []  # slices of boxes that no stage has touched, for their offsets
         self._slice_at, self._beat, self._noted = 0.0, 0.0, len(course.notes)
 
     def point(self, name: str) -> None:
@@ -97,11 +97,11 @@
     def _serve(self) -> None:
         try:
             self._everyone(self._ask)
-            heard = [words.fence(b.status.fence).epoch for b in self.boxes.values() if b.status is not None]
+            heard = [messages.fence(b.status.fence).epoch for b in self.boxes.values() if b.status is not None]
             self.fence = Fence(self.work.do(self.ledger.take_over, self.who, max(heard, default=0)), self.who)
             log(LOG, logging.INFO, "steering", rollout=self.course.name, fence=self.fence, boxes=len(self.boxes))
             self.point("steering")
-            while self.course.phase not in steering.OVER and not self.fenced:
+            while self.course.phase not in rollout_state.OVER and not self.fenced:
                 began = time.monotonic()
                 self._turn()
                 self.loop.sleep(max(0.02, self._look - (time.monotonic() - began)))
@@ -124,8 +124,8 @@
         course = self.course
         for word in self.work.do(self.ledger.orders, course.name):
             course = msgspec.structs.replace(course, told=word)
-        why = pace.open_at(datetime.datetime.now(), *self._hours)
-        course, calls = steering.step(course, now, self.fence, self._heard(), self._verdict, why)
+        why = pacing.open_at(datetime.datetime.now(), *self._hours)
+        course, calls = rollout_state.step(course, now, self.fence, self._heard(), self._verdict, why)
         if course != self.course:
             self.point("decided")
             fresh = course.notes[self._noted :] if len(course.notes) >= self._noted else course.notes[-1:]
@@ -158,26 +158,26 @@
             name: [each.status.serving, each.status.phase, each.status.fault] if each.status else ["", "", ""]
             for name, each in sorted(heard.items())
         }
-        return {"deviations": steering.deviations(self.course, heard), "boxes": boxes}
+        return {"deviations": rollout_state.deviations(self.course, heard), "boxes": boxes}
 
     # Figures.
 
     def _weigh(self) -> None:
         """Give the judge a slice of time, once it is long enough."""
         course, now = self.course, time.monotonic()
-        if now - self._slice_at < steering.slice_span(course.plan):
+        if now - self._slice_at < rollout_state.slice_span(course.plan):
             return
         self._slice_at = now
-        slices = {name: whole for name, box in self.boxes.items() if (whole := figures.merged(box.slices)) is not None}
+        slices = {name: whole for name, box in self.boxes.items() if (whole := metrics.merged(box.slices)) is not None}
         slices = {name: whole._replace(box=name) for name, whole in slices.items()}
         for box in self.boxes.values():
             box.slices.clear()
         phase, stage = course.phase, (course.stage, course.name)
-        if phase in (steering.WATCHING, steering.WAITING, steering.HOLDING):
+        if phase in (rollout_state.WATCHING, rollout_state.WAITING, rollout_state.HOLDING):
             self._old = [*self._old, slices][-REDRAW * 3 :]
-        if phase not in (steering.CHANGING, steering.BAKING):
+        if phase not in (rollout_state.CHANGING, rollout_state.BAKING):
             return
-        changed, old = steering.groups(course, self._heard())
+        changed, old = rollout_state.groups(course, self._heard())
         if self._judged != stage:
             self._judged, self._judge, self._verdict = stage, Judge(self._judging, dict(course.plan.kinds)), None
             for each in self._old:
@@ -240,21 +240,21 @@
         if not box.worker.agent:
             return
         try:
-            box.status, box.heard_at = words.heard(self._say(box, "status")), time.monotonic()
+            box.status, box.heard_at = messages.heard(self._say(box, "status")), time.monotonic()
             if not box.status.serving:
                 box.told = None
                 return
-            told = figures.read(self._say(box, "vars"), time.monotonic())
+            told = metrics.read(self._say(box, "vars"), time.monotonic())
         except (OSError, ValueError) as err:
             log(LOG, logging.DEBUG, "agent-silent", box=box.worker.name, error=err)
             return
         box.memory_kb, box.broken = told.memory_kb, told.broken
-        if box.told is not None and (part := figures.sliced(box.worker.name, box.told, told)) is not None:
+        if box.told is not None and (part := metrics.sliced(box.worker.name, box.told, told)) is not None:
             box.slices.append(part)
         box.told = told
 
-    def _tell(self, box: _Box, call: words.Call) -> None:
-        line = words.write(call)
+    def _tell(self, box: _Box, call: messages.Call) -> None:
+        line = messages.write(call)
         try:
             answer = self._say(box, line)
         except (OSError, ValueError) as err:
@@ -268,6 +268,6 @@
             call=line,
             answer=said,
         )
-        if said.startswith("ERR fenced") and words.fence(said.split()[2]) > self.fence:
+        if said.startswith("ERR fenced") and messages.fence(said.split()[2]) > self.fence:
             self.fenced = said
         return None
--- a/lapispick/agent/shelf.py
+++ b/lapispick/agent/generation_store.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from lapispick import disk
+from lapispick import atomic_files
 from lapispick.rollout import compat, generations
 from lapispick.rollout.generations import Generation
 
@@ -89,11 +89,11 @@
             (fresh / PROGRAM / path).parent.mkdir(parents=True, exist_ok=True)
             (fresh / PROGRAM / path).write_bytes(data)
         (fresh / CONF).write_bytes(own)
-        disk.put(fresh / RECORD, msgspec.json.encode(made))
+        atomic_files.put(fresh / RECORD, msgspec.json.encode(made))
         if (self.folder / name).exists():  # what was left of one whose record is broken
             shutil.rmtree(self.folder / name)
         os.rename(fresh, self.folder / name)
-        disk.sync(self.folder)
+        atomic_files.sync(self.folder)
         return made
 
     def get(self, name: str) -> Generation | None:
--- a/lapispick/agent/ledger.py
+++ b/lapispick/agent/rollout_store.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from lapispick.rollout.steering import OVER, Course
+from lapispick.rollout.rollout_state import OVER, Course
 
 VERSION = 1
 BUSY_S = 2.0  # s; for another process that reads or writes
--- a/lapispick/agent/service.py
+++ b/lapispick/agent/service.py
@@ -1,4 +1,4 @@
-"""A box's agent: keeps its state, looks at the host's processes, and does what ``rollout/box.py`` decides.
+"""A box's agent: keeps its state, looks at the host's processes, and does what ``rollout/host_state.py`` decides.
 
 The state is on disk before anything that follows from it is done. The agent may end at any instant; the host goes on,
 and the next agent of the box finds it.
@@ -19,18 +19,18 @@
 
 import msgspec
 
-from lapispick import disk
+from lapispick import atomic_files
 from lapispick.agent import processes
+from lapispick.agent.generation_store import CONF, PROGRAM, Shelf
 from lapispick.agent.processes import Processes
-from lapispick.agent.shelf import CONF, PROGRAM, Shelf
 from lapispick.conf.settings import Agent as Settings
 from lapispick.host.logs import log
-from lapispick.host.loop import Closed, Loop, Overlong, address, connect
 from lapispick.host.ops import Operators
-from lapispick.host.work import Work
-from lapispick.rollout import box, words
-from lapispick.rollout.box import Bounds, Kill, Reload, Seen, Start, State, Term
+from lapispick.host.scheduler import Closed, Loop, Overlong, address, connect
+from lapispick.host.worker_threads import Work
+from lapispick.rollout import host_state, messages
 from lapispick.rollout.generations import Generation
+from lapispick.rollout.host_state import Bounds, Kill, Reload, Seen, Start, State, Term
 
 LOG = "agent"
 STATE, LOCK, LIVES = "state.json", "agent.lock", "lives"
@@ -70,7 +70,7 @@
 
     def put(self, state: State) -> None:
         """Let this state be the one that counts; raises ``OSError``."""
-        disk.put(self._path, msgspec.json.encode(state))
+        atomic_files.put(self._path, msgspec.json.encode(state))
 
 
 class Agent:
@@ -104,7 +104,7 @@
             return
         if generation not in self._known:
             raise Unfit(f"{generation} is not on the shelf {self.shelf.folder}")
-        self.state = msgspec.structs.replace(box.copy(self.state), good=generation, wanted=generation)
+        self.state = msgspec.structs.replace(host_state.copy(self.state), good=generation, wanted=generation)
 
     def run(self) -> None:
         """Run until told to end; the host goes on."""
@@ -130,7 +130,7 @@
     def _serve(self) -> None:
         for life in self.state.lives:  # the agent before this one may have ended before it told the process
             if (
-                life.role == box.SERVING
+                life.role == host_state.SERVING
                 and life.took
                 and life.number in self.processes.alive()
                 and life.generation in self._known
@@ -159,11 +159,11 @@
         self._silent = frozenset(number for number, answer in answers.items() if answer is None)
         if self.settings.turn:
             self._ask_turn()
-        self._do(lambda: box.step(self.state, time.monotonic(), self._seen(), self._bounds()))
+        self._do(lambda: host_state.step(self.state, time.monotonic(), self._seen(), self._bounds()))
 
     def _ask_turn(self) -> None:
         """Ask the host, as a member, for the turn while an unconfirmed change is to be undone; give it back after."""
-        wants = self.state.phase == box.RETURNING and self.state.fault == box.LATE
+        wants = self.state.phase == host_state.RETURNING and self.state.fault == host_state.LATE
         if wants or self._wants:
             word = "want" if wants else "done"
             answer = self._passed(f"{word} {self.settings.turn} agent")
@@ -218,7 +218,7 @@
                 fault=state.fault or "none",
             )
 
-    def _act(self, action: box.Action) -> None:
+    def _act(self, action: host_state.Action) -> None:
         if isinstance(action, Start):
             if action.life.number in self.processes.alive():
                 return
@@ -246,7 +246,7 @@
         folder = self.folder / LIVES
         return folder / f"{number}.json", folder / f"{number}.log"
 
-    def _configure(self, life: box.Life) -> None:
+    def _configure(self, life: host_state.Life) -> None:
         """Write the platform's configuration for a life."""
         generation = self._known[life.generation]
         told = {
@@ -259,9 +259,9 @@
             told["executor"] = self.settings.slot_executors[life.slot]
         path, _ = self._paths(life.number)
         path.parent.mkdir(exist_ok=True)
-        self.work.do(disk.put, path, msgspec.json.encode(told))
+        self.work.do(atomic_files.put, path, msgspec.json.encode(told))
 
-    def _start(self, life: box.Life) -> None:
+    def _start(self, life: host_state.Life) -> None:
         home, (config, logged) = self.shelf.folder / life.generation, self._paths(life.number)
         shared = self.folder / "tmp"
         shared.mkdir(exist_ok=True)
@@ -278,7 +278,7 @@
         for old in self.folder.glob(f"{LIVES}/*.*"):  # what lives before left; nothing may grow with time
             if old.stem.isdecimal() and int(old.stem) <= life.number - LIVES_KEPT:
                 old.unlink(missing_ok=True)
-        for gone in self.shelf.prune(self.settings.keep, box.protected(self.state)):
+        for gone in self.shelf.prune(self.settings.keep, host_state.protected(self.state)):
             shutil.rmtree(self.shelf.folder / gone, ignore_errors=True)
 
     # Calls.
@@ -301,22 +301,22 @@
         return lines
 
     def _passed(self, word: str) -> list[str]:
-        serving = self.state.life(box.SERVING)
+        serving = self.state.life(host_state.SERVING)
         answer = self._asked(serving.slot, word) if serving is not None else None
         return answer or ["ERR no host serves here"]
 
     def _status(self) -> list[str]:
-        told = box.status(self.state, time.monotonic(), self._seen())
-        return words.told(msgspec.structs.replace(told, memory_mb=self._memory_mb))
+        told = host_state.status(self.state, time.monotonic(), self._seen())
+        return messages.told(msgspec.structs.replace(told, memory_mb=self._memory_mb))
 
     def _call(self, line: str) -> list[str]:
         """Take a call that changes something; the answer is given once what it changed is on disk."""
         try:
-            asked = words.read(line)
+            asked = messages.read(line)
         except ValueError as err:
             return [f"ERR {err}"]
         try:
-            answer = self._do(lambda: box.call(self.state, asked, time.monotonic(), self._seen()))
+            answer = self._do(lambda: host_state.call(self.state, asked, time.monotonic(), self._seen()))
         except OSError as err:
             return [f"ERR the state can't be kept: {err.strerror}"]
         self.point("answering")
--- a/lapispick/cli/agent.py
+++ b/lapispick/cli/agent.py
@@ -9,14 +9,14 @@
 import click
 import msgspec
 
-from lapispick.agent.shelf import Shelf
-from lapispick.agent.shelf import Unfit as UnfitGeneration
+from lapispick.agent.generation_store import Shelf
+from lapispick.agent.generation_store import Unfit as UnfitGeneration
 from lapispick.cli.config import FILE, load
 from lapispick.cli.ops import NoAnswer, call
 from lapispick.cli.output import DIFFERS, FAULTY, NO_STATE, as_json, complain, say, table
 from lapispick.conf.settings import Agent as Settings
-from lapispick.host.loop import address
-from lapispick.rollout import words
+from lapispick.host.scheduler import address
+from lapispick.rollout import messages
 
 JSON = click.option("--json", "json_", is_flag=True, help="For programs.")
 
@@ -89,7 +89,7 @@
 def add(file: Path | None, program: Path, settings: Path | None, config: Path | None, label: str) -> None:
     """Put a generation on this box's shelf and print its digest; nothing runs it so far."""
     from lapispick.conf import settings as conf
-    from lapispick.faults import Faulty
+    from lapispick.file_errors import Faulty
 
     try:
         if settings is not None:
@@ -131,7 +131,7 @@
 def status(at: str, json_: bool) -> None:
     """Ask an agent where its box stands."""
     try:
-        found = words.heard(call(address(at), "status"))
+        found = messages.heard(call(address(at), "status"))
     except (NoAnswer, ValueError) as err:
         complain(str(err))
         sys.exit(NO_STATE)
--- a/lapispick/cli/config.py
+++ b/lapispick/cli/config.py
@@ -11,7 +11,7 @@
 
 from lapispick.cli.output import FAULTY, as_json, complain, say
 from lapispick.conf import settings as conf
-from lapispick.faults import Faulty
+from lapispick.file_errors import Faulty
 
 FILE = click.option(
     "--conf",
--- a/lapispick/cli/demo.py
+++ b/lapispick/cli/demo.py
@@ -52,9 +52,9 @@
     """The host, its stand-ins and the requests."""
 
     def __init__(self, seed: int, folder: Path) -> None:
-        from lapispick.standins.broker import Broker
-        from lapispick.standins.peers import INFO, Executor, Host, asked
-        from lapispick.standins.pool import Pool
+        from lapispick.fakes.broker import Broker
+        from lapispick.fakes.peers import INFO, Executor, Host, asked
+        from lapispick.fakes.pool import Pool
 
         self.random = random.Random(seed)
         self.broker = Broker()
--- a/lapispick/cli/inventory.py
+++ b/lapispick/cli/inventory.py
@@ -14,7 +14,7 @@
 from lapispick.cli.config import FILE, load
 from lapispick.cli.output import DIFFERS, FAULTY, NO_STATE, as_json, complain, pairs, say, setup_logs, table
 from lapispick.conf.settings import Inventory as Settings
-from lapispick.fleet import files, hosts, lastgood, snapshot
+from lapispick.fleet import files, hosts, last_good, snapshot
 from lapispick.fleet.acceptance import ACCEPT_LEAST, Acceptance, Phase, Seen
 from lapispick.fleet.reading import Reader, Reading
 from lapispick.fleet.schema import FLEET as ANY
@@ -103,8 +103,8 @@
     if settings.state_folder is None:
         return None
     try:
-        found = lastgood.kept(Path(str(settings.state_folder)), f"{settings.path} group {settings.group}")
-    except lastgood.StateFault as err:
+        found = last_good.kept(Path(str(settings.state_folder)), f"{settings.path} group {settings.group}")
+    except last_good.StateFault as err:
         complain(str(err))
         return None
     return found[1] if found else None
@@ -274,7 +274,7 @@
 def history(file: Path | None, json_: bool) -> None:
     """Show the lists that the host accepted, the newest last, and where it stands now."""
     folder = _folder(load(file).inventory)
-    entries, status = lastgood.history(folder), lastgood.status(folder)
+    entries, status = last_good.history(folder), last_good.status(folder)
     if json_:
         return as_json({"history": entries, "status": status})
     table(
@@ -334,7 +334,7 @@
     """Let the host accept a list that it holds back: the present one, or the one with this DIGEST."""
     settings = load(file).inventory
     folder = _folder(settings)
-    status = lastgood.status(folder)
+    status = last_good.status(folder)
     if status is None:
         complain("no host has said where it stands")
         sys.exit(NO_STATE)
@@ -345,11 +345,11 @@
     if len(wanted) < ACCEPT_LEAST or any(c not in "0123456789abcdef" for c in wanted):
         complain(f"a digest has at least {ACCEPT_LEAST} hex digits")
         sys.exit(FAULTY)
-    lastgood.accept(folder, wanted[:32])
+    last_good.accept(folder, wanted[:32])
     say(f"told the host to accept {wanted}")
     end = time.monotonic() + wait
     while wait and time.monotonic() < end:
-        status = lastgood.status(folder) or status
+        status = last_good.status(folder) or status
         if str(status["accepted"]).startswith(wanted):
             return say(f"accepted: {status['boxes']} boxes")
         time.sleep(0.05)
--- a/lapispick/cli/ops.py
+++ b/lapispick/cli/ops.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from lapispick.cli.output import DIFFERS, FAULTY, NO_STATE, as_json, complain, say
-from lapispick.host.loop import address
+from lapispick.host.scheduler import address
 
 TIMEOUT_S = 2.0  # s; an answer is due within 1 s
 LOOK_S = 0.05  # s; between two looks of ``wait``
--- a/lapispick/cli/rollout.py
+++ b/lapispick/cli/rollout.py
@@ -14,8 +14,8 @@
 from rich.live import Live
 from rich.table import Table
 
-from lapispick.agent import shelf
-from lapispick.agent.ledger import Ledger, Unusable
+from lapispick.agent import generation_store
+from lapispick.agent.rollout_store import Ledger, Unusable
 from lapispick.cli.config import FILE, load
 from lapispick.cli.inventory import Files, source
 from lapispick.cli.output import DIFFERS, FAULTY, NO_STATE, as_json, complain, say, table
@@ -24,9 +24,9 @@
 from lapispick.fleet.acceptance import Acceptance, Seen
 from lapispick.fleet.hosts import Worker
 from lapispick.host.inventory import policy
-from lapispick.rollout import compat, generations, pace, stages, steering
-from lapispick.rollout.judge import Bounds as Judging
-from lapispick.rollout.steering import Course, Plan
+from lapispick.rollout import compat, generations, pacing, rollout_state, stages
+from lapispick.rollout.canary_analysis import Bounds as Judging
+from lapispick.rollout.rollout_state import Course, Plan
 
 JSON = click.option("--json", "json_", is_flag=True, help="For programs.")
 NAME = click.argument("name", default="")
@@ -55,9 +55,9 @@
     try:
         changes = msgspec.json.decode(config.read_bytes(), type=dict[str, Any]) if config else {}
         faults += generations.faults(changes)
-        code = generations.digest(shelf.contents(program))
-        speaks = shelf.speaks(program)
-    except (shelf.Unfit, OSError, msgspec.MsgspecError, subprocess.SubprocessError) as err:
+        code = generations.digest(generation_store.contents(program))
+        speaks = generation_store.speaks(program)
+    except (generation_store.Unfit, OSError, msgspec.MsgspecError, subprocess.SubprocessError) as err:
         return _Made("", {}, [str(err)])
     data = own.read_bytes() if own is not None else b""
     if own is not None:  # read by the program that will read it
@@ -66,11 +66,11 @@
             cwd=program,
             capture_output=True,
             text=True,
-            timeout=shelf.SPEAKS_S,
+            timeout=generation_store.SPEAKS_S,
             env={**os.environ, "PYTHONPATH": str(program.absolute()), "PYTHONDONTWRITEBYTECODE": "1"},
         )
         faults += [line for line in done.stderr.splitlines() if line] if done.returncode else []
-    return _Made(generations.named(code, generations.digest([(shelf.CONF, data)]), changes), speaks, faults)
+    return _Made(generations.named(code, generations.digest([(generation_store.CONF, data)]), changes), speaks, faults)
 
 
 class _Fleet(NamedTuple):
@@ -96,7 +96,7 @@
     workers, _ = hosts.workers(reading.boxes.values())
     bounds, planned, remarks = stages.Bounds(told.zone_most), list[list[str]](), list[str]()
     try:
-        pace.hours(told.hours)
+        pacing.hours(told.hours)
         planned = stages.assign(workers, [stages.want(word) for word in told.stages], name, bounds)
         remarks = stages.remarks(workers, planned, bounds)
     except ValueError as err:
@@ -116,7 +116,7 @@
         told.bake_most,
         told.confirm,
         max(told.warm_up, told.bake / 2),
-        pace.Bounds(told.change_most, told.serving_least),
+        pacing.Bounds(told.change_most, told.serving_least),
         told.back_most,
         told.unreached,
         told.fire,
@@ -177,8 +177,8 @@
     faults = [*fleet.faults, *made.faults]
     if old is not None:
         try:
-            faults += compat.objections(shelf.speaks(old), made.speaks)
-        except shelf.Unfit as err:
+            faults += compat.objections(generation_store.speaks(old), made.speaks)
+        except generation_store.Unfit as err:
             faults.append(str(err))
     if json_:
         as_json({"generation": made.digest, "faults": faults, "remarks": fleet.remarks})
@@ -226,7 +226,7 @@
     ledger, made = _ledger(file), _generation(program, settings, config)
     before = ledger.history()
     name = name or f"r{len(before) + 1}"
-    open_ = [n for n, _, _, course in before if course.phase not in steering.OVER]
+    open_ = [n for n, _, _, course in before if course.phase not in rollout_state.OVER]
     if open_:
         complain(f"rollout {open_[0]} is not over: resume it, or call it back")
         sys.exit(DIFFERS)
@@ -246,12 +246,12 @@
     """Ask the agents once what runs now: a rollout that skips a step is refused before its first box is touched."""
     from lapispick.agent.controller import address_of
     from lapispick.cli.ops import NoAnswer, call
-    from lapispick.rollout import words
+    from lapispick.rollout import messages
 
     faults, heard = list[str](), 0
     for worker in fleet.workers:
         try:
-            status = words.heard(call(address_of(worker.agent), "status"))
+            status = messages.heard(call(address_of(worker.agent), "status"))
         except (NoAnswer, ValueError):
             continue  # it is asked again in its stage, and its agent looks at the same
         heard += 1
@@ -270,7 +270,7 @@
     """Go on steering where another controller ended or lost its turn."""
     ledger = _ledger(file)
     course = _course(ledger, name)
-    if course.phase in steering.OVER:
+    if course.phase in rollout_state.OVER:
         complain(f"rollout {course.name} is over: {course.phase}")
         sys.exit(DIFFERS)
     _steer(file, ledger, course, _fleet(file, course.name), memory_mb)
@@ -298,7 +298,7 @@
         list(fleet.workers),
         told.who,
         judging,
-        Hours(pace.hours(told.hours), told.not_days),
+        Hours(pacing.hours(told.hours), told.not_days),
         told.look,
         listed,
         Path(str(fleet.source.settings.names_file)) if fleet.source.settings.names_file else None,
@@ -308,7 +308,7 @@
         complain(f"another controller steers, or this one failed: {made.fenced}")
         sys.exit(NO_STATE)
     say(f"{ended.name}: {ended.phase}: {ended.reason}")
-    sys.exit(0 if ended.phase == steering.DONE else DIFFERS)
+    sys.exit(0 if ended.phase == rollout_state.DONE else DIFFERS)
 
 
 def _shown(ledger: Ledger, course: Course) -> dict[str, Any]:
@@ -353,9 +353,9 @@
         for key, value in told.items():
             if key != "boxes":
                 say(f"{key:<11} {value}")
-        if told["seen_s_ago"] > STEERED_S and course.phase not in steering.OVER:
+        if told["seen_s_ago"] > STEERED_S and course.phase not in rollout_state.OVER:
             say("nobody steers: lapispick rollout resume")
-    sys.exit(DIFFERS if course.phase in (steering.UNDONE, steering.ASKING) else 0)
+    sys.exit(DIFFERS if course.phase in (rollout_state.UNDONE, rollout_state.ASKING) else 0)
 
 
 @rollout.command()
@@ -379,7 +379,7 @@
         return made
 
     with Live(drawn(), refresh_per_second=4) as live:
-        while time.monotonic() < end and _course(ledger, name).phase not in steering.OVER:
+        while time.monotonic() < end and _course(ledger, name).phase not in rollout_state.OVER:
             time.sleep(0.25)
             live.update(drawn())
 
@@ -391,7 +391,7 @@
     def command(file: Path | None, name: str) -> None:
         ledger = _ledger(file)
         course = _course(ledger, name)
-        if course.phase in steering.OVER:
+        if course.phase in rollout_state.OVER:
             complain(f"rollout {course.name} is over: {course.phase}")
             sys.exit(DIFFERS)
         ledger.order(course.name, word)
--- a/lapispick/cli/shares.py
+++ b/lapispick/cli/shares.py
@@ -12,7 +12,7 @@
 from lapispick.cli.inventory import ANY, Files, Source, source
 from lapispick.cli.output import DIFFERS, FAULTY, as_json, complain, say, table
 from lapispick.fleet import hosts as listing
-from lapispick.fleet.boxes import Box
+from lapispick.fleet.host_assembly import Box
 from lapispick.shares import subsets
 from lapispick.shares.subsets import Backend, Host
 
--- a/lapispick/cli/trace.py
+++ b/lapispick/cli/trace.py
@@ -13,8 +13,8 @@
 from lapispick.cli.trace_common import JSON, PATHS, SINCE, UNTIL, bar, blocks, fail, lives, readers, steps, when
 from lapispick.cli.trace_compare import diff, plot, replay
 from lapispick.cli.trace_write import anonymise, convert, cut, merge, repair
-from lapispick.trace import folding, lines, meetings
-from lapispick.trace.clocks import Unknown, estimate
+from lapispick.trace import aggregation, attempt_matching, lines
+from lapispick.trace.clock_skew import Unknown, estimate
 from lapispick.trace.files import Reader
 from lapispick.trace.helper import module_digest
 from lapispick.trace.layout import MAJOR, TraceFault
@@ -109,7 +109,8 @@
     """
     opened = readers(paths)
     reference, found = estimate(
-        meetings.kept(meetings.tries(r.sources, steps(r)) for r in opened), {s.box for r in opened for s in r.sources}
+        attempt_matching.kept(attempt_matching.tries(r.sources, steps(r)) for r in opened),
+        {s.box for r in opened for s in r.sources},
     )
     unknown = [box for box, clock in found.items() if isinstance(clock, Unknown)]
     if json_:
@@ -146,7 +147,7 @@
 COLUMNS = ("", "requests", "tries", "asked", "served", "share", "in aim", "late", "poorer", "refused", "failed", "gone")
 
 
-def _show(made: folding.Summary) -> None:
+def _show(made: aggregation.Summary) -> None:
     for title, parts in (
         ("whole", {"all": made.whole}),
         ("by class", made.classes),
@@ -200,7 +201,7 @@
         fail("needs files of one life of one box, or one merged file; `lapispick trace merge` makes one of several")
     try:
         with bar("summarise", opened) as tell:
-            made = folding.summarise(opened[0].sources, (block for r in opened for block in blocks(r, tell)))
+            made = aggregation.summarise(opened[0].sources, (block for r in opened for block in blocks(r, tell)))
     except ValueError as err:
         fail(f"{opened[0].path}: {err}")
     if json_:
--- a/lapispick/cli/trace_common.py
+++ b/lapispick/cli/trace_common.py
@@ -17,8 +17,8 @@
 from lapispick.cli.output import FAULTY, complain
 from lapispick.trace.files import Reader
 from lapispick.trace.helper import OPEN, SUFFIX
-from lapispick.trace.kinds import Step
 from lapispick.trace.layout import TraceFault
+from lapispick.trace.record_types import Step
 from lapispick.trace.records import Block
 
 JSON = click.option("--json", "json_", is_flag=True, help="For programs.")
--- a/lapispick/cli/trace_compare.py
+++ b/lapispick/cli/trace_compare.py
@@ -13,15 +13,15 @@
 from lapispick.cli import trace_page
 from lapispick.cli.output import DIFFERS, as_json, complain, say, table
 from lapispick.cli.trace_common import JSON, PATH, PATHS, bar, blocks, fail, lives, names, readers, steps
-from lapispick.trace import comparing, folding, replaying, series
+from lapispick.trace import aggregation, comparing, replaying, series
 from lapispick.trace.files import Reader, times
 from lapispick.trace.helper import module_digest
-from lapispick.trace.kinds import Step
+from lapispick.trace.record_types import Step
 
 
 def _worth(opened: list[Reader]) -> dict[str, float]:
     """Return the worth that was served by class."""
-    made = folding.summarise(opened[0].sources, (block for reader in opened for block in blocks(reader)))
+    made = aggregation.summarise(opened[0].sources, (block for reader in opened for block in blocks(reader)))
     return {name: worth.served for name, worth in made.classes.items()}
 
 
@@ -199,7 +199,7 @@
     if not places:
         fail("no steps there")
     with bar("plot", opened) as tell:
-        summary = folding.summarise(opened[0].sources, (b for reader in opened for b in blocks(reader, tell)))
+        summary = aggregation.summarise(opened[0].sources, (b for reader in opened for b in blocks(reader, tell)))
     made = series.series(
         ((block, times(reader.sources, block)) for reader in opened for block in blocks(reader)),
         min(p.first for p in places),
--- a/lapispick/cli/trace_page.py
+++ b/lapispick/cli/trace_page.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from lapispick.cli.trace_common import when
-from lapispick.trace.folding import WINDOW_MS, Summary, Worth
+from lapispick.trace.aggregation import WINDOW_MS, Summary, Worth
 from lapispick.trace.series import Series
 
 COLOURS = {"served": "#2a7f62", "refused": "#c9822b", "failed": "#b23a48"}
--- a/lapispick/cli/trace_write.py
+++ b/lapispick/cli/trace_write.py
@@ -12,13 +12,13 @@
 import click
 import msgspec
 
-from lapispick import interface as api
+from lapispick import admission
 from lapispick.cli.output import DIFFERS, as_json, complain, say
 from lapispick.cli.trace_common import JSON, OUT, PATH, SINCE, UNTIL, bar, fail, lives, names, readers, steps
-from lapispick.trace import files, lines, meetings, merging
+from lapispick.trace import attempt_matching, files, lines, merging
 from lapispick.trace.anonymising import Anonymiser, Clash
-from lapispick.trace.clocks import estimate
-from lapispick.trace.kinds import Step
+from lapispick.trace.clock_skew import estimate
+from lapispick.trace.record_types import Step
 from lapispick.trace.records import Header
 from lapispick.trace.selecting import DROP, MARK, WHOLE, Selector, Wanted
 
@@ -75,7 +75,7 @@
             c.deadline_ms
             for s in reader.sources
             if s.settings
-            for c in msgspec.json.decode(s.settings, type=api.Settings).classes
+            for c in msgspec.json.decode(s.settings, type=admission.Settings).classes
         ),
         default=10_000.0,
     )
@@ -108,7 +108,9 @@
     told, places = merging.sources([r.sources for r in opened])
     left: list[str] = []
     if correct_clocks:
-        _, found = estimate(meetings.kept(meetings.tries(r.sources, steps(r)) for r in opened), {s.box for s in told})
+        _, found = estimate(
+            attempt_matching.kept(attempt_matching.tries(r.sources, steps(r)) for r in opened), {s.box for s in told}
+        )
         left = merging.corrected(told, found)
     by_reader = {id(r): place for r, place in zip(opened, places, strict=True)}
 
--- a/lapispick/conf/legacy.py
+++ b/lapispick/conf/legacy.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from lapispick.conf.settings import Amqp, Settings
-from lapispick.faults import Collector, Faulty, Place, nearest
+from lapispick.file_errors import Collector, Faulty, Place, nearest
 
 FILE, VARIABLE = "deploy/amqp.toml", "LAPISPICK_AMQP"
 KEYS = {"enabled": bool, "inventory": str, "group": str}
--- a/lapispick/conf/lines.py
+++ b/lapispick/conf/parser.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from lapispick.faults import Collector, Place
+from lapispick.file_errors import Collector, Place
 
 INCLUDES_MOST = 64  # files of one configuration
 DEPTH_MOST = 8  # includes within includes
--- a/lapispick/standins/agents.py
+++ b/lapispick/fakes/agents.py
@@ -9,11 +9,11 @@
 import sys
 import time
 
+from lapispick.agent.generation_store import Shelf
 from lapispick.agent.processes import Processes
-from lapispick.agent.shelf import Shelf
-from lapispick.rollout import words
-from lapispick.standins.fleet import ROOT, STEER, call, free_port, program
-from lapispick.standins.peers import until
+from lapispick.fakes.fleet import ROOT, STEER, call, free_port, program
+from lapispick.fakes.peers import until
+from lapispick.rollout import messages
 
 # Runs an agent that ends itself, as SIGKILL does, when it comes to a point for the n-th time.
 DYING = """
@@ -105,7 +105,7 @@
     def status(self):
         """Return what the agent says; None where it says nothing."""
         lines = self.call("status")
-        return words.heard(lines) if lines else None
+        return messages.heard(lines) if lines else None
 
     def phase(self, *phases, **told):
         """Wait until the box is in one of these phases, with these values."""
--- a/lapispick/standins/broker.py
+++ b/lapispick/fakes/broker.py
@@ -3,9 +3,9 @@
 import contextlib
 from collections import deque
 
+from lapispick.fakes.peers import Server
 from lapispick.host.amqp import codec
 from lapispick.host.amqp.codec import Properties
-from lapispick.standins.peers import Server
 
 
 class Message:
--- a/lapispick/standins/fleet.py
+++ b/lapispick/fakes/fleet.py
@@ -20,12 +20,12 @@
 import time
 from pathlib import Path
 
-from lapispick.standins import peers
-from lapispick.standins.account import SERVED, TURNED, Account, Try, check, kind
-from lapispick.standins.net import Net
-from lapispick.standins.pauses import Pauses
-from lapispick.standins.peers import Executor, Roster, Store, asked, until
-from lapispick.standins.pool import Pool
+from lapispick.fakes import peers
+from lapispick.fakes.fault_proxy import Net
+from lapispick.fakes.host_pauses import Pauses
+from lapispick.fakes.peers import Executor, Roster, Store, asked, until
+from lapispick.fakes.pool import Pool
+from lapispick.fakes.rule_checker import SERVED, TURNED, Account, Try, check, kind
 
 ROOT = Path(peers.__file__).resolve().parents[2]
 STORE, ROSTER, STEER = "store", "roster", "steer"
--- a/lapispick/standins/talk.py
+++ b/lapispick/fakes/member_cluster.py
@@ -8,7 +8,7 @@
 import threading
 import time
 
-from lapispick.standins.fleet import call, free_port
+from lapispick.fakes.fleet import call, free_port
 
 LIST = "host,lapispick_port,lapispick_members,ansible_host\n"
 QUICK = """ period 200ms
--- a/lapispick/standins/script.py
+++ b/lapispick/fakes/script.py
@@ -10,8 +10,8 @@
 import shutil
 import time
 
-from lapispick.standins.fleet import ROSTER, STORE
-from lapispick.standins.peers import until
+from lapispick.fakes.fleet import ROSTER, STORE
+from lapispick.fakes.peers import until
 
 KINDS = ("part", "one way", "reset", "slow", "stop", "kill")
 DISKS = ("kill and lose the disk", "kill and put the disk back")  # after these a host does not know what it ran
--- a/lapispick/fleet/acceptance.py
+++ b/lapispick/fleet/acceptance.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from lapispick.faults import Fault
+from lapispick.file_errors import Fault
 from lapispick.fleet.snapshot import Difference, Snapshot, difference
 
 
--- a/lapispick/fleet/csvform.py
+++ b/lapispick/fleet/csv_reader.py
@@ -9,7 +9,7 @@
 import io
 from collections.abc import Iterator
 
-from lapispick.faults import Collector, Place
+from lapispick.file_errors import Collector, Place
 from lapispick.fleet import ranges
 from lapispick.fleet.entries import Entry, Var
 
--- a/lapispick/fleet/entries.py
+++ b/lapispick/fleet/entries.py
@@ -4,7 +4,7 @@
 
 from typing import Any, NamedTuple
 
-from lapispick.faults import Place
+from lapispick.file_errors import Place
 
 
 class Tagged(str):
--- a/lapispick/fleet/files.py
+++ b/lapispick/fleet/files.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from lapispick.faults import Fault, Place
+from lapispick.file_errors import Fault, Place
 from lapispick.fleet.reading import GROUP_VARS, HOST_VARS, File, wanted
 
 FILES_MOST = 5_000
--- a/lapispick/fleet/groups.py
+++ b/lapispick/fleet/groups.py
@@ -9,10 +9,10 @@
 
 from typing import Any
 
-from lapispick.faults import Collector, Place
+from lapispick.file_errors import Collector, Place
 from lapispick.fleet import identity, ranges
 from lapispick.fleet.entries import Entry, Var
-from lapispick.fleet.yamlform import Map
+from lapispick.fleet.yaml_reader import Map
 
 ALL = "all"
 KEYS = ("hosts", "vars", "children")
--- a/lapispick/fleet/helper.py
+++ b/lapispick/fleet/helper.py
@@ -17,9 +17,9 @@
 
 import msgspec
 
-from lapispick.faults import Fault
-from lapispick.fleet import files, lastgood, snapshot
-from lapispick.fleet.boxes import Box
+from lapispick.file_errors import Fault
+from lapispick.fleet import files, last_good, snapshot
+from lapispick.fleet.host_assembly import Box
 from lapispick.fleet.messages import PART, Begin, Keep, Kept, Listed, Look, Part, Status, ToHelper, Trouble
 from lapispick.fleet.reading import Reader
 from lapispick.fleet.snapshot import EMPTY, Snapshot
@@ -52,8 +52,8 @@
         if self._folder is None:
             return [Kept()]
         try:
-            found = lastgood.kept(self._folder, self._source)
-        except lastgood.StateFault as err:
+            found = last_good.kept(self._folder, self._source)
+        except last_good.StateFault as err:
             return [Kept(fault=str(err))]
         if found is None:
             return [Kept()]
@@ -64,7 +64,7 @@
     def look(self) -> Iterable[msgspec.Struct]:
         """Read what changed and return it."""
         began = time.perf_counter()
-        accept = lastgood.accepting(self._folder) if self._folder else ""
+        accept = last_good.accepting(self._folder) if self._folder else ""
         mark = files.signature(self._path)
         if mark is not None and mark == self._signature and self._last is not None:
             return [
@@ -100,17 +100,17 @@
         try:
             known = self._lists.get(message.digest)
             if known is not None:
-                lastgood.keep(self._folder, self._source, known, message.at, message.ground)
+                last_good.keep(self._folder, self._source, known, message.at, message.ground)
             size = len(known.boxes) if known is not None else 0
-            lastgood.remember(
+            last_good.remember(
                 self._folder,
-                lastgood.Entry(
+                last_good.Entry(
                     message.at, message.digest, message.ground, size, counts=message.counts, **message.names
                 ),
                 self._begin.history,
             )
-            if message.digest.startswith(lastgood.accepting(self._folder) or "-"):
-                lastgood.accepted(self._folder)
+            if message.digest.startswith(last_good.accepting(self._folder) or "-"):
+                last_good.accepted(self._folder)
         except OSError as err:
             return [Trouble(f"{self._folder}: {err}")]
         return []
@@ -119,7 +119,7 @@
         """Write what operators see."""
         if self._folder is not None:
             try:
-                lastgood.write(self._folder / lastgood.STATUS, _encode(message.told) + b"\n", sync=False)
+                last_good.write(self._folder / last_good.STATUS, _encode(message.told) + b"\n", sync=False)
             except OSError as err:
                 return [Trouble(f"{self._folder}: {err}")]
         return []
--- a/lapispick/fleet/boxes.py
+++ b/lapispick/fleet/host_assembly.py
@@ -13,11 +13,11 @@
 
 import msgspec
 
-from lapispick.faults import Collector, Place
+from lapispick.file_errors import Collector, Place
 from lapispick.fleet import identity, schema
 from lapispick.fleet.entries import Entry, Var
 from lapispick.fleet.schema import Schema
-from lapispick.fleet.yamlform import Map
+from lapispick.fleet.yaml_reader import Map
 
 ITEMS_MOST = 1000  # of one box
 _pack = msgspec.msgpack.Encoder(order="sorted")
--- a/lapispick/fleet/hosts.py
+++ b/lapispick/fleet/hosts.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from lapispick.faults import Collector, Fault
+from lapispick.file_errors import Collector, Fault
 from lapispick.fleet import identity
-from lapispick.fleet.boxes import Box
+from lapispick.fleet.host_assembly import Box
 from lapispick.fleet.schema import Schema, Variable
 
 PREFIX = "lapispick_"
--- a/lapispick/fleet/lastgood.py
+++ b/lapispick/fleet/last_good.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from lapispick.fleet.boxes import Box
+from lapispick.fleet.host_assembly import Box
 from lapispick.fleet.snapshot import Snapshot, of
 
 VERSION = 1
--- a/lapispick/fleet/messages.py
+++ b/lapispick/fleet/messages.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from lapispick.faults import Fault
-from lapispick.fleet.boxes import Box
+from lapispick.file_errors import Fault
+from lapispick.fleet.host_assembly import Box
 from lapispick.fleet.reading import Options
 
 PART = 32  # boxes of one message: it is decoded in far less than a millisecond
--- a/lapispick/fleet/reading.py
+++ b/lapispick/fleet/reading.py
@@ -14,12 +14,12 @@
 
 import msgspec
 
-from lapispick.faults import Collector, Fault, Place
-from lapispick.fleet import csvform
-from lapispick.fleet.boxes import Assembler, Box
+from lapispick.file_errors import Collector, Fault, Place
+from lapispick.fleet import csv_reader
 from lapispick.fleet.groups import Resolver, Tree
+from lapispick.fleet.host_assembly import Assembler, Box
 from lapispick.fleet.schema import Schema
-from lapispick.fleet.yamlform import Document, Map
+from lapispick.fleet.yaml_reader import Document, Map
 
 CSV, YAML = (".csv",), (".yml", ".yaml")
 GROUP_VARS, HOST_VARS = "group_vars", "host_vars"
@@ -95,7 +95,7 @@
 
     def _forget(self) -> None:
         self._documents: dict[str, Document] = {}
-        self._rows: dict[str, tuple[csvform.Rows, csvform.Cache]] = {}
+        self._rows: dict[str, tuple[csv_reader.Rows, csv_reader.Cache]] = {}
         self._digests: dict[str, bytes] = {}
         self._resolver = Resolver()
         self._assembler = Assembler(self._options.wanted, self._options.domain, self._environ)
@@ -146,7 +146,7 @@
         if path.suffix in CSV:
             if not same or file.name not in self._rows:
                 cache = self._rows[file.name][1] if file.name in self._rows else {}
-                self._rows[file.name] = csvform.read(
+                self._rows[file.name] = csv_reader.read(
                     file.name, text, self._options.delimiter, self._options.boxes_most, faults, cache
                 )
             self._broken = self._broken or not self._rows[file.name][1]
--- a/lapispick/fleet/schema.py
+++ b/lapispick/fleet/schema.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from lapispick.faults import nearest
+from lapispick.file_errors import nearest
 from lapispick.fleet import identity
 from lapispick.fleet.entries import Tagged
 
--- a/lapispick/fleet/snapshot.py
+++ b/lapispick/fleet/snapshot.py
@@ -13,7 +13,7 @@
 
 from immutables import Map
 
-from lapispick.fleet.boxes import Box
+from lapispick.fleet.host_assembly import Box
 
 _MOD = 1 << 128
 
--- a/lapispick/fleet/yamlform.py
+++ b/lapispick/fleet/yaml_reader.py
@@ -18,7 +18,7 @@
 from yaml.constructor import ConstructorError, SafeConstructor
 from yaml.nodes import MappingNode, Node, ScalarNode, SequenceNode
 
-from lapispick.faults import Collector, Place
+from lapispick.file_errors import Collector, Place
 from lapispick.fleet.entries import Tagged, Var
 
 Loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
--- a/lapispick/handover/messages.py
+++ b/lapispick/handover/messages.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from lapispick.interface import Learned
+from lapispick.admission import Learned
 
 VERSION, LOWEST = 1, 1  # what is spoken at best, and the oldest that is still spoken; see lapispick/versions.py
 
--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -16,19 +16,19 @@
 
 from lapispick.conf import settings as conf
 from lapispick.conf.settings import Settings
-from lapispick.faults import Faulty
+from lapispick.file_errors import Faulty
 from lapispick.handover.sharing import Role
 from lapispick.host import core
-from lapispick.host.clients import Gateways
 from lapispick.host.config import Config, ConfigError, load
 from lapispick.host.core import Core
 from lapispick.host.executor import ExecutorLink
-from lapispick.host.figures import Wide
 from lapispick.host.handover import Handover
+from lapispick.host.jsonrpc.front import Gateways
 from lapispick.host.logs import log, setup
-from lapispick.host.loop import LINGER_S, READ, Loop
+from lapispick.host.metrics import Wide
 from lapispick.host.ops import Operators
-from lapispick.host.roster import Roster
+from lapispick.host.registry import Roster
+from lapispick.host.scheduler import LINGER_S, READ, Loop
 from lapispick.host.store import StoreClient
 
 LOG = "host"
@@ -119,11 +119,11 @@
 
     def _consume(self, own: Settings) -> None:
         """Let the AMQP front follow the list; what is off is not even imported."""
-        from lapispick.fleet.plan import Bounds
+        from lapispick.fleet.reconciler import Bounds
         from lapispick.host.amqp import listing
         from lapispick.host.amqp.front import AmqpFront
+        from lapispick.host.dns_resolver import Names
         from lapispick.host.inventory import Inventory
-        from lapispick.host.names import Names
 
         config, told, centre = self.config, own.inventory, self.centre
         names = Names(self.loop, told.names_timeout, told.names_file)
--- a/lapispick/host/amqp/consumer.py
+++ b/lapispick/host/amqp/consumer.py
@@ -13,15 +13,14 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from lapispick import interface as api
-from lapispick import spread
+from lapispick import admission, jitter
 from lapispick.host import core
 from lapispick.host.amqp import codec
 from lapispick.host.amqp.codec import CodecError, Properties
 from lapispick.host.amqp.listing import Queue
 from lapispick.host.core import BODY_MOST, KB_MOST
 from lapispick.host.logs import log
-from lapispick.settings import Info
+from lapispick.platform_settings import Info
 
 if TYPE_CHECKING:
     from lapispick.host.amqp.session import Session
@@ -71,7 +70,7 @@
 class Translator:
     """Makes requests of messages."""
 
-    def __init__(self, info: Info, settings: api.Settings) -> None:
+    def __init__(self, info: Info, settings: admission.Settings) -> None:
         self.names = [s.name for s in info.services]
         self.customers = {p.name for p in info.parties}
         self.classes = settings.classes
@@ -94,7 +93,7 @@
         customer = p.headers.get("customer") or queue.customer
         if self.customers and customer not in self.customers:
             raise Unusable(f"there is no customer {customer!r}")
-        keyed = self.classes[cls].effect is api.Effect.KEYED
+        keyed = self.classes[cls].effect is admission.Effect.KEYED
         if keyed and not p.message_id:
             raise Unusable(f"{name} needs a message-id, or a second copy could run")
         born = min(now, self._born(p) or now)
@@ -112,7 +111,7 @@
             reply=reply,
             account=str(customer or ""),
             # Guards the rule on duplicates: what another life or another box was given may have run there.
-            known_only=delivery.redelivered and self.classes[cls].effect is not api.Effect.SAFE,
+            known_only=delivery.redelivered and self.classes[cls].effect is not admission.Effect.SAFE,
         )
 
     def _born(self, p: Properties) -> float:
@@ -270,7 +269,7 @@
         log(LOG, logging.WARNING, "consumer-cancelled", broker=self.session.name, queue=self.queue.name)
         self.consuming = False
         if not self.cancelled:
-            self.session.loop.later(spread.pause(REOPEN_S, random.random()), self._consume_again)
+            self.session.loop.later(jitter.pause(REOPEN_S, random.random()), self._consume_again)
 
     def _consume_again(self) -> None:
         if self.session.current(self) and not self.consuming:
--- a/lapispick/host/amqp/front.py
+++ b/lapispick/host/amqp/front.py
@@ -9,17 +9,16 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from lapispick import interface as api
-from lapispick import spread
-from lapispick.fleet.plan import Bounds, Close, Drain, Open, Plan, next_due
+from lapispick import admission, jitter
+from lapispick.fleet.reconciler import Bounds, Close, Drain, Open, Plan, next_due
 from lapispick.fleet.snapshot import Difference, Snapshot
 from lapispick.host.amqp.consumer import Translator
 from lapispick.host.amqp.listing import Broker, Queue, broker, queues
 from lapispick.host.amqp.session import Session
+from lapispick.host.dns_resolver import Names, NoAddress
 from lapispick.host.logs import log
-from lapispick.host.loop import Loop, Timer
-from lapispick.host.names import Names, NoAddress
-from lapispick.settings import Info
+from lapispick.host.scheduler import Loop, Timer
+from lapispick.platform_settings import Info
 
 LOG = "amqp"
 CALLERS_FROM = 1_000_000  # queues count as callers from here on, apart from the gateways' numbers
@@ -55,7 +54,7 @@
         loop: Loop,
         bounds: Bounds,
         info: Info,
-        settings: api.Settings,
+        settings: admission.Settings,
         post: Callable[[Any], None],
         names: Names,
         names_every: float,
@@ -155,7 +154,7 @@
         """Look the names of connected brokers up again; one that moved for good is opened anew."""
         misses: dict[int, int] = {}
         while True:
-            self.loop.sleep(spread.period(self._names_every, random.random()))
+            self.loop.sleep(jitter.period(self._names_every, random.random()))
             for life, session in list(self._sessions.items()):
                 if session.leaving or session.address in ("", session.broker.host):
                     continue
--- a/lapispick/host/amqp/listing.py
+++ b/lapispick/host/amqp/listing.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from lapispick.fleet.boxes import Box
+from lapispick.fleet.host_assembly import Box
 from lapispick.fleet.schema import Schema, Variable
-from lapispick.settings import Info
+from lapispick.platform_settings import Info
 
 VARIABLES = {
     "amqp_host": Variable("host", doc="where the broker listens"),
--- a/lapispick/host/amqp/session.py
+++ b/lapispick/host/amqp/session.py
@@ -7,13 +7,13 @@
 import time
 from typing import Any, Protocol
 
-from lapispick import spread
+from lapispick import jitter
 from lapispick.host.amqp import codec
 from lapispick.host.amqp.codec import CodecError, Method
 from lapispick.host.amqp.consumer import REOPEN_S, BrokerClosed, Channel, Translator
 from lapispick.host.amqp.listing import Broker, Queue
 from lapispick.host.logs import log
-from lapispick.host.loop import Closed, Loop, Stream, connect
+from lapispick.host.scheduler import Closed, Loop, Stream, connect
 
 LOG = "amqp"
 CONNECT_S = 3.0  # s; for one try of a connection
@@ -85,7 +85,7 @@
                 if self._hold():
                     pause = BACKOFF_S[0]
                 if not self.leaving:
-                    self.loop.sleep(spread.pause(pause, random.random()))
+                    self.loop.sleep(jitter.pause(pause, random.random()))
                     pause = min(BACKOFF_S[1], pause * 2)
         finally:
             self.ended = True
--- a/lapispick/host/config.py
+++ b/lapispick/host/config.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from lapispick import interface as api
-from lapispick.host.loop import address
-from lapispick.settings import ADVERTS, EFFECTS, HALTS, Info, settings_from
+from lapispick import admission
+from lapispick.host.scheduler import address
+from lapispick.platform_settings import ADVERTS, EFFECTS, HALTS, Info, settings_from
 
 Address = tuple[str, int]
 # descriptors that neither clients, calls nor operators may take: the standard streams, the signals' pair, listeners,
@@ -93,7 +93,7 @@
         return self.address("store") if self.store else None
 
     @property
-    def start(self) -> api.Settings:
+    def start(self) -> admission.Settings:
         """The module's settings."""
         return settings_from(self.settings)
 
--- a/lapispick/host/core.py
+++ b/lapispick/host/core.py
@@ -13,16 +13,16 @@
 
 import msgspec
 
-from lapispick import interface as api
-from lapispick.control import Controller
+from lapispick import admission
+from lapispick.admission import Outcome
+from lapispick.admission.controller import Controller
 from lapispick.handover import messages as say
 from lapispick.handover.sharing import Role, Sharing, Verdict
 from lapispick.handover.table import ELSEWHERE, KEPT_MOST, Key, KeyTable, digest
-from lapispick.host.duty import Duty
-from lapispick.host.figures import Figures, Wide
+from lapispick.host.health import Duty
 from lapispick.host.logs import log
-from lapispick.host.loop import Loop, Queue
-from lapispick.interface import Outcome
+from lapispick.host.metrics import Figures, Wide
+from lapispick.host.scheduler import Loop, Queue
 
 LOG = "core"
 GHOST_MS = 30_000.0  # ms; an entry is kept this much longer for repeats that are read late
@@ -243,8 +243,8 @@
 class Recorder(Protocol):
     """What the core tells a recorder; None of it waits for a disk."""
 
-    def begin(self, settings: api.Settings, seed: int, now: float) -> None: ...  # noqa: D102
-    def step(self, now: float, events: list[api.Event], actions: list[api.Action]) -> None: ...  # noqa: D102
+    def begin(self, settings: admission.Settings, seed: int, now: float) -> None: ...  # noqa: D102
+    def step(self, now: float, events: list[admission.Event], actions: list[admission.Action]) -> None: ...  # noqa: D102
     def arrival(self, number: int, request: Request) -> None: ...  # noqa: D102
     def answered(self, number: int, kind: str, age: float) -> None: ...  # noqa: D102
     def happened(self, what: str, told: str = "") -> None: ...  # noqa: D102
@@ -284,7 +284,7 @@
     def __init__(
         self,
         loop: Loop,
-        settings: api.Settings,
+        settings: admission.Settings,
         seed: int,
         kept_most: int = KEPT_MOST,
         open_most: int = OPEN_MOST,
@@ -293,14 +293,14 @@
         self.settings, self.seed = settings, seed
         self._kept_most, self._open_most, self._open_part = kept_most, open_most, 1.0
         self.table = KeyTable(kept_most)
-        keyed = [c.window_ms for c in settings.classes if c.effect is api.Effect.KEYED]
+        keyed = [c.window_ms for c in settings.classes if c.effect is admission.Effect.KEYED]
         self.sharing = Sharing(self.table, max(keyed, default=0.0))
         self.sharing.settle = lambda token, verdict: self.post(_Settled(self._tasks[token], verdict))
         self.sharing.ended = self._joined
         self._link: Link | None = None
         self._others = say.Usage(0, 0.0, 0, 0)  # what the other process has in hand
         self._told: say.Usage | None = None
-        self.learned: api.Learned | None = None
+        self.learned: admission.Learned | None = None
         self.executor: Executor
         self.store: Store
         self.fronts: list[Front] = []
@@ -309,7 +309,7 @@
         self.duty, self.from_store = Duty(), True
         self.figures = Figures(names or [str(i) for i in range(len(settings.classes))])
         self.wide: Wide | None = None
-        self.advice: float | None = None if settings.advert is api.Advert.NONE else 0.0
+        self.advice: float | None = None if settings.advert is admission.Advert.NONE else 0.0
         self.control: Controller | None = None
         self._loop, self._queue, self._now = loop, Queue(loop), 0.0
         self._gauges: tuple[float, ...] = ()
@@ -319,7 +319,7 @@
         self._last_id = 0
         self._open = 0  # requests that are owed an answer
         self._gone = 0
-        self._takers: dict[type, Callable[[Any, list[api.Event]], None]] = {
+        self._takers: dict[type, Callable[[Any, list[admission.Event]], None]] = {
             Arrived: self._arrived,
             GaveUp: self._gave_up,
             Probed: self._probed,
@@ -343,20 +343,20 @@
             _HolderOver: self._holder_over,
         }
         self._doers: dict[type, Callable[[Any], None]] = {
-            api.Run: self._run,
-            api.Stop: self._stop,
-            api.Refuse: self._refuse,
-            api.Fail: self._fail,
-            api.Call: self._call,
-            api.GoWithout: self._go_without,
-            api.Join: self._join,
-            api.KeepKey: self._keep_key,
-            api.ForgetKey: self._forget_key,
-            api.SetHealth: self._set_health,
-            api.LimitIdle: self._limit_idle,
-            api.Advertise: self._advertise,
-            api.SetTimer: self._set_timer,
-            api.Log: lambda a: log("module", logging.INFO, "module", text=a.text),
+            admission.Run: self._run,
+            admission.Stop: self._stop,
+            admission.Refuse: self._refuse,
+            admission.Fail: self._fail,
+            admission.Call: self._call,
+            admission.GoWithout: self._go_without,
+            admission.Join: self._join,
+            admission.KeepKey: self._keep_key,
+            admission.ForgetKey: self._forget_key,
+            admission.SetHealth: self._set_health,
+            admission.LimitIdle: self._limit_idle,
+            admission.Advertise: self._advertise,
+            admission.SetTimer: self._set_timer,
+            admission.Log: lambda a: log("module", logging.INFO, "module", text=a.text),
         }
 
     @property
@@ -375,7 +375,7 @@
         while True:
             batch = self._queue.take_all()
             self._now = max(self._now, time.time() * 1000)  # the module's clock never goes back
-            events: list[api.Event] = []
+            events: list[admission.Event] = []
             for item in batch:
                 try:
                     self._takers[type(item)](item, events)
@@ -384,7 +384,7 @@
             if events and self.control is not None:
                 self._step(self.control, events)
 
-    def _step(self, control: Controller, events: list[api.Event]) -> None:
+    def _step(self, control: Controller, events: list[admission.Event]) -> None:
         try:
             actions = control.step(self._now, events)
         except Exception:
@@ -392,10 +392,10 @@
             # without an answer, nor end the process; its timer must go on too.
             logging.getLogger(LOG).exception("module-failed")
             for event in events:
-                if type(event) is api.Request and event.id in self._tasks:
-                    self._fail(api.Fail(event.id))
-                elif type(event) is api.TimerFired:
-                    self._set_timer(api.SetTimer(100.0, event.token))
+                if type(event) is admission.Request and event.id in self._tasks:
+                    self._fail(admission.Fail(event.id))
+                elif type(event) is admission.TimerFired:
+                    self._set_timer(admission.SetTimer(100.0, event.token))
             return
         if self.recorder is not None:
             self.recorder.step(self._now, events, actions)
@@ -404,10 +404,12 @@
 
     # What happened.
 
-    def _up(self, item: ExecutorUp, events: list[api.Event]) -> None:
+    def _up(self, item: ExecutorUp, events: list[admission.Event]) -> None:
         if self.control is not None or self.duty.leaving:  # told to leave before it was up: it never takes anything
             return
-        settings = msgspec.structs.replace(self.settings, cold=item.cold, gauges=(*api.OTHERS, *self.settings.gauges))
+        settings = msgspec.structs.replace(
+            self.settings, cold=item.cold, gauges=(*admission.OTHERS, *self.settings.gauges)
+        )
         self.control = Controller(settings, self.seed, self._now - item.spent)
         if self.recorder is not None:
             self.recorder.begin(settings, self.seed, self._now - item.spent)
@@ -416,7 +418,7 @@
         log(LOG, logging.INFO, "ready", cold=item.cold, spent_ms=item.spent)
         self._step(self.control, [])
 
-    def _arrived(self, item: Arrived, events: list[api.Event]) -> None:
+    def _arrived(self, item: Arrived, events: list[admission.Event]) -> None:
         request = item.request
         self._open += 1
         if self.wide is not None:
@@ -429,7 +431,7 @@
             return self._send(request, Answer(REFUSED, retry_after=NOT_READY_MS))
         if request.tag in self._by_tag:
             return self._send(request, Answer(FAILED, fault="a trace that is open already"))
-        if self.settings.classes[request.cls].effect is not api.Effect.KEYED:
+        if self.settings.classes[request.cls].effect is not admission.Effect.KEYED:
             request.key = None
         key = self.table.at(request.key, request.born) if request.key is not None else None
         if key is not None and not key.over and not key.ran and key.holder not in self._tasks:
@@ -447,7 +449,7 @@
             # have been given up in this very batch and is no task any more.
             for other in reversed(events):
                 if (
-                    type(other) is api.Request
+                    type(other) is admission.Request
                     and (first := self._tasks.get(other.id)) is not None
                     and first.request.key == request.key
                 ):
@@ -462,7 +464,7 @@
         if self.recorder is not None:
             self.recorder.arrival(task.id, request)
         events.append(
-            api.Request(
+            admission.Request(
                 task.id,
                 request.due_at,
                 request.rank,
@@ -475,43 +477,43 @@
             )
         )
 
-    def _gave_up(self, item: GaveUp, events: list[api.Event]) -> None:
+    def _gave_up(self, item: GaveUp, events: list[admission.Event]) -> None:
         if item.at_once:
             return self.figures.answered(FAILED, item.request.cls)
         task = self._by_tag.get(item.request.tag)
         if task is None or task.request is not item.request or task.answered:
             return
-        events.append(api.Gone(task.id))
+        events.append(admission.Gone(task.id))
         self._gone += 1
         self.figures.answered(FAILED, task.request.cls)  # the front says so to whoever still listens
         self._settle(task)
 
-    def _probed(self, item: Probed, events: list[api.Event]) -> None:
+    def _probed(self, item: Probed, events: list[admission.Event]) -> None:
         if item.deep and not self.from_store and self.duty.healthy and len(self._checks) < CHECKS_MOST:
             self._checks[self.executor.diagnose()] = item
         else:
             item.reply(self.duty.healthy and len(self._checks) < CHECKS_MOST, self.advice)
 
-    def _diagnosed(self, item: Diagnosed, events: list[api.Event]) -> None:
+    def _diagnosed(self, item: Diagnosed, events: list[admission.Event]) -> None:
         if (check := self._checks.pop(item.nonce, None)) is not None:
             check.reply(item.good and self.duty.healthy, self.advice)
 
-    def _metered(self, item: Metered, events: list[api.Event]) -> None:
+    def _metered(self, item: Metered, events: list[admission.Event]) -> None:
         self._gauges = item.gauges
 
-    def _timer_due(self, item: _TimerDue, events: list[api.Event]) -> None:
+    def _timer_due(self, item: _TimerDue, events: list[admission.Event]) -> None:
         told = self._others
-        events.append(api.TimerFired(item.token, (told.runs, told.kb, told.calls, *self._gauges)))
+        events.append(admission.TimerFired(item.token, (told.runs, told.kb, told.calls, *self._gauges)))
         self._share()
         self.executor.meter()  # for the next one; waiting for the answer here would delay due answers
 
-    def _run_over(self, item: RunOver, events: list[api.Event]) -> None:
+    def _run_over(self, item: RunOver, events: list[admission.Event]) -> None:
         task = self._by_tag.get(item.tag)
         if task is None or not task.running:
             return
         if item.outcome is Outcome.CANCELLED and task.stopping and not task.answered:
             task.stopping, task.paused = False, True
-            events.append(api.RunEnded(task.id, item.outcome, item.spent))
+            events.append(admission.RunEnded(task.id, item.outcome, item.spent))
             return
         task.running = False
         self._drop_call(task)
@@ -520,79 +522,79 @@
         served = item.outcome is Outcome.OK
         if task.key is not None and task.key.ran == task.id:
             self.sharing.over(task.key, item.result if served else None)
-        events.append(api.RunEnded(task.id, item.outcome, item.spent))
+        events.append(admission.RunEnded(task.id, item.outcome, item.spent))
         if not task.answered:
             self._answer(task, Answer(SERVED, item.result) if served else Answer(FAILED))
         self._release(task)
 
-    def _run_void(self, task: Task, events: list[api.Event], ran: bool, fault: str = "") -> None:
+    def _run_void(self, task: Task, events: list[admission.Event], ran: bool, fault: str = "") -> None:
         """End a run that brought no result, or never began."""
         if not task.answered:
             # The executor ends or starts nothing for a request that is over: its caller has gone, and word of
             # it may never come. Guards the module's slots and calls, which it holds until told of an end.
-            events.append(api.Gone(task.id))
+            events.append(admission.Gone(task.id))
             self._answer(task, Answer(FAILED, fault=fault))
         if task.key is not None and task.key.ran == task.id:
             if ran:
                 self.sharing.over(task.key, None)
             else:  # the key is free for a try of its own
                 self.sharing.free(task.key)
-        events.append(api.RunEnded(task.id, Outcome.CANCELLED, 0.0))
+        events.append(admission.RunEnded(task.id, Outcome.CANCELLED, 0.0))
         self._release(task)
 
-    def _run_unknown(self, item: RunUnknown, events: list[api.Event]) -> None:
+    def _run_unknown(self, item: RunUnknown, events: list[admission.Event]) -> None:
         task = self._by_tag.get(item.tag)
         if task is not None and task.running:
             task.running = False
             self._run_void(task, events, ran=False, fault="a request that the executor does not know")
 
-    def _run_unsure(self, item: RunUnsure, events: list[api.Event]) -> None:
+    def _run_unsure(self, item: RunUnsure, events: list[admission.Event]) -> None:
         if (task := self._by_tag.get(item.tag)) is not None and task.running:
             task.unsure = True
             if task.answered:
                 self._end_unsure(task)
 
-    def _call_wanted(self, item: CallWanted, events: list[api.Event]) -> None:
+    def _call_wanted(self, item: CallWanted, events: list[admission.Event]) -> None:
         task = self._by_tag.get(item.tag)
         if task is None or not task.running:
             return
         task.wanted, task.wanted_body, task.stopping = item.index, item.body, False
-        events.append(api.NeedsCall(task.id))
+        events.append(admission.NeedsCall(task.id))
 
-    def _call_over(self, item: CallOver, events: list[api.Event]) -> None:
+    def _call_over(self, item: CallOver, events: list[admission.Event]) -> None:
         task = self._by_tag.get(item.ticket.tag)
         if task is None or task.ticket is not item.ticket:
             return
         task.ticket = None
         if item.outcome is Outcome.OK:
             self.executor.resume(item.ticket.tag, item.body)
-        events.append(api.CallEnded(task.id, item.outcome, item.took))
+        events.append(admission.CallEnded(task.id, item.outcome, item.took))
 
-    def _join_over(self, item: _JoinOver, events: list[api.Event]) -> None:
+    def _join_over(self, item: _JoinOver, events: list[admission.Event]) -> None:
         if item.task.turned:  # the module took it for a run: no time can be learned from it
-            events += [api.Gone(item.task.id), api.RunEnded(item.task.id, Outcome.CANCELLED, 0.0)]
+            events += [admission.Gone(item.task.id), admission.RunEnded(item.task.id, Outcome.CANCELLED, 0.0)]
         else:
-            events.append(api.RunEnded(item.task.id, item.outcome, 0.0))
+            events.append(admission.RunEnded(item.task.id, item.outcome, 0.0))
         self._release(item.task)
 
-    def _holder_over(self, item: _HolderOver, events: list[api.Event]) -> None:
+    def _holder_over(self, item: _HolderOver, events: list[admission.Event]) -> None:
         """Answer those who joined a try that never ran, unless another one stands for its key by now."""
         if item.key.holder == item.holder and not item.key.ran:
             self.sharing.free(item.key)
 
-    def _departing(self, item: Departing, events: list[api.Event]) -> None:
+    def _departing(self, item: Departing, events: list[admission.Event]) -> None:
         if self.duty.leaving:
             return
         self.duty.leaving, self.duty.handed = True, item.handed
         log(LOG, logging.INFO, "leaving", stop_ms=item.stop_ms, owed=self._open, handed=item.handed)
-        events.append(api.Leave(self._now + item.stop_ms, item.handed))
+        events.append(admission.Leave(self._now + item.stop_ms, item.handed))
         if self._link is not None:
             self._link.send(say.Leaving(self.control.learned() if self.control is not None else None))
         self.on_duty(self.duty.listed)
         for front in self.fronts:
             front.leave()
 
-    def _drained(self, item: Drained, events: list[api.Event]) -> None:
+    def _drained(self, item: Drained, events: list[admission.Event]) -> None:
         if self._link is not None:
             self._link.send(say.Drain(item.on))
         self._drain(item.on)
@@ -607,7 +609,7 @@
 
     # The other process of this worker host, while an upgrade lasts.
 
-    def _peer_up(self, item: PeerUp, events: list[api.Event]) -> None:
+    def _peer_up(self, item: PeerUp, events: list[admission.Event]) -> None:
         self._link, self._told = item.link, None
         self.sharing.send, self.sharing.behind = item.link.send, item.link.behind
         self.sharing.linked(Role.FOLLOWER if item.owns else Role.OWNER)
@@ -616,7 +618,7 @@
             item.link.send(say.Drain(self.duty.drained))
             self._snapshot_due(_SnapshotDue(item.link, [key.name for key in self.table]), events)
 
-    def _snapshot_due(self, item: _SnapshotDue, events: list[api.Event]) -> None:
+    def _snapshot_due(self, item: _SnapshotDue, events: list[admission.Event]) -> None:
         """Send some of what is known, and the rest when that has gone out."""
         if item.link is not self._link:
             return
@@ -629,7 +631,7 @@
         else:
             item.link.send(say.Whole(self.control.learned() if self.control is not None else None))
 
-    def _peer_said(self, item: PeerSaid, events: list[api.Event]) -> None:
+    def _peer_said(self, item: PeerSaid, events: list[admission.Event]) -> None:
         if item.link is not self._link:
             return
         match item.message:
@@ -646,7 +648,7 @@
             case _:
                 self.sharing.take(item.message)
 
-    def _peer_lost(self, item: PeerLost, events: list[api.Event]) -> None:
+    def _peer_lost(self, item: PeerLost, events: list[admission.Event]) -> None:
         if item.link is not self._link:
             return
         self._link, self._others = None, say.Usage(0, 0.0, 0, 0)
@@ -682,7 +684,7 @@
 
     # What the module orders.
 
-    def _run(self, action: api.Run) -> None:
+    def _run(self, action: admission.Run) -> None:
         task = self._tasks.get(action.id)
         if task is None or task.answered:
             return
@@ -690,13 +692,13 @@
             task.paused = False
             return self.executor.wake(task.request.tag)
         key, cls, born = task.key, self.settings.classes[task.request.cls], task.request.born
-        if cls.effect is api.Effect.KEYED and (key is None or key.ran not in (0, ELSEWHERE)):
+        if cls.effect is admission.Effect.KEYED and (key is None or key.ran not in (0, ELSEWHERE)):
             # Guards the rule on duplicates whatever the module says: a key's second run is never started.
             log(LOG, logging.ERROR, "second-run-stopped", tag=task.request.tag)
             if self.wide is not None:
                 self.wide.broken += 1
             self.post(_JoinOver(task, Outcome.ERROR))
-            return self._fail(api.Fail(task.id))
+            return self._fail(admission.Fail(task.id))
         verdict = Verdict.RUN
         if key is not None:
             verdict = self.sharing.claim(task.id, key, born, born + cls.window_ms, task.request.redo, self._now)
@@ -708,13 +710,13 @@
             task.running, task.claiming = True, False
             self.figures.runs += 1
             r = task.request
-            once = self.settings.classes[r.cls].effect is not api.Effect.SAFE
+            once = self.settings.classes[r.cls].effect is not admission.Effect.SAFE
             self.executor.run(r.tag, r.handler, r.body, once)
         elif verdict is Verdict.WAIT:
             task.claiming = True
         elif verdict is Verdict.JOIN:
             task.turned, task.claiming = True, False
-            self._join(api.Join(task.id))
+            self._join(admission.Join(task.id))
         else:
             self._turn_away(task, REFUSED if verdict is Verdict.REFUSE else FAILED)
 
@@ -728,7 +730,7 @@
             self._answer(task, Answer(kind, retry_after=NOT_READY_MS if kind == REFUSED else 0.0))
         self.post(_JoinOver(task, Outcome.ERROR))
 
-    def _settled(self, item: _Settled, events: list[api.Event]) -> None:
+    def _settled(self, item: _Settled, events: list[admission.Event]) -> None:
         task = item.task
         if not task.claiming:
             return
@@ -740,23 +742,23 @@
         else:
             self._decided(task, item.verdict)
 
-    def _stop(self, action: api.Stop) -> None:
+    def _stop(self, action: admission.Stop) -> None:
         if (task := self._tasks.get(action.id)) is not None and task.running:
             self._drop_call(task)
-            task.stopping = not task.answered and self.settings.halt is api.Halting.PAUSE
+            task.stopping = not task.answered and self.settings.halt is admission.Halting.PAUSE
             self.executor.stop(task.request.tag)
 
-    def _refuse(self, action: api.Refuse) -> None:
+    def _refuse(self, action: admission.Refuse) -> None:
         if (task := self._tasks.get(action.id)) is not None:
             never_ran = not (task.running or task.claiming) and (task.key is None or task.key.ran != task.id)
             kind = REFUSED if never_ran else FAILED
             self._answer(task, Answer(kind, None, action.retry_after, action.no_retry))
 
-    def _fail(self, action: api.Fail) -> None:
+    def _fail(self, action: admission.Fail) -> None:
         if (task := self._tasks.get(action.id)) is not None:
             self._answer(task, Answer(FAILED))
 
-    def _call(self, action: api.Call) -> None:
+    def _call(self, action: admission.Call) -> None:
         task = self._tasks.get(action.id)
         if task is None or not task.running or task.answered:
             return
@@ -765,15 +767,15 @@
             task.request.tag,
             task.wanted_body,
             action.timeout or cls.deadline_ms,
-            once=cls.effect is not api.Effect.SAFE,
+            once=cls.effect is not admission.Effect.SAFE,
         )
 
-    def _go_without(self, action: api.GoWithout) -> None:
+    def _go_without(self, action: admission.GoWithout) -> None:
         if (task := self._tasks.get(action.id)) is not None and task.running:
             self._drop_call(task)
             self.executor.skip(task.request.tag, task.wanted)
 
-    def _join(self, action: api.Join) -> None:
+    def _join(self, action: admission.Join) -> None:
         task = self._tasks.get(action.id)
         if task is None or task.answered:
             return
@@ -785,31 +787,31 @@
         else:
             task.key.joined.append(task)
 
-    def _keep_key(self, action: api.KeepKey) -> None:
+    def _keep_key(self, action: admission.KeepKey) -> None:
         task = self._tasks.get(action.id)
         if task is None or task.request.key is None:
             return
         r = task.request
         task.key = self.table.hold(r.key, task.id, r.born, self._now + action.span, digest(r.handler, r.body))
 
-    def _forget_key(self, action: api.ForgetKey) -> None:
+    def _forget_key(self, action: admission.ForgetKey) -> None:
         task = self._tasks.get(action.id)
         key = task.key if task is not None else None
         if key is not None and key.holder == action.id and not key.ran:
             self.sharing.free(key)
 
-    def _set_health(self, action: api.SetHealth) -> None:
+    def _set_health(self, action: admission.SetHealth) -> None:
         self.duty.well, self.from_store = action.good, action.from_store
         self.on_duty(self.duty.listed)
 
-    def _limit_idle(self, action: api.LimitIdle) -> None:
+    def _limit_idle(self, action: admission.LimitIdle) -> None:
         for front in self.fronts:
             front.limit_idle(action.span or self.settings.idle_ms)
 
-    def _advertise(self, action: api.Advertise) -> None:
+    def _advertise(self, action: admission.Advertise) -> None:
         self.advice = action.value
 
-    def _set_timer(self, action: api.SetTimer) -> None:
+    def _set_timer(self, action: admission.SetTimer) -> None:
         self._loop.later(action.after / 1000, self.post, _TimerDue(action.token))
 
     # Answers and what is kept.
--- a/lapispick/host/names.py
+++ b/lapispick/host/dns_resolver.py
@@ -8,8 +8,8 @@
 
 from lapispick.fleet import identity
 from lapispick.host.logs import log
-from lapispick.host.loop import Loop
-from lapispick.host.work import Busy, Work
+from lapispick.host.scheduler import Loop
+from lapispick.host.worker_threads import Busy, Work
 
 LOG = "names"
 THREADS = 2  # one that hangs must not stop the other look-ups
--- a/lapispick/host/executor.py
+++ b/lapispick/host/executor.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
+from lapispick.admission import Outcome
 from lapispick.host import core
 from lapispick.host.logs import log
-from lapispick.host.loop import Loop, Overlong, Stream, Waiter, connect
-from lapispick.interface import Outcome
+from lapispick.host.scheduler import Loop, Overlong, Stream, Waiter, connect
 
 LOG = "executor"
 CONNECT_S = 1.0  # s; for one try of a connection
--- a/lapispick/host/handover.py
+++ b/lapispick/host/handover.py
@@ -24,9 +24,9 @@
 from lapispick.digests import blake2b
 from lapispick.handover import messages as say
 from lapispick.host import core
-from lapispick.host.clients import Gateways
+from lapispick.host.jsonrpc.front import Gateways
 from lapispick.host.logs import log
-from lapispick.host.loop import READ, Loop, Overlong, Stream
+from lapispick.host.scheduler import READ, Loop, Overlong, Stream
 
 LOG = "handover"
 LONGEST = 2 << 20  # bytes of one message; a result has at most one notice of the executor
--- a/lapispick/host/inventory.py
+++ b/lapispick/host/inventory.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from lapispick import spread
+from lapispick import jitter
 from lapispick.conf.settings import Inventory as Settings
 from lapispick.fleet.acceptance import Acceptance, Phase, Policy, Seen, Verdict
 from lapispick.fleet.members import Members
@@ -24,7 +24,7 @@
 from lapispick.fleet.schema import Schema
 from lapispick.fleet.snapshot import EMPTY, Difference, History, Snapshot, Version
 from lapispick.host.logs import log
-from lapispick.host.loop import Closed, Loop, Overlong, Stream
+from lapispick.host.scheduler import Closed, Loop, Overlong, Stream
 
 LOG = "inventory"
 ANSWER_S = 60.0  # s; for one message of the helper; a helper that takes longer is ended
@@ -82,7 +82,7 @@
             except (OSError, Closed, Overlong, msgspec.MsgspecError, Disagreement) as err:
                 log(LOG, logging.ERROR, "helper-ended", error=err, again_s=pause)
             self._end()
-            self._loop.sleep(spread.pause(pause, random.random()))
+            self._loop.sleep(jitter.pause(pause, random.random()))
             lasted = time.monotonic() - began > 60
             pause = PAUSE_S[0] if lasted else min(PAUSE_S[1], pause * 2)
 
--- a/lapispick/host/clients.py
+++ b/lapispick/host/jsonrpc/front.py
@@ -14,13 +14,13 @@
 
 import msgspec
 
-from lapispick import interface as api
+from lapispick import admission
 from lapispick.handover import budget
-from lapispick.host import core, room
+from lapispick.host import connection_eviction, core
 from lapispick.host.core import BODY_MOST, KB_MOST
 from lapispick.host.logs import log
-from lapispick.host.loop import READ, Loop, Overlong, Stream, readable
-from lapispick.settings import Info
+from lapispick.host.scheduler import READ, Loop, Overlong, Stream, readable
+from lapispick.platform_settings import Info
 
 LOG = "clients"
 LONGEST = 8 * 1024  # bytes of one message; with a body of 2 KiB it has about 3,200
@@ -88,7 +88,7 @@
 TRACE, NONCE = re.compile("[0-9a-fA-F]{16}"), re.compile("[0-9a-fA-F]{32}")
 
 
-def check(p: Params, cls: api.ClassSettings, customers: set[str], needs_patience: bool) -> None:
+def check(p: Params, cls: admission.ClassSettings, customers: set[str], needs_patience: bool) -> None:
     """Raise ``Faulty`` for values outside the protocol's bounds; what is odd must not reach the decisions."""
     if not TRACE.fullmatch(p.trace):
         raise Faulty("trace must be 16 hex digits")
@@ -107,7 +107,7 @@
         raise Faulty("size must be above 0 and under 2,000")
     if not 0 <= p.order < 1:
         raise Faulty("order must be from 0 to under 1")
-    if cls.effect is api.Effect.KEYED and not NONCE.fullmatch(p.nonce):
+    if cls.effect is admission.Effect.KEYED and not NONCE.fullmatch(p.nonce):
         raise Faulty("a keyed class needs a nonce of 32 hex digits")
     try:
         size = len(base64.b64decode(p.doc or "", validate=True))
@@ -198,19 +198,21 @@
             self.part_since = now
         if self.proven and not (self.part_since or self.stream.unsent):
             return False
-        if not room.overdue(self.standing(), now):  # which also looks whether a slow reader has taken anything
+        if not connection_eviction.overdue(
+            self.standing(), now
+        ):  # which also looks whether a slow reader has taken anything
             return False
         # Guards those whose bytes wait in the system because this host was held up: they have one more look.
         waits, self.suspect = not self.suspect and self.stream.waiting(), True
         return not waits
 
-    def standing(self) -> room.Standing:
+    def standing(self) -> connection_eviction.Standing:
         """Return what decides whether this connection is kept."""
         part = self.stream.unread > 0 and not self.stream.holds_line()
         stopped = self.stream.stalled() > STOPPED_S
         # A message that was received whole and has not had its turn yet is as good as open.
         owed = bool(self.open or self._fresh or self.stream.holds_line() or (self.stream.unsent and not stopped))
-        return room.Standing(
+        return connection_eviction.Standing(
             self.since,
             self.used_at,
             self.stream.heard_at,
@@ -379,7 +381,7 @@
         loop: Loop,
         listen: tuple[str, int],
         info: Info,
-        settings: api.Settings,
+        settings: admission.Settings,
         most: int,
         post: Callable[[Any], None],
         advice: Callable[[], float | None],
@@ -458,14 +460,14 @@
         while not fresh:
             age = now - self._ordered_at
             if self._going is None or age > ORDER_S[0]:
-                going = room.order(((c, c.standing()) for c in self.connections), now)
+                going = connection_eviction.order(((c, c.standing()) for c in self.connections), now)
                 self._going, self._ordered_at, fresh = iter(going[: ACCEPTS + LOOKS_MOST]), now, True
                 self._least = going[0][1] if going else 0
             for c, kind in self._going:
                 if not fresh and kind > self._least and age > ORDER_S[1]:  # by now others may cost less
                     break
                 # What came since the order was found may be a reason to keep a connection, and is looked at again.
-                if c.stream.closed or not room.still(kind, c.standing(), now):
+                if c.stream.closed or not connection_eviction.still(kind, c.standing(), now):
                     continue
                 if c.stream.ending or not c.stream.waiting():
                     c.close()
--- a/lapispick/host/members.py
+++ b/lapispick/host/members.py
@@ -19,7 +19,8 @@
 
 import msgspec
 
-from lapispick import disk, spread
+from lapispick import atomic_files, jitter
+from lapispick.admission import Outcome
 from lapispick.conf.settings import Inventory as Listing
 from lapispick.conf.settings import Members as Settings
 from lapispick.digests import blake2b
@@ -27,15 +28,14 @@
 from lapispick.fleet.hosts import Worker
 from lapispick.fleet.snapshot import Difference, Snapshot
 from lapispick.host import core
+from lapispick.host.dns_resolver import Names, NoAddress
 from lapispick.host.inventory import Inventory
 from lapispick.host.logs import log
-from lapispick.host.loop import READ, Closed, Loop, Overlong, Stream, address, connect
-from lapispick.host.names import Names, NoAddress
-from lapispick.host.work import Work
-from lapispick.interface import Outcome
-from lapispick.members import stores, turns, view, words
-from lapispick.members.node import Bounds, Node
-from lapispick.members.view import Send, State
+from lapispick.host.scheduler import READ, Closed, Loop, Overlong, Stream, address, connect
+from lapispick.host.worker_threads import Work
+from lapispick.members import leases, membership_view, messages, stores
+from lapispick.members.member import Bounds, Node
+from lapispick.members.membership_view import Send, State
 
 LOG = "members"
 LIFE = "life"  # the file in the state folder
@@ -75,7 +75,7 @@
     majority: bool
     replaced: bool
     members: list[Seen]
-    facts: list[words.Fact]
+    facts: list[messages.Fact]
     dropped: dict[str, int]
     sent: int
     received: int
@@ -95,10 +95,10 @@
 def bounds(told: Settings) -> Bounds:
     """Return the times that the settings say."""
     return Bounds(
-        view.Bounds(
+        membership_view.Bounds(
             told.period, told.timeout, told.helpers, float(told.suspicion), joining=max(10.0, 10 * told.period)
         ),
-        turns.Bounds(
+        leases.Bounds(
             told.lease, told.drift, told.answer, min(0.5, told.answer / 2), told.lists, max(5.0, 4 * told.answer)
         ),
         keep=told.keep,
@@ -169,11 +169,11 @@
                 pass
             except (OSError, ValueError) as err:
                 log(LOG, logging.ERROR, "life-unreadable", file=path, error=err)
-        number = min(max(number + 1, int(time.time())), words.LIFE_MOST >> 1)
+        number = min(max(number + 1, int(time.time())), messages.LIFE_MOST >> 1)
         if folder is not None:
             try:
                 Path(folder).mkdir(parents=True, exist_ok=True)
-                disk.put(Path(folder) / LIFE, str(number).encode())
+                atomic_files.put(Path(folder) / LIFE, str(number).encode())
             except OSError as err:
                 log(LOG, logging.ERROR, "life-not-kept", file=folder, error=err)
         return number
@@ -256,7 +256,7 @@
                 continue
             for _ in range(BURST):
                 try:
-                    data, at = self._sock.recvfrom(words.LONGEST + 1)
+                    data, at = self._sock.recvfrom(messages.LONGEST + 1)
                 except BlockingIOError:
                     break
                 except OSError:  # somebody before was not there; the system tells it here
@@ -270,7 +270,7 @@
         if node is None or self._left:
             return
         word = self._read(data)
-        if word is None or isinstance(word, words.Whole):
+        if word is None or isinstance(word, messages.Whole):
             return self._drop("nonsense")
         if self._at.get(word.sender) != at:
             return self._drop("not from its address")
@@ -280,9 +280,9 @@
         self._send(node.take(now, word))
         self._news(node, now)
 
-    def _read(self, data: bytes) -> words.Word | None:
+    def _read(self, data: bytes) -> messages.Word | None:
         try:
-            word: words.Word = words.decode(data)
+            word: messages.Word = messages.decode(data)
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
             return None
         return word
@@ -304,7 +304,7 @@
             if (at := self._at.get(to)) is None:
                 continue
             try:
-                self._sock.sendto(words.datagram(word), at)
+                self._sock.sendto(messages.datagram(word), at)
                 self._sent += 1
             except OSError as err:  # full buffers, no route: as if it was lost on the way
                 log(LOG, logging.DEBUG, "word-not-sent", to=to, error=err)
@@ -327,7 +327,7 @@
         wait = min(1.0, every / 4) * (0.5 + self._rng.random())
         while True:
             self._loop.sleep(wait)
-            wait = spread.period(every, self._rng.random())
+            wait = jitter.period(every, self._rng.random())
             node = self.node
             if node is None or self._left or node.view.replaced:
                 continue
@@ -343,14 +343,14 @@
     def _exchange(self, node: Node, name: str) -> None:
         stream = connect(self._loop, self._at[name], STREAM_S, longest=self._most, out_most=self._most)
         try:
-            stream.write(words.encode(node.whole(time.monotonic())) + b"\n")
+            stream.write(messages.encode(node.whole(time.monotonic())) + b"\n")
             self._merge(node, stream.read_line(STREAM_S), self._at[name][0])
         finally:
             stream.close()
 
     def _merge(self, node: Node, line: bytes | None, ip: str) -> bool:
         word = self._read(line) if line else None
-        if not isinstance(word, words.Whole) or self._at.get(word.sender, ("",))[0] != ip:
+        if not isinstance(word, messages.Whole) or self._at.get(word.sender, ("",))[0] != ip:
             self._drop("nonsense")
             return False
         now = time.monotonic()
@@ -379,7 +379,7 @@
         try:
             line, node = stream.read_line(), self.node
             if node is not None and not stream.closed and self._merge(node, line, ip):
-                stream.write(words.encode(node.whole(time.monotonic(), answer=True)) + b"\n")
+                stream.write(messages.encode(node.whole(time.monotonic(), answer=True)) + b"\n")
                 while stream.unsent and not stream.closed:
                     self._loop.sleep(0.01)
         except (Overlong, OSError):
@@ -393,21 +393,21 @@
 
     def _tell_facts(self) -> None:
         while True:
-            self._loop.sleep(spread.period(FACTS_S, self._rng.random()))
+            self._loop.sleep(jitter.period(FACTS_S, self._rng.random()))
             if self.node is not None and not self._left:
                 now = time.monotonic()
                 for kind, subject, value, count, text in self._facts():
-                    self.node.say(now, kind, subject[: words.TEXT_MOST], value, count, text[: words.TEXT_MOST])
+                    self.node.say(now, kind, subject[: messages.TEXT_MOST], value, count, text[: messages.TEXT_MOST])
 
     def _news(self, node: Node, now: float) -> None:
         for change in node.changes():
             self._why.setdefault(change.name, deque(maxlen=CAUSES)).append(
-                (time.time(), view.WORDS[change.state], change.cause)
+                (time.time(), membership_view.WORDS[change.state], change.cause)
             )
             log(
                 LOG,
                 logging.INFO,
-                "member-" + ("returned" if change.returned else view.WORDS[change.state]),
+                "member-" + ("returned" if change.returned else membership_view.WORDS[change.state]),
                 name=change.name,
                 cause=change.cause or "unknown",
             )
@@ -477,7 +477,7 @@
         if len(names) > LISTED_MOST:
             names = [name for name in names if shown.state(name) is not State.ALIVE][:LISTED_MOST]
         seen = [
-            Seen(name, view.WORDS[held.state], held.incarnation, held.life, self._workers[name].members)
+            Seen(name, membership_view.WORDS[held.state], held.incarnation, held.life, self._workers[name].members)
             for name in names
             if name in self._workers and (held := shown.held(name))
         ]
@@ -516,7 +516,7 @@
             return [f"ERR {name} is not on the list"]
         told: dict[str, Any] = {
             "name": name,
-            "state": view.WORDS[state],
+            "state": membership_view.WORDS[state],
             "changes": [list(each) for each in self._why.get(name, ())],
         }
         return ["OK", msgspec.json.encode(told).decode()]
--- a/lapispick/host/ops.py
+++ b/lapispick/host/ops.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from lapispick.host.logs import log
-from lapispick.host.loop import READ, Loop, Overlong, Stream
+from lapispick.host.scheduler import READ, Loop, Overlong, Stream
 
 LOG = "ops"
 LONGEST = 128  # bytes of one call
--- a/lapispick/host/recorder.py
+++ b/lapispick/host/recorder.py
@@ -17,14 +17,14 @@
 
 import msgspec
 
-from lapispick import interface as api
+from lapispick import admission
 from lapispick.conf.settings import Trace
 from lapispick.digests import blake2b
 from lapispick.host.core import Request
 from lapispick.host.logs import log
-from lapispick.host.loop import Closed, Loop, Overlong, Stream
-from lapispick.settings import Info
-from lapispick.trace.kinds import NUMBERS, Answered, Arrival, Gap, Happened
+from lapispick.host.scheduler import Closed, Loop, Overlong, Stream
+from lapispick.platform_settings import Info
+from lapispick.trace.record_types import NUMBERS, Answered, Arrival, Gap, Happened
 
 LOG = "trace"
 HAND_OVER = 200  # steps; then they are handed over at once
@@ -53,7 +53,7 @@
         self._notes: list[tuple[Any, ...]] = []
         self._stream: Stream | None = None
 
-    def begin(self, settings: api.Settings, seed: int, now: float) -> None:
+    def begin(self, settings: admission.Settings, seed: int, now: float) -> None:
         """Start the process that writes; ``now`` is the module's clock at its start, ms."""
         told = self._settings
         self._begin = msgspec.json.encode(
@@ -96,7 +96,7 @@
         self._send(self._begin)
         self._loop.spawn(self._listen, self._stream)
 
-    def step(self, now: float, events: list[api.Event], actions: list[api.Action]) -> None:
+    def step(self, now: float, events: list[admission.Event], actions: list[admission.Action]) -> None:
         """Take one step of the module."""
         # References only: encoding step by step costs three times as much as encoding many at once.
         self._waiting.append((now, events, actions, self._notes))
--- a/lapispick/host/roster.py
+++ b/lapispick/host/registry.py
@@ -6,7 +6,7 @@
 import socket
 
 from lapispick.host.logs import log
-from lapispick.host.loop import Loop
+from lapispick.host.scheduler import Loop
 
 LOG = "roster"
 # s; a quarter of the datagrams are lost and an entry lapses after 3 s: with twelve in that time none does
--- a/lapispick/host/store.py
+++ b/lapispick/host/store.py
@@ -13,11 +13,11 @@
 
 from greenlet import greenlet
 
+from lapispick.admission import Outcome
 from lapispick.handover import budget
 from lapispick.host import core
 from lapispick.host.logs import log
-from lapispick.host.loop import Closed, Loop, Overlong, Stream, connect
-from lapispick.interface import Outcome
+from lapispick.host.scheduler import Closed, Loop, Overlong, Stream, connect
 
 LOG = "store"
 # s; the store closes idle connections at 10 s, and a call that meets such a close has proved nothing
--- a/lapispick/host/work.py
+++ b/lapispick/host/worker_threads.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any, TypeVar
 
-from lapispick.host.loop import READ, Loop, Waiter
+from lapispick.host.scheduler import READ, Loop, Waiter
 
 WAITING_MOST = 64  # jobs
 T = TypeVar("T")
--- a/lapispick/members/signals.py
+++ b/lapispick/members/gossip_facts.py
@@ -22,7 +22,7 @@
 
 import msgspec
 
-from lapispick.members.words import FACTS_MOST, LIFE_MOST, TEXT_MOST, Fact
+from lapispick.members.messages import FACTS_MOST, LIFE_MOST, TEXT_MOST, Fact
 
 # Kinds and what their value is.
 STORE, COLD, DRAINING, GENERATION, LOAD = "store", "cold", "draining", "generation", "load"
--- a/lapispick/members/node.py
+++ b/lapispick/members/member.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from lapispick.members import signals, turns, view
-from lapispick.members.signals import Signals
-from lapispick.members.turns import Claim, Claimer, Lists, Release, Voter
-from lapispick.members.view import Change, Send, State, View
-from lapispick.members.words import Claims, Fact, Releases, Rumour, Votes, Whole, Word
+from lapispick.members import gossip_facts, leases, membership_view
+from lapispick.members.gossip_facts import Signals
+from lapispick.members.leases import Claim, Claimer, Lists, Release, Voter
+from lapispick.members.membership_view import Change, Send, State, View
+from lapispick.members.messages import Claims, Fact, Releases, Rumour, Votes, Whole, Word
 
 
 class Random(Protocol):
@@ -29,9 +29,9 @@
 class Bounds(msgspec.Struct, frozen=True):
     """All times of a member."""
 
-    view: view.Bounds = view.Bounds()
-    turns: turns.Bounds = turns.Bounds()
-    signals: signals.Bounds = signals.Bounds()
+    view: membership_view.Bounds = membership_view.Bounds()
+    turns: leases.Bounds = leases.Bounds()
+    signals: gossip_facts.Bounds = gossip_facts.Bounds()
     keep: float = 5.0  # s; a want that nobody speaks for any more is dropped
     wants_most: int = 64
 
@@ -337,7 +337,7 @@
         turn, _, at = slot.partition("/")
         return at.isdecimal() and len(at) < 6 and int(at) < self.kinds.get(turn, 0)
 
-    def _voted(self, now: float, voter: str, vote: turns.Vote) -> None:
+    def _voted(self, now: float, voter: str, vote: leases.Vote) -> None:
         for want in self._wants.values():
             claimer = want.claimer
             if claimer.slot != vote.slot:
--- a/lapispick/members/view.py
+++ b/lapispick/members/membership_view.py
@@ -35,7 +35,7 @@
 
 import msgspec
 
-from lapispick.members.words import LIFE_MOST, RUMOURS_MOST, Ack, Ask, Probe, Rumour, Word
+from lapispick.members.messages import LIFE_MOST, RUMOURS_MOST, Ack, Ask, Probe, Rumour, Word
 
 OLDER = "an older life"
 SLEPT = 1.5  # periods between two ticks; a member that is on time has one far more often
--- a/lapispick/members/words.py
+++ b/lapispick/members/messages.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from lapispick.members.turns import Claim, Release, Vote
+from lapispick.members.leases import Claim, Release, Vote
 
 VERSION, LOWEST = 1, 1
 LONGEST = 1200  # bytes of a datagram, which every link carries whole
--- a/lapispick/model/properties.py
+++ b/lapispick/model/properties.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from lapispick.members import signals, turns, view, words
-from lapispick.members.node import Bounds, Node
-from lapispick.members.turns import Ballot, Claim, Claimer, Lists, Release, Voter
-from lapispick.members.view import State
-from lapispick.members.words import Fact, Rumour
+from lapispick.members import gossip_facts, leases, membership_view, messages
+from lapispick.members.leases import Ballot, Claim, Claimer, Lists, Release, Voter
+from lapispick.members.member import Bounds, Node
+from lapispick.members.membership_view import State
+from lapispick.members.messages import Fact, Rumour
 from lapispick.model.script import Step
 from lapispick.model.world import World, members
 
@@ -253,7 +253,7 @@
 
 def fair(seed: int) -> None:
     """Nobody passes another one that waits more than ``passes`` + 1 times, whatever its priority."""
-    rng, bounds = random.Random(seed), turns.Bounds()
+    rng, bounds = random.Random(seed), leases.Bounds()
     names = ["a", *(f"b{n}" for n in range(8))]
     voter = Voter(bounds, Lists(names, "l", bounds), 0.0, fresh=True)
     voter.take(0.0, Claim(SLOT, Ballot(1, "b0"), 1, "l"))
@@ -282,7 +282,7 @@
 
 def ageing(seed: int) -> None:
     """Waiting makes up for priority: one without any goes before a newcomer that has some, in time."""
-    bounds = turns.Bounds(passes=10**6)
+    bounds = leases.Bounds(passes=10**6)
     voter = Voter(bounds, Lists(["a", "b", "c"], "l", bounds), 0.0, fresh=True)
     held = voter.take(0.0, Claim(SLOT, Ballot(1, "c"), 1, "l"))
     for step in range(1, 40):
@@ -300,13 +300,13 @@
 
 def majority_of_the_list(seed: int) -> None:
     """A claim is decided by the list, however few the claimer believes in; and by every list that still counts."""
-    bounds = turns.Bounds()
+    bounds = leases.Bounds()
     lists = Lists(["a", "b", "c", "d", "e"], "l", bounds)
     claimer = Claimer("a", 1, SLOT, bounds, lists)
     claim = claimer.tick(0.0, 0.5)
     assert isinstance(claim, Claim)
     for n, voter in enumerate(("a", "b", "c")):
-        got = claimer.take(0.1, voter, turns.Vote(SLOT, claim.ballot, True, claim.ballot.number))
+        got = claimer.take(0.1, voter, leases.Vote(SLOT, claim.ballot, True, claim.ballot.number))
         _hold(got == (n == 2), f"{n + 1} votes of 5: {'held' if got else 'not held'}")
     lists.change(["x", "y", "z"], "m", 1.0)
     _hold(not lists.decided({"a", "b", "c"}) and not lists.decided({"x", "y", "z"}), "one list's majority is enough")
@@ -317,7 +317,7 @@
 
 def leases_end(seed: int) -> None:
     """A holder's lease is over before any voter's grant is; votes that come too late count for nothing."""
-    bounds = turns.Bounds(lease=10.0, drift=0.05)
+    bounds = leases.Bounds(lease=10.0, drift=0.05)
     lists = Lists(["a", "b", "c"], "l", bounds)
     claimer = Claimer("a", 1, SLOT, bounds, lists)
     claim = claimer.tick(100.0, 0.5)
@@ -333,13 +333,13 @@
     claim = late.tick(0.0, 0.5)
     assert isinstance(claim, Claim)
     for name in "ab":
-        late.take(bounds.wait + 0.1, name, turns.Vote(SLOT, claim.ballot, True, 1))
+        late.take(bounds.wait + 0.1, name, leases.Vote(SLOT, claim.ballot, True, 1))
     _hold(not late.holds(bounds.wait + 0.2), "votes count that came after the claim was given up")
 
 
 def quiet_start(seed: int) -> None:
     """A voter that lost its state grants nothing until every lease that it may have granted is over."""
-    bounds, lists = turns.Bounds(), Lists(["a", "b"], "l", turns.Bounds())
+    bounds, lists = leases.Bounds(), Lists(["a", "b"], "l", leases.Bounds())
     voter, claim = Voter(bounds, lists, 100.0), Claim(SLOT, Ballot(1, "a"), 1, "l")
     _hold(not voter.take(100.0 + bounds.lease, claim).granted, "a voter without its state grants at once")
     _hold(voter.take(100.1 + bounds.lease * (1 + bounds.drift), claim).granted, "a voter stays quiet for ever")
@@ -348,7 +348,7 @@
 
 def another_life(seed: int) -> None:
     """Another process of the same box does not share the turn of the one before."""
-    bounds, lists = turns.Bounds(), Lists(["a", "b", "c"], "l", turns.Bounds())
+    bounds, lists = leases.Bounds(), Lists(["a", "b", "c"], "l", leases.Bounds())
     voter = Voter(bounds, lists, 0.0, fresh=True)
     _hold(voter.take(0.0, Claim(SLOT, Ballot(5, "a"), 1, "l")).granted, "the first claim is refused")
     _hold(not voter.take(1.0, Claim(SLOT, Ballot(6, "a"), 2, "l")).granted, "two lives share a slot")
@@ -392,7 +392,7 @@
 
 def long_sleep(seed: int) -> None:
     """One that was stopped for long calls nobody dead for what it did not hear meanwhile."""
-    it = view.View("a", "f", 1, ["a", "b", "c", "d"], view.Bounds(), random.Random(seed))
+    it = membership_view.View("a", "f", 1, ["a", "b", "c", "d"], membership_view.Bounds(), random.Random(seed))
     it.heard(1.0, Rumour("b", "suspect", 0, 1, "c"), "c")
     for step in range(10, 40):  # it lives through what is left of a second or two, with no word of anybody
         it.tick(step / 10)
@@ -474,7 +474,7 @@
     node.listed(["a", "b"], "l", 0.0)
     node.listed(["a"], "m", 100.0)
     node.listed(["a", "b"], "n", 200.0)
-    node.take(300.0, words.Probe("f", "b", 1, 0, (Rumour("a", "alive", 0, 9),), number=1))
+    node.take(300.0, messages.Probe("f", "b", 1, 0, (Rumour("a", "alive", 0, 9),), number=1))
     _hold(
         node.view.replaced and not node.tick(301.0) and node.want(301.0, "job", "x") is None,
         "an earlier process goes on beside the one that has its name",
@@ -484,7 +484,7 @@
 def strangers(seed: int) -> None:
     """Words of another fleet, of boxes that no list names, of earlier lives, and nonsense change nothing."""
     node = Node("a", "f", 1, ["a", "b", "c"], "l", {"job": 1}, Bounds(), random.Random(seed), 0.0)
-    node.take(0.0, words.Probe("f", "b", 5, 0, number=1))
+    node.take(0.0, messages.Probe("f", "b", 5, 0, number=1))
     before = msgspec.json.encode(node.whole(1.0).states)
     bad = Rumour("c", "dead", 7, 9)
     for over in (
@@ -492,12 +492,12 @@
         {"sender": "z"},
         {"life": 4},
         {"sender": "a"},
-        {"life": words.LIFE_MOST + 1},
-        {"incarnation": words.LIFE_MOST + 1},
+        {"life": messages.LIFE_MOST + 1},
+        {"incarnation": messages.LIFE_MOST + 1},
     ):
         node.take(
             1.0,
-            words.Probe(
+            messages.Probe(
                 **{
                     "fleet": "f",
                     "sender": "b",
@@ -511,12 +511,12 @@
         )
     node.take(
         1.0,
-        words.Probe(
+        messages.Probe(
             "f",
             "b",
             5,
             0,
-            (Rumour("z", "dead", 0, 1), Rumour("c", "odd", 9, 9), Rumour("c", "dead", words.LIFE_MOST + 1, 1)),
+            (Rumour("z", "dead", 0, 1), Rumour("c", "odd", 9, 9), Rumour("c", "dead", messages.LIFE_MOST + 1, 1)),
         ),
     )
     _hold(msgspec.json.encode(node.whole(1.0).states) == before, "a stranger's rumour counts")
@@ -547,7 +547,7 @@
     held = []
     for _ in range(4):
         rng.shuffle(told)
-        it = signals.Signals(signals.Bounds())
+        it = gossip_facts.Signals(gossip_facts.Bounds())
         for fact in [*told, *rng.sample(told, len(told) // 2)]:
             it.hear(10.0, fact, 10)
         held.append(sorted(map(msgspec.json.encode, it.all(10.0))))
@@ -556,36 +556,36 @@
 
 def facts_age(seed: int) -> None:
     """A fact goes round no longer than its time, however often it is told on, and weighs less the older it is."""
-    bounds = signals.Bounds()
-    it = signals.Signals(bounds)
-    it.say(0.0, "a", 1, 0, 5, signals.LOAD, "", 1.0)
+    bounds = gossip_facts.Bounds()
+    it = gossip_facts.Signals(bounds)
+    it.say(0.0, "a", 1, 0, 5, gossip_facts.LOAD, "", 1.0)
     weights, hops = [], 0
     for step in range(1, 20):  # from one to the next, each of whom has never heard of it
         now = step * 10.0
-        told, it = it.all(now), signals.Signals(bounds)
+        told, it = it.all(now), gossip_facts.Signals(bounds)
         for fact in told:
             hops += it.hear(now, fact, 5)
-        weights.append(it.weighed(now, signals.LOAD).weight)
+        weights.append(it.weighed(now, gossip_facts.LOAD).weight)
     _hold(hops == 5, f"a fact of 60 s was told on {hops} times, 10 s apart")
     _hold(0 < weights[2] < weights[0] / 2, "an old fact weighs as much as a young one")
-    it.say(500.0, "a", 1, 0, 5, signals.LOAD, "", 1.0)
+    it.say(500.0, "a", 1, 0, 5, gossip_facts.LOAD, "", 1.0)
     it.expire(500.0 + bounds.forget, ["a"])
     _hold(not len(it), "what is too old is kept")
 
 
 def two_authors(seed: int) -> None:
     """One author's word alone never turns traffic away, nor do authors that are not well; those who differ count."""
-    it = signals.Signals(signals.Bounds())
-    say = lambda author, value, health=0: it.say(0.0, author, 1, health, 5, signals.STORE, "s", value)  # noqa: E731
+    it = gossip_facts.Signals(gossip_facts.Bounds())
+    say = lambda author, value, health=0: it.say(0.0, author, 1, health, 5, gossip_facts.STORE, "s", value)  # noqa: E731
     say("a", 9.0)
-    _hold(not it.agreed(1.0, signals.STORE, "s", 5.0), "one author is enough")
+    _hold(not it.agreed(1.0, gossip_facts.STORE, "s", 5.0), "one author is enough")
     say("b", 9.0, health=3)
-    _hold(not it.agreed(1.0, signals.STORE, "s", 5.0), "an author that is not well counts as one that is")
+    _hold(not it.agreed(1.0, gossip_facts.STORE, "s", 5.0), "an author that is not well counts as one that is")
     say("c", 9.0)
-    _hold(it.agreed(1.0, signals.STORE, "s", 5.0), "two that are well are not enough")
+    _hold(it.agreed(1.0, gossip_facts.STORE, "s", 5.0), "two that are well are not enough")
     for name in "defg":
         say(name, 1.0)
-    _hold(not it.agreed(1.0, signals.STORE, "s", 5.0), "those who say otherwise count for nothing")
+    _hold(not it.agreed(1.0, gossip_facts.STORE, "s", 5.0), "those who say otherwise count for nothing")
 
 
 def bounded(seed: int) -> None:
@@ -594,8 +594,8 @@
     for n in range(3000):
         now = n / 100
         facts = tuple(Fact("b", 1, n * 4 + k, "load", f"{n}-{k}", 1.0) for k in range(4))
-        node.take(now, words.Ask("f", "b", 1, n, (Rumour(f"x{n}", "dead", 0, 1),), "l", facts, number=n, target="c"))
-        node.take(now, words.Claims("f", "b", 1, n, claim=Claim(f"s{n}/0", Ballot(n + 1, "b"), 1, "l")))
+        node.take(now, messages.Ask("f", "b", 1, n, (Rumour(f"x{n}", "dead", 0, 1),), "l", facts, number=n, target="c"))
+        node.take(now, messages.Claims("f", "b", 1, n, claim=Claim(f"s{n}/0", Ballot(n + 1, "b"), 1, "l")))
         node.want(now, "job", f"o{n}")
     sizes = (
         len(node.signals),
@@ -609,7 +609,7 @@
         sizes[0] <= 16 and sizes[1] <= 3 and sizes[2] <= 2 and sizes[3] <= 3 and sizes[4] <= 1 and sizes[5] <= 64,
         f"tables hold {sizes}",
     )
-    word = words.Probe(
+    word = messages.Probe(
         "f",
         "a" * 200,
         1,
@@ -618,16 +618,16 @@
         "l",
         tuple(Fact("a" * 200, 1, 1, "load", "s" * 64, 1.0, text="t" * 64) for _ in range(4)),
     )
-    _hold(len(words.datagram(word)) <= words.LONGEST, "a word is longer than a datagram")
+    _hold(len(messages.datagram(word)) <= messages.LONGEST, "a word is longer than a datagram")
 
 
 def refutes(seed: int) -> None:
     """One that hears it is held for suspect or dead says so louder, and is believed."""
-    a = view.View("a", "f", 1, ["a", "b"], view.Bounds(), random.Random(seed))
-    b = view.View("b", "f", 1, ["a", "b"], view.Bounds(), random.Random(seed))
+    a = membership_view.View("a", "f", 1, ["a", "b"], membership_view.Bounds(), random.Random(seed))
+    b = membership_view.View("b", "f", 1, ["a", "b"], membership_view.Bounds(), random.Random(seed))
     a.heard(1.0, Rumour("b", "dead", 0, 1), "a")
     _hold(a.state("b") is State.DEAD, "a rumour of a death is not held")
-    probe = a.word(words.Probe, "b", number=1)
+    probe = a.word(messages.Probe, "b", number=1)
     _hold(any(r.name == "b" for r in probe.rumours), "who is held for dead is not told")
     for send in b.take(1.1, probe):
         a.take(1.2, send.word)
--- a/lapispick/model/runs.py
+++ b/lapispick/model/runs.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from lapispick.members.node import Bounds
+from lapispick.members.member import Bounds
 from lapispick.model.script import parse
 from lapispick.model.world import World, members
 
--- a/lapispick/model/script.py
+++ b/lapispick/model/script.py
@@ -16,7 +16,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from lapispick.conf import kinds
+from lapispick.conf import value_types
 
 KINDS = ("part", "one-way", "stop", "kill", "loss", "late")
 
@@ -35,7 +35,7 @@
         if self.boxes == "all":
             return list(names)
         if self.boxes.endswith("%"):
-            return sorted(rng.sample(sorted(names), round(len(names) * kinds.share(self.boxes))))
+            return sorted(rng.sample(sorted(names), round(len(names) * value_types.share(self.boxes))))
         return self.boxes.split(",")
 
 
@@ -58,9 +58,9 @@
     at, kind, boxes, *rest = words
     if kind not in KINDS:
         raise ValueError(f"{kind} is none of {', '.join(KINDS)}")
-    span = kinds.span(rest[1]) if rest[:1] == ["for"] else 1.0
+    span = value_types.span(rest[1]) if rest[:1] == ["for"] else 1.0
     rest = rest[2:] if rest[:1] == ["for"] else rest
     if len(rest) > 1 or (bool(rest) != (kind in ("loss", "late"))):
         raise ValueError(f"{kind} takes {'one value' if kind in ('loss', 'late') else 'no value'}")
-    value = (kinds.share(rest[0]) if kind == "loss" else kinds.span(rest[0])) if rest else 0.0
-    return Step(kinds.span(at), kind, boxes, span, value)
+    value = (value_types.share(rest[0]) if kind == "loss" else value_types.span(rest[0])) if rest else 0.0
+    return Step(value_types.span(at), kind, boxes, span, value)
--- a/lapispick/model/world.py
+++ b/lapispick/model/world.py
@@ -1,6 +1,6 @@
 """Members on one simulated clock: links that lose and delay words, clocks that drift, boxes that stop and die.
 
-What runs at each member is ``members/node.py``, or anything with the same face: ``due``, ``tick``, ``take`` and
+What runs at each member is ``members/member.py``, or anything with the same face: ``due``, ``tick``, ``take`` and
 ``changes``. One seed draws all that is random, so a run can be repeated word by word.
 """
 
@@ -12,9 +12,9 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
-from lapispick.members import words
-from lapispick.members.node import Bounds, Node
-from lapispick.members.view import Change, Send, State
+from lapispick.members import messages
+from lapispick.members.member import Bounds, Node
+from lapispick.members.membership_view import Change, Send, State
 from lapispick.model.script import Step
 
 DRIFT = 0.004  # by which members' clocks run apart at most, as a part
@@ -108,7 +108,7 @@
         """Send words, and note what changed for their sender."""
         for to, word in sends:
             self.sent += 1
-            self.bytes += len(words.datagram(word)) if isinstance(word, words.Word) else len(word)
+            self.bytes += len(messages.datagram(word)) if isinstance(word, messages.Word) else len(word)
             if self.rng.random() < self.loss or self._cut(name, to):
                 continue
             late = LATE_S * (1 + self.rng.random()) + (self.rng.random() * self.late if self.late else 0.0)
--- a/lapispick/settings.py
+++ b/lapispick/platform_settings.py
@@ -4,15 +4,19 @@
 
 import msgspec
 
-from lapispick import interface as api
+from lapispick import admission
 
-EFFECTS = {"idempotent": api.Effect.SAFE, "deduplicated": api.Effect.KEYED, "at_most_once": api.Effect.UNSAFE}
-HALTS = {"off": api.Halting.NONE, "drop": api.Halting.DROP, "pause": api.Halting.PAUSE}
+EFFECTS = {
+    "idempotent": admission.Effect.SAFE,
+    "deduplicated": admission.Effect.KEYED,
+    "at_most_once": admission.Effect.UNSAFE,
+}
+HALTS = {"off": admission.Halting.NONE, "drop": admission.Halting.DROP, "pause": admission.Halting.PAUSE}
 ADVERTS = {
-    "off": api.Advert.NONE,
-    "level": api.Advert.LEVEL,
-    "credit": api.Advert.CREDIT,
-    "weight": api.Advert.WEIGHT,
+    "off": admission.Advert.NONE,
+    "level": admission.Advert.LEVEL,
+    "credit": admission.Advert.CREDIT,
+    "weight": admission.Advert.WEIGHT,
 }
 
 
@@ -84,11 +88,11 @@
     parties: list[Party] = []
 
 
-def settings_from(info: Info) -> api.Settings:
+def settings_from(info: Info) -> admission.Settings:
     """Translate the start settings for the module."""
     fam, rules = info.family_info, info.guarantees
     classes = tuple(
-        api.ClassSettings(
+        admission.ClassSettings(
             aim_ms=c.promise,
             aim_stretch=c.aim_stretch,
             deadline_ms=c.give_up,
@@ -100,7 +104,7 @@
         )
         for c, skip in zip(info.services, fam.class_skip_worth, strict=True)
     )
-    return api.Settings(
+    return admission.Settings(
         classes=classes,
         worth_by_work=info.value_by == "work",
         callers=fam.upstreams,
--- a/lapispick/rollout/judge.py
+++ b/lapispick/rollout/canary_analysis.py
@@ -23,9 +23,9 @@
 
 import msgspec
 
-from lapispick.rollout import figures
+from lapispick.rollout import metrics
 from lapispick.rollout.evidence import Series, inflation, log_evidence, radius, variance
-from lapispick.rollout.figures import Class, Slice
+from lapispick.rollout.metrics import Class, Slice
 
 ASKED_LEAST = 5  # requests of a class that a group has to be asked; fewer make no share
 NOTHING = Class(0, 0, 0, 0, 0.0, {})
@@ -155,7 +155,7 @@
 
     def _refer(self) -> None:
         self._reference = {
-            name: (figures.quantile(times, 0.5), figures.quantile(times, 0.99)) for name, times in self._times.items()
+            name: (metrics.quantile(times, 0.5), metrics.quantile(times, 0.99)) for name, times in self._times.items()
         }
 
     def _take(self, changed: Iterable[str], old: Iterable[str], slices: Mapping[str, Slice], before: bool) -> None:
@@ -187,12 +187,12 @@
         A class that is asked seldom waits until both groups were asked often enough. Were its thin slices left out
         instead, only those in which chance sent many would be judged, and most of what was seen would be lost.
         """
-        wholes = [figures.merged(group) for group in (one, two)]
+        wholes = [metrics.merged(group) for group in (one, two)]
         found = [self._wholes(group) for group in (one, two)]
         waiting = self._waiting.setdefault(pair, {})
         for name in {name for whole in wholes if whole for name in whole.classes}:
             now = [whole.classes.get(name, NOTHING) if whole else NOTHING for whole in wholes]
-            held = [figures.joined(parts) for parts in zip(waiting.pop(name, (NOTHING, NOTHING)), now, strict=True)]
+            held = [metrics.joined(parts) for parts in zip(waiting.pop(name, (NOTHING, NOTHING)), now, strict=True)]
             if min(cls.asked for cls in held) < ASKED_LEAST:
                 waiting[name] = (held[0], held[1])
                 continue
@@ -213,13 +213,13 @@
         }
         median, far = self._reference.get(name, (0.0, 0.0))
         if cls.times and median:
-            found[f"slow {name}"] = figures.slower(cls.times, median)
-            found[f"tail {name}"] = figures.slower(cls.times, far)
+            found[f"slow {name}"] = metrics.slower(cls.times, median)
+            found[f"tail {name}"] = metrics.slower(cls.times, far)
         return found
 
     def _wholes(self, group: Sequence[Slice]) -> dict[str, float]:
         """Return the figures of a group of boxes that know no class."""
-        whole = figures.merged(group)
+        whole = metrics.merged(group)
         if whole is None:
             return {}
         found: dict[str, float] = {}
--- a/lapispick/rollout/box.py
+++ b/lapispick/rollout/host_state.py
@@ -22,9 +22,9 @@
 
 import msgspec
 
-from lapispick.rollout import compat, words
+from lapispick.rollout import compat, messages
 from lapispick.rollout.generations import Generation, in_place
-from lapispick.rollout.words import Fence
+from lapispick.rollout.messages import Fence
 
 STEADY, TRYING, PROVING, RETURNING, STUCK = "steady", "trying", "proving", "returning", "stuck"
 SERVING, COMING, LEAVING = "serving", "coming", "leaving"
@@ -338,22 +338,22 @@
 # Calls.
 
 
-def call(state: State, asked: words.Call, now: float, seen: Seen) -> tuple[State, list[str]]:
+def call(state: State, asked: messages.Call, now: float, seen: Seen) -> tuple[State, list[str]]:
     """Return what is so after a call, and its answer; nothing is done before the state is on disk."""
-    if not words.admits(state.fence, asked.fence):
+    if not messages.admits(state.fence, asked.fence):
         return state, [f"ERR fenced: {state.fence} steers, not {asked.fence}"]
     s = copy(state)
     s.epoch, s.who = asked.fence
-    if isinstance(asked, words.Change):
+    if isinstance(asked, messages.Change):
         return _change(s, asked, now, seen)
-    if isinstance(asked, words.Confirm):
+    if isinstance(asked, messages.Confirm):
         return _confirm(s, asked, now, seen)
-    if isinstance(asked, words.Back):
+    if isinstance(asked, messages.Back):
         return _back(s, asked)
     return s, ["OK"]
 
 
-def _change(s: State, asked: words.Change, now: float, seen: Seen) -> tuple[State, list[str]]:
+def _change(s: State, asked: messages.Change, now: float, seen: Seen) -> tuple[State, list[str]]:
     serving = s.life(SERVING)
     same = (s.rollout, s.wanted) == (asked.rollout, asked.generation)
     if same and s.phase in (TRYING, PROVING):
@@ -379,7 +379,7 @@
     return s, ["OK"]
 
 
-def _confirm(s: State, asked: words.Confirm, now: float, seen: Seen) -> tuple[State, list[str]]:
+def _confirm(s: State, asked: messages.Confirm, now: float, seen: Seen) -> tuple[State, list[str]]:
     if s.rollout != asked.rollout or s.undone == asked.rollout:
         return s, [f"ERR undone: {s.fault}" if s.undone == asked.rollout else "ERR another rollout"]
     if s.phase == STEADY:
@@ -395,7 +395,7 @@
     return s, ["OK"]
 
 
-def _back(s: State, asked: words.Back) -> tuple[State, list[str]]:
+def _back(s: State, asked: messages.Back) -> tuple[State, list[str]]:
     if s.undone == asked.rollout:
         return s, ["OK undone"]
     if s.rollout != asked.rollout:
@@ -409,12 +409,12 @@
     return s, ["OK"]
 
 
-def status(state: State, now: float, seen: Seen) -> words.Status:
+def status(state: State, now: float, seen: Seen) -> messages.Status:
     """Return what is told of the box."""
     serving = state.life(SERVING)
     takes = serving is not None and serving.number in seen.takes
     generation = seen.shelf.get(serving.generation) if serving is not None else None
-    return words.Status(
+    return messages.Status(
         state.box,
         state.phase,
         serving.generation if serving is not None and takes else "",
--- a/lapispick/rollout/steering.py
+++ b/lapispick/rollout/rollout_state.py
@@ -29,10 +29,10 @@
 
 import msgspec
 
-from lapispick.rollout import pace
-from lapispick.rollout.judge import Outcome, Verdict
-from lapispick.rollout.pace import Place
-from lapispick.rollout.words import Back, Call, Change, Confirm, Fence, Status
+from lapispick.rollout import pacing
+from lapispick.rollout.canary_analysis import Outcome, Verdict
+from lapispick.rollout.messages import Back, Call, Change, Confirm, Fence, Status
+from lapispick.rollout.pacing import Place
 
 WATCHING, CHANGING, BAKING, CONFIRMING = "watching", "changing", "baking", "confirming"
 HOLDING, ASKING, RETURNING, BURNING, DONE, UNDONE = "holding", "asking", "returning", "burning", "done", "undone"
@@ -54,7 +54,7 @@
     bake_most: float = 900.0
     confirm: float = 1800.0
     watch: float = 30.0  # before the first stage
-    pace: pace.Bounds = pace.Bounds()
+    pace: pacing.Bounds = pacing.Bounds()
     back_most: int = 2
     unreached: float = 10.0
     fire: float = 0.3
@@ -301,7 +301,7 @@
         reached = [n for n in (*waiting, *restarts) if self._status(n) is not None]
         if not reached:
             return self._all_begun(waiting)
-        begin, why = pace.next_boxes(self._places([*waiting, *restarts]), plan.pace)
+        begin, why = pacing.next_boxes(self._places([*waiting, *restarts]), plan.pace)
         c.reason = why or c.reason
         for name in begin:
             again = name in restarts
--- a/lapispick/rollout/stages.py
+++ b/lapispick/rollout/stages.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from lapispick.digests import blake2b
-from lapispick.faults import nearest
+from lapispick.file_errors import nearest
 from lapispick.fleet.hosts import Worker
 
 STAGES_MOST = 50
--- /dev/null
+++ b/lapispick/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""The adapter that plays the decision module on the simulator's wire."""
--- a/lapispick/trace/folding.py
+++ b/lapispick/trace/aggregation.py
@@ -15,8 +15,8 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
-from lapispick import interface as api
-from lapispick.trace.kinds import Answered, Arrival, Gap
+from lapispick import admission
+from lapispick.trace.record_types import Answered, Arrival, Gap
 from lapispick.trace.records import Block, Rows
 
 WINDOW_MS = 10_000.0  # ms; of the table over time
@@ -69,7 +69,7 @@
 class Source(msgspec.Struct, frozen=True):
     """One life of a box: its classes by number and what its clock is ahead, as the file's header tells."""
 
-    classes: tuple[tuple[str, api.ClassSettings], ...]
+    classes: tuple[tuple[str, admission.ClassSettings], ...]
     offset: float = 0.0
     drift: float = 0.0
     at: float = 0.0
@@ -139,7 +139,7 @@
     """Takes the blocks of a file, or of several of one life, in order and counts."""
 
     def __init__(self, sources: Sequence[Source]) -> None:
-        known: dict[tuple[str, api.ClassSettings], int] = {}
+        known: dict[tuple[str, admission.ClassSettings], int] = {}
         self._of = [np.array([known.setdefault(c, len(known)) for c in s.classes], np.int64) for s in sources]
         self._names, told = [name for name, _ in known], [c for _, c in known]
         self._aim, self._worth, self._late, self._skip = (
@@ -179,15 +179,15 @@
         self._at = np.maximum(self._at, self._now)
         self._requests(block)
         self._arrivals(block.rows(Arrival))
-        self._starts(block.rows(api.Run))
+        self._starts(block.rows(admission.Run))
         self._ends(block)
-        self._refusals(block.rows(api.Refuse))
+        self._refusals(block.rows(admission.Refuse))
         self._made.gaps += int(block.rows(Gap).column("steps").sum())
         self._now = float(self._at[-1])
         self._forget(self._now)
 
     def _requests(self, block: Block) -> None:
-        rows = block.rows(api.Request)
+        rows = block.rows(admission.Request)
         if not rows.count:
             return
         now, ids = self._at[rows.steps], rows.column("id")
@@ -291,16 +291,16 @@
 
     def _ends(self, block: Block) -> None:
         """Take what ended runs and tries; a try that nobody waits for takes no answer."""
-        rows = block.rows(api.RunEnded)
+        rows = block.rows(admission.RunEnded)
         if rows.count:
             places, _ = self._found(rows)
-            kept = (places >= 0) & (rows.column("outcome") <= int(api.Outcome.OK))
+            kept = (places >= 0) & (rows.column("outcome") <= int(admission.Outcome.OK))
             self._spans(self._runs, places[kept], rows.column("took")[kept])
-        rows = block.rows(api.GoWithout)
+        rows = block.rows(admission.GoWithout)
         if rows.count:
             places, _ = self._found(rows)
             self._roots["poorer"][places[places >= 0]] = True
-        gone, rows = block.rows(api.Gone), block.rows(Answered)
+        gone, rows = block.rows(admission.Gone), block.rows(Answered)
         if not gone.count and not rows.count:
             return
         left = {box: (at, gone.steps[here]) for box, here, at in self._found(gone)[1]} if gone.count else {}
@@ -429,7 +429,7 @@
 def source(told: Any) -> Source:
     """Return a source of a file's header; raises ``ValueError`` where its settings can't be read."""
     try:
-        classes = msgspec.json.decode(told.settings, type=api.Settings).classes
+        classes = msgspec.json.decode(told.settings, type=admission.Settings).classes
     except msgspec.MsgspecError as err:
         raise ValueError(f"its settings can't be read: {err}") from None
     names = list(told.classes) or [str(n) for n in range(len(classes))]
--- a/lapispick/trace/anonymising.py
+++ b/lapispick/trace/anonymising.py
@@ -10,8 +10,8 @@
 from hashlib import blake2b
 from typing import Any
 
-from lapispick import interface as api
-from lapispick.trace.kinds import Arrival, Happened, Step
+from lapispick import admission
+from lapispick.trace.record_types import Arrival, Happened, Step
 
 KEY_LEAST, KEY_MOST = 16, 64  # bytes
 
@@ -74,9 +74,9 @@
         """Yield the steps with stand-ins."""
         for step in steps:
             events, notes = step.events, step.notes
-            if any(type(one) is api.Request for one in events):
+            if any(type(one) is admission.Request for one in events):
                 events = tuple(
-                    one._replace(caller=self._stand_in("caller", one.caller)) if type(one) is api.Request else one
+                    one._replace(caller=self._stand_in("caller", one.caller)) if type(one) is admission.Request else one
                     for one in events
                 )
             if notes:
--- a/lapispick/trace/meetings.py
+++ b/lapispick/trace/attempt_matching.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable, Iterator, Sequence
 from typing import Any
 
-from lapispick import interface as api
-from lapispick.trace.clocks import Try
-from lapispick.trace.kinds import Answered, Arrival, Step
+from lapispick import admission
+from lapispick.trace.clock_skew import Try
+from lapispick.trace.record_types import Answered, Arrival, Step
 
 TRIES_MOST = 200_000  # tries that are kept for an estimate; a thousand tell a clock to the ms
 
@@ -22,7 +22,7 @@
             elif type(note) is Answered and (came := open_.pop((step.box, note.id), None)) is not None:
                 yield Try(came.subject, sources[step.box].box, came.born, came.born + note.age, note.kind == "served")
         for event in step.events:
-            if type(event) is api.Gone:  # nobody waited for an answer, so none tells when it ended
+            if type(event) is admission.Gone:  # nobody waited for an answer, so none tells when it ended
                 open_.pop((step.box, event.id), None)
 
 
--- a/lapispick/trace/comparing.py
+++ b/lapispick/trace/comparing.py
@@ -13,11 +13,16 @@
 
 import msgspec
 
-from lapispick import interface as api
-from lapispick.trace.kinds import Step
+from lapispick import admission
+from lapispick.trace.record_types import Step
 
 KNOWN_MOST = 200_000  # requests whose class is kept; far more than are ever open, so that memory has a bound
-DECISIONS: dict[type, str] = {api.Run: "run", api.Refuse: "refused", api.Fail: "failed", api.GoWithout: "poorer"}
+DECISIONS: dict[type, str] = {
+    admission.Run: "run",
+    admission.Refuse: "refused",
+    admission.Fail: "failed",
+    admission.GoWithout: "poorer",
+}
 
 
 class Choice(msgspec.Struct):
@@ -52,7 +57,7 @@
     def add(self, step: Step, actions: Iterable[Any]) -> None:
         """Take a step's requests and what one side ordered in it."""
         for event in step.events:
-            if type(event) is api.Request:
+            if type(event) is admission.Request:
                 self._cls[step.box, event.id] = self._names(step.box, event.cls)
         for action in actions:
             name = DECISIONS.get(type(action))
@@ -60,9 +65,9 @@
                 continue
             made = self.made.setdefault(cls, Choice())
             setattr(made, name, getattr(made, name) + 1)
-            if type(action) is api.Refuse:
+            if type(action) is admission.Refuse:
                 self.grounds[action.ground or "not told"] += 1
-            if type(action) in (api.Refuse, api.Fail):
+            if type(action) in (admission.Refuse, admission.Fail):
                 del self._cls[step.box, action.id]
         if len(self._cls) > KNOWN_MOST:
             for key in list(self._cls)[: KNOWN_MOST // 2]:
--- a/lapispick/trace/files.py
+++ b/lapispick/trace/files.py
@@ -11,8 +11,8 @@
 import numpy as np
 
 from lapispick.trace import layout
-from lapispick.trace.kinds import Step
 from lapispick.trace.layout import BLOCK, HEAD, INDEX, TraceFault
+from lapispick.trace.record_types import Step
 from lapispick.trace.records import Block, Header, Index, Source, pack
 
 STEPS = 4000  # of a block, unless its bytes come first
--- a/lapispick/trace/helper.py
+++ b/lapispick/trace/helper.py
@@ -20,9 +20,10 @@
 
 import msgspec
 
-from lapispick import control, interface, state
+from lapispick import admission
+from lapispick.admission import actions, controller, events, request_state, settings
 from lapispick.trace.files import STEPS, Writer, blank
-from lapispick.trace.kinds import KINDS, Gap, Step
+from lapispick.trace.record_types import KINDS, Gap, Step
 from lapispick.trace.retention import Kept, expired, rotate
 
 BLOCK_S = 1.0  # s; an open block is written after this at the latest
@@ -53,7 +54,7 @@
 def module_digest() -> str:
     """Return a digest of the module's text, which a replay with another one differs in."""
     made = sha256()
-    for part in (control, interface, state):
+    for part in (controller, actions, events, settings, request_state):
         made.update(Path(str(part.__file__)).read_bytes())
     return made.hexdigest()[:16]
 
@@ -74,9 +75,9 @@
 
 def _record(number: int, values: list[Any]) -> Any:
     kind = KINDS[number]
-    if kind in (interface.RunEnded, interface.CallEnded):
-        values[1] = interface.Outcome(values[1])
-    elif kind is interface.TimerFired:
+    if kind in (admission.RunEnded, admission.CallEnded):
+        values[1] = admission.Outcome(values[1])
+    elif kind is admission.TimerFired:
         values[1] = tuple(values[1])
     return kind(*values)
 
--- a/lapispick/trace/lines.py
+++ b/lapispick/trace/lines.py
@@ -14,8 +14,8 @@
 import msgspec
 from google.protobuf import json_format
 
-from lapispick import interface as api
-from lapispick.trace.kinds import KINDS, Step
+from lapispick import admission
+from lapispick.trace.record_types import KINDS, Step
 from lapispick.trace.records import FIELDS, Header, part_of
 
 PARTS = ("events", "actions", "notes")
@@ -37,7 +37,7 @@
 def _shown(value: Any) -> Any:
     if isinstance(value, bytes):
         return base64.b64encode(value).decode()
-    return value.name if isinstance(value, api.Outcome) else value
+    return value.name if isinstance(value, admission.Outcome) else value
 
 
 def step_line(step: Step, box: str) -> bytes:
@@ -91,7 +91,7 @@
         if annotation == "bytes":
             made[name] = base64.b64decode(value, validate=True)
         elif annotation == "Outcome":
-            made[name] = api.Outcome[value]
+            made[name] = admission.Outcome[value]
         elif annotation.startswith("tuple"):
             made[name] = tuple(msgspec.convert(value, list[float]))
         else:
--- a/lapispick/trace/merging.py
+++ b/lapispick/trace/merging.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Iterable, Iterator, Sequence
 from typing import Any
 
-from lapispick.trace.clocks import Clock, Unknown
-from lapispick.trace.kinds import Step
+from lapispick.trace.clock_skew import Clock, Unknown
+from lapispick.trace.record_types import Step
 
 Life = tuple[str, str]  # box and incarnation
 
--- a/lapispick/trace/kinds.py
+++ b/lapispick/trace/record_types.py
@@ -7,32 +7,32 @@
 
 from typing import Any, NamedTuple
 
-from lapispick import interface as api
+from lapispick import admission
 
 EVENTS: tuple[type, ...] = (
-    api.Request,
-    api.Gone,
-    api.RunEnded,
-    api.NeedsCall,
-    api.CallEnded,
-    api.Leave,
-    api.TimerFired,
+    admission.Request,
+    admission.Gone,
+    admission.RunEnded,
+    admission.NeedsCall,
+    admission.CallEnded,
+    admission.Leave,
+    admission.TimerFired,
 )
 ACTIONS: tuple[type, ...] = (
-    api.Run,
-    api.Stop,
-    api.Refuse,
-    api.Fail,
-    api.Call,
-    api.GoWithout,
-    api.Join,
-    api.KeepKey,
-    api.ForgetKey,
-    api.SetHealth,
-    api.LimitIdle,
-    api.Advertise,
-    api.SetTimer,
-    api.Log,
+    admission.Run,
+    admission.Stop,
+    admission.Refuse,
+    admission.Fail,
+    admission.Call,
+    admission.GoWithout,
+    admission.Join,
+    admission.KeepKey,
+    admission.ForgetKey,
+    admission.SetHealth,
+    admission.LimitIdle,
+    admission.Advertise,
+    admission.SetTimer,
+    admission.Log,
 )
 
 
--- a/lapispick/trace/records.py
+++ b/lapispick/trace/records.py
@@ -13,9 +13,9 @@
 import numpy as np
 from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
 
-from lapispick import interface as api
-from lapispick.trace import coding
-from lapispick.trace.kinds import ACTIONS, EVENTS, KINDS, NUMBERS, Step
+from lapispick import admission
+from lapispick.trace import column_codec
+from lapispick.trace.record_types import ACTIONS, EVENTS, KINDS, NUMBERS, Step
 
 _F = descriptor_pb2.FieldDescriptorProto
 STEPS_MOST, ITEMS_MOST = 1 << 16, 1 << 20  # of one block; what a reader makes room for before it has seen them
@@ -29,10 +29,10 @@
     "bool": False,
     "str": "",
     "bytes": b"",
-    "Outcome": api.Outcome.ERROR,
+    "Outcome": admission.Outcome.ERROR,
     "tuple[float, ...]": (),
 }
-OUTCOMES = {int(one): one for one in api.Outcome}
+OUTCOMES = {int(one): one for one in admission.Outcome}
 
 _TABLE: dict[str, tuple[tuple[str, str], ...]] = {
     "Column": (
@@ -100,21 +100,21 @@
 FIELDS: dict[type, tuple[tuple[str, str], ...]] = {kind: tuple(fields_of(kind).items()) for kind in NUMBERS}
 
 
-def _add(block: Any, record: int, field: int, coded: coding.Coded, known: Iterable[bytes] = ()) -> None:
+def _add(block: Any, record: int, field: int, coded: column_codec.Coded, known: Iterable[bytes] = ()) -> None:
     block.columns.add(record=record, field=field, words=known, **coded._asdict())
 
 
 def _column(block: Any, record: int, field: int, annotation: str, values: Sequence[Any], now: Any) -> None:
     if annotation == "float":
-        _add(block, record, field, coding.floats(values, now))
+        _add(block, record, field, column_codec.floats(values, now))
     elif annotation in ("str", "bytes"):
-        coded, known = coding.words(values)
+        coded, known = column_codec.words(values)
         _add(block, record, field, coded, [word.encode() if isinstance(word, str) else word for word in known])
     elif annotation.startswith("tuple"):
-        _add(block, record, field, coding.floats(list(chain.from_iterable(values))))
-        _add(block, record, field + LENGTHS, coding.whole([len(value) for value in values]))
+        _add(block, record, field, column_codec.floats(list(chain.from_iterable(values))))
+        _add(block, record, field + LENGTHS, column_codec.whole([len(value) for value in values]))
     else:
-        _add(block, record, field, coding.whole(values))
+        _add(block, record, field, column_codec.whole(values))
 
 
 def _chunks(block: Any) -> list[bytes]:
@@ -136,8 +136,8 @@
     """Return the bytes of a block with these steps, in pieces for ``layout.frame``."""
     block = BlockMessage(steps=len(steps))
     now = np.array([step.now for step in steps], dtype=np.float64)
-    _add(block, 0, NOW, coding.floats(now))
-    _add(block, 0, BOX, coding.whole([step.box for step in steps]))
+    _add(block, 0, NOW, column_codec.floats(now))
+    _add(block, 0, BOX, column_codec.whole([step.box for step in steps]))
     by_kind: dict[type, list[Any]] = {}
     places: dict[type, list[int]] = {}
     shapes = []
@@ -151,7 +151,7 @@
                 places.setdefault(kind, []).append(at)
             shape += SHAPE_END
         shapes.append(bytes(shape))
-    coded, known = coding.words(shapes)
+    coded, known = column_codec.words(shapes)
     _add(block, 0, SHAPE, coded, known)
     for kind, items in by_kind.items():
         fields = zip(FIELDS[kind], zip(*items, strict=True), strict=True)
@@ -244,8 +244,10 @@
         column = self.columns.get((record, field))
         if column is None:
             return None
-        return coding.numbers(
-            coding.Coded(column.form, column.scale, column.delta, column.width, column.data, column.against), count, now
+        return column_codec.numbers(
+            column_codec.Coded(column.form, column.scale, column.delta, column.width, column.data, column.against),
+            count,
+            now,
         )
 
     def _of_steps(self, field: int, kind: Any) -> Any:
--- a/lapispick/trace/replaying.py
+++ b/lapispick/trace/replaying.py
@@ -13,9 +13,9 @@
 
 import msgspec
 
-from lapispick import interface as api
-from lapispick.control import Controller
-from lapispick.trace.kinds import Gap, Happened, Step
+from lapispick import admission
+from lapispick.admission.controller import Controller
+from lapispick.trace.record_types import Gap, Happened, Step
 
 
 class Difference(NamedTuple):
@@ -50,7 +50,7 @@
 
     ``seen`` gets each step, what the module orders now, and the module.
     """
-    control = Controller(msgspec.json.decode(settings, type=api.Settings), seed, module_now)
+    control = Controller(msgspec.json.decode(settings, type=admission.Settings), seed, module_now)
     made = Result()
     for step in steps:
         if gap := sum(note.steps for note in step.notes if type(note) is Gap):
@@ -58,7 +58,7 @@
             break
         for note in step.notes:
             if type(note) is Happened and note.what == "adopted":  # from the process before it, in an upgrade
-                control.adopt(msgspec.json.decode(note.told, type=api.Learned))
+                control.adopt(msgspec.json.decode(note.told, type=admission.Learned))
         if not step.events and not step.actions and made.steps:
             continue  # notes only
         got = tuple(control.step(step.now, list(step.events)))
--- a/lapispick/trace/selecting.py
+++ b/lapispick/trace/selecting.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any, NamedTuple
 
-from lapispick import interface as api
-from lapispick.trace.kinds import Answered, Arrival, Step, Straddles
+from lapispick import admission
+from lapispick.trace.record_types import Answered, Arrival, Step, Straddles
 
 MARK, WHOLE, DROP = "mark", "whole", "drop"
 SLACK_MS = 1000.0  # ms; beyond the longest deadline: an answer may be late, and its note comes a step later
@@ -88,14 +88,14 @@
                     continue
                 held = self._tries.get(number)
                 if held is None:
-                    held = self._tries[number] = _Try(now, type(record) is api.Request)
+                    held = self._tries[number] = _Try(now, type(record) is admission.Request)
                 held.inside |= inside
                 numbers.append(number)
-                if type(record) is api.Request:
+                if type(record) is admission.Request:
                     held.cls = self._names(step.box, record.cls)
                 elif type(record) is Arrival:
                     held.account = record.account
-                elif type(record) in (Answered, api.Gone) and not held.outcome:
+                elif type(record) in (Answered, admission.Gone) and not held.outcome:
                     held.outcome = record.kind if type(record) is Answered else GONE
                     held.ended_inside = inside
         self._waiting.append((now, step, numbers))
--- a/lapispick/versions.py
+++ b/lapispick/versions.py
@@ -16,9 +16,9 @@
     "handover": (1, 1, 1),  # between two processes of a box; handover/messages.py
     "durable": (1, 1, 1),  # the store of keys; durable/database.py
     "trace": (100, 100, 199),  # files of requests and decisions, 100 times the major version; trace/layout.py
-    "agent": (1, 1, 1),  # calls between controllers and agents; rollout/words.py
-    "ledger": (1, 1, 1),  # the state of rollouts; agent/ledger.py
-    "members": (1, 1, 1),  # words between worker hosts; members/words.py
+    "agent": (1, 1, 1),  # calls between controllers and agents; rollout/messages.py
+    "ledger": (1, 1, 1),  # the state of rollouts; agent/rollout_store.py
+    "members": (1, 1, 1),  # words between worker hosts; members/messages.py
     "settings": (3, 1, 3),  # the settings file; 1 knows no section fleet, rollout, agent, figures, and 2 no members
 }
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,9 +5,8 @@
 import msgspec
 import pytest
 
-from lapispick import ClassSettings, Controller, Settings
-from lapispick import interface as api
-from lapispick.standins.peers import Host
+from lapispick import ClassSettings, Controller, Settings, admission
+from lapispick.fakes.peers import Host
 
 
 def make_class(**over):
@@ -15,7 +14,7 @@
         aim_ms=1000,
         aim_stretch=0,
         deadline_ms=4000,
-        effect=api.Effect.SAFE,
+        effect=admission.Effect.SAFE,
         window_ms=5000,
         worth=1,
         late_worth=0,
@@ -28,8 +27,8 @@
     base = dict(
         classes=(
             make_class(),
-            make_class(effect=api.Effect.KEYED, worth=3),
-            make_class(effect=api.Effect.UNSAFE, worth=5),
+            make_class(effect=admission.Effect.KEYED, worth=3),
+            make_class(effect=admission.Effect.UNSAFE, worth=5),
             make_class(skip_worth=0.5),
         ),
         worth_by_work=False,
@@ -44,8 +43,8 @@
         warm_up_ms=10_000,
         fall_multiple=8,
         drain_grace_ms=1000,
-        halt=api.Halting.DROP,
-        advert=api.Advert.LEVEL,
+        halt=admission.Halting.DROP,
+        advert=admission.Advert.LEVEL,
         calls_out=0,
         calls_window_ms=5000,
         max_retry_after_ms=1000,
@@ -78,19 +77,19 @@
         end = self.now + ms
         while self.now < end:
             self.now = min(end, self.now + every)
-            got += self.step(api.TimerFired(0, gauges))
+            got += self.step(admission.TimerFired(0, gauges))
         return got
 
     def request(self, cls=0, **over):
         self.next_id += 1
         base = dict(id=self.next_id, due_at=0, rank=0.5, age=0, prior=0, cost=0, held_kb=10, cls=cls, caller=0)
-        return api.Request(**{**base, **over})
+        return admission.Request(**{**base, **over})
 
     def of(self, kind, rid=None):
         return [a for a in self.actions if isinstance(a, kind) and (rid is None or a.id == rid)]
 
     def finals(self, rid):
-        return [a for a in self.actions if isinstance(a, (api.Refuse, api.Fail)) and a.id == rid]
+        return [a for a in self.actions if isinstance(a, (admission.Refuse, admission.Fail)) and a.id == rid]
 
 
 @pytest.fixture
--- a/tests/fleet_files.py
+++ b/tests/fleet_files.py
@@ -2,10 +2,10 @@
 
 from msgspec import convert
 
+from lapispick.fakes.peers import INFO
 from lapispick.fleet.reading import File, Options, Reader
 from lapispick.host.amqp import listing
-from lapispick.settings import Info
-from lapispick.standins.peers import INFO
+from lapispick.platform_settings import Info
 
 SCHEMA = listing.schema(convert(INFO, Info))
 ENVIRON = {"SHOP_WORD": "secret"}
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lapispick.faults import Fault, Place
+from lapispick.file_errors import Fault, Place
 from lapispick.fleet import snapshot
 from lapispick.fleet.acceptance import Acceptance, Phase, Policy, Seen
 from lapispick.fleet.members import Members
--- a/tests/test_terms.py
+++ b/tests/test_acceptance_terms.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from lapispick.standins.peers import INFO, Executor, Host, Store, asked, until
-from lapispick.standins.pool import Pool
+from lapispick.fakes.peers import INFO, Executor, Host, Store, asked, until
+from lapispick.fakes.pool import Pool
 
 READY_S = 10.0  # s; by then nine in ten restarted processes take clients
 SPINNING = [sys.executable, "-c", "import time\nend = time.time() + 60\nwhile time.time() < end: pass"]
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from lapispick.standins.agents import FIGURES, BoxAgent
-from lapispick.standins.fleet import Fleet, call, program
-from lapispick.standins.peers import until
-from lapispick.standins.talk import Talk
+from lapispick.fakes.agents import FIGURES, BoxAgent
+from lapispick.fakes.fleet import Fleet, call, program
+from lapispick.fakes.member_cluster import Talk
+from lapispick.fakes.peers import until
 
 
 class Made:
--- a/tests/test_folding.py
+++ b/tests/test_aggregation.py
@@ -5,21 +5,21 @@
 import pytest
 
 from benchmarks import plainfold
-from lapispick import interface as api
-from lapispick.trace.folding import Fold, Source
-from lapispick.trace.kinds import Answered, Arrival, Gap, Step
+from lapispick import admission
+from lapispick.trace.aggregation import Fold, Source
+from lapispick.trace.record_types import Answered, Arrival, Gap, Step
 from lapispick.trace.records import Block, pack
 from tests.conftest import make_class
 
 CLASSES = (
     ("track", make_class(aim_ms=1000, worth=2, late_worth=0.5, skip_worth=0.25)),
-    ("book", make_class(effect=api.Effect.KEYED, worth=5, window_ms=5000)),
+    ("book", make_class(effect=admission.Effect.KEYED, worth=5, window_ms=5000)),
 )
 ONE, TWO = [Source(CLASSES)], [Source(CLASSES), Source(CLASSES, 1000.0, 0.05, 2000.0)]
 
 
 def request(number, cls=0, prior=0, age=0.0):
-    return api.Request(number, 0.0, 0.5, age, prior, 0.0, 10.0, cls, 1)
+    return admission.Request(number, 0.0, 0.5, age, prior, 0.0, 10.0, cls, 1)
 
 
 def blocks(steps, size=1000):
@@ -56,18 +56,18 @@
 
 
 def test_an_answer_without_its_call_earns_its_part():
-    made = fold(asked(0, 1), Step(5, (), (api.GoWithout(1),)), answered(9, 1))
+    made = fold(asked(0, 1), Step(5, (), (admission.GoWithout(1),)), answered(9, 1))
     assert (made.whole.served, made.whole.poorer) == (0.5, 1)
 
 
 def test_waits_runs_windows_and_those_that_went():
     made = fold(
         asked(0, 1),
-        Step(40, (), (api.Run(1),)),
-        Step(90, (api.RunEnded(1, api.Outcome.OK, 50.0),)),
+        Step(40, (), (admission.Run(1),)),
+        Step(90, (admission.RunEnded(1, admission.Outcome.OK, 50.0),)),
         answered(90, 1),
         asked(10_100, 2),
-        Step(10_200, (api.Gone(2),)),
+        Step(10_200, (admission.Gone(2),)),
         answered(10_250, 2),
         asked(10_300, 3),
         Step(10_400, (), (), (Gap(7),)),
@@ -85,7 +85,15 @@
 def test_refusals_by_ground():
     made = fold(
         asked(0, 1),
-        Step(1, (), (api.Refuse(1, 5.0, True, "price"), api.Refuse(2, 5.0, True), api.Refuse(3, 5.0, True, "price"))),
+        Step(
+            1,
+            (),
+            (
+                admission.Refuse(1, 5.0, True, "price"),
+                admission.Refuse(2, 5.0, True),
+                admission.Refuse(3, 5.0, True, "price"),
+            ),
+        ),
     )
     assert made.grounds == {"not told": 1, "price": 2}
 
@@ -138,12 +146,16 @@
                         Arrival(last[box], rng.choice(("", "a", "b")), bytes([rng.randrange(40)]) * keyed, now)
                     )
             elif what == 3:
-                events.append(api.Gone(known))
+                events.append(admission.Gone(known))
             elif what == 4:
                 took = rng.uniform(0, 8000) * rng.choice((1, 1, 20))
-                events.append(api.RunEnded(known, rng.choice(list(api.Outcome)), took))
+                events.append(admission.RunEnded(known, rng.choice(list(admission.Outcome)), took))
             elif what == 5:
-                actions.append(rng.choice((api.Run(known), api.GoWithout(known), api.Refuse(known, 1.0, True, "late"))))
+                actions.append(
+                    rng.choice(
+                        (admission.Run(known), admission.GoWithout(known), admission.Refuse(known, 1.0, True, "late"))
+                    )
+                )
             else:
                 notes.append(Answered(known, rng.choice(("served", "refused", "failed", "new")), 1.0))
         shown = now + (1000 if box else 0) - (rng.uniform(0, 200) if rng.random() < 0.1 else 0)
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -7,10 +7,10 @@
 
 import pytest
 
+from lapispick.fakes.broker import LINKS, Broker
+from lapispick.fakes.peers import INFO, Executor, until
 from lapispick.host.amqp import codec
 from lapispick.host.amqp.codec import Properties
-from lapispick.standins.broker import LINKS, Broker
-from lapispick.standins.peers import INFO, Executor, until
 
 CONF = """
 section inventory
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lapispick.conf import kinds, lines, settings
-from lapispick.faults import Faulty
+from lapispick.conf import parser, settings, value_types
+from lapispick.file_errors import Faulty
 
 
 def write(folder, **files):
@@ -87,14 +87,22 @@
 
 @given(st.text(max_size=200))
 def test_no_text_breaks_the_parser(text):
-    parser = lines.Parser(lambda path: [(path, text)])
-    parser.file(lines.PurePath("x"))
-    assert isinstance(parser.sections, list)
+    reader = parser.Parser(lambda path: [(path, text)])
+    reader.file(parser.PurePath("x"))
+    assert isinstance(reader.sections, list)
 
 
 @given(st.text(max_size=12))
 def test_no_word_breaks_a_kind(word):
-    for kind in (kinds.span, kinds.size, kinds.share, kinds.count, kinds.flag, kinds.text, kinds.path):
+    for kind in (
+        value_types.span,
+        value_types.size,
+        value_types.share,
+        value_types.count,
+        value_types.flag,
+        value_types.text,
+        value_types.path,
+    ):
         try:
             kind(word)
         except ValueError as err:
--- a/tests/test_crowd.py
+++ b/tests/test_connection_overload.py
@@ -12,12 +12,12 @@
 import msgspec
 import pytest
 
-from lapispick.host import room
-from lapispick.host.clients import Gateways
-from lapispick.host.loop import Loop
-from lapispick.host.room import FIRST_S, QUIET_S, Standing
-from lapispick.settings import Info, settings_from
-from lapispick.standins.peers import INFO, Executor, Store, Trickle, until
+from lapispick.fakes.peers import INFO, Executor, Store, Trickle, until
+from lapispick.host import connection_eviction
+from lapispick.host.connection_eviction import FIRST_S, QUIET_S, Standing
+from lapispick.host.jsonrpc.front import Gateways
+from lapispick.host.scheduler import Loop
+from lapispick.platform_settings import Info, settings_from
 
 NEW = Standing(since=0.0, used_at=0.0, heard_at=0.0, pieces=1, begun_at=0.0, open=False, served=False, at_fault=False)
 
@@ -41,7 +41,7 @@
     }
     mixed = list(kinds.items())
     random.Random(1).shuffle(mixed)
-    assert [c for c, _ in room.order(mixed, now)] == [
+    assert [c for c, _ in connection_eviction.order(mixed, now)] == [
         "fault",
         "older silent",
         "silent",
@@ -67,7 +67,7 @@
     ],
 )
 def test_a_message_has_its_time_from_connecting_or_from_its_first_byte(standing, late):
-    assert room.overdue(standing, 5.0 + FIRST_S) is late
+    assert connection_eviction.overdue(standing, 5.0 + FIRST_S) is late
     assert 2.0 < FIRST_S < 3.0 - 0.5 and max(QUIET_S) < FIRST_S  # true requests take 2 s, bad clients are owed 3 s
 
 
@@ -240,8 +240,8 @@
 
 def test_an_order_that_was_found_before_closes_nobody_who_may_stay_since(front, monkeypatch):
     """One that was silent then may have said something since; one that was open then may be silent by now."""
-    front._most, found, order = 3, [], room.order
-    monkeypatch.setattr(room, "order", lambda *told: found.append(1) or order(*told))
+    front._most, found, order = 3, [], connection_eviction.order
+    monkeypatch.setattr(connection_eviction, "order", lambda *told: found.append(1) or order(*told))
     for _ in range(3):
         front.client()
     first, second, third = sorted(front.connections, key=lambda c: c.since)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -5,14 +5,14 @@
 import msgspec
 import pytest
 
-from lapispick import interface as api
+from lapispick import admission
+from lapispick.fakes.peers import INFO
 from lapispick.handover import messages as say
 from lapispick.handover.sharing import Role
 from lapispick.handover.table import digest
 from lapispick.host import core
-from lapispick.host.loop import Loop
-from lapispick.settings import Info, settings_from
-from lapispick.standins.peers import INFO
+from lapispick.host.scheduler import Loop
+from lapispick.platform_settings import Info, settings_from
 
 
 class Recorder:
@@ -75,12 +75,12 @@
 
 def test_timers_carry_the_gauges_that_were_asked_for_at_the_one_before(rig):
     def decide(event):
-        return [api.SetTimer(5.0, event.token + 1)] if event.token < 2 else []
+        return [admission.SetTimer(5.0, event.token + 1)] if event.token < 2 else []
 
     loop, centre = rig(decide)
-    centre._set_timer(api.SetTimer(1.0, 1))
+    centre._set_timer(admission.SetTimer(1.0, 1))
     loop.run()
-    assert centre.control.seen == [api.TimerFired(1, (0, 0.0, 0)), api.TimerFired(2, (0, 0.0, 0, 0.5, 2.0))]
+    assert centre.control.seen == [admission.TimerFired(1, (0, 0.0, 0)), admission.TimerFired(2, (0, 0.0, 0, 0.5, 2.0))]
 
 
 def test_a_fault_of_the_module_fails_what_it_was_just_told_of(rig):
@@ -93,8 +93,8 @@
 
 def test_a_keys_second_run_is_never_started_whatever_the_module_says(rig):
     def decide(event):
-        if type(event) is api.Request:
-            return [api.KeepKey(event.id, 5000.0), api.Run(event.id)]
+        if type(event) is admission.Request:
+            return [admission.KeepKey(event.id, 5000.0), admission.Run(event.id)]
         return []
 
     loop, centre = rig(decide)
@@ -107,8 +107,12 @@
 
 def test_a_try_that_ran_is_never_turned_away(rig):
     def decide(event):
-        if type(event) is api.Request:
-            return [api.KeepKey(event.id, 5000.0), api.Run(event.id), api.Refuse(event.id, 10.0, True)]
+        if type(event) is admission.Request:
+            return [
+                admission.KeepKey(event.id, 5000.0),
+                admission.Run(event.id),
+                admission.Refuse(event.id, 10.0, True),
+            ]
         return []
 
     loop, centre = rig(decide)
@@ -120,14 +124,18 @@
 
 def test_each_request_gets_one_answer_and_none_once_its_caller_has_gone(rig):
     def decide(event):
-        return [api.Fail(event.id), api.Refuse(event.id, 0.0, False)] if type(event) is api.Request else []
+        return (
+            [admission.Fail(event.id), admission.Refuse(event.id, 0.0, False)]
+            if type(event) is admission.Request
+            else []
+        )
 
     loop, centre = rig(decide)
     answers = []
     centre.post(core.Arrived(request("a", answers)))
     loop.run()
     assert answers == [("a", core.FAILED)]
-    quiet, centre = rig(lambda event: [api.Fail(event.id)] if type(event) is api.Gone else [])
+    quiet, centre = rig(lambda event: [admission.Fail(event.id)] if type(event) is admission.Gone else [])
     gone = request("b", answers)
     centre.post(core.Arrived(gone))
     centre.post(core.GaveUp(gone))
@@ -137,8 +145,8 @@
 
 def test_a_key_that_is_kept_holds_nothing_but_its_result(rig):
     def decide(event):
-        if type(event) is api.Request:
-            return [api.KeepKey(event.id, 5000.0), api.Run(event.id)]
+        if type(event) is admission.Request:
+            return [admission.KeepKey(event.id, 5000.0), admission.Run(event.id)]
         return []
 
     loop, centre = rig(decide)
@@ -147,7 +155,7 @@
     try:
         for n in range(3):
             centre.post(core.Arrived(request(f"kept{n}", answers, cls=1, key=n)))
-            loop.later(0.02, centre.post, core.RunOver(f"kept{n}", api.Outcome.OK, 1.0, "r"))
+            loop.later(0.02, centre.post, core.RunOver(f"kept{n}", admission.Outcome.OK, 1.0, "r"))
         loop.run()
         assert len(answers) == len(centre.table) == 3 and centre.table.kept_bytes == 3
         assert not [o for o in gc.get_objects() if type(o) is core.Request and "kept" in o.tag]
@@ -157,16 +165,20 @@
 
 def test_results_past_their_bound_go_and_their_keys_stay(rig):
     def decide(event):
-        if type(event) is not api.Request:
+        if type(event) is not admission.Request:
             return []
-        return [api.Join(event.id)] if event.prior else [api.KeepKey(event.id, 5000.0), api.Run(event.id)]
+        return (
+            [admission.Join(event.id)]
+            if event.prior
+            else [admission.KeepKey(event.id, 5000.0), admission.Run(event.id)]
+        )
 
     loop, centre = rig(decide)
     centre.table.kept_most = 250
     answers = []
     for n in range(5):
         centre.post(core.Arrived(request(f"t{n}", answers, cls=1, key=n)))
-        loop.later(0.02, centre.post, core.RunOver(f"t{n}", api.Outcome.OK, 1.0, "r" * 100))
+        loop.later(0.02, centre.post, core.RunOver(f"t{n}", admission.Outcome.OK, 1.0, "r" * 100))
         loop.later(0.04, centre.post, core.Arrived(request(f"again{n}", answers, cls=1, key=n)))
     loop.run()
     assert dict(answers) == {
@@ -193,7 +205,7 @@
 
 
 def keyed(event):
-    return [api.KeepKey(event.id, 5000.0), api.Run(event.id)] if type(event) is api.Request else []
+    return [admission.KeepKey(event.id, 5000.0), admission.Run(event.id)] if type(event) is admission.Request else []
 
 
 def test_a_try_given_up_while_it_waited_for_the_word_is_not_begun_and_its_key_is_free(rig):
@@ -207,7 +219,7 @@
     loop.run()
     assert [type(m) for m in link.sent] == [say.Claim, say.Freed] and not centre.executor.runs and not answers
     assert not len(centre.table) and not centre._tasks
-    assert centre.control.seen[-2:] == [api.Gone(1), api.RunEnded(1, api.Outcome.CANCELLED, 0.0)]
+    assert centre.control.seen[-2:] == [admission.Gone(1), admission.RunEnded(1, admission.Outcome.CANCELLED, 0.0)]
 
 
 def test_a_try_that_may_not_run_gets_the_other_processs_result_and_teaches_no_time(rig):
@@ -223,7 +235,7 @@
         loop.later(after, centre.post, core.PeerSaid(link, message))
     loop.run()
     assert answers == [("a", core.SERVED)] and not centre.executor.runs and not centre._tasks
-    assert centre.control.seen[-2:] == [api.Gone(1), api.RunEnded(1, api.Outcome.CANCELLED, 0.0)]
+    assert centre.control.seen[-2:] == [admission.Gone(1), admission.RunEnded(1, admission.Outcome.CANCELLED, 0.0)]
 
 
 def test_a_word_from_a_link_that_has_ended_counts_no_more(rig):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -17,8 +17,8 @@
 
 import pytest
 
+from lapispick.fakes.peers import INFO, Executor, Gateway, b64, until
 from lapispick.handover import messages as say
-from lapispick.standins.peers import INFO, Executor, Gateway, b64, until
 from tests.test_upgrade import fixed  # noqa: F401
 
 REFUSED, FAILED = -32050, -32000
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -3,9 +3,8 @@
 import msgspec
 import pytest
 
-from lapispick import Controller
-from lapispick import interface as api
-from lapispick.interface import (
+from lapispick import Controller, admission
+from lapispick.admission import (
     Advertise,
     Call,
     CallEnded,
@@ -87,7 +86,7 @@
 
 
 def test_credit_falls_under_pressure_and_is_never_nothing(rig):
-    r = rig(cores=1, advert=api.Advert.CREDIT)
+    r = rig(cores=1, advert=admission.Advert.CREDIT)
     for _ in range(80):
         r.step(*[r.request(due_at=r.now + 1000) for _ in range(3)])
         r.tick(120)
@@ -183,7 +182,7 @@
 def test_a_host_that_leaves_serves_as_long_as_it_may_and_then_keeps_callers_away(rig):
     r = rig(cores=1)
     r.step(r.request(due_at=3900), r.request(due_at=3900))
-    r.step(api.Leave(4000), at=10)
+    r.step(admission.Leave(4000), at=10)
     waits = r.request(due_at=4000)  # there is work ahead of it, and most of the grace of 1 s is left
     r.step(waits)
     r.tick(400)
@@ -209,7 +208,7 @@
         {"callers": -1},
         {"cold_from": 0},
         {"classes": (make_class(aim_ms=5000),)},
-        {"classes": (make_class(effect=api.Effect.KEYED, window_ms=0),)},
+        {"classes": (make_class(effect=admission.Effect.KEYED, window_ms=0),)},
     ]
     for over in bad:
         with pytest.raises(ValueError):
@@ -268,7 +267,7 @@
 
 
 def test_sheds_with_nothing_out_leave_a_credit(rig):
-    r = rig(advert=api.Advert.CREDIT, callers=100)
+    r = rig(advert=admission.Advert.CREDIT, callers=100)
     r.step(r.request(due_at=1, age=900), at=2.0)
     assert r.of(Refuse)
     r.tick(500)
@@ -311,8 +310,8 @@
     r = rig(cores=2)
     r.control.limit.value = 4.0
     for _ in range(60):  # reading makes every other look at the cores a crowd; their mean is not
-        r.step(api.TimerFired(0, (0.9, 5.0)), at=r.now + 40)
-        r.step(api.TimerFired(0, (0.9, 0.0)), at=r.now + 40)
+        r.step(admission.TimerFired(0, (0.9, 5.0)), at=r.now + 40)
+        r.step(admission.TimerFired(0, (0.9, 0.0)), at=r.now + 40)
     assert r.control.limit.value == 4.0
 
 
--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -4,7 +4,7 @@
 import json
 import uuid
 
-from lapispick.standins.peers import Executor, until
+from lapispick.fakes.peers import Executor, until
 
 
 class Clumsy(Executor):
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from lapispick.standins.pauses import watched
-from lapispick.standins.peers import INFO, Executor, b64, until
+from lapispick.fakes.host_pauses import watched
+from lapispick.fakes.peers import INFO, Executor, b64, until
 
 REFUSED = -32050
 
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -7,7 +7,7 @@
 
 from lapispick.cli.main import cli
 from lapispick.conf import settings as conf
-from lapispick.faults import Faulty
+from lapispick.file_errors import Faulty
 from lapispick.fleet import hosts
 from lapispick.fleet.hosts import SCHEMA, Worker
 from tests.fleet_files import boxes, faults
