--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from lapispick.standins.fleet import ROOT
+from lapispick.fakes.fleet import ROOT
 
 OFF = (
     "lapispick.trace",
@@ -23,12 +23,12 @@
     "lapispick.host.members",
     "lapispick.shares",
     "lapispick.model",
-    "lapispick.disk",
+    "lapispick.atomic_files",
     "lapispick.rollout",
     "lapispick.agent",
     "lapispick.versions",
     "lapispick.cli",
-    "lapispick.standins",
+    "lapispick.fakes",
     "numpy",
     "matplotlib",
     "_hashlib",
@@ -64,7 +64,7 @@
     h.leave()
     assert h.process.wait(6) == 0
     names = imported(h)
-    assert {"lapispick.host.core", "lapispick.control", "greenlet"} <= names
+    assert {"lapispick.host.core", "lapispick.admission.controller", "greenlet"} <= names
     assert off(names) == []
 
 
--- a/tests/test_files.py
+++ b/tests/test_inventory_files.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lapispick.fleet import files, lastgood, snapshot
+from lapispick.fleet import files, last_good, snapshot
 from lapispick.fleet.helper import Helper, _serve
 from lapispick.fleet.messages import Begin, Keep, Look
 from lapispick.fleet.reading import Options
@@ -64,34 +64,34 @@
 
 
 def kept(folder):
-    return lastgood.kept(folder, "source")
+    return last_good.kept(folder, "source")
 
 
 def test_the_last_good_list_is_the_old_or_the_new_one_at_any_cut(tmp_path):
     one, two = (snapshot.of(boxes(csv_list({"a": n, "b": 1}), "f.csv")) for n in (1, 2))
     assert kept(tmp_path) is None
-    lastgood.keep(tmp_path, "source", one, 5.0, "settled")
+    last_good.keep(tmp_path, "source", one, 5.0, "settled")
     head, found = kept(tmp_path)
     assert found.digest == one.digest and (head.at, head.boxes) == (5.0, 2)
-    path = tmp_path / lastgood.LAST_GOOD
-    lastgood.keep(tmp_path, "source", two, 6.0, "settled")
+    path = tmp_path / last_good.LAST_GOOD
+    last_good.keep(tmp_path, "source", two, 6.0, "settled")
     whole = path.read_bytes()
     for at in range(len(whole)):
         path.write_bytes(whole[:at])
-        with pytest.raises(lastgood.StateFault):
+        with pytest.raises(last_good.StateFault):
             kept(tmp_path)
     for at in range(0, len(whole), 7):
         path.write_bytes(whole[:at] + bytes([whole[at] ^ 1]) + whole[at + 1 :])
-        with pytest.raises(lastgood.StateFault):
+        with pytest.raises(last_good.StateFault):
             kept(tmp_path)
     path.write_bytes(whole)
-    with pytest.raises(lastgood.StateFault, match="is the list of source"):
-        lastgood.kept(tmp_path, "another")
+    with pytest.raises(last_good.StateFault, match="is the list of source"):
+        last_good.kept(tmp_path, "another")
 
 
 def test_a_crash_within_writing_leaves_the_old_list(tmp_path, monkeypatch):
     one, two = (snapshot.of(boxes(csv_list({"a": n}), "f.csv")) for n in (1, 2))
-    lastgood.keep(tmp_path, "source", one, 5.0, "")
+    last_good.keep(tmp_path, "source", one, 5.0, "")
     for step in ("fsync", "replace"):
 
         def fail(*_):
@@ -100,17 +100,17 @@
         with monkeypatch.context() as patch:
             patch.setattr(os, step, fail)
             with pytest.raises(OSError, match="no space"):
-                lastgood.keep(tmp_path, "source", two, 6.0, "")
+                last_good.keep(tmp_path, "source", two, 6.0, "")
         assert kept(tmp_path)[1].digest == one.digest
-        assert os.listdir(tmp_path) == [lastgood.LAST_GOOD]
+        assert os.listdir(tmp_path) == [last_good.LAST_GOOD]
 
 
 def test_the_history_is_bounded_and_survives_a_torn_line(tmp_path):
     for n in range(5):
-        lastgood.remember(tmp_path, lastgood.Entry(n, f"{n:032x}", "settled", n), 3)
-    path = tmp_path / lastgood.HISTORY
+        last_good.remember(tmp_path, last_good.Entry(n, f"{n:032x}", "settled", n), 3)
+    path = tmp_path / last_good.HISTORY
     path.write_bytes(path.read_bytes()[:-20])
-    assert [e.at for e in lastgood.history(tmp_path)] == [2, 3]
+    assert [e.at for e in last_good.history(tmp_path)] == [2, 3]
 
 
 def helper(path, **over):
--- a/tests/test_reading.py
+++ b/tests/test_inventory_reading.py
@@ -6,10 +6,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lapispick.faults import Collector
+from lapispick.file_errors import Collector
 from lapispick.fleet import snapshot
 from lapispick.fleet.reading import Reader
-from lapispick.fleet.yamlform import Document
+from lapispick.fleet.yaml_reader import Document
 from tests.fleet_files import boxes, csv_list, faults, files, read, reader, yaml_list
 
 YAML = """\
--- a/tests/test_follow.py
+++ b/tests/test_inventory_watch.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from lapispick.standins.broker import Broker
-from lapispick.standins.peers import until
+from lapispick.fakes.broker import Broker
+from lapispick.fakes.peers import until
 
 HEAD = "host,amqp_host,amqp_port,amqp_queue,amqp_prefetch,amqp_customer,amqp_password\n"
 CONF = """
@@ -99,7 +99,7 @@
 
 def consumers(broker):
     """Return the tags that consume now, over all links of a broker."""
-    from lapispick.standins.broker import LINKS
+    from lapispick.fakes.broker import LINKS
 
     return [c["tag"] for link in list(broker.links) for c in list(LINKS.get(link, {}).values()) if c.get("tag")]
 
@@ -404,7 +404,7 @@
 
 
 OFF = re.compile(
-    r"lapispick\.(fleet|cli|standins|trace|conf\.legacy|host\.(amqp|inventory|names|recorder))"
+    r"lapispick\.(fleet|cli|fakes|trace|conf\.legacy|host\.(amqp|inventory|names|recorder))"
     r"|immutables|idna|yaml|click|structlog|rich|google|zstandard|google_crc32c|difflib|subprocess|tomllib"
 )
 
@@ -419,7 +419,7 @@
 
 
 def test_a_faulty_settings_file_ends_the_start_with_every_fault(tmp_path):
-    from lapispick.standins.peers import INFO
+    from lapispick.fakes.peers import INFO
 
     conf, config = tmp_path / "own.conf", tmp_path / "config.json"
     conf.write_text("section amqp\n  enable yes\n  drain 5x\nend\n")
--- a/tests/test_talk.py
+++ b/tests/test_member_cluster.py
@@ -12,9 +12,9 @@
 
 import pytest
 
-from lapispick.standins.fleet import ROOT, Fleet
-from lapispick.standins.peers import until
-from lapispick.standins.talk import QUICK, STEADY, Talk
+from lapispick.fakes.fleet import ROOT, Fleet
+from lapispick.fakes.member_cluster import QUICK, STEADY, Talk
+from lapispick.fakes.peers import until
 
 
 def span(seconds):
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -11,12 +11,12 @@
 from lapispick.conf.settings import Inventory
 from lapispick.conf.settings import Members as Settings
 from lapispick.fleet.snapshot import EMPTY, Difference
-from lapispick.host.loop import Loop
 from lapispick.host.members import Members
-from lapispick.members import words
-from lapispick.members.node import Bounds, Node
+from lapispick.host.scheduler import Loop
+from lapispick.members import messages
+from lapispick.members.member import Bounds, Node
+from lapispick.members.membership_view import State
 from lapispick.members.stores import Store
-from lapispick.members.view import State
 from lapispick.model import properties, script
 from lapispick.model.world import World, members
 
@@ -54,7 +54,7 @@
     names = ["a", "b", "c"]
     nodes = {n: Node(n, "f", 1, names, "l", {}, Bounds(), random.Random(n), 0.0) for n in names}
     for send in nodes["a"].view.leave():
-        nodes[send.to].take(1.0, words.decode(words.encode(send.word)))
+        nodes[send.to].take(1.0, messages.decode(messages.encode(send.word)))
     assert nodes["b"].view.state("a") is State.LEFT and nodes["b"].view.seen() == 2
     assert nodes["b"].changes()[-1].cause == "a says so"
 
@@ -63,12 +63,12 @@
     names = [f"m{n}" for n in range(30)]
     one, new = (Node(n, "f", 1, names, "l", {}, Bounds(), random.Random(n), 0.0) for n in ("m0", "m29"))
     for n in range(1, 20):
-        one.view.heard(1.0, words.Rumour(f"m{n}", "dead", 0, 3), "m5")
+        one.view.heard(1.0, messages.Rumour(f"m{n}", "dead", 0, 3), "m5")
     one.say(1.0, "store", "10.0.0.9:80", 4.0, 20)
-    whole = words.decode(words.encode(one.whole(2.0)))
+    whole = messages.decode(messages.encode(one.whole(2.0)))
     assert new.merge(2.0, whole) and new.view.seen() == one.view.seen() == 11
     assert new.signals.weighed(2.0, "store", "10.0.0.9:80").value == 4.0
-    assert not new.merge(3.0, words.Whole("other", "m0", 1, 0))
+    assert not new.merge(3.0, messages.Whole("other", "m0", 1, 0))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_rude.py
+++ b/tests/test_misbehaving_clients.py
@@ -6,7 +6,7 @@
 import time
 import uuid
 
-from lapispick.standins.peers import b64, until
+from lapispick.fakes.peers import b64, until
 
 
 def is_word(got):
--- a/tests/test_module_boundaries.py
+++ b/tests/test_module_boundaries.py
@@ -24,18 +24,18 @@
     "re",
     "typing",
 }
-PROJECT = {"lapispick.digests", "lapispick.faults", "lapispick.fleet.hosts"}
+PROJECT = {"lapispick.digests", "lapispick.file_errors", "lapispick.fleet.hosts"}
 
 # Each group of decision modules, the paths that belong to it, and the decision modules outside it that it may import.
 GROUPS = {
-    "admission": (["control.py", "interface.py", "state.py"], []),
-    "handover": (["handover"], ["lapispick.interface"]),
+    "admission": (["admission"], []),
+    "handover": (["handover"], ["lapispick.admission"]),
     "members": (["members"], []),
     "rollout": (["rollout"], []),
     "shares": (["shares"], []),
     "durable": (["durable/budget.py", "durable/commits.py", "durable/keys.py"], []),
-    "health": (["host/duty.py", "host/figures.py"], []),
-    "jitter": (["spread.py"], []),
+    "health": (["host/health.py", "host/metrics.py"], []),
+    "jitter": (["jitter.py"], []),
 }
 CLOCK_AND_IO = {"open", "print", "input", "eval", "exec", "__import__", "now", "utcnow", "today", "SystemRandom"}
 
@@ -93,7 +93,7 @@
 def test_the_decision_module_draws_only_from_a_seeded_generator():
     used = {
         node.attr
-        for path in _files(["control.py"])
+        for path in _files(["admission"])
         for node in ast.walk(_parse(path))
         if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name) and node.value.id == "random"
     }
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -15,9 +15,9 @@
 
 from lapispick.cli.main import cli
 from lapispick.cli.ops import NoAnswer, figures
+from lapispick.fakes.peers import INFO, Executor, until
 from lapispick.host import config
-from lapispick.host.duty import Duty
-from lapispick.standins.peers import INFO, Executor, until
+from lapispick.host.health import Duty
 
 REFUSED = -32050
 
--- a/tests/test_pause.py
+++ b/tests/test_paused_runs.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from lapispick.interface import CallEnded, Gone, Halting, NeedsCall, Outcome, Run, RunEnded, Stop
-from lapispick.standins.peers import INFO, Executor, Store, until
+from lapispick.admission import CallEnded, Gone, Halting, NeedsCall, Outcome, Run, RunEnded, Stop
+from lapispick.fakes.peers import INFO, Executor, Store, until
 
 FAILED = -32000
 COUNT = 12  # runs that come back at once, on two cores with two slots
--- a/tests/test_prices.py
+++ b/tests/test_prices.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lapispick.control import SAMPLE_SIZE, ShadowPrices, solve_prices
+from lapispick.admission.controller import SAMPLE_SIZE, ShadowPrices, solve_prices
 
 
 def test_no_price_while_both_budgets_have_room():
@@ -93,6 +93,6 @@
 
 
 def type_end(q):
-    from lapispick.interface import Outcome, RunEnded
+    from lapispick.admission import Outcome, RunEnded
 
     return RunEnded(q.id, Outcome.OK, 20)
--- a/tests/test_plan.py
+++ b/tests/test_reconciler.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lapispick.fleet.plan import Bounds, Close, Drain, Open, Plan, State, next_due
+from lapispick.fleet.reconciler import Bounds, Close, Drain, Open, Plan, State, next_due
 
 WIDE = Bounds(share=1.0, least=100, wait=10.0, drain=30.0, lives=100)
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lapispick.standins.peers import until
+from lapispick.fakes.peers import until
 
 
 def move_all(h):
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -12,12 +12,12 @@
 
 import pytest
 
-from lapispick.standins import script
-from lapispick.standins.account import Account, Try, check
-from lapispick.standins.fleet import Fleet, program
-from lapispick.standins.net import Net
-from lapispick.standins.pauses import Pauses
-from lapispick.standins.peers import Server, until
+from lapispick.fakes import script
+from lapispick.fakes.fault_proxy import Net
+from lapispick.fakes.fleet import Fleet, program
+from lapispick.fakes.host_pauses import Pauses
+from lapispick.fakes.peers import Server, until
+from lapispick.fakes.rule_checker import Account, Try, check
 
 
 def rules(found):
@@ -39,7 +39,7 @@
     "lost": [("host/core.py", REPLY, f"        if not {ODD}:\n    {REPLY}")],
     "doubled": [
         (
-            "host/clients.py",
+            "host/jsonrpc/front.py",
             '(_encode({"jsonrpc": "2.0", "id": number, member: fields}) + b"\\n")',
             '(2 * (_encode({"jsonrpc": "2.0", "id": number, member: fields}) + b"\\n"))',
         )
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from lapispick.standins.agents import FIGURES, Steering
-from lapispick.standins.fleet import STEER, Fleet, program
-from lapispick.standins.peers import until
+from lapispick.fakes.agents import FIGURES, Steering
+from lapispick.fakes.fleet import STEER, Fleet, program
+from lapispick.fakes.peers import until
 
 QUICK = """ stages 1 100%
  warm-up 0.5s
--- a/tests/test_steering.py
+++ b/tests/test_rollout_state.py
@@ -13,12 +13,22 @@
 from lapispick.durable import database
 from lapispick.fleet.hosts import Worker
 from lapispick.handover import messages as say
-from lapispick.rollout import box, compat, evidence, figures, generations, pace, stages, steering, words
+from lapispick.rollout import (
+    compat,
+    evidence,
+    generations,
+    host_state,
+    messages,
+    metrics,
+    pacing,
+    rollout_state,
+    stages,
+)
+from lapispick.rollout.canary_analysis import Bounds, Judge, Outcome
 from lapispick.rollout.evidence import Series
-from lapispick.rollout.judge import Bounds, Judge, Outcome
-from lapispick.rollout.pace import Place
+from lapispick.rollout.messages import Back, Change, Confirm, Fence
+from lapispick.rollout.pacing import Place
 from lapispick.rollout.stages import want
-from lapispick.rollout.words import Back, Change, Confirm, Fence
 
 
 def workers(*sizes):
@@ -75,7 +85,7 @@
 )
 def test_the_pace_never_begins_too_many_nor_leaves_too_few(rows, most, least):
     places = [Place(str(n), *row) for n, row in enumerate(rows)]
-    begun, why = pace.next_boxes(places, pace.Bounds(most, least))
+    begun, why = pacing.next_boxes(places, pacing.Bounds(most, least))
     changing = sum(p.in_change for p in places)
     assert not begun or changing + len(begun) <= most
     by_name = {p.name: p for p in places}
@@ -97,7 +107,7 @@
     ],
 )
 def test_hours_and_days_in_which_nothing_begins(at, span, not_days, open_):
-    assert (not pace.open_at(datetime.datetime.fromisoformat(at), pace.hours(span), not_days)) is open_
+    assert (not pacing.open_at(datetime.datetime.fromisoformat(at), pacing.hours(span), not_days)) is open_
 
 
 # A box, its agent dying at any instant: what was decided is on disk, done or half done.
@@ -111,7 +121,7 @@
     asked, confirmed, last = {OLD}, {OLD}, ""
     for turn in range(300):
         now += rng.choice((0.1, 0.1, 0.5, 3.0))
-        state, actions = box.step(made.state, now, made.seen(now), box.Bounds())
+        state, actions = host_state.step(made.state, now, made.seen(now), host_state.Bounds())
         made.state = state  # kept; the agent may die after any action
         for action in actions[: rng.choice((0, 1, 9, 9, 9))]:
             made.act(action, now)
@@ -122,55 +132,57 @@
             change = Change(fence, name, rng.choice((OLD, NEW)), 5.0, rng.random() < 0.3)
             call = rng.choice((change, Confirm(fence, name), Back(fence, name)))
             before = made.state
-            made.state, answer = box.call(before, call, now, made.seen(now))
-            assert words.read(words.write(call)) == call
+            made.state, answer = host_state.call(before, call, now, made.seen(now))
+            assert messages.read(messages.write(call)) == call
             if answer[0].startswith("ERR fenced"):
                 assert made.state == before
             elif isinstance(call, Change) and answer[0] == "OK":
                 asked.add(call.generation)
             elif isinstance(call, Confirm) and answer[0] == "OK":
                 confirmed.add(made.state.good)
-        assert made.state.fence.epoch >= 0 and len(made.state.lives) <= box.SLOTS
-        running = {life.number for life in made.state.lives if life.role != box.LEAVING}
+        assert made.state.fence.epoch >= 0 and len(made.state.lives) <= host_state.SLOTS
+        running = {life.number for life in made.state.lives if life.role != host_state.LEAVING}
         assert len(running) <= 2 and len({life.slot for life in made.state.lives}) == len(made.state.lives)
     for _ in range(100):  # left alone, it comes to rest: one process, of a generation that was asked for and confirmed
         now += 0.5
-        made.state, actions = box.step(made.state, now, made.seen(now), box.Bounds())
+        made.state, actions = host_state.step(made.state, now, made.seen(now), host_state.Bounds())
         for action in actions:
             made.act(action, now)
-    assert made.state.phase == box.STEADY, (seed, made.state, last)
+    assert made.state.phase == host_state.STEADY, (seed, made.state, last)
     assert [g for g, _ in made.procs.values()] == [made.state.good] and made.state.good in asked & confirmed
-    assert msgspec.json.decode(msgspec.json.encode(made.state), type=box.State) == made.state
+    assert msgspec.json.decode(msgspec.json.encode(made.state), type=host_state.State) == made.state
 
 
 def test_a_good_generation_that_fails_to_start_once_is_tried_again_and_one_that_is_gone_waits_for_its_return():
     made = proving()
     assert ask(made, Back(Fence(1, "a"), "r1"), 12.0) == "OK"
     made.step(12.0)
-    made.procs.pop(made.state.life(box.COMING).number)  # killed by something else
+    made.procs.pop(made.state.life(host_state.COMING).number)  # killed by something else
     made.step(12.2)
-    assert made.state.phase == box.RETURNING and made.serving(12.2)[0] == NEW
+    assert made.state.phase == host_state.RETURNING and made.serving(12.2)[0] == NEW
     for n in range(13, 30):
         made.step(float(n))
-    assert made.state.phase == box.STEADY and made.serving(30.0)[0] == OLD
+    assert made.state.phase == host_state.STEADY and made.serving(30.0)[0] == OLD
     made = proving()
-    state, _ = box.call(made.state, Back(Fence(1, "a"), "r1"), 12.0, made.seen(12.0))
-    state, _ = box.step(state, 12.0, made.seen(12.0)._replace(shelf={NEW: SHELF[NEW]}), box.Bounds())
-    assert state.phase == box.STUCK and "gone from the shelf" in state.fault
-    state, _ = box.step(state, 13.0, made.seen(13.0), box.Bounds())
-    assert state.phase == box.RETURNING and state.life(box.COMING).generation == OLD
+    state, _ = host_state.call(made.state, Back(Fence(1, "a"), "r1"), 12.0, made.seen(12.0))
+    state, _ = host_state.step(state, 12.0, made.seen(12.0)._replace(shelf={NEW: SHELF[NEW]}), host_state.Bounds())
+    assert state.phase == host_state.STUCK and "gone from the shelf" in state.fault
+    state, _ = host_state.step(state, 13.0, made.seen(13.0), host_state.Bounds())
+    assert state.phase == host_state.RETURNING and state.life(host_state.COMING).generation == OLD
 
 
 def test_a_machine_that_starts_again_before_the_confirmation_goes_back():
     made = Box("x", random.Random(1))
     for n in range(10):
         made.step(float(n))
-    made.state, answer = box.call(made.state, Change(Fence(1, "a"), "r1", NEW, 100.0), 10.0, made.seen(10.0))
+    made.state, answer = host_state.call(made.state, Change(Fence(1, "a"), "r1", NEW, 100.0), 10.0, made.seen(10.0))
     for n in range(10, 20):
         made.step(float(n))
-    assert answer == ["OK"] and made.state.phase == box.PROVING and made.serving(20.0)[0] == NEW
+    assert answer == ["OK"] and made.state.phase == host_state.PROVING and made.serving(20.0)[0] == NEW
     made.procs.clear()
-    state, _ = box.step(made.state, 0.5, box.Seen(frozenset(), frozenset(), SHELF, "2"), box.Bounds())
+    state, _ = host_state.step(
+        made.state, 0.5, host_state.Seen(frozenset(), frozenset(), SHELF, "2"), host_state.Bounds()
+    )
     assert state.wanted == OLD and "before the change was confirmed" in state.fault and state.lives[0].generation == OLD
 
 
@@ -186,9 +198,11 @@
     ],
 )
 def test_only_the_newest_fence_counts_and_one_epoch_has_one_holder(held, asked, admitted):
-    assert words.admits(Fence(*held), Fence(*asked)) is admitted
-    state = box.State("x", good=OLD, epoch=held[0], who=held[1])
-    after, answer = box.call(state, words.Steer(Fence(*asked)), 0.0, box.Seen(frozenset(), frozenset(), SHELF))
+    assert messages.admits(Fence(*held), Fence(*asked)) is admitted
+    state = host_state.State("x", good=OLD, epoch=held[0], who=held[1])
+    after, answer = host_state.call(
+        state, messages.Steer(Fence(*asked)), 0.0, host_state.Seen(frozenset(), frozenset(), SHELF)
+    )
     assert answer[0].startswith("OK" if admitted else "ERR fenced") and (after.fence == Fence(*asked)) is admitted
 
 
@@ -196,13 +210,15 @@
     made = Box("x", random.Random(1))
     made.step(1.0)
     ask = Change(Fence(1, "a"), "r1", NEW, 9.0)
-    assert box.call(made.state, ask, 1.0, made.seen(1.0))[1] == ["ERR nothing serves here"]
+    assert host_state.call(made.state, ask, 1.0, made.seen(1.0))[1] == ["ERR nothing serves here"]
     stop = msgspec.structs.replace(SHELF[NEW], program=OLD, conf="", config={"stop_ms": 9})
     shelf = {OLD: SHELF[OLD], NEW: stop}
     for took, kind in ((True, "Reload"), (False, "Start")):
-        state = box.copy(made.state)
-        state.phase, state.wanted, state.change, state.lives[0].took = box.TRYING, NEW, 1, took
-        _, actions = box.step(state, 2.0, box.Seen(frozenset([1]), frozenset(), shelf, "1"), box.Bounds())
+        state = host_state.copy(made.state)
+        state.phase, state.wanted, state.change, state.lives[0].took = host_state.TRYING, NEW, 1, took
+        _, actions = host_state.step(
+            state, 2.0, host_state.Seen(frozenset([1]), frozenset(), shelf, "1"), host_state.Bounds()
+        )
         assert [type(a).__name__ for a in actions] == [kind]
 
 
@@ -233,7 +249,7 @@
 def test_what_is_spoken_is_what_the_parts_say_of_themselves():
     told = compat.parsed(versions.SPOKEN)
     assert told["handover"].writes == say.VERSION and told["durable"].writes == database.VERSION
-    assert told["agent"].writes == words.VERSION
+    assert told["agent"].writes == messages.VERSION
     for bad in ({"x": (2, 1, 1)}, {"x": "1"}, {"x": (1, 1)}):
         with pytest.raises(ValueError):
             compat.parsed(bad)
@@ -255,49 +271,54 @@
 def test_a_good_rollout_of_many_boxes_ends_with_all_of_them_and_keeps_its_pace():
     fleet = Fleet(3, 60)
     course = fleet.play()
-    assert course.phase == steering.DONE and all(b.serving(fleet.now)[0] == NEW for b in fleet.boxes.values())
+    assert course.phase == rollout_state.DONE and all(b.serving(fleet.now)[0] == NEW for b in fleet.boxes.values())
     assert fleet.worst_down == 0
 
 
 def test_a_bad_generation_costs_little_and_goes_back():
     fleet = Fleet(4, 60, effect=lambda cls, warm: 0.3)
     course = fleet.play()
-    assert course.phase == steering.UNDONE and all(b.serving(fleet.now)[0] == OLD for b in fleet.boxes.values())
+    assert course.phase == rollout_state.UNDONE and all(b.serving(fleet.now)[0] == OLD for b in fleet.boxes.values())
     assert fleet.lost / fleet.bare < 0.03
 
 
 def test_fine_cold_and_bad_warm_is_found():
     course = Fleet(5, 60, effect=lambda cls, warm: 0.25 if warm >= 1 else 0.0).play()
-    assert course.phase == steering.UNDONE
+    assert course.phase == rollout_state.UNDONE
 
 
 def test_a_change_that_harms_the_old_boxes_is_never_taken_for_good():
     fleet = Fleet(6, 30, wants=("30%", "100%"), harm=1.0, drift=0.0)
-    while fleet.course.phase not in (steering.ASKING, steering.DONE, steering.UNDONE, steering.CONFIRMING):
+    while fleet.course.phase not in (
+        rollout_state.ASKING,
+        rollout_state.DONE,
+        rollout_state.UNDONE,
+        rollout_state.CONFIRMING,
+    ):
         fleet.second()
-    assert fleet.course.phase == steering.ASKING and "that stay as they are got worse" in fleet.course.reason
+    assert fleet.course.phase == rollout_state.ASKING and "that stay as they are got worse" in fleet.course.reason
 
 
 def test_a_collapse_of_the_store_in_mid_stage_condemns_nothing():
     fleet = Fleet(7, 30, wants=("30%", "100%"))
-    while fleet.course.phase != steering.BAKING:
+    while fleet.course.phase != rollout_state.BAKING:
         fleet.second()
     for n in range(40):
         fleet.collapse = 0.5 if n < 30 else 0.0
         fleet.second()
-    assert fleet.course.phase in (steering.BAKING, steering.ASKING, steering.CONFIRMING)
+    assert fleet.course.phase in (rollout_state.BAKING, rollout_state.ASKING, rollout_state.CONFIRMING)
 
 
 def test_a_fleet_on_fire_is_not_started_anew():
     fleet = Fleet(8, 20, wants=("50%", "100%"))
-    while fleet.course.phase != steering.BAKING:
+    while fleet.course.phase != rollout_state.BAKING:
         fleet.second()
     for name in list(fleet.boxes)[:10]:
         fleet.boxes[name].procs.clear()
         fleet.boxes[name].fails = {OLD, NEW}
     for _ in range(30):
         fleet.second()
-    assert fleet.course.phase == steering.BURNING
+    assert fleet.course.phase == rollout_state.BURNING
     cause, _, burns = fleet.course.reason.rpartition("; ")
     assert "boxes do not serve" in burns
     starts = sum(b.starts for b in fleet.boxes.values() if not b.fails)
@@ -306,7 +327,7 @@
     assert sum(b.starts for b in fleet.boxes.values() if not b.fails) == starts
     for each in fleet.boxes.values():
         each.fails = set()
-    assert fleet.play(person="back").phase == steering.UNDONE
+    assert fleet.play(person="back").phase == rollout_state.UNDONE
     assert fleet.course.reason == cause  # why it went back is told in the end, not that a fire is over
 
 
@@ -333,8 +354,8 @@
     made = {}
     for name in names:
         refused = sum(rng.random() < 0.05 + worse.get(name, 0.0) for _ in range(n))
-        book = figures.Class(n, refused, 0, 0, float(n - refused), {16.0: n})
-        made[name] = figures.Slice(name, 1.0, {"book": book}, n - refused, 30_000)
+        book = metrics.Class(n, refused, 0, 0, float(n - refused), {16.0: n})
+        made[name] = metrics.Slice(name, 1.0, {"book": book}, n - refused, 30_000)
     return made
 
 
@@ -382,14 +403,14 @@
         "app.generation.ab:1|g",
         "END",
     ]
-    was = figures.read(lines, 1.0)
-    now = figures.read([lines[0].replace(":5", ":9"), *lines[1:]], 2.0)
-    assert figures.sliced("x", was, now).classes["book"][:2] == (4, 0) and was.generation == "ab"
+    was = metrics.read(lines, 1.0)
+    now = metrics.read([lines[0].replace(":5", ":9"), *lines[1:]], 2.0)
+    assert metrics.sliced("x", was, now).classes["book"][:2] == (4, 0) and was.generation == "ab"
     again = msgspec.structs.replace(was, at=3.0)
-    assert figures.sliced("x", now, was) is None and figures.sliced("x", now, again) is None
+    assert metrics.sliced("x", now, was) is None and metrics.sliced("x", now, again) is None
     for bad in (["x"], ["app.a:1|c"], ["app.a:-1|c", "END"]):
         with pytest.raises(ValueError):
-            figures.read(bad, 1.0)
+            metrics.read(bad, 1.0)
 
 
 def test_memory_that_grows_slowly_is_worse_though_it_is_far_from_its_bound():
@@ -421,16 +442,16 @@
     made = Box("x", random.Random(1))
     for n in range(6):
         made.step(float(n))
-    made.state, answer = box.call(made.state, Change(Fence(1, "a"), rollout, NEW, 10.0), 6.0, made.seen(6.0))
+    made.state, answer = host_state.call(made.state, Change(Fence(1, "a"), rollout, NEW, 10.0), 6.0, made.seen(6.0))
     assert answer == ["OK"]
     for n in range(6, 12):
         made.step(float(n))
-    assert made.state.phase == box.PROVING
+    assert made.state.phase == host_state.PROVING
     return made
 
 
 def ask(made, call, now):
-    made.state, answer = box.call(made.state, call, now, made.seen(now))
+    made.state, answer = host_state.call(made.state, call, now, made.seen(now))
     return answer[0]
 
 
@@ -439,7 +460,7 @@
     assert ask(made, Back(fence, "r1"), 12.0) == "OK"
     for n in range(12, 20):
         made.step(float(n))
-    assert made.state.phase == box.STEADY and made.serving(20.0)[0] == OLD
+    assert made.state.phase == host_state.STEADY and made.serving(20.0)[0] == OLD
     assert ask(made, Change(fence, "r1", NEW, 9.0), 20.0) == "ERR undone: called back"
     assert ask(made, Confirm(fence, "r1"), 20.0).startswith("ERR undone")
     assert ask(made, Change(fence, "r2", NEW, 9.0), 20.0) == "OK"
@@ -450,7 +471,7 @@
     late = made.state.deadline
     assert ask(made, Confirm(fence, "r2"), 12.0) == "ERR another rollout"
     assert ask(made, Confirm(fence, "r1"), late) == "ERR too late: it is undone now"
-    number = made.state.life(box.SERVING).number
+    number = made.state.life(host_state.SERVING).number
     made.procs[number] = (NEW, 1e9)
     assert ask(made, Confirm(fence, "r1"), 12.0) == "ERR it takes no clients"
     made.procs[number] = (NEW, 0.0)
@@ -462,21 +483,21 @@
     for n in range(6):
         made.step(float(n))
     assert ask(made, Change(Fence(1, "a"), "r1", NEW, 9.0), 6.0) == "OK"
-    state, actions = box.step(made.state, 6.0, made.seen(6.0), box.Bounds())
+    state, actions = host_state.step(made.state, 6.0, made.seen(6.0), host_state.Bounds())
     (start,) = actions
-    again, actions = box.step(state, 6.5, made.seen(6.5), box.Bounds())  # kept, and never done
+    again, actions = host_state.step(state, 6.5, made.seen(6.5), host_state.Bounds())  # kept, and never done
     assert actions == [start] and again == state and start.life.generation == NEW
 
 
 def test_a_process_that_is_gone_while_it_is_proved_is_undone_and_strangers_are_ended():
     made = proving()
     made.procs.clear()
-    state, _ = box.step(made.state, 12.0, made.seen(12.0), box.Bounds())
-    assert state.phase == box.RETURNING and "ended" in state.fault
+    state, _ = host_state.step(made.state, 12.0, made.seen(12.0), host_state.Bounds())
+    assert state.phase == host_state.RETURNING and "ended" in state.fault
     made = proving()
     made.procs[99] = (NEW, 0.0)  # of a life that was struck off before the agent died
-    _, actions = box.step(made.state, 12.0, made.seen(12.0), box.Bounds())
-    assert box.Kill(99) in actions
+    _, actions = host_state.step(made.state, 12.0, made.seen(12.0), host_state.Bounds())
+    assert host_state.Kill(99) in actions
 
 
 def test_a_process_that_leaves_too_slowly_or_hangs_alone_is_ended():
@@ -484,37 +505,39 @@
     made.fails = {OLD}
     made.step(0.0)
     made.step(1.0)
-    _, actions = box.step(made.state, 1.0 + box.HANGS * box.Bounds().start, made.seen(1.0), box.Bounds())
-    assert box.Kill(1) in actions
+    _, actions = host_state.step(
+        made.state, 1.0 + host_state.HANGS * host_state.Bounds().start, made.seen(1.0), host_state.Bounds()
+    )
+    assert host_state.Kill(1) in actions
     made = proving()
-    made.state.lives.append(box.Life(50, OLD, 0, box.LEAVING, 0, 11.0, True, True))
+    made.state.lives.append(host_state.Life(50, OLD, 0, host_state.LEAVING, 0, 11.0, True, True))
     made.procs[50] = (OLD, 0.0)
-    for now, wanted in ((12.0, box.Term(50)), (11.0 + box.Bounds().stop, box.Kill(50))):
-        assert wanted in box.step(made.state, now, made.seen(now), box.Bounds())[1]
+    for now, wanted in ((12.0, host_state.Term(50)), (11.0 + host_state.Bounds().stop, host_state.Kill(50))):
+        assert wanted in host_state.step(made.state, now, made.seen(now), host_state.Bounds())[1]
 
 
 def test_going_back_keeps_its_own_pace():
     fleet = Fleet(9, 40, wants=("60%", "100%"), plan={"back_most": 2})
-    while fleet.course.phase != steering.BAKING:
+    while fleet.course.phase != rollout_state.BAKING:
         fleet.second()
     fleet.course.told, worst = "back", 0
-    while fleet.course.phase not in steering.OVER:
+    while fleet.course.phase not in rollout_state.OVER:
         fleet.second()
-        worst = max(worst, sum(b.state.phase == box.RETURNING for b in fleet.boxes.values()))
-    assert fleet.course.phase == steering.UNDONE and 0 < worst <= 3
+        worst = max(worst, sum(b.state.phase == host_state.RETURNING for b in fleet.boxes.values()))
+    assert fleet.course.phase == rollout_state.UNDONE and 0 < worst <= 3
 
 
 def test_cold_boxes_are_in_neither_group():
     fleet = Fleet(10, 20, wants=("30%", "100%"), plan={"warm_up": 10.0})
-    while fleet.course.phase != steering.BAKING:
+    while fleet.course.phase != rollout_state.BAKING:
         fleet.second()
     heard = {name: each.heard(fleet.now) for name, each in fleet.boxes.items()}
-    changed, old = steering.groups(fleet.course, heard)
+    changed, old = rollout_state.groups(fleet.course, heard)
     assert all(heard[n].status.since_s >= 10.0 for n in (*changed, *old))
     for _ in range(20):
         fleet.second()
     heard = {name: each.heard(fleet.now) for name, each in fleet.boxes.items()}
-    changed, old = steering.groups(fleet.course, heard)
+    changed, old = rollout_state.groups(fleet.course, heard)
     assert set(changed) == set(fleet.course.boxes) and set(old) == set(fleet.course.controls)
 
 
@@ -527,79 +550,79 @@
 
 def test_a_planned_hold_waits_for_a_person_and_begins_nothing():
     fleet = Fleet(11, 20, wants=("20%", "100%"), plan={"hold": (1,)})
-    until_phase(fleet, steering.HOLDING, steering.ASKING)
-    if fleet.course.phase == steering.ASKING:
+    until_phase(fleet, rollout_state.HOLDING, rollout_state.ASKING)
+    if fleet.course.phase == rollout_state.ASKING:
         fleet.course.told = "go"
-        until_phase(fleet, steering.HOLDING)
+        until_phase(fleet, rollout_state.HOLDING)
     starts = sum(b.starts for b in fleet.boxes.values())
     for _ in range(60):
         fleet.second()
-    assert fleet.course.phase == steering.HOLDING and sum(b.starts for b in fleet.boxes.values()) == starts
+    assert fleet.course.phase == rollout_state.HOLDING and sum(b.starts for b in fleet.boxes.values()) == starts
     fleet.course.told = "go"
-    assert fleet.play().phase == steering.DONE
+    assert fleet.play().phase == rollout_state.DONE
 
 
 def test_a_person_holds_a_stage_and_lets_it_go_on_where_it_was():
-    fleet = Fleet(12, 20, wants=("50%", "100%"), plan={"pace": pace.Bounds(1, 0.5)})
-    until_phase(fleet, steering.CHANGING)
+    fleet = Fleet(12, 20, wants=("50%", "100%"), plan={"pace": pacing.Bounds(1, 0.5)})
+    until_phase(fleet, rollout_state.CHANGING)
     fleet.second()
     fleet.course.told = "hold"
     fleet.second()
-    assert fleet.course.phase == steering.HOLDING
-    begun = sum(b.serving(fleet.now)[0] == NEW or b.state.phase != box.STEADY for b in fleet.boxes.values())
+    assert fleet.course.phase == rollout_state.HOLDING
+    begun = sum(b.serving(fleet.now)[0] == NEW or b.state.phase != host_state.STEADY for b in fleet.boxes.values())
     for _ in range(30):
         fleet.second()
     assert sum(b.state.wanted == NEW for b in fleet.boxes.values()) == begun < 10
     fleet.course.told = "go"
     fleet.second()
-    assert fleet.course.phase == steering.CHANGING
+    assert fleet.course.phase == rollout_state.CHANGING
     fleet.course.told = "back"
-    assert fleet.play().phase == steering.UNDONE
+    assert fleet.play().phase == rollout_state.UNDONE
 
 
 def test_nothing_begins_outside_of_the_hours_and_a_stage_under_way_goes_on():
     fleet = Fleet(13, 12, wants=("30%", "100%"))
     heard = {name: each.heard(0.0) for name, each in fleet.boxes.items()}
-    course, calls = steering.step(fleet.course, 1.0, Fence(1, "a"), heard, None, "it is 03:00")
-    course, calls = steering.step(course, 500.0, Fence(1, "a"), heard, None, "it is 03:00")
-    assert course.phase == steering.WATCHING and not calls
-    course.phase, course.stage = steering.WAITING, 1
-    course, calls = steering.step(course, 501.0, Fence(1, "a"), heard, None, "it is 03:00")
-    assert course.phase == steering.WAITING and course.reason == "it is 03:00"
-    course, _ = steering.step(course, 502.0, Fence(1, "a"), heard, None, "")
-    assert course.phase == steering.CHANGING
-    course, _ = steering.step(course, 503.0, Fence(1, "a"), heard, None, "it is 03:00")
-    assert course.phase == steering.CHANGING
+    course, calls = rollout_state.step(fleet.course, 1.0, Fence(1, "a"), heard, None, "it is 03:00")
+    course, calls = rollout_state.step(course, 500.0, Fence(1, "a"), heard, None, "it is 03:00")
+    assert course.phase == rollout_state.WATCHING and not calls
+    course.phase, course.stage = rollout_state.WAITING, 1
+    course, calls = rollout_state.step(course, 501.0, Fence(1, "a"), heard, None, "it is 03:00")
+    assert course.phase == rollout_state.WAITING and course.reason == "it is 03:00"
+    course, _ = rollout_state.step(course, 502.0, Fence(1, "a"), heard, None, "")
+    assert course.phase == rollout_state.CHANGING
+    course, _ = rollout_state.step(course, 503.0, Fence(1, "a"), heard, None, "it is 03:00")
+    assert course.phase == rollout_state.CHANGING
 
 
 def test_boxes_that_join_come_last_and_those_that_leave_are_struck_off():
     fleet = Fleet(14, 12, wants=("30%", "100%"))
-    until_phase(fleet, steering.CHANGING)
+    until_phase(fleet, rollout_state.CHANGING)
     gone = next(n for n in fleet.boxes if n not in fleet.course.boxes)
     del fleet.boxes[gone]
     fleet.boxes["d9999"] = Box("d9999", random.Random(1))
     fleet.second()
     assert gone in fleet.course.gone and fleet.course.later == ["d9999"]
-    assert fleet.play().phase == steering.DONE
+    assert fleet.play().phase == rollout_state.DONE
     assert all(b.serving(fleet.now)[0] == NEW for b in fleet.boxes.values())
 
 
 def test_a_box_out_of_reach_is_passed_over_and_changed_when_it_is_heard_again():
     fleet = Fleet(15, 12, wants=("50%", "100%"))
-    until_phase(fleet, steering.CHANGING)
+    until_phase(fleet, rollout_state.CHANGING)
     lost = fleet.course.boxes[0]
     fleet.boxes[lost].reached = False
-    until_phase(fleet, steering.BAKING)
+    until_phase(fleet, rollout_state.BAKING)
     assert lost in fleet.course.later and lost not in fleet.course.boxes
     for _ in range(5000):
-        if fleet.course.phase == steering.ASKING:
+        if fleet.course.phase == rollout_state.ASKING:
             fleet.course.told = "go"
         if fleet.course.stage >= 2:
             break
         fleet.second()
-    assert until_phase(fleet, steering.CHANGING, most=6000).boxes == [lost]
+    assert until_phase(fleet, rollout_state.CHANGING, most=6000).boxes == [lost]
     for _ in range(60):
         fleet.second()
-    assert fleet.course.phase == steering.CHANGING and "can be reached" in fleet.course.reason
+    assert fleet.course.phase == rollout_state.CHANGING and "can be reached" in fleet.course.reason
     fleet.boxes[lost].reached = True
-    assert fleet.play().phase == steering.DONE and fleet.boxes[lost].serving(fleet.now)[0] == NEW
+    assert fleet.play().phase == rollout_state.DONE and fleet.boxes[lost].serving(fleet.now)[0] == NEW
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from lapispick import interface as api
-from lapispick.interface import (
+from lapispick import admission
+from lapispick.admission import (
     Call,
     CallEnded,
     Fail,
@@ -68,14 +68,14 @@
     r = rig()
     q = r.request(due_at=1000)
     r.step(q)
-    r.step(RunEnded(q.id, Outcome.OK, 990), api.TimerFired(0, (1.0, 1.0)), at=999)
+    r.step(RunEnded(q.id, Outcome.OK, 990), admission.TimerFired(0, (1.0, 1.0)), at=999)
     r.tick(500)
     assert not r.finals(q.id)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.ERROR])
 def test_a_run_that_ends_after_its_answer_is_left_alone(rig, outcome):
-    r = rig(halt=api.Halting.NONE)
+    r = rig(halt=admission.Halting.NONE)
     q = r.request(due_at=400)
     r.step(q)
     r.tick(480)
@@ -236,7 +236,7 @@
     late = r.request(due_at=9000)
     r.step(late)
     assert r.finals(late.id)
-    assert r.of(api.SetHealth)[-1] == api.SetHealth(False, True)
+    assert r.of(admission.SetHealth)[-1] == admission.SetHealth(False, True)
 
 
 def test_drain_refusals_let_the_caller_try_elsewhere(rig):
@@ -320,7 +320,7 @@
                 gone.add(rid)
                 events.append(Gone(rid))
         if rng.random() < 0.2:
-            events.append(api.TimerFired(0, (rng.random(), rng.random() * 5)))
+            events.append(admission.TimerFired(0, (rng.random(), rng.random() * 5)))
         for a in r.step(*events):
             if isinstance(a, Run):
                 assert a.id not in answered and a.id not in gone and not asked[a.id].prior
--- a/tests/test_loop.py
+++ b/tests/test_scheduler.py
@@ -5,7 +5,7 @@
 
 from lapispick.host.core import Diagnosed
 from lapispick.host.executor import ExecutorLink
-from lapispick.host.loop import READ, Loop, Queue
+from lapispick.host.scheduler import READ, Loop, Queue
 
 
 def test_faults_of_greenlets_and_timers_leave_the_rest_running():
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -13,18 +13,18 @@
 import pytest
 
 from lapispick import versions
-from lapispick.agent.ledger import Ledger
+from lapispick.agent.rollout_store import Ledger
 from lapispick.conf import settings as conf
 from lapispick.durable.database import Database
 from lapispick.durable.keys import Known, State
+from lapispick.fakes.agents import BoxAgent
+from lapispick.fakes.fleet import Fleet, program
+from lapispick.fakes.peers import until
 from lapispick.handover import messages as say
-from lapispick.members import words as members
-from lapispick.rollout import box, words
+from lapispick.members import messages as members
+from lapispick.rollout import host_state, messages
 from lapispick.rollout.generations import Generation
-from lapispick.rollout.words import Back, Change, Confirm, Fence, Steer
-from lapispick.standins.agents import BoxAgent
-from lapispick.standins.fleet import Fleet, program
-from lapispick.standins.peers import until
+from lapispick.rollout.messages import Back, Change, Confirm, Fence, Steer
 
 SPOKEN = Path(__file__).parent / "data" / "spoken"
 G = "0123456789abcdef"
@@ -66,17 +66,17 @@
 
 def test_calls_states_and_generations_of_version_1_are_read():
     fence, lines = Fence(12, "alpha"), (SPOKEN / "agent-1.txt").read_text().splitlines()
-    assert [words.read(line) for line in lines[:5]] == [
+    assert [messages.read(line) for line in lines[:5]] == [
         Change(fence, "r1", G, 30.0),
         Change(fence, "r1.c", G, 30.0, True),
         Confirm(fence, "r1"),
         Back(fence, "r1"),
         Steer(fence),
     ]
-    status = words.heard(lines[5:])
+    status = messages.heard(lines[5:])
     assert (status.box, status.left_s, status.speaks) == ("disp-01", 9.5, {"handover": (1, 1, 1)})
-    state = msgspec.json.decode((SPOKEN / "state-1.json").read_bytes(), type=box.State)
-    assert state.fence == fence and state.lives[0].role == box.SERVING and state.deadline == 99.5
+    state = msgspec.json.decode((SPOKEN / "state-1.json").read_bytes(), type=host_state.State)
+    assert state.fence == fence and state.lives[0].role == host_state.SERVING and state.deadline == 99.5
     made = msgspec.json.decode((SPOKEN / "generation-1.json").read_bytes(), type=Generation)
     assert made.speaks["handover"].reads(1) and made.config == {"stop_ms": 2400}
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -6,10 +6,10 @@
 
 import pytest
 
+from lapispick.fakes.fleet import Fleet
+from lapispick.fakes.host_pauses import watched
+from lapispick.fakes.peers import INFO, Store, asked, until
 from lapispick.host.config import ConfigError, parse
-from lapispick.standins.fleet import Fleet
-from lapispick.standins.pauses import watched
-from lapispick.standins.peers import INFO, Store, asked, until
 
 
 def settings(**family):
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -7,9 +7,9 @@
 
 import pytest
 
+from lapispick.fakes.peers import INFO, SPOILT, until
 from lapispick.host import store
 from lapispick.host.store import SETTLE_S
-from lapispick.standins.peers import INFO, SPOILT, until
 
 REFUSED = -32050
 
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -10,15 +10,15 @@
 import pytest
 from click.testing import CliRunner
 
-from lapispick import interface as api
+from lapispick import admission
 from lapispick.cli.main import cli
-from lapispick.trace import comparing, files, lines, meetings, merging
+from lapispick.trace import attempt_matching, comparing, files, lines, merging
 from lapispick.trace.anonymising import Anonymiser, Clash
-from lapispick.trace.clocks import Clock, Unknown
-from lapispick.trace.kinds import Answered, Arrival, Happened, Step, Straddles
+from lapispick.trace.clock_skew import Clock, Unknown
+from lapispick.trace.record_types import Answered, Arrival, Happened, Step, Straddles
 from lapispick.trace.selecting import DROP, WHOLE, Selector, Wanted
 from tests.conftest import make_settings
-from tests.test_folding import answered, asked
+from tests.test_aggregation import answered, asked
 
 NAMES = ["track", "book", "job", "quote"]
 KEY = bytes(range(20))
@@ -40,7 +40,7 @@
 
 
 def run(number, at, box=0):
-    return Step(at, (), (api.Run(number),), (), box)
+    return Step(at, (), (admission.Run(number),), (), box)
 
 
 def cut(steps, **wanted):
@@ -56,7 +56,7 @@
     answered(150, 1),
     run(2, 200),
     asked(300, 3),
-    Step(310, (), (api.Advertise(0.5),)),
+    Step(310, (), (admission.Advertise(0.5),)),
     answered(320, 3, "refused"),
     answered(400, 2),
     asked(500, 4),
@@ -101,7 +101,7 @@
 def test_requests_are_chosen_by_class_account_and_outcome(wanted, kept):
     made = cut(STEPS, **wanted)
     assert {number for one in ids(made) for number in one[1:]} == kept
-    assert not any(type(a) is api.Advertise for s in made for a in s.actions)  # belongs to no request
+    assert not any(type(a) is admission.Advertise for s in made for a in s.actions)  # belongs to no request
 
 
 def test_what_a_cut_holds_does_not_grow_with_the_trace():
@@ -152,14 +152,14 @@
     subjects = [rng.randbytes(8) for _ in range(3000)]
     many = [
         list(
-            meetings.tries(
+            attempt_matching.tries(
                 header(box).sources,
                 (step for n, s in enumerate(subjects) for step in (asked(n, n + 1, 1, subject=s), answered(n, n + 1))),
             )
         )
         for box in "ab"
     ]
-    held = meetings.kept(many, 1000)
+    held = attempt_matching.kept(many, 1000)
     assert 300 < len(held) <= 1000
     assert {t.subject for t in held if t.box == "b"} <= {t.subject for t in held if t.box == "a"}
 
@@ -191,7 +191,7 @@
 
 
 def test_where_two_traces_part_and_what_was_decided():
-    other = [s._replace(actions=(api.Refuse(2, 5.0, True, "price"),)) if s.now == 200 else s for s in STEPS]
+    other = [s._replace(actions=(admission.Refuse(2, 5.0, True, "price"),)) if s.now == 200 else s for s in STEPS]
     sides = [comparing.Decisions(lambda box, cls: NAMES[cls]) for _ in range(2)]
 
     def seen(a, b):
@@ -211,7 +211,7 @@
     monkeypatch.setattr(comparing, "KNOWN_MOST", 100)
     side = comparing.Decisions(lambda box, cls: NAMES[cls])
     for n in range(1, 1000):
-        side.add(asked(n, n), (api.Run(n),))
+        side.add(asked(n, n), (admission.Run(n),))
     assert len(side._cls) <= 101 and side.made["track"].run == 999
 
 
@@ -350,7 +350,7 @@
 def test_a_name_that_stands_where_nobody_looked_stops_it(tmp_path):
     path, out, key = tmp_path / "x.lptrace", tmp_path / "o.lptrace", tmp_path / "key"
     key.write_bytes(KEY)
-    files.write(path, header(), [asked(0, 1), Step(1.0, (), (api.Log("a line that names shop"),))])
+    files.write(path, header(), [asked(0, 1), Step(1.0, (), (admission.Log("a line that names shop"),))])
     assert "shop: still stands" in tool("anonymise", path, out, "--key", key, code=2) and not out.exists()
 
 
@@ -382,7 +382,7 @@
 
 
 def test_an_empty_file_and_one_with_one_record_are_traces(tmp_path):
-    for steps in ([], [Step(1.0, (), (api.Run(1),))]):
+    for steps in ([], [Step(1.0, (), (admission.Run(1),))]):
         path = tmp_path / "x.lptrace"
         files.write(path, header(), steps)
         assert json.loads(tool("summarise", path, "--json"))["whole"]["requests"] == 0
@@ -394,7 +394,7 @@
 @pytest.mark.parametrize(
     "broken,words",
     [
-        ("lapispick.standins.pool.Pool.ask", ["demo", "--seconds", "0.5"]),
+        ("lapispick.fakes.pool.Pool.ask", ["demo", "--seconds", "0.5"]),
         ("lapispick.cli.ops.call", ["ops", "check", "--at", "127.0.0.1:1"]),
     ],
 )
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -17,22 +17,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lapispick import interface as api
-from lapispick.standins.peers import until
-from lapispick.trace import files, folding, layout, lines, records
+from lapispick import admission
+from lapispick.fakes.peers import until
+from lapispick.trace import aggregation, files, layout, lines, records
 from lapispick.trace.helper import messages
-from lapispick.trace.kinds import ACTIONS, EVENTS, KINDS, NOTES, Answered, Arrival, Gap, Happened, Step
+from lapispick.trace.record_types import ACTIONS, EVENTS, KINDS, NOTES, Answered, Arrival, Gap, Happened, Step
 from lapispick.trace.retention import Kept, expired, rotate
 
 HEADER = files.blank(box="n3", incarnation="a-1", seed=5, classes=["track"], accounts=["shop"])
 
 
 def step(n):
-    request = api.Request(n, 5.5, 0.5, 0.0, 0, 0.0, 24.0, 1, 3)
+    request = admission.Request(n, 5.5, 0.5, 0.0, 0, 0.0, 24.0, 1, 3)
     return Step(
         float(n),
-        (request, api.TimerFired(0, (1.0, 2.0)), api.RunEnded(n, api.Outcome.OK, 3.0)),
-        (api.Run(n), api.Log("two words"), api.SetHealth(False, True)),
+        (request, admission.TimerFired(0, (1.0, 2.0)), admission.RunEnded(n, admission.Outcome.OK, 3.0)),
+        (admission.Run(n), admission.Log("two words"), admission.SetHealth(False, True)),
         (Arrival(n, "shop", b"12345678", 1e12), Answered(n, "served", 7.0)),
     )
 
@@ -74,13 +74,13 @@
         "bool": True,
         "str": "é",
         "bytes": b"\0\xff",
-        "Outcome": api.Outcome.ERROR,
+        "Outcome": admission.Outcome.ERROR,
         "tuple[float, ...]": (1.0, 0.0),
     }
     items = {kind: kind(*(samples[a] for a in records.fields_of(kind).values())) for kind in KINDS.values()}
     whole = Step(1.5, *(tuple(items[k] for k in part) for part in (EVENTS, ACTIONS, NOTES)))
     assert records.unpack(b"".join(records.pack([whole]))) == [whole]
-    assert list(KINDS) == list(range(1, 27)) and KINDS[8] is api.Run and KINDS[22] is Arrival  # as documented
+    assert list(KINDS) == list(range(1, 27)) and KINDS[8] is admission.Run and KINDS[22] is Arrival  # as documented
 
 
 def test_a_file_cut_at_every_byte_of_its_last_two_blocks_gives_every_whole_block(tmp_path):
@@ -149,7 +149,7 @@
         == "b07abaca2938159900b21ea08595b5fe553a70cbbb57bb4b4e1d8b6cd0ac92f2"
     )
     with files.Reader(path) as reader:
-        made = folding.summarise(reader.sources, (reader.columns(place) for place in reader.places))
+        made = aggregation.summarise(reader.sources, (reader.columns(place) for place in reader.places))
     assert (made.whole.requests, made.whole.tries, made.whole.served, made.whole.refused) == (266, 289, 292.0, 102)
     assert made.grounds == {"price": 124}
 
@@ -174,7 +174,13 @@
 @pytest.mark.parametrize("spoilt", ["steps", "shape", "word", "list", "outcome"])
 def test_a_block_that_lies_is_no_block_and_takes_no_room(spoilt):
     # Zeros have no bytes, so nothing but the bounds stands between a length and the room made for it.
-    lied = Step(0.0) if spoilt == "steps" else Step(0.0, (api.TimerFired(0, (0.0,)),)) if spoilt == "list" else step(1)
+    lied = (
+        Step(0.0)
+        if spoilt == "steps"
+        else Step(0.0, (admission.TimerFired(0, (0.0,)),))
+        if spoilt == "list"
+        else step(1)
+    )
     lying = records.BlockMessage.FromString(b"".join(records.pack([lied])))
     by_place = {(c.record, c.field): c for c in lying.columns}
     if spoilt == "steps":
@@ -302,7 +308,7 @@
         ("drain-off", ""),
         ("reloaded", "stop_ms"),
     ]
-    refused = {a.id: a.ground for s in found for a in s.actions if type(a) is api.Refuse}
+    refused = {a.id: a.ground for s in found for a in s.actions if type(a) is admission.Refuse}
     assert all(refused.values()) and bool(refused) == ("refused" in {n.kind for n in notes if type(n) is Answered})
     answers = [n for n in notes if type(n) is Answered]
     assert len({n.id for n in answers}) == len(answers) == r.asked and "served" in {n.kind for n in answers}
@@ -337,7 +343,7 @@
 def runs(path):
     """Return how many runs stand in the whole blocks of a file."""
     try:
-        return sum(type(a) is api.Run for s in read(path)[0] for a in s.actions)
+        return sum(type(a) is admission.Run for s in read(path)[0] for a in s.actions)
     except layout.TraceFault:  # it was made this moment
         return 0
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -14,10 +14,10 @@
 
 import pytest
 
+from lapispick.fakes.peers import INFO, Executor, Gateway, b64, until
 from lapispick.handover import budget
 from lapispick.handover import messages as say
 from lapispick.handover.table import digest
-from lapispick.standins.peers import INFO, Executor, Gateway, b64, until
 
 REFUSED = -32050
 LONG = json.loads(json.dumps(INFO))
@@ -683,7 +683,7 @@
 
 def test_what_an_upgrade_takes_over_stands_in_the_trace_and_replays(host, fixed, tmp_path):
     from lapispick.trace import files
-    from lapispick.trace.kinds import Happened
+    from lapispick.trace.record_types import Happened
     from lapispick.trace.replaying import replay
 
     old = host(listen=fixed(), info=LONG)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -9,9 +9,9 @@
 import msgspec
 import pytest
 
-from lapispick import benchlink, wire
-from lapispick import interface as api
-from lapispick.settings import Info, settings_from
+from lapispick import admission
+from lapispick.platform_settings import Info, settings_from
+from lapispick.simulator import adapter, codec
 
 BATCH = bytes.fromhex(
     "00000083"
@@ -85,15 +85,15 @@
 
 def born(info=INFO, inst=3):
     raw = info if isinstance(info, bytes) else json.dumps(info).encode()
-    return struct.pack(">BIQI", wire.BORN, inst, 9, len(raw)) + raw
+    return struct.pack(">BIQI", codec.BORN, inst, 9, len(raw)) + raw
 
 
 def knock(inst=3, rid=5):
-    return struct.pack(">BIQdQfdQBIfdHI", wire.KNOCK, inst, rid, 5000.0, 0, 0.5, 1.0, 0, 1, 0, 20.0, 100.0, 0, 1)
+    return struct.pack(">BIQdQfdQBIfdHI", codec.KNOCK, inst, rid, 5000.0, 0, 0.5, 1.0, 0, 1, 0, 20.0, 100.0, 0, 1)
 
 
 def test_the_described_batch_decodes():
-    clock, number, records = wire.decode_batch(BATCH)
+    clock, number, records = codec.decode_batch(BATCH)
     assert (clock, number) == (8412.25, 12)
     assert records[0] == (
         5,
@@ -119,11 +119,11 @@
 
 def test_the_described_reply_encodes():
     parts = [
-        wire.ACTIONS[wire.DISPATCH].pack(wire.DISPATCH, 3, 0x8F0695D3A91C4),
-        wire.ACTIONS[wire.ARM].pack(wire.ARM, 3, 500.0, 0x4D),
-        wire.encode_text(wire.EMIT, 5, "two servers known"),
+        codec.ACTIONS[codec.DISPATCH].pack(codec.DISPATCH, 3, 0x8F0695D3A91C4),
+        codec.ACTIONS[codec.ARM].pack(codec.ARM, 3, 500.0, 0x4D),
+        codec.encode_text(codec.EMIT, 5, "two servers known"),
     ]
-    assert wire.encode_reply(12, parts).hex() == (
+    assert codec.encode_reply(12, parts).hex() == (
         "00000046"
         "00000003"
         "0000000c"
@@ -139,20 +139,20 @@
         "0011"
         "74776f2073657276657273206b6e6f776e"
     )
-    assert wire.encode_reply(1, []).hex() == "0000000c0000000000000001"
+    assert codec.encode_reply(1, []).hex() == "0000000c0000000000000001"
 
 
 def test_described_single_records():
-    assert wire.ACTIONS[wire.SAY_NO].pack(wire.SAY_NO, 3, 0xF167B0E6F2B19, 250.0, 1).hex() == (
+    assert codec.ACTIONS[codec.SAY_NO].pack(codec.SAY_NO, 3, 0xF167B0E6F2B19, 250.0, 1).hex() == (
         "0a00000003000f167b0e6f2b19406f40000000000001"
     )
-    assert wire.ACTIONS[wire.SAY].pack(wire.SAY, 3, 0.25).hex() == "04000000033e800000"
+    assert codec.ACTIONS[codec.SAY].pack(codec.SAY, 3, 0.25).hex() == "04000000033e800000"
     over = frame(bytes.fromhex("01000000030008f0695d3a91c4014032800000000000"))
-    assert wire.decode_batch(over)[2] == [(1, 3, 0x8F0695D3A91C4, 1, 18.5)]
+    assert codec.decode_batch(over)[2] == [(1, 3, 0x8F0695D3A91C4, 1, 18.5)]
 
 
 def run_adapter(data):
-    command = [sys.executable, "-m", "lapispick.benchlink"]
+    command = [sys.executable, "-m", "lapispick.simulator.adapter"]
     return subprocess.run(command, input=data, capture_output=True, timeout=30)
 
 
@@ -169,7 +169,7 @@
         (frame(born({k: v for k, v in INFO.items() if k != "Services"})), "Services"),
         (frame(born({**INFO, "Services": []})), "malformed"),
         (frame(knock(inst=8)), "instance 8, which was never born"),
-        (frame(born(), struct.pack(">BIQBd", wire.RUN_OVER, 3, 5, 77, 1.0)), "unknown outcome"),
+        (frame(born(), struct.pack(">BIQBd", codec.RUN_OVER, 3, 5, 77, 1.0)), "unknown outcome"),
     ],
 )
 def test_malformed_input_ends_with_a_plain_message(data, says):
@@ -180,31 +180,31 @@
 
 def test_end_of_input_is_a_clean_exit():
     done = run_adapter(frame(number=4))
-    assert done.returncode == 0 and done.stdout == wire.encode_reply(4, []) and done.stderr == b""
+    assert done.returncode == 0 and done.stdout == codec.encode_reply(4, []) and done.stderr == b""
 
 
 def test_unknown_keys_and_gauges_are_skipped_and_requests_answered():
     out = io.BytesIO()
-    timer = struct.pack(">BIQBff", wire.DEADLINE_HIT, 3, 0, 2, 0.5, 7.0)
-    benchlink.serve(io.BytesIO(frame(born()) + frame(knock(), number=2) + frame(timer, number=3)), out)
-    assert wire.ACTIONS[wire.DISPATCH].pack(wire.DISPATCH, 3, 5) in out.getvalue()
+    timer = struct.pack(">BIQBff", codec.DEADLINE_HIT, 3, 0, 2, 0.5, 7.0)
+    adapter.serve(io.BytesIO(frame(born()) + frame(knock(), number=2) + frame(timer, number=3)), out)
+    assert codec.ACTIONS[codec.DISPATCH].pack(codec.DISPATCH, 3, 5) in out.getvalue()
 
 
 def test_a_restart_under_the_same_number_begins_anew():
-    host = benchlink.Host()
+    host = adapter.Host()
     host.answer(frame(born(), knock(rid=5)))
-    kill = struct.pack(">BI", wire.KILL, 3)
+    kill = struct.pack(">BI", codec.KILL, 3)
     host.answer(frame(kill, born({**INFO, "FamilyInfo": {**INFO["FamilyInfo"], "Cold": True}}), number=2))
     control = host.controllers[3]
     assert control.s.cold and not control.entries
 
 
 def test_a_fault_of_the_module_is_reported_with_its_cause(monkeypatch, capsys):
-    host = benchlink.Host()
+    host = adapter.Host()
     host.answer(frame(born()))
-    monkeypatch.setattr(benchlink.Controller, "step", lambda *a: 1 / 0)
+    monkeypatch.setattr(adapter.Controller, "step", lambda *a: 1 / 0)
     reply = host.answer(frame(knock(), number=2))
-    assert b"ZeroDivisionError" in reply and reply[12] == wire.FATAL
+    assert b"ZeroDivisionError" in reply and reply[12] == codec.FATAL
 
 
 def test_callers_and_idle_time_are_read_and_may_be_absent():
@@ -214,7 +214,7 @@
 
 
 def test_health_and_idle_limit_go_out_as_the_module_says():
-    health, idle = benchlink.ENCODERS[api.SetHealth], benchlink.ENCODERS[api.LimitIdle]
-    assert health(3, api.SetHealth(True, False)) == bytes.fromhex("0d000000030100")
-    assert health(3, api.SetHealth(False, True)) == bytes.fromhex("0d000000030001")
-    assert idle(3, api.LimitIdle(500.0)) == bytes.fromhex("0900000003407f400000000000")
+    health, idle = adapter.ENCODERS[admission.SetHealth], adapter.ENCODERS[admission.LimitIdle]
+    assert health(3, admission.SetHealth(True, False)) == bytes.fromhex("0d000000030100")
+    assert health(3, admission.SetHealth(False, True)) == bytes.fromhex("0d000000030001")
+    assert idle(3, admission.LimitIdle(500.0)) == bytes.fromhex("0900000003407f400000000000")
