--- a/benchmarks/plainfold.py
+++ b/benchmarks/plainfold.py
@@ -16,7 +16,7 @@
 class _Request:
     def __init__(self, name: str, cls: admission.ClassSettings, born: float) -> None:
         self.name, self.cls, self.born = name, cls, born
-        self.until = born + max(cls.window_ms, cls.deadline_ms) + REPEATED_MS
+        self.until = born + max(cls.idempotency_window_ms, cls.deadline_ms) + REPEATED_MS
         self.account, self.kind, self.age, self.poorer, self.tries = "", "", 0.0, False, 1
 
 
@@ -38,9 +38,9 @@
 
         for event in step.events:
             kind = type(event)
-            if kind is admission.Request:
+            if kind is admission.RequestReceived:
                 subject = arrived[event.id].subject if event.id in arrived else b""
-                first = live(event.prior) if event.prior else None
+                first = live(event.retry_of) if event.retry_of else None
                 if first is None and subject and (first := subjects.get(subject)) and first.until <= now:
                     first = None
                 if first is None:
@@ -53,9 +53,9 @@
                 tries[box, event.id] = first
                 open_.add((box, event.id))
                 came[box, event.id] = now
-            elif kind is admission.Gone:
+            elif kind is admission.ClientCancelled:
                 open_.discard((box, event.id))
-            elif kind is admission.RunEnded and event.outcome <= admission.Outcome.OK and (found := live(event.id)):
+            elif kind is admission.RunCompleted and event.outcome <= admission.Outcome.OK and (found := live(event.id)):
                 runs.setdefault(found.name, []).append(event.took)
         for note in step.notes:
             if type(note) is Arrival and (found := live(note.id)):
@@ -67,12 +67,12 @@
                 if found.kind != "served" and note.kind in ("served", "refused", "failed"):
                     found.kind, found.age = note.kind, now - found.born
         for action in step.actions:
-            if type(action) is admission.Run and (found := live(action.id)) and (box, action.id) in came:
+            if type(action) is admission.StartRun and (found := live(action.id)) and (box, action.id) in came:
                 waits.setdefault(found.name, []).append(now - came.pop((box, action.id)))
-            elif type(action) is admission.GoWithout and (found := live(action.id)):
+            elif type(action) is admission.SkipCall and (found := live(action.id)):
                 found.poorer = True
-            elif type(action) is admission.Refuse:
-                grounds[action.ground or "not told"] = grounds.get(action.ground or "not told", 0) + 1
+            elif type(action) is admission.Reject:
+                grounds[action.reason or "not told"] = grounds.get(action.reason or "not told", 0) + 1
     made: dict[str, Any] = {
         "whole": Worth(),
         "classes": {},
@@ -97,12 +97,16 @@
 
 def _count(into: Worth, one: _Request) -> None:
     served = one.kind == "served"
-    in_aim = served and one.age <= one.cls.aim_ms
+    in_aim = served and one.age <= one.cls.latency_objective_ms
     into.requests += 1
     into.tries += one.tries
-    into.asked += one.cls.worth
+    into.asked += one.cls.priority_weight
     if served:
-        into.served += one.cls.worth * (1 if in_aim else one.cls.late_worth) * (one.cls.skip_worth if one.poorer else 1)
+        into.served += (
+            one.cls.priority_weight
+            * (1 if in_aim else one.cls.late_weight)
+            * (one.cls.degraded_weight if one.poorer else 1)
+        )
     into.in_aim += in_aim
     into.late += served and not in_aim
     into.poorer += served and one.poorer
--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -49,7 +49,7 @@
     cls: int
     subject: bytes
     born: int
-    prior: int
+    retry_of: int
     account: int
 
 
@@ -80,14 +80,14 @@
                 told = Try(cls, rng.randbytes(8) if cls else b"", int(now - rng.uniform(0, 3)), 0, rng.randrange(6))
                 heappush(due, (now + rng.expovariate(RATE) * 1000, count, "arrive", None))
             tries[last] = told
-            due_at = told.born + rng.choice((2900, 3000, 4000))
+            deadline_at = told.born + rng.choice((2900, 3000, 4000))
             events.append(
-                admission.Request(
+                admission.RequestReceived(
                     last,
-                    float(due_at),
+                    float(deadline_at),
                     rng.randrange(10_000) / 10_000,
                     now - told.born,
-                    told.prior,
+                    told.retry_of,
                     0.0,
                     rng.randrange(100, 560) / 10,
                     told.cls,
@@ -100,12 +100,12 @@
                 admission.TimerFired(told, (round(rng.uniform(0.2, 1), 3), float(rng.randrange(30)), 0.1, 3.0))
             )
         elif what == "called" and told in tries:
-            events.append(admission.CallEnded(told, admission.Outcome.OK, round(rng.uniform(3, 40), 3)))
+            events.append(admission.CallCompleted(told, admission.Outcome.OK, round(rng.uniform(3, 40), 3)))
             heappush(due, (now + rng.expovariate(1 / 30.0), count, "end", told))
         elif what == "call" and told in tries:
-            events.append(admission.NeedsCall(told))
+            events.append(admission.CallRequested(told))
         elif what == "end" and told in tries:
-            events.append(admission.RunEnded(told, admission.Outcome.OK, round(rng.uniform(20, 90), 3)))
+            events.append(admission.RunCompleted(told, admission.Outcome.OK, round(rng.uniform(20, 90), 3)))
             notes.append(Answered(told, "served", now - tries.pop(told).born))
         else:
             continue
@@ -113,20 +113,26 @@
         for action in actions:
             count += 1
             kind = type(action)
-            if kind is admission.Run:
+            if kind is admission.StartRun:
                 heappush(due, (now + rng.expovariate(1 / 30.0), count, "call", action.id))
-            elif kind in (admission.Call, admission.GoWithout):
+            elif kind in (admission.StartCall, admission.SkipCall):
                 heappush(
-                    due, (now + rng.uniform(3, 40), count, "called" if kind is admission.Call else "end", action.id)
+                    due,
+                    (now + rng.uniform(3, 40), count, "called" if kind is admission.StartCall else "end", action.id),
                 )
             elif kind is admission.SetTimer and now < start + minutes * 60_000 + 10_000:
                 heappush(due, (now + action.after, count, "timer", action.token))
-            elif kind in (admission.Refuse, admission.Fail) and (one := tries.pop(action.id, None)):
-                notes.append(Answered(action.id, "refused" if kind is admission.Refuse else "failed", now - one.born))
+            elif kind in (admission.Reject, admission.Fail) and (one := tries.pop(action.id, None)):
+                notes.append(Answered(action.id, "refused" if kind is admission.Reject else "failed", now - one.born))
                 if rng.random() < 0.2:
                     heappush(
                         due,
-                        (now + rng.expovariate(1 / 200), count, "again", one._replace(prior=action.id, born=int(now))),
+                        (
+                            now + rng.expovariate(1 / 200),
+                            count,
+                            "again",
+                            one._replace(retry_of=action.id, born=int(now)),
+                        ),
                     )
         yield Step(now, tuple(events), tuple(actions), tuple(notes))
 
--- a/lapispick/admission/actions.py
+++ b/lapispick/admission/actions.py
@@ -8,25 +8,25 @@
 from typing import NamedTuple
 
 
-class Run(NamedTuple):
+class StartRun(NamedTuple):
     """Start a held request."""
 
     id: int
 
 
-class Stop(NamedTuple):
+class CancelRun(NamedTuple):
     """Stop a running request."""
 
     id: int
 
 
-class Refuse(NamedTuple):
+class Reject(NamedTuple):
     """Final answer: turned away, never ran."""
 
     id: int
     retry_after: float
     no_retry: bool
-    ground: str = ""  # the bound that it met, for those who look; no caller is told
+    reason: str = ""  # the bound that it met, for those who look; no caller is told
 
 
 class Fail(NamedTuple):
@@ -35,33 +35,33 @@
     id: int
 
 
-class Call(NamedTuple):
+class StartCall(NamedTuple):
     """Make the call that a request waits for."""
 
     id: int
     timeout: float
 
 
-class GoWithout(NamedTuple):
+class SkipCall(NamedTuple):
     """Go on without the call."""
 
     id: int
 
 
-class Join(NamedTuple):
+class Coalesce(NamedTuple):
     """Answer a held request with the result of the one it repeats."""
 
     id: int
 
 
-class KeepKey(NamedTuple):
+class RetainKey(NamedTuple):
     """Put a request in the table of keys for a span."""
 
     id: int
     span: float
 
 
-class ForgetKey(NamedTuple):
+class ReleaseKey(NamedTuple):
     """Take a request's entry out of the table of keys."""
 
     id: int
@@ -74,7 +74,7 @@
     from_store: bool
 
 
-class LimitIdle(NamedTuple):
+class SetIdleTimeout(NamedTuple):
     """Close connections that carried nothing for this long; 0 = as late as can be."""
 
     span: float
@@ -100,17 +100,17 @@
 
 
 Action = (
-    Run
-    | Stop
-    | Refuse
+    StartRun
+    | CancelRun
+    | Reject
     | Fail
-    | Call
-    | GoWithout
-    | Join
-    | KeepKey
-    | ForgetKey
+    | StartCall
+    | SkipCall
+    | Coalesce
+    | RetainKey
+    | ReleaseKey
     | SetHealth
-    | LimitIdle
+    | SetIdleTimeout
     | Advertise
     | SetTimer
     | Log
--- a/lapispick/admission/controller.py
+++ b/lapispick/admission/controller.py
@@ -15,34 +15,34 @@
 
 from lapispick.admission import (
     Action,
-    Advert,
     Advertise,
-    Call,
-    CallEnded,
+    BackpressureSignal,
+    CallCompleted,
+    CallRequested,
+    CancelMode,
+    CancelRun,
     ClassSettings,
-    Effect,
+    ClientCancelled,
+    Coalesce,
     Event,
     Fail,
-    ForgetKey,
-    Gone,
-    GoWithout,
-    Halting,
-    Join,
-    KeepKey,
-    Learned,
-    Leave,
-    LimitIdle,
+    Idempotency,
+    LearnedEstimates,
     Log,
-    NeedsCall,
     Outcome,
-    Refuse,
-    Request,
-    Run,
-    RunEnded,
+    Reject,
+    ReleaseKey,
+    RequestReceived,
+    RetainKey,
+    RunCompleted,
     SetHealth,
+    SetIdleTimeout,
     SetTimer,
     Settings,
-    Stop,
+    ShutdownRequested,
+    SkipCall,
+    StartCall,
+    StartRun,
     TimerFired,
 )
 from lapispick.admission.request_state import CALLING, HELD, JOINED, OVER, PAUSED, RUNNING, WANTS_CALL, Entry
@@ -210,7 +210,7 @@
     def close_window(self, speed: float, core_use: float, on_cores: float) -> None:
         """Take one step: +1 while runs are quick and cores idle, less on errors, departures and crowding."""
         s, quick = self.settings, True
-        ceiling = s.cores * max(1.0, CROWD_PART * (1 + (s.fall_multiple - 1) * speed))
+        ceiling = s.cores * max(1.0, CROWD_PART * (1 + (s.overload_runs_per_core - 1) * speed))
         if self.count >= WINDOW_RUNS:
             mean = self.total / self.count
             self.lowest = min(self.lowest, mean)
@@ -232,7 +232,7 @@
     __slots__ = ("calls", "cores", "counts", "holds", "in_call", "ratio", "ratio_count")
 
     def __init__(self, classes: Sequence[ClassSettings]) -> None:
-        self.cores = [c.aim_ms * FIRST_RUN_PART for c in classes]
+        self.cores = [c.latency_objective_ms * FIRST_RUN_PART for c in classes]
         self.holds = list(self.cores)
         self.calls = [0.0] * len(classes)  # from needing a call to going on
         self.in_call = [0.0] * len(classes)  # the part of it with a call out
@@ -271,7 +271,7 @@
     __slots__ = ("hopeful", "limit", "lost", "mean", "others", "out", "recent", "settings", "since", "usual", "waiting")
 
     def __init__(self, settings: Settings, now: float) -> None:
-        self.settings, self.since, self.limit = settings, now, settings.calls_out * CALLS_PART
+        self.settings, self.since, self.limit = settings, now, settings.call_quota * CALLS_PART
         self.out, self.mean, self.recent, self.usual = 0, 0.0, 0.0, 0.0  # the last two: times of a call
         self.lost = self.others = 0.0  # others: calls of another process of this server
         self.waiting: list[tuple[float, int, Entry]] = []  # not before, id
@@ -279,25 +279,25 @@
 
     def advance(self, now: float) -> None:
         """Carry the mean of calls in hand forward."""
-        part = CALLS_MEAN_PART / min(1.0, self.settings.calls_out or 1.0)  # longer where one call is a lot
-        fade = exp(-(now - self.since) / max(1.0, self.settings.calls_window_ms * part))
+        part = CALLS_MEAN_PART / min(1.0, self.settings.call_quota or 1.0)  # longer where one call is a lot
+        fade = exp(-(now - self.since) / max(1.0, self.settings.call_quota_window_ms * part))
         self.mean += (self.out - self.mean) * (1 - fade)
         self.since = now
 
     def ended(self, took: float, outcome: Outcome, rng: random.Random) -> bool:
         """Learn from a call's time; True where just a single reply was lost, which is no sign of a crowd."""
-        if outcome is Outcome.CONNECT_FAILED and 0 < self.settings.calls_out < 1:
+        if outcome is Outcome.CONNECT_FAILED and 0 < self.settings.call_quota < 1:
             # The dependency is down for all servers. With a share under one call each, they must not all
             # call in the instant of its return: each counts its share as used, and draws when it is free.
             # The limit stays: what it would regain at the first replies, all would use at one time.
-            span = self.settings.calls_out * CALL_MOST / (CALLS_PART * CALLS_MEAN_PART)
+            span = self.settings.call_quota * CALL_MOST / (CALLS_PART * CALLS_MEAN_PART)
             self.mean = max(self.mean, self.limit * exp(rng.random() * span))
             return False
         lost = outcome in (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET)
         self.lost += (lost - self.lost) * LOST_RECENT
-        if lost and self.lost < LOST_ROOM and self.settings.calls_out >= 1:
+        if lost and self.lost < LOST_ROOM and self.settings.call_quota >= 1:
             return True
-        share = self.settings.calls_out
+        share = self.settings.call_quota
         self.recent += (took - self.recent) * (CALLS_RECENT if self.usual else 1.0)
         self.usual += (took - self.usual) * (CALLS_LEARN if self.usual else 1.0)
         if took >= self.longest():
@@ -323,12 +323,12 @@
 
     def longest(self) -> float:
         """How long a call may last: one that hangs would go far past a share under one call."""
-        return CALL_MOST * self.settings.calls_out * self.settings.calls_window_ms / max(1, self.out) or inf
+        return CALL_MOST * self.settings.call_quota * self.settings.call_quota_window_ms / max(1, self.out) or inf
 
     def room(self) -> bool:
         """Tell whether one more call stays within the limit; a fraction is kept in the mean."""
         limit = max(SHARED_LEAST * self.limit, self.limit - self.others)
-        return self.settings.calls_out <= 0 or (self.out < limit and self.mean <= self.limit)
+        return self.settings.call_quota <= 0 or (self.out < limit and self.mean <= self.limit)
 
 
 class KeyTable:
@@ -389,9 +389,11 @@
         else:
             self.level = max(0.0, self.level - LEVEL_RELAX)
             self.credit = min(CREDIT_MOST, self.credit * CREDIT_RELAX)
-        kind, level = self.settings.advert, 1.0 if leaving else self.level
-        value = {Advert.LEVEL: level, Advert.CREDIT: self.credit * (not leaving)}.get(kind, 1 - level)
-        if kind is Advert.NONE or abs(value - self.told) < TELL_STEP:
+        kind, level = self.settings.backpressure_signal, 1.0 if leaving else self.level
+        value = {BackpressureSignal.LEVEL: level, BackpressureSignal.CREDIT: self.credit * (not leaving)}.get(
+            kind, 1 - level
+        )
+        if kind is BackpressureSignal.NONE or abs(value - self.told) < TELL_STEP:
             return None
         self.told = value
         return value
@@ -432,8 +434,8 @@
     __slots__ = ("back", "idle", "last", "span", "told")
 
     def __init__(self, settings: Settings) -> None:
-        self.idle = self.told = settings.idle_ms
-        self.span, self.back = settings.idle_ms * VALVE_START, 0.0
+        self.idle = self.told = settings.idle_timeout_ms
+        self.span, self.back = settings.idle_timeout_ms * VALVE_START, 0.0
         self.last: dict[int, float] = {}  # callers seen within the keeping span, the oldest first
 
     def note(self, now: float, caller: int) -> None:
@@ -510,12 +512,12 @@
         self.others = (0.0, 0.0)  # runs and KB that another process of this server has in hand
         self.out: list[Action] = []
         self.handlers = {
-            Request: self._request,
-            Gone: self._gone,
-            RunEnded: self._ended,
-            NeedsCall: self._needs,
-            CallEnded: self._called,
-            Leave: self._leave,
+            RequestReceived: self._request,
+            ClientCancelled: self._gone,
+            RunCompleted: self._ended,
+            CallRequested: self._needs,
+            CallCompleted: self._called,
+            ShutdownRequested: self._leave,
             TimerFired: self._timer,
         }
 
@@ -533,10 +535,10 @@
         self._dispatch()
         return self.out
 
-    def learned(self) -> Learned:
+    def learned(self) -> LearnedEstimates:
         """Return what a process that takes this one's place should know; see ``adopt``."""
         e, c, p = self.est, self.calls, self.prices
-        return Learned(
+        return LearnedEstimates(
             tuple(e.cores),
             tuple(e.holds),
             tuple(e.calls),
@@ -549,7 +551,7 @@
             p.frozen,
         )
 
-    def adopt(self, known: Learned) -> None:
+    def adopt(self, known: LearnedEstimates) -> None:
         """Begin with what another process learned at these cores; what was seen here goes before it."""
         e, c, p = self.est, self.calls, self.prices
         if any(e.counts) or len(known.counts) != len(e.counts):
@@ -559,35 +561,39 @@
         (c.usual, c.recent), c.limit = known.call_times, known.call_limit
         (p.hold_price, p.cost_price), p.frozen = known.prices, known.frozen
 
-    def _request(self, e: Request) -> None:
+    def _request(self, e: RequestReceived) -> None:
         now, cls = self.now, self.s.classes[e.cls]
         r = Entry(e, now)
-        due = e.due_at if e.due_at > 0 else r.arrived + cls.deadline_ms
+        due = e.deadline_at if e.deadline_at > 0 else r.arrived + cls.deadline_ms
         spent = 0.0 if self.s.lower_tier else self.tries.spent(due - r.arrived, cls.deadline_ms)
-        r.worth = cls.worth * (r.cost if self.s.worth_by_work and r.cost > 0 else 1.0)
-        r.aim_at = r.arrived - spent + min(cls.deadline_ms, cls.aim_ms + cls.aim_stretch * self.est.core(r))
-        r.aim_at = due if self.s.lower_tier and e.due_at > 0 else r.aim_at  # a call's time is its aim
-        r.due_at = min(due - ANSWER_LEAD_MS, self.stop_at)
+        r.worth = cls.priority_weight * (r.cost if self.s.weight_by_work and r.cost > 0 else 1.0)
+        r.aim_at = (
+            r.arrived
+            - spent
+            + min(cls.deadline_ms, cls.latency_objective_ms + cls.objective_stretch * self.est.core(r))
+        )
+        r.aim_at = due if self.s.lower_tier and e.deadline_at > 0 else r.aim_at  # a call's time is its aim
+        r.deadline_at = min(due - ANSWER_LEAD_MS, self.stop_at)
         self.entries[r.id] = r
         self.memory += r.kb
-        self.advert.note(r, e.age / cls.aim_ms)
-        self.unread = e.age / cls.aim_ms
+        self.advert.note(r, e.age / cls.latency_objective_ms)
+        self.unread = e.age / cls.latency_objective_ms
         self.links.note(now, r.caller)
         self._alarm(r)
-        if e.prior and self._repeat(r, e.prior):
+        if e.retry_of and self._repeat(r, e.retry_of):
             return
         if r.arrived > self.leave_at + DRAIN_PART * self.s.drain_grace_ms:
             self._refuse(r, "drain", elsewhere=True)
-        elif now >= r.due_at:
+        elif now >= r.deadline_at:
             self._refuse(r, "late")
-        elif self._memory_with(self.s.key_kb) > 1:
+        elif self._memory_with(self.s.key_memory_kb) > 1:
             self._refuse(r, "memory", elsewhere=True)
         elif not self._price_test(r):
             self._refuse(r, "price")
         else:
-            if cls.effect is Effect.KEYED:  # before its key can come again, or both could run
-                self.keys.keep(r.id, now + cls.window_ms, self.keys.by_id.get(e.prior))
-                self.out.append(KeepKey(r.id, cls.window_ms))
+            if cls.idempotency is Idempotency.KEYED:  # before its key can come again, or both could run
+                self.keys.keep(r.id, now + cls.idempotency_window_ms, self.keys.by_id.get(e.retry_of))
+                self.out.append(RetainKey(r.id, cls.idempotency_window_ms))
             self._push(r)
 
     def _price_test(self, r: Entry) -> bool:
@@ -597,13 +603,13 @@
         if wait <= 0:
             self.prices.since = None  # the time until the next pressure is no part of the sample
             return True
-        value = r.worth * (self.s.classes[r.cls].late_worth if late else 1.0)
+        value = r.worth * (self.s.classes[r.cls].late_weight if late else 1.0)
         hold = self.est.core(r)
         if not self.prices.frozen and not late and self._speed() >= 1:  # cold prices go stale
             self.prices.observe(self.now, wait, (r.cls, value, hold, r.cost))
             line = self.prices.settle(self.limit.value)
             self.out += [Log(line)] if line else []
-        spare = (r.due_at if late else r.aim_at) - self.now - self._expected(r)
+        spare = (r.deadline_at if late else r.aim_at) - self.now - self._expected(r)
         pressure = wait / (LINE_PART * spare) if spare > 0 else inf
         price = self.prices.hold_price * hold + self.prices.cost_price * r.cost
         admit = pressure < 1 and value >= pressure * price  # a longer line would answer too late
@@ -613,7 +619,7 @@
     def _ahead(self, queue: int) -> float:
         """How long the work before a newcomer to this queue keeps the slots, or the calls if it needs one."""
         work = call_work = 0.0
-        n, needs = self.late_from, [c.skip_worth <= 0 for c in self.s.classes]
+        n, needs = self.late_from, [c.degraded_weight <= 0 for c in self.s.classes]
         for q in self.order:
             work += self.queued_ms[q]
             if needs[q % n]:  # the others go on without a call where there is no room
@@ -621,24 +627,24 @@
             if q == queue:
                 break
         wait = work / self.limit.value
-        if self.s.calls_out > 0 and needs[queue % n] and self.est.in_call[queue % n] > 0:
+        if self.s.call_quota > 0 and needs[queue % n] and self.est.in_call[queue % n] > 0:
             wait = max(wait, (call_work + len(self.calls.waiting) * self.calls.recent) / self.calls.limit)
         return wait
 
     def _speed(self) -> float:
         """Return the least share of its speed that this server is sure to have now."""
-        if not self.s.cold or self.s.warm_up_ms <= 0:
+        if not self.s.warming_up or self.s.warm_up_ms <= 0:
             return 1.0
         warm = (self.now - self.born) / self.s.warm_up_ms
-        return min(1.0, self.s.cold_from + (1 - self.s.cold_from) * warm)
+        return min(1.0, self.s.cold_speed_fraction + (1 - self.s.cold_speed_fraction) * warm)
 
     def _memory_with(self, more_kb: float) -> float:
         held = self.memory + self.others[1] + more_kb
-        return (held + self.s.key_kb * self.keys.count) / (MEMORY_PART * self.s.memory_kb)
+        return (held + self.s.key_memory_kb * self.keys.count) / (MEMORY_PART * self.s.memory_kb)
 
     def _expected(self, r: Entry) -> float:
         """How long it may take; an estimate near the aim would shut its class out for good."""
-        return min(self.est.core(r) + self.est.calls[r.cls], EXPECT_MOST * self.s.classes[r.cls].aim_ms)
+        return min(self.est.core(r) + self.est.calls[r.cls], EXPECT_MOST * self.s.classes[r.cls].latency_objective_ms)
 
     def _push(self, r: Entry) -> None:
         r.queue = r.cls + (self.late_from if self.now >= r.aim_at else 0)
@@ -655,14 +661,14 @@
     def _density(self, queue: int) -> float:
         cls = queue % self.late_from
         c = self.s.classes[cls]
-        worth = c.worth * (c.late_worth if queue >= self.late_from else 1.0)
-        return worth if self.s.worth_by_work else worth / max(1.0, self.est.cores[cls])
+        worth = c.priority_weight * (c.late_weight if queue >= self.late_from else 1.0)
+        return worth if self.s.weight_by_work else worth / max(1.0, self.est.cores[cls])
 
     def _dispatch(self) -> None:
         """Start held requests while slots and memory last: densest worth first, then the earliest aim."""
         slots = int(self.limit.value * (BEHIND_PART if self.unread > UNREAD_FREE else 1.0))
         slots = max(int(SHARED_LEAST * slots), slots - int(self.others[0]))
-        if self.s.halt is Halting.PAUSE:  # what is behind with reading starts less, and pauses nothing
+        if self.s.cancel_mode is CancelMode.PAUSE:  # what is behind with reading starts less, and pauses nothing
             self._thin(max(1, int(self.limit.value) - int(self.others[0])))
         for queue in self.order:
             heap = self.queues[queue]
@@ -678,13 +684,13 @@
                 if queue < self.late_from and self.now + run > r.aim_at:
                     heappop(heap)
                     self._unqueue(r)
-                    if self.s.classes[r.cls].late_worth > 0:
+                    if self.s.classes[r.cls].late_weight > 0:
                         r.aim_at = min(r.aim_at, self.now)
                         self._push(r)
                     else:
                         self._refuse(r, "late")
                     continue
-                extra = r.kb * (self.s.run_factor - 1)
+                extra = r.kb * (self.s.run_memory_factor - 1)
                 if self._memory_with(extra) > 1:
                     return
                 heappop(heap)
@@ -694,7 +700,7 @@
                 self.on_core += 1
                 if r.id in self.keys.by_id:
                     self.keys.by_id[r.id][1] = 1
-                self.out.append(Run(r.id))
+                self.out.append(StartRun(r.id))
 
     def _thin(self, slots: int) -> None:
         """Pause runs that crowd the cores behind their calls, latest aim first; they go on first."""
@@ -704,7 +710,7 @@
             self.thinned.remove(r)
             r.state = RUNNING
             self.on_core += 1
-            self.out.append(Run(r.id))
+            self.out.append(StartRun(r.id))
         over = self.on_core - stopping - int(THIN_PART * slots)
         if over > 0:  # a second start of an effect is never risked
             runs = [
@@ -713,36 +719,36 @@
                 if r.state == RUNNING
                 and not r.answered
                 and r not in self.thinned
-                and self.s.classes[r.cls].effect is Effect.SAFE
+                and self.s.classes[r.cls].idempotency is Idempotency.IDEMPOTENT
             ]
             for r in sorted(runs, key=lambda r: -r.aim_at)[:over]:
                 r.thinned = True
                 self.thinned.append(r)
-                self.out.append(Stop(r.id))
+                self.out.append(CancelRun(r.id))
 
-    def _repeat(self, r: Entry, prior: int) -> bool:
+    def _repeat(self, r: Entry, retry_of: int) -> bool:
         """Handle a repeat of a request read before; False if it is to be taken as a request of its own."""
-        p = self.entries.get(prior)
-        record = self.keys.by_id.get(prior)
-        if self.s.classes[r.cls].effect is not Effect.KEYED:
+        p = self.entries.get(retry_of)
+        record = self.keys.by_id.get(retry_of)
+        if self.s.classes[r.cls].idempotency is not Idempotency.KEYED:
             if p is None or p.state == JOINED or p.answered:
                 return False
         elif record is None:
-            if p is None and any(type(e) is Request and e.id == prior for e in self.batch):
+            if p is None and any(type(e) is RequestReceived and e.id == retry_of for e in self.batch):
                 return False  # both came in this batch and this one is handled first: it stands for the key
         elif not record[1]:
             p = self.entries.get(record[0])
-            if p is None or (p.state == HELD and p.due_at < r.due_at):
+            if p is None or (p.state == HELD and p.deadline_at < r.deadline_at):
                 if p is not None:  # never run, and the newer one has more time: it takes over
                     del self.keys.by_id[p.id]
                     self._refuse(p, "repeat")
-                    self.keys.by_id[prior] = record
+                    self.keys.by_id[retry_of] = record
                 return False
         r.state = JOINED
-        self.out.append(Join(r.id))
+        self.out.append(Coalesce(r.id))
         return True
 
-    def _gone(self, e: Gone) -> None:
+    def _gone(self, e: ClientCancelled) -> None:
         r = self.entries.get(e.id)
         if r is None or r.answered:
             return
@@ -755,12 +761,12 @@
 
     def _abandon(self, r: Entry) -> None:
         """Stop a run that nobody waits for; a keyed one goes on, since a repeat can still join its result."""
-        if self.s.halt is not Halting.NONE and self.s.classes[r.cls].effect is not Effect.KEYED:
-            self.out.append(Stop(r.id))
+        if self.s.cancel_mode is not CancelMode.NONE and self.s.classes[r.cls].idempotency is not Idempotency.KEYED:
+            self.out.append(CancelRun(r.id))
 
-    def _ended(self, e: RunEnded) -> None:
+    def _ended(self, e: RunCompleted) -> None:
         r = self.entries.get(e.id)
-        if r is None or e.outcome is Outcome.MOOT or (e.outcome is Outcome.CANCELLED and not r.answered):
+        if r is None or e.outcome is Outcome.ABANDONED or (e.outcome is Outcome.CANCELLED and not r.answered):
             # Over already; or not stopped from here: the due-time answer still stands; or it is paused now.
             if r is not None and r in self.thinned and r.state == RUNNING:
                 r.state, self.on_core = PAUSED, self.on_core - 1
@@ -789,7 +795,7 @@
         self._binds(axis)
         away = min(self.est.holds[r.cls], self.s.max_retry_after_ms)
         away = round(away * self.rng.uniform(0.8, 1), 1)  # not all back at once
-        self.out.append(Refuse(r.id, away, not elsewhere, axis))
+        self.out.append(Reject(r.id, away, not elsewhere, axis))
         self._answered(r, shed=axis not in ("drain", "repeat"))
         self._over(r)
 
@@ -808,8 +814,8 @@
         self._unqueue(r)
         if r.state == HELD and self.keys.by_id.pop(r.id, None) is not None:
             self.keys.count -= 1
-            self.out.append(ForgetKey(r.id))
-        self.memory -= r.kb * (1.0 if r.state in (HELD, JOINED) else self.s.run_factor)
+            self.out.append(ReleaseKey(r.id))
+        self.memory -= r.kb * (1.0 if r.state in (HELD, JOINED) else self.s.run_memory_factor)
         if r in self.thinned:
             self.thinned.remove(r)
         r.state = OVER
@@ -817,8 +823,8 @@
 
     def _alarm(self, r: Entry) -> None:
         self.seq += 1
-        held_until = r.due_at - HELD_PART * (r.due_at - r.arrived)
-        heappush(self.alarms, (held_until if r.state == HELD else r.due_at, self.seq, r))
+        held_until = r.deadline_at - HELD_PART * (r.deadline_at - r.arrived)
+        heappush(self.alarms, (held_until if r.state == HELD else r.deadline_at, self.seq, r))
 
     def _alarms(self) -> None:
         """Every request read has one due-time answer; running work is no excuse."""
@@ -827,9 +833,9 @@
             if not r.answered and r.state == HELD:
                 self._refuse(r, "limit")
             elif not r.answered:
-                (self._fail if self.now >= r.due_at else self._alarm)(r)
+                (self._fail if self.now >= r.deadline_at else self._alarm)(r)
 
-    def _needs(self, e: NeedsCall) -> None:
+    def _needs(self, e: CallRequested) -> None:
         r = self.entries.get(e.id)
         if r is not None and r.state == RUNNING:
             self.on_core -= 1
@@ -842,27 +848,27 @@
         """Make the call, go on without it, or wait for room."""
         if r.state != WANTS_CALL or r.answered:
             return
-        skips = self.s.classes[r.cls].skip_worth > 0
-        spare = (r.aim_at if self.now < r.aim_at else r.due_at) - self.now - REST_PART * self.est.core(r)
+        skips = self.s.classes[r.cls].degraded_weight > 0
+        spare = (r.aim_at if self.now < r.aim_at else r.deadline_at) - self.now - REST_PART * self.est.core(r)
         late = spare < CALL_LEAST * self.est.calls[r.cls]
         if skips and not late and not self.calls.room() and self.calls.worth_waiting(r.needed, self.now):
             self.calls.hopeful.append(r)
         elif skips and (late or not self.calls.room()):
-            self._resume(r, GoWithout(r.id))
+            self._resume(r, SkipCall(r.id))
         elif not self.calls.room():
             self._binds("calls")
             heappush(self.calls.waiting, (self.now, r.id, r))
-        elif (span := min(spare, self.calls.patience()) if skips else r.due_at - self.now) > 0:
+        elif (span := min(spare, self.calls.patience()) if skips else r.deadline_at - self.now) > 0:
             r.state, r.since, r.tries = CALLING, self.now, r.tries + 1
             self.calls.out += 1
-            self.out.append(Call(r.id, round(min(span, self.calls.longest()), 1) or 0.1))  # 0: no end
+            self.out.append(StartCall(r.id, round(min(span, self.calls.longest()), 1) or 0.1))  # 0: no end
 
     def _resume(self, r: Entry, *actions: Action) -> None:
         self.out += actions
         r.call_ms, r.state = r.call_ms + self.now - r.needed, RUNNING
         self.on_core += 1
 
-    def _called(self, e: CallEnded) -> None:
+    def _called(self, e: CallCompleted) -> None:
         r = self.entries.get(e.id)
         if r is None or r.state != CALLING:
             return
@@ -875,12 +881,12 @@
         if r.answered:
             return
         c = self.s.classes[r.cls]
-        never_ran = e.outcome in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
-        again = (never_ran or c.effect is Effect.SAFE) and r.tries < CALL_TRIES
+        never_ran = e.outcome in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.ABANDONED)
+        again = (never_ran or c.idempotency is Idempotency.IDEMPOTENT) and r.tries < CALL_TRIES
         if single and again and r.tries == 1:
             self._try_call(r)
-        elif c.skip_worth > 0 and not (again and e.outcome is Outcome.CONNECT_FAILED):
-            self._resume(r, GoWithout(r.id))
+        elif c.degraded_weight > 0 and not (again and e.outcome is Outcome.CONNECT_FAILED):
+            self._resume(r, SkipCall(r.id))
         elif again:
             heappush(self.calls.waiting, (self.now + CALL_PAUSE_MS, r.id, r))
         else:
@@ -901,14 +907,14 @@
             heappop(waiting)
             self._try_call(r)
 
-    def _leave(self, e: Leave) -> None:
+    def _leave(self, e: ShutdownRequested) -> None:
         self.stop_at = e.stop_at - STOP_LEAD_MS
         if not e.handed:
             self.leave_at = self.now
             self.out += [SetHealth(False, True), Log("drain: leaving, new requests are sent elsewhere")]
         for r in self.entries.values():
-            if r.due_at > self.stop_at:
-                r.due_at = self.stop_at
+            if r.deadline_at > self.stop_at:
+                r.deadline_at = self.stop_at
                 self._alarm(r)
         self.next_window = self.now
 
@@ -928,4 +934,4 @@
         if value is not None:
             self.out.append(Advertise(value))
         if (idle := self.links.close_window(self.advert.share)) is not None:
-            self.out.append(LimitIdle(idle))
+            self.out.append(SetIdleTimeout(idle))
--- a/lapispick/admission/events.py
+++ b/lapispick/admission/events.py
@@ -19,10 +19,10 @@
     CONNECT_FAILED = 4
     RESET = 5
     CANCELLED = 6
-    MOOT = 7
+    ABANDONED = 7
 
 
-class Learned(NamedTuple):
+class LearnedEstimates(NamedTuple):
     """What a server has learned of its runs, for a process that takes its place while it is young."""
 
     cores: tuple[float, ...]  # ms by class, as are the next three
@@ -37,30 +37,30 @@
     frozen: bool  # the prices were learned
 
 
-OTHERS = ("other_runs", "other_kb", "other_calls")  # gauges: what another process of this server has in hand
+PEER_GAUGES = ("other_runs", "other_kb", "other_calls")  # gauges: what another process of this server has in hand
 
 
-class Request(NamedTuple):
+class RequestReceived(NamedTuple):
     """A request was read and is now held; it is owed one final answer."""
 
     id: int
-    due_at: float  # when the caller stops waiting; 0 = not told
-    rank: float  # place in [0, 1) by class worth, lowest first
-    age: float  # since it reached the machine
-    prior: int  # the request that this one repeats; 0 = none
+    deadline_at: float  # when the caller stops waiting; 0 = not told
+    rank: float  # place in [0, 1) by priority weight, lowest first
+    age: float  # ms since it reached the machine
+    retry_of: int  # the request that this one repeats; 0 = none
     cost: float  # expected work; 0 = no hint
-    held_kb: float
+    request_memory_kb: float  # while it is queued
     cls: int
     caller: int
 
 
-class Gone(NamedTuple):
+class ClientCancelled(NamedTuple):
     """Nobody waits for this request any more."""
 
     id: int
 
 
-class RunEnded(NamedTuple):
+class RunCompleted(NamedTuple):
     """A run or a join is over."""
 
     id: int
@@ -68,13 +68,13 @@
     took: float
 
 
-class NeedsCall(NamedTuple):
+class CallRequested(NamedTuple):
     """A running request cannot go on without a downstream call."""
 
     id: int
 
 
-class CallEnded(NamedTuple):
+class CallCompleted(NamedTuple):
     """A downstream call is over."""
 
     id: int
@@ -82,7 +82,7 @@
     took: float
 
 
-class Leave(NamedTuple):
+class ShutdownRequested(NamedTuple):
     """The server is to leave and is stopped at the given time."""
 
     stop_at: float
@@ -96,4 +96,6 @@
     gauges: tuple[float, ...]
 
 
-Event = Request | Gone | RunEnded | NeedsCall | CallEnded | Leave | TimerFired
+Event = (
+    RequestReceived | ClientCancelled | RunCompleted | CallRequested | CallCompleted | ShutdownRequested | TimerFired
+)
--- a/lapispick/admission/request_state.py
+++ b/lapispick/admission/request_state.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lapispick.admission import Request
+from lapispick.admission import RequestReceived
 
 HELD, RUNNING, CALLING, WANTS_CALL, PAUSED, JOINED, OVER = range(7)
 
@@ -18,7 +18,7 @@
         "caller",
         "cls",
         "cost",
-        "due_at",
+        "deadline_at",
         "id",
         "in_call_ms",
         "kb",
@@ -33,10 +33,10 @@
         "worth",
     )
 
-    def __init__(self, e: Request, now: float) -> None:
+    def __init__(self, e: RequestReceived, now: float) -> None:
         self.id, self.cls, self.caller = e.id, e.cls, e.caller
-        self.kb, self.cost, self.rank, self.arrived = e.held_kb, e.cost, e.rank, now - e.age
-        self.due_at = self.aim_at = self.worth = 0.0
+        self.kb, self.cost, self.rank, self.arrived = e.request_memory_kb, e.cost, e.rank, now - e.age
+        self.deadline_at = self.aim_at = self.worth = 0.0
         self.since = self.needed = self.call_ms = self.in_call_ms = 0.0  # since: its last call was made
         self.queue, self.queued_ms = -1, 0.0  # what it adds to its queue's work, so that the sum stays exact
         self.state, self.tries, self.answered = HELD, 0, False
--- a/lapispick/admission/settings.py
+++ b/lapispick/admission/settings.py
@@ -8,78 +8,79 @@
 from enum import Enum
 
 import msgspec
+from msgspec import field
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """What a second run of a request would do."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    IDEMPOTENT = "safe"  # nothing: it may run again
+    KEYED = "keyed"  # harm, and repeats carry the same idempotency key
+    AT_MOST_ONCE = "unsafe"  # harm, and repeats can't be recognised
 
 
-class Halting(Enum):
-    """What stopping a run does: not possible, work lost, or work paused."""
+class CancelMode(Enum):
+    """What cancelling a run does."""
 
-    NONE = "none"
-    DROP = "drop"
-    PAUSE = "pause"
+    NONE = "none"  # it is not possible
+    DROP = "drop"  # the work done is lost
+    PAUSE = "pause"  # the work done is kept and can be taken up again
 
 
-class Advert(Enum):
-    """What callers do with the advertised value."""
+class BackpressureSignal(Enum):
+    """What callers do with the value that is advertised with every answer."""
 
     NONE = "none"
-    LEVEL = "level"
-    CREDIT = "credit"
-    WEIGHT = "weight"
+    LEVEL = "level"  # they send nothing of a lower rank
+    CREDIT = "credit"  # they keep at most so many requests in flight
+    WEIGHT = "weight"  # they balance by it
 
 
 class ClassSettings(msgspec.Struct, frozen=True):
-    """What is known of one class of requests."""
+    """What is known of one class of requests. The encoded names are those of stored traces."""
 
-    aim_ms: float  # an answer within this span of the first try earns the full worth
-    aim_stretch: float  # the aim grows by this times the work of the request
+    latency_objective_ms: float = field(name="aim_ms")  # from the first attempt; an answer in time has full weight
+    objective_stretch: float = field(name="aim_stretch")  # the objective grows by this times the work of the request
     deadline_ms: float  # how long a client waits in total
-    effect: Effect
-    window_ms: float  # keyed: a request can come again within this span
-    worth: float
-    late_worth: float  # part of the worth for an answer after the aim
-    skip_worth: float  # part of the worth for an answer that left a call out; 0 = calls cannot be left out
+    idempotency: Idempotency = field(name="effect")
+    idempotency_window_ms: float = field(name="window_ms")  # keyed: repeats can come within this span
+    priority_weight: float = field(name="worth")  # the value of an answer in time
+    late_weight: float = field(name="late_worth")  # fraction of it for an answer after the objective
+    degraded_weight: float = field(name="skip_worth")  # fraction of it without the call; 0 = calls can't be skipped
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """What a server is told at its start."""
+    """What a worker host is told at its start. The encoded names are those of stored traces."""
 
     classes: tuple[ClassSettings, ...]
-    worth_by_work: bool  # worth counts for each unit of work, not for each request
+    weight_by_work: bool = field(name="worth_by_work")  # weights count for each unit of work, not for each request
     callers: int  # callers of this tier at the start; 0 = not told
     lower_tier: bool  # requests come from a tier of our own that already worked on them
     cores: int
     memory_kb: float
-    run_factor: float  # memory of a running request over that of a held one
-    key_kb: float  # memory of one kept key
-    cold: bool  # started just now, not yet at full speed
-    cold_from: float  # least share of the speed at a cold start
-    warm_up_ms: float  # warm after this at the latest
-    fall_multiple: float  # requests on the cores for each core that a warm server survives
+    run_memory_factor: float = field(name="run_factor")  # memory of a running request over that of a queued one
+    key_memory_kb: float = field(name="key_kb")  # memory of one retained idempotency key
+    warming_up: bool = field(name="cold")  # started just now, not yet at full speed
+    cold_speed_fraction: float = field(name="cold_from")  # least fraction of the full speed right after a start
+    warm_up_ms: float  # at full speed after this at the latest
+    overload_runs_per_core: float = field(name="fall_multiple")  # running requests for each core that a host survives
     drain_grace_ms: float
-    halt: Halting
-    advert: Advert
-    calls_out: float  # mean calls in hand that are this server's share; 0 = not limited
-    calls_window_ms: float  # the span of that mean
-    max_retry_after_ms: float  # 0 = retry-after is not passed on
-    idle_ms: float  # callers close a connection that carried nothing for this long; 0 = not told
-    gauges: tuple[str, ...]  # names of the values a timer brings
+    cancel_mode: CancelMode = field(name="halt")
+    backpressure_signal: BackpressureSignal = field(name="advert")
+    call_quota: float = field(name="calls_out")  # mean calls in flight that are this host's quota; 0 = not limited
+    call_quota_window_ms: float = field(name="calls_window_ms")  # the span of that mean
+    max_retry_after_ms: float  # 0 = Retry-After is not passed on
+    idle_timeout_ms: float = field(name="idle_ms")  # callers close connections idle for this long; 0 = not told
+    gauges: tuple[str, ...]  # names of the values that a timer event brings
 
     def validate(self) -> None:
         """Raise ``ValueError`` for settings that contradict themselves."""
         if not self.classes or self.cores < 1 or self.memory_kb <= 0 or self.callers < 0:
             raise ValueError("there must be a class, cores and memory must be positive, callers not negative")
-        if not 0 < self.cold_from <= 1:
+        if not 0 < self.cold_speed_fraction <= 1:
             raise ValueError("cold_from is a share of the speed, over 0 and at most 1")
-        for i, c in enumerate(self.classes):
-            if not 0 < c.aim_ms <= c.deadline_ms:
+        for i, settings in enumerate(self.classes):
+            if not 0 < settings.latency_objective_ms <= settings.deadline_ms:
                 raise ValueError(f"class {i}: the aim must be positive and no later than the deadline")
-            if c.effect is Effect.KEYED and c.window_ms <= 0:
+            if settings.idempotency is Idempotency.KEYED and settings.idempotency_window_ms <= 0:
                 raise ValueError(f"class {i}: a keyed class needs a window")
--- a/lapispick/cli/trace_compare.py
+++ b/lapispick/cli/trace_compare.py
@@ -17,6 +17,7 @@
 from lapispick.trace.files import Reader, times
 from lapispick.trace.helper import module_digest
 from lapispick.trace.record_types import Step
+from lapispick.trace.text_names import described, described_all, record_name
 
 
 def _worth(opened: list[Reader]) -> dict[str, float]:
@@ -94,8 +95,8 @@
         else {
             "step": made.first.number,
             "now": made.first.now,
-            "recorded": [str(a) for a in made.first.recorded],
-            "replayed": [str(a) for a in made.first.replayed],
+            "recorded": [described(action) for action in made.first.recorded],
+            "replayed": [described(action) for action in made.first.replayed],
         },
     }
     if json_:
@@ -103,7 +104,8 @@
     else:
         say(f"{made.steps} steps, {made.differing} differ" + (f", ended at a gap of {made.gaps}" if made.gaps else ""))
         if made.first is not None:
-            say(f"first at step {made.first.number}: recorded {made.first.recorded}, now {made.first.replayed}")
+            recorded, replayed = described_all(made.first.recorded), described_all(made.first.replayed)
+            say(f"first at step {made.first.number}: recorded {recorded}, now {replayed}")
             _shown(recorded.made, present.made, ("recorded", "now"))
             say("Only the first difference is sound; worth is estimated by the runs of each class.")
         kinds = sorted(made.recorded.keys() | made.replayed.keys())
@@ -129,7 +131,7 @@
     def seen(a: Step, b: Step) -> None:
         for side, count, step in zip(sides, kinds, (a, b), strict=True):
             side.add(step, step.actions)
-            count.update(type(one).__name__ for part in (step.events, step.actions, step.notes) for one in part)
+            count.update(record_name(type(one)) for part in (step.events, step.actions, step.notes) for one in part)
 
     with bar("diff", (left, right)) as tell:
         split = comparing.first_split(steps(left, tell), steps(right, tell), seen)
--- a/lapispick/handover/messages.py
+++ b/lapispick/handover/messages.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from lapispick.admission import Learned
+from lapispick.admission import LearnedEstimates
 
 VERSION, LOWEST = 1, 1  # what is spoken at best, and the oldest that is still spoken; see lapispick/versions.py
 
@@ -64,7 +64,7 @@
 class Whole(Message, tag="whole"):
     """The snapshot is complete."""
 
-    learned: Learned | None = None
+    learned: LearnedEstimates | None = None
 
 
 class Claimed(Message, tag="claimed"):
@@ -137,7 +137,7 @@
 class Leaving(Message, tag="leaving"):
     """The sender was told to leave; what it has learned since goes with it."""
 
-    learned: Learned | None = None
+    learned: LearnedEstimates | None = None
 
 
 class Done(Message, tag="done"):
--- a/lapispick/handover/sharing.py
+++ b/lapispick/handover/sharing.py
@@ -50,8 +50,8 @@
 class Sharing:
     """Decides which process runs a key; the host carries the messages and the verdicts."""
 
-    def __init__(self, table: KeyTable, window_ms: float, role: Role = Role.ALONE) -> None:
-        self.table, self.role, self._window_ms = table, role, window_ms
+    def __init__(self, table: KeyTable, idempotency_window_ms: float, role: Role = Role.ALONE) -> None:
+        self.table, self.role, self._window_ms = table, role, idempotency_window_ms
         self._ended = 0.0  # Unix ms; when a process ended that may have run keys which are not known here
         self.send: Callable[[say.Message], None] = lambda message: None
         self.behind: Callable[[], bool] = lambda: False  # the other process's socket has not taken all that was sent
--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -103,7 +103,7 @@
         if own.figures.enabled:
             centre.wide = Wide(
                 [s.name for s in config.settings.services],
-                [(c.aim_ms, c.worth, c.late_worth) for c in settings.classes],
+                [(c.latency_objective_ms, c.priority_weight, c.late_weight) for c in settings.classes],
                 os.environ.get("LAPISPICK_GENERATION", ""),
                 _memory_kb,
             )
--- a/lapispick/host/amqp/consumer.py
+++ b/lapispick/host/amqp/consumer.py
@@ -74,7 +74,7 @@
         self.names = [s.name for s in info.services]
         self.customers = {p.name for p in info.parties}
         self.classes = settings.classes
-        by_worth = sorted(range(len(self.names)), key=lambda i: (settings.classes[i].worth, i))
+        by_worth = sorted(range(len(self.names)), key=lambda i: (settings.classes[i].priority_weight, i))
         self.ranks = {cls: (place + 0.5) / len(by_worth) for place, cls in enumerate(by_worth)}
 
     def request(
@@ -93,7 +93,7 @@
         customer = p.headers.get("customer") or queue.customer
         if self.customers and customer not in self.customers:
             raise Unusable(f"there is no customer {customer!r}")
-        keyed = self.classes[cls].effect is admission.Effect.KEYED
+        keyed = self.classes[cls].idempotency is admission.Idempotency.KEYED
         if keyed and not p.message_id:
             raise Unusable(f"{name} needs a message-id, or a second copy could run")
         born = min(now, self._born(p) or now)
@@ -103,15 +103,15 @@
             cls=cls,
             body=base64.b64encode(delivery.body).decode(),
             born=born,
-            due_at=self._due(p, born, cls),
-            held_kb=self._size(p, queue),
+            deadline_at=self._due(p, born, cls),
+            request_memory_kb=self._size(p, queue),
             rank=self.ranks[cls],
             caller=caller,
             key=("amqp", customer, name, p.message_id) if keyed else None,
             reply=reply,
             account=str(customer or ""),
             # Guards the rule on duplicates: what another life or another box was given may have run there.
-            known_only=delivery.redelivered and self.classes[cls].effect is not admission.Effect.SAFE,
+            known_only=delivery.redelivered and self.classes[cls].idempotency is not admission.Idempotency.IDEMPOTENT,
         )
 
     def _born(self, p: Properties) -> float:
@@ -129,7 +129,7 @@
         return born + float(p.expiration)
 
     def _size(self, p: Properties, queue: Queue) -> float:
-        size = p.headers.get("size", queue.held_kb)
+        size = p.headers.get("size", queue.request_memory_kb)
         if isinstance(size, bool) or not isinstance(size, int | float) or not 0 < size < KB_MOST:
             raise Unusable("its size must be above 0 and under 2,000")
         return float(size)
--- a/lapispick/host/amqp/listing.py
+++ b/lapispick/host/amqp/listing.py
@@ -50,7 +50,7 @@
     prefetch: int
     cls: str
     customer: str
-    held_kb: float
+    request_memory_kb: float
 
 
 class Broker(msgspec.Struct, frozen=True):
--- a/lapispick/host/config.py
+++ b/lapispick/host/config.py
@@ -14,7 +14,7 @@
 
 from lapispick import admission
 from lapispick.host.scheduler import address
-from lapispick.platform_settings import ADVERTS, EFFECTS, HALTS, Info, settings_from
+from lapispick.platform_settings import BACKPRESSURE_SIGNALS, CANCEL_MODES, IDEMPOTENCY, Info, settings_from
 
 Address = tuple[str, int]
 # descriptors that neither clients, calls nor operators may take: the standard streams, the signals' pair, listeners,
@@ -148,13 +148,13 @@
     fam, where = info.family_info, "settings.FamilyInfo"
     for i, service in enumerate(info.services):
         key = f"settings.Services[{i}]"
-        _check(f"{key}.Idempotency", service.idempotency in EFFECTS, f"must be one of {', '.join(EFFECTS)}")
+        _check(f"{key}.Idempotency", service.idempotency in IDEMPOTENCY, f"must be one of {', '.join(IDEMPOTENCY)}")
         _check(f"{key}.GiveUp", service.give_up > 0, "must be over 0")
     names = [s.name for s in info.services]
     _check("settings.Services", len(set(names)) == len(names) > 0, "must hold classes with different names")
     _check(f"{where}.ClassSkipWorth", len(fam.class_skip_worth) == len(names), "must have one value a class")
-    _check(f"{where}.Halt", fam.halt in HALTS, f"must be one of {', '.join(HALTS)}")
-    _check(f"{where}.Advert", fam.advert in ADVERTS, f"must be one of {', '.join(ADVERTS)}")
+    _check(f"{where}.Halt", fam.halt in CANCEL_MODES, f"must be one of {', '.join(CANCEL_MODES)}")
+    _check(f"{where}.Advert", fam.advert in BACKPRESSURE_SIGNALS, f"must be one of {', '.join(BACKPRESSURE_SIGNALS)}")
     try:
         settings_from(info).validate()
     except ValueError as err:
--- a/lapispick/host/core.py
+++ b/lapispick/host/core.py
@@ -60,8 +60,8 @@
     cls: int
     body: str  # base64, unchanged
     born: float  # Unix ms when it reached the machine
-    due_at: float  # Unix ms; 0 = not told
-    held_kb: float
+    deadline_at: float  # Unix ms; 0 = not told
+    request_memory_kb: float
     rank: float
     caller: int
     key: Hashable | None  # the same for all tries of a keyed request
@@ -293,14 +293,14 @@
         self.settings, self.seed = settings, seed
         self._kept_most, self._open_most, self._open_part = kept_most, open_most, 1.0
         self.table = KeyTable(kept_most)
-        keyed = [c.window_ms for c in settings.classes if c.effect is admission.Effect.KEYED]
+        keyed = [c.idempotency_window_ms for c in settings.classes if c.idempotency is admission.Idempotency.KEYED]
         self.sharing = Sharing(self.table, max(keyed, default=0.0))
         self.sharing.settle = lambda token, verdict: self.post(_Settled(self._tasks[token], verdict))
         self.sharing.ended = self._joined
         self._link: Link | None = None
         self._others = say.Usage(0, 0.0, 0, 0)  # what the other process has in hand
         self._told: say.Usage | None = None
-        self.learned: admission.Learned | None = None
+        self.learned: admission.LearnedEstimates | None = None
         self.executor: Executor
         self.store: Store
         self.fronts: list[Front] = []
@@ -309,7 +309,7 @@
         self.duty, self.from_store = Duty(), True
         self.figures = Figures(names or [str(i) for i in range(len(settings.classes))])
         self.wide: Wide | None = None
-        self.advice: float | None = None if settings.advert is admission.Advert.NONE else 0.0
+        self.advice: float | None = None if settings.backpressure_signal is admission.BackpressureSignal.NONE else 0.0
         self.control: Controller | None = None
         self._loop, self._queue, self._now = loop, Queue(loop), 0.0
         self._gauges: tuple[float, ...] = ()
@@ -343,17 +343,17 @@
             _HolderOver: self._holder_over,
         }
         self._doers: dict[type, Callable[[Any], None]] = {
-            admission.Run: self._run,
-            admission.Stop: self._stop,
-            admission.Refuse: self._refuse,
+            admission.StartRun: self._run,
+            admission.CancelRun: self._stop,
+            admission.Reject: self._refuse,
             admission.Fail: self._fail,
-            admission.Call: self._call,
-            admission.GoWithout: self._go_without,
-            admission.Join: self._join,
-            admission.KeepKey: self._keep_key,
-            admission.ForgetKey: self._forget_key,
+            admission.StartCall: self._call,
+            admission.SkipCall: self._go_without,
+            admission.Coalesce: self._join,
+            admission.RetainKey: self._keep_key,
+            admission.ReleaseKey: self._forget_key,
             admission.SetHealth: self._set_health,
-            admission.LimitIdle: self._limit_idle,
+            admission.SetIdleTimeout: self._limit_idle,
             admission.Advertise: self._advertise,
             admission.SetTimer: self._set_timer,
             admission.Log: lambda a: log("module", logging.INFO, "module", text=a.text),
@@ -392,7 +392,7 @@
             # without an answer, nor end the process; its timer must go on too.
             logging.getLogger(LOG).exception("module-failed")
             for event in events:
-                if type(event) is admission.Request and event.id in self._tasks:
+                if type(event) is admission.RequestReceived and event.id in self._tasks:
                     self._fail(admission.Fail(event.id))
                 elif type(event) is admission.TimerFired:
                     self._set_timer(admission.SetTimer(100.0, event.token))
@@ -408,7 +408,7 @@
         if self.control is not None or self.duty.leaving:  # told to leave before it was up: it never takes anything
             return
         settings = msgspec.structs.replace(
-            self.settings, cold=item.cold, gauges=(*admission.OTHERS, *self.settings.gauges)
+            self.settings, warming_up=item.cold, gauges=(*admission.PEER_GAUGES, *self.settings.gauges)
         )
         self.control = Controller(settings, self.seed, self._now - item.spent)
         if self.recorder is not None:
@@ -431,7 +431,7 @@
             return self._send(request, Answer(REFUSED, retry_after=NOT_READY_MS))
         if request.tag in self._by_tag:
             return self._send(request, Answer(FAILED, fault="a trace that is open already"))
-        if self.settings.classes[request.cls].effect is not admission.Effect.KEYED:
+        if self.settings.classes[request.cls].idempotency is not admission.Idempotency.KEYED:
             request.key = None
         key = self.table.at(request.key, request.born) if request.key is not None else None
         if key is not None and not key.over and not key.ran and key.holder not in self._tasks:
@@ -443,17 +443,17 @@
             key = held if held is not None and not held.ran and held.holder in self._tasks else None
         if key is None and request.known_only:
             return self._send(request, Answer(FAILED))
-        prior, what = (key.holder, key.what) if key is not None else (0, None)
+        retry_of, what = (key.holder, key.what) if key is not None else (0, None)
         if key is None and request.key is not None:
             # Two tries in one batch see each other, though the module has kept neither so far. One may
             # have been given up in this very batch and is no task any more.
             for other in reversed(events):
                 if (
-                    type(other) is admission.Request
+                    type(other) is admission.RequestReceived
                     and (first := self._tasks.get(other.id)) is not None
                     and first.request.key == request.key
                 ):
-                    prior, what = other.id, digest(first.request.handler, first.request.body)
+                    retry_of, what = other.id, digest(first.request.handler, first.request.body)
                     break
         if what is not None and what != digest(request.handler, request.body):
             # Guards the result of one request against whoever names its key with another body.
@@ -464,14 +464,14 @@
         if self.recorder is not None:
             self.recorder.arrival(task.id, request)
         events.append(
-            admission.Request(
+            admission.RequestReceived(
                 task.id,
-                request.due_at,
+                request.deadline_at,
                 request.rank,
                 max(0.0, self._now - request.born),
-                prior,
+                retry_of,
                 0.0,
-                request.held_kb,
+                request.request_memory_kb,
                 request.cls,
                 request.caller,
             )
@@ -483,7 +483,7 @@
         task = self._by_tag.get(item.request.tag)
         if task is None or task.request is not item.request or task.answered:
             return
-        events.append(admission.Gone(task.id))
+        events.append(admission.ClientCancelled(task.id))
         self._gone += 1
         self.figures.answered(FAILED, task.request.cls)  # the front says so to whoever still listens
         self._settle(task)
@@ -513,16 +513,16 @@
             return
         if item.outcome is Outcome.CANCELLED and task.stopping and not task.answered:
             task.stopping, task.paused = False, True
-            events.append(admission.RunEnded(task.id, item.outcome, item.spent))
+            events.append(admission.RunCompleted(task.id, item.outcome, item.spent))
             return
         task.running = False
         self._drop_call(task)
         if item.outcome not in (Outcome.OK, Outcome.ERROR):
-            return self._run_void(task, events, ran=item.outcome is not Outcome.MOOT)
+            return self._run_void(task, events, ran=item.outcome is not Outcome.ABANDONED)
         served = item.outcome is Outcome.OK
         if task.key is not None and task.key.ran == task.id:
             self.sharing.over(task.key, item.result if served else None)
-        events.append(admission.RunEnded(task.id, item.outcome, item.spent))
+        events.append(admission.RunCompleted(task.id, item.outcome, item.spent))
         if not task.answered:
             self._answer(task, Answer(SERVED, item.result) if served else Answer(FAILED))
         self._release(task)
@@ -532,14 +532,14 @@
         if not task.answered:
             # The executor ends or starts nothing for a request that is over: its caller has gone, and word of
             # it may never come. Guards the module's slots and calls, which it holds until told of an end.
-            events.append(admission.Gone(task.id))
+            events.append(admission.ClientCancelled(task.id))
             self._answer(task, Answer(FAILED, fault=fault))
         if task.key is not None and task.key.ran == task.id:
             if ran:
                 self.sharing.over(task.key, None)
             else:  # the key is free for a try of its own
                 self.sharing.free(task.key)
-        events.append(admission.RunEnded(task.id, Outcome.CANCELLED, 0.0))
+        events.append(admission.RunCompleted(task.id, Outcome.CANCELLED, 0.0))
         self._release(task)
 
     def _run_unknown(self, item: RunUnknown, events: list[admission.Event]) -> None:
@@ -559,7 +559,7 @@
         if task is None or not task.running:
             return
         task.wanted, task.wanted_body, task.stopping = item.index, item.body, False
-        events.append(admission.NeedsCall(task.id))
+        events.append(admission.CallRequested(task.id))
 
     def _call_over(self, item: CallOver, events: list[admission.Event]) -> None:
         task = self._by_tag.get(item.ticket.tag)
@@ -568,13 +568,16 @@
         task.ticket = None
         if item.outcome is Outcome.OK:
             self.executor.resume(item.ticket.tag, item.body)
-        events.append(admission.CallEnded(task.id, item.outcome, item.took))
+        events.append(admission.CallCompleted(task.id, item.outcome, item.took))
 
     def _join_over(self, item: _JoinOver, events: list[admission.Event]) -> None:
         if item.task.turned:  # the module took it for a run: no time can be learned from it
-            events += [admission.Gone(item.task.id), admission.RunEnded(item.task.id, Outcome.CANCELLED, 0.0)]
+            events += [
+                admission.ClientCancelled(item.task.id),
+                admission.RunCompleted(item.task.id, Outcome.CANCELLED, 0.0),
+            ]
         else:
-            events.append(admission.RunEnded(item.task.id, item.outcome, 0.0))
+            events.append(admission.RunCompleted(item.task.id, item.outcome, 0.0))
         self._release(item.task)
 
     def _holder_over(self, item: _HolderOver, events: list[admission.Event]) -> None:
@@ -587,7 +590,7 @@
             return
         self.duty.leaving, self.duty.handed = True, item.handed
         log(LOG, logging.INFO, "leaving", stop_ms=item.stop_ms, owed=self._open, handed=item.handed)
-        events.append(admission.Leave(self._now + item.stop_ms, item.handed))
+        events.append(admission.ShutdownRequested(self._now + item.stop_ms, item.handed))
         if self._link is not None:
             self._link.send(say.Leaving(self.control.learned() if self.control is not None else None))
         self.on_duty(self.duty.listed)
@@ -684,7 +687,7 @@
 
     # What the module orders.
 
-    def _run(self, action: admission.Run) -> None:
+    def _run(self, action: admission.StartRun) -> None:
         task = self._tasks.get(action.id)
         if task is None or task.answered:
             return
@@ -692,7 +695,7 @@
             task.paused = False
             return self.executor.wake(task.request.tag)
         key, cls, born = task.key, self.settings.classes[task.request.cls], task.request.born
-        if cls.effect is admission.Effect.KEYED and (key is None or key.ran not in (0, ELSEWHERE)):
+        if cls.idempotency is admission.Idempotency.KEYED and (key is None or key.ran not in (0, ELSEWHERE)):
             # Guards the rule on duplicates whatever the module says: a key's second run is never started.
             log(LOG, logging.ERROR, "second-run-stopped", tag=task.request.tag)
             if self.wide is not None:
@@ -701,7 +704,9 @@
             return self._fail(admission.Fail(task.id))
         verdict = Verdict.RUN
         if key is not None:
-            verdict = self.sharing.claim(task.id, key, born, born + cls.window_ms, task.request.redo, self._now)
+            verdict = self.sharing.claim(
+                task.id, key, born, born + cls.idempotency_window_ms, task.request.redo, self._now
+            )
         self._decided(task, verdict)
 
     def _decided(self, task: Task, verdict: Verdict) -> None:
@@ -710,13 +715,13 @@
             task.running, task.claiming = True, False
             self.figures.runs += 1
             r = task.request
-            once = self.settings.classes[r.cls].effect is not admission.Effect.SAFE
+            once = self.settings.classes[r.cls].idempotency is not admission.Idempotency.IDEMPOTENT
             self.executor.run(r.tag, r.handler, r.body, once)
         elif verdict is Verdict.WAIT:
             task.claiming = True
         elif verdict is Verdict.JOIN:
             task.turned, task.claiming = True, False
-            self._join(admission.Join(task.id))
+            self._join(admission.Coalesce(task.id))
         else:
             self._turn_away(task, REFUSED if verdict is Verdict.REFUSE else FAILED)
 
@@ -742,13 +747,13 @@
         else:
             self._decided(task, item.verdict)
 
-    def _stop(self, action: admission.Stop) -> None:
+    def _stop(self, action: admission.CancelRun) -> None:
         if (task := self._tasks.get(action.id)) is not None and task.running:
             self._drop_call(task)
-            task.stopping = not task.answered and self.settings.halt is admission.Halting.PAUSE
+            task.stopping = not task.answered and self.settings.cancel_mode is admission.CancelMode.PAUSE
             self.executor.stop(task.request.tag)
 
-    def _refuse(self, action: admission.Refuse) -> None:
+    def _refuse(self, action: admission.Reject) -> None:
         if (task := self._tasks.get(action.id)) is not None:
             never_ran = not (task.running or task.claiming) and (task.key is None or task.key.ran != task.id)
             kind = REFUSED if never_ran else FAILED
@@ -758,7 +763,7 @@
         if (task := self._tasks.get(action.id)) is not None:
             self._answer(task, Answer(FAILED))
 
-    def _call(self, action: admission.Call) -> None:
+    def _call(self, action: admission.StartCall) -> None:
         task = self._tasks.get(action.id)
         if task is None or not task.running or task.answered:
             return
@@ -767,15 +772,15 @@
             task.request.tag,
             task.wanted_body,
             action.timeout or cls.deadline_ms,
-            once=cls.effect is not admission.Effect.SAFE,
+            once=cls.idempotency is not admission.Idempotency.IDEMPOTENT,
         )
 
-    def _go_without(self, action: admission.GoWithout) -> None:
+    def _go_without(self, action: admission.SkipCall) -> None:
         if (task := self._tasks.get(action.id)) is not None and task.running:
             self._drop_call(task)
             self.executor.skip(task.request.tag, task.wanted)
 
-    def _join(self, action: admission.Join) -> None:
+    def _join(self, action: admission.Coalesce) -> None:
         task = self._tasks.get(action.id)
         if task is None or task.answered:
             return
@@ -787,14 +792,14 @@
         else:
             task.key.joined.append(task)
 
-    def _keep_key(self, action: admission.KeepKey) -> None:
+    def _keep_key(self, action: admission.RetainKey) -> None:
         task = self._tasks.get(action.id)
         if task is None or task.request.key is None:
             return
         r = task.request
         task.key = self.table.hold(r.key, task.id, r.born, self._now + action.span, digest(r.handler, r.body))
 
-    def _forget_key(self, action: admission.ForgetKey) -> None:
+    def _forget_key(self, action: admission.ReleaseKey) -> None:
         task = self._tasks.get(action.id)
         key = task.key if task is not None else None
         if key is not None and key.holder == action.id and not key.ran:
@@ -804,9 +809,9 @@
         self.duty.well, self.from_store = action.good, action.from_store
         self.on_duty(self.duty.listed)
 
-    def _limit_idle(self, action: admission.LimitIdle) -> None:
+    def _limit_idle(self, action: admission.SetIdleTimeout) -> None:
         for front in self.fronts:
-            front.limit_idle(action.span or self.settings.idle_ms)
+            front.limit_idle(action.span or self.settings.idle_timeout_ms)
 
     def _advertise(self, action: admission.Advertise) -> None:
         self.advice = action.value
@@ -847,9 +852,9 @@
         self.figures.answered(answer.kind, request.cls)
         if self.wide is not None:
             self.wide.answered(answer.kind, request.cls, self._now - request.born, self._now - request.read)
-            due_at = request.due_at or request.born + self.settings.classes[request.cls].deadline_ms
+            deadline_at = request.deadline_at or request.born + self.settings.classes[request.cls].deadline_ms
             # What came after its due time was late before this process had it, and says nothing of it.
-            self.wide.broken += request.read <= due_at < self._now - SLACK_MS
+            self.wide.broken += request.read <= deadline_at < self._now - SLACK_MS
         request.reply(answer._replace(advice=self.advice))
 
     def _end_unsure(self, task: Task) -> None:
--- a/lapispick/host/executor.py
+++ b/lapispick/host/executor.py
@@ -23,7 +23,7 @@
 LAST_S = 0.3  # s; the longest wait for the answer that ends a link which is given up for a new address
 LONGEST = 1 << 20  # bytes of one notice; results hold up to 4 KiB
 OUT_MOST = 4 << 20  # bytes of commands kept for an executor that does not read
-ENDS = {"complete": Outcome.OK, "error": Outcome.ERROR, "cancelled": Outcome.CANCELLED, "unknown": Outcome.MOOT}
+ENDS = {"complete": Outcome.OK, "error": Outcome.ERROR, "cancelled": Outcome.CANCELLED, "unknown": Outcome.ABANDONED}
 FENCE = "fence"  # the METER whose answer says that all notices of the time without a link were read
 LAST = "last"  # the METER whose answer says that all commands before it were carried out
 
--- a/lapispick/host/jsonrpc/front.py
+++ b/lapispick/host/jsonrpc/front.py
@@ -107,7 +107,7 @@
         raise Faulty("size must be above 0 and under 2,000")
     if not 0 <= p.order < 1:
         raise Faulty("order must be from 0 to under 1")
-    if cls.effect is admission.Effect.KEYED and not NONCE.fullmatch(p.nonce):
+    if cls.idempotency is admission.Idempotency.KEYED and not NONCE.fullmatch(p.nonce):
         raise Faulty("a keyed class needs a nonce of 32 hex digits")
     try:
         size = len(base64.b64decode(p.doc or "", validate=True))
@@ -271,8 +271,8 @@
             cls=cls,
             body=p.doc or "",
             born=p.born,
-            due_at=p.born + p.patience if p.patience else 0.0,
-            held_kb=p.size,
+            deadline_at=p.born + p.patience if p.patience else 0.0,
+            request_memory_kb=p.size,
             rank=p.order,
             caller=p.client,
             key=("nonce", p.nonce) if p.nonce else None,
@@ -391,7 +391,7 @@
         self.settings, self.customers = settings, {p.name for p in info.parties}
         self.needs_patience = info.family_info.passes_deadline
         self.connections: set[Connection] = set()
-        self._most, self._idle_s, self._leaving = most, settings.idle_ms / 1000, False
+        self._most, self._idle_s, self._leaving = most, settings.idle_timeout_ms / 1000, False
         self._listen = listen
         self._sock: socket.socket | None = None
         self.address = "{}:{}".format(*listen)
--- a/lapispick/host/store.py
+++ b/lapispick/host/store.py
@@ -124,7 +124,7 @@
     if status == 503 and not_run:
         return Outcome.FULL
     if status == 409 and not_run:
-        return Outcome.MOOT
+        return Outcome.ABANDONED
     return Outcome.TIMEOUT if status == 504 else Outcome.ERROR
 
 
--- a/lapispick/platform_settings.py
+++ b/lapispick/platform_settings.py
@@ -6,17 +6,21 @@
 
 from lapispick import admission
 
-EFFECTS = {
-    "idempotent": admission.Effect.SAFE,
-    "deduplicated": admission.Effect.KEYED,
-    "at_most_once": admission.Effect.UNSAFE,
+IDEMPOTENCY = {
+    "idempotent": admission.Idempotency.IDEMPOTENT,
+    "deduplicated": admission.Idempotency.KEYED,
+    "at_most_once": admission.Idempotency.AT_MOST_ONCE,
 }
-HALTS = {"off": admission.Halting.NONE, "drop": admission.Halting.DROP, "pause": admission.Halting.PAUSE}
-ADVERTS = {
-    "off": admission.Advert.NONE,
-    "level": admission.Advert.LEVEL,
-    "credit": admission.Advert.CREDIT,
-    "weight": admission.Advert.WEIGHT,
+CANCEL_MODES = {
+    "off": admission.CancelMode.NONE,
+    "drop": admission.CancelMode.DROP,
+    "pause": admission.CancelMode.PAUSE,
+}
+BACKPRESSURE_SIGNALS = {
+    "off": admission.BackpressureSignal.NONE,
+    "level": admission.BackpressureSignal.LEVEL,
+    "credit": admission.BackpressureSignal.CREDIT,
+    "weight": admission.BackpressureSignal.WEIGHT,
 }
 
 
@@ -93,36 +97,36 @@
     fam, rules = info.family_info, info.guarantees
     classes = tuple(
         admission.ClassSettings(
-            aim_ms=c.promise,
-            aim_stretch=c.aim_stretch,
+            latency_objective_ms=c.promise,
+            objective_stretch=c.aim_stretch,
             deadline_ms=c.give_up,
-            effect=EFFECTS[c.idempotency],
-            window_ms=c.window,
-            worth=c.worth,
-            late_worth=c.late_worth,
-            skip_worth=skip,
+            idempotency=IDEMPOTENCY[c.idempotency],
+            idempotency_window_ms=c.window,
+            priority_weight=c.worth,
+            late_weight=c.late_worth,
+            degraded_weight=skip,
         )
         for c, skip in zip(info.services, fam.class_skip_worth, strict=True)
     )
     return admission.Settings(
         classes=classes,
-        worth_by_work=info.value_by == "work",
+        weight_by_work=info.value_by == "work",
         callers=fam.upstreams,
         lower_tier=info.layer > 0,
         cores=fam.cores,
         memory_kb=fam.memory_kb,
-        run_factor=fam.run_mem_factor,
-        key_kb=fam.kb_per_key,
-        cold=fam.cold,
-        cold_from=rules.cold_from,
+        run_memory_factor=fam.run_mem_factor,
+        key_memory_kb=fam.kb_per_key,
+        warming_up=fam.cold,
+        cold_speed_fraction=rules.cold_from,
         warm_up_ms=rules.warm_up,
-        fall_multiple=rules.fall_multiple,
+        overload_runs_per_core=rules.fall_multiple,
         drain_grace_ms=rules.drain_grace,
-        halt=HALTS[fam.halt],
-        advert=ADVERTS[fam.advert],
-        calls_out=fam.calls_out if fam.below == "shared" else 0.0,
-        calls_window_ms=fam.dep_window,
+        cancel_mode=CANCEL_MODES[fam.halt],
+        backpressure_signal=BACKPRESSURE_SIGNALS[fam.advert],
+        call_quota=fam.calls_out if fam.below == "shared" else 0.0,
+        call_quota_window_ms=fam.dep_window,
         max_retry_after_ms=info.bounds.max_retry_after if info.bounds.retry_after else 0.0,
-        idle_ms=fam.idle,
+        idle_timeout_ms=fam.idle,
         gauges=tuple(fam.gauges),
     )
--- a/lapispick/simulator/adapter.py
+++ b/lapispick/simulator/adapter.py
@@ -21,18 +21,20 @@
     code = record[0]
     if code == codec.KNOCK:
         (_, _, rid, due, _, rank, age, prior, bits, _, kb, cost, cls, caller) = record
-        return admission.Request(rid, due, rank, age, prior, cost if bits & COST_KNOWN else 0.0, kb, cls, caller)
+        return admission.RequestReceived(
+            rid, due, rank, age, prior, cost if bits & COST_KNOWN else 0.0, kb, cls, caller
+        )
     if code == codec.DEADLINE_HIT:
         return admission.TimerFired(record[2], record[3])
     if code == codec.RUN_OVER:
-        return admission.RunEnded(record[2], OUTCOMES[record[3]], record[4])
+        return admission.RunCompleted(record[2], OUTCOMES[record[3]], record[4])
     if code == codec.BLOCKED:
-        return admission.NeedsCall(record[2])
+        return admission.CallRequested(record[2])
     if code == codec.CAME_BACK:
-        return admission.CallEnded(record[2], OUTCOMES[record[4]], record[3])
+        return admission.CallCompleted(record[2], OUTCOMES[record[4]], record[3])
     if code == codec.HANGUP:
-        return admission.Gone(record[2])
-    return admission.Leave(record[2])
+        return admission.ClientCancelled(record[2])
+    return admission.ShutdownRequested(record[2])
 
 
 def _by_id(code: int) -> Any:
@@ -46,19 +48,19 @@
 
 
 ENCODERS: dict[type, Any] = {
-    admission.Run: _by_id(codec.DISPATCH),
-    admission.Stop: _by_id(codec.YANK),
+    admission.StartRun: _by_id(codec.DISPATCH),
+    admission.CancelRun: _by_id(codec.YANK),
     admission.Fail: _by_id(codec.REPORT_FAILURE),
-    admission.GoWithout: _by_id(codec.GO_ON),
-    admission.Join: _by_id(codec.JOIN),
-    admission.ForgetKey: _by_id(codec.RELEASE_KEY),
+    admission.SkipCall: _by_id(codec.GO_ON),
+    admission.Coalesce: _by_id(codec.JOIN),
+    admission.ReleaseKey: _by_id(codec.RELEASE_KEY),
     admission.Advertise: _by_id(codec.SAY),
-    admission.KeepKey: _with_field(codec.PIN),
-    admission.Call: _with_field(codec.INVOKE),
+    admission.RetainKey: _with_field(codec.PIN),
+    admission.StartCall: _with_field(codec.INVOKE),
     admission.SetTimer: _with_field(codec.ARM),
-    admission.Refuse: lambda i, a: codec.ACTIONS[codec.SAY_NO].pack(codec.SAY_NO, i, a[0], a[1], a[2]),
+    admission.Reject: lambda i, a: codec.ACTIONS[codec.SAY_NO].pack(codec.SAY_NO, i, a[0], a[1], a[2]),
     admission.SetHealth: _with_field(codec.MARK_HEALTH),
-    admission.LimitIdle: _by_id(codec.IDLE_LIMIT),
+    admission.SetIdleTimeout: _by_id(codec.IDLE_LIMIT),
     admission.Log: lambda i, a: codec.encode_text(codec.EMIT, i, a[0]),
 }
 
--- a/lapispick/trace/aggregation.py
+++ b/lapispick/trace/aggregation.py
@@ -144,9 +144,9 @@
         self._names, told = [name for name, _ in known], [c for _, c in known]
         self._aim, self._worth, self._late, self._skip = (
             np.array([getattr(c, name) for c in told], np.float64)
-            for name in ("aim_ms", "worth", "late_worth", "skip_worth")
+            for name in ("latency_objective_ms", "priority_weight", "late_weight", "degraded_weight")
         )
-        self._kept = np.array([max(c.window_ms, c.deadline_ms) + REPEATED_MS for c in told], np.float64)
+        self._kept = np.array([max(c.idempotency_window_ms, c.deadline_ms) + REPEATED_MS for c in told], np.float64)
         self._clock = [np.array([getattr(s, name) for s in sources]) for name in ("offset", "drift", "at")]
         self._tries = [
             _Table(id=np.int64, root=np.int64, open=np.bool_, waits=np.bool_, came=np.float64) for _ in sources
@@ -179,15 +179,15 @@
         self._at = np.maximum(self._at, self._now)
         self._requests(block)
         self._arrivals(block.rows(Arrival))
-        self._starts(block.rows(admission.Run))
+        self._starts(block.rows(admission.StartRun))
         self._ends(block)
-        self._refusals(block.rows(admission.Refuse))
+        self._refusals(block.rows(admission.Reject))
         self._made.gaps += int(block.rows(Gap).column("steps").sum())
         self._now = float(self._at[-1])
         self._forget(self._now)
 
     def _requests(self, block: Block) -> None:
-        rows = block.rows(admission.Request)
+        rows = block.rows(admission.RequestReceived)
         if not rows.count:
             return
         now, ids = self._at[rows.steps], rows.column("id")
@@ -209,19 +209,19 @@
 
     def _repeats(self, rows: Rows, first: int, boxes: Any, now: Any, subjects: list[bytes]) -> None:
         """Give the tries that repeat another one its request; each in its turn, as they may repeat each other."""
-        priors, roots, known = rows.column("prior").tolist(), self._roots, self._subjects
+        priors, roots, known = rows.column("retry_of").tolist(), self._roots, self._subjects
         ids = rows.column("id")
-        for row, (prior, subject) in enumerate(zip(priors, subjects, strict=True)):
-            if not prior:
+        for row, (retry_of, subject) in enumerate(zip(priors, subjects, strict=True)):
+            if not retry_of:
                 if not subject:
                     continue
                 if subject not in known:  # nearly all
                     known[subject] = first + row
                     continue
             table, found, when = self._tries[boxes[row]], -1, now[row]
-            if prior:
-                at = int(np.searchsorted(table["id"], prior))
-                if at < table.size and table["id"][at] == prior < ids[row]:
+            if retry_of:
+                at = int(np.searchsorted(table["id"], retry_of))
+                if at < table.size and table["id"][at] == retry_of < ids[row]:
                     found = int(table["root"][at])
             if subject and not self._live_one(found, when):
                 found = known.get(subject, -1)
@@ -291,16 +291,16 @@
 
     def _ends(self, block: Block) -> None:
         """Take what ended runs and tries; a try that nobody waits for takes no answer."""
-        rows = block.rows(admission.RunEnded)
+        rows = block.rows(admission.RunCompleted)
         if rows.count:
             places, _ = self._found(rows)
             kept = (places >= 0) & (rows.column("outcome") <= int(admission.Outcome.OK))
             self._spans(self._runs, places[kept], rows.column("took")[kept])
-        rows = block.rows(admission.GoWithout)
+        rows = block.rows(admission.SkipCall)
         if rows.count:
             places, _ = self._found(rows)
             self._roots["poorer"][places[places >= 0]] = True
-        gone, rows = block.rows(admission.Gone), block.rows(Answered)
+        gone, rows = block.rows(admission.ClientCancelled), block.rows(Answered)
         if not gone.count and not rows.count:
             return
         left = {box: (at, gone.steps[here]) for box, here, at in self._found(gone)[1]} if gone.count else {}
@@ -336,8 +336,8 @@
 
     def _refusals(self, rows: Rows) -> None:
         if rows.count:
-            counts = np.bincount(rows.column("ground"), minlength=len(rows.words("ground")))
-            for word, count in zip(rows.words("ground"), counts.tolist(), strict=True):
+            counts = np.bincount(rows.column("reason"), minlength=len(rows.words("reason")))
+            for word, count in zip(rows.words("reason"), counts.tolist(), strict=True):
                 name = word.decode(errors="replace") or "not told"
                 self._made.grounds[name] = self._made.grounds.get(name, 0) + count
 
--- a/lapispick/trace/anonymising.py
+++ b/lapispick/trace/anonymising.py
@@ -74,9 +74,11 @@
         """Yield the steps with stand-ins."""
         for step in steps:
             events, notes = step.events, step.notes
-            if any(type(one) is admission.Request for one in events):
+            if any(type(one) is admission.RequestReceived for one in events):
                 events = tuple(
-                    one._replace(caller=self._stand_in("caller", one.caller)) if type(one) is admission.Request else one
+                    one._replace(caller=self._stand_in("caller", one.caller))
+                    if type(one) is admission.RequestReceived
+                    else one
                     for one in events
                 )
             if notes:
--- a/lapispick/trace/attempt_matching.py
+++ b/lapispick/trace/attempt_matching.py
@@ -22,7 +22,7 @@
             elif type(note) is Answered and (came := open_.pop((step.box, note.id), None)) is not None:
                 yield Try(came.subject, sources[step.box].box, came.born, came.born + note.age, note.kind == "served")
         for event in step.events:
-            if type(event) is admission.Gone:  # nobody waited for an answer, so none tells when it ended
+            if type(event) is admission.ClientCancelled:  # nobody waited for an answer, so none tells when it ended
                 open_.pop((step.box, event.id), None)
 
 
--- a/lapispick/trace/comparing.py
+++ b/lapispick/trace/comparing.py
@@ -15,13 +15,14 @@
 
 from lapispick import admission
 from lapispick.trace.record_types import Step
+from lapispick.trace.text_names import described_all
 
 KNOWN_MOST = 200_000  # requests whose class is kept; far more than are ever open, so that memory has a bound
 DECISIONS: dict[type, str] = {
-    admission.Run: "run",
-    admission.Refuse: "refused",
+    admission.StartRun: "run",
+    admission.Reject: "refused",
     admission.Fail: "failed",
-    admission.GoWithout: "poorer",
+    admission.SkipCall: "poorer",
 }
 
 
@@ -57,7 +58,7 @@
     def add(self, step: Step, actions: Iterable[Any]) -> None:
         """Take a step's requests and what one side ordered in it."""
         for event in step.events:
-            if type(event) is admission.Request:
+            if type(event) is admission.RequestReceived:
                 self._cls[step.box, event.id] = self._names(step.box, event.cls)
         for action in actions:
             name = DECISIONS.get(type(action))
@@ -65,9 +66,9 @@
                 continue
             made = self.made.setdefault(cls, Choice())
             setattr(made, name, getattr(made, name) + 1)
-            if type(action) is admission.Refuse:
-                self.grounds[action.ground or "not told"] += 1
-            if type(action) in (admission.Refuse, admission.Fail):
+            if type(action) is admission.Reject:
+                self.grounds[action.reason or "not told"] += 1
+            if type(action) in (admission.Reject, admission.Fail):
                 del self._cls[step.box, action.id]
         if len(self._cls) > KNOWN_MOST:
             for key in list(self._cls)[: KNOWN_MOST // 2]:
@@ -103,4 +104,8 @@
             "ended" if b is None else "goes on",
         )
     part = next(name for name in Step._fields if getattr(a, name) != getattr(b, name))
-    return Split(number, a.now, part, repr(getattr(a, part)), repr(getattr(b, part)))
+    return Split(number, a.now, part, _shown(getattr(a, part)), _shown(getattr(b, part)))
+
+
+def _shown(value: Any) -> str:
+    return described_all(value) if isinstance(value, tuple) else repr(value)
--- a/lapispick/trace/helper.py
+++ b/lapispick/trace/helper.py
@@ -75,7 +75,7 @@
 
 def _record(number: int, values: list[Any]) -> Any:
     kind = KINDS[number]
-    if kind in (admission.RunEnded, admission.CallEnded):
+    if kind in (admission.RunCompleted, admission.CallCompleted):
         values[1] = admission.Outcome(values[1])
     elif kind is admission.TimerFired:
         values[1] = tuple(values[1])
--- a/lapispick/trace/lines.py
+++ b/lapispick/trace/lines.py
@@ -15,11 +15,11 @@
 from google.protobuf import json_format
 
 from lapispick import admission
-from lapispick.trace.record_types import KINDS, Step
+from lapispick.trace.record_types import Step
 from lapispick.trace.records import FIELDS, Header, part_of
+from lapispick.trace.text_names import OUTCOMES_BY_NAME, RECORDS_BY_NAME, field_name, outcome_name, record_name
 
 PARTS = ("events", "actions", "notes")
-BY_NAME = {kind.__name__: kind for kind in KINDS.values()}
 
 
 class LineFault(Exception):
@@ -37,7 +37,13 @@
 def _shown(value: Any) -> Any:
     if isinstance(value, bytes):
         return base64.b64encode(value).decode()
-    return value.name if isinstance(value, admission.Outcome) else value
+    return outcome_name(value) if isinstance(value, admission.Outcome) else value
+
+
+def _record_line(record: Any) -> dict[str, Any]:
+    kind = type(record)
+    fields = {field_name(kind, name): _shown(value) for name, value in record._asdict().items()}
+    return {"record": record_name(kind), **fields}
 
 
 def step_line(step: Step, box: str) -> bytes:
@@ -47,9 +53,7 @@
         made["source"] = step.box
     for name in PARTS:
         if part := getattr(step, name):
-            made[name] = [
-                {"record": type(one).__name__, **{k: _shown(v) for k, v in one._asdict().items()}} for one in part
-            ]
+            made[name] = [_record_line(record) for record in part]
     return msgspec.json.encode(made)
 
 
@@ -81,23 +85,23 @@
 
 
 def _record(told: dict[str, Any], part: int) -> Any:
-    kind = BY_NAME.get(told.get("record", ""))
+    kind = RECORDS_BY_NAME.get(told.get("record", ""))
     if kind is None or part_of(kind) != part:
         raise ValueError(f"no record {told.get('record')!r} among the {PARTS[part]}")
     values = {key: value for key, value in told.items() if key != "record"}
     made = {}
     for name, annotation in FIELDS[kind]:
-        value = values.pop(name)
+        value = values.pop(field_name(kind, name))
         if annotation == "bytes":
             made[name] = base64.b64decode(value, validate=True)
         elif annotation == "Outcome":
-            made[name] = admission.Outcome[value]
+            made[name] = OUTCOMES_BY_NAME[value]
         elif annotation.startswith("tuple"):
             made[name] = tuple(msgspec.convert(value, list[float]))
         else:
             made[name] = msgspec.convert(value, _SCALARS[annotation])
     if values:
-        raise ValueError(f"{kind.__name__} has no field {next(iter(values))!r}")
+        raise ValueError(f"{record_name(kind)} has no field {next(iter(values))!r}")
     return kind(**made)
 
 
--- a/lapispick/trace/replaying.py
+++ b/lapispick/trace/replaying.py
@@ -16,6 +16,7 @@
 from lapispick import admission
 from lapispick.admission.controller import Controller
 from lapispick.trace.record_types import Gap, Happened, Step
+from lapispick.trace.text_names import record_name
 
 
 class Difference(NamedTuple):
@@ -58,13 +59,13 @@
             break
         for note in step.notes:
             if type(note) is Happened and note.what == "adopted":  # from the process before it, in an upgrade
-                control.adopt(msgspec.json.decode(note.told, type=admission.Learned))
+                control.adopt(msgspec.json.decode(note.told, type=admission.LearnedEstimates))
         if not step.events and not step.actions and made.steps:
             continue  # notes only
         got = tuple(control.step(step.now, list(step.events)))
         made.steps += 1
-        made.recorded.update(type(a).__name__ for a in step.actions)
-        made.replayed.update(type(a).__name__ for a in got)
+        made.recorded.update(record_name(type(a)) for a in step.actions)
+        made.replayed.update(record_name(type(a)) for a in got)
         if seen is not None:
             seen(step, got, control)
         if got != step.actions:
--- a/lapispick/trace/selecting.py
+++ b/lapispick/trace/selecting.py
@@ -88,14 +88,14 @@
                     continue
                 held = self._tries.get(number)
                 if held is None:
-                    held = self._tries[number] = _Try(now, type(record) is admission.Request)
+                    held = self._tries[number] = _Try(now, type(record) is admission.RequestReceived)
                 held.inside |= inside
                 numbers.append(number)
-                if type(record) is admission.Request:
+                if type(record) is admission.RequestReceived:
                     held.cls = self._names(step.box, record.cls)
                 elif type(record) is Arrival:
                     held.account = record.account
-                elif type(record) in (Answered, admission.Gone) and not held.outcome:
+                elif type(record) in (Answered, admission.ClientCancelled) and not held.outcome:
                     held.outcome = record.kind if type(record) is Answered else GONE
                     held.ended_inside = inside
         self._waiting.append((now, step, numbers))
--- a/lapispick/trace/series.py
+++ b/lapispick/trace/series.py
@@ -69,10 +69,10 @@
     for block, times in blocks:
         rows = block.rows(Arrival)
         came.add("all", at(times[rows.steps]))
-        rows = block.rows(admission.Gone)
+        rows = block.rows(admission.ClientCancelled)
         gone.add("all", at(times[rows.steps]))
         _by_word(block.rows(Answered), "kind", answers, at, times)
-        _by_word(block.rows(admission.Refuse), "ground", grounds, at, times)
+        _by_word(block.rows(admission.Reject), "reason", grounds, at, times)
         rows = block.rows(Answered)
         served = np.array([word == b"served" for word in rows.words("kind")], np.bool_)[rows.column("kind")]
         spans, held = at(times[rows.steps])[served], rows.column("age")[served]
@@ -81,7 +81,7 @@
             ages[place] += held[spans == place][: max(0, room)].tolist()
         rows = block.rows(Happened)
         marks += zip(times[rows.steps].tolist(), rows.values("what"), strict=True)
-        marks += [(time, "leave") for time in times[block.rows(admission.Leave).steps].tolist()]
+        marks += [(time, "leave") for time in times[block.rows(admission.ShutdownRequested).steps].tolist()]
     arrived = came.made.get("all", np.zeros(count, np.int64))
     ended = sum(answers.made.values(), gone.made.get("all", np.zeros(count, np.int64)))
     return Series(
--- /dev/null
+++ b/lapispick/trace/text_names.py
@@ -0,0 +1,75 @@
+"""The names of records, fields and outcomes in the text form of a trace, where they differ from the code's.
+
+The text form (``lapispick trace convert``, ``--json``) is read by other versions, so its names stay as they are.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import Any
+
+from lapispick import admission
+from lapispick.trace.record_types import KINDS
+
+_RECORD_NAMES: dict[type, str] = {
+    admission.RequestReceived: "Request",
+    admission.ClientCancelled: "Gone",
+    admission.RunCompleted: "RunEnded",
+    admission.CallRequested: "NeedsCall",
+    admission.CallCompleted: "CallEnded",
+    admission.ShutdownRequested: "Leave",
+    admission.StartRun: "Run",
+    admission.CancelRun: "Stop",
+    admission.Reject: "Refuse",
+    admission.StartCall: "Call",
+    admission.SkipCall: "GoWithout",
+    admission.Coalesce: "Join",
+    admission.RetainKey: "KeepKey",
+    admission.ReleaseKey: "ForgetKey",
+    admission.SetIdleTimeout: "LimitIdle",
+}
+_FIELD_NAMES: dict[tuple[type, str], str] = {
+    (admission.RequestReceived, "deadline_at"): "due_at",
+    (admission.RequestReceived, "retry_of"): "prior",
+    (admission.RequestReceived, "request_memory_kb"): "held_kb",
+    (admission.Reject, "reason"): "ground",
+}
+_OUTCOME_NAMES = {admission.Outcome.ABANDONED: "MOOT"}
+
+
+def record_name(kind: type) -> str:
+    """Return the name of a record's type in text."""
+    return _RECORD_NAMES.get(kind, kind.__name__)
+
+
+def field_name(kind: type, field: str) -> str:
+    """Return the name in text of a record's field."""
+    return _FIELD_NAMES.get((kind, field), field)
+
+
+def outcome_name(outcome: admission.Outcome) -> str:
+    """Return the name of an outcome in text."""
+    return _OUTCOME_NAMES.get(outcome, outcome.name)
+
+
+def described(record: Any) -> str:
+    """Return one record as a line of text, such as ``Run(id=2)``."""
+    kind = type(record)
+    fields = (f"{field_name(kind, name)}={_described_value(value)}" for name, value in record._asdict().items())
+    return f"{record_name(kind)}({', '.join(fields)})"
+
+
+def _described_value(value: Any) -> str:
+    if isinstance(value, admission.Outcome):
+        return f"<Outcome.{outcome_name(value)}: {value.value}>"
+    return repr(value)
+
+
+def described_all(records: Sequence[Any]) -> str:
+    """Return the records of a step's part as the text of a tuple."""
+    texts = [described(record) for record in records]
+    return f"({texts[0]},)" if len(texts) == 1 else f"({', '.join(texts)})"
+
+
+RECORDS_BY_NAME: dict[str, type] = {record_name(kind): kind for kind in KINDS.values()}
+OUTCOMES_BY_NAME: dict[str, admission.Outcome] = {outcome_name(one): one for one in admission.Outcome}
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,14 +11,14 @@
 
 def make_class(**over):
     base = dict(
-        aim_ms=1000,
-        aim_stretch=0,
+        latency_objective_ms=1000,
+        objective_stretch=0,
         deadline_ms=4000,
-        effect=admission.Effect.SAFE,
-        window_ms=5000,
-        worth=1,
-        late_worth=0,
-        skip_worth=0,
+        idempotency=admission.Idempotency.IDEMPOTENT,
+        idempotency_window_ms=5000,
+        priority_weight=1,
+        late_weight=0,
+        degraded_weight=0,
     )
     return ClassSettings(**{**base, **over})
 
@@ -27,28 +27,28 @@
     base = dict(
         classes=(
             make_class(),
-            make_class(effect=admission.Effect.KEYED, worth=3),
-            make_class(effect=admission.Effect.UNSAFE, worth=5),
-            make_class(skip_worth=0.5),
+            make_class(idempotency=admission.Idempotency.KEYED, priority_weight=3),
+            make_class(idempotency=admission.Idempotency.AT_MOST_ONCE, priority_weight=5),
+            make_class(degraded_weight=0.5),
         ),
-        worth_by_work=False,
+        weight_by_work=False,
         callers=4,
         lower_tier=False,
         cores=2,
         memory_kb=100_000,
-        run_factor=8,
-        key_kb=10,
-        cold=False,
-        cold_from=0.25,
+        run_memory_factor=8,
+        key_memory_kb=10,
+        warming_up=False,
+        cold_speed_fraction=0.25,
         warm_up_ms=10_000,
-        fall_multiple=8,
+        overload_runs_per_core=8,
         drain_grace_ms=1000,
-        halt=admission.Halting.DROP,
-        advert=admission.Advert.LEVEL,
-        calls_out=0,
-        calls_window_ms=5000,
+        cancel_mode=admission.CancelMode.DROP,
+        backpressure_signal=admission.BackpressureSignal.LEVEL,
+        call_quota=0,
+        call_quota_window_ms=5000,
         max_retry_after_ms=1000,
-        idle_ms=30_000,
+        idle_timeout_ms=30_000,
         gauges=("core_use", "on_cores"),
     )
     return Settings(**{**base, **over})
@@ -82,14 +82,16 @@
 
     def request(self, cls=0, **over):
         self.next_id += 1
-        base = dict(id=self.next_id, due_at=0, rank=0.5, age=0, prior=0, cost=0, held_kb=10, cls=cls, caller=0)
-        return admission.Request(**{**base, **over})
+        base = dict(
+            id=self.next_id, deadline_at=0, rank=0.5, age=0, retry_of=0, cost=0, request_memory_kb=10, cls=cls, caller=0
+        )
+        return admission.RequestReceived(**{**base, **over})
 
     def of(self, kind, rid=None):
         return [a for a in self.actions if isinstance(a, kind) and (rid is None or a.id == rid)]
 
     def finals(self, rid):
-        return [a for a in self.actions if isinstance(a, (admission.Refuse, admission.Fail)) and a.id == rid]
+        return [a for a in self.actions if isinstance(a, (admission.Reject, admission.Fail)) and a.id == rid]
 
 
 @pytest.fixture
--- a/tests/test_aggregation.py
+++ b/tests/test_aggregation.py
@@ -12,14 +12,14 @@
 from tests.conftest import make_class
 
 CLASSES = (
-    ("track", make_class(aim_ms=1000, worth=2, late_worth=0.5, skip_worth=0.25)),
-    ("book", make_class(effect=admission.Effect.KEYED, worth=5, window_ms=5000)),
+    ("track", make_class(latency_objective_ms=1000, priority_weight=2, late_weight=0.5, degraded_weight=0.25)),
+    ("book", make_class(idempotency=admission.Idempotency.KEYED, priority_weight=5, idempotency_window_ms=5000)),
 )
 ONE, TWO = [Source(CLASSES)], [Source(CLASSES), Source(CLASSES, 1000.0, 0.05, 2000.0)]
 
 
-def request(number, cls=0, prior=0, age=0.0):
-    return admission.Request(number, 0.0, 0.5, age, prior, 0.0, 10.0, cls, 1)
+def request(number, cls=0, retry_of=0, age=0.0):
+    return admission.RequestReceived(number, 0.0, 0.5, age, retry_of, 0.0, 10.0, cls, 1)
 
 
 def blocks(steps, size=1000):
@@ -33,8 +33,8 @@
     return made.end()
 
 
-def asked(now, number, cls=0, prior=0, account="shop", age=0.0, subject=b"", box=0):
-    return Step(now, (request(number, cls, prior, age),), (), (Arrival(number, account, subject, now - age),), box)
+def asked(now, number, cls=0, retry_of=0, account="shop", age=0.0, subject=b"", box=0):
+    return Step(now, (request(number, cls, retry_of, age),), (), (Arrival(number, account, subject, now - age),), box)
 
 
 def answered(now, number, kind="served", box=0):
@@ -42,9 +42,9 @@
 
 
 def test_a_repeat_counts_for_its_first_try():
-    made = fold(asked(0, 1, 1), answered(500, 1, "refused"), asked(700, 2, 1, prior=1), answered(900, 2))
+    made = fold(asked(0, 1, 1), answered(500, 1, "refused"), asked(700, 2, 1, retry_of=1), answered(900, 2))
     assert (made.whole.requests, made.whole.tries, made.whole.served, made.whole.refused) == (1, 2, 5, 0)
-    made = fold(asked(0, 1, 1), answered(10, 1, "served"), asked(700, 2, 1, prior=1), answered(900, 2, "failed"))
+    made = fold(asked(0, 1, 1), answered(10, 1, "served"), asked(700, 2, 1, retry_of=1), answered(900, 2, "failed"))
     assert (made.whole.served, made.whole.failed) == (5, 0)
 
 
@@ -56,18 +56,18 @@
 
 
 def test_an_answer_without_its_call_earns_its_part():
-    made = fold(asked(0, 1), Step(5, (), (admission.GoWithout(1),)), answered(9, 1))
+    made = fold(asked(0, 1), Step(5, (), (admission.SkipCall(1),)), answered(9, 1))
     assert (made.whole.served, made.whole.poorer) == (0.5, 1)
 
 
 def test_waits_runs_windows_and_those_that_went():
     made = fold(
         asked(0, 1),
-        Step(40, (), (admission.Run(1),)),
-        Step(90, (admission.RunEnded(1, admission.Outcome.OK, 50.0),)),
+        Step(40, (), (admission.StartRun(1),)),
+        Step(90, (admission.RunCompleted(1, admission.Outcome.OK, 50.0),)),
         answered(90, 1),
         asked(10_100, 2),
-        Step(10_200, (admission.Gone(2),)),
+        Step(10_200, (admission.ClientCancelled(2),)),
         answered(10_250, 2),
         asked(10_300, 3),
         Step(10_400, (), (), (Gap(7),)),
@@ -89,9 +89,9 @@
             1,
             (),
             (
-                admission.Refuse(1, 5.0, True, "price"),
-                admission.Refuse(2, 5.0, True),
-                admission.Refuse(3, 5.0, True, "price"),
+                admission.Reject(1, 5.0, True, "price"),
+                admission.Reject(2, 5.0, True),
+                admission.Reject(3, 5.0, True, "price"),
             ),
         ),
     )
@@ -146,14 +146,18 @@
                         Arrival(last[box], rng.choice(("", "a", "b")), bytes([rng.randrange(40)]) * keyed, now)
                     )
             elif what == 3:
-                events.append(admission.Gone(known))
+                events.append(admission.ClientCancelled(known))
             elif what == 4:
                 took = rng.uniform(0, 8000) * rng.choice((1, 1, 20))
-                events.append(admission.RunEnded(known, rng.choice(list(admission.Outcome)), took))
+                events.append(admission.RunCompleted(known, rng.choice(list(admission.Outcome)), took))
             elif what == 5:
                 actions.append(
                     rng.choice(
-                        (admission.Run(known), admission.GoWithout(known), admission.Refuse(known, 1.0, True, "late"))
+                        (
+                            admission.StartRun(known),
+                            admission.SkipCall(known),
+                            admission.Reject(known, 1.0, True, "late"),
+                        )
                     )
                 )
             else:
--- a/tests/test_clock_skew.py
+++ b/tests/test_clock_skew.py
@@ -147,7 +147,7 @@
 def test_what_its_caller_gave_up_tells_no_end():
     steps = [
         Step(1.0, notes=(Arrival(1, "", b"s", 1.0), Arrival(2, "", b"t", 1.0), Arrival(3, "", b"", 1.0))),
-        Step(2.0, events=(admission.Gone(1),)),
+        Step(2.0, events=(admission.ClientCancelled(1),)),
         Step(3.0, notes=(Answered(1, "failed", 2.0), Answered(2, "failed", 2.0), Answered(3, "failed", 2.0))),
     ]
     assert list(tries(files.blank(box="a").sources, steps)) == [Try(b"t", "a", 1.0, 3.0, False)]
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -63,8 +63,8 @@
         cls=cls,
         body="",
         born=1.0,
-        due_at=0.0,
-        held_kb=1.0,
+        deadline_at=0.0,
+        request_memory_kb=1.0,
         rank=0.5,
         caller=1,
         key=key,
@@ -93,8 +93,8 @@
 
 def test_a_keys_second_run_is_never_started_whatever_the_module_says(rig):
     def decide(event):
-        if type(event) is admission.Request:
-            return [admission.KeepKey(event.id, 5000.0), admission.Run(event.id)]
+        if type(event) is admission.RequestReceived:
+            return [admission.RetainKey(event.id, 5000.0), admission.StartRun(event.id)]
         return []
 
     loop, centre = rig(decide)
@@ -107,11 +107,11 @@
 
 def test_a_try_that_ran_is_never_turned_away(rig):
     def decide(event):
-        if type(event) is admission.Request:
+        if type(event) is admission.RequestReceived:
             return [
-                admission.KeepKey(event.id, 5000.0),
-                admission.Run(event.id),
-                admission.Refuse(event.id, 10.0, True),
+                admission.RetainKey(event.id, 5000.0),
+                admission.StartRun(event.id),
+                admission.Reject(event.id, 10.0, True),
             ]
         return []
 
@@ -125,8 +125,8 @@
 def test_each_request_gets_one_answer_and_none_once_its_caller_has_gone(rig):
     def decide(event):
         return (
-            [admission.Fail(event.id), admission.Refuse(event.id, 0.0, False)]
-            if type(event) is admission.Request
+            [admission.Fail(event.id), admission.Reject(event.id, 0.0, False)]
+            if type(event) is admission.RequestReceived
             else []
         )
 
@@ -135,7 +135,7 @@
     centre.post(core.Arrived(request("a", answers)))
     loop.run()
     assert answers == [("a", core.FAILED)]
-    quiet, centre = rig(lambda event: [admission.Fail(event.id)] if type(event) is admission.Gone else [])
+    quiet, centre = rig(lambda event: [admission.Fail(event.id)] if type(event) is admission.ClientCancelled else [])
     gone = request("b", answers)
     centre.post(core.Arrived(gone))
     centre.post(core.GaveUp(gone))
@@ -145,8 +145,8 @@
 
 def test_a_key_that_is_kept_holds_nothing_but_its_result(rig):
     def decide(event):
-        if type(event) is admission.Request:
-            return [admission.KeepKey(event.id, 5000.0), admission.Run(event.id)]
+        if type(event) is admission.RequestReceived:
+            return [admission.RetainKey(event.id, 5000.0), admission.StartRun(event.id)]
         return []
 
     loop, centre = rig(decide)
@@ -165,12 +165,12 @@
 
 def test_results_past_their_bound_go_and_their_keys_stay(rig):
     def decide(event):
-        if type(event) is not admission.Request:
+        if type(event) is not admission.RequestReceived:
             return []
         return (
-            [admission.Join(event.id)]
-            if event.prior
-            else [admission.KeepKey(event.id, 5000.0), admission.Run(event.id)]
+            [admission.Coalesce(event.id)]
+            if event.retry_of
+            else [admission.RetainKey(event.id, 5000.0), admission.StartRun(event.id)]
         )
 
     loop, centre = rig(decide)
@@ -205,7 +205,11 @@
 
 
 def keyed(event):
-    return [admission.KeepKey(event.id, 5000.0), admission.Run(event.id)] if type(event) is admission.Request else []
+    return (
+        [admission.RetainKey(event.id, 5000.0), admission.StartRun(event.id)]
+        if type(event) is admission.RequestReceived
+        else []
+    )
 
 
 def test_a_try_given_up_while_it_waited_for_the_word_is_not_begun_and_its_key_is_free(rig):
@@ -219,7 +223,10 @@
     loop.run()
     assert [type(m) for m in link.sent] == [say.Claim, say.Freed] and not centre.executor.runs and not answers
     assert not len(centre.table) and not centre._tasks
-    assert centre.control.seen[-2:] == [admission.Gone(1), admission.RunEnded(1, admission.Outcome.CANCELLED, 0.0)]
+    assert centre.control.seen[-2:] == [
+        admission.ClientCancelled(1),
+        admission.RunCompleted(1, admission.Outcome.CANCELLED, 0.0),
+    ]
 
 
 def test_a_try_that_may_not_run_gets_the_other_processs_result_and_teaches_no_time(rig):
@@ -235,7 +242,10 @@
         loop.later(after, centre.post, core.PeerSaid(link, message))
     loop.run()
     assert answers == [("a", core.SERVED)] and not centre.executor.runs and not centre._tasks
-    assert centre.control.seen[-2:] == [admission.Gone(1), admission.RunEnded(1, admission.Outcome.CANCELLED, 0.0)]
+    assert centre.control.seen[-2:] == [
+        admission.ClientCancelled(1),
+        admission.RunCompleted(1, admission.Outcome.CANCELLED, 0.0),
+    ]
 
 
 def test_a_word_from_a_link_that_has_ended_counts_no_more(rig):
--- a/tests/test_paused_runs.py
+++ b/tests/test_paused_runs.py
@@ -6,7 +6,16 @@
 
 import pytest
 
-from lapispick.admission import CallEnded, Gone, Halting, NeedsCall, Outcome, Run, RunEnded, Stop
+from lapispick.admission import (
+    CallCompleted,
+    CallRequested,
+    CancelMode,
+    CancelRun,
+    ClientCancelled,
+    Outcome,
+    RunCompleted,
+    StartRun,
+)
 from lapispick.fakes.peers import INFO, Executor, Store, until
 
 FAILED = -32000
@@ -184,27 +193,27 @@
 
 
 def test_a_paused_run_keeps_its_memory_and_leaves_the_cores(rig):
-    r = rig(halt=Halting.PAUSE, fall_multiple=2, calls_out=50)
+    r = rig(cancel_mode=CancelMode.PAUSE, overload_runs_per_core=2, call_quota=50)
     r.tick(1000)  # the limit comes down to its ceiling
     ids = []
     for _ in range(6):
         r.step(request := r.request())
         ids.append(request.id)
-        r.step(NeedsCall(request.id))
+        r.step(CallRequested(request.id))
     held = r.control.memory
-    r.step(*(CallEnded(i, Outcome.OK, 20.0) for i in ids))
-    told = [a.id for a in r.of(Stop)]
+    r.step(*(CallCompleted(i, Outcome.OK, 20.0) for i in ids))
+    told = [a.id for a in r.of(CancelRun)]
     assert len(told) == 4 and r.control.on_core == 6
-    r.step(*(RunEnded(i, Outcome.CANCELLED, 5.0) for i in told))
+    r.step(*(RunCompleted(i, Outcome.CANCELLED, 5.0) for i in told))
     assert r.control.on_core == 2 and r.control.memory == held
-    r.step(Gone(told[0]))
-    assert r.control.memory == held * 5 / 6 and not [a for a in r.of(Run, told[0])][1:]
+    r.step(ClientCancelled(told[0]))
+    assert r.control.memory == held * 5 / 6 and not [a for a in r.of(StartRun, told[0])][1:]
     rest = [i for i in ids if i not in told]
-    r.step(RunEnded(rest[0], Outcome.OK, 30.0))
-    woken = [i for i in told if len(r.of(Run, i)) == 2]
+    r.step(RunCompleted(rest[0], Outcome.OK, 30.0))
+    woken = [i for i in told if len(r.of(StartRun, i)) == 2]
     assert len(woken) == 1 and r.control.on_core == 2
-    r.step(NeedsCall(woken[0]))  # it goes on as any other
-    assert r.control.on_core == 2 and sum(len(r.of(Run, i)) == 2 for i in told) == 2
+    r.step(CallRequested(woken[0]))  # it goes on as any other
+    assert r.control.on_core == 2 and sum(len(r.of(StartRun, i)) == 2 for i in told) == 2
 
 
 def test_a_wake_that_the_executor_refuses_fails_its_request_and_frees_its_slot(crowd):
@@ -222,9 +231,9 @@
 
 def test_a_host_that_is_behind_with_reading_pauses_nothing(rig):
     """One core, and a request that lay unread: it halves what is begun until the next one, which may never come."""
-    r = rig(halt=Halting.PAUSE, cores=1)
+    r = rig(cancel_mode=CancelMode.PAUSE, cores=1)
     r.step(request := r.request())
     r.tick(2000)
     r.step(late := r.request(age=900))
     r.tick(400)
-    assert r.of(Run, request.id) and not r.of(Stop) and late.id
+    assert r.of(StartRun, request.id) and not r.of(CancelRun) and late.id
--- a/tests/test_prices.py
+++ b/tests/test_prices.py
@@ -85,14 +85,14 @@
         r.step(q)
         r.step(type_end(q), at=r.now + 20)
     assert not r.control.prices.sample
-    r.step(*[r.request(due_at=r.now + 3000) for _ in range(12)])
+    r.step(*[r.request(deadline_at=r.now + 3000) for _ in range(12)])
     assert r.control.prices.sample
-    cold = rig(cold=True)
-    cold.step(*[cold.request(due_at=3000) for _ in range(12)])
+    cold = rig(warming_up=True)
+    cold.step(*[cold.request(deadline_at=3000) for _ in range(12)])
     assert not cold.control.prices.sample
 
 
 def type_end(q):
-    from lapispick.admission import Outcome, RunEnded
+    from lapispick.admission import Outcome, RunCompleted
 
-    return RunEnded(q.id, Outcome.OK, 20)
+    return RunCompleted(q.id, Outcome.OK, 20)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -275,7 +275,7 @@
     _, words = s.shelve(
         program(
             tmp_path / "late",
-            [("host/core.py", "request.read <= due_at < self._now - SLACK_MS", "int(request.tag, 16) % 40 == 0")],
+            [("host/core.py", "request.read <= deadline_at < self._now - SLACK_MS", "int(request.tag, 16) % 40 == 0")],
         )
     )
     s.steer("start", *words)
--- a/tests/test_shared_budget.py
+++ b/tests/test_shared_budget.py
@@ -2,14 +2,14 @@
 
 from lapispick import admission
 
-GAUGES = (*admission.OTHERS, "core_use", "on_cores")
+GAUGES = (*admission.PEER_GAUGES, "core_use", "on_cores")
 
 
 def started(rig, n, **others):
-    told = [others.get(name, 0.0) for name in admission.OTHERS]
+    told = [others.get(name, 0.0) for name in admission.PEER_GAUGES]
     rig.step(admission.TimerFired(0, (*told, 0.1, 1.0)))
     rig.step(*(rig.request() for _ in range(n)))
-    return len(rig.of(admission.Run))
+    return len(rig.of(admission.StartRun))
 
 
 def test_the_other_processs_runs_count_against_the_limit_but_leave_a_half(rig):
@@ -22,16 +22,16 @@
 def test_the_other_processs_memory_counts_in_full(rig):
     full = rig(gauges=GAUGES, memory_kb=1000)
     assert started(full, 2, other_kb=900.0) == 0
-    assert full.of(admission.Refuse)[0].retry_after > 0  # the second finds no room to be held
+    assert full.of(admission.Reject)[0].retry_after > 0  # the second finds no room to be held
     assert started(rig(gauges=GAUGES, memory_kb=1000), 2) == 2
 
 
 def test_the_other_processs_calls_count_against_the_share_but_leave_a_half(rig):
     def calls(**others):
-        r = rig(gauges=GAUGES, cores=20, calls_out=20.0)
+        r = rig(gauges=GAUGES, cores=20, call_quota=20.0)
         n = started(r, 20, **others)
-        r.step(*(admission.NeedsCall(i) for i in range(1, n + 1)))
-        return len(r.of(admission.Call))
+        r.step(*(admission.CallRequested(i) for i in range(1, n + 1)))
+        return len(r.of(admission.StartCall))
 
     assert calls() == 12 and calls(other_calls=4.0) == 8 and calls(other_calls=40.0) == 6
 
@@ -41,7 +41,7 @@
     for _ in range(40):
         request = old.request()
         old.step(request)
-        old.step(admission.RunEnded(request.id, admission.Outcome.OK, 77.0), at=old.now + 77)
+        old.step(admission.RunCompleted(request.id, admission.Outcome.OK, 77.0), at=old.now + 77)
     known = old.control.learned()
     new = rig()
     new.control.adopt(known)
@@ -49,7 +49,7 @@
     seen = rig()
     request = seen.request()
     seen.step(request)
-    seen.step(admission.RunEnded(request.id, admission.Outcome.OK, 5.0), at=5.0)
+    seen.step(admission.RunCompleted(request.id, admission.Outcome.OK, 5.0), at=5.0)
     seen.control.adopt(known)
     assert seen.control.est.cores[0] == 5.0  # what was seen here goes before it
     other = rig(classes=rig().settings.classes[:2])
@@ -59,17 +59,17 @@
 
 def test_a_leave_that_is_handed_over_turns_nothing_away_and_answers_all_in_time(rig):
     r = rig(drain_grace_ms=500)
-    r.step(admission.Leave(3000.0, handed=True))
+    r.step(admission.ShutdownRequested(3000.0, handed=True))
     r.tick(1000)
     late = r.request()
     r.step(late)
-    assert r.of(admission.Run, late.id) and not [a for a in r.of(admission.SetHealth) if not a.good]
+    assert r.of(admission.StartRun, late.id) and not [a for a in r.of(admission.SetHealth) if not a.good]
     r.tick(1990)
     assert r.finals(late.id)
     assert not [a for a in r.of(admission.Advertise) if a.value >= 1]
     left = rig(drain_grace_ms=500)
-    left.step(admission.Leave(3000.0))
+    left.step(admission.ShutdownRequested(3000.0))
     left.tick(1000)
     late = left.request()
     left.step(late)
-    assert left.of(admission.Refuse, late.id) and [a for a in left.of(admission.SetHealth) if not a.good]
+    assert left.of(admission.Reject, late.id) and [a for a in left.of(admission.SetHealth) if not a.good]
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -40,7 +40,7 @@
 
 
 def run(number, at, box=0):
-    return Step(at, (), (admission.Run(number),), (), box)
+    return Step(at, (), (admission.StartRun(number),), (), box)
 
 
 def cut(steps, **wanted):
@@ -191,7 +191,7 @@
 
 
 def test_where_two_traces_part_and_what_was_decided():
-    other = [s._replace(actions=(admission.Refuse(2, 5.0, True, "price"),)) if s.now == 200 else s for s in STEPS]
+    other = [s._replace(actions=(admission.Reject(2, 5.0, True, "price"),)) if s.now == 200 else s for s in STEPS]
     sides = [comparing.Decisions(lambda box, cls: NAMES[cls]) for _ in range(2)]
 
     def seen(a, b):
@@ -211,7 +211,7 @@
     monkeypatch.setattr(comparing, "KNOWN_MOST", 100)
     side = comparing.Decisions(lambda box, cls: NAMES[cls])
     for n in range(1, 1000):
-        side.add(asked(n, n), (admission.Run(n),))
+        side.add(asked(n, n), (admission.StartRun(n),))
     assert len(side._cls) <= 101 and side.made["track"].run == 999
 
 
@@ -382,7 +382,7 @@
 
 
 def test_an_empty_file_and_one_with_one_record_are_traces(tmp_path):
-    for steps in ([], [Step(1.0, (), (admission.Run(1),))]):
+    for steps in ([], [Step(1.0, (), (admission.StartRun(1),))]):
         path = tmp_path / "x.lptrace"
         files.write(path, header(), steps)
         assert json.loads(tool("summarise", path, "--json"))["whole"]["requests"] == 0
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -28,11 +28,11 @@
 
 
 def step(n):
-    request = admission.Request(n, 5.5, 0.5, 0.0, 0, 0.0, 24.0, 1, 3)
+    request = admission.RequestReceived(n, 5.5, 0.5, 0.0, 0, 0.0, 24.0, 1, 3)
     return Step(
         float(n),
-        (request, admission.TimerFired(0, (1.0, 2.0)), admission.RunEnded(n, admission.Outcome.OK, 3.0)),
-        (admission.Run(n), admission.Log("two words"), admission.SetHealth(False, True)),
+        (request, admission.TimerFired(0, (1.0, 2.0)), admission.RunCompleted(n, admission.Outcome.OK, 3.0)),
+        (admission.StartRun(n), admission.Log("two words"), admission.SetHealth(False, True)),
         (Arrival(n, "shop", b"12345678", 1e12), Answered(n, "served", 7.0)),
     )
 
@@ -80,7 +80,9 @@
     items = {kind: kind(*(samples[a] for a in records.fields_of(kind).values())) for kind in KINDS.values()}
     whole = Step(1.5, *(tuple(items[k] for k in part) for part in (EVENTS, ACTIONS, NOTES)))
     assert records.unpack(b"".join(records.pack([whole]))) == [whole]
-    assert list(KINDS) == list(range(1, 27)) and KINDS[8] is admission.Run and KINDS[22] is Arrival  # as documented
+    assert (
+        list(KINDS) == list(range(1, 27)) and KINDS[8] is admission.StartRun and KINDS[22] is Arrival
+    )  # as documented
 
 
 def test_a_file_cut_at_every_byte_of_its_last_two_blocks_gives_every_whole_block(tmp_path):
@@ -308,7 +310,7 @@
         ("drain-off", ""),
         ("reloaded", "stop_ms"),
     ]
-    refused = {a.id: a.ground for s in found for a in s.actions if type(a) is admission.Refuse}
+    refused = {a.id: a.reason for s in found for a in s.actions if type(a) is admission.Reject}
     assert all(refused.values()) and bool(refused) == ("refused" in {n.kind for n in notes if type(n) is Answered})
     answers = [n for n in notes if type(n) is Answered]
     assert len({n.id for n in answers}) == len(answers) == r.asked and "served" in {n.kind for n in answers}
@@ -343,7 +345,7 @@
 def runs(path):
     """Return how many runs stand in the whole blocks of a file."""
     try:
-        return sum(type(a) is admission.Run for s in read(path)[0] for a in s.actions)
+        return sum(type(a) is admission.StartRun for s in read(path)[0] for a in s.actions)
     except layout.TraceFault:  # it was made this moment
         return 0
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -196,7 +196,7 @@
     kill = struct.pack(">BI", codec.KILL, 3)
     host.answer(frame(kill, born({**INFO, "FamilyInfo": {**INFO["FamilyInfo"], "Cold": True}}), number=2))
     control = host.controllers[3]
-    assert control.s.cold and not control.entries
+    assert control.s.warming_up and not control.entries
 
 
 def test_a_fault_of_the_module_is_reported_with_its_cause(monkeypatch, capsys):
@@ -210,11 +210,11 @@
 def test_callers_and_idle_time_are_read_and_may_be_absent():
     told = {**INFO, "FamilyInfo": {**INFO["FamilyInfo"], "Upstreams": 230, "Idle": 30000.0}}
     read = [settings_from(msgspec.convert(info, Info)) for info in (told, INFO)]
-    assert [(s.callers, s.idle_ms) for s in read] == [(230, 30000.0), (0, 0.0)]
+    assert [(s.callers, s.idle_timeout_ms) for s in read] == [(230, 30000.0), (0, 0.0)]
 
 
 def test_health_and_idle_limit_go_out_as_the_module_says():
-    health, idle = adapter.ENCODERS[admission.SetHealth], adapter.ENCODERS[admission.LimitIdle]
+    health, idle = adapter.ENCODERS[admission.SetHealth], adapter.ENCODERS[admission.SetIdleTimeout]
     assert health(3, admission.SetHealth(True, False)) == bytes.fromhex("0d000000030100")
     assert health(3, admission.SetHealth(False, True)) == bytes.fromhex("0d000000030001")
-    assert idle(3, admission.LimitIdle(500.0)) == bytes.fromhex("0900000003407f400000000000")
+    assert idle(3, admission.SetIdleTimeout(500.0)) == bytes.fromhex("0900000003407f400000000000")
