--- /dev/null
+++ b/tests/test_stored_samples.py
@@ -0,0 +1,301 @@
+"""Stored samples of every message, file and database that another version of the program reads.
+
+The samples in ``tests/data/stored`` were written once and are not written again. Decoding a sample and encoding the
+result must give the same bytes. The tables below are the only place that names the code; whoever renames a class or a
+field in Python changes them and no sample.
+"""
+
+import shutil
+import sqlite3
+from pathlib import Path
+from types import SimpleNamespace
+from typing import get_args
+
+import msgspec
+import pytest
+
+from lapispick.agent import ledger, service, shelf
+from lapispick.durable import database
+from lapispick.faults import Fault, Place
+from lapispick.fleet import lastgood
+from lapispick.fleet import messages as inventory_messages
+from lapispick.handover import messages as handover_messages
+from lapispick.host import config as host_config
+from lapispick.host import members as host_members
+from lapispick.interface import Learned
+from lapispick.members import turns
+from lapispick.members import words as member_messages
+from lapispick.rollout import box as agent_state
+from lapispick.rollout import pace, steering
+from lapispick.rollout import words as agent_calls
+from lapispick.rollout.compat import Spoken
+from lapispick.rollout.generations import Generation
+from lapispick.trace import helper as trace_writer
+
+STORED = Path(__file__).parent / "data" / "stored"
+SOURCE = "inventory.yml group brokers"  # of the stored list
+
+
+def json_codec(kind):
+    return msgspec.json.Decoder(kind).decode, msgspec.json.encode
+
+
+# Sample -> (decode, encode), one value a line.
+CODECS = {
+    "handover.jsonl": (handover_messages.decode, handover_messages.encode),
+    "members.jsonl": (member_messages.decode, member_messages.encode),
+    "inventory-to-helper.jsonl": json_codec(inventory_messages.ToHelper),
+    "inventory-from-helper.jsonl": json_codec(inventory_messages.FromHelper),
+    "inventory-state/history.jsonl": json_codec(lastgood.Entry),
+    "agent-calls.txt": (lambda line: agent_calls.read(line.decode()), lambda call: agent_calls.write(call).encode()),
+    "agent-status.jsonl": json_codec(agent_calls.Status),
+    "agent-state.json": json_codec(agent_state.State),
+    "generation.json": json_codec(Generation),
+    "rollout-course.json": json_codec(steering.Course),
+    "host-config.json": json_codec(host_config.Config),
+    "members-turns.jsonl": json_codec(host_members.Turn),
+    "trace-writer-begin.json": json_codec(trace_writer.Begin),
+}
+
+# Sample -> all kinds of messages that it must hold.
+UNIONS = {
+    "handover.jsonl": handover_messages.ANY,
+    "members.jsonl": member_messages.ANY,
+    "inventory-to-helper.jsonl": inventory_messages.ToHelper,
+    "inventory-from-helper.jsonl": inventory_messages.FromHelper,
+    "agent-calls.txt": agent_calls.Call,
+}
+
+# Values that are written as arrays: concept -> (class, attributes in the order of the array, sample).
+ARRAYS = {
+    "member state": (
+        member_messages.Rumour,
+        ("name", "state", "incarnation", "life", "by"),
+        ["disp-02", "suspect", 3, 1764575000, "disp-03"],
+    ),
+    "member fact": (
+        member_messages.Fact,
+        ("author", "life", "number", "kind", "subject", "value", "count", "age", "health", "text"),
+        ["disp-01", 1764576000, 4, "store", "10.0.0.9:80", 2.5, 17, 1.25, 1, "slow"],
+    ),
+    "ballot": (turns.Ballot, ("number", "name"), [7, "disp-01"]),
+    "learned": (
+        Learned,
+        (
+            *("cores", "holds", "calls", "in_call", "counts", "limit", "call_times"),
+            *("call_limit", "prices", "frozen"),
+        ),
+        [[1.5], [3.0], [5.0], [7.0], [9], 4.5, [20.0, 30.0], 5.5, [0.25, 0.75], True],
+    ),
+    "compatibility of a format": (Spoken, ("writes", "oldest", "newest"), [2, 1, 3]),
+    "pace of a rollout": (pace.Bounds, ("most", "serving_least"), [3, 0.75]),
+    "place in a file": (Place, ("file", "line", "column"), ["hosts.yml", 12, 5]),
+    "fault of a file": (
+        Fault,
+        ("place", "key", "text"),
+        [["hosts.yml", 12, 5], "amqp_port", "must be a number"],
+    ),
+}
+
+# How the current code opens, reads and writes what is on disk.
+FILES = SimpleNamespace(
+    open_keys=database.Database,
+    key_row=lambda key, known: (
+        *(key, int(known.state), known.life, known.born, known.until),
+        *(known.body, known.result),
+    ),
+    open_ledger=ledger.Ledger,
+    open_agent_state=lambda folder, name: service.Store(folder, name),
+    open_generations=shelf.Shelf,
+    kept_list=lastgood.kept,
+    keep_list=lambda folder, head, snapshot: lastgood.keep(folder, head.source, snapshot, head.at, head.ground),
+    history=lastgood.history,
+    remember=lastgood.remember,
+    status=lastgood.status,
+    accepting=lastgood.accepting,
+    accept=lastgood.accept,
+)
+
+
+def lines(sample):
+    return (STORED / sample).read_bytes().splitlines()
+
+
+def restored(sample, path):
+    with sqlite3.connect(path) as db:
+        db.executescript((STORED / sample).read_text())
+    db.close()
+    return path
+
+
+def contents(path):
+    """Return the schema and all rows of a database as text."""
+    db = sqlite3.connect(path)
+    try:
+        return list(db.iterdump())
+    finally:
+        db.close()
+
+
+def rows(path, query):
+    db = sqlite3.connect(path)
+    try:
+        return db.execute(query).fetchall()
+    finally:
+        db.close()
+
+
+def schema(path):
+    return sorted(rows(path, "select type, name, sql from sqlite_master where name not like 'sqlite_%'"))
+
+
+def unpopulated(value, path="value"):
+    """Yield the fields of structs that hold their default, or nothing where they have none."""
+    if isinstance(value, msgspec.Struct):
+        for field in msgspec.structs.fields(type(value)):
+            held = getattr(value, field.name)
+            if field.default is not msgspec.NODEFAULT:
+                empty = held == field.default
+            elif field.default_factory is not msgspec.NODEFAULT:
+                empty = held == field.default_factory()
+            else:
+                empty = not held
+            if empty and field.encode_name != "version":
+                yield f"{path}.{field.encode_name}"
+            yield from unpopulated(held, f"{path}.{field.encode_name}")
+    elif isinstance(value, dict):
+        for key, held in value.items():
+            yield from unpopulated(held, f"{path}[{key}]")
+    elif isinstance(value, (list, tuple)):
+        for index, held in enumerate(value):
+            yield from unpopulated(held, f"{path}[{index}]")
+
+
+@pytest.mark.parametrize("sample", CODECS)
+def test_a_sample_is_encoded_again_to_the_same_bytes(sample):
+    decode, encode = CODECS[sample]
+    found = lines(sample)
+    assert found and [encode(decode(line)).removesuffix(b"\n") for line in found] == found
+
+
+@pytest.mark.parametrize("sample", CODECS)
+def test_a_sample_populates_every_field(sample):
+    decode, _ = CODECS[sample]
+    assert [path for line in lines(sample) for path in unpopulated(decode(line))] == []
+
+
+@pytest.mark.parametrize("sample", UNIONS)
+def test_there_is_a_sample_of_every_kind_of_message(sample):
+    decode, _ = CODECS[sample]
+    assert {type(decode(line)) for line in lines(sample)} == set(get_args(UNIONS[sample]))
+
+
+@pytest.mark.parametrize("concept", ARRAYS)
+def test_the_places_of_an_array_keep_their_meaning(concept):
+    kind, attributes, sample = ARRAYS[concept]
+    raw = msgspec.json.encode(sample)
+    made = msgspec.json.decode(raw, type=kind)
+    assert msgspec.json.encode([getattr(made, name) for name in attributes]) == raw
+    assert msgspec.json.encode(made) == raw
+
+
+def test_the_stored_keys_are_loaded_and_only_the_number_of_the_life_changes(tmp_path):
+    path = restored("keys.sql", tmp_path / "keys.db")
+    before, stored = contents(path), rows(path, "select * from keys")
+    store = FILES.open_keys(path, "n3")
+    found = list(store.load())
+    store.close()
+    assert [FILES.key_row(*each) for each in found] == stored and len(stored) == 5
+    after = contents(path)
+    assert [(a, b) for a, b in zip(before, after, strict=True) if a != b] == [
+        ("INSERT INTO \"meta\" VALUES('life',1);", "INSERT INTO \"meta\" VALUES('life',2);")
+    ]
+
+
+def test_keys_are_written_as_stored(tmp_path):
+    old = restored("keys.sql", tmp_path / "old.db")
+    source = FILES.open_keys(old, "n3")
+    new = FILES.open_keys(tmp_path / "new.db", "n3")
+    new.write(list(source.load()))
+    source.close()
+    new.close()
+    assert schema(tmp_path / "new.db") == schema(old)
+    assert rows(tmp_path / "new.db", "select * from keys") == rows(old, "select * from keys")
+    assert rows(tmp_path / "new.db", "select * from meta") == [("box", "n3"), ("life", 1), ("version", 1)]
+
+
+def test_the_stored_ledger_is_read_and_left_unchanged(tmp_path):
+    path = restored("ledger.sql", tmp_path / "rollouts.db")
+    before = contents(path)
+    book = FILES.open_ledger(tmp_path)
+    stored = rows(path, "select * from rollouts order by began")
+    found = [(name, began, ended, msgspec.json.encode(course)) for name, began, ended, course in book.history()]
+    assert found == stored and [row[0] for row in stored] == ["r0", "r1"]
+    assert msgspec.json.encode(book.course()) == stored[-1][3] == (STORED / "rollout-course.json").read_bytes().strip()
+    assert book.events("r1") == [(1764576010.5, "begun")]
+    assert book.looked("r1") == (1764576012.0, {"disp-01": {"phase": "steady", "serving": "0123456789abcdef"}})
+    told = {"outcome": "wait", "rows": [{"figure": "refused", "mean": 0.5}]}
+    assert book.explained("r1") == (1764576013.0, told)
+    assert book.steered() == ("alpha", 5, 1764576012.0)
+    assert contents(path) == before
+    assert book.take_over("beta", 0) == 6 and book.orders("r1") == ["go", "hold"]
+    book.close()
+
+
+def test_a_ledger_is_written_as_stored(tmp_path):
+    old = restored("ledger.sql", tmp_path / "old.db")
+    course = CODECS["rollout-course.json"][0](lines("rollout-course.json")[0])
+    book = FILES.open_ledger(tmp_path / "new")
+    assert book.take_over("alpha", 4) == 5
+    book.keep(course, 1764576010.0, [(1764576010.5, "begun")])
+    book.seen(1764576012.0, "r1", {"disp-01": {"phase": "steady", "serving": "0123456789abcdef"}})
+    book.explain("r1", 1764576013.0, {"outcome": "wait", "rows": [{"figure": "refused", "mean": 0.5}]})
+    book.order("r1", "go")
+    book.close()
+    new = tmp_path / "new" / "rollouts.db"
+    assert schema(new) == schema(old)
+    for query in (
+        *("select * from meta", "select * from explained", "select * from looks"),
+        "select rollout, at, text from events where rollout = 'r1'",
+        "select * from rollouts where name = 'r1'",
+        "select * from orders where word = 'go'",
+    ):
+        assert rows(new, query) == rows(old, query) != [], query
+
+
+def test_the_stored_list_of_an_inventory_is_read_and_written_again(tmp_path):
+    folder, fresh = STORED / "inventory-state", tmp_path / "fresh"
+    head, snapshot = FILES.kept_list(folder, SOURCE)
+    FILES.keep_list(fresh, head, snapshot)
+    for entry in FILES.history(folder):
+        FILES.remember(fresh, entry, 20)
+    FILES.accept(fresh, FILES.accepting(folder))
+    for name in ("last-good.jsonl", "history.jsonl", "accept"):
+        assert (fresh / name).read_bytes() == (folder / name).read_bytes(), name
+    assert msgspec.json.encode(FILES.status(folder)) == (folder / "status.json").read_bytes().strip()
+    assert [p for value in (head, *snapshot.boxes.values()) for p in unpopulated(value)] == []
+
+
+def test_an_agent_finds_its_stored_state_and_writes_it_again(tmp_path):
+    shutil.copy(STORED / "agent-state.json", tmp_path / "state.json")
+    store = FILES.open_agent_state(tmp_path, "disp-01")
+    assert msgspec.json.encode(store.state) == lines("agent-state.json")[0]
+    (tmp_path / "state.json").unlink()
+    store.put(store.state)
+    assert (tmp_path / "state.json").read_bytes() == lines("agent-state.json")[0]
+    assert (tmp_path / "agent.lock").exists()
+
+
+def test_a_stored_generation_is_found_by_its_digest(tmp_path):
+    folder = tmp_path / "0123456789abcdef"
+    (folder / "program" / "lapispick").mkdir(parents=True)
+    (folder / "lapispick.conf").touch()
+    shutil.copy(STORED / "generation.json", folder / "generation.json")
+    found = FILES.open_generations(tmp_path).all()
+    assert [msgspec.json.encode(made) for made in found.values()] == lines("generation.json")
+    assert list(found) == ["0123456789abcdef"]
+
+
+def test_a_stored_platform_configuration_passes_the_checks_of_a_start():
+    raw = lines("host-config.json")[0]
+    assert msgspec.json.encode(host_config.parse(raw)) == raw
