--- a/tests/test_stored_samples.py
+++ b/tests/test_stored_samples.py
@@ -40,6 +40,21 @@
     return msgspec.json.Decoder(kind).decode, msgspec.json.encode
 
 
+# What the stored ledger holds of the rollout r1, beside its course.
+LOOKED = {
+    "deviations": ["disp-06 runs something else"],
+    "boxes": {"disp-01": ["0123456789abcdef", "steady", "late"]},
+}
+EXPLAINED = {
+    **{"stage": 2, "outcome": "wait", "ground": "too few slices", "changed": ["disp-01"], "old": ["disp-03"]},
+    "rows": [
+        {
+            **{"figure": "refused", "slices": 5, "mean": 0.5, "low": 0.25, "high": 0.75, "margin": 0.02},
+            **{"evidence": 1.5, "needed": 20.5, "cleared": 2.5, "old_change": 0.125},
+        }
+    ],
+}
+
 # Sample -> (decode, encode), one value a line.
 CODECS = {
     "handover.jsonl": (handover_messages.decode, handover_messages.encode),
@@ -233,9 +248,8 @@
     assert found == stored and [row[0] for row in stored] == ["r0", "r1"]
     assert msgspec.json.encode(book.course()) == stored[-1][3] == (STORED / "rollout-course.json").read_bytes().strip()
     assert book.events("r1") == [(1764576010.5, "begun")]
-    assert book.looked("r1") == (1764576012.0, {"disp-01": {"phase": "steady", "serving": "0123456789abcdef"}})
-    told = {"outcome": "wait", "rows": [{"figure": "refused", "mean": 0.5}]}
-    assert book.explained("r1") == (1764576013.0, told)
+    assert book.looked("r1") == (1764576012.0, LOOKED)
+    assert book.explained("r1") == (1764576013.0, EXPLAINED)
     assert book.steered() == ("alpha", 5, 1764576012.0)
     assert contents(path) == before
     assert book.take_over("beta", 0) == 6 and book.orders("r1") == ["go", "hold"]
@@ -248,8 +262,8 @@
     book = FILES.open_ledger(tmp_path / "new")
     assert book.take_over("alpha", 4) == 5
     book.keep(course, 1764576010.0, [(1764576010.5, "begun")])
-    book.seen(1764576012.0, "r1", {"disp-01": {"phase": "steady", "serving": "0123456789abcdef"}})
-    book.explain("r1", 1764576013.0, {"outcome": "wait", "rows": [{"figure": "refused", "mean": 0.5}]})
+    book.seen(1764576012.0, "r1", LOOKED)
+    book.explain("r1", 1764576013.0, EXPLAINED)
     book.order("r1", "go")
     book.close()
     new = tmp_path / "new" / "rollouts.db"
--- /dev/null
+++ b/tests/test_wire_names.py
@@ -0,0 +1,635 @@
+"""The names that leave the program: protocols, settings, figures, JSON output, words in stored states.
+
+``tests/data/wire_names.json`` is keyed by what stands on the wire. The tables below map its keys to the code; whoever
+renames a class, function or constant in Python changes them and not the list.
+"""
+
+import base64
+import json
+import re
+import socket
+import sqlite3
+import time
+import tomllib
+from pathlib import Path
+from types import SimpleNamespace
+from typing import get_args
+
+import click
+import msgspec
+import pytest
+from click.testing import CliRunner
+
+from lapispick import benchlink, interface, settings, versions, wire
+from lapispick.agent import controller
+from lapispick.agent import service as agent_service
+from lapispick.cli.main import cli as command_line
+from lapispick.conf import settings as operators_settings
+from lapispick.fleet import acceptance, lastgood
+from lapispick.fleet import messages as inventory_messages
+from lapispick.handover import messages as handover_messages
+from lapispick.host import __main__ as host_process
+from lapispick.host import clients, core, executor, figures, loop, ops, roster, store
+from lapispick.host import config as host_config
+from lapispick.host import handover as host_handover
+from lapispick.host import members as host_members
+from lapispick.interface import Outcome
+from lapispick.members import turns, view
+from lapispick.members import words as member_messages
+from lapispick.rollout import box as agent_state
+from lapispick.rollout import judge, steering
+from lapispick.rollout import words as agent_calls
+from lapispick.rollout.generations import Generation
+from lapispick.trace import helper as trace_writer
+from lapispick.trace import kinds as trace_kinds
+from lapispick.trace import lines as trace_text
+from lapispick.trace import records as trace_records
+
+ROOT = Path(__file__).parent.parent
+STORED = json.loads((Path(__file__).parent / "data" / "wire_names.json").read_text())
+SAMPLES = Path(__file__).parent / "data" / "stored"
+
+# Protocol -> the union of its messages, each with a tag.
+TAGGED = {
+    "handover": handover_messages.ANY,
+    "members": member_messages.ANY,
+    "inventory, to the helper": inventory_messages.ToHelper,
+    "inventory, from the helper": inventory_messages.FromHelper,
+    "votes on turns": turns.Claim | turns.Vote | turns.Release,
+}
+
+# What is read or written without a tag -> its class.
+PLAIN = {
+    "platform, message": clients.Message,
+    "platform, parameters": clients.Params,
+    "executor, notice": executor.Notice,
+    "platform's configuration": host_config.Config,
+    "platform's configuration, limits": host_config.Limits,
+    "start settings": settings.Info,
+    "start settings, family": settings.FamilyInfo,
+    "start settings, bounds": settings.Bounds,
+    "start settings, guarantees": settings.Guarantees,
+    "start settings, class": settings.Service,
+    "start settings, tenant": settings.Party,
+    "module's settings": interface.Settings,
+    "module's settings, class": interface.ClassSettings,
+    "agent, status": agent_calls.Status,
+    "agent, stored state": agent_state.State,
+    "agent, stored process": agent_state.Life,
+    "generation": Generation,
+    "rollout": steering.Course,
+    "rollout, plan": steering.Plan,
+    "inventory, head of the last good list": lastgood.Head,
+    "inventory, line of the history": lastgood.Entry,
+    "trace, start of the writer": trace_writer.Begin,
+    "operators, view of members": host_members.Told,
+    "operators, one member": host_members.Seen,
+    "operators, one turn": host_members.Turn,
+}
+
+# Words that stand in messages and stored states -> where the code has them.
+WORDS = {
+    "phases of an agent": lambda: (
+        *(agent_state.STEADY, agent_state.TRYING, agent_state.PROVING),
+        *(agent_state.RETURNING, agent_state.STUCK),
+    ),
+    "roles of a process": lambda: (agent_state.SERVING, agent_state.COMING, agent_state.LEAVING),
+    "phases of a rollout": lambda: (
+        *(steering.WATCHING, steering.CHANGING, steering.BAKING, steering.CONFIRMING, steering.HOLDING),
+        *(steering.ASKING, steering.RETURNING, steering.BURNING, steering.WAITING),
+        *(steering.DONE, steering.UNDONE),
+    ),
+    "phases after which a rollout is over": lambda: steering.OVER,
+    "outcomes of the judge": lambda: [each.value for each in judge.Outcome],
+    "states of a member": lambda: {word: int(state) for state, word in view.WORDS.items()},
+    "phases of an inventory": lambda: [each.value for each in acceptance.Phase],
+    "effects of a class": lambda: list(settings.EFFECTS),
+    "ways to halt": lambda: list(settings.HALTS),
+    "ways to advertise": lambda: list(settings.ADVERTS),
+    "effects, in the module's settings": lambda: [each.value for each in interface.Effect],
+    "ways to halt, in the module's settings": lambda: [each.value for each in interface.Halting],
+    "ways to advertise, in the module's settings": lambda: [each.value for each in interface.Advert],
+    "outcomes of a run or call": lambda: {each.name: int(each) for each in interface.Outcome},
+    "kinds of an answer, in traces": lambda: [core.SERVED, core.REFUSED, core.FAILED],
+    "ends of a run": lambda: {word: int(end) for word, end in executor.ENDS.items()},
+    "formats and their versions": lambda: {kind: list(each) for kind, each in versions.SPOKEN.items()},
+    "words in the lock of a hand-over": lambda: [host_handover.SERVING.decode(), host_handover.ENDED.decode()],
+    "file with the number of a life": lambda: host_members.LIFE,
+    "host's calls that an agent passes on": lambda: list(agent_service.PASSED),
+}
+
+# Simulator, event -> (code, class that the record becomes; none where it starts or ends an instance).
+EVENTS = {
+    "run over": (wire.RUN_OVER, interface.RunEnded),
+    "born": (wire.BORN, None),
+    "blocked": (wire.BLOCKED, interface.NeedsCall),
+    "hang-up": (wire.HANGUP, interface.Gone),
+    "knock": (wire.KNOCK, interface.Request),
+    "came back": (wire.CAME_BACK, interface.CallEnded),
+    "kill": (wire.KILL, None),
+    "deadline hit": (wire.DEADLINE_HIT, interface.TimerFired),
+    "terminate soon": (wire.TERMINATE_SOON, interface.Leave),
+}
+
+# Simulator, action -> (code, an action with different values).
+ACTIONS = {
+    "dispatch": (wire.DISPATCH, interface.Run(7)),
+    "pin": (wire.PIN, interface.KeepKey(7, 2.5)),
+    "invoke": (wire.INVOKE, interface.Call(7, 2.5)),
+    "say": (wire.SAY, interface.Advertise(2.5)),
+    "join": (wire.JOIN, interface.Join(7)),
+    "emit": (wire.EMIT, interface.Log("text")),
+    "yank": (wire.YANK, interface.Stop(7)),
+    "idle limit": (wire.IDLE_LIMIT, interface.LimitIdle(2.5)),
+    "say no": (wire.SAY_NO, interface.Refuse(7, 2.5, True, "ground")),
+    "go on": (wire.GO_ON, interface.GoWithout(7)),
+    "release key": (wire.RELEASE_KEY, interface.ForgetKey(7)),
+    "mark health": (wire.MARK_HEALTH, interface.SetHealth(True, False)),
+    "arm": (wire.ARM, interface.SetTimer(2.5, 7)),
+    "report failure": (wire.REPORT_FAILURE, interface.Fail(7)),
+}
+
+
+class Stop(Exception):
+    """Ends a part that would go on for ever."""
+
+
+def stop(*_):
+    raise Stop
+
+
+class FakeStream:
+    """A connection that reads given lines, calls what stands between them, and keeps what is written."""
+
+    closed = failed = ended = ending = deaf = False
+    unsent = unread = received = 0
+
+    def __init__(self, *feed):
+        self.feed, self.written = list(feed), []
+
+    def read_line(self, timeout=None):
+        while self.feed:
+            item = self.feed.pop(0)
+            if isinstance(item, bytes):
+                return item
+            item()
+        return None
+
+    def read_exactly(self, size, timeout=None):
+        return self.feed.pop(0)
+
+    def write(self, data):
+        self.written.append(data)
+
+    def holds_line(self):
+        return False
+
+    def quiet(self):
+        return False
+
+    def finish(self, span=0.0):
+        pass
+
+    def close(self):
+        pass
+
+
+class FakeLoop:
+    """Runs what is spawned at once, no timers, and ends whoever waits."""
+
+    unsent_most = 1 << 20
+    suspend = sleep = staticmethod(stop)
+
+    def spawn(self, function, *arguments):
+        function(*arguments)
+
+    def later(self, span, function, *arguments):
+        pass
+
+
+def objects(written):
+    return [json.loads(line) for line in b"".join(written).splitlines()]
+
+
+def encoded_names(kind):
+    return list(kind.__struct_encode_fields__)
+
+
+def shape(value):
+    """Return a JSON value with its keys and without its values."""
+    if isinstance(value, dict):
+        return {key: shape(held) for key, held in value.items()}
+    if isinstance(value, list):
+        return [shape(value[0])] if value else []
+    return type(value).__name__
+
+
+def start_settings():
+    return json.loads((SAMPLES / "host-config.json").read_text())["settings"]
+
+
+# What the parts write and read by hand.
+
+
+def platform_answers():
+    """Talk to one connection and return what it writes, by occasion."""
+    info = msgspec.convert(start_settings(), settings.Info)
+    front = SimpleNamespace(
+        **{"classes": {"book": 0}, "settings": settings.settings_from(info), "customers": {"acme"}},
+        **{"needs_patience": True, "advice": lambda: 2.5, "loop": FakeLoop(), "closed": lambda connection: None},
+    )
+    found = {}
+
+    def talk(occasion, method, act=None, **message):
+        params = {
+            **{"trace": "0123456789abcdef", "born": time.time() * 1000, "client": 3, "customer": "acme"},
+            **{"patience": 500.0, "redo": 1, "size": 2.0, "order": 0.5, "nonce": "ab" * 16, "doc": "eA=="},
+            **message.pop("params", {}),
+        }
+        line = {"jsonrpc": "2.0", "id": 5, "method": method, "params": params, **message}
+        posted, stream = [], FakeStream(json.dumps(line).encode())
+        front.post = posted.append
+        connection = clients.Connection(front, stream)
+        connection.serve()
+        act(connection, posted[0])
+        found[occasion] = objects(stream.written)
+
+    def answer(*values):
+        return lambda connection, item: item.request.reply(core.Answer(*values))
+
+    talk("served", "book", answer(core.SERVED, "eA==", 0.0, False, 1.5))
+    talk("failed", "book", answer(core.FAILED, None, 0.0, False, 1.5))
+    talk("refused", "book", answer(core.REFUSED, None, 20.0, True, 1.5))
+    talk("fault of the peer", "book", answer(core.FAILED, None, 0.0, False, 1.5, "a fault"))
+    talk("health", "probe", lambda connection, item: item.reply(True, 1.5), params={"thorough": True})
+    talk("leave", "probe", lambda connection, item: connection.goaway())
+    give_up = json.dumps({"jsonrpc": "2.0", "method": "giveUp", "params": {"id": 5}}).encode()
+    talk("given up", "book", lambda connection, item: connection._take(give_up))
+    return found
+
+
+def platform_codes():
+    return [clients.PARSE, clients.INVALID, clients.NO_METHOD, clients.FAILED, clients.REFUSED]
+
+
+def executor_commands(monkeypatch):
+    """Return what the executor's link writes, and what it posts of each notice."""
+    posted = []
+    link = executor.ExecutorLink(FakeLoop(), ("127.0.0.1", 1), posted.append)
+
+    def notice(**told):
+        return json.dumps(told).encode()
+
+    def command():
+        link.run("a", "book", "eA==", True)
+        link.stop("a")
+        link.wake("a")
+        link.resume("a", "eQ==")
+        link.skip("a", 9)
+        link.meter()
+        link.diagnose()
+
+    stream = FakeStream(
+        notice(verb="WELCOME", outcome="chilly", spent=1.5),
+        command,
+        notice(verb="CALLOUT", index=1, task="a", bytes="eA=="),
+        notice(verb="EXIT", index=2, task="a", outcome="complete", spent=2.5, bytes="eQ=="),
+        notice(verb="METERS", index=3, nonce="tick", readings=[1.5, 2.5]),
+        notice(verb="DIAGNOSED", index=4, nonce="check-1", outcome="complete"),
+        lambda: link.run("b", "book", "eA==", False),
+        notice(verb="BAD", index=5, outcome="EXEC", task="b"),
+    )
+    monkeypatch.setattr(executor, "connect", lambda *_, **__: stream)
+    with pytest.raises(Stop):
+        link.serve()
+    expected = [
+        core.ExecutorUp(True, 1.5),
+        core.CallWanted("a", 1, "eA=="),
+        core.RunOver("a", Outcome.OK, 2.5, "eQ=="),
+        core.Metered((1.5, 2.5)),
+        core.Diagnosed("check-1", True),
+        core.RunUnknown("b"),
+    ]
+    assert posted == expected
+    return objects(stream.written)
+
+
+def store_request(monkeypatch):
+    """Return the call as it is written; the wait differs from run to run."""
+    posted = []
+    stream = FakeStream(b"HTTP/1.1 503 Busy\r", b"X-Not-Run: 1\r", b"Content-Length: 2\r", b"\r", b"no")
+    monkeypatch.setattr(store, "connect", lambda *_, **__: stream)
+    client = store.StoreClient(FakeLoop(), ("127.0.0.1", 8080), posted.append, 10)
+    client.call("0123456789abcdef", base64.b64encode(b"body").decode(), 250.0, True)
+    assert [(each[1], each[3]) for each in posted] == [(Outcome.FULL, base64.b64encode(b"no").decode())]
+    return re.sub(r"(?<=X-Wait-Ms: )\d+", "N", b"".join(stream.written).decode())
+
+
+def store_outcomes():
+    given = {"200": {}, "409, not run": {b"x-not-run": b"1"}, "503, not run": {b"x-not-run": b"1"}, "503": {}}
+    given |= {"504": {}, "500": {}}
+    return {told: int(store.outcome_of(int(told[:3]), headers)) for told, headers in given.items()}
+
+
+def roster_reports():
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as heard:
+        heard.bind(("127.0.0.1", 0))
+        heard.settimeout(5)
+        reports, teller = [], roster.Roster(FakeLoop(), heard.getsockname(), "n3")
+        for on in (True, False):
+            teller.set(on)
+            with pytest.raises(Stop):
+                teller.serve()
+            reports.append(heard.recv(200).decode())
+    return reports
+
+
+def figure_names():
+    basic = figures.Figures(["book"])
+    extended = figures.Wide(["book"], [(100.0, 1.0, 0.5)], "0123456789abcdef", lambda: (1, 2))
+
+    def names(lines):
+        return [re.sub(r":\d+\|", "|", line) for line in lines]
+
+    return {"basic": names(basic.lines(3)), "extended": names(extended.lines())}
+
+
+def directives():
+    """Return the directives by section with their defaults, as the program writes a settings file."""
+    found, section = {}, ""
+    for line in operators_settings.lines(operators_settings.Settings()):
+        words = line.split("# ")[0].split() if not line.lstrip().startswith("#") else [line.split()[1]]
+        if words[0] == "section":
+            section = words[1]
+            found[section] = {}
+        elif words[0] != "end":
+            found[section][words[0]] = " ".join(words[1:])
+    return found
+
+
+def environment():
+    """Return all names of environment variables of our own that stand in the code."""
+    named = re.compile(r"[\"'](LB_[A-Z_]*[A-Z]|LAPISPICK_[A-Z_]*[A-Z])[\"']")
+    code = [path.read_text() for path in (ROOT / "lapispick").rglob("*.py") if "standins" not in path.parts]
+    return sorted({name for text in code for name in named.findall(text)})
+
+
+def operators_answers():
+    """Return how an answer begins: to a known call, an unknown one, one without an end, one that is no text."""
+    made = ops.Operators(loop.Loop(), ("127.0.0.1", 0), 4, {"check": lambda: ["OK"]})
+    return [made._answer(line)[0].split()[0] for line in (b"check", b"other", None, b"\xff")]
+
+
+def trace_lines():
+    """Return each kind of record by its number, as it stands in a trace's lines; places in a file follow this order."""
+    parts = {"events": trace_kinds.EVENTS, "actions": trace_kinds.ACTIONS, "notes": trace_kinds.NOTES}
+    examples = {
+        **{"int": 7, "float": 2.5, "bool": True, "str": "text", "bytes": b"data"},
+        **{"tuple[float, ...]": (1.5, 2.5), Outcome.__name__: Outcome.OK},
+    }
+    found = {}
+    for part, kinds in parts.items():
+        for kind in kinds:
+            record = kind(*(examples[annotation] for _, annotation in trace_records.FIELDS[kind]))
+            step = trace_kinds.Step(1.5, **{part: (record,)})
+            line = trace_text.step_line(step, "n3")
+            assert trace_text.read_step(line, 1) == step
+            assert list(trace_records.unpack(b"".join(trace_records.pack([step])))) == [step]
+            found[str(trace_kinds.NUMBERS[kind])] = [part, *map(list, json.loads(line)[part][0].items())]
+    return found
+
+
+def trace_messages():
+    return {
+        name: {field.name: field.number for field in made.DESCRIPTOR.fields}
+        for name, made in trace_records._MADE.items()
+    }
+
+
+def event_frames():
+    """Return the code and layout of each event, and a record as it is decoded from a frame."""
+    found = {}
+    for event, (code, kind) in EVENTS.items():
+        layout = wire.EVENTS[code]
+        count = 2 if code in (wire.BORN, wire.DEADLINE_HIT) else 0
+        values = list(range(2, len(re.findall(r"[A-Za-z]", layout.format)) + 2))
+        if count:
+            values[-1] = count
+        tail = {wire.BORN: b"{}", wire.DEADLINE_HIT: b"\x3f\xc0\x00\x00\x40\x20\x00\x00"}.get(code, b"")
+        body = bytes([code]) + layout.pack(*values) + tail
+        frame = wire.BATCH_HEAD.pack(wire.BATCH_HEAD.size + len(body), 1.5, 9) + body
+        clock, number, (record,) = wire.decode_batch(frame)
+        assert (clock, number, record[0]) == (1.5, 9, code)
+        found[event] = {"code": code, "layout": layout.format, "frame": frame.hex()}
+        if kind is not None:
+            made = benchlink.event_from(record)
+            assert type(made) is kind
+            found[event]["event"] = json.loads(msgspec.json.encode(tuple(made)))
+    return found
+
+
+def action_records():
+    """Return the code of each action, and its record for instance 3."""
+    found = {}
+    for action, (code, example) in ACTIONS.items():
+        record = benchlink.ENCODERS[type(example)](3, example)
+        assert record[0] == code
+        layout = wire.ACTIONS.get(code, wire.TEXT_HEAD).format
+        found[action] = {"code": code, "layout": layout, "record": record.hex()}
+    text = wire.encode_text(wire.FATAL, 3, "text")
+    found["fatal"] = {"code": wire.FATAL, "layout": wire.TEXT_HEAD.format, "record": text.hex()}
+    return found
+
+
+def operators_calls(monkeypatch, folder):
+    """Return the calls that a worker host answers, with and without words behind them."""
+    found = {}
+
+    class FakeOperators:
+        def __init__(self, loop, listen, most, calls):
+            found["host"] = sorted(calls)
+            found["check while it starts"] = calls["check"]()[0].split()[0]
+            found["last line of vars"] = calls["vars"]()[-1]
+
+        def answers(self, calls, worded):
+            found["members"] = sorted(calls)
+            for call in ("why disp-01", "want restart owner 7", "done restart owner", "other"):
+                found[call] = "unknown" if worded(call)[0].startswith("ERR unknown call") else "known"
+
+    (folder / "own.conf").write_text(
+        "section handover\n enabled no\nend\nsection fleet\n group hosts\nend\n"
+        "section inventory\n path list.yml\nend\nsection members\n enabled yes\n listen 127.0.0.1:7946\nend\n"
+    )
+    (folder / "list.yml").write_text("hosts:\n  hosts:\n    n3:\n")
+    raw = json.loads((SAMPLES / "host-config.json").read_text()) | {"listen": "127.0.0.1:0"}
+    monkeypatch.setattr(host_process, "Operators", FakeOperators)
+    made = host_process.Host(
+        host_config.parse(json.dumps(raw).encode()),
+        operators_settings.parse(folder / "own.conf"),
+        SimpleNamespace(),
+    )
+    made.gateways.close_listener()
+    return found
+
+
+def handover_files(folder):
+    """Return the files in the folder that two processes share, and what the lock says."""
+    part = host_handover.Handover(FakeLoop(), folder, "n3", "127.0.0.1:8443", 1, None, None, None)
+    return {
+        "files": sorted(path.name for path in folder.iterdir()),
+        "lock": [path.read_text() for path in folder.glob("*.lock")],
+        "socket": Path(part._path).name,
+    }
+
+
+def ledger_objects():
+    """Return the keys of what a controller keeps of a rollout beside its course."""
+    course = msgspec.json.decode((SAMPLES / "rollout-course.json").read_bytes(), type=steering.Course)
+    status = msgspec.json.decode((SAMPLES / "agent-status.jsonl").read_bytes(), type=agent_calls.Status)
+    kept = []
+    part = SimpleNamespace(
+        **{"course": course, "boxes": {}, "_heard": lambda: {"disp-01": steering.Heard(status, 99.0)}},
+        **{"_slice_at": float("-inf"), "_old": [], "_judged": None, "_judging": judge.Bounds()},
+        **{"ledger": SimpleNamespace(explain=None), "work": SimpleNamespace(do=lambda *call: kept.append(call[-1]))},
+    )
+    controller.Controller._weigh(part)
+    seen = controller.Controller._shown(part)
+    return {"seen": shape(seen), "explained": list(kept[0]), "row of a figure": list(judge.Row._fields)}
+
+
+def command_options(command, name="lapispick"):
+    """Return the options and arguments of each command."""
+    if not isinstance(command, click.Group):
+        return {name: sorted(word for each in command.params for word in (*each.opts, *each.secondary_opts))}
+    context, found = click.Context(command), {}
+    for word in command.list_commands(context):
+        found |= command_options(command.get_command(context, word), f"{name} {word}")
+    return found
+
+
+def json_outputs(folder):
+    """Return the keys of what commands print with ``--json``, by command."""
+    with sqlite3.connect(folder / "rollouts.db") as db:
+        db.executescript((SAMPLES / "ledger.sql").read_text())
+    db.close()
+    (folder / "list.yml").write_text(
+        "hosts:\n  hosts:\n    disp-01: {lapispick_agent: '10.0.0.1:7000'}\n    disp-02:\n"
+        "mq:\n  hosts:\n    mq-01: {amqp_user: shop, amqp_password: x, amqp_queues: [{amqp_queue: jobs}]}\n"
+    )
+    for path in (SAMPLES / "inventory-state").iterdir():
+        (folder / path.name).write_bytes(path.read_bytes())
+    conf = folder / "own.conf"
+    conf.write_text(
+        "section inventory\n path list.yml\n group mq\n state-folder .\nend\nsection fleet\n group hosts\nend\n"
+        "section rollout\n state-folder .\nend\n"
+    )
+    trace = str(Path(__file__).parent / "data" / "v1.lptrace")
+    backends = ["--backends", str(folder / "list.yml"), "--group", "mq", "--least", "1"]
+    commands = {
+        "config check": ["config", "check", "--conf", str(conf)],
+        "inventory check": ["inventory", "check", "--conf", str(conf)],
+        "inventory list": ["inventory", "list", "--conf", str(conf)],
+        "inventory history": ["inventory", "history", "--conf", str(conf)],
+        "rollout status": ["rollout", "status", "--conf", str(conf)],
+        "rollout history": ["rollout", "history", "--conf", str(conf)],
+        "rollout history NAME": ["rollout", "history", "--conf", str(conf), "r1"],
+        "rollout explain": ["rollout", "explain", "--conf", str(conf)],
+        "shares show": ["shares", "show", "--conf", str(conf), *backends],
+        "shares subset": ["shares", "subset", "disp-01", "--conf", str(conf), *backends],
+        "shares what-if": ["shares", "what-if", "--without", "disp-01", "--conf", str(conf), *backends],
+        "trace info": ["trace", "info", trace],
+        "trace verify": ["trace", "verify", trace],
+    }
+    found = {}
+    for title, command in commands.items():
+        done = CliRunner().invoke(command_line, [*command, "--json"])
+        assert done.stdout.lstrip()[:1] in ("{", "["), (title, done.output, done.exception)
+        found[title] = shape(json.loads(done.stdout))
+    return found
+
+
+# Section of the stored list -> what the code says today.
+SECTIONS = {
+    "tagged messages": lambda: {
+        protocol: {
+            kind.__struct_config__.tag: [kind.__struct_config__.tag_field, *encoded_names(kind)]
+            for kind in get_args(union)
+        }
+        for protocol, union in TAGGED.items()
+    },
+    "plain objects": lambda: {concept: encoded_names(kind) for concept, kind in PLAIN.items()},
+    "words": lambda: json.loads(json.dumps({concept: told() for concept, told in WORDS.items()})),
+    "platform, answers": platform_answers,
+    "platform, codes of errors": platform_codes,
+    "store, outcomes of replies": store_outcomes,
+    "roster, reports": roster_reports,
+    "operators, answers": operators_answers,
+    "figures": figure_names,
+    "directives": directives,
+    "environment variables": environment,
+    "balancer.toml": lambda: list(tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())),
+    "simulator, heads of frames": lambda: [wire.BATCH_HEAD.format, wire.REPLY_HEAD.format, wire.TEXT_HEAD.format],
+    "simulator, events": event_frames,
+    "simulator, actions": action_records,
+    "trace, records": trace_lines,
+    "trace, messages": trace_messages,
+    "ledger, objects": ledger_objects,
+    "command line": lambda: command_options(command_line),
+}
+
+
+def test_every_section_of_the_stored_list_is_compared():
+    apart = {"executor, commands", "store, request", "output of commands as JSON", "operators, calls"}
+    assert set(STORED) == {*SECTIONS, *apart, "hand-over, files"}
+
+
+@pytest.mark.parametrize("section", SECTIONS)
+def test_names_are_those_of_the_stored_list(section):
+    assert SECTIONS[section]() == STORED[section]
+
+
+def test_commands_to_the_executor_and_its_notices_have_their_names(monkeypatch):
+    assert executor_commands(monkeypatch) == STORED["executor, commands"]
+
+
+def test_a_call_of_the_store_has_its_path_and_headers(monkeypatch):
+    assert store_request(monkeypatch) == STORED["store, request"]
+
+
+def test_operators_have_their_calls(monkeypatch, tmp_path):
+    assert operators_calls(monkeypatch, tmp_path) == STORED["operators, calls"]
+
+
+def test_two_processes_of_a_host_find_each_other_by_the_same_files(tmp_path):
+    assert handover_files(tmp_path) == STORED["hand-over, files"]
+
+
+def test_the_json_output_of_commands_has_its_keys(tmp_path):
+    assert json_outputs(tmp_path) == STORED["output of commands as JSON"]
+
+
+def test_every_code_of_the_simulator_is_in_the_list():
+    assert {code for code, _ in EVENTS.values()} == set(wire.EVENTS)
+    assert {code for code, _ in ACTIONS.values()} | {wire.FATAL} == {*wire.ACTIONS, wire.EMIT, wire.FATAL}
+    assert {type(example) for _, example in ACTIONS.values()} == set(get_args(interface.Action))
+
+
+def test_a_configuration_is_found_by_its_environment_variables(tmp_path):
+    path = tmp_path / "config.json"
+    path.write_bytes((SAMPLES / "host-config.json").read_bytes())
+    made = host_config.load({"LB_CONFIG": str(path), "LB_OPS": "127.0.0.1:9999"})
+    assert (made.name, made.ops) == ("n3", "127.0.0.1:9999")
+    assert operators_settings.located({"LAPISPICK_CONF": "a.conf"}) == Path("a.conf")
+
+
+def test_the_files_that_balancer_toml_names_are_there():
+    told = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    assert all((ROOT / path).exists() for path in (*told["policy"], *told["node"]))
+    for key in ("run", "sim"):
+        module = re.search(r"python -m ([\w.]+)$", told[key]).group(1).replace(".", "/")
+        assert (ROOT / f"{module}.py").is_file() or (ROOT / module / "__main__.py").is_file()
+
+
+def test_the_settings_file_of_the_deployment_is_read():
+    made = operators_settings.parse(ROOT / "deploy" / "lapispick.conf")
+    assert (made.inventory.group, made.amqp.enabled) == ("dispatch_brokers", False)
