--- a/lapispick/cli/leases.py
+++ b/lapispick/cli/leases.py
@@ -20,11 +20,11 @@
 
 
 @click.group()
-def turns() -> None:
+def leases() -> None:
     """Named turns over the fleet: see them, take one for a command, give one back."""
 
 
-@turns.command("list")
+@leases.command("list")
 @AT
 @click.option("--json", "json_", is_flag=True, help="For programs.")
 def list_(at: str | None, json_: bool) -> None:
@@ -43,7 +43,7 @@
     return table("turns", ["slot", "owner", "what", "lease left", "waiting"], rows)
 
 
-@turns.command()
+@leases.command()
 @AT
 @click.argument("turn")
 def show(at: str | None, turn: str) -> None:
@@ -63,7 +63,7 @@
         sys.exit(DIFFERS)
 
 
-@turns.command()
+@leases.command()
 @AT
 @click.argument("turn")
 @click.argument("owner")
@@ -78,7 +78,7 @@
     sys.exit(0 if lines[0].startswith("OK") else DIFFERS)
 
 
-@turns.command(context_settings={"ignore_unknown_options": True})
+@leases.command(context_settings={"ignore_unknown_options": True})
 @AT
 @click.option("--wait", default=600.0, show_default=True, help="Seconds to wait for the turn at most.")
 @click.option("--priority", default=0, show_default=True, help="0 to 99; waiting makes up for it with time.")
--- a/lapispick/cli/main.py
+++ b/lapispick/cli/main.py
@@ -10,8 +10,9 @@
 
 import click
 
-# Modules of this package.
-COMMANDS = ("config", "ops", "inventory", "trace", "agent", "rollout", "members", "turns", "shares", "model", "demo")
+# Each has a module of its name in this package.
+COMMANDS = ("agent", "config", "demo", "inventory", "leases", "members", "model", "ops", "rollout", "shares", "trace")
+HIDDEN_ALIASES = {"turns": "leases"}  # an earlier name -> the command
 
 
 def _version() -> str:
@@ -36,6 +37,7 @@
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
         """Return a command."""
+        name = HIDDEN_ALIASES.get(name, name)
         if name in COMMANDS:
             found: click.Command = getattr(importlib.import_module(f"lapispick.cli.{name}"), name)
             return found
--- a/tests/test_stored_samples.py
+++ b/tests/test_stored_samples.py
@@ -14,20 +14,20 @@
 import msgspec
 import pytest
 
-from lapispick.agent import ledger, service, shelf
+from lapispick.admission import LearnedEstimates
+from lapispick.agent import generation_store, rollout_store, service
 from lapispick.durable import database
-from lapispick.faults import Fault, Place
-from lapispick.fleet import lastgood
+from lapispick.file_errors import Fault, Place
+from lapispick.fleet import last_good
 from lapispick.fleet import messages as inventory_messages
 from lapispick.handover import messages as handover_messages
 from lapispick.host import config as host_config
 from lapispick.host import members as host_members
-from lapispick.interface import Learned
-from lapispick.members import turns
-from lapispick.members import words as member_messages
-from lapispick.rollout import box as agent_state
-from lapispick.rollout import pace, steering
-from lapispick.rollout import words as agent_calls
+from lapispick.members import leases
+from lapispick.members import messages as member_messages
+from lapispick.rollout import host_state as agent_state
+from lapispick.rollout import messages as agent_calls
+from lapispick.rollout import pacing, rollout_state
 from lapispick.rollout.compat import Spoken
 from lapispick.rollout.generations import Generation
 from lapispick.trace import helper as trace_writer
@@ -61,12 +61,12 @@
     "members.jsonl": (member_messages.decode, member_messages.encode),
     "inventory-to-helper.jsonl": json_codec(inventory_messages.ToHelper),
     "inventory-from-helper.jsonl": json_codec(inventory_messages.FromHelper),
-    "inventory-state/history.jsonl": json_codec(lastgood.Entry),
+    "inventory-state/history.jsonl": json_codec(last_good.Entry),
     "agent-calls.txt": (lambda line: agent_calls.read(line.decode()), lambda call: agent_calls.write(call).encode()),
     "agent-status.jsonl": json_codec(agent_calls.Status),
     "agent-state.json": json_codec(agent_state.State),
     "generation.json": json_codec(Generation),
-    "rollout-course.json": json_codec(steering.Course),
+    "rollout-course.json": json_codec(rollout_state.Course),
     "host-config.json": json_codec(host_config.Config),
     "members-turns.jsonl": json_codec(host_members.Turn),
     "trace-writer-begin.json": json_codec(trace_writer.Begin),
@@ -93,9 +93,9 @@
         ("author", "life", "number", "kind", "subject", "value", "count", "age", "health", "text"),
         ["disp-01", 1764576000, 4, "store", "10.0.0.9:80", 2.5, 17, 1.25, 1, "slow"],
     ),
-    "ballot": (turns.Ballot, ("number", "name"), [7, "disp-01"]),
+    "ballot": (leases.Ballot, ("number", "name"), [7, "disp-01"]),
     "learned": (
-        Learned,
+        LearnedEstimates,
         (
             *("cores", "holds", "calls", "in_call", "counts", "limit", "call_times"),
             *("call_limit", "prices", "frozen"),
@@ -103,7 +103,7 @@
         [[1.5], [3.0], [5.0], [7.0], [9], 4.5, [20.0, 30.0], 5.5, [0.25, 0.75], True],
     ),
     "compatibility of a format": (Spoken, ("writes", "oldest", "newest"), [2, 1, 3]),
-    "pace of a rollout": (pace.Bounds, ("most", "serving_least"), [3, 0.75]),
+    "pace of a rollout": (pacing.Bounds, ("most", "serving_least"), [3, 0.75]),
     "place in a file": (Place, ("file", "line", "column"), ["hosts.yml", 12, 5]),
     "fault of a file": (
         Fault,
@@ -119,16 +119,16 @@
         *(key, int(known.state), known.life, known.born, known.until),
         *(known.body, known.result),
     ),
-    open_ledger=ledger.Ledger,
+    open_ledger=rollout_store.Ledger,
     open_agent_state=lambda folder, name: service.Store(folder, name),
-    open_generations=shelf.Shelf,
-    kept_list=lastgood.kept,
-    keep_list=lambda folder, head, snapshot: lastgood.keep(folder, head.source, snapshot, head.at, head.ground),
-    history=lastgood.history,
-    remember=lastgood.remember,
-    status=lastgood.status,
-    accepting=lastgood.accepting,
-    accept=lastgood.accept,
+    open_generations=generation_store.Shelf,
+    kept_list=last_good.kept,
+    keep_list=lambda folder, head, snapshot: last_good.keep(folder, head.source, snapshot, head.at, head.ground),
+    history=last_good.history,
+    remember=last_good.remember,
+    status=last_good.status,
+    accepting=last_good.accepting,
+    accept=last_good.accept,
 )
 
 
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -20,30 +20,34 @@
 import pytest
 from click.testing import CliRunner
 
-from lapispick import benchlink, interface, settings, versions, wire
+from lapispick import admission, platform_settings, versions
+from lapispick.admission import Outcome
 from lapispick.agent import controller
 from lapispick.agent import service as agent_service
+from lapispick.cli.main import HIDDEN_ALIASES
 from lapispick.cli.main import cli as command_line
 from lapispick.conf import settings as operators_settings
-from lapispick.fleet import acceptance, lastgood
+from lapispick.fleet import acceptance, last_good
 from lapispick.fleet import messages as inventory_messages
 from lapispick.handover import messages as handover_messages
 from lapispick.host import __main__ as host_process
-from lapispick.host import clients, core, executor, figures, loop, ops, roster, store
 from lapispick.host import config as host_config
+from lapispick.host import core, executor, metrics, ops, registry, scheduler, store
 from lapispick.host import handover as host_handover
 from lapispick.host import members as host_members
-from lapispick.interface import Outcome
-from lapispick.members import turns, view
-from lapispick.members import words as member_messages
-from lapispick.rollout import box as agent_state
-from lapispick.rollout import judge, steering
-from lapispick.rollout import words as agent_calls
+from lapispick.host.jsonrpc import front
+from lapispick.members import leases, membership_view
+from lapispick.members import messages as member_messages
+from lapispick.rollout import canary_analysis, rollout_state
+from lapispick.rollout import host_state as agent_state
+from lapispick.rollout import messages as agent_calls
 from lapispick.rollout.generations import Generation
+from lapispick.simulator import adapter, codec
 from lapispick.trace import helper as trace_writer
-from lapispick.trace import kinds as trace_kinds
 from lapispick.trace import lines as trace_text
+from lapispick.trace import record_types as trace_kinds
 from lapispick.trace import records as trace_records
+from lapispick.trace.text_names import outcome_name
 
 ROOT = Path(__file__).parent.parent
 STORED = json.loads((Path(__file__).parent / "data" / "wire_names.json").read_text())
@@ -55,32 +59,32 @@
     "members": member_messages.ANY,
     "inventory, to the helper": inventory_messages.ToHelper,
     "inventory, from the helper": inventory_messages.FromHelper,
-    "votes on turns": turns.Claim | turns.Vote | turns.Release,
+    "votes on turns": leases.Claim | leases.Vote | leases.Release,
 }
 
 # What is read or written without a tag -> its class.
 PLAIN = {
-    "platform, message": clients.Message,
-    "platform, parameters": clients.Params,
+    "platform, message": front.Message,
+    "platform, parameters": front.Params,
     "executor, notice": executor.Notice,
     "platform's configuration": host_config.Config,
     "platform's configuration, limits": host_config.Limits,
-    "start settings": settings.Info,
-    "start settings, family": settings.FamilyInfo,
-    "start settings, bounds": settings.Bounds,
-    "start settings, guarantees": settings.Guarantees,
-    "start settings, class": settings.Service,
-    "start settings, tenant": settings.Party,
-    "module's settings": interface.Settings,
-    "module's settings, class": interface.ClassSettings,
+    "start settings": platform_settings.Info,
+    "start settings, family": platform_settings.FamilyInfo,
+    "start settings, bounds": platform_settings.Bounds,
+    "start settings, guarantees": platform_settings.Guarantees,
+    "start settings, class": platform_settings.Service,
+    "start settings, tenant": platform_settings.Party,
+    "module's settings": admission.Settings,
+    "module's settings, class": admission.ClassSettings,
     "agent, status": agent_calls.Status,
     "agent, stored state": agent_state.State,
     "agent, stored process": agent_state.Life,
     "generation": Generation,
-    "rollout": steering.Course,
-    "rollout, plan": steering.Plan,
-    "inventory, head of the last good list": lastgood.Head,
-    "inventory, line of the history": lastgood.Entry,
+    "rollout": rollout_state.Course,
+    "rollout, plan": rollout_state.Plan,
+    "inventory, head of the last good list": last_good.Head,
+    "inventory, line of the history": last_good.Entry,
     "trace, start of the writer": trace_writer.Begin,
     "operators, view of members": host_members.Told,
     "operators, one member": host_members.Seen,
@@ -95,21 +99,27 @@
     ),
     "roles of a process": lambda: (agent_state.SERVING, agent_state.COMING, agent_state.LEAVING),
     "phases of a rollout": lambda: (
-        *(steering.WATCHING, steering.CHANGING, steering.BAKING, steering.CONFIRMING, steering.HOLDING),
-        *(steering.ASKING, steering.RETURNING, steering.BURNING, steering.WAITING),
-        *(steering.DONE, steering.UNDONE),
+        *(
+            rollout_state.WATCHING,
+            rollout_state.CHANGING,
+            rollout_state.BAKING,
+            rollout_state.CONFIRMING,
+            rollout_state.HOLDING,
+        ),
+        *(rollout_state.ASKING, rollout_state.RETURNING, rollout_state.BURNING, rollout_state.WAITING),
+        *(rollout_state.DONE, rollout_state.UNDONE),
     ),
-    "phases after which a rollout is over": lambda: steering.OVER,
-    "outcomes of the judge": lambda: [each.value for each in judge.Outcome],
-    "states of a member": lambda: {word: int(state) for state, word in view.WORDS.items()},
+    "phases after which a rollout is over": lambda: rollout_state.OVER,
+    "outcomes of the judge": lambda: [each.value for each in canary_analysis.Outcome],
+    "states of a member": lambda: {word: int(state) for state, word in membership_view.WORDS.items()},
     "phases of an inventory": lambda: [each.value for each in acceptance.Phase],
-    "effects of a class": lambda: list(settings.EFFECTS),
-    "ways to halt": lambda: list(settings.HALTS),
-    "ways to advertise": lambda: list(settings.ADVERTS),
-    "effects, in the module's settings": lambda: [each.value for each in interface.Effect],
-    "ways to halt, in the module's settings": lambda: [each.value for each in interface.Halting],
-    "ways to advertise, in the module's settings": lambda: [each.value for each in interface.Advert],
-    "outcomes of a run or call": lambda: {each.name: int(each) for each in interface.Outcome},
+    "effects of a class": lambda: list(platform_settings.IDEMPOTENCY),
+    "ways to halt": lambda: list(platform_settings.CANCEL_MODES),
+    "ways to advertise": lambda: list(platform_settings.BACKPRESSURE_SIGNALS),
+    "effects, in the module's settings": lambda: [each.value for each in admission.Idempotency],
+    "ways to halt, in the module's settings": lambda: [each.value for each in admission.CancelMode],
+    "ways to advertise, in the module's settings": lambda: [each.value for each in admission.BackpressureSignal],
+    "outcomes of a run or call": lambda: {outcome_name(each): int(each) for each in admission.Outcome},
     "kinds of an answer, in traces": lambda: [core.SERVED, core.REFUSED, core.FAILED],
     "ends of a run": lambda: {word: int(end) for word, end in executor.ENDS.items()},
     "formats and their versions": lambda: {kind: list(each) for kind, each in versions.SPOKEN.items()},
@@ -120,33 +130,33 @@
 
 # Simulator, event -> (code, class that the record becomes; none where it starts or ends an instance).
 EVENTS = {
-    "run over": (wire.RUN_OVER, interface.RunEnded),
-    "born": (wire.BORN, None),
-    "blocked": (wire.BLOCKED, interface.NeedsCall),
-    "hang-up": (wire.HANGUP, interface.Gone),
-    "knock": (wire.KNOCK, interface.Request),
-    "came back": (wire.CAME_BACK, interface.CallEnded),
-    "kill": (wire.KILL, None),
-    "deadline hit": (wire.DEADLINE_HIT, interface.TimerFired),
-    "terminate soon": (wire.TERMINATE_SOON, interface.Leave),
+    "run over": (codec.RUN_OVER, admission.RunCompleted),
+    "born": (codec.BORN, None),
+    "blocked": (codec.BLOCKED, admission.CallRequested),
+    "hang-up": (codec.HANGUP, admission.ClientCancelled),
+    "knock": (codec.KNOCK, admission.RequestReceived),
+    "came back": (codec.CAME_BACK, admission.CallCompleted),
+    "kill": (codec.KILL, None),
+    "deadline hit": (codec.DEADLINE_HIT, admission.TimerFired),
+    "terminate soon": (codec.TERMINATE_SOON, admission.ShutdownRequested),
 }
 
 # Simulator, action -> (code, an action with different values).
 ACTIONS = {
-    "dispatch": (wire.DISPATCH, interface.Run(7)),
-    "pin": (wire.PIN, interface.KeepKey(7, 2.5)),
-    "invoke": (wire.INVOKE, interface.Call(7, 2.5)),
-    "say": (wire.SAY, interface.Advertise(2.5)),
-    "join": (wire.JOIN, interface.Join(7)),
-    "emit": (wire.EMIT, interface.Log("text")),
-    "yank": (wire.YANK, interface.Stop(7)),
-    "idle limit": (wire.IDLE_LIMIT, interface.LimitIdle(2.5)),
-    "say no": (wire.SAY_NO, interface.Refuse(7, 2.5, True, "ground")),
-    "go on": (wire.GO_ON, interface.GoWithout(7)),
-    "release key": (wire.RELEASE_KEY, interface.ForgetKey(7)),
-    "mark health": (wire.MARK_HEALTH, interface.SetHealth(True, False)),
-    "arm": (wire.ARM, interface.SetTimer(2.5, 7)),
-    "report failure": (wire.REPORT_FAILURE, interface.Fail(7)),
+    "dispatch": (codec.DISPATCH, admission.StartRun(7)),
+    "pin": (codec.PIN, admission.RetainKey(7, 2.5)),
+    "invoke": (codec.INVOKE, admission.StartCall(7, 2.5)),
+    "say": (codec.SAY, admission.Advertise(2.5)),
+    "join": (codec.JOIN, admission.Coalesce(7)),
+    "emit": (codec.EMIT, admission.Log("text")),
+    "yank": (codec.YANK, admission.CancelRun(7)),
+    "idle limit": (codec.IDLE_LIMIT, admission.SetIdleTimeout(2.5)),
+    "say no": (codec.SAY_NO, admission.Reject(7, 2.5, True, "ground")),
+    "go on": (codec.GO_ON, admission.SkipCall(7)),
+    "release key": (codec.RELEASE_KEY, admission.ReleaseKey(7)),
+    "mark health": (codec.MARK_HEALTH, admission.SetHealth(True, False)),
+    "arm": (codec.ARM, admission.SetTimer(2.5, 7)),
+    "report failure": (codec.REPORT_FAILURE, admission.Fail(7)),
 }
 
 
@@ -233,9 +243,9 @@
 
 def platform_answers():
     """Talk to one connection and return what it writes, by occasion."""
-    info = msgspec.convert(start_settings(), settings.Info)
-    front = SimpleNamespace(
-        **{"classes": {"book": 0}, "settings": settings.settings_from(info), "customers": {"acme"}},
+    info = msgspec.convert(start_settings(), platform_settings.Info)
+    gateways = SimpleNamespace(
+        **{"classes": {"book": 0}, "settings": platform_settings.settings_from(info), "customers": {"acme"}},
         **{"needs_patience": True, "advice": lambda: 2.5, "loop": FakeLoop(), "closed": lambda connection: None},
     )
     found = {}
@@ -248,8 +258,8 @@
         }
         line = {"jsonrpc": "2.0", "id": 5, "method": method, "params": params, **message}
         posted, stream = [], FakeStream(json.dumps(line).encode())
-        front.post = posted.append
-        connection = clients.Connection(front, stream)
+        gateways.post = posted.append
+        connection = front.Connection(gateways, stream)
         connection.serve()
         act(connection, posted[0])
         found[occasion] = objects(stream.written)
@@ -269,7 +279,7 @@
 
 
 def platform_codes():
-    return [clients.PARSE, clients.INVALID, clients.NO_METHOD, clients.FAILED, clients.REFUSED]
+    return [front.PARSE, front.INVALID, front.NO_METHOD, front.FAILED, front.REFUSED]
 
 
 def executor_commands(monkeypatch):
@@ -335,7 +345,7 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as heard:
         heard.bind(("127.0.0.1", 0))
         heard.settimeout(5)
-        reports, teller = [], roster.Roster(FakeLoop(), heard.getsockname(), "n3")
+        reports, teller = [], registry.Roster(FakeLoop(), heard.getsockname(), "n3")
         for on in (True, False):
             teller.set(on)
             with pytest.raises(Stop):
@@ -345,8 +355,8 @@
 
 
 def figure_names():
-    basic = figures.Figures(["book"])
-    extended = figures.Wide(["book"], [(100.0, 1.0, 0.5)], "0123456789abcdef", lambda: (1, 2))
+    basic = metrics.Figures(["book"])
+    extended = metrics.Wide(["book"], [(100.0, 1.0, 0.5)], "0123456789abcdef", lambda: (1, 2))
 
     def names(lines):
         return [re.sub(r":\d+\|", "|", line) for line in lines]
@@ -376,7 +386,7 @@
 
 def operators_answers():
     """Return how an answer begins: to a known call, an unknown one, one without an end, one that is no text."""
-    made = ops.Operators(loop.Loop(), ("127.0.0.1", 0), 4, {"check": lambda: ["OK"]})
+    made = ops.Operators(scheduler.Loop(), ("127.0.0.1", 0), 4, {"check": lambda: ["OK"]})
     return [made._answer(line)[0].split()[0] for line in (b"check", b"other", None, b"\xff")]
 
 
@@ -410,19 +420,19 @@
     """Return the code and layout of each event, and a record as it is decoded from a frame."""
     found = {}
     for event, (code, kind) in EVENTS.items():
-        layout = wire.EVENTS[code]
-        count = 2 if code in (wire.BORN, wire.DEADLINE_HIT) else 0
+        layout = codec.EVENTS[code]
+        count = 2 if code in (codec.BORN, codec.DEADLINE_HIT) else 0
         values = list(range(2, len(re.findall(r"[A-Za-z]", layout.format)) + 2))
         if count:
             values[-1] = count
-        tail = {wire.BORN: b"{}", wire.DEADLINE_HIT: b"\x3f\xc0\x00\x00\x40\x20\x00\x00"}.get(code, b"")
+        tail = {codec.BORN: b"{}", codec.DEADLINE_HIT: b"\x3f\xc0\x00\x00\x40\x20\x00\x00"}.get(code, b"")
         body = bytes([code]) + layout.pack(*values) + tail
-        frame = wire.BATCH_HEAD.pack(wire.BATCH_HEAD.size + len(body), 1.5, 9) + body
-        clock, number, (record,) = wire.decode_batch(frame)
+        frame = codec.BATCH_HEAD.pack(codec.BATCH_HEAD.size + len(body), 1.5, 9) + body
+        clock, number, (record,) = codec.decode_batch(frame)
         assert (clock, number, record[0]) == (1.5, 9, code)
         found[event] = {"code": code, "layout": layout.format, "frame": frame.hex()}
         if kind is not None:
-            made = benchlink.event_from(record)
+            made = adapter.event_from(record)
             assert type(made) is kind
             found[event]["event"] = json.loads(msgspec.json.encode(tuple(made)))
     return found
@@ -432,12 +442,12 @@
     """Return the code of each action, and its record for instance 3."""
     found = {}
     for action, (code, example) in ACTIONS.items():
-        record = benchlink.ENCODERS[type(example)](3, example)
+        record = adapter.ENCODERS[type(example)](3, example)
         assert record[0] == code
-        layout = wire.ACTIONS.get(code, wire.TEXT_HEAD).format
+        layout = codec.ACTIONS.get(code, codec.TEXT_HEAD).format
         found[action] = {"code": code, "layout": layout, "record": record.hex()}
-    text = wire.encode_text(wire.FATAL, 3, "text")
-    found["fatal"] = {"code": wire.FATAL, "layout": wire.TEXT_HEAD.format, "record": text.hex()}
+    text = codec.encode_text(codec.FATAL, 3, "text")
+    found["fatal"] = {"code": codec.FATAL, "layout": codec.TEXT_HEAD.format, "record": text.hex()}
     return found
 
 
@@ -484,17 +494,17 @@
 
 def ledger_objects():
     """Return the keys of what a controller keeps of a rollout beside its course."""
-    course = msgspec.json.decode((SAMPLES / "rollout-course.json").read_bytes(), type=steering.Course)
+    course = msgspec.json.decode((SAMPLES / "rollout-course.json").read_bytes(), type=rollout_state.Course)
     status = msgspec.json.decode((SAMPLES / "agent-status.jsonl").read_bytes(), type=agent_calls.Status)
     kept = []
     part = SimpleNamespace(
-        **{"course": course, "boxes": {}, "_heard": lambda: {"disp-01": steering.Heard(status, 99.0)}},
-        **{"_slice_at": float("-inf"), "_old": [], "_judged": None, "_judging": judge.Bounds()},
+        **{"course": course, "boxes": {}, "_heard": lambda: {"disp-01": rollout_state.Heard(status, 99.0)}},
+        **{"_slice_at": float("-inf"), "_old": [], "_judged": None, "_judging": canary_analysis.Bounds()},
         **{"ledger": SimpleNamespace(explain=None), "work": SimpleNamespace(do=lambda *call: kept.append(call[-1]))},
     )
     controller.Controller._weigh(part)
     seen = controller.Controller._shown(part)
-    return {"seen": shape(seen), "explained": list(kept[0]), "row of a figure": list(judge.Row._fields)}
+    return {"seen": shape(seen), "explained": list(kept[0]), "row of a figure": list(canary_analysis.Row._fields)}
 
 
 def command_options(command, name="lapispick"):
@@ -502,7 +512,7 @@
     if not isinstance(command, click.Group):
         return {name: sorted(word for each in command.params for word in (*each.opts, *each.secondary_opts))}
     context, found = click.Context(command), {}
-    for word in command.list_commands(context):
+    for word in (*command.list_commands(context), *(HIDDEN_ALIASES if command is command_line else ())):
         found |= command_options(command.get_command(context, word), f"{name} {word}")
     return found
 
@@ -568,7 +578,7 @@
     "directives": directives,
     "environment variables": environment,
     "balancer.toml": lambda: list(tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())),
-    "simulator, heads of frames": lambda: [wire.BATCH_HEAD.format, wire.REPLY_HEAD.format, wire.TEXT_HEAD.format],
+    "simulator, heads of frames": lambda: [codec.BATCH_HEAD.format, codec.REPLY_HEAD.format, codec.TEXT_HEAD.format],
     "simulator, events": event_frames,
     "simulator, actions": action_records,
     "trace, records": trace_lines,
@@ -609,9 +619,9 @@
 
 
 def test_every_code_of_the_simulator_is_in_the_list():
-    assert {code for code, _ in EVENTS.values()} == set(wire.EVENTS)
-    assert {code for code, _ in ACTIONS.values()} | {wire.FATAL} == {*wire.ACTIONS, wire.EMIT, wire.FATAL}
-    assert {type(example) for _, example in ACTIONS.values()} == set(get_args(interface.Action))
+    assert {code for code, _ in EVENTS.values()} == set(codec.EVENTS)
+    assert {code for code, _ in ACTIONS.values()} | {codec.FATAL} == {*codec.ACTIONS, codec.EMIT, codec.FATAL}
+    assert {type(example) for _, example in ACTIONS.values()} == set(get_args(admission.Action))
 
 
 def test_a_configuration_is_found_by_its_environment_variables(tmp_path):
