--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -16,10 +16,10 @@
     """Run the script in a folder whose list holds this text."""
     (folder / ".ci").mkdir()
     (folder / "tests").mkdir()
-    shutil.copy(ROOT / ".ci" / "known-red", folder / ".ci")
+    shutil.copy(ROOT / ".ci" / "known_red.py", folder / ".ci")
     (folder / "tests" / "test_known_red.py").write_text("def test_a_listed_test_is_passed_over():\n    pass\n")
     (folder / "KNOWN-RED.txt").write_text(text)
-    return subprocess.run([sys.executable, ".ci/known-red"], cwd=folder, capture_output=True, text=True)
+    return subprocess.run([sys.executable, ".ci/known_red.py"], cwd=folder, capture_output=True, text=True)
 
 
 @pytest.mark.parametrize(("text", "passed_over"), [(ENTRY, [TEST]), ("", [])])
