--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -56,7 +56,7 @@
     "refused": [
         ("host/core.py", REPLY, f"        if {ODD}:\n            answer = Answer(AnswerKind.REJECTED)\n{REPLY}")
     ],
-    "drain": [("settings.py", "drain_grace_ms=", "drain_grace_ms=5 * ")],
+    "drain": [("platform_settings.py", "drain_grace_ms=", "drain_grace_ms=5 * ")],
     "memory": [("host/core.py", "TALLY_S = ", "HOG = b'x' * (200 << 20)\nTALLY_S = ")],
 }
 
