--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -32,10 +32,11 @@
 from lapispick.handover import messages as handover_messages
 from lapispick.host import __main__ as host_process
 from lapispick.host import config as host_config
-from lapispick.host import core, executor, metrics, ops, registry, scheduler, store
+from lapispick.host import events, executor, metrics, ops, registry, scheduler, store
 from lapispick.host import handover as host_handover
 from lapispick.host import members as host_members
 from lapispick.host.jsonrpc import front
+from lapispick.host.requests import Answer, AnswerKind
 from lapispick.members import leases, membership_view
 from lapispick.members import messages as member_messages
 from lapispick.rollout import canary_analysis, rollout_state
@@ -120,7 +121,7 @@
     "ways to halt, in the module's settings": lambda: [each.value for each in admission.CancelMode],
     "ways to advertise, in the module's settings": lambda: [each.value for each in admission.BackpressureSignal],
     "outcomes of a run or call": lambda: {outcome_name(each): int(each) for each in admission.Outcome},
-    "kinds of an answer, in traces": lambda: [core.SERVED, core.REFUSED, core.FAILED],
+    "kinds of an answer, in traces": lambda: [AnswerKind.SERVED, AnswerKind.REJECTED, AnswerKind.FAILED],
     "ends of a run": lambda: {word: int(end) for word, end in executor.ENDS.items()},
     "formats and their versions": lambda: {kind: list(each) for kind, each in versions.SPOKEN.items()},
     "words in the lock of a hand-over": lambda: [host_handover.SERVING.decode(), host_handover.ENDED.decode()],
@@ -265,12 +266,12 @@
         found[occasion] = objects(stream.written)
 
     def answer(*values):
-        return lambda connection, item: item.request.reply(core.Answer(*values))
+        return lambda connection, item: item.request.reply(Answer(*values))
 
-    talk("served", "book", answer(core.SERVED, "eA==", 0.0, False, 1.5))
-    talk("failed", "book", answer(core.FAILED, None, 0.0, False, 1.5))
-    talk("refused", "book", answer(core.REFUSED, None, 20.0, True, 1.5))
-    talk("fault of the peer", "book", answer(core.FAILED, None, 0.0, False, 1.5, "a fault"))
+    talk("served", "book", answer(AnswerKind.SERVED, "eA==", 0.0, False, 1.5))
+    talk("failed", "book", answer(AnswerKind.FAILED, None, 0.0, False, 1.5))
+    talk("refused", "book", answer(AnswerKind.REJECTED, None, 20.0, True, 1.5))
+    talk("fault of the peer", "book", answer(AnswerKind.FAILED, None, 0.0, False, 1.5, "a fault"))
     talk("health", "probe", lambda connection, item: item.reply(True, 1.5), params={"thorough": True})
     talk("leave", "probe", lambda connection, item: connection.goaway())
     give_up = json.dumps({"jsonrpc": "2.0", "method": "giveUp", "params": {"id": 5}}).encode()
@@ -313,12 +314,12 @@
     with pytest.raises(Stop):
         link.serve()
     expected = [
-        core.ExecutorUp(True, 1.5),
-        core.CallWanted("a", 1, "eA=="),
-        core.RunOver("a", Outcome.OK, 2.5, "eQ=="),
-        core.Metered((1.5, 2.5)),
-        core.Diagnosed("check-1", True),
-        core.RunUnknown("b"),
+        events.ExecutorReady(True, 1.5),
+        events.CallRequested("a", 1, "eA=="),
+        events.RunCompleted("a", Outcome.OK, 2.5, "eQ=="),
+        events.GaugesReported((1.5, 2.5)),
+        events.HealthCheckCompleted("check-1", True),
+        events.RunUnknown("b"),
     ]
     assert posted == expected
     return objects(stream.written)
