--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -25,7 +25,7 @@
 from lapispick.host.handover import Handover
 from lapispick.host.jsonrpc.front import Gateways
 from lapispick.host.logs import log, setup
-from lapispick.host.metrics import Wide
+from lapispick.host.metrics import ExtendedMetrics
 from lapispick.host.ops import Operators
 from lapispick.host.registry import Roster
 from lapispick.host.scheduler import LINGER_S, READ, Loop
@@ -68,23 +68,23 @@
         limits, settings = config.limits, config.start
         self.loop, self.config, self.signals, self.leaving = Loop(limits.unsent), config, signals, False
         loop = self.loop
-        self.centre = centre = Core(
+        self.core = core = Core(
             loop, settings, int(config.seed, 16), limits.kept, limits.open, [s.name for s in config.settings.services]
         )
-        self.executor = centre.executor = ExecutorLink(loop, config.address("executor"), centre.post)
-        self.store = centre.store = StoreClient(loop, config.store_address, centre.post, most=limits.calls)
+        self.executor = core.peers.executor = ExecutorLink(loop, config.address("executor"), core.post)
+        self.store = core.peers.store = StoreClient(loop, config.store_address, core.post, most=limits.calls)
         self.roster = Roster(loop, config.address("roster"), config.name)
-        centre.on_duty = self.roster.set
+        core.health.on_listed = self.roster.set
         self.gateways = Gateways(
             loop,
             config.address("listen"),
             config.settings,
             settings,
             limits.connections,
-            centre.post,
-            lambda: centre.advice,
+            core.post,
+            lambda: core.answers.backpressure,
         )
-        centre.fronts.append(self.gateways)
+        core.peers.fronts.append(self.gateways)
         self.operators = None
         if config.ops:
             self.operators = Operators(
@@ -101,7 +101,7 @@
         self.members = self._members(own) if own.members.enabled else None
         self.handover = self._handover(own)
         if own.figures.enabled:
-            centre.wide = Wide(
+            core.answers.extended_metrics = ExtendedMetrics(
                 [s.name for s in config.settings.services],
                 [(c.latency_objective_ms, c.priority_weight, c.late_weight) for c in settings.classes],
                 os.environ.get("LAPISPICK_GENERATION", ""),
@@ -111,7 +111,7 @@
         if own.trace.enabled:
             from lapispick.host.recorder import Recorder
 
-            self.recorder = centre.recorder = Recorder(
+            self.recorder = core.peers.recorder = Recorder(
                 loop, own.trace, config.name, config.settings, config.limits.memory_mb
             )
         if own.amqp.enabled:
@@ -125,11 +125,11 @@
         from lapispick.host.dns_resolver import Names
         from lapispick.host.inventory import Inventory
 
-        config, told, centre = self.config, own.inventory, self.centre
+        config, told, core = self.config, own.inventory, self.core
         names = Names(self.loop, told.names_timeout, told.names_file)
         bounds = Bounds(told.change_most, told.change_least, told.change_wait, own.amqp.drain, config.limits.brokers)
-        front = AmqpFront(self.loop, bounds, config.settings, config.start, centre.post, names, told.names_every)
-        centre.fronts.append(front)
+        front = AmqpFront(self.loop, bounds, config.settings, config.start, core.post, names, told.names_every)
+        core.peers.fronts.append(front)
         inventory = Inventory(self.loop, told, listing.schema(config.settings), front.take)
         front.start()
         self.loop.spawn(inventory.serve)
@@ -139,7 +139,7 @@
         from lapispick.host.members import Members, Watched
 
         config = self.config
-        self.watched = Watched(self.centre.post)
+        self.watched = Watched(self.core.post)
         self.store.post = self.watched.post
         listing = msgspec.structs.replace(own.inventory, group=own.fleet.group, state_folder=own.fleet.state_folder)
         made = Members(
@@ -151,11 +151,11 @@
 
     def _facts(self) -> list[tuple[str, str, float, int, str]]:
         """Return what the other worker hosts are told of this one: kind, subject, value, count, text."""
-        centre, duty = self.centre, self.centre.duty
+        core, health = self.core, self.core.health.state
         made = [
-            ("draining", "", float(duty.drained or duty.leaving), 1, ""),
-            ("load", "", round(centre.owed / max(1, self.config.limits.open), 2), 1, ""),
-            ("cold", "", float(not duty.ready), 1, ""),
+            ("draining", "", float(health.draining or health.shutting_down), 1, ""),
+            ("load", "", round(core.owed / max(1, self.config.limits.open), 2), 1, ""),
+            ("cold", "", float(not health.ready), 1, ""),
         ]
         if (store := self.watched.fact()) is not None:
             made.append(("store", self.config.store, *store, ""))
@@ -165,7 +165,7 @@
 
     def _handover(self, own: Settings) -> Handover | None:
         """Find out whether another process of this worker host serves; without one, listen at once."""
-        config, centre = self.config, self.centre
+        config, core = self.config, self.core
         folder = own.handover.folder or os.environ.get("TMPDIR")
         made = None
         if own.handover.enabled and folder and config.address("listen")[1]:
@@ -177,7 +177,7 @@
                     config.listen,
                     config.limits.unsent,
                     self.gateways,
-                    centre.post,
+                    core.post,
                     self._share,
                 )
             except OSError as err:  # a platform that has no place for it: alone, as before
@@ -185,10 +185,10 @@
         if made is None or made.owns:
             self.gateways.listen()
             if made is not None and made.last_end:
-                centre.sharing.doubt(made.last_end * 1000)
+                core.idempotency.sharing.doubt(made.last_end * 1000)
         else:
-            centre.duty.open = False
-            centre.sharing.role = Role.SHUT
+            core.health.state.listening = False
+            core.idempotency.sharing.role = Role.SHUT
         return made
 
     def _share(self, others: int | None) -> None:
@@ -198,26 +198,26 @@
     def _opened(self, listener: socket.socket | None) -> None:
         """Take clients, beside the process that served so far or after it."""
         self.gateways.listen(listener)
-        self.centre.duty.open = True
+        self.core.health.state.listening = True
         for serve in (self.gateways.serve, self.roster.serve):
             self.loop.spawn(serve)
         log(LOG, logging.INFO, "open", listen=self.gateways.address, passed=listener is not None)
 
     def _check(self) -> list[str]:
         """Tell whether this process takes clients."""
-        return [f"ERR {why}" if (why := self.centre.duty.takes) else "OK"]
+        return [f"ERR {why}" if (why := self.core.health.state.not_accepting_reason) else "OK"]
 
     def _figures(self) -> list[str]:
-        wide = self.centre.wide.lines() if self.centre.wide is not None else []
-        return [*self.centre.figures.lines(self.centre.owed), *wide, "END"]
+        extended = self.core.answers.extended_metrics.lines() if self.core.answers.extended_metrics is not None else []
+        return [*self.core.answers.metrics.lines(self.core.owed), *extended, "END"]
 
     def _drain(self, on: bool) -> list[str]:
-        self.centre.post(events.DrainChanged(on))  # in the queue before any health check that is read after this
+        self.core.post(events.DrainChanged(on))  # in the queue before any health check that is read after this
         return ["OK"]
 
     def run(self) -> None:
         """Run until told to leave."""
-        for serve in (self.centre.serve, self.executor.serve, self._watch):
+        for serve in (self.core.serve, self.executor.serve, self._watch):
             self.loop.spawn(serve)
         if self.gateways.listening:
             for serve in (self.gateways.serve, self.roster.serve):
@@ -225,7 +225,7 @@
             if self.handover is not None:
                 self.loop.spawn(self.handover.serve)
         elif self.handover is not None:
-            self.loop.spawn(self.handover.join, self._opened, lambda: self.centre.duty.ready)
+            self.loop.spawn(self.handover.join, self._opened, lambda: self.core.health.state.ready)
         if self.operators is not None:
             self.loop.spawn(self.operators.serve)
         if self.members is not None:
@@ -285,7 +285,7 @@
             self.members.leave()
         if self.handover is not None and self.handover.served_elsewhere:
             return self._hand_over(self.handover)
-        self.centre.post(events.ShutdownRequested(stop_ms))
+        self.core.post(events.ShutdownRequested(stop_ms))
         end_at = time.monotonic() + stop_ms / 1000
         loop.sleep(max(0.0, end_at - CLOSE_LISTENER_S - time.monotonic()))
         self.gateways.close_listener()
@@ -298,13 +298,15 @@
 
     def _done(self) -> bool:
         """Tell whether all that came was read and answered, and the answers handed to the system."""
-        return self.centre.owed == 0 and self.gateways.quiet() and all(front.flushed() for front in self.centre.fronts)
+        return (
+            self.core.owed == 0 and self.gateways.quiet() and all(front.flushed() for front in self.core.peers.fronts)
+        )
 
     def _hand_over(self, handover: Handover) -> None:
         """End once all that was read here is answered; the other process of this worker host goes on."""
         deadline = max(c.deadline_ms for c in self.config.start.classes)
         stop_ms, loop = min(self.config.stop_ms, min(deadline, HANDED_MS[0]) + HANDED_MS[1]), self.loop
-        self.centre.post(events.ShutdownRequested(stop_ms, handed_over=True))
+        self.core.post(events.ShutdownRequested(stop_ms, handed_over=True))
         self.gateways.close_listener(handover.passed)
         began = time.monotonic()
         end_at = began + stop_ms / 1000
@@ -325,7 +327,7 @@
             self.handover.done()
         if self.recorder is not None:
             self.recorder.close(end_at - time.monotonic())
-        log(LOG, logging.INFO, "ended", owed=self.centre.owed)
+        log(LOG, logging.INFO, "ended", owed=self.core.owed)
         self.loop.stop()
 
 
--- /dev/null
+++ b/lapispick/host/core/housekeeping.py
@@ -0,0 +1,70 @@
+"""Periodic work: expired idempotency records, lost runs, and the log line with totals."""
+
+from __future__ import annotations
+
+import logging
+import time
+
+from lapispick.host.core.answers import AnswerSender
+from lapispick.host.core.clock import Clock
+from lapispick.host.core.completion import RequestCompletion
+from lapispick.host.core.idempotency import IdempotencyCoordinator
+from lapispick.host.core.request_table import RequestTable
+from lapispick.host.logs import log
+from lapispick.host.requests import AnswerKind
+from lapispick.host.scheduler import Loop
+
+LOG = "core"
+RECORD_GRACE_MS = 30_000.0  # an expired record is kept this much longer for repeats that are read late
+SWEEP_INTERVAL_S = 1.0
+LOST_RUN_MS = 15_000.0  # a run whose request is answered and that has not ended after this was lost
+TALLY_S = 10.0  # between two log lines with what was answered
+
+
+class Housekeeper:
+    """Keeps what is held bounded over time."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        clock: Clock,
+        requests: RequestTable,
+        answers: AnswerSender,
+        completion: RequestCompletion,
+        idempotency: IdempotencyCoordinator,
+    ) -> None:
+        self._loop = loop
+        self._clock = clock
+        self._requests = requests
+        self._answers = answers
+        self._completion = completion
+        self._idempotency = idempotency
+
+    def start(self) -> None:
+        """Begin the periodic work."""
+        self._loop.later(SWEEP_INTERVAL_S, self._sweep)
+        self._loop.later(TALLY_S, self._log_totals)
+
+    def _sweep(self) -> None:
+        """Drop records that expired so long ago that no repeat of their time can be unread, and end lost runs."""
+        self._loop.later(SWEEP_INTERVAL_S, self._sweep)
+        table = self._idempotency.table
+        for record in table.expired(time.time() * 1000 - RECORD_GRACE_MS):
+            table.forget(record)
+        for entry in self._requests.answered_before(self._clock.now - LOST_RUN_MS):
+            log(LOG, logging.WARNING, "run-lost", request_id=entry.request.request_id)
+            self._completion.expect_no_end(entry)  # or it would keep its slot for good
+
+    def _log_totals(self) -> None:
+        self._loop.later(TALLY_S, self._log_totals)
+        log(
+            LOG,
+            logging.INFO,
+            "tally",
+            **{kind.value: self._answers.metrics.total(kind) for kind in AnswerKind},
+            cancelled=self._answers.cancelled,
+            owed=self._answers.owed,
+            in_flight=len(self._requests),
+            keys=len(self._idempotency.table),
+            backpressure=self._answers.backpressure,
+        )
--- /dev/null
+++ b/lapispick/host/core/idempotency.py
@@ -0,0 +1,182 @@
+"""Idempotency keys: which attempt owns one, whether it may run, and who gets its result."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from lapispick import admission
+from lapispick.admission import Outcome
+from lapispick.handover.sharing import Sharing, Verdict
+from lapispick.handover.table import ELSEWHERE, Key, KeyTable, digest
+from lapispick.host import events
+from lapispick.host.core.clock import Clock
+from lapispick.host.core.completion import RequestCompletion
+from lapispick.host.core.in_flight import InFlightRequest, RunState
+from lapispick.host.core.request_table import RequestTable
+from lapispick.host.requests import Answer, AnswerKind, Request
+
+
+def _window_ms(settings: admission.Settings) -> float:
+    """Return the longest window of the classes that have idempotency keys."""
+    keyed = [c.idempotency_window_ms for c in settings.classes if c.idempotency is admission.Idempotency.KEYED]
+    return max(keyed, default=0.0)
+
+
+class IdempotencyCoordinator:
+    """Owns the table of idempotency keys and carries out the module's orders on them."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        settings: admission.Settings,
+        requests: RequestTable,
+        completion: RequestCompletion,
+        post: Callable[[Any], None],
+        max_kept_bytes: int,
+    ) -> None:
+        self._clock = clock
+        self._classes = settings.classes
+        self._requests = requests
+        self._completion = completion
+        self._post = post
+        self._max_kept_bytes = max_kept_bytes
+        self.table = KeyTable(max_kept_bytes)
+        self.sharing = Sharing(self.table, _window_ms(settings))
+        self.sharing.settle = lambda number, verdict: post(events.ClaimDecided(requests[number], verdict))
+        self.sharing.ended = self._result_ready
+
+    def use_share(self, share: float) -> None:
+        """Keep results within this share of their memory."""
+        self.table.kept_most = int(self._max_kept_bytes * share)
+        self.table.trim()
+
+    # What a request that arrives repeats.
+
+    def find_record(self, request: Request) -> Key | None:
+        """Return the record of the key that a request repeats."""
+        if request.idempotency_key is None:
+            return None
+        record = self.table.at(request.idempotency_key, request.born_at)
+        if record is not None and (record.over or record.ran or record.holder in self._requests):
+            return record
+        # An attempt that is still held is repeated however short the window: it may run at any moment, and its window,
+        # which goes back to when it arrived, would then hold what was taken for another request.
+        held = self.table.get(request.idempotency_key)
+        return held if held is not None and not held.ran and held.holder in self._requests else None
+
+    def find_in_batch(self, request: Request, module_events: list[admission.Event]) -> InFlightRequest | None:
+        """Return the latest attempt of the same key in this batch, which the module has not retained so far.
+
+        One of them may have been cancelled in this very batch and is in flight no more.
+        """
+        if request.idempotency_key is None:
+            return None
+        for event in reversed(module_events):
+            if type(event) is not admission.RequestReceived:
+                continue
+            first = self._requests.get(event.id)
+            if first is not None and first.request.idempotency_key == request.idempotency_key:
+                return first
+        return None
+
+    # Whether a key may run.
+
+    def may_run_twice(self, entry: InFlightRequest) -> bool:
+        """Tell whether starting this attempt would run its key a second time, whatever the module says."""
+        if self._classes[entry.request.cls].idempotency is not admission.Idempotency.KEYED:
+            return False
+        record = entry.record
+        return record is None or record.ran not in (0, ELSEWHERE)
+
+    def claim(self, entry: InFlightRequest) -> Verdict:
+        """Ask whether an attempt may run here."""
+        record = entry.record
+        if record is None:
+            return Verdict.RUN
+        request = entry.request
+        until = request.born_at + self._classes[request.cls].idempotency_window_ms
+        return self.sharing.claim(entry.id, record, request.born_at, until, request.is_retry, self._clock.now)
+
+    # How a run of a key ends.
+
+    def run_ended(self, entry: InFlightRequest, result: str | None) -> None:
+        """Give the result of a run, None for a failed one, to all who wait for it."""
+        if entry.record is not None and entry.record.ran == entry.id:
+            self.sharing.over(entry.record, result)
+
+    def run_never_began(self, entry: InFlightRequest) -> None:
+        """Free the key of a run that never began, for an attempt of its own."""
+        if entry.record is not None and entry.record.ran == entry.id:
+            self.sharing.free(entry.record)
+
+    def free_unused(self, entry: InFlightRequest) -> None:
+        """Free the key that an attempt owns and has not run."""
+        record = entry.record
+        if record is not None and not record.ran and record.holder == entry.id:
+            self.sharing.free(record)
+
+    def free(self, entry: InFlightRequest) -> None:
+        """Free the key of an attempt that got the word to run and is not started."""
+        if entry.record is not None:
+            self.sharing.free(entry.record)
+
+    # The module's orders.
+
+    def retain(self, action: admission.RetainKey) -> None:
+        """Let an attempt own its key."""
+        entry = self._requests.get(action.id)
+        if entry is None or entry.request.idempotency_key is None:
+            return
+        request = entry.request
+        until = self._clock.now + action.span
+        fingerprint = digest(request.handler, request.body)
+        entry.record = self.table.hold(request.idempotency_key, entry.id, request.born_at, until, fingerprint)
+
+    def release(self, action: admission.ReleaseKey) -> None:
+        """Take an attempt's key back, unless it ran."""
+        if (entry := self._requests.get(action.id)) is not None:
+            self.free_unused(entry)
+
+    def coalesce(self, action: admission.Coalesce) -> None:
+        """Answer a request with the result of an earlier attempt, now or when that ends."""
+        entry = self._requests.get(action.id)
+        if entry is None or entry.answered:
+            return
+        if entry.record is None and entry.request.idempotency_key is not None:  # its owner arrived in the same batch
+            entry.record = self.table.get(entry.request.idempotency_key)
+        if entry.state is RunState.QUEUED:
+            entry.state = RunState.COALESCED
+        if entry.record is None or entry.record.over:
+            self._result_ready(entry, entry.record.result if entry.record else None)
+        else:
+            entry.record.joined.append(entry)
+
+    def _result_ready(self, entry: InFlightRequest, result: str | None) -> None:
+        """Answer a coalesced request: an attempt of it has run, or none ever will (None)."""
+        if result is None:
+            self._completion.answer(entry, Answer(AnswerKind.FAILED))
+            outcome = Outcome.ERROR
+        else:
+            self._completion.answer(entry, Answer(AnswerKind.SERVED, result))
+            outcome = Outcome.OK
+        self._post(events.CoalescedRequestCompleted(entry, outcome))
+
+    # Events.
+
+    def on_coalesced_completed(
+        self, event: events.CoalescedRequestCompleted, module_events: list[admission.Event]
+    ) -> None:
+        """Tell the module that a coalesced request is over."""
+        entry = event.entry
+        if entry.start_withheld:  # the module believes that it ran: no duration can be learned from it
+            module_events.append(admission.ClientCancelled(entry.id))
+            module_events.append(admission.RunCompleted(entry.id, Outcome.CANCELLED, 0.0))
+        else:
+            module_events.append(admission.RunCompleted(entry.id, event.outcome, 0.0))
+        self._completion.release(entry)
+
+    def on_owner_released(self, event: events.OwnerReleased, module_events: list[admission.Event]) -> None:
+        """Answer those who wait for an attempt that never ran, unless another one owns its key by now."""
+        if event.record.holder == event.owner_id and not event.record.ran:
+            self.sharing.free(event.record)
--- /dev/null
+++ b/lapispick/host/core/peer_sync.py
@@ -0,0 +1,140 @@
+"""Synchronises this process with the other one of this worker host while an upgrade lasts."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from typing import Any
+
+from lapispick import admission
+from lapispick.handover import messages
+from lapispick.handover.sharing import Role
+from lapispick.host import events
+from lapispick.host.core.arrivals import ArrivalHandler
+from lapispick.host.core.clock import Clock
+from lapispick.host.core.decision_module import DecisionModule
+from lapispick.host.core.health_checks import HealthReporter
+from lapispick.host.core.idempotency import IdempotencyCoordinator
+from lapispick.host.interfaces import Link
+from lapispick.host.logs import log
+from lapispick.host.scheduler import Loop
+
+LOG = "core"
+SHARED_FRACTION = 0.5  # of the memory that is bounded here, while two processes are one worker host
+SNAPSHOT_PART_KEYS = 100  # keys sent at once
+SNAPSHOT_PAUSE_S = 0.005  # between two parts
+NO_USAGE = messages.Usage(0, 0.0, 0, 0)
+
+
+class PeerSynchronizer:
+    """Owns the link to the other process: the snapshot of keys, what each has in hand, what was learned."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        clock: Clock,
+        module: DecisionModule,
+        arrivals: ArrivalHandler,
+        idempotency: IdempotencyCoordinator,
+        health: HealthReporter,
+        post: Callable[[Any], None],
+    ) -> None:
+        self._loop = loop
+        self._clock = clock
+        self._module = module
+        self._arrivals = arrivals
+        self._idempotency = idempotency
+        self._health = health
+        self._post = post
+        self._link: Link | None = None
+        self._sent_usage: messages.Usage | None = None
+        self.peer_usage = NO_USAGE  # what the other process has in hand
+
+    def _use_share(self, share: float) -> None:
+        """Take this share of the memory that is bounded here."""
+        self._arrivals.use_share(share)
+        self._idempotency.use_share(share)
+
+    def announce_drain(self, draining: bool) -> None:
+        """Tell the other process of a drain or its end."""
+        if self._link is not None:
+            self._link.send(messages.Drain(draining))
+
+    def announce_shutdown(self) -> None:
+        """Tell the other process that this one shuts down, and what it has learned."""
+        if self._link is not None:
+            self._link.send(messages.Leaving(self._module.learned()))
+
+    def exchange(self) -> None:
+        """Send the other process what is in hand here, and end waits that last too long."""
+        sharing = self._idempotency.sharing
+        controller = self._module.controller
+        if self._link is not None and controller is not None:
+            if not self._link.behind():
+                sharing.flushed()
+            usage = messages.Usage(
+                controller.on_core, round(controller.memory), controller.calls.out, self._link.connections()
+            )
+            if usage != self._sent_usage:
+                self._sent_usage = usage
+                self._link.send(usage)
+        if sharing.expire(self._clock.now) and self._link is not None:
+            log(LOG, logging.WARNING, "peer-unresponsive")
+            self._link.close()
+
+    # Events.
+
+    def on_peer_connected(self, event: events.PeerConnected, module_events: list[admission.Event]) -> None:
+        """Begin to share with the other process; the owner of the keys sends a snapshot of them."""
+        self._link = event.link
+        self._sent_usage = None
+        sharing = self._idempotency.sharing
+        sharing.send = event.link.send
+        sharing.behind = event.link.behind
+        sharing.linked(Role.FOLLOWER if event.owns_keys else Role.OWNER)
+        self._use_share(SHARED_FRACTION)
+        if not event.owns_keys:
+            event.link.send(messages.Drain(self._health.state.draining))
+            keys = [record.name for record in self._idempotency.table]
+            self.on_snapshot_due(events.SnapshotDue(event.link, keys), module_events)
+
+    def on_snapshot_due(self, event: events.SnapshotDue, module_events: list[admission.Event]) -> None:
+        """Send a part of the snapshot, and the rest once that has left this process."""
+        if event.link is not self._link:
+            return
+        keys = event.keys
+        if not event.link.behind():
+            for message in self._idempotency.sharing.snapshot(keys[:SNAPSHOT_PART_KEYS]):
+                event.link.send(message)
+            keys = keys[SNAPSHOT_PART_KEYS:]
+        if keys:
+            self._loop.later(SNAPSHOT_PAUSE_S, self._post, events.SnapshotDue(event.link, keys))
+        else:
+            event.link.send(messages.Whole(self._module.learned()))
+
+    def on_peer_message(self, event: events.PeerMessage, module_events: list[admission.Event]) -> None:
+        """Take in a message of the other process."""
+        if event.link is not self._link:
+            return
+        match event.message:
+            case messages.Usage():
+                self.peer_usage = event.message
+                event.link.usage(event.message)
+            case messages.Drain(draining):
+                self._health.set_draining(draining)
+            case messages.Whole(learned):
+                self._module.adopt(learned)
+                event.link.whole()
+            case messages.Leaving(learned):
+                self._module.adopt(learned)
+            case _:
+                self._idempotency.sharing.take(event.message)
+
+    def on_peer_disconnected(self, event: events.PeerDisconnected, module_events: list[admission.Event]) -> None:
+        """Go on without the other process."""
+        if event.link is not self._link:
+            return
+        self._link = None
+        self.peer_usage = NO_USAGE
+        self._idempotency.sharing.lost(event.peer_ended, event.ended_at_s * 1000)
+        self._use_share(1.0)
--- /dev/null
+++ b/lapispick/host/core/request_table.py
@@ -0,0 +1,48 @@
+"""All requests that this host has, by the decision module's number and by request id."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from lapispick.handover.table import Key
+from lapispick.host.core.in_flight import InFlightRequest
+from lapispick.host.requests import Request
+
+
+class RequestTable:
+    """Numbers the requests and finds them again."""
+
+    def __init__(self) -> None:
+        self._by_id: dict[int, InFlightRequest] = {}
+        self._by_request_id: dict[str, InFlightRequest] = {}
+        self._last_id = 0
+        self.get: Callable[[int], InFlightRequest | None] = self._by_id.get
+        self.find: Callable[[str], InFlightRequest | None] = self._by_request_id.get
+
+    def __len__(self) -> int:
+        return len(self._by_id)
+
+    def __contains__(self, number: int) -> bool:
+        return number in self._by_id
+
+    def __getitem__(self, number: int) -> InFlightRequest:
+        return self._by_id[number]
+
+    def add(self, request: Request, record: Key | None) -> InFlightRequest:
+        """Give a request the next number."""
+        self._last_id += 1
+        entry = InFlightRequest(self._last_id, request, record)
+        self._by_id[entry.id] = self._by_request_id[request.request_id] = entry
+        return entry
+
+    def remove(self, entry: InFlightRequest) -> bool:
+        """Forget a request; False if it was forgotten before."""
+        if entry.id not in self._by_id:
+            return False
+        del self._by_id[entry.id]
+        del self._by_request_id[entry.request.request_id]
+        return True
+
+    def answered_before(self, limit: float) -> list[InFlightRequest]:
+        """Return those that got their answer before this time, Unix ms, and are still here."""
+        return [entry for entry in self._by_id.values() if entry.answered and entry.answered_at < limit]
--- /dev/null
+++ b/lapispick/host/core/runs.py
@@ -0,0 +1,217 @@
+"""Runs at the executor and the calls to the store that they wait for."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable
+from typing import Any
+
+from lapispick import admission
+from lapispick.admission import Outcome
+from lapispick.handover.sharing import Verdict
+from lapispick.host import events
+from lapispick.host.core.answers import AnswerSender
+from lapispick.host.core.arrivals import NOT_READY_MS
+from lapispick.host.core.completion import RequestCompletion
+from lapispick.host.core.idempotency import IdempotencyCoordinator
+from lapispick.host.core.in_flight import InFlightRequest, RunState
+from lapispick.host.core.request_table import RequestTable
+from lapispick.host.interfaces import Peers
+from lapispick.host.logs import log
+from lapispick.host.requests import Answer, AnswerKind
+
+LOG = "core"
+
+
+class RunCoordinator:
+    """Carries out the module's orders on runs and calls, and tells it how they end."""
+
+    def __init__(
+        self,
+        settings: admission.Settings,
+        requests: RequestTable,
+        answers: AnswerSender,
+        completion: RequestCompletion,
+        idempotency: IdempotencyCoordinator,
+        peers: Peers,
+        post: Callable[[Any], None],
+    ) -> None:
+        self._settings = settings
+        self._requests = requests
+        self._answers = answers
+        self._completion = completion
+        self._idempotency = idempotency
+        self._peers = peers
+        self._post = post
+
+    # The module's orders.
+
+    def start(self, action: admission.StartRun) -> None:
+        """Start a held request, or resume a paused run."""
+        entry = self._requests.get(action.id)
+        if entry is None or entry.answered:
+            return
+        if entry.state is RunState.PAUSED:
+            entry.state = RunState.RUNNING
+            return self._peers.executor.wake(entry.request.request_id)
+        if self._idempotency.may_run_twice(entry):
+            return self._prevent_duplicate(entry)
+        verdict = self._idempotency.claim(entry)
+        self._carry_out(entry, verdict)
+
+    def _prevent_duplicate(self, entry: InFlightRequest) -> None:
+        """Guard the rule on duplicates: the second run of a key is never started."""
+        log(LOG, logging.ERROR, "duplicate-run-prevented", request_id=entry.request.request_id)
+        if self._answers.extended_metrics is not None:
+            self._answers.extended_metrics.broken_rules += 1
+        self._post(events.CoalescedRequestCompleted(entry, Outcome.ERROR))
+        self._completion.answer(entry, Answer(AnswerKind.FAILED))
+
+    def _carry_out(self, entry: InFlightRequest, verdict: Verdict) -> None:
+        """Do what was decided of an attempt that the module wants to run."""
+        if verdict is Verdict.RUN:
+            self._order_run(entry)
+        elif verdict is Verdict.WAIT:
+            entry.state = RunState.CLAIMING
+        elif verdict is Verdict.JOIN:
+            entry.withhold_start(RunState.COALESCED)
+            self._idempotency.coalesce(admission.Coalesce(entry.id))
+        else:
+            self._withhold(entry, AnswerKind.REJECTED if verdict is Verdict.REFUSE else AnswerKind.FAILED)
+
+    def _order_run(self, entry: InFlightRequest) -> None:
+        entry.state = RunState.RUNNING
+        self._answers.metrics.runs += 1
+        request = entry.request
+        self._peers.executor.run(request.request_id, request.handler, request.body, self._runs_once(request.cls))
+
+    def _runs_once(self, cls: int) -> bool:
+        return self._settings.classes[cls].idempotency is not admission.Idempotency.IDEMPOTENT
+
+    def _withhold(self, entry: InFlightRequest, kind: AnswerKind) -> None:
+        """Answer an attempt that has not run, as nobody can say in time whether it may."""
+        log(
+            LOG,
+            logging.WARNING,
+            "claim-undecided",
+            request_id=entry.request.request_id,
+            role=self._idempotency.sharing.role.value,
+            answer=kind.value,
+        )
+        entry.withhold_start(RunState.ENDED)
+        self._idempotency.free_unused(entry)
+        retry_after_ms = NOT_READY_MS if kind is AnswerKind.REJECTED else 0.0
+        self._completion.answer(entry, Answer(kind, retry_after_ms=retry_after_ms))
+        self._post(events.CoalescedRequestCompleted(entry, Outcome.ERROR))
+
+    def cancel(self, action: admission.CancelRun) -> None:
+        """Cancel a run, or pause it where the settings say so and an answer is owed."""
+        entry = self._requests.get(action.id)
+        if entry is None or not entry.in_executor:
+            return
+        self._completion.drop_call(entry)
+        entry.cancel_ordered(not entry.answered and self._settings.cancel_mode is admission.CancelMode.PAUSE)
+        self._peers.executor.stop(entry.request.request_id)
+
+    def start_call(self, action: admission.StartCall) -> None:
+        """Make the call that a run waits for."""
+        entry = self._requests.get(action.id)
+        if entry is None or not entry.in_executor or entry.answered:
+            return
+        request = entry.request
+        timeout_ms = action.timeout or self._settings.classes[request.cls].deadline_ms
+        entry.call_ticket = self._peers.store.call(
+            request.request_id, entry.call_body, timeout_ms, once=self._runs_once(request.cls)
+        )
+
+    def skip_call(self, action: admission.SkipCall) -> None:
+        """Let a run go on without its call."""
+        entry = self._requests.get(action.id)
+        if entry is not None and entry.in_executor:
+            self._completion.drop_call(entry)
+            self._peers.executor.skip(entry.request.request_id, entry.call_notice)
+
+    # Events.
+
+    def on_claim_decided(self, event: events.ClaimDecided, module_events: list[admission.Event]) -> None:
+        """Start an attempt that waited for its key, or answer it."""
+        entry = event.entry
+        if entry.state is not RunState.CLAIMING:
+            return
+        if event.verdict is Verdict.RUN and entry.answered:  # nobody waits any more: it is not started
+            entry.withhold_start(RunState.ENDED)
+            self._idempotency.free(entry)
+            self._post(events.CoalescedRequestCompleted(entry, Outcome.ERROR))
+        else:
+            self._carry_out(entry, event.verdict)
+
+    def on_run_completed(self, event: events.RunCompleted, module_events: list[admission.Event]) -> None:
+        """Answer a request with its run's result, or note that the run is paused."""
+        entry = self._requests.find(event.request_id)
+        if entry is None or not entry.in_executor:
+            return
+        outcome = event.outcome
+        if outcome is Outcome.CANCELLED and entry.state is RunState.PAUSING and not entry.answered:
+            entry.state = RunState.PAUSED
+            module_events.append(admission.RunCompleted(entry.id, outcome, event.duration_ms))
+            return
+        entry.state = RunState.ENDED
+        self._completion.drop_call(entry)
+        if outcome not in (Outcome.OK, Outcome.ERROR):
+            return self._end_without_result(entry, module_events, ran=outcome is not Outcome.ABANDONED)
+        served = outcome is Outcome.OK
+        self._idempotency.run_ended(entry, event.result if served else None)
+        module_events.append(admission.RunCompleted(entry.id, outcome, event.duration_ms))
+        if not entry.answered:
+            answer = Answer(AnswerKind.SERVED, event.result) if served else Answer(AnswerKind.FAILED)
+            self._completion.answer(entry, answer)
+        self._completion.release(entry)
+
+    def _end_without_result(
+        self, entry: InFlightRequest, module_events: list[admission.Event], ran: bool, client_error: str = ""
+    ) -> None:
+        """End a run that was cancelled, or never began."""
+        if not entry.answered:
+            # The executor ends or starts nothing for a request that is over: its client has gone, and its front may
+            # never say so. Guards the module's slots and calls, which it holds until told of an end.
+            module_events.append(admission.ClientCancelled(entry.id))
+            self._completion.answer(entry, Answer(AnswerKind.FAILED, client_error=client_error))
+        if ran:
+            self._idempotency.run_ended(entry, None)
+        else:
+            self._idempotency.run_never_began(entry)
+        module_events.append(admission.RunCompleted(entry.id, Outcome.CANCELLED, 0.0))
+        self._completion.release(entry)
+
+    def on_run_unknown(self, event: events.RunUnknown, module_events: list[admission.Event]) -> None:
+        """Fail a request that the executor does not know."""
+        entry = self._requests.find(event.request_id)
+        if entry is not None and entry.in_executor:
+            entry.state = RunState.ENDED
+            text = "a request that the executor does not know"
+            self._end_without_result(entry, module_events, ran=False, client_error=text)
+
+    def on_run_outcome_unknown(self, event: events.RunOutcomeUnknown, module_events: list[admission.Event]) -> None:
+        """Await no report of a run once its request is answered."""
+        entry = self._requests.find(event.request_id)
+        if entry is not None and entry.in_executor:
+            entry.outcome_unknown = True
+            if entry.answered:
+                self._completion.expect_no_end(entry)
+
+    def on_call_requested(self, event: events.CallRequested, module_events: list[admission.Event]) -> None:
+        """Tell the module that a run waits for a call."""
+        entry = self._requests.find(event.request_id)
+        if entry is not None and entry.in_executor:
+            entry.call_requested(event.notice_index, event.body)
+            module_events.append(admission.CallRequested(entry.id))
+
+    def on_call_completed(self, event: events.CallCompleted, module_events: list[admission.Event]) -> None:
+        """Hand a run the reply to its call."""
+        entry = self._requests.find(event.ticket.tag)
+        if entry is None or entry.call_ticket is not event.ticket:
+            return
+        entry.call_ticket = None
+        if event.outcome is Outcome.OK:
+            self._peers.executor.resume(event.ticket.tag, event.body)
+        module_events.append(admission.CallCompleted(entry.id, event.outcome, event.duration_ms))
--- /dev/null
+++ b/lapispick/host/core/shutdown.py
@@ -0,0 +1,60 @@
+"""Drain by operators and graceful shutdown."""
+
+from __future__ import annotations
+
+import logging
+
+from lapispick import admission
+from lapispick.host import events
+from lapispick.host.core.answers import AnswerSender
+from lapispick.host.core.clock import Clock
+from lapispick.host.core.health_checks import HealthReporter
+from lapispick.host.core.peer_sync import PeerSynchronizer
+from lapispick.host.interfaces import Peers
+from lapispick.host.logs import log
+
+LOG = "core"
+
+
+class ShutdownHandler:
+    """Tells the module, the other process, the service registry and the fronts."""
+
+    def __init__(
+        self,
+        clock: Clock,
+        answers: AnswerSender,
+        health: HealthReporter,
+        peer_sync: PeerSynchronizer,
+        peers: Peers,
+    ) -> None:
+        self._clock = clock
+        self._answers = answers
+        self._health = health
+        self._peer_sync = peer_sync
+        self._peers = peers
+
+    def on_drain_changed(self, event: events.DrainChanged, module_events: list[admission.Event]) -> None:
+        """Begin or end a drain here and at the other process."""
+        self._peer_sync.announce_drain(event.draining)
+        self._health.set_draining(event.draining)
+
+    def on_shutdown_requested(self, event: events.ShutdownRequested, module_events: list[admission.Event]) -> None:
+        """Begin the graceful shutdown; a second request changes nothing."""
+        state = self._health.state
+        if state.shutting_down:
+            return
+        state.shutting_down = True
+        state.handed_over = event.handed_over
+        log(
+            LOG,
+            logging.INFO,
+            "leaving",
+            stop_ms=event.stop_ms,
+            owed=self._answers.owed,
+            handed=event.handed_over,
+        )
+        module_events.append(admission.ShutdownRequested(self._clock.now + event.stop_ms, event.handed_over))
+        self._peer_sync.announce_shutdown()
+        self._health.report()
+        for front in self._peers.fronts:
+            front.leave()
--- /dev/null
+++ b/lapispick/host/core/timers.py
@@ -0,0 +1,45 @@
+"""The module's timers, and the gauges that it gets with each."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from lapispick import admission
+from lapispick.host import events
+from lapispick.host.core.peer_sync import PeerSynchronizer
+from lapispick.host.interfaces import Peers
+from lapispick.host.scheduler import Loop
+
+
+class ModuleTimers:
+    """Sets the timers that the module orders."""
+
+    def __init__(self, loop: Loop, post: Callable[[Any], None]) -> None:
+        self._loop = loop
+        self._post = post
+
+    def set_timer(self, action: admission.SetTimer) -> None:
+        """Set a timer."""
+        self._loop.later(action.after / 1000, self._post, events.TimerDue(action.token))
+
+
+class GaugeCollector:
+    """Owns the latest gauges of the executor."""
+
+    def __init__(self, peer_sync: PeerSynchronizer, peers: Peers) -> None:
+        self._peer_sync = peer_sync
+        self._peers = peers
+        self._gauges: tuple[float, ...] = ()
+
+    def on_gauges_reported(self, event: events.GaugesReported, module_events: list[admission.Event]) -> None:
+        """Keep the gauges for the next timer."""
+        self._gauges = event.gauges
+
+    def on_timer_due(self, event: events.TimerDue, module_events: list[admission.Event]) -> None:
+        """Tell the module that a timer ran out, with the gauges of the other process and of the executor."""
+        usage = self._peer_sync.peer_usage
+        gauges = (usage.runs, usage.kb, usage.calls, *self._gauges)
+        module_events.append(admission.TimerFired(event.token, gauges))
+        self._peer_sync.exchange()
+        self._peers.executor.meter()  # for the next timer; waiting for the answer here would delay due answers
--- a/lapispick/host/events.py
+++ b/lapispick/host/events.py
@@ -13,6 +13,9 @@
 from lapispick.host.requests import Request
 
 if TYPE_CHECKING:
+    from lapispick.handover.sharing import Verdict
+    from lapispick.handover.table import Key
+    from lapispick.host.core.in_flight import InFlightRequest
     from lapispick.host.interfaces import Link
 
 # From the fronts and the operators.
@@ -154,3 +157,27 @@
     """A timer that the decision module set has run out."""
 
     token: int
+
+
+# From the core to itself, for the next batch.
+
+
+class ClaimDecided(NamedTuple):
+    """It is decided whether an attempt that waited may run its idempotency key here."""
+
+    entry: InFlightRequest
+    verdict: Verdict
+
+
+class CoalescedRequestCompleted(NamedTuple):
+    """A request that was coalesced, or whose start was withheld, is over."""
+
+    entry: InFlightRequest
+    outcome: Outcome
+
+
+class OwnerReleased(NamedTuple):
+    """The attempt that owned an idempotency key is gone, and others wait for its result."""
+
+    record: Key
+    owner_id: int
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -30,11 +30,11 @@
 class Peers:
     """Executor and store in one."""
 
-    def __init__(self, centre):
-        self.centre, self.runs = centre, []
+    def __init__(self, host):
+        self.host, self.runs = host, []
 
     def meter(self):
-        self.centre.post(events.GaugesReported((0.5, 2.0)))
+        self.host.post(events.GaugesReported((0.5, 2.0)))
 
     def run(self, tag, handler, body, keyed):
         self.runs.append(tag)
@@ -47,12 +47,12 @@
 def rig():
     def start(decide):
         loop = Loop()
-        centre = core.Core(loop, settings_from(msgspec.convert(INFO, Info)), 1)
-        centre.executor = centre.store = Peers(centre)
-        centre.control = Recorder(decide)
-        loop.spawn(centre.serve)
+        host = core.Core(loop, settings_from(msgspec.convert(INFO, Info)), 1)
+        host.peers.executor = host.peers.store = Peers(host)
+        host.module.controller = Recorder(decide)
+        loop.spawn(host.serve)
         loop.later(0.1, loop.stop)
-        return loop, centre
+        return loop, host
 
     return start
 
@@ -78,18 +78,21 @@
     def decide(event):
         return [admission.SetTimer(5.0, event.token + 1)] if event.token < 2 else []
 
-    loop, centre = rig(decide)
-    centre._set_timer(admission.SetTimer(1.0, 1))
+    loop, host = rig(decide)
+    host.timers.set_timer(admission.SetTimer(1.0, 1))
     loop.run()
-    assert centre.control.seen == [admission.TimerFired(1, (0, 0.0, 0)), admission.TimerFired(2, (0, 0.0, 0, 0.5, 2.0))]
+    assert host.module.controller.seen == [
+        admission.TimerFired(1, (0, 0.0, 0)),
+        admission.TimerFired(2, (0, 0.0, 0, 0.5, 2.0)),
+    ]
 
 
 def test_a_fault_of_the_module_fails_what_it_was_just_told_of(rig):
-    loop, centre = rig(lambda event: 1 / 0)
+    loop, host = rig(lambda event: 1 / 0)
     answers = []
-    centre.post(events.RequestArrived(request("a", answers)))
+    host.post(events.RequestArrived(request("a", answers)))
     loop.run()
-    assert answers == [("a", AnswerKind.FAILED)] and centre.owed == 0
+    assert answers == [("a", AnswerKind.FAILED)] and host.owed == 0
 
 
 def test_a_keys_second_run_is_never_started_whatever_the_module_says(rig):
@@ -98,12 +101,12 @@
             return [admission.RetainKey(event.id, 5000.0), admission.StartRun(event.id)]
         return []
 
-    loop, centre = rig(decide)
+    loop, host = rig(decide)
     answers = []
     for tag in ("a", "b"):
-        centre.post(events.RequestArrived(request(tag, answers, cls=1, key="k")))
+        host.post(events.RequestArrived(request(tag, answers, cls=1, key="k")))
     loop.run()
-    assert centre.executor.runs == ["a"] and answers == [("b", AnswerKind.FAILED)]
+    assert host.peers.executor.runs == ["a"] and answers == [("b", AnswerKind.FAILED)]
 
 
 def test_a_try_that_ran_is_never_turned_away(rig):
@@ -116,9 +119,9 @@
             ]
         return []
 
-    loop, centre = rig(decide)
+    loop, host = rig(decide)
     answers = []
-    centre.post(events.RequestArrived(request("a", answers, cls=1, key="k")))
+    host.post(events.RequestArrived(request("a", answers, cls=1, key="k")))
     loop.run()
     assert answers == [("a", AnswerKind.FAILED)]
 
@@ -131,17 +134,17 @@
             else []
         )
 
-    loop, centre = rig(decide)
+    loop, host = rig(decide)
     answers = []
-    centre.post(events.RequestArrived(request("a", answers)))
+    host.post(events.RequestArrived(request("a", answers)))
     loop.run()
     assert answers == [("a", AnswerKind.FAILED)]
-    quiet, centre = rig(lambda event: [admission.Fail(event.id)] if type(event) is admission.ClientCancelled else [])
+    quiet, host = rig(lambda event: [admission.Fail(event.id)] if type(event) is admission.ClientCancelled else [])
     gone = request("b", answers)
-    centre.post(events.RequestArrived(gone))
-    centre.post(events.ClientCancelled(gone))
+    host.post(events.RequestArrived(gone))
+    host.post(events.ClientCancelled(gone))
     quiet.run()
-    assert answers == [("a", AnswerKind.FAILED)] and centre.owed == 0
+    assert answers == [("a", AnswerKind.FAILED)] and host.owed == 0
 
 
 def test_a_key_that_is_kept_holds_nothing_but_its_result(rig):
@@ -150,15 +153,15 @@
             return [admission.RetainKey(event.id, 5000.0), admission.StartRun(event.id)]
         return []
 
-    loop, centre = rig(decide)
+    loop, host = rig(decide)
     answers = []
     gc.disable()  # a cycle would hold the request until the collector runs, minutes later
     try:
         for n in range(3):
-            centre.post(events.RequestArrived(request(f"kept{n}", answers, cls=1, key=n)))
-            loop.later(0.02, centre.post, events.RunCompleted(f"kept{n}", admission.Outcome.OK, 1.0, "r"))
+            host.post(events.RequestArrived(request(f"kept{n}", answers, cls=1, key=n)))
+            loop.later(0.02, host.post, events.RunCompleted(f"kept{n}", admission.Outcome.OK, 1.0, "r"))
         loop.run()
-        assert len(answers) == len(centre.table) == 3 and centre.table.kept_bytes == 3
+        assert len(answers) == len(host.idempotency.table) == 3 and host.idempotency.table.kept_bytes == 3
         assert not [o for o in gc.get_objects() if type(o) is Request and "kept" in o.request_id]
     finally:
         gc.enable()
@@ -174,13 +177,13 @@
             else [admission.RetainKey(event.id, 5000.0), admission.StartRun(event.id)]
         )
 
-    loop, centre = rig(decide)
-    centre.table.kept_most = 250
+    loop, host = rig(decide)
+    host.idempotency.table.kept_most = 250
     answers = []
     for n in range(5):
-        centre.post(events.RequestArrived(request(f"t{n}", answers, cls=1, key=n)))
-        loop.later(0.02, centre.post, events.RunCompleted(f"t{n}", admission.Outcome.OK, 1.0, "r" * 100))
-        loop.later(0.04, centre.post, events.RequestArrived(request(f"again{n}", answers, cls=1, key=n)))
+        host.post(events.RequestArrived(request(f"t{n}", answers, cls=1, key=n)))
+        loop.later(0.02, host.post, events.RunCompleted(f"t{n}", admission.Outcome.OK, 1.0, "r" * 100))
+        loop.later(0.04, host.post, events.RequestArrived(request(f"again{n}", answers, cls=1, key=n)))
     loop.run()
     assert dict(answers) == {
         **{f"t{n}": AnswerKind.SERVED for n in range(5)},
@@ -188,7 +191,7 @@
         "again4": AnswerKind.SERVED,
         **{f"again{n}": AnswerKind.FAILED for n in range(3)},
     }
-    assert centre.executor.runs == [f"t{n}" for n in range(5)] and centre.table.kept_bytes == 200
+    assert host.peers.executor.runs == [f"t{n}" for n in range(5)] and host.idempotency.table.kept_bytes == 200
 
 
 class Link:
@@ -214,48 +217,48 @@
 
 
 def test_a_try_given_up_while_it_waited_for_the_word_is_not_begun_and_its_key_is_free(rig):
-    loop, centre = rig(keyed)
+    loop, host = rig(keyed)
     answers, link = [], Link()
     asked = request("a", answers, cls=1, key=("k",))
-    centre.post(events.PeerConnected(link, owns_keys=True))
-    centre.post(events.RequestArrived(asked))
-    loop.later(0.02, centre.post, events.ClientCancelled(asked))
-    loop.later(0.04, lambda: centre.post(events.PeerMessage(link, say.Granted(1, ("k",), link.sent[0].until))))
+    host.post(events.PeerConnected(link, owns_keys=True))
+    host.post(events.RequestArrived(asked))
+    loop.later(0.02, host.post, events.ClientCancelled(asked))
+    loop.later(0.04, lambda: host.post(events.PeerMessage(link, say.Granted(1, ("k",), link.sent[0].until))))
     loop.run()
-    assert [type(m) for m in link.sent] == [say.Claim, say.Freed] and not centre.executor.runs and not answers
-    assert not len(centre.table) and not centre._tasks
-    assert centre.control.seen[-2:] == [
+    assert [type(m) for m in link.sent] == [say.Claim, say.Freed] and not host.peers.executor.runs and not answers
+    assert not len(host.idempotency.table) and not len(host.requests)
+    assert host.module.controller.seen[-2:] == [
         admission.ClientCancelled(1),
         admission.RunCompleted(1, admission.Outcome.CANCELLED, 0.0),
     ]
 
 
 def test_a_try_that_may_not_run_gets_the_other_processs_result_and_teaches_no_time(rig):
-    loop, centre = rig(keyed)
+    loop, host = rig(keyed)
     answers, link = [], Link()
-    centre.post(events.PeerConnected(link, owns_keys=True))
-    centre.post(events.RequestArrived(request("a", answers, cls=1, key=("k",))))
+    host.post(events.PeerConnected(link, owns_keys=True))
+    host.post(events.RequestArrived(request("a", answers, cls=1, key=("k",))))
     for after, message in (
         (0.02, say.Claimed(("k",), 6000.0, digest("any", ""))),
         (0.03, say.Denied(1, ("k",))),
         (0.05, say.Over(("k",), "r")),
     ):
-        loop.later(after, centre.post, events.PeerMessage(link, message))
+        loop.later(after, host.post, events.PeerMessage(link, message))
     loop.run()
-    assert answers == [("a", AnswerKind.SERVED)] and not centre.executor.runs and not centre._tasks
-    assert centre.control.seen[-2:] == [
+    assert answers == [("a", AnswerKind.SERVED)] and not host.peers.executor.runs and not len(host.requests)
+    assert host.module.controller.seen[-2:] == [
         admission.ClientCancelled(1),
         admission.RunCompleted(1, admission.Outcome.CANCELLED, 0.0),
     ]
 
 
 def test_a_word_from_a_link_that_has_ended_counts_no_more(rig):
-    loop, centre = rig(keyed)
+    loop, host = rig(keyed)
     answers, link, next_link = [], Link(), Link()
-    centre.post(events.PeerConnected(link, owns_keys=True))
-    centre.post(events.PeerConnected(next_link, owns_keys=True))
-    centre.post(events.RequestArrived(request("a", answers, cls=1, key=("k",))))
-    loop.later(0.02, centre.post, events.PeerMessage(link, say.Granted(1, ("k",), 1e13)))
-    loop.later(0.03, centre.post, events.PeerDisconnected(link, True))
+    host.post(events.PeerConnected(link, owns_keys=True))
+    host.post(events.PeerConnected(next_link, owns_keys=True))
+    host.post(events.RequestArrived(request("a", answers, cls=1, key=("k",))))
+    loop.later(0.02, host.post, events.PeerMessage(link, say.Granted(1, ("k",), 1e13)))
+    loop.later(0.03, host.post, events.PeerDisconnected(link, True))
     loop.run()
-    assert not centre.executor.runs and centre.sharing.role is Role.FOLLOWER
+    assert not host.peers.executor.runs and host.idempotency.sharing.role is Role.FOLLOWER
--- a/tests/test_module_boundaries.py
+++ b/tests/test_module_boundaries.py
@@ -34,7 +34,7 @@
     "rollout": (["rollout"], []),
     "shares": (["shares"], []),
     "durable": (["durable/budget.py", "durable/commits.py", "durable/keys.py"], []),
-    "health": (["host/health.py", "host/metrics.py"], []),
+    "health": (["host/health.py", "host/metrics.py", "host/requests.py"], []),
     "jitter": (["jitter.py"], []),
 }
 CLOCK_AND_IO = {"open", "print", "input", "eval", "exec", "__import__", "now", "utcnow", "today", "SystemRandom"}
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -17,7 +17,7 @@
 from lapispick.cli.ops import NoAnswer, figures
 from lapispick.fakes.peers import INFO, Executor, until
 from lapispick.host import config
-from lapispick.host.health import Duty
+from lapispick.host.health import HealthState
 
 REFUSED = -32050
 
@@ -179,12 +179,14 @@
     assert g.result(held) == "done" and h.process.wait(5) == 0
 
 
-@pytest.mark.parametrize("ready,well,drained,leaving", list(itertools.product([False, True], repeat=4)))
-def test_the_table_of_duty(ready, well, drained, leaving):
-    duty = Duty(ready, well, drained, leaving)
-    assert duty.healthy == (ready and well and not drained and not leaving)
-    assert duty.listed == (well and not drained and not leaving)
-    assert (duty.takes == "") == (ready and not leaving)
+@pytest.mark.parametrize(
+    "ready,module_healthy,draining,shutting_down", list(itertools.product([False, True], repeat=4))
+)
+def test_health_state_follows_from_its_facts(ready, module_healthy, draining, shutting_down):
+    state = HealthState(ready, module_healthy, draining, shutting_down)
+    assert state.healthy == (ready and module_healthy and not draining and not shutting_down)
+    assert state.listed == (module_healthy and not draining and not shutting_down)
+    assert (state.not_accepting_reason == "") == (ready and not shutting_down)
 
 
 def test_the_address_is_read_from_file_and_environment_and_checked(tmp_path):
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -33,10 +33,10 @@
         assert fleet.worth() > 0.98 and len(fleet.account.effects()) > 50
 
 
-REPLY = "        request.reply(answer._replace(backpressure=self.advice))"
+REPLY = "        request.reply(answer._replace(backpressure=self.backpressure))"
 ODD = "int(request.request_id, 16) % 5 == 0"
 SINS = {
-    "lost": [("host/core.py", REPLY, f"        if not {ODD}:\n    {REPLY}")],
+    "lost": [("host/core/answers.py", REPLY, f"        if not {ODD}:\n    {REPLY}")],
     "doubled": [
         (
             "host/jsonrpc/front.py",
@@ -45,19 +45,27 @@
         )
     ],
     "twice": [
-        ("host/core.py", "key = self.table.at(request.idempotency_key, request.born_at) if", "key = None if"),
-        ("host/core.py", "held = self.table.get(request.idempotency_key)", "held = None"),
-        ("host/core.py", "key.ran not in (0, ELSEWHERE)", "key.ran == -9"),
-        ("host/core.py", "verdict = self.sharing.claim(", "verdict = Verdict.RUN if True else ("),
+        (
+            "host/core/idempotency.py",
+            "record = self.table.at(request.idempotency_key, request.born_at)",
+            "record = None",
+        ),
+        ("host/core/idempotency.py", "held = self.table.get(request.idempotency_key)", "held = None"),
+        ("host/core/idempotency.py", "record.ran not in (0, ELSEWHERE)", "record.ran == -9"),
+        ("host/core/runs.py", "verdict = self._idempotency.claim(", "verdict = Verdict.RUN if True else ("),
     ],
     "changed": [
-        ("host/core.py", REPLY, f"        answer = answer._replace(result=answer.result and 'd3Jvbmc=')\n{REPLY}")
+        (
+            "host/core/answers.py",
+            REPLY,
+            f"        answer = answer._replace(result=answer.result and 'd3Jvbmc=')\n{REPLY}",
+        )
     ],
     "refused": [
-        ("host/core.py", REPLY, f"        if {ODD}:\n            answer = Answer(AnswerKind.REJECTED)\n{REPLY}")
+        ("host/core/answers.py", REPLY, f"        if {ODD}:\n            answer = Answer(AnswerKind.REJECTED)\n{REPLY}")
     ],
     "drain": [("platform_settings.py", "drain_grace_ms=", "drain_grace_ms=5 * ")],
-    "memory": [("host/core.py", "TALLY_S = ", "HOG = b'x' * (200 << 20)\nTALLY_S = ")],
+    "memory": [("host/core/housekeeping.py", "TALLY_S = ", "HOG = b'x' * (200 << 20)\nTALLY_S = ")],
 }
 
 
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -356,8 +356,8 @@
 
 
 def figure_names():
-    basic = metrics.Figures(["book"])
-    extended = metrics.Wide(["book"], [(100.0, 1.0, 0.5)], "0123456789abcdef", lambda: (1, 2))
+    basic = metrics.Metrics(["book"])
+    extended = metrics.ExtendedMetrics(["book"], [(100.0, 1.0, 0.5)], "0123456789abcdef", lambda: (1, 2))
 
     def names(lines):
         return [re.sub(r":\d+\|", "|", line) for line in lines]
