--- a/benchmarks/members_host.py
+++ b/benchmarks/members_host.py
@@ -39,10 +39,10 @@
         else:
             fleet.start()
         made = {"start_s": time.monotonic() - began}
-        names = [box.name for box in fleet.boxes]
+        names = [box.name for box in fleet.hosts]
         if talk is not None:
             made["agree_s"] = talk.agree(names, within=60.0)
-        pids = [box.processes[-1].pid for box in fleet.boxes]
+        pids = [box.processes[-1].pid for box in fleet.hosts]
         before, sent = [_cpu(pid) for pid in pids], _sent(talk, names)
         time.sleep(seconds)
         made["cpu_of_a_core"] = sum(_cpu(pid) - was for pid, was in zip(pids, before, strict=True)) / boxes / seconds
--- a/benchmarks/rollout_model.py
+++ b/benchmarks/rollout_model.py
@@ -1,8 +1,8 @@
-"""A fleet in simulated time: the agents' and the controller's own decision code, with processes that are drawn.
+"""A fleet in simulated time: the agents' and the controller's own decision code, with drawn processes and metrics.
 
-A box's process takes a drawn time to take clients. Figures are drawn by box and class: each box has an offset of its
-own, all share a wave of load and a store that may collapse, a warm process serves better than a cold one, and a bad
-generation serves worse. It is no proof of anything that sockets do; the tests on running hosts are.
+A host's process takes a drawn time to accept clients. Metrics are drawn by host and class: each host has an offset of
+its own, all share a wave of load and a store that may collapse, a warm process serves better than a cold one, and a bad
+generation serves worse. It proves nothing about sockets; the tests on running hosts do.
 """
 
 from __future__ import annotations
@@ -13,77 +13,98 @@
 from typing import Any
 
 from lapispick.fleet.hosts import Worker
-from lapispick.rollout import host_state, pacing, rollout_state, stages
-from lapispick.rollout.canary_analysis import Bounds as Judging
-from lapispick.rollout.canary_analysis import Judge, Outcome
-from lapispick.rollout.compat import Spoken
+from lapispick.rollout import host_calls, host_step, pacing, rollout_state, rollout_step, stages
+from lapispick.rollout.canary_analysis import Bounds, CanaryAnalysis, Verdict
+from lapispick.rollout.compat import FormatSupport
 from lapispick.rollout.generations import Generation
-from lapispick.rollout.host_state import Bounds, Kill, Reload, Seen, Start, State, Term
-from lapispick.rollout.messages import Fence
-from lapispick.rollout.metrics import Class, Slice, merged
-from lapispick.rollout.rollout_state import Course, Heard, Plan
+from lapispick.rollout.host_actions import Action, Kill, Reload, Start, Terminate
+from lapispick.rollout.host_state import HostState, Observation, Role, Timeouts
+from lapispick.rollout.messages import Fence, Status
+from lapispick.rollout.metrics import ClassCounts, Slice
+from lapispick.rollout.rollout_plan import Plan
+from lapispick.rollout.rollout_state import HostReport, Phase, RolloutState
+from lapispick.rollout.step_context import Observations
 
-SPEAKS = {"handover": Spoken(1, 1, 1)}
-OLD, NEW = "a" * 16, "b" * 16
-SHELF = {name: Generation(name, name, "", {}, SPEAKS) for name in (OLD, NEW)}
-CLASSES = {"track": 0.33, "quote": 0.32, "ping": 0.2, "book": 0.15}
-WANTS = ("1", "10%", "50%", "100%")
-Effect = Callable[[str, float], float]  # (class, warm share) -> part of the requests that is lost
+FORMATS = {"handover": FormatSupport(1, 1, 1)}
+OLD = "a" * 16
+NEW = "b" * 16
+GENERATIONS = {name: Generation(name, name, "", {}, FORMATS) for name in (OLD, NEW)}
+CLASS_SHARES = {"track": 0.33, "quote": 0.32, "ping": 0.2, "book": 0.15}
+STAGE_SIZES = ("1", "10%", "50%", "100%")
+BOOT_ID = "1"
+WARM_S = 10.0
+SETTLED_S = 10.0  # hosts that are down before then only start for the first time
+BASELINE_SLICES = 60
+VERDICT_EVERY_S = 3
+Effect = Callable[[str, float], float]  # (class, warm fraction) -> fraction of the requests that is lost
 
 
-class Box:
-    """One box with its agent's state, in simulated time."""
+class SimulatedHost:
+    """One host with its agent's state, in simulated time."""
 
     def __init__(self, name: str, rng: random.Random, start_s: float = 1.0) -> None:
-        self.name, self.rng, self.start_s = name, rng, start_s
-        self.state = State(name, good=OLD, wanted=OLD, boot="1")
-        self.procs: dict[int, tuple[str, float]] = {}  # life -> generation, when it takes clients
-        self.agent_up, self.reached, self.fails = True, True, set[str]()  # fails: generations that never take clients
+        self.name = name
+        self.rng = rng
+        self.start_s = start_s
+        self.state = HostState(name, good=OLD, wanted=OLD, boot_id=BOOT_ID)
+        self.processes: dict[int, tuple[str, float]] = {}  # number -> generation, when it accepts clients
+        self.agent_up = True
+        self.reachable = True
+        self.failing_generations: set[str] = set()  # these never accept clients
         self.starts = 0
-        self.base = max(0.0, rng.gauss(0.06, 0.03))
-        self.told: tuple[float, Any] | None = None
+        self.unserved_fraction = max(0.0, rng.gauss(0.06, 0.03))
+        self._last_report: tuple[float, Status] | None = None
 
-    def seen(self, now: float) -> Seen:
-        """Return what the agent sees."""
-        takes = frozenset(n for n, (_, at) in self.procs.items() if at <= now)
-        return Seen(frozenset(self.procs), takes, SHELF, "1")
+    def observe(self, now: float) -> Observation:
+        """Return what the agent observes."""
+        accepting = frozenset(number for number, (_, at) in self.processes.items() if at <= now)
+        return Observation(frozenset(self.processes), accepting, GENERATIONS, BOOT_ID)
 
     def step(self, now: float) -> None:
         """Let the agent look once."""
         if not self.agent_up:
             return
-        self.state, actions = host_state.step(self.state, now, self.seen(now), Bounds())
-        for action in actions:
+        decision = host_step.decide(self.state, now, self.observe(now), Timeouts())
+        self.state = decision.state
+        for action in decision.actions:
             self.act(action, now)
 
-    def act(self, action: host_state.Action, now: float) -> None:
-        """Do what the agent orders."""
+    def act(self, action: Action, now: float) -> None:
+        """Do what the agent decided."""
         if isinstance(action, Start):
-            if action.life.number not in self.procs:
-                self.starts += 1
-                never = action.life.generation in self.fails
-                ready = math.inf if never else now + self.start_s * self.rng.uniform(0.5, 2)
-                self.procs[action.life.number] = (action.life.generation, ready)
+            if action.process.number not in self.processes:
+                self._start(action.process.number, action.process.generation, now)
         elif isinstance(action, Reload):
-            self.procs[action.life.number] = (action.life.generation, self.procs[action.life.number][1])
-        elif isinstance(action, Term | Kill):
-            self.procs.pop(action.number, None)
+            _, accepts_at = self.processes[action.process.number]
+            self.processes[action.process.number] = (action.process.generation, accepts_at)
+        elif isinstance(action, Terminate | Kill):
+            self.processes.pop(action.number, None)
 
-    def heard(self, now: float) -> Heard:
+    def _start(self, number: int, generation: str, now: float) -> None:
+        self.starts += 1
+        never = generation in self.failing_generations
+        accepts_at = math.inf if never else now + self.start_s * self.rng.uniform(0.5, 2)
+        self.processes[number] = (generation, accepts_at)
+
+    def report(self, now: float) -> HostReport:
         """Return what a controller knows of it."""
-        if self.agent_up and self.reached:
-            self.told = (now, host_state.status(self.state, now, self.seen(now)))
-        return Heard(None, math.inf) if self.told is None else Heard(self.told[1], now - self.told[0])
+        if self.agent_up and self.reachable:
+            self._last_report = (now, host_calls.status_of(self.state, now, self.observe(now)))
+        if self._last_report is None:
+            return HostReport(None, math.inf)
+        at, status = self._last_report
+        return HostReport(status, now - at)
 
     def serving(self, now: float) -> tuple[str, float]:
-        """Return what serves here, and since when; nothing where nothing does."""
-        life = self.state.life(host_state.SERVING)
-        if life is None or life.number not in self.procs or self.procs[life.number][1] > now:
+        """Return the generation that serves here, and for how long; nothing where nothing does."""
+        process = self.state.process(Role.SERVING)
+        if process is None or process.number not in self.processes:
             return "", 0.0
-        return self.procs[life.number][0], now - self.procs[life.number][1]
+        generation, accepts_at = self.processes[process.number]
+        return ("", 0.0) if accepts_at > now else (generation, now - accepts_at)
 
 
-def drawn(rng: random.Random, n: int, p: float) -> int:
+def draw_binomial(rng: random.Random, n: int, p: float) -> int:
     """Draw a binomial number, by a normal one where that is close."""
     p = min(0.98, max(0.0, p))
     if n * p * (1 - p) < 9:
@@ -91,129 +112,160 @@
     return min(n, max(0, round(rng.gauss(n * p, math.sqrt(n * p * (1 - p))))))
 
 
-class Fleet:
-    """Boxes, their load, a controller and its judge."""
+class SimulatedFleet:
+    """Hosts, their load, and a controller with its canary analysis."""
 
     def __init__(
         self,
         seed: int,
         size: int,
         plan: dict[str, Any] | None = None,
-        wants: tuple[str, ...] = WANTS,
+        sizes: tuple[str, ...] = STAGE_SIZES,
         rate: float = 60.0,
         effect: Effect | None = None,
         harm: float = 0.0,
         drift: float = 0.002,
     ) -> None:
-        self.rng, self.now, self.rate, self.effect = random.Random(seed), 0.0, rate, effect
-        self.harm, self.drift = harm, drift
-        self.boxes = {f"d{n:04}": Box(f"d{n:04}", random.Random(f"{seed} {n}")) for n in range(size)}
+        self.rng = random.Random(seed)
+        self.now = 0.0
+        self.rate = rate
+        self.effect = effect
+        self.harm = harm
+        self.drift = drift
+        self.hosts = {f"d{n:04}": SimulatedHost(f"d{n:04}", random.Random(f"{seed} {n}")) for n in range(size)}
+        self.rollout = RolloutState(f"r{seed}", self._plan(f"r{seed}", plan or {}, sizes))
+        self.analysis: CanaryAnalysis | None = None
+        self.verdict: Verdict | None = None
+        self.baseline: list[dict[str, Slice]] = []
+        self.common_wave = 0.0
+        self.store_collapse = 0.0
+        self.lost_requests = 0.0
+        self.requests = 0.0
+        self.served_without_change = 0.0
+        self.max_down = 0
+        self._analysed_stage = -1
+
+    def _plan(self, rollout: str, over: dict[str, Any], sizes: tuple[str, ...]) -> Plan:
         workers = [
             Worker(name, f"{name}:1", agent=f"{name}:2", zone=f"z{n % 3}", machine="old" if n % 2 else "new")
-            for n, name in enumerate(self.boxes)
+            for n, name in enumerate(self.hosts)
         ]
-        bounds = stages.Bounds(0.6)
-        most = max(2, size // 20)
-        held = {
-            "warm_up": 10.0,
-            "bake": 60.0,
-            "bake_most": 180.0,
-            "confirm": 900.0,
-            "watch": 30.0,
-            "back_most": most,
-            "pace": pacing.Bounds(most, 0.8),
-            **(plan or {}),
+        max_changing = max(2, len(workers) // 20)
+        values = {
+            "warm_up_s": WARM_S,
+            "min_bake_s": 60.0,
+            "max_bake_s": 180.0,
+            "confirm_timeout_s": 900.0,
+            "baseline_s": 30.0,
+            "max_concurrent_rollbacks": max_changing,
+            "pace": pacing.Limits(max_changing, 0.8),
+            **over,
         }
-        assigned = stages.assign(workers, [stages.want(w) for w in wants], f"r{seed}", bounds)
-        kinds = {w.name: w.kind for w in workers}
-        self.course = Course(f"r{seed}", Plan(NEW, tuple(map(tuple, assigned)), kinds=kinds, **held))
-        self.judge: Judge | None = None
-        self.verdict: Any = None
-        self.old: list[dict[str, Slice]] = []
-        self.common, self.collapse = 0.0, 0.0
-        self.lost, self.asked, self.bare = 0.0, 0.0, 0.0
-        self.worst_down = 0
-        self._stage = -1
-
-    def slice(self, each: Box, harmed: float) -> Slice | None:
-        """Draw what one box did in a second."""
-        generation, age = each.serving(self.now)
-        classes, warm = {}, min(1.0, age / 10.0)
-        each.base = max(0.0, each.base + self.rng.gauss(0, self.drift))
-        for name, share in CLASSES.items():
-            n = max(0, round(self.rng.gauss(self.rate * share, math.sqrt(self.rate * share))))
-            usual = each.base + self.common + self.collapse + harmed + 0.1 * (1 - warm)
-            worse = self.effect(name, warm) if self.effect is not None and generation == NEW else 0.0
-            self.asked += n
-            self.bare += n * (1 - min(1.0, usual))
-            if not generation:
-                self.lost += n * (1 - min(1.0, usual))
-                continue
-            refused = drawn(self.rng, n, usual + worse)
-            self.lost += n * min(worse, 1.0)
-            failed = drawn(self.rng, n - refused, 0.01)
-            served = n - refused - failed
-            times = {16.0: drawn(self.rng, n, 0.5), 32.0: drawn(self.rng, n, 0.4), 64.0: drawn(self.rng, n, 0.09)}
-            classes[name] = Class(n, refused, failed, drawn(self.rng, served, 0.02), float(served), times)
+        assigned = stages.assign(workers, [stages.parse_size(size) for size in sizes], rollout, stages.Limits(0.6))
+        kinds = {worker.name: worker.kind for worker in workers}
+        return Plan(NEW, tuple(map(tuple, assigned)), host_kinds=kinds, **values)
+
+    def draw_slice(self, host: SimulatedHost, harmed: float) -> Slice | None:
+        """Draw what one host did in a second."""
+        generation, age_s = host.serving(self.now)
+        warm = min(1.0, age_s / WARM_S)
+        host.unserved_fraction = max(0.0, host.unserved_fraction + self.rng.gauss(0, self.drift))
+        usual = host.unserved_fraction + self.common_wave + self.store_collapse + harmed + 0.1 * (1 - warm)
+        classes = {}
+        for name, share in CLASS_SHARES.items():
+            counts = self._draw_class(name, share, generation, usual, warm)
+            if counts is not None:
+                classes[name] = counts
         if not generation:
             return None
-        runs = sum(c.asked - c.refused for c in classes.values())
-        return Slice(each.name, 1.0, classes, runs, int(30_000 + self.rng.gauss(0, 200)))
+        runs = sum(counts.requests - counts.rejected for counts in classes.values())
+        return Slice(host.name, 1.0, classes, runs, int(30_000 + self.rng.gauss(0, 200)))
+
+    def _draw_class(self, name: str, share: float, generation: str, usual: float, warm: float) -> ClassCounts | None:
+        requests = max(0, round(self.rng.gauss(self.rate * share, math.sqrt(self.rate * share))))
+        worse = self.effect(name, warm) if self.effect is not None and generation == NEW else 0.0
+        self.requests += requests
+        self.served_without_change += requests * (1 - min(1.0, usual))
+        if not generation:
+            self.lost_requests += requests * (1 - min(1.0, usual))
+            return None
+        rejected = draw_binomial(self.rng, requests, usual + worse)
+        self.lost_requests += requests * min(worse, 1.0)
+        failed = draw_binomial(self.rng, requests - rejected, 0.01)
+        served = requests - rejected - failed
+        times = {
+            16.0: draw_binomial(self.rng, requests, 0.5),
+            32.0: draw_binomial(self.rng, requests, 0.4),
+            64.0: draw_binomial(self.rng, requests, 0.09),
+        }
+        late = draw_binomial(self.rng, served, 0.02)
+        return ClassCounts(requests, rejected, failed, late, float(served), times)
+
+    def reports(self) -> dict[str, HostReport]:
+        """Return what the controller knows of all hosts."""
+        return {name: host.report(self.now) for name, host in self.hosts.items()}
 
     def second(self) -> None:
-        """Let a second pass: agents look, figures come, the controller decides."""
+        """Let a second pass: agents look, metrics arrive, the controller decides."""
         self.now += 1.0
-        for each in self.boxes.values():
-            each.step(self.now)
-        down = sum(not each.serving(self.now)[0] for each in self.boxes.values())
-        self.worst_down = max(self.worst_down, down if self.now > 10 else 0)
-        self.common = max(0.0, 0.9 * self.common + self.rng.gauss(0, 0.02))
-        new = sum(each.serving(self.now)[0] == NEW for each in self.boxes.values())
-        harmed = self.harm * new / len(self.boxes)
-        slices = {
-            n: s
-            for n, each in self.boxes.items()
-            if (s := self.slice(each, harmed if each.serving(self.now)[0] == OLD else 0.0)) is not None
-        }
-        self.weigh(slices)
-        heard = {name: each.heard(self.now) for name, each in self.boxes.items()}
-        self.course, calls = rollout_state.step(self.course, self.now, Fence(1, "sim"), heard, self.verdict)
-        for told in calls:
-            each = self.boxes[told.box]
-            if each.agent_up and each.reached:
-                each.state, _ = host_state.call(each.state, told.call, self.now, each.seen(self.now))
-
-    def weigh(self, slices: dict[str, Slice]) -> None:
-        """Do as the controller does with its judge."""
-        course = self.course
-        if course.phase in (rollout_state.CHANGING, rollout_state.BAKING):
-            heard = {name: each.heard(self.now) for name, each in self.boxes.items()}
-            changed, old = rollout_state.groups(course, heard)
-            if self._stage != course.stage:
-                self._stage, self.verdict = course.stage, None
-                self.judge = Judge(Judging(stages=len(course.plan.stages)), dict(course.plan.kinds))
-                for each in self.old:
-                    self.judge.before(course.boxes, [n for n in each if n not in course.touched], each)
-            assert self.judge is not None
-            if changed and old:
-                self.judge.after(changed, old, slices)
-            if int(self.now) % 3 == 0:
-                self.verdict = self.judge.verdict()
-        if course.phase not in (rollout_state.DONE, rollout_state.UNDONE):
-            self.old = [*self.old, {n: s for n, s in slices.items() if n not in course.touched}][-60:]
-
-    def play(self, most: float = 5000.0, person: str = "go") -> Course:
-        """Play until the rollout is over; a person answers each question in the same way."""
-        while self.course.phase not in rollout_state.OVER and self.now < most:
-            if self.course.phase == rollout_state.ASKING:
-                self.course.told = person
-            self.second()
-        return self.course
+        for host in self.hosts.values():
+            host.step(self.now)
+        down = sum(not host.serving(self.now)[0] for host in self.hosts.values())
+        self.max_down = max(self.max_down, down if self.now > SETTLED_S else 0)
+        self.common_wave = max(0.0, 0.9 * self.common_wave + self.rng.gauss(0, 0.02))
+        self._analyse(self._draw_slices())
+        observations = Observations(self.now, self.reports(), self.verdict)
+        decision = rollout_step.decide(self.rollout, Fence(1, "sim"), observations)
+        self.rollout = decision.state
+        for host_call in decision.calls:
+            host = self.hosts[host_call.host]
+            if host.agent_up and host.reachable:
+                result = host_calls.handle_call(host.state, host_call.call, self.now, host.observe(self.now))
+                host.state = result.state
 
+    def _draw_slices(self) -> dict[str, Slice]:
+        changed = sum(host.serving(self.now)[0] == NEW for host in self.hosts.values())
+        harmed = self.harm * changed / len(self.hosts)
+        slices = {}
+        for name, host in self.hosts.items():
+            part = self.draw_slice(host, harmed if host.serving(self.now)[0] == OLD else 0.0)
+            if part is not None:
+                slices[name] = part
+        return slices
 
-def whole(slices: dict[str, Slice]) -> Slice | None:
-    """Return the fleet as one box."""
-    return merged(slices.values())
+    def _analyse(self, slices: dict[str, Slice]) -> None:
+        """Do as the controller does with its canary analysis."""
+        rollout = self.rollout
+        if rollout.phase in (Phase.CHANGING, Phase.BAKING):
+            groups = rollout_state.comparison_groups(rollout, self.reports())
+            if self._analysed_stage != rollout.stage:
+                self._analysed_stage = rollout.stage
+                self.verdict = None
+                self.analysis = self._new_analysis()
+            assert self.analysis is not None
+            if groups.changed and groups.unchanged:
+                self.analysis.add_canary(groups.changed, groups.unchanged, slices)
+            if int(self.now) % VERDICT_EVERY_S == 0:
+                self.verdict = self.analysis.verdict()
+        if not rollout.is_over:
+            untouched = {name: part for name, part in slices.items() if name not in rollout.touched_hosts}
+            self.baseline = [*self.baseline, untouched][-BASELINE_SLICES:]
+
+    def _new_analysis(self) -> CanaryAnalysis:
+        rollout = self.rollout
+        analysis = CanaryAnalysis(Bounds(stages=len(rollout.plan.stages)), dict(rollout.plan.host_kinds))
+        for slices in self.baseline:
+            unchanged = [name for name in slices if name not in rollout.touched_hosts]
+            analysis.add_baseline(rollout.stage_hosts, unchanged, slices)
+        return analysis
+
+    def play(self, max_s: float = 5000.0, order: str = "go") -> RolloutState:
+        """Play until the rollout is over; an operator answers each question with the same order."""
+        while not self.rollout.is_over and self.now < max_s:
+            if self.rollout.phase == Phase.AWAITING_DECISION:
+                self.rollout.order = order
+            self.second()
+        return self.rollout
 
 
-__all__ = ["NEW", "OLD", "Box", "Fleet", "Outcome"]
+__all__ = ["GENERATIONS", "NEW", "OLD", "SimulatedFleet", "SimulatedHost"]
--- a/lapispick/agent/__init__.py
+++ b/lapispick/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The hands of a rollout: a box's agent, and the controller with its ledger."""
+"""The processes of a staged rollout: a host's agent, and the controller with its store of rollouts."""
--- a/lapispick/agent/controller.py
+++ b/lapispick/agent/controller.py
@@ -1,7 +1,7 @@
-"""A rollout's controller: asks the agents, keeps the course, and tells them what ``rollout/rollout_state.py`` decides.
+"""The controller of a rollout: polls the agents, stores the state, and makes the calls that are decided.
 
-The course is on disk before anything that follows from it is told. A controller may end at any instant; another one
-goes on from the ledger, with a higher epoch, and the agents take nothing from the one before any more.
+The state is on disk before any call that follows from it. A controller may end at any instant; another one goes on
+from the store, with a higher epoch, and the agents accept nothing from the one before any more.
 """
 
 from __future__ import annotations
@@ -9,265 +9,237 @@
 import datetime
 import logging
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import msgspec
 
-from lapispick.agent.rollout_store import Fenced, Ledger
+from lapispick.agent import line_client
+from lapispick.agent.errors import FencedError
+from lapispick.agent.managed_host import ManagedHost
+from lapispick.agent.rollout_records import Explanation, summarize_fleet
+from lapispick.agent.rollout_store import RolloutStore
+from lapispick.agent.stage_analysis import StageAnalysis
 from lapispick.fleet.hosts import Worker
 from lapispick.host.dns_resolver import Names
 from lapispick.host.logs import log
-from lapispick.host.scheduler import Closed, Loop, Overlong, connect
+from lapispick.host.scheduler import Loop
 from lapispick.host.worker_threads import Work
-from lapispick.rollout import messages, metrics, pacing, rollout_state
-from lapispick.rollout.canary_analysis import Bounds as Judging
-from lapispick.rollout.canary_analysis import Judge, Verdict
-from lapispick.rollout.messages import Fence, Status
-from lapispick.rollout.metrics import Told
-from lapispick.rollout.rollout_state import Course, Heard
+from lapispick.rollout import messages, metrics, pacing, rollout_state, rollout_step
+from lapispick.rollout.canary_analysis import Bounds
+from lapispick.rollout.messages import Fence
+from lapispick.rollout.pacing import Hours
+from lapispick.rollout.rollout_plan import slice_duration_s
+from lapispick.rollout.rollout_state import HostCall, HostReport, RolloutState
+from lapispick.rollout.step_context import Observations
 
 LOG = "rollout"
-ASK_S = 2.0  # s; for one answer of an agent
-ASKED_MOST = 64  # agents at once
-BEAT_S = 1.0  # s; between two signs of life in the ledger
-REDRAW = 20  # slices of the old figures that are kept, for stages to come
+CALL_TIMEOUT_S = 2.0
+MAX_CONCURRENT_CALLS = 64
+HEARTBEAT_INTERVAL_S = 1.0
+MIN_POLL_PAUSE_S = 0.02
+_JOIN_PAUSE_S = 0.005
 
 
-def address_of(told: str) -> tuple[str, int]:
-    """Split ``HOST:PORT`` as the list has it; the host may be a name."""
-    host, _, port = told.rpartition(":")
-    return host.strip("[]"), int(port)
+class ControllerOptions(NamedTuple):
+    """How a controller works."""
 
-
-class Hours(NamedTuple):
-    """When stages may begin."""
-
-    span: tuple[int, int] | None = None
-    not_days: tuple[str, ...] = ()
-
-
-class _Box:
-    """What the controller knows of one box."""
-
-    def __init__(self, worker: Worker) -> None:
-        self.worker, self.status, self.heard_at = worker, None, 0.0
-        self.status: Status | None
-        self.told: Told | None = None
-        self.memory_kb, self.broken, self.slices = 0, 0, list[metrics.Slice]()
+    name: str
+    poll_interval_s: float
+    analysis_bounds: Bounds
+    hours: Hours | None = None  # when stages may begin
+    excluded_days: tuple[str, ...] = ()
+    names_file: Path | None = None
 
 
 class Controller:
-    """Steers one rollout."""
+    """Controls one rollout."""
 
     def __init__(
         self,
-        ledger: Ledger,
-        course: Course,
-        workers: list[Worker],
-        who: str,
-        judging: Judging,
-        hours: Hours,
-        look: float,
-        listed: Callable[[], list[Worker] | None] | None = None,
-        names_file: Path | None = None,
+        store: RolloutStore,
+        state: RolloutState,
+        workers: Sequence[Worker],
+        options: ControllerOptions,
+        accepted_workers: Callable[[], list[Worker] | None] | None = None,
     ) -> None:
+        """``accepted_workers`` returns the hosts of a list that was accepted just now, None where it did not change."""
         self.loop = Loop()
-        self.work, self._names = Work(self.loop), Names(self.loop, ASK_S, names_file)
-        self.ledger, self.course, self.who, self._judging, self._hours = ledger, course, who, judging, hours
-        self._look, self._listed = look, listed
-        self.boxes = {w.name: _Box(w) for w in workers}
-        self.fence, self.fenced = Fence(0, who), ""
-        self._judge: Judge | None = None
-        self._judged: tuple[int, str] = (-1, "")
-        self._verdict: Verdict | None = None
-        self._old: list[dict[str, metrics.Slice]] = []  # slices of boxes that no stage has touched, for their offsets
-        self._slice_at, self._beat, self._noted = 0.0, 0.0, len(course.notes)
+        self.work = Work(self.loop)
+        self.store = store
+        self.state = state
+        self.hosts = {worker.name: ManagedHost(worker) for worker in workers}
+        self.fence = Fence(0, options.name)
+        self.ended_reason = ""  # why this controller is not in charge any more
+        self._options = options
+        self._accepted_workers = accepted_workers
+        self._names = Names(self.loop, CALL_TIMEOUT_S, options.names_file)
+        self._analysis = StageAnalysis(options.analysis_bounds)
+        self._slice_at = 0.0
+        self._heartbeat_at = 0.0
+        self._stored_notes = len(state.notes)
 
     def point(self, name: str) -> None:
-        """Mark a named point; kills at each of them are tested."""
+        """Mark a named point; tests end the process at each of them."""
 
-    def run(self) -> Course:
-        """Steer until the rollout is over or another controller has taken over; returns how it stands then."""
+    def run(self) -> RolloutState:
+        """Control the rollout until it is over or another controller has taken over; returns its state then."""
         self.loop.spawn(self._serve)
         self.loop.run()
-        return self.course
+        return self.state
 
     def _serve(self) -> None:
         try:
-            self._everyone(self._ask)
-            heard = [messages.fence(b.status.fence).epoch for b in self.boxes.values() if b.status is not None]
-            self.fence = Fence(self.work.do(self.ledger.take_over, self.who, max(heard, default=0)), self.who)
-            log(LOG, logging.INFO, "steering", rollout=self.course.name, fence=self.fence, boxes=len(self.boxes))
-            self.point("steering")
-            while self.course.phase not in rollout_state.OVER and not self.fenced:
+            self._take_over()
+            while not self.state.is_over and not self.ended_reason:
                 began = time.monotonic()
-                self._turn()
-                self.loop.sleep(max(0.02, self._look - (time.monotonic() - began)))
-        except Fenced as err:
-            self.fenced = str(err)
-        except Exception as err:  # the agents go on alone, and undo what nobody confirms
-            log(LOG, logging.ERROR, "steering-failed", error=repr(err))
-            self.fenced = f"failed: {err!r}"
+                self._poll()
+                elapsed = time.monotonic() - began
+                self.loop.sleep(max(MIN_POLL_PAUSE_S, self._options.poll_interval_s - elapsed))
+        except FencedError as err:
+            self.ended_reason = str(err)
+        except Exception as err:  # the agents go on alone, and roll back what nobody confirms
+            log(LOG, logging.ERROR, "controller-failed", error=repr(err))
+            self.ended_reason = f"failed: {err!r}"
         self.loop.stop()
 
-    def _turn(self) -> None:
-        if self._listed is not None and (workers := self.work.do(self._listed)) is not None:
-            for worker in workers:
-                self.boxes.setdefault(worker.name, _Box(worker)).worker = worker
-            for name in self.boxes.keys() - {w.name for w in workers}:
-                del self.boxes[name]
-        self._everyone(self._ask)
-        self._weigh()
+    def _take_over(self) -> None:
+        self._for_each(list(self.hosts), self._poll_host)
+        statuses = [host.status for host in self.hosts.values() if host.status is not None]
+        epochs = [messages.parse_fence(status.fence).epoch for status in statuses]
+        epoch = self.work.do(self.store.take_over, self._options.name, max(epochs, default=0))
+        self.fence = Fence(epoch, self._options.name)
+        log(
+            LOG,
+            logging.INFO,
+            "control-taken",
+            rollout=self.state.name,
+            fence=self.fence,
+            hosts=len(self.hosts),
+        )
+        self.point("took-over")
+
+    def _poll(self) -> None:
+        """Poll all agents once, decide, store what was decided, and make the calls that follow from it."""
+        self._update_list()
+        self._for_each(list(self.hosts), self._poll_host)
+        self._analyse()
         now = time.time()
-        course = self.course
-        for word in self.work.do(self.ledger.orders, course.name):
-            course = msgspec.structs.replace(course, told=word)
-        why = pacing.open_at(datetime.datetime.now(), *self._hours)
-        course, calls = rollout_state.step(course, now, self.fence, self._heard(), self._verdict, why)
-        if course != self.course:
+        state = self._with_newest_order()
+        closed_reason = pacing.closed_reason(datetime.datetime.now(), self._options.hours, self._options.excluded_days)
+        observations = Observations(now, self._reports(), self._analysis.verdict, closed_reason)
+        decision = rollout_step.decide(state, self.fence, observations)
+        if decision.state != self.state:
             self.point("decided")
-            fresh = course.notes[self._noted :] if len(course.notes) >= self._noted else course.notes[-1:]
-            self.work.do(self.ledger.keep, course, now, fresh)
-            for _, text in fresh:
-                log(LOG, logging.INFO, "course", rollout=course.name, note=text)
-            self._noted, self.course = len(course.notes), course
-            self.point("kept")
-        if time.monotonic() - self._beat > BEAT_S:
-            self._beat = time.monotonic()
-            self.work.do(self.ledger.seen, now, course.name, self._shown())
-        if calls:
-            self.point("telling")
-            self._everyone(self._tell, {told.box: told.call for told in calls})
-            self.point("told")
-
-    def _heard(self) -> dict[str, Heard]:
+            self._store(decision.state, now)
+            self.point("stored")
+        self._send_heartbeat(now)
+        if decision.calls:
+            self.point("calling")
+            self._make_calls(decision.calls)
+            self.point("called")
+
+    def _update_list(self) -> None:
+        if self._accepted_workers is None:
+            return
+        workers = self.work.do(self._accepted_workers)
+        if workers is None:
+            return
+        for worker in workers:
+            self.hosts.setdefault(worker.name, ManagedHost(worker)).worker = worker
+        for name in self.hosts.keys() - {worker.name for worker in workers}:
+            del self.hosts[name]
+
+    def _with_newest_order(self) -> RolloutState:
+        orders = self.work.do(self.store.take_orders, self.state.name)
+        return msgspec.structs.replace(self.state, order=orders[-1]) if orders else self.state
+
+    def _reports(self) -> dict[str, HostReport]:
         now = time.monotonic()
-        return {
-            name: Heard(
-                box.status, now - box.heard_at if box.status is not None else float("inf"), box.memory_kb, box.broken
-            )
-            for name, box in self.boxes.items()
-        }
-
-    def _shown(self) -> dict[str, Any]:
-        """Return what people see of the fleet."""
-        heard = self._heard()
-        boxes = {
-            name: [each.status.serving, each.status.phase, each.status.fault] if each.status else ["", "", ""]
-            for name, each in sorted(heard.items())
-        }
-        return {"deviations": rollout_state.deviations(self.course, heard), "boxes": boxes}
-
-    # Figures.
-
-    def _weigh(self) -> None:
-        """Give the judge a slice of time, once it is long enough."""
-        course, now = self.course, time.monotonic()
-        if now - self._slice_at < rollout_state.slice_span(course.plan):
+        return {name: host.report(now) for name, host in self.hosts.items()}
+
+    def _store(self, state: RolloutState, now: float) -> None:
+        notes = state.notes[-1:]  # the oldest were dropped
+        if len(state.notes) >= self._stored_notes:
+            notes = state.notes[self._stored_notes :]
+        self.work.do(self.store.save, state, now, notes)
+        for _, text in notes:
+            log(LOG, logging.INFO, "rollout-phase", rollout=state.name, note=text)
+        self._stored_notes = len(state.notes)
+        self.state = state
+
+    def _send_heartbeat(self, now: float) -> None:
+        if time.monotonic() - self._heartbeat_at <= HEARTBEAT_INTERVAL_S:
             return
-        self._slice_at = now
-        slices = {name: whole for name, box in self.boxes.items() if (whole := metrics.merged(box.slices)) is not None}
-        slices = {name: whole._replace(box=name) for name, whole in slices.items()}
-        for box in self.boxes.values():
-            box.slices.clear()
-        phase, stage = course.phase, (course.stage, course.name)
-        if phase in (rollout_state.WATCHING, rollout_state.WAITING, rollout_state.HOLDING):
-            self._old = [*self._old, slices][-REDRAW * 3 :]
-        if phase not in (rollout_state.CHANGING, rollout_state.BAKING):
+        self._heartbeat_at = time.monotonic()
+        reports = self._reports()
+        summary = summarize_fleet(rollout_state.deviations(self.state, reports), reports)
+        self.work.do(self.store.record_heartbeat, self.state.name, now, summary)
+
+    def _analyse(self) -> None:
+        """Give the canary analysis a slice of time, once it is long enough."""
+        now = time.monotonic()
+        if now - self._slice_at < slice_duration_s(self.state.plan):
             return
-        changed, old = rollout_state.groups(course, self._heard())
-        if self._judged != stage:
-            self._judged, self._judge, self._verdict = stage, Judge(self._judging, dict(course.plan.kinds)), None
-            for each in self._old:
-                self._judge.before(course.boxes, [n for n in each if n not in course.touched], each)
-        assert self._judge is not None
-        if changed and old:
-            self._judge.after(changed, old, slices)
-        self._verdict = self._judge.verdict()
-        self._old = [*self._old, {n: s for n, s in slices.items() if n not in course.touched}][-REDRAW * 3 :]
-        self.work.do(
-            self.ledger.explain,
-            course.name,
-            time.time(),
-            {
-                "stage": course.stage + 1,
-                "outcome": self._verdict.outcome.value,
-                "ground": self._verdict.ground,
-                "changed": changed,
-                "old": old,
-                "rows": [row._asdict() for row in self._verdict.rows],
-            },
-        )
+        self._slice_at = now
+        slices = {name: part for name, host in self.hosts.items() if (part := host.take_slice()) is not None}
+        explanation = self._analysis.add(self.state, self._reports(), slices)
+        if explanation is not None:
+            self._store_explanation(explanation)
 
-    # Calls.
+    def _store_explanation(self, explanation: Explanation) -> None:
+        self.work.do(self.store.save_explanation, self.state.name, time.time(), explanation)
 
-    def _everyone(self, call: Callable[..., None], some: dict[str, Any] | None = None) -> None:
-        """Make a call to all boxes, or to some, side by side, and wait until each has its answer or none in time."""
-        names = list(some if some is not None else self.boxes)
-        left, open_ = list(reversed(names)), [0]
+    # Calls to agents.
+
+    def _for_each(self, names: list[str], job: Callable[[ManagedHost], None]) -> None:
+        """Do a job for hosts, several at once, and wait until each has had its answer or timed out."""
+        remaining = list(reversed(names))
+        workers = min(MAX_CONCURRENT_CALLS, len(names))
+        running = workers
 
         def work() -> None:
-            while left:
-                name = left.pop()
-                if (box := self.boxes.get(name)) is not None:
-                    call(box, *(() if some is None else (some[name],)))
-            open_[0] -= 1
-
-        for _ in range(min(ASKED_MOST, len(names))):
-            open_[0] += 1
+            nonlocal running
+            while remaining:
+                host = self.hosts.get(remaining.pop())
+                if host is not None:
+                    job(host)
+            running -= 1
+
+        for _ in range(workers):
             self.loop.spawn(work)
-        while open_[0]:
-            self.loop.sleep(0.005)
+        while running:
+            self.loop.sleep(_JOIN_PAUSE_S)
 
-    def _say(self, box: _Box, line: str) -> list[str]:
+    def _call(self, host: ManagedHost, line: str) -> list[str]:
         """Call an agent and return its answer; raises ``OSError`` or ``ValueError``."""
-        host, port = address_of(box.worker.agent)
-        stream = connect(self.loop, (self._names.lookup(host)[0], port), ASK_S)
-        lines, end = [], time.monotonic() + ASK_S
-        try:
-            stream.write(line.encode() + b"\n")
-            while (part := stream.read_line(max(0.001, end - time.monotonic()))) is not None:
-                lines.append(part.decode("utf-8", "replace"))
-        except (Overlong, Closed) as err:
-            raise OSError(str(err)) from None
-        finally:
-            stream.close()
-        return lines
-
-    def _ask(self, box: _Box) -> None:
-        if not box.worker.agent:
+        name, port = line_client.parse_address(host.worker.agent)
+        return line_client.call(self.loop, (self._names.lookup(name)[0], port), line, CALL_TIMEOUT_S)
+
+    def _poll_host(self, host: ManagedHost) -> None:
+        if not host.worker.agent:
             return
         try:
-            box.status, box.heard_at = messages.heard(self._say(box, "status")), time.monotonic()
-            if not box.status.serving:
-                box.told = None
-                return
-            told = metrics.read(self._say(box, "vars"), time.monotonic())
+            host.update_status(messages.decode_status(self._call(host, "status")))
+            if host.status is not None and host.status.serving:
+                host.update_metrics(metrics.decode_sample(self._call(host, "vars"), time.monotonic()))
         except (OSError, ValueError) as err:
-            log(LOG, logging.DEBUG, "agent-silent", box=box.worker.name, error=err)
-            return
-        box.memory_kb, box.broken = told.memory_kb, told.broken
-        if box.told is not None and (part := metrics.sliced(box.worker.name, box.told, told)) is not None:
-            box.slices.append(part)
-        box.told = told
+            log(LOG, logging.DEBUG, "agent-unreachable", host=host.worker.name, error=err)
+
+    def _make_calls(self, calls: list[HostCall]) -> None:
+        by_host = {host_call.host: host_call.call for host_call in calls}
+        self._for_each(list(by_host), lambda host: self._make_call(host, by_host[host.worker.name]))
 
-    def _tell(self, box: _Box, call: messages.Call) -> None:
-        line = messages.write(call)
+    def _make_call(self, host: ManagedHost, call: messages.Call) -> None:
+        line = messages.encode_call(call)
         try:
-            answer = self._say(box, line)
+            lines = self._call(host, line)
         except (OSError, ValueError) as err:
-            return log(LOG, logging.WARNING, "call-unanswered", box=box.worker.name, call=line, error=err)
-        said = answer[0] if answer else "nothing"
-        log(
-            LOG,
-            logging.INFO if said.startswith("OK") else logging.WARNING,
-            "called",
-            box=box.worker.name,
-            call=line,
-            answer=said,
-        )
-        if said.startswith("ERR fenced") and messages.fence(said.split()[2]) > self.fence:
-            self.fenced = said
-        return None
+            log(LOG, logging.WARNING, "agent-call-failed", host=host.worker.name, call=line, error=err)
+            return
+        answer = lines[0] if lines else "nothing"
+        level = logging.INFO if answer.startswith("OK") else logging.WARNING
+        log(LOG, level, "agent-call-answered", host=host.worker.name, call=line, answer=answer)
+        if answer.startswith("ERR fenced") and messages.parse_fence(answer.split()[2]) > self.fence:
+            self.ended_reason = answer
--- a/lapispick/agent/generation_store.py
+++ b/lapispick/agent/generation_store.py
@@ -1,4 +1,4 @@
-"""The generations that a box keeps, side by side on disk. A half-written one is none: a rename makes it whole.
+"""The generations that a host keeps on disk, side by side. A rename makes a generation complete at once.
 
 ``FOLDER/DIGEST/`` holds ``program/`` with the package, ``lapispick.conf``, and ``generation.json``.
 """
@@ -16,118 +16,146 @@
 import msgspec
 
 from lapispick import atomic_files
+from lapispick.agent.errors import InvalidGenerationError
 from lapispick.rollout import compat, generations
 from lapispick.rollout.generations import Generation
 
-RECORD, PROGRAM, CONF = "generation.json", "program", "lapispick.conf"
-FILES_MOST, BYTES_MOST = 5000, 256 << 20  # of one program folder
-SPEAKS_S = 20.0  # s; for a program to say what it speaks
-_read = msgspec.json.Decoder(Generation).decode
-
-
-class Unfit(Exception):
-    """What was named can't be a generation; the text says why."""
-
-
-def contents(folder: Path) -> list[tuple[str, bytes]]:
-    """Return the files of a program folder; what Python leaves there is left out."""
-    found, size = [], 0
+RECORD_FILE = "generation.json"
+PROGRAM_FOLDER = "program"
+SETTINGS_FILE = "lapispick.conf"
+PACKAGE = "lapispick"
+MAX_PROGRAM_FILES = 5000
+MAX_PROGRAM_BYTES = 256 << 20
+PROGRAM_TIMEOUT_S = 20.0  # for a program to report its formats
+_MAX_SHOWN_STDERR = 200
+_decode_generation = msgspec.json.Decoder(Generation).decode
+
+
+def program_files(folder: Path) -> list[tuple[str, bytes]]:
+    """Return the files of a program folder without Python's caches; raises ``InvalidGenerationError``."""
+    found = []
+    size = 0
     for path in sorted(folder.rglob("*")):
         if "__pycache__" in path.parts or not path.is_file():
             continue
         data = path.read_bytes()
         size += len(data)
         found.append((str(path.relative_to(folder)), data))
-        if len(found) > FILES_MOST or size > BYTES_MOST:
-            raise Unfit(f"{folder}: over {FILES_MOST} files or {BYTES_MOST >> 20} MB")
+        if len(found) > MAX_PROGRAM_FILES or size > MAX_PROGRAM_BYTES:
+            raise InvalidGenerationError(f"{folder}: over {MAX_PROGRAM_FILES} files or {MAX_PROGRAM_BYTES >> 20} MB")
     return found
 
 
-def speaks(program: Path, python: str = sys.executable) -> dict[str, compat.Spoken]:
-    """Ask a program what it speaks; one that has no word for it speaks nothing that others must read."""
-    if not (program / "lapispick" / "versions.py").is_file():
+def settings_digest(data: bytes) -> str:
+    """Return the digest of a settings file."""
+    return generations.files_digest([(SETTINGS_FILE, data)])
+
+
+def program_environment(program: Path) -> dict[str, str]:
+    """Return an environment in which Python imports the package from a program folder."""
+    return {**os.environ, "PYTHONPATH": str(program), "PYTHONDONTWRITEBYTECODE": "1"}
+
+
+def reported_formats(program: Path, python: str = sys.executable) -> dict[str, compat.FormatSupport]:
+    """Ask a program which formats it reads and writes; a program without ``versions.py`` reports none.
+
+    Raises ``InvalidGenerationError``.
+    """
+    if not (program / PACKAGE / "versions.py").is_file():
         return {}
     done = subprocess.run(
         [python, "-m", "lapispick.versions"],
         cwd=program,
         capture_output=True,
-        timeout=SPEAKS_S,
-        env={**os.environ, "PYTHONPATH": str(program), "PYTHONDONTWRITEBYTECODE": "1"},
+        timeout=PROGRAM_TIMEOUT_S,
+        env=program_environment(program),
     )
     if done.returncode:
-        raise Unfit(f"{program}: does not start: {done.stderr.decode(errors='replace').strip()[-200:]}")
+        stderr = done.stderr.decode(errors="replace").strip()[-_MAX_SHOWN_STDERR:]
+        raise InvalidGenerationError(f"{program}: does not start: {stderr}")
     try:
-        return compat.parsed(msgspec.json.decode(done.stdout))
+        return compat.parse_formats(msgspec.json.decode(done.stdout))
     except (ValueError, AttributeError) as err:
-        raise Unfit(f"{program}: says what can't be read of what it speaks: {err}") from None
+        raise InvalidGenerationError(f"{program}: says what can't be read of what it speaks: {err}") from None
 
 
-class Shelf:
+class GenerationStore:
     """The generations in one folder."""
 
     def __init__(self, folder: Path, python: str = sys.executable) -> None:
-        self.folder, self._python = folder, python
-
-    def add(self, program: Path, conf: Path | None, config: dict[str, Any], label: str = "") -> Generation:
-        """Put a copy of a program folder and settings on the shelf; raises ``Unfit`` or ``OSError``."""
-        if not (program / "lapispick").is_dir():
-            raise Unfit(f"{program}: holds no folder lapispick")
-        if wrong := generations.faults(config):
-            raise Unfit(wrong[0])
-        own = conf.read_bytes() if conf is not None else b""
-        files = contents(program)
-        code, written = generations.digest(files), generations.digest([(CONF, own)])
-        name = generations.named(code, written, config)
-        if (found := self.get(name)) is not None:
-            return found
-        made = Generation(name, code, written, config, speaks(program, self._python), label, time.time())
+        self.folder = folder
+        self._python = python
+
+    def add(self, program: Path, settings: Path | None, config: dict[str, Any], label: str = "") -> Generation:
+        """Store a copy of a program folder and settings; raises ``InvalidGenerationError`` or ``OSError``."""
+        if not (program / PACKAGE).is_dir():
+            raise InvalidGenerationError(f"{program}: holds no folder lapispick")
+        if faults := generations.config_faults(config):
+            raise InvalidGenerationError(faults[0])
+        settings_bytes = settings.read_bytes() if settings is not None else b""
+        files = program_files(program)
+        program_digest = generations.files_digest(files)
+        conf_digest = settings_digest(settings_bytes)
+        name = generations.generation_digest(program_digest, conf_digest, config)
+        if (existing := self.get(name)) is not None:
+            return existing
+        formats = reported_formats(program, self._python)
+        generation = Generation(name, program_digest, conf_digest, config, formats, label, time.time())
+        self._write(generation, files, settings_bytes)
+        return generation
+
+    def _write(self, generation: Generation, files: list[tuple[str, bytes]], settings: bytes) -> None:
         self.folder.mkdir(parents=True, exist_ok=True)
-        fresh = self.folder / f".{name}.{os.getpid()}"
-        shutil.rmtree(fresh, ignore_errors=True)
-        fresh.mkdir()
+        temporary = self.folder / f".{generation.digest}.{os.getpid()}"
+        shutil.rmtree(temporary, ignore_errors=True)
+        temporary.mkdir()
         for path, data in files:
-            (fresh / PROGRAM / path).parent.mkdir(parents=True, exist_ok=True)
-            (fresh / PROGRAM / path).write_bytes(data)
-        (fresh / CONF).write_bytes(own)
-        atomic_files.put(fresh / RECORD, msgspec.json.encode(made))
-        if (self.folder / name).exists():  # what was left of one whose record is broken
-            shutil.rmtree(self.folder / name)
-        os.rename(fresh, self.folder / name)
+            target = temporary / PROGRAM_FOLDER / path
+            target.parent.mkdir(parents=True, exist_ok=True)
+            target.write_bytes(data)
+        (temporary / SETTINGS_FILE).write_bytes(settings)
+        atomic_files.put(temporary / RECORD_FILE, msgspec.json.encode(generation))
+        final = self.folder / generation.digest
+        if final.exists():  # its record is broken, or it would have been found
+            shutil.rmtree(final)
+        os.rename(temporary, final)
         atomic_files.sync(self.folder)
-        return made
 
     def get(self, name: str) -> Generation | None:
-        """Return a generation; None where it is not there, not whole or not what its name says."""
+        """Return a generation; None where it is not there, incomplete or not what its name says."""
+        folder = self.folder / name
         try:
-            made = _read((self.folder / name / RECORD).read_bytes())
+            generation = _decode_generation((folder / RECORD_FILE).read_bytes())
         except (OSError, msgspec.MsgspecError):
             return None
-        whole = made.digest == name and (self.folder / name / PROGRAM / "lapispick").is_dir()
-        return made if whole and (self.folder / name / CONF).is_file() else None
+        has_program = (folder / PROGRAM_FOLDER / PACKAGE).is_dir()
+        has_settings = (folder / SETTINGS_FILE).is_file()
+        return generation if generation.digest == name and has_program and has_settings else None
 
     def all(self) -> dict[str, Generation]:
-        """Return all that are whole."""
+        """Return all complete generations."""
         try:
-            names = [p.name for p in self.folder.iterdir() if not p.name.startswith(".")]
+            names = [path.name for path in self.folder.iterdir() if not path.name.startswith(".")]
         except OSError:
             return {}
-        return {name: made for name in sorted(names) if (made := self.get(name)) is not None}
+        return {name: found for name in sorted(names) if (found := self.get(name)) is not None}
 
     def verify(self, name: str) -> str:
         """Return what is wrong with a generation's files; empty where they are what the digest says."""
-        made = self.get(name)
-        if made is None:
+        generation = self.get(name)
+        if generation is None:
             return "it is not there, or not whole"
-        if generations.digest(contents(self.folder / name / PROGRAM)) != made.program:
+        folder = self.folder / name
+        if generations.files_digest(program_files(folder / PROGRAM_FOLDER)) != generation.program:
             return "its program has changed since it was put here"
-        if generations.digest([(CONF, (self.folder / name / CONF).read_bytes())]) != made.conf:
+        if settings_digest((folder / SETTINGS_FILE).read_bytes()) != generation.settings:
             return "its settings have changed since they were put here"
         return ""
 
-    def prune(self, keep: int, protected: set[str]) -> list[str]:
-        """Remove the oldest beyond so many; those that a box needs stay, whatever their age."""
-        found = sorted(self.all().values(), key=lambda g: g.added, reverse=True)
-        gone = [g.digest for g in found[keep:] if g.digest not in protected]
-        for name in gone:
+    def prune(self, keep: int, needed: set[str]) -> list[str]:
+        """Remove all but the newest ``keep`` and those in ``needed``; returns what was removed."""
+        newest_first = sorted(self.all().values(), key=lambda generation: generation.added_at, reverse=True)
+        removed = [each.digest for each in newest_first[keep:] if each.digest not in needed]
+        for name in removed:
             shutil.rmtree(self.folder / name, ignore_errors=True)
-        return gone
+        return removed
--- /dev/null
+++ b/lapispick/agent/managed_host.py
@@ -0,0 +1,57 @@
+"""What a controller knows of one host: its last status and metrics."""
+
+from __future__ import annotations
+
+import time
+
+from lapispick.fleet.hosts import Worker
+from lapispick.rollout import metrics
+from lapispick.rollout.messages import Status
+from lapispick.rollout.metrics import Sample, Slice
+from lapispick.rollout.rollout_state import HostReport
+
+
+class ManagedHost:
+    """One host of the list."""
+
+    def __init__(self, worker: Worker) -> None:
+        self.worker = worker
+        self.memory_kb = 0
+        self.broken_rules = 0
+        self._status: Status | None = None
+        self._status_at = 0.0
+        self._sample: Sample | None = None
+        self._slices: list[Slice] = []
+
+    def update_status(self, status: Status) -> None:
+        """Take over what the agent reported just now."""
+        self._status = status
+        self._status_at = time.monotonic()
+        if not status.serving:
+            self._sample = None
+
+    def update_metrics(self, sample: Sample) -> None:
+        """Take over the metrics that the serving process reported just now."""
+        self.memory_kb = sample.memory_kb
+        self.broken_rules = sample.broken_rules
+        if self._sample is not None:
+            part = metrics.slice_between(self.worker.name, self._sample, sample)
+            if part is not None:
+                self._slices.append(part)
+        self._sample = sample
+
+    def take_slice(self) -> Slice | None:
+        """Return what the host did since the last call, and forget it."""
+        merged = metrics.merge_slices(self._slices, self.worker.name)
+        self._slices.clear()
+        return merged
+
+    @property
+    def status(self) -> Status | None:
+        """Return the last status; None before there was any."""
+        return self._status
+
+    def report(self, now: float) -> HostReport:
+        """Return what is known of the host; ``now`` is monotonic."""
+        age_s = now - self._status_at if self._status is not None else float("inf")
+        return HostReport(self._status, age_s, self.memory_kb, self.broken_rules)
--- a/lapispick/agent/processes.py
+++ b/lapispick/agent/processes.py
@@ -1,7 +1,7 @@
-"""The host's processes as an agent starts and finds them: each bears a mark in its environment, so that none is lost.
+"""The processes of a host, as an agent starts and finds them by a mark in their environment.
 
-An agent that died between a start and its note of the process finds the process by its mark. Only processes of the same
-user are looked at, and only marked ones of this very box and folder are ever signalled.
+An agent that died between a start and its note of the process finds the process by its mark. Only processes of the
+same user are looked at, and only marked ones of this very host and folder are ever signalled.
 """
 
 from __future__ import annotations
@@ -11,92 +11,119 @@
 import signal
 import subprocess
 from pathlib import Path
+from typing import NamedTuple
 
-MARK = "LAPISPICK_LIFE"
-PROGRAM = "lapispick.host"  # the module; helpers that a host starts bear its mark too, and are other modules
-BOOT = Path("/proc/sys/kernel/random/boot_id")
+MARK_VARIABLE = "LAPISPICK_LIFE"
+HOST_MODULE = "lapispick.host"  # helpers that a host starts bear its mark too, and are other modules
+BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
+_STATE_FIELD = 0  # of /proc/PID/stat behind the command's name
+_START_TIME_FIELD = 19
+_ENDED_STATES = (b"Z", b"X")
 
 
-def boot() -> str:
-    """Return what names this life of the machine."""
+def boot_id() -> str:
+    """Return what identifies this start of the machine."""
     try:
-        return BOOT.read_text().strip()
+        return BOOT_ID_FILE.read_text().strip()
     except OSError:
         return "unknown"
 
 
-def _began(pid: int) -> int:
-    """Return when a process began, in ticks of the machine's life; 0 where it is gone or only waits to be fetched."""
+def _start_time(pid: int) -> int:
+    """Return when a process began, in ticks since the machine's start; 0 where it has ended."""
     try:
         with open(f"/proc/{pid}/stat", "rb") as file:
-            told = file.read().rpartition(b")")[2].split()
+            fields = file.read().rpartition(b")")[2].split()
     except OSError:
         return 0
-    return 0 if told[0] in (b"Z", b"X") else int(told[19])
+    return 0 if fields[_STATE_FIELD] in _ENDED_STATES else int(fields[_START_TIME_FIELD])
 
 
-class Processes:
-    """The processes of one box's host."""
+class _Identity(NamedTuple):
+    """A process; its start time tells it from a later process of the same id."""
+
+    pid: int
+    started: int
+
+
+class ProcessTable:
+    """The processes of one host by their numbers."""
 
     def __init__(self, mark: str) -> None:
-        self._mark = mark  # the box and its folder
+        self._mark = mark  # the host and its folder
         self._children: dict[int, subprocess.Popen[bytes]] = {}
-        self._pids: dict[int, tuple[int, int]] = {}  # life -> process, and when it began, as numbers come again
+        self._identities: dict[int, _Identity] = {}
 
     def find(self) -> None:
-        """Look for all marked processes; once at the agent's start, as later ones are its own."""
-        wanted = f"{MARK}={self._mark}#".encode()
+        """Look for all marked processes; once at the agent's start, as later ones are its own children."""
         for entry in os.listdir("/proc"):
             if not entry.isdecimal():
                 continue
             try:
-                if os.stat(f"/proc/{entry}").st_uid != os.getuid():
-                    continue
-                with open(f"/proc/{entry}/environ", "rb") as file:
-                    marks = [part for part in file.read().split(b"\0") if part.startswith(wanted)]
-                with open(f"/proc/{entry}/cmdline", "rb") as file:
-                    ours = PROGRAM.encode() in file.read().split(b"\0")
+                number = self._marked_number(entry)
             except OSError:
                 continue
-            if marks and ours and (began := _began(int(entry))):
-                with contextlib.suppress(ValueError):
-                    self._pids[int(marks[0].rpartition(b"#")[2])] = (int(entry), began)
-
-    def start(self, life: int, command: list[str], cwd: Path, environ: dict[str, str], log: Path) -> None:
-        """Start a process for a life, unless there is one; raises ``OSError``. It outlives the agent."""
-        if life in self.alive():
+            if number is not None and (started := _start_time(int(entry))):
+                self._identities[number] = _Identity(int(entry), started)
+
+    def _marked_number(self, entry: str) -> int | None:
+        """Return the number of a host's process from its mark; None where it is none of this host."""
+        if os.stat(f"/proc/{entry}").st_uid != os.getuid():
+            return None
+        prefix = f"{MARK_VARIABLE}={self._mark}#".encode()
+        with open(f"/proc/{entry}/environ", "rb") as file:
+            marks = [part for part in file.read().split(b"\0") if part.startswith(prefix)]
+        with open(f"/proc/{entry}/cmdline", "rb") as file:
+            is_host = HOST_MODULE.encode() in file.read().split(b"\0")
+        if not marks or not is_host:
+            return None
+        with contextlib.suppress(ValueError):
+            return int(marks[0].rpartition(b"#")[2])
+        return None
+
+    def start(self, number: int, command: list[str], cwd: Path, environment: dict[str, str], log: Path) -> None:
+        """Start a process with this number, unless there is one; raises ``OSError``. It outlives the agent."""
+        if number in self.alive():
             return
-        with log.open("ab") as out:
+        with log.open("ab") as output:
             child = subprocess.Popen(
                 command,
                 cwd=cwd,
-                env={**environ, MARK: f"{self._mark}#{life}"},
+                env={**environment, MARK_VARIABLE: f"{self._mark}#{number}"},
                 stdin=subprocess.DEVNULL,
-                stdout=out,
-                stderr=out,
+                stdout=output,
+                stderr=output,
                 start_new_session=True,
             )
-        self._children[life], self._pids[life] = child, (child.pid, _began(child.pid))
+        self._children[number] = child
+        self._identities[number] = _Identity(child.pid, _start_time(child.pid))
 
     def alive(self) -> frozenset[int]:
-        """Return the lives whose processes are there."""
-        for life, (pid, began) in list(self._pids.items()):
-            child = self._children.get(life)
-            if child.poll() is not None if child is not None else _began(pid) != began:
-                self._children.pop(life, None)
-                del self._pids[life]
-        return frozenset(self._pids)
-
-    def pid(self, life: int) -> int | None:
-        """Return the process of a life."""
-        return self._pids[life][0] if life in self._pids else None
-
-    def signal(self, life: int, number: int) -> None:
-        """Send a signal to the process of a life, if it is there."""
-        if life in self.alive():
+        """Return the numbers of the processes that run."""
+        for number in list(self._identities):
+            if self._has_ended(number):
+                self._children.pop(number, None)
+                del self._identities[number]
+        return frozenset(self._identities)
+
+    def _has_ended(self, number: int) -> bool:
+        child = self._children.get(number)
+        if child is not None:
+            return child.poll() is not None
+        identity = self._identities[number]
+        return _start_time(identity.pid) != identity.started
+
+    def pid(self, number: int) -> int | None:
+        """Return the process id of a number."""
+        identity = self._identities.get(number)
+        return identity.pid if identity is not None else None
+
+    def signal(self, number: int, signal_number: int) -> None:
+        """Send a signal to a process, if it runs."""
+        if number in self.alive():
             with contextlib.suppress(ProcessLookupError):
-                os.kill(self._pids[life][0], number)
+                os.kill(self._identities[number].pid, signal_number)
 
-    def kill(self, life: int) -> None:
-        """End the process of a life at once."""
-        self.signal(life, signal.SIGKILL)
+    def kill(self, number: int) -> None:
+        """End a process at once."""
+        self.signal(number, signal.SIGKILL)
--- a/lapispick/agent/rollout_store.py
+++ b/lapispick/agent/rollout_store.py
@@ -1,6 +1,6 @@
-"""The state of rollouts on disk: SQLite, as the store of keys has it; a later controller fences the one before.
+"""The state of rollouts on disk, in SQLite; a later controller fences the one before.
 
-Blocks on the disk, so it runs in a thread, never in the loop. It decides nothing but whose turn to write it is.
+Blocks on the disk, so it runs in a thread, never in the loop. It decides nothing but which controller may write.
 """
 
 from __future__ import annotations
@@ -9,15 +9,25 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 from pathlib import Path
-from typing import Any
 
 import msgspec
 
-from lapispick.rollout.rollout_state import OVER, Course
+from lapispick.agent.errors import FencedError, RolloutStoreError
+from lapispick.agent.rollout_records import (
+    Event,
+    Explanation,
+    FleetSummary,
+    Leadership,
+    RolloutRecord,
+    StoredExplanation,
+)
+from lapispick.rollout.rollout_state import RolloutState
 
 VERSION = 1
-BUSY_S = 2.0  # s; for another process that reads or writes
-EVENTS_MOST, ROLLOUTS_MOST = 10_000, 1000  # the oldest go
+DATABASE_FILE = "rollouts.db"
+BUSY_TIMEOUT_S = 2.0
+MAX_EVENTS = 10_000
+MAX_ROLLOUTS = 1000
 _SCHEMA = """
 create table meta (name text primary key, value) without rowid;
 create table rollouts (name text primary key, began real not null, ended real, course blob not null) without rowid;
@@ -26,165 +36,160 @@
 create table looks (rollout text primary key, at real not null, told blob not null) without rowid;
 create table orders (number integer primary key, rollout text not null, word text not null);
 """
-_course = msgspec.json.Decoder(Course).decode
+_decode_state = msgspec.json.Decoder(RolloutState).decode
+_decode_explanation = msgspec.json.Decoder(Explanation).decode
+_decode_summary = msgspec.json.Decoder(FleetSummary).decode
 
 
-class Unusable(Exception):
-    """The ledger can't be used; the text says why."""
-
-
-class Fenced(Exception):
-    """Another controller has taken over: this one must tell no agent anything any more."""
-
-
-class Ledger:
-    """The ledger of one folder."""
+class RolloutStore:
+    """The rollouts of one folder."""
 
     def __init__(self, folder: Path) -> None:
-        """Open it; raises ``Unusable``."""
+        """Open or create it; raises ``RolloutStoreError``."""
         folder.mkdir(parents=True, exist_ok=True)
-        self.path, self.epoch = folder / "rollouts.db", 0
+        self.path = folder / DATABASE_FILE
+        self.epoch = 0
         try:
-            self._db = sqlite3.connect(self.path, timeout=BUSY_S, isolation_level=None, check_same_thread=False)
+            self._db = sqlite3.connect(self.path, timeout=BUSY_TIMEOUT_S, isolation_level=None, check_same_thread=False)
             self._db.execute("pragma journal_mode=wal")
             self._db.execute("pragma synchronous=full")
-            self._begin()
+            with self._transaction():
+                self._create_or_check()
         except sqlite3.DatabaseError as err:
-            raise Unusable(f"{self.path}: {err}") from None
+            raise RolloutStoreError(self.path, err) from None
 
-    def _begin(self) -> None:
+    @contextmanager
+    def _transaction(self) -> Iterator[None]:
         self._db.execute("begin immediate")
         try:
-            if not self._db.execute("select 1 from sqlite_master where name = 'meta'").fetchone():
-                for statement in _SCHEMA.split(";"):
-                    self._db.execute(statement)
-                self._db.executemany(
-                    "insert into meta values (?, ?)", [("version", VERSION), ("epoch", 0), ("who", ""), ("seen", 0.0)]
-                )
-            (version,) = self._db.execute("select value from meta where name = 'version'").fetchone()
-            if version > VERSION:
-                raise Unusable(f"{self.path}: has version {version}; this program knows {VERSION}")
+            yield
             self._db.execute("commit")
         except BaseException:
             if self._db.in_transaction:
                 self._db.execute("rollback")
             raise
 
-    def take_over(self, who: str, at_least: int) -> int:
-        """Become the one that writes; returns the epoch, higher than any before and than ``at_least``."""
-        with self._write(checked=False):
-            (before,) = self._db.execute("select value from meta where name = 'epoch'").fetchone()
-            self.epoch = max(before, at_least) + 1
-            self._db.execute("update meta set value = ? where name = 'epoch'", (self.epoch,))
-            self._db.execute("update meta set value = ? where name = 'who'", (who,))
-        return self.epoch
+    def _create_or_check(self) -> None:
+        if not self._db.execute("select 1 from sqlite_master where name = 'meta'").fetchone():
+            for statement in _SCHEMA.split(";"):
+                self._db.execute(statement)
+            values = [("version", VERSION), ("epoch", 0), ("who", ""), ("seen", 0.0)]
+            self._db.executemany("insert into meta values (?, ?)", values)
+        (version,) = self._db.execute("select value from meta where name = 'version'").fetchone()
+        if version > VERSION:
+            raise RolloutStoreError(self.path, f"has version {version}; this program knows {VERSION}")
+
+    def _stored_epoch(self) -> int:
+        (epoch,) = self._db.execute("select value from meta where name = 'epoch'").fetchone()
+        return epoch
 
     @contextmanager
-    def _write(self, checked: bool = True) -> Iterator[None]:
-        self._db.execute("begin immediate")
-        try:
-            if checked:
-                (epoch,) = self._db.execute("select value from meta where name = 'epoch'").fetchone()
-                if epoch != self.epoch:
-                    raise Fenced(f"controller {epoch} has taken over from {self.epoch}")
+    def _fenced_write(self) -> Iterator[None]:
+        """Write as the controller in charge; raises ``FencedError`` where another one has taken over."""
+        with self._transaction():
+            epoch = self._stored_epoch()
+            if epoch != self.epoch:
+                raise FencedError(epoch, self.epoch)
             yield
-            self._db.execute("commit")
-        except BaseException:
-            if self._db.in_transaction:
-                self._db.execute("rollback")
-            raise
 
-    def keep(self, course: Course, now: float, notes: list[tuple[float, str]]) -> None:
-        """Let this be the state of a rollout; raises ``Fenced`` and ``sqlite3.Error``."""
-        with self._write():
-            ended = now if course.phase in OVER else None
+    # For the controller in charge.
+
+    def take_over(self, controller: str, min_epoch: int) -> int:
+        """Become the one that writes; returns the epoch, higher than any before and than ``min_epoch``."""
+        with self._transaction():
+            self.epoch = max(self._stored_epoch(), min_epoch) + 1
+            self._db.execute("update meta set value = ? where name = 'epoch'", (self.epoch,))
+            self._db.execute("update meta set value = ? where name = 'who'", (controller,))
+        return self.epoch
+
+    def save(self, state: RolloutState, now: float, notes: list[tuple[float, str]]) -> None:
+        """Store the state of a rollout and new notes; raises ``FencedError`` and ``sqlite3.Error``."""
+        ended = now if state.is_over else None
+        with self._fenced_write():
             self._db.execute(
                 "insert into rollouts values (?, ?, ?, ?) on conflict (name) do update set "
                 "ended = excluded.ended, course = excluded.course",
-                (course.name, now, ended, msgspec.json.encode(course)),
+                (state.name, now, ended, msgspec.json.encode(state)),
             )
             self._db.executemany(
                 "insert into events (rollout, at, text) values (?, ?, ?)",
-                [(course.name, at, text) for at, text in notes],
-            )
-            self._db.execute("delete from events where number <= (select max(number) from events) - ?", (EVENTS_MOST,))
-            self._db.execute(
-                "delete from rollouts where name in (select name from rollouts where ended is not null "
-                "order by began desc limit -1 offset ?)",
-                (ROLLOUTS_MOST,),
+                [(state.name, at, text) for at, text in notes],
             )
-            for table in ("looks", "explained", "orders"):
-                self._db.execute(f"delete from {table} where rollout not in (select name from rollouts)")
-
-    def seen(self, now: float, rollout: str, boxes: Any) -> None:
-        """Say that this controller steers still, and what it saw of the boxes; raises ``Fenced``."""
-        with self._write():
+            self._remove_oldest()
+
+    def _remove_oldest(self) -> None:
+        self._db.execute("delete from events where number <= (select max(number) from events) - ?", (MAX_EVENTS,))
+        self._db.execute(
+            "delete from rollouts where name in (select name from rollouts where ended is not null "
+            "order by began desc limit -1 offset ?)",
+            (MAX_ROLLOUTS,),
+        )
+        for table in ("looks", "explained", "orders"):
+            self._db.execute(f"delete from {table} where rollout not in (select name from rollouts)")
+
+    def record_heartbeat(self, rollout: str, now: float, summary: FleetSummary) -> None:
+        """Store that this controller is alive, and what it saw of the fleet; raises ``FencedError``."""
+        with self._fenced_write():
             self._db.execute("update meta set value = ? where name = 'seen'", (now,))
             self._db.execute(
-                "insert or replace into looks values (?, ?, ?)", (rollout, now, msgspec.json.encode(boxes))
+                "insert or replace into looks values (?, ?, ?)", (rollout, now, msgspec.json.encode(summary))
             )
 
-    def explain(self, rollout: str, now: float, told: Any) -> None:
-        """Keep why the judge decides as it does."""
-        with self._write():
+    def save_explanation(self, rollout: str, now: float, explanation: Explanation) -> None:
+        """Store why the canary analysis decides as it does; raises ``FencedError``."""
+        with self._fenced_write():
             self._db.execute(
-                "insert or replace into explained values (?, ?, ?)", (rollout, now, msgspec.json.encode(told))
+                "insert or replace into explained values (?, ?, ?)", (rollout, now, msgspec.json.encode(explanation))
             )
 
-    def orders(self, rollout: str) -> list[str]:
-        """Take the words that people left for the controller."""
-        with self._write():
+    def take_orders(self, rollout: str) -> list[str]:
+        """Return the orders that operators left, and remove them; raises ``FencedError``."""
+        with self._fenced_write():
             found = self._db.execute("select word from orders where rollout = ? order by number", (rollout,)).fetchall()
             if found:
                 self._db.execute("delete from orders where rollout = ?", (rollout,))
-        return [word for (word,) in found]
+        return [order for (order,) in found]
 
     # For anybody, at any time.
 
-    def order(self, rollout: str, word: str) -> None:
-        """Leave a word for the controller."""
-        with self._write(checked=False):
-            self._db.execute("insert into orders (rollout, word) values (?, ?)", (rollout, word))
+    def add_order(self, rollout: str, order: str) -> None:
+        """Leave an order for the controller."""
+        with self._transaction():
+            self._db.execute("insert into orders (rollout, word) values (?, ?)", (rollout, order))
 
-    def course(self, rollout: str = "") -> Course | None:
+    def get(self, rollout: str = "") -> RolloutState | None:
         """Return a rollout's state; by default that of the newest."""
-        found = self._db.execute(
-            "select course from rollouts where name = ?"
-            if rollout
-            else "select course from rollouts order by began desc, name desc limit 1",
-            (rollout,) if rollout else (),
-        ).fetchone()
-        return _course(found[0]) if found else None
-
-    def history(self) -> list[tuple[str, float, float | None, Course]]:
+        if rollout:
+            cursor = self._db.execute("select course from rollouts where name = ?", (rollout,))
+        else:
+            cursor = self._db.execute("select course from rollouts order by began desc, name desc limit 1")
+        found = cursor.fetchone()
+        return _decode_state(found[0]) if found else None
+
+    def history(self) -> list[RolloutRecord]:
         """Return all rollouts, the newest last."""
-        return [
-            (name, began, ended, _course(course))
-            for name, began, ended, course in self._db.execute(
-                "select name, began, ended, course from rollouts order by began, name"
-            )
-        ]
+        rows = self._db.execute("select name, began, ended, course from rollouts order by began, name")
+        return [RolloutRecord(name, began, ended, _decode_state(state)) for name, began, ended, state in rows]
 
-    def events(self, rollout: str) -> list[tuple[float, str]]:
+    def events(self, rollout: str) -> list[Event]:
         """Return what happened in a rollout."""
-        return list(self._db.execute("select at, text from events where rollout = ? order by number", (rollout,)))
-
-    def explained(self, rollout: str) -> tuple[float, Any] | None:
-        """Return the judge's last figures, and when they were told."""
-        return self._told("explained", rollout)
-
-    def looked(self, rollout: str) -> tuple[float, Any] | None:
-        """Return what was last seen of the boxes, and when."""
-        return self._told("looks", rollout)
-
-    def _told(self, table: str, rollout: str) -> tuple[float, Any] | None:
-        found = self._db.execute(f"select at, told from {table} where rollout = ?", (rollout,)).fetchone()
-        return (found[0], msgspec.json.decode(found[1])) if found else None
-
-    def steered(self) -> tuple[str, int, float]:
-        """Return who steers, by which epoch, and when that one was last seen."""
-        told = dict(self._db.execute("select name, value from meta"))
-        return told["who"], told["epoch"], told["seen"]
+        rows = self._db.execute("select at, text from events where rollout = ? order by number", (rollout,))
+        return [Event(at, text) for at, text in rows]
+
+    def explanation(self, rollout: str) -> StoredExplanation | None:
+        """Return the newest explanation of the canary analysis."""
+        found = self._db.execute("select at, told from explained where rollout = ?", (rollout,)).fetchone()
+        return StoredExplanation(found[0], _decode_explanation(found[1])) if found else None
+
+    def fleet_summary(self, rollout: str) -> FleetSummary | None:
+        """Return what a controller last saw of the fleet."""
+        found = self._db.execute("select told from looks where rollout = ?", (rollout,)).fetchone()
+        return _decode_summary(found[0]) if found else None
+
+    def leadership(self) -> Leadership:
+        """Return which controller is in charge."""
+        values = dict(self._db.execute("select name, value from meta"))
+        return Leadership(values["who"], values["epoch"], values["seen"])
 
     def close(self) -> None:
         """Close the file."""
--- /dev/null
+++ b/lapispick/agent/state_file.py
@@ -0,0 +1,49 @@
+"""The state of one host's agent on disk, held by one agent at a time."""
+
+from __future__ import annotations
+
+import fcntl
+import os
+from pathlib import Path
+
+import msgspec
+
+from lapispick import atomic_files
+from lapispick.agent.errors import StateFileError
+from lapispick.rollout.host_state import STATE_VERSION, HostState
+
+STATE_FILE = "state.json"
+LOCK_FILE = "agent.lock"
+_decode_state = msgspec.json.Decoder(HostState).decode
+
+
+class StateFile:
+    """The state file of a folder, locked for this process."""
+
+    def __init__(self, folder: Path, host: str) -> None:
+        """Lock the folder and read the state; raises ``StateFileError`` and ``OSError``."""
+        folder.mkdir(parents=True, exist_ok=True)
+        self._path = folder / STATE_FILE
+        self._lock = os.open(folder / LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        try:
+            fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+        except BlockingIOError:
+            raise StateFileError(folder, "another agent runs here") from None
+        self.state = self._read(host)
+        if self.state.version > STATE_VERSION:
+            raise StateFileError(self._path, f"has version {self.state.version}, from a later program")
+        if self.state.host != host:
+            raise StateFileError(self._path, f"belongs to {self.state.host}, not {host}")
+
+    def _read(self, host: str) -> HostState:
+        try:
+            return _decode_state(self._path.read_bytes())
+        except FileNotFoundError:
+            return HostState(host)
+        except (OSError, msgspec.MsgspecError) as err:
+            advice = "move it away and name the good generation anew"
+            raise StateFileError(self._path, f"can't be read: {err}; {advice}") from None
+
+    def save(self, state: HostState) -> None:
+        """Replace the stored state; raises ``OSError``."""
+        atomic_files.put(self._path, msgspec.json.encode(state))
--- a/lapispick/cli/agent.py
+++ b/lapispick/cli/agent.py
@@ -1,4 +1,4 @@
-"""``lapispick agent``: a box's agent, its shelf of generations, and calls to it."""
+"""``lapispick agent``: a host's agent, its stored generations, and calls to it."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 import click
 import msgspec
 
-from lapispick.agent.generation_store import Shelf
-from lapispick.agent.generation_store import Unfit as UnfitGeneration
+from lapispick.agent.errors import AgentError, InvalidGenerationError
+from lapispick.agent.generation_store import GenerationStore
 from lapispick.cli.config import FILE, load
 from lapispick.cli.ops import NoAnswer, call
 from lapispick.cli.output import DIFFERS, FAULTY, NO_STATE, as_json, complain, say, table
 from lapispick.conf.settings import Agent as Settings
 from lapispick.host.scheduler import address
 from lapispick.rollout import messages
+from lapispick.rollout.host_state import SLOTS
 
 JSON = click.option("--json", "json_", is_flag=True, help="For programs.")
 
@@ -27,18 +28,18 @@
 
 
 def _settings(file: Path | None) -> Settings:
-    told = load(file).agent
-    if told.folder is None:
+    settings = load(file).agent
+    if settings.folder is None:
         complain("no folder in section agent of the settings")
         sys.exit(FAULTY)
-    return told
+    return settings
 
 
-def _shelf(file: Path | None) -> Shelf:
-    return Shelf(Path(str(_settings(file).folder)) / "generations")
+def _generation_store(file: Path | None) -> GenerationStore:
+    return GenerationStore(Path(str(_settings(file).folder)) / "generations")
 
 
-def _config(path: Path) -> dict[str, Any]:
+def _read_config(path: Path) -> dict[str, Any]:
     try:
         return msgspec.json.decode(path.read_bytes(), type=dict[str, Any])
     except (OSError, msgspec.MsgspecError) as err:
@@ -51,24 +52,24 @@
 @click.option("--adopt", metavar="GENERATION", default="", help="The good one, where the box has none so far.")
 def run(file: Path | None, adopt: str) -> None:
     """Run the agent of this box until it is told to end; the host goes on without it."""
-    from lapispick.agent.service import Agent, Unfit
+    from lapispick.agent.service import Agent
     from lapispick.host import config as platform
     from lapispick.host import logs
 
-    told = _settings(file)
-    if told.config is None or len(told.slot_ops) != 2:
+    settings = _settings(file)
+    if settings.config is None or len(settings.slot_ops) != SLOTS:
         complain("section agent needs config and slot-ops")
         sys.exit(FAULTY)
-    base = _config(Path(str(told.config)))
+    base = _read_config(Path(str(settings.config)))
     try:
-        name = platform.load({"LB_CONFIG": str(told.config)}).name
+        name = platform.load({"LB_CONFIG": str(settings.config)}).name
         logs.setup()
-        made = Agent(name, told, base)
-        made.adopt(adopt)
-    except (Unfit, OSError, ValueError, platform.ConfigError) as err:
+        service = Agent(name, settings, base)
+        service.adopt(adopt)
+    except (AgentError, OSError, ValueError, platform.ConfigError) as err:
         complain(str(err))
         sys.exit(FAULTY)
-    made.run()
+    service.run()
 
 
 @agent.command()
@@ -94,15 +95,15 @@
     try:
         if settings is not None:
             conf.parse(settings)
-        made = _shelf(file).add(program, settings, _config(config) if config else {}, label)
+        generation = _generation_store(file).add(program, settings, _read_config(config) if config else {}, label)
     except Faulty as err:
         for fault in err.faults:
             complain(str(fault))
         sys.exit(FAULTY)
-    except (UnfitGeneration, OSError) as err:
+    except (InvalidGenerationError, OSError) as err:
         complain(str(err))
         sys.exit(FAULTY)
-    say(made.digest)
+    say(generation.digest)
 
 
 @agent.command()
@@ -110,18 +111,16 @@
 @JSON
 def shelf(file: Path | None, json_: bool) -> None:
     """List the generations on this box's shelf, and whether their files are what the digests say."""
-    held = _shelf(file)
-    found = [(g, held.verify(g.digest)) for g in held.all().values()]
+    store = _generation_store(file)
+    found = [(generation, store.verify(generation.digest)) for generation in store.all().values()]
     if json_:
-        return as_json([{**msgspec.to_builtins(g), "fault": fault} for g, fault in found])
-    table(
-        "generations",
-        ("digest", "label", "program", "settings", "changes", "fault"),
-        (
-            (g.digest, g.label, g.program, g.conf, " ".join(f"{k}={v}" for k, v in g.config.items()), fault or "none")
-            for g, fault in found
-        ),
-    )
+        return as_json([{**msgspec.to_builtins(generation), "fault": fault} for generation, fault in found])
+    rows = []
+    for generation, fault in found:
+        changes = " ".join(f"{key}={value}" for key, value in generation.config.items())
+        names = (generation.digest, generation.label, generation.program, generation.settings)
+        rows.append((*names, changes, fault or "none"))
+    table("generations", ("digest", "label", "program", "settings", "changes", "fault"), rows)
     sys.exit(DIFFERS if any(fault for _, fault in found) else 0)
 
 
@@ -131,13 +130,13 @@
 def status(at: str, json_: bool) -> None:
     """Ask an agent where its box stands."""
     try:
-        found = messages.heard(call(address(at), "status"))
+        answer = messages.decode_status(call(address(at), "status"))
     except (NoAnswer, ValueError) as err:
         complain(str(err))
         sys.exit(NO_STATE)
-    told = msgspec.to_builtins(found)
+    shown = msgspec.to_builtins(answer)
     if json_:
-        return as_json(told)
-    for key, value in told.items():
+        return as_json(shown)
+    for key, value in shown.items():
         say(f"{key:<10} {value}")
     return None
--- /dev/null
+++ b/lapispick/cli/rollout_control.py
@@ -0,0 +1,72 @@
+"""Runs the controller of a rollout from the command line."""
+
+from __future__ import annotations
+
+import sys
+import time
+from pathlib import Path
+
+from lapispick.agent.controller import Controller, ControllerOptions
+from lapispick.agent.rollout_store import RolloutStore
+from lapispick.cli.inventory import Files
+from lapispick.cli.output import DIFFERS, NO_STATE, say
+from lapispick.cli.rollout_common import fail
+from lapispick.cli.rollout_planning import Fleet
+from lapispick.fleet import hosts, snapshot
+from lapispick.fleet.acceptance import Acceptance, Seen
+from lapispick.fleet.hosts import Worker
+from lapispick.host import logs
+from lapispick.host.inventory import policy
+from lapispick.rollout import pacing
+from lapispick.rollout.canary_analysis import Bounds
+from lapispick.rollout.rollout_state import Phase, RolloutState
+
+_KB_PER_MB = 1024
+
+
+class ListReader:
+    """Reads the list of hosts again and again, and accepts what the fleet's policy lets pass."""
+
+    def __init__(self, fleet: Fleet) -> None:
+        self._files = Files(fleet.source)
+        self._acceptance = Acceptance(policy(fleet.source.settings))
+
+    def accepted_workers(self) -> list[Worker] | None:
+        """Return the hosts of a list that was accepted just now; a broken or shrunken list changes nothing."""
+        reading = self._files.read()
+        whole = None if reading.faults else snapshot.of(reading.boxes)
+        verdict = self._acceptance.see(time.monotonic(), Seen(whole, reading.faults, reading.unfinished))
+        if verdict.accepted is None:
+            return None
+        return list(hosts.workers(verdict.accepted.boxes.values())[0])
+
+
+def run_controller(store: RolloutStore, state: RolloutState, fleet: Fleet, default_memory_limit_mb: float) -> None:
+    """Control a rollout until it is over, and end the command by how it ended."""
+    logs.setup()
+    options = _controller_options(state, fleet, default_memory_limit_mb)
+    controller = Controller(store, state, fleet.workers, options, ListReader(fleet).accepted_workers)
+    ended = controller.run()
+    if controller.ended_reason:
+        fail(NO_STATE, f"another controller steers, or this one failed: {controller.ended_reason}")
+    say(f"{ended.name}: {ended.phase}: {ended.reason}")
+    sys.exit(0 if ended.phase == Phase.DONE else DIFFERS)
+
+
+def _controller_options(state: RolloutState, fleet: Fleet, default_memory_limit_mb: float) -> ControllerOptions:
+    settings = fleet.settings
+    names_file = fleet.source.settings.names_file
+    bounds = Bounds(
+        alarm=settings.alarm,
+        stages=max(1, len(state.plan.stages)),
+        worse=settings.worse,
+        memory_limit_kb=default_memory_limit_mb * _KB_PER_MB,
+    )
+    return ControllerOptions(
+        name=settings.who,
+        poll_interval_s=settings.look,
+        analysis_bounds=bounds,
+        hours=pacing.parse_hours(settings.hours),
+        excluded_days=settings.not_days,
+        names_file=Path(str(names_file)) if names_file else None,
+    )
--- /dev/null
+++ b/lapispick/cli/rollout_planning.py
@@ -0,0 +1,143 @@
+"""Prepares a rollout from the settings, the list of hosts and a program folder."""
+
+from __future__ import annotations
+
+import subprocess
+import sys
+from pathlib import Path
+from typing import Any, NamedTuple
+
+import msgspec
+
+from lapispick.agent import generation_store, line_client
+from lapispick.agent.errors import InvalidGenerationError
+from lapispick.cli.config import load
+from lapispick.cli.inventory import Files, source
+from lapispick.cli.output import FAULTY
+from lapispick.cli.rollout_common import fail
+from lapispick.conf.settings import Rollout as Settings
+from lapispick.fleet import hosts
+from lapispick.fleet.hosts import Worker
+from lapispick.rollout import compat, generations, messages, pacing, stages
+from lapispick.rollout.compat import FormatSupport
+from lapispick.rollout.rollout_plan import Plan
+
+MAX_SHOWN_FAULTS = 20
+
+
+class Candidate(NamedTuple):
+    """The generation that a rollout would be of; its digest is empty where it has none."""
+
+    digest: str
+    formats: dict[str, FormatSupport]
+    faults: list[str]
+
+
+class Fleet(NamedTuple):
+    """The list of hosts, and the stages that follow from it and the settings."""
+
+    settings: Settings
+    workers: tuple[Worker, ...]
+    stages: list[list[str]]
+    remarks: list[str]
+    faults: list[str]
+    source: Any  # of the list, as ``lapispick inventory`` reads it
+
+
+def read_candidate(program: Path, settings: Path | None, config: Path | None) -> Candidate:
+    """Return the generation as agents identify it, and what is wrong with it."""
+    try:
+        changes = msgspec.json.decode(config.read_bytes(), type=dict[str, Any]) if config else {}
+        faults = generations.config_faults(changes)
+        program_digest = generations.files_digest(generation_store.program_files(program))
+        formats = generation_store.reported_formats(program)
+    except (InvalidGenerationError, OSError, msgspec.MsgspecError, subprocess.SubprocessError) as err:
+        return Candidate("", {}, [str(err)])
+    settings_bytes = settings.read_bytes() if settings is not None else b""
+    if settings is not None:
+        faults += _settings_faults(program, settings)
+    settings_digest = generation_store.settings_digest(settings_bytes)
+    return Candidate(generations.generation_digest(program_digest, settings_digest, changes), formats, faults)
+
+
+def _settings_faults(program: Path, settings: Path) -> list[str]:
+    """Let the program that will read a settings file check it."""
+    done = subprocess.run(
+        [sys.executable, "-m", "lapispick", "config", "check", "--conf", str(settings.absolute())],
+        cwd=program,
+        capture_output=True,
+        text=True,
+        timeout=generation_store.PROGRAM_TIMEOUT_S,
+        env=generation_store.program_environment(program.absolute()),
+    )
+    return [line for line in done.stderr.splitlines() if line] if done.returncode else []
+
+
+def read_fleet(settings_file: Path | None, rollout: str) -> Fleet:
+    """Return the fleet of the settings with the stages that a rollout of this name has."""
+    settings = load(settings_file)
+    if not settings.fleet.group:
+        fail(FAULTY, "no group in section fleet of the settings")
+    list_source = source(settings_file, None, settings.fleet.group)
+    reading = Files(list_source).read()
+    faults = [str(fault) for fault in reading.faults]
+    workers, _ = hosts.workers(reading.boxes.values())
+    limits = stages.Limits(settings.rollout.zone_most)
+    planned: list[list[str]] = []
+    remarks: list[str] = []
+    try:
+        pacing.parse_hours(settings.rollout.hours)
+        sizes = [stages.parse_size(size) for size in settings.rollout.stages]
+        planned = stages.assign(workers, sizes, rollout, limits)
+        remarks = stages.remarks(workers, planned, limits)
+    except ValueError as err:
+        faults.append(f"section rollout: {err}")
+    return Fleet(settings.rollout, workers, planned, remarks, faults, list_source)
+
+
+def make_plan(fleet: Fleet, generation: str, default_memory_limit_mb: float) -> Plan:
+    """Return the plan of a rollout."""
+    settings = fleet.settings
+    return Plan(
+        generation=generation,
+        stages=tuple(tuple(stage) for stage in fleet.stages),
+        hold_after_stages=tuple(int(number) for number in settings.hold),
+        host_kinds={worker.name: worker.kind for worker in fleet.workers},
+        warm_up_s=settings.warm_up,
+        min_bake_s=settings.bake,
+        max_bake_s=settings.bake_most,
+        confirm_timeout_s=settings.confirm,
+        baseline_s=max(settings.warm_up, settings.bake / 2),
+        pace=pacing.Limits(settings.change_most, settings.serving_least),
+        max_concurrent_rollbacks=settings.back_most,
+        unreachable_after_s=settings.unreached,
+        max_down_fraction=settings.fire,
+        use_controls=settings.controls,
+        max_memory_fraction=settings.memory_most,
+        default_memory_limit_mb=default_memory_limit_mb,
+    )
+
+
+def agent_objections(fleet: Fleet, candidate: Candidate) -> list[str]:
+    """Ask the agents what runs now: a rollout that skips a step is rejected before it changes its first host."""
+    faults: list[str] = []
+    answered = 0
+    for worker in fleet.workers:
+        status = _agent_status(worker)
+        if status is None:  # it is asked again in its stage, and its agent checks the same
+            continue
+        answered += 1
+        running = {name: FormatSupport(*support) for name, support in status.formats.items()}
+        faults += [f"{worker.name}: {reason}" for reason in compat.objections(running, candidate.formats)]
+        if candidate.digest not in status.generations:
+            faults.append(f"{worker.name}: {candidate.digest} is not on its shelf (lapispick agent add)")
+    return faults[:MAX_SHOWN_FAULTS] if answered else ["no agent answers"]
+
+
+def _agent_status(worker: Worker) -> messages.Status | None:
+    from lapispick.cli.ops import NoAnswer, call
+
+    try:
+        return messages.decode_status(call(line_client.parse_address(worker.agent), "status"))
+    except (NoAnswer, ValueError):
+        return None
--- a/lapispick/fakes/agents.py
+++ b/lapispick/fakes/agents.py
@@ -1,4 +1,4 @@
-"""Agents of the rig's boxes as processes, which can be killed at the points that the program names."""
+"""Agents and controllers of the emulated fleet as processes, which can end themselves at the program's named points."""
 
 import contextlib
 import json
@@ -9,136 +9,162 @@
 import sys
 import time
 
-from lapispick.agent.generation_store import Shelf
-from lapispick.agent.processes import Processes
-from lapispick.fakes.fleet import ROOT, STEER, call, free_port, program
+from lapispick.agent.generation_store import GenerationStore
+from lapispick.agent.processes import ProcessTable
+from lapispick.fakes.fleet import ROOT, STEER
 from lapispick.fakes.peers import until
-from lapispick.rollout import messages
+from lapispick.fakes.ports import call_operators, free_port
+from lapispick.fakes.program_patches import program
+from lapispick.rollout import host_calls, messages
 
-# Runs an agent that ends itself, as SIGKILL does, when it comes to a point for the n-th time.
-DYING = """
+# Runs a class of the program that ends itself, as SIGKILL does, when it comes to a point for the n-th time.
+DYING_SCRIPT = """
 import os, signal, sys
-from lapispick.agent.service import Agent
+from {module} import {name}
 point, left = sys.argv.pop(1), [int(sys.argv.pop(1))]
 def passed(self, name):
     if name == point:
         left[0] -= 1
         if not left[0]:
             os.kill(os.getpid(), signal.SIGKILL)
-Agent.point = passed
+{name}.point = passed
 from lapispick.cli.main import main
 main()
 """
-STEERED_S = 90.0  # s; how long a stage may take on a busy machine
-FIGURES = "section figures\n enabled yes\nend\n"
-
-
-class BoxAgent:
-    """One box's agent; the box's host is started by it."""
-
-    def __init__(self, box, start=6.0, stop=4.0, look=0.05):
-        self.box, self.folder, self.process, self._runs = box, box.folder / "agent", None, 0
+DYING_AGENT = DYING_SCRIPT.format(module="lapispick.agent.service", name="Agent")
+DYING_CONTROLLER = DYING_SCRIPT.format(module="lapispick.agent.controller", name="Controller")
+CALL_TIMEOUT_S = 5.0
+STAGE_TIMEOUT_S = 90.0  # on a busy machine
+STATUS_PAUSE_S = 0.4  # each status is a process of its own, beside those that are tested
+METRICS_SETTINGS = "section figures\n enabled yes\nend\n"
+LOG_WARNINGS_SETTINGS = "section log\n level warning\nend\n"
+LOG_DEBUG_SETTINGS = "section log\n level debug\nend\n"
+LIST_HEADER = "host,lapispick_port,lapispick_ops,lapispick_agent,lapispick_zone,lapispick_machine,ansible_host\n"
+AGENT_STARTED = "event=agent-started"
+HOST_STARTED = "event=host-started"
+CONTROL_TAKEN = "event=control-taken"
+_BAKING_NOTE = 'note="baking'
+_ASKING_NOTE = 'note="asking'
+
+
+def point_arguments(script, dies_at, times):
+    """Return the arguments of Python that run the command line, with ``dies_at`` until a point of the program."""
+    return ["-c", script, dies_at, str(times)] if dies_at else ["-m", "lapispick"]
+
+
+class HostAgent:
+    """One host's agent; the host is started by it."""
+
+    def __init__(self, host, start=6.0, stop=4.0, look=0.05):
+        self.host = host
+        self.folder = host.folder / "agent"
         self.folder.mkdir(exist_ok=True)
-        self.shelf = Shelf(self.folder / "generations")
-        slots = [box.slot(), box.slot()]
-        self.slots = [slot["ops"] for slot in slots]
+        self.process = None
+        self._runs = 0
+        self.store = GenerationStore(self.folder / "generations")
+        slots = [host.slot(), host.slot()]
+        self.operator_addresses = [slot["ops"] for slot in slots]
         config = self.folder / "platform.json"
-        config.write_bytes(json.dumps(box.config(executor=slots[0]["executor"])).encode())
-        self.listens = f"127.0.0.1:{free_port()}"
-        self.at = box.fleet.net.tcp(STEER, box.name, self.listens)  # controllers come through here
-        self.conf = self.folder / "agent.conf"
-        self.conf.write_text(
-            f"section agent\n folder {self.folder}\n config {config}\n listen {self.listens}\n"
-            f" slot-ops {' '.join(self.slots)}\n"
+        config.write_bytes(json.dumps(host.config(executor=slots[0]["executor"])).encode())
+        self.address = f"127.0.0.1:{free_port()}"
+        self.controller_address = host.fleet.net.tcp(STEER, host.name, self.address)  # as controllers reach it
+        self.settings_file = self.folder / "agent.conf"
+        self.settings_file.write_text(
+            f"section agent\n folder {self.folder}\n config {config}\n listen {self.address}\n"
+            f" slot-ops {' '.join(self.operator_addresses)}\n"
             f" slot-executors {' '.join(slot['executor'] for slot in slots)}\n"
             f" look {look}s\n start {start}s\n stop {stop}s\nend\n"
         )
-        box.agent = self
+        host.agent = self
 
-    def add(self, folder=None, conf=FIGURES, config=None, label=""):
-        """Put a generation on the shelf; by default this very program."""
+    def add(self, folder=None, settings=METRICS_SETTINGS, config=None, label=""):
+        """Store a generation, by default this very program; returns its digest."""
         path = self.folder / "own.conf"
-        path.write_text(conf)
-        return self.shelf.add(folder or this_program(self.box.fleet), path, config or {}, label).digest
+        path.write_text(settings)
+        return self.store.add(folder or this_program(self.host.fleet), path, config or {}, label).digest
 
     def start(self, adopt="", dies_at="", times=1, wait=True):
         """Start the agent; with ``dies_at`` it kills itself at that point."""
         self._runs += 1
         self.log_path = self.folder / f"agent-{self._runs}.log"
-        words_ = ["agent", "run", "--conf", str(self.conf), *(["--adopt", adopt] if adopt else [])]
-        head = ["-c", DYING, dies_at, str(times)] if dies_at else ["-m", "lapispick"]
-        environ = {k: v for k, v in self.box.environ().items() if not k.startswith(("LB_", "LAPISPICK_"))}
+        arguments = ["agent", "run", "--conf", str(self.settings_file), *(["--adopt", adopt] if adopt else [])]
+        environment = {k: v for k, v in self.host.environ().items() if not k.startswith(("LB_", "LAPISPICK_"))}
         self.process = subprocess.Popen(
-            [sys.executable, *head, *words_],
-            env=environ,
+            [sys.executable, *point_arguments(DYING_AGENT, dies_at, times), *arguments],
+            env=environment,
             cwd=ROOT,
             stderr=self.log_path.open("w"),
             start_new_session=True,
         )
         if wait:
-            self.started()
+            self.wait_started()
         return self
 
-    def started(self):
-        until(lambda: "event=agent-started" in self.log() or self.process.poll() is not None, "the agent's start")
+    def wait_started(self):
+        until(lambda: AGENT_STARTED in self.log() or self.process.poll() is not None, "the agent's start")
 
     def log(self):
         return self.log_path.read_text()
 
-    def ended(self):
-        """Wait until the agent has ended."""
-        return until(lambda: (self.process.poll(),) if self.process.poll() is not None else None, "the agent's end")
+    def wait_ended(self):
+        """Wait until the agent has ended; returns its exit code."""
+        return until(lambda: (self.process.poll(),) if self.process.poll() is not None else None, "the agent's end")[0]
 
     def call(self, line):
         """Call the agent directly; None where it does not answer."""
-        return call(self.listens, line, 5.0)
+        return call_operators(self.address, line, CALL_TIMEOUT_S)
 
-    def order(self, line):
-        """Call the agent, and again while its host is held up and does not answer it: a controller does the same."""
+    def call_until_serving(self, line):
+        """Call the agent, and again while its host does not serve, as a controller does."""
 
-        def said():
+        def answered():
             lines = self.call(line)
-            return lines if lines and lines[0] != "ERR nothing serves here" else None
+            return lines if lines and lines[0] != host_calls.NOTHING_SERVES else None
 
-        return until(said, f"an answer to {line}")
+        return until(answered, f"an answer to {line}")
 
     def status(self):
-        """Return what the agent says; None where it says nothing."""
+        """Return what the agent reports; None where it does not answer."""
         lines = self.call("status")
-        return messages.heard(lines) if lines else None
+        return messages.decode_status(lines) if lines else None
+
+    def wait_for_phase(self, *phases, **values):
+        """Wait until the host is in one of these phases, with these values in its status."""
 
-    def phase(self, *phases, **told):
-        """Wait until the box is in one of these phases, with these values."""
+        def reached():
+            status = self.status()
+            if status is None or status.phase not in phases:
+                return None
+            return status if all(getattr(status, name) == value for name, value in values.items()) else None
 
-        def there():
-            found = self.status()
-            good = found is not None and found.phase in phases
-            return found if good and all(getattr(found, k) == v for k, v in told.items()) else None
+        return until(reached, f"{self.host.name} in {'/'.join(phases)} {values}, not {self.status()}")
 
-        return until(there, f"{self.box.name} in {'/'.join(phases)} {told}, not {self.status()}")
+    def wait_serving(self, generation):
+        """Wait until a generation accepts clients."""
 
-    def serves(self, generation):
-        """Wait until a generation takes clients."""
+        def reached():
+            status = self.status()
+            return status if status is not None and status.serving == generation else None
 
-        def there():
-            found = self.status()
-            return found if found is not None and found.serving == generation else None
+        return until(reached, f"{self.host.name} serving {generation}")
 
-        return until(there, f"{self.box.name} serving {generation}")
+    def wait_single_generation(self, generation):
+        """Wait until one process runs, and it is of this generation."""
+        until(lambda: self.running_generations() == [generation], f"one process of {generation}")
 
     def pids(self):
-        """Return the processes of the box's host, whoever started them."""
-        found = Processes(f"{self.box.name}:{self.folder}")
+        """Return the processes of the host, whoever started them."""
+        found = ProcessTable(f"{self.host.name}:{self.folder}")
         found.find()
-        return [found.pid(life) for life in found.alive()]
+        return [found.pid(number) for number in found.alive()]
 
-    def generations(self):
+    def running_generations(self):
         """Return the generations that run, as the processes themselves were told."""
-        made = []
+        found = []
         for pid in self.pids():
             with contextlib.suppress(OSError), open(f"/proc/{pid}/environ") as file:
-                made += re.findall(r"LAPISPICK_GENERATION=(\w+)", file.read())
-        return made
+                found += re.findall(r"LAPISPICK_GENERATION=(\w+)", file.read())
+        return found
 
     def kill(self):
         """Kill the agent; the host goes on."""
@@ -159,128 +185,135 @@
     return folder if folder.exists() else program(folder)
 
 
-CONTROLLER_DYING = DYING.replace("service import Agent", "controller import Controller").replace("Agent", "Controller")
-LIST = "host,lapispick_port,lapispick_ops,lapispick_agent,lapispick_zone,lapispick_machine,ansible_host\n"
-
+class RolloutFleet:
+    """A fleet with agents on all hosts, a list of them, and controllers as processes."""
 
-class Steering:
-    """A rig's fleet with agents on all boxes, a list of them, and controllers as processes."""
-
-    def __init__(self, fleet, told, boxes=None):
-        self.fleet, self.folder = fleet, fleet.folder / "steering"
+    def __init__(self, fleet, rollout_settings, listed=None):
+        self.fleet = fleet
+        self.folder = fleet.folder / "steering"
         self.folder.mkdir()
-        self.agents = {box.name: BoxAgent(box) for box in fleet.boxes}
+        self.agents = {host.name: HostAgent(host) for host in fleet.hosts}
         self.good = {agent.add(label="good") for agent in self.agents.values()}.pop()
-        self.list = self.folder / "boxes.csv"
-        self.write(boxes or [box.name for box in fleet.boxes])
-        self.conf = self.folder / "steering.conf"
-        self.conf.write_text(
-            f"section inventory\n path {self.list}\n settle 0s\n look 100ms\n loss 100%\nend\n"
+        self.list_file = self.folder / "boxes.csv"
+        self.write_list(listed or [host.name for host in fleet.hosts])
+        self.settings_file = self.folder / "steering.conf"
+        self.settings_file.write_text(
+            f"section inventory\n path {self.list_file}\n settle 0s\n look 100ms\n loss 100%\nend\n"
             "section fleet\n group all\nend\n"
-            f"section rollout\n state-folder {self.folder}/ledger\n{told}\nend\n"
+            f"section rollout\n state-folder {self.folder}/ledger\n{rollout_settings}\nend\n"
         )
-        self._runs, self.controllers = 0, []
+        self._runs = 0
+        self.controllers = []
 
-    def write(self, names):
+    def write_list(self, names):
+        """Replace the list of hosts."""
         rows = "".join(
-            f"{name},{self.fleet[name].at.rsplit(':')[1]},{self.agents[name].slots[0]},"
-            f"{self.agents[name].at},{self.fleet[name].zone},{self.fleet[name].machine},127.0.0.1\n"
+            f"{name},{self.fleet[name].address.rsplit(':')[1]},{self.agents[name].operator_addresses[0]},"
+            f"{self.agents[name].controller_address},{self.fleet[name].zone},{self.fleet[name].machine},127.0.0.1\n"
             for name in names
         )
-        fresh = self.list.with_suffix(".new")
-        fresh.write_text(LIST + rows)
-        fresh.replace(self.list)
-
-    def up(self, names=None):
-        """Start agents and hosts, and the load."""
-        for name, agent in self.agents.items():
-            if names is None or name in names:
-                agent.start(adopt=self.good, wait=False)
-        for name, agent in self.agents.items():
-            if names is None or name in names:
-                agent.started()
-                agent.serves(self.good)
-        self.fleet.load()
-        self.fleet.answered(40)
+        fresh = self.list_file.with_suffix(".new")
+        fresh.write_text(LIST_HEADER + rows)
+        fresh.replace(self.list_file)
+
+    def start(self):
+        """Start agents, hosts and the load."""
+        for agent in self.agents.values():
+            agent.start(adopt=self.good, wait=False)
+        for agent in self.agents.values():
+            agent.wait_started()
+            agent.wait_serving(self.good)
+        self.fleet.start_load()
+        self.fleet.wait_for_results(40)
         return self
 
-    def shelve(self, folder=None, conf=FIGURES, config=None, label="new"):
-        """Put a generation on all shelves; returns its digest and what ``start`` takes to name it."""
-        made = {agent.add(folder, conf, config, label) for agent in self.agents.values()}.pop()
-        own, changes = self.folder / f"{made}.conf", self.folder / f"{made}.json"
-        own.write_text(conf)
-        changes.write_text(json.dumps(config or {}))
+    def add_generation(self, folder=None, settings=METRICS_SETTINGS, config=None, label="new"):
+        """Store a generation on all hosts; returns its digest and the options of ``start`` that name it."""
+        digest = {agent.add(folder, settings, config, label) for agent in self.agents.values()}.pop()
+        settings_file = self.folder / f"{digest}.conf"
+        settings_file.write_text(settings)
+        config_file = self.folder / f"{digest}.json"
+        config_file.write_text(json.dumps(config or {}))
         running = [agent for agent in self.agents.values() if agent.process is not None]
-        until(lambda: all(made in agent.status().shelf for agent in running), "that the agents see it")
-        program_ = folder or this_program(self.fleet)
-        return made, ["--program", str(program_), "--settings", str(own), "--config", str(changes)]
+        until(lambda: all(digest in agent.status().generations for agent in running), "that the agents see it")
+        program_folder = folder or this_program(self.fleet)
+        options = ["--program", str(program_folder), "--settings", str(settings_file), "--config", str(config_file)]
+        return digest, options
+
+    def _arguments(self, command, *options):
+        return ["rollout", command, "--conf", str(self.settings_file), *options]
 
-    def tool(self, *words_):
-        """Run a command; returns its result."""
-        command = [sys.executable, "-m", "lapispick", "rollout", words_[0], "--conf", str(self.conf), *words_[1:]]
-        return subprocess.run(command, capture_output=True, text=True, timeout=60, cwd=ROOT)
+    def run_command(self, command, *options):
+        """Run a command of ``lapispick rollout``; returns its result."""
+        arguments = [sys.executable, "-m", "lapispick", *self._arguments(command, *options)]
+        return subprocess.run(arguments, capture_output=True, text=True, timeout=60, cwd=ROOT)
 
-    def steer(self, *words_, dies_at="", times=1):
-        """Start a controller as a process."""
+    def start_controller(self, command, *options, dies_at="", times=1):
+        """Start a controller as a process; with ``dies_at`` it kills itself at that point."""
         self._runs += 1
         log = self.folder / f"controller-{self._runs}.log"
-        head = ["-c", CONTROLLER_DYING, dies_at, str(times)] if dies_at else ["-m", "lapispick"]
-        made = subprocess.Popen(
-            [sys.executable, *head, "rollout", words_[0], "--conf", str(self.conf), *words_[1:]],
+        head = point_arguments(DYING_CONTROLLER, dies_at, times)
+        controller = subprocess.Popen(
+            [sys.executable, *head, *self._arguments(command, *options)],
             cwd=ROOT,
             stderr=log.open("w"),
             stdout=subprocess.DEVNULL,
         )
-        made.log = log.read_text
-        self.controllers.append(made)
-        return made
+        controller.log = log.read_text
+        self.controllers.append(controller)
+        return controller
 
-    def told(self):
+    def status(self):
         """Return what ``status`` says; None before there is a rollout."""
-        done = self.tool("status", "--json")
+        done = self.run_command("status", "--json")
         return json.loads(done.stdout) if done.stdout.startswith("{") else None
 
-    def phase(self, *phases, within=STEERED_S):
-        """Wait until the newest rollout is in one of these phases."""
+    def wait_for_phase(self, *phases, within=STAGE_TIMEOUT_S):
+        """Wait until the newest rollout is in one of these phases; returns its status."""
         end = time.monotonic() + within
-        while (found := self.told()) is None or found["phase"] not in phases:
-            logs = "".join(c.log()[-800:] for c in self.controllers[-1:])
-            assert time.monotonic() < end, f"not {phases}: {found and (found['phase'], found['reason'])} {logs}"
-            time.sleep(0.4)  # each look is a process of its own, beside those that are judged
-        return found
+        while (status := self.status()) is None or status["phase"] not in phases:
+            logs = "".join(controller.log()[-800:] for controller in self.controllers[-1:])
+            assert time.monotonic() < end, f"not {phases}: {status and (status['phase'], status['reason'])} {logs}"
+            time.sleep(STATUS_PAUSE_S)
+        return status
 
-    def baking(self):
+    def wait_for_bake(self):
         """Wait until the newest controller notes a bake, which may be over before ``status`` has answered."""
-        self._noted(lambda: 'note="baking' in self.controllers[-1].log(), "a bake")
-
-    def go(self, dying=None):
-        """Say go, and wait until it goes on: it may ask again before ``status`` has answered, or its controller end."""
-        asked = self._asked()
-        self.tool("go")
-        self._noted(
-            lambda: (
-                self._asked() > asked
-                or self.told()["phase"] != "asking"
-                or (dying is not None and dying.poll() is not None)
-            ),
-            "that it goes on",
-        )
+        self._wait_noted(lambda: _BAKING_NOTE in self.controllers[-1].log(), "a bake")
+
+    def resume(self, dying=None):
+        """Say go, and wait until the rollout goes on, asks again, or a controller that is to die ends."""
+        asked = self._times_asked()
+        self.run_command("go")
+
+        def goes_on():
+            if self._times_asked() > asked or self.status()["phase"] != "asking":
+                return True
+            return dying is not None and dying.poll() is not None
+
+        self._wait_noted(goes_on, "that it goes on")
+
+    def resume_until_done(self):
+        """Let an operator resume wherever too little load decides nothing, until the rollout is done."""
+        while self.wait_for_phase("done", "asking")["phase"] == "asking":
+            assert self.status()["reason"]
+            self.resume()
 
-    def _asked(self):
-        return sum(c.log().count('note="asking') for c in self.controllers)
+    def _times_asked(self):
+        return sum(controller.log().count(_ASKING_NOTE) for controller in self.controllers)
 
-    def _noted(self, condition, what):
-        end = time.monotonic() + STEERED_S
+    def _wait_noted(self, condition, what):
+        end = time.monotonic() + STAGE_TIMEOUT_S
         while not condition():
             assert time.monotonic() < end, f"{what} did not happen: {self.controllers[-1].log()[-800:]}"
             time.sleep(0.05)
 
     def serving(self):
-        """Return what each box serves, by its agent."""
+        """Return what each host serves, by its agent."""
         return {name: status.serving for name, agent in self.agents.items() if (status := agent.status()) is not None}
 
     def close(self):
-        for each in self.controllers:
-            if each.poll() is None:
-                each.kill()
-            each.wait()
+        for controller in self.controllers:
+            if controller.poll() is None:
+                controller.kill()
+            controller.wait()
--- /dev/null
+++ b/lapispick/fakes/fleet_peers.py
@@ -0,0 +1,64 @@
+"""The executors and the shared store of an emulated fleet; each records what ran."""
+
+import base64
+import threading
+import time
+
+from lapispick.fakes.peers import Executor, Store
+
+STORE = "store"
+
+
+class RecordingExecutor(Executor):
+    """An executor that records what it ran; ``slowdown`` makes its work so many times longer."""
+
+    def __init__(self, record, host, process, work_s=0.004, cores=2):
+        self.record = record
+        self.host = host
+        self.process = process
+        self.slowdown = 1.0
+        self.connected_processes = 0
+        super().__init__(work_s, cores)
+
+    def on_join(self, link, command):
+        if command["index"] == 0 and self.notices:  # another process of the host: notices count from 1 again
+            self.notices = []
+            self.connected_processes += 1
+        super().on_join(link, command)
+
+    def on_exec(self, link, command):
+        body = base64.b64decode(command["bytes"]).decode()
+        self.record.add_execution(self.host, self.process, command["task"], body)
+        super().on_exec(link, command)
+
+    def _work(self, task, body):
+        started_for = self.connected_processes
+        with self.slots:
+            time.sleep(self.work_s * self.slowdown)
+        if started_for == self.connected_processes:
+            self.end(task, result=f"did {body}")
+
+
+class SharedStore(Store):
+    """The shared store: ``slots`` calls at once, each ``work_s`` long, slower where it is crowded."""
+
+    def __init__(self, record, work_s=0.002, slots=16):
+        self.record = record
+        self.work_s = work_s
+        self.slots = slots
+        self.slowdown = 1.0
+        self._concurrent_calls = 0
+        self._count_lock = threading.Lock()
+        super().__init__()
+
+    def talk(self, link):
+        for headers, body in self.asked(link.makefile("rb")):
+            self.record.add_execution("", "", headers["X-For-Request"], body, STORE)
+            with self._count_lock:
+                self._concurrent_calls += 1
+                crowd = max(1.0, self._concurrent_calls / self.slots)
+            time.sleep(self.work_s * crowd * self.slowdown)
+            with self._count_lock:
+                self._concurrent_calls -= 1
+            reply = f"called {body}"
+            link.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(reply)}\r\n\r\n{reply}".encode())
--- a/lapispick/fakes/host_pauses.py
+++ b/lapispick/fakes/host_pauses.py
@@ -38,7 +38,7 @@
 
     def _serving(self, box):
         with contextlib.suppress(OSError):  # it may end at any moment
-            return box.serving()
+            return box.serving_pids()
         return []
 
     def _look(self, name, pid, since, now):
@@ -66,7 +66,7 @@
 @contextlib.contextmanager
 def watched(host):
     """Return what tells for how long the machine has held up a host or the test itself since here, s."""
-    since, pauses = time.time(), Pauses([types.SimpleNamespace(name="it", serving=lambda: [host.process.pid])])
+    since, pauses = time.time(), Pauses([types.SimpleNamespace(name="it", serving_pids=lambda: [host.process.pid])])
     pauses.start()
     try:
         yield lambda: pauses.held("it", since, time.time())
--- a/lapispick/fakes/member_cluster.py
+++ b/lapispick/fakes/member_cluster.py
@@ -1,14 +1,14 @@
 """Boxes that talk to each other: their lists, who wants turns, and a resource that checks fencing numbers.
 
 Each box has a list of its own, for it reaches each other box through a proxy of its own. Ends are named as in
-``fleet.py``, so a partition between boxes is ``fleet.part(["disp-01"], ["disp-02"])``.
+``fleet.py``, so a partition between boxes is ``fleet.partition(["disp-01"], ["disp-02"])``.
 """
 
 import json
 import threading
 import time
 
-from lapispick.fakes.fleet import call, free_port
+from lapispick.fakes.ports import call_operators, free_port
 
 LIST = "host,lapispick_port,lapispick_members,ansible_host\n"
 QUICK = """ period 200ms
@@ -68,7 +68,7 @@
         got, end = None, 0.0
         while not self.over.is_set():
             asked = time.monotonic()
-            lines = call(self.ops(), f"want {self.turn} worker", 1.0)
+            lines = call_operators(self.ops(), f"want {self.turn} worker", 1.0)
             self.calls += 1
             told = (lines or ["ERR"])[0].split()
             if told[:2] == ["OK", "held"]:
@@ -81,11 +81,11 @@
                     self.talk.resource.act(slot, fence, self.box.name)
             elif got is not None and lines:  # the lease was lost on the way, or the box leaves
                 got[3] = min(got[3], time.monotonic())
-                call(self.ops(), f"done {self.turn} worker", 1.0)
+                call_operators(self.ops(), f"done {self.turn} worker", 1.0)
                 return True
             if got is not None and time.monotonic() >= min(end, got[3]):
                 got[3] = min(got[3], time.monotonic())  # from here on it does nothing more under this turn
-                call(self.ops(), f"done {self.turn} worker", 1.0)
+                call_operators(self.ops(), f"done {self.turn} worker", 1.0)
                 return True
             self.over.wait(0.03)
         if got is not None:
@@ -104,18 +104,18 @@
 
     def __init__(self, fleet, told=QUICK, names=None):
         self.fleet, self.resource, self.owners, self.told = fleet, Resource(), [], told
-        self.at = {box.name: f"127.0.0.1:{free_port()}" for box in fleet.boxes}
-        self.reach = {box.name: {} for box in fleet.boxes}  # who -> whom -> the address that it knows
-        for n, one in enumerate(fleet.boxes):
-            for other in fleet.boxes[n + 1 :]:
+        self.at = {box.name: f"127.0.0.1:{free_port()}" for box in fleet.hosts}
+        self.reach = {box.name: {} for box in fleet.hosts}  # who -> whom -> the address that it knows
+        for n, one in enumerate(fleet.hosts):
+            for other in fleet.hosts[n + 1 :]:
                 there, back = fleet.net.pair(one.name, other.name, self.at[one.name], self.at[other.name])
                 self.reach[one.name][other.name], self.reach[other.name][one.name] = there, back
         self.conf, self.csv = {}, {}
         self.listed = {}
-        for box in fleet.boxes:
+        for box in fleet.hosts:
             self.csv[box.name] = box.folder / "boxes.csv"
             self.conf[box.name] = box.folder / "members.conf"
-            self.list(names or [b.name for b in fleet.boxes], [box.name])
+            self.list(names or [b.name for b in fleet.hosts], [box.name])
             self.conf[box.name].write_text(
                 f"section inventory\n path {self.csv[box.name]}\n settle 0s\n look 100ms\n loss 100%\n"
                 " turnover 100%\nend\nsection fleet\n group all\nend\n"
@@ -125,9 +125,9 @@
 
     def list(self, names, at=None):
         """Let these boxes be the list, at all boxes or some."""
-        for who in at or [b.name for b in self.fleet.boxes]:
+        for who in at or [b.name for b in self.fleet.hosts]:
             rows = "".join(
-                f"{name},{self.fleet[name].at.rsplit(':')[1]},"
+                f"{name},{self.fleet[name].address.rsplit(':')[1]},"
                 f"{self.at[name] if name == who else self.reach[who][name]},127.0.0.1\n"
                 for name in names
             )
@@ -138,7 +138,7 @@
 
     def start(self, names=None, **over):
         """Start boxes side by side."""
-        boxes = [box for box in self.fleet.boxes if names is None or box.name in names]
+        boxes = [box for box in self.fleet.hosts if names is None or box.name in names]
         threads = [threading.Thread(target=box.start, kwargs={"conf": self.conf[box.name], **over}) for box in boxes]
         for each in threads:
             each.start()
@@ -149,7 +149,7 @@
     def view(self, name):
         """Return what a box says of its view; None where it says nothing."""
         box = self.fleet[name]
-        lines = call(box.processes[-1].ops, "members", 1.0) if box.processes else None
+        lines = call_operators(box.processes[-1].ops, "members", 1.0) if box.processes else None
         return json.loads(lines[1]) if lines and lines[0] == "OK" else None
 
     def states(self, name):
@@ -178,7 +178,7 @@
     def deaths(self):
         """Return who called whom dead, from the logs."""
         found = []
-        for box in self.fleet.boxes:
+        for box in self.fleet.hosts:
             for path in sorted(box.folder.glob("config-*.log")):
                 found += [
                     (box.name, line.split(" name=")[1].split()[0])
@@ -189,7 +189,7 @@
 
     def want(self, turn="job", names=None, hold=0.6):
         """Let an owner at each box want a turn from now on."""
-        made = [Owner(self, box, turn, hold) for box in self.fleet.boxes if names is None or box.name in names]
+        made = [Owner(self, box, turn, hold) for box in self.fleet.hosts if names is None or box.name in names]
         for each in made:
             each.start()
         self.owners += made
--- /dev/null
+++ b/lapispick/fakes/program_patches.py
@@ -0,0 +1,174 @@
+"""Changed copies of this very program: hosts that fail, break a rule, or speak another version.
+
+This file alone knows the program text that is changed: the places and the code that is put there. A place that is not
+found raises ``PatchError``, so that a change of the program can't turn a faulty host into an honest one unnoticed.
+"""
+
+import shutil
+from pathlib import Path
+from typing import NamedTuple
+
+import lapispick
+
+PACKAGE_FOLDER = Path(lapispick.__file__).parent
+
+
+class PatchError(AssertionError):
+    """A program text that is to be changed does not exist."""
+
+
+class Place(NamedTuple):
+    """A text in a file of the package."""
+
+    file: str
+    text: str
+
+
+class Patch(NamedTuple):
+    """A place and what stands there instead; only its first occurrence is changed."""
+
+    place: Place
+    replacement: str
+
+
+def program(folder, patches=()):
+    """Make a program folder of this version with some patches applied."""
+    folder.mkdir(parents=True)
+    package = folder / "lapispick"
+    shutil.copytree(PACKAGE_FOLDER, package, ignore=shutil.ignore_patterns("__pycache__"))
+    for patch in patches:
+        _apply(package, patch)
+    return folder
+
+
+def _apply(package, patch):
+    path = package / patch.place.file
+    if not path.is_file():
+        raise PatchError(f"{patch.place.file} does not exist")
+    text = path.read_text()
+    if patch.place.text not in text:
+        raise PatchError(f"{patch.place.file} has no {patch.place.text!r}")
+    path.write_text(text.replace(patch.place.text, patch.replacement, 1))
+
+
+def insert_before(place, code):
+    return Patch(place, code + place.text)
+
+
+def insert_after(place, code):
+    return Patch(place, place.text + code)
+
+
+# Places.
+
+CORE = "host/core.py"
+MAIN = "host/__main__.py"
+MAIN_FUNCTION = Place(MAIN, "def main() -> int:")
+LOGS_SET_UP = Place(MAIN, "    setup()\n")
+CORE_IMPORTS = Place(CORE, "import logging\n")
+CORE_FIRST_CLASS = Place(CORE, "\n\n\nclass ")
+CORE_SERVES = Place(CORE, "    def serve(self) -> None:")
+ANSWER_COUNTED = Place(CORE, "        self.figures.answered(answer.kind, request.cls)\n")
+ANSWER_SENT = Place(CORE, "        request.reply(answer._replace(advice=self.advice))")
+ANSWERED_LATE = Place(CORE, "request.read <= due_at < self._now - SLACK_MS")
+KEY_FOUND_ON_ARRIVAL = Place(CORE, "key = self.table.at(request.key, request.born) if")
+KEY_FOUND_AMONG_HELD = Place(CORE, "held = self.table.get(request.key)")
+KEY_RAN_BEFORE = Place(CORE, "key.ran not in (0, ELSEWHERE)")
+KEY_CLAIMED = Place(CORE, "verdict = self.sharing.claim(")
+JSONRPC_ENCODED = Place("host/jsonrpc/front.py", '(_encode({"jsonrpc": "2.0", "id": number, member: fields}) + b"\\n")')
+DRAIN_GRACE = Place("platform_settings.py", "drain_grace_ms=")
+HANDOVER_VERSION = Place("handover/messages.py", "VERSION, LOWEST = 1, 1")
+HANDOVER_HELLO_END = Place("handover/messages.py", "0 = no other\n")
+HANDOVER_FORMAT = Place("versions.py", '"handover": (1, 1, 1)')
+
+# Expressions of the program that inserted code uses.
+
+IS_KEYED = "request.key is not None"
+RANDOM_NUMBER = "int(request.tag, 16)"  # drawn by the gateway for each attempt
+FAILED_ANSWER = "Answer(FAILED)"
+REJECTED_ANSWER = "Answer(REFUSED)"
+LEAVE_AFTER_A_SECOND = "self._loop.later(1.0, os._exit, 9)"
+
+
+def module_code(code):
+    """Add code to the core's module, below its imports and constants."""
+    return Patch(CORE_FIRST_CLASS, f"\n\n{code}{CORE_FIRST_CLASS.text}")
+
+
+# Hosts that fail.
+
+DOES_NOT_START = (Patch(MAIN_FUNCTION, f"raise SystemExit(3)\n{MAIN_FUNCTION.text}"),)
+HANGS_AT_START = (insert_after(LOGS_SET_UP, "    time.sleep(60)\n"),)
+
+
+def exits_after_a_second(condition="True"):
+    """Let a host end a second after it began to serve, where a condition holds."""
+    code = (
+        f"\n        if {condition}:\n            {LEAVE_AFTER_A_SECOND}\n"
+        "        return self.serve_unpatched()\n\n    def serve_unpatched(self) -> None:"
+    )
+    return (insert_after(CORE_SERVES, code), insert_after(CORE_IMPORTS, "import os\n"))
+
+
+LOGS_DEBUG_LINES = "logging.getLogger().isEnabledFor(logging.DEBUG)"
+
+
+# Hosts that do worse.
+
+
+def fails_keyed_requests(tenths, condition="True"):
+    """Fail so many tenths of the keyed requests, where a condition holds."""
+    code = (
+        f"        if {IS_KEYED} and ({condition}) and {RANDOM_NUMBER} % 10 < {tenths}:\n"
+        f"            answer = {FAILED_ANSWER}\n"
+    )
+    return (insert_before(ANSWER_COUNTED, code),)
+
+
+def fails_keyed_requests_when_warm(tenths, after_s):
+    return (
+        *fails_keyed_requests(tenths, f"time.monotonic() - STARTED_AT > {after_s}"),
+        module_code("STARTED_AT = time.monotonic()"),
+    )
+
+
+def file_exists(path):
+    """Return a condition that a file exists."""
+    return f"__import__('os').path.exists({str(path)!r})"
+
+
+def leaks_memory(bytes_an_answer):
+    return (
+        insert_before(ANSWER_SENT, f"        LEAKED.append(bytearray(b'x') * {bytes_an_answer})\n"),
+        module_code("LEAKED = []"),
+    )
+
+
+COUNTS_ONE_IN_40_AS_LATE = (Patch(ANSWERED_LATE, f"{RANDOM_NUMBER} % 40 == 0"),)
+
+# Hosts that break a rule, by the rule's name.
+
+_ONE_IN_5 = f"{RANDOM_NUMBER} % 5 == 0"
+RULE_BREAKING_HOSTS = {
+    "lost": (Patch(ANSWER_SENT, f"        if not {_ONE_IN_5}:\n    {ANSWER_SENT.text}"),),
+    "doubled": (Patch(JSONRPC_ENCODED, f"(2 * {JSONRPC_ENCODED.text})"),),
+    "twice": (
+        Patch(KEY_FOUND_ON_ARRIVAL, "key = None if"),
+        Patch(KEY_FOUND_AMONG_HELD, "held = None"),
+        Patch(KEY_RAN_BEFORE, "key.ran == -9"),
+        Patch(KEY_CLAIMED, "verdict = Verdict.RUN if True else ("),
+    ),
+    "changed": (insert_before(ANSWER_SENT, "        answer = answer._replace(result=answer.result and 'd3Jvbmc=')\n"),),
+    "refused": (insert_before(ANSWER_SENT, f"        if {_ONE_IN_5}:\n            answer = {REJECTED_ANSWER}\n"),),
+    "drain": (Patch(DRAIN_GRACE, f"{DRAIN_GRACE.text}5 * "),),
+    "memory": (module_code("HOG = b'x' * (200 << 20)"),),
+}
+
+# Other versions.
+
+SKIPS_A_HANDOVER_VERSION = (Patch(HANDOVER_FORMAT, '"handover": (3, 2, 3)'),)
+NEXT_HANDOVER_VERSION = (
+    Patch(HANDOVER_VERSION, "VERSION, LOWEST = 2, 1"),
+    insert_after(HANDOVER_HELLO_END, "    brand_new: str = 'x'\n"),
+    Patch(HANDOVER_FORMAT, '"handover": (1, 1, 2)'),
+)
--- a/lapispick/fakes/rule_checker.py
+++ b/lapispick/fakes/rule_checker.py
@@ -1,8 +1,8 @@
-"""The account of a fleet under faults, and the one checker of the rules that reads it.
+"""What all parties of an emulated fleet saw, and the one checker of the rules that reads it.
 
-Every party notes what it saw: gateways what they wrote and were answered, executors and the store what ran, the script
-what it broke. Times are Unix seconds. A request that a fault took away is excused by the fault's own entry only, and
-an answer is late only by what the machine did not take itself (``pauses.py``).
+Gateways record what they sent and were answered, executors and the store what ran, the test which faults it caused.
+Times are Unix seconds. A request that a fault hit is excused by the record of that fault only, and an answer is late
+only by time that the machine did not take itself (``host_pauses.py``).
 """
 
 import collections
@@ -10,212 +10,277 @@
 import threading
 import time
 
-SLACK_S = 0.11  # s; the rule's 60 ms and 50 ms of sockets
-SOCKETS_S = 0.05  # s; of each time limit, for the way
-REFUSED = -32050
-SERVED, TURNED, FAILED = "served", "refused", "failed"
+LATE_SLACK_S = 0.11  # the rule's 60 ms and 50 ms of sockets
+SOCKET_SLACK_S = 0.05  # of each time limit, for the way
+REJECTED_CODE = -32050
+SERVED = "served"
+REJECTED = "refused"
+FAILED = "failed"
+AT_EXECUTOR = "executor"
 
 
 @dataclasses.dataclass
-class Try:
-    """One try of a request at one box."""
+class Answer:
+    """A final answer as a gateway received it."""
+
+    at: float
+    kind: str
+    result: str | None
+
+
+@dataclasses.dataclass
+class Attempt:
+    """One attempt of a request at one host."""
 
     trace: str
     gateway: str
-    box: str
+    host: str
     cls: str
     body: str
     key: str
-    written: float
+    sent_at: float
     due: float
-    redo: bool = False
-    gone: bool = False  # told to the box that nobody waits
-    answers: list = dataclasses.field(default_factory=list)  # (at, kind, result)
-    broken: float = 0.0  # when its connection ended without an answer
+    is_retry: bool = False
+    is_cancelled: bool = False  # the host was told that nobody waits
+    answers: list = dataclasses.field(default_factory=list)
+    broken_at: float = 0.0  # when its connection ended without an answer
 
 
 @dataclasses.dataclass
-class Run:
+class Execution:
     """Work that began at an executor, or a call that reached the store."""
 
     at: float
-    box: str
+    host: str
     process: str
     trace: str
     body: str
-    where: str = "executor"
+    where: str = AT_EXECUTOR
+
+
+@dataclasses.dataclass
+class Fault:
+    """A fault and the parties that it touches; it is open while ``ended_at`` is 0."""
+
+    began_at: float
+    ended_at: float
+    kind: str
+    parties: frozenset
+
+
+@dataclasses.dataclass
+class Shutdown:
+    """A host was asked to shut down."""
+
+    at: float
+    host: str
+    process: str
+
+
+@dataclasses.dataclass
+class MemoryUse:
+    """The peak memory of a host's process, and its limit."""
+
+    host: str
+    used_mb: float
+    limit_mb: float
+
+
+def answer_kind(message):
+    """Return the kind of an answer in JSON-RPC."""
+    if "result" in message:
+        return SERVED
+    return REJECTED if message["error"]["code"] == REJECTED_CODE else FAILED
 
 
-class Account:
-    """What all parties saw."""
+def never_paused(host, since, until):
+    """Return that the machine took nothing of a span, s."""
+    return 0.0
+
+
+class FleetRecord:
+    """What all parties saw. ``paused_s`` tells what the machine took of a span, where that is measured."""
+
+    _PARTS = ("executions", "shutdowns", "memory", "faults", "unexpected_answers")
 
     def __init__(self):
         self._lock = threading.Lock()
-        self.tries, self.runs, self.leaves, self.memory = {}, [], [], []
-        self.faults = []  # (from, to or 0, kind, names that it touches)
-        self.strays = []  # answers that nobody waits for
-        self.begun = time.time()
-        self.held_up = lambda box, since, until: 0.0  # s; what the machine took of a span, where that is measured
+        self.attempts = {}
+        self.executions = []
+        self.shutdowns = []
+        self.memory = []
+        self.faults = []
+        self.unexpected_answers = []
+        self.paused_s = never_paused
 
     def copy(self):
-        made = Account()
+        """Return the record of this moment: the load may go on."""
+        copied = FleetRecord()
         with self._lock:
-            made.tries, made.begun, made.held_up = dict(self.tries), self.begun, self.held_up
-            for part in ("runs", "leaves", "memory", "faults", "strays"):
-                setattr(made, part, list(getattr(self, part)))
-        return made
+            copied.attempts = dict(self.attempts)
+            copied.paused_s = self.paused_s
+            for part in self._PARTS:
+                setattr(copied, part, list(getattr(self, part)))
+        return copied
 
-    def wrote(self, made):
+    def add_attempt(self, attempt):
         with self._lock:
-            self.tries[made.trace] = made
+            self.attempts[attempt.trace] = attempt
 
-    def answered(self, trace, message, result):
+    def remove_attempt(self, attempt):
+        """Forget an attempt of which the host read nothing."""
+        with self._lock:
+            del self.attempts[attempt.trace]
+
+    def add_answer(self, trace, message, result):
+        """Record an answer; ``trace`` is None for an unexpected one, ``message`` where the connection ended."""
         with self._lock:
             if trace is None:
-                self.strays.append((time.time(), message))
+                self.unexpected_answers.append(message)
             elif message is None:
-                self.tries[trace].broken = time.time()
+                self.attempts[trace].broken_at = time.time()
             else:
-                self.tries[trace].answers.append((time.time(), kind(message), result))
+                self.attempts[trace].answers.append(Answer(time.time(), answer_kind(message), result))
 
-    def ran(self, box, process, trace, body, where="executor"):
+    def add_execution(self, host, process, trace, body, where=AT_EXECUTOR):
         with self._lock:
-            self.runs.append(Run(time.time(), box, process, trace, body, where))
+            self.executions.append(Execution(time.time(), host, process, trace, body, where))
 
-    def left(self, box, process):
-        """Note a notice to leave that is one for the box as a whole."""
+    def add_shutdown(self, host, process):
+        """Record a shutdown of a host as a whole."""
         with self._lock:
-            self.leaves.append((time.time(), box, process))
+            self.shutdowns.append(Shutdown(time.time(), host, process))
 
-    def held(self, box, mb, most):
+    def add_memory(self, host, used_mb, limit_mb):
         with self._lock:
-            self.memory.append((time.time(), box, mb, most))
+            self.memory.append(MemoryUse(host, used_mb, limit_mb))
 
-    def fault(self, what, names, until=None):
-        """Note a fault from now on; returns its place, for ``over``."""
+    def begin_fault(self, kind, parties):
+        """Record a fault from now on; returns it, for ``end_fault``."""
+        fault = Fault(time.time(), 0.0, kind, frozenset(parties))
         with self._lock:
-            self.faults.append([time.time(), until or 0.0, what, frozenset(names)])
-            return len(self.faults) - 1
+            self.faults.append(fault)
+        return fault
 
-    def over(self, number=None):
+    def end_fault(self, fault):
         with self._lock:
-            for at in range(len(self.faults)) if number is None else [number]:
-                if not self.faults[at][1]:
-                    self.faults[at][1] = time.time()
+            fault.ended_at = fault.ended_at or time.time()
+
+    def end_all_faults(self):
+        for fault in list(self.faults):
+            self.end_fault(fault)
 
-    def excused(self, made):
-        """Tell whether a fault touched a try's box or gateway while it was open."""
+    def is_excused(self, attempt):
+        """Tell whether a fault touched an attempt's host or gateway while it was open."""
         return any(
-            start <= made.due + SLACK_S
-            and (end or time.time()) >= made.written - SLACK_S
-            and names & {made.box, made.gateway}
-            for start, end, _, names in self.faults
+            fault.began_at <= attempt.due + LATE_SLACK_S
+            and (fault.ended_at or time.time()) >= attempt.sent_at - LATE_SLACK_S
+            and fault.parties & {attempt.host, attempt.gateway}
+            for fault in self.faults
         )
 
-    # What became of the load.
-
-    def counts(self, since=0.0, until=float("inf"), boxes=None):
-        """Count final answers by kind over tries written in a span, at some boxes."""
-        found = collections.Counter()
-        for each in list(self.tries.values()):
-            if since <= each.written < until and (boxes is None or each.box in boxes):
-                found[each.answers[0][1] if each.answers else "none"] += 1
-        return found
-
-    def effects(self):
-        """Count executors' runs by key, over the whole fleet."""
-        keys = {t.trace: t.key for t in list(self.tries.values()) if t.key}
-        return collections.Counter(keys[r.trace] for r in list(self.runs) if r.where == "executor" and r.trace in keys)
-
-
-def kind(message):
-    if "result" in message:
-        return SERVED
-    return TURNED if message["error"]["code"] == REFUSED else FAILED
+    def answer_counts(self, since=0.0, hosts=None):
+        """Count final answers by kind over attempts since a time, at some hosts or all."""
+        counts = collections.Counter()
+        for attempt in list(self.attempts.values()):
+            if since <= attempt.sent_at and (hosts is None or attempt.host in hosts):
+                counts[attempt.answers[0].kind if attempt.answers else "none"] += 1
+        return counts
+
+    def executions_by_key(self):
+        """Count the executors' runs by idempotency key, over the whole fleet."""
+        keys = {attempt.trace: attempt.key for attempt in list(self.attempts.values()) if attempt.key}
+        return collections.Counter(
+            keys[execution.trace]
+            for execution in list(self.executions)
+            if execution.where == AT_EXECUTOR and execution.trace in keys
+        )
 
 
-def results(body):
+def expected_results(body):
     """Return what runs of a body may make: with a call what the store said, or less without it."""
     return {f"called {body[5:]}", "poorer"} if body.startswith("call:") else {f"did {body}"}
 
 
-def check(account, result=results, window_s=14.286, grace_s=1.8):
-    """Return every broken rule as (rule, text); ``result`` tells what runs of a body may make.
+def check(record, expected=expected_results, window_s=14.286, grace_s=1.8):
+    """Return every broken rule as (rule, text); ``expected`` tells what runs of a body may make.
 
-    ``window_s``: for so long a key must not run again; ``grace_s``: what came later after a notice must not run.
+    ``window_s``: for so long a key must not run again; ``grace_s``: what came later after a shutdown must not run.
     """
-    account = account.copy()  # of this moment: the load may go on
+    record = record.copy()
     return [
-        *_lost(account),
-        *_doubled(account),
-        *_twice(account, window_s),
-        *_changed(account, result),
-        *_late_starts(account, grace_s + SOCKETS_S),
-        *_refused_after_run(account),
-        *_memory(account),
+        *_lost(record),
+        *_answered_twice(record),
+        *_ran_twice(record, window_s),
+        *_changed(record, expected),
+        *_late_starts(record, grace_s + SOCKET_SLACK_S),
+        *_rejected_after_run(record),
+        *_over_memory(record),
     ]
 
 
-def _lost(account):
+def _lost(record):
     now = time.time()
-    for t in account.tries.values():
-        answer = t.answers[0] if t.answers else None
-        if t.gone or account.excused(t):
+    for attempt in record.attempts.values():
+        if attempt.is_cancelled or record.is_excused(attempt):
+            continue
+        if not attempt.answers:
+            if attempt.broken_at or now > attempt.due + LATE_SLACK_S:
+                reason = "the connection ended" if attempt.broken_at else "no answer"
+                yield "lost", f"{attempt.trace} at {attempt.host}: {reason}"
             continue
-        if answer is None and (t.broken or now > t.due + SLACK_S):
-            yield "lost", f"{t.trace} at {t.box}: {'the connection ended' if t.broken else 'no answer'}"
-        elif answer is not None and answer[0] > t.due + SLACK_S + account.held_up(t.box, t.written, answer[0]):
-            yield "lost", f"{t.trace} at {t.box}: answered {answer[0] - t.due:.3f} s late"
+        at = attempt.answers[0].at
+        if at > attempt.due + LATE_SLACK_S + record.paused_s(attempt.host, attempt.sent_at, at):
+            yield "lost", f"{attempt.trace} at {attempt.host}: answered {at - attempt.due:.3f} s late"
 
 
-def _doubled(account):
-    for t in account.tries.values():
-        if len(t.answers) > 1:
-            yield "doubled", f"{t.trace} at {t.box}: {len(t.answers)} answers"
-    for _, message in account.strays:
+def _answered_twice(record):
+    for attempt in record.attempts.values():
+        if len(attempt.answers) > 1:
+            yield "doubled", f"{attempt.trace} at {attempt.host}: {len(attempt.answers)} answers"
+    for message in record.unexpected_answers:
         yield "doubled", f"an answer that nobody waits for: {message}"
 
 
-def _twice(account, window_s):
-    tries = account.tries
-    first = {}
-    for run in sorted(account.runs, key=lambda r: r.at):
-        made = tries.get(run.trace)
-        if run.where != "executor" or made is None or not made.key:
+def _ran_twice(record, window_s):
+    first_runs = {}
+    for execution in sorted(record.executions, key=lambda each: each.at):
+        attempt = record.attempts.get(execution.trace)
+        if execution.where != AT_EXECUTOR or attempt is None or not attempt.key:
+            continue
+        first_attempt, first = first_runs.setdefault(attempt.key, (attempt, execution))
+        if first is not execution and attempt.sent_at - first_attempt.sent_at < window_s:
+            places = f"{first.host} ({first.process}) and {execution.host} ({execution.process})"
+            yield "twice", f"key {attempt.key[:8]} ran at {places}"
+
+
+def _late_starts(record, grace_s):
+    for execution in record.executions:
+        attempt = record.attempts.get(execution.trace)
+        if attempt is None or execution.where != AT_EXECUTOR:
             continue
-        held = first.setdefault(made.key, (made, run))
-        if held[1] is not run and made.written - held[0].written < window_s:
-            yield "twice", f"key {made.key[:8]} ran at {held[1].box} ({held[1].process}) and {run.box} ({run.process})"
-
-
-def _late_starts(account, grace_s):
-    for run in account.runs:
-        made = account.tries.get(run.trace)
-        for at, box, process in account.leaves:
-            if (
-                made
-                and run.where == "executor"
-                and (run.box, run.process) == (box, process)
-                and made.written > at + grace_s
-            ):
-                yield "drain", f"{run.trace} ran at {box}; it came {made.written - at:.2f} s after the notice"
-
-
-def _refused_after_run(account):
-    ran = {run.trace for run in account.runs if run.where == "executor"}
-    for t in account.tries.values():
-        if t.trace in ran and t.answers and t.answers[0][1] == TURNED:
-            yield "refused", f"{t.trace} at {t.box} ran and was refused"
-
-
-def _changed(account, result):
-    for t in account.tries.values():
-        for _, what, made in t.answers:
-            if what == SERVED and made not in result(t.body):
-                yield "changed", f"{t.trace} at {t.box}: {made!r} is not what its run makes"
-
-
-def _memory(account):
-    for _, box, mb, most in account.memory:
-        if mb > most:
-            yield "memory", f"{box}: {mb:.0f} MB of {most:.0f}"
+        for shutdown in record.shutdowns:
+            is_there = (execution.host, execution.process) == (shutdown.host, shutdown.process)
+            if is_there and attempt.sent_at > shutdown.at + grace_s:
+                late_s = attempt.sent_at - shutdown.at
+                yield "drain", f"{execution.trace} ran at {shutdown.host}; it came {late_s:.2f} s after the notice"
+
+
+def _rejected_after_run(record):
+    ran = {execution.trace for execution in record.executions if execution.where == AT_EXECUTOR}
+    for attempt in record.attempts.values():
+        if attempt.trace in ran and attempt.answers and attempt.answers[0].kind == REJECTED:
+            yield "refused", f"{attempt.trace} at {attempt.host} ran and was refused"
+
+
+def _changed(record, expected):
+    for attempt in record.attempts.values():
+        for answer in attempt.answers:
+            if answer.kind == SERVED and answer.result not in expected(attempt.body):
+                yield "changed", f"{attempt.trace} at {attempt.host}: {answer.result!r} is not what its run makes"
+
+
+def _over_memory(record):
+    for use in record.memory:
+        if use.used_mb > use.limit_mb:
+            yield "memory", f"{use.host}: {use.used_mb:.0f} MB of {use.limit_mb:.0f}"
--- a/lapispick/fakes/script.py
+++ b/lapispick/fakes/script.py
@@ -34,7 +34,7 @@
 def drawn(rng, fleet, steps, span, kinds=KINDS):
     """Draw a script: so many steps within a span, one box each, one after the other."""
     times = sorted(rng.uniform(0, span) for _ in range(steps))
-    return [Step(at, rng.choice(kinds), rng.choice(fleet.boxes).name, rng.uniform(0.2, 1.5)) for at in times]
+    return [Step(at, rng.choice(kinds), rng.choice(fleet.hosts).name, rng.uniform(0.2, 1.5)) for at in times]
 
 
 def play(fleet, steps):
@@ -50,21 +50,21 @@
 
 
 def _one(fleet, step):
-    box, everyone = fleet[step.box], [n for n in fleet.names() if n not in {b.name for b in fleet.boxes}]
+    box, everyone = fleet[step.box], [n for n in fleet.endpoints() if n not in {b.name for b in fleet.hosts}]
     if step.kind in ("part", "one way"):
-        heal = fleet.part(everyone, [box.name], one_way=step.kind == "one way")
+        heal = fleet.partition(everyone, [box.name], one_way=step.kind == "one way")
         time.sleep(step.span)
         heal()
     elif step.kind == "reset":
-        number = fleet.account.fault("reset", [box.name])
+        number = fleet.record.begin_fault("reset", [box.name])
         fleet.net.reset(everyone, [box.name])
-        fleet.account.over(number)
+        fleet.record.end_fault(number)
     elif step.kind == "slow":
         fleet.net.slow([STORE, ROSTER, *(g.name for g in fleet.gateways)], [box.name], delay=0.05, jitter=0.1)
         time.sleep(step.span)
         fleet.net.heal()
     elif step.kind == "stop":
-        wake = fleet.stop(box)
+        wake = fleet.suspend(box)
         time.sleep(step.span)
         wake()
     else:
@@ -73,7 +73,7 @@
 
 def _killed(fleet, box, step):
     disk, old = box.folder / "tmp", box.folder / "older"
-    number = fleet.account.fault("killed", [box.name])
+    number = fleet.record.begin_fault("killed", [box.name])
     box.kill(lose_disk="lose" in step.kind)
     if "put" in step.kind and old.exists():
         shutil.rmtree(disk)
@@ -83,9 +83,9 @@
         with contextlib.suppress(FileNotFoundError):
             shutil.copytree(disk, old, ignore=_sockets)
     time.sleep(step.span)
-    box.start(skew=box.skew)
-    fleet.account.over(number)
-    fleet.account.over()
+    box.start(skew=box.clock_skew_s)
+    fleet.record.end_fault(number)
+    fleet.record.end_all_faults()
 
 
 def _sockets(_folder, names):
--- a/lapispick/rollout/__init__.py
+++ b/lapispick/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""A change goes through a fleet in stages: generations, plans, pace, judgement, steering. No I/O and no clock."""
+"""Staged rollouts of a change through a fleet: generations, stages, pacing and canary analysis. No I/O, no clock."""
--- a/lapispick/rollout/canary_analysis.py
+++ b/lapispick/rollout/canary_analysis.py
@@ -1,17 +1,17 @@
-"""Does a stage do worse than the rest, at the same time, on like boxes? No I/O and no clock.
+"""Canary analysis: does a stage do worse than the rest of the fleet at the same time? No I/O and no clock.
 
-In each slice of time the changed boxes of a kind (zone and machine) are held against those of the same kind that stay
-in the old generation and are as warm. One difference a figure and slice goes into a sequential test
-(``evidence.py``); its mean before the change is taken off. Three outcomes:
+In each slice of time the changed hosts of a kind (zone and machine type) are compared with hosts of the same kind that
+run the old generation and are as warm. One difference a metric and slice goes into a sequential test
+(``evidence.py``), less its mean before the change. There are three outcomes:
 
-- worse: some figure's evidence is past ``figures / alarm``. Corrected for their number, so that all figures of
-  all stages together stop a good change with a chance of at most ``alarm``.
-- good: for every figure there is evidence that it is worse by less than twice the margin, and the old boxes did not
-  get worse meanwhile. Where they did, the change may take from what all share, and side by side it looks better.
+- worse: the evidence of some metric is over ``metrics * stages / alarm``. It is corrected for their number, so that
+  all metrics of all stages together stop a good change with a chance of at most ``alarm``.
+- good: every metric has evidence that it is worse by less than twice its margin, and the unchanged hosts did not get
+  worse meanwhile. Where they did, the change may take from what all share, and look better side by side.
 - can't tell: everything else, also for want of data.
 
-Only a difference counts, and only upwards: a store that collapses for all, a surge and cold caches condemn nothing
-and acquit nothing, and old boxes that do worse than changed ones never lead to going back.
+Only a difference counts, and only upwards: a store that collapses for all, a surge and cold caches decide nothing, and
+unchanged hosts that do worse than changed ones never cause a rollback.
 """
 
 from __future__ import annotations
@@ -24,20 +24,17 @@
 import msgspec
 
 from lapispick.rollout import metrics
-from lapispick.rollout.evidence import Series, inflation, log_evidence, radius, variance
-from lapispick.rollout.metrics import Class, Slice
+from lapispick.rollout.difference import MIN_SLICES, MetricDifference
+from lapispick.rollout.evidence import confidence_radius, log_evidence
+from lapispick.rollout.group_metrics import GroupComparison, ResponseTimes, ValuePair
+from lapispick.rollout.metrics import Slice
 
-ASKED_LEAST = 5  # requests of a class that a group has to be asked; fewer make no share
-NOTHING = Class(0, 0, 0, 0, 0.0, {})
-SLICES_LEAST = 8  # of a figure; fewer are no ground to go on
-FLOOR = 4.0  # parts of a margin; figures are not known more closely than that by one slice
-OLD_DRIFT = 4.0  # times the spread of independent slices: load and stores come in waves
-BEFORE_MOST = 200  # slices before the change that are kept
-OVER_USUAL, OVER_MOST = 4.0, 16.0  # times the spread that old boxes show among themselves: beyond the first it counts
+MAX_BASELINE_SLICES = 200
+_MAX_SHOWN_LOG_EVIDENCE = 300.0
 
 
 class Outcome(enum.Enum):
-    """What a stage's figures say."""
+    """What a stage's metrics say."""
 
     WORSE = "worse"
     GOOD = "good"
@@ -45,251 +42,216 @@
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """What counts as worse; ``stages`` share the chance of a false stop."""
+    """What counts as worse. ``stages`` share the chance ``alarm`` of a false stop."""
 
     alarm: float = 0.05
     stages: int = 4
-    worse: float = 0.02  # of a share of requests
-    slower: float = 0.1  # of the answers, beyond the old boxes' median
-    memory: float = 0.05  # of the limit
-    runs: float = 0.05  # executor runs a request
-    sure: float = 0.1  # chance that something worse by twice the margin passes as good, a figure
-    limit_kb: float = 192 * 1024.0
+    worse: float = 0.02  # margin of a fraction of requests
+    slower: float = 0.1  # margin of the answers slower than the unchanged hosts' median
+    memory: float = 0.05  # margin of the memory limit
+    runs: float = 0.05  # margin of executor runs per request
+    false_good: float = 0.1  # chance that something worse by twice the margin passes as good, per metric
+    memory_limit_kb: float = 192 * 1024.0
 
+    def margin(self, metric: str) -> float:
+        """Return the margin of a metric by its name."""
+        by_kind = {"slow": self.slower, "memory": self.memory, "runs": self.runs}
+        return by_kind.get(metric.partition(" ")[0], self.worse)
 
-class Row(NamedTuple):
-    """One figure, for ``explain``."""
 
-    figure: str
+class MetricResult(NamedTuple):
+    """What one metric says."""
+
+    metric: str
     slices: int
-    mean: float  # how much worse the changed boxes were; below 0 they were better
+    mean: float  # how much worse the changed hosts were; below 0 they were better
     low: float
     high: float
     margin: float
     evidence: float  # that it is worse
     needed: float
     cleared: float  # evidence that it is worse by less than twice the margin
-    old_change: float  # how much worse the old boxes became since before
+    unchanged_regression: float  # how much worse the unchanged hosts became
 
 
 class Verdict(NamedTuple):
-    """An outcome and its ground."""
+    """An outcome and its reason."""
 
     outcome: Outcome
-    ground: str
-    rows: tuple[Row, ...] = ()
-
-
-class _Figure:
-    """One figure's differences, before and after the change."""
-
-    def __init__(self, margin: float) -> None:
-        self.margin = margin
-        self.before, self.after = Series(), Series()
-        self.old_before, self.old_after = Series(), Series()
-        self.peers_before, self.peers = Series(), Series()  # old boxes against old boxes: how groups drift
-
-    @property
-    def one(self) -> float:
-        """Return the variance of one difference; equal figures all the time are no proof of none."""
-        return variance(self.before, self.after, floor=(self.margin / FLOOR) ** 2)
-
-    @property
-    def spread(self) -> float:
-        """Return the variance of the sum of the differences, with what the offset and lasting drifts add."""
-        over = 1.0
-        if min(self.peers.n, self.peers_before.n) >= SLICES_LEAST:
-            one = variance(self.peers, self.peers_before, floor=(self.margin / FLOOR) ** 2)
-            drift = self.peers.total - self.peers.n * self.peers_before.mean
-            # Without a drift of its own this is the square of a standard normal variable, over 4 once in twenty.
-            seen = drift**2 / (self.peers.n * one * inflation(self.peers.n, self.peers_before.n))
-            over = min(OVER_MOST, max(1.0, seen / OVER_USUAL))
-        return self.after.n * self.one * inflation(self.after.n, self.before.n) * over
-
-    @property
-    def total(self) -> float:
-        """Return the sum of the differences less what told the groups apart before."""
-        return self.after.total - self.after.n * self.before.mean
-
-    @property
-    def old_change(self) -> float:
-        """Return by how much the old boxes got worse, as far as it is more than chance."""
-        n, before = self.old_after.n, self.old_before.n
-        if min(n, before) < SLICES_LEAST:
-            return 0.0
-        one = variance(self.old_after, self.old_before)
-        reach = 2 * (one * OLD_DRIFT * (1 / n + 1 / before)) ** 0.5
-        return max(0.0, self.old_after.mean - self.old_before.mean - reach)
-
-
-class Judge:
-    """Watches one stage. ``kinds`` tells what each box may be compared with."""
+    reason: str
+    results: tuple[MetricResult, ...] = ()
+
+
+class _WeightedPair(NamedTuple):
+    weight: float
+    values: ValuePair
+
+
+class _ComparisonKey(NamedTuple):
+    kind: object
+    is_between_peers: bool
+    is_baseline: bool
+
+
+class CanaryAnalysis:
+    """Analyses one stage. ``kinds`` says for each host which others it may be compared with."""
 
     def __init__(self, bounds: Bounds, kinds: Mapping[str, object]) -> None:
-        self.bounds, self._kinds = bounds, dict(kinds)
-        self._figures: dict[str, _Figure] = {}
-        self._reference: dict[str, tuple[float, float]] = {}  # class -> the old boxes' median and 99th time before
-        self._times: dict[str, dict[float, int]] = {}
-        self._waiting: dict[tuple[object, str, bool], dict[str, tuple[Class, Class]]] = {}
+        self.bounds = bounds
+        self._kinds = dict(kinds)
+        self._differences: dict[str, MetricDifference] = {}
+        self._references: dict[str, ResponseTimes] = {}
+        self._response_times: dict[str, dict[float, int]] = {}
+        self._comparisons: dict[_ComparisonKey, GroupComparison] = {}
 
     # Slices.
 
-    def before(self, changed: Iterable[str], old: Iterable[str], slices: Mapping[str, Slice]) -> None:
-        """Take a slice of time in which nothing had changed: what tells the two groups apart by themselves."""
-        for each in slices.values():
-            for name, cls in each.classes.items():
-                held = self._times.setdefault(name, {})
-                for bound, count in cls.times.items():
-                    held[bound] = held.get(bound, 0) + count
-        self._refer()
-        self._take(changed, old, slices, before=True)
-
-    def after(self, changed: Iterable[str], old: Iterable[str], slices: Mapping[str, Slice]) -> None:
-        """Take a slice of time with the change; only warm boxes may be in either group."""
-        if not self._reference:
-            for each in (slices[name] for name in old if name in slices):
-                for name, cls in each.classes.items():
-                    self._times.setdefault(name, {}).update(cls.times)
-            self._refer()
-        self._take(changed, old, slices, before=False)
-
-    def _refer(self) -> None:
-        self._reference = {
-            name: (metrics.quantile(times, 0.5), metrics.quantile(times, 0.99)) for name, times in self._times.items()
+    def add_baseline(self, changed: Iterable[str], unchanged: Iterable[str], slices: Mapping[str, Slice]) -> None:
+        """Add a slice from before the change: what tells the two groups apart by themselves."""
+        for part in slices.values():
+            for name, counts in part.classes.items():
+                times = self._response_times.setdefault(name, {})
+                for bound, count in counts.times.items():
+                    times[bound] = times.get(bound, 0) + count
+        self._update_references()
+        self._add(list(changed), list(unchanged), slices, is_baseline=True)
+
+    def add_canary(self, changed: Iterable[str], unchanged: Iterable[str], slices: Mapping[str, Slice]) -> None:
+        """Add a slice with the change; only warm hosts may be in either group."""
+        unchanged = list(unchanged)
+        if not self._references:
+            for part in (slices[name] for name in unchanged if name in slices):
+                for name, counts in part.classes.items():
+                    self._response_times.setdefault(name, {}).update(counts.times)
+            self._update_references()
+        self._add(list(changed), unchanged, slices, is_baseline=False)
+
+    def _update_references(self) -> None:
+        self._references = {
+            name: ResponseTimes(metrics.quantile(times, 0.5), metrics.quantile(times, 0.99))
+            for name, times in self._response_times.items()
         }
 
-    def _take(self, changed: Iterable[str], old: Iterable[str], slices: Mapping[str, Slice], before: bool) -> None:
-        ours, theirs = ([n for n in group if n in slices] for group in (changed, old))
-        shares: dict[str, list[tuple[float, float, float]]] = {}  # figure -> (weight, changed, old) by kind
-        for kind in {self._kinds.get(n) for n in ours} & {self._kinds.get(n) for n in theirs}:
-            groups = [[slices[n] for n in group if self._kinds.get(n) == kind] for group in (ours, theirs)]
-            for figure, (one, two) in self._held((kind, "changed", before), *groups).items():
-                shares.setdefault(figure, []).append((float(len(groups[0])), one, two))
-            if len(groups[1]) >= 2:  # halves of the old boxes, always the same ones: how groups drift
-                ordered = sorted(groups[1], key=lambda each: each.box)
-                for figure, (one, two) in self._held((kind, "old", before), ordered[::2], ordered[1::2]).items():
-                    held = self._figures.setdefault(figure, _Figure(self._margin(figure)))
-                    (held.peers_before if before else held.peers).add(one - two)
-        for figure, parts in shares.items():
-            weight = sum(w for w, _, _ in parts)
-            a, b = (sum(p[0] * p[at] for p in parts) / weight for at in (1, 2))
-            held = self._figures.setdefault(figure, _Figure(self._margin(figure)))
-            if before and held.before.n >= BEFORE_MOST:
-                continue
-            (held.before if before else held.after).add(a - b)
-            (held.old_before if before else held.old_after).add(b)
-
-    def _held(
-        self, pair: tuple[object, str, bool], one: list[Slice], two: list[Slice]
-    ) -> dict[str, tuple[float, float]]:
-        """Return the figures of two groups side by side, of those classes that were asked often enough for shares.
-
-        A class that is asked seldom waits until both groups were asked often enough. Were its thin slices left out
-        instead, only those in which chance sent many would be judged, and most of what was seen would be lost.
-        """
-        wholes = [metrics.merged(group) for group in (one, two)]
-        found = [self._wholes(group) for group in (one, two)]
-        waiting = self._waiting.setdefault(pair, {})
-        for name in {name for whole in wholes if whole for name in whole.classes}:
-            now = [whole.classes.get(name, NOTHING) if whole else NOTHING for whole in wholes]
-            held = [metrics.joined(parts) for parts in zip(waiting.pop(name, (NOTHING, NOTHING)), now, strict=True)]
-            if min(cls.asked for cls in held) < ASKED_LEAST:
-                waiting[name] = (held[0], held[1])
-                continue
-            for shares, cls in zip(found, held, strict=True):
-                shares |= self._shares(name, cls)
-        return {figure: (found[0][figure], found[1][figure]) for figure in found[0].keys() & found[1].keys()}
-
-    def _margin(self, figure: str) -> float:
-        what, bounds = figure.partition(" ")[0], self.bounds
-        return {"slow": bounds.slower, "memory": bounds.memory, "runs": bounds.runs}.get(what, bounds.worse)
-
-    def _shares(self, name: str, cls: Class) -> dict[str, float]:
-        """Return the figures of one class of a group of boxes, all so that more is worse."""
-        found = {
-            f"unserved {name}": (cls.refused + cls.failed) / cls.asked,
-            f"failed {name}": cls.failed / cls.asked,
-            f"late {name}": cls.late / cls.asked,
-        }
-        median, far = self._reference.get(name, (0.0, 0.0))
-        if cls.times and median:
-            found[f"slow {name}"] = metrics.slower(cls.times, median)
-            found[f"tail {name}"] = metrics.slower(cls.times, far)
-        return found
-
-    def _wholes(self, group: Sequence[Slice]) -> dict[str, float]:
-        """Return the figures of a group of boxes that know no class."""
-        whole = metrics.merged(group)
-        if whole is None:
-            return {}
-        found: dict[str, float] = {}
-        served = sum(c.asked - c.refused - c.failed for c in whole.classes.values())
-        if served >= ASKED_LEAST:  # a box that turns less away runs more, and no more a request that it serves
-            found["runs"] = whole.runs / served
-        if whole.memory_kb:
-            found["memory"] = sum(each.memory_kb for each in group) / len(group) / self.bounds.limit_kb
-        return found
+    def _add(
+        self, changed: Sequence[str], unchanged: Sequence[str], slices: Mapping[str, Slice], is_baseline: bool
+    ) -> None:
+        changed = [name for name in changed if name in slices]
+        unchanged = [name for name in unchanged if name in slices]
+        pairs: dict[str, list[_WeightedPair]] = {}
+        for kind in {self._kinds.get(name) for name in changed} & {self._kinds.get(name) for name in unchanged}:
+            changed_slices = [slices[name] for name in changed if self._kinds.get(name) == kind]
+            unchanged_slices = [slices[name] for name in unchanged if self._kinds.get(name) == kind]
+            key = _ComparisonKey(kind, is_between_peers=False, is_baseline=is_baseline)
+            weight = float(len(changed_slices))
+            for metric, values in self._compare(key, changed_slices, unchanged_slices).items():
+                pairs.setdefault(metric, []).append(_WeightedPair(weight, values))
+            self._add_peers(kind, unchanged_slices, is_baseline)
+        for metric, weighted in pairs.items():
+            self._add_difference(metric, weighted, is_baseline)
+
+    def _compare(self, key: _ComparisonKey, first: list[Slice], second: list[Slice]) -> dict[str, ValuePair]:
+        comparison = self._comparisons.setdefault(key, GroupComparison(self.bounds.memory_limit_kb))
+        return comparison.compare(first, second, self._references)
+
+    def _add_peers(self, kind: object, unchanged: list[Slice], is_baseline: bool) -> None:
+        """Compare two halves of the unchanged hosts, always the same ones, to see how groups drift apart."""
+        if len(unchanged) < 2:
+            return
+        ordered = sorted(unchanged, key=lambda part: part.host)
+        key = _ComparisonKey(kind, is_between_peers=True, is_baseline=is_baseline)
+        for metric, values in self._compare(key, ordered[::2], ordered[1::2]).items():
+            difference = self._difference(metric)
+            series = difference.peer_baseline if is_baseline else difference.peers
+            series.add(values.first - values.second)
+
+    def _difference(self, metric: str) -> MetricDifference:
+        if metric not in self._differences:
+            self._differences[metric] = MetricDifference(self.bounds.margin(metric))
+        return self._differences[metric]
+
+    def _add_difference(self, metric: str, pairs: list[_WeightedPair], is_baseline: bool) -> None:
+        weight = sum(pair.weight for pair in pairs)
+        changed = sum(pair.weight * pair.values.first for pair in pairs) / weight
+        unchanged = sum(pair.weight * pair.values.second for pair in pairs) / weight
+        difference = self._difference(metric)
+        if not is_baseline:
+            difference.canary.add(changed - unchanged)
+            difference.unchanged.add(unchanged)
+        elif difference.baseline.count < MAX_BASELINE_SLICES:
+            difference.baseline.add(changed - unchanged)
+            difference.unchanged_baseline.add(unchanged)
 
     # The verdict.
 
-    def rows(self) -> tuple[Row, ...]:
-        """Return all figures with what they say."""
-        needed = self._needed()
-        made = []
-        for name, held in sorted(self._figures.items()):
-            if not held.after.n:
-                continue
-            n, total, spread, one = held.after.n, held.total, held.spread, held.one
-            mean, reach = total / n, radius(n, spread, one, self.bounds.alarm)
-            worse = log_evidence(total - n * held.margin, spread, one)
-            fine = log_evidence(2 * n * held.margin - total, spread, one)
-            made.append(
-                Row(
-                    name,
-                    n,
-                    mean,
-                    mean - reach,
-                    mean + reach,
-                    held.margin,
-                    exp(min(worse, 300.0)),
-                    needed,
-                    exp(min(fine, 300.0)),
-                    held.old_change,
-                )
-            )
-        return tuple(made)
-
-    def _needed(self) -> float:
-        """Return the evidence that one of so many figures needs, over so many stages."""
-        return max(1, len(self._figures)) * self.bounds.stages / self.bounds.alarm
+    def results(self) -> tuple[MetricResult, ...]:
+        """Return what each metric says so far."""
+        return tuple(
+            self._result(metric, difference)
+            for metric, difference in sorted(self._differences.items())
+            if difference.canary.count
+        )
+
+    def _result(self, metric: str, difference: MetricDifference) -> MetricResult:
+        count = difference.canary.count
+        total = difference.total
+        total_variance = difference.total_variance
+        variance = difference.variance
+        mean = total / count
+        radius = confidence_radius(count, total_variance, variance, self.bounds.alarm)
+        worse = log_evidence(total - count * difference.margin, total_variance, variance)
+        cleared = log_evidence(2 * count * difference.margin - total, total_variance, variance)
+        return MetricResult(
+            metric=metric,
+            slices=count,
+            mean=mean,
+            low=mean - radius,
+            high=mean + radius,
+            margin=difference.margin,
+            evidence=exp(min(worse, _MAX_SHOWN_LOG_EVIDENCE)),
+            needed=self._needed_evidence(),
+            cleared=exp(min(cleared, _MAX_SHOWN_LOG_EVIDENCE)),
+            unchanged_regression=difference.unchanged_regression,
+        )
+
+    def _needed_evidence(self) -> float:
+        """Return the evidence that one of so many metrics needs, over so many stages."""
+        return max(1, len(self._differences)) * self.bounds.stages / self.bounds.alarm
 
     def verdict(self) -> Verdict:
-        """Return what the figures say so far; it may be asked at any time."""
-        rows = self.rows()
-        for row in sorted(rows, key=lambda r: -r.evidence):
-            if row.evidence >= row.needed and row.slices >= SLICES_LEAST:
-                return Verdict(
-                    Outcome.WORSE,
-                    f"{row.figure}: worse by {row.mean:.1%} over {row.slices} slices, "
-                    f"evidence {row.evidence:.3g} of {row.needed:.3g}",
-                    rows,
-                )
-        if not rows:
-            return Verdict(Outcome.UNSURE, "there is nothing to compare with", rows)
-        for row in rows:
-            if row.old_change > row.margin:
-                return Verdict(
-                    Outcome.UNSURE,
-                    f"{row.figure}: the boxes that stay as they are got worse by {row.old_change:.1%} meanwhile",
-                    rows,
-                )
-        open_ = [row for row in rows if row.slices < SLICES_LEAST or row.cleared < 1 / self.bounds.sure]
-        if open_:
-            row = open_[0]
-            return Verdict(
-                Outcome.UNSURE,
-                f"{row.figure}: {row.slices} slices, between {row.low:+.1%} and "
-                f"{row.high:+.1%}; {len(open_)} of {len(rows)} figures can't be told",
-                rows,
+        """Return what the metrics say so far; it may be asked at any time."""
+        results = self.results()
+        worse = _worse_reason(results)
+        if worse:
+            return Verdict(Outcome.WORSE, worse, results)
+        unsure = self._unsure_reason(results)
+        if unsure:
+            return Verdict(Outcome.UNSURE, unsure, results)
+        reason = f"none of {len(results)} figures is worse by more than twice its margin"
+        return Verdict(Outcome.GOOD, reason, results)
+
+    def _unsure_reason(self, results: Sequence[MetricResult]) -> str:
+        if not results:
+            return "there is nothing to compare with"
+        for result in results:
+            if result.unchanged_regression > result.margin:
+                by = f"{result.unchanged_regression:.1%}"
+                return f"{result.metric}: the boxes that stay as they are got worse by {by} meanwhile"
+        needed = 1 / self.bounds.false_good
+        open_results = [each for each in results if each.slices < MIN_SLICES or each.cleared < needed]
+        if not open_results:
+            return ""
+        first = open_results[0]
+        return (
+            f"{first.metric}: {first.slices} slices, between {first.low:+.1%} and {first.high:+.1%}; "
+            f"{len(open_results)} of {len(results)} figures can't be told"
+        )
+
+
+def _worse_reason(results: Sequence[MetricResult]) -> str:
+    for result in sorted(results, key=lambda each: -each.evidence):
+        if result.evidence >= result.needed and result.slices >= MIN_SLICES:
+            return (
+                f"{result.metric}: worse by {result.mean:.1%} over {result.slices} slices, "
+                f"evidence {result.evidence:.3g} of {result.needed:.3g}"
             )
-        return Verdict(Outcome.GOOD, f"none of {len(rows)} figures is worse by more than twice its margin", rows)
+    return ""
--- a/lapispick/rollout/compat.py
+++ b/lapispick/rollout/compat.py
@@ -1,8 +1,8 @@
-"""Whether two generations may stand side by side, kind by kind. No I/O.
+"""Whether two generations may run side by side, format by format. No I/O.
 
-A step from one generation to another is allowed where each reads what the other writes, for every kind that both have;
-a kind that only one of them has is a part that the other one leaves alone, and no hindrance. Settings are another
-matter: a generation's settings are read by its own program only, so it needs to read no more than those.
+A step from one generation to another is allowed where each reads what the other writes, for every format that both
+have. A format that only one of them has is ignored by the other one, and no obstacle. Settings are an exception: only
+a generation's own program reads its settings.
 """
 
 from __future__ import annotations
@@ -10,53 +10,57 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-OWN = ("settings",)  # kinds that nobody else reads
+PRIVATE_FORMATS = ("settings",)  # that no other generation reads
 
 
-class Spoken(NamedTuple):
-    """One kind: what is written, and the oldest and newest that are read."""
+class FormatSupport(NamedTuple):
+    """The version of a format that a program writes, and the oldest and newest that it reads; stored as an array."""
 
     writes: int
     oldest: int
     newest: int
 
     def reads(self, version: int) -> bool:
-        """Tell whether this one reads what is written so."""
+        """Tell whether the program reads this version."""
         return self.oldest <= version <= self.newest
 
 
-def parsed(told: Mapping[str, object]) -> dict[str, Spoken]:
-    """Read what a program says that it speaks; raises ``ValueError``."""
-    found = {}
-    for kind, value in told.items():
-        if not isinstance(value, list | tuple) or len(value) != 3 or not all(type(v) is int and v >= 0 for v in value):
-            raise ValueError(f"{kind}: {value!r} is not [writes, oldest read, newest read]")
-        made = Spoken(*value)
-        if not made.oldest <= made.writes <= made.newest:
-            raise ValueError(f"{kind}: writes {made.writes}, which it does not read ({made.oldest} to {made.newest})")
-        found[kind] = made
-    return found
+def parse_formats(reported: Mapping[str, object]) -> dict[str, FormatSupport]:
+    """Read the formats that a program reports; raises ``ValueError``."""
+    return {name: _parse_support(name, value) for name, value in reported.items()}
+
+
+def _parse_support(name: str, value: object) -> FormatSupport:
+    if not isinstance(value, list | tuple) or len(value) != 3 or not all(type(v) is int and v >= 0 for v in value):
+        raise ValueError(f"{name}: {value!r} is not [writes, oldest read, newest read]")
+    support = FormatSupport(*value)
+    if not support.reads(support.writes):
+        versions = f"{support.oldest} to {support.newest}"
+        raise ValueError(f"{name}: writes {support.writes}, which it does not read ({versions})")
+    return support
 
 
-def objections(old: Mapping[str, Spoken], new: Mapping[str, Spoken]) -> list[str]:
-    """Return why these two must not stand side by side; nothing where they may, in either direction."""
+def objections(old: Mapping[str, FormatSupport], new: Mapping[str, FormatSupport]) -> list[str]:
+    """Return why two generations must not run side by side, in either direction; empty where they may."""
     found = []
-    for kind in sorted(old.keys() & new.keys() - set(OWN)):
-        was, now = old[kind], new[kind]
-        if not now.reads(was.writes):
+    for name in sorted(old.keys() & new.keys() - set(PRIVATE_FORMATS)):
+        old_support = old[name]
+        new_support = new[name]
+        if not new_support.reads(old_support.writes):
             found.append(
-                f"{kind}: the new one reads {now.oldest} to {now.newest}, the old one writes {was.writes}; "
-                f"take a step between that reads both"
+                f"{name}: the new one reads {new_support.oldest} to {new_support.newest}, the old one writes "
+                f"{old_support.writes}; take a step between that reads both"
             )
-        if not was.reads(now.writes):
+        if not old_support.reads(new_support.writes):
             found.append(
-                f"{kind}: the new one writes {now.writes}, the old one reads {was.oldest} to {was.newest}; "
-                f"first roll out one that reads {now.writes} and still writes {was.writes}"
+                f"{name}: the new one writes {new_support.writes}, the old one reads {old_support.oldest} to "
+                f"{old_support.newest}; first roll out one that reads {new_support.writes} and still writes "
+                f"{old_support.writes}"
             )
     return found
 
 
-def agreed(ours: Spoken, theirs: Spoken) -> int | None:
-    """Return the newest version that both read and may write to each other, None where there is none."""
+def common_version(ours: FormatSupport, theirs: FormatSupport) -> int | None:
+    """Return the newest version that both read and may write to each other; None where there is none."""
     newest = min(ours.newest, theirs.newest)
     return newest if newest >= max(ours.oldest, theirs.oldest) else None
--- a/lapispick/rollout/evidence.py
+++ b/lapispick/rollout/evidence.py
@@ -1,4 +1,4 @@
-"""Evidence that a mean difference is above zero, which may be looked at any time. No I/O and no clock.
+"""A sequential test of whether a mean difference is above zero, valid at any time. No I/O and no clock.
 
 For independent normal differences with mean m <= 0 and spread s, exp(l*S - l*l*n*s*s/2) of their sum S is a test
 martingale for every l > 0. Mixed over l by a half normal distribution it has a closed form in S and V = n*s*s, and by
@@ -19,38 +19,40 @@
 
 import msgspec
 
-WIDTHS = (0.3, 1.0, 3.0, 10.0, 30.0)  # slices; a mixture of width w is sharpest at about w slices' V
-LOG_MOST = 600.0  # of evidence; more would not fit a float
+MIXTURE_WIDTHS = (0.3, 1.0, 3.0, 10.0, 30.0)  # slices; width w is sharpest at a variance of about w slices
+MAX_LOG_EVIDENCE = 600.0  # the exponential of more does not fit a float
 
 
 class Series(msgspec.Struct):
-    """A run of differences, summed up."""
+    """The moments of a series of differences."""
 
-    n: int = 0
+    count: int = 0
     total: float = 0.0
-    squares: float = 0.0
+    total_squares: float = 0.0
 
     def add(self, value: float) -> None:
-        """Take one more difference."""
-        self.n += 1
+        """Add a difference."""
+        self.count += 1
         self.total += value
-        self.squares += value * value
+        self.total_squares += value * value
 
     @property
     def mean(self) -> float:
         """Return their mean; 0 for none."""
-        return self.total / self.n if self.n else 0.0
+        return self.total / self.count if self.count else 0.0
 
     @property
-    def scatter(self) -> float:
+    def squared_deviations(self) -> float:
         """Return the sum of squares about the mean."""
-        return max(0.0, self.squares - self.total * self.total / self.n) if self.n else 0.0
+        return max(0.0, self.total_squares - self.total * self.total / self.count) if self.count else 0.0
 
 
-def variance(*runs: Series, floor: float = 0.0) -> float:
-    """Return the variance of one difference, from several runs that may have different means."""
-    free = sum(run.n - 1 for run in runs if run.n)
-    return max(floor, sum(run.scatter for run in runs) / free if free > 0 else float("inf"))
+def pooled_variance(*series: Series, floor: float = 0.0) -> float:
+    """Return the variance of one difference, from several series that may have different means."""
+    degrees_of_freedom = sum(each.count - 1 for each in series if each.count)
+    if degrees_of_freedom <= 0:
+        return float("inf")
+    return max(floor, sum(each.squared_deviations for each in series) / degrees_of_freedom)
 
 
 def _log_twice_phi(z: float) -> float:
@@ -58,30 +60,36 @@
     return log(erfc(-z / sqrt(2))) if z > -8 else -z * z / 2 - log(-z) + 0.5 * log(2 / pi)
 
 
-def log_evidence(total: float, spread: float, one: float) -> float:
+def log_evidence(total: float, total_variance: float, variance: float) -> float:
     """Return the logarithm of the evidence that a mean is above zero; 0 is none, below 0 is some against it.
 
-    ``total`` is the sum of the differences, ``spread`` its variance, ``one`` the variance of one difference.
+    ``total`` is the sum of the differences, ``total_variance`` its variance, ``variance`` that of one difference.
     """
-    if not 0 < spread < float("inf"):
+    if not 0 < total_variance < float("inf"):
         return 0.0
-    found = []
-    for width in WIDTHS:
-        rho = width * one
-        z = total / sqrt(spread + rho)
-        found.append(0.5 * log(rho / (spread + rho)) + z * z / 2 + _log_twice_phi(z))
-    best = max(found)
-    return min(LOG_MOST, best + log(sum(exp(each - best) for each in found) / len(found)))
-
-
-def radius(n: int, spread: float, one: float, alpha: float) -> float:
-    """Return how far a mean of ``n`` may be from the true one, at any time, but for a chance of ``alpha``."""
-    if not n or not 0 < spread < float("inf"):
+    logarithms = []
+    for width in MIXTURE_WIDTHS:
+        mixture = width * variance
+        z = total / sqrt(total_variance + mixture)
+        log_ratio = 0.5 * log(mixture / (total_variance + mixture))
+        logarithms.append(log_ratio + z * z / 2 + _log_twice_phi(z))
+    largest = max(logarithms)
+    mean = sum(exp(each - largest) for each in logarithms) / len(logarithms)
+    return min(MAX_LOG_EVIDENCE, largest + log(mean))
+
+
+def confidence_radius(count: int, total_variance: float, variance: float, alpha: float) -> float:
+    """Return how far a mean of ``count`` may be from the true one, at any time, but for a chance of ``alpha``."""
+    if not count or not 0 < total_variance < float("inf"):
         return float("inf")
-    rhos = [width * one for width in WIDTHS]
-    return min(sqrt((spread + rho) * (2 * log(1 / alpha) + log((spread + rho) / rho))) for rho in rhos) / n
+    radii = []
+    for width in MIXTURE_WIDTHS:
+        mixture = width * variance
+        widened = total_variance + mixture
+        radii.append(sqrt(widened * (2 * log(1 / alpha) + log(widened / mixture))))
+    return min(radii) / count
 
 
-def inflation(n: int, before: int) -> float:
-    """Return by how much the spread grows because the offset is known from ``before`` slices only."""
-    return 1.0 + n / before if before else float("inf")
+def offset_inflation(count: int, baseline_count: int) -> float:
+    """Return by how much the variance grows because the offset is known from ``baseline_count`` slices only."""
+    return 1.0 + count / baseline_count if baseline_count else float("inf")
