--- a/lapispick/rollout/generations.py
+++ b/lapispick/rollout/generations.py
@@ -1,7 +1,7 @@
-"""What a box runs: a program folder and settings, named by a digest over both. No I/O.
+"""What a host runs: a program folder and settings, identified by a digest over both. No I/O.
 
-The settings are the operators' file and perhaps changes of the platform's configuration, such as another ``stop_ms``.
-Two generations differ in place where SIGHUP takes all that differs; anything else needs another process.
+The settings are the operators' file and, where wanted, changes of the platform's configuration such as another
+``stop_ms``. Two generations differ in place where SIGHUP applies all that differs; anything else needs a new process.
 """
 
 from __future__ import annotations
@@ -12,52 +12,50 @@
 import msgspec
 
 from lapispick.digests import blake2b
-from lapispick.rollout.compat import Spoken
+from lapispick.rollout.compat import FormatSupport
 
-DIGEST = 16  # hex digits; as many as name a generation among the few that a box keeps, and among all ever made
-IN_PLACE = ("executor", "store", "roster", "stop_ms")  # what a reload takes, as host/__main__.py has it
-BOXES_OWN = ("name", "listen", "ops", "executor", "seed", "limits", "settings")  # a generation must not set these
+DIGEST_BYTES = 8
+RELOADABLE_KEYS = ("executor", "store", "roster", "stop_ms")  # as host/__main__.py reloads them
+HOST_KEYS = ("name", "listen", "ops", "executor", "seed", "limits", "settings")  # a generation must not set these
 
 
 class Generation(msgspec.Struct, frozen=True):
-    """One generation, as a box's shelf has it."""
+    """One generation, as a host stores it under the names given to ``field``."""
 
     digest: str
     program: str  # digest of the program folder alone
-    conf: str  # digest of the operators' settings file
-    config: dict[str, Any] = {}  # changes of the platform's configuration; msgspec copies it
-    speaks: dict[str, Spoken] = {}
+    settings: str = msgspec.field(name="conf")  # digest of the operators' settings file
+    config: dict[str, Any] = {}  # changes of the platform's configuration
+    formats: dict[str, FormatSupport] = msgspec.field(name="speaks", default_factory=dict)
     label: str = ""
-    added: float = 0.0  # Unix s
+    added_at: float = msgspec.field(name="added", default=0.0)  # Unix s
 
 
-def digest(files: Iterable[tuple[str, bytes]]) -> str:
-    """Return the digest of a folder: names and contents, whatever their order; lengths keep their bounds apart."""
-    made = blake2b(digest_size=DIGEST // 2)
+def files_digest(files: Iterable[tuple[str, bytes]]) -> str:
+    """Return the digest of named contents in any order; each part is preceded by its length."""
+    digest = blake2b(digest_size=DIGEST_BYTES)
     for name, data in sorted(files):
         for part in (name.encode(), data):
-            made.update(len(part).to_bytes(8))
-            made.update(part)
-    return made.hexdigest()
+            digest.update(len(part).to_bytes(8))
+            digest.update(part)
+    return digest.hexdigest()
 
 
-def named(program: str, conf: str, config: Mapping[str, Any]) -> str:
-    """Return the digest of a generation."""
-    return digest(
-        [
-            ("program", program.encode()),
-            ("conf", conf.encode()),
-            ("config", msgspec.json.encode(dict(config), order="deterministic")),
-        ]
-    )
+def generation_digest(program: str, settings: str, config: Mapping[str, Any]) -> str:
+    """Return the digest of a generation from the digests of its program and settings, and its configuration."""
+    config_bytes = msgspec.json.encode(dict(config), order="deterministic")
+    return files_digest([("program", program.encode()), ("conf", settings.encode()), ("config", config_bytes)])
 
 
-def faults(config: Mapping[str, Any]) -> list[str]:
+def config_faults(config: Mapping[str, Any]) -> list[str]:
     """Return what a generation must not change of the platform's configuration."""
-    return [f"{key}: is the box's own, no generation sets it" for key in sorted(config) if key in BOXES_OWN]
+    return [f"{key}: is the box's own, no generation sets it" for key in sorted(config) if key in HOST_KEYS]
 
 
-def in_place(old: Generation, new: Generation) -> bool:
-    """Tell whether SIGHUP takes all that differs."""
-    changed = {key for key in old.config.keys() | new.config.keys() if old.config.get(key) != new.config.get(key)}
-    return (old.program, old.conf) == (new.program, new.conf) and bool(changed) and changed <= set(IN_PLACE)
+def can_reload(old: Generation, new: Generation) -> bool:
+    """Tell whether SIGHUP applies all that differs."""
+    if (old.program, old.settings) != (new.program, new.settings):
+        return False
+    keys = old.config.keys() | new.config.keys()
+    changed = {key for key in keys if old.config.get(key) != new.config.get(key)}
+    return bool(changed) and changed <= set(RELOADABLE_KEYS)
--- /dev/null
+++ b/lapispick/rollout/host_transition.py
@@ -0,0 +1,111 @@
+"""Moves a host from the generation that serves to the one that is wanted, forward or back. No I/O and no clock."""
+
+from __future__ import annotations
+
+from lapispick.rollout.generations import can_reload
+from lapispick.rollout.host_actions import Kill, Reload, Start, Terminate
+from lapispick.rollout.host_context import HostContext
+from lapispick.rollout.host_state import NOT_CONFIRMED_IN_TIME, HostPhase, HostProcess, Role
+
+
+def move_to_wanted(context: HostContext) -> None:
+    """Do the next thing on the way to the wanted generation."""
+    state = context.state
+    serving = state.process(Role.SERVING)
+    starting = state.process(Role.STARTING)
+    if starting is None and serving is not None and _is_as_wanted(context, serving):
+        return _arrive(context)
+    if state.wanted not in context.observation.generations:
+        return _wanted_is_missing(context)
+    if starting is not None and starting.generation != state.wanted:  # of a change that was rolled back meanwhile
+        state.processes.remove(starting)
+        context.actions.append(Kill(starting.number))
+        starting = None
+    if starting is not None:
+        return _follow_start(context, serving, starting)
+    if serving is not None:  # where nothing serves, the step starts a process anyway
+        return _replace(context, serving)
+    return None
+
+
+def _is_as_wanted(context: HostContext, process: HostProcess) -> bool:
+    state = context.state
+    if process.generation != state.wanted:
+        return False
+    return not state.is_restart or process.change == state.change
+
+
+def _arrive(context: HostContext) -> None:
+    state = context.state
+    if state.phase == HostPhase.CHANGING:
+        state.phase = HostPhase.UNCONFIRMED
+        state.confirm_deadline = context.now + state.confirm_timeout_s
+    else:
+        state.phase = HostPhase.STEADY
+        state.good = state.wanted
+        state.previous = ""
+    state.is_restart = False
+
+
+def _wanted_is_missing(context: HostContext) -> None:
+    state = context.state
+    state.fault = f"{state.wanted} is gone from the shelf"
+    if state.phase == HostPhase.ROLLING_BACK:
+        state.phase = HostPhase.STUCK
+        return
+    state.phase = HostPhase.STEADY
+    state.rolled_back_rollout = state.rollout
+    state.wanted = state.good
+
+
+def _replace(context: HostContext, serving: HostProcess) -> None:
+    """Reload the serving process where that is enough, or start a successor."""
+    if _can_reload_to_wanted(context, serving):
+        serving.generation = context.state.wanted
+        serving.change = context.state.change
+        context.actions.append(Reload(serving))
+        _arrive(context)
+    elif not _waits_for_turn(context) and context.can_start():
+        context.start_process(Role.STARTING, context.state.wanted)
+
+
+def _can_reload_to_wanted(context: HostContext, serving: HostProcess) -> bool:
+    state = context.state
+    generations = context.observation.generations
+    current = generations.get(serving.generation)
+    if state.is_restart or current is None or not serving.has_accepted:
+        return False
+    return can_reload(current, generations[state.wanted])
+
+
+def _waits_for_turn(context: HostContext) -> bool:
+    """Tell whether to wait for a turn before an unconfirmed change is rolled back.
+
+    Where a controller is cut off from many hosts, all their timeouts end at one instant. Nothing is known to be wrong
+    with what serves, so the rollback may wait, but not forever: a turn needs a majority of the members.
+    """
+    state = context.state
+    if state.phase != HostPhase.ROLLING_BACK or state.fault != NOT_CONFIRMED_IN_TIME:
+        return False
+    if context.observation.has_turn:
+        return False
+    return context.now < state.confirm_deadline + context.timeouts.rollback_turn_s
+
+
+def _follow_start(context: HostContext, serving: HostProcess | None, starting: HostProcess) -> None:
+    """Hand over to a started process once it accepts clients; give up on it once it takes too long."""
+    if context.accepts(starting):
+        if serving is not None:
+            serving.role = Role.DRAINING
+            serving.role_since = context.now
+            context.actions.append(Terminate(serving.number))
+        starting.role = Role.SERVING
+        starting.role_since = context.now
+        _arrive(context)
+    elif context.now - starting.role_since >= context.timeouts.start_s:
+        context.state.processes.remove(starting)
+        context.actions.append(Kill(starting.number))
+        reason = f"{starting.generation} took no clients within {context.timeouts.start_s:g} s"
+        context.start_failed(reason)
+    elif not starting.was_alive:
+        context.actions.append(Start(starting))  # the agent may have died before it did so
--- a/lapispick/rollout/messages.py
+++ b/lapispick/rollout/messages.py
@@ -1,159 +1,185 @@
-"""The calls between controllers and agents: the operators' form, one line in, lines out. No I/O.
+"""Calls between controllers and agents: one line of text in, lines of text out. No I/O.
 
-The answer's first line begins with ``OK`` or ``ERR``. Each call that changes something carries a fence, ``EPOCH.WHO``:
-agents take none with a lower epoch than they have heard of, nor with the same epoch of somebody else.
+The first line of an answer begins with ``OK`` or ``ERR``. Each call that changes something carries a fencing token,
+``EPOCH.CONTROLLER``: an agent rejects a call with a lower epoch than it has seen, and one with the same epoch from
+another controller.
 """
 
 from __future__ import annotations
 
 import re
+from enum import StrEnum
 from typing import NamedTuple
 
 import msgspec
 
 VERSION = 1
-NAME = re.compile(r"[A-Za-z0-9._-]{1,32}")
-LINE_MOST = 128  # bytes of a call, as the operators' address has it
+NAME_PATTERN = re.compile(r"[A-Za-z0-9._-]{1,32}")
+MAX_CONFIRM_TIMEOUT_S = 864_000
+MAX_EPOCH_DIGITS = 12
 
 
 class Fence(NamedTuple):
-    """Who steers: the higher epoch counts."""
+    """A fencing token; the controller with the higher epoch is in charge."""
 
     epoch: int = 0
-    who: str = ""
+    controller: str = ""
 
     def __str__(self) -> str:
-        """Return ``EPOCH.WHO``."""
-        return f"{self.epoch}.{self.who}"
+        """Return ``EPOCH.CONTROLLER``."""
+        return f"{self.epoch}.{self.controller}"
 
 
-def fence(text: str) -> Fence:
-    """Read ``EPOCH.WHO``; raises ``ValueError``."""
-    epoch, dot, who = text.partition(".")
+def parse_fence(text: str) -> Fence:
+    """Read ``EPOCH.CONTROLLER``; raises ``ValueError``."""
+    epoch, dot, controller = text.partition(".")
     if text == str(Fence()):
         return Fence()
-    if not dot or not epoch.isdecimal() or len(epoch) > 12 or not NAME.fullmatch(who):
+    if not dot or not epoch.isdecimal() or len(epoch) > MAX_EPOCH_DIGITS or not NAME_PATTERN.fullmatch(controller):
         raise ValueError(f"{text!r} is no fence such as 12.alpha")
-    return Fence(int(epoch), who)
+    return Fence(int(epoch), controller)
 
 
-def admits(held: Fence, asked: Fence) -> bool:
-    """Tell whether a call with this fence may be carried out by an agent that has heard of that one."""
-    return asked.epoch > held.epoch or asked == held
+def is_accepted(current: Fence, requested: Fence) -> bool:
+    """Tell whether an agent whose newest fence is ``current`` may carry out a call with ``requested``."""
+    return requested.epoch > current.epoch or requested == current
+
+
+class CallName(StrEnum):
+    """The first word of a call."""
+
+    CHANGE = "change"
+    RESTART = "restart"
+    CONFIRM = "confirm"
+    ROLL_BACK = "back"
+    TAKE_CONTROL = "steer"
 
 
 class Change(NamedTuple):
-    """Go over to a generation; undone unless it is confirmed within a span after it serves."""
+    """Switch to a generation; rolled back unless confirmed within ``confirm_timeout_s`` of accepting clients."""
 
     fence: Fence
     rollout: str
     generation: str
-    confirm_s: float
-    again: bool = False  # the same generation is started anew, as a matched control is
+    confirm_timeout_s: float
+    restart: bool = False  # start the same generation anew, as for a matched control host
 
 
 class Confirm(NamedTuple):
-    """What a rollout made of this box is good, and is what to go back to from now on."""
+    """Keep what a rollout changed on this host, and make it the generation to roll back to."""
 
     fence: Fence
     rollout: str
 
 
-class Back(NamedTuple):
-    """Go back to what was good before this rollout."""
+class RollBack(NamedTuple):
+    """Go back to the generation that was good before this rollout."""
 
     fence: Fence
     rollout: str
 
 
-class Steer(NamedTuple):
-    """From now on this fence counts; the answer is the state."""
+class TakeControl(NamedTuple):
+    """Make this fence the newest one; the answer is the status."""
 
     fence: Fence
 
 
-Call = Change | Confirm | Back | Steer
+Call = Change | Confirm | RollBack | TakeControl
 
+_WORDS_AFTER_NAME = {
+    CallName.TAKE_CONTROL: 1,
+    CallName.CONFIRM: 2,
+    CallName.ROLL_BACK: 2,
+    CallName.CHANGE: 4,
+    CallName.RESTART: 4,
+}
 
-def write(call: Call) -> str:
+
+def encode_call(call: Call) -> str:
     """Write a call as a line, without its end."""
     if isinstance(call, Change):
-        return (
-            f"{'restart' if call.again else 'change'} {call.fence} {call.rollout} {call.generation} {call.confirm_s:g}"
-        )
+        name = CallName.RESTART if call.restart else CallName.CHANGE
+        return f"{name} {call.fence} {call.rollout} {call.generation} {call.confirm_timeout_s:g}"
     if isinstance(call, Confirm):
-        return f"confirm {call.fence} {call.rollout}"
-    if isinstance(call, Back):
-        return f"back {call.fence} {call.rollout}"
-    return f"steer {call.fence}"
+        return f"{CallName.CONFIRM} {call.fence} {call.rollout}"
+    if isinstance(call, RollBack):
+        return f"{CallName.ROLL_BACK} {call.fence} {call.rollout}"
+    return f"{CallName.TAKE_CONTROL} {call.fence}"
 
 
-def _name(text: str, what: str) -> str:
-    if not NAME.fullmatch(text):
+def decode_call(line: str) -> Call:
+    """Read a call; raises ``ValueError`` that says what is wrong."""
+    word, *arguments = line.split()
+    if word not in _WORDS_AFTER_NAME:
+        raise ValueError(f"unknown call {word!r}")
+    name = CallName(word)
+    if len(arguments) != _WORDS_AFTER_NAME[name]:
+        raise ValueError(f"{word} takes {_WORDS_AFTER_NAME[name]} words, not {len(arguments)}")
+    fence = parse_fence(arguments[0])
+    if name is CallName.TAKE_CONTROL:
+        return TakeControl(fence)
+    rollout = _checked_name(arguments[1], "rollout")
+    if name is CallName.CONFIRM:
+        return Confirm(fence, rollout)
+    if name is CallName.ROLL_BACK:
+        return RollBack(fence, rollout)
+    timeout_s = _confirm_timeout_s(arguments[3])
+    generation = _checked_name(arguments[2], "generation")
+    return Change(fence, rollout, generation, timeout_s, name is CallName.RESTART)
+
+
+def _checked_name(text: str, what: str) -> str:
+    if not NAME_PATTERN.fullmatch(text):
         raise ValueError(f"{text!r} names no {what}")
     return text
 
 
-def read(line: str) -> Call:
-    """Read a call; raises ``ValueError`` with what is wrong."""
-    word, *rest = line.split()
-    counts = {"steer": 1, "confirm": 2, "back": 2, "change": 4, "restart": 4}
-    if word not in counts:
-        raise ValueError(f"unknown call {word!r}")
-    if len(rest) != counts[word]:
-        raise ValueError(f"{word} takes {counts[word]} words, not {len(rest)}")
-    by = fence(rest[0])
-    if word == "steer":
-        return Steer(by)
-    rollout = _name(rest[1], "rollout")
-    if word == "confirm":
-        return Confirm(by, rollout)
-    if word == "back":
-        return Back(by, rollout)
+def _confirm_timeout_s(text: str) -> float:
     try:
-        span = float(rest[3])
+        timeout_s = float(text)
     except ValueError:
-        span = -1.0
-    if not 0 < span <= 864_000:
-        raise ValueError(f"{rest[3]!r} is no span of seconds")
-    return Change(by, rollout, _name(rest[2], "generation"), span, word == "restart")
+        timeout_s = -1.0
+    if not 0 < timeout_s <= MAX_CONFIRM_TIMEOUT_S:
+        raise ValueError(f"{text!r} is no span of seconds")
+    return timeout_s
 
 
 class Status(msgspec.Struct, frozen=True):
-    """What an agent says of its box; a line of JSON after ``OK``. A reader leaves alone what it does not know."""
+    """The status of one host as its agent reports it: a line of JSON after ``OK``. Unknown fields are ignored."""
 
-    box: str
+    host: str = msgspec.field(name="box")
     phase: str
-    serving: str  # the generation that takes clients; empty = none does
+    serving: str  # the generation that accepts clients; empty = none does
     good: str
     wanted: str
     rollout: str
     fence: str
     fault: str = ""
-    undone: str = ""  # the rollout that was last undone here, by whatever ground
-    left_s: float = 0.0  # until an unconfirmed change is undone
-    since_s: float = 0.0  # since the serving process takes clients
-    lives: int = 0  # processes that were started by this agent, over all its own lives
-    crashes: int = 0  # of them that ended without being told
-    shelf: tuple[str, ...] = ()
-    speaks: dict[str, tuple[int, int, int]] = {}
-    memory_mb: float = 0.0  # the host's limit
+    rolled_back_rollout: str = msgspec.field(name="undone", default="")  # whatever the reason was
+    confirm_left_s: float = msgspec.field(name="left_s", default=0.0)  # until an unconfirmed change is rolled back
+    serving_s: float = msgspec.field(name="since_s", default=0.0)  # since the serving process accepts clients
+    started_processes: int = msgspec.field(name="lives", default=0)  # over all restarts of the agent
+    crashes: int = 0  # processes that ended without being told to
+    generations: tuple[str, ...] = msgspec.field(name="shelf", default=())
+    formats: dict[str, tuple[int, int, int]] = msgspec.field(name="speaks", default_factory=dict)
+    memory_limit_mb: float = msgspec.field(name="memory_mb", default=0.0)
     version: int = VERSION
 
 
-_status = msgspec.json.Decoder(Status).decode
+_decode_status = msgspec.json.Decoder(Status).decode
 
 
-def told(status: Status) -> list[str]:
-    """Write a state as an answer."""
+def encode_status(status: Status) -> list[str]:
+    """Write a status as the lines of an answer."""
     return ["OK", msgspec.json.encode(status).decode()]
 
 
-def heard(lines: list[str]) -> Status:
-    """Read an answer with a state; raises ``ValueError``."""
+def decode_status(lines: list[str]) -> Status:
+    """Read the lines of an answer with a status; raises ``ValueError``."""
     if not lines or lines[0] != "OK" or len(lines) < 2:
         raise ValueError(lines[0] if lines else "an empty answer")
     try:
-        return _status(lines[1])
+        return _decode_status(lines[1])
     except msgspec.MsgspecError as err:
         raise ValueError(f"that is no state: {err}") from None
--- a/lapispick/rollout/metrics.py
+++ b/lapispick/rollout/metrics.py
@@ -1,7 +1,7 @@
-"""From the figures that boxes tell to slices that can be compared. No I/O and no clock.
+"""Turns the metrics that hosts report into slices of time that can be compared. No I/O and no clock.
 
-A slice is what one box did in a short span: counts by class, times to answer, memory. Counts start at 0 with each
-process, so a slice in which another process came to serve is left out; the judge has that from the agent's state.
+A slice is what one host did in a short span: requests by class, response times, memory. Counters start at 0 with each
+process, so a slice in which another process came to serve is left out.
 """
 
 from __future__ import annotations
@@ -11,12 +11,13 @@
 
 import msgspec
 
-KINDS = ("success", "busy", "failure")
-MORE = "more"  # the bucket of times beyond the largest bound
+RESULTS = ("success", "busy", "failure")  # what the counters of a class are named after
+OVERFLOW_BUCKET = "more"  # of response times beyond the largest bound
+_ROUNDING = 1e-9
 
 
-class Told(msgspec.Struct, frozen=True):
-    """All figures of one process at one time."""
+class Sample(msgspec.Struct, frozen=True):
+    """All metrics of one process at one time."""
 
     at: float
     generation: str
@@ -24,119 +25,127 @@
     memory_kb: int = 0
 
     @property
-    def broken(self) -> int:
+    def broken_rules(self) -> int:
         """Return how often this process broke a rule."""
         return self.counts.get("broken", 0)
 
 
-def read(lines: Iterable[str], at: float) -> Told:
+def decode_sample(lines: Iterable[str], at: float) -> Sample:
     """Read an answer to ``vars``; raises ``ValueError``."""
-    counts, generation, memory, ended = dict[str, int](), "", 0, False
+    counts: dict[str, int] = {}
+    generation = ""
+    memory_kb = 0
     for line in lines:
         if line == "END":
-            ended = True
-            break
+            return Sample(at, generation, counts, memory_kb)
         name, _, value = line.partition(":")
-        number, _, kind = value.partition("|")
-        if not number.isdecimal() or kind not in ("c", "g"):
+        number, _, metric_type = value.partition("|")
+        if not number.isdecimal() or metric_type not in ("c", "g"):
             raise ValueError(f"{line[:60]!r} is no figure")
         name = name.removeprefix("app.")
         if name.startswith("generation."):
             generation = name.partition(".")[2]
         elif name == "memory_kb":
-            memory = int(number)
-        elif kind == "c":
+            memory_kb = int(number)
+        elif metric_type == "c":
             counts[name] = int(number)
-    if not ended:
-        raise ValueError("the figures have no END")
-    return Told(at, generation, counts, memory)
+    raise ValueError("the figures have no END")
 
 
-class Class(NamedTuple):
+class ClassCounts(NamedTuple):
     """What became of one class's requests in a slice."""
 
-    asked: int
-    refused: int
+    requests: int
+    rejected: int
     failed: int
     late: int
-    worth: float
-    times: dict[float, int]  # ms, the bucket's bound -> answers
+    weight: float  # priority weight of the answers
+    times: dict[float, int]  # upper bound of a bucket in ms -> answers
 
 
 class Slice(NamedTuple):
-    """What one box did in one span."""
+    """What one host did in one span."""
 
-    box: str
-    span: float
-    classes: dict[str, Class]
+    host: str
+    duration_s: float
+    classes: dict[str, ClassCounts]
     runs: int
     memory_kb: int
 
 
-def sliced(box: str, was: Told, now: Told) -> Slice | None:
-    """Return what came between two tellings; None where another process tells, or nothing can be read of it."""
-    if (
-        now.at <= was.at
-        or now.generation != was.generation
-        or any(now.counts.get(name, -1) < value for name, value in was.counts.items())
-    ):
+def slice_between(host: str, previous: Sample, current: Sample) -> Slice | None:
+    """Return what happened between two samples; None where they are of two processes or not in order."""
+    if current.at <= previous.at or current.generation != previous.generation:
         return None
-    change = {name: value - was.counts.get(name, 0) for name, value in now.counts.items()}
-    classes = {}
-    for name in change:
-        if name.startswith("success."):
-            classes[name[8:]] = _class(name[8:], change)
-    return Slice(box, now.at - was.at, classes, change.get("backend_calls", 0), now.memory_kb)
+    if any(current.counts.get(name, -1) < value for name, value in previous.counts.items()):
+        return None
+    change = {name: value - previous.counts.get(name, 0) for name, value in current.counts.items()}
+    names = [name.removeprefix("success.") for name in change if name.startswith("success.")]
+    classes = {name: _class_counts(name, change) for name in names}
+    return Slice(host, current.at - previous.at, classes, change.get("backend_calls", 0), current.memory_kb)
+
+
+def _class_counts(name: str, change: Mapping[str, int]) -> ClassCounts:
+    succeeded, rejected, failed = (change.get(f"{result}.{name}", 0) for result in RESULTS)
+    late = change.get(f"late.{name}", 0)
+    weight = change.get(f"worth.{name}", 0) / 1000
+    return ClassCounts(succeeded + rejected + failed, rejected, failed, late, weight, _response_times(name, change))
 
 
-def _class(name: str, change: Mapping[str, int]) -> Class:
-    counts = [change.get(f"{kind}.{name}", 0) for kind in KINDS]
-    times, head = dict[float, int](), f"took.{name}."
+def _response_times(name: str, change: Mapping[str, int]) -> dict[float, int]:
+    prefix = f"took.{name}."
+    times: dict[float, int] = {}
     for key, value in change.items():
-        if value and key.startswith(head):
-            bound = key[len(head) :]
-            times[float("inf") if bound == MORE else float(bound)] = value
-    late, worth = change.get(f"late.{name}", 0), change.get(f"worth.{name}", 0) / 1000
-    return Class(sum(counts), counts[1], counts[2], late, worth, times)
+        if value and key.startswith(prefix):
+            bound = key.removeprefix(prefix)
+            times[float("inf") if bound == OVERFLOW_BUCKET else float(bound)] = value
+    return times
 
 
-def joined(parts: Sequence[Class]) -> Class:
+def add_counts(parts: Sequence[ClassCounts]) -> ClassCounts:
     """Return several counts of a class as one."""
     times: dict[float, int] = {}
     for part in parts:
         for bound, count in part.times.items():
             times[bound] = times.get(bound, 0) + count
-    return Class(*(sum(part[at] for part in parts) for at in range(5)), times)  # type: ignore[arg-type]
+    return ClassCounts(
+        requests=sum(part.requests for part in parts),
+        rejected=sum(part.rejected for part in parts),
+        failed=sum(part.failed for part in parts),
+        late=sum(part.late for part in parts),
+        weight=sum(part.weight for part in parts),
+        times=times,
+    )
 
 
-def merged(slices: Iterable[Slice]) -> Slice | None:
-    """Return several slices as one, as if one box had done it all; memory is the worst."""
-    held = list(slices)
-    if not held:
+def merge_slices(slices: Iterable[Slice], host: str = "") -> Slice | None:
+    """Return several slices as one, as if one host had done it all; memory is the largest. None for none."""
+    parts = list(slices)
+    if not parts:
         return None
-    classes: dict[str, Class] = {}
-    for name in {name for each in held for name in each.classes}:
-        classes[name] = joined([each.classes[name] for each in held if name in each.classes])
+    names = {name for part in parts for name in part.classes}
+    classes = {name: add_counts([part.classes[name] for part in parts if name in part.classes]) for name in names}
     return Slice(
-        "",
-        sum(each.span for each in held) / len(held),
+        host,
+        sum(part.duration_s for part in parts) / len(parts),
         classes,
-        sum(each.runs for each in held),
-        max(each.memory_kb for each in held),
+        sum(part.runs for part in parts),
+        max(part.memory_kb for part in parts),
     )
 
 
-def quantile(times: Mapping[float, int], part: float) -> float:
-    """Return the bound of the bucket in which this part of the answers lies; 0 for none."""
-    total, passed = sum(times.values()), 0
+def quantile(times: Mapping[float, int], fraction: float) -> float:
+    """Return the bound of the bucket that holds this quantile of the answers; 0 for none."""
+    total = sum(times.values())
+    passed = 0
     for bound in sorted(times):
         passed += times[bound]
-        if passed >= part * total - 1e-9:
+        if passed >= fraction * total - _ROUNDING:
             return bound
     return 0.0
 
 
-def slower(times: Mapping[float, int], than: float) -> float:
-    """Return the share of answers that took longer than a bound."""
+def fraction_slower(times: Mapping[float, int], limit_ms: float) -> float:
+    """Return the fraction of answers that took longer than a bound."""
     total = sum(times.values())
-    return sum(count for bound, count in times.items() if bound > than) / total if total else 0.0
+    return sum(count for bound, count in times.items() if bound > limit_ms) / total if total else 0.0
--- a/lapispick/rollout/pacing.py
+++ b/lapispick/rollout/pacing.py
@@ -1,4 +1,4 @@
-"""Which boxes may begin now: the pace within a stage, and a least share of the fleet that serves. No I/O, no clock."""
+"""Which hosts may change now: how many at once, and how much of the fleet has to serve. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -8,70 +8,98 @@
 from typing import NamedTuple
 
 DAYS = ("mon", "tue", "wed", "thu", "fri", "sat", "sun")
+MINUTES_PER_DAY = 1440
+_ROUNDING = 1e-9  # lets an exact fraction of the fleet count as reached
 
 
-class Place(NamedTuple):
-    """Where a box stands, as far as pace is concerned."""
+class Candidate(NamedTuple):
+    """A host as far as pacing is concerned."""
 
     name: str
-    serves: bool  # it takes clients, as its agent said in time
-    in_change: bool  # a change of it is under way, in either direction
-    waits: bool  # it is to begin
+    is_serving: bool  # it accepts clients, as its agent reported in time
+    is_changing: bool  # a change of it is under way, in either direction
+    is_waiting: bool  # it is to begin
 
 
-class Bounds(NamedTuple):
-    """How much at once."""
+class Limits(NamedTuple):
+    """How much may change at once; stored as an array, so the order of the fields is fixed."""
 
-    most: int = 2
-    serving_least: float = 0.8
+    max_changing: int = 2
+    min_serving_fraction: float = 0.8
 
 
-def next_boxes(places: Iterable[Place], bounds: Bounds) -> tuple[list[str], str]:
-    """Return the boxes that may begin now, and why no more do; boxes that are down for other reasons count as down.
+class Admission(NamedTuple):
+    """The hosts that may begin now, and why no more do; empty where all do."""
 
-    A box that begins counts as down until it serves again, though an upgrade leaves it no gap: it may fail.
+    hosts: list[str]
+    reason: str
+
+
+class Hours(NamedTuple):
+    """A span of a day in minutes after midnight; it crosses midnight where ``start`` is after ``end``."""
+
+    start: int
+    end: int
+
+    def contains(self, minute: int) -> bool:
+        """Tell whether a minute of the day is within the span."""
+        if self.start < self.end:
+            return self.start <= minute < self.end
+        return minute >= self.start or minute < self.end
+
+
+def next_hosts(candidates: Iterable[Candidate], limits: Limits) -> Admission:
+    """Return the hosts that may begin now; those that are down for other reasons count as down.
+
+    A host that begins counts as down until it serves again, although an upgrade leaves no gap: it may fail.
     """
-    held = list(places)
-    waiting = [place for place in held if place.waits and not place.in_change]
-    changing = sum(place.in_change for place in held)
-    serving = sum(place.serves and not place.in_change for place in held)
+    fleet = list(candidates)
+    waiting = [host for host in fleet if host.is_waiting and not host.is_changing]
+    changing = sum(host.is_changing for host in fleet)
+    serving = sum(host.is_serving and not host.is_changing for host in fleet)
+    min_serving = limits.min_serving_fraction * len(fleet) - _ROUNDING
     begun: list[str] = []
-    for place in waiting:
-        if changing >= bounds.most:
-            return begun, f"{changing} are in change; {bounds.most} may be at once"
-        # One that is down already takes nothing away by being changed.
-        after = serving - place.serves
-        if after < bounds.serving_least * len(held) - 1e-9:
-            return begun, f"{serving} of {len(held)} serve; {bounds.serving_least:.0%} must"
-        begun.append(place.name)
-        changing, serving = changing + 1, after
-    return begun, ""
+    for host in waiting:
+        if changing >= limits.max_changing:
+            return Admission(begun, f"{changing} are in change; {limits.max_changing} may be at once")
+        serving_after = serving - host.is_serving  # a host that is down already costs nothing
+        if serving_after < min_serving:
+            reason = f"{serving} of {len(fleet)} serve; {limits.min_serving_fraction:.0%} must"
+            return Admission(begun, reason)
+        begun.append(host.name)
+        changing += 1
+        serving = serving_after
+    return Admission(begun, "")
 
 
-_HOURS = re.compile(r"([01]\d|2[0-4]):([0-5]\d)-([01]\d|2[0-4]):([0-5]\d)")
+_HOURS_PATTERN = re.compile(r"([01]\d|2[0-4]):([0-5]\d)-([01]\d|2[0-4]):([0-5]\d)")
 
 
-def hours(text: str) -> tuple[int, int] | None:
-    """Read ``HH:MM-HH:MM`` as minutes of a day; None for empty; raises ``ValueError``."""
+def parse_hours(text: str) -> Hours | None:
+    """Read ``HH:MM-HH:MM``; None for empty; raises ``ValueError``."""
     if not text:
         return None
-    match = _HOURS.fullmatch(text)
+    match = _HOURS_PATTERN.fullmatch(text)
     if not match:
         raise ValueError(f"{text!r} is not HH:MM-HH:MM")
-    a, b, c, d = map(int, match.groups())
-    start, end = 60 * a + b, 60 * c + d
-    if start > 1440 or end > 1440 or start == end:
+    start_hour, start_minute, end_hour, end_minute = map(int, match.groups())
+    start = 60 * start_hour + start_minute
+    end = 60 * end_hour + end_minute
+    if start > MINUTES_PER_DAY or end > MINUTES_PER_DAY or start == end:
         raise ValueError(f"{text!r} is no span of a day")
-    return start, end
+    return Hours(start, end)
 
 
-def open_at(now: datetime.datetime, span: tuple[int, int] | None, not_days: Iterable[str]) -> str:
-    """Return why nothing begins at a local time; empty where it may. A span over midnight belongs to its first day."""
-    minute, day = now.hour * 60 + now.minute, now.weekday()
-    if span is not None:
-        start, end = span
-        if start > end and minute < end:
+def closed_reason(now: datetime.datetime, hours: Hours | None, excluded_days: Iterable[str]) -> str:
+    """Return why no stage may begin at a local time; empty where it may.
+
+    A span that crosses midnight belongs to the day on which it starts.
+    """
+    minute = now.hour * 60 + now.minute
+    day = now.weekday()
+    if hours is not None:
+        if hours.start > hours.end and minute < hours.end:
             day = (day - 1) % 7
-        if not (start <= minute < end if start < end else minute >= start or minute < end):
+        if not hours.contains(minute):
             return f"it is {now:%H:%M}, outside of the hours"
-    return f"it is {DAYS[day]}, on which nothing begins" if DAYS[day] in set(not_days) else ""
+    return f"it is {DAYS[day]}, on which nothing begins" if DAYS[day] in set(excluded_days) else ""
--- a/lapispick/rollout/stages.py
+++ b/lapispick/rollout/stages.py
@@ -1,7 +1,7 @@
-"""Which boxes change in which stage, so that no stage takes all of a zone or failure domain. No I/O and no clock.
+"""Which hosts change in which stage, so that no stage takes all of a zone or failure domain. No I/O and no clock.
 
-Boxes are put in an order that mixes zones, domains and kinds of machines, drawn by the rollout: the same list and
-name give the same stages to every controller, and another rollout begins with other boxes.
+Hosts are put in an order that mixes zones, domains and machine types, drawn from the rollout's name: the same list and
+name give the same stages to every controller, and another rollout begins with other hosts.
 """
 
 from __future__ import annotations
@@ -15,135 +15,165 @@
 from lapispick.file_errors import nearest
 from lapispick.fleet.hosts import Worker
 
-STAGES_MOST = 50
+MAX_COUNT = 100_000
+_DRAW_BYTES = 8
+_DRAW_RANGE = 2.0**64
+_NAMES_PREFIX = "box:"
+_ROUNDING = 1e-9  # keeps an exact fraction of the fleet from being rounded up
 
+FaultGroup = tuple[str, ...]  # ("zone", zone) or ("domain", zone, domain): hosts that fail together
 
-class Want(NamedTuple):
-    """What one stage is to hold: boxes by name, else a number of boxes, else a share of all up to its end."""
+
+class StageSize(NamedTuple):
+    """What one stage is to hold: hosts by name, else a number of hosts, else a fraction of all up to its end."""
 
     names: tuple[str, ...] = ()
     count: int = 0
-    share: float = 0.0
+    fraction: float = 0.0
+
+
+class Limits(NamedTuple):
+    """How much of what fails together one stage may take."""
+
+    max_zone_fraction: float = 0.6
 
 
-def want(word: str) -> Want:
-    """Read one stage: ``3``, ``25%`` or ``box:NAME,NAME``; raises ``ValueError``."""
-    if word.startswith("box:"):
-        names = tuple(filter(None, word[4:].split(",")))
+def parse_size(text: str) -> StageSize:
+    """Read the size of a stage: ``3``, ``25%`` or ``box:NAME,NAME``; raises ``ValueError``."""
+    if text.startswith(_NAMES_PREFIX):
+        names = tuple(filter(None, text.removeprefix(_NAMES_PREFIX).split(",")))
         if not names:
-            raise ValueError(f"{word!r} names no box")
-        return Want(names)
-    if word.endswith("%"):
-        try:
-            share = float(word[:-1]) / 100
-        except ValueError:
-            share = -1.0
-        if not 0 < share <= 1:
-            raise ValueError(f"{word!r} is no share from 0% to 100%")
-        return Want(share=share)
-    if not word.isdecimal() or not 0 < int(word) <= 100_000:
-        raise ValueError(f"{word!r} is neither a count, nor a share, nor box:NAME,NAME")
-    return Want(count=int(word))
-
-
-def _drawn(rollout: str, name: str) -> bytes:
-    return blake2b(name.encode(), digest_size=8, key=rollout.encode()[:64]).digest()
-
-
-def order(boxes: Iterable[Worker], rollout: str) -> list[Worker]:
-    """Return the boxes so that any beginning of the list has a like share of each zone, domain and kind of machine."""
+            raise ValueError(f"{text!r} names no box")
+        return StageSize(names)
+    if text.endswith("%"):
+        return StageSize(fraction=_parse_fraction(text))
+    if not text.isdecimal() or not 0 < int(text) <= MAX_COUNT:
+        raise ValueError(f"{text!r} is neither a count, nor a share, nor box:NAME,NAME")
+    return StageSize(count=int(text))
+
+
+def _parse_fraction(text: str) -> float:
+    try:
+        fraction = float(text[:-1]) / 100
+    except ValueError:
+        fraction = -1.0
+    if not 0 < fraction <= 1:
+        raise ValueError(f"{text!r} is no share from 0% to 100%")
+    return fraction
+
+
+def _draw(rollout: str, name: str) -> bytes:
+    return blake2b(name.encode(), digest_size=_DRAW_BYTES, key=rollout.encode()[:64]).digest()
+
+
+def mixed_order(hosts: Iterable[Worker], rollout: str) -> list[Worker]:
+    """Return the hosts so that any head of the list has a like share of each zone, domain and machine type."""
     groups: dict[tuple[str, ...], list[Worker]] = {}
-    for box in boxes:
-        groups.setdefault((box.zone, box.domain, box.machine), []).append(box)
+    for host in hosts:
+        groups.setdefault((host.zone, host.domain, host.machine), []).append(host)
     placed: list[tuple[float, bytes, Worker]] = []
     for group, members in groups.items():
-        shift = int.from_bytes(_drawn(rollout, "/".join(group))) / 2.0**64  # groups of one size take turns being first
-        members.sort(key=lambda b: _drawn(rollout, b.name))
-        placed += [((at + shift) / len(members), _drawn(rollout, b.name), b) for at, b in enumerate(members)]
-    return [box for _, _, box in sorted(placed, key=lambda p: p[:2])]
+        # Groups of one size take turns at being first.
+        shift = int.from_bytes(_draw(rollout, "/".join(group))) / _DRAW_RANGE
+        members.sort(key=lambda host: _draw(rollout, host.name))
+        for index, host in enumerate(members):
+            placed.append(((index + shift) / len(members), _draw(rollout, host.name), host))
+    return [host for _, _, host in sorted(placed, key=lambda place: place[:2])]
 
 
-class Bounds(NamedTuple):
-    """How much of what fails together one stage may take."""
-
-    zone_most: float = 0.6
+def _fault_groups(host: Worker) -> tuple[FaultGroup, FaultGroup]:
+    return ("zone", host.zone), ("domain", host.zone, host.domain)
 
 
-def _room(boxes: Sequence[Worker], most: float) -> dict[tuple[str, ...], int]:
-    """Return how many boxes of each zone and domain one stage may take: never all, where there are two or more."""
-    sizes: Counter[tuple[str, ...]] = Counter()
-    for box in boxes:
-        sizes.update({("zone", box.zone): 1, ("domain", box.zone, box.domain): 1})
-    return {group: max(1, min(ceil(size * most - 1e-9), size - 1)) for group, size in sizes.items()}
+def _capacities(hosts: Sequence[Worker], max_fraction: float) -> dict[FaultGroup, int]:
+    """Return how many hosts of each group one stage may take: never all, where there are two or more."""
+    sizes: Counter[FaultGroup] = Counter()
+    for host in hosts:
+        sizes.update(_fault_groups(host))
+    return {group: max(1, min(ceil(size * max_fraction - _ROUNDING), size - 1)) for group, size in sizes.items()}
 
 
-def _groups(box: Worker) -> tuple[tuple[str, ...], tuple[str, ...]]:
-    return ("zone", box.zone), ("domain", box.zone, box.domain)
+def assign(hosts: Sequence[Worker], sizes: Sequence[StageSize], rollout: str, limits: Limits) -> list[list[str]]:
+    """Return the names of each stage's hosts; hosts for which a stage has no capacity come later, or in one more.
 
+    Raises ``ValueError`` where a stage names a host that does not exist, or two stages name the same one.
+    """
+    by_name = {host.name: host for host in hosts}
+    named = [name for size in sizes for name in size.names]
+    _check_names(named, by_name)
+    remaining = [host for host in mixed_order(hosts, rollout) if host.name not in named]
+    capacities = _capacities(hosts, limits.max_zone_fraction)
+    stages: list[list[str]] = []
+    assigned = 0
+    for size in sizes:
+        up_to = ceil(size.fraction * len(hosts) - _ROUNDING)
+        count = len(size.names) or size.count or max(0, up_to - assigned)
+        stage = _fill([by_name[name] for name in size.names], remaining, count, capacities)
+        stages.append([host.name for host in stage])
+        assigned += len(stage)
+    includes_all = any(size.fraction >= 1 for size in sizes)
+    while remaining and includes_all:
+        stage = _fill([], remaining, len(remaining), capacities)
+        stages.append([host.name for host in stage])
+    return [stage for stage in stages if stage]
 
-def assign(boxes: Sequence[Worker], wants: Sequence[Want], rollout: str, bounds: Bounds) -> list[list[str]]:
-    """Return the names of each stage's boxes; what finds no room in a stage comes in a later one, or one more.
 
-    Raises ``ValueError`` where a stage names a box that is not there, or none is left for it.
-    """
-    by_name = {box.name: box for box in boxes}
-    named = [name for each in wants for name in each.names]
+def _check_names(named: Sequence[str], by_name: dict[str, Worker]) -> None:
     for name in named:
         if name not in by_name:
             raise ValueError(f"there is no box {name}{nearest(name, by_name)}")
     if len(set(named)) != len(named):
         raise ValueError("a box stands in two stages")
-    left = [box for box in order(boxes, rollout) if box.name not in named]
-    room, stages, done = _room(boxes, bounds.zone_most), list[list[str]](), 0
-    for each in wants:
-        size = len(each.names) or each.count or max(0, ceil(each.share * len(boxes) - 1e-9) - done)
-        stage = _fill([by_name[n] for n in each.names], left, size, room)
-        stages.append([box.name for box in stage])
-        done += len(stage)
-    while left and any(w.share >= 1 for w in wants):  # all are wanted: what had no room
-        stages.append([box.name for box in _fill([], left, len(left), room)])
-    return [stage for stage in stages if stage]
 
 
-def _fill(stage: list[Worker], left: list[Worker], size: int, room: dict[tuple[str, ...], int]) -> list[Worker]:
-    taken: Counter[tuple[str, ...]] = Counter()
-    for box in stage:
-        taken.update(_groups(box))
-    for box in list(left):
-        if len(stage) >= size:
+def _fill(stage: list[Worker], remaining: list[Worker], count: int, capacities: dict[FaultGroup, int]) -> list[Worker]:
+    """Move hosts from ``remaining`` to the stage until it holds ``count`` or has no capacity for any other."""
+    taken: Counter[FaultGroup] = Counter()
+    for host in stage:
+        taken.update(_fault_groups(host))
+    for host in list(remaining):
+        if len(stage) >= count:
             break
-        if all(taken[group] < room[group] for group in _groups(box)):
-            taken.update(_groups(box))
-            stage.append(box)
-            left.remove(box)
+        if all(taken[group] < capacities[group] for group in _fault_groups(host)):
+            taken.update(_fault_groups(host))
+            stage.append(host)
+            remaining.remove(host)
     return stage
 
 
-def remarks(boxes: Sequence[Worker], stages: Sequence[Sequence[str]], bounds: Bounds) -> list[str]:
-    """Return what a person should know of a plan before it begins."""
-    by_name = {box.name: box for box in boxes}
-    room, found = _room(boxes, bounds.zone_most), []
+def remarks(hosts: Sequence[Worker], stages: Sequence[Sequence[str]], limits: Limits) -> list[str]:
+    """Return what an operator should know of a plan before it begins."""
+    by_name = {host.name: host for host in hosts}
+    capacities = _capacities(hosts, limits.max_zone_fraction)
+    found = []
+    begun: set[str] = set()
     for number, stage in enumerate(stages, 1):
-        taken: Counter[tuple[str, ...]] = Counter()
-        for name in stage:
-            taken.update(_groups(by_name[name]))
-        for group, count in sorted(taken.items()):
-            if count > room[group]:
-                found.append(
-                    f"stage {number} takes {count} boxes of {' '.join(filter(None, group))}; "
-                    f"{room[group]} may go at once"
-                )
-        kinds = {by_name[name].kind for name in stage}
-        rest = [box for box in boxes if box.name not in {n for s in stages[:number] for n in s}]
-        for kind in sorted(kinds - {box.kind for box in rest}):
-            if number < len(stages):
-                found.append(
-                    f"stage {number} leaves no box of {'/'.join(filter(None, kind)) or 'its kind'} to compare with"
-                )
-    missing = by_name.keys() - {name for stage in stages for name in stage}
+        stage_hosts = [by_name[name] for name in stage]
+        begun.update(stage)
+        found += _capacity_remarks(number, stage_hosts, capacities)
+        if number < len(stages):
+            found += _comparison_remarks(number, stage_hosts, [host for host in hosts if host.name not in begun])
+    missing = by_name.keys() - begun
     if missing:
         found.append(f"{len(missing)} boxes stay as they are, such as {min(missing)}")
-    for box in boxes:
-        if not box.agent:
-            found.append(f"{box.name} has no agent (lapispick_agent)")
+    found += [f"{host.name} has no agent (lapispick_agent)" for host in hosts if not host.agent]
     return found
+
+
+def _capacity_remarks(number: int, stage: list[Worker], capacities: dict[FaultGroup, int]) -> list[str]:
+    taken: Counter[FaultGroup] = Counter()
+    for host in stage:
+        taken.update(_fault_groups(host))
+    return [
+        f"stage {number} takes {count} boxes of {' '.join(filter(None, group))}; {capacities[group]} may go at once"
+        for group, count in sorted(taken.items())
+        if count > capacities[group]
+    ]
+
+
+def _comparison_remarks(number: int, stage: list[Worker], unchanged: list[Worker]) -> list[str]:
+    kinds = {host.kind for host in stage} - {host.kind for host in unchanged}
+    return [
+        f"stage {number} leaves no box of {'/'.join(filter(None, kind)) or 'its kind'} to compare with"
+        for kind in sorted(kinds)
+    ]
--- /dev/null
+++ b/lapispick/rollout/stop_conditions.py
@@ -0,0 +1,42 @@
+"""What ends a rollout at once, in any phase in which hosts run the change. No I/O and no clock."""
+
+from __future__ import annotations
+
+from lapispick.rollout.canary_analysis import Outcome
+from lapispick.rollout.host_state import CALLED_BACK, NOT_CONFIRMED_IN_TIME
+from lapispick.rollout.rollout_state import HostReport, Phase
+from lapispick.rollout.step_context import StepContext
+
+_KB_PER_MB = 1024
+_PHASES_THAT_COMPARE = (Phase.CHANGING, Phase.BAKING)
+
+
+def stop_reason(step: StepContext) -> str:
+    """Return why the rollout has to be rolled back now; empty where it need not be."""
+    for name in sorted(step.state.touched_hosts):
+        report = step.reports.get(name)
+        if report is not None and (reason := _host_fault(step, report)):
+            return f"{name}: {reason}"
+    verdict = step.verdict
+    if verdict is not None and verdict.outcome is Outcome.WORSE and step.state.phase in _PHASES_THAT_COMPARE:
+        return verdict.reason
+    return ""
+
+
+def _host_fault(step: StepContext, report: HostReport) -> str:
+    state = step.state
+    status = report.status
+    if status is None:
+        return ""
+    if status.rolled_back_rollout == state.name and status.fault != CALLED_BACK:
+        # A host whose confirmation got lost says nothing against the change.
+        return "" if status.fault == NOT_CONFIRMED_IN_TIME else status.fault
+    if status.serving != state.plan.generation:
+        return ""
+    if report.broken_rules:
+        return f"broke a rule {report.broken_rules} times (broken, in its figures)"
+    memory_limit_mb = status.memory_limit_mb or state.plan.default_memory_limit_mb
+    max_memory_mb = state.plan.max_memory_fraction * memory_limit_mb
+    if max_memory_mb and report.memory_kb > max_memory_mb * _KB_PER_MB:
+        return f"holds {report.memory_kb // _KB_PER_MB} MB of at most {max_memory_mb:.0f}"
+    return ""
--- a/tests/test_member_cluster.py
+++ b/tests/test_member_cluster.py
@@ -30,7 +30,7 @@
     open_ = []
 
     def make(boxes=5, told=QUICK, names=None, seed=11, rate=8.0):
-        fleet = Fleet(tmp_path, seed=seed, boxes=boxes, gateways=1, rate=rate)
+        fleet = Fleet(tmp_path, seed=seed, hosts=boxes, gateways=1, rate=rate)
         open_.append(fleet)
         talk = Talk(fleet, told, names)
         open_.append(talk)
@@ -42,19 +42,19 @@
 
 
 def names(talk):
-    return [box.name for box in talk.fleet.boxes]
+    return [box.name for box in talk.fleet.hosts]
 
 
 def test_members_agree_turns_go_round_and_no_request_waits_for_any_of_it(talking):
     talk = talking(told=STEADY).start()
-    talk.fleet.load()
+    talk.fleet.start_load()
     all_ = names(talk)
     talk.agree(all_)
     found = talk.view(all_[0])
     assert (found["seen"], found["size"], found["majority"]) == (5, 5, True)
     owners = talk.want(hold=0.1)
     talk.turned(10)
-    talk.fleet.answered(20)
+    talk.fleet.wait_for_results(20)
     talk.close()
     talk.kept()
     assert sum(1 for owner in owners if owner.held) >= 4  # no box is passed all the time
@@ -63,13 +63,13 @@
 
 def split(talk, *groups):
     """Cut the links between groups of boxes; returns what heals them."""
-    ends = [talk.fleet.part(one, other) for n, one in enumerate(groups) for other in groups[n + 1 :]]
+    ends = [talk.fleet.partition(one, other) for n, one in enumerate(groups) for other in groups[n + 1 :]]
     return lambda: [end() for end in ends]
 
 
 def test_a_partition_gives_turns_to_the_majority_only_and_heals(talking):
     talk = talking().start()
-    talk.fleet.load()
+    talk.fleet.start_load()
     all_ = names(talk)
     few, many = all_[:2], all_[2:]
     talk.agree(all_)
@@ -86,7 +86,7 @@
     heal()
     talk.agree(all_)
     talk.turned(6)
-    talk.fleet.answered(5)
+    talk.fleet.wait_for_results(5)
     talk.close()
     talk.kept()
     assert talk.fleet.broken_rules() == []
@@ -116,7 +116,7 @@
     owners = {each.box.name: each for each in talk.want(hold=20.0)}  # each would keep it for long
     talk.turned(1)
     holder = talk.resource.acts[-1][3]
-    wake = talk.fleet.stop(talk.fleet[holder])
+    wake = talk.fleet.suspend(talk.fleet[holder])
     talk.turned(1)  # its lease ends at the others, and one of them has it
     assert talk.resource.acts[-1][3] != holder
     wake()
@@ -187,7 +187,7 @@
     all_ = names(talk)
     talk.agree(all_)
     for name in all_[:3]:
-        wake = talk.fleet.stop(talk.fleet[name])
+        wake = talk.fleet.suspend(talk.fleet[name])
         span(2.0)
         wake()
     talk.agree(all_)
@@ -300,7 +300,7 @@
     talk = talking(told=STEADY)
     threads = [
         threading.Thread(target=box.start, kwargs={"conf": talk.conf[box.name], "skew": skew})
-        for box, skew in zip(talk.fleet.boxes, (0.0, 300.0, -300.0, 7200.0, -60.0), strict=True)
+        for box, skew in zip(talk.fleet.hosts, (0.0, 300.0, -300.0, 7200.0, -60.0), strict=True)
     ]
     for each in threads:
         each.start()
@@ -343,8 +343,8 @@
         stream.settimeout(5)
         with contextlib.suppress(OSError):
             assert stream.recv(10) == b""
-    talk.fleet.load()
-    talk.fleet.answered(10)
+    talk.fleet.start_load()
+    talk.fleet.wait_for_results(10)
     found = talk.view(all_[0])
     assert found["dropped"]["not from its address"] > 100 and found["dropped"]["nonsense"] > 100
     assert {each["state"] for each in found["members"]} == {"alive"}
@@ -438,7 +438,7 @@
         stderr=subprocess.PIPE,
     )
     until(lambda: out.exists() and out.read_text().strip(), "the command's start")
-    talk.fleet.part([all_[0]], all_[1:])  # the holder is cut off from the majority
+    talk.fleet.partition([all_[0]], all_[1:])  # the holder is cut off from the majority
     began = time.monotonic()
     assert held.wait(30) == 1 and b"was lost while the command ran" in held.stderr.read()
     assert time.monotonic() - began < 1.5 + 0.5  # the lease
@@ -453,8 +453,8 @@
     talk = talking(3, rate=40.0).start()
     all_ = names(talk)
     talk.agree(all_)
-    talk.fleet.load()
-    talk.fleet.answered(150)  # some seconds of what is usual
+    talk.fleet.start_load()
+    talk.fleet.wait_for_results(150)  # some seconds of what is usual
 
     def told():
         return {fact[0]: fact[5] for fact in (talk.view(all_[0]) or {"facts": []})["facts"] if fact[3] == "store"}
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -14,10 +14,12 @@
 
 from lapispick.fakes import script
 from lapispick.fakes.fault_proxy import Net
-from lapispick.fakes.fleet import Fleet, program
+from lapispick.fakes.fleet import Fleet
+from lapispick.fakes.fleet_gateway import Request
 from lapispick.fakes.host_pauses import Pauses
 from lapispick.fakes.peers import Server, until
-from lapispick.fakes.rule_checker import Account, Try, check
+from lapispick.fakes.program_patches import RULE_BREAKING_HOSTS, program
+from lapispick.fakes.rule_checker import Answer, Attempt, Fault, FleetRecord, check
 
 
 def rules(found):
@@ -25,155 +27,133 @@
 
 
 def test_a_fleet_under_load_keeps_all_rules(tmp_path):
-    with Fleet(tmp_path, seed=1, boxes=3, rate=40) as fleet:
+    with Fleet(tmp_path, seed=1, hosts=3, rate=40) as fleet:
         fleet.start()
-        fleet.load()
-        fleet.answered(300)
+        fleet.start_load()
+        fleet.wait_for_results(300)
         assert fleet.broken_rules() == []
-        assert fleet.worth() > 0.98 and len(fleet.account.effects()) > 50
-
-
-REPLY = "        request.reply(answer._replace(advice=self.advice))"
-ODD = "int(request.tag, 16) % 5 == 0"
-SINS = {
-    "lost": [("host/core.py", REPLY, f"        if not {ODD}:\n    {REPLY}")],
-    "doubled": [
-        (
-            "host/jsonrpc/front.py",
-            '(_encode({"jsonrpc": "2.0", "id": number, member: fields}) + b"\\n")',
-            '(2 * (_encode({"jsonrpc": "2.0", "id": number, member: fields}) + b"\\n"))',
-        )
-    ],
-    "twice": [
-        ("host/core.py", "key = self.table.at(request.key, request.born) if", "key = None if"),
-        ("host/core.py", "held = self.table.get(request.key)", "held = None"),
-        ("host/core.py", "key.ran not in (0, ELSEWHERE)", "key.ran == -9"),
-        ("host/core.py", "verdict = self.sharing.claim(", "verdict = Verdict.RUN if True else ("),
-    ],
-    "changed": [
-        ("host/core.py", REPLY, f"        answer = answer._replace(result=answer.result and 'd3Jvbmc=')\n{REPLY}")
-    ],
-    "refused": [("host/core.py", REPLY, f"        if {ODD}:\n            answer = Answer(REFUSED)\n{REPLY}")],
-    "drain": [("settings.py", "drain_grace_ms=", "drain_grace_ms=5 * ")],
-    "memory": [("host/core.py", "TALLY_S = ", "HOG = b'x' * (200 << 20)\nTALLY_S = ")],
-}
-
-
-@pytest.mark.parametrize("rule", SINS)
+        assert fleet.served_weight_fraction() > 0.98 and len(fleet.record.executions_by_key()) > 50
+
+
+@pytest.mark.parametrize("rule", RULE_BREAKING_HOSTS)
 def test_a_host_that_breaks_a_rule_is_caught(tmp_path, rule):
-    made = program(tmp_path / "sinner", SINS[rule])
-    with Fleet(tmp_path, seed=2, boxes=1, gateways=2, rate=40, stop_ms=6000, patience=1.5) as fleet:
-        box = fleet.boxes[0]
+    made = program(tmp_path / "rule_breaking_host", RULE_BREAKING_HOSTS[rule])
+    with Fleet(tmp_path, seed=2, hosts=1, gateways=2, rate=40, stop_ms=6000, patience_s=1.5) as fleet:
+        box = fleet.hosts[0]
         fleet.start(program=made)
-        fleet.load()
-        fleet.answered(60)
+        fleet.start_load()
+        fleet.wait_for_results(60)
         if rule == "twice":
             key = uuid.uuid4().hex
 
             def again():  # a busy host may turn some of these away unrun
-                fleet.gateways[0]._try("book", "again", key, time.time(), time.time() + 1.5, box, 1, True)
-                fleet.answered(5)
-                return fleet.account.effects()[key] > 1
+                now = time.time()
+                request = Request("book", "again", key, now, now + 1.5, attempts_left=1)
+                fleet.gateways[0].send(request, box, is_retry=True)
+                fleet.wait_for_results(5)
+                return fleet.record.executions_by_key()[key] > 1
 
             until(again, "two runs of one key")
         if rule == "drain":
-            fleet.account.left(box.name, box.processes[0].name)
+            fleet.record.add_shutdown(box.name, box.processes[0].name)
             box.processes[0].terminate()
-            fleet.listed = lambda _: fleet.boxes  # gateways that hear late, or never
-            until(lambda: rules(check(fleet.account)) == {"drain"} or box.processes[0].poll() is not None, "a late run")
+            fleet.listed_hosts = lambda _: fleet.hosts  # gateways that hear late, or never
+            until(lambda: rules(check(fleet.record)) == {"drain"} or box.processes[0].poll() is not None, "a late run")
         assert rules(fleet.broken_rules()) == {rule}
 
 
 def test_an_honest_host_that_leaves_and_gateways_that_hear_late_break_no_rule(tmp_path):
-    with Fleet(tmp_path, seed=3, boxes=2, rate=40) as fleet:
+    with Fleet(tmp_path, seed=3, hosts=2, rate=40) as fleet:
         fleet.start()
-        fleet.load()
-        fleet.answered(60)
-        box = fleet.boxes[0]
-        fleet.account.left(box.name, box.processes[0].name)
+        fleet.start_load()
+        fleet.wait_for_results(60)
+        box = fleet.hosts[0]
+        fleet.record.add_shutdown(box.name, box.processes[0].name)
         box.processes[0].terminate()
         assert box.processes[0].wait(5) == 0
-        fleet.answered(100)
+        fleet.wait_for_results(100)
         assert fleet.broken_rules() == []
 
 
 @pytest.mark.parametrize("fault", ["killed", "stopped", "parted", "one way", "reset", "slow"])
 def test_a_fleet_under_a_fault_keeps_all_rules_and_serves_again(tmp_path, fault):
-    with Fleet(tmp_path, seed=4, boxes=3, rate=30) as fleet:
+    with Fleet(tmp_path, seed=4, hosts=3, rate=30) as fleet:
         fleet.start()
-        fleet.load()
-        fleet.answered(60)
-        box = fleet.boxes[0]
+        fleet.start_load()
+        fleet.wait_for_results(60)
+        box = fleet.hosts[0]
         gateways = [g.name for g in fleet.gateways]
         if fault == "killed":
             box.kill()
-            fleet.answered(60)
+            fleet.wait_for_results(60)
             box.start()
-            fleet.account.over()
+            fleet.record.end_all_faults()
         elif fault == "stopped":
-            wake = fleet.stop(box)
-            fleet.answered(60)
+            wake = fleet.suspend(box)
+            fleet.wait_for_results(60)
             wake()
         elif fault in ("parted", "one way"):
-            heal = fleet.part(gateways, [box.name], one_way=fault == "one way")
-            fleet.answered(60)
+            heal = fleet.partition(gateways, [box.name], one_way=fault == "one way")
+            fleet.wait_for_results(60)
             heal()
         elif fault == "reset":
-            number = fleet.account.fault("reset", [box.name])
+            number = fleet.record.begin_fault("reset", [box.name])
             for _ in range(5):
                 fleet.net.reset(gateways, [box.name])
-                fleet.answered(12)
-            fleet.account.over(number)
+                fleet.wait_for_results(12)
+            fleet.record.end_fault(number)
         else:
             fleet.net.slow(gateways, [box.name], delay=0.02, jitter=0.05, rate=20_000)
-            fleet.answered(60)
+            fleet.wait_for_results(60)
             fleet.net.heal()
-        count = sum(t.box == box.name and bool(t.answers) for t in fleet.account.tries.values())
+        count = sum(t.host == box.name and bool(t.answers) for t in fleet.record.attempts.values())
         until(
-            lambda: sum(t.box == box.name and bool(t.answers) for t in list(fleet.account.tries.values())) > count + 20,
+            lambda: (
+                sum(t.host == box.name and bool(t.answers) for t in list(fleet.record.attempts.values())) > count + 20
+            ),
             "service by the box again",
         )
         assert fleet.broken_rules() == []
-        assert max(fleet.account.effects().values()) == 1
+        assert max(fleet.record.executions_by_key().values()) == 1
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_a_fleet_keeps_all_rules_through_a_drawn_script_of_faults(tmp_path, seed):
-    with Fleet(tmp_path, seed, boxes=4, zones=("pipera", "militari"), rate=25) as fleet:
+    with Fleet(tmp_path, seed, hosts=4, zones=("pipera", "militari"), rate=25) as fleet:
         fleet.start()
-        fleet.load()
-        fleet.answered(40)
+        fleet.start_load()
+        fleet.wait_for_results(40)
         script.play(fleet, script.drawn(random.Random(seed), fleet, 5, 4.0))
-        fleet.answered(60)
+        fleet.wait_for_results(60)
         assert fleet.broken_rules() == []
 
 
 def test_a_script_may_wait_for_a_point(tmp_path):
-    with Fleet(tmp_path, seed=9, boxes=2, rate=25) as fleet:
+    with Fleet(tmp_path, seed=9, hosts=2, rate=25) as fleet:
         fleet.start()
-        fleet.load()
-        script.play(fleet, [script.Step(lambda: len(fleet.account.runs) > 50, "kill", "disp-01", 0.2)])
-        fleet.answered(40)
+        fleet.start_load()
+        script.play(fleet, [script.Step(lambda: len(fleet.record.executions) > 50, "kill", "disp-01", 0.2)])
+        fleet.wait_for_results(40)
         assert fleet.broken_rules() == []
 
 
 def test_a_host_whose_clock_is_off_a_little_serves_and_breaks_no_rule(tmp_path):
-    with Fleet(tmp_path, seed=10, boxes=2, rate=20) as fleet:
-        fleet.boxes[0].start(skew=0.0)
-        fleet.boxes[1].start(skew=-0.4)
-        fleet.load()
-        fleet.answered(100)
+    with Fleet(tmp_path, seed=10, hosts=2, rate=20) as fleet:
+        fleet.hosts[0].start(skew=0.0)
+        fleet.hosts[1].start(skew=-0.4)
+        fleet.start_load()
+        fleet.wait_for_results(100)
         assert fleet.broken_rules() == []
-        assert fleet.account.counts(boxes={"disp-02"})["served"] > 20
+        assert fleet.record.answer_counts(hosts={"disp-02"})["served"] > 20
 
 
 def test_excuses_are_for_those_a_fault_touched_while_it_lasted():
-    book = Account()
+    record = FleetRecord()
     now = time.time()
     for trace, box, at in (("a", "x", now - 5), ("b", "y", now - 5), ("c", "x", now - 50)):
-        book.wrote(Try(trace, "g0", box, "track", "b", "", at, at + 1))
-    book.faults.append([now - 5.5, now - 4.5, "killed", frozenset(["x"])])
-    assert sorted(text.split()[0] for rule, text in check(book)) == ["b", "c"]
+        record.add_attempt(Attempt(trace, "g0", box, "track", "b", "", at, at + 1))
+    record.faults.append(Fault(now - 5.5, now - 4.5, "killed", frozenset(["x"])))
+    assert sorted(text.split()[0] for rule, text in check(record)) == ["b", "c"]
 
 
 def test_an_answer_is_late_by_what_the_machine_did_not_take():
@@ -187,14 +167,14 @@
         ([("x", -9.0, 0.25)], True),
         ([("", 0.0, 0.1), ("x", 0.1, 0.15)], False),
     ):
-        book, pauses = Account(), Pauses([])
-        book.held_up, now = pauses.held, time.time()
-        made = Try("a", "g0", "x", "track", "b", "", now - 1.3, now - 0.3)
-        book.wrote(made)
-        made.answers.append((now, "served", "did b"))
+        record, pauses = FleetRecord(), Pauses([])
+        record.paused_s, now = pauses.held, time.time()
+        made = Attempt("a", "g0", "x", "track", "b", "", now - 1.3, now - 0.3)
+        record.add_attempt(made)
+        made.answers.append(Answer(now, "served", "did b"))
         for whom, at, held in spans:
             pauses.note(now - 1 + at, now - 0.9 + at, whom, held)
-        assert [rule for rule, _ in check(book)] == ["lost"] * late, spans
+        assert [rule for rule, _ in check(record)] == ["lost"] * late, spans
 
 
 def test_a_process_that_finds_no_core_is_seen_to_be_held_up(tmp_path):
@@ -204,7 +184,7 @@
         subprocess.Popen([sys.executable, "-c", f"import os\nos.sched_setaffinity(0, [{core}])\nwhile 1: pass"])
         for _ in range(3)
     ]
-    box = types.SimpleNamespace(name="x", serving=lambda: [loops[0].pid])
+    box = types.SimpleNamespace(name="x", serving_pids=lambda: [loops[0].pid])
     pauses = Pauses([box])
     pauses.start()
     since = time.time()
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -13,18 +13,20 @@
 import pytest
 
 from lapispick import versions
-from lapispick.agent.rollout_store import Ledger
+from lapispick.agent.rollout_store import RolloutStore
 from lapispick.conf import settings as conf
 from lapispick.durable.database import Database
 from lapispick.durable.keys import Known, State
-from lapispick.fakes.agents import BoxAgent
-from lapispick.fakes.fleet import Fleet, program
+from lapispick.fakes.agents import HostAgent
+from lapispick.fakes.fleet import Fleet
+from lapispick.fakes.fleet_gateway import Request
 from lapispick.fakes.peers import until
+from lapispick.fakes.program_patches import NEXT_HANDOVER_VERSION, program
 from lapispick.handover import messages as say
 from lapispick.members import messages as members
 from lapispick.rollout import host_state, messages
 from lapispick.rollout.generations import Generation
-from lapispick.rollout.messages import Back, Change, Confirm, Fence, Steer
+from lapispick.rollout.messages import Change, Confirm, Fence, RollBack, TakeControl
 
 SPOKEN = Path(__file__).parent / "data" / "spoken"
 G = "0123456789abcdef"
@@ -66,28 +68,34 @@
 
 def test_calls_states_and_generations_of_version_1_are_read():
     fence, lines = Fence(12, "alpha"), (SPOKEN / "agent-1.txt").read_text().splitlines()
-    assert [messages.read(line) for line in lines[:5]] == [
+    assert [messages.decode_call(line) for line in lines[:5]] == [
         Change(fence, "r1", G, 30.0),
         Change(fence, "r1.c", G, 30.0, True),
         Confirm(fence, "r1"),
-        Back(fence, "r1"),
-        Steer(fence),
+        RollBack(fence, "r1"),
+        TakeControl(fence),
     ]
-    status = messages.heard(lines[5:])
-    assert (status.box, status.left_s, status.speaks) == ("disp-01", 9.5, {"handover": (1, 1, 1)})
-    state = msgspec.json.decode((SPOKEN / "state-1.json").read_bytes(), type=host_state.State)
-    assert state.fence == fence and state.lives[0].role == host_state.SERVING and state.deadline == 99.5
-    made = msgspec.json.decode((SPOKEN / "generation-1.json").read_bytes(), type=Generation)
-    assert made.speaks["handover"].reads(1) and made.config == {"stop_ms": 2400}
+    status = messages.decode_status(lines[5:])
+    assert (status.host, status.confirm_left_s) == ("disp-01", 9.5)
+    assert status.formats == {"handover": (1, 1, 1)}
+    state = msgspec.json.decode((SPOKEN / "state-1.json").read_bytes(), type=host_state.HostState)
+    assert state.fence == fence
+    assert state.processes[0].role == host_state.Role.SERVING
+    assert state.confirm_deadline == 99.5
+    generation = msgspec.json.decode((SPOKEN / "generation-1.json").read_bytes(), type=Generation)
+    assert generation.formats["handover"].reads(1)
+    assert generation.config == {"stop_ms": 2400}
 
 
 def test_a_ledger_of_version_1_is_gone_on_with(tmp_path):
     restored("ledger-1.sql", tmp_path / "rollouts.db")
-    ledger = Ledger(tmp_path)
-    course = ledger.course()
-    assert (course.name, course.phase, course.boxes, course.plan.hold) == ("r1", "baking", ["disp-01"], (1,))
-    assert ledger.events("r1") == [(1.5, "begun")] and ledger.take_over("beta", 0) == 6
-    ledger.keep(course, 11.0, [])
+    store = RolloutStore(tmp_path)
+    state = store.get()
+    assert (state.name, state.phase, state.stage_hosts) == ("r1", "baking", ["disp-01"])
+    assert state.plan.hold_after_stages == (1,)
+    assert store.events("r1") == [(1.5, "begun")]
+    assert store.take_over("beta", 0) == 6
+    store.save(state, 11.0, [])
 
 
 def test_a_store_of_keys_of_version_1_is_read(tmp_path):
@@ -111,26 +119,19 @@
     assert {p.name for p in SPOKEN.iterdir()} >= {
         f"{kind}-{writes}.{end}"
         for kind, end in (("handover", "jsonl"), ("agent", "txt"), ("ledger", "sql"), ("durable", "sql"))
-        for writes in [versions.SPOKEN[kind][0]]
+        for writes in [versions.FORMATS[kind][0]]
     }
 
 
-LATER = [
-    ("handover/messages.py", "VERSION, LOWEST = 1, 1", "VERSION, LOWEST = 2, 1"),
-    ("handover/messages.py", "0 = no other\n", "0 = no other\n    brand_new: str = 'x'\n"),
-    ("versions.py", '"handover": (1, 1, 1)', '"handover": (1, 1, 2)'),
-]
-
-
 def test_keyed_retries_reach_old_and_new_processes_in_turn_and_no_effect_comes_twice(tmp_path):
     """Two versions whose messages differ by one, forth and back, with 200 keyed bookings repeated throughout."""
-    with Fleet(tmp_path, seed=7, boxes=1, gateways=2, rate=20) as fleet:
-        agent = BoxAgent(fleet.boxes[0])
+    with Fleet(tmp_path, seed=7, hosts=1, gateways=2, rate=20) as fleet:
+        agent = HostAgent(fleet.hosts[0])
         old = agent.add(label="old")
-        new = agent.add(program(tmp_path / "later", LATER), label="later")
+        new = agent.add(program(tmp_path / "later", NEXT_HANDOVER_VERSION), label="later")
         agent.start(adopt=old)
-        agent.serves(old)
-        fleet.load()
+        agent.wait_serving(old)
+        fleet.start_load()
         over, rng, keys = threading.Event(), random.Random(7), [uuid.uuid4().hex for _ in range(200)]
         due = time.time() + 60
 
@@ -138,9 +139,9 @@
             gateway = fleet.gateways[0]
             for n in range(100_000):
                 key = keys[n % 200]
-                gateway._try(
-                    "book", f"again-{key}", key, time.time(), min(due, time.time() + 3), fleet.boxes[0], 1, n >= 200
-                )
+                now = time.time()
+                request = Request("book", f"again-{key}", key, now, min(due, now + 3), attempts_left=1)
+                gateway.send(request, fleet.hosts[0], is_retry=n >= 200)
                 if over.wait(rng.uniform(0.002, 0.01)):
                     return
 
@@ -148,10 +149,10 @@
         thread.start()
         try:
             for number, wanted in enumerate((new, old, new), 1):
-                fleet.answered(40)
-                assert agent.order(f"change 1.a r{number} {wanted} 60")[0] == "OK"
-                agent.phase("proving", serving=wanted)
-                until(lambda: len(agent.generations()) == 1, "the end of the old process")
+                fleet.wait_for_results(40)
+                assert agent.call_until_serving(f"change 1.a r{number} {wanted} 60")[0] == "OK"
+                agent.wait_for_phase("proving", serving=wanted)
+                until(lambda: len(agent.running_generations()) == 1, "the end of the old process")
                 assert agent.call(f"confirm 1.a r{number}")[0] == "OK"
         finally:
             over.set()
@@ -159,7 +160,7 @@
         logs = [path.read_text() for path in sorted(agent.folder.glob("lives/*.log"))]
         assert all("event=linked role=follower" in log for log in logs[1:]) and "serving-unlinked" not in "".join(logs)
         assert fleet.broken_rules() == []
-        effects = fleet.account.effects()
+        effects = fleet.record.executions_by_key()
         missing = [key for key in keys if not effects[key]]
         assert not missing and max(effects.values()) == 1
         assert agent.process.send_signal(signal.SIGTERM) is None
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -194,15 +194,15 @@
 def test_a_fleet_that_shrinks_to_a_third_keeps_all_rules(tmp_path):
     info = json.loads(json.dumps(INFO))
     info["FamilyInfo"].update(Halt="pause", Advert="off")
-    with Fleet(tmp_path, seed=12, boxes=3, rate=40, info=info) as fleet:
+    with Fleet(tmp_path, seed=12, hosts=3, rate=40, info=info) as fleet:
         fleet.start()
-        fleet.load()
-        fleet.answered(60)
-        for box in fleet.boxes[1:]:
-            fleet.account.left(box.name, box.processes[0].name)
+        fleet.start_load()
+        fleet.wait_for_results(60)
+        for box in fleet.hosts[1:]:
+            fleet.record.add_shutdown(box.name, box.processes[0].name)
             box.processes[0].terminate()
-        assert all(box.processes[0].wait(8) == 0 for box in fleet.boxes[1:])
+        assert all(box.processes[0].wait(8) == 0 for box in fleet.hosts[1:])
         since = time.time()
-        fleet.answered(100)
+        fleet.wait_for_results(100)
         assert fleet.broken_rules() == []
-        assert fleet.account.counts(since=since, boxes={"disp-01"})["served"] > 50
+        assert fleet.record.answer_counts(since=since, hosts={"disp-01"})["served"] > 50
