--- a/lapispick/rollout/rollout_state.py
+++ b/lapispick/rollout/rollout_state.py
@@ -24,11 +24,11 @@
     CHANGING = "changing"
     BAKING = "baking"
     CONFIRMING = "confirming"
-    WAITING = "waiting"
     HELD = "holding"
     AWAITING_DECISION = "asking"
     ROLLING_BACK = "returning"
     ROLLBACK_SUSPENDED = "burning"
+    WAITING = "waiting"
     DONE = "done"
     ROLLED_BACK = "undone"
 
