--- a/benchmarks/rollout_model.py
+++ b/benchmarks/rollout_model.py
@@ -46,7 +46,7 @@
         self.name = name
         self.rng = rng
         self.start_s = start_s
-        self.state = HostState(name, good=OLD, wanted=OLD, boot_id=BOOT_ID)
+        self.state = HostState(name, good=OLD, target=OLD, boot_id=BOOT_ID)
         self.processes: dict[int, tuple[str, float]] = {}  # number -> generation, when it accepts clients
         self.agent_up = True
         self.reachable = True
--- a/lapispick/agent/service.py
+++ b/lapispick/agent/service.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import functools
 import logging
 import signal
 import sys
@@ -17,11 +18,13 @@
 
 import msgspec
 
-from lapispick.agent import line_client, processes
+from lapispick.agent import processes
 from lapispick.agent.errors import UnknownGenerationError
 from lapispick.agent.generation_store import GenerationStore
+from lapispick.agent.host_client import HealthChecks, HostClient
 from lapispick.agent.host_launcher import HostLauncher
 from lapispick.agent.processes import ProcessTable
+from lapispick.agent.rollback_lease import RollbackLease
 from lapispick.agent.state_file import StateFile
 from lapispick.conf.settings import Agent as Settings
 from lapispick.host.logs import log
@@ -34,7 +37,6 @@
 from lapispick.rollout.host_state import HostPhase, HostProcess, HostState, Observation, Role, Timeouts
 
 LOG = "agent"
-HOST_CALL_TIMEOUT_S = 1.0
 MAX_CALLERS = 16
 FORWARDED_CALLS = ("check", "vars", "drain-on", "drain-off")  # that the host itself answers
 NO_HOST = "ERR no host serves here"
@@ -58,18 +60,17 @@
         self.work = Work(self.loop)
         self._launcher = HostLauncher(settings, base, self.processes, self.store, python)
         self._memory_limit_mb = float(base.get("limits", {}).get("memory_mb", 0.0))
-        turn_wait_s = settings.turn_wait if settings.turn else 0.0
-        self._timeouts = Timeouts(settings.start, settings.stop, rollback_turn_s=turn_wait_s)
+        lease_wait_s = settings.turn_wait if settings.turn else 0.0
+        self._timeouts = Timeouts(settings.start, settings.stop, rollback_lease_wait_s=lease_wait_s)
         self._generations = self.store.all()
-        self._accepting: frozenset[int] = frozenset()
-        self._unresponsive: frozenset[int] = frozenset()
-        self._has_turn = False
-        self._wants_turn = False
+        self._client = HostClient(self.loop, settings.slot_ops)
+        self._lease = RollbackLease(settings.turn, self._forward)
+        self._checks = HealthChecks()
         self._is_deciding = False
         self._disk_error_logged_at = 0.0
         calls: dict[str, Callable[[], list[str]]] = {"status": self._status}
-        for word in FORWARDED_CALLS:
-            calls[word] = lambda word=word: self._forward(word)
+        for name_of_call in FORWARDED_CALLS:
+            calls[name_of_call] = functools.partial(self._forward, name_of_call)
         self.operators = Operators(self.loop, address(settings.listen, 0), MAX_CALLERS, calls, self._handle_call)
 
     def point(self, name: str) -> None:
@@ -81,7 +82,7 @@
             return
         if generation not in self._generations:
             raise UnknownGenerationError(generation, self.store.folder)
-        self.state = msgspec.structs.replace(host_state.copy_of(self.state), good=generation, wanted=generation)
+        self.state = msgspec.structs.replace(host_state.copy_of(self.state), good=generation, target=generation)
 
     def run(self) -> None:
         """Run until told to end; the host goes on."""
@@ -129,51 +130,33 @@
 
     def _observation(self) -> Observation:
         return Observation(
-            self.processes.alive(),
-            self._accepting,
-            self._generations,
-            processes.boot_id(),
-            self._unresponsive,
-            self._has_turn,
+            alive=self.processes.alive(),
+            accepting=self._checks.accepting,
+            generations=self._generations,
+            boot_id=processes.boot_id(),
+            unresponsive=self._checks.unresponsive,
+            has_lease=self._lease.is_held,
         )
 
     def _step(self) -> None:
         self._generations = self.work.do(self._refresh_disk)
-        self._check_processes()
-        if self.settings.turn:
-            self._ask_for_turn()
+        alive = self.processes.alive()
+        self._checks = self._client.check([each for each in self.state.processes if each.number in alive])
+        self._lease.update(self._rolls_back_unconfirmed())
         with self._exclusive():
             decision = host_step.decide(self.state, time.monotonic(), self._observation(), self._timeouts)
             self._save(decision.state)
             for action in decision.actions:
                 self._act(action)
 
+    def _rolls_back_unconfirmed(self) -> bool:
+        is_unconfirmed = self.state.fault == host_state.NOT_CONFIRMED_IN_TIME
+        return self.state.phase == HostPhase.ROLLING_BACK and is_unconfirmed
+
     def _refresh_disk(self) -> dict[str, Generation]:
         self._launcher.rotate_logs()
         return self.store.all()
 
-    def _check_processes(self) -> None:
-        alive = self.processes.alive()
-        answers = {
-            process.number: self._call_slot(process.slot, "check")
-            for process in list(self.state.processes)
-            if process.number in alive
-        }
-        self._accepting = frozenset(number for number, answer in answers.items() if answer == ["OK"])
-        self._unresponsive = frozenset(number for number, answer in answers.items() if answer is None)
-
-    def _ask_for_turn(self) -> None:
-        """Ask the host, as a member, for the turn while an unconfirmed change is to be rolled back; then release it."""
-        wants_turn = self.state.phase == HostPhase.ROLLING_BACK and self.state.fault == host_state.NOT_CONFIRMED_IN_TIME
-        if not wants_turn and not self._wants_turn:
-            return
-        word = "want" if wants_turn else "done"
-        answer = self._forward(f"{word} {self.settings.turn} agent")
-        self._has_turn = wants_turn and answer[0].startswith("OK held")
-        self._wants_turn = wants_turn
-        if wants_turn:
-            log(LOG, logging.DEBUG, "agent-turn", answer=answer[0])
-
     @contextmanager
     def _exclusive(self) -> Iterator[None]:
         """Let one decision be made, stored and acted on at a time."""
@@ -197,14 +180,14 @@
 
     def _log_phase(self, state: HostState) -> None:
         previous = self.state
-        if (previous.phase, previous.wanted, previous.fault) == (state.phase, state.wanted, state.fault):
+        if (previous.phase, previous.target, previous.fault) == (state.phase, state.target, state.fault):
             return
         log(
             LOG,
             logging.INFO,
             "agent-phase",
             phase=state.phase,
-            wanted=state.wanted,
+            target=state.target,
             good=state.good,
             rollout=state.rollout or "none",
             fault=state.fault or "none",
@@ -247,16 +230,9 @@
 
     # Calls.
 
-    def _call_slot(self, slot: int, line: str) -> list[str] | None:
-        """Call the host at the operators' address of a slot; None where it does not answer in time."""
-        try:
-            return line_client.call(self.loop, address(self.settings.slot_ops[slot]), line, HOST_CALL_TIMEOUT_S)
-        except OSError:
-            return None
-
     def _forward(self, line: str) -> list[str]:
         serving = self.state.process(Role.SERVING)
-        answer = self._call_slot(serving.slot, line) if serving is not None else None
+        answer = self._client.call(serving.slot, line) if serving is not None else None
         return answer or [NO_HOST]
 
     def _status(self) -> list[str]:
--- a/lapispick/rollout/host_calls.py
+++ b/lapispick/rollout/host_calls.py
@@ -50,7 +50,7 @@
     refusal = _change_answered(state, call) or _change_refused(state, call, observation)
     if refusal:
         return refusal
-    state.wanted = call.generation
+    state.target = call.generation
     state.rollout = call.rollout
     state.phase = HostPhase.CHANGING
     state.fault = ""
@@ -64,7 +64,7 @@
 
 def _change_answered(state: HostState, call: Change) -> str:
     """Return the answer to a change that is under way, done, rolled back, or comes amid another one."""
-    is_same = (state.rollout, state.wanted) == (call.rollout, call.generation)
+    is_same = (state.rollout, state.target) == (call.rollout, call.generation)
     if is_same and state.phase in (HostPhase.CHANGING, HostPhase.UNCONFIRMED):
         return UNDER_WAY
     was_rolled_back = state.rolled_back_rollout == call.rollout
@@ -106,7 +106,7 @@
     if _accepting_process(state, observation) is None:
         return "ERR it takes no clients"
     state.previous = state.good
-    state.good = state.wanted
+    state.good = state.target
     state.phase = HostPhase.STEADY
     return OK
 
@@ -120,7 +120,7 @@
         if not state.previous:
             return UNTOUCHED
         state.good = state.previous  # the change was confirmed before the rollout was stopped
-    state.wanted = state.good
+    state.target = state.good
     state.phase = HostPhase.ROLLING_BACK
     state.is_restart = False
     state.fault = CALLED_BACK
@@ -139,7 +139,7 @@
         phase=state.phase,
         serving=accepting.generation if accepting is not None else "",
         good=state.good,
-        wanted=state.wanted,
+        target=state.target,
         rollout=state.rollout,
         fence=str(state.fence),
         fault=state.fault,
--- a/lapispick/rollout/host_context.py
+++ b/lapispick/rollout/host_context.py
@@ -28,7 +28,7 @@
         state = self.state
         state.fault = fault
         state.rolled_back_rollout = state.rollout
-        state.wanted = state.good
+        state.target = state.good
         state.phase = HostPhase.ROLLING_BACK
         state.is_restart = False
 
@@ -45,7 +45,7 @@
         """Stay in the good generation, which still serves."""
         state = self.state
         state.rolled_back_rollout = state.rollout
-        state.wanted = state.good
+        state.target = state.good
         state.phase = HostPhase.STEADY
         state.is_restart = False
 
--- a/lapispick/rollout/host_state.py
+++ b/lapispick/rollout/host_state.py
@@ -47,7 +47,9 @@
     start_s: float = 6.0  # from the start of a process to accepting clients
     stop_s: float = 6.0  # from SIGTERM to the end of the process; then it is killed
     min_uptime_s: float = 10.0  # a process that lasted as long did not fail to start
-    rollback_turn_s: float = 0.0  # to wait for a turn to roll back what nobody confirmed; 0 = none is asked for
+    rollback_lease_wait_s: float = (
+        0.0  # to wait for a lease before rolling back what nobody confirmed; 0 = none is requested
+    )
 
 
 class HostProcess(msgspec.Struct):
@@ -71,7 +73,7 @@
     host: str = msgspec.field(name="box")
     good: str = ""  # the generation to roll back to; confirmed
     previous: str = ""  # what was good before the present rollout; it can still be rolled back to
-    wanted: str = ""
+    target: str = msgspec.field(name="wanted", default="")  # the generation to move to
     rollout: str = ""
     phase: HostPhase = HostPhase.STEADY
     change: int = 0  # counts changes and restarts
@@ -114,7 +116,7 @@
     generations: Mapping[str, Generation]
     boot_id: str = ""
     unresponsive: frozenset[int] = frozenset()  # those that answered operators nothing at all
-    has_turn: bool = False  # it is this host's turn to change
+    has_lease: bool = False  # this host holds the lease to change
 
 
 def copy_of(state: HostState) -> HostState:
@@ -126,4 +128,4 @@
 def needed_generations(state: HostState) -> set[str]:
     """Return the generations that must stay on disk."""
     running = (process.generation for process in state.processes)
-    return {state.good, state.previous, state.wanted, *running} - {""}
+    return {state.good, state.previous, state.target, *running} - {""}
--- a/lapispick/rollout/host_step.py
+++ b/lapispick/rollout/host_step.py
@@ -30,7 +30,7 @@
     Timeouts,
     copy_of,
 )
-from lapispick.rollout.host_transition import move_to_wanted
+from lapispick.rollout.host_transition import move_to_target
 
 HUNG_AFTER_STARTS = 5  # start timeouts after which a process that serves nobody, and has no successor, is replaced
 MIN_UNRESPONSIVE_CHECKS = 5  # so that an agent that was suspended does not count that time by its first check
@@ -56,9 +56,9 @@
         context.roll_back(NOT_CONFIRMED_IN_TIME)
     if state.phase == HostPhase.STUCK and state.good in observation.generations:
         state.phase = HostPhase.ROLLING_BACK
-        state.wanted = state.good
+        state.target = state.good
     if state.phase in _TRANSITIONS:
-        move_to_wanted(context)
+        move_to_target(context)
     _ensure_serving(context)
     _end_draining(context)
     return HostDecision(state, context.actions)
@@ -128,8 +128,8 @@
         return
     if state.process(Role.STARTING) is not None or not context.can_start():
         return
-    preferred = state.wanted if state.phase == HostPhase.UNCONFIRMED else state.good
-    for generation in (preferred, state.good, state.previous, state.wanted):
+    preferred = state.target if state.phase == HostPhase.UNCONFIRMED else state.good
+    for generation in (preferred, state.good, state.previous, state.target):
         if generation and generation in context.observation.generations:
             context.start_process(Role.SERVING, generation)
             return
--- a/lapispick/rollout/host_transition.py
+++ b/lapispick/rollout/host_transition.py
@@ -1,4 +1,4 @@
-"""Moves a host from the generation that serves to the one that is wanted, forward or back. No I/O and no clock."""
+"""Moves a host from the generation that serves to its target, forward or back. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from lapispick.rollout.host_state import NOT_CONFIRMED_IN_TIME, HostPhase, HostProcess, Role
 
 
-def move_to_wanted(context: HostContext) -> None:
-    """Do the next thing on the way to the wanted generation."""
+def move_to_target(context: HostContext) -> None:
+    """Take the next step towards the target generation."""
     state = context.state
     serving = state.process(Role.SERVING)
     starting = state.process(Role.STARTING)
-    if starting is None and serving is not None and _is_as_wanted(context, serving):
+    if starting is None and serving is not None and _is_at_target(context, serving):
         return _arrive(context)
-    if state.wanted not in context.observation.generations:
-        return _wanted_is_missing(context)
-    if starting is not None and starting.generation != state.wanted:  # of a change that was rolled back meanwhile
+    if state.target not in context.observation.generations:
+        return _target_is_missing(context)
+    if starting is not None and starting.generation != state.target:  # of a change that was rolled back meanwhile
         state.processes.remove(starting)
         context.actions.append(Kill(starting.number))
         starting = None
@@ -28,9 +28,9 @@
     return None
 
 
-def _is_as_wanted(context: HostContext, process: HostProcess) -> bool:
+def _is_at_target(context: HostContext, process: HostProcess) -> bool:
     state = context.state
-    if process.generation != state.wanted:
+    if process.generation != state.target:
         return False
     return not state.is_restart or process.change == state.change
 
@@ -42,54 +42,54 @@
         state.confirm_deadline = context.now + state.confirm_timeout_s
     else:
         state.phase = HostPhase.STEADY
-        state.good = state.wanted
+        state.good = state.target
         state.previous = ""
     state.is_restart = False
 
 
-def _wanted_is_missing(context: HostContext) -> None:
+def _target_is_missing(context: HostContext) -> None:
     state = context.state
-    state.fault = f"{state.wanted} is gone from the shelf"
+    state.fault = f"{state.target} is gone from the shelf"
     if state.phase == HostPhase.ROLLING_BACK:
         state.phase = HostPhase.STUCK
         return
     state.phase = HostPhase.STEADY
     state.rolled_back_rollout = state.rollout
-    state.wanted = state.good
+    state.target = state.good
 
 
 def _replace(context: HostContext, serving: HostProcess) -> None:
     """Reload the serving process where that is enough, or start a successor."""
-    if _can_reload_to_wanted(context, serving):
-        serving.generation = context.state.wanted
+    if _can_reload_to_target(context, serving):
+        serving.generation = context.state.target
         serving.change = context.state.change
         context.actions.append(Reload(serving))
         _arrive(context)
-    elif not _waits_for_turn(context) and context.can_start():
-        context.start_process(Role.STARTING, context.state.wanted)
+    elif not _waits_for_lease(context) and context.can_start():
+        context.start_process(Role.STARTING, context.state.target)
 
 
-def _can_reload_to_wanted(context: HostContext, serving: HostProcess) -> bool:
+def _can_reload_to_target(context: HostContext, serving: HostProcess) -> bool:
     state = context.state
     generations = context.observation.generations
     current = generations.get(serving.generation)
     if state.is_restart or current is None or not serving.has_accepted:
         return False
-    return can_reload(current, generations[state.wanted])
+    return can_reload(current, generations[state.target])
 
 
-def _waits_for_turn(context: HostContext) -> bool:
-    """Tell whether to wait for a turn before an unconfirmed change is rolled back.
+def _waits_for_lease(context: HostContext) -> bool:
+    """Tell whether to wait for a lease before an unconfirmed change is rolled back.
 
     Where a controller is cut off from many hosts, all their timeouts end at one instant. Nothing is known to be wrong
-    with what serves, so the rollback may wait, but not forever: a turn needs a majority of the members.
+    with what serves, so the rollback may wait, but not forever: a lease needs a majority of the members.
     """
     state = context.state
     if state.phase != HostPhase.ROLLING_BACK or state.fault != NOT_CONFIRMED_IN_TIME:
         return False
-    if context.observation.has_turn:
+    if context.observation.has_lease:
         return False
-    return context.now < state.confirm_deadline + context.timeouts.rollback_turn_s
+    return context.now < state.confirm_deadline + context.timeouts.rollback_lease_wait_s
 
 
 def _follow_start(context: HostContext, serving: HostProcess | None, starting: HostProcess) -> None:
--- a/lapispick/rollout/messages.py
+++ b/lapispick/rollout/messages.py
@@ -152,7 +152,7 @@
     phase: str
     serving: str  # the generation that accepts clients; empty = none does
     good: str
-    wanted: str
+    target: str = msgspec.field(name="wanted")
     rollout: str
     fence: str
     fault: str = ""
--- a/lapispick/rollout/pacing.py
+++ b/lapispick/rollout/pacing.py
@@ -58,18 +58,18 @@
     changing = sum(host.is_changing for host in fleet)
     serving = sum(host.is_serving and not host.is_changing for host in fleet)
     min_serving = limits.min_serving_fraction * len(fleet) - _ROUNDING
-    begun: list[str] = []
+    admitted: list[str] = []
     for host in waiting:
         if changing >= limits.max_changing:
-            return Admission(begun, f"{changing} are in change; {limits.max_changing} may be at once")
+            return Admission(admitted, f"{changing} are in change; {limits.max_changing} may be at once")
         serving_after = serving - host.is_serving  # a host that is down already costs nothing
         if serving_after < min_serving:
             reason = f"{serving} of {len(fleet)} serve; {limits.min_serving_fraction:.0%} must"
-            return Admission(begun, reason)
-        begun.append(host.name)
+            return Admission(admitted, reason)
+        admitted.append(host.name)
         changing += 1
         serving = serving_after
-    return Admission(begun, "")
+    return Admission(admitted, "")
 
 
 _HOURS_PATTERN = re.compile(r"([01]\d|2[0-4]):([0-5]\d)-([01]\d|2[0-4]):([0-5]\d)")
--- a/lapispick/rollout/rollout_step.py
+++ b/lapispick/rollout/rollout_step.py
@@ -78,14 +78,14 @@
     state = step.state
     listed = step.reports.keys()
     stages = state.plan.stages
-    begun_stages = stages[: state.stage + (state.phase != Phase.BASELINE)]
+    started_stages = stages[: state.stage + (state.phase != Phase.BASELINE)]
     planned = {name for stage in stages for name in stage}
-    begun = {name for stage in begun_stages for name in stage}
+    started = {name for stage in started_stages for name in stage}
     state.removed_hosts = sorted((planned | state.touched_hosts | set(state.deferred_hosts)) - listed)
     state.stage_hosts = [name for name in state.stage_hosts if name in listed]
     state.deferred_hosts = [name for name in state.deferred_hosts if name in listed]
     state.controls = [name for name in state.controls if name in listed]
-    state.deferred_hosts += sorted(listed & begun - state.touched_hosts - set(state.deferred_hosts))
+    state.deferred_hosts += sorted(listed & started - state.touched_hosts - set(state.deferred_hosts))
     state.deferred_hosts += sorted(listed - planned - state.touched_hosts - set(state.deferred_hosts))
 
 
--- a/lapispick/rollout/stages.py
+++ b/lapispick/rollout/stages.py
@@ -146,14 +146,14 @@
     by_name = {host.name: host for host in hosts}
     capacities = _capacities(hosts, limits.max_zone_fraction)
     found = []
-    begun: set[str] = set()
+    assigned: set[str] = set()
     for number, stage in enumerate(stages, 1):
         stage_hosts = [by_name[name] for name in stage]
-        begun.update(stage)
+        assigned.update(stage)
         found += _capacity_remarks(number, stage_hosts, capacities)
         if number < len(stages):
-            found += _comparison_remarks(number, stage_hosts, [host for host in hosts if host.name not in begun])
-    missing = by_name.keys() - begun
+            found += _comparison_remarks(number, stage_hosts, [host for host in hosts if host.name not in assigned])
+    missing = by_name.keys() - assigned
     if missing:
         found.append(f"{len(missing)} boxes stay as they are, such as {min(missing)}")
     found += [f"{host.name} has no agent (lapispick_agent)" for host in hosts if not host.agent]
--- a/tests/test_rollout_state.py
+++ b/tests/test_rollout_state.py
@@ -193,7 +193,7 @@
     made.processes.clear()
     state, _ = host_step.decide(made.state, 0.5, Observation(frozenset(), frozenset(), GENERATIONS, "2"), Timeouts())
     assert (
-        state.wanted == OLD
+        state.target == OLD
         and "before the change was confirmed" in state.fault
         and state.processes[0].generation == OLD
     )
@@ -228,7 +228,7 @@
     shelf = {OLD: GENERATIONS[OLD], NEW: stop}
     for took, kind in ((True, "Reload"), (False, "Start")):
         state = host_state.copy_of(made.state)
-        state.phase, state.wanted, state.change, state.processes[0].has_accepted = HostPhase.CHANGING, NEW, 1, took
+        state.phase, state.target, state.change, state.processes[0].has_accepted = HostPhase.CHANGING, NEW, 1, took
         _, actions = host_step.decide(state, 2.0, Observation(frozenset([1]), frozenset(), shelf, "1"), Timeouts())
         assert [type(a).__name__ for a in actions] == [kind]
 
@@ -596,7 +596,7 @@
     begun = sum(b.serving(fleet.now)[0] == NEW or b.state.phase != HostPhase.STEADY for b in fleet.hosts.values())
     for _ in range(30):
         fleet.second()
-    assert sum(b.state.wanted == NEW for b in fleet.hosts.values()) == begun < 10
+    assert sum(b.state.target == NEW for b in fleet.hosts.values()) == begun < 10
     fleet.rollout.order = Order.RESUME
     fleet.second()
     assert fleet.rollout.phase == Phase.CHANGING
