--- a/lapispick/cli/agent.py
+++ b/lapispick/cli/agent.py
@@ -24,7 +24,7 @@
 
 @click.group()
 def agent() -> None:
-    """Run a box's agent, keep its generations, or ask it where it stands."""
+    """Run a host's agent, manage its generations, or show its status."""
 
 
 def _settings(file: Path | None) -> Settings:
@@ -49,9 +49,9 @@
 
 @agent.command()
 @FILE
-@click.option("--adopt", metavar="GENERATION", default="", help="The good one, where the box has none so far.")
+@click.option("--adopt", metavar="GENERATION", default="", help="The good generation, where the host has none yet.")
 def run(file: Path | None, adopt: str) -> None:
-    """Run the agent of this box until it is told to end; the host goes on without it."""
+    """Run the agent of this host until it is told to end; the host goes on without it."""
     from lapispick.agent.service import Agent
     from lapispick.host import config as platform
     from lapispick.host import logs
@@ -88,7 +88,7 @@
 )
 @click.option("--label", default="", help="A word for people.")
 def add(file: Path | None, program: Path, settings: Path | None, config: Path | None, label: str) -> None:
-    """Put a generation on this box's shelf and print its digest; nothing runs it so far."""
+    """Store a generation on this host and print its digest; nothing runs it yet."""
     from lapispick.conf import settings as conf
     from lapispick.file_errors import Faulty
 
@@ -110,7 +110,7 @@
 @FILE
 @JSON
 def shelf(file: Path | None, json_: bool) -> None:
-    """List the generations on this box's shelf, and whether their files are what the digests say."""
+    """List the generations stored on this host, and whether their files are what the digests say."""
     store = _generation_store(file)
     found = [(generation, store.verify(generation.digest)) for generation in store.all().values()]
     if json_:
@@ -128,7 +128,7 @@
 @click.option("--at", metavar="IP:PORT", required=True, help="Where the agent listens.")
 @JSON
 def status(at: str, json_: bool) -> None:
-    """Ask an agent where its box stands."""
+    """Show the status that an agent reports."""
     try:
         answer = messages.decode_status(call(address(at), "status"))
     except (NoAnswer, ValueError) as err:
--- a/lapispick/cli/rollout.py
+++ b/lapispick/cli/rollout.py
@@ -55,7 +55,7 @@
 @FILE
 @JSON_OPTION
 @click.option(
-    "--name", default=PREVIEW_NAME, show_default=True, help="The rollout's name; it draws which boxes come first."
+    "--name", default=PREVIEW_NAME, show_default=True, help="The rollout's name; it draws which hosts come first."
 )
 def plan(file: Path | None, json_: bool, name: str) -> None:
     """Show the stages of the plan."""
@@ -77,8 +77,8 @@
         names = " ".join(stage[:MAX_SHOWN_HOSTS])
         more = " ..." if len(stage) > MAX_SHOWN_HOSTS else ""
         rows.append((number, len(stage), stage_kinds, names + more))
-    title = f"{len(fleet.workers)} boxes in {len(fleet.stages)} stages"
-    table(title, ("stage", "boxes", "of", "names"), rows)
+    title = f"{len(fleet.workers)} hosts in {len(fleet.stages)} stages"
+    table(title, ("stage", "hosts", "of", "names"), rows)
     for remark in fleet.remarks:
         say(remark)
 
@@ -93,7 +93,7 @@
 def check(
     file: Path | None, program: Path, settings: Path | None, config: Path | None, old: Path | None, json_: bool
 ) -> None:
-    """Name what a rollout would break, without a fleet; ends with 2 where there is anything."""
+    """Show what a rollout would break, without a fleet; ends with 2 where there is anything."""
     fleet = read_fleet(file, PREVIEW_NAME)
     candidate = read_candidate(program, settings, config)
     faults = [*fleet.faults, *candidate.faults]
@@ -124,7 +124,7 @@
 def start(
     file: Path | None, program: Path, settings: Path | None, config: Path | None, name: str, memory_mb: float
 ) -> None:
-    """Begin a rollout and steer it until it is over; `resume` goes on where a controller ended."""
+    """Begin a rollout and control it until it is over; `resume` goes on where a controller ended."""
     from lapispick.cli.rollout_control import run_controller
 
     store = open_store(file)
@@ -155,7 +155,7 @@
 @NAME_ARGUMENT
 @MEMORY_OPTION
 def resume(file: Path | None, name: str, memory_mb: float) -> None:
-    """Go on steering where another controller ended or lost its turn."""
+    """Take control where another controller ended or was fenced."""
     from lapispick.cli.rollout_control import run_controller
 
     store = open_store(file)
@@ -172,7 +172,7 @@
         state = get_open_rollout(store, name)
         store.add_order(state.name, order.value)
         if time.time() - store.leadership().seen_at > CONTROLLER_TIMEOUT_S:
-            say(f"{state.name}: {order} is kept, but nobody steers: lapispick rollout resume")
+            say(f"{state.name}: {order} is stored, but no controller runs: lapispick rollout resume")
         else:
             say(f"{state.name}: told the controller: {order}")
 
@@ -180,8 +180,8 @@
 
 
 for _order, _help in (
-    (Order.HOLD, "Begin nothing more; what has changed is watched on."),
-    (Order.RESUME, "Go on where the plan holds or a person is asked."),
-    (Order.ROLL_BACK, "Take every box of the rollout back to what it ran before."),
+    (Order.HOLD, "Begin nothing more; what has changed is still watched."),
+    (Order.RESUME, "Resume where the plan holds or an operator is asked."),
+    (Order.ROLL_BACK, "Roll every host of the rollout back to what it ran before."),
 ):
     rollout.add_command(_order_command(_order, _help))
--- a/lapispick/cli/rollout_control.py
+++ b/lapispick/cli/rollout_control.py
@@ -48,7 +48,7 @@
     controller = Controller(store, state, fleet.workers, options, ListReader(fleet).accepted_workers)
     ended = controller.run()
     if controller.ended_reason:
-        fail(NO_STATE, f"another controller steers, or this one failed: {controller.ended_reason}")
+        fail(NO_STATE, f"another controller is in charge, or this one failed: {controller.ended_reason}")
     say(f"{ended.name}: {ended.phase}: {ended.reason}")
     sys.exit(0 if ended.phase == Phase.DONE else DIFFERS)
 
--- a/lapispick/cli/rollout_planning.py
+++ b/lapispick/cli/rollout_planning.py
@@ -130,7 +130,7 @@
         running = {name: FormatSupport(*support) for name, support in status.formats.items()}
         faults += [f"{worker.name}: {reason}" for reason in compat.objections(running, candidate.formats)]
         if candidate.digest not in status.generations:
-            faults.append(f"{worker.name}: {candidate.digest} is not on its shelf (lapispick agent add)")
+            faults.append(f"{worker.name}: {candidate.digest} is not stored there (lapispick agent add)")
     return faults[:MAX_SHOWN_FAULTS] if answered else ["no agent answers"]
 
 
--- a/lapispick/cli/rollout_show.py
+++ b/lapispick/cli/rollout_show.py
@@ -63,7 +63,7 @@
 @NAME_ARGUMENT
 @JSON_OPTION
 def status(file: Path | None, name: str, json_: bool) -> None:
-    """Say where a rollout stands; by default the newest. Ends with 1 where it was undone or asks a person."""
+    """Show the state of a rollout, by default the newest. Ends with 1 where it was rolled back or asks an operator."""
     store = open_store(file)
     state = get_rollout(store, name)
     summary = _summary(store, state)
@@ -74,7 +74,7 @@
             if key != "boxes":
                 say(f"{key:<11} {value}")
         if summary["seen_s_ago"] > CONTROLLER_TIMEOUT_S and not state.is_over:
-            say("nobody steers: lapispick rollout resume")
+            say("no controller runs: lapispick rollout resume")
     sys.exit(DIFFERS if state.phase in (Phase.ROLLED_BACK, Phase.AWAITING_DECISION) else 0)
 
 
@@ -83,7 +83,7 @@
 @NAME_ARGUMENT
 @click.option("--seconds", type=float, default=0.0, help="End after this long; 0: when the rollout is over.")
 def watch(file: Path | None, name: str, seconds: float) -> None:
-    """Show stages and boxes live."""
+    """Show stages and hosts live."""
     store = open_store(file)
     end = time.monotonic() + seconds if seconds else float("inf")
     with Live(_watch_table(store, name), refresh_per_second=WATCH_FRAMES_PER_S) as live:
@@ -97,7 +97,7 @@
     fleet = store.fleet_summary(state.name)
     hosts = fleet.hosts if fleet is not None else {}
     shown = Table(title=f"{state.name} {state.phase}: {state.reason}", title_justify="left", box=None)
-    for column in ("box", "stage", "serves", "phase", "fault"):
+    for column in ("host", "stage", "serves", "phase", "fault"):
         shown.add_column(column)
     stage_of = {host: number for number, stage in enumerate(state.plan.stages, 1) for host in stage}
     for host, summary in hosts.items():
@@ -146,7 +146,7 @@
         )
         for record in records
     )
-    table("rollouts", ("name", "began", "generation", "phase", "ground"), rows)
+    table("rollouts", ("name", "began", "generation", "phase", "reason"), rows)
 
 
 def _record_json(record: RolloutRecord) -> dict[str, Any]:
@@ -165,12 +165,12 @@
 @NAME_ARGUMENT
 @JSON_OPTION
 def explain(file: Path | None, name: str, json_: bool) -> None:
-    """Say why the judge decides as it does, figure by figure."""
+    """Show why the canary analysis decides as it does, metric by metric."""
     store = open_store(file)
     state = get_rollout(store, name)
     stored = store.explanation(state.name)
     if stored is None:
-        fail(NO_STATE, f"{state.name}: the judge has said nothing so far")
+        fail(NO_STATE, f"{state.name}: there is no canary analysis yet")
     explanation = stored.explanation
     if json_:
         as_json({"at": stored.at, **msgspec.to_builtins(explanation)})
@@ -178,10 +178,10 @@
     say(f"{state.name} stage {explanation.stage}: {explanation.outcome}: {explanation.reason}")
     changed = " ".join(explanation.changed) or "none warm"
     unchanged = " ".join(explanation.unchanged) or "none"
-    say(f"changed: {changed}; held against: {unchanged}")
+    say(f"changed: {changed}; compared with: {unchanged}")
     table(
-        "figures, more is worse",
-        ("figure", "slices", "worse by", "between", "margin", "evidence", "needed", "cleared", "old boxes"),
+        "metrics, more is worse",
+        ("metric", "slices", "worse by", "between", "margin", "evidence", "needed", "cleared", "unchanged hosts"),
         (_metric_row(metric) for metric in explanation.metrics),
     )
 
