--- /dev/null
+++ b/benchmarks/parity.py
@@ -0,0 +1,167 @@
+"""What the parity tools share: digests of recorded output, the comparison of two results, and the options.
+
+A parity tool plays fixed scenarios against one checkout and records every piece of output. A scenario's result is
+one digest over all output and one digest per block of frames, so that the first difference can be located.
+"""
+
+from __future__ import annotations
+
+import sys
+from collections import Counter
+from collections.abc import Callable, Iterable
+from hashlib import blake2b
+from pathlib import Path
+from typing import Any
+
+import click
+import msgspec
+
+DIGEST_BYTES = 16
+FRAMES_PER_BLOCK = 50
+
+
+class ScenarioResult(msgspec.Struct, frozen=True):
+    """The output of one scenario; ``blocks`` holds the running digest after each block of frames."""
+
+    name: str
+    digest: str
+    frames: int
+    events: int
+    counts: dict[str, int]  # of the output, by kind
+    inputs: dict[str, int]  # by kind
+    blocks: list[str]
+
+
+class ParityResult(msgspec.Struct, frozen=True):
+    """The output of one run of a parity tool."""
+
+    tool: str
+    seed: int
+    scenarios: list[ScenarioResult]
+    total: str
+
+
+class Difference(msgspec.Struct, frozen=True):
+    """The first place at which two results differ; ``frame`` is -1 where no frame can be named."""
+
+    scenario: str
+    frame: int
+    text: str
+
+
+class Recorder:
+    """Hashes the output of one scenario, frame by frame."""
+
+    def __init__(self, name: str) -> None:
+        self._name = name
+        self._hash = blake2b(digest_size=DIGEST_BYTES)
+        self._blocks: list[str] = []
+        self._frames = 0
+        self.events = 0
+        self.counts: Counter[str] = Counter()
+        self.inputs: Counter[str] = Counter()
+
+    def record(self, frame: bytes) -> None:
+        """Add one frame; its length counts, so that frames can't run into one another."""
+        self._hash.update(len(frame).to_bytes(4, "big"))
+        self._hash.update(frame)
+        self._frames += 1
+        if self._frames % FRAMES_PER_BLOCK == 0:
+            self._blocks.append(self._hash.hexdigest())
+
+    def result(self) -> ScenarioResult:
+        """Return what was recorded so far."""
+        counts, inputs = dict(sorted(self.counts.items())), dict(sorted(self.inputs.items()))
+        digest = self._hash.hexdigest()
+        return ScenarioResult(self._name, digest, self._frames, self.events, counts, inputs, self._blocks)
+
+
+def combine(tool: str, seed: int, scenarios: list[ScenarioResult]) -> ParityResult:
+    """Return the result of a run, with one digest over all scenarios."""
+    total = blake2b(digest_size=DIGEST_BYTES)
+    for scenario in scenarios:
+        total.update(f"{scenario.name} {scenario.digest}\n".encode())
+    return ParityResult(tool, seed, scenarios, total.hexdigest())
+
+
+def first_difference(expected: ParityResult, found: ParityResult) -> Difference | None:
+    """Return the first difference between two results, or None where they are equal."""
+    if (expected.tool, expected.seed) != (found.tool, found.seed):
+        return Difference("-", -1, "the results are of different tools or seeds")
+    names = [scenario.name for scenario in expected.scenarios]
+    if names != [scenario.name for scenario in found.scenarios]:
+        return Difference("-", -1, "the results are of different scenarios")
+    for old, new in zip(expected.scenarios, found.scenarios, strict=True):
+        difference = _scenario_difference(old, new)
+        if difference is not None:
+            return difference
+    if expected.total != found.total:
+        return Difference("-", -1, "the total digests differ though no scenario does")
+    return None
+
+
+def _scenario_difference(old: ScenarioResult, new: ScenarioResult) -> Difference | None:
+    if old == new:
+        return None
+    pairs = zip(old.blocks, new.blocks, strict=False)
+    block = next((i for i, (a, b) in enumerate(pairs) if a != b), min(len(old.blocks), len(new.blocks)))
+    first = block * FRAMES_PER_BLOCK
+    last = first + FRAMES_PER_BLOCK - 1
+    return Difference(old.name, first, f"first difference in frames {first} to {last} (of {old.frames})")
+
+
+def print_result(result: ParityResult) -> None:
+    """Print digest, number of events and counts of each scenario, and the totals."""
+    totals, inputs = Counter[str](), Counter[str]()
+    for scenario in result.scenarios:
+        click.echo(f"{scenario.name:24} {scenario.digest} {scenario.events:7} events {scenario.frames:7} frames")
+        click.echo(f"    {_counts_text(scenario.counts)}")
+        totals.update(scenario.counts)
+        inputs.update(scenario.inputs)
+    events = sum(scenario.events for scenario in result.scenarios)
+    click.echo(f"total {result.total} {events} events")
+    click.echo(f"    out: {_counts_text(totals)}")
+    click.echo(f"    in: {_counts_text(inputs)}")
+
+
+def _counts_text(counts: dict[str, int]) -> str:
+    return " ".join(f"{name}={counts[name]}" for name in sorted(counts))
+
+
+def require_counts(result: ParityResult, names: Iterable[str]) -> None:
+    """Exit with 1 unless each of these kinds of output and input came at least once in the whole run."""
+    totals = Counter[str]()
+    for scenario in result.scenarios:
+        totals.update(scenario.counts)
+        totals.update(scenario.inputs)
+    missing = [name for name in names if not totals[name]]
+    if missing:
+        click.echo(f"never seen in this run: {', '.join(missing)}", err=True)
+        sys.exit(1)
+
+
+def output_options(command: Callable[..., Any]) -> Callable[..., Any]:
+    """Add the options that all parity tools have: ``--seed``, ``--json`` and ``--compare``."""
+    path = click.Path(dir_okay=False, path_type=Path)
+    old_path = click.Path(exists=True, dir_okay=False, path_type=Path)
+    command = click.option("--compare", "compare_file", type=old_path, help="exit 1 unless equal to this result")(
+        command
+    )
+    command = click.option("--json", "json_file", type=path, help="store the result here")(command)
+    return click.option("--seed", default=1, show_default=True)(command)
+
+
+def finish(result: ParityResult, json_file: Path | None, compare_file: Path | None) -> None:
+    """Print and store a result; exit 1 where it differs from the one to compare with."""
+    print_result(result)
+    if json_file is not None:
+        encoded = msgspec.json.format(msgspec.json.encode(result), indent=1)
+        json_file.write_bytes(encoded + b"\n")
+    if compare_file is None:
+        return
+    expected = msgspec.json.decode(compare_file.read_bytes(), type=ParityResult)
+    difference = first_difference(expected, result)
+    if difference is not None:
+        click.echo(f"DIFFERENT: scenario {difference.scenario}, frame {difference.frame}: {difference.text}", err=True)
+        sys.exit(1)
+    click.echo("equal")
--- /dev/null
+++ b/benchmarks/parity_server.py
@@ -0,0 +1,555 @@
+"""A small model of one server under load: turns the actions of a controller into its next events.
+
+It is no simulator: cores are shared evenly, and callers, clients and the dependency are a few draws each. What matters
+is that its events are plausible, cover all kinds, and depend on nothing but a seed and the actions.
+"""
+
+from __future__ import annotations
+
+import heapq
+import math
+import random
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from enum import Enum, auto
+
+from benchmarks import parity_wire as wire
+from benchmarks.parity_scenarios import DEDUPLICATED, IDEMPOTENT, Scenario, ServiceClass, start_settings
+from benchmarks.parity_wire import Action, ActionCode, Outcome
+
+JOIN_WORK = 0.05  # of the work of the request that is joined
+ERROR_PART = 0.02  # of the runs
+LATE_HANGUP_PART = 0.03  # of the requests that end before the server hears of it
+LATE_HANGUP_MS = 120.0
+CALLER_LEAVES_PART = 0.06  # of the requests whose caller gives up before its deadline
+STRAY_HANGUP_PART = 0.01  # of the requests that get a hangup after their answer
+REPEAT_PART = 0.12  # of the keyed requests that come again while the first is open
+TWIN_PART = 0.03  # of the keyed requests that come twice in one batch
+HEEDS_ADVERT_PART = 0.85  # of the arrivals
+TERMINATE_NOTICE_MS = 3000.0
+CRASH_PART = 0.3  # of the ends of an instance come without a notice
+RESTART_MS = 700.0
+RETRY_PAUSE_MS = 150.0
+HEALTH_DELAY_MS = 1500.0
+TROUBLE_MS = 2500.0
+TROUBLE_SLOWDOWN = 6.0
+HANG_PART = 0.05  # of the calls in trouble
+HANG_MS = 60000.0
+GAUGE_WINDOW_MS = 500.0
+KEY_SPACE = 400
+INSTANCE_IDS = 1 << 40  # request ids of one instance
+FAILED_CALLS = (
+    Outcome.ERROR,
+    Outcome.FULL,
+    Outcome.TIMEOUT,
+    Outcome.CONNECT_FAILED,
+    Outcome.RESET,
+    Outcome.CANCELLED,
+    Outcome.MOOT,
+)
+FAILED_CALL_ODDS = (4, 4, 4, 4, 4, 1, 1)
+FAILURES_IN_TROUBLE = 0.45
+FAILURES_USUAL = 0.02
+
+
+class State(Enum):
+    """Where a request stands."""
+
+    HELD = auto()
+    RUNNING = auto()
+    WANTS_CALL = auto()
+    CALLING = auto()
+    PAUSED = auto()
+    JOINED = auto()
+    OVER = auto()
+
+
+OFF_CORE = (State.HELD, State.PAUSED, State.JOINED)
+
+
+@dataclass(eq=False)
+class Task:
+    """One request that a server has read."""
+
+    id: int
+    cls: int
+    key: int
+    caller: int
+    due: float
+    kb: float
+    work: float
+    left: float
+    same_as: int
+    calls_at: list[float] = field(default_factory=list)  # the work left at each call, the next one last
+    state: State = State.HELD
+    started: float = 0.0
+    called: float = 0.0
+    call: int = 0  # the number of the call in progress
+    answered: bool = False  # or the caller is gone
+
+
+@dataclass
+class KeyEntry:
+    """One entry of the table of kept keys."""
+
+    holder: int
+    until: float
+
+
+class Server:
+    """One instance with its callers and its share of the dependency."""
+
+    def __init__(self, scenario: Scenario, number: int, seed: int, clock: float) -> None:
+        self.scenario, self.number = scenario, number
+        self.rng = random.Random(f"{seed} {scenario.name} {number}")
+        self.clock = clock
+        self.alive = False
+        self._next_id = 1
+        self._sequence = 0
+        self._agenda: list[tuple[float, int, Callable[..., None], tuple[object, ...]]] = []
+        self._events: list[bytes] = []
+        self._trouble_until = 0.0
+        self._ranks = _class_bands(scenario.classes)
+        self._start(scenario.cold)
+
+    # What the driver calls.
+
+    def first_events(self) -> list[bytes]:
+        """Return the records of the start itself."""
+        return self._events
+
+    def events(self, clock: float) -> list[bytes]:
+        """Let time pass up to ``clock``; return the records of what happened."""
+        self._events = []
+        elapsed, self.clock = clock - self.clock, clock
+        if self.alive:
+            self._advance_runs(elapsed)
+        while self._agenda and self._agenda[0][0] <= clock:
+            _, _, call, arguments = heapq.heappop(self._agenda)
+            call(*arguments)
+        if self.alive:
+            self._arrivals(elapsed)
+        return self._events
+
+    def apply(self, action: Action) -> None:
+        """Carry out one action of the controller."""
+        handler = ACTION_HANDLERS.get(action.code)
+        if handler is not None:
+            handler(self, *action.fields)
+
+    # Lives.
+
+    def _at(self, when: float, call: Callable[..., None], *arguments: object) -> None:
+        self._sequence += 1
+        heapq.heappush(self._agenda, (when, self._sequence, call, arguments))
+
+    def _start(self, cold: bool) -> None:
+        self.alive, self._born, self._cold = True, self.clock, cold
+        self._tasks: dict[int, Task] = {}
+        self._ended: dict[int, bool] = {}
+        self._keys: dict[tuple[int, int], KeyEntry] = {}
+        self._advert: float | None = None
+        self._healthy, self._health_known_at = True, self.clock
+        self._core_use = 0.0
+        settings = start_settings(self.scenario, self.number, cold)
+        self._events.append(wire.born(self.number, self.rng.getrandbits(64), settings))
+        life = self.scenario.life_ms * self.rng.uniform(0.5, 1.5)
+        leaves = self._kill if self.rng.random() < CRASH_PART else self._terminate_soon
+        self._at(self.clock + life, leaves)
+
+    def _terminate_soon(self) -> None:
+        stop_at = self.clock + TERMINATE_NOTICE_MS
+        self._events.append(wire.terminate_soon(self.number, stop_at))
+        self._at(stop_at, self._kill)
+
+    def _kill(self) -> None:
+        self.alive = False
+        self._agenda.clear()
+        self._events = [wire.kill(self.number)]
+        if self.rng.random() < 0.5:
+            self._start(cold=True)
+        else:
+            self._at(self.clock + RESTART_MS, self._start, True)
+
+    # Arrivals.
+
+    def _arrivals(self, elapsed: float) -> None:
+        mean = self._rate() * elapsed
+        while self.rng.random() < mean:
+            mean -= 1.0
+            cls = self._draw_class()
+            if self._caller_sends(self._rank(cls)):
+                self._arrive(cls, self.rng.randrange(1, KEY_SPACE), 0.0, retry=False)
+
+    def _rate(self) -> float:
+        """Return the arrivals per ms at this moment."""
+        scenario = self.scenario
+        if not self._healthy and self.clock > self._health_known_at:
+            return 0.0
+        shares = sum(each.share for each in scenario.classes)
+        work = sum(each.share * each.work_ms for each in scenario.classes) / shares
+        phase = math.copysign(1.0, math.sin(self.clock * math.tau / scenario.swing_ms))
+        load = scenario.load * (1 + scenario.swing * phase)
+        return load * scenario.cores * scenario.speed / work
+
+    def _draw_class(self) -> int:
+        classes = self.scenario.classes
+        return self.rng.choices(range(len(classes)), [each.share for each in classes])[0]
+
+    def _rank(self, cls: int) -> float:
+        low, width = self._ranks[cls]
+        return low + width * self.rng.random()
+
+    def _caller_sends(self, rank: float) -> bool:
+        if self._advert is None or self.rng.random() > HEEDS_ADVERT_PART:
+            return True
+        match self.scenario.advert:
+            case "level":
+                return rank >= self._advert
+            case "weight":
+                return self.rng.random() < self._advert
+            case "credit":
+                return len(self._tasks) < self._advert * self.scenario.callers
+        return True
+
+    def _arrive(self, cls: int, key: int, spent: float, retry: bool) -> None:
+        """Let a request be read, now and then twice; ``spent`` is the time since its client's first try."""
+        keyed = self.scenario.classes[cls].idempotency == DEDUPLICATED
+        twice = keyed and self.rng.random() < TWIN_PART
+        following = self._request_id(self._next_id + 1)
+        first = self._read(cls, key, spent, retry, following if twice else 0)
+        if twice:
+            self._read(cls, key, spent, True, first.id)
+
+    def _request_id(self, count: int) -> int:
+        return count + self.number * INSTANCE_IDS
+
+    def _read(self, cls: int, key: int, spent: float, retry: bool, twin: int) -> Task:
+        """Let a server read a request; ``twin`` is the try of it that came in the same batch."""
+        scenario, each, rng = self.scenario, self.scenario.classes[cls], self.rng
+        request = self._request_id(self._next_id)
+        self._next_id += 1
+        unread = round(rng.expovariate(1.0) * scenario.unread_ms * (1 + len(self._tasks) / (8 * scenario.cores)), 3)
+        due = self.clock - unread + max(50.0, each.give_up - spent)
+        work = max(1.0, each.work_ms * rng.lognormvariate(-0.25, 0.7))
+        caller, kb = rng.randrange(scenario.callers), rng.uniform(*scenario.held_kb)
+        task = Task(request, cls, key, caller, due, kb, work, work, twin)
+        task.same_as = self._find_prior(task) or twin
+        task.calls_at = self._draw_calls(each, work)
+        self._tasks[request] = task
+        self._events.append(wire.knock(self.number, self._knock_fields(task, unread, retry)))
+        self._schedule_client(task, each, spent)
+        return task
+
+    def _draw_calls(self, each: ServiceClass, work: float) -> list[float]:
+        if self.scenario.below == "off":
+            return []
+        mean = each.calls * (1.5 if self._cold else 1.0)
+        count = int(mean) + (self.rng.random() < mean % 1)
+        return sorted(work * self.rng.random() for _ in range(count))
+
+    def _knock_fields(self, task: Task, unread: float, retry: bool) -> wire.Knock:
+        each, scenario = self.scenario.classes[task.cls], self.scenario
+        bits = (wire.RETRY if retry else 0) | (wire.WRITE if each.write else 0)
+        cost = 0.0
+        if scenario.hints and self.rng.random() < 0.9:
+            bits |= wire.COST_KNOWN
+            cost = task.work * self.rng.uniform(0.7, 1.4)
+        return wire.Knock(
+            request=task.id,
+            deadline=task.due if scenario.passes_deadline else 0.0,
+            key=0 if each.idempotency == DEDUPLICATED else task.key,
+            rank=self._rank(task.cls),
+            unread_for=unread,
+            same_as=task.same_as,
+            bits=bits,
+            tenant=self.rng.randrange(scenario.tenants) if scenario.tenants else 0,
+            memory_kb=task.kb,
+            cost=cost,
+            cls=task.cls,
+            caller=task.caller,
+        )
+
+    def _find_prior(self, task: Task) -> int:
+        """Return the request that this one repeats, 0 for none."""
+        each = self.scenario.classes[task.cls]
+        if each.idempotency == DEDUPLICATED:
+            entry = self._keys.get((task.cls, task.key))
+            return entry.holder if entry is not None and entry.until > self.clock else 0
+        if each.idempotency == IDEMPOTENT and self.scenario.fresh > 0:
+            same = (t.id for t in self._tasks.values() if (t.cls, t.key) == (task.cls, task.key))
+            return next(same, 0)
+        return 0
+
+    def _schedule_client(self, task: Task, each: ServiceClass, spent: float) -> None:
+        """Draw what the caller of a request does later."""
+        rng, left = self.rng, task.due - self.clock
+        if rng.random() < CALLER_LEAVES_PART:
+            self._at(self.clock + left * rng.random(), self._caller_leaves, task)
+        self._at(task.due, self._caller_leaves, task)
+        if each.idempotency == DEDUPLICATED and rng.random() < REPEAT_PART:
+            delay = left * rng.random()
+            self._at(self.clock + delay, self._arrive, task.cls, task.key, spent + delay, True)
+
+    def _caller_leaves(self, task: Task) -> None:
+        if task.answered or task.state is State.OVER:
+            return
+        task.answered = True
+        if task.state in OFF_CORE:
+            self._end(task, ok=False)
+        elif task.state in (State.WANTS_CALL, State.CALLING):
+            self._finish(task, Outcome.CANCELLED)
+        if not self.scenario.hangup_seen:
+            return
+        late = self.rng.random() < LATE_HANGUP_PART * 5
+        self._at(self.clock + (LATE_HANGUP_MS * self.rng.random() if late else 0.0), self._hangup, task.id)
+
+    def _hangup(self, request: int) -> None:
+        self._events.append(wire.hangup(self.number, request))
+
+    # Runs.
+
+    def _advance_runs(self, elapsed: float) -> None:
+        running = [task for task in self._tasks.values() if task.state is State.RUNNING]
+        cores = self.scenario.cores
+        used = min(1.0, len(running) / cores)
+        self._core_use += (used - self._core_use) * min(1.0, elapsed / GAUGE_WINDOW_MS)
+        if not running:
+            return
+        crowding = 1.0 if len(running) <= 1.4 * cores else 0.8
+        step = elapsed * self._speed() * min(1.0, cores / len(running)) * crowding
+        for task in running:
+            self._advance(task, step)
+
+    def _speed(self) -> float:
+        scenario = self.scenario
+        if not self._cold:
+            return scenario.speed
+        warm = min(1.0, (self.clock - self._born) / scenario.warm_up)
+        return scenario.speed * (scenario.cold_from + (1 - scenario.cold_from) * warm)
+
+    def _advance(self, task: Task, step: float) -> None:
+        task.left -= step
+        if task.calls_at and task.left <= task.calls_at[-1]:
+            task.calls_at.pop()
+            if task.answered:
+                self._finish(task, Outcome.CANCELLED)
+            else:
+                task.state = State.WANTS_CALL
+                self._events.append(wire.blocked(self.number, task.id))
+        elif task.left <= 0:
+            failed = self.rng.random() < ERROR_PART
+            if task.answered and self.rng.random() < 0.5:
+                self._finish(task, Outcome.CANCELLED)
+            else:
+                self._finish(task, Outcome.ERROR if failed else Outcome.OK)
+
+    def _finish(self, task: Task, outcome: Outcome) -> None:
+        """End a run with its event."""
+        self._events.append(wire.run_over(self.number, task.id, outcome, self.clock - task.started))
+        if self.scenario.hangup_seen and self.rng.random() < STRAY_HANGUP_PART:
+            self._at(self.clock + LATE_HANGUP_MS, self._hangup, task.id)
+        self._end(task, ok=outcome is Outcome.OK)
+
+    def _end(self, task: Task, ok: bool) -> None:
+        """Forget a request; those that joined it get its result."""
+        if task.state is State.OVER:
+            return
+        task.state = State.OVER
+        self._tasks.pop(task.id, None)
+        self._ended[task.id] = ok
+        for other in list(self._tasks.values()):
+            if other.state is State.JOINED and other.same_as == task.id:
+                self._at(self.clock + JOIN_WORK * task.work, self._finish_join, other, ok)
+
+    def _finish_join(self, task: Task, ok: bool) -> None:
+        if task.state is State.JOINED and not task.answered:
+            self._finish(task, Outcome.OK if ok else Outcome.ERROR)
+
+    # Calls.
+
+    def _in_trouble(self) -> bool:
+        """Tell whether the dependency is in trouble; spells of trouble are drawn as calls are made."""
+        part = self.scenario.call_trouble
+        if self.clock > self._trouble_until + TROUBLE_MS * (1 - part) / max(part, 0.01):
+            self._trouble_until = self.clock + TROUBLE_MS
+        return part > 0 and self.clock <= self._trouble_until
+
+    def _draw_call(self) -> tuple[float, Outcome]:
+        """Return how long a call takes and how it ends."""
+        rng, trouble = self.rng, self._in_trouble()
+        took = self.scenario.call_ms * rng.lognormvariate(0.0, 0.4)
+        if trouble and rng.random() < 0.5:
+            took *= TROUBLE_SLOWDOWN
+        if trouble and rng.random() < HANG_PART:
+            return HANG_MS, Outcome.TIMEOUT
+        if rng.random() >= (FAILURES_IN_TROUBLE if trouble else FAILURES_USUAL):
+            return took, Outcome.OK
+        outcome = rng.choices(FAILED_CALLS, FAILED_CALL_ODDS)[0]
+        quick = outcome in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+        return took * (0.1 if quick else 1.0), outcome
+
+    def _call_ends(self, task: Task, call: int, outcome: Outcome) -> None:
+        if task.state is not State.CALLING or task.call != call:
+            return
+        self._events.append(wire.came_back(self.number, task.id, self.clock - task.called, outcome))
+        task.state = State.RUNNING if outcome is Outcome.OK else State.WANTS_CALL
+
+    # Gauges.
+
+    def _timer(self, token: int) -> None:
+        gauges = [self._gauge(name) for name in self.scenario.gauges]
+        self._events.append(wire.deadline_hit(self.number, token, gauges))
+
+    def _gauge(self, name: str) -> float:
+        running = sum(task.state is State.RUNNING for task in self._tasks.values())
+        match name:
+            case "core_use":
+                return self._core_use
+            case "on_cores":
+                return running + 3 * self.rng.random()
+            case "heap_share":
+                return self._memory() / self.scenario.memory_kb
+        return 10.0 + len(self._tasks)
+
+    def _memory(self) -> float:
+        factor, held = self.scenario.run_factor, (State.HELD, State.JOINED)
+        requests = sum(task.kb * (1.0 if task.state in held else factor) for task in self._tasks.values())
+        return requests + self.scenario.key_kb * len(self._keys)
+
+    # Actions.
+
+    def _on_dispatch(self, request: int) -> None:
+        task = self._tasks.get(request)
+        if task is None:
+            self._at(self.clock, self._moot, request)
+        elif task.state in (State.HELD, State.PAUSED):
+            task.started = self.clock if task.state is State.HELD else task.started
+            task.state = State.RUNNING
+
+    def _moot(self, request: int) -> None:
+        self._events.append(wire.run_over(self.number, request, Outcome.MOOT, 0.0))
+
+    def _on_pin(self, request: int, keep_for: float) -> None:
+        task = self._tasks.get(request)
+        if task is not None:
+            self._keys[task.cls, task.key] = KeyEntry(request, self.clock + keep_for)
+
+    def _on_release_key(self, request: int) -> None:
+        for name, entry in list(self._keys.items()):
+            if entry.holder == request:
+                del self._keys[name]
+
+    def _on_join(self, request: int) -> None:
+        task = self._tasks.get(request)
+        if task is None:
+            self._at(self.clock, self._moot, request)
+            return
+        task.state, task.started = State.JOINED, self.clock
+        if task.same_as not in self._tasks:
+            ok = self._ended.get(task.same_as, False)
+            self._at(self.clock + JOIN_WORK * task.work, self._finish_join, task, ok)
+
+    def _on_invoke(self, request: int, timeout: float) -> None:
+        task = self._tasks.get(request)
+        if task is None or task.state is not State.WANTS_CALL:
+            return
+        task.state, task.called, task.call = State.CALLING, self.clock, task.call + 1
+        took, outcome = self._draw_call()
+        limit = timeout if timeout > 0 else self.scenario.classes[task.cls].give_up
+        if took > limit:
+            took, outcome = limit, Outcome.TIMEOUT
+        self._at(self.clock + took, self._call_ends, task, task.call, outcome)
+
+    def _on_go_on(self, request: int) -> None:
+        task = self._tasks.get(request)
+        if task is not None and task.state is State.WANTS_CALL:
+            task.state = State.RUNNING
+
+    def _on_yank(self, request: int) -> None:
+        task = self._tasks.get(request)
+        if task is None or task.state not in (State.RUNNING, State.WANTS_CALL, State.CALLING):
+            return
+        paused = self.scenario.halt == "pause"
+        if paused and task.state is not State.RUNNING:
+            return
+        self._at(self.clock, self._yanked, task, paused)
+
+    def _yanked(self, task: Task, paused: bool) -> None:
+        """Confirm a stop, unless the run came to an end or a call first."""
+        if task.state is not State.RUNNING and (paused or task.state is State.OVER):
+            return
+        if task.answered:
+            self._finish(task, Outcome.CANCELLED)
+            return
+        self._events.append(wire.run_over(self.number, task.id, Outcome.CANCELLED, self.clock - task.started))
+        task.state = State.PAUSED if paused else State.HELD
+        if not paused:
+            task.left, task.call = task.work, task.call + 1
+
+    def _on_say_no(self, request: int, come_back: float, no_retry: bool) -> None:
+        task = self._tasks.get(request)
+        if task is None or task.answered:
+            return
+        task.answered = True
+        if task.state in OFF_CORE:
+            self._end(task, ok=False)
+        self._maybe_retry(task, come_back, 0.4 if no_retry else 1.0)
+
+    def _on_report_failure(self, request: int) -> None:
+        task = self._tasks.get(request)
+        if task is None or task.answered:
+            return
+        task.answered = True
+        if task.state in OFF_CORE:
+            self._end(task, ok=False)
+        elif task.state in (State.WANTS_CALL, State.CALLING):
+            self._at(self.clock, self._parked_ends, task)
+        if self.scenario.classes[task.cls].idempotency in (IDEMPOTENT, DEDUPLICATED):
+            self._maybe_retry(task, 0.0, 1.0)
+
+    def _parked_ends(self, task: Task) -> None:
+        if task.state in (State.WANTS_CALL, State.CALLING):
+            self._finish(task, Outcome.CANCELLED)
+
+    def _maybe_retry(self, task: Task, come_back: float, odds: float) -> None:
+        if self.rng.random() > self.scenario.retry_part * odds:
+            return
+        delay = max(come_back, RETRY_PAUSE_MS) * self.rng.uniform(1.0, 1.5)
+        left = task.due - self.clock - delay
+        if left > 50.0:
+            spent = self.scenario.classes[task.cls].give_up - left
+            self._at(self.clock + delay, self._arrive, task.cls, task.key, spent, True)
+
+    def _on_mark_health(self, good: bool, _shallow: bool) -> None:
+        if self.scenario.readiness and good != self._healthy:
+            self._healthy, self._health_known_at = good, self.clock + HEALTH_DELAY_MS
+
+    def _on_say(self, value: float) -> None:
+        self._advert = value
+
+    def _on_arm(self, after: float, token: int) -> None:
+        self._at(self.clock + after, self._timer, token)
+
+
+def _class_bands(classes: tuple[ServiceClass, ...]) -> list[tuple[float, float]]:
+    """Return the band of ranks of each class as its low end and width: equal bands, ordered by worth."""
+    width = 1 / len(classes)
+    order = sorted(range(len(classes)), key=lambda cls: (classes[cls].worth, cls))
+    return [(order.index(cls) * width, width) for cls in range(len(classes))]
+
+
+ACTION_HANDLERS: dict[ActionCode, Callable[..., None]] = {
+    ActionCode.DISPATCH: Server._on_dispatch,
+    ActionCode.PIN: Server._on_pin,
+    ActionCode.INVOKE: Server._on_invoke,
+    ActionCode.SAY: Server._on_say,
+    ActionCode.JOIN: Server._on_join,
+    ActionCode.YANK: Server._on_yank,
+    ActionCode.SAY_NO: Server._on_say_no,
+    ActionCode.GO_ON: Server._on_go_on,
+    ActionCode.RELEASE_KEY: Server._on_release_key,
+    ActionCode.MARK_HEALTH: Server._on_mark_health,
+    ActionCode.ARM: Server._on_arm,
+    ActionCode.REPORT_FAILURE: Server._on_report_failure,
+}
