--- a/benchmarks/parity.py
+++ b/benchmarks/parity.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import os
 import sys
 from collections import Counter
 from collections.abc import Callable, Iterable
@@ -18,6 +19,7 @@
 
 DIGEST_BYTES = 16
 FRAMES_PER_BLOCK = 50
+HASH_SEED = "PYTHONHASHSEED"
 
 
 class ScenarioResult(msgspec.Struct, frozen=True):
@@ -121,7 +123,8 @@
     events = sum(scenario.events for scenario in result.scenarios)
     click.echo(f"total {result.total} {events} events")
     click.echo(f"    out: {_counts_text(totals)}")
-    click.echo(f"    in: {_counts_text(inputs)}")
+    if inputs:
+        click.echo(f"    in: {_counts_text(inputs)}")
 
 
 def _counts_text(counts: dict[str, int]) -> str:
@@ -140,6 +143,14 @@
         sys.exit(1)
 
 
+def pin_hash_seed(module: str) -> None:
+    """Start this module again with a fixed hash seed, unless the environment sets one."""
+    if os.environ.get(HASH_SEED, "random") != "random":
+        return
+    command = [sys.executable, "-m", module, *sys.argv[1:]]
+    os.execve(sys.executable, command, {**os.environ, HASH_SEED: "0"})
+
+
 def output_options(command: Callable[..., Any]) -> Callable[..., Any]:
     """Add the options that all parity tools have: ``--seed``, ``--json`` and ``--compare``."""
     path = click.Path(dir_okay=False, path_type=Path)
