--- /dev/null
+++ b/benchmarks/parity_adapters.py
@@ -0,0 +1,450 @@
+"""The adapters between ``benchmarks/state_parity.py`` and the project: all uses of project names stand in this file.
+
+A change of the project's names is followed here and nowhere else in the parity tools. What the adapters hand out is
+stable: encoded messages and records as bytes, times as floats, verdicts and states by their values.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
+from typing import Any, NamedTuple, Protocol
+from unittest import mock
+
+import msgspec
+
+from benchmarks import rollout_model
+from lapispick.durable import keys as durable
+from lapispick.handover import messages
+from lapispick.handover.sharing import Role, Sharing, Verdict
+from lapispick.handover.table import Key, KeyTable
+from lapispick.members import messages as member_words
+from lapispick.members.membership_view import Send
+from lapispick.model import script
+from lapispick.model.world import World, members
+from lapispick.rollout import host_actions, host_calls, host_step, rollout_step
+from lapispick.rollout import messages as rollout_messages
+from lapispick.rollout.canary_analysis import CanaryAnalysis
+from lapispick.rollout.canary_analysis import Verdict as CanaryVerdict
+from lapispick.rollout.generations import Generation
+from lapispick.rollout.host_state import HostState, Observation, Timeouts
+from lapispick.rollout.rollout_state import HostReport, Phase, RolloutState, deviations
+from lapispick.rollout.step_context import Observations
+
+Record = Callable[[str, bytes], None]  # the kind of a frame, and its content
+encode_json = msgspec.json.Encoder().encode
+MESSAGE_KIND = "say"  # the field of an encoded message that tells its kind
+
+
+def message_kind(line: bytes) -> str:
+    """Return the kind of an encoded message."""
+    return str(msgspec.json.decode(line)[MESSAGE_KIND])
+
+
+# Membership and leases.
+
+LEASE_EVENTS = {
+    "got": "acquired",
+    "renewed": "renewed",
+    "lost": "lost",
+    "released": "released",
+    "dropped": "abandoned",
+}
+
+
+class MemberFleet(World):
+    """A fleet of members in the model, of which every datagram and change is recorded with its time."""
+
+    def __init__(self, seed: int, size: int, script_text: str, loss: float, kinds: dict[str, int], record: Record):
+        self._record = record
+        names = [f"disp-{number:04}" for number in range(1, size + 1)]
+        super().__init__(seed, size, members(names, kinds=kinds), script.parse(script_text), loss)
+
+    def out(self, name: str, sends: list[Send]) -> None:
+        """Record what a member sends before the links lose, delay or deliver it."""
+        for send in sends:
+            datagram = member_words.datagram(send.word)
+            header = f"{self.now!r} {name} {send.to} ".encode()
+            self._record(f"datagram {message_kind(datagram)}", header + datagram)
+        for event in self.nodes[name].events():
+            what, *details = event
+            self._record(f"lease {LEASE_EVENTS[what]}", encode_json([self.now, name, *details]))
+        seen = len(self.changes)
+        super().out(name, sends)
+        for at, by, change in self.changes[seen:]:
+            self._record("membership", encode_json([at, by, *change]))
+
+    def want(self, name: str, turn: str, owner: str, priority: int) -> int:
+        """Let an owner ask for a turn; return its fencing number, 0 while it waits."""
+        held = self.nodes[name].want(self.clock(name), turn, owner, priority)
+        return 0 if held is None else held.fence
+
+    def give_back(self, name: str, turn: str, owner: str) -> None:
+        """Let an owner give its turn back."""
+        self.out(name, self.nodes[name].done(self.clock(name), turn, owner))
+
+    def say(self, name: str, kind: str, subject: str, value: float, count: int) -> None:
+        """Let a member say a fact."""
+        self.nodes[name].say(self.clock(name), kind, subject, value, count, "text")
+
+    def change_list(self, name: str, names: list[str], digest: str) -> None:
+        """Let a member accept another list of members."""
+        self.nodes[name].listed(names, digest, self.clock(name))
+
+    def exchange_views(self, one: str, other: str) -> None:
+        """Let two members exchange their whole views, as over a stream."""
+        self._give_view(one, other, answer=False)
+        self._give_view(other, one, answer=True)
+
+    def _give_view(self, giver: str, taker: str, answer: bool) -> None:
+        view = self.nodes[giver].whole(self.clock(giver), answer)
+        line = member_words.encode(view)
+        self._record("view", line)
+        self.nodes[taker].merge(self.clock(taker), member_words.decode(line))
+
+    def record_views(self) -> None:
+        """Record the whole view and the turns of every member."""
+        for name in self.names:
+            now = self.clock(name)
+            self._record("view", member_words.encode(self.nodes[name].whole(now)))
+            turns = [[owner, *held] for owner, held in self.nodes[name].turns(now)]
+            self._record("turns", encode_json(turns))
+
+
+# Rollouts.
+
+OLD_GENERATION, NEW_GENERATION = rollout_model.OLD, rollout_model.NEW
+GENERATIONS = rollout_model.GENERATIONS
+TURN_WAIT_S = 20.0
+AGENT_ACTIONS = {
+    host_actions.Start: "start",
+    host_actions.Reload: "reload",
+    host_actions.Terminate: "term",
+    host_actions.Kill: "kill",
+}
+PLAN_NAMES = {"hold": "hold_after_stages", "controls": "use_controls"}
+
+
+class AgentView(NamedTuple):
+    """What an agent sees beside its processes: the machine's boot, whether a process is silent, a turn to change."""
+
+    boot: str = "1"
+    silent: bool = False
+    turn: bool = False
+
+
+class RolloutConditions(Protocol):
+    """What the scenario adds to the rollout model."""
+
+    def figures(self, name: str) -> tuple[int, int]:
+        """Return the memory in KB and the broken rules of a host."""
+
+    def may_begin(self, now: float) -> str:
+        """Return why no stage may begin at a time; empty where one may."""
+
+    def agent_view(self, name: str) -> AgentView:
+        """Return what the agent of a host sees."""
+
+
+class RolloutFleet(rollout_model.SimulatedFleet):
+    """A fleet in simulated time, of which faults can be ordered by stable names."""
+
+    def __init__(self, seed: int, size: int, plan: dict[str, Any], **options: Any) -> None:
+        plan = {PLAN_NAMES.get(name, name): value for name, value in plan.items()}
+        super().__init__(seed, size, plan, **options)
+
+    @property
+    def names(self) -> list[str]:
+        """Return the hosts on the list."""
+        return list(self.hosts)
+
+    @property
+    def is_over(self) -> bool:
+        """Tell whether the rollout has ended."""
+        return self.rollout.is_over
+
+    @property
+    def asks_a_person(self) -> bool:
+        """Tell whether an operator has to decide."""
+        return self.rollout.phase in (Phase.AWAITING_DECISION, Phase.HELD)
+
+    @property
+    def is_returning(self) -> bool:
+        """Tell whether the rollout is being rolled back."""
+        return self.rollout.phase == Phase.ROLLING_BACK
+
+    def order(self, text: str) -> None:
+        """Give an operator's order: ``go``, ``hold`` or ``back``."""
+        self.rollout.order = text
+
+    def lose_old_generation(self) -> None:
+        """Remove the old generation from all hosts."""
+        GENERATIONS.pop(OLD_GENERATION, None)
+
+    def restore_old_generation(self) -> None:
+        """Store the old generation at all hosts again."""
+        formats = rollout_model.FORMATS
+        GENERATIONS[OLD_GENERATION] = Generation(OLD_GENERATION, OLD_GENERATION, "", {}, formats)
+
+    def differ_in_place(self) -> None:
+        """Let the new generation differ from the old one only in what a reload applies."""
+        formats = rollout_model.FORMATS
+        GENERATIONS[NEW_GENERATION] = Generation(NEW_GENERATION, OLD_GENERATION, "", {"stop_ms": 5000}, formats)
+
+    def kill_processes(self, name: str) -> None:
+        """Let all processes of a host end."""
+        self.hosts[name].processes.clear()
+
+    def never_serves(self, name: str) -> None:
+        """Let the new generation never accept clients at a host."""
+        self.hosts[name].failing_generations.add(NEW_GENERATION)
+
+    def set_reached(self, name: str, reached: bool) -> None:
+        """Let a host's agent be reachable or not."""
+        self.hosts[name].reachable = reached
+
+    def set_agent(self, name: str, running: bool) -> None:
+        """Let a host's agent run or not."""
+        self.hosts[name].agent_up = running
+
+    def strike_off(self, name: str) -> Any:
+        """Take a host off the list; return it, for ``put_back``."""
+        return self.hosts.pop(name)
+
+    def put_back(self, name: str, host: Any) -> None:
+        """Put a host on the list again."""
+        self.hosts[name] = host
+
+
+@contextmanager
+def recorded_rollout(record: Record, conditions: RolloutConditions) -> Iterator[None]:
+    """Record the decisions of agents, controller and analysis while this is open; generations are restored after."""
+    decide_host = host_step.decide
+    handle_call = host_calls.handle_call
+    decide_rollout = rollout_step.decide
+    decide_verdict = CanaryAnalysis.verdict
+
+    def agent_step(state: HostState, now: float, observation: Observation, timeouts: Timeouts) -> Any:
+        observation = _observed(observation, conditions.agent_view(state.host))
+        decision = decide_host(state, now, observation, Timeouts(rollback_lease_wait_s=TURN_WAIT_S))
+        record(f"agent {decision.state.phase}", encode_json([now, decision.state]))
+        for action in decision.actions:
+            record(f"agent orders {AGENT_ACTIONS[type(action)]}", encode_json(action))
+        return decision
+
+    def agent_call(state: HostState, call: rollout_messages.Call, now: float, observation: Observation) -> Any:
+        line = rollout_messages.encode_call(call)
+        result = handle_call(state, rollout_messages.decode_call(line), now, observation)
+        record("call", encode_json([now, line, [result.answer], result.state]))
+        for each in rollout_messages.encode_status(host_calls.status_of(result.state, now, observation)):
+            record("status", each.encode())
+        return result
+
+    def controller_step(state: RolloutState, fence: Any, observations: Observations) -> Any:
+        now = observations.now
+        reports = {
+            name: _with_figures(report, *conditions.figures(name)) for name, report in observations.reports.items()
+        }
+        closed_reason = conditions.may_begin(now)
+        decision = decide_rollout(state, fence, observations._replace(reports=reports, closed_reason=closed_reason))
+        record(f"course {decision.state.phase}", encode_json([now, decision.state]))
+        record("deviations", encode_json(deviations(decision.state, reports)))
+        return decision
+
+    def verdict(analysis: CanaryAnalysis) -> CanaryVerdict:
+        found = decide_verdict(analysis)
+        record(f"verdict {found.outcome.value}", encode_json([found.outcome.value, found.reason, found.results]))
+        return found
+
+    with (
+        mock.patch.dict(GENERATIONS),
+        mock.patch.object(host_step, "decide", agent_step),
+        mock.patch.object(host_calls, "handle_call", agent_call),
+        mock.patch.object(rollout_step, "decide", controller_step),
+        mock.patch.object(CanaryAnalysis, "verdict", verdict),
+    ):
+        yield
+
+
+def _observed(observation: Observation, view: AgentView) -> Observation:
+    unresponsive = observation.accepting if view.silent else frozenset()
+    return observation._replace(boot_id=view.boot, unresponsive=unresponsive, has_lease=view.turn)
+
+
+def _with_figures(report: HostReport, memory_kb: int, broken: int) -> HostReport:
+    return report._replace(memory_kb=memory_kb, broken_rules=broken)
+
+
+# Keys that two processes of one host share.
+
+
+class KeyProcess:
+    """One of two processes that share keys; its messages go to ``outbox`` as encoded lines."""
+
+    def __init__(self, name: str, window_ms: float, kept_most: int, record: Record) -> None:
+        self.name, self._record = name, record
+        self.outbox: list[bytes] = []
+        self.is_behind = False
+        self.running: list[tuple[int, tuple[str, ...]]] = []  # tries that run here, with their keys
+        self._table = KeyTable(kept_most)
+        self._sharing = Sharing(self._table, window_ms)
+        self._sharing.send = self._send
+        self._sharing.behind = lambda: self.is_behind
+        self._sharing.settle = self._settle
+        self._sharing.ended = self._ended
+        self._tries: dict[int, tuple[str, ...]] = {}
+
+    def _note(self, what: str, *values: object) -> None:
+        self._record(what, encode_json([self.name, *values]))
+
+    def _send(self, message: messages.Message) -> None:
+        line = messages.encode(message)
+        self._record(f"message {message_kind(line)}", self.name.encode() + b" " + line)
+        self.outbox.append(line)
+
+    def _settle(self, number: int, verdict: Verdict) -> None:
+        self._note(f"settled {verdict.value}", number)
+        self._follow(number, verdict)
+
+    def _ended(self, waiter: int, result: str | None) -> None:
+        self._note("joined ended", waiter, result)
+
+    def _follow(self, number: int, verdict: Verdict) -> None:
+        name = self._tries[number]
+        if verdict is Verdict.RUN:
+            self.running.append((number, name))
+        elif verdict is Verdict.JOIN:
+            self._join(number, name)
+
+    def _join(self, number: int, name: tuple[str, ...]) -> None:
+        key = self._table.get(name)
+        if key is None or key.over:
+            self._note("result", number, None if key is None else key.result)
+        else:
+            key.joined.append(number)
+
+    def arrive(
+        self, number: int, name: tuple[str, ...], born: float, until: float, what: int, redo: bool, now: float
+    ) -> None:
+        """Take one try of a key, as the host does when the decision module wants to run it."""
+        self._tries[number] = name
+        key = self._table.at(name, born)
+        if key is None or not key.ran:
+            key = self._table.hold(name, number, born, until, what)
+        verdict = self._sharing.claim(number, key, born, until, redo, now)
+        self._note(f"verdict {verdict.value}", number)
+        self._follow(number, verdict)
+
+    def end_run(self, index: int, result: str | None, ran: bool) -> None:
+        """End a run with its result, or take it back where it did not run."""
+        number, name = self.running.pop(index)
+        key = self._table.get(name)
+        if key is None or key.ran != number:
+            return
+        if ran:
+            self._sharing.over(key, result)
+        else:
+            self._sharing.free(key)
+
+    def take(self, line: bytes) -> None:
+        """Take a message of the other process."""
+        self._sharing.take(messages.decode(line))
+
+    def flushed(self) -> None:
+        """Note that all messages have left."""
+        self._sharing.flushed()
+
+    def expire(self, now: float) -> None:
+        """End waits and keys that lasted too long."""
+        self._note("expired", self._sharing.expire(now))
+        for key in self._table.expired(now):
+            self._table.forget(key)
+
+    def link(self, owner: bool) -> None:
+        """Begin to share; the owner tells what it knows."""
+        self._sharing.linked(Role.OWNER if owner else Role.FOLLOWER)
+        if owner:
+            for message in self._sharing.snapshot([key.name for key in self._table]):
+                self._send(message)
+
+    def lose_link(self, alone: bool, ended: float) -> None:
+        """Go on without the other process."""
+        self._sharing.lost(alone, ended)
+
+    def limit_results(self, most: int) -> None:
+        """Set how many bytes of results are kept."""
+        self._table.kept_most = most
+        self._table.trim()
+
+    def record_table(self) -> None:
+        """Record all that is known of the keys."""
+        self._note("table", self._sharing.role.value, self._table.kept_bytes, [_key_row(key) for key in self._table])
+
+
+def _key_row(key: Key) -> list[object]:
+    return [key.name, key.holder, key.until, key.what, key.ran, key.over, key.result, key.joined]
+
+
+# Keys on disk.
+
+
+class DurableKeys:
+    """The durable record of keys, as it would be stored after each step."""
+
+    def __init__(self, record: Record) -> None:
+        self._record = record
+        self._known: dict[str, durable.Known] = {}
+        self.life = 1
+
+    @property
+    def names(self) -> list[str]:
+        """Return the keys of which something is stored."""
+        return list(self._known)
+
+    def arrive(self, name: str, body: bytes, born: float, window: float, now: float) -> None:
+        """Take one try: its verdict, and the intent where it may run."""
+        known = self._known.get(name)
+        verdict = durable.verdict(known, body, now)
+        self._record(f"durable {verdict.value}", name.encode())
+        if verdict is durable.Verdict.RUN:
+            self._store(name, lambda: durable.intend(known, self.life, body, born, window, now))
+
+    def step(self, name: str, action: str, result: bytes) -> None:
+        """Take one step with a stored key; one that its state does not allow is recorded as an error."""
+        known = self._known[name]
+        if action == "withdraw":
+            self._store(name, lambda: durable.withdraw(known))
+            return
+        steps: dict[str, Callable[[], durable.Known]] = {
+            "start": lambda: durable.started(known),
+            "finish": lambda: durable.finish(known, result),
+            "fail": lambda: durable.fail(known),
+            "resolve": lambda: durable.resolve(known, result),
+        }
+        self._store(name, steps[action])
+
+    def restart(self, now: float) -> None:
+        """Let another life find what is stored."""
+        self.life += 1
+        for name, known in list(self._known.items()):
+            self._store(name, lambda known=known: durable.recover(known, self.life, now))  # type: ignore[misc]
+
+    def _store(self, name: str, step: Callable[[], durable.Known | None]) -> None:
+        try:
+            known = step()
+        except durable.Broken:
+            self._record("durable error", name.encode())
+            return
+        if known is None:
+            del self._known[name]
+            self._record("durable deleted", name.encode())
+            return
+        self._known[name] = known
+        row = [name, int(known.state), known.life, known.born, known.until, known.body, known.result]
+        self._record("durable row", encode_json(row))
+
+
+def seeded(*parts: object) -> random.Random:
+    """Return what draws, by a seed of several parts."""
+    return random.Random(" ".join(str(part) for part in parts))
--- a/lapispick/fakes/program_patches.py
+++ b/lapispick/fakes/program_patches.py
@@ -69,10 +69,10 @@
 CORE_FIRST_CLASS = Place(CORE, "\n\n\nclass ")
 CORE_SERVES = Place(CORE, "    def serve(self) -> None:")
 ANSWER_COUNTED = Place(CORE, "        self.figures.answered(answer.kind, request.cls)\n")
-ANSWER_SENT = Place(CORE, "        request.reply(answer._replace(advice=self.advice))")
-ANSWERED_LATE = Place(CORE, "request.read <= deadline_at < self._now - SLACK_MS")
-KEY_FOUND_ON_ARRIVAL = Place(CORE, "key = self.table.at(request.key, request.born) if")
-KEY_FOUND_AMONG_HELD = Place(CORE, "held = self.table.get(request.key)")
+ANSWER_SENT = Place(CORE, "        request.reply(answer._replace(backpressure=self.advice))")
+ANSWERED_LATE = Place(CORE, "request.read_at <= deadline_at < self._now - SLACK_MS")
+KEY_FOUND_ON_ARRIVAL = Place(CORE, "key = self.table.at(request.idempotency_key, request.born_at) if")
+KEY_FOUND_AMONG_HELD = Place(CORE, "held = self.table.get(request.idempotency_key)")
 KEY_RAN_BEFORE = Place(CORE, "key.ran not in (0, ELSEWHERE)")
 KEY_CLAIMED = Place(CORE, "verdict = self.sharing.claim(")
 JSONRPC_ENCODED = Place("host/jsonrpc/front.py", '(_encode({"jsonrpc": "2.0", "id": number, member: fields}) + b"\\n")')
@@ -83,10 +83,10 @@
 
 # Expressions of the program that inserted code uses.
 
-IS_KEYED = "request.key is not None"
-RANDOM_NUMBER = "int(request.tag, 16)"  # drawn by the gateway for each attempt
-FAILED_ANSWER = "Answer(FAILED)"
-REJECTED_ANSWER = "Answer(REFUSED)"
+IS_KEYED = "request.idempotency_key is not None"
+RANDOM_NUMBER = "int(request.request_id, 16)"  # drawn by the gateway for each attempt
+FAILED_ANSWER = "Answer(AnswerKind.FAILED)"
+REJECTED_ANSWER = "Answer(AnswerKind.REJECTED)"
 LEAVE_AFTER_A_SECOND = "self._loop.later(1.0, os._exit, 9)"
 
 
