--- a/benchmarks/parity_adapters.py
+++ b/benchmarks/parity_adapters.py
@@ -17,16 +17,17 @@
 from benchmarks import rollout_model
 from lapispick.durable import keys as durable
 from lapispick.handover import messages
-from lapispick.handover.sharing import Role, Sharing, Verdict
-from lapispick.handover.table import Key, KeyTable
-from lapispick.members import words as member_words
-from lapispick.members.view import Send
+from lapispick.idempotency.ownership import KeyOwnership, Role, Verdict
+from lapispick.idempotency.table import IdempotencyRecord, IdempotencyTable
+from lapispick.members import messages as member_words
+from lapispick.members.membership_view import Send
 from lapispick.model import script
 from lapispick.model.world import World, members
-from lapispick.rollout import box, steering, words
+from lapispick.rollout import host_state, rollout_state
+from lapispick.rollout import messages as rollout_messages
+from lapispick.rollout.canary_analysis import Judge
+from lapispick.rollout.canary_analysis import Verdict as JudgeVerdict
 from lapispick.rollout.generations import Generation
-from lapispick.rollout.judge import Judge
-from lapispick.rollout.judge import Verdict as JudgeVerdict
 
 Record = Callable[[str, bytes], None]  # the kind of a frame, and its content
 encode_json = msgspec.json.Encoder().encode
@@ -113,7 +114,12 @@
 OLD_GENERATION, NEW_GENERATION = rollout_model.OLD, rollout_model.NEW
 SHELF = rollout_model.SHELF
 TURN_WAIT_S = 20.0
-AGENT_ACTIONS = {box.Start: "start", box.Reload: "reload", box.Term: "term", box.Kill: "kill"}
+AGENT_ACTIONS = {
+    host_state.Start: "start",
+    host_state.Reload: "reload",
+    host_state.Term: "term",
+    host_state.Kill: "kill",
+}
 
 
 class AgentView(NamedTuple):
@@ -148,17 +154,17 @@
     @property
     def is_over(self) -> bool:
         """Tell whether the rollout has ended."""
-        return self.course.phase in steering.OVER
+        return self.course.phase in rollout_state.OVER
 
     @property
     def asks_a_person(self) -> bool:
         """Tell whether a person has to decide."""
-        return self.course.phase in (steering.ASKING, steering.HOLDING)
+        return self.course.phase in (rollout_state.ASKING, rollout_state.HOLDING)
 
     @property
     def is_returning(self) -> bool:
         """Tell whether the rollout is being undone."""
-        return self.course.phase == steering.RETURNING
+        return self.course.phase == rollout_state.RETURNING
 
     def order(self, text: str) -> None:
         """Give a person's order: ``go``, ``hold`` or ``back``."""
@@ -205,21 +211,21 @@
 @contextmanager
 def recorded_rollout(record: Record, conditions: RolloutConditions) -> Iterator[None]:
     """Record the decisions of agents, controller and judge while this is open; shelves are as before afterwards."""
-    box_step, box_call, fleet_step, judge_verdict = box.step, box.call, steering.step, Judge.verdict
+    box_step, box_call, fleet_step, judge_verdict = host_state.step, host_state.call, rollout_state.step, Judge.verdict
 
-    def agent_step(state: box.State, now: float, seen: box.Seen, bounds: box.Bounds) -> Any:
-        seen, bounds = _seen(seen, conditions.agent_view(state.box)), box.Bounds(turn_wait=TURN_WAIT_S)
+    def agent_step(state: host_state.State, now: float, seen: host_state.Seen, bounds: host_state.Bounds) -> Any:
+        seen, bounds = _seen(seen, conditions.agent_view(state.box)), host_state.Bounds(turn_wait=TURN_WAIT_S)
         after, actions = box_step(state, now, seen, bounds)
         record(f"agent {after.phase}", encode_json([now, after]))
         for action in actions:
             record(f"agent orders {AGENT_ACTIONS[type(action)]}", encode_json(action))
         return after, actions
 
-    def agent_call(state: box.State, asked: words.Call, now: float, seen: box.Seen) -> Any:
-        line = words.write(asked)
-        after, answer = box_call(state, words.read(line), now, seen)
+    def agent_call(state: host_state.State, asked: rollout_messages.Call, now: float, seen: host_state.Seen) -> Any:
+        line = rollout_messages.write(asked)
+        after, answer = box_call(state, rollout_messages.read(line), now, seen)
         record("call", encode_json([now, line, answer, after]))
-        for each in words.told(box.status(after, now, seen)):
+        for each in rollout_messages.told(host_state.status(after, now, seen)):
             record("status", each.encode())
         return after, answer
 
@@ -227,7 +233,7 @@
         known = {name: _with_figures(each, *conditions.figures(name)) for name, each in heard.items()}
         after, calls = fleet_step(course, now, fence, known, verdict, conditions.may_begin(now))
         record(f"course {after.phase}", encode_json([now, after]))
-        record("deviations", encode_json(steering.deviations(after, known)))
+        record("deviations", encode_json(rollout_state.deviations(after, known)))
         return after, calls
 
     def verdict(judge: Judge) -> JudgeVerdict:
@@ -237,25 +243,34 @@
 
     with (
         mock.patch.dict(SHELF),
-        mock.patch.object(box, "step", agent_step),
-        mock.patch.object(box, "call", agent_call),
-        mock.patch.object(steering, "step", controller_step),
+        mock.patch.object(host_state, "step", agent_step),
+        mock.patch.object(host_state, "call", agent_call),
+        mock.patch.object(rollout_state, "step", controller_step),
         mock.patch.object(Judge, "verdict", verdict),
     ):
         yield
 
 
-def _seen(seen: box.Seen, view: AgentView) -> box.Seen:
+def _seen(seen: host_state.Seen, view: AgentView) -> host_state.Seen:
     silent = seen.takes if view.silent else frozenset()
     return seen._replace(boot=view.boot, silent=silent, turn=view.turn)
 
 
-def _with_figures(heard: steering.Heard, memory_kb: int, broken: int) -> steering.Heard:
+def _with_figures(heard: rollout_state.Heard, memory_kb: int, broken: int) -> rollout_state.Heard:
     return heard._replace(memory_kb=memory_kb, broken=broken)
 
 
 # Keys that two processes of one host share.
 
+VERDICTS = {
+    Verdict.RUN: "run",
+    Verdict.WAIT: "wait",
+    Verdict.COALESCE: "join",
+    Verdict.REJECT: "refuse",
+    Verdict.FAIL: "fail",
+}
+ROLES = {Role.STANDALONE: "alone", Role.OWNER: "owner", Role.FOLLOWER: "follower", Role.SUSPENDED: "shut"}
+
 
 class KeyProcess:
     """One of two processes that share keys; its messages go to ``outbox`` as encoded lines."""
@@ -265,12 +280,12 @@
         self.outbox: list[bytes] = []
         self.is_behind = False
         self.running: list[tuple[int, tuple[str, ...]]] = []  # tries that run here, with their keys
-        self._table = KeyTable(kept_most)
-        self._sharing = Sharing(self._table, window_ms)
-        self._sharing.send = self._send
-        self._sharing.behind = lambda: self.is_behind
-        self._sharing.settle = self._settle
-        self._sharing.ended = self._ended
+        self._table = IdempotencyTable(kept_most)
+        self._ownership = KeyOwnership(self._table, window_ms)
+        self._ownership.send = self._send
+        self._ownership.has_unsent = lambda: self.is_behind
+        self._ownership.on_verdict = self._settle
+        self._ownership.on_completed = self._ended
         self._tries: dict[int, tuple[str, ...]] = {}
 
     def _note(self, what: str, *values: object) -> None:
@@ -282,7 +297,7 @@
         self.outbox.append(line)
 
     def _settle(self, number: int, verdict: Verdict) -> None:
-        self._note(f"settled {verdict.value}", number)
+        self._note(f"settled {VERDICTS[verdict]}", number)
         self._follow(number, verdict)
 
     def _ended(self, waiter: int, result: str | None) -> None:
@@ -292,76 +307,87 @@
         name = self._tries[number]
         if verdict is Verdict.RUN:
             self.running.append((number, name))
-        elif verdict is Verdict.JOIN:
+        elif verdict is Verdict.COALESCE:
             self._join(number, name)
 
     def _join(self, number: int, name: tuple[str, ...]) -> None:
         key = self._table.get(name)
-        if key is None or key.over:
+        if key is None or key.completed:
             self._note("result", number, None if key is None else key.result)
         else:
-            key.joined.append(number)
+            key.waiters.append(number)
 
     def arrive(
         self, number: int, name: tuple[str, ...], born: float, until: float, what: int, redo: bool, now: float
     ) -> None:
         """Take one try of a key, as the host does when the decision module wants to run it."""
         self._tries[number] = name
-        key = self._table.at(name, born)
-        if key is None or not key.ran:
-            key = self._table.hold(name, number, born, until, what)
-        verdict = self._sharing.claim(number, key, born, until, redo, now)
-        self._note(f"verdict {verdict.value}", number)
+        key = self._table.find(name, born)
+        if key is None or not key.executed_attempt:
+            key = self._table.retain(name, number, born, until, what)
+        verdict = self._ownership.claim(number, key, born, until, redo, now)
+        self._note(f"verdict {VERDICTS[verdict]}", number)
         self._follow(number, verdict)
 
     def end_run(self, index: int, result: str | None, ran: bool) -> None:
         """End a run with its result, or take it back where it did not run."""
         number, name = self.running.pop(index)
         key = self._table.get(name)
-        if key is None or key.ran != number:
+        if key is None or key.executed_attempt != number:
             return
         if ran:
-            self._sharing.over(key, result)
+            self._ownership.complete(key, result)
         else:
-            self._sharing.free(key)
+            self._ownership.release(key)
 
     def take(self, line: bytes) -> None:
         """Take a message of the other process."""
-        self._sharing.take(messages.decode(line))
+        self._ownership.receive(messages.decode(line))
 
     def flushed(self) -> None:
         """Note that all messages have left."""
-        self._sharing.flushed()
+        self._ownership.on_flushed()
 
     def expire(self, now: float) -> None:
         """End waits and keys that lasted too long."""
-        self._note("expired", self._sharing.expire(now))
+        self._note("expired", self._ownership.expire_claims(now))
         for key in self._table.expired(now):
-            self._table.forget(key)
+            self._table.remove(key)
 
     def link(self, owner: bool) -> None:
         """Begin to share; the owner tells what it knows."""
-        self._sharing.linked(Role.OWNER if owner else Role.FOLLOWER)
+        self._ownership.on_peer_connected(Role.OWNER if owner else Role.FOLLOWER)
         if owner:
-            for message in self._sharing.snapshot([key.name for key in self._table]):
+            for message in self._ownership.snapshot([key.key for key in self._table]):
                 self._send(message)
 
     def lose_link(self, alone: bool, ended: float) -> None:
         """Go on without the other process."""
-        self._sharing.lost(alone, ended)
+        self._ownership.on_peer_lost(alone, ended)
 
     def limit_results(self, most: int) -> None:
         """Set how many bytes of results are kept."""
-        self._table.kept_most = most
+        self._table.max_result_bytes = most
         self._table.trim()
 
     def record_table(self) -> None:
         """Record all that is known of the keys."""
-        self._note("table", self._sharing.role.value, self._table.kept_bytes, [_key_row(key) for key in self._table])
-
-
-def _key_row(key: Key) -> list[object]:
-    return [key.name, key.holder, key.until, key.what, key.ran, key.over, key.result, key.joined]
+        self._note(
+            "table", ROLES[self._ownership.role], self._table.result_bytes, [_key_row(key) for key in self._table]
+        )
+
+
+def _key_row(key: IdempotencyRecord) -> list[object]:
+    return [
+        key.key,
+        key.owner_attempt,
+        key.expires_at_ms,
+        key.request_digest,
+        key.executed_attempt,
+        key.completed,
+        key.result,
+        key.waiters,
+    ]
 
 
 # Keys on disk.
