--- a/benchmarks/parity_adapters.py
+++ b/benchmarks/parity_adapters.py
@@ -17,8 +17,8 @@
 from benchmarks import rollout_model
 from lapispick.durable import keys as durable
 from lapispick.handover import messages
-from lapispick.handover.sharing import Role, Sharing, Verdict
-from lapispick.handover.table import Key, KeyTable
+from lapispick.idempotency.ownership import KeyOwnership, Role, Verdict
+from lapispick.idempotency.table import IdempotencyRecord, IdempotencyTable
 from lapispick.members import messages as member_words
 from lapispick.members.membership_view import Send
 from lapispick.model import script
@@ -278,6 +278,15 @@
 
 # Keys that two processes of one host share.
 
+VERDICTS = {
+    Verdict.RUN: "run",
+    Verdict.WAIT: "wait",
+    Verdict.COALESCE: "join",
+    Verdict.REJECT: "refuse",
+    Verdict.FAIL: "fail",
+}
+ROLES = {Role.STANDALONE: "alone", Role.OWNER: "owner", Role.FOLLOWER: "follower", Role.SUSPENDED: "shut"}
+
 
 class KeyProcess:
     """One of two processes that share keys; its messages go to ``outbox`` as encoded lines."""
@@ -287,12 +296,12 @@
         self.outbox: list[bytes] = []
         self.is_behind = False
         self.running: list[tuple[int, tuple[str, ...]]] = []  # tries that run here, with their keys
-        self._table = KeyTable(kept_most)
-        self._sharing = Sharing(self._table, window_ms)
-        self._sharing.send = self._send
-        self._sharing.behind = lambda: self.is_behind
-        self._sharing.settle = self._settle
-        self._sharing.ended = self._ended
+        self._table = IdempotencyTable(kept_most)
+        self._ownership = KeyOwnership(self._table, window_ms)
+        self._ownership.send = self._send
+        self._ownership.has_unsent = lambda: self.is_behind
+        self._ownership.on_verdict = self._settle
+        self._ownership.on_completed = self._ended
         self._tries: dict[int, tuple[str, ...]] = {}
 
     def _note(self, what: str, *values: object) -> None:
@@ -304,7 +313,7 @@
         self.outbox.append(line)
 
     def _settle(self, number: int, verdict: Verdict) -> None:
-        self._note(f"settled {verdict.value}", number)
+        self._note(f"settled {VERDICTS[verdict]}", number)
         self._follow(number, verdict)
 
     def _ended(self, waiter: int, result: str | None) -> None:
@@ -314,76 +323,87 @@
         name = self._tries[number]
         if verdict is Verdict.RUN:
             self.running.append((number, name))
-        elif verdict is Verdict.JOIN:
+        elif verdict is Verdict.COALESCE:
             self._join(number, name)
 
     def _join(self, number: int, name: tuple[str, ...]) -> None:
         key = self._table.get(name)
-        if key is None or key.over:
+        if key is None or key.completed:
             self._note("result", number, None if key is None else key.result)
         else:
-            key.joined.append(number)
+            key.waiters.append(number)
 
     def arrive(
         self, number: int, name: tuple[str, ...], born: float, until: float, what: int, redo: bool, now: float
     ) -> None:
         """Take one try of a key, as the host does when the decision module wants to run it."""
         self._tries[number] = name
-        key = self._table.at(name, born)
-        if key is None or not key.ran:
-            key = self._table.hold(name, number, born, until, what)
-        verdict = self._sharing.claim(number, key, born, until, redo, now)
-        self._note(f"verdict {verdict.value}", number)
+        key = self._table.find(name, born)
+        if key is None or not key.executed_attempt:
+            key = self._table.retain(name, number, born, until, what)
+        verdict = self._ownership.claim(number, key, born, until, redo, now)
+        self._note(f"verdict {VERDICTS[verdict]}", number)
         self._follow(number, verdict)
 
     def end_run(self, index: int, result: str | None, ran: bool) -> None:
         """End a run with its result, or take it back where it did not run."""
         number, name = self.running.pop(index)
         key = self._table.get(name)
-        if key is None or key.ran != number:
+        if key is None or key.executed_attempt != number:
             return
         if ran:
-            self._sharing.over(key, result)
+            self._ownership.complete(key, result)
         else:
-            self._sharing.free(key)
+            self._ownership.release(key)
 
     def take(self, line: bytes) -> None:
         """Take a message of the other process."""
-        self._sharing.take(messages.decode(line))
+        self._ownership.receive(messages.decode(line))
 
     def flushed(self) -> None:
         """Note that all messages have left."""
-        self._sharing.flushed()
+        self._ownership.on_flushed()
 
     def expire(self, now: float) -> None:
         """End waits and keys that lasted too long."""
-        self._note("expired", self._sharing.expire(now))
+        self._note("expired", self._ownership.expire_claims(now))
         for key in self._table.expired(now):
-            self._table.forget(key)
+            self._table.remove(key)
 
     def link(self, owner: bool) -> None:
         """Begin to share; the owner tells what it knows."""
-        self._sharing.linked(Role.OWNER if owner else Role.FOLLOWER)
+        self._ownership.on_peer_connected(Role.OWNER if owner else Role.FOLLOWER)
         if owner:
-            for message in self._sharing.snapshot([key.name for key in self._table]):
+            for message in self._ownership.snapshot([key.key for key in self._table]):
                 self._send(message)
 
     def lose_link(self, alone: bool, ended: float) -> None:
         """Go on without the other process."""
-        self._sharing.lost(alone, ended)
+        self._ownership.on_peer_lost(alone, ended)
 
     def limit_results(self, most: int) -> None:
         """Set how many bytes of results are kept."""
-        self._table.kept_most = most
+        self._table.max_result_bytes = most
         self._table.trim()
 
     def record_table(self) -> None:
         """Record all that is known of the keys."""
-        self._note("table", self._sharing.role.value, self._table.kept_bytes, [_key_row(key) for key in self._table])
-
-
-def _key_row(key: Key) -> list[object]:
-    return [key.name, key.holder, key.until, key.what, key.ran, key.over, key.result, key.joined]
+        self._note(
+            "table", ROLES[self._ownership.role], self._table.result_bytes, [_key_row(key) for key in self._table]
+        )
+
+
+def _key_row(key: IdempotencyRecord) -> list[object]:
+    return [
+        key.key,
+        key.owner_attempt,
+        key.expires_at_ms,
+        key.request_digest,
+        key.executed_attempt,
+        key.completed,
+        key.result,
+        key.waiters,
+    ]
 
 
 # Keys on disk.
--- a/lapispick/fakes/program_patches.py
+++ b/lapispick/fakes/program_patches.py
@@ -71,13 +71,13 @@
 ANSWER_COUNTED = Place(CORE, "        self.figures.answered(answer.kind, request.cls)\n")
 ANSWER_SENT = Place(CORE, "        request.reply(answer._replace(backpressure=self.advice))")
 ANSWERED_LATE = Place(CORE, "request.read_at <= deadline_at < self._now - SLACK_MS")
-KEY_FOUND_ON_ARRIVAL = Place(CORE, "key = self.table.at(request.idempotency_key, request.born_at) if")
+KEY_FOUND_ON_ARRIVAL = Place(CORE, "key = self.table.find(request.idempotency_key, request.born_at) if")
 KEY_FOUND_AMONG_HELD = Place(CORE, "held = self.table.get(request.idempotency_key)")
-KEY_RAN_BEFORE = Place(CORE, "key.ran not in (0, ELSEWHERE)")
-KEY_CLAIMED = Place(CORE, "verdict = self.sharing.claim(")
+KEY_RAN_BEFORE = Place(CORE, "key.executed_attempt not in (0, EXECUTED_BY_PEER)")
+KEY_CLAIMED = Place(CORE, "verdict = self.ownership.claim(")
 JSONRPC_ENCODED = Place("host/jsonrpc/front.py", '(_encode({"jsonrpc": "2.0", "id": number, member: fields}) + b"\\n")')
 DRAIN_GRACE = Place("platform_settings.py", "drain_grace_ms=")
-HANDOVER_VERSION = Place("handover/messages.py", "VERSION, LOWEST = 1, 1")
+HANDOVER_VERSION = Place("handover/messages.py", "\nVERSION = 1 ")
 HANDOVER_HELLO_END = Place("handover/messages.py", "0 = no other\n")
 HANDOVER_FORMAT = Place("versions.py", '"handover": (1, 1, 1)')
 
@@ -155,7 +155,7 @@
     "twice": (
         Patch(KEY_FOUND_ON_ARRIVAL, "key = None if"),
         Patch(KEY_FOUND_AMONG_HELD, "held = None"),
-        Patch(KEY_RAN_BEFORE, "key.ran == -9"),
+        Patch(KEY_RAN_BEFORE, "key.executed_attempt == -9"),
         Patch(KEY_CLAIMED, "verdict = Verdict.RUN if True else ("),
     ),
     "changed": (insert_before(ANSWER_SENT, "        answer = answer._replace(result=answer.result and 'd3Jvbmc=')\n"),),
@@ -168,7 +168,7 @@
 
 SKIPS_A_HANDOVER_VERSION = (Patch(HANDOVER_FORMAT, '"handover": (3, 2, 3)'),)
 NEXT_HANDOVER_VERSION = (
-    Patch(HANDOVER_VERSION, "VERSION, LOWEST = 2, 1"),
+    Patch(HANDOVER_VERSION, "\nVERSION = 2 "),
     insert_after(HANDOVER_HELLO_END, "    brand_new: str = 'x'\n"),
     Patch(HANDOVER_FORMAT, '"handover": (1, 1, 2)'),
 )
