--- a/benchmarks/detectors.py
+++ b/benchmarks/detectors.py
@@ -1,8 +1,10 @@
-"""Failure detectors that members could have instead, from their public descriptions, with the model's face.
+"""Alternative failure detectors for comparison, from their public descriptions, as members of the simulation.
 
-- ``Heartbeats``: every member tells every other one each period that it is there; silence for ``silent`` is a death.
-- ``Accrual``: the same words; of the pauses between them a normal distribution is kept for each member, and it is dead
-  where its silence has a probability under 10 ** -phi (Hayashibara, Defago, Yared, Katayama, SRDS 2004).
+- ``HeartbeatDetector``: every member sends a heartbeat to every other one each interval; silence for ``timeout_s`` is a
+  death.
+- ``PhiAccrualDetector``: the same messages; a normal distribution of the intervals between them is estimated for each
+  member, which is dead when its silence has a probability below 10 ** -phi (Hayashibara, Defago, Yared, Katayama, SRDS
+  2004).
 """
 
 from __future__ import annotations
@@ -12,87 +14,96 @@
 from math import erfc, log10, sqrt
 from typing import Any
 
-from lapispick.members.membership_view import Change, Send, State
+from lapispick.members.failure_detector import Outgoing
+from lapispick.members.membership_view import MemberState, StateChange
 
-BEAT = b'{"say":"beat","fleet":"model","sender":"disp-0001","life":1}'  # as long as a word without news
+HEARTBEAT = b'{"say":"beat","fleet":"model","sender":"disp-0001","life":1}'  # as long as a message without gossip
 
 
-class Beat(bytes):
+class Heartbeat(bytes):
     """A heartbeat; its length is what it costs."""
 
     sender: str
-    life: int
 
 
-class Heartbeats:
-    """Silence for a fixed time is a death."""
+class HeartbeatDetector:
+    """Declares a member dead after a fixed silence."""
 
     def __init__(
-        self, name: str, life: int, names: Iterable[str], now: float, rng: Any, period: float = 1.0, silent: float = 5.0
+        self, name: str, names: Iterable[str], now: float, rng: Any, interval_s: float = 1.0, timeout_s: float = 5.0
     ) -> None:
-        self.name, self.life, self.period, self.silent = name, life, period, silent
-        self._others = [each for each in names if each != name]
-        self._next = now + rng.random() * period
-        self._last = dict.fromkeys(self._others, now)
-        self._state = dict.fromkeys(self._others, State.ALIVE)
-        self._changes: list[Change] = []
-
-    def due(self) -> float:
-        """Return when the next tick is worth while."""
-        return self._next
-
-    def tick(self, now: float) -> list[Send]:
-        """Beat, and look who is silent."""
-        for other in self._others:
-            if self._state[other] is State.ALIVE and self._silent(other, now):
-                self._state[other] = State.DEAD
-                self._changes.append(Change(other, State.DEAD))
-        if now < self._next:
+        self.name = name
+        self.interval_s = interval_s
+        self.timeout_s = timeout_s
+        self._peers = [each for each in names if each != name]
+        self._next_heartbeat_at = now + rng.random() * interval_s
+        self._last_heard = dict.fromkeys(self._peers, now)
+        self._states = dict.fromkeys(self._peers, MemberState.ALIVE)
+        self._changes: list[StateChange] = []
+
+    def next_tick_at(self) -> float:
+        """Return when the next tick has something to do."""
+        return self._next_heartbeat_at
+
+    def tick(self, now: float) -> list[Outgoing]:
+        """Send heartbeats, and check who is silent."""
+        for peer in self._peers:
+            if self._states[peer] is MemberState.ALIVE and self._is_silent(peer, now):
+                self._states[peer] = MemberState.DEAD
+                self._changes.append(StateChange(peer, MemberState.DEAD))
+        if now < self._next_heartbeat_at:
             return []
-        self._next = max(self._next + self.period, now + self.period / 2)
-        beat = Beat(BEAT)
-        beat.sender, beat.life = self.name, self.life
-        return [Send(other, beat) for other in self._others]  # type: ignore[arg-type]
+        self._next_heartbeat_at = max(self._next_heartbeat_at + self.interval_s, now + self.interval_s / 2)
+        heartbeat = Heartbeat(HEARTBEAT)
+        heartbeat.sender = self.name
+        return [Outgoing(peer, heartbeat) for peer in self._peers]  # type: ignore[arg-type]
 
-    def take(self, now: float, word: Any) -> list[Send]:
+    def receive(self, now: float, heartbeat: Any) -> list[Outgoing]:
         """Take a heartbeat."""
-        self._heard(word.sender, now)
-        if self._state[word.sender] is not State.ALIVE:
-            self._state[word.sender] = State.ALIVE
-            self._changes.append(Change(word.sender, State.ALIVE, True))
+        sender = heartbeat.sender
+        self._record_heartbeat(sender, now)
+        if self._states[sender] is not MemberState.ALIVE:
+            self._states[sender] = MemberState.ALIVE
+            self._changes.append(StateChange(sender, MemberState.ALIVE, True))
         return []
 
-    def changes(self) -> list[Change]:
-        """Take what changed."""
-        found, self._changes = self._changes, []
-        return found
+    def take_changes(self) -> list[StateChange]:
+        """Return the state changes since the last call."""
+        changes = self._changes
+        self._changes = []
+        return changes
 
-    def _heard(self, other: str, now: float) -> None:
-        self._last[other] = now
+    def _record_heartbeat(self, peer: str, now: float) -> None:
+        self._last_heard[peer] = now
 
-    def _silent(self, other: str, now: float) -> bool:
-        return now - self._last[other] >= self.silent
+    def _is_silent(self, peer: str, now: float) -> bool:
+        return now - self._last_heard[peer] >= self.timeout_s
 
 
-class Accrual(Heartbeats):
-    """Silence counts by the pauses that were seen of each member."""
+class PhiAccrualDetector(HeartbeatDetector):
+    """Declares a member dead by the intervals between its heartbeats so far."""
 
-    KEPT, LEAST, SPREAD = 100, 5, 0.1  # pauses that are kept and needed, and the least spread, as a part of the period
+    MAX_SAMPLES = 100
+    MIN_SAMPLES = 5
+    MIN_DEVIATION_RATIO = 0.1  # of the interval
+    MIN_PROBABILITY = 1e-300  # keeps the logarithm finite
 
-    def __init__(self, *told: Any, phi: float = 8.0, **more: Any) -> None:
-        super().__init__(*told, **more)
+    def __init__(self, *arguments: Any, phi: float = 8.0, **options: Any) -> None:
+        super().__init__(*arguments, **options)
         self._phi = phi
-        self._pauses: dict[str, deque[float]] = {other: deque(maxlen=self.KEPT) for other in self._others}
-
-    def _heard(self, other: str, now: float) -> None:
-        self._pauses[other].append(now - self._last[other])
-        self._last[other] = now
-
-    def _silent(self, other: str, now: float) -> bool:
-        pauses = self._pauses[other]
-        if len(pauses) < self.LEAST:
-            return now - self._last[other] >= 3 * self.silent
-        mean = sum(pauses) / len(pauses)
-        spread = max(self.SPREAD * self.period, sqrt(sum((p - mean) ** 2 for p in pauses) / len(pauses)))
-        later = 0.5 * erfc((now - self._last[other] - mean) / spread / sqrt(2))
-        return -log10(max(later, 1e-300)) >= self._phi
+        self._intervals: dict[str, deque[float]] = {peer: deque(maxlen=self.MAX_SAMPLES) for peer in self._peers}
+
+    def _record_heartbeat(self, peer: str, now: float) -> None:
+        self._intervals[peer].append(now - self._last_heard[peer])
+        self._last_heard[peer] = now
+
+    def _is_silent(self, peer: str, now: float) -> bool:
+        intervals = self._intervals[peer]
+        silence = now - self._last_heard[peer]
+        if len(intervals) < self.MIN_SAMPLES:
+            return silence >= 3 * self.timeout_s
+        mean = sum(intervals) / len(intervals)
+        variance = sum((interval - mean) ** 2 for interval in intervals) / len(intervals)
+        deviation = max(self.MIN_DEVIATION_RATIO * self.interval_s, sqrt(variance))
+        probability = 0.5 * erfc((silence - mean) / deviation / sqrt(2))
+        return -log10(max(probability, self.MIN_PROBABILITY)) >= self._phi
--- /dev/null
+++ b/benchmarks/members_herd.py
@@ -0,0 +1,168 @@
+"""What 200 hosts do after one cause that all see at one instant (a thundering herd), with and without jitter."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from functools import partial
+from typing import NamedTuple
+
+from lapispick import jitter
+from lapispick.members.failure_detector import FailureDetector
+from lapispick.members.membership_view import MembershipView, SwimSettings
+from lapispick.model.cluster import SimulatedCluster, host_names, member_factory
+
+HOSTS = 200
+LEASE_HOSTS = 14
+INSTANTS = 200  # into which a span is divided
+BUSY_RATIO = 1.5  # of the mean of an instant
+MAX_PLAYS = 5
+OUTAGE_S = 30.0
+LOOKUP_INTERVAL_S = 30.0
+HOUR_S = 3600.0
+PROBES_SPAN_S = 20.0
+TICKS_PER_SECOND = 100
+UNDO_AT_S = 60.0
+
+Spread = Callable[[float, float], float]  # from an interval and a draw from 0 to 1
+
+
+class Concentration(NamedTuple):
+    """The fraction of instants above ``BUSY_RATIO`` times the mean, and the busiest instant over the mean."""
+
+    busy_fraction: float
+    worst_ratio: float
+
+
+class Activity(NamedTuple):
+    """What the hosts do: how long it is observed, and its times with a seed, before jitter and now."""
+
+    name: str
+    span_s: float
+    before: Callable[[int], list[float]]
+    now: Callable[[int], list[float]]
+
+
+def concentration(times: list[float], span_s: float) -> Concentration:
+    """Return how much the times are concentrated in some instants of the span."""
+    counts = [0] * INSTANTS
+    for at in times:
+        if 0 <= at < span_s:
+            counts[int(at / span_s * INSTANTS)] += 1
+    mean = sum(counts) / INSTANTS
+    busy = sum(count > BUSY_RATIO * mean for count in counts)
+    return Concentration(busy / INSTANTS, max(counts) / mean)
+
+
+def _former_backoff(backoff_s: float, draw: float) -> float:
+    return backoff_s * (0.7 + 0.3 * draw)
+
+
+def _fixed_period(interval_s: float, _draw: float) -> float:
+    return interval_s
+
+
+def _reconnect_times(spread: Spread, seed: int) -> list[float]:
+    """Return when hosts reconnect to a broker that is away for 30 s; all lost it at 0."""
+    rng = random.Random(seed)
+    times = []
+    for _ in range(HOSTS):
+        at = 0.0
+        backoff_s = 0.1
+        while at < OUTAGE_S:
+            at += spread(backoff_s, rng.random())
+            backoff_s = min(10.0, backoff_s * 2)
+            times.append(at)
+    return times
+
+
+def _lookup_times(spread: Spread, seed: int) -> list[float]:
+    """Return when hosts that start at 0 resolve names each 30 s, in the second hour."""
+    rng = random.Random(seed)
+    times = []
+    for _ in range(HOSTS):
+        at = 0.0
+        while at < 2 * HOUR_S:
+            at += spread(LOOKUP_INTERVAL_S, rng.random())
+            times.append(at - HOUR_S)
+    return times
+
+
+def _probe_times(first_probe_is_drawn: bool, seed: int) -> list[float]:
+    """Return when members that start at one instant send messages in their first 20 s."""
+    names = frozenset(host_names(HOSTS))
+    times: list[float] = []
+    detectors = []
+    for name in sorted(names):
+        view = MembershipView(name, "f", 1, names, SwimSettings(), 0.0)
+        detectors.append(FailureDetector(view, random.Random(f"{seed} {name}"), 0.0))
+    if not first_probe_is_drawn:
+        for detector in detectors:
+            detector._next_probe_at = 0.0
+    for step in range(int(PROBES_SPAN_S * TICKS_PER_SECOND)):
+        now = step / TICKS_PER_SECOND
+        for detector in detectors:
+            detector._outstanding = None  # all are answered
+            times += [now] * len(detector.tick(now))
+    return times
+
+
+def _undo_times(with_lease: bool, seed: int) -> list[float]:
+    """Return when each of 14 hosts goes back whose times to be confirmed are over at one instant."""
+    if not with_lease:
+        return [UNDO_AT_S] * LEASE_HOSTS
+    names = host_names(LEASE_HOSTS)
+    cluster = SimulatedCluster(seed, LEASE_HOSTS, member_factory(names, slot_counts={"restart": 1}))
+    undone_at: dict[str, float] = {}
+
+    def poll(name: str) -> None:
+        cluster.at(cluster.now + 0.2, partial(poll, name))
+        if name in undone_at:  # its process ends a second after, and its lease expires
+            return
+        status = cluster.members[name].leases.request(cluster.clock(name), "restart", "agent")
+        if status is not None and status.fencing_token:
+            undone_at[name] = cluster.now
+        cluster.tick_now(name)
+
+    for name in names:
+        cluster.at(UNDO_AT_S, partial(poll, name))
+    cluster.run(400.0)
+    return sorted(undone_at.values())
+
+
+ACTIVITIES = (
+    Activity(
+        "reconnects", OUTAGE_S, partial(_reconnect_times, _former_backoff), partial(_reconnect_times, jitter.pause)
+    ),
+    Activity("look-ups", HOUR_S, partial(_lookup_times, _fixed_period), partial(_lookup_times, jitter.period)),
+    Activity("probes", PROBES_SPAN_S, partial(_probe_times, False), partial(_probe_times, True)),
+)
+
+
+def measure(plays: int) -> list[dict[str, object]]:
+    """Return a row for each activity, before and now."""
+    rows = []
+    for activity in ACTIVITIES:
+        for when, times in (("before", activity.before), ("now", activity.now)):
+            seeds = range(1, min(plays, MAX_PLAYS) + 1)
+            found = [concentration(times(seed), activity.span_s) for seed in seeds]
+            rows.append(
+                {
+                    "what": activity.name,
+                    "when": when,
+                    "instants": round(sum(each.busy_fraction for each in found) / len(found), 3),
+                    "worst": round(sum(each.worst_ratio for each in found) / len(found), 1),
+                }
+            )
+    rows += [_undo_row("before", _undo_times(False, 1)), _undo_row("now", _undo_times(True, 1))]
+    return rows
+
+
+def _undo_row(when: str, times: list[float]) -> dict[str, object]:
+    return {
+        "what": "undoing",
+        "when": when,
+        "hosts": len(times),
+        "at_once": max(sum(abs(one - other) < 1.0 for other in times) for one in times),
+        "seconds": round(times[-1] - times[0], 1),
+    }
--- a/benchmarks/members_host.py
+++ b/benchmarks/members_host.py
@@ -1,7 +1,7 @@
-"""Measures what members cost running hosts: ``python -m benchmarks.members_host [--boxes N] [--seconds S]``.
+"""Measures what membership costs running hosts: ``python -m benchmarks.members_host [--boxes N] [--seconds S]``.
 
-Hosts with and without section members, in one run, at rest; CPU of the host's own process by the system's count,
-memory, words as the hosts count them, and the time until all see all after a start at one instant.
+Hosts with and without ``section members``, in one run, at rest: CPU of the host's process as the system counts it,
+memory, messages as the hosts count them, and the time until all see all after a start at one instant.
 """
 
 from __future__ import annotations
@@ -13,57 +13,66 @@
 from pathlib import Path
 
 from lapispick.fakes.fleet import Fleet
-from lapispick.fakes.member_cluster import Talk
+from lapispick.fakes.member_cluster import MemberCluster
 
-TICK = os.sysconf("SC_CLK_TCK")
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+MEBIBYTE = 1 << 20
+DEFAULT_SETTINGS = ""  # of section members
+SEED = 3
 
 
-def _cpu(pid: int) -> float:
+def _cpu_s(pid: int) -> float:
     with open(f"/proc/{pid}/stat") as file:
-        told = file.read().rpartition(")")[2].split()
-    return (int(told[11]) + int(told[12])) / TICK
+        fields = file.read().rpartition(")")[2].split()
+    user_ticks = int(fields[11])
+    system_ticks = int(fields[12])
+    return (user_ticks + system_ticks) / CLOCK_TICKS_PER_S
 
 
-def _rss_mb(pid: int) -> float:
+def _resident_mb(pid: int) -> float:
     with open(f"/proc/{pid}/statm") as file:
-        return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE") / (1 << 20)
+        return int(file.read().split()[1]) * PAGE_BYTES / MEBIBYTE
 
 
-def run(boxes: int, seconds: float, on: bool) -> dict[str, float]:
-    """Return what a host costs, as means."""
-    with tempfile.TemporaryDirectory() as folder, Fleet(Path(folder), 3, boxes, gateways=1, rate=1.0) as fleet:
-        talk = Talk(fleet, "") if on else None
-        began = time.monotonic()
-        if talk is not None:
-            talk.start()
+def _sent_messages(cluster: MemberCluster | None) -> int:
+    if cluster is None:
+        return 0
+    return sum((cluster.view(name) or {"sent": 0})["sent"] for name in cluster.names())
+
+
+def measure(hosts: int, seconds: float, enabled: bool) -> dict[str, float]:
+    """Return what one host costs, as means."""
+    with tempfile.TemporaryDirectory() as folder, Fleet(Path(folder), SEED, hosts, gateways=1, rate=1.0) as fleet:
+        cluster = MemberCluster(fleet, DEFAULT_SETTINGS) if enabled else None
+        started = time.monotonic()
+        if cluster is not None:
+            cluster.start()
         else:
             fleet.start()
-        made = {"start_s": time.monotonic() - began}
-        names = [box.name for box in fleet.boxes]
-        if talk is not None:
-            made["agree_s"] = talk.agree(names, within=60.0)
-        pids = [box.processes[-1].pid for box in fleet.boxes]
-        before, sent = [_cpu(pid) for pid in pids], _sent(talk, names)
+        result = {"start_s": time.monotonic() - started}
+        if cluster is not None:
+            result["agree_s"] = cluster.wait_for_agreement(cluster.names(), within=60.0)
+        pids = [host.processes[-1].pid for host in fleet.boxes]
+        cpu_before = sum(map(_cpu_s, pids))
+        sent_before = _sent_messages(cluster)
         time.sleep(seconds)
-        made["cpu_of_a_core"] = sum(_cpu(pid) - was for pid, was in zip(pids, before, strict=True)) / boxes / seconds
-        made["words"] = (_sent(talk, names) - sent) / boxes / seconds
-        made["rss_mb"] = sum(map(_rss_mb, pids)) / boxes
-        return made
-
-
-def _sent(talk: Talk | None, names: list[str]) -> int:
-    return sum((talk.view(name) or {"sent": 0})["sent"] for name in names) if talk is not None else 0
+        result["cpu_of_a_core"] = (sum(map(_cpu_s, pids)) - cpu_before) / hosts / seconds
+        result["words"] = (_sent_messages(cluster) - sent_before) / hosts / seconds
+        result["rss_mb"] = sum(map(_resident_mb, pids)) / hosts
+        return result
 
 
 def main() -> None:
-    """Measure both and print them with their difference."""
-    options = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    options.add_argument("--boxes", type=int, default=14)
-    options.add_argument("--seconds", type=float, default=30.0)
-    told = options.parse_args()
-    for on in (False, True, False, True):
-        found = run(told.boxes, told.seconds, on)
-        print("on " if on else "off", {name: round(value, 4) for name, value in found.items()}, flush=True)
+    """Measure both twice, in turn, and print the results."""
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser.add_argument("--boxes", type=int, default=14, help="number of hosts")
+    parser.add_argument("--seconds", type=float, default=30.0)
+    options = parser.parse_args()
+    for enabled in (False, True, False, True):
+        result = measure(options.boxes, options.seconds, enabled)
+        label = "on " if enabled else "off"
+        print(label, {name: round(value, 4) for name, value in result.items()}, flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/members_mutants.py
+++ b/benchmarks/members_mutants.py
@@ -1,7 +1,8 @@
-"""Shows that properties are worth something: each guard of members taken out in turn, and the property that notices.
+"""Mutation testing of the members' properties: removes one safeguard after the other, and finds a property that fails.
 
-``python -m benchmarks.members_mutants [--jobs N] [NAME...]`` copies the package, changes one place and plays properties
-until one breaks. Ends with 1 where a mutant lives. About two minutes on four cores.
+``python -m benchmarks.members_mutants [--jobs N] [NAME...]`` copies the package, changes one place and checks
+properties until one fails. Ends with 1 if a mutant survives. About two minutes on four cores. ``--places`` only checks
+that each mutant's text occurs exactly once.
 """
 
 from __future__ import annotations
@@ -17,221 +18,371 @@
 from typing import NamedTuple
 
 ROOT = Path(__file__).resolve().parents[1]
+PACKAGE = Path("lapispick") / "members"
 SEEDS = 12
 
 
+class MutantPlaceError(Exception):
+    """The text that a mutant changes does not occur exactly once."""
+
+    def __init__(self, mutant: Mutant, count: int) -> None:
+        super().__init__(f"{mutant.name}: its text occurs {count} times in {mutant.file}")
+        self.mutant = mutant
+        self.count = count
+
+
 class Mutant(NamedTuple):
-    """One change: the file of ``lapispick/members``, what stands there, what comes instead, who should notice."""
+    """One change of a file of ``lapispick/members``, and the property that should fail."""
 
     name: str
     file: str
-    old: str
-    new: str
-    by: str
+    original: str
+    replacement: str
+    property_name: str
+
+    def apply(self, root: Path) -> None:
+        """Change the copy of the package below ``root``; raises ``MutantPlaceError``."""
+        path = root / PACKAGE / self.file
+        text = path.read_text()
+        count = text.count(self.original)
+        if count != 1:
+            raise MutantPlaceError(self, count)
+        path.write_text(text.replace(self.original, self.replacement))
+
+    def check_place(self) -> None:
+        """Raise ``MutantPlaceError`` unless the text to change occurs exactly once."""
+        count = (ROOT / PACKAGE / self.file).read_text().count(self.original)
+        if count != 1:
+            raise MutantPlaceError(self, count)
+
 
+class Result(NamedTuple):
+    """What became of a mutant; ``failure`` is what the failing property observed, or empty."""
 
-MUTANTS = (
+    mutant: Mutant
+    failure: str
+
+
+MEMBERSHIP_MUTANTS = (
     Mutant(
-        "forget the incarnation",
-        "view.py",
-        "self.incarnation = rumour.incarnation + 1",
+        "a refutation keeps the incarnation",
+        "membership_view.py",
+        "self.incarnation = update.incarnation + 1",
         "self.incarnation += 0",
-        "refutes",
+        "refutation",
+    ),
+    Mutant(
+        "a state is believed without its incarnation",
+        "membership_view.py",
+        "if version <= record.version:",
+        "if (version[0], version[2]) <= (record.version[0], record.version[2]):",
+        "deaths_detected",
     ),
     Mutant(
-        "believe a state without its incarnation",
-        "view.py",
-        "if (rumour.life, rumour.incarnation, state) <= old:",
-        "if (rumour.life, state) <= (old[0], old[2]):",
-        "deaths_found",
+        "the dead are not probed",
+        "failure_detector.py",
+        "name != view.name and view.record(name).state is not MemberState.LEFT",
+        "name != view.name and view.record(name).state < MemberState.DEAD",
+        "convergence_after_partition",
     ),
     Mutant(
-        "dead for ever",
-        "view.py",
-        "name != self.name and self.held(name).state is not State.LEFT",
-        "name != self.name and self.held(name).state < State.DEAD",
-        "converge",
+        "a member that is believed dead is not told",
+        "failure_detector.py",
+        "if include_record or record.state is not MemberState.ALIVE:",
+        "if include_record:",
+        "refutation",
     ),
     Mutant(
-        "don't tell whom one holds for dead",
-        "view.py",
-        "own = () if held.state is State.ALIVE and not older else (",
-        "own = () if not older else (",
-        "refutes",
+        "no indirect probes",
+        "failure_detector.py",
+        "min(self.settings.indirect_probes, len(candidates))",
+        "0",
+        "partial_link_failures",
     ),
-    Mutant("no help by others", "view.py", "min(self.bounds.helpers, len(others))", "0", "one_way"),
     Mutant(
-        "dead at once",
-        "view.py",
-        "return max(least, most - (most - least) * part) * (1 + self.health / 2)",
+        "no suspicion before death",
+        "membership_view.py",
+        "return max(shortest, longest - (longest - shortest) * confirmed) * (1 + self.health.score / 2)",
         "return 0.2",
-        "no_false_death",
+        "no_false_deaths",
     ),
     Mutant(
-        "a sleeper blames the others", "view.py", "if gap > SLEPT * self.bounds.period:", "if gap > 1e9:", "long_sleep"
+        "a paused process suspects the others",
+        "failure_detector.py",
+        "if elapsed > PAUSE_RATIO * self.settings.probe_interval_s:",
+        "if elapsed > 1e9:",
+        "long_pause",
+    ),
+    Mutant(
+        "any process epoch is believed",
+        "membership_view.py",
+        "if message.process_epoch < self.record(message.sender).process_epoch:",
+        "if False:",
+        "invalid_senders_ignored",
     ),
-    Mutant("any life is believed", "view.py", "if word.life < self.held(word.sender).life:", "if False:", "strangers"),
-    Mutant("any fleet is believed", "view.py", "if word.fleet != self.fleet:", "if False:", "strangers"),
     Mutant(
-        "no later life than the one that is remembered",
-        "view.py",
-        "self.life, self.incarnation = rumour.life + 1, 0",
+        "any fleet is believed",
+        "membership_view.py",
+        "if message.fleet != self.fleet:",
+        "if False:",
+        "invalid_senders_ignored",
+    ),
+    Mutant(
+        "no later epoch than a known one is adopted",
+        "membership_view.py",
+        "self.process_epoch = known_epoch + 1",
         "pass",
-        "lost_life",
+        "lost_process_epoch",
+    ),
+    Mutant("a replaced process continues", "membership_view.py", "self.replaced = True", "pass", "replaced_process"),
+    Mutant(
+        "any number is believed",
+        "membership_view.py",
+        "or max(update.process_epoch, update.incarnation) > MAX_EPOCH",
+        "",
+        "invalid_senders_ignored",
+    ),
+    Mutant(
+        "a quorum of the view",
+        "membership_view.py",
+        "return 2 * self.live_count() > self.size()",
+        "return 2 * self.live_count() > self.live_count()",
+        "convergence_after_partition",
+    ),
+)
+
+LEASE_MUTANTS = (
+    Mutant(
+        "half of the configuration is a quorum",
+        "configurations.py",
+        "return 2 * len(voters & self.names) > len(self.names)",
+        "return 2 * len(voters & self.names) >= len(self.names) - 1",
+        "quorum_of_configurations",
+    ),
+    Mutant(
+        "the current configuration decides alone",
+        "configurations.py",
+        "return all(each.is_quorum(granted) for each in self._configurations)",
+        "return all(each.is_quorum(granted) for each in self._configurations[-1:])",
+        "quorum_of_configurations",
     ),
-    Mutant("a replaced process goes on", "view.py", "self.replaced = True", "pass", "replaced"),
-    Mutant("believe any number", "view.py", "or max(rumour.life, rumour.incarnation) > LIFE_MOST", "", "strangers"),
     Mutant(
-        "count a majority of the view",
-        "view.py",
-        "return 2 * self.seen() > self.size()",
-        "return 2 * self.seen() > self.seen()",
-        "converge",
+        "a replaced configuration counts for ever",
+        "configurations.py",
+        "if each.expires_at > now]",
+        "if True]",
+        "quorum_of_configurations",
     ),
     Mutant(
-        "half of the list is enough",
-        "turns.py",
-        "return all(2 * len(given & names) > len(names)",
-        "return all(2 * len(given & names) >= len(names) - 1",
-        "majority_of_the_list",
+        "any configuration is voted for",
+        "lease_voter.py",
+        "self.configurations.contains(proposal.configuration_digest)",
+        "True",
+        "silent_voter_start",
     ),
     Mutant(
-        "the new list is enough",
-        "turns.py",
-        "for _, names, _ in self.held)\n\n    def hopeless",
-        "for _, names, _ in self.held[-1:])\n\n    def hopeless",
-        "majority_of_the_list",
+        "a lease never expires for its holder",
+        "lease_proposer.py",
+        "return self.fencing_token > 0 and now < self.expires_at",
+        "return self.fencing_token > 0",
+        "lease_expiry",
     ),
-    Mutant("a list counts for ever", "turns.py", "if each[2] > now]", "if True]", "majority_of_the_list"),
-    Mutant("any list is voted for", "turns.py", "if not self.lists.holds(claim.list) or ", "if ", "quiet_start"),
     Mutant(
-        "renew after the lease",
-        "turns.py",
-        "return self.fence > 0 and now < self.until",
-        "return self.fence > 0",
-        "leases_end",
+        "a lease is counted from the vote",
+        "lease_proposer.py",
+        "expires_at = self._proposed_at + self.settings.holder_lease_s",
+        "expires_at = now + self.settings.holder_lease_s",
+        "lease_expiry",
     ),
     Mutant(
-        "count the lease from the answer",
-        "turns.py",
-        "until = self._asked + self.bounds.lease * (1 - self.bounds.drift)",
-        "until = now + self.bounds.lease * (1 - self.bounds.drift)",
-        "leases_end",
+        "no clock drift at the holder",
+        "leases.py",
+        "return self.lease_s * (1 - self.clock_drift_ratio)",
+        "return self.lease_s",
+        "lease_expiry",
     ),
-    Mutant("no drift at the holder", "turns.py", "* (1 - self.bounds.drift)", "", "leases_end"),
     Mutant(
-        "no drift at the voter",
-        "turns.py",
-        "_Grant(claim.ballot, claim.life, now + self.bounds.lease * (1 + self.bounds.drift))",
-        "_Grant(claim.ballot, claim.life, now + self.bounds.lease)",
-        "leases_end",
+        "no clock drift at the voter",
+        "lease_voter.py",
+        "Grant(proposal.ballot, proposal.process_epoch, now + self.settings.grant_s)",
+        "Grant(proposal.ballot, proposal.process_epoch, now + self.settings.lease_s)",
+        "lease_expiry",
     ),
-    Mutant("a late vote counts", "turns.py", "or now - self._asked > self.bounds.wait:", "or False:", "leases_end"),
-    Mutant("grant while another holds", "turns.py", "(held is not None and not mine) or", "", "one_holder"),
     Mutant(
-        "the name decides between equal numbers",
-        "turns.py",
-        "claim.ballot.number <= highest.number",
-        "claim.ballot <= highest",
-        "another_life",
+        "a late vote counts",
+        "lease_proposer.py",
+        "or now - self._proposed_at > self.settings.vote_timeout_s:",
+        "or False:",
+        "lease_expiry",
     ),
     Mutant(
-        "forget what was granted before a restart",
-        "turns.py",
-        "self.quiet_until = now if fresh else now + bounds.lease * (1 + bounds.drift)",
-        "self.quiet_until = now",
-        "quiet_start",
+        "a grant while another member holds",
+        "lease_voter.py",
+        "return grant is not None or self._first_in_queue",
+        "return self._first_in_queue",
+        "single_holder",
     ),
     Mutant(
-        "one life for all",
-        "turns.py",
-        "(held.ballot.name, held.life) == (name, claim.life)",
-        "held.ballot.name == name",
-        "another_life",
+        "the name decides between equal ballot numbers",
+        "lease_voter.py",
+        "proposal.ballot.number <= highest.number",
+        "proposal.ballot <= highest",
+        "restarted_holder",
+    ),
+    Mutant(
+        "grants before a restart are forgotten",
+        "lease_voter.py",
+        "self.silent_until = now if has_no_past else now + settings.grant_s",
+        "self.silent_until = now",
+        "silent_voter_start",
+    ),
+    Mutant(
+        "all processes of a member are one holder",
+        "lease_voter.py",
+        "(self.ballot.proposer, self.process_epoch) == (proposal.ballot.proposer, proposal.process_epoch)",
+        "self.ballot.proposer == proposal.ballot.proposer",
+        "restarted_holder",
+    ),
+    Mutant(
+        "no queue",
+        "lease_voter.py",
+        "return grant is not None or self._first_in_queue(now, slot) != proposer",
+        "return grant is not None",
+        "bounded_overtaking",
     ),
-    Mutant("first come, first served", "turns.py", "or (not mine and self._first(now, slot) != name):", ":", "fair"),
     Mutant(
         "every voter has an order of its own",
-        "turns.py",
-        "int((now - waiter.since) / self.bounds.ageing)",
-        "(now - waiter.since) / self.bounds.ageing",
-        "all_at_once",
+        "lease_voter.py",
+        "int((now - waiter.since) / self.settings.priority_aging_s)",
+        "(now - waiter.since) / self.settings.priority_aging_s",
+        "simultaneous_requests",
     ),
     Mutant(
-        "those who came together pass each other",
-        "turns.py",
-        "each.since + self.bounds.together < waiter.since",
-        "each.since < waiter.since",
-        "all_at_once",
+        "simultaneous waiters overtake each other",
+        "lease_voter.py",
+        "waiter.since + self.settings.simultaneous_s < granted.since",
+        "waiter.since < granted.since",
+        "simultaneous_requests",
     ),
     Mutant(
-        "nobody is passed too often",
-        "turns.py",
-        "return waiter.passed < self.bounds.passes, -due, name",
-        "return True, -due, name",
-        "fair",
+        "no limit of overtaking",
+        "lease_voter.py",
+        "return waiter.overtaken < self.settings.max_overtakes, -aged_priority, name",
+        "return True, -aged_priority, name",
+        "bounded_overtaking",
     ),
-    Mutant("waiting counts for nothing", "turns.py", "int((now - waiter.since) / self.bounds.ageing)", "0", "ageing"),
-    Mutant("numbers begin anew", "node.py", "self.life * CLAIMS_A_LIFE", "0", "numbers_survive"),
     Mutant(
-        "two owners claim one slot",
-        "node.py",
-        "if not claimer.fence and not self._alone(now, want):",
-        "if False:",
-        "one_owner",
+        "waiting has no effect",
+        "lease_voter.py",
+        "int((now - waiter.since) / self.settings.priority_aging_s)",
+        "0",
+        "priority_aging",
     ),
     Mutant(
-        "give a silent owner's turn back",
-        "node.py",
-        "if not claimer.fence:\n            return self._release",
-        "if True:\n            return self._release",
-        "silent_owner",
+        "ballot numbers start again",
+        "lease_manager.py",
+        "epoch * BALLOTS_PER_EPOCH",
+        "0",
+        "fencing_tokens_survive_restart",
     ),
     Mutant(
-        "a silent owner blocks nobody here",
-        "node.py",
-        "self._blocked[claimer.slot] = claimer.until",
+        "two owners propose one slot",
+        "lease_manager.py",
+        "elif request.proposer.fencing_token or self._may_propose(now, request):",
+        "else:",
+        "owners_share_no_slot",
+    ),
+    Mutant(
+        "the lease of a silent owner is released",
+        "lease_manager.py",
+        "if not proposer.fencing_token:\n            return self._withdraw",
+        "if True:\n            return self._withdraw",
+        "abandoned_lease_expires",
+    ),
+    Mutant(
+        "a silent owner's slot is free at its own member",
+        "lease_manager.py",
+        "self._abandoned_until[proposer.slot] = proposer.expires_at",
         "pass",
-        "silent_owner",
+        "abandoned_lease_expires",
+    ),
+    Mutant(
+        "a proposer stays in the queue of a slot that it left",
+        "lease_voter.py",
+        "if release.leaves_queue:",
+        "if False:",
+        "all_slots_used",
+    ),
+    Mutant(
+        "any slot is voted for",
+        "lease_manager.py",
+        "or not self._is_slot(proposal.slot):",
+        ":",
+        "bounded_tables",
+    ),
+)
+
+FACT_MUTANTS = (
+    Mutant(
+        "facts of invalid senders are accepted",
+        "member.py",
+        "        is_accepted = self.view.reject_reason(message) is None\n        outgoing =",
+        "        is_accepted = True\n        outgoing =",
+        "invalid_senders_ignored",
     ),
-    Mutant("wait for slots that one left", "turns.py", "if release.moves:", "if False:", "slots_used"),
-    Mutant("vote for any slot", "node.py", "or not self._slot(word.claim.slot):", ":", "bounded"),
-    Mutant("take a stranger's facts", "node.py", "counts = not self.view.stranger(word)", "counts = True", "strangers"),
     Mutant(
-        "the last word wins",
-        "signals.py",
-        "if held is not None and _order(held) >= _order(made):",
+        "the last fact wins",
+        "gossip_facts.py",
+        "if stored is not None and stored.order() >= received.order():",
         "if False:",
-        "facts_merge",
+        "facts_converge",
     ),
-    Mutant("facts stay young", "signals.py", "_Held(fact, now - fact.age)", "_Held(fact, now)", "facts_age"),
     Mutant(
-        "old facts weigh as much", "signals.py", "0.5 ** ((now - held.born) / self.bounds.half)", "1.0", "facts_age"
+        "facts do not age",
+        "gossip_facts.py",
+        "_StoredFact(fact, now - fact.age_s)",
+        "_StoredFact(fact, now)",
+        "facts_expire",
+    ),
+    Mutant(
+        "old facts weigh as much",
+        "gossip_facts.py",
+        "0.5 ** ((now - stored.observed_at) / self.settings.half_life_s)",
+        "1.0",
+        "facts_expire",
     ),
     Mutant(
         "one author is enough",
-        "signals.py",
-        "return authors >= self.bounds.authors and yes > no",
-        "return yes > no",
-        "two_authors",
+        "gossip_facts.py",
+        "return healthy_authors >= self.settings.min_confirming_authors and weight_for > weight_against",
+        "return weight_for > weight_against",
+        "facts_need_two_authors",
+    ),
+    Mutant(
+        "an unhealthy author counts as a healthy one",
+        "gossip_facts.py",
+        "healthy_authors += stored.fact.author_health == 0",
+        "healthy_authors += 1",
+        "facts_need_two_authors",
     ),
     Mutant(
-        "an ill author counts in full", "signals.py", "authors + (held.fact.health == 0)", "authors + 1", "two_authors"
+        "no limit of an author's facts",
+        "gossip_facts.py",
+        "if len(of_author) > self.settings.max_facts_per_author and",
+        "if False and",
+        "bounded_tables",
     ),
-    Mutant("no end of an author's facts", "signals.py", "if len(of) > self.bounds.most:", "if False:", "bounded"),
 )
 
+MUTANTS = MEMBERSHIP_MUTANTS + LEASE_MUTANTS + FACT_MUTANTS
+
 
-def tried(mutant: Mutant) -> tuple[Mutant, str]:
-    """Play the property that should notice, then all others; returns the one that did, or nothing."""
+def run_mutant(mutant: Mutant) -> Result:
+    """Check the property that should fail, then all others."""
     with tempfile.TemporaryDirectory() as folder:
         shutil.copytree(ROOT / "lapispick", Path(folder) / "lapispick", ignore=shutil.ignore_patterns("__pycache__"))
-        path = Path(folder) / "lapispick" / "members" / mutant.file
-        text = path.read_text()
-        if text.count(mutant.old) != 1:
-            raise SystemExit(f"{mutant.name}: its text stands {text.count(mutant.old)} times in {mutant.file}")
-        path.write_text(text.replace(mutant.old, mutant.new))
-        for names in ([mutant.by], []):
+        mutant.apply(Path(folder))
+        for names in ([mutant.property_name], []):
             done = subprocess.run(
                 [sys.executable, "-m", "lapispick", "model", "check", "--seeds", str(SEEDS), *names],
                 cwd=folder,
@@ -241,24 +392,30 @@
                 check=False,
             )
             if done.returncode:
-                return mutant, (done.stderr.strip().splitlines() or ["?"])[-1]
-    return mutant, ""
+                return Result(mutant, (done.stderr.strip().splitlines() or ["?"])[-1])
+    return Result(mutant, "")
 
 
 def main() -> int:
-    """Try all mutants, or those that are named."""
-    options = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    options.add_argument("names", nargs="*")
-    options.add_argument("--jobs", type=int, default=4)
-    told = options.parse_args()
-    chosen = [m for m in MUTANTS if not told.names or m.name in told.names]
-    lived = 0
-    with ThreadPoolExecutor(told.jobs) as pool:
-        for mutant, found in pool.map(tried, chosen):
-            lived += not found
-            print(f"{mutant.name:<50} {found or 'LIVES'}", flush=True)
-    print(f"{len(chosen) - lived} of {len(chosen)} mutants are noticed")
-    return 1 if lived else 0
+    """Test all mutants, or those that are named."""
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser.add_argument("names", nargs="*")
+    parser.add_argument("--jobs", type=int, default=4)
+    parser.add_argument("--places", action="store_true", help="only check that each mutant's text occurs once")
+    options = parser.parse_args()
+    selected = [mutant for mutant in MUTANTS if not options.names or mutant.name in options.names]
+    for mutant in selected:
+        mutant.check_place()
+    if options.places:
+        print(f"the texts of {len(selected)} mutants occur once each")
+        return 0
+    survivors = 0
+    with ThreadPoolExecutor(options.jobs) as pool:
+        for mutant, failure in pool.map(run_mutant, selected):
+            survivors += not failure
+            print(f"{mutant.name:<55} {failure or 'SURVIVES'}", flush=True)
+    print(f"{len(selected) - survivors} of {len(selected)} mutants are detected")
+    return 1 if survivors else 0
 
 
 if __name__ == "__main__":
--- a/lapispick/cli/leases.py
+++ b/lapispick/cli/leases.py
@@ -1,4 +1,4 @@
-"""``lapispick turns``: named turns that at most so many boxes have at once."""
+"""``lapispick leases``: named leases that a limited number of hosts hold at once."""
 
 from __future__ import annotations
 
@@ -9,68 +9,73 @@
 import time
 
 import click
+import msgspec
 
-from lapispick.cli.members import asked
+from lapispick.cli.members import fetch, fetch_json
 from lapispick.cli.ops import AT, NoAnswer, call, located
 from lapispick.cli.output import DIFFERS, FAULTY, NO_STATE, as_json, complain, say, table
+from lapispick.host.members.reports import LeaseInfo
 
-LOOK_S = 0.3  # s; between two words for a turn; the host drops who is silent for longer than ``keep``
-STOP_S = 0.5  # s; of the lease that are left for a command to end after SIGTERM
-FENCE = "LAPISPICK_FENCE"  # the environment's name of the number that what is guarded checks
+RENEW_INTERVAL_S = 0.3  # the host drops requests that are not repeated within its setting ``keep``
+STOP_MARGIN_S = 0.5  # of the lease, for a command to end after SIGTERM
+MIN_CALL_TIMEOUT_S = 0.3
+MAX_CALL_TIMEOUT_S = 2.0
+FENCING_TOKEN_VARIABLE = "LAPISPICK_FENCE"
+SIGNAL_EXIT_STATUS = 128  # plus the signal's number, as in a shell
 
 
 @click.group()
-def turns() -> None:
-    """Named turns over the fleet: see them, take one for a command, give one back."""
+def leases() -> None:
+    """List named leases of the cluster, hold one while a command runs, release one."""
 
 
-@turns.command("list")
+def _describe(lease: LeaseInfo) -> str:
+    if lease.granted_to:
+        return f"granted to {lease.granted_to}"
+    return f"held, fencing token {lease.fencing_token}" if lease.fencing_token else "waiting"
+
+
+@leases.command("list")
 @AT
 @click.option("--json", "json_", is_flag=True, help="For programs.")
 def list_(at: str | None, json_: bool) -> None:
-    """List the turns that are wanted here, and those that this box's vote is given to."""
-    told = asked(located(at), "turns")
+    """List the leases that are requested at a host, and those that it voted for."""
+    answer = fetch_json(located(at), "turns")
     if json_:
-        return as_json(told)
-    rows = []
-    for each in told:
-        what = (
-            f"granted to {each['granted_to']}"
-            if each["granted_to"]
-            else (f"held, fence {each['fence']}" if each["fence"] else "waits")
-        )
-        rows.append([each["slot"], each["owner"], what, f"{each['left']:.1f} s", " ".join(each["waiting"])])
-    return table("turns", ["slot", "owner", "what", "lease left", "waiting"], rows)
-
-
-@turns.command()
+        return as_json(msgspec.json.decode(answer))
+    rows = [
+        [lease.slot, lease.owner, _describe(lease), f"{lease.remaining_s:.1f} s", " ".join(lease.waiting)]
+        for lease in msgspec.json.decode(answer, type=list[LeaseInfo])
+    ]
+    return table("leases", ["slot", "owner", "state", "expires in", "waiting"], rows)
+
+
+@leases.command()
 @AT
-@click.argument("turn")
-def show(at: str | None, turn: str) -> None:
-    """Say who has a turn, as far as this box's vote tells. Ends with 1 where nobody has."""
+@click.argument("lease")
+def show(at: str | None, lease: str) -> None:
+    """Show who holds a lease, as far as a host's vote tells. Ends with 1 where nobody does."""
     found = [
         each
-        for each in asked(located(at), "turns")
-        if each["slot"].split("/")[0] == turn and (each["granted_to"] or each["fence"])
+        for each in fetch(located(at), "turns", list[LeaseInfo])
+        if each.slot.split("/")[0] == lease and (each.granted_to or each.fencing_token)
     ]
     for each in found:
-        say(
-            f"{each['slot']}: {each['granted_to'] or 'this box, for ' + each['owner']}, fence {each['fence']}, "
-            f"{each['left']:.1f} s left"
-        )
+        holder = each.granted_to or f"this host, for {each.owner}"
+        say(f"{each.slot}: {holder}, fencing token {each.fencing_token}, expires in {each.remaining_s:.1f} s")
     if not found:
-        say(f"nobody has {turn}, as far as this box's vote tells")
+        say(f"nobody holds {lease}, as far as this host's vote tells")
         sys.exit(DIFFERS)
 
 
-@turns.command()
+@leases.command()
 @AT
-@click.argument("turn")
+@click.argument("lease")
 @click.argument("owner")
-def release(at: str | None, turn: str, owner: str) -> None:
-    """Give a turn back that an owner at this box has or waits for; what it does meanwhile bears an old fence."""
+def release(at: str | None, lease: str, owner: str) -> None:
+    """Release a lease that an owner at a host holds or waits for; from then on its fencing token is outdated."""
     try:
-        lines = call(located(at), f"done {turn} {owner}")
+        lines = call(located(at), f"done {lease} {owner}")
     except NoAnswer as err:
         complain(str(err))
         sys.exit(NO_STATE)
@@ -78,71 +83,108 @@
     sys.exit(0 if lines[0].startswith("OK") else DIFFERS)
 
 
-@turns.command(context_settings={"ignore_unknown_options": True})
+@leases.command(context_settings={"ignore_unknown_options": True})
 @AT
-@click.option("--wait", default=600.0, show_default=True, help="Seconds to wait for the turn at most.")
-@click.option("--priority", default=0, show_default=True, help="0 to 99; waiting makes up for it with time.")
-@click.argument("turn")
+@click.option("--wait", default=600.0, show_default=True, help="Longest time to wait for the lease, in seconds.")
+@click.option("--priority", default=0, show_default=True, help="0 to 99; waiting compensates for it with time.")
+@click.argument("lease")
 @click.argument("command", nargs=-1, required=True, type=click.UNPROCESSED)
-def hold(at: str | None, wait: float, priority: int, turn: str, command: tuple[str, ...]) -> None:
-    """Run a command while this box has a turn, as in: lapispick turns hold compact -- vacuum-everything.
+def hold(at: str | None, wait: float, priority: int, lease: str, command: tuple[str, ...]) -> None:
+    """Run a command while the host holds a lease, as in: lapispick leases hold compact -- vacuum-everything.
 
-    The command finds its fencing number in LAPISPICK_FENCE. Where the lease is lost on the way (the box was stopped,
-    or cut off from the majority), the command is ended before somebody else can have the turn. Ends with the
-    command's own status; with 1 where the turn did not come in time or was lost.
+    The command finds its fencing token in LAPISPICK_FENCE. If the lease is lost meanwhile (the host was paused, or cut
+    off from the majority), the command is ended before another host can obtain the lease. Ends with the command's own
+    status; with 1 where the lease was not obtained in time or was lost.
     """
-    where, owner = located(at), f"hold-{os.getpid()}"
-    said = f"want {turn} {owner} {priority}"
-    child: subprocess.Popen[bytes] | None = None
-    end, over, missed = time.monotonic() + wait, 0.0, ""
-    try:
+    sys.exit(_LeaseHolder(located(at), lease, priority, command).run(wait))
+
+
+class _LeaseHolder:
+    """Holds a lease by repeated requests to the host, and runs a command meanwhile."""
+
+    def __init__(self, host: tuple[str, int], lease: str, priority: int, command: tuple[str, ...]) -> None:
+        self._host = host
+        self._lease = lease
+        self._owner = f"hold-{os.getpid()}"
+        self._priority = priority
+        self._command = command
+        self._child: subprocess.Popen[bytes] | None = None
+        self._expires_at = 0.0
+        self._last_failure = ""
+
+    def run(self, wait_s: float) -> int:
+        """Return the exit status of the command, or of this program."""
+        try:
+            return self._run(time.monotonic() + wait_s, wait_s)
+        except FileNotFoundError as err:
+            complain(str(err))
+            return FAULTY
+        finally:
+            if self._child is not None and self._child.poll() is None:
+                _stop(self._child, self._expires_at)
+            with contextlib.suppress(NoAnswer):  # the host drops a request that is not repeated
+                call(self._host, f"done {self._lease} {self._owner}")
+
+    def _run(self, deadline: float, wait_s: float) -> int:
         while True:
-            asked_at = time.monotonic()
-            try:
-                words = call(where, said, min(2.0, max(0.3, over - asked_at)) if child else 2.0)[0].split()
-            except NoAnswer as err:
-                words, missed = ["NONE"], str(err)
-            if words[0] == "ERR":
-                complain(" ".join(words[1:]))
-                sys.exit(FAULTY)
-            if words[:2] == ["OK", "held"]:
-                over = asked_at + float(words[4])  # counted from before the call: never later than the host's own
-                if child is None:
-                    child = subprocess.Popen(command, env={**os.environ, FENCE: words[3]})
-            elif words[0] == "OK" and child is not None:
-                over = min(over, time.monotonic())
-            if child is None and time.monotonic() >= end:
-                complain(f"{turn} did not come within {wait:g} s" + (f": {missed}" if missed else ""))
-                sys.exit(DIFFERS)
-            if child is not None and _ended(child, min(LOOK_S, max(0.0, over - STOP_S - time.monotonic()))):
-                sys.exit(child.returncode if child.returncode >= 0 else 128 - child.returncode)
-            if child is not None and time.monotonic() >= over - STOP_S:
-                _stop(child, over)
-                complain(f"{turn} was lost while the command ran; it was ended")
-                sys.exit(DIFFERS)
-            if child is None:
-                time.sleep(LOOK_S)
-    except FileNotFoundError as err:
-        complain(str(err))
-        sys.exit(FAULTY)
-    finally:
-        if child is not None and child.poll() is None:
-            _stop(child, over)
-        with contextlib.suppress(NoAnswer):  # the host drops who is silent
-            call(where, f"done {turn} {owner}")
-
-
-def _ended(child: subprocess.Popen[bytes], within: float) -> bool:
+            if (error := self._renew()) is not None:
+                complain(error)
+                return FAULTY
+            if self._child is None:
+                if time.monotonic() >= deadline:
+                    reason = f": {self._last_failure}" if self._last_failure else ""
+                    complain(f"{self._lease} was not obtained within {wait_s:g} s{reason}")
+                    return DIFFERS
+                time.sleep(RENEW_INTERVAL_S)
+                continue
+            stop_at = self._expires_at - STOP_MARGIN_S
+            if _ends_within(self._child, min(RENEW_INTERVAL_S, max(0.0, stop_at - time.monotonic()))):
+                status = self._child.returncode
+                return status if status >= 0 else SIGNAL_EXIT_STATUS - status
+            if time.monotonic() >= stop_at:
+                _stop(self._child, self._expires_at)
+                complain(f"{self._lease} was lost while the command ran; it was ended")
+                return DIFFERS
+
+    def _renew(self) -> str | None:
+        """Request the lease once, and start the command when it is obtained. Returns an error of the request."""
+        requested_at = time.monotonic()
+        try:
+            line = call(self._host, f"want {self._lease} {self._owner} {self._priority}", self._timeout(requested_at))[
+                0
+            ]
+        except NoAnswer as err:
+            self._last_failure = str(err)
+            return None
+        status, *words = line.split()
+        if status == "ERR":
+            return " ".join(words)
+        if status == "OK" and words[:1] == ["held"]:
+            _, _, token, remaining_s = words
+            self._expires_at = requested_at + float(remaining_s)  # never later than the host's own
+            if self._child is None:
+                self._child = subprocess.Popen(self._command, env={**os.environ, FENCING_TOKEN_VARIABLE: token})
+        elif status == "OK" and self._child is not None:
+            self._expires_at = min(self._expires_at, time.monotonic())
+        return None
+
+    def _timeout(self, now: float) -> float:
+        if self._child is None:
+            return MAX_CALL_TIMEOUT_S
+        return min(MAX_CALL_TIMEOUT_S, max(MIN_CALL_TIMEOUT_S, self._expires_at - now))
+
+
+def _ends_within(child: subprocess.Popen[bytes], seconds: float) -> bool:
     try:
-        child.wait(max(0.01, within))
+        child.wait(max(0.01, seconds))
     except subprocess.TimeoutExpired:
         return False
     return True
 
 
-def _stop(child: subprocess.Popen[bytes], over: float) -> None:
-    """End a command, plainly where there is time for that."""
+def _stop(child: subprocess.Popen[bytes], expires_at: float) -> None:
+    """End a command: by SIGTERM, and by SIGKILL when the lease expires."""
     child.terminate()
-    if not _ended(child, over - time.monotonic()):
+    if not _ends_within(child, expires_at - time.monotonic()):
         child.kill()
         child.wait()
--- a/lapispick/cli/main.py
+++ b/lapispick/cli/main.py
@@ -11,7 +11,9 @@
 import click
 
 # Modules of this package.
-COMMANDS = ("config", "ops", "inventory", "trace", "agent", "rollout", "members", "turns", "shares", "model", "demo")
+COMMANDS = ("config", "ops", "inventory", "trace", "agent", "rollout", "members", "leases", "shares", "model", "demo")
+# Names of earlier versions, which still work and are not listed.
+FORMER_COMMANDS = {"turns": "leases"}
 
 
 def _version() -> str:
@@ -36,6 +38,7 @@
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
         """Return a command."""
+        name = FORMER_COMMANDS.get(name, name)
         if name in COMMANDS:
             found: click.Command = getattr(importlib.import_module(f"lapispick.cli.{name}"), name)
             return found
--- a/lapispick/cli/members.py
+++ b/lapispick/cli/members.py
@@ -4,7 +4,7 @@
 
 import sys
 import time
-from typing import Any
+from typing import TypeVar
 
 import click
 import msgspec
@@ -13,80 +13,96 @@
 
 from lapispick.cli.ops import AT, NoAnswer, call, located
 from lapispick.cli.output import DIFFERS, NO_STATE, as_json, complain, say
+from lapispick.host.members.reports import ChangesInfo, ViewInfo
+from lapispick.members.messages import Fact
 
-LOOK_S = 1.0  # s; between two looks of ``watch``
+WATCH_INTERVAL_S = 1.0
+ALIVE = "alive"
 
+Report = TypeVar("Report")
 
-def asked(at: tuple[str, int], word: str) -> Any:
-    """Return what a host answers to a call, as it was written; ends the program where there is no answer."""
+
+def fetch_json(at: tuple[str, int], request: str) -> bytes:
+    """Return the JSON that a host answers; ends the program if it answers none."""
     try:
-        lines = call(at, word)
+        lines = call(at, request)
     except NoAnswer as err:
         complain(str(err))
         sys.exit(NO_STATE)
     if not lines[0].startswith("OK") or len(lines) < 2:
         complain(lines[0].removeprefix("ERR "))
         sys.exit(DIFFERS)
-    return msgspec.json.decode(lines[1])
+    return lines[1].encode()
+
+
+def fetch(at: tuple[str, int], request: str, report_type: type[Report]) -> Report:
+    """Return a host's answer as a report; ends the program if there is none."""
+    return msgspec.json.decode(fetch_json(at, request), type=report_type)
 
 
 @click.group()
 def members() -> None:
-    """Look at the worker hosts that talk to each other, as one of them sees them."""
-
-
-def _summary(told: dict[str, Any]) -> str:
-    claims = "a majority: turns can be claimed" if told["majority"] else "no majority: nobody here gets a turn"
-    health = "" if not told["health"] else f", not well itself ({told['health']})"
-    gone = ", replaced by another process" if told["replaced"] else ""
-    return f"{told['name']} sees {told['seen']} of {told['size']}, {claims}{health}{gone}"
-
-
-def _table(told: dict[str, Any]) -> Table:
-    made = Table(title=_summary(told))
-    for head in ("member", "state", "life", "incarnation", "at", "says"):
-        made.add_column(head)
-    says: dict[str, list[str]] = {}
-    for author, _, _, kind, subject, value, _, age, _, text in told["facts"]:
-        what = " ".join(filter(None, (kind, subject, text or f"{value:g}")))
-        says.setdefault(author, []).append(f"{what} ({age:.0f} s)")
-    for each in sorted(told["members"], key=lambda m: (m["state"] == "alive", m["name"])):
-        made.add_row(
-            each["name"],
-            each["state"],
-            str(each["life"]),
-            str(each["incarnation"]),
-            each["at"],
-            ", ".join(says.get(each["name"], ())),
+    """Show the cluster of worker hosts, as one of them sees it."""
+
+
+def _summary(view: ViewInfo) -> str:
+    quorum = "a quorum: leases can be obtained" if view.has_quorum else "no quorum: no lease can be obtained here"
+    health = f", unhealthy itself ({view.health_score})" if view.health_score else ""
+    replaced = ", replaced by another process" if view.replaced else ""
+    return f"{view.name} sees {view.live_count} of {view.size}, {quorum}{health}{replaced}"
+
+
+def _fact_text(fact: Fact) -> str:
+    parts = (fact.kind, fact.subject, fact.text or f"{fact.value:g}")
+    return f"{' '.join(filter(None, parts))} ({fact.age_s:.0f} s)"
+
+
+def _table(view: ViewInfo) -> Table:
+    table = Table(title=_summary(view))
+    for heading in ("member", "state", "process epoch", "incarnation", "address", "facts"):
+        table.add_column(heading)
+    facts_by_author: dict[str, list[str]] = {}
+    for fact in view.facts:
+        facts_by_author.setdefault(fact.author, []).append(_fact_text(fact))
+    for member in sorted(view.members, key=lambda each: (each.state == ALIVE, each.name)):
+        table.add_row(
+            member.name,
+            member.state,
+            str(member.process_epoch),
+            str(member.incarnation),
+            member.address,
+            ", ".join(facts_by_author.get(member.name, ())),
         )
-    return made
+    return table
 
 
 @members.command()
 @AT
 @click.option("--json", "json_", is_flag=True, help="For programs.")
 def show(at: str | None, json_: bool) -> None:
-    """Show who is alive, suspect, dead or left. Ends with 1 where it sees no majority of the list."""
+    """Show who is alive, suspect, dead or left. Ends with 1 where the host sees no quorum."""
     from rich.console import Console
 
-    told = asked(located(at), "members")
+    answer = fetch_json(located(at), "members")
+    view = msgspec.json.decode(answer, type=ViewInfo)
     if json_:
-        as_json(told)
+        as_json(msgspec.json.decode(answer))
     else:
-        Console().print(_table(told))
-    sys.exit(0 if told["majority"] else DIFFERS)
+        Console().print(_table(view))
+    sys.exit(0 if view.has_quorum else DIFFERS)
 
 
 @members.command()
 @AT
-@click.option("--seconds", type=float, help="How long; by default until it is ended.")
+@click.option("--seconds", type=float, help="How long; by default until it is interrupted.")
 def watch(at: str | None, seconds: float | None) -> None:
     """Show the members live."""
-    where, end = located(at), time.monotonic() + (seconds or float("inf"))
-    with Live(_table(asked(where, "members")), refresh_per_second=2) as live:
+    host = located(at)
+    end = time.monotonic() + (seconds or float("inf"))
+    with Live(_table(fetch(host, "members", ViewInfo)), refresh_per_second=2) as live:
         while time.monotonic() < end:
-            time.sleep(min(LOOK_S, max(0.0, end - time.monotonic())))
-            live.update(_table(asked(where, "members")))
+            time.sleep(min(WATCH_INTERVAL_S, max(0.0, end - time.monotonic())))
+            live.update(_table(fetch(host, "members", ViewInfo)))
 
 
 @members.command()
@@ -94,10 +110,12 @@
 @click.argument("name")
 @click.option("--json", "json_", is_flag=True, help="For programs.")
 def why(at: str | None, name: str, json_: bool) -> None:
-    """Say why a member counts as it does: its last changes of state, each with its cause."""
-    told = asked(located(at), f"why {name}")
+    """Show a member's last changes of state, each with its reason."""
+    answer = fetch_json(located(at), f"why {name}")
     if json_:
-        return as_json(told)
-    say(f"{told['name']} is {told['state']}" + ("" if told["changes"] else "; nothing has changed since the start"))
-    for when, state, cause in told["changes"]:
-        say(f"  {time.strftime('%H:%M:%S', time.localtime(when))}  {state:<8} {cause}")
+        return as_json(msgspec.json.decode(answer))
+    report = msgspec.json.decode(answer, type=ChangesInfo)
+    say(f"{report.name} is {report.state}" + ("" if report.changes else "; nothing has changed since the start"))
+    for change in report.changes:
+        say(f"  {time.strftime('%H:%M:%S', time.localtime(change.time))}  {change.state:<8} {change.reason}")
+    return None
--- a/lapispick/cli/model.py
+++ b/lapispick/cli/model.py
@@ -1,4 +1,4 @@
-"""``lapispick model``: many members on one simulated clock."""
+"""``lapispick model``: simulated clusters of many members."""
 
 from __future__ import annotations
 
@@ -13,19 +13,25 @@
 
 @click.group()
 def model() -> None:
-    """Try members and turns at sizes that sockets do not reach: the same decisions, one simulated clock."""
+    """Simulate membership and leases at sizes that sockets do not reach: the same code on one simulated clock."""
 
 
 OPTIONS = (
     click.option("--seconds", default=60.0, show_default=True, help="Simulated time."),
-    click.option("--loss", default=0.0, show_default=True, help="Share of words that are lost."),
+    click.option("--loss", default=0.0, show_default=True, help="Fraction of messages that are lost."),
     click.option("--seed", default=1, show_default=True),
     click.option(
         "--script",
         type=click.Path(exists=True, dir_okay=False, path_type=Path),
-        help="Faults, a line each: AT KIND BOXES [for SPAN] [VALUE].",
+        help="Faults, a line each: AT KIND HOSTS [for SPAN] [VALUE].",
+    ),
+    click.option(
+        "--want",
+        "lease_requesters",
+        default=0,
+        show_default=True,
+        help="Members that request the lease all the time.",
     ),
-    click.option("--want", default=0, show_default=True, help="Members that want the turn all the time."),
 )
 
 
@@ -35,13 +41,14 @@
     return command
 
 
-def _script(path: Path | None) -> str:
-    from lapispick.model import script
+def _script_text(path: Path | None) -> str:
+    """Return a valid script; ends the program with an invalid one."""
+    from lapispick.model import fault_script
 
     text = path.read_text() if path is not None else ""
     try:
-        script.parse(text)
-    except ValueError as err:
+        fault_script.parse(text)
+    except fault_script.FaultScriptError as err:
         complain(f"{path}: {err}")
         sys.exit(FAULTY)
     return text
@@ -51,14 +58,17 @@
 @click.option("--size", default=14, show_default=True, help="Members.")
 @_options
 @click.option("--json", "json_", is_flag=True, help="For programs.")
-def run(size: int, seconds: float, loss: float, seed: int, script: Path | None, want: int, json_: bool) -> None:
-    """Play one fleet and say what became of it."""
+def run(
+    size: int, seconds: float, loss: float, seed: int, script: Path | None, lease_requesters: int, json_: bool
+) -> None:
+    """Simulate one cluster and print its metrics."""
     from lapispick.model import runs
 
-    found = runs.played(runs.Run(size, seconds, loss, seed, _script(script), want))
+    settings = runs.RunSettings(size, seconds, loss, seed, _script_text(script), lease_requesters)
+    metrics = runs.simulate(settings)
     if json_:
-        return as_json(found)
-    for name, value in msgspec.structs.asdict(found).items():
+        return as_json(metrics)
+    for name, value in msgspec.to_builtins(metrics).items():
         say(f"{name:<24} {value if not isinstance(value, float) else round(value, 4)}")
 
 
@@ -68,56 +78,67 @@
 @click.option("--json", "json_", is_flag=True, help="For programs.")
 @click.option("--save", type=click.Path(path_type=Path), help="Write the rows here, for plot.")
 def sweep(
-    sizes: str, seconds: float, loss: float, seed: int, script: Path | None, want: int, json_: bool, save: Path | None
+    sizes: str,
+    seconds: float,
+    loss: float,
+    seed: int,
+    script: Path | None,
+    lease_requesters: int,
+    json_: bool,
+    save: Path | None,
 ) -> None:
-    """Play fleets of several sizes by one script."""
+    """Simulate clusters of several sizes with one script."""
     from lapispick.model import runs
 
-    text = _script(script)
+    text = _script_text(script)
     try:
-        told = [int(size) for size in sizes.split(",")]
+        cluster_sizes = [int(size) for size in sizes.split(",")]
     except ValueError:
         complain(f"--sizes {sizes}: takes numbers with commas between")
         sys.exit(FAULTY)
-    rows = [runs.played(runs.Run(size, seconds, loss, seed, text, want)) for size in told]
+    rows = [
+        runs.simulate(runs.RunSettings(size, seconds, loss, seed, text, lease_requesters)) for size in cluster_sizes
+    ]
     if save is not None:
         save.write_bytes(msgspec.json.encode(rows))
     if json_:
         return as_json(rows)
-    heads = list(runs.Found.__struct_fields__)
-    return table("runs", heads, [[f"{getattr(row, head):.4g}" for head in heads] for row in rows])
+    cells = [msgspec.to_builtins(row) for row in rows]
+    columns = list(cells[0])
+    return table("runs", columns, [[f"{row[column]:.4g}" for column in columns] for row in cells])
 
 
 @model.command("check")
-@click.option("--seeds", default=20, show_default=True, help="Runs of each property.")
+@click.option("--seeds", default=20, show_default=True, help="Seeds for each property.")
 @click.option("--first", default=0, show_default=True, help="The first seed.")
 @click.argument("names", nargs=-1)
 def check_(seeds: int, first: int, names: tuple[str, ...]) -> None:
-    """Play what must hold, all or by name. Ends with 1 where something broke, and says by which seed."""
-    from lapispick.model import properties
-
-    unknown = [name for name in names if name not in properties.ALL]
-    if unknown:
-        complain(f"no property {unknown[0]}; there are {', '.join(properties.ALL)}")
-        sys.exit(FAULTY)
-    found = properties.check(names or tuple(properties.ALL), range(first, first + seeds))
-    for name, seed, what in found:
-        complain(f"{name}, seed {seed}: {what}")
-    if found:
+    """Check properties, all or by name. Ends with 1 if one does not hold, and prints the seed that shows it."""
+    from lapispick.model.properties import FORMER_NAMES, PROPERTIES, check
+
+    selected = [FORMER_NAMES.get(name, name) for name in names] or list(PROPERTIES)
+    for name in selected:
+        if name not in PROPERTIES:
+            complain(f"no property {name}; there are {', '.join(PROPERTIES)}")
+            sys.exit(FAULTY)
+    violations = check(selected, range(first, first + seeds))
+    for violation in violations:
+        complain(f"{violation.name}, seed {violation.seed}: {violation.observed}")
+    if violations:
         sys.exit(DIFFERS)
-    say(f"{len(names or properties.ALL)} properties hold by {seeds} seeds each")
+    say(f"{len(selected)} properties hold by {seeds} seeds each")
 
 
 @model.command()
 @click.argument("rows", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 @click.argument("picture", type=click.Path(path_type=Path))
 def plot(rows: Path, picture: Path) -> None:
-    """Draw what sweep saved: time to notice a death, and words and bytes a member and second, by size."""
+    """Plot what sweep saved: time to detect a death, messages and bytes per member and second, by size."""
     from lapispick.model import runs
 
     try:
-        found = msgspec.json.decode(rows.read_bytes(), type=list[runs.Found])
+        metrics = msgspec.json.decode(rows.read_bytes(), type=list[runs.RunMetrics])
     except msgspec.MsgspecError as err:
         complain(f"{rows}: {err}")
         sys.exit(FAULTY)
-    runs.draw(found, str(picture))
+    runs.plot(metrics, str(picture))
--- a/lapispick/fakes/member_cluster.py
+++ b/lapispick/fakes/member_cluster.py
@@ -1,17 +1,20 @@
-"""Boxes that talk to each other: their lists, who wants turns, and a resource that checks fencing numbers.
+"""Running hosts that are members: their lists, owners of leases, and a resource that checks fencing tokens.
 
-Each box has a list of its own, for it reaches each other box through a proxy of its own. Ends are named as in
-``fleet.py``, so a partition between boxes is ``fleet.part(["disp-01"], ["disp-02"])``.
+Each host has a list of its own, for it reaches each other host through a proxy of its own. Links are named as in
+``fleet.py``, so a partition between two hosts is ``fleet.part(["disp-01"], ["disp-02"])``.
 """
 
+import itertools
 import json
 import threading
 import time
+from dataclasses import dataclass
+from typing import NamedTuple
 
 from lapispick.fakes.fleet import call, free_port
 
-LIST = "host,lapispick_port,lapispick_members,ansible_host\n"
-QUICK = """ period 200ms
+LIST_HEADER = "host,lapispick_port,lapispick_members,ansible_host\n"
+FAST_SETTINGS = """ period 200ms
  timeout 80ms
  suspicion 4
  sync 2s
@@ -22,211 +25,278 @@
  turns job:1 pair:2
 """
 
-# Ten times slower than QUICK where words are late: a machine that is busy otherwise is no fault of the members.
-STEADY = (
-    QUICK.replace("period 200ms", "period 500ms")
+# Where a busy machine delays messages, so that its slowness is not mistaken for a fault of the members.
+SLOW_SETTINGS = (
+    FAST_SETTINGS.replace("period 200ms", "period 500ms")
     .replace("timeout 80ms", "timeout 250ms")
     .replace("suspicion 4", "suspicion 8")
 )
 
+# As in service: a suspicion lasts for at least 5 s.
+SERVICE_SETTINGS = (
+    FAST_SETTINGS.replace("period 200ms", "period 1s")
+    .replace("timeout 80ms", "timeout 300ms")
+    .replace("suspicion 4", "suspicion 5")
+)
+
+CALL_TIMEOUT_S = 1.0
+RENEW_INTERVAL_S = 0.03
+POLL_INTERVAL_S = 0.05
+GONE_STATES = ("dead", "left")
+
+
+class Action(NamedTuple):
+    """Something that a host did to the resource under a lease."""
 
-class Resource:
-    """What a turn guards: it takes no act under a lower fence than it has seen of the slot."""
+    at: float
+    slot: str
+    fencing_token: int
+    host: str
+
+
+class FencedResource:
+    """What a lease protects: it rejects actions with a lower fencing token than it has seen for the slot."""
 
     def __init__(self):
-        self._lock, self.top, self.acts, self.refused = threading.Lock(), {}, [], []
+        self.accepted = []
+        self.rejected = []
+        self._highest = {}
+        self._lock = threading.Lock()
 
-    def act(self, slot, fence, box):
+    def act(self, slot, fencing_token, host):
         with self._lock:
-            good = fence >= self.top.get(slot, 0)
-            (self.acts if good else self.refused).append((time.monotonic(), slot, fence, box))
-            if good:
-                self.top[slot] = fence
-            return good
-
-    def top_fences(self):
-        """Return the slots and fences under which something was done."""
+            action = Action(time.monotonic(), slot, fencing_token, host)
+            if fencing_token < self._highest.get(slot, 0):
+                self.rejected.append(action)
+            else:
+                self._highest[slot] = fencing_token
+                self.accepted.append(action)
+
+    def holds(self):
+        """Return the slots and fencing tokens under which something was done."""
         with self._lock:
-            return {(slot, fence) for _, slot, fence, _ in self.acts}
+            return {(action.slot, action.fencing_token) for action in self.accepted}
+
+    def last_holder(self):
+        return self.accepted[-1].host
 
 
-class Owner(threading.Thread):
-    """Wants a turn of its box again and again, acts while it holds it, and gives it back."""
+@dataclass
+class HeldLease:
+    """A lease as its owner was told of it, by the owner's clock."""
 
-    def __init__(self, talk, box, turn="job", hold=0.6, rest=0.05):
+    slot: str
+    fencing_token: int
+    held_from: float
+    held_until: float
+
+    def end(self, at):
+        self.held_until = min(self.held_until, at)
+
+
+class LeaseOwner(threading.Thread):
+    """Requests a lease of its host again and again, acts while it holds it, and releases it."""
+
+    def __init__(self, cluster, host, lease="job", hold_s=0.6, rest_s=0.05):
         super().__init__(daemon=True)
-        self.talk, self.box, self.turn, self.hold, self.rest = talk, box, turn, hold, rest
-        self.over, self.held, self.calls = threading.Event(), [], 0
+        self.cluster = cluster
+        self.host = host
+        self.lease = lease
+        self.hold_s = hold_s
+        self.rest_s = rest_s
+        self.held = []
+        self._stopped = threading.Event()
 
     def run(self):
-        while not self.over.is_set():
-            if self._turned():
-                self.over.wait(self.rest)
-
-    def _turned(self):
-        """Wait for the turn once and use it; True where it was held."""
-        got, end = None, 0.0
-        while not self.over.is_set():
-            asked = time.monotonic()
-            lines = call(self.ops(), f"want {self.turn} worker", 1.0)
-            self.calls += 1
-            told = (lines or ["ERR"])[0].split()
-            if told[:2] == ["OK", "held"]:
-                slot, fence, until_ = told[2], int(told[3]), asked + float(told[4])
-                if got is None or got[:2] != [slot, fence]:
-                    got, end = [slot, fence, asked, until_], time.monotonic() + self.hold
-                    self.held.append(got)
-                got[3] = max(got[3], until_)
-                if time.monotonic() < got[3]:
-                    self.talk.resource.act(slot, fence, self.box.name)
-            elif got is not None and lines:  # the lease was lost on the way, or the box leaves
-                got[3] = min(got[3], time.monotonic())
-                call(self.ops(), f"done {self.turn} worker", 1.0)
-                return True
-            if got is not None and time.monotonic() >= min(end, got[3]):
-                got[3] = min(got[3], time.monotonic())  # from here on it does nothing more under this turn
-                call(self.ops(), f"done {self.turn} worker", 1.0)
-                return True
-            self.over.wait(0.03)
-        if got is not None:
-            got[3] = min(got[3], time.monotonic())
+        while not self._stopped.is_set():
+            if self._hold_once():
+                self._stopped.wait(self.rest_s)
+
+    def stop(self):
+        self._stopped.set()
+
+    def _hold_once(self):
+        """Wait for the lease once and use it; True if it was held."""
+        lease = None
+        release_at = 0.0
+        while not self._stopped.is_set():
+            requested_at = time.monotonic()
+            lines = call(self._ops(), f"want {self.lease} worker", CALL_TIMEOUT_S)
+            words = lines[0].split() if lines else []
+            if words[:2] == ["OK", "held"]:
+                slot, token = words[2], int(words[3])
+                if lease is None or (lease.slot, lease.fencing_token) != (slot, token):
+                    lease = HeldLease(slot, token, requested_at, requested_at)
+                    release_at = time.monotonic() + self.hold_s
+                    self.held.append(lease)
+                lease.held_until = max(lease.held_until, requested_at + float(words[4]))
+                if time.monotonic() < lease.held_until:
+                    self.cluster.resource.act(slot, token, self.host.name)
+            elif lease is not None and lines:  # the lease was lost, or the host leaves
+                return self._release(lease)
+            if lease is not None and time.monotonic() >= min(release_at, lease.held_until):
+                return self._release(lease)
+            self._stopped.wait(RENEW_INTERVAL_S)
+        if lease is not None:
+            lease.end(time.monotonic())
         return False
 
-    def ops(self):
-        return self.box.processes[-1].ops
+    def _release(self, lease):
+        """Do nothing more under the lease, and release it."""
+        lease.end(time.monotonic())
+        call(self._ops(), f"done {self.lease} worker", CALL_TIMEOUT_S)
+        return True
 
-    def stop(self):
-        self.over.set()
-
-
-class Talk:
-    """A rig's fleet whose boxes are members; ``told`` are the directives of the section."""
-
-    def __init__(self, fleet, told=QUICK, names=None):
-        self.fleet, self.resource, self.owners, self.told = fleet, Resource(), [], told
-        self.at = {box.name: f"127.0.0.1:{free_port()}" for box in fleet.boxes}
-        self.reach = {box.name: {} for box in fleet.boxes}  # who -> whom -> the address that it knows
-        for n, one in enumerate(fleet.boxes):
-            for other in fleet.boxes[n + 1 :]:
-                there, back = fleet.net.pair(one.name, other.name, self.at[one.name], self.at[other.name])
-                self.reach[one.name][other.name], self.reach[other.name][one.name] = there, back
-        self.conf, self.csv = {}, {}
-        self.listed = {}
-        for box in fleet.boxes:
-            self.csv[box.name] = box.folder / "boxes.csv"
-            self.conf[box.name] = box.folder / "members.conf"
-            self.list(names or [b.name for b in fleet.boxes], [box.name])
-            self.conf[box.name].write_text(
-                f"section inventory\n path {self.csv[box.name]}\n settle 0s\n look 100ms\n loss 100%\n"
-                " turnover 100%\nend\nsection fleet\n group all\nend\n"
-                f"section members\n enabled yes\n listen {self.at[box.name]}\n state-folder {box.folder}/members\n"
-                f"{self.told}end\n"
-            )
+    def _ops(self):
+        return self.host.processes[-1].ops
+
+
+class MemberCluster:
+    """The hosts of a fake fleet as members; ``settings`` are directives of ``section members``."""
+
+    def __init__(self, fleet, settings=FAST_SETTINGS, names=None):
+        self.fleet = fleet
+        self.settings = settings
+        self.resource = FencedResource()
+        self.owners = []
+        self.addresses = {host.name: f"127.0.0.1:{free_port()}" for host in fleet.boxes}
+        self.config_files = {host.name: host.folder / "members.conf" for host in fleet.boxes}
+        self._list_files = {host.name: host.folder / "boxes.csv" for host in fleet.boxes}
+        self._proxies = self._connect_all()
+        for host in fleet.boxes:
+            self.set_list(names or self.names(), [host.name])
+            self.config_files[host.name].write_text(self._config(host))
+
+    def _connect_all(self):
+        """Return the address by which each host (first key) reaches each other one, through a proxy."""
+        proxies = {host.name: {} for host in self.fleet.boxes}
+        for one, other in itertools.combinations(self.names(), 2):
+            there, back = self.fleet.net.pair(one, other, self.addresses[one], self.addresses[other])
+            proxies[one][other] = there
+            proxies[other][one] = back
+        return proxies
+
+    def _config(self, host):
+        return (
+            f"section inventory\n path {self._list_files[host.name]}\n settle 0s\n look 100ms\n loss 100%\n"
+            " turnover 100%\nend\nsection fleet\n group all\nend\n"
+            f"section members\n enabled yes\n listen {self.addresses[host.name]}\n"
+            f" state-folder {host.folder}/members\n{self.settings}end\n"
+        )
+
+    def names(self):
+        return [host.name for host in self.fleet.boxes]
 
-    def list(self, names, at=None):
-        """Let these boxes be the list, at all boxes or some."""
-        for who in at or [b.name for b in self.fleet.boxes]:
+    def set_list(self, names, at=None):
+        """Write a list of these members, at all hosts or some."""
+        for reader in at or self.names():
             rows = "".join(
                 f"{name},{self.fleet[name].at.rsplit(':')[1]},"
-                f"{self.at[name] if name == who else self.reach[who][name]},127.0.0.1\n"
+                f"{self.addresses[name] if name == reader else self._proxies[reader][name]},127.0.0.1\n"
                 for name in names
             )
-            fresh = self.csv[who].with_suffix(".new")
-            fresh.write_text(LIST + rows)
-            fresh.replace(self.csv[who])
-            self.listed[who] = list(names)
-
-    def start(self, names=None, **over):
-        """Start boxes side by side."""
-        boxes = [box for box in self.fleet.boxes if names is None or box.name in names]
-        threads = [threading.Thread(target=box.start, kwargs={"conf": self.conf[box.name], **over}) for box in boxes]
-        for each in threads:
-            each.start()
-        for each in threads:
-            each.join()
+            temporary = self._list_files[reader].with_suffix(".new")
+            temporary.write_text(LIST_HEADER + rows)
+            temporary.replace(self._list_files[reader])
+
+    def start(self, names=None, clock_offsets=None):
+        """Start hosts in parallel, with offsets of their wall clocks in s where they are given."""
+        threads = []
+        for host in self.fleet.boxes:
+            if names is None or host.name in names:
+                options = {"conf": self.config_files[host.name]}
+                if clock_offsets is not None:
+                    options["skew"] = clock_offsets[host.name]
+                threads.append(threading.Thread(target=host.start, kwargs=options))
+        for thread in threads:
+            thread.start()
+        for thread in threads:
+            thread.join()
         return self
 
+    # Views.
+
     def view(self, name):
-        """Return what a box says of its view; None where it says nothing."""
-        box = self.fleet[name]
-        lines = call(box.processes[-1].ops, "members", 1.0) if box.processes else None
+        """Return the membership view of a host; None if it does not answer."""
+        host = self.fleet[name]
+        lines = call(host.processes[-1].ops, "members", CALL_TIMEOUT_S) if host.processes else None
         return json.loads(lines[1]) if lines and lines[0] == "OK" else None
 
-    def states(self, name):
-        """Return the states of all others, as a box sees them."""
-        found = self.view(name)
-        return {each["name"]: each["state"] for each in found["members"]} if found else {}
-
-    def sees(self, at, alive, gone=()):
-        """Tell whether some boxes see some alive and some dead or left."""
-        for name in at:
-            found = self.states(name)
-            if any(found.get(other) != "alive" for other in alive if other != name) or any(
-                found.get(other) not in ("dead", "left") for other in gone
-            ):
-                return False
-        return True
-
-    def agree(self, names, gone=(), within=25.0):
-        """Wait until these boxes see each other alive and the others gone; returns how long it took, s."""
-        began = time.monotonic()
-        while not self.sees(names, names, gone):
-            assert time.monotonic() - began < within, {name: self.states(name) for name in names}
-            time.sleep(0.05)
-        return time.monotonic() - began
+    def process_epoch(self, observer, name):
+        """Return the process epoch of a member as another one knows it."""
+        return next(each["life"] for each in self.view(observer)["members"] if each["name"] == name)
+
+    def states(self, observer):
+        """Return the states of all other members, as a host sees them."""
+        view = self.view(observer)
+        return {each["name"]: each["state"] for each in view["members"]} if view else {}
+
+    def believes(self, observer, alive, gone=()):
+        """Tell whether a host believes some members alive and some dead or left."""
+        states = self.states(observer)
+        if any(states.get(name) != "alive" for name in alive if name != observer):
+            return False
+        return all(states.get(name) in GONE_STATES for name in gone)
+
+    def wait_for_agreement(self, names, gone=(), within=25.0):
+        """Wait until these hosts believe each other alive and the others gone; returns the time that it took, s."""
+        started = time.monotonic()
+        while not all(self.believes(observer, names, gone) for observer in names):
+            assert time.monotonic() - started < within, {name: self.states(name) for name in names}
+            time.sleep(POLL_INTERVAL_S)
+        return time.monotonic() - started
 
     def deaths(self):
-        """Return who called whom dead, from the logs."""
+        """Return who declared whom dead, from the logs."""
         found = []
-        for box in self.fleet.boxes:
-            for path in sorted(box.folder.glob("config-*.log")):
-                found += [
-                    (box.name, line.split(" name=")[1].split()[0])
-                    for line in path.read_text().splitlines()
-                    if "event=member-dead " in line
-                ]
+        for host in self.fleet.boxes:
+            for path in sorted(host.folder.glob("config-*.log")):
+                for line in path.read_text().splitlines():
+                    if "event=member-dead " in line:
+                        found.append((host.name, line.split(" host=")[1].split()[0]))
         return found
 
-    def want(self, turn="job", names=None, hold=0.6):
-        """Let an owner at each box want a turn from now on."""
-        made = [Owner(self, box, turn, hold) for box in self.fleet.boxes if names is None or box.name in names]
-        for each in made:
-            each.start()
-        self.owners += made
-        return made
-
-    def turned(self, more, within=30.0):
-        """Wait until so many more turns were held; returns how long it took, s."""
-        goal, began = len(self.resource.top_fences()) + more, time.monotonic()
-        while len(self.resource.top_fences()) < goal:
-            assert time.monotonic() - began < within, f"{goal - len(self.resource.top_fences())} turns are missing"
+    # Leases.
+
+    def request_leases(self, lease="job", names=None, hold_s=0.6):
+        """Let an owner at each host request a lease from now on."""
+        owners = [
+            LeaseOwner(self, host, lease, hold_s) for host in self.fleet.boxes if names is None or host.name in names
+        ]
+        for owner in owners:
+            owner.start()
+        self.owners += owners
+        return owners
+
+    def wait_for_holds(self, count, within=30.0):
+        """Wait until leases were held so many more times; returns the time that it took, s."""
+        goal = len(self.resource.holds()) + count
+        started = time.monotonic()
+        while (missing := goal - len(self.resource.holds())) > 0:
+            assert time.monotonic() - started < within, f"{missing} holds of a lease are missing"
             time.sleep(0.02)
-        return time.monotonic() - began
+        return time.monotonic() - started
+
+    def overlaps(self):
+        """Return pairs of leases whose owners believed to hold one slot at one instant."""
+        leases = sorted((lease for owner in self.owners for lease in owner.held), key=lambda lease: lease.held_from)
+        return [
+            (one, other)
+            for one, other in itertools.combinations(leases, 2)
+            if other.slot == one.slot and other.held_from < one.held_until and other.fencing_token != one.fencing_token
+        ]
+
+    def check_invariants(self):
+        """Check what must hold whatever fails: one holder a slot, and no action under an outdated lease."""
+        assert self.overlaps() == []
+        assert self.resource.rejected == []
+        holders = {}
+        for action in self.resource.accepted:
+            holder = holders.setdefault((action.slot, action.fencing_token), action.host)
+            assert holder == action.host, f"two hosts have token {action.fencing_token} of {action.slot}"
 
     def close(self):
-        for each in self.owners:
-            each.stop()
-        for each in self.owners:
-            each.join(5)
-
-    def overlaps(self, slots=1):
-        """Return pairs of owners of different boxes that believed to hold one slot at one instant."""
-        spans = sorted(
-            (from_, to, slot, fence, owner.box.name) for owner in self.owners for slot, fence, from_, to in owner.held
-        )
-        found = []
-        for n, one in enumerate(spans):
-            found += [
-                (one, other)
-                for other in spans[n + 1 :]
-                if other[2] == one[2] and other[0] < one[1] and other[3] != one[3]
-            ]
-        return found
-
-    def kept(self):
-        """Check what must hold whatever was broken: one holder a slot, and no act by an old one."""
-        assert self.overlaps() == []
-        assert self.resource.refused == []
-        by_slot = {}
-        for _, slot, fence, box in self.resource.acts:
-            assert by_slot.setdefault((slot, fence), box) == box, f"two boxes have fence {fence} of {slot}"
+        for owner in self.owners:
+            owner.stop()
+        for owner in self.owners:
+            owner.join(5)
--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -136,17 +136,18 @@
 
     def _members(self, own: Settings) -> Any:
         """Talk to the other worker hosts of the list; what is off is not even imported."""
-        from lapispick.host.members import Members, Watched
+        from lapispick.host.members.service import MembersService
+        from lapispick.host.members.store_watch import StoreWatch
 
         config = self.config
-        self.watched = Watched(self.centre.post)
-        self.store.post = self.watched.post
+        self.store_watch = StoreWatch(self.centre.post)
+        self.store.post = self.store_watch.post
         listing = msgspec.structs.replace(own.inventory, group=own.fleet.group, state_folder=own.fleet.state_folder)
-        made = Members(
+        made = MembersService(
             self.loop, own.members, listing, config.name, int(config.seed, 16), self._facts, config.limits.unsent // 4
         )
         if self.operators is not None:
-            self.operators.answers(made.calls(), made.call)
+            self.operators.answers(made.calls.without_arguments(), made.calls.with_arguments)
         return made
 
     def _facts(self) -> list[tuple[str, str, float, int, str]]:
@@ -157,7 +158,7 @@
             ("load", "", round(centre.owed / max(1, self.config.limits.open), 2), 1, ""),
             ("cold", "", float(not duty.ready), 1, ""),
         ]
-        if (store := self.watched.fact()) is not None:
+        if (store := self.store_watch.relative_latency()) is not None:
             made.append(("store", self.config.store, *store, ""))
         if generation := os.environ.get("LAPISPICK_GENERATION", ""):
             made.append(("generation", "", 1.0, 1, generation))
--- /dev/null
+++ b/lapispick/host/members/process_epoch.py
@@ -0,0 +1,48 @@
+"""The process epoch: a number that grows with each start of this host's process, in a file of the state folder."""
+
+from __future__ import annotations
+
+import logging
+import time
+from pathlib import Path, PurePath
+
+from lapispick import atomic_files
+from lapispick.host.logs import log
+from lapispick.members.messages import MAX_EPOCH
+
+LOG = "members"
+FILE_NAME = "life"
+MAX_START_EPOCH = MAX_EPOCH >> 1  # leaves room for later epochs
+
+
+def next_process_epoch(folder: PurePath | None) -> int:
+    """Return and save the epoch of this start; blocks on the disk.
+
+    It is the saved number and one more, or the time in seconds, whichever is higher. Without a folder it is the time;
+    other members may know a later epoch, and report it.
+    """
+    epoch = min(max(_saved_epoch(folder) + 1, int(time.time())), MAX_START_EPOCH)
+    if folder is not None:
+        _save_epoch(Path(folder), epoch)
+    return epoch
+
+
+def _saved_epoch(folder: PurePath | None) -> int:
+    if folder is None:
+        return 0
+    path = Path(folder) / FILE_NAME
+    try:
+        return int(path.read_text())
+    except FileNotFoundError:
+        return 0
+    except (OSError, ValueError) as err:
+        log(LOG, logging.ERROR, "process-epoch-unreadable", file=path, error=err)
+        return 0
+
+
+def _save_epoch(folder: Path, epoch: int) -> None:
+    try:
+        folder.mkdir(parents=True, exist_ok=True)
+        atomic_files.put(folder / FILE_NAME, str(epoch).encode())
+    except OSError as err:
+        log(LOG, logging.ERROR, "process-epoch-not-saved", file=folder, error=err)
--- /dev/null
+++ b/lapispick/host/members/store_watch.py
@@ -0,0 +1,29 @@
+"""Observes the store client's completed calls for the gossiped fact on the store's latency."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+from typing import Any
+
+from lapispick.admission import Outcome
+from lapispick.host import core
+from lapispick.members.store_latency import RelativeLatency, StoreLatency
+
+
+class StoreWatch:
+    """Passes the store client's events on to the core, and records the latency of calls."""
+
+    def __init__(self, post: Callable[[Any], None]) -> None:
+        self._post = post
+        self._latency = StoreLatency()
+
+    def post(self, event: Any) -> None:
+        """Take an event of the store client."""
+        if isinstance(event, core.CallOver):
+            self._latency.record_call(time.monotonic(), event.took, event.outcome is Outcome.OK)
+        self._post(event)
+
+    def relative_latency(self) -> RelativeLatency | None:
+        """Return the store's present latency relative to the usual one; None after too few calls."""
+        return self._latency.relative_latency(time.monotonic())
--- a/lapispick/members/__init__.py
+++ b/lapispick/members/__init__.py
@@ -1,1 +1,1 @@
-"""Worker hosts that may talk: who is alive, whose turn it is. Decisions only, joined to nothing so far."""
+"""Cluster membership, quorum leases and gossiped facts of the worker hosts: decisions only, without I/O or clocks."""
--- a/lapispick/members/gossip_facts.py
+++ b/lapispick/members/gossip_facts.py
@@ -1,208 +1,236 @@
-"""Facts that members tell each other, with age and author. No I/O and no clock.
+"""Facts that members gossip about themselves, with age and author. No I/O and no clock.
 
-What is held of an author's kind and subject is its latest word: by life, by number within it, and of the same word the
-eldest telling. That order is total, and the one held is the greatest that was heard. So merging is a join of a
-semilattice: in any order, any number of times, the same facts are held in the end (a map of maxima).
+Of each author, kind and subject only the latest fact is kept: by process epoch, by sequence within it, and of one
+fact the oldest transmission. That order is total and the greatest wins, so merging is the join of a semilattice:
+whatever the order and number of messages, all members end with the same facts (a map of maxima).
 
-An age grows by the time that each member holds a fact, by its own clock; what it spends on links is not counted, so a
-fact is at least as old as it says, and never younger because it went round. Beyond ``forget`` it is gone everywhere,
-and the tables hold at most ``most`` facts an author: one that floods crowds out its own words only.
+A fact's age grows while members keep it, by each one's own clock. Time on links is not counted, so a fact is at least
+as old as it says and never becomes younger by being forwarded. After ``expiry_s`` it is dropped everywhere. At most
+``max_facts_per_author`` are kept, so an author that floods displaces its own facts only.
 
-Whoever decides on a fact asks for ``weighed``: the mean over authors, each with a weight that falls by half with each
-``half`` of age and with the author's own ill health, and with more observations counting for more. ``agreed`` is for
-what turns traffic away: never by one author's word alone.
+Decisions use ``weighted_mean``, over authors, where a weight halves with each ``half_life_s`` of age, decreases with
+the author's own health score and increases with its number of samples; or ``is_confirmed``, for what diverts traffic,
+which a single author never decides.
 """
 
 from __future__ import annotations
 
+import enum
 from collections.abc import Iterable
 from heapq import nsmallest
-from math import ceil, log, log10
+from math import log
 from typing import NamedTuple
 
 import msgspec
 
-from lapispick.members.messages import FACTS_MOST, LIFE_MOST, TEXT_MOST, Fact
+from lapispick.members.gossip_queue import transmission_count
+from lapispick.members.messages import MAX_EPOCH, MAX_FACTS, MAX_TEXT_LENGTH, Fact
 
-# Kinds and what their value is.
-STORE, COLD, DRAINING, GENERATION, LOAD = "store", "cold", "draining", "generation", "load"
-KINDS = {
-    STORE: "mean time of a call to this address over the usual one; 0 = none is answered",
-    COLD: "1 while the executor of the author is not at full speed",
-    DRAINING: "1 while the author drains or leaves",
-    GENERATION: "what the author runs, in the text",
-    LOAD: "share of the author's room that is taken",
-}
+MAX_NUMBER = 1e9  # of a value or an age; more is invalid
+MAX_SAMPLE_COUNT = 1 << 40
+MAX_HEALTH_SCORE = 100
+UNCHANGED_REPEATS = 3  # publications of an unchanged fact within its expiry
 
 
-class Bounds(msgspec.Struct, frozen=True):
-    """Times in s."""
+class FactKind(enum.StrEnum):
+    """The kinds of facts, by their names on the wire, with the meaning of the value."""
 
-    half: float = 10.0  # of age that halve a weight
-    forget: float = 60.0
-    most: int = 16  # facts of one author
-    authors: int = 2  # that have to agree at least on what turns traffic away
-    spread: float = 4.0  # times log10 of the fleet that a fact is told
+    STORE = "store"  # mean latency of calls to the subject's address, relative to the usual one
+    WARMING_UP = "cold"  # 1 while the author's executor is not at full speed
+    DRAINING = "draining"  # 1 while the author drains or shuts down
+    GENERATION = "generation"  # what the author runs, in the text
+    LOAD = "load"  # fraction of the author's capacity in use
 
 
-class Weighed(NamedTuple):
-    """What all authors say together."""
+FACT_KINDS = frozenset(kind.value for kind in FactKind)
+
+
+class FactSettings(msgspec.Struct, frozen=True):
+    """How long facts count, and how many."""
+
+    half_life_s: float = 10.0
+    expiry_s: float = 60.0
+    max_facts_per_author: int = 16
+    min_confirming_authors: int = 2
+    retransmit_factor: float = 4.0  # times log10 of the cluster size: transmissions of a fact
+
+
+class WeightedMean(NamedTuple):
+    """What all authors report together; ``weight`` is 0 if nobody reports anything."""
 
     value: float
-    weight: float  # 0: nobody says anything
+    weight: float
     authors: int
 
 
-class _Held(NamedTuple):
+class _StoredFact(NamedTuple):
     fact: Fact
-    born: float  # by this member's clock
+    observed_at: float  # by this member's clock
+
+    def order(self) -> tuple[int, int, float]:
+        """Return what orders facts of one author, kind and subject; the greatest is kept."""
+        return self.fact.process_epoch, self.fact.sequence, -self.observed_at
+
+    def with_age(self, now: float) -> Fact:
+        return msgspec.structs.replace(self.fact, age_s=round(now - self.observed_at, 3))
+
+
+class _FactKey(NamedTuple):
+    author: str
+    kind: str
+    subject: str
 
 
-class Signals:
-    """All facts that this member holds."""
+class FactStore:
+    """All facts that this member knows."""
 
-    def __init__(self, bounds: Bounds) -> None:
-        self.bounds = bounds
-        self.refused = 0
-        self._held: dict[str, dict[tuple[str, str], _Held]] = {}
-        self._news: dict[tuple[str, str, str], int] = {}  # fact -> how often it is still to be told
-        self._number = 0
+    def __init__(self, settings: FactSettings) -> None:
+        self.settings = settings
+        self.rejected_count = 0
+        self._facts: dict[str, dict[tuple[str, str], _StoredFact]] = {}  # by author, then by kind and subject
+        self._transmissions_left: dict[_FactKey, int] = {}
+        self._sequence = 0
 
     def __len__(self) -> int:
-        return sum(map(len, self._held.values()))
+        return sum(map(len, self._facts.values()))
 
-    # Telling.
+    # Gossip.
 
-    def say(
+    def publish(
         self,
         now: float,
         author: str,
-        life: int,
+        process_epoch: int,
         health: int,
-        size: int,
+        cluster_size: int,
         kind: str,
         subject: str,
         value: float,
-        count: int = 1,
+        sample_count: int = 1,
         text: str = "",
     ) -> None:
-        """Say a fact of one's own; the same value again only once the last word is a third of its time old."""
-        held = self._held.get(author, {}).get((kind, subject))
-        if (
-            held is not None
-            and held.fact.life == life
-            and (held.fact.value, held.fact.text) == (value, text)
-            and now - held.born < self.bounds.forget / 3
-        ):
-            return
-        self._number += 1
-        self.hear(now, Fact(author, life, self._number, kind, subject, value, count, 0.0, health, text), size)
-
-    def hear(self, now: float, fact: Fact, size: int) -> bool:
-        """Merge a fact; True where it was news."""
-        if not self._fit(fact) or fact.age >= self.bounds.forget:
-            self.refused += 1
+        """Publish this member's own fact; an unchanged one ``UNCHANGED_REPEATS`` times within its expiry."""
+        stored = self._facts.get(author, {}).get((kind, subject))
+        if stored is not None and stored.fact.process_epoch == process_epoch:
+            is_unchanged = (stored.fact.value, stored.fact.text) == (value, text)
+            if is_unchanged and now - stored.observed_at < self.settings.expiry_s / UNCHANGED_REPEATS:
+                return
+        self._sequence += 1
+        fact = Fact(author, process_epoch, self._sequence, kind, subject, value, sample_count, 0.0, health, text)
+        self.merge(now, fact, cluster_size)
+
+    def merge(self, now: float, fact: Fact, cluster_size: int) -> bool:
+        """Take a fact; True if it is new."""
+        if not _is_valid(fact) or fact.age_s >= self.settings.expiry_s:
+            self.rejected_count += 1
             return False
-        of = self._held.setdefault(fact.author, {})
-        key, made = (fact.kind, fact.subject), _Held(fact, now - fact.age)
-        held = of.get(key)
-        if held is not None and _order(held) >= _order(made):
+        of_author = self._facts.setdefault(fact.author, {})
+        key = (fact.kind, fact.subject)
+        received = _StoredFact(fact, now - fact.age_s)
+        stored = of_author.get(key)
+        if stored is not None and stored.order() >= received.order():
             return False
-        told = held is not None and (held.fact.life, held.fact.number) == (fact.life, fact.number)
-        of[key] = made
-        if len(of) > self.bounds.most:
-            oldest = min(of, key=lambda each: (of[each].born, each))
-            del of[oldest]
-            self._news.pop((fact.author, *oldest), None)
-            if oldest == key:
-                return False
-        if not told:  # an elder telling of what is known is no news
-            self._news[fact.author, *key] = ceil(self.bounds.spread * max(1.0, log10(size + 1)))
-        return not told
-
-    @staticmethod
-    def _fit(fact: Fact) -> bool:
-        return (
-            fact.kind in KINDS
-            and max(len(fact.subject), len(fact.text)) <= TEXT_MOST
-            and 0 <= fact.value < 1e9
-            and 0 <= fact.age < 1e9
-            and 0 < fact.count < 1 << 40
-            and 0 <= fact.health < 100
-            and 0 <= fact.number < LIFE_MOST
-            and 0 <= fact.life < LIFE_MOST
-        )
-
-    def news(self, now: float) -> tuple[Fact, ...]:
-        """Take what goes with the next word: what was told least so far goes first."""
-        if not self._news:
+        is_known = stored is not None and stored.order()[:2] == received.order()[:2]
+        of_author[key] = received
+        if len(of_author) > self.settings.max_facts_per_author and self._drop_oldest(fact.author) == key:
+            return False
+        if not is_known:  # an older transmission of a known fact is not gossiped again
+            count = transmission_count(self.settings.retransmit_factor, cluster_size)
+            self._transmissions_left[_FactKey(fact.author, *key)] = count
+        return not is_known
+
+    def _drop_oldest(self, author: str) -> tuple[str, str]:
+        of_author = self._facts[author]
+        oldest = min(of_author, key=lambda key: (of_author[key].observed_at, key))
+        del of_author[oldest]
+        self._transmissions_left.pop(_FactKey(author, *oldest), None)
+        return oldest
+
+    def take_outgoing(self, now: float) -> tuple[Fact, ...]:
+        """Return the facts for one message, those sent least often first, and count their transmission."""
+        if not self._transmissions_left:
             return ()
-        chosen = nsmallest(FACTS_MOST, self._news, key=lambda each: (-self._news[each], each))
-        told = []
-        for name, kind, subject in chosen:
-            left = self._news.pop((name, kind, subject)) - 1
-            held = self._held.get(name, {}).get((kind, subject))
-            if held is None or now - held.born >= self.bounds.forget:
+        chosen = nsmallest(MAX_FACTS, self._transmissions_left, key=lambda key: (-self._transmissions_left[key], key))
+        outgoing = []
+        for key in chosen:
+            left = self._transmissions_left.pop(key) - 1
+            stored = self._facts.get(key.author, {}).get((key.kind, key.subject))
+            if stored is None or self._is_expired(now, stored):
                 continue
             if left > 0:
-                self._news[name, kind, subject] = left
-            told.append(_aged(held, now))
-        return tuple(told)
+                self._transmissions_left[key] = left
+            outgoing.append(stored.with_age(now))
+        return tuple(outgoing)
 
-    def all(self, now: float) -> tuple[Fact, ...]:
-        """Return all facts with their ages of now."""
+    def snapshot(self, now: float) -> tuple[Fact, ...]:
+        """Return all facts with their present ages."""
         return tuple(
-            _aged(held, now)
-            for of in self._held.values()
-            for held in of.values()
-            if now - held.born < self.bounds.forget
+            stored.with_age(now)
+            for of_author in self._facts.values()
+            for stored in of_author.values()
+            if not self._is_expired(now, stored)
         )
 
-    # Forgetting.
-
-    def expire(self, now: float, names: Iterable[str]) -> None:
-        """Forget what is too old, and authors that the list names no more."""
-        known = names if isinstance(names, frozenset) else set(names)
-        for author in list(self._held):
-            of = self._held[author]
-            for key in [k for k, held in of.items() if author not in known or now - held.born >= self.bounds.forget]:
-                del of[key]
-                self._news.pop((author, *key), None)
-            if not of:
-                del self._held[author]
-
-    # Asking.
-
-    def weighed(self, now: float, kind: str, subject: str = "") -> Weighed:
-        """Return what all authors say of a subject, each by its age, its health and what it rests on."""
-        total, weights, authors = 0.0, 0.0, 0
-        for held, weight in self._found(now, kind, subject):
-            total, weights, authors = total + held.fact.value * weight, weights + weight, authors + 1
-        return Weighed(total / weights if weights else 0.0, weights, authors)
-
-    def agreed(self, now: float, kind: str, subject: str, least: float) -> bool:
-        """Tell whether enough authors that are well say at least this much, and weigh more than those who say less."""
-        yes, no, authors = 0.0, 0.0, 0
-        for held, weight in self._found(now, kind, subject):
-            if held.fact.value >= least:
-                yes, authors = yes + weight, authors + (held.fact.health == 0)
+    def expire(self, now: float, members: Iterable[str]) -> None:
+        """Drop facts that are too old, and those of authors that are no members."""
+        known = members if isinstance(members, frozenset) else set(members)
+        for author in list(self._facts):
+            of_author = self._facts[author]
+            for key in list(of_author):
+                if author not in known or self._is_expired(now, of_author[key]):
+                    del of_author[key]
+                    self._transmissions_left.pop(_FactKey(author, *key), None)
+            if not of_author:
+                del self._facts[author]
+
+    def _is_expired(self, now: float, stored: _StoredFact) -> bool:
+        return now - stored.observed_at >= self.settings.expiry_s
+
+    # Queries.
+
+    def weighted_mean(self, now: float, kind: str, subject: str = "") -> WeightedMean:
+        """Return what all authors report of a subject, weighted by age, health and samples."""
+        total = 0.0
+        total_weight = 0.0
+        authors = 0
+        for stored, weight in self._weighted(now, kind, subject):
+            total += stored.fact.value * weight
+            total_weight += weight
+            authors += 1
+        return WeightedMean(total / total_weight if total_weight else 0.0, total_weight, authors)
+
+    def is_confirmed(self, now: float, kind: str, subject: str, threshold: float) -> bool:
+        """Tell whether enough healthy authors report at least this value and outweigh those that report less."""
+        weight_for = 0.0
+        weight_against = 0.0
+        healthy_authors = 0
+        for stored, weight in self._weighted(now, kind, subject):
+            if stored.fact.value >= threshold:
+                weight_for += weight
+                healthy_authors += stored.fact.author_health == 0
             else:
-                no += weight
-        return authors >= self.bounds.authors and yes > no
-
-    def _found(self, now: float, kind: str, subject: str) -> list[tuple[_Held, float]]:
-        found = []
-        for of in self._held.values():
-            held = of.get((kind, subject))
-            if held is not None and now - held.born < self.bounds.forget:
-                trust = 0.5 ** ((now - held.born) / self.bounds.half) / (1 + held.fact.health)
-                found.append((held, trust * (1 + log(held.fact.count))))
-        return found
-
-
-def _order(held: _Held) -> tuple[int, int, float]:
-    return held.fact.life, held.fact.number, -held.born
-
-
-def _aged(held: _Held, now: float) -> Fact:
-    return msgspec.structs.replace(held.fact, age=round(now - held.born, 3))
+                weight_against += weight
+        return healthy_authors >= self.settings.min_confirming_authors and weight_for > weight_against
+
+    def _weighted(self, now: float, kind: str, subject: str) -> list[tuple[_StoredFact, float]]:
+        weighted = []
+        for of_author in self._facts.values():
+            stored = of_author.get((kind, subject))
+            if stored is not None and not self._is_expired(now, stored):
+                freshness = 0.5 ** ((now - stored.observed_at) / self.settings.half_life_s)
+                trust = freshness / (1 + stored.fact.author_health)
+                weighted.append((stored, trust * (1 + log(stored.fact.sample_count))))
+        return weighted
+
+
+def _is_valid(fact: Fact) -> bool:
+    return (
+        fact.kind in FACT_KINDS
+        and max(len(fact.subject), len(fact.text)) <= MAX_TEXT_LENGTH
+        and 0 <= fact.value < MAX_NUMBER
+        and 0 <= fact.age_s < MAX_NUMBER
+        and 0 < fact.sample_count < MAX_SAMPLE_COUNT
+        and 0 <= fact.author_health < MAX_HEALTH_SCORE
+        and 0 <= fact.sequence < MAX_EPOCH
+        and 0 <= fact.process_epoch < MAX_EPOCH
+    )
--- a/lapispick/members/member.py
+++ b/lapispick/members/member.py
@@ -1,354 +1,182 @@
-"""One member: its view, its vote and claims, its facts, behind one face. No I/O, no clock, no randomness of its own.
+"""One cluster member: its membership view, leases and facts. No I/O, no clock, no random numbers of its own.
 
-Whoever runs it hands in words and the time of a monotonic clock, and sends what comes back. The host's peer module and
-the model run the same code.
+The caller passes received messages and the time of a monotonic clock, and sends what is returned. The host
+(``host/members/``) and the simulation (``model/``) run this same code.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
-from typing import NamedTuple, Protocol
 
 import msgspec
 
-from lapispick.members import gossip_facts, leases, membership_view
-from lapispick.members.gossip_facts import Signals
-from lapispick.members.leases import Claim, Claimer, Lists, Release, Voter
-from lapispick.members.membership_view import Change, Send, State, View
-from lapispick.members.messages import Claims, Fact, Releases, Rumour, Votes, Whole, Word
+from lapispick.members.configurations import Configurations
+from lapispick.members.failure_detector import FailureDetector, Outgoing, RandomSource
+from lapispick.members.gossip_facts import FactSettings, FactStore
+from lapispick.members.lease_manager import LeaseManager
+from lapispick.members.lease_voter import LeaseVoter
+from lapispick.members.leases import LeaseSettings
+from lapispick.members.membership_view import MembershipView, StateChange, SwimSettings
+from lapispick.members.messages import Fact, Message, StateSync
 
+MAX_FACTS_ACCEPTED = 8  # of one message
+FACT_EXPIRY_CHECKS = 10  # within the expiry of a fact
 
-class Random(Protocol):
-    """What draws."""
 
-    def random(self) -> float: ...
-    def shuffle(self, x: list[str]) -> None: ...
-    def sample(self, population: list[str], k: int) -> list[str]: ...
+class MemberSettings(msgspec.Struct, frozen=True):
+    """All settings of a member."""
 
+    swim: SwimSettings = SwimSettings()
+    leases: LeaseSettings = LeaseSettings()
+    facts: FactSettings = FactSettings()
+    lease_owner_timeout_s: float = 5.0  # a lease request that is not repeated for so long is dropped
+    max_lease_requests: int = 64
 
-class Bounds(msgspec.Struct, frozen=True):
-    """All times of a member."""
 
-    view: membership_view.Bounds = membership_view.Bounds()
-    turns: leases.Bounds = leases.Bounds()
-    signals: gossip_facts.Bounds = gossip_facts.Bounds()
-    keep: float = 5.0  # s; a want that nobody speaks for any more is dropped
-    wants_most: int = 64
-
-
-class Held(NamedTuple):
-    """A turn as its owner is told: ``fence`` 0 = it waits. ``left`` is how long it may still act, s."""
-
-    turn: str
-    slot: str
-    fence: int
-    left: float
-
-
-class Event(NamedTuple):
-    """A turn was got or lost."""
-
-    what: str  # got, renewed, lost, released, dropped
-    slot: str
-    fence: int
-    until: float  # by this member's clock
-    owner: str = ""
-
-
-class _Want(msgspec.Struct):
-    turn: str
-    owner: str
-    priority: int
-    spoken: float  # when its owner spoke for it last
-    since: float
-    slots: int
-    at: int  # which slot is claimed
-    claimer: Claimer
-
-
-class Node:
-    """One member of the fleet."""
+class Member:
+    """One member of the cluster. ``has_no_past``: it is known that no process of it ran before."""
 
     def __init__(
         self,
         name: str,
         fleet: str,
-        life: int,
+        process_epoch: int,
         names: Iterable[str],
         digest: str,
-        kinds: Mapping[str, int],
-        bounds: Bounds,
-        rng: Random,
+        slot_counts: Mapping[str, int],
+        settings: MemberSettings,
+        rng: RandomSource,
         now: float,
-        fresh: bool = False,
+        has_no_past: bool = False,
     ) -> None:
-        """``kinds``: how many may hold each named turn. ``fresh``: it is known that there was no life before."""
-        self.name, self.bounds, self.kinds, self._rng = name, bounds, dict(kinds), rng
-        self.view = View(name, fleet, life, names, bounds.view, rng, now, digest)
-        self.lists = Lists(self.view.names, digest, bounds.turns)
-        self.voter = Voter(bounds.turns, self.lists, now, fresh)
-        self.signals = Signals(bounds.signals)
-        self._wants: dict[tuple[str, str], _Want] = {}
-        self._highest: dict[str, int] = {}  # slot -> the highest ballot that was heard of
-        self._blocked: dict[str, float] = {}  # slot -> until when a silent owner at this box may believe it holds it
-        self._events: list[Event] = []
-        self._expires = now
+        """Join with the accepted list ``names``; ``slot_counts`` says how many may hold each named lease."""
+        self.name = name
+        self.settings = settings
+        self.view = MembershipView(name, fleet, process_epoch, names, settings.swim, now, digest)
+        self.detector = FailureDetector(self.view, rng, now)
+        self.facts = FactStore(settings.facts)
+        configurations = Configurations(self.view.names, digest, settings.leases)
+        self.leases = LeaseManager(
+            self.detector,
+            configurations,
+            LeaseVoter(settings.leases, configurations, now, has_no_past),
+            slot_counts,
+            settings.leases,
+            settings.lease_owner_timeout_s,
+            settings.max_lease_requests,
+            rng,
+        )
+        self._next_fact_expiry = now
 
     @property
-    def life(self) -> int:
-        """Return this life's number, which may have grown since the start."""
-        return self.view.life
+    def process_epoch(self) -> int:
+        """Return the process epoch, which may have grown since the start."""
+        return self.view.process_epoch
 
-    def listed(self, names: Iterable[str], digest: str, now: float) -> None:
-        """Take an accepted list."""
-        self.view.listed(names, now, digest)
-        self.lists.change(self.view.names, digest, now)
+    def set_configuration(self, names: Iterable[str], digest: str, now: float) -> None:
+        """Take an accepted list of members."""
+        self.view.set_configuration(names, digest)
+        self.detector.set_configuration()
+        self.leases.configurations.change(self.view.names, digest, now)
 
-    # Time and words.
+    def take_changes(self) -> list[StateChange]:
+        """Return the state changes of members since the last call."""
+        return self.view.take_changes()
 
-    def due(self) -> float:
-        """Return when the next tick is worth while."""
-        waits = [self.view.due(), *(want.claimer.due() for want in self._wants.values())]
-        return min(waits)
+    # Time and messages.
 
-    def tick(self, now: float) -> list[Send]:
+    def next_tick_at(self) -> float:
+        """Return when the next call of ``tick`` has something to do."""
+        return min(self.detector.next_tick_at(), self.leases.next_tick_at())
+
+    def tick(self, now: float) -> list[Outgoing]:
         """Do what is due."""
         if self.view.replaced:
-            self._gone(now)
+            self.leases.lose_all(now)
             return []
-        sends = self.view.tick(now)
-        for key, want in list(self._wants.items()):
-            sends += self._claim(now, key, want)
-        if now >= self._expires:
-            self._expires = now + self.bounds.signals.forget / 10
-            self.signals.expire(now, self.view.names)
-        return [self._told(now, send) for send in sends]
-
-    def take(self, now: float, word: Word) -> list[Send]:
-        """Take a word; returns what it asks for."""
+        outgoing = self.detector.tick(now)
+        outgoing += self.leases.tick(now)
+        if now >= self._next_fact_expiry:
+            self._next_fact_expiry = now + self.settings.facts.expiry_s / FACT_EXPIRY_CHECKS
+            self.facts.expire(now, self.view.names)
+        return [self._with_facts(now, each) for each in outgoing]
+
+    def receive(self, now: float, message: Message) -> list[Outgoing]:
+        """Take a message and return the answers."""
         if self.view.replaced:
             return []
-        counts = not self.view.stranger(word)
-        sends = self.view.take(now, word)
-        if counts:
-            for fact in word.facts[:FACTS_TAKEN]:
-                self._fact(now, fact)
-            sends += self._turn(now, word)
-        return [self._told(now, send) for send in sends]
-
-    def _fact(self, now: float, fact: Fact) -> None:
-        known = self.view.other(fact.author) and fact.life >= self.view.held(fact.author).life
-        if known or (fact.author == self.name and fact.life == self.life):
-            self.signals.hear(now, fact, self.view.size())
-
-    def _told(self, now: float, send: Send) -> Send:
-        facts = self.signals.news(now)
-        return Send(send.to, msgspec.structs.replace(send.word, facts=facts)) if facts else send
-
-    def _gone(self, now: float) -> None:
-        """Give up all turns: another process has this name, and may hold them."""
-        for want in self._wants.values():
-            if want.claimer.holds(now):
-                self._events.append(Event("lost", want.claimer.slot, want.claimer.fence, now, want.owner))
-        self._wants.clear()
-
-    # The whole view, over a stream.
-
-    def whole(self, now: float, answer: bool = False) -> Whole:
-        """Return all that is held."""
-        return Whole(
+        is_accepted = self.view.reject_reason(message) is None
+        outgoing = self.detector.receive(now, message)
+        if is_accepted:
+            for fact in message.facts[:MAX_FACTS_ACCEPTED]:
+                self._merge_fact(now, fact)
+            outgoing += self.leases.receive(now, message)
+        return [self._with_facts(now, each) for each in outgoing]
+
+    def leave(self) -> list[Outgoing]:
+        """Announce that this member leaves. Its leases expire or are released by their owners."""
+        return self.detector.leave()
+
+    # Anti-entropy over streams.
+
+    def state_sync(self, now: float, is_reply: bool = False) -> StateSync:
+        """Return the complete state."""
+        return StateSync(
             self.view.fleet,
             self.name,
-            self.life,
+            self.process_epoch,
             self.view.incarnation,
-            list=self.view.digest,
-            states=tuple(self.view.records()),
-            held=self.signals.all(now),
-            answer=answer,
+            configuration_digest=self.view.configuration_digest,
+            member_states=tuple(self.view.all_updates()),
+            all_facts=self.facts.snapshot(now),
+            is_reply=is_reply,
         )
 
-    def merge(self, now: float, word: Whole) -> bool:
-        """Take another's whole view; False where it is a stranger's."""
-        if self.view.stranger(word):
-            self.view.take(now, word)  # which counts it
+    def merge_state(self, now: float, message: StateSync) -> bool:
+        """Merge another member's complete state; False if the message is rejected."""
+        is_accepted = self.view.reject_reason(message) is None
+        self.detector.receive(now, message)
+        if not is_accepted:
             return False
-        self.view.take(now, word)
-        most = self.view.size()
-        for rumour in word.states[:most]:
-            self.view.heard(now, rumour, word.sender)
-        for fact in word.held[: most * self.bounds.signals.most]:
-            self._fact(now, fact)
+        cluster_size = self.view.size()
+        for update in message.member_states[:cluster_size]:
+            self.view.receive(now, update, message.sender)
+        for fact in message.all_facts[: cluster_size * self.settings.facts.max_facts_per_author]:
+            self._merge_fact(now, fact)
         return True
 
     # Facts.
 
-    def say(self, now: float, kind: str, subject: str, value: float, count: int = 1, text: str = "") -> None:
-        """Say a fact of this member's own."""
-        self.signals.say(
-            now, self.name, self.life, self.view.health, self.view.size(), kind, subject, value, count, text
+    def publish_fact(
+        self, now: float, kind: str, subject: str, value: float, sample_count: int = 1, text: str = ""
+    ) -> None:
+        """Publish a fact of this member."""
+        view = self.view
+        self.facts.publish(
+            now,
+            self.name,
+            self.process_epoch,
+            view.health.score,
+            view.size(),
+            kind,
+            subject,
+            value,
+            sample_count,
+            text,
         )
 
-    # Turns.
-
-    def want(self, now: float, turn: str, owner: str, priority: int = 0) -> Held | None:
-        """Ask for a turn, or speak for it again; None where there is no such turn or too many are asked for.
-
-        Whoever acts under a turn bears its fence, and stops before what is left of the lease is over.
-        """
-        key, slots = (turn, owner), self.kinds.get(turn, 0)
-        want = self._wants.get(key)
-        if want is None:
-            if not slots or len(self._wants) >= self.bounds.wants_most or self.view.replaced:
-                return None
-            at = int(self._rng.random() * slots) if slots > 1 else 0
-            want = _Want(turn, owner, priority, now, now, slots, at, self._claimer(turn, at, priority))
-            self._wants[key] = want
-        want.spoken, want.priority = now, priority
-        claimer = want.claimer
-        holds = claimer.holds(now)
-        return Held(turn, claimer.slot, claimer.fence if holds else 0, claimer.until - now if holds else 0.0)
-
-    def done(self, now: float, turn: str, owner: str) -> list[Send]:
-        """Give a turn back, or stop asking for it."""
-        want = self._wants.pop((turn, owner), None)
-        return [] if want is None else self._release(now, want, "released")
-
-    def turns(self, now: float) -> list[tuple[str, Held]]:
-        """Return what is wanted or held here, with its owners."""
-        return [
-            (
-                want.owner,
-                Held(
-                    want.turn,
-                    want.claimer.slot,
-                    want.claimer.fence if want.claimer.holds(now) else 0,
-                    max(0.0, want.claimer.until - now),
-                ),
+    def _merge_fact(self, now: float, fact: Fact) -> None:
+        if fact.author == self.name:
+            is_current = fact.process_epoch == self.process_epoch
+        else:
+            is_current = (
+                self.view.is_peer(fact.author) and fact.process_epoch >= self.view.record(fact.author).process_epoch
             )
-            for want in self._wants.values()
-        ]
-
-    def changes(self) -> list[Change]:
-        """Take what changed in the view."""
-        return self.view.changes()
-
-    def events(self) -> list[Event]:
-        """Take what became of turns."""
-        found, self._events = self._events, []
-        return found
-
-    def _claimer(self, turn: str, at: int, priority: int) -> Claimer:
-        slot = f"{turn}/{at}"
-        # Lives grow with the time at least, so fences go on upwards when all voters restarted and none remembers any.
-        highest = max(self._highest.get(slot, 0), self.life * CLAIMS_A_LIFE)
-        return Claimer(self.name, self.life, slot, self.bounds.turns, self.lists, priority, highest)
-
-    def _claim(self, now: float, key: tuple[str, str], want: _Want) -> list[Send]:
-        claimer = want.claimer
-        if now - want.spoken >= self.bounds.keep:
-            return self._drop(now, key, want)
-        if not claimer.fence and not self._alone(now, want):
-            return []
-        claimer, before = want.claimer, want.claimer.fence
-        claimer.priority = want.priority
-        said = claimer.tick(now, self._rng.random())
-        if before and not claimer.fence:
-            self._events.append(Event("lost", claimer.slot, before, now, want.owner))
-        if isinstance(said, Release) and want.slots > 1:  # that slot is another's: the next one
-            self._move(want, (want.at + 1) % want.slots)
-            said = msgspec.structs.replace(said, moves=True)
-        return [] if said is None else self._all(now, said)
-
-    def _drop(self, now: float, key: tuple[str, str], want: _Want) -> list[Send]:
-        """Forget a want whose owner is silent. A turn that it holds is not given back: it may believe in it still.
-
-        What it was told ends with the lease, which is renewed no more; until then nobody here has the slot either.
-        """
-        del self._wants[key]
-        claimer = want.claimer
-        if not claimer.fence:
-            return self._release(now, want, "dropped")
-        self._events.append(Event("dropped", claimer.slot, claimer.fence, claimer.until, want.owner))
-        self._highest[claimer.slot] = claimer.highest
-        self._blocked[claimer.slot] = claimer.until
-        return []
-
-    def _alone(self, now: float, want: _Want) -> bool:
-        """Tell whether a want may claim now; it is moved to a slot that no other want of this member has.
-
-        Ballots bear the member's name, so voters would grant one slot to two of its owners.
-        """
-        others = [other for other in self._wants.values() if other is not want and other.turn == want.turn]
-        if any(not other.claimer.fence and (other.since, other.owner) < (want.since, want.owner) for other in others):
-            return False  # the elder one first
-        taken = {other.at for other in others if other.claimer.fence}
-        taken |= {at for at in range(want.slots) if self._blocked.get(f"{want.turn}/{at}", now) > now}
-        if want.at not in taken:
-            return True
-        free = [at for at in range(want.slots) if at not in taken]
-        if free:
-            self._move(want, free[0])
-        return bool(free)
-
-    def _move(self, want: _Want, at: int) -> None:
-        self._highest[want.claimer.slot] = want.claimer.highest
-        want.at, want.claimer = at, self._claimer(want.turn, at, want.priority)
-        want.claimer.waits_since(want.since)
-
-    def _release(self, now: float, want: _Want, what: str) -> list[Send]:
-        claimer = want.claimer
-        if claimer.fence:
-            self._events.append(Event(what, claimer.slot, claimer.fence, now, want.owner))
-        said = claimer.release()
-        self._highest[claimer.slot] = claimer.highest
-        return [] if said is None else self._all(now, said)
-
-    def _all(self, now: float, said: Claim | Release) -> list[Send]:
-        """Say something to all voters, this member's own among them."""
-        if isinstance(said, Release):
-            self.voter.release(said)
-        elif self.name in self.lists.everyone():
-            self._voted(now, self.name, self.voter.take(now, said))
-        others = sorted(self.lists.everyone() - {self.name})
-        kind, more = (Claims, "claim") if isinstance(said, Claim) else (Releases, "release")
-        return [Send(name, self.view.word(kind, name, **{more: said})) for name in others]
-
-    def _turn(self, now: float, word: Word) -> list[Send]:
-        if isinstance(word, Claims) and word.claim is not None:
-            if word.claim.ballot.name != word.sender or word.claim.life != word.life or not self._slot(word.claim.slot):
-                return []  # nobody claims for others, nor what is no turn here
-            vote = self.voter.take(now, word.claim)
-            return [Send(word.sender, self.view.word(Votes, word.sender, vote=vote))]
-        if isinstance(word, Votes) and word.vote is not None:
-            self._voted(now, word.sender, word.vote)
-        elif isinstance(word, Releases) and word.release is not None and word.release.ballot.name == word.sender:
-            self.voter.release(word.release)
-            self._freed(now, word.release)
-        return []
-
-    def _freed(self, now: float, release: Release) -> None:
-        """Claim a slot that was given back soon, each at a moment of its own."""
-        for want in self._wants.values() if release.done else ():
-            if want.claimer.slot == release.slot:
-                want.claimer.hurry(now, self._rng.random() * self.bounds.turns.pause / 2)
-
-    def _slot(self, slot: str) -> bool:
-        """Tell whether there is such a slot; guards the voter's memory."""
-        turn, _, at = slot.partition("/")
-        return at.isdecimal() and len(at) < 6 and int(at) < self.kinds.get(turn, 0)
-
-    def _voted(self, now: float, voter: str, vote: leases.Vote) -> None:
-        for want in self._wants.values():
-            claimer = want.claimer
-            if claimer.slot != vote.slot:
-                continue
-            before = claimer.fence
-            if claimer.take(now, voter, vote):
-                what = "renewed" if before == claimer.fence else "got"
-                self._events.append(Event(what, claimer.slot, claimer.fence, claimer.until, want.owner))
-
-
-FACTS_TAKEN = 8  # of one word
-CLAIMS_A_LIFE = 1000  # ballots for each number of a life; lives are a second apart and claims hardly less
-ALIVE, DEAD = State.ALIVE, State.DEAD
-__all__ = ["ALIVE", "DEAD", "Bounds", "Event", "Held", "Node", "Rumour"]
+        if is_current:
+            self.facts.merge(now, fact, self.view.size())
+
+    def _with_facts(self, now: float, outgoing: Outgoing) -> Outgoing:
+        facts = self.facts.take_outgoing(now)
+        if not facts:
+            return outgoing
+        return Outgoing(outgoing.to, msgspec.structs.replace(outgoing.message, facts=facts))
--- a/lapispick/members/membership_view.py
+++ b/lapispick/members/membership_view.py
@@ -1,48 +1,35 @@
-"""Who is alive, as this member sees it. No I/O, no clock, no randomness of its own.
+"""Which member is believed to be in which state. No I/O, no clock.
 
-SWIM (Das, Gupta, Motivala, 2002) with suspicion, and local health as in Lifeguard (Dadgar and others, 2018):
-
-- Each period one member is probed, in an order that is shuffled anew each round, so that every one is probed within
-  two rounds. Without an answer a few others are asked to probe it; links that work one way, or not between two
-  members only, don't make it dead.
-- One that nobody got an answer from is suspect, and dead once its suspicion lasted; it refutes by a higher incarnation.
-  The suspicion is shorter the more members confirm it, and longer the worse this member's own health is.
-- This member's own health goes down by probes of its own that fail and by refutations of its own: a slow member blames
-  itself first. It multiplies its timeouts.
-- News goes as rumours on the words that are sent anyway, each a number of times that grows with the logarithm of the
-  fleet.
-
-| state | what it says | beaten by |
+| state | meaning | superseded by |
 | --- | --- | --- |
-| alive | it answered, or says so itself | suspect of the same incarnation, anything of a later one |
-| suspect | nobody got an answer in time | alive of a later incarnation, dead of the same |
-| dead | its suspicion ran out | alive of a later incarnation, or of a later life |
-| left | it said so itself, or the list names it no more | alive of a later life |
-
-A life is a start of the process: it is a number that only grows where there is a disk, and the time of the start
-where there is none. A later life beats all that was said of earlier ones. One that was lost with the disk, on a clock
-that went back, is given back by whoever remembers: a process that has only just started takes the next one. One that
-hears of a later life of its own after that was replaced: it says no more.
+| alive | it answered, or reports so itself | suspect of the same incarnation, anything of a later one |
+| suspect | nobody received an answer in time | alive of a later incarnation, dead of the same |
+| dead | its suspicion timed out | alive of a later incarnation, or of a later process epoch |
+| left | it left by itself, or the configuration names it no more | alive of a later process epoch |
+
+The process epoch numbers the starts of a member's process. It only grows while there is a disk, and is the time of the
+start where there is none. A later epoch supersedes all reports of earlier ones. If an epoch went back (the disk was
+lost and the clock was set back), whoever remembers the later one reports it, and a process that has just started
+continues with the next one. A process that hears of a later epoch of its own name after that was replaced, and sends
+nothing more. The incarnation is SWIM's: a member raises it to refute a suspicion, and it starts at 0 in each process
+epoch.
 """
 
 from __future__ import annotations
 
 import enum
-from collections.abc import Callable, Iterable
-from heapq import nsmallest
-from math import ceil, log, log10
-from typing import NamedTuple, Protocol
+from collections.abc import Iterable
+from math import log, log10
+from typing import NamedTuple
 
 import msgspec
 
-from lapispick.members.messages import LIFE_MOST, RUMOURS_MOST, Ack, Ask, Probe, Rumour, Word
-
-OLDER = "an older life"
-SLEPT = 1.5  # periods between two ticks; a member that is on time has one far more often
+from lapispick.members.gossip_queue import GossipQueue
+from lapispick.members.messages import MAX_EPOCH, GossipUpdate, Message
 
 
-class State(enum.IntEnum):
-    """What is held of a member; of one incarnation the higher beats the lower."""
+class MemberState(enum.IntEnum):
+    """What is believed of a member; of one incarnation the higher state supersedes the lower."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -50,373 +37,304 @@
     LEFT = 3
 
 
-WORDS = {state: state.name.lower() for state in State}
-STATES = {word: state for state, word in WORDS.items()}
-
-
-class Bounds(msgspec.Struct, frozen=True):
-    """Times in s."""
-
-    period: float = 1.0  # between two probes
-    timeout: float = 0.3  # for a direct answer; then others are asked
-    helpers: int = 3
-    suspicion: float = 5.0  # times log10 of the fleet times the period, at least this many periods
-    suspicion_most: float = 6.0  # times the least, with no confirmation
-    confirmations: int = 3
-    health_most: int = 8  # multiplier of timeouts at worst
-    returned: float = 120.0  # one that was dead so long ago is told as returned
-    spread: float = 4.0  # times log10 of the fleet that a rumour is told
-    joining: float = 10.0  # after the start; so long a process takes a later life than one that is remembered of it
+STATE_NAMES = {state: state.name.lower() for state in MemberState}  # as they are sent
+STATES_BY_NAME = {name: state for state, name in STATE_NAMES.items()}
 
 
-class Random(Protocol):
-    """What draws."""
+class RejectReason(enum.StrEnum):
+    """Why a message is ignored; the values are the keys of the counters that operators see."""
 
-    def random(self) -> float: ...  # noqa: D102
-    def shuffle(self, x: list[str]) -> None: ...  # noqa: D102
-    def sample(self, population: list[str], k: int) -> list[str]: ...  # noqa: D102
+    OTHER_FLEET = "another fleet"
+    NOT_A_MEMBER = "not on the list"
+    OLDER_EPOCH = "an older life"
+    INVALID_EPOCH = "of the future"
 
 
-class Send(NamedTuple):
-    """A word for a member."""
+class SwimSettings(msgspec.Struct, frozen=True):
+    """Settings of the failure detector and the gossip. Times in seconds."""
 
-    to: str
-    word: Word
+    probe_interval_s: float = 1.0
+    probe_timeout_s: float = 0.3  # for a direct answer; indirect probes follow
+    indirect_probes: int = 3
+    suspicion_factor: float = 5.0  # times log10 of the cluster size, at least 1, times the probe interval
+    max_suspicion_ratio: float = 6.0  # of the timeout without confirmations to the shortest one
+    max_confirmations: int = 3  # that shorten a suspicion
+    max_health_multiplier: int = 8  # of timeouts
+    return_window_s: float = 120.0  # a member that was dead for no longer is reported as returned
+    retransmit_factor: float = 4.0  # times log10 of the cluster size: transmissions of an update
+    epoch_adoption_s: float = 10.0  # after the start, in which a process may take an epoch later than a known one
 
 
-class Change(NamedTuple):
-    """A member's state is another one now."""
+class StateChange(NamedTuple):
+    """A member changed its state. ``returned``: it was dead, or had left, for a short time only."""
 
     name: str
-    state: State
+    state: MemberState
     returned: bool = False
     cause: str = ""
 
 
-class Member(msgspec.Struct):
-    """What is held of one member."""
+class MemberRecord(msgspec.Struct):
+    """What is believed of one member. ``since`` is when ``state`` began; ``witnesses`` got no answer themselves."""
 
-    state: State
+    state: MemberState
     incarnation: int
-    life: int
+    process_epoch: int
     since: float
-    accusers: frozenset[str] = frozenset()
-    died: float = -1e9
+    witnesses: frozenset[str] = frozenset()
+    died_at: float = -1e9
 
+    @property
+    def version(self) -> tuple[int, int, MemberState]:
+        """Return what orders reports: the higher one supersedes the lower."""
+        return self.process_epoch, self.incarnation, self.state
 
-UNKNOWN = Member(State.ALIVE, 0, 0, 0.0)  # of whom nothing was heard; counts as alive until it is probed
+    def as_update(self, name: str) -> GossipUpdate:
+        """Return the report of this record."""
+        return GossipUpdate(name, STATE_NAMES[self.state], self.incarnation, self.process_epoch)
 
 
-class _Out(msgspec.Struct):
-    """One probe that is out."""
+UNKNOWN_MEMBER = MemberRecord(MemberState.ALIVE, 0, 0, 0.0)  # of which nothing was heard; counts as alive
 
-    number: int
-    target: str
-    at: float
-    asked: bool = False
 
+class LocalHealth:
+    """The local health score of Lifeguard: 0 is healthy. A slow member multiplies its timeouts by ``multiplier``."""
 
-class View:
-    """The view that this member has of the fleet."""
+    def __init__(self, max_multiplier: int) -> None:
+        self._max_score = max_multiplier - 1
+        self.score = 0
+
+    @property
+    def multiplier(self) -> int:
+        """Return the factor of probe timeouts."""
+        return 1 + self.score
+
+    def improve(self) -> None:
+        """Count a probe that was answered in time."""
+        self.score = max(0, self.score - 1)
+
+    def degrade(self) -> None:
+        """Count an unanswered probe, a refutation of this member's own, or a pause of its process."""
+        self.score = min(self._max_score, self.score + 1)
+
+
+class MembershipView:
+    """One member's view of the cluster. ``replaced``: another process has this member's name."""
 
     def __init__(
         self,
         name: str,
         fleet: str,
-        life: int,
+        process_epoch: int,
         names: Iterable[str],
-        bounds: Bounds,
-        rng: Random,
-        now: float = 0.0,
+        settings: SwimSettings,
+        now: float,
         digest: str = "",
     ) -> None:
-        self.name, self.fleet, self.life, self.bounds, self.digest = name, fleet, life, bounds, digest
-        self.incarnation, self.health = 0, 0
-        self.names: frozenset[str] = frozenset()  # that the list names
-        self.members: dict[str, Member] = {}  # those of whom something was heard
-        self.replaced = False  # another process has this name now
-        self._lost: set[str] = set()  # those held for suspect, dead or left
+        self.name = name
+        self.fleet = fleet
+        self.process_epoch = process_epoch
+        self.settings = settings
+        self.configuration_digest = digest
+        self.incarnation = 0
+        self.health = LocalHealth(settings.max_health_multiplier)
+        self.names: frozenset[str] = frozenset()
+        self.records: dict[str, MemberRecord] = {}
+        self.gossip = GossipQueue(settings.retransmit_factor)
+        self.replaced = False
+        self._not_alive: set[str] = set()
         self._suspects: set[str] = set()
-        self._born = now
-        self.dropped: dict[str, int] = {}
-        self._rng, self._order, self._rumours = rng, list[str](), dict[str, tuple[Rumour, int]]()
-        self._out: _Out | None = None
-        self._helping: dict[int, tuple[str, int, str]] = {}  # our number -> who asked, with which number, about whom
-        # Boxes that start at one instant probe at moments of their own.
-        self._next = now + rng.random() * bounds.period
-        self._ticked, self._number, self._changes = now, 0, list[Change]()
-        self.listed(names, now, digest)
-
-    # What is held.
-
-    def listed(self, names: Iterable[str], now: float, digest: str = "") -> None:
-        """Take the accepted list: exactly its boxes are members; a new one counts as alive until it is probed."""
-        wanted = frozenset(names)  # perhaps the very set that others hold: a model has thousands of members
-        self.digest = digest
-        for name in sorted(self.names - wanted - {self.name}):
-            self.members.pop(name, None)
-            self._rumours.pop(name, None)
-            self._lost.discard(name)
-            self._suspects.discard(name)
-            self._changes.append(Change(name, State.LEFT, cause="the list names it no more"))
-        for name in sorted(wanted - self.names - {self.name}) if self.names else ():
-            self._changes.append(Change(name, State.ALIVE, cause="the list names it"))
-        self.names = wanted
-        self._order = [name for name in self._order if name in wanted]
-        if self._out is not None and self._out.target not in wanted:
-            self._out = None
+        self._started_at = now
+        self._changes: list[StateChange] = []
+        self.set_configuration(names, digest)
+
+    # The configuration.
+
+    def set_configuration(self, names: Iterable[str], digest: str = "") -> None:
+        """Take the accepted list: exactly these are members, and new ones count as alive until they are probed."""
+        members = frozenset(names)  # keeps a set that is shared by thousands of simulated members
+        self.configuration_digest = digest
+        for name in sorted(self.names - members - {self.name}):
+            self._forget(name)
+            self._changes.append(StateChange(name, MemberState.LEFT, cause="the list names it no more"))
+        if self.names:
+            for name in sorted(members - self.names - {self.name}):
+                self._changes.append(StateChange(name, MemberState.ALIVE, cause="the list names it"))
+        self.names = members
+
+    def _forget(self, name: str) -> None:
+        self.records.pop(name, None)
+        self.gossip.discard(name)
+        self._not_alive.discard(name)
+        self._suspects.discard(name)
+
+    # Queries.
 
     def size(self) -> int:
-        """Return how many boxes the list names, this one with them."""
+        """Return the number of members, this one included."""
         return len(self.names) + (self.name not in self.names)
 
-    def seen(self) -> int:
-        """Return how many of them this one believes in, itself with them."""
-        return self.size() - sum(self.members[name].state > State.SUSPECT for name in self._lost)
+    def live_count(self) -> int:
+        """Return how many members are believed alive or suspect, this one included."""
+        return self.size() - sum(self.records[name].state > MemberState.SUSPECT for name in self._not_alive)
 
-    def majority(self) -> bool:
-        """Tell whether a claim could be decided here: over half of the list, not of the view."""
-        return 2 * self.seen() > self.size()
+    def has_quorum(self) -> bool:
+        """Tell whether more than half of the configuration, not of the view, is believed alive."""
+        return 2 * self.live_count() > self.size()
 
-    def state(self, name: str) -> State | None:
-        """Return what is held of a member; None for one that the list does not name."""
+    def state_of(self, name: str) -> MemberState | None:
+        """Return a member's state; None for a name that the configuration does not contain."""
         if name == self.name:
-            return State.ALIVE
-        return self.held(name).state if self.other(name) else None
+            return MemberState.ALIVE
+        return self.record(name).state if self.is_peer(name) else None
 
-    def other(self, name: str) -> bool:
-        """Tell whether the list names this box, and it is not this one."""
+    def is_peer(self, name: str) -> bool:
+        """Tell whether this is another member of the configuration."""
         return name in self.names and name != self.name
 
-    def held(self, name: str) -> Member:
-        """Return what is held of a member of the list."""
-        return self.members.get(name, UNKNOWN)
-
-    def alive(self) -> list[str]:
-        """Return the others that are alive, by name."""
-        return sorted(self.names - self._lost - {self.name})
+    def record(self, name: str) -> MemberRecord:
+        """Return what is believed of another member of the configuration."""
+        return self.records.get(name, UNKNOWN_MEMBER)
+
+    def alive_peers(self) -> list[str]:
+        """Return the other members that are alive, by name."""
+        return sorted(self.names - self._not_alive - {self.name})
+
+    def take_changes(self) -> list[StateChange]:
+        """Return the state changes since the last call."""
+        changes = self._changes
+        self._changes = []
+        return changes
+
+    def self_update(self, state: MemberState = MemberState.ALIVE) -> GossipUpdate:
+        """Return the report of this member's own state."""
+        return GossipUpdate(self.name, STATE_NAMES[state], self.incarnation, self.process_epoch)
+
+    def all_updates(self) -> list[GossipUpdate]:
+        """Return reports of all known states, for anti-entropy."""
+        return [self.self_update(), *(record.as_update(name) for name, record in self.records.items())]
+
+    def reject_reason(self, message: Message) -> RejectReason | None:
+        """Return why a message must be ignored; None for one that counts."""
+        if message.fleet != self.fleet:
+            return RejectReason.OTHER_FLEET
+        if not self.is_peer(message.sender):
+            return RejectReason.NOT_A_MEMBER
+        if message.process_epoch < self.record(message.sender).process_epoch:
+            return RejectReason.OLDER_EPOCH
+        if message.process_epoch > MAX_EPOCH or message.incarnation > MAX_EPOCH:
+            return RejectReason.INVALID_EPOCH
+        return None
 
-    def changes(self) -> list[Change]:
-        """Take what changed since the last time."""
-        found, self._changes = self._changes, []
-        return found
+    # Reports.
 
-    # Time.
+    def receive(self, now: float, update: GossipUpdate, sender: str) -> None:
+        """Take a report about any member, this one included."""
+        if update.state not in STATES_BY_NAME or max(update.process_epoch, update.incarnation) > MAX_EPOCH:
+            return  # of a later version, or invalid
+        if update.name == self.name:
+            self._receive_about_self(now, update)
+        else:
+            self.apply(now, update, f"{sender} says so")
 
-    def tick(self, now: float) -> list[Send]:
-        """Do what is due; it may be called at any time."""
-        self._woke(now)
-        sends = self._waits(now)
-        for name in sorted(self._suspects):
-            held = self.members[name]
-            if now - held.since >= self._patience(held):
-                told = f"no answer and no word for {now - held.since:.1f} s; {len(held.accusers)} got none"
-                self._hold(now, Rumour(name, WORDS[State.DEAD], held.incarnation, held.life), told)
-        if now >= self._next:
-            # A member that slept does not make up for the probes it missed.
-            self._next = max(self._next + self.bounds.period, now + self.bounds.period / 2)
-            sends += self._probe(now)
-        return sends
-
-    def _woke(self, now: float) -> None:
-        """Take note of having slept: what nobody heard meanwhile says nothing of the others, and much of this one."""
-        gap, self._ticked = now - self._ticked, now
-        if gap > SLEPT * self.bounds.period:
-            for name in self._lost:
-                self.members[name].since += gap
-            self._out, self.health = None, min(self.bounds.health_most - 1, self.health + 1)
-
-    def due(self) -> float:
-        """Return when the next tick is worth while."""
-        waits = [self._next]
-        if self._out is not None:
-            waits.append(self._out.at + self._timeout())
-        return min(waits)
-
-    def _timeout(self) -> float:
-        return self.bounds.timeout * (1 + self.health)
-
-    def _patience(self, held: Member) -> float:
-        """Return how long a suspicion lasts: shorter the more confirm it, longer the less this one trusts itself."""
-        bounds = self.bounds
-        least = bounds.suspicion * max(1.0, log10(self.size())) * bounds.period
-        most = least * bounds.suspicion_most
-        part = min(1.0, log(len(held.accusers) + 1) / log(bounds.confirmations + 1))
-        return max(least, most - (most - least) * part) * (1 + self.health / 2)
-
-    def _waits(self, now: float) -> list[Send]:
-        out = self._out
-        if out is None:
-            return []
-        if not out.asked and now - out.at >= self._timeout():
-            out.asked = True
-            others = [name for name in self.alive() if name != out.target]
-            chosen = self._rng.sample(others, min(self.bounds.helpers, len(others)))
-            return [Send(name, self._word(Ask, name, number=out.number, target=out.target)) for name in chosen]
-        if out.asked and now - out.at >= max(self.bounds.period * (1 + self.health), 2 * self._timeout()) * 0.9:
-            self._out = None
-            self.health = min(self.bounds.health_most - 1, self.health + 1)
-            held = self.held(out.target)
-            if held.state in (State.ALIVE, State.SUSPECT):
-                self._hold(
-                    now,
-                    Rumour(out.target, WORDS[State.SUSPECT], held.incarnation, held.life, self.name),
-                    "no answer to this member nor to those it asked",
-                )
-        return []
-
-    def _probe(self, now: float) -> list[Send]:
-        if self._out is not None:
-            return []
-        if not self._order:
-            # The dead are probed too, once a round: a partition that heals is found by those on both sides.
-            self._order = sorted(
-                name for name in self.names if name != self.name and self.held(name).state is not State.LEFT
-            )
-            self._rng.shuffle(self._order)
-        if not self._order:
-            return []
-        target = self._order.pop()
-        self._number += 1
-        self._out = _Out(self._number, target, now)
-        return [Send(target, self._word(Probe, target, number=self._number))]
-
-    # Words.
-
-    def take(self, now: float, word: Word) -> list[Send]:
-        """Take a word; what is none of this fleet's is counted and dropped."""
-        why = self.stranger(word)
-        if why:
-            self.dropped[why] = self.dropped.get(why, 0) + 1
-            if why == OLDER and isinstance(word, Probe):  # it is told the life that is remembered
-                return [Send(word.sender, self._word(Ack, word.sender, older=True, number=word.number))]
-            return []
-        self._hold(now, Rumour(word.sender, WORDS[State.ALIVE], word.incarnation, word.life), "it says so itself")
-        for rumour in word.rumours[:RUMOURS_MOST]:
-            self.heard(now, rumour, word.sender)
-        if isinstance(word, Probe):
-            return [Send(word.sender, self._word(Ack, word.sender, number=word.number))]
-        if isinstance(word, Ask):
-            return self._help(word)
-        if isinstance(word, Ack):
-            return self._answered(now, word)
-        return []
-
-    def stranger(self, word: Word) -> str:
-        """Return why a word does not count; empty where it does."""
-        if word.fleet != self.fleet:
-            return "another fleet"
-        if not self.other(word.sender):
-            return "not on the list"
-        if word.life < self.held(word.sender).life:
-            return OLDER
-        return "of the future" if word.life > LIFE_MOST or word.incarnation > LIFE_MOST else ""
-
-    def _help(self, word: Ask) -> list[Send]:
-        if not self.other(word.target):
-            return []
-        self._number += 1
-        if len(self._helping) >= self.size():  # answers that never came
-            self._helping.pop(next(iter(self._helping)))
-        self._helping[self._number] = (word.sender, word.number, word.target)
-        return [Send(word.target, self._word(Probe, word.target, number=self._number, asker=word.sender))]
-
-    def _answered(self, now: float, word: Ack) -> list[Send]:
-        out = self._out
-        if out is not None and word.number == out.number and (word.of or word.sender) == out.target:
-            self._out = None
-            if not out.asked:
-                self.health = max(0, self.health - 1)
-        elif (asked := self._helping.pop(word.number, None)) is not None and asked[2] == word.sender:
-            return [Send(asked[0], self._word(Ack, asked[0], number=asked[1], of=asked[2]))]
-        return []
-
-    def heard(self, now: float, rumour: Rumour, sender: str) -> None:
-        """Take what somebody says of a member."""
-        if rumour.state not in STATES or max(rumour.life, rumour.incarnation) > LIFE_MOST:
-            return  # of a later version, or nonsense that nothing could ever beat
-        if rumour.name != self.name:
-            return self._hold(now, rumour, f"{sender} says so")
-        if rumour.life > self.life:
-            if now - self._born > self.bounds.joining:
-                self.replaced = True
-            else:
-                self.life, self.incarnation = rumour.life + 1, 0
-                self._tell(Rumour(self.name, WORDS[State.ALIVE], 0, self.life))
-            return None
-        stale = rumour.life < self.life or rumour.incarnation < self.incarnation
-        if STATES[rumour.state] is not State.ALIVE and not stale:
-            self.incarnation = rumour.incarnation + 1  # refuted: who says so beats what was said
-            self.health = min(self.bounds.health_most - 1, self.health + 1)
-            self._tell(Rumour(self.name, WORDS[State.ALIVE], self.incarnation, self.life))
-        return None
+    def _receive_about_self(self, now: float, update: GossipUpdate) -> None:
+        if update.process_epoch > self.process_epoch:
+            self._meet_later_epoch(now, update.process_epoch)
+            return
+        is_stale = update.process_epoch < self.process_epoch or update.incarnation < self.incarnation
+        if STATES_BY_NAME[update.state] is not MemberState.ALIVE and not is_stale:
+            self.incarnation = update.incarnation + 1  # supersedes what was reported
+            self.health.degrade()
+            self.announce(self.self_update())
+
+    def _meet_later_epoch(self, now: float, known_epoch: int) -> None:
+        if now - self._started_at > self.settings.epoch_adoption_s:
+            self.replaced = True
+            return
+        self.process_epoch = known_epoch + 1
+        self.incarnation = 0
+        self.announce(self.self_update())
 
-    def _hold(self, now: float, rumour: Rumour, cause: str) -> None:
-        """Hold what beats what is held: a later life, a later incarnation, a higher state of the same."""
-        if not self.other(rumour.name):
+    def apply(self, now: float, update: GossipUpdate, cause: str) -> None:
+        """Record a report about another member if it supersedes what is believed, and pass it on."""
+        if not self.is_peer(update.name):
             return
-        held = self.members.get(rumour.name)
-        if held is None:
-            held = self.members[rumour.name] = Member(State.ALIVE, 0, 0, now)
-        state, old = STATES[rumour.state], (held.life, held.incarnation, held.state)
-        if (rumour.life, rumour.incarnation, state) <= old:
-            same = (rumour.life, rumour.incarnation, state) == old
-            if same and state is State.SUSPECT and rumour.by and rumour.by not in held.accusers:
-                held.accusers |= {rumour.by}  # one more got no answer itself: that is news to be told on
-                self._tell(rumour)
+        record = self.records.get(update.name)
+        if record is None:
+            record = self.records[update.name] = MemberRecord(MemberState.ALIVE, 0, 0, now)
+        state = STATES_BY_NAME[update.state]
+        version = (update.process_epoch, update.incarnation, state)
+        if version <= record.version:
+            if version == record.version:
+                self._confirm_suspicion(record, update)
             return
-        was, first = held.state, not held.life
-        held.life, held.incarnation, held.state = rumour.life, rumour.incarnation, state
-        if was is not state:
-            held.since = now
-            back = state is State.ALIVE and was in (State.DEAD, State.LEFT)
-            if state is State.DEAD:
-                held.died = now
-            (self._lost.discard if state is State.ALIVE else self._lost.add)(rumour.name)
-            (self._suspects.add if state is State.SUSPECT else self._suspects.discard)(rumour.name)
-            self._changes.append(Change(rumour.name, state, back and now - held.died <= self.bounds.returned, cause))
-        held.accusers = frozenset({rumour.by} if state is State.SUSPECT and rumour.by else ())
-        if was is not state or not first:  # that one is there who counts as alive anyway is no news
-            self._tell(rumour)
-
-    def leave(self) -> list[Send]:
-        """Say to a few that this member leaves; they tell the others."""
-        rumour = Rumour(self.name, WORDS[State.LEFT], self.incarnation, self.life)
-        self._tell(rumour)
-        alive = self.alive()
-        return [Send(name, self._word(Probe, name)) for name in self._rng.sample(alive, min(3, len(alive)))]
-
-    def records(self) -> list[Rumour]:
-        """Return all that is held, for a member that asks for the whole view."""
-        return [
-            Rumour(self.name, WORDS[State.ALIVE], self.incarnation, self.life),
-            *(Rumour(name, WORDS[held.state], held.incarnation, held.life) for name, held in self.members.items()),
-        ]
-
-    # Rumours.
-
-    def _tell(self, rumour: Rumour) -> None:
-        times = ceil(self.bounds.spread * max(1.0, log10(self.size() + 1)))
-        self._rumours[rumour.name] = (rumour, times)
-
-    def word(self, kind: Callable[..., Word], to: str, **more: object) -> Word:
-        """Make a word for a member, with the news that it bears."""
-        return self._word(kind, to, **more)
-
-    def _word(self, kind: Callable[..., Word], to: str, older: bool = False, **more: object) -> Word:
-        # Whoever is held for suspect or dead is told so with each word, and can refute it, whatever rumours were lost.
-        held = self.held(to)
-        own = (
-            ()
-            if held.state is State.ALIVE and not older
-            else (Rumour(to, WORDS[held.state], held.incarnation, held.life),)
-        )
-        # Those told least so far go first, so that news is not kept from going by what is old.
-        chosen = nsmallest(RUMOURS_MOST, self._rumours.items(), key=lambda r: (-r[1][1], r[0])) if self._rumours else ()
-        for name, (rumour, left) in chosen:
-            if left <= 1:
-                del self._rumours[name]
-            else:
-                self._rumours[name] = (rumour, left - 1)
-        rumours = (*own, *(rumour for _, (rumour, _) in chosen if not own or rumour.name != to))
-        return kind(self.fleet, self.name, self.life, self.incarnation, rumours[:RUMOURS_MOST], self.digest, **more)
+        previous_state = record.state
+        is_first_report = not record.process_epoch
+        record.process_epoch = update.process_epoch
+        record.incarnation = update.incarnation
+        if state is not previous_state:
+            self._change_state(now, update.name, record, state, cause)
+        is_witnessed = state is MemberState.SUSPECT and bool(update.witness)
+        record.witnesses = frozenset({update.witness}) if is_witnessed else frozenset()
+        if state is not previous_state or not is_first_report:  # unknown members count as alive anyway
+            self.announce(update)
+
+    def _confirm_suspicion(self, record: MemberRecord, update: GossipUpdate) -> None:
+        """Add one more member whose own probe went unanswered."""
+        is_new_witness = update.witness and update.witness not in record.witnesses
+        if record.state is MemberState.SUSPECT and is_new_witness:
+            record.witnesses |= {update.witness}
+            self.announce(update)
+
+    def _change_state(self, now: float, name: str, record: MemberRecord, state: MemberState, cause: str) -> None:
+        came_back = state is MemberState.ALIVE and record.state in (MemberState.DEAD, MemberState.LEFT)
+        record.state = state
+        record.since = now
+        if state is MemberState.DEAD:
+            record.died_at = now
+        if state is MemberState.ALIVE:
+            self._not_alive.discard(name)
+        else:
+            self._not_alive.add(name)
+        if state is MemberState.SUSPECT:
+            self._suspects.add(name)
+        else:
+            self._suspects.discard(name)
+        returned = came_back and now - record.died_at <= self.settings.return_window_s
+        self._changes.append(StateChange(name, state, returned, cause))
+
+    def announce(self, update: GossipUpdate) -> None:
+        """Queue a report for gossip."""
+        self.gossip.put(update, self.size())
+
+    # Suspicions.
+
+    def suspect(self, now: float, name: str, cause: str) -> None:
+        """Suspect a member that did not answer this one; a member that is dead or left stays so."""
+        record = self.record(name)
+        if record.state in (MemberState.ALIVE, MemberState.SUSPECT):
+            state = STATE_NAMES[MemberState.SUSPECT]
+            self.apply(now, GossipUpdate(name, state, record.incarnation, record.process_epoch, self.name), cause)
+
+    def expire_suspicions(self, now: float) -> None:
+        """Declare dead whoever did not refute its suspicion in time."""
+        for name in sorted(self._suspects):
+            record = self.records[name]
+            age = now - record.since
+            if age >= self._suspicion_timeout(record):
+                cause = f"no answer and no word for {age:.1f} s; {len(record.witnesses)} got none"
+                state = STATE_NAMES[MemberState.DEAD]
+                self.apply(now, GossipUpdate(name, state, record.incarnation, record.process_epoch), cause)
+
+    def extend_suspicions(self, pause_s: float) -> None:
+        """Do not count a pause of this process as silence of others."""
+        for name in self._not_alive:
+            self.records[name].since += pause_s
+
+    def _suspicion_timeout(self, record: MemberRecord) -> float:
+        """Return the timeout: shorter with each confirmation, longer the worse this member's own health is."""
+        settings = self.settings
+        shortest = settings.suspicion_factor * max(1.0, log10(self.size())) * settings.probe_interval_s
+        longest = shortest * settings.max_suspicion_ratio
+        confirmed = min(1.0, log(len(record.witnesses) + 1) / log(settings.max_confirmations + 1))
+        return max(shortest, longest - (longest - shortest) * confirmed) * (1 + self.health.score / 2)
--- a/lapispick/members/messages.py
+++ b/lapispick/members/messages.py
@@ -1,129 +1,134 @@
-"""What members tell each other: one JSON object a datagram, in the form of ``handover/messages.py``. No I/O.
+"""Messages between cluster members: one JSON object a datagram. No I/O.
 
-Every word bears the fleet's name, the sender's life, and the newest version that the sender speaks; the rule is that of
-``versions.py``. A word of another fleet, of a box that the list does not name, or of an older life is counted and
-dropped by the view, not here. ``Whole`` is too long for a datagram and goes over a stream, as a line.
+Each message carries the cluster's name, the sender's process epoch and incarnation, and the newest protocol version
+that the sender speaks (``lapispick/versions.py``). ``Probe``, ``Ack`` and ``ProbeRequest`` belong to the failure
+detector, ``LeaseProposalMessage``, ``LeaseVoteMessage`` and ``LeaseReleaseMessage`` to the quorum leases. ``StateSync``
+carries the complete state, is too long for a datagram and goes over a stream, as one line.
+
+The names on the wire are those of protocol version 1; ``msgspec.field(name=...)`` and ``tag=...`` map them here and
+nowhere else. ``GossipUpdate`` and ``Fact`` are sent as arrays, by position.
 """
 
 from __future__ import annotations
 
-from typing import TypeVar
-
 import msgspec
 
-from lapispick.members.leases import Claim, Release, Vote
+from lapispick.members.leases import LeaseProposal, LeaseRelease, LeaseVote
+
+PROTOCOL_VERSION = 1
+MAX_DATAGRAM_BYTES = 1200  # fits every link's MTU without fragmentation
+MAX_UPDATES = 8  # in one message
+MAX_FACTS = 4  # in one message
+MAX_EPOCH = 1 << 50  # a higher epoch or incarnation could never be superseded
+MAX_TEXT_LENGTH = 64  # characters of a fact's subject or text
 
-VERSION, LOWEST = 1, 1
-LONGEST = 1200  # bytes of a datagram, which every link carries whole
-RUMOURS_MOST = 8  # in one word
-FACTS_MOST = 4  # in one word
-LIFE_MOST = 1 << 50  # no start and no refutation comes to this; it would beat all that is true
-TEXT_MOST = 64  # characters of a fact's kind, subject or text
 
+class GossipUpdate(msgspec.Struct, frozen=True, array_like=True):
+    """What somebody reports of a member's state in one incarnation of one process epoch.
 
-class Rumour(msgspec.Struct, frozen=True, array_like=True):
-    """What somebody says of a member's state in one incarnation of it."""
+    ``state`` is a name of ``membership_view.STATES_BY_NAME``; later versions may send others, which are ignored.
+    ``witness`` names the member whose own probe went unanswered; it is empty when a suspicion is only forwarded.
+    """
 
     name: str
     state: str
     incarnation: int
-    life: int
-    by: str = ""  # of a suspicion: who got no answer itself; whoever only passes it on is no witness
+    process_epoch: int
+    witness: str = ""
 
 
 class Fact(msgspec.Struct, frozen=True, array_like=True):
-    """A small fact of its author's, as old as it was when it was sent; the later number of a life replaces others."""
+    """One observation of its author. A higher (process epoch, sequence) of the same kind and subject replaces it."""
 
     author: str
-    life: int
-    number: int
+    process_epoch: int
+    sequence: int
     kind: str
     subject: str
     value: float
-    count: int = 1  # how many observations it rests on
-    age: float = 0.0  # s
-    health: int = 0  # of its author when it said so; 0 is well
+    sample_count: int = 1
+    age_s: float = 0.0  # when it was sent
+    author_health: int = 0  # the author's local health score; 0 is healthy
     text: str = ""
 
 
-class Word(msgspec.Struct, frozen=True, tag_field="say"):
-    """Any word. ``list`` is the digest of the accepted list that the sender has."""
+class Message(msgspec.Struct, frozen=True, tag_field="say"):
+    """What all messages carry. ``configuration_digest`` identifies the sender's accepted list of members."""
 
     fleet: str
     sender: str
-    life: int
+    process_epoch: int = msgspec.field(name="life")
     incarnation: int
-    rumours: tuple[Rumour, ...] = ()
-    list: str = ""
+    updates: tuple[GossipUpdate, ...] = msgspec.field(default=(), name="rumours")
+    configuration_digest: str = msgspec.field(default="", name="list")
     facts: tuple[Fact, ...] = ()
-    version: int = VERSION
+    version: int = PROTOCOL_VERSION
 
 
-class Probe(Word, tag="probe"):
-    """Say that you are there; ``asker`` is whom it is for, where it is asked on behalf of somebody."""
+class Probe(Message, tag="probe"):
+    """Ask the receiver for an ``Ack``; ``requester`` is the member on whose behalf an indirect probe is sent."""
 
-    number: int = 0
-    asker: str = ""
+    sequence: int = msgspec.field(default=0, name="number")
+    requester: str = msgspec.field(default="", name="asker")
 
 
-class Ack(Word, tag="ack"):
-    """I am there, in answer to that number; or ``of`` is, whom I asked for you."""
+class Ack(Message, tag="ack"):
+    """Answer a probe; ``target`` names the member that answered an indirect probe."""
 
-    number: int = 0
-    of: str = ""
+    sequence: int = msgspec.field(default=0, name="number")
+    target: str = msgspec.field(default="", name="of")
 
 
-class Ask(Word, tag="ask"):
-    """Probe ``target`` for me: I got no answer."""
+class ProbeRequest(Message, tag="ask"):
+    """Ask the receiver to probe ``target``, which did not answer the sender (SWIM's ping-req)."""
 
-    number: int = 0
+    sequence: int = msgspec.field(default=0, name="number")
     target: str = ""
 
 
-class Claims(Word, tag="claims"):
-    """I claim a slot of a turn."""
+class LeaseProposalMessage(Message, tag="claims"):
+    """Ask the receiver, as a voter, to grant a lease."""
 
-    claim: Claim | None = None
+    proposal: LeaseProposal | None = msgspec.field(default=None, name="claim")
 
 
-class Votes(Word, tag="votes"):
-    """My answer to your claim."""
+class LeaseVoteMessage(Message, tag="votes"):
+    """Answer a lease proposal."""
 
-    vote: Vote | None = None
+    vote: LeaseVote | None = None
 
 
-class Releases(Word, tag="releases"):
-    """I am done with a slot."""
+class LeaseReleaseMessage(Message, tag="releases"):
+    """Give a lease, or a failed proposal, back."""
 
-    release: Release | None = None
+    release: LeaseRelease | None = None
 
 
-class Whole(Word, tag="whole"):
-    """All that I hold; over a stream. ``answer`` is set in the answer to one."""
+class StateSync(Message, tag="whole"):
+    """The sender's complete state, for anti-entropy over a stream; ``is_reply`` is set in the answer to one."""
 
-    states: tuple[Rumour, ...] = ()
-    held: tuple[Fact, ...] = ()
-    answer: bool = False
+    member_states: tuple[GossipUpdate, ...] = msgspec.field(default=(), name="states")
+    all_facts: tuple[Fact, ...] = msgspec.field(default=(), name="held")
+    is_reply: bool = msgspec.field(default=False, name="answer")
 
 
-ANY = Probe | Ack | Ask | Claims | Votes | Releases | Whole
-decode = msgspec.json.Decoder(ANY).decode
+AnyMessage = Probe | Ack | ProbeRequest | LeaseProposalMessage | LeaseVoteMessage | LeaseReleaseMessage | StateSync
+decode = msgspec.json.Decoder(AnyMessage).decode
 _encode = msgspec.json.Encoder().encode
-W = TypeVar("W", bound=Word)
 
 
-def encode(word: Word) -> bytes:
-    """Write a word."""
-    return _encode(word)
+def encode(message: Message) -> bytes:
+    """Return a message as JSON."""
+    return _encode(message)
 
 
-def datagram(word: Word) -> bytes:
-    """Write a word so that a link carries it whole: what is least needed is left out, and told another time."""
-    data = _encode(word)
-    while len(data) > LONGEST and (word.facts or word.rumours):
-        if word.facts:
-            word = msgspec.structs.replace(word, facts=word.facts[:-1])
+def encode_datagram(message: Message) -> bytes:
+    """Return a message as JSON of at most ``MAX_DATAGRAM_BYTES``; facts, then gossip updates, are left out to fit."""
+    data = _encode(message)
+    while len(data) > MAX_DATAGRAM_BYTES and (message.facts or message.updates):
+        if message.facts:
+            message = msgspec.structs.replace(message, facts=message.facts[:-1])
         else:
-            word = msgspec.structs.replace(word, rumours=word.rumours[:-1])
-        data = _encode(word)
+            message = msgspec.structs.replace(message, updates=message.updates[:-1])
+        data = _encode(message)
     return data
--- /dev/null
+++ b/lapispick/members/store_latency.py
@@ -0,0 +1,82 @@
+"""How long a store's calls take now, relative to their usual latency, as this host sees it. No I/O and no clock.
+
+Two means with exponentially decaying weights, of ``recent_half_life_s`` and ``usual_half_life_s``. A failed call counts
+as one that took at least ``failure_latency_ratio`` times the usual latency. The ratio is gossiped with the number of
+calls that it rests on, so that readers can weigh the hosts' reports; no host decides by its own ratio alone.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+import msgspec
+
+MAX_OUTLIER_RATIO = 2  # of a call to the usual latency, in the usual mean; a collapse must not soon look usual
+
+
+class StoreLatencySettings(msgspec.Struct, frozen=True):
+    """Half-lives in seconds."""
+
+    recent_half_life_s: float = 3.0
+    usual_half_life_s: float = 300.0
+    failure_latency_ratio: float = 10.0
+    min_calls: int = 5
+
+
+class RelativeLatency(NamedTuple):
+    """The recent mean latency over the usual one, and the number of calls that it rests on."""
+
+    ratio: float
+    sample_count: int
+
+
+class _DecayingMean(msgspec.Struct):
+    """A mean whose weights halve with each half-life."""
+
+    half_life_s: float
+    total: float = 0.0
+    weight: float = 0.0
+    updated_at: float = 0.0
+
+    def add(self, now: float, value: float) -> None:
+        self.decay(now)
+        self.total += value
+        self.weight += 1.0
+
+    def decay(self, now: float) -> None:
+        fraction = 0.5 ** (max(0.0, now - self.updated_at) / self.half_life_s)
+        self.total *= fraction
+        self.weight *= fraction
+        self.updated_at = now
+
+    @property
+    def value(self) -> float:
+        return self.total / self.weight if self.weight > 0 else 0.0
+
+
+class StoreLatency:
+    """The latency of calls to one store address."""
+
+    def __init__(self, settings: StoreLatencySettings | None = None) -> None:
+        self.settings = settings or StoreLatencySettings()
+        self._recent = _DecayingMean(self.settings.recent_half_life_s)
+        self._usual = _DecayingMean(self.settings.usual_half_life_s)
+
+    def record_call(self, now: float, duration_ms: float, succeeded: bool) -> None:
+        """Record the end of a call."""
+        usual = self._usual.value
+        if not succeeded:
+            duration_ms = max(duration_ms, self.settings.failure_latency_ratio * usual)
+        self._recent.add(now, duration_ms)
+        if self._usual.weight >= self.settings.min_calls:
+            duration_ms = min(duration_ms, MAX_OUTLIER_RATIO * usual)
+        self._usual.add(now, duration_ms)
+
+    def relative_latency(self, now: float) -> RelativeLatency | None:
+        """Return the present latency relative to the usual one; None after too few calls."""
+        self._recent.decay(now)
+        self._usual.decay(now)
+        if self._usual.weight < self.settings.min_calls or self._recent.weight < 1.0 or not self._usual.value:
+            return None
+        ratio = round(self._recent.value / self._usual.value, 2)
+        return RelativeLatency(ratio, max(1, round(self._recent.weight)))
--- a/lapispick/model/__init__.py
+++ b/lapispick/model/__init__.py
@@ -1,1 +1,1 @@
-"""A model of fleets at sizes that sockets do not reach: the real decisions on one simulated clock."""
+"""A discrete-event simulation of clusters too large for sockets: the real decision code on one simulated clock."""
--- /dev/null
+++ b/lapispick/model/fault_script.py
@@ -0,0 +1,102 @@
+"""Fault scripts for the simulation. No I/O.
+
+One step a line: ``AT KIND HOSTS [for SPAN] [VALUE]``, as in
+
+    10s part disp-01,disp-02 for 20s     # partition: nothing passes between these and all others
+    12s one-way disp-03 for 5s           # nothing passes from these to all others
+    15s stop 10% for 2s                  # paused as by SIGSTOP, messages wait
+    20s kill 20% for 30s                 # restarted after the span as a new process without state
+    40s loss all for 10s 20%             # of datagrams
+    60s late all for 10s 0.2             # s; maximum delay, drawn for each message
+"""
+
+from __future__ import annotations
+
+import enum
+import random
+from collections.abc import Sequence
+from typing import NamedTuple
+
+from lapispick.conf import value_types
+
+ALL_HOSTS = "all"
+DEFAULT_SPAN_S = 1.0
+SYNTAX = "AT KIND HOSTS [for SPAN] [VALUE]"
+
+
+class FaultKind(enum.StrEnum):
+    """The kinds of faults, as scripts name them."""
+
+    PARTITION = "part"
+    ONE_WAY_PARTITION = "one-way"
+    PAUSE = "stop"
+    KILL = "kill"
+    LOSS = "loss"
+    DELAY = "late"
+
+
+KINDS_WITH_VALUE = (FaultKind.LOSS, FaultKind.DELAY)
+
+
+class FaultScriptError(ValueError):
+    """A fault script has a line that cannot be read."""
+
+    def __init__(self, line_number: int, reason: str) -> None:
+        super().__init__(f"line {line_number}: {reason}; {SYNTAX}")
+        self.line_number = line_number
+        self.reason = reason
+
+
+class FaultStep(NamedTuple):
+    """One fault: ``at`` and ``span`` in s; ``hosts`` are names with commas between, ``all`` or a percentage."""
+
+    at: float
+    kind: str
+    hosts: str
+    span: float = DEFAULT_SPAN_S
+    value: float = 0.0
+
+    def affected(self, names: Sequence[str], rng: random.Random) -> list[str]:
+        """Return the hosts that it affects."""
+        if self.hosts == ALL_HOSTS:
+            return list(names)
+        if self.hosts.endswith("%"):
+            return sorted(rng.sample(sorted(names), round(len(names) * value_types.share(self.hosts))))
+        return self.hosts.split(",")
+
+
+def parse(text: str) -> list[FaultStep]:
+    """Parse a script; raises ``FaultScriptError``."""
+    steps = []
+    for number, line in enumerate(text.splitlines(), 1):
+        words = line.partition("#")[0].split()
+        if not words:
+            continue
+        try:
+            steps.append(_parse_step(words))
+        except IndexError:
+            raise FaultScriptError(number, f"{line.strip()!r} is not complete") from None
+        except ValueError as err:
+            incomplete = "unpack" in str(err)
+            reason = f"{line.strip()!r} is not complete" if incomplete else str(err)
+            raise FaultScriptError(number, reason) from None
+    return sorted(steps)
+
+
+def _parse_step(words: list[str]) -> FaultStep:
+    at, kind, hosts, *rest = words
+    if kind not in tuple(FaultKind):
+        raise ValueError(f"{kind} is none of {', '.join(FaultKind)}")
+    span = DEFAULT_SPAN_S
+    if rest[:1] == ["for"]:
+        span = value_types.span(rest[1])
+        rest = rest[2:]
+    takes_value = kind in KINDS_WITH_VALUE
+    if len(rest) > 1 or bool(rest) != takes_value:
+        raise ValueError(f"{kind} takes {'one value' if takes_value else 'no value'}")
+    value = 0.0
+    if kind == FaultKind.LOSS:
+        value = value_types.share(rest[0])
+    elif kind == FaultKind.DELAY:
+        value = value_types.span(rest[0])
+    return FaultStep(value_types.span(at), kind, hosts, span, value)
--- /dev/null
+++ b/lapispick/model/properties/lease_rules.py
@@ -0,0 +1,155 @@
+"""Properties of single voters and proposers of leases."""
+
+from __future__ import annotations
+
+import random
+
+from lapispick.members.configurations import Configurations
+from lapispick.members.lease_proposer import LeaseProposer
+from lapispick.members.lease_voter import LeaseVoter
+from lapispick.members.leases import Ballot, LeaseProposal, LeaseRelease, LeaseSettings, LeaseVote
+from lapispick.model.properties.base import Property, PropertyError, require
+
+SLOT = "job/0"
+DIGEST = "l"
+
+
+def _proposal(number: int, proposer: str, epoch: int = 1, digest: str = DIGEST, priority: int = 0) -> LeaseProposal:
+    return LeaseProposal(SLOT, Ballot(number, proposer), epoch, digest, priority)
+
+
+def _release(number: int, proposer: str) -> LeaseRelease:
+    return LeaseRelease(SLOT, Ballot(number, proposer), was_held=True)
+
+
+def _first_proposal(proposer: LeaseProposer, now: float) -> LeaseProposal:
+    proposal = proposer.tick(now, 0.5)
+    assert isinstance(proposal, LeaseProposal)
+    return proposal
+
+
+def bounded_overtaking(seed: int) -> None:
+    """Nobody overtakes a waiting proposer more than ``max_overtakes`` + 1 times, whatever its priority."""
+    rng = random.Random(seed)
+    settings = LeaseSettings()
+    names = ["a", *(f"b{n}" for n in range(8))]
+    voter = LeaseVoter(settings, Configurations(names, DIGEST, settings), 0.0, has_no_past=True)
+    voter.vote(0.0, _proposal(1, "b0"))
+    holder = Ballot(1, "b0")
+    number = 1
+    overtakes = dict.fromkeys(names, 0)
+    priorities = {name: 3 * n for n, name in enumerate(names)}
+    for step in range(200):
+        now = 0.1 + step * 1.5
+        for name in rng.sample([n for n in names if n != holder.proposer], len(names) - 1):  # all wait for the holder
+            voter.vote(now, _proposal(number + 1, name, priority=priorities[name]))
+        voter.release(LeaseRelease(SLOT, holder, was_held=True))
+        for name in rng.sample(names, len(names)):
+            number += 1
+            vote = voter.vote(now, _proposal(number, name, priority=priorities[name]))
+            if vote.granted:
+                holder = vote.ballot
+                break
+        else:
+            raise PropertyError("none of those who wait obtains a free slot")
+        if holder.proposer == "a":
+            return
+        overtakes[holder.proposer] += 1
+        count = overtakes[holder.proposer]
+        require(count <= settings.max_overtakes + 1, f"a waiting proposer was overtaken {count} times by one")
+        # Those who began to wait at the same time go before it once, later ones ``max_overtakes`` times in all.
+        total = sum(overtakes.values())
+        require(total <= settings.max_overtakes + len(names), f"it was overtaken {total} times in all")
+
+
+def priority_aging(seed: int) -> None:
+    """Waiting compensates for priority: in time a proposer without any goes before a newcomer that has some."""
+    settings = LeaseSettings(max_overtakes=10**6)
+    configurations = Configurations(["a", "b", "c"], DIGEST, settings)
+    voter = LeaseVoter(settings, configurations, 0.0, has_no_past=True)
+    held = voter.vote(0.0, _proposal(1, "c"))
+    for second in range(1, 40):
+        voter.vote(float(second), _proposal(2, "a"))
+        voter.vote(float(second), LeaseProposal(SLOT, held.ballot, 1, DIGEST))
+    voter.release(LeaseRelease(SLOT, held.ballot, was_held=True))
+    late = voter.vote(40.0, _proposal(5, "b", priority=3))
+    require(not late.granted, "a newcomer of priority 3 overtook one that had waited for 40 s")
+
+    configurations = Configurations(["a", "b", "c"], DIGEST, settings)
+    voter = LeaseVoter(settings, configurations, 0.0, has_no_past=True)
+    voter.vote(0.0, _proposal(1, "c"))
+    voter.vote(1.0, _proposal(2, "a"))
+    voter.release(_release(1, "c"))
+    require(voter.vote(2.0, _proposal(5, "b", priority=3)).granted, "priority has no effect")
+
+
+def quorum_of_configurations(seed: int) -> None:
+    """A proposal is decided by a majority of every configuration that counts, however few members seem alive."""
+    settings = LeaseSettings()
+    configurations = Configurations(["a", "b", "c", "d", "e"], DIGEST, settings)
+    proposer = LeaseProposer("a", 1, SLOT, settings, configurations)
+    proposal = _first_proposal(proposer, 0.0)
+    for count, voter in enumerate(("a", "b", "c"), 1):
+        obtained = proposer.record_vote(0.1, voter, LeaseVote(SLOT, proposal.ballot, True, proposal.ballot.number))
+        require(obtained == (count == 3), f"{count} votes of 5: {'held' if obtained else 'not held'}")
+    configurations.change(["x", "y", "z"], "m", 1.0)
+    require(not configurations.is_quorum({"a", "b", "c"}), "a majority of the old configuration is enough")
+    require(not configurations.is_quorum({"x", "y", "z"}), "a majority of the new configuration is enough")
+    require(configurations.is_quorum({"a", "b", "c", "x", "y"}), "majorities of both configurations are not enough")
+    configurations.expire(1.0 + settings.configuration_overlap_s + 0.1)
+    require(configurations.is_quorum({"x", "y"}), "a replaced configuration counts for ever")
+
+
+def lease_expiry(seed: int) -> None:
+    """A holder's lease expires before any voter's grant; late votes do not count."""
+    settings = LeaseSettings(lease_s=10.0, clock_drift_ratio=0.05)
+    configurations = Configurations(["a", "b", "c"], DIGEST, settings)
+    proposer = LeaseProposer("a", 1, SLOT, settings, configurations)
+    proposal = _first_proposal(proposer, 100.0)
+    voters = [LeaseVoter(settings, configurations, 0.0, has_no_past=True) for _ in range(2)]
+    for name, voter in zip("ab", voters, strict=True):
+        proposer.record_vote(100.5, name, voter.vote(100.0, proposal))
+    require(proposer.holds(109.4), "a lease does not last until the proposal plus the lease, less the drift")
+    require(not proposer.holds(109.6), "a lease is not counted from the proposal, less the drift")
+    rival = _proposal(9, "c")
+    require(not voters[0].vote(110.4, rival).granted, "a grant leaves nothing for drift")
+    require(voters[0].vote(110.6, rival).granted, "a grant never expires")
+
+    late = LeaseProposer("a", 1, SLOT, settings, configurations)
+    proposal = _first_proposal(late, 0.0)
+    for name in "ab":
+        late.record_vote(settings.vote_timeout_s + 0.1, name, LeaseVote(SLOT, proposal.ballot, True, 1))
+    require(not late.holds(settings.vote_timeout_s + 0.2), "votes count that came after the timeout")
+
+
+def silent_voter_start(seed: int) -> None:
+    """A voter that lost its state grants nothing until every lease that it may have granted has expired."""
+    settings = LeaseSettings()
+    voter = LeaseVoter(settings, Configurations(["a", "b"], DIGEST, settings), 100.0)
+    proposal = _proposal(1, "a")
+    require(not voter.vote(100.0 + settings.lease_s, proposal).granted, "a voter without its state grants at once")
+    require(voter.vote(100.1 + settings.grant_s, proposal).granted, "a voter stays silent for ever")
+    foreign = _proposal(9, "a", digest="other")
+    require(not voter.vote(200.0, foreign).granted, "a proposal under an unknown configuration is granted")
+
+
+def restarted_holder(seed: int) -> None:
+    """Another process of the same member does not share the lease of the one before."""
+    settings = LeaseSettings()
+    voter = LeaseVoter(settings, Configurations(["a", "b", "c"], DIGEST, settings), 0.0, has_no_past=True)
+    require(voter.vote(0.0, _proposal(5, "a")).granted, "the first proposal is rejected")
+    require(not voter.vote(1.0, _proposal(6, "a", epoch=2)).granted, "two process epochs share a slot")
+    require(voter.vote(2.0, _proposal(5, "a")).granted, "the holder cannot renew")
+    voter.release(_release(5, "a"))
+    require(not voter.vote(9.0, _proposal(5, "b")).granted, "one ballot number is granted to two")
+    require(voter.vote(9.1, _proposal(6, "b")).granted, "a higher ballot number is rejected")
+
+
+PROPERTIES: tuple[Property, ...] = (
+    bounded_overtaking,
+    priority_aging,
+    quorum_of_configurations,
+    lease_expiry,
+    silent_voter_start,
+    restarted_holder,
+)
