--- a/lapispick/model/runs.py
+++ b/lapispick/model/runs.py
@@ -1,119 +1,128 @@
-"""Runs of the model, and what became of them in figures."""
+"""Runs of the simulation and their metrics."""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
+from functools import partial
 
 import msgspec
 
-from lapispick.members.member import Bounds
-from lapispick.model.script import parse
-from lapispick.model.world import World, members
+from lapispick.members.member import MemberSettings
+from lapispick.model import fault_script
+from lapispick.model.cluster import SimulatedCluster, host_names, member_factory
 
-TURN, HOLDS_S = "job", 0.5  # s that an owner keeps a turn
+LEASE = "job"
+OWNER = "owner"
+HOLD_TIME_S = 0.5  # for which an owner keeps a lease
+CHECK_INTERVAL_S = 0.1
 
 
-class Run(msgspec.Struct, frozen=True):
-    """One run. ``want``: members that want a turn all the time."""
+class RunSettings(msgspec.Struct, frozen=True):
+    """One run: members, simulated seconds, fraction of lost messages, seed, fault script, members that want a lease."""
 
     size: int
     seconds: float = 60.0
     loss: float = 0.0
     seed: int = 1
     script: str = ""
-    want: int = 0
+    lease_requesters: int = 0
 
 
-class Found(msgspec.Struct):
-    """What became of a run. Times in s; -1 = it did not happen."""
+class RunMetrics(msgspec.Struct):
+    """The results of a run. Times in s; -1 means that it did not happen. The JSON names are those of saved sweeps."""
 
     size: int
-    words: float  # a member and second
-    bytes: float
+    messages_per_member_s: float = msgspec.field(name="words")
+    bytes_per_member_s: float = msgspec.field(name="bytes")
     killed: int
-    noticed: int  # of those killed
-    notice_first: float  # mean time from a death to the first who knows
-    notice_all: float  # to the last of those alive
-    false_deaths: int  # members that were never dead and were called so by somebody
-    turns: int
-    turn_wait: float  # mean time from one holder's end to the next one's start
-    overlaps: int  # instants with two holders
+    detected: int = msgspec.field(name="noticed")  # of those killed
+    mean_first_detection_s: float = msgspec.field(name="notice_first")
+    mean_last_detection_s: float = msgspec.field(name="notice_all")  # until all live members know
+    false_deaths: int  # members that were declared dead and were not
+    leases: int = msgspec.field(name="turns")
+    mean_lease_wait_s: float = msgspec.field(name="turn_wait")  # from one holder's release to the next acquisition
+    overlaps: int  # checks that found two holders
     cpu_s: float
 
 
-class _Turns:
-    """Owners in the model: each holds its turn for a moment and gives it back."""
+class _LeaseWorkload:
+    """Owners that hold the lease for a moment each, in turn."""
 
-    def __init__(self, world: World, owners: list[str]) -> None:
-        self.world, self.owners = world, owners
-        self.got, self.waits, self.overlaps = 0, 0.0, 0
-        self._since: dict[str, float] = {}
-        self._free = 0.0
+    def __init__(self, cluster: SimulatedCluster, owners: list[str]) -> None:
+        self.cluster = cluster
+        self.acquired = 0
+        self.total_wait_s = 0.0
+        self.overlaps = 0
+        self._held_since: dict[str, float] = {}
+        self._free_since = 0.0
         for name in owners:
-            world.at(world.rng.random(), lambda name=name: self._look(name))  # type: ignore[misc]
+            cluster.at(cluster.rng.random(), partial(self._poll, name))
 
-    def _look(self, name: str) -> None:
-        world = self.world
-        world.at(world.now + 0.1, lambda: self._look(name))
-        if not world.awake(name):
+    def _poll(self, name: str) -> None:
+        cluster = self.cluster
+        cluster.at(cluster.now + CHECK_INTERVAL_S, partial(self._poll, name))
+        if not cluster.is_running(name):
             return
-        node, now = world.nodes[name], world.clock(name)
-        held = node.want(now, TURN, "owner")
-        if held is not None and held.fence and name not in self._since:
-            self._since[name] = world.now
-            self.got += 1
-            self.waits += world.now - self._free
-        elif held is not None and not held.fence:
-            self._since.pop(name, None)
-        if name in self._since and world.now - self._since[name] >= HOLDS_S:
-            del self._since[name]
-            self._free = world.now
-            world.out(name, node.done(now, TURN, "owner"))
+        leases = cluster.members[name].leases
+        now = cluster.clock(name)
+        status = leases.request(now, LEASE, OWNER)
+        if status is not None:
+            self._record_status(name, bool(status.fencing_token))
+        if name in self._held_since and cluster.now - self._held_since[name] >= HOLD_TIME_S:
+            del self._held_since[name]
+            self._free_since = cluster.now
+            cluster.send(name, leases.release(now, LEASE, OWNER))
         else:
-            world.poke(name)
+            cluster.tick_now(name)
+
+    def _record_status(self, name: str, is_held: bool) -> None:
+        if not is_held:
+            self._held_since.pop(name, None)
+        elif name not in self._held_since:
+            self._held_since[name] = self.cluster.now
+            self.acquired += 1
+            self.total_wait_s += self.cluster.now - self._free_since
 
     def check(self) -> None:
-        """Count the instants at which two members hold the turn, each by its own clock."""
-        holders = [
-            name
-            for name in self._since
-            if name not in self.world.dead
-            and any(held.fence for _, held in self.world.nodes[name].turns(self.world.clock(name)))
-        ]
-        self.overlaps += len(holders) > 1
-
-
-def played(run: Run, bounds: Bounds | None = None) -> Found:
-    """Play one run."""
-    began = time.process_time()
-    names = [f"disp-{n:04}" for n in range(1, run.size + 1)]
-    world = World(run.seed, run.size, members(names, bounds), parse(run.script), run.loss)
+        """Count the instants at which two members hold the lease, each by its own clock."""
+        holders = sum(self._is_holder(name) for name in self._held_since if name not in self.cluster.dead)
+        self.overlaps += holders > 1
+
+    def _is_holder(self, name: str) -> bool:
+        statuses = self.cluster.members[name].leases.statuses(self.cluster.clock(name))
+        return any(status.fencing_token for status in statuses)
+
+
+def simulate(run: RunSettings, settings: MemberSettings | None = None) -> RunMetrics:
+    """Run one simulation."""
+    started_cpu = time.process_time()
+    factory = member_factory(host_names(run.size), settings)
+    cluster = SimulatedCluster(run.seed, run.size, factory, fault_script.parse(run.script), run.loss)
     killed: dict[str, float] = {}
-    _watch(world, killed)
-    owners = _Turns(world, world.names[: run.want])
-    world.run(run.seconds, owners.check if run.want else None)
-    deaths = world.deaths()
-    first, last = dict[str, float](), dict[str, float]()
-    for at, by, who in deaths:
-        if who in killed and at >= killed[who] and by not in killed:
-            first.setdefault(who, at - killed[who])
-            last[who] = at - killed[who]
-    noticed = len(first)
-    false = {who for at, _, who in deaths if who not in killed}
-    return Found(
-        run.size,
-        world.sent / run.size / run.seconds,
-        world.bytes / run.size / run.seconds,
-        len(killed),
-        noticed,
-        _mean(first),
-        _mean(last),
-        len(false),
-        owners.got,
-        owners.waits / owners.got if owners.got else -1.0,
-        owners.overlaps,
-        time.process_time() - began,
+    _record_kills(cluster, killed)
+    workload = _LeaseWorkload(cluster, cluster.names[: run.lease_requesters])
+    cluster.run(run.seconds, workload.check if run.lease_requesters else None)
+    first_detections: dict[str, float] = {}
+    last_detections: dict[str, float] = {}
+    for at, observer, name in cluster.deaths():
+        if name in killed and at >= killed[name] and observer not in killed:
+            first_detections.setdefault(name, at - killed[name])
+            last_detections[name] = at - killed[name]
+    member_seconds = run.size * run.seconds
+    return RunMetrics(
+        size=run.size,
+        messages_per_member_s=cluster.sent_messages / member_seconds,
+        bytes_per_member_s=cluster.sent_bytes / member_seconds,
+        killed=len(killed),
+        detected=len(first_detections),
+        mean_first_detection_s=_mean(first_detections),
+        mean_last_detection_s=_mean(last_detections),
+        false_deaths=len({death.name for death in cluster.deaths() if death.name not in killed}),
+        leases=workload.acquired,
+        mean_lease_wait_s=workload.total_wait_s / workload.acquired if workload.acquired else -1.0,
+        overlaps=workload.overlaps,
+        cpu_s=time.process_time() - started_cpu,
     )
 
 
@@ -121,29 +130,29 @@
     return sum(values.values()) / len(values) if values else -1.0
 
 
-def _watch(world: World, killed: dict[str, float]) -> None:
-    """Note when members die; they are looked at every tenth of a second."""
+def _record_kills(cluster: SimulatedCluster, killed: dict[str, float]) -> None:
+    """Record when members die."""
 
-    def look() -> None:
-        for name in world.dead:
-            killed.setdefault(name, world.now)
-        world.at(world.now + 0.1, look)
+    def check() -> None:
+        for name in cluster.dead:
+            killed.setdefault(name, cluster.now)
+        cluster.at(cluster.now + CHECK_INTERVAL_S, check)
 
-    world.at(0.0, look)
+    cluster.at(0.0, check)
 
 
-def draw(rows: list[Found], path: str) -> None:
-    """Draw rows by size."""
+def plot(rows: list[RunMetrics], path: str) -> None:
+    """Plot metrics by cluster size into an image file."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(1, 3, figsize=(11, 3.2))
-    values: tuple[tuple[str, Callable[[Found], float]], ...] = (
-        ("s until the first knows of a death", lambda r: r.notice_first),
-        ("words a member and second", lambda r: r.words),
-        ("bytes a member and second", lambda r: r.bytes),
+    values: tuple[tuple[str, Callable[[RunMetrics], float]], ...] = (
+        ("s until the first member detects a death", lambda row: row.mean_first_detection_s),
+        ("messages per member and second", lambda row: row.messages_per_member_s),
+        ("bytes per member and second", lambda row: row.bytes_per_member_s),
     )
     for axis, (label, value) in zip(axes, values, strict=True):
         axis.plot([row.size for row in rows], [value(row) for row in rows], marker="o")
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -11,7 +11,7 @@
 
 from lapispick.fakes.agents import FIGURES, BoxAgent
 from lapispick.fakes.fleet import Fleet, call, program
-from lapispick.fakes.member_cluster import Talk
+from lapispick.fakes.member_cluster import MemberCluster
 from lapispick.fakes.peers import until
 
 
@@ -317,12 +317,12 @@
 def test_boxes_that_nobody_confirmed_go_back_one_after_the_other_by_a_turn(tmp_path):
     """Cut off from a controller all their times are over at once; each waits for its turn, and serves meanwhile."""
     with Fleet(tmp_path, seed=5, boxes=3, gateways=2, rate=25) as fleet:
-        talk = Talk(fleet)
+        cluster = MemberCluster(fleet)
         made = {}
         for box in fleet.boxes:
             agent = BoxAgent(box)
             agent.conf.write_text(agent.conf.read_text().replace("end\n", " turn job\n turn-wait 30s\nend\n"))
-            own = talk.conf[box.name].read_text() + FIGURES
+            own = cluster.config_files[box.name].read_text() + FIGURES
             made[box.name] = agent, agent.add(conf=own, label="good"), agent.add(conf=own + "section log\nend\n")
         for agent, good, _ in made.values():
             agent.start(adopt=good)
--- a/tests/test_member_cluster.py
+++ b/tests/test_member_cluster.py
@@ -1,4 +1,4 @@
-"""Members and turns on running hosts: partitions, stalls, deaths, lost words, lists that change."""
+"""Membership and leases on running hosts: partitions, pauses, deaths, lost messages, changes of the list."""
 
 import contextlib
 import json
@@ -7,17 +7,16 @@
 import socket
 import subprocess
 import sys
-import threading
 import time
 
 import pytest
 
 from lapispick.fakes.fleet import ROOT, Fleet
-from lapispick.fakes.member_cluster import QUICK, STEADY, Talk
+from lapispick.fakes.member_cluster import FAST_SETTINGS, SERVICE_SETTINGS, SLOW_SETTINGS, MemberCluster
 from lapispick.fakes.peers import until
 
 
-def span(seconds):
+def wait(seconds):
     """Let time pass in which something must not happen."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
@@ -25,462 +24,426 @@
 
 
 @pytest.fixture
-def talking(tmp_path):
-    """Make a fleet whose boxes talk; not started."""
-    open_ = []
+def make_cluster(tmp_path):
+    """Return a function that makes a cluster of hosts that are members; they are not started."""
+    opened = []
 
-    def make(boxes=5, told=QUICK, names=None, seed=11, rate=8.0):
-        fleet = Fleet(tmp_path, seed=seed, boxes=boxes, gateways=1, rate=rate)
-        open_.append(fleet)
-        talk = Talk(fleet, told, names)
-        open_.append(talk)
-        return talk
+    def make(hosts=5, settings=FAST_SETTINGS, seed=11, rate=8.0):
+        fleet = Fleet(tmp_path, seed=seed, boxes=hosts, gateways=1, rate=rate)
+        opened.append(fleet)
+        cluster = MemberCluster(fleet, settings)
+        opened.append(cluster)
+        return cluster
 
     yield make
-    for each in reversed(open_):
+    for each in reversed(opened):
         each.close()
 
 
-def names(talk):
-    return [box.name for box in talk.fleet.boxes]
-
-
-def test_members_agree_turns_go_round_and_no_request_waits_for_any_of_it(talking):
-    talk = talking(told=STEADY).start()
-    talk.fleet.load()
-    all_ = names(talk)
-    talk.agree(all_)
-    found = talk.view(all_[0])
-    assert (found["seen"], found["size"], found["majority"]) == (5, 5, True)
-    owners = talk.want(hold=0.1)
-    talk.turned(10)
-    talk.fleet.answered(20)
-    talk.close()
-    talk.kept()
-    assert sum(1 for owner in owners if owner.held) >= 4  # no box is passed all the time
-    assert talk.deaths() == [] and talk.fleet.broken_rules() == []
-
-
-def split(talk, *groups):
-    """Cut the links between groups of boxes; returns what heals them."""
-    ends = [talk.fleet.part(one, other) for n, one in enumerate(groups) for other in groups[n + 1 :]]
-    return lambda: [end() for end in ends]
-
-
-def test_a_partition_gives_turns_to_the_majority_only_and_heals(talking):
-    talk = talking().start()
-    talk.fleet.load()
-    all_ = names(talk)
-    few, many = all_[:2], all_[2:]
-    talk.agree(all_)
-    talk.want(hold=0.1)
-    talk.turned(3)
-    heal = split(talk, few, many)
-    talk.agree(many, gone=few)
-    talk.agree(few, gone=many)
-    assert not talk.view(few[0])["majority"] and talk.view(many[0])["majority"]
-    before = {fence for _, fence in talk.resource.top_fences()}
-    talk.turned(4)
-    fresh = [act for act in list(talk.resource.acts) if act[2] not in before]
-    assert {box for *_, box in fresh} <= set(many)
+def partition(cluster, *groups):
+    """Cut the links between groups of hosts; returns what heals them."""
+    heal_functions = [cluster.fleet.part(one, other) for n, one in enumerate(groups) for other in groups[n + 1 :]]
+    return lambda: [heal() for heal in heal_functions]
+
+
+def stop_owners_and_check(cluster):
+    cluster.close()
+    cluster.check_invariants()
+
+
+def test_members_agree_and_pass_leases_on_while_requests_are_answered(make_cluster):
+    cluster = make_cluster(settings=SLOW_SETTINGS).start()
+    cluster.fleet.load()
+    hosts = cluster.names()
+    cluster.wait_for_agreement(hosts)
+    view = cluster.view(hosts[0])
+    assert (view["seen"], view["size"], view["majority"]) == (5, 5, True)
+    owners = cluster.request_leases(hold_s=0.1)
+    cluster.wait_for_holds(10)
+    cluster.fleet.answered(20)
+    stop_owners_and_check(cluster)
+    assert sum(bool(owner.held) for owner in owners) >= 4  # no host is overtaken all the time
+    assert cluster.deaths() == []
+    assert cluster.fleet.broken_rules() == []
+
+
+def test_only_the_majority_of_a_partition_obtains_leases_until_it_heals(make_cluster):
+    cluster = make_cluster().start()
+    cluster.fleet.load()
+    hosts = cluster.names()
+    minority = hosts[:2]
+    majority = hosts[2:]
+    cluster.wait_for_agreement(hosts)
+    cluster.request_leases(hold_s=0.1)
+    cluster.wait_for_holds(3)
+    heal = partition(cluster, minority, majority)
+    cluster.wait_for_agreement(majority, gone=minority)
+    cluster.wait_for_agreement(minority, gone=majority)
+    assert cluster.view(minority[0])["majority"] is False
+    assert cluster.view(majority[0])["majority"] is True
+    tokens_before = {token for _, token in cluster.resource.holds()}
+    cluster.wait_for_holds(4)
+    later = [action for action in list(cluster.resource.accepted) if action.fencing_token not in tokens_before]
+    assert {action.host for action in later} <= set(majority)
     heal()
-    talk.agree(all_)
-    talk.turned(6)
-    talk.fleet.answered(5)
-    talk.close()
-    talk.kept()
-    assert talk.fleet.broken_rules() == []
-
-
-def test_three_parts_without_a_majority_grant_nothing_new_until_they_heal(talking):
-    talk = talking(6).start()
-    all_ = names(talk)
-    talk.agree(all_)
-    talk.want(hold=0.1)
-    talk.turned(2)
-    heal = split(talk, all_[:2], all_[2:4], all_[4:])
-    span(2.0)  # longer than the lease that was running
-    before = talk.resource.top_fences()
-    span(2.0)
-    assert talk.resource.top_fences() == before
+    cluster.wait_for_agreement(hosts)
+    cluster.wait_for_holds(6)
+    cluster.fleet.answered(5)
+    stop_owners_and_check(cluster)
+    assert cluster.fleet.broken_rules() == []
+
+
+def test_three_partitions_without_a_majority_grant_no_lease_until_they_heal(make_cluster):
+    cluster = make_cluster(6).start()
+    hosts = cluster.names()
+    cluster.wait_for_agreement(hosts)
+    cluster.request_leases(hold_s=0.1)
+    cluster.wait_for_holds(2)
+    heal = partition(cluster, hosts[:2], hosts[2:4], hosts[4:])
+    wait(2.0)  # longer than the lease that was running
+    before = cluster.resource.holds()
+    wait(2.0)
+    assert cluster.resource.holds() == before
     heal()
-    talk.turned(4)
-    talk.close()
-    talk.kept()
-
-
-def test_a_holder_that_is_stopped_past_its_lease_holds_nothing_when_it_wakes(talking):
-    talk = talking().start()
-    all_ = names(talk)
-    talk.agree(all_)
-    owners = {each.box.name: each for each in talk.want(hold=20.0)}  # each would keep it for long
-    talk.turned(1)
-    holder = talk.resource.acts[-1][3]
-    wake = talk.fleet.stop(talk.fleet[holder])
-    talk.turned(1)  # its lease ends at the others, and one of them has it
-    assert talk.resource.acts[-1][3] != holder
-    wake()
-    span(1.0)
-    assert owners[holder].held[-1][3] < talk.resource.acts[-1][0]
-    talk.close()
-    talk.kept()
-    log = next(iter(talk.fleet[holder].folder.glob("config-1.log"))).read_text()
-    assert "event=turn-lost" in log or "event=turn-dropped" in log
-
-
-def test_a_holder_that_dies_is_followed_and_its_box_returns_as_a_later_life_without_its_disk(talking):
-    talk = talking().start()
-    all_ = names(talk)
-    talk.agree(all_)
-    talk.want(hold=20.0)
-    talk.turned(1)
-    gone = talk.resource.acts[-1][3]
-    rest = [name for name in all_ if name != gone]
-    life = next(each["life"] for each in talk.view(rest[0])["members"] if each["name"] == gone)
-    talk.fleet[gone].kill()
-    talk.turned(1)
-    talk.agree(rest, gone=[gone])
-    for path in (talk.fleet[gone].folder / "members").iterdir():
+    cluster.wait_for_holds(4)
+    stop_owners_and_check(cluster)
+
+
+def test_a_holder_that_is_paused_past_its_lease_holds_nothing_when_it_resumes(make_cluster):
+    cluster = make_cluster().start()
+    hosts = cluster.names()
+    cluster.wait_for_agreement(hosts)
+    owners = {owner.host.name: owner for owner in cluster.request_leases(hold_s=20.0)}  # each would keep it for long
+    cluster.wait_for_holds(1)
+    holder = cluster.resource.last_holder()
+    resume = cluster.fleet.stop(cluster.fleet[holder])
+    cluster.wait_for_holds(1)  # its lease expires at the others, and one of them obtains it
+    assert cluster.resource.last_holder() != holder
+    resume()
+    wait(1.0)
+    assert owners[holder].held[-1].held_until < cluster.resource.accepted[-1].at
+    stop_owners_and_check(cluster)
+    log = next(iter(cluster.fleet[holder].folder.glob("config-1.log"))).read_text()
+    assert "event=lease-lost" in log or "event=lease-abandoned" in log
+
+
+def test_a_dead_holder_is_replaced_and_returns_in_a_later_epoch_without_its_disk(make_cluster):
+    cluster = make_cluster().start()
+    hosts = cluster.names()
+    cluster.wait_for_agreement(hosts)
+    cluster.request_leases(hold_s=20.0)
+    cluster.wait_for_holds(1)
+    gone = cluster.resource.last_holder()
+    rest = [name for name in hosts if name != gone]
+    epoch = cluster.process_epoch(rest[0], gone)
+    cluster.fleet[gone].kill()
+    cluster.wait_for_holds(1)
+    cluster.wait_for_agreement(rest, gone=[gone])
+    for path in (cluster.fleet[gone].folder / "members").iterdir():
         path.unlink()
-    talk.fleet[gone].start(conf=talk.conf[gone], skew=-3600.0)  # and its clock went back
-    talk.agree(all_)
-    assert talk.view(gone)["life"] > life
+    cluster.fleet[gone].start(conf=cluster.config_files[gone], skew=-3600.0)  # its clock was set back too
+    cluster.wait_for_agreement(hosts)
+    assert cluster.view(gone)["life"] > epoch
     for name in rest:
-        assert next(each["life"] for each in talk.view(name)["members"] if each["name"] == gone) > life
-    talk.close()
-    talk.kept()
-
-
-def test_links_that_work_one_way_or_not_between_two_kill_nobody(talking):
-    talk = talking(told=STEADY).start()
-    all_ = names(talk)
-    talk.agree(all_)
-    talk.want(hold=0.1)
-    talk.fleet.net.part([all_[0]], [all_[1]])
-    talk.fleet.net.part([all_[2]], [all_[3]], one_way=True)
-    talk.turned(12)
-    span(6.0)  # each is probed twice, and a suspicion that begins at once is over
-    assert talk.deaths() == []
-    talk.close()
-    talk.kept()
-
-
-def test_a_member_that_everyone_but_one_can_reach_stays_alive_for_all(talking):
-    talk = talking(told=STEADY).start()
-    all_ = names(talk)
-    talk.agree(all_)
-    talk.fleet.net.part([all_[0]], [all_[4]])
+        assert cluster.process_epoch(name, gone) > epoch
+    stop_owners_and_check(cluster)
+
+
+def test_partial_link_failures_make_no_member_dead(make_cluster):
+    cluster = make_cluster(settings=SLOW_SETTINGS).start()
+    hosts = cluster.names()
+    cluster.wait_for_agreement(hosts)
+    cluster.request_leases(hold_s=0.1)
+    cluster.fleet.net.part([hosts[0]], [hosts[1]])
+    cluster.fleet.net.part([hosts[2]], [hosts[3]], one_way=True)
+    cluster.wait_for_holds(12)
+    wait(6.0)  # each is probed twice, and a suspicion that begins at once has timed out
+    assert cluster.deaths() == []
+    stop_owners_and_check(cluster)
+
+
+def test_a_member_that_one_other_cannot_reach_stays_alive_for_all(make_cluster):
+    cluster = make_cluster(settings=SLOW_SETTINGS).start()
+    hosts = cluster.names()
+    cluster.wait_for_agreement(hosts)
+    cluster.fleet.net.part([hosts[0]], [hosts[4]])
     began = time.monotonic()
     while time.monotonic() - began < 10.0:  # more than twice a suspicion
-        assert talk.states(all_[0]).get(all_[4]) in ("alive", "suspect")
+        assert cluster.states(hosts[0]).get(hosts[4]) in ("alive", "suspect")
         time.sleep(0.1)
-    assert talk.deaths() == []
+    assert cluster.deaths() == []
 
 
-def test_a_member_that_stalls_for_two_seconds_is_not_dead_at_the_times_of_service(talking):
-    """Times as in service but for the period: a suspicion lasts 5 s at least, and a stall of 2 s is no death."""
-    talk = talking(
-        told=QUICK.replace("period 200ms", "period 1s")
-        .replace("timeout 80ms", "timeout 300ms")
-        .replace("suspicion 4", "suspicion 5")
-    ).start()
-    all_ = names(talk)
-    talk.agree(all_)
-    for name in all_[:3]:
-        wake = talk.fleet.stop(talk.fleet[name])
-        span(2.0)
-        wake()
-    talk.agree(all_)
-    assert talk.deaths() == []
+def test_a_member_that_is_paused_for_two_seconds_is_not_dead_with_service_settings(make_cluster):
+    cluster = make_cluster(settings=SERVICE_SETTINGS).start()
+    hosts = cluster.names()
+    cluster.wait_for_agreement(hosts)
+    for name in hosts[:3]:
+        resume = cluster.fleet.stop(cluster.fleet[name])
+        wait(2.0)
+        resume()
+    cluster.wait_for_agreement(hosts)
+    assert cluster.deaths() == []
 
 
 @pytest.mark.parametrize("loss", [0.05, 0.2, 0.5])
-def test_words_that_are_lost_doubled_late_and_out_of_order_give_no_two_holders(talking, loss):
-    talk = talking(told=STEADY if loss < 0.3 else QUICK).start()
-    all_ = names(talk)
-    talk.agree(all_)
-    talk.fleet.net.slow(all_, all_, loss=loss, double=0.2, shuffle=0.2, jitter=0.02)
-    talk.want(hold=0.1)
+def test_lost_duplicated_late_and_reordered_messages_give_no_two_holders(make_cluster, loss):
+    cluster = make_cluster(settings=SLOW_SETTINGS if loss < 0.3 else FAST_SETTINGS).start()
+    hosts = cluster.names()
+    cluster.wait_for_agreement(hosts)
+    cluster.fleet.net.slow(hosts, hosts, loss=loss, double=0.2, shuffle=0.2, jitter=0.02)
+    cluster.request_leases(hold_s=0.1)
     if loss < 0.5:
-        talk.turned(4, within=60.0)
+        cluster.wait_for_holds(4, within=60.0)
     else:
-        span(6.0)  # whether a claim gets through is chance then; that no two hold is not
+        wait(6.0)  # whether a proposal succeeds is chance then; that no two hold the lease is not
     if loss < 0.3:
-        assert talk.deaths() == []
-    talk.fleet.net.heal()
-    talk.agree(all_)
-    talk.turned(3)
-    talk.close()
-    talk.kept()
-
-
-def test_a_partition_that_flaps_every_second_gives_no_two_holders(talking):
-    talk = talking().start()
-    all_ = names(talk)
-    talk.agree(all_)
-    talk.want(hold=0.2)
+        assert cluster.deaths() == []
+    cluster.fleet.net.heal()
+    cluster.wait_for_agreement(hosts)
+    cluster.wait_for_holds(3)
+    stop_owners_and_check(cluster)
+
+
+def test_a_partition_that_flaps_every_second_gives_no_two_holders(make_cluster):
+    cluster = make_cluster().start()
+    hosts = cluster.names()
+    cluster.wait_for_agreement(hosts)
+    cluster.request_leases(hold_s=0.2)
     for n in range(8):
-        side = all_[:2] if n % 2 else all_[3:]
-        talk.fleet.net.part(side, [name for name in all_ if name not in side], one_way=n % 3 == 2)
-        span(1.0)
-        talk.fleet.net.heal()
-    talk.agree(all_)
-    talk.turned(5)
-    talk.close()
-    talk.kept()
-
-
-def test_a_fifth_killed_at_once_is_found_and_all_but_one_killed_leave_no_majority(talking):
-    talk = talking(10).start()
-    all_ = names(talk)
-    talk.agree(all_)
-    gone = all_[:2]
+        side = hosts[:2] if n % 2 else hosts[3:]
+        cluster.fleet.net.part(side, [name for name in hosts if name not in side], one_way=n % 3 == 2)
+        wait(1.0)
+        cluster.fleet.net.heal()
+    cluster.wait_for_agreement(hosts)
+    cluster.wait_for_holds(5)
+    stop_owners_and_check(cluster)
+
+
+def test_a_fifth_killed_at_once_is_detected_and_a_single_survivor_has_no_quorum(make_cluster):
+    cluster = make_cluster(10).start()
+    hosts = cluster.names()
+    cluster.wait_for_agreement(hosts)
+    gone = hosts[:2]
     for name in gone:
-        talk.fleet[name].kill()
-    took = talk.agree(all_[2:], gone=gone)
-    print(f"found in {took:.1f} s")
-    last = all_[-1]
-    for name in all_[2:-1]:
-        talk.fleet[name].kill()
-    talk.agree([last], gone=all_[:-1], within=60.0)
-    assert (talk.view(last)["seen"], talk.view(last)["majority"]) == (1, False)
-    talk.want(names=[last])
-    span(3.0)
-    assert talk.resource.acts == []
-    threads = [threading.Thread(target=talk.fleet[name].start, kwargs={"conf": talk.conf[name]}) for name in all_[:-1]]
-    for each in threads:
-        each.start()
-    for each in threads:
-        each.join()
-    talk.agree(all_)
-    talk.turned(1)
-    talk.close()
-    talk.kept()
-
-
-def test_a_list_that_replaces_six_in_ten_boxes_and_comes_late_to_some_gives_no_two_holders(talking):
-    talk = talking(10)
-    all_ = names(talk)
-    old, new = all_[:7], all_[3:]  # 7 boxes each; 4 stay
-    talk.list(old)
-    talk.start()
-    talk.agree(old)
-    talk.want(hold=0.15)
-    talk.turned(4)
-    heal = split(talk, all_[:2], all_[2:])  # and a partition heals while the list changes
-    for name in all_:
-        talk.list(new, [name])
-        span(0.5)
-        if name == all_[4]:
+        cluster.fleet[name].kill()
+    detection_s = cluster.wait_for_agreement(hosts[2:], gone=gone)
+    print(f"detected in {detection_s:.1f} s")
+    last = hosts[-1]
+    for name in hosts[2:-1]:
+        cluster.fleet[name].kill()
+    cluster.wait_for_agreement([last], gone=hosts[:-1], within=60.0)
+    assert cluster.view(last)["seen"] == 1
+    assert cluster.view(last)["majority"] is False
+    cluster.request_leases(names=[last])
+    wait(3.0)
+    assert cluster.resource.accepted == []
+    cluster.start(hosts[:-1])
+    cluster.wait_for_agreement(hosts)
+    cluster.wait_for_holds(1)
+    stop_owners_and_check(cluster)
+
+
+def test_a_list_that_replaces_most_members_and_arrives_late_at_some_gives_no_two_holders(make_cluster):
+    cluster = make_cluster(10)
+    hosts = cluster.names()
+    old = hosts[:7]
+    new = hosts[3:]  # 4 of 7 stay
+    cluster.set_list(old)
+    cluster.start()
+    cluster.wait_for_agreement(old)
+    cluster.request_leases(hold_s=0.15)
+    cluster.wait_for_holds(4)
+    heal = partition(cluster, hosts[:2], hosts[2:])  # which heals while the list changes
+    for name in hosts:
+        cluster.set_list(new, [name])
+        wait(0.5)
+        if name == hosts[4]:
             heal()
-    talk.agree(new, within=30.0)
-    assert talk.view(new[-1])["size"] == 7
-    talk.turned(6)
-    talk.close()
-    talk.kept()
-
-
-def test_two_versions_of_the_list_stay_side_by_side_and_give_no_two_holders(talking):
-    talk = talking(6)
-    all_ = names(talk)
-    talk.list(all_[:5], all_[:3])
-    talk.list(all_, all_[3:])
-    talk.start()
-    talk.want(hold=0.15)
-    span(4.0)  # 5 of the one list, 3 of whom hold it; 6 of the other, 3 of whom do
-    assert talk.overlaps() == []
-    talk.list(all_)
-    talk.agree(all_)
-    talk.turned(4)
-    talk.close()
-    talk.kept()
-
-
-def test_clocks_that_are_minutes_off_change_nothing(talking):
-    talk = talking(told=STEADY)
-    threads = [
-        threading.Thread(target=box.start, kwargs={"conf": talk.conf[box.name], "skew": skew})
-        for box, skew in zip(talk.fleet.boxes, (0.0, 300.0, -300.0, 7200.0, -60.0), strict=True)
-    ]
-    for each in threads:
-        each.start()
-    for each in threads:
-        each.join()
-    all_ = names(talk)
-    talk.agree(all_)
-    talk.want(hold=0.15)
-    talk.turned(6)
-    talk.close()
-    talk.kept()
-    assert talk.deaths() == []
-
-
-def test_a_turn_of_two_has_two_holders_at_most_and_both_slots_are_used(talking):
-    talk = talking().start()
-    talk.agree(names(talk))
-    talk.want("pair", hold=0.3)
-    talk.turned(12)
-    talk.close()
-    talk.kept()
-    assert {slot for slot, _ in talk.resource.top_fences()} == {"pair/0", "pair/1"}
-
-
-def test_strangers_nonsense_and_floods_cost_themselves_only(talking):
-
-    talk = talking(3, told=STEADY).start()
-    all_ = names(talk)
-    talk.agree(all_)
-    host, port = talk.at[all_[0]].split(":")
+    cluster.wait_for_agreement(new, within=30.0)
+    assert cluster.view(new[-1])["size"] == 7
+    cluster.wait_for_holds(6)
+    stop_owners_and_check(cluster)
+
+
+def test_two_configurations_at_once_give_no_two_holders(make_cluster):
+    cluster = make_cluster(6)
+    hosts = cluster.names()
+    cluster.set_list(hosts[:5], hosts[:3])
+    cluster.set_list(hosts, hosts[3:])
+    cluster.start()
+    cluster.request_leases(hold_s=0.15)
+    wait(4.0)  # 5 in the one list, 3 of which hold it; 6 in the other, 3 of which hold it
+    assert cluster.overlaps() == []
+    cluster.set_list(hosts)
+    cluster.wait_for_agreement(hosts)
+    cluster.wait_for_holds(4)
+    stop_owners_and_check(cluster)
+
+
+def test_wall_clocks_that_differ_by_minutes_change_nothing(make_cluster):
+    cluster = make_cluster(settings=SLOW_SETTINGS)
+    hosts = cluster.names()
+    cluster.start(clock_offsets=dict(zip(hosts, (0.0, 300.0, -300.0, 7200.0, -60.0), strict=True)))
+    cluster.wait_for_agreement(hosts)
+    cluster.request_leases(hold_s=0.15)
+    cluster.wait_for_holds(6)
+    stop_owners_and_check(cluster)
+    assert cluster.deaths() == []
+
+
+def test_a_lease_with_two_slots_uses_both_and_has_two_holders_at_most(make_cluster):
+    cluster = make_cluster().start()
+    cluster.wait_for_agreement(cluster.names())
+    cluster.request_leases("pair", hold_s=0.3)
+    cluster.wait_for_holds(12)
+    stop_owners_and_check(cluster)
+    assert {slot for slot, _ in cluster.resource.holds()} == {"pair/0", "pair/1"}
+
+
+def test_unknown_senders_invalid_messages_and_floods_affect_only_themselves(make_cluster):
+    cluster = make_cluster(3, settings=SLOW_SETTINGS).start()
+    hosts = cluster.names()
+    cluster.wait_for_agreement(hosts)
+    host, port = cluster.addresses[hosts[0]].split(":")
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger, socket.socket() as stream:
-        word = (
+        forged = (
             b'{"say":"probe","fleet":"fleet","sender":"disp-02","life":99999999999999,"incarnation":9,'
             b'"rumours":[["disp-03","dead",9,99999999999999]]}'
         )
         for n in range(2000):
-            stranger.sendto(word if n % 2 else b"\xff{" * (n % 700), (host, int(port)))
+            stranger.sendto(forged if n % 2 else b"\xff{" * (n % 700), (host, int(port)))
         stream.connect((host, int(port)))
         stream.sendall(b"{" * 100_000 + b"\n")
         stream.settimeout(5)
         with contextlib.suppress(OSError):
             assert stream.recv(10) == b""
-    talk.fleet.load()
-    talk.fleet.answered(10)
-    found = talk.view(all_[0])
-    assert found["dropped"]["not from its address"] > 100 and found["dropped"]["nonsense"] > 100
-    assert {each["state"] for each in found["members"]} == {"alive"}
-    assert max(each["life"] for each in found["members"]) < 99999999999999
-    assert talk.deaths() == []
-
-
-def test_a_box_that_leaves_says_so_and_gives_its_turn_back(talking):
-    talk = talking(4).start()
-    all_ = names(talk)
-    talk.agree(all_)
-    talk.want(hold=20.0)
-    talk.turned(1)
-    holder = talk.resource.acts[-1][3]
-    began = time.monotonic()
-    os.kill(talk.fleet[holder].processes[-1].pid, signal.SIGTERM)
-    talk.turned(1)
-    took = time.monotonic() - began
-    print(f"the next one had it after {took:.2f} s")
-    rest = [name for name in all_ if name != holder]
-    talk.agree(rest, gone=[holder])
-    until(lambda: all(talk.states(name)[holder] == "left" for name in rest), "that all know that it left by itself")
-    talk.close()
-    talk.kept()
-
-
-def tool(*told, **more):
-    return subprocess.run(
-        [sys.executable, "-m", "lapispick", *told], capture_output=True, text=True, timeout=60, cwd=ROOT, **more
-    )
-
-
-def test_the_commands_show_the_view_and_hold_a_turn_for_a_command(talking, tmp_path):
-    talk = talking(3).start()
-    all_ = names(talk)
-    talk.agree(all_)
-    ops = [talk.fleet[name].processes[-1].ops for name in all_]
-    shown = tool("members", "show", "--at", ops[0])
-    assert shown.returncode == 0 and "sees 3 of 3" in shown.stdout and all_[2] in shown.stdout
+    cluster.fleet.load()
+    cluster.fleet.answered(10)
+    view = cluster.view(hosts[0])
+    assert view["dropped"]["not from its address"] > 100
+    assert view["dropped"]["nonsense"] > 100
+    assert {each["state"] for each in view["members"]} == {"alive"}
+    assert max(each["life"] for each in view["members"]) < 99999999999999
+    assert cluster.deaths() == []
+
+
+def test_a_host_that_shuts_down_leaves_and_its_lease_is_passed_on(make_cluster):
+    cluster = make_cluster(4).start()
+    hosts = cluster.names()
+    cluster.wait_for_agreement(hosts)
+    cluster.request_leases(hold_s=20.0)
+    cluster.wait_for_holds(1)
+    holder = cluster.resource.last_holder()
+    started = time.monotonic()
+    os.kill(cluster.fleet[holder].processes[-1].pid, signal.SIGTERM)
+    cluster.wait_for_holds(1)
+    print(f"the next holder obtained it after {time.monotonic() - started:.2f} s")
+    rest = [name for name in hosts if name != holder]
+    cluster.wait_for_agreement(rest, gone=[holder])
+    until(lambda: all(cluster.states(name)[holder] == "left" for name in rest), "that all know that it left")
+    stop_owners_and_check(cluster)
+
+
+def lapispick(*arguments):
+    command = [sys.executable, "-m", "lapispick", *arguments]
+    return subprocess.run(command, capture_output=True, text=True, timeout=60, cwd=ROOT)
+
+
+def start_lapispick(*arguments, **options):
+    return subprocess.Popen([sys.executable, "-m", "lapispick", *arguments], cwd=ROOT, **options)
+
+
+def test_the_commands_show_the_view_and_hold_a_lease_for_a_command(make_cluster, tmp_path):
+    cluster = make_cluster(3).start()
+    hosts = cluster.names()
+    cluster.wait_for_agreement(hosts)
+    ops = [cluster.fleet[name].processes[-1].ops for name in hosts]
+    shown = lapispick("members", "show", "--at", ops[0])
+    assert shown.returncode == 0
+    assert "sees 3 of 3" in shown.stdout
+    assert hosts[2] in shown.stdout
     until(
         lambda: [
             f
-            for f in json.loads(tool("members", "show", "--json", "--at", ops[0]).stdout)["facts"]
-            if (f[0], f[3]) == (all_[1], "load")
+            for f in json.loads(lapispick("members", "show", "--json", "--at", ops[0]).stdout)["facts"]
+            if (f[0], f[3]) == (hosts[1], "load")
         ],
-        "what another box says of itself",
+        "a fact that another host published",
     )
-    talk.fleet[all_[2]].kill()
-    talk.agree(all_[:2], gone=[all_[2]])
-    why = tool("members", "why", all_[2], "--at", ops[0])
-    assert "is dead" in why.stdout and ("no answer" in why.stdout or "says so" in why.stdout)
-    assert tool("members", "why", "nobody", "--at", ops[0]).returncode == 1
+    cluster.fleet[hosts[2]].kill()
+    cluster.wait_for_agreement(hosts[:2], gone=[hosts[2]])
+    why = lapispick("members", "why", hosts[2], "--at", ops[0])
+    assert "is dead" in why.stdout
+    assert "no answer" in why.stdout or "says so" in why.stdout
+    assert lapispick("members", "why", "nobody", "--at", ops[0]).returncode == 1
     out = tmp_path / "out"
     script = f"echo $LAPISPICK_FENCE begins >> {out}; sleep 0.4; echo $LAPISPICK_FENCE ends >> {out}; exit 7"
     held = [
-        subprocess.Popen(
-            [sys.executable, "-m", "lapispick", "turns", "hold", "--at", at, "job", "--", "sh", "-c", script], cwd=ROOT
-        )
-        for at in ops[:2] * 2
+        start_lapispick("leases", "hold", "--at", address, "job", "--", "sh", "-c", script) for address in ops[:2] * 2
     ]
     assert [each.wait(60) for each in held] == [7] * 4
     lines = [line.split() for line in out.read_text().splitlines()]
     assert [word for _, word in lines] == ["begins", "ends"] * 4  # one after the other
-    fences = [int(fence) for fence, _ in lines]
-    assert fences == sorted(fences) and len(set(fences)) == 4
-    assert tool("turns", "list", "--at", ops[0]).returncode == 0
-    assert tool("turns", "hold", "--at", ops[0], "nothing", "--", "true").returncode == 2
-
-
-def test_a_command_under_a_turn_is_ended_before_the_lease_is_lost(talking, tmp_path):
-    talk = talking(3).start()
-    all_ = names(talk)
-    talk.agree(all_)
+    tokens = [int(token) for token, _ in lines]
+    assert tokens == sorted(tokens)
+    assert len(set(tokens)) == 4
+    assert lapispick("leases", "list", "--at", ops[0]).returncode == 0
+    assert lapispick("turns", "list", "--at", ops[0]).returncode == 0  # the command's former name
+    assert lapispick("leases", "hold", "--at", ops[0], "nothing", "--", "true").returncode == 2
+
+
+def test_a_command_is_ended_before_its_lease_expires(make_cluster, tmp_path):
+    cluster = make_cluster(3).start()
+    hosts = cluster.names()
+    cluster.wait_for_agreement(hosts)
     out = tmp_path / "out"
-    held = subprocess.Popen(
-        [
-            sys.executable,
-            "-m",
-            "lapispick",
-            "turns",
-            "hold",
-            "--at",
-            talk.fleet[all_[0]].processes[-1].ops,
-            "job",
-            "--",
-            "sh",
-            "-c",
-            f"echo $LAPISPICK_FENCE > {out}; exec sleep 60",
-        ],
-        cwd=ROOT,
-        stderr=subprocess.PIPE,
-    )
+    ops = cluster.fleet[hosts[0]].processes[-1].ops
+    script = f"echo $LAPISPICK_FENCE > {out}; exec sleep 60"
+    held = start_lapispick("leases", "hold", "--at", ops, "job", "--", "sh", "-c", script, stderr=subprocess.PIPE)
     until(lambda: out.exists() and out.read_text().strip(), "the command's start")
-    talk.fleet.part([all_[0]], all_[1:])  # the holder is cut off from the majority
-    began = time.monotonic()
-    assert held.wait(30) == 1 and b"was lost while the command ran" in held.stderr.read()
-    assert time.monotonic() - began < 1.5 + 0.5  # the lease
-    talk.want(names=all_[1:])
-    talk.turned(1)
-    assert talk.resource.acts[0][2] > int(out.read_text())
-    talk.close()
-    talk.kept()
-
-
-def test_what_a_slow_store_does_to_several_is_known_to_all(talking):
-    talk = talking(3, rate=40.0).start()
-    all_ = names(talk)
-    talk.agree(all_)
-    talk.fleet.load()
-    talk.fleet.answered(150)  # some seconds of what is usual
-
-    def told():
-        return {fact[0]: fact[5] for fact in (talk.view(all_[0]) or {"facts": []})["facts"] if fact[3] == "store"}
-
-    until(lambda: set(told()) == set(all_), "a fact of each box")
-    assert max(told().values()) < 4.0
-    talk.fleet.store.slow = 200.0  # 0.4 s a call, far over what a busy machine makes of the usual
-    until(lambda: sum(value > 4.0 for value in told().values()) >= 2, "that two say so")
-    talk.fleet.store.slow = 1.0
-    until(lambda: max(told().values()) < 3.0, "that it is over")
-    assert talk.fleet.broken_rules() == []
-
-
-def test_members_that_share_one_busy_core_are_not_dead_at_the_times_of_service(talking):
-    talk = talking(
+    cluster.fleet.part([hosts[0]], hosts[1:])  # the holder is cut off from the majority
+    started = time.monotonic()
+    assert held.wait(30) == 1
+    assert b"was lost while the command ran" in held.stderr.read()
+    assert time.monotonic() - started < 1.5 + 0.5  # the lease
+    cluster.request_leases(names=hosts[1:])
+    cluster.wait_for_holds(1)
+    assert cluster.resource.accepted[0].fencing_token > int(out.read_text())
+    stop_owners_and_check(cluster)
+
+
+def test_a_slow_store_is_reported_to_all_members(make_cluster):
+    cluster = make_cluster(3, rate=40.0).start()
+    hosts = cluster.names()
+    cluster.wait_for_agreement(hosts)
+    cluster.fleet.load()
+    cluster.fleet.answered(150)  # some seconds of the usual latency
+
+    def latency_ratios():
+        view = cluster.view(hosts[0]) or {"facts": []}
+        return {author: value for author, _, _, kind, _, value, *_ in view["facts"] if kind == "store"}
+
+    until(lambda: set(latency_ratios()) == set(hosts), "a fact of each host")
+    assert max(latency_ratios().values()) < 4.0
+    cluster.fleet.store.slow = 200.0  # 0.4 s a call, far more than a busy machine adds to the usual latency
+    until(lambda: sum(ratio > 4.0 for ratio in latency_ratios().values()) >= 2, "that two hosts report it")
+    cluster.fleet.store.slow = 1.0
+    until(lambda: max(latency_ratios().values()) < 3.0, "that it is over")
+    assert cluster.fleet.broken_rules() == []
+
+
+def test_members_on_one_busy_core_are_not_dead_with_service_settings(make_cluster):
+    cluster = make_cluster(
         3,
-        told=QUICK.replace("period 200ms", "period 1s")
-        .replace("timeout 80ms", "timeout 300ms")
-        .replace("suspicion 4", "suspicion 5"),
+        settings=SERVICE_SETTINGS,
     ).start()
-    all_ = names(talk)
-    talk.agree(all_)
+    hosts = cluster.names()
+    cluster.wait_for_agreement(hosts)
     core = min(os.sched_getaffinity(0))
-    for name in all_[:2]:
-        os.sched_setaffinity(talk.fleet[name].processes[-1].pid, {core})
-    busy = [
+    for name in hosts[:2]:
+        os.sched_setaffinity(cluster.fleet[name].processes[-1].pid, {core})
+    busy_processes = [
         subprocess.Popen(
             [
                 sys.executable,
@@ -492,11 +455,11 @@
         for _ in range(3)
     ]
     try:
-        for each in busy:
+        for each in busy_processes:
             each.wait(30)
-        talk.agree(all_)
-        assert talk.deaths() == []
+        cluster.wait_for_agreement(hosts)
+        assert cluster.deaths() == []
     finally:
-        for each in busy:
+        for each in busy_processes:
             each.kill()
             each.wait()
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Members and turns, the decisions alone: named properties by seeds, on the model's clock."""
+"""Membership, leases and facts without I/O: properties in seeded simulations, and single rules."""
 
 import json
 import random
@@ -11,68 +11,89 @@
 from lapispick.conf.settings import Inventory
 from lapispick.conf.settings import Members as Settings
 from lapispick.fleet.snapshot import EMPTY, Difference
-from lapispick.host.members import Members
+from lapispick.host.members.reports import LoggedChange
+from lapispick.host.members.service import MembersService
 from lapispick.host.scheduler import Loop
 from lapispick.members import messages
-from lapispick.members.member import Bounds, Node
-from lapispick.members.membership_view import State
-from lapispick.members.stores import Store
-from lapispick.model import properties, script
-from lapispick.model.world import World, members
+from lapispick.members.member import Member, MemberSettings
+from lapispick.members.membership_view import MemberState
+from lapispick.members.store_latency import StoreLatency
+from lapispick.model import fault_script
+from lapispick.model.cluster import SimulatedCluster, host_names, member_factory
+from lapispick.model.properties import FORMER_NAMES, PROPERTIES, check
 
-LONG = {"one_holder": 24, "lists_change": 6, "no_false_death": 4, "converge": 4, "bounded": 1, "one_owner": 4}
+DEFAULT_SEEDS = 3
+SEEDS_PER_TEST = 4
+SEEDS = {
+    "single_holder": 24,
+    "reconfiguration": 6,
+    "no_false_deaths": 4,
+    "convergence_after_partition": 4,
+    "bounded_tables": 1,
+    "owners_share_no_slot": 4,
+}
 
 
-@pytest.mark.parametrize(
-    "name,seeds",
-    [
-        (name, range(at, min(at + 4, LONG.get(name, 3))))
-        for name in properties.ALL
-        for at in range(0, LONG.get(name, 3), 4)
-    ],
-)
-def test_what_must_hold_does(name, seeds):
-    assert properties.check([name], seeds) == []
+def seed_ranges():
+    for name in PROPERTIES:
+        count = SEEDS.get(name, DEFAULT_SEEDS)
+        for first in range(0, count, SEEDS_PER_TEST):
+            yield name, range(first, min(first + SEEDS_PER_TEST, count))
+
+
+def make_member(name, names, slot_counts=None):
+    return Member(name, "f", 1, names, "l", slot_counts or {}, MemberSettings(), random.Random(name), 0.0)
 
 
-def test_a_run_of_the_model_is_the_same_again_word_by_word():
+@pytest.mark.parametrize(("name", "seeds"), list(seed_ranges()))
+def test_property_holds(name, seeds):
+    assert check([name], seeds) == []
+
+
+def test_every_seed_count_names_a_property():
+    assert set(SEEDS) <= set(PROPERTIES)
+    assert set(FORMER_NAMES.values()) == set(PROPERTIES)
+
+
+def test_a_simulation_repeats_message_by_message():
     found = []
     for _ in range(2):
-        world = World(
-            7,
-            20,
-            members([f"disp-{n:04}" for n in range(1, 21)]),
-            script.parse("5s kill 20% for 20s\n8s part disp-0001,disp-0002 for 10s"),
-            loss=0.1,
-        )
-        world.run(40.0)
-        found.append((world.sent, world.bytes, [(at, by, change) for at, by, change in world.changes]))
-    assert found[0] == found[1] and found[0][2]
-
-
-def test_a_box_that_leaves_is_left_and_not_dead():
+        script = fault_script.parse("5s kill 20% for 20s\n8s part disp-0001,disp-0002 for 10s")
+        cluster = SimulatedCluster(7, 20, member_factory(host_names(20)), script, loss=0.1)
+        cluster.run(40.0)
+        found.append((cluster.sent_messages, cluster.sent_bytes, cluster.changes))
+    assert found[0] == found[1]
+    assert found[0][2]
+
+
+def test_a_member_that_leaves_is_left_and_not_dead():
     names = ["a", "b", "c"]
-    nodes = {n: Node(n, "f", 1, names, "l", {}, Bounds(), random.Random(n), 0.0) for n in names}
-    for send in nodes["a"].view.leave():
-        nodes[send.to].take(1.0, messages.decode(messages.encode(send.word)))
-    assert nodes["b"].view.state("a") is State.LEFT and nodes["b"].view.seen() == 2
-    assert nodes["b"].changes()[-1].cause == "a says so"
+    members = {name: make_member(name, names) for name in names}
+    for outgoing in members["a"].leave():
+        members[outgoing.to].receive(1.0, messages.decode(messages.encode(outgoing.message)))
+    view = members["b"].view
+    assert view.state_of("a") is MemberState.LEFT
+    assert view.live_count() == 2
+    assert members["b"].take_changes()[-1].cause == "a says so"
 
 
-def test_a_whole_view_tells_a_newcomer_all_that_is_held():
+def test_a_state_sync_tells_a_new_member_everything():
     names = [f"m{n}" for n in range(30)]
-    one, new = (Node(n, "f", 1, names, "l", {}, Bounds(), random.Random(n), 0.0) for n in ("m0", "m29"))
+    old = make_member("m0", names)
+    new = make_member("m29", names)
     for n in range(1, 20):
-        one.view.heard(1.0, messages.Rumour(f"m{n}", "dead", 0, 3), "m5")
-    one.say(1.0, "store", "10.0.0.9:80", 4.0, 20)
-    whole = messages.decode(messages.encode(one.whole(2.0)))
-    assert new.merge(2.0, whole) and new.view.seen() == one.view.seen() == 11
-    assert new.signals.weighed(2.0, "store", "10.0.0.9:80").value == 4.0
-    assert not new.merge(3.0, messages.Whole("other", "m0", 1, 0))
+        old.view.receive(1.0, messages.GossipUpdate(f"m{n}", "dead", 0, 3), "m5")
+    old.publish_fact(1.0, "store", "10.0.0.9:80", 4.0, 20)
+    message = messages.decode(messages.encode(old.state_sync(2.0)))
+    assert new.merge_state(2.0, message)
+    assert old.view.live_count() == 11
+    assert new.view.live_count() == 11
+    assert new.facts.weighted_mean(2.0, "store", "10.0.0.9:80").value == 4.0
+    assert not new.merge_state(3.0, messages.StateSync("other", "m0", 1, 0))
 
 
 @pytest.mark.parametrize(
-    "text,what",
+    ("text", "error"),
     [
         ("10s fly all", "line 1: fly is none of"),
         ("x stop all", "line 1: 'x' is not a span"),
@@ -81,49 +102,59 @@
         ("1s", "line 1"),
     ],
 )
-def test_a_faulty_script_names_its_line(text, what):
-    with pytest.raises(ValueError, match=what):
-        script.parse(text)
-
-
-def test_the_models_commands(tmp_path):
-    (tmp_path / "s").write_text("5s kill 20% for 100s\n")
-    runner, rows = CliRunner(), tmp_path / "rows.json"
-    done = runner.invoke(
-        cli,
-        ["model", "run", "--size", "10", "--seconds", "40", "--want", "3", "--json", "--script", str(tmp_path / "s")],
-    )
-    found = json.loads(done.output)
-    assert (found["killed"], found["noticed"], found["false_deaths"], found["overlaps"]) == (2, 2, 0, 0)
-    assert found["turns"] > 5
+def test_an_invalid_fault_script_names_its_line(text, error):
+    with pytest.raises(ValueError, match=error):
+        fault_script.parse(text)
+
+
+def test_the_commands_of_the_simulation(tmp_path):
+    script = tmp_path / "script"
+    script.write_text("5s kill 20% for 100s\n")
+    rows = tmp_path / "rows.json"
+    plot = tmp_path / "plot.png"
+    runner = CliRunner()
+    options = ["--size", "10", "--seconds", "40", "--want", "3", "--json", "--script", str(script)]
+    metrics = json.loads(runner.invoke(cli, ["model", "run", *options]).output)
+    assert metrics["killed"] == 2
+    assert metrics["noticed"] == 2
+    assert metrics["false_deaths"] == 0
+    assert metrics["overlaps"] == 0
+    assert metrics["turns"] > 5
     done = runner.invoke(cli, ["model", "sweep", "--sizes", "5,12", "--seconds", "5", "--save", str(rows)])
-    assert done.exit_code == 0 and len(json.loads(rows.read_text())) == 2, done.output
-    assert runner.invoke(cli, ["model", "plot", str(rows), str(tmp_path / "a.png")]).exit_code == 0
-    assert (tmp_path / "a.png").read_bytes()[:4] == b"\x89PNG"
-    assert runner.invoke(cli, ["model", "check", "--seeds", "2", "refutes", "leases_end"]).exit_code == 0
+    assert done.exit_code == 0, done.output
+    assert len(json.loads(rows.read_text())) == 2
+    assert runner.invoke(cli, ["model", "plot", str(rows), str(plot)]).exit_code == 0
+    assert plot.read_bytes()[:4] == b"\x89PNG"
+    assert runner.invoke(cli, ["model", "check", "--seeds", "2", "refutation", "lease_expiry"]).exit_code == 0
+    former_names = runner.invoke(cli, ["model", "check", "--seeds", "2", "refutes", "leases_end"])
+    assert former_names.exit_code == 0
     assert runner.invoke(cli, ["model", "check", "nothing"]).exit_code == 2
-    (tmp_path / "s").write_text("5s fly all\n")
-    assert runner.invoke(cli, ["model", "run", "--script", str(tmp_path / "s")]).exit_code == 2
+    script.write_text("5s fly all\n")
+    assert runner.invoke(cli, ["model", "run", "--script", str(script)]).exit_code == 2
 
 
-def test_what_is_kept_of_boxes_goes_with_them():
-    peer = Members(Loop(), Settings(listen="127.0.0.1:9300"), Inventory(), "a", 1, lambda: (), 1 << 16)
-    peer._rates["gone"], peer._why["gone"] = (1, 1), deque([(1.0, "left", "")])
-    peer._listed(EMPTY, Difference())
-    assert not peer._rates and not peer._why
+def test_what_is_kept_of_a_member_is_dropped_when_the_list_names_it_no_more():
+    settings = Settings(listen="127.0.0.1:9300")
+    service = MembersService(Loop(), settings, Inventory(), "a", 1, lambda: (), 1 << 16)
+    service.transport.limiter.allows("gone", 1.0)
+    service.local.changes["gone"] = deque([LoggedChange(1.0, "left", "")])
+    service.directory.accept(EMPTY, Difference())
+    assert len(service.transport.limiter) == 0
+    assert not service.local.changes
 
 
-def test_a_store_is_slow_beside_its_usual_self_and_a_lost_call_counts_as_long():
-    store = Store()
-    assert store.fact(0.0) is None
+def test_the_relative_latency_of_a_store_counts_failed_calls_as_slow():
+    store = StoreLatency()
+    assert store.relative_latency(0.0) is None
     for n in range(100):
-        store.took(n * 0.1, 20.0, True)
-    value, count = store.fact(10.0)
-    assert value == 1.0 and 20 < count < 50
+        store.record_call(n * 0.1, 20.0, True)
+    usual = store.relative_latency(10.0)
+    assert usual.ratio == 1.0
+    assert 20 < usual.sample_count < 50
     for n in range(20):
-        store.took(10.0 + n * 0.1, 0.5, n % 2 == 0)  # refused at once is no quick answer
-    assert store.fact(12.0)[0] > 1.5
+        store.record_call(10.0 + n * 0.1, 0.5, n % 2 == 0)  # an error at once is no quick answer
+    assert store.relative_latency(12.0).ratio > 1.5
     for n in range(60):
-        store.took(12.0 + n * 0.1, 200.0, True)
-    assert store.fact(18.0)[0] > 2.0
-    assert store.fact(1000.0) is None
+        store.record_call(12.0 + n * 0.1, 200.0, True)
+    assert store.relative_latency(18.0).ratio > 2.0
+    assert store.relative_latency(1000.0) is None
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -51,9 +51,11 @@
 def test_every_word_between_members_of_version_1_is_read():
     lines = (SPOKEN / "members-1.jsonl").read_bytes().splitlines()
     found = {type(word): word for word in map(members.decode, lines)}
-    assert set(found) == set(members.ANY.__args__)  # a new kind of word needs a sample, and perhaps a version
-    assert found[members.Claims].claim.ballot == (7, "disp-01") and found[members.Votes].vote.highest == 8
-    assert found[members.Ack].rumours[0].by == "disp-03" and found[members.Probe].facts[0].age == 1.25
+    assert set(found) == set(members.AnyMessage.__args__)  # a new kind of word needs a sample, and perhaps a version
+    assert found[members.LeaseProposalMessage].proposal.ballot == (7, "disp-01")
+    assert found[members.LeaseVoteMessage].vote.highest_ballot_number == 8
+    assert found[members.Ack].updates[0].witness == "disp-03"
+    assert found[members.Probe].facts[0].age_s == 1.25
     for line in lines:  # a field of a later version is left alone
         assert members.decode(json.dumps({**json.loads(line), "later": [1]}).encode()) == members.decode(line)
 
