--- a/benchmarks/detectors.py
+++ b/benchmarks/detectors.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from lapispick.members.failure_detector import Outgoing
-from lapispick.members.membership_view import MemberState, StateChange
+from lapispick.members.member_state import MemberState, StateChange
 
 HEARTBEAT = b'{"say":"beat","fleet":"model","sender":"disp-0001","life":1}'  # as long as a message without gossip
 
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -20,7 +20,7 @@
 from benchmarks import members_herd
 from benchmarks.detectors import HeartbeatDetector, PhiAccrualDetector
 from lapispick.members.member import MemberSettings
-from lapispick.members.membership_view import SwimSettings
+from lapispick.members.suspicion import SwimSettings
 from lapispick.model import runs
 from lapispick.model.cluster import MemberFactory, SimulatedCluster, host_names, member_factory
 from lapispick.model.fault_script import FaultKind, FaultStep
--- a/benchmarks/members_herd.py
+++ b/benchmarks/members_herd.py
@@ -9,7 +9,8 @@
 
 from lapispick import jitter
 from lapispick.members.failure_detector import FailureDetector
-from lapispick.members.membership_view import MembershipView, SwimSettings
+from lapispick.members.membership_view import MembershipView
+from lapispick.members.suspicion import SwimSettings
 from lapispick.model.cluster import SimulatedCluster, host_names, member_factory
 
 HOSTS = 200
--- a/benchmarks/members_mutants.py
+++ b/benchmarks/members_mutants.py
@@ -101,8 +101,8 @@
     ),
     Mutant(
         "no suspicion before death",
-        "membership_view.py",
-        "return max(shortest, longest - (longest - shortest) * confirmed) * (1 + self.health.score / 2)",
+        "suspicion.py",
+        "return max(shortest, longest - (longest - shortest) * confirmed) * (1 + health.score / 2)",
         "return 0.2",
         "no_false_deaths",
     ),
@@ -280,7 +280,7 @@
     ),
     Mutant(
         "ballot numbers start again",
-        "lease_manager.py",
+        "lease_slots.py",
         "epoch * BALLOTS_PER_EPOCH",
         "0",
         "fencing_tokens_survive_restart",
@@ -301,8 +301,8 @@
     ),
     Mutant(
         "a silent owner's slot is free at its own member",
-        "lease_manager.py",
-        "self._abandoned_until[proposer.slot] = proposer.expires_at",
+        "lease_slots.py",
+        "self._abandoned_until[slot] = expires_at",
         "pass",
         "abandoned_lease_expires",
     ),
@@ -316,7 +316,7 @@
     Mutant(
         "any slot is voted for",
         "lease_manager.py",
-        "or not self._is_slot(proposal.slot):",
+        "or not self.slots.exists(proposal.slot):",
         ":",
         "bounded_tables",
     ),
--- a/lapispick/host/members/local_member.py
+++ b/lapispick/host/members/local_member.py
@@ -15,7 +15,7 @@
 from lapispick.host.members.settings import member_settings, slot_counts
 from lapispick.members.lease_manager import LeaseEvent, LeaseEventKind
 from lapispick.members.member import Member
-from lapispick.members.membership_view import STATE_NAMES, StateChange
+from lapispick.members.member_state import STATE_NAMES, StateChange
 
 LOG = "members"
 MAX_CHANGES_KEPT = 8  # of each member
--- a/lapispick/host/members/operator_calls.py
+++ b/lapispick/host/members/operator_calls.py
@@ -11,7 +11,7 @@
 from lapispick.host.members.reports import ChangesInfo, LeaseInfo, MemberInfo, ViewInfo
 from lapispick.host.members.transport import DatagramTransport, TransportCounters
 from lapispick.members.member import Member
-from lapispick.members.membership_view import STATE_NAMES, MemberState
+from lapispick.members.member_state import STATE_NAMES, MemberState
 
 MAX_LISTED = 300  # members and facts in one answer
 MAX_PRIORITY_DIGITS = 2
@@ -61,7 +61,7 @@
             return ["ERR a priority is a number from 0 to 99"]
         status = member.leases.request(time.monotonic(), lease, owner, int(priority))
         if status is None:
-            return [f"ERR no turn {lease}, or too many are wanted; there are {', '.join(member.leases.slot_counts)}"]
+            return [f"ERR no turn {lease}, or too many are wanted; there are {', '.join(member.leases.slots.counts)}"]
         if status.fencing_token:
             return [f"OK held {status.slot} {status.fencing_token} {status.remaining_s:.3f}"]
         return [f"OK waiting {status.slot} {'yes' if member.view.has_quorum() else 'no-majority'}"]
--- a/lapispick/host/members/settings.py
+++ b/lapispick/host/members/settings.py
@@ -5,7 +5,7 @@
 from lapispick.conf.settings import Members as Settings
 from lapispick.members.leases import LeaseSettings
 from lapispick.members.member import MemberSettings
-from lapispick.members.membership_view import SwimSettings
+from lapispick.members.suspicion import SwimSettings
 
 MIN_EPOCH_ADOPTION_S = 10.0
 EPOCH_ADOPTION_PERIODS = 10
--- a/lapispick/members/failure_detector.py
+++ b/lapispick/members/failure_detector.py
@@ -20,7 +20,8 @@
 
 import msgspec
 
-from lapispick.members.membership_view import STATE_NAMES, MembershipView, MemberState, RejectReason
+from lapispick.members.member_state import STATE_NAMES, MemberState
+from lapispick.members.membership_view import MembershipView, RejectReason
 from lapispick.members.messages import MAX_UPDATES, Ack, GossipUpdate, Message, Probe, ProbeRequest
 
 PAUSE_RATIO = 1.5  # probe intervals between two ticks that mean the process was paused
--- a/lapispick/members/lease_manager.py
+++ b/lapispick/members/lease_manager.py
@@ -15,13 +15,11 @@
 from lapispick.members.configurations import Configurations
 from lapispick.members.failure_detector import FailureDetector, Outgoing, RandomSource
 from lapispick.members.lease_proposer import LeaseProposer
+from lapispick.members.lease_slots import LeaseSlots
 from lapispick.members.lease_voter import LeaseVoter
 from lapispick.members.leases import LeaseProposal, LeaseRelease, LeaseSettings, LeaseVote
 from lapispick.members.messages import LeaseProposalMessage, LeaseReleaseMessage, LeaseVoteMessage, Message
 
-BALLOTS_PER_EPOCH = 1000  # epochs are at least a second apart, and proposals hardly less
-MAX_SLOT_DIGITS = 5
-
 
 class LeaseEventKind(enum.StrEnum):
     """What happened to a lease."""
@@ -80,16 +78,14 @@
     ) -> None:
         self.voter = voter
         self.configurations = configurations
-        self.slot_counts = dict(slot_counts)
         self.settings = settings
+        self.slots = LeaseSlots(detector.view, configurations, slot_counts, settings)
         self._view = detector.view
         self._build = detector.build
         self._owner_timeout_s = owner_timeout_s
         self._max_requests = max_requests
         self._rng = rng
         self._requests: dict[tuple[str, str], _Request] = {}  # by lease and owner
-        self._highest_ballots: dict[str, int] = {}  # by slot
-        self._abandoned_until: dict[str, float] = {}  # by slot: a silent owner may act under it for so long
         self._events: list[LeaseEvent] = []
 
     def __len__(self) -> int:
@@ -115,11 +111,11 @@
         return LeaseStatus(lease, proposer.slot, proposer.fencing_token, proposer.expires_at - now, owner)
 
     def _add_request(self, now: float, lease: str, owner: str, priority: int) -> _Request | None:
-        slot_count = self.slot_counts.get(lease, 0)
+        slot_count = self.slots.count(lease)
         if not slot_count or len(self._requests) >= self._max_requests or self._view.replaced:
             return None
         slot_index = int(self._rng.random() * slot_count) if slot_count > 1 else 0
-        proposer = self._proposer(lease, slot_index, priority)
+        proposer = self.slots.new_proposer(lease, slot_index, priority)
         request = _Request(lease, owner, priority, now, now, slot_count, slot_index, proposer)
         self._requests[lease, owner] = request
         return request
@@ -186,8 +182,8 @@
         if not proposer.fencing_token:
             return self._withdraw(now, request, LeaseEventKind.ABANDONED)
         self._record(LeaseEventKind.ABANDONED, request, proposer.fencing_token, proposer.expires_at)
-        self._highest_ballots[proposer.slot] = proposer.highest_ballot_number
-        self._abandoned_until[proposer.slot] = proposer.expires_at
+        self.slots.retire(proposer)
+        self.slots.abandon(proposer.slot, proposer.expires_at)
         return []
 
     def lose_all(self, now: float) -> None:
@@ -199,13 +195,6 @@
 
     # Slots.
 
-    def _proposer(self, lease: str, slot_index: int, priority: int) -> LeaseProposer:
-        slot = f"{lease}/{slot_index}"
-        # Epochs grow with time, so fencing tokens increase even after all voters lost their state.
-        epoch = self._view.process_epoch
-        highest = max(self._highest_ballots.get(slot, 0), epoch * BALLOTS_PER_EPOCH)
-        return LeaseProposer(self._view.name, epoch, slot, self.settings, self.configurations, priority, highest)
-
     def _may_propose(self, now: float, request: _Request) -> bool:
         """Tell whether a request may propose now; it is moved to a slot that no other request here uses.
 
@@ -215,11 +204,7 @@
         if any(not other.proposer.fencing_token and _is_older(other, request) for other in others):
             return False
         used = {other.slot_index for other in others if other.proposer.fencing_token}
-        used |= {
-            index
-            for index in range(request.slot_count)
-            if self._abandoned_until.get(f"{request.lease}/{index}", now) > now
-        }
+        used |= self.slots.abandoned(request.lease, now)
         if request.slot_index not in used:
             return True
         free = [index for index in range(request.slot_count) if index not in used]
@@ -228,17 +213,11 @@
         return bool(free)
 
     def _use_slot(self, request: _Request, slot_index: int) -> None:
-        self._highest_ballots[request.proposer.slot] = request.proposer.highest_ballot_number
+        self.slots.retire(request.proposer)
         request.slot_index = slot_index
-        request.proposer = self._proposer(request.lease, slot_index, request.priority)
+        request.proposer = self.slots.new_proposer(request.lease, slot_index, request.priority)
         request.proposer.set_waiting_since(request.since)
 
-    def _is_slot(self, slot: str) -> bool:
-        """Tell whether a slot exists; keeps the voter's tables bounded."""
-        lease, _, index = slot.partition("/")
-        is_index = index.isdecimal() and len(index) <= MAX_SLOT_DIGITS
-        return is_index and int(index) < self.slot_counts.get(lease, 0)
-
     # Messages.
 
     def receive(self, now: float, message: Message) -> list[Outgoing]:
@@ -255,7 +234,7 @@
         proposal = message.proposal
         if proposal is None or proposal.ballot.proposer != message.sender:
             return []
-        if proposal.process_epoch != message.process_epoch or not self._is_slot(proposal.slot):
+        if proposal.process_epoch != message.process_epoch or not self.slots.exists(proposal.slot):
             return []
         vote = self.voter.vote(now, proposal)
         return [Outgoing(message.sender, self._build(LeaseVoteMessage, message.sender, vote=vote))]
@@ -286,7 +265,7 @@
         if proposer.fencing_token:
             self._record(kind, request, proposer.fencing_token, now)
         release = proposer.release()
-        self._highest_ballots[proposer.slot] = proposer.highest_ballot_number
+        self.slots.retire(proposer)
         return [] if release is None else self._send_to_voters(now, release)
 
     def _send_to_voters(self, now: float, content: LeaseProposal | LeaseRelease) -> list[Outgoing]:
--- a/lapispick/members/member.py
+++ b/lapispick/members/member.py
@@ -16,8 +16,10 @@
 from lapispick.members.lease_manager import LeaseManager
 from lapispick.members.lease_voter import LeaseVoter
 from lapispick.members.leases import LeaseSettings
-from lapispick.members.membership_view import MembershipView, StateChange, SwimSettings
+from lapispick.members.member_state import StateChange
+from lapispick.members.membership_view import MembershipView
 from lapispick.members.messages import Fact, Message, StateSync
+from lapispick.members.suspicion import SwimSettings
 
 MAX_FACTS_ACCEPTED = 8  # of one message
 FACT_EXPIRY_CHECKS = 10  # within the expiry of a fact
--- a/lapispick/members/membership_view.py
+++ b/lapispick/members/membership_view.py
@@ -19,26 +19,18 @@
 
 import enum
 from collections.abc import Iterable
-from math import log, log10
-from typing import NamedTuple
-
-import msgspec
 
 from lapispick.members.gossip_queue import GossipQueue
+from lapispick.members.member_state import (
+    STATE_NAMES,
+    STATES_BY_NAME,
+    UNKNOWN_MEMBER,
+    MemberRecord,
+    MemberState,
+    StateChange,
+)
 from lapispick.members.messages import MAX_EPOCH, GossipUpdate, Message
-
-
-class MemberState(enum.IntEnum):
-    """What is believed of a member; of one incarnation the higher state supersedes the lower."""
-
-    ALIVE = 0
-    SUSPECT = 1
-    DEAD = 2
-    LEFT = 3
-
-
-STATE_NAMES = {state: state.name.lower() for state in MemberState}  # as they are sent
-STATES_BY_NAME = {name: state for state, name in STATE_NAMES.items()}
+from lapispick.members.suspicion import LocalHealth, SwimSettings, suspicion_timeout
 
 
 class RejectReason(enum.StrEnum):
@@ -50,74 +42,6 @@
     INVALID_EPOCH = "of the future"
 
 
-class SwimSettings(msgspec.Struct, frozen=True):
-    """Settings of the failure detector and the gossip. Times in seconds."""
-
-    probe_interval_s: float = 1.0
-    probe_timeout_s: float = 0.3  # for a direct answer; indirect probes follow
-    indirect_probes: int = 3
-    suspicion_factor: float = 5.0  # times log10 of the cluster size, at least 1, times the probe interval
-    max_suspicion_ratio: float = 6.0  # of the timeout without confirmations to the shortest one
-    max_confirmations: int = 3  # that shorten a suspicion
-    max_health_multiplier: int = 8  # of timeouts
-    return_window_s: float = 120.0  # a member that was dead for no longer is reported as returned
-    retransmit_factor: float = 4.0  # times log10 of the cluster size: transmissions of an update
-    epoch_adoption_s: float = 10.0  # after the start, in which a process may take an epoch later than a known one
-
-
-class StateChange(NamedTuple):
-    """A member changed its state. ``returned``: it was dead, or had left, for a short time only."""
-
-    name: str
-    state: MemberState
-    returned: bool = False
-    cause: str = ""
-
-
-class MemberRecord(msgspec.Struct):
-    """What is believed of one member. ``since`` is when ``state`` began; ``witnesses`` got no answer themselves."""
-
-    state: MemberState
-    incarnation: int
-    process_epoch: int
-    since: float
-    witnesses: frozenset[str] = frozenset()
-    died_at: float = -1e9
-
-    @property
-    def version(self) -> tuple[int, int, MemberState]:
-        """Return what orders reports: the higher one supersedes the lower."""
-        return self.process_epoch, self.incarnation, self.state
-
-    def as_update(self, name: str) -> GossipUpdate:
-        """Return the report of this record."""
-        return GossipUpdate(name, STATE_NAMES[self.state], self.incarnation, self.process_epoch)
-
-
-UNKNOWN_MEMBER = MemberRecord(MemberState.ALIVE, 0, 0, 0.0)  # of which nothing was heard; counts as alive
-
-
-class LocalHealth:
-    """The local health score of Lifeguard: 0 is healthy. A slow member multiplies its timeouts by ``multiplier``."""
-
-    def __init__(self, max_multiplier: int) -> None:
-        self._max_score = max_multiplier - 1
-        self.score = 0
-
-    @property
-    def multiplier(self) -> int:
-        """Return the factor of probe timeouts."""
-        return 1 + self.score
-
-    def improve(self) -> None:
-        """Count a probe that was answered in time."""
-        self.score = max(0, self.score - 1)
-
-    def degrade(self) -> None:
-        """Count an unanswered probe, a refutation of this member's own, or a pause of its process."""
-        self.score = min(self._max_score, self.score + 1)
-
-
 class MembershipView:
     """One member's view of the cluster. ``replaced``: another process has this member's name."""
 
@@ -321,7 +245,8 @@
         for name in sorted(self._suspects):
             record = self.records[name]
             age = now - record.since
-            if age >= self._suspicion_timeout(record):
+            timeout = suspicion_timeout(self.settings, self.size(), len(record.witnesses), self.health)
+            if age >= timeout:
                 cause = f"no answer and no word for {age:.1f} s; {len(record.witnesses)} got none"
                 state = STATE_NAMES[MemberState.DEAD]
                 self.apply(now, GossipUpdate(name, state, record.incarnation, record.process_epoch), cause)
@@ -330,11 +255,3 @@
         """Do not count a pause of this process as silence of others."""
         for name in self._not_alive:
             self.records[name].since += pause_s
-
-    def _suspicion_timeout(self, record: MemberRecord) -> float:
-        """Return the timeout: shorter with each confirmation, longer the worse this member's own health is."""
-        settings = self.settings
-        shortest = settings.suspicion_factor * max(1.0, log10(self.size())) * settings.probe_interval_s
-        longest = shortest * settings.max_suspicion_ratio
-        confirmed = min(1.0, log(len(record.witnesses) + 1) / log(settings.max_confirmations + 1))
-        return max(shortest, longest - (longest - shortest) * confirmed) * (1 + self.health.score / 2)
--- a/lapispick/members/messages.py
+++ b/lapispick/members/messages.py
@@ -26,7 +26,7 @@
 class GossipUpdate(msgspec.Struct, frozen=True, array_like=True):
     """What somebody reports of a member's state in one incarnation of one process epoch.
 
-    ``state`` is a name of ``membership_view.STATES_BY_NAME``; later versions may send others, which are ignored.
+    ``state`` is a name of ``member_state.STATES_BY_NAME``; later versions may send others, which are ignored.
     ``witness`` names the member whose own probe went unanswered; it is empty when a suspicion is only forwarded.
     """
 
--- a/lapispick/model/cluster.py
+++ b/lapispick/model/cluster.py
@@ -16,7 +16,7 @@
 from lapispick.members import messages
 from lapispick.members.failure_detector import Outgoing
 from lapispick.members.member import Member, MemberSettings
-from lapispick.members.membership_view import MemberState, StateChange
+from lapispick.members.member_state import MemberState, StateChange
 from lapispick.model.fault_script import FaultKind, FaultStep
 
 FLEET = "model"
--- a/lapispick/model/properties/base.py
+++ b/lapispick/model/properties/base.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from lapispick.members.membership_view import MemberState
+from lapispick.members.member_state import MemberState
 from lapispick.model.cluster import SimulatedCluster
 
 Property = Callable[[int], None]
--- a/lapispick/model/properties/membership_rules.py
+++ b/lapispick/model/properties/membership_rules.py
@@ -10,8 +10,10 @@
 from lapispick.members.failure_detector import FailureDetector
 from lapispick.members.leases import Ballot, LeaseProposal
 from lapispick.members.member import Member, MemberSettings
-from lapispick.members.membership_view import MembershipView, MemberState, SwimSettings
+from lapispick.members.member_state import MemberState
+from lapispick.members.membership_view import MembershipView
 from lapispick.members.messages import MAX_EPOCH, Fact, GossipUpdate, LeaseProposalMessage, Probe, ProbeRequest
+from lapispick.members.suspicion import SwimSettings
 from lapispick.model.cluster import CONFIGURATION_DIGEST
 from lapispick.model.properties.base import LEASE, Property, require
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -16,7 +16,7 @@
 from lapispick.host.scheduler import Loop
 from lapispick.members import messages
 from lapispick.members.member import Member, MemberSettings
-from lapispick.members.membership_view import MemberState
+from lapispick.members.member_state import MemberState
 from lapispick.members.store_latency import StoreLatency
 from lapispick.model import fault_script
 from lapispick.model.cluster import SimulatedCluster, host_names, member_factory
