--- a/lapispick/cli/leases.py
+++ b/lapispick/cli/leases.py
@@ -24,6 +24,10 @@
 SIGNAL_EXIT_STATUS = 128  # plus the signal's number, as in a shell
 
 
+# Named as in earlier versions; it is given by position.
+LEASE_ARGUMENT = click.argument("turn", metavar="LEASE")
+
+
 @click.group()
 def leases() -> None:
     """List named leases of the cluster, hold one while a command runs, release one."""
@@ -52,30 +56,30 @@
 
 @leases.command()
 @AT
-@click.argument("lease")
-def show(at: str | None, lease: str) -> None:
+@LEASE_ARGUMENT
+def show(at: str | None, turn: str) -> None:
     """Show who holds a lease, as far as a host's vote tells. Ends with 1 where nobody does."""
     found = [
         each
         for each in fetch(located(at), "turns", list[LeaseInfo])
-        if each.slot.split("/")[0] == lease and (each.granted_to or each.fencing_token)
+        if each.slot.split("/")[0] == turn and (each.granted_to or each.fencing_token)
     ]
     for each in found:
         holder = each.granted_to or f"this host, for {each.owner}"
         say(f"{each.slot}: {holder}, fencing token {each.fencing_token}, expires in {each.remaining_s:.1f} s")
     if not found:
-        say(f"nobody holds {lease}, as far as this host's vote tells")
+        say(f"nobody holds {turn}, as far as this host's vote tells")
         sys.exit(DIFFERS)
 
 
 @leases.command()
 @AT
-@click.argument("lease")
+@LEASE_ARGUMENT
 @click.argument("owner")
-def release(at: str | None, lease: str, owner: str) -> None:
+def release(at: str | None, turn: str, owner: str) -> None:
     """Release a lease that an owner at a host holds or waits for; from then on its fencing token is outdated."""
     try:
-        lines = call(located(at), f"done {lease} {owner}")
+        lines = call(located(at), f"done {turn} {owner}")
     except NoAnswer as err:
         complain(str(err))
         sys.exit(NO_STATE)
@@ -87,16 +91,16 @@
 @AT
 @click.option("--wait", default=600.0, show_default=True, help="Longest time to wait for the lease, in seconds.")
 @click.option("--priority", default=0, show_default=True, help="0 to 99; waiting compensates for it with time.")
-@click.argument("lease")
+@LEASE_ARGUMENT
 @click.argument("command", nargs=-1, required=True, type=click.UNPROCESSED)
-def hold(at: str | None, wait: float, priority: int, lease: str, command: tuple[str, ...]) -> None:
+def hold(at: str | None, wait: float, priority: int, turn: str, command: tuple[str, ...]) -> None:
     """Run a command while the host holds a lease, as in: lapispick leases hold compact -- vacuum-everything.
 
     The command finds its fencing token in LAPISPICK_FENCE. If the lease is lost meanwhile (the host was paused, or cut
     off from the majority), the command is ended before another host can obtain the lease. Ends with the command's own
     status; with 1 where the lease was not obtained in time or was lost.
     """
-    sys.exit(_LeaseHolder(located(at), lease, priority, command).run(wait))
+    sys.exit(_LeaseHolder(located(at), turn, priority, command).run(wait))
 
 
 class _LeaseHolder:
