--- a/benchmarks/members_mutants.py
+++ b/benchmarks/members_mutants.py
@@ -90,7 +90,7 @@
         "failure_detector.py",
         "if include_record or record.state is not MemberState.ALIVE:",
         "if include_record:",
-        "refutation",
+        "convergence_after_partition",
     ),
     Mutant(
         "no indirect probes",
