--- a/lapispick/model/fault_script.py
+++ b/lapispick/model/fault_script.py
@@ -22,6 +22,8 @@
 ALL_HOSTS = "all"
 DEFAULT_SPAN_S = 1.0
 SYNTAX = "AT KIND HOSTS [for SPAN] [VALUE]"
+REQUIRED_WORDS = 3
+SPAN_KEYWORD = "for"
 
 
 class FaultKind(enum.StrEnum):
@@ -74,21 +76,19 @@
             continue
         try:
             steps.append(_parse_step(words))
-        except IndexError:
-            raise FaultScriptError(number, f"{line.strip()!r} is not complete") from None
         except ValueError as err:
-            incomplete = "unpack" in str(err)
-            reason = f"{line.strip()!r} is not complete" if incomplete else str(err)
-            raise FaultScriptError(number, reason) from None
+            raise FaultScriptError(number, str(err)) from None
     return sorted(steps)
 
 
 def _parse_step(words: list[str]) -> FaultStep:
+    if len(words) < REQUIRED_WORDS or words[-1] == SPAN_KEYWORD:
+        raise ValueError(f"{' '.join(words)!r} is not complete")
     at, kind, hosts, *rest = words
     if kind not in tuple(FaultKind):
         raise ValueError(f"{kind} is none of {', '.join(FaultKind)}")
     span = DEFAULT_SPAN_S
-    if rest[:1] == ["for"]:
+    if rest[:1] == [SPAN_KEYWORD]:
         span = value_types.span(rest[1])
         rest = rest[2:]
     takes_value = kind in KINDS_WITH_VALUE
--- a/lapispick/model/runs.py
+++ b/lapispick/model/runs.py
@@ -109,11 +109,10 @@
         if name in killed and at >= killed[name] and observer not in killed:
             first_detections.setdefault(name, at - killed[name])
             last_detections[name] = at - killed[name]
-    member_seconds = run.size * run.seconds
     return RunMetrics(
         size=run.size,
-        messages_per_member_s=cluster.sent_messages / member_seconds,
-        bytes_per_member_s=cluster.sent_bytes / member_seconds,
+        messages_per_member_s=cluster.sent_messages / run.size / run.seconds,
+        bytes_per_member_s=cluster.sent_bytes / run.size / run.seconds,
         killed=len(killed),
         detected=len(first_detections),
         mean_first_detection_s=_mean(first_detections),
