--- a/lapispick/host/members/store_watch.py
+++ b/lapispick/host/members/store_watch.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from lapispick.admission import Outcome
-from lapispick.host import core
+from lapispick.host.events import CallCompleted
 from lapispick.members.store_latency import RelativeLatency, StoreLatency
 
 
@@ -20,8 +20,8 @@
 
     def post(self, event: Any) -> None:
         """Take an event of the store client."""
-        if isinstance(event, core.CallOver):
-            self._latency.record_call(time.monotonic(), event.took, event.outcome is Outcome.OK)
+        if isinstance(event, CallCompleted):
+            self._latency.record_call(time.monotonic(), event.duration_ms, event.outcome is Outcome.OK)
         self._post(event)
 
     def relative_latency(self) -> RelativeLatency | None:
