--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -11,7 +11,7 @@
 
 from lapispick.fakes.agents import HOST_STARTED, LOG_DEBUG_SETTINGS, METRICS_SETTINGS, HostAgent
 from lapispick.fakes.fleet import Fleet
-from lapispick.fakes.member_cluster import Talk
+from lapispick.fakes.member_cluster import MemberCluster
 from lapispick.fakes.peers import until
 from lapispick.fakes.ports import call_operators
 from lapispick.fakes.program_patches import (
@@ -318,14 +318,14 @@
 def test_boxes_that_nobody_confirmed_go_back_one_after_the_other_by_a_turn(tmp_path):
     """Cut off from a controller all their times are over at once; each waits for its turn, and serves meanwhile."""
     with Fleet(tmp_path, seed=5, hosts=3, gateways=2, rate=25) as fleet:
-        talk = Talk(fleet)
+        cluster = MemberCluster(fleet)
         made = {}
         for box in fleet.hosts:
             agent = HostAgent(box)
             agent.settings_file.write_text(
                 agent.settings_file.read_text().replace("end\n", " turn job\n turn-wait 30s\nend\n")
             )
-            own = talk.conf[box.name].read_text() + METRICS_SETTINGS
+            own = cluster.config_files[box.name].read_text() + METRICS_SETTINGS
             made[box.name] = (
                 agent,
                 agent.add(settings=own, label="good"),
--- a/tests/test_stored_samples.py
+++ b/tests/test_stored_samples.py
@@ -22,7 +22,7 @@
 from lapispick.fleet import messages as inventory_messages
 from lapispick.handover import messages as handover_messages
 from lapispick.host import config as host_config
-from lapispick.host import members as host_members
+from lapispick.host.members import reports as member_reports
 from lapispick.members import leases
 from lapispick.members import messages as member_messages
 from lapispick.rollout import host_state as agent_state
@@ -75,14 +75,14 @@
     "generation.json": json_codec(Generation),
     "rollout-course.json": json_codec(rollout_state.RolloutState),
     "host-config.json": json_codec(host_config.Config),
-    "members-turns.jsonl": json_codec(host_members.Turn),
+    "members-turns.jsonl": json_codec(member_reports.LeaseInfo),
     "trace-writer-begin.json": json_codec(trace_writer.Begin),
 }
 
 # Sample -> all kinds of messages that it must hold.
 UNIONS = {
     "handover.jsonl": handover_messages.AnyMessage,
-    "members.jsonl": member_messages.ANY,
+    "members.jsonl": member_messages.AnyMessage,
     "inventory-to-helper.jsonl": inventory_messages.ToHelper,
     "inventory-from-helper.jsonl": inventory_messages.FromHelper,
     "agent-calls.txt": agent_calls.Call,
@@ -91,16 +91,19 @@
 # Values that are written as arrays: concept -> (class, attributes in the order of the array, sample).
 ARRAYS = {
     "member state": (
-        member_messages.Rumour,
-        ("name", "state", "incarnation", "life", "by"),
+        member_messages.GossipUpdate,
+        ("name", "state", "incarnation", "process_epoch", "witness"),
         ["disp-02", "suspect", 3, 1764575000, "disp-03"],
     ),
     "member fact": (
         member_messages.Fact,
-        ("author", "life", "number", "kind", "subject", "value", "count", "age", "health", "text"),
+        (
+            *("author", "process_epoch", "sequence", "kind", "subject", "value", "sample_count", "age_s"),
+            *("author_health", "text"),
+        ),
         ["disp-01", 1764576000, 4, "store", "10.0.0.9:80", 2.5, 17, 1.25, 1, "slow"],
     ),
-    "ballot": (leases.Ballot, ("number", "name"), [7, "disp-01"]),
+    "ballot": (leases.Ballot, ("number", "proposer"), [7, "disp-01"]),
     "learned": (
         LearnedEstimates,
         (
