--- a/lapispick/fakes/script.py
+++ b/lapispick/fakes/script.py
@@ -1,8 +1,8 @@
 """Seeded scripts of faults for the fleet rig: what breaks, between whom, when, and what ends it.
 
 A step begins at a time or when a named point is passed (a line of a log), lasts for a span, and is undone. The same
-seed gives the same script. Every step notes its fault in the account, so that the checker excuses what it touched and
-nothing else.
+seed gives the same script. Every step notes its fault in the fleet record, so that the checker excuses what it touched
+and nothing else.
 """
 
 import contextlib
