--- a/benchmarks/plainfold.py
+++ b/benchmarks/plainfold.py
@@ -44,7 +44,7 @@
                 if first is None and subject and (first := subjects.get(subject)) and first.until <= now:
                     first = None
                 if first is None:
-                    first = _Request(*source.classes[event.cls], now - event.age)
+                    first = _Request(*source.classes[event.cls], now - event.age_ms)
                     requests.append(first)
                     if subject:
                         subjects[subject] = first
@@ -56,7 +56,7 @@
             elif kind is admission.ClientCancelled:
                 open_.discard((box, event.id))
             elif kind is admission.RunCompleted and event.outcome <= admission.Outcome.OK and (found := live(event.id)):
-                runs.setdefault(found.name, []).append(event.took)
+                runs.setdefault(found.name, []).append(event.duration_ms)
         for note in step.notes:
             if type(note) is Arrival and (found := live(note.id)):
                 found.account = found.account or note.account
--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -121,7 +121,7 @@
                     (now + rng.uniform(3, 40), count, "called" if kind is admission.StartCall else "end", action.id),
                 )
             elif kind is admission.SetTimer and now < start + minutes * 60_000 + 10_000:
-                heappush(due, (now + action.after, count, "timer", action.token))
+                heappush(due, (now + action.delay_ms, count, "timer", action.token))
             elif kind in (admission.Reject, admission.Fail) and (one := tries.pop(action.id, None)):
                 notes.append(Answered(action.id, "refused" if kind is admission.Reject else "failed", now - one.born))
                 if rng.random() < 0.2:
--- a/lapispick/admission/actions.py
+++ b/lapispick/admission/actions.py
@@ -24,7 +24,7 @@
     """Final answer: turned away, never ran."""
 
     id: int
-    retry_after: float
+    retry_after_ms: float
     no_retry: bool
     reason: str = ""  # the bound that it met, for those who look; no caller is told
 
@@ -39,7 +39,7 @@
     """Make the call that a request waits for."""
 
     id: int
-    timeout: float
+    timeout_ms: float
 
 
 class SkipCall(NamedTuple):
@@ -55,10 +55,10 @@
 
 
 class RetainKey(NamedTuple):
-    """Put a request in the table of keys for a span."""
+    """Put a request in the table of keys for this long."""
 
     id: int
-    span: float
+    retention_ms: float
 
 
 class ReleaseKey(NamedTuple):
@@ -68,16 +68,16 @@
 
 
 class SetHealth(NamedTuple):
-    """Answer health checks so from now on; from store: without work for each check."""
+    """Answer health checks so from now on; cached: without work for each check."""
 
-    good: bool
-    from_store: bool
+    healthy: bool
+    cached: bool
 
 
 class SetIdleTimeout(NamedTuple):
     """Close connections that carried nothing for this long; 0 = as late as can be."""
 
-    span: float
+    timeout_ms: float
 
 
 class Advertise(NamedTuple):
@@ -87,9 +87,9 @@
 
 
 class SetTimer(NamedTuple):
-    """Ask for a ``TimerFired`` after a span."""
+    """Ask for a ``TimerFired`` after a delay."""
 
-    after: float
+    delay_ms: float
     token: int
 
 
--- a/lapispick/admission/controller.py
+++ b/lapispick/admission/controller.py
@@ -576,8 +576,8 @@
         r.deadline_at = min(due - ANSWER_LEAD_MS, self.stop_at)
         self.entries[r.id] = r
         self.memory += r.kb
-        self.advert.note(r, e.age / cls.latency_objective_ms)
-        self.unread = e.age / cls.latency_objective_ms
+        self.advert.note(r, e.age_ms / cls.latency_objective_ms)
+        self.unread = e.age_ms / cls.latency_objective_ms
         self.links.note(now, r.caller)
         self._alarm(r)
         if e.retry_of and self._repeat(r, e.retry_of):
@@ -772,7 +772,7 @@
                 r.state, self.on_core = PAUSED, self.on_core - 1
             return
         if r.state != JOINED and e.outcome is Outcome.OK and not r.thinned:
-            self.limit.ended(self.est.learn(r, e.took))
+            self.limit.ended(self.est.learn(r, e.duration_ms))
         self.limit.troubled |= e.outcome is Outcome.ERROR
         if not r.answered:
             self._answered(r, shed=False)
@@ -873,7 +873,7 @@
         if r is None or r.state != CALLING:
             return
         self.calls.out -= 1
-        single = self.calls.ended(e.took, e.outcome, self.rng)
+        single = self.calls.ended(e.duration_ms, e.outcome, self.rng)
         r.in_call_ms += self.now - r.since
         if e.outcome is Outcome.OK:
             return self._resume(r)
@@ -909,7 +909,7 @@
 
     def _leave(self, e: ShutdownRequested) -> None:
         self.stop_at = e.stop_at - STOP_LEAD_MS
-        if not e.handed:
+        if not e.handed_over:
             self.leave_at = self.now
             self.out += [SetHealth(False, True), Log("drain: leaving, new requests are sent elsewhere")]
         for r in self.entries.values():
--- a/lapispick/admission/events.py
+++ b/lapispick/admission/events.py
@@ -46,7 +46,7 @@
     id: int
     deadline_at: float  # when the caller stops waiting; 0 = not told
     rank: float  # place in [0, 1) by priority weight, lowest first
-    age: float  # ms since it reached the machine
+    age_ms: float  # since it reached the machine
     retry_of: int  # the request that this one repeats; 0 = none
     cost: float  # expected work; 0 = no hint
     request_memory_kb: float  # while it is queued
@@ -65,7 +65,7 @@
 
     id: int
     outcome: Outcome
-    took: float
+    duration_ms: float
 
 
 class CallRequested(NamedTuple):
@@ -79,14 +79,14 @@
 
     id: int
     outcome: Outcome
-    took: float
+    duration_ms: float
 
 
 class ShutdownRequested(NamedTuple):
     """The server is to leave and is stopped at the given time."""
 
     stop_at: float
-    handed: bool = False  # another process of this server goes on: nothing that came is turned away for it
+    handed_over: bool = False  # another process of this server goes on: nothing that came is turned away for it
 
 
 class TimerFired(NamedTuple):
--- a/lapispick/admission/request_state.py
+++ b/lapispick/admission/request_state.py
@@ -35,7 +35,7 @@
 
     def __init__(self, e: RequestReceived, now: float) -> None:
         self.id, self.cls, self.caller = e.id, e.cls, e.caller
-        self.kb, self.cost, self.rank, self.arrived = e.request_memory_kb, e.cost, e.rank, now - e.age
+        self.kb, self.cost, self.rank, self.arrived = e.request_memory_kb, e.cost, e.rank, now - e.age_ms
         self.deadline_at = self.aim_at = self.worth = 0.0
         self.since = self.needed = self.call_ms = self.in_call_ms = 0.0  # since: its last call was made
         self.queue, self.queued_ms = -1, 0.0  # what it adds to its queue's work, so that the sum stays exact
--- a/lapispick/host/core.py
+++ b/lapispick/host/core.py
@@ -757,7 +757,7 @@
         if (task := self._tasks.get(action.id)) is not None:
             never_ran = not (task.running or task.claiming) and (task.key is None or task.key.ran != task.id)
             kind = REFUSED if never_ran else FAILED
-            self._answer(task, Answer(kind, None, action.retry_after, action.no_retry))
+            self._answer(task, Answer(kind, None, action.retry_after_ms, action.no_retry))
 
     def _fail(self, action: admission.Fail) -> None:
         if (task := self._tasks.get(action.id)) is not None:
@@ -771,7 +771,7 @@
         task.ticket = self.store.call(
             task.request.tag,
             task.wanted_body,
-            action.timeout or cls.deadline_ms,
+            action.timeout_ms or cls.deadline_ms,
             once=cls.idempotency is not admission.Idempotency.IDEMPOTENT,
         )
 
@@ -797,7 +797,7 @@
         if task is None or task.request.key is None:
             return
         r = task.request
-        task.key = self.table.hold(r.key, task.id, r.born, self._now + action.span, digest(r.handler, r.body))
+        task.key = self.table.hold(r.key, task.id, r.born, self._now + action.retention_ms, digest(r.handler, r.body))
 
     def _forget_key(self, action: admission.ReleaseKey) -> None:
         task = self._tasks.get(action.id)
@@ -806,18 +806,18 @@
             self.sharing.free(key)
 
     def _set_health(self, action: admission.SetHealth) -> None:
-        self.duty.well, self.from_store = action.good, action.from_store
+        self.duty.well, self.from_store = action.healthy, action.cached
         self.on_duty(self.duty.listed)
 
     def _limit_idle(self, action: admission.SetIdleTimeout) -> None:
         for front in self.fronts:
-            front.limit_idle(action.span or self.settings.idle_timeout_ms)
+            front.limit_idle(action.timeout_ms or self.settings.idle_timeout_ms)
 
     def _advertise(self, action: admission.Advertise) -> None:
         self.advice = action.value
 
     def _set_timer(self, action: admission.SetTimer) -> None:
-        self._loop.later(action.after / 1000, self.post, _TimerDue(action.token))
+        self._loop.later(action.delay_ms / 1000, self.post, _TimerDue(action.token))
 
     # Answers and what is kept.
 
--- a/lapispick/trace/aggregation.py
+++ b/lapispick/trace/aggregation.py
@@ -198,7 +198,7 @@
             if len(told) and not 0 <= int(told.min()) <= int(told.max()) < len(of):
                 raise ValueError("holds a request of a class that its header does not name")
             cls[here] = of[told]
-        first = self._roots.add(rows.count, born=now - rows.column("age"), cls=cls, tries=1)
+        first = self._roots.add(rows.count, born=now - rows.column("age_ms"), cls=cls, tries=1)
         for box, table in enumerate(self._tries):
             here = np.flatnonzero(boxes == box)
             rising = np.concatenate((table["id"][-1:], ids[here]))
@@ -295,7 +295,7 @@
         if rows.count:
             places, _ = self._found(rows)
             kept = (places >= 0) & (rows.column("outcome") <= int(admission.Outcome.OK))
-            self._spans(self._runs, places[kept], rows.column("took")[kept])
+            self._spans(self._runs, places[kept], rows.column("duration_ms")[kept])
         rows = block.rows(admission.SkipCall)
         if rows.count:
             places, _ = self._found(rows)
--- a/lapispick/trace/text_names.py
+++ b/lapispick/trace/text_names.py
@@ -30,9 +30,20 @@
 }
 _FIELD_NAMES: dict[tuple[type, str], str] = {
     (admission.RequestReceived, "deadline_at"): "due_at",
+    (admission.RequestReceived, "age_ms"): "age",
     (admission.RequestReceived, "retry_of"): "prior",
     (admission.RequestReceived, "request_memory_kb"): "held_kb",
+    (admission.RunCompleted, "duration_ms"): "took",
+    (admission.CallCompleted, "duration_ms"): "took",
+    (admission.ShutdownRequested, "handed_over"): "handed",
+    (admission.Reject, "retry_after_ms"): "retry_after",
     (admission.Reject, "reason"): "ground",
+    (admission.StartCall, "timeout_ms"): "timeout",
+    (admission.RetainKey, "retention_ms"): "span",
+    (admission.SetHealth, "healthy"): "good",
+    (admission.SetHealth, "cached"): "from_store",
+    (admission.SetIdleTimeout, "timeout_ms"): "span",
+    (admission.SetTimer, "delay_ms"): "after",
 }
 _OUTCOME_NAMES = {admission.Outcome.ABANDONED: "MOOT"}
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -83,7 +83,15 @@
     def request(self, cls=0, **over):
         self.next_id += 1
         base = dict(
-            id=self.next_id, deadline_at=0, rank=0.5, age=0, retry_of=0, cost=0, request_memory_kb=10, cls=cls, caller=0
+            id=self.next_id,
+            deadline_at=0,
+            rank=0.5,
+            age_ms=0,
+            retry_of=0,
+            cost=0,
+            request_memory_kb=10,
+            cls=cls,
+            caller=0,
         )
         return admission.RequestReceived(**{**base, **over})
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -68,7 +68,7 @@
 def test_requests_that_lay_unread_raise_the_level(rig):
     r = rig(cores=4)
     for i in range(40):  # one at a time: the hold stays empty, but reading is behind
-        q = r.request(deadline_at=r.now + 3000, age=600, rank=(i * 7 % 10) / 10)
+        q = r.request(deadline_at=r.now + 3000, age_ms=600, rank=(i * 7 % 10) / 10)
         r.step(q)
         r.step(RunCompleted(q.id, Outcome.OK, 20), at=r.now + 20)
         r.tick(100)
@@ -108,7 +108,7 @@
 def test_refusals_carry_a_retry_after_of_a_mean_hold(rig):
     r = rig(cores=1)
     r.step(*[r.request(deadline_at=3000) for _ in range(40)])
-    assert r.of(Reject) and all(120 <= a.retry_after <= 180 for a in r.of(Reject))
+    assert r.of(Reject) and all(120 <= a.retry_after_ms <= 180 for a in r.of(Reject))
 
 
 def test_slow_calls_shrink_the_calls_in_hand(rig):
@@ -156,7 +156,7 @@
 def test_a_read_whose_reply_is_lost_calls_once_more_and_is_not_waited_for_long(rig):
     r = rig(call_quota=5, cores=10)
     last = call_days(r, [(50, Outcome.OK)] * 9 + [(60, Outcome.ERROR)], SKIPS)
-    assert [type(a) for a in last] == [StartCall] and last[0].timeout == pytest.approx(400)
+    assert [type(a) for a in last] == [StartCall] and last[0].timeout_ms == pytest.approx(400)
     r.step(*[r.request(SKIPS, deadline_at=r.now + 3900)])
     r.step(CallRequested(r.next_id), at=r.now + 5)
     for expected in (StartCall, SkipCall):
@@ -268,7 +268,7 @@
 
 def test_sheds_with_nothing_out_leave_a_credit(rig):
     r = rig(backpressure_signal=admission.BackpressureSignal.CREDIT, callers=100)
-    r.step(r.request(deadline_at=1, age=900), at=2.0)
+    r.step(r.request(deadline_at=1, age_ms=900), at=2.0)
     assert r.of(Reject)
     r.tick(500)
     assert r.of(Advertise) and all(a.value > 0 for a in r.of(Advertise))
@@ -285,10 +285,10 @@
 def test_idle_connections_stay_where_callers_return_and_go_where_they_do_not(rig):
     few = rig()
     serve_each(few, callers=5)
-    assert few.of(SetIdleTimeout)[-1].span == few.settings.idle_timeout_ms
+    assert few.of(SetIdleTimeout)[-1].timeout_ms == few.settings.idle_timeout_ms
     many = rig()
     serve_each(many, callers=120)
-    assert many.of(SetIdleTimeout)[-1].span < 0.1 * many.settings.idle_timeout_ms
+    assert many.of(SetIdleTimeout)[-1].timeout_ms < 0.1 * many.settings.idle_timeout_ms
     assert len(many.control.links.last) < 40  # callers of the last six seconds, however many there are
 
 
@@ -317,9 +317,9 @@
 
 def test_half_of_the_limit_runs_while_reading_is_behind(rig):
     r = rig(cores=4)
-    r.step(*[r.request(deadline_at=3900, age=400) for _ in range(6)], at=400.0)
+    r.step(*[r.request(deadline_at=3900, age_ms=400) for _ in range(6)], at=400.0)
     assert len(r.of(StartRun)) == 3
-    r.step(r.request(deadline_at=4300, age=5), at=440.0)
+    r.step(r.request(deadline_at=4300, age_ms=5), at=440.0)
     assert len(r.of(StartRun)) == 6
 
 
@@ -345,7 +345,7 @@
             r.step(CallCompleted(out[0], Outcome.TIMEOUT, out[1] - out[2]))
             out = None
         for a in r.of(StartCall)[began:]:
-            out = (a.id, r.now + a.timeout, r.now)
+            out = (a.id, r.now + a.timeout_ms, r.now)
             began += 1
         held.append(out is not None)
         if len(held) % 10 == 0:
--- a/tests/test_paused_runs.py
+++ b/tests/test_paused_runs.py
@@ -234,6 +234,6 @@
     r = rig(cancel_mode=CancelMode.PAUSE, cores=1)
     r.step(request := r.request())
     r.tick(2000)
-    r.step(late := r.request(age=900))
+    r.step(late := r.request(age_ms=900))
     r.tick(400)
     assert r.of(StartRun, request.id) and not r.of(CancelRun) and late.id
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -45,7 +45,7 @@
 
 def test_untold_due_time_counts_from_the_arrival(rig):
     r = rig(now=500.0)
-    q = r.request(age=500)
+    q = r.request(age_ms=500)
     r.step(q)
     r.tick(3500 - 41)
     assert not r.finals(q.id)
--- a/tests/test_shared_budget.py
+++ b/tests/test_shared_budget.py
@@ -22,7 +22,7 @@
 def test_the_other_processs_memory_counts_in_full(rig):
     full = rig(gauges=GAUGES, memory_kb=1000)
     assert started(full, 2, other_kb=900.0) == 0
-    assert full.of(admission.Reject)[0].retry_after > 0  # the second finds no room to be held
+    assert full.of(admission.Reject)[0].retry_after_ms > 0  # the second finds no room to be held
     assert started(rig(gauges=GAUGES, memory_kb=1000), 2) == 2
 
 
@@ -59,11 +59,11 @@
 
 def test_a_leave_that_is_handed_over_turns_nothing_away_and_answers_all_in_time(rig):
     r = rig(drain_grace_ms=500)
-    r.step(admission.ShutdownRequested(3000.0, handed=True))
+    r.step(admission.ShutdownRequested(3000.0, handed_over=True))
     r.tick(1000)
     late = r.request()
     r.step(late)
-    assert r.of(admission.StartRun, late.id) and not [a for a in r.of(admission.SetHealth) if not a.good]
+    assert r.of(admission.StartRun, late.id) and not [a for a in r.of(admission.SetHealth) if not a.healthy]
     r.tick(1990)
     assert r.finals(late.id)
     assert not [a for a in r.of(admission.Advertise) if a.value >= 1]
@@ -72,4 +72,4 @@
     left.tick(1000)
     late = left.request()
     left.step(late)
-    assert left.of(admission.Reject, late.id) and [a for a in left.of(admission.SetHealth) if not a.good]
+    assert left.of(admission.Reject, late.id) and [a for a in left.of(admission.SetHealth) if not a.healthy]
