--- a/lapispick/admission/actions.py
+++ b/lapispick/admission/actions.py
@@ -5,28 +5,40 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import NamedTuple
 
 
+class RejectReason(StrEnum):
+    """The bound that a rejected request met; the values are stored in traces."""
+
+    DRAIN = "drain"
+    LATE = "late"
+    LIMIT = "limit"
+    MEMORY = "memory"
+    PRICE = "price"
+    REPEAT = "repeat"  # a newer attempt of the same request took its place
+
+
 class StartRun(NamedTuple):
-    """Start a held request."""
+    """Start a queued request, or resume a paused one."""
 
     id: int
 
 
 class CancelRun(NamedTuple):
-    """Stop a running request."""
+    """Cancel a run; with ``CancelMode.PAUSE`` it keeps its work."""
 
     id: int
 
 
 class Reject(NamedTuple):
-    """Final answer: turned away, never ran."""
+    """Final answer: rejected, never ran."""
 
     id: int
     retry_after_ms: float
     no_retry: bool
-    reason: str = ""  # the bound that it met, for those who look; no caller is told
+    reason: str = ""  # a ``RejectReason``, for logs and traces; clients are not told
 
 
 class Fail(NamedTuple):
@@ -36,39 +48,39 @@
 
 
 class StartCall(NamedTuple):
-    """Make the call that a request waits for."""
+    """Make the downstream call that a request waits for."""
 
     id: int
     timeout_ms: float
 
 
 class SkipCall(NamedTuple):
-    """Go on without the call."""
+    """Let a request go on without its downstream call."""
 
     id: int
 
 
 class Coalesce(NamedTuple):
-    """Answer a held request with the result of the one it repeats."""
+    """Answer a queued request with the result of the one it repeats."""
 
     id: int
 
 
 class RetainKey(NamedTuple):
-    """Put a request in the table of keys for this long."""
+    """Retain the idempotency key of a request for this long."""
 
     id: int
     retention_ms: float
 
 
 class ReleaseKey(NamedTuple):
-    """Take a request's entry out of the table of keys."""
+    """Forget the idempotency key of a request that never ran."""
 
     id: int
 
 
 class SetHealth(NamedTuple):
-    """Answer health checks so from now on; cached: without work for each check."""
+    """Answer health checks so from now on; ``cached``: without work for each check."""
 
     healthy: bool
     cached: bool
--- /dev/null
+++ b/lapispick/admission/downstream_calls.py
@@ -0,0 +1,152 @@
+"""The downstream calls of running requests: made, waited for, repeated or skipped."""
+
+from __future__ import annotations
+
+from heapq import heappop, heappush
+
+from lapispick.admission.actions import SkipCall, StartCall
+from lapispick.admission.events import CallCompleted, CallRequested, Outcome
+from lapispick.admission.request_lifecycle import RequestLifecycle
+from lapispick.admission.request_state import CALLING, RUNNING, WAITING_FOR_CALL, TrackedRequest
+from lapispick.admission.run_pauser import RunPauser
+from lapispick.admission.server_state import ServerState
+from lapispick.admission.settings import Idempotency
+
+REMAINING_RUN_FRACTION = 0.3  # of a run's time on the cores; what is left of it after a call
+MIN_CALL_TIME_FRACTION = 0.5  # of the usual time that a call blocks its run; with less to spare it is skipped
+MAX_CALL_ATTEMPTS = 4  # for one need
+CALL_RETRY_DELAY_MS = 60.0
+MIN_CALL_TIMEOUT_MS = 0.1  # on the wire 0 stands for no timeout
+
+BOUND_NAME = "calls"  # in the log
+NEVER_RAN_OUTCOMES = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.ABANDONED)
+
+
+class DownstreamCalls:
+    """Makes the calls that requests need within the limit; requests that can go on without one are degraded."""
+
+    __slots__ = ("_degradable", "_lifecycle", "_pauser", "_state")
+
+    def __init__(self, state: ServerState, lifecycle: RequestLifecycle, pauser: RunPauser) -> None:
+        self._state = state
+        self._lifecycle = lifecycle
+        self._pauser = pauser
+        self._degradable = [settings.degraded_weight > 0 for settings in state.settings.classes]
+
+    def on_call_requested(self, event: CallRequested) -> None:
+        """Take a request that needs a call off the cores."""
+        state = self._state
+        request = state.requests.get(event.id)
+        if request is None or request.state is not RUNNING:
+            return
+        state.running -= 1
+        self._pauser.discard(request)
+        request.state = WAITING_FOR_CALL
+        request.call_attempts = 0
+        request.call_needed_at = state.now
+        self._proceed(request)
+
+    def on_call_completed(self, event: CallCompleted) -> None:
+        """Let a request go on with its reply, or decide what follows a failed call."""
+        state = self._state
+        request = state.requests.get(event.id)
+        if request is None or request.state is not CALLING:
+            return
+        state.downstream.in_flight -= 1
+        single_loss = state.downstream.record_call(event.duration_ms, event.outcome, state.generator)
+        request.call_ms += state.now - request.call_started_at
+        if event.outcome is Outcome.OK:
+            self._resume(request)
+            return
+        request.state = WAITING_FOR_CALL
+        if not request.answered:
+            self._recover(request, event.outcome, single_loss)
+
+    def retry_waiting(self) -> None:
+        """Make the calls that wait while there is capacity; those that can't be skipped go first."""
+        state = self._state
+        downstream = state.downstream
+        waiting = downstream.waiting
+        while waiting and waiting[0][0] <= state.now:
+            request = waiting[0][2]
+            if request.state is WAITING_FOR_CALL and not request.answered and not downstream.has_capacity():
+                break
+            heappop(waiting)
+            self._proceed(request)
+        degradable = downstream.degradable_waiting
+        while degradable and (
+            downstream.has_capacity() or not downstream.worth_waiting(degradable[0].call_needed_at, state.now)
+        ):
+            self._proceed(degradable.popleft())
+
+    def _proceed(self, request: TrackedRequest) -> None:
+        """Make the call of a request, skip it, or let it wait for capacity."""
+        if request.state is not WAITING_FOR_CALL or request.answered:
+            return
+        if self._degradable[request.cls]:
+            self._call_or_skip(request)
+            return
+        state = self._state
+        if state.downstream.has_capacity():
+            self._start_call(request, request.deadline_at - state.now)
+        else:
+            self._lifecycle.log_bound(BOUND_NAME)
+            heappush(state.downstream.waiting, (state.now, request.id, request))
+
+    def _call_or_skip(self, request: TrackedRequest) -> None:
+        """Make a call that can be skipped if it comes back in time."""
+        state = self._state
+        downstream = state.downstream
+        spare_ms = self._spare_ms(request)
+        if spare_ms < MIN_CALL_TIME_FRACTION * state.run_estimates.blocked_ms[request.cls]:
+            self._skip(request)
+        elif downstream.has_capacity():
+            self._start_call(request, min(spare_ms, downstream.skippable_call_timeout_ms()))
+        elif downstream.worth_waiting(request.call_needed_at, state.now):
+            downstream.degradable_waiting.append(request)
+        else:
+            self._skip(request)
+
+    def _spare_ms(self, request: TrackedRequest) -> float:
+        """Return how long a call may take before the rest of the run would end late."""
+        state = self._state
+        last_at = request.objective_at if state.now < request.objective_at else request.deadline_at
+        return last_at - state.now - REMAINING_RUN_FRACTION * state.run_estimates.core_time_ms(request)
+
+    def _start_call(self, request: TrackedRequest, timeout_ms: float) -> None:
+        if timeout_ms <= 0:
+            return  # its deadline has come
+        state = self._state
+        downstream = state.downstream
+        request.state = CALLING
+        request.call_started_at = state.now
+        request.call_attempts += 1
+        downstream.in_flight += 1
+        timeout_ms = round(min(timeout_ms, downstream.max_call_ms()), 1) or MIN_CALL_TIMEOUT_MS
+        state.actions.append(StartCall(request.id, timeout_ms))
+
+    def _skip(self, request: TrackedRequest) -> None:
+        self._state.actions.append(SkipCall(request.id))
+        self._resume(request)
+
+    def _resume(self, request: TrackedRequest) -> None:
+        """Put a request back on the cores."""
+        state = self._state
+        request.blocked_ms = request.blocked_ms + state.now - request.call_needed_at
+        request.state = RUNNING
+        state.running += 1
+
+    def _recover(self, request: TrackedRequest, outcome: Outcome, single_loss: bool) -> None:
+        """Repeat a failed call, skip it or fail its request: no call with an effect is made twice."""
+        state = self._state
+        settings = state.settings.classes[request.cls]
+        repeatable = outcome in NEVER_RAN_OUTCOMES or settings.idempotency is Idempotency.IDEMPOTENT
+        retries = repeatable and request.call_attempts < MAX_CALL_ATTEMPTS
+        if single_loss and retries and request.call_attempts == 1:
+            self._proceed(request)
+        elif settings.degraded_weight > 0 and not (retries and outcome is Outcome.CONNECT_FAILED):
+            self._skip(request)
+        elif retries:
+            heappush(state.downstream.waiting, (state.now + CALL_RETRY_DELAY_MS, request.id, request))
+        else:
+            self._lifecycle.fail(request)
--- /dev/null
+++ b/lapispick/admission/downstream_limit.py
@@ -0,0 +1,139 @@
+"""The adaptive limit of downstream calls in flight, and the times that calls take."""
+
+from __future__ import annotations
+
+import random
+from collections import deque
+from math import exp, inf
+
+from lapispick.admission.concurrency_limit import MIN_OWN_QUOTA_FRACTION
+from lapispick.admission.events import CallTimes, Outcome
+from lapispick.admission.request_state import TrackedRequest
+from lapispick.admission.settings import Settings
+
+MAX_LIMIT_FRACTION = 0.6  # of the quota; the rest is for calls that hang
+MIN_LIMIT_FRACTION = 0.2  # of the quota
+MAX_LATENCY_RATIO = 3.0  # recent over usual call time; above it the limit falls
+BACKOFF_RATIO = 0.95  # for a slow or failed call
+GROWTH_CALLS = 0.1  # for a call that ends while requests wait for one
+RECENT_SMOOTHING_FRACTION = 0.1  # weight of one call in the recent call time
+USUAL_SMOOTHING_FRACTION = 0.005  # weight of one call in the usual call time
+LOST_SMOOTHING_FRACTION = 0.05  # weight of one call in the fraction of lost replies
+MEAN_WINDOW_FRACTION = 0.25  # of the quota's window; over this the mean of calls in flight is kept
+MAX_CALL_FRACTION = 0.3  # of the quota times its window; a call that lasts longer is cancelled
+MAX_SINGLE_LOST_FRACTION = 0.25  # of the calls; fewer lost replies are no sign of an overloaded dependency
+MIN_LOST_FRACTION = 0.0005  # of the calls; with fewer lost replies no call is cancelled early
+CALL_TIMEOUT_RATIO = 8.0  # of the usual or recent call time, for calls that can be skipped
+MIN_CALL_TIMEOUT_MS = 60.0  # replies that a busy host reads late are still in time
+MAX_CAPACITY_WAIT_RATIO = 2.0  # of the usual call time
+MAX_BURST_LATENCY_RATIO = 1.5  # recent over usual call time; above it calls don't wait for capacity
+
+LOST_OUTCOMES = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET)
+
+
+class DownstreamLimit:
+    """Calls in flight; with a shared dependency, an adaptive limit well inside the quota of this server.
+
+    It protects a slow or overloaded dependency whatever the cause. A lasting step in the call time keeps the limit at
+    its minimum until the usual call time has followed.
+    """
+
+    __slots__ = (
+        "_lost_fraction",
+        "_mean_in_flight",
+        "_mean_window_ms",
+        "_settings",
+        "_updated_at",
+        "degradable_waiting",
+        "in_flight",
+        "limit",
+        "peer_calls",
+        "recent_ms",
+        "usual_ms",
+        "waiting",
+    )
+
+    def __init__(self, settings: Settings, now: float) -> None:
+        self._settings = settings
+        self._updated_at = now
+        self._mean_in_flight = 0.0
+        window_fraction = MEAN_WINDOW_FRACTION / min(1.0, settings.call_quota or 1.0)  # longer where one call is a lot
+        self._mean_window_ms = max(1.0, settings.call_quota_window_ms * window_fraction)
+        self._lost_fraction = 0.0
+        self.limit = settings.call_quota * MAX_LIMIT_FRACTION
+        self.in_flight = 0
+        self.peer_calls = 0.0  # of another process of this server
+        self.recent_ms = 0.0  # time of a call
+        self.usual_ms = 0.0
+        self.waiting: list[tuple[float, int, TrackedRequest]] = []  # heap of not before, id: those that need a call
+        self.degradable_waiting: deque[TrackedRequest] = deque()  # those that can go on without one
+
+    @property
+    def call_times(self) -> CallTimes:
+        """Return the usual and the recent time of a call."""
+        return CallTimes(self.usual_ms, self.recent_ms)
+
+    def advance(self, now: float) -> None:
+        """Carry the mean of calls in flight forward."""
+        remaining = exp(-(now - self._updated_at) / self._mean_window_ms)
+        self._mean_in_flight += (self.in_flight - self._mean_in_flight) * (1 - remaining)
+        self._updated_at = now
+
+    def record_call(self, duration_ms: float, outcome: Outcome, generator: random.Random) -> bool:
+        """Learn from a call; True where a single reply was lost, which is no sign of an overloaded dependency."""
+        quota = self._settings.call_quota
+        if outcome is Outcome.CONNECT_FAILED and 0 < quota < 1:
+            self._delay_next_call(generator)
+            return False
+        lost = outcome in LOST_OUTCOMES
+        self._lost_fraction += (lost - self._lost_fraction) * LOST_SMOOTHING_FRACTION
+        if lost and self._lost_fraction < MAX_SINGLE_LOST_FRACTION and quota >= 1:
+            return True
+        self.recent_ms += (duration_ms - self.recent_ms) * (RECENT_SMOOTHING_FRACTION if self.usual_ms else 1.0)
+        self.usual_ms += (duration_ms - self.usual_ms) * (USUAL_SMOOTHING_FRACTION if self.usual_ms else 1.0)
+        if duration_ms >= self.max_call_ms():
+            self.limit = 0.0  # down to the minimum
+        elif outcome is not Outcome.OK or self.recent_ms > MAX_LATENCY_RATIO * self.usual_ms:
+            self.limit *= BACKOFF_RATIO
+        elif self.waiting:
+            self.limit += GROWTH_CALLS
+        self.limit = min(quota * MAX_LIMIT_FRACTION, max(quota * MIN_LIMIT_FRACTION, self.limit))
+        return False
+
+    def _delay_next_call(self, generator: random.Random) -> None:
+        """Draw when the next call is free: the dependency is down for all servers.
+
+        With a quota under one call each, they must not all call in the instant of its return, so each counts its
+        quota as used. The limit stays: what it would regain at the first replies, all would use at one time.
+        """
+        spread = self._settings.call_quota * MAX_CALL_FRACTION / (MAX_LIMIT_FRACTION * MEAN_WINDOW_FRACTION)
+        self._mean_in_flight = max(self._mean_in_flight, self.limit * exp(generator.random() * spread))
+
+    def skippable_call_timeout_ms(self) -> float:
+        """Return how long a call that can be skipped is waited for: a reply that was lost never comes."""
+        if self._lost_fraction > MIN_LOST_FRACTION:
+            return max(MIN_CALL_TIMEOUT_MS, CALL_TIMEOUT_RATIO * max(self.usual_ms, self.recent_ms))
+        return inf
+
+    def worth_waiting(self, since: float, now: float) -> bool:
+        """Tell whether a call that can be skipped still waits for capacity: a burst ends as soon as its calls do.
+
+        Where calls are slower than usual the dependency is overloaded, and waiting only delays.
+        """
+        return (
+            self.recent_ms <= MAX_BURST_LATENCY_RATIO * self.usual_ms
+            and now - since < MAX_CAPACITY_WAIT_RATIO * self.usual_ms
+        )
+
+    def max_call_ms(self) -> float:
+        """Return how long a call may last: one that hangs would go far past a quota under one call."""
+        settings = self._settings
+        budget = MAX_CALL_FRACTION * settings.call_quota * settings.call_quota_window_ms
+        return budget / max(1, self.in_flight) or inf
+
+    def has_capacity(self) -> bool:
+        """Tell whether one more call stays within the limit; a fraction of a call is kept in the mean."""
+        if self._settings.call_quota <= 0:
+            return True
+        limit = max(MIN_OWN_QUOTA_FRACTION * self.limit, self.limit - self.peer_calls)
+        return self.in_flight < limit and self._mean_in_flight <= self.limit
--- a/lapispick/admission/events.py
+++ b/lapispick/admission/events.py
@@ -8,6 +8,8 @@
 from enum import IntEnum
 from typing import NamedTuple
 
+from lapispick.admission.shadow_prices import Prices
+
 
 class Outcome(IntEnum):
     """How a run or a downstream call ended."""
@@ -22,29 +24,36 @@
     ABANDONED = 7
 
 
+class CallTimes(NamedTuple):
+    """Moving averages of the time that a downstream call takes, in ms."""
+
+    usual_ms: float
+    recent_ms: float
+
+
 class LearnedEstimates(NamedTuple):
-    """What a server has learned of its runs, for a process that takes its place while it is young."""
-
-    cores: tuple[float, ...]  # ms by class, as are the next three
-    holds: tuple[float, ...]
-    calls: tuple[float, ...]
-    in_call: tuple[float, ...]
-    counts: tuple[int, ...]  # runs that these rest on
-    limit: float
-    call_times: tuple[float, float]  # usual and recent, ms
+    """What a server has learned of its runs, for a process that takes its place; sent and stored by position."""
+
+    core_ms: tuple[float, ...]  # mean times by class: on the cores,
+    run_ms: tuple[float, ...]  # in total,
+    blocked_ms: tuple[float, ...]  # from needing a call to going on,
+    call_ms: tuple[float, ...]  # with a call in flight
+    runs: tuple[int, ...]  # that these rest on, by class
+    concurrency_limit: float
+    call_times: CallTimes
     call_limit: float
-    prices: tuple[float, float]  # of hold and cost
-    frozen: bool  # the prices were learned
+    prices: Prices
+    prices_frozen: bool  # they were learned
 
 
-PEER_GAUGES = ("other_runs", "other_kb", "other_calls")  # gauges: what another process of this server has in hand
+PEER_GAUGES = ("other_runs", "other_kb", "other_calls")  # gauges: what another process of this server uses
 
 
 class RequestReceived(NamedTuple):
-    """A request was read and is now held; it is owed one final answer."""
+    """A request was read and is owed one final answer."""
 
     id: int
-    deadline_at: float  # when the caller stops waiting; 0 = not told
+    deadline_at: float  # when the client stops waiting; 0 = unknown
     rank: float  # place in [0, 1) by priority weight, lowest first
     age_ms: float  # since it reached the machine
     retry_of: int  # the request that this one repeats; 0 = none
@@ -61,7 +70,7 @@
 
 
 class RunCompleted(NamedTuple):
-    """A run or a join is over."""
+    """A run is over, or the run that a coalesced request waited for."""
 
     id: int
     outcome: Outcome
@@ -83,10 +92,10 @@
 
 
 class ShutdownRequested(NamedTuple):
-    """The server is to leave and is stopped at the given time."""
+    """The server is to drain and is stopped at the given time."""
 
     stop_at: float
-    handed_over: bool = False  # another process of this server goes on: nothing that came is turned away for it
+    handed_over: bool = False  # another process of this server goes on: nothing is rejected for the shutdown
 
 
 class TimerFired(NamedTuple):
--- /dev/null
+++ b/lapispick/admission/price_test.py
@@ -0,0 +1,81 @@
+"""The price test: a request's value against the shadow prices of the run time and cost that it takes."""
+
+from __future__ import annotations
+
+from math import inf
+
+from lapispick.admission.actions import Log
+from lapispick.admission.request_state import TrackedRequest
+from lapispick.admission.server_state import ServerState
+from lapispick.admission.shadow_prices import SampledRequest
+
+MAX_WAIT_FRACTION = 0.25  # of a request's spare time; at an expected wait of this the prices count in full
+
+
+class PriceTest:
+    """Admits under pressure what is worth its price; without work that waits it admits everything."""
+
+    __slots__ = ("_needs_call", "_state")
+
+    def __init__(self, state: ServerState) -> None:
+        self._state = state
+        # By queue: the requests of all other classes go on without a call where there is no capacity.
+        self._needs_call = [settings.degraded_weight <= 0 for settings in state.settings.classes] * 2
+
+    def admits(self, request: TrackedRequest) -> bool:
+        """Tell whether a request is worth its price; this counts as much as the expected wait presses."""
+        state = self._state
+        now = state.now
+        prices = state.shadow_prices
+        queue = state.queue.number_of(request, now)
+        wait_ms = self._expected_wait_ms(queue)
+        if wait_ms <= 0:
+            prices.end_pressure()
+            return True
+        late = queue >= state.queue.late_offset
+        value = request.value * (state.settings.classes[request.cls].late_weight if late else 1.0)
+        occupancy_ms = state.run_estimates.core_time_ms(request)
+        if not prices.frozen and not late:
+            self._sample(wait_ms, SampledRequest(request.cls, value, occupancy_ms, request.cost))
+        last_at = request.deadline_at if late else request.objective_at
+        spare_ms = last_at - now - state.run_estimates.expected_run_ms(request)
+        pressure = wait_ms / (MAX_WAIT_FRACTION * spare_ms) if spare_ms > 0 else inf
+        price = prices.occupancy_price * occupancy_ms + prices.cost_price * request.cost
+        admitted = pressure < 1 and value >= pressure * price  # behind a longer queue it would be answered too late
+        if admitted:
+            prices.admitted_cost += request.cost
+        return admitted
+
+    def _sample(self, wait_ms: float, request: SampledRequest) -> None:
+        """Add a request to the sample; not while the server warms up, as such prices would be wrong soon."""
+        state = self._state
+        if state.slow_start.speed_fraction(state.now) < 1:
+            return
+        state.shadow_prices.observe(state.now, wait_ms, request)
+        text = state.shadow_prices.learn(state.concurrency_limit.value)
+        if text is not None:
+            state.actions.append(Log(text))
+
+    def _expected_wait_ms(self, queue: int) -> float:
+        """Return how long the work before a newcomer to this queue takes the slots, or the calls if it needs one."""
+        state = self._state
+        estimates = state.run_estimates
+        needs_call = self._needs_call
+        queued_ms = state.queue.work_ms
+        late_offset = state.queue.late_offset
+        work_ms = 0.0
+        call_work_ms = 0.0
+        for number in state.queue.order:
+            if work := queued_ms[number]:
+                work_ms += work
+                if needs_call[number]:
+                    cls = number % late_offset
+                    call_work_ms += work * estimates.call_ms[cls] / max(1.0, estimates.core_ms[cls])
+            if number == queue:
+                break
+        wait_ms = work_ms / state.concurrency_limit.value
+        if state.settings.call_quota > 0 and needs_call[queue] and estimates.call_ms[queue % late_offset] > 0:
+            downstream = state.downstream
+            call_work_ms += len(downstream.waiting) * downstream.recent_ms
+            wait_ms = max(wait_ms, call_work_ms / downstream.limit)
+        return wait_ms
--- a/lapispick/admission/request_state.py
+++ b/lapispick/admission/request_state.py
@@ -2,42 +2,79 @@
 
 from __future__ import annotations
 
-from lapispick.admission import RequestReceived
+from enum import IntEnum
 
-HELD, RUNNING, CALLING, WANTS_CALL, PAUSED, JOINED, OVER = range(7)
+from lapispick.admission.events import RequestReceived
 
 
-class Entry:
-    """One request that this server has read."""
+class RequestState(IntEnum):
+    """What is happening to a request."""
+
+    QUEUED = 0
+    RUNNING = 1  # on the cores or at a disk
+    CALLING = 2  # its downstream call is in flight
+    WAITING_FOR_CALL = 3  # it can't go on without a call that is not made yet
+    PAUSED = 4  # taken off the cores; the work done is kept
+    COALESCED = 5  # waits for the result of another attempt of the same request
+    COMPLETED = 6
+
+
+# The members as globals: states are compared by identity several times an event.
+QUEUED = RequestState.QUEUED
+RUNNING = RequestState.RUNNING
+CALLING = RequestState.CALLING
+WAITING_FOR_CALL = RequestState.WAITING_FOR_CALL
+PAUSED = RequestState.PAUSED
+COALESCED = RequestState.COALESCED
+COMPLETED = RequestState.COMPLETED
+
+NOT_QUEUED = -1  # the queue number of a request that is in no queue
+
+
+class TrackedRequest:
+    """One request that this server has read. Times called ``*_at`` are clock times in ms."""
 
     __slots__ = (
-        "aim_at",
         "answered",
-        "arrived",
+        "arrived_at",
+        "blocked_ms",
+        "call_attempts",
         "call_ms",
+        "call_needed_at",
+        "call_started_at",
         "caller",
         "cls",
         "cost",
         "deadline_at",
         "id",
-        "in_call_ms",
-        "kb",
-        "needed",
+        "memory_kb",
+        "objective_at",
+        "pause_requested",
         "queue",
-        "queued_ms",
+        "queued_work_ms",
         "rank",
-        "since",
         "state",
-        "thinned",
-        "tries",
-        "worth",
+        "value",
     )
 
-    def __init__(self, e: RequestReceived, now: float) -> None:
-        self.id, self.cls, self.caller = e.id, e.cls, e.caller
-        self.kb, self.cost, self.rank, self.arrived = e.request_memory_kb, e.cost, e.rank, now - e.age_ms
-        self.deadline_at = self.aim_at = self.worth = 0.0
-        self.since = self.needed = self.call_ms = self.in_call_ms = 0.0  # since: its last call was made
-        self.queue, self.queued_ms = -1, 0.0  # what it adds to its queue's work, so that the sum stays exact
-        self.state, self.tries, self.answered = HELD, 0, False
-        self.thinned = False  # it was paused, or told to, so that the cores are less crowded
+    def __init__(self, event: RequestReceived, now: float) -> None:
+        self.id = event.id
+        self.cls = event.cls
+        self.caller = event.caller
+        self.memory_kb = event.request_memory_kb
+        self.cost = event.cost
+        self.rank = event.rank
+        self.arrived_at = now - event.age_ms
+        self.deadline_at = 0.0
+        self.objective_at = 0.0
+        self.value = 0.0
+        self.call_needed_at = 0.0
+        self.call_started_at = 0.0
+        self.blocked_ms = 0.0  # from needing a call to going on
+        self.call_ms = 0.0  # the part of it with a call in flight
+        self.queue = NOT_QUEUED
+        self.queued_work_ms = 0.0  # what it added to its queue's work, so that the same is taken off again
+        self.state = QUEUED
+        self.call_attempts = 0
+        self.answered = False
+        self.pause_requested = False  # the time of its run says nothing any more
--- /dev/null
+++ b/lapispick/admission/run_estimates.py
@@ -0,0 +1,53 @@
+"""Learned run times of each class."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from lapispick.admission.request_state import TrackedRequest
+from lapispick.admission.settings import ClassSettings
+
+MAX_AVERAGED_RUNS = 30  # the span of the moving average of a class
+INITIAL_RUN_FRACTION = 0.15  # of the latency objective; a class's run time until one was seen
+MAX_EXPECTED_FRACTION = 0.7  # of the latency objective; a request with more left is tried, however slow the last were
+
+
+class RunEstimates:
+    """Mean times by class in ms: on the cores (by unit of cost, if hinted), with downstream calls, and in total."""
+
+    __slots__ = ("_cost_ratio", "_cost_runs", "_max_expected_ms", "blocked_ms", "call_ms", "core_ms", "run_ms", "runs")
+
+    def __init__(self, classes: Sequence[ClassSettings]) -> None:
+        self.core_ms = [settings.latency_objective_ms * INITIAL_RUN_FRACTION for settings in classes]
+        self.run_ms = list(self.core_ms)
+        self.blocked_ms = [0.0] * len(classes)  # from needing a call to going on
+        self.call_ms = [0.0] * len(classes)  # the part of it with a call in flight
+        self.runs = [0] * len(classes)
+        self._max_expected_ms = [MAX_EXPECTED_FRACTION * settings.latency_objective_ms for settings in classes]
+        self._cost_ratio = 1.0  # ms on the cores by unit of cost
+        self._cost_runs = 0
+
+    def core_time_ms(self, request: TrackedRequest) -> float:
+        """Return the expected time on the cores and at the disk."""
+        return request.cost * self._cost_ratio if request.cost > 0 else self.core_ms[request.cls]
+
+    def expected_run_ms(self, request: TrackedRequest) -> float:
+        """Return the expected run time; bounded, as an estimate near the objective would reject its class for good."""
+        cls = request.cls
+        return min(self.core_time_ms(request) + self.blocked_ms[cls], self._max_expected_ms[cls])
+
+    def learn(self, request: TrackedRequest, duration_ms: float) -> float:
+        """Take in a finished run; return its time on the cores over what was expected."""
+        cls = request.cls
+        core_ms = max(0.0, duration_ms - request.blocked_ms)
+        latency_ratio = core_ms / max(1.0, self.core_time_ms(request))
+        runs = min(MAX_AVERAGED_RUNS, self.runs[cls] + 1)
+        self.runs[cls] = runs
+        self.core_ms[cls] += (core_ms - self.core_ms[cls]) / runs
+        self.run_ms[cls] += (duration_ms - self.run_ms[cls]) / runs
+        self.blocked_ms[cls] += (request.blocked_ms - self.blocked_ms[cls]) / runs
+        self.call_ms[cls] += (request.call_ms - self.call_ms[cls]) / runs
+        if request.cost > 0:
+            self._cost_runs = min(2 * MAX_AVERAGED_RUNS, self._cost_runs + 1)
+            self._cost_ratio += (core_ms / request.cost - self._cost_ratio) / self._cost_runs
+        return latency_ratio
--- a/lapispick/cli/trace_compare.py
+++ b/lapispick/cli/trace_compare.py
@@ -171,7 +171,8 @@
 
     def seen(step: Step, got: tuple[Any, ...], control: Any) -> None:
         if not points or step.now - points[-1][0] >= made.span / 2:
-            points.append((step.now, control.limit.value, control.prices.hold_price))
+            state = control.state
+            points.append((step.now, state.concurrency_limit.value, state.shadow_prices.occupancy_price))
 
     header = opened[0].header
     told = replaying.replay(
--- a/lapispick/host/core.py
+++ b/lapispick/host/core.py
@@ -676,8 +676,8 @@
         if self._link is not None and self.control is not None:
             if not self._link.behind():
                 self.sharing.flushed()
-            c = self.control
-            usage = say.Usage(c.on_core, round(c.memory), c.calls.out, self._link.connections())
+            running, memory_kb, calls_in_flight = self.control.usage()
+            usage = say.Usage(running, round(memory_kb), calls_in_flight, self._link.connections())
             if usage != self._told:
                 self._told = usage
                 self._link.send(usage)
--- a/lapispick/trace/helper.py
+++ b/lapispick/trace/helper.py
@@ -21,7 +21,6 @@
 import msgspec
 
 from lapispick import admission
-from lapispick.admission import actions, controller, events, request_state, settings
 from lapispick.trace.files import STEPS, Writer, blank
 from lapispick.trace.record_types import KINDS, Gap, Step
 from lapispick.trace.retention import Kept, expired, rotate
@@ -54,8 +53,8 @@
 def module_digest() -> str:
     """Return a digest of the module's text, which a replay with another one differs in."""
     made = sha256()
-    for part in (controller, actions, events, settings, request_state):
-        made.update(Path(str(part.__file__)).read_bytes())
+    for path in sorted(Path(admission.__file__).parent.glob("*.py")):
+        made.update(path.read_bytes())
     return made.hexdigest()[:16]
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -54,12 +54,13 @@
     return Settings(**{**base, **over})
 
 
-class Rig:
+class ControllerHarness:
     """One controller with a record of all its actions."""
 
     def __init__(self, now=0.0, **over):
         self.settings = make_settings(**over)
-        self.control = Controller(self.settings, 1, now)
+        self.controller = Controller(self.settings, 1, now)
+        self.state = self.controller.state
         self.now = now
         self.actions = []
         self.next_id = 0
@@ -67,7 +68,7 @@
     def step(self, *events, at=None):
         if at is not None:
             self.now = at
-        got = self.control.step(self.now, list(events))
+        got = self.controller.step(self.now, list(events))
         self.actions += got
         return got
 
@@ -103,8 +104,9 @@
 
 
 @pytest.fixture
-def rig():
-    return Rig
+def make_harness():
+    """Return the class of a controller with a record of its actions; its settings are keyword arguments."""
+    return ControllerHarness
 
 
 def replace(settings, **over):
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -7,79 +7,79 @@
 READ, WRITE = 3, 1  # a class whose calls can be left out, and one whose can't
 
 
-def crowded(rig, **over):
-    """Return a rig whose limit of calls is taken, the calls' usual time being 10 ms, and the ids that took it."""
-    r = rig(cores=40, call_quota=10.0, **over)
+def crowded(make_harness, **over):
+    """Return a harness whose limit of calls is used up, and the ids that use it; a call usually takes 10 ms."""
+    harness = make_harness(cores=40, call_quota=10.0, **over)
     for _ in range(30):  # what a call usually takes
-        one = r.request(cls=READ)
-        r.step(one)
-        r.step(admission.CallRequested(one.id))
-        r.step(admission.CallCompleted(one.id, admission.Outcome.OK, 10.0), at=r.now + 10)
-        r.step(admission.RunCompleted(one.id, admission.Outcome.OK, 30.0), at=r.now + 5)
+        one = harness.request(cls=READ)
+        harness.step(one)
+        harness.step(admission.CallRequested(one.id))
+        harness.step(admission.CallCompleted(one.id, admission.Outcome.OK, 10.0), at=harness.now + 10)
+        harness.step(admission.RunCompleted(one.id, admission.Outcome.OK, 30.0), at=harness.now + 5)
     taken = []
-    while r.control.calls.room():
-        one = r.request(cls=READ)
-        r.step(one, at=r.now + 0.01)
-        r.step(admission.CallRequested(one.id))
+    while harness.state.downstream.has_capacity():
+        one = harness.request(cls=READ)
+        harness.step(one, at=harness.now + 0.01)
+        harness.step(admission.CallRequested(one.id))
         taken.append(one.id)
-    return r, taken
+    return harness, taken
 
 
-def needing(r, cls=READ):
-    one = r.request(cls=cls)
-    r.step(one)
-    r.step(admission.CallRequested(one.id))
+def needing(harness, cls=READ):
+    one = harness.request(cls=cls)
+    harness.step(one)
+    harness.step(admission.CallRequested(one.id))
     return one.id
 
 
-def test_a_read_gets_the_call_of_one_that_ends_within_two_calls_time(rig):
-    r, taken = crowded(rig)
-    read = needing(r)
-    assert not r.of(admission.StartCall, read) and not r.of(admission.SkipCall, read)
-    r.step(admission.CallCompleted(taken[0], admission.Outcome.OK, 10.0), at=r.now + 8)
-    assert r.of(admission.StartCall, read) and not r.of(admission.SkipCall, read)
+def test_a_read_gets_the_call_of_one_that_ends_within_two_calls_time(make_harness):
+    harness, taken = crowded(make_harness)
+    read = needing(harness)
+    assert not harness.of(admission.StartCall, read) and not harness.of(admission.SkipCall, read)
+    harness.step(admission.CallCompleted(taken[0], admission.Outcome.OK, 10.0), at=harness.now + 8)
+    assert harness.of(admission.StartCall, read) and not harness.of(admission.SkipCall, read)
 
 
 @pytest.mark.parametrize("after,gone", [(15.0, False), (25.0, True)])
-def test_a_read_that_waited_two_calls_time_goes_without(rig, after, gone):
-    r, _ = crowded(rig)
-    read = needing(r)
-    r.step(at=r.now + after)
-    assert bool(r.of(admission.SkipCall, read)) is gone and not r.of(admission.StartCall, read)
+def test_a_read_that_waited_two_calls_time_goes_without(make_harness, after, gone):
+    harness, _ = crowded(make_harness)
+    read = needing(harness)
+    harness.step(at=harness.now + after)
+    assert bool(harness.of(admission.SkipCall, read)) is gone and not harness.of(admission.StartCall, read)
 
 
-def test_a_write_goes_before_reads_that_wait(rig):
-    r, taken = crowded(rig)
-    read, write = needing(r), needing(r, WRITE)
-    r.step(admission.CallCompleted(taken[0], admission.Outcome.OK, 10.0), at=r.now + 1)
-    assert r.of(admission.StartCall, write) and not r.of(admission.StartCall, read)
+def test_a_write_goes_before_reads_that_wait(make_harness):
+    harness, taken = crowded(make_harness)
+    read, write = needing(harness), needing(harness, WRITE)
+    harness.step(admission.CallCompleted(taken[0], admission.Outcome.OK, 10.0), at=harness.now + 1)
+    assert harness.of(admission.StartCall, write) and not harness.of(admission.StartCall, read)
 
 
-def test_a_read_that_was_given_up_while_it_waited_makes_no_call(rig):
-    r, taken = crowded(rig)
-    read, next_one = needing(r), needing(r)
-    r.step(admission.ClientCancelled(read), admission.RunCompleted(read, admission.Outcome.CANCELLED, 0.0))
-    r.step(admission.CallCompleted(taken[0], admission.Outcome.OK, 10.0), at=r.now + 1)
+def test_a_read_that_was_given_up_while_it_waited_makes_no_call(make_harness):
+    harness, taken = crowded(make_harness)
+    read, next_one = needing(harness), needing(harness)
+    harness.step(admission.ClientCancelled(read), admission.RunCompleted(read, admission.Outcome.CANCELLED, 0.0))
+    harness.step(admission.CallCompleted(taken[0], admission.Outcome.OK, 10.0), at=harness.now + 1)
     assert (
-        not r.of(admission.StartCall, read)
-        and not r.of(admission.SkipCall, read)
-        and r.of(admission.StartCall, next_one)
+        not harness.of(admission.StartCall, read)
+        and not harness.of(admission.SkipCall, read)
+        and harness.of(admission.StartCall, next_one)
     )
 
 
-def test_what_waits_is_bounded_by_what_runs(rig):
-    r, _ = crowded(rig)
+def test_what_waits_is_bounded_by_what_runs(make_harness):
+    harness, _ = crowded(make_harness)
     for _ in range(200):
-        needing(r)
-    assert len(r.control.calls.hopeful) <= len(r.control.entries)
-    r.tick(100)
-    assert not r.control.calls.hopeful
+        needing(harness)
+    assert len(harness.state.downstream.degradable_waiting) <= len(harness.state.requests)
+    harness.tick(100)
+    assert not harness.state.downstream.degradable_waiting
 
 
-def test_nobody_waits_where_calls_are_slower_than_usual(rig):
-    r, taken = crowded(rig)
+def test_nobody_waits_where_calls_are_slower_than_usual(make_harness):
+    harness, taken = crowded(make_harness)
     for n in taken[:5]:  # the dependency is crowded: five calls take five times as long
-        r.step(admission.CallCompleted(n, admission.Outcome.OK, 50.0), at=r.now + 1)
-    while r.control.calls.room():
-        needing(r)
-    assert r.of(admission.SkipCall, needing(r))
+        harness.step(admission.CallCompleted(n, admission.Outcome.OK, 50.0), at=harness.now + 1)
+    while harness.state.downstream.has_capacity():
+        needing(harness)
+    assert harness.of(admission.SkipCall, needing(harness))
--- a/tests/test_prices.py
+++ b/tests/test_prices.py
@@ -4,95 +4,105 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lapispick.admission.controller import SAMPLE_SIZE, ShadowPrices, solve_prices
+from lapispick.admission import Outcome, RunCompleted
+from lapispick.admission.shadow_prices import SAMPLE_SIZE, RequestType, SampledRequest, ShadowPrices, solve_prices
 
 
-def test_no_price_while_both_budgets_have_room():
-    assert solve_prices([(1, 5, 10, 2), (3, 1, 10, 2)], 100, 100) == (0, 0)
+def solve(types, occupancy_budget, cost_budget):
+    """Solve for types given as (weight, value, occupancy_ms, cost)."""
+    return solve_prices([RequestType(*each) for each in types], occupancy_budget, cost_budget)
 
 
-def test_hold_budget_prices_at_the_marginal_type():
-    # 1 of (value 10, hold 10) fits whole; (4, 10) fits half, so a unit of hold is worth 4/10.
-    hold, cost = solve_prices([(1, 10, 10, 1), (1, 4, 10, 1)], 15, 1e9)
-    assert (hold, cost) == (pytest.approx(0.4), 0)
+def test_prices_are_zero_while_both_budgets_suffice():
+    assert solve([(1, 5, 10, 2), (3, 1, 10, 2)], 100, 100) == (0, 0)
 
 
-def test_cost_budget_prices_at_the_marginal_type():
-    hold, cost = solve_prices([(1, 6, 1, 2), (1, 6, 1, 6)], 1e9, 5)
-    assert (hold, cost) == (0, pytest.approx(1.0))
+def test_occupancy_budget_is_priced_at_the_marginal_type():
+    # 1 of (value 10, occupancy 10) fits whole; (4, 10) fits half, so a unit of occupancy is worth 4/10.
+    prices = solve([(1, 10, 10, 1), (1, 4, 10, 1)], 15, 1e9)
+    assert prices.occupancy == pytest.approx(0.4)
+    assert prices.cost == 0
 
 
-def test_both_budgets_bind():
-    # Both types half admitted: 8 = 2h + 1c and 7 = 1h + 2c, so h = 3, c = 2.
-    hold, cost = solve_prices([(1, 8, 2, 1), (1, 7, 1, 2)], 1.5, 1.5)
-    assert (hold, cost) == (pytest.approx(3.0), pytest.approx(2.0))
+def test_cost_budget_is_priced_at_the_marginal_type():
+    prices = solve([(1, 6, 1, 2), (1, 6, 1, 6)], 1e9, 5)
+    assert prices.occupancy == 0
+    assert prices.cost == pytest.approx(1.0)
 
 
-def test_a_slot_hog_of_equal_worth_is_priced_out():
-    hold, _ = solve_prices([(18, 10, 15, 1), (2, 10, 200, 1)], 200, 1e9)
-    assert hold * 15 <= 10 and hold * 200 > 10
+def test_both_budgets_have_a_price_where_both_bind():
+    # Both types half admitted: 8 = 2a + 1c and 7 = 1a + 2c, so a = 3, c = 2.
+    prices = solve([(1, 8, 2, 1), (1, 7, 1, 2)], 1.5, 1.5)
+    assert prices.occupancy == pytest.approx(3.0)
+    assert prices.cost == pytest.approx(2.0)
 
 
-types = st.lists(st.tuples(*[st.floats(0.1, 50) for _ in range(4)]), min_size=1, max_size=5)
+def test_slow_type_of_equal_value_is_priced_out():
+    price = solve([(18, 10, 15, 1), (2, 10, 200, 1)], 200, 1e9).occupancy
+    assert price * 15 <= 10
+    assert price * 200 > 10
 
 
-@settings(derandomize=True, max_examples=200)
-@given(types, st.floats(0.5, 500), st.floats(0.5, 500))
-def test_prices_never_reject_everything_while_the_budget_has_room(kinds, hold_budget, cost_budget):
-    ph, pc = solve_prices(kinds, hold_budget, cost_budget)
-    assert ph >= 0 and pc >= 0
-    assert any(v >= (ph * h + pc * c) * (1 - 1e-6) for _, v, h, c in kinds)
-    needs_hold = sum(w * h for w, _, h, _ in kinds)
-    needs_cost = sum(w * c for w, _, _, c in kinds)
-    if needs_hold <= hold_budget and needs_cost <= cost_budget:
-        assert all(v >= ph * h + pc * c - 1e-6 for _, v, h, c in kinds)
-
-    # No other pair of prices may give a lower dual value.
-    def dual(a, b):
-        return a * hold_budget + b * cost_budget + sum(w * max(0, v - a * h - b * c) for w, v, h, c in kinds)
+request_types = st.builds(RequestType, *[st.floats(0.1, 50) for _ in range(4)])
 
-    for a, b in [(0, 0), (ph * 1.1 + 0.01, pc), (ph, pc * 1.1 + 0.01), (ph * 0.9, pc), (ph, pc * 0.9)]:
-        assert dual(ph, pc) <= dual(a, b) * (1 + 1e-6) + 1e-6
 
-
-def fill(prices, spec, gap=10):
+@settings(derandomize=True, max_examples=200)
+@given(st.lists(request_types, min_size=1, max_size=5), st.floats(0.5, 500), st.floats(0.5, 500))
+def test_prices_are_a_minimum_of_the_dual_and_admit_all_within_budget(types, occupancy_budget, cost_budget):
+    a, c = solve_prices(types, occupancy_budget, cost_budget)
+    assert a >= 0
+    assert c >= 0
+    assert any(t.value >= (a * t.occupancy_ms + c * t.cost) * (1 - 1e-6) for t in types)
+    needed_occupancy = sum(t.weight * t.occupancy_ms for t in types)
+    needed_cost = sum(t.weight * t.cost for t in types)
+    if needed_occupancy <= occupancy_budget and needed_cost <= cost_budget:
+        assert all(t.value >= a * t.occupancy_ms + c * t.cost - 1e-6 for t in types)
+
+    def dual(occupancy_price, cost_price):
+        surplus = (t.value - occupancy_price * t.occupancy_ms - cost_price * t.cost for t in types)
+        admitted = sum(t.weight * max(0, over) for t, over in zip(types, surplus, strict=True))
+        return occupancy_price * occupancy_budget + cost_price * cost_budget + admitted
+
+    # No other pair of prices gives a lower dual value.
+    for other in [(0, 0), (a * 1.1 + 0.01, c), (a, c * 1.1 + 0.01), (a * 0.9, c), (a, c * 0.9)]:
+        assert dual(a, c) <= dual(*other) * (1 + 1e-6) + 1e-6
+
+
+def fill(prices, spec, interval_ms=10):
+    """Give the prices a whole sample of requests, in turn of the (class, value, occupancy_ms) of ``spec``."""
     for i in range(SAMPLE_SIZE):
-        cls, value, hold = spec[i % len(spec)]
-        prices.observe(i * gap, 0, (cls, value, hold, 0))
+        cls, value, occupancy_ms = spec[i % len(spec)]
+        prices.observe(i * interval_ms, 0, SampledRequest(cls, value, occupancy_ms, 0))
 
 
-def test_learned_prices_are_adopted_when_better_on_the_sample_and_freeze():
-    p = ShadowPrices()
-    fill(p, [(0, 1, 100), (1, 10, 100)])  # 100 a second, 10 slots' worth of hold asked, 4 there
-    assert "adopted" in p.settle(4)
-    assert 0.01 < p.hold_price <= 0.1 + 1e-9
-    before = p.hold_price
-    fill(p, [(0, 9, 10)])
-    assert p.settle(1) is None and p.hold_price == before
+def test_learned_prices_are_adopted_when_better_on_the_sample_and_frozen():
+    prices = ShadowPrices()
+    fill(prices, [(0, 1, 100), (1, 10, 100)])  # 100 a second ask for 10 slots, 4 are there
+    assert "adopted" in prices.learn(4)
+    assert 0.01 < prices.occupancy_price <= 0.1 + 1e-9
+    before = prices.occupancy_price
+    fill(prices, [(0, 9, 10)])
+    assert prices.learn(1) is None
+    assert prices.occupancy_price == before
 
 
-def test_prices_that_do_not_help_are_not_adopted():
-    p = ShadowPrices()
-    fill(p, [(0, 1, 100)])  # one type: a price can ration nothing
-    assert "kept" in p.settle(4)
-    assert p.frozen and p.hold_price == 0
+def test_learned_prices_that_admit_no_more_value_are_not_adopted():
+    prices = ShadowPrices()
+    fill(prices, [(0, 1, 100)])  # one type: a price can ration nothing
+    assert "kept" in prices.learn(4)
+    assert prices.frozen
+    assert prices.occupancy_price == 0
 
 
-def test_a_sample_is_taken_only_under_pressure_and_warm(rig):
-    r = rig()
+def test_sample_is_taken_only_under_pressure_and_at_full_speed(make_harness):
+    harness = make_harness()
     for _ in range(5):
-        q = r.request()
-        r.step(q)
-        r.step(type_end(q), at=r.now + 20)
-    assert not r.control.prices.sample
-    r.step(*[r.request(deadline_at=r.now + 3000) for _ in range(12)])
-    assert r.control.prices.sample
-    cold = rig(warming_up=True)
-    cold.step(*[cold.request(deadline_at=3000) for _ in range(12)])
-    assert not cold.control.prices.sample
-
-
-def type_end(q):
-    from lapispick.admission import Outcome, RunCompleted
-
-    return RunCompleted(q.id, Outcome.OK, 20)
+        request = harness.request()
+        harness.step(request)
+        harness.step(RunCompleted(request.id, Outcome.OK, 20), at=harness.now + 20)
+    assert not harness.state.shadow_prices.sample
+    harness.step(*[harness.request(deadline_at=harness.now + 3000) for _ in range(12)])
+    assert harness.state.shadow_prices.sample
+    warming_up = make_harness(warming_up=True)
+    warming_up.step(*[warming_up.request(deadline_at=3000) for _ in range(12)])
+    assert not warming_up.state.shadow_prices.sample
--- a/tests/test_shared_budget.py
+++ b/tests/test_shared_budget.py
@@ -5,69 +5,69 @@
 GAUGES = (*admission.PEER_GAUGES, "core_use", "on_cores")
 
 
-def started(rig, n, **others):
+def started(make_harness, n, **others):
     told = [others.get(name, 0.0) for name in admission.PEER_GAUGES]
-    rig.step(admission.TimerFired(0, (*told, 0.1, 1.0)))
-    rig.step(*(rig.request() for _ in range(n)))
-    return len(rig.of(admission.StartRun))
+    make_harness.step(admission.TimerFired(0, (*told, 0.1, 1.0)))
+    make_harness.step(*(make_harness.request() for _ in range(n)))
+    return len(make_harness.of(admission.StartRun))
 
 
-def test_the_other_processs_runs_count_against_the_limit_but_leave_a_half(rig):
-    slots = started(rig(gauges=GAUGES, cores=8), 30)
+def test_the_other_processs_runs_count_against_the_limit_but_leave_a_half(make_harness):
+    slots = started(make_harness(gauges=GAUGES, cores=8), 30)
     assert slots == 12
-    assert started(rig(gauges=GAUGES, cores=8), 30, other_runs=4.0) == 8
-    assert started(rig(gauges=GAUGES, cores=8), 30, other_runs=40.0) == 6
+    assert started(make_harness(gauges=GAUGES, cores=8), 30, other_runs=4.0) == 8
+    assert started(make_harness(gauges=GAUGES, cores=8), 30, other_runs=40.0) == 6
 
 
-def test_the_other_processs_memory_counts_in_full(rig):
-    full = rig(gauges=GAUGES, memory_kb=1000)
+def test_the_other_processs_memory_counts_in_full(make_harness):
+    full = make_harness(gauges=GAUGES, memory_kb=1000)
     assert started(full, 2, other_kb=900.0) == 0
     assert full.of(admission.Reject)[0].retry_after_ms > 0  # the second finds no room to be held
-    assert started(rig(gauges=GAUGES, memory_kb=1000), 2) == 2
+    assert started(make_harness(gauges=GAUGES, memory_kb=1000), 2) == 2
 
 
-def test_the_other_processs_calls_count_against_the_share_but_leave_a_half(rig):
+def test_the_other_processs_calls_count_against_the_share_but_leave_a_half(make_harness):
     def calls(**others):
-        r = rig(gauges=GAUGES, cores=20, call_quota=20.0)
-        n = started(r, 20, **others)
-        r.step(*(admission.CallRequested(i) for i in range(1, n + 1)))
-        return len(r.of(admission.StartCall))
+        harness = make_harness(gauges=GAUGES, cores=20, call_quota=20.0)
+        n = started(harness, 20, **others)
+        harness.step(*(admission.CallRequested(i) for i in range(1, n + 1)))
+        return len(harness.of(admission.StartCall))
 
     assert calls() == 12 and calls(other_calls=4.0) == 8 and calls(other_calls=40.0) == 6
 
 
-def test_what_one_process_learned_the_next_begins_with(rig):
-    old = rig()
+def test_what_one_process_learned_the_next_begins_with(make_harness):
+    old = make_harness()
     for _ in range(40):
         request = old.request()
         old.step(request)
         old.step(admission.RunCompleted(request.id, admission.Outcome.OK, 77.0), at=old.now + 77)
-    known = old.control.learned()
-    new = rig()
-    new.control.adopt(known)
-    assert abs(new.control.est.cores[0] - 77.0) < 1 and new.control.learned() == known
-    seen = rig()
+    known = old.controller.learned()
+    new = make_harness()
+    new.controller.adopt(known)
+    assert abs(new.state.run_estimates.core_ms[0] - 77.0) < 1 and new.controller.learned() == known
+    seen = make_harness()
     request = seen.request()
     seen.step(request)
     seen.step(admission.RunCompleted(request.id, admission.Outcome.OK, 5.0), at=5.0)
-    seen.control.adopt(known)
-    assert seen.control.est.cores[0] == 5.0  # what was seen here goes before it
-    other = rig(classes=rig().settings.classes[:2])
-    other.control.adopt(known)
-    assert not any(other.control.est.counts)  # other classes: nothing of it fits
+    seen.controller.adopt(known)
+    assert seen.state.run_estimates.core_ms[0] == 5.0  # what was seen here goes before it
+    other = make_harness(classes=make_harness().settings.classes[:2])
+    other.controller.adopt(known)
+    assert not any(other.state.run_estimates.runs)  # other classes: nothing of it fits
 
 
-def test_a_leave_that_is_handed_over_turns_nothing_away_and_answers_all_in_time(rig):
-    r = rig(drain_grace_ms=500)
-    r.step(admission.ShutdownRequested(3000.0, handed_over=True))
-    r.tick(1000)
-    late = r.request()
-    r.step(late)
-    assert r.of(admission.StartRun, late.id) and not [a for a in r.of(admission.SetHealth) if not a.healthy]
-    r.tick(1990)
-    assert r.finals(late.id)
-    assert not [a for a in r.of(admission.Advertise) if a.value >= 1]
-    left = rig(drain_grace_ms=500)
+def test_a_leave_that_is_handed_over_turns_nothing_away_and_answers_all_in_time(make_harness):
+    harness = make_harness(drain_grace_ms=500)
+    harness.step(admission.ShutdownRequested(3000.0, handed_over=True))
+    harness.tick(1000)
+    late = harness.request()
+    harness.step(late)
+    assert harness.of(admission.StartRun, late.id) and not [a for a in harness.of(admission.SetHealth) if not a.healthy]
+    harness.tick(1990)
+    assert harness.finals(late.id)
+    assert not [a for a in harness.of(admission.Advertise) if a.value >= 1]
+    left = make_harness(drain_grace_ms=500)
     left.step(admission.ShutdownRequested(3000.0))
     left.tick(1000)
     late = left.request()
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -42,7 +42,7 @@
     assert {type(m) for m in found} == set(say.ANY.__args__)  # a new kind of message needs a sample, and a version
     by_kind = {type(m): m for m in found}
     assert by_kind[say.Known] == say.Known(("nonce", "5c0f6e1a"), 1764576000123.0, 77, True, "ZG9uZQ==")
-    assert by_kind[say.Whole].learned.call_times == (20.0, 30.0) and by_kind[say.Leaving].learned.frozen is True
+    assert by_kind[say.Whole].learned.call_times == (20.0, 30.0) and by_kind[say.Leaving].learned.prices_frozen is True
     assert by_kind[say.Hello].lowest == 0 and by_kind[say.Usage] == say.Usage(1, 2.5, 3, 4)
     for line in (SPOKEN / "handover-1.jsonl").read_bytes().splitlines():  # a field of a later version is left alone
         assert say.decode(json.dumps({**json.loads(line), "later": [1]}).encode()) == say.decode(line)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -196,7 +196,7 @@
     kill = struct.pack(">BI", codec.KILL, 3)
     host.answer(frame(kill, born({**INFO, "FamilyInfo": {**INFO["FamilyInfo"], "Cold": True}}), number=2))
     control = host.controllers[3]
-    assert control.s.warming_up and not control.entries
+    assert control.state.settings.warming_up and not control.state.requests
 
 
 def test_a_fault_of_the_module_is_reported_with_its_cause(monkeypatch, capsys):
