--- a/lapispick/admission/controller.py
+++ b/lapispick/admission/controller.py
@@ -32,7 +32,7 @@
 TIMER_TOKEN = 0
 
 
-class ResourceUsage(NamedTuple):
+class RequestUsage(NamedTuple):
     """What the requests of this process take at present."""
 
     running: int
@@ -83,10 +83,10 @@
         self._scheduler.start_queued(self._admission.read_delay)
         return state.actions
 
-    def usage(self) -> ResourceUsage:
+    def usage(self) -> RequestUsage:
         """Return what is in hand here, for another process of this server."""
         state = self.state
-        return ResourceUsage(state.running, state.memory.used_kb, state.downstream.in_flight)
+        return RequestUsage(state.running, state.memory.used_kb, state.downstream.in_flight)
 
     def learned(self) -> LearnedEstimates:
         """Return what a process that takes this one's place should know; see ``adopt``."""
--- a/lapispick/host/store.py
+++ b/lapispick/host/store.py
@@ -15,7 +15,7 @@
 
 from lapispick.admission import Outcome
 from lapispick.handover import budget
-from lapispick.host import core
+from lapispick.host import events
 from lapispick.host.logs import log
 from lapispick.host.scheduler import Closed, Loop, Overlong, Stream, connect
 
@@ -140,7 +140,7 @@
 
     @property
     def _bound(self) -> int:
-        return budget.calls(self._most, self.shared)
+        return budget.max_calls(self._most, self.shared)
 
     def call(self, tag: str, body: str, timeout_ms: float, once: bool) -> Ticket:
         """Begin a call with a base64 body; ``once``: it must not be made again unless it never ran."""
@@ -181,7 +181,7 @@
         if ticket.stream is not None and reusable:
             self._keep(ticket.stream, ticket.address)
         took = round((time.monotonic() - ticket.began) * 1000, 3)  # to the us; more is noise
-        self.post(core.CallOver(ticket, outcome, took, base64.b64encode(reply).decode()))
+        self.post(events.CallCompleted(ticket, outcome, took, base64.b64encode(reply).decode()))
 
     def _exchange(self, ticket: Ticket, fresh: bool = False) -> tuple[Outcome, bytes, bool]:
         """Return the outcome, the reply's body, and whether the connection can be used again."""
