--- a/lapispick/host/config.py
+++ b/lapispick/host/config.py
@@ -14,7 +14,14 @@
 
 from lapispick import admission
 from lapispick.host.scheduler import address
-from lapispick.platform_settings import BACKPRESSURE_SIGNALS, CANCEL_MODES, IDEMPOTENCY, Info, settings_from
+from lapispick.platform_settings import (
+    BACKPRESSURE_SIGNALS,
+    CANCEL_MODES,
+    IDEMPOTENCY,
+    SHARED_DOWNSTREAM,
+    Info,
+    settings_from,
+)
 
 Address = tuple[str, int]
 # descriptors that neither clients, calls nor operators may take: the standard streams, the signals' pair, listeners,
@@ -124,7 +131,7 @@
         raise ConfigError(f"the configuration is not JSON: {err}") from None
     _check(
         "store",
-        bool(config.store) or config.settings.family_info.below != "shared",
+        bool(config.store) or config.settings.family_info.downstream != SHARED_DOWNSTREAM,
         "must be there where settings.FamilyInfo.Below is shared",
     )
     for key in ("listen", "executor", "roster", *(key for key in ("store", "ops") if getattr(config, key))):
@@ -145,16 +152,20 @@
 
 
 def _check_settings(info: Info) -> None:
-    fam, where = info.family_info, "settings.FamilyInfo"
+    server, where = info.family_info, "settings.FamilyInfo"
     for i, service in enumerate(info.services):
         key = f"settings.Services[{i}]"
         _check(f"{key}.Idempotency", service.idempotency in IDEMPOTENCY, f"must be one of {', '.join(IDEMPOTENCY)}")
-        _check(f"{key}.GiveUp", service.give_up > 0, "must be over 0")
+        _check(f"{key}.GiveUp", service.deadline_ms > 0, "must be over 0")
     names = [s.name for s in info.services]
     _check("settings.Services", len(set(names)) == len(names) > 0, "must hold classes with different names")
-    _check(f"{where}.ClassSkipWorth", len(fam.class_skip_worth) == len(names), "must have one value a class")
-    _check(f"{where}.Halt", fam.halt in CANCEL_MODES, f"must be one of {', '.join(CANCEL_MODES)}")
-    _check(f"{where}.Advert", fam.advert in BACKPRESSURE_SIGNALS, f"must be one of {', '.join(BACKPRESSURE_SIGNALS)}")
+    _check(f"{where}.ClassSkipWorth", len(server.degraded_weights) == len(names), "must have one value a class")
+    _check(f"{where}.Halt", server.cancel_mode in CANCEL_MODES, f"must be one of {', '.join(CANCEL_MODES)}")
+    _check(
+        f"{where}.Advert",
+        server.backpressure_signal in BACKPRESSURE_SIGNALS,
+        f"must be one of {', '.join(BACKPRESSURE_SIGNALS)}",
+    )
     try:
         settings_from(info).validate()
     except ValueError as err:
--- a/lapispick/platform_settings.py
+++ b/lapispick/platform_settings.py
@@ -1,8 +1,13 @@
-"""The start settings as the simulator and the platform give them, translated for the module."""
+"""The start settings as the simulator and the platform give them, translated for the decision module.
+
+Classes are named after the keys of the document; fields have the field's terms, with the key beside them. Times are
+milliseconds.
+"""
 
 from __future__ import annotations
 
 import msgspec
+from msgspec import field
 
 from lapispick import admission
 
@@ -23,18 +28,21 @@
     "weight": admission.BackpressureSignal.WEIGHT,
 }
 
+SHARED_DOWNSTREAM = "shared"  # a dependency that other servers call too
+VALUE_BY_WORK = "work"
+
 
 class Service(msgspec.Struct, rename="pascal"):
     """One class of requests."""
 
     name: str
-    promise: float
-    give_up: float
+    latency_objective_ms: float = field(name="Promise")
+    deadline_ms: float = field(name="GiveUp")
     idempotency: str
-    window: float
-    worth: float
-    late_worth: float
-    aim_stretch: float = 0.0
+    idempotency_window_ms: float = field(name="Window")
+    priority_weight: float = field(name="Worth")
+    late_weight: float = field(name="LateWorth")
+    objective_stretch: float = field(name="AimStretch", default=0.0)
 
 
 class Party(msgspec.Struct, rename="pascal"):
@@ -46,20 +54,20 @@
 class FamilyInfo(msgspec.Struct, rename="pascal"):
     """Properties of this server and its site."""
 
-    below: str
-    class_skip_worth: list[float]
+    downstream: str = field(name="Below")
+    degraded_weights: list[float] = field(name="ClassSkipWorth")  # by class
     cores: int
     memory_kb: float
-    run_mem_factor: float
-    kb_per_key: float
-    cold: bool
-    halt: str
-    advert: str
-    calls_out: float
-    dep_window: float
+    run_memory_factor: float = field(name="RunMemFactor")
+    key_memory_kb: float = field(name="KbPerKey")
+    warming_up: bool = field(name="Cold")
+    cancel_mode: str = field(name="Halt")
+    backpressure_signal: str = field(name="Advert")
+    call_quota: float = field(name="CallsOut")
+    call_quota_window_ms: float = field(name="DepWindow")
     gauges: list[str]
-    upstreams: int = 0
-    idle: float = 0.0
+    callers: int = field(name="Upstreams", default=0)
+    idle_timeout_ms: float = field(name="Idle", default=0.0)
     readiness: bool = False
     passes_deadline: bool = False
 
@@ -67,21 +75,21 @@
 class Bounds(msgspec.Struct, rename="pascal"):
     """What the site permits."""
 
-    max_retry_after: float
+    max_retry_after_ms: float = field(name="MaxRetryAfter")
     retry_after: bool
 
 
 class Guarantees(msgspec.Struct, rename="pascal"):
-    """The figures of the four rules."""
+    """What the rules on a server state in figures."""
 
-    cold_from: float
-    warm_up: float
-    fall_multiple: float
-    drain_grace: float
+    cold_speed_fraction: float = field(name="ColdFrom")
+    warm_up_ms: float = field(name="WarmUp")
+    overload_runs_per_core: float = field(name="FallMultiple")
+    drain_grace_ms: float = field(name="DrainGrace")
 
 
 class Info(msgspec.Struct, rename="pascal"):
-    """The settings object; keys that are not used here are skipped."""
+    """The whole document; keys that are not used here are skipped."""
 
     family_info: FamilyInfo
     bounds: Bounds
@@ -93,40 +101,41 @@
 
 
 def settings_from(info: Info) -> admission.Settings:
-    """Translate the start settings for the module."""
-    fam, rules = info.family_info, info.guarantees
+    """Translate the start settings; raises ``KeyError`` for an unknown word and ``ValueError`` for a wrong count."""
+    server = info.family_info
+    guarantees = info.guarantees
     classes = tuple(
         admission.ClassSettings(
-            latency_objective_ms=c.promise,
-            objective_stretch=c.aim_stretch,
-            deadline_ms=c.give_up,
-            idempotency=IDEMPOTENCY[c.idempotency],
-            idempotency_window_ms=c.window,
-            priority_weight=c.worth,
-            late_weight=c.late_worth,
-            degraded_weight=skip,
+            latency_objective_ms=service.latency_objective_ms,
+            objective_stretch=service.objective_stretch,
+            deadline_ms=service.deadline_ms,
+            idempotency=IDEMPOTENCY[service.idempotency],
+            idempotency_window_ms=service.idempotency_window_ms,
+            priority_weight=service.priority_weight,
+            late_weight=service.late_weight,
+            degraded_weight=degraded_weight,
         )
-        for c, skip in zip(info.services, fam.class_skip_worth, strict=True)
+        for service, degraded_weight in zip(info.services, server.degraded_weights, strict=True)
     )
     return admission.Settings(
         classes=classes,
-        weight_by_work=info.value_by == "work",
-        callers=fam.upstreams,
+        weight_by_work=info.value_by == VALUE_BY_WORK,
+        callers=server.callers,
         lower_tier=info.layer > 0,
-        cores=fam.cores,
-        memory_kb=fam.memory_kb,
-        run_memory_factor=fam.run_mem_factor,
-        key_memory_kb=fam.kb_per_key,
-        warming_up=fam.cold,
-        cold_speed_fraction=rules.cold_from,
-        warm_up_ms=rules.warm_up,
-        overload_runs_per_core=rules.fall_multiple,
-        drain_grace_ms=rules.drain_grace,
-        cancel_mode=CANCEL_MODES[fam.halt],
-        backpressure_signal=BACKPRESSURE_SIGNALS[fam.advert],
-        call_quota=fam.calls_out if fam.below == "shared" else 0.0,
-        call_quota_window_ms=fam.dep_window,
-        max_retry_after_ms=info.bounds.max_retry_after if info.bounds.retry_after else 0.0,
-        idle_timeout_ms=fam.idle,
-        gauges=tuple(fam.gauges),
+        cores=server.cores,
+        memory_kb=server.memory_kb,
+        run_memory_factor=server.run_memory_factor,
+        key_memory_kb=server.key_memory_kb,
+        warming_up=server.warming_up,
+        cold_speed_fraction=guarantees.cold_speed_fraction,
+        warm_up_ms=guarantees.warm_up_ms,
+        overload_runs_per_core=guarantees.overload_runs_per_core,
+        drain_grace_ms=guarantees.drain_grace_ms,
+        cancel_mode=CANCEL_MODES[server.cancel_mode],
+        backpressure_signal=BACKPRESSURE_SIGNALS[server.backpressure_signal],
+        call_quota=server.call_quota if server.downstream == SHARED_DOWNSTREAM else 0.0,
+        call_quota_window_ms=server.call_quota_window_ms,
+        max_retry_after_ms=info.bounds.max_retry_after_ms if info.bounds.retry_after else 0.0,
+        idle_timeout_ms=server.idle_timeout_ms,
+        gauges=tuple(server.gauges),
     )
