--- a/lapispick/admission/__init__.py
+++ b/lapispick/admission/__init__.py
@@ -11,6 +11,7 @@
     Fail,
     Log,
     Reject,
+    RejectReason,
     ReleaseKey,
     RetainKey,
     SetHealth,
@@ -24,6 +25,7 @@
     PEER_GAUGES,
     CallCompleted,
     CallRequested,
+    CallTimes,
     ClientCancelled,
     Event,
     LearnedEstimates,
@@ -34,6 +36,7 @@
     TimerFired,
 )
 from lapispick.admission.settings import BackpressureSignal, CancelMode, ClassSettings, Idempotency, Settings
+from lapispick.admission.shadow_prices import Prices
 
 __all__ = [
     "PEER_GAUGES",
@@ -42,6 +45,7 @@
     "BackpressureSignal",
     "CallCompleted",
     "CallRequested",
+    "CallTimes",
     "CancelMode",
     "CancelRun",
     "ClassSettings",
@@ -53,7 +57,9 @@
     "LearnedEstimates",
     "Log",
     "Outcome",
+    "Prices",
     "Reject",
+    "RejectReason",
     "ReleaseKey",
     "RequestReceived",
     "RetainKey",
--- a/tests/test_stored_samples.py
+++ b/tests/test_stored_samples.py
@@ -14,7 +14,7 @@
 import msgspec
 import pytest
 
-from lapispick.admission import LearnedEstimates
+from lapispick.admission import CallTimes, LearnedEstimates, Prices
 from lapispick.agent import generation_store, rollout_store, service
 from lapispick.durable import database
 from lapispick.file_errors import Fault, Place
@@ -97,11 +97,13 @@
     "learned": (
         LearnedEstimates,
         (
-            *("cores", "holds", "calls", "in_call", "counts", "limit", "call_times"),
-            *("call_limit", "prices", "frozen"),
+            *("core_ms", "run_ms", "blocked_ms", "call_ms", "runs", "concurrency_limit", "call_times"),
+            *("call_limit", "prices", "prices_frozen"),
         ),
         [[1.5], [3.0], [5.0], [7.0], [9], 4.5, [20.0, 30.0], 5.5, [0.25, 0.75], True],
     ),
+    "learned call times": (CallTimes, ("usual_ms", "recent_ms"), [20.0, 30.0]),
+    "learned prices": (Prices, ("occupancy", "cost"), [0.25, 0.75]),
     "compatibility of a format": (Spoken, ("writes", "oldest", "newest"), [2, 1, 3]),
     "pace of a rollout": (pacing.Bounds, ("most", "serving_least"), [3, 0.75]),
     "place in a file": (Place, ("file", "line", "column"), ["hosts.yml", 12, 5]),
