--- a/lapispick/simulator/__init__.py
+++ b/lapispick/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that plays the decision module on the simulator's wire."""
+"""Runs the decision module under the simulator, over standard input and output."""
--- a/lapispick/simulator/adapter.py
+++ b/lapispick/simulator/adapter.py
@@ -1,8 +1,9 @@
-"""The bench's adapter: hosts one Controller for each instance and translates; it decides nothing."""
+"""The simulator's adapter: runs one controller for each instance and translates; it decides nothing."""
 
 from __future__ import annotations
 
 import sys
+from collections.abc import Callable
 from typing import Any, BinaryIO
 
 import msgspec
@@ -12,61 +13,78 @@
 from lapispick.platform_settings import Info, settings_from
 from lapispick.simulator import codec
 
-COST_KNOWN = 1  # the bit of a valid cost hint
-OUTCOMES = {int(o): o for o in admission.Outcome}
+COST_KNOWN_BIT = 1  # of the flags of a request: its cost hint is valid
+OUTCOMES = {int(outcome): outcome for outcome in admission.Outcome}
 
+Record = tuple[Any, ...]  # code, instance, and the fields of the code
+Encoder = Callable[[int, Any], bytes]  # from the instance and an action
 
-def event_from(record: tuple[Any, ...]) -> admission.Event:
+
+def _request_received(record: Record) -> admission.RequestReceived:
+    (_, _, request_id, deadline_at, _, rank, age_ms, retry_of, flags, _, memory_kb, cost, cls, caller) = record
+    if not flags & COST_KNOWN_BIT:
+        cost = 0.0
+    return admission.RequestReceived(request_id, deadline_at, rank, age_ms, retry_of, cost, memory_kb, cls, caller)
+
+
+DECODERS: dict[int, Callable[[Record], admission.Event]] = {
+    codec.KNOCK: _request_received,
+    codec.DEADLINE_HIT: lambda record: admission.TimerFired(record[2], record[3]),
+    codec.RUN_OVER: lambda record: admission.RunCompleted(record[2], OUTCOMES[record[3]], record[4]),
+    codec.BLOCKED: lambda record: admission.CallRequested(record[2]),
+    codec.CAME_BACK: lambda record: admission.CallCompleted(record[2], OUTCOMES[record[4]], record[3]),
+    codec.HANGUP: lambda record: admission.ClientCancelled(record[2]),
+    codec.TERMINATE_SOON: lambda record: admission.ShutdownRequested(record[2]),
+}
+
+
+def event_from(record: Record) -> admission.Event:
     """Translate one event record."""
-    code = record[0]
-    if code == codec.KNOCK:
-        (_, _, rid, due, _, rank, age, prior, bits, _, kb, cost, cls, caller) = record
-        return admission.RequestReceived(
-            rid, due, rank, age, prior, cost if bits & COST_KNOWN else 0.0, kb, cls, caller
-        )
-    if code == codec.DEADLINE_HIT:
-        return admission.TimerFired(record[2], record[3])
-    if code == codec.RUN_OVER:
-        return admission.RunCompleted(record[2], OUTCOMES[record[3]], record[4])
-    if code == codec.BLOCKED:
-        return admission.CallRequested(record[2])
-    if code == codec.CAME_BACK:
-        return admission.CallCompleted(record[2], OUTCOMES[record[4]], record[3])
-    if code == codec.HANGUP:
-        return admission.ClientCancelled(record[2])
-    return admission.ShutdownRequested(record[2])
-
-
-def _by_id(code: int) -> Any:
-    layout = codec.ACTIONS[code]
-    return lambda i, a: layout.pack(code, i, a[0])
-
-
-def _with_field(code: int) -> Any:
-    layout = codec.ACTIONS[code]
-    return lambda i, a: layout.pack(code, i, a[0], a[1])
-
-
-ENCODERS: dict[type, Any] = {
-    admission.StartRun: _by_id(codec.DISPATCH),
-    admission.CancelRun: _by_id(codec.YANK),
-    admission.Fail: _by_id(codec.REPORT_FAILURE),
-    admission.SkipCall: _by_id(codec.GO_ON),
-    admission.Coalesce: _by_id(codec.JOIN),
-    admission.ReleaseKey: _by_id(codec.RELEASE_KEY),
-    admission.Advertise: _by_id(codec.SAY),
-    admission.RetainKey: _with_field(codec.PIN),
-    admission.StartCall: _with_field(codec.INVOKE),
-    admission.SetTimer: _with_field(codec.ARM),
-    admission.Reject: lambda i, a: codec.ACTIONS[codec.SAY_NO].pack(codec.SAY_NO, i, a[0], a[1], a[2]),
-    admission.SetHealth: _with_field(codec.MARK_HEALTH),
-    admission.SetIdleTimeout: _by_id(codec.IDLE_LIMIT),
-    admission.Log: lambda i, a: codec.encode_text(codec.EMIT, i, a[0]),
+    return DECODERS[record[0]](record)
+
+
+def _one_field(code: int) -> Encoder:
+    """Return the encoder of an action that is sent with its first field only."""
+    pack = codec.ACTIONS[code].pack
+    return lambda instance, action: pack(code, instance, action[0])
+
+
+def _two_fields(code: int) -> Encoder:
+    """Return the encoder of an action that is sent with its two fields."""
+    pack = codec.ACTIONS[code].pack
+    return lambda instance, action: pack(code, instance, action[0], action[1])
+
+
+def _encode_reject(instance: int, action: admission.Reject) -> bytes:
+    """Encode a rejection; its reason is not sent."""
+    layout = codec.ACTIONS[codec.SAY_NO]
+    return layout.pack(codec.SAY_NO, instance, action.id, action.retry_after_ms, action.no_retry)
+
+
+def _encode_log(instance: int, action: admission.Log) -> bytes:
+    return codec.encode_text(codec.EMIT, instance, action.text)
+
+
+ENCODERS: dict[type, Encoder] = {
+    admission.StartRun: _one_field(codec.DISPATCH),
+    admission.CancelRun: _one_field(codec.YANK),
+    admission.Fail: _one_field(codec.REPORT_FAILURE),
+    admission.SkipCall: _one_field(codec.GO_ON),
+    admission.Coalesce: _one_field(codec.JOIN),
+    admission.ReleaseKey: _one_field(codec.RELEASE_KEY),
+    admission.Advertise: _one_field(codec.SAY),
+    admission.RetainKey: _two_fields(codec.PIN),
+    admission.StartCall: _two_fields(codec.INVOKE),
+    admission.SetTimer: _two_fields(codec.ARM),
+    admission.Reject: _encode_reject,
+    admission.SetHealth: _two_fields(codec.MARK_HEALTH),
+    admission.SetIdleTimeout: _one_field(codec.IDLE_LIMIT),
+    admission.Log: _encode_log,
 }
 
 
-class Host:
-    """The instances of this process, each with what its own events told it."""
+class Adapter:
+    """The controllers of this process by instance number; each knows what its own events say."""
 
     __slots__ = ("controllers",)
 
@@ -74,60 +92,74 @@
         self.controllers: dict[int, Controller] = {}
 
     def answer(self, frame: bytes) -> bytes:
-        """Turn one batch into its reply."""
+        """Turn one batch into its reply. Raises ``WireError``."""
         clock, number, records = codec.decode_batch(frame)
-        out: list[bytes] = []
         pending: dict[int, list[admission.Event]] = {}
         for record in records:
-            code, inst = record[0], record[1]
-            if code == codec.BORN:
-                pending.pop(inst, None)
-                self._start(inst, record[2], record[3], clock, out)
-                pending[inst] = []
-            elif code == codec.KILL:
-                self.controllers.pop(inst, None)
-                pending.pop(inst, None)
-            elif inst not in self.controllers:
-                raise codec.WireError(f"event code {code} for instance {inst}, which was never born")
-            else:
-                if (code == codec.RUN_OVER and record[3] not in OUTCOMES) or (
-                    code == codec.CAME_BACK and record[4] not in OUTCOMES
-                ):
-                    raise codec.WireError(f"unknown outcome in event code {code} of batch {number}")
-                pending.setdefault(inst, []).append(event_from(record))
-        for inst, events in pending.items():
+            self._take(record, clock, number, pending)
+        replies: list[bytes] = []
+        for instance, events in pending.items():
+            self._step(instance, clock, events, replies)
+        return codec.encode_reply(number, replies)
+
+    def _take(self, record: Record, clock: float, number: int, pending: dict[int, list[admission.Event]]) -> None:
+        """Start or end an instance, or keep an event for its step."""
+        code = record[0]
+        instance = record[1]
+        if code == codec.BORN:
+            pending.pop(instance, None)
+            self._start(instance, record[2], record[3], clock)
+            pending[instance] = []
+        elif code == codec.KILL:
+            self.controllers.pop(instance, None)
+            pending.pop(instance, None)
+        elif instance not in self.controllers:
+            raise codec.WireError(f"event code {code} for instance {instance}, which was never born")
+        else:
             try:
-                actions = self.controllers[inst].step(clock, events)
-                out.extend(ENCODERS[type(a)](inst, a) for a in actions)
-            except Exception as err:
-                print(f"lapispick: instance {inst} failed: {err!r}", file=sys.stderr)
-                out.append(codec.encode_text(codec.FATAL, inst, f"decision code failed: {err!r}"))
-        return codec.encode_reply(number, out)
-
-    def _start(self, inst: int, seed: int, raw: bytes, clock: float, out: list[bytes]) -> None:
+                event = DECODERS[code](record)
+            except KeyError:
+                raise codec.WireError(f"unknown outcome in event code {code} of batch {number}") from None
+            events = pending.get(instance)
+            if events is None:
+                pending[instance] = [event]
+            else:
+                events.append(event)
+
+    def _step(self, instance: int, clock: float, events: list[admission.Event], replies: list[bytes]) -> None:
+        """Step one instance; a fault of the decision module is reported and ends no other."""
+        try:
+            for action in self.controllers[instance].step(clock, events):
+                replies.append(ENCODERS[type(action)](instance, action))
+        except Exception as err:
+            print(f"lapispick: instance {instance} failed: {err!r}", file=sys.stderr)
+            replies.append(codec.encode_text(codec.FATAL, instance, f"decision code failed: {err!r}"))
+
+    def _start(self, instance: int, seed: int, raw: bytes, clock: float) -> None:
+        """Start an instance with its settings, a JSON document. Raises ``WireError``."""
         try:
             info = msgspec.json.decode(raw, type=Info)
         except msgspec.ValidationError as err:
-            raise codec.WireError(f"start settings of instance {inst} lack or misuse a key: {err}") from err
+            raise codec.WireError(f"start settings of instance {instance} lack or misuse a key: {err}") from err
         except msgspec.DecodeError as err:
-            raise codec.WireError(f"start settings of instance {inst} are not JSON: {err}") from err
+            raise codec.WireError(f"start settings of instance {instance} are not JSON: {err}") from err
         try:
             settings = settings_from(info)
         except KeyError as err:
-            raise codec.WireError(f"start settings of instance {inst} lack or misuse {err}") from err
+            raise codec.WireError(f"start settings of instance {instance} lack or misuse {err}") from err
         except (TypeError, ValueError, AttributeError) as err:
-            raise codec.WireError(f"start settings of instance {inst} are malformed: {err}") from err
+            raise codec.WireError(f"start settings of instance {instance} are malformed: {err}") from err
         try:
-            self.controllers[inst] = Controller(settings, seed, clock)
+            self.controllers[instance] = Controller(settings, seed, clock)
         except ValueError as err:
-            raise codec.WireError(f"start settings of instance {inst} are refused: {err}") from err
+            raise codec.WireError(f"start settings of instance {instance} are refused: {err}") from err
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer batches until the input ends."""
-    host = Host()
+    adapter = Adapter()
     while (frame := codec.read_frame(source)) is not None:
-        sink.write(host.answer(frame))
+        sink.write(adapter.answer(frame))
         sink.flush()
 
 
--- a/lapispick/simulator/codec.py
+++ b/lapispick/simulator/codec.py
@@ -1,16 +1,34 @@
-"""The binary codec of the bench's wire: batches in, replies out. It translates frames and decides nothing."""
+"""The binary codec of the simulator's wire: batches of events in, replies with actions out.
+
+All numbers are big-endian. A frame begins with its length, which counts itself.
+"""
 
 from __future__ import annotations
 
 import struct
-from typing import Any, BinaryIO
-
-BATCH_HEAD = struct.Struct(">IdI")
-REPLY_HEAD = struct.Struct(">III")
-LONGEST_FRAME = 1 << 30
-
-# Event codes and the fixed part after the code; those in TAIL_COUNT carry a counted tail.
-RUN_OVER, BORN, BLOCKED, HANGUP, KNOCK, CAME_BACK, KILL, DEADLINE_HIT, TERMINATE_SOON = range(1, 10)
+from typing import Any, BinaryIO, NamedTuple
+
+BATCH_HEAD = struct.Struct(">IdI")  # length, clock in ms, number of the batch
+REPLY_HEAD = struct.Struct(">III")  # length, count of records, number of the batch
+TEXT_HEAD = struct.Struct(">BIH")  # code, instance, length of the text
+LENGTH_BYTES = 4
+MAX_FRAME_BYTES = 1 << 30
+MAX_TEXT_BYTES = 65_535
+GAUGE_BYTES = 4
+
+# Codes of events, with the names of the wire's description.
+RUN_OVER = 1
+BORN = 2
+BLOCKED = 3
+HANGUP = 4
+KNOCK = 5
+CAME_BACK = 6
+KILL = 7
+DEADLINE_HIT = 8
+TERMINATE_SOON = 9
+
+# The fixed part of each event after its code. BORN ends in the length of its settings, DEADLINE_HIT in the count of
+# its gauges; these follow.
 EVENTS: dict[int, struct.Struct] = {
     RUN_OVER: struct.Struct(">IQBd"),
     BORN: struct.Struct(">IQI"),
@@ -23,23 +41,23 @@
     TERMINATE_SOON: struct.Struct(">Id"),
 }
 
-(
-    DISPATCH,
-    PIN,
-    INVOKE,
-    SAY,
-    FATAL,
-    JOIN,
-    EMIT,
-    YANK,
-    IDLE_LIMIT,
-    SAY_NO,
-    GO_ON,
-    RELEASE_KEY,
-    MARK_HEALTH,
-    ARM,
-    REPORT_FAILURE,
-) = range(1, 16)
+# Codes of actions.
+DISPATCH = 1
+PIN = 2
+INVOKE = 3
+SAY = 4
+FATAL = 5
+JOIN = 6
+EMIT = 7
+YANK = 8
+IDLE_LIMIT = 9
+SAY_NO = 10
+GO_ON = 11
+RELEASE_KEY = 12
+MARK_HEALTH = 13
+ARM = 14
+REPORT_FAILURE = 15
+
 ACTIONS: dict[int, struct.Struct] = {
     DISPATCH: struct.Struct(">BIQ"),
     PIN: struct.Struct(">BIQd"),
@@ -55,32 +73,32 @@
     ARM: struct.Struct(">BIdQ"),
     REPORT_FAILURE: struct.Struct(">BIQ"),
 }
-TEXT_HEAD = struct.Struct(">BIH")
 
 
 class WireError(Exception):
-    """What came in does not follow the wire's description."""
+    """What came in does not follow the wire's description; the text says which part of which batch."""
 
 
 def read_frame(stream: BinaryIO) -> bytes | None:
-    """Read one frame; None at a clean end of input."""
-    head = _read_up_to(stream, 4)
+    """Read one frame with its length; None at a clean end of input. Raises ``WireError``."""
+    head = _read_up_to(stream, LENGTH_BYTES)
     if not head:
         return None
-    if len(head) < 4:
-        raise WireError(f"truncated frame: input ended after {len(head)} of the 4 bytes of its length")
+    if len(head) < LENGTH_BYTES:
+        raise WireError(f"truncated frame: input ended after {len(head)} of the {LENGTH_BYTES} bytes of its length")
     size = int.from_bytes(head, "big")
     if size < BATCH_HEAD.size:
         raise WireError(f"frame length {size} is shorter than the {BATCH_HEAD.size} bytes of a batch header")
-    if size > LONGEST_FRAME:
+    if size > MAX_FRAME_BYTES:
         raise WireError(f"over-long frame: {size} bytes")
-    body = _read_up_to(stream, size - 4)
-    if len(body) < size - 4:
-        raise WireError(f"truncated frame: {len(body) + 4} of {size} bytes")
+    body = _read_up_to(stream, size - LENGTH_BYTES)
+    if len(body) < size - LENGTH_BYTES:
+        raise WireError(f"truncated frame: {len(body) + LENGTH_BYTES} of {size} bytes")
     return head + body
 
 
 def _read_up_to(stream: BinaryIO, size: int) -> bytes:
+    """Read this many bytes, fewer at the end of input."""
     parts = []
     while size:
         part = stream.read(size)
@@ -91,10 +109,19 @@
     return b"".join(parts)
 
 
-def decode_batch(frame: bytes) -> tuple[float, int, list[tuple[Any, ...]]]:
-    """Split a frame into clock, batch number and records ``(code, instance, fields...)``."""
+class Batch(NamedTuple):
+    """One batch: the clock in ms, its number, and its events as ``(code, instance, fields...)``."""
+
+    clock: float
+    number: int
+    records: list[tuple[Any, ...]]
+
+
+def decode_batch(frame: bytes) -> Batch:
+    """Split a frame into its events. Raises ``WireError``."""
     _, clock, number = BATCH_HEAD.unpack_from(frame)
-    at, end = BATCH_HEAD.size, len(frame)
+    at = BATCH_HEAD.size
+    end = len(frame)
     records: list[tuple[Any, ...]] = []
     while at < end:
         code = frame[at]
@@ -107,20 +134,19 @@
             raise WireError(f"truncated record of event code {code} in batch {number}")
         fields = layout.unpack_from(frame, start)
         if code in (BORN, DEADLINE_HIT):
-            count = fields[-1] * (1 if code == BORN else 4)
-            if at + count > end:
+            size = fields[-1] * (1 if code == BORN else GAUGE_BYTES)
+            if at + size > end:
                 raise WireError(f"the counted part of event code {code} passes the end of batch {number}")
-            raw = frame[at : at + count]
-            tail = raw if code == BORN else struct.unpack(f">{fields[-1]}f", raw)
-            fields = (*fields[:-1], tail)
-            at += count
+            tail = frame[at : at + size]
+            fields = (*fields[:-1], tail if code == BORN else struct.unpack(f">{fields[-1]}f", tail))
+            at += size
         records.append((code, *fields))
-    return clock, number, records
+    return Batch(clock, number, records)
 
 
 def encode_text(code: int, instance: int, text: str) -> bytes:
-    """Encode an ``Emit`` or a ``Fatal``."""
-    raw = text.encode()[:65535].decode(errors="ignore").encode()
+    """Encode an ``Emit`` or a ``Fatal``; a text that is too long is cut between two characters."""
+    raw = text.encode()[:MAX_TEXT_BYTES].decode(errors="ignore").encode()
     return TEXT_HEAD.pack(code, instance, len(raw)) + raw
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -191,19 +191,19 @@
 
 
 def test_a_restart_under_the_same_number_begins_anew():
-    host = adapter.Host()
-    host.answer(frame(born(), knock(rid=5)))
+    instances = adapter.Adapter()
+    instances.answer(frame(born(), knock(rid=5)))
     kill = struct.pack(">BI", codec.KILL, 3)
-    host.answer(frame(kill, born({**INFO, "FamilyInfo": {**INFO["FamilyInfo"], "Cold": True}}), number=2))
-    control = host.controllers[3]
+    instances.answer(frame(kill, born({**INFO, "FamilyInfo": {**INFO["FamilyInfo"], "Cold": True}}), number=2))
+    control = instances.controllers[3]
     assert control.state.settings.warming_up and not control.state.requests
 
 
 def test_a_fault_of_the_module_is_reported_with_its_cause(monkeypatch, capsys):
-    host = adapter.Host()
-    host.answer(frame(born()))
+    instances = adapter.Adapter()
+    instances.answer(frame(born()))
     monkeypatch.setattr(adapter.Controller, "step", lambda *a: 1 / 0)
-    reply = host.answer(frame(knock(), number=2))
+    reply = instances.answer(frame(knock(), number=2))
     assert b"ZeroDivisionError" in reply and reply[12] == codec.FATAL
 
 
