--- a/lapispick/admission/__init__.py
+++ b/lapispick/admission/__init__.py
@@ -1,6 +1,7 @@
 """The decision module: which requests are admitted, in which order, and which are rejected. No I/O and no clock.
 
-The types of its interface are exported here; ``controller.Controller`` decides.
+The types of its interface are exported here; ``controller.Controller`` is where decisions start. The parts and the
+order of their work: docs/ADMISSION-DESIGN.md.
 """
 
 from lapispick.admission.actions import (
@@ -35,7 +36,14 @@
     ShutdownRequested,
     TimerFired,
 )
-from lapispick.admission.settings import BackpressureSignal, CancelMode, ClassSettings, Idempotency, Settings
+from lapispick.admission.settings import (
+    BackpressureSignal,
+    CancelMode,
+    ClassSettings,
+    Idempotency,
+    Settings,
+    SettingsError,
+)
 from lapispick.admission.shadow_prices import Prices
 
 __all__ = [
@@ -68,6 +76,7 @@
     "SetIdleTimeout",
     "SetTimer",
     "Settings",
+    "SettingsError",
     "ShutdownRequested",
     "SkipCall",
     "StartCall",
--- a/lapispick/admission/settings.py
+++ b/lapispick/admission/settings.py
@@ -36,6 +36,15 @@
     WEIGHT = "weight"  # they balance by it
 
 
+class SettingsError(ValueError):
+    """A setting that can't be used."""
+
+    def __init__(self, setting: str, value: object, requirement: str) -> None:
+        super().__init__(f"{setting} {requirement}, is {value!r}")
+        self.setting = setting
+        self.value = value
+
+
 class ClassSettings(msgspec.Struct, frozen=True):
     """What is known of one class of requests. The encoded names are those of stored traces."""
 
@@ -74,13 +83,25 @@
     gauges: tuple[str, ...]  # names of the values that a timer event brings
 
     def validate(self) -> None:
-        """Raise ``ValueError`` for settings that contradict themselves."""
-        if not self.classes or self.cores < 1 or self.memory_kb <= 0 or self.callers < 0:
-            raise ValueError("there must be a class, cores and memory must be positive, callers not negative")
-        if not 0 < self.cold_speed_fraction <= 1:
-            raise ValueError("cold_from is a share of the speed, over 0 and at most 1")
-        for i, settings in enumerate(self.classes):
-            if not 0 < settings.latency_objective_ms <= settings.deadline_ms:
-                raise ValueError(f"class {i}: the aim must be positive and no later than the deadline")
-            if settings.idempotency is Idempotency.KEYED and settings.idempotency_window_ms <= 0:
-                raise ValueError(f"class {i}: a keyed class needs a window")
+        """Raise ``SettingsError`` for settings that can't be used."""
+        _require(len(self.classes) > 0, "classes", self.classes, "must hold at least one class")
+        _require(self.cores >= 1, "cores", self.cores, "must be at least 1")
+        _require(self.memory_kb > 0, "memory_kb", self.memory_kb, "must be positive")
+        _require(self.callers >= 0, "callers", self.callers, "must not be negative")
+        speed = self.cold_speed_fraction
+        _require(0 < speed <= 1, "cold_speed_fraction", speed, "must be over 0 and at most 1")
+        for number, settings in enumerate(self.classes):
+            where = f"classes[{number}]"
+            objective_ms = settings.latency_objective_ms
+            in_range = 0 < objective_ms <= settings.deadline_ms
+            _require(
+                in_range, f"{where}.latency_objective_ms", objective_ms, "must be positive and within the deadline"
+            )
+            window_ms = settings.idempotency_window_ms
+            has_window = settings.idempotency is not Idempotency.KEYED or window_ms > 0
+            _require(has_window, f"{where}.idempotency_window_ms", window_ms, "must be positive for a keyed class")
+
+
+def _require(holds: bool, setting: str, value: object, requirement: str) -> None:
+    if not holds:
+        raise SettingsError(setting, value, requirement)
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -32,42 +32,44 @@
     return one.id
 
 
-def test_a_read_gets_the_call_of_one_that_ends_within_two_calls_time(make_harness):
+def test_waiting_skippable_call_starts_when_another_call_completes(make_harness):
     harness, taken = crowded(make_harness)
     read = needing(harness)
-    assert not harness.of(admission.StartCall, read) and not harness.of(admission.SkipCall, read)
+    assert not harness.of(admission.StartCall, read)
+    assert not harness.of(admission.SkipCall, read)
     harness.step(admission.CallCompleted(taken[0], admission.Outcome.OK, 10.0), at=harness.now + 8)
-    assert harness.of(admission.StartCall, read) and not harness.of(admission.SkipCall, read)
+    assert harness.of(admission.StartCall, read)
+    assert not harness.of(admission.SkipCall, read)
 
 
 @pytest.mark.parametrize("after,gone", [(15.0, False), (25.0, True)])
-def test_a_read_that_waited_two_calls_time_goes_without(make_harness, after, gone):
+def test_skippable_call_is_skipped_after_waiting_two_call_times(make_harness, after, gone):
     harness, _ = crowded(make_harness)
     read = needing(harness)
     harness.step(at=harness.now + after)
-    assert bool(harness.of(admission.SkipCall, read)) is gone and not harness.of(admission.StartCall, read)
+    assert bool(harness.of(admission.SkipCall, read)) is gone
+    assert not harness.of(admission.StartCall, read)
 
 
-def test_a_write_goes_before_reads_that_wait(make_harness):
+def test_required_call_starts_before_waiting_skippable_ones(make_harness):
     harness, taken = crowded(make_harness)
     read, write = needing(harness), needing(harness, WRITE)
     harness.step(admission.CallCompleted(taken[0], admission.Outcome.OK, 10.0), at=harness.now + 1)
-    assert harness.of(admission.StartCall, write) and not harness.of(admission.StartCall, read)
+    assert harness.of(admission.StartCall, write)
+    assert not harness.of(admission.StartCall, read)
 
 
-def test_a_read_that_was_given_up_while_it_waited_makes_no_call(make_harness):
+def test_cancelled_request_makes_no_call(make_harness):
     harness, taken = crowded(make_harness)
     read, next_one = needing(harness), needing(harness)
     harness.step(admission.ClientCancelled(read), admission.RunCompleted(read, admission.Outcome.CANCELLED, 0.0))
     harness.step(admission.CallCompleted(taken[0], admission.Outcome.OK, 10.0), at=harness.now + 1)
-    assert (
-        not harness.of(admission.StartCall, read)
-        and not harness.of(admission.SkipCall, read)
-        and harness.of(admission.StartCall, next_one)
-    )
+    assert not harness.of(admission.StartCall, read)
+    assert not harness.of(admission.SkipCall, read)
+    assert harness.of(admission.StartCall, next_one)
 
 
-def test_what_waits_is_bounded_by_what_runs(make_harness):
+def test_waiting_skippable_calls_are_bounded_by_the_requests_in_flight(make_harness):
     harness, _ = crowded(make_harness)
     for _ in range(200):
         needing(harness)
@@ -76,7 +78,7 @@
     assert not harness.state.downstream.degradable_waiting
 
 
-def test_nobody_waits_where_calls_are_slower_than_usual(make_harness):
+def test_skippable_call_does_not_wait_while_calls_are_slow(make_harness):
     harness, taken = crowded(make_harness)
     for n in taken[:5]:  # the dependency is crowded: five calls take five times as long
         harness.step(admission.CallCompleted(n, admission.Outcome.OK, 50.0), at=harness.now + 1)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -21,20 +21,20 @@
 SAFE, KEYED, UNSAFE, SKIPS = range(4)
 
 
-def test_the_limit_holds_what_comes_over_it(make_harness):
+def test_requests_over_the_concurrency_limit_are_queued(make_harness):
     harness = make_harness(cores=2)
     harness.step(*[harness.request(deadline_at=3900) for _ in range(10)])
     assert len(harness.of(StartRun)) == 3  # 1.5 times the cores at the start
 
 
-def test_waits_hold_no_core(make_harness):
+def test_requests_waiting_for_a_call_take_no_slot(make_harness):
     harness = make_harness(cores=2)
     harness.step(*[harness.request(UNSAFE, deadline_at=3900) for _ in range(6)])
     harness.step(CallRequested(1), CallRequested(2), at=40)
     assert len(harness.of(StartRun)) == 5
 
 
-def test_limit_grows_past_waits_while_cores_idle_and_falls_when_crowded(make_harness):
+def test_concurrency_limit_grows_while_cores_are_idle_and_falls_when_they_are_crowded(make_harness):
     harness = make_harness(cores=4)
     for _ in range(30):
         harness.step(*[harness.request(deadline_at=harness.now + 3000) for _ in range(3)])
@@ -45,7 +45,7 @@
     assert harness.state.concurrency_limit.value <= grown - 4
 
 
-def test_late_retries_at_an_idle_server_do_not_talk_callers_out_of_sending(make_harness):
+def test_late_retries_at_an_idle_server_do_not_raise_backpressure(make_harness):
     harness = make_harness()
     for i in range(60):
         harness.step(harness.request(deadline_at=i * 100.0 + 25), at=i * 100.0)
@@ -54,7 +54,7 @@
     assert all(a.value < 0.02 for a in harness.of(Advertise))
 
 
-def test_sheds_under_pressure_raise_the_level_and_quiet_lowers_it(make_harness):
+def test_shedding_raises_the_backpressure_level_and_idle_time_lowers_it(make_harness):
     harness = make_harness(cores=1)
     for i in range(60):
         harness.step(*[harness.request(deadline_at=harness.now + 1000, rank=(i * 7 % 10) / 10) for _ in range(3)])
@@ -65,7 +65,7 @@
     assert harness.of(Advertise)[-1].value < 1e-9
 
 
-def test_requests_that_lay_unread_raise_the_level(make_harness):
+def test_late_reading_raises_the_backpressure_level(make_harness):
     harness = make_harness(cores=4)
     for i in range(40):  # one at a time: the hold stays empty, but reading is behind
         request = harness.request(deadline_at=harness.now + 3000, age_ms=600, rank=(i * 7 % 10) / 10)
@@ -75,7 +75,7 @@
     assert max(a.value for a in harness.of(Advertise)) > 0.2
 
 
-def test_the_first_of_a_pair_that_cannot_both_meet_their_aims_is_the_worthier(make_harness):
+def test_request_of_higher_priority_weight_starts_first(make_harness):
     harness = make_harness(cores=1)
     harness.tick(40)
     harness.step(harness.request(UNSAFE, deadline_at=3900))
@@ -85,7 +85,7 @@
     assert harness.of(StartRun)[1].id == dear.id
 
 
-def test_credit_falls_under_pressure_and_is_never_nothing(make_harness):
+def test_credit_falls_under_overload_and_stays_positive(make_harness):
     harness = make_harness(cores=1, backpressure_signal=admission.BackpressureSignal.CREDIT)
     for _ in range(80):
         harness.step(*[harness.request(deadline_at=harness.now + 1000) for _ in range(3)])
@@ -94,7 +94,7 @@
     assert 0 < min(values) < 2
 
 
-def test_what_cannot_meet_its_aim_is_refused_at_once_under_load(make_harness):
+def test_requests_that_cannot_meet_their_objective_are_rejected_on_arrival_under_load(make_harness):
     harness = make_harness(cores=2)
     for i in range(1, 40):
         request = harness.request()
@@ -105,13 +105,14 @@
     assert len(harness.of(Reject)) > 25
 
 
-def test_refusals_carry_a_retry_after_of_a_mean_hold(make_harness):
+def test_rejections_carry_a_retry_after_of_a_mean_run(make_harness):
     harness = make_harness(cores=1)
     harness.step(*[harness.request(deadline_at=3000) for _ in range(40)])
-    assert harness.of(Reject) and all(120 <= a.retry_after_ms <= 180 for a in harness.of(Reject))
+    assert harness.of(Reject)
+    assert all(120 <= a.retry_after_ms <= 180 for a in harness.of(Reject))
 
 
-def test_slow_calls_shrink_the_calls_in_hand(make_harness):
+def test_slow_calls_lower_the_downstream_limit(make_harness):
     harness = make_harness(call_quota=5, cores=10)
     now = 0.0
     for took in [50] * 20 + [600] * 30:
@@ -141,22 +142,24 @@
     return last
 
 
-def test_single_lost_replies_leave_the_calls_alone_and_many_shrink_them(make_harness):
+def test_many_lost_replies_lower_the_downstream_limit_and_single_ones_do_not(make_harness):
     harness = make_harness(call_quota=5, cores=10)
     lost = [Outcome.TIMEOUT, Outcome.ERROR, Outcome.RESET]
     call_days(harness, [(50, Outcome.OK)] * 9, UNSAFE)
     limit = harness.state.downstream.limit
     for end in lost * 4:
         call_days(harness, [(400, end)] + [(50, Outcome.OK)] * 12, UNSAFE)
-    assert harness.state.downstream.limit == limit and harness.state.downstream.recent_ms == pytest.approx(50)
+    assert harness.state.downstream.limit == limit
+    assert harness.state.downstream.recent_ms == pytest.approx(50)
     call_days(harness, [(400, Outcome.TIMEOUT)] * 60, UNSAFE)
     assert harness.state.downstream.limit == pytest.approx(1.0)
 
 
-def test_a_read_whose_reply_is_lost_calls_once_more_and_is_not_waited_for_long(make_harness):
+def test_skippable_call_with_a_lost_reply_is_retried_once_with_a_short_timeout(make_harness):
     harness = make_harness(call_quota=5, cores=10)
     last = call_days(harness, [(50, Outcome.OK)] * 9 + [(60, Outcome.ERROR)], SKIPS)
-    assert [type(a) for a in last] == [StartCall] and last[0].timeout_ms == pytest.approx(400)
+    assert [type(a) for a in last] == [StartCall]
+    assert last[0].timeout_ms == pytest.approx(400)
     harness.step(*[harness.request(SKIPS, deadline_at=harness.now + 3900)])
     harness.step(CallRequested(harness.next_id), at=harness.now + 5)
     for expected in (StartCall, SkipCall):
@@ -164,7 +167,7 @@
         assert [type(a) for a in got] == [expected]
 
 
-def test_scarce_calls_hold_back_only_requests_that_need_one(make_harness):
+def test_scarce_calls_reject_only_requests_that_need_one(make_harness):
     harness = make_harness(call_quota=1, cores=40)
     call_days(harness, [(50, Outcome.OK)] * 9, SKIPS)
     call_days(harness, [(50, Outcome.OK)] * 9, UNSAFE)
@@ -179,30 +182,35 @@
     )
     harness.step(writes)
     harness.step(read)
-    assert harness.of(Reject, writes.id) and harness.of(StartRun, read.id) and not harness.of(Reject, read.id)
+    assert harness.of(Reject, writes.id)
+    assert harness.of(StartRun, read.id)
+    assert not harness.of(Reject, read.id)
 
 
-def test_a_host_that_leaves_serves_as_long_as_it_may_and_then_keeps_callers_away(make_harness):
+def test_draining_server_admits_within_the_grace_and_then_keeps_clients_away(make_harness):
     harness = make_harness(cores=1)
     harness.step(harness.request(deadline_at=3900), harness.request(deadline_at=3900))
     harness.step(admission.ShutdownRequested(4000), at=10)
     waits = harness.request(deadline_at=4000)  # there is work ahead of it, and most of the grace of 1 s is left
     harness.step(waits)
     harness.tick(400)
-    assert not harness.of(Reject, waits.id) and not [a for a in harness.of(Advertise) if a.value == 1]
+    assert not harness.of(Reject, waits.id)
+    assert not [a for a in harness.of(Advertise) if a.value == 1]
     for rid in (1, 2, waits.id):
         harness.step(RunCompleted(rid, Outcome.OK, 100))
     harness.tick(400)
     in_grace = harness.request(deadline_at=4800)
     harness.step(in_grace)
-    assert not harness.of(Reject, in_grace.id) and harness.of(Advertise)[-1].value == 1
+    assert not harness.of(Reject, in_grace.id)
+    assert harness.of(Advertise)[-1].value == 1
     harness.tick(200)
     late = harness.request(deadline_at=4800)
     harness.step(late)
-    assert harness.of(Reject, late.id) and not harness.of(Reject, late.id)[0].no_retry
+    assert harness.of(Reject, late.id)
+    assert not harness.of(Reject, late.id)[0].no_retry
 
 
-def test_settings_that_contradict_themselves_are_refused():
+def test_invalid_settings_are_rejected():
     good = make_settings()
     bad = [
         {"classes": ()},
@@ -219,7 +227,7 @@
     Controller(good, 1, 0)
 
 
-def test_the_same_events_give_the_same_actions(make_harness):
+def test_same_events_give_the_same_actions(make_harness):
     runs = []
     for _ in range(2):
         harness = make_harness()
@@ -230,14 +238,14 @@
     assert runs[0] == runs[1]
 
 
-def test_missing_gauges_do_no_harm(make_harness):
+def test_missing_gauges_are_tolerated(make_harness):
     harness = make_harness(gauges=())
     harness.step(harness.request())
     harness.tick(1000, gauges=())
     assert harness.of(StartRun)
 
 
-def test_a_further_try_is_known_by_its_time_though_its_caller_was_never_seen(make_harness):
+def test_retry_of_an_unknown_caller_is_recognised_by_its_time_left(make_harness):
     harness = make_harness()
     for i in range(40):  # first tries of forty callers come with the whole deadline
         request = harness.request(deadline_at=harness.now + 4000, caller=i)
@@ -255,7 +263,7 @@
     )
 
 
-def test_callers_of_two_habits_both_send_first_tries(make_harness):
+def test_first_attempts_of_callers_with_two_timeouts_are_both_recognised(make_harness):
     harness = make_harness()
     for i in range(60):
         request = harness.request(deadline_at=harness.now + (4000 if i % 3 else 900), caller=i)
@@ -267,19 +275,20 @@
     assert harness.state.requests[hasty.id].objective_at == harness.now + 1000
 
 
-def test_the_time_a_call_is_given_is_a_lower_tiers_aim(make_harness):
+def test_deadline_of_a_call_is_the_objective_of_a_lower_tier(make_harness):
     harness = make_harness(lower_tier=True)
     request = harness.request(deadline_at=700)
     harness.step(request)
     assert harness.state.requests[request.id].objective_at == 700
 
 
-def test_sheds_with_nothing_out_leave_a_credit(make_harness):
+def test_credit_stays_positive_when_nothing_is_in_flight(make_harness):
     harness = make_harness(backpressure_signal=admission.BackpressureSignal.CREDIT, callers=100)
     harness.step(harness.request(deadline_at=1, age_ms=900), at=2.0)
     assert harness.of(Reject)
     harness.tick(500)
-    assert harness.of(Advertise) and all(a.value > 0 for a in harness.of(Advertise))
+    assert harness.of(Advertise)
+    assert all(a.value > 0 for a in harness.of(Advertise))
 
 
 def serve_each(harness, callers, count=120):
@@ -290,7 +299,7 @@
         harness.tick(200)
 
 
-def test_idle_connections_stay_where_callers_return_and_go_where_they_do_not(make_harness):
+def test_idle_timeout_is_long_where_callers_return_and_short_where_they_do_not(make_harness):
     few = make_harness()
     serve_each(few, callers=5)
     assert few.of(SetIdleTimeout)[-1].timeout_ms == few.settings.idle_timeout_ms
@@ -300,7 +309,7 @@
     assert len(many.state.idle_timeout.last_seen) < 40  # callers of the last six seconds, however many there are
 
 
-def test_a_flooded_server_lets_its_connections_stay(make_harness):
+def test_overloaded_server_keeps_its_idle_connections(make_harness):
     harness = make_harness(cores=1)
     for i in range(60):
         harness.step(*[harness.request(deadline_at=harness.now + 1000, caller=50 * i + n) for n in range(6)])
@@ -308,13 +317,13 @@
     assert harness.state.idle_timeout.value_ms == harness.settings.idle_timeout_ms
 
 
-def test_no_idle_limit_is_told_where_none_is_known(make_harness):
+def test_no_idle_timeout_is_set_where_the_callers_have_none(make_harness):
     harness = make_harness(idle_timeout_ms=0.0)
     serve_each(harness, callers=60)
     assert not harness.of(SetIdleTimeout)
 
 
-def test_what_is_read_in_a_moment_does_not_lower_the_limit(make_harness):
+def test_single_crowded_gauge_readings_do_not_lower_the_concurrency_limit(make_harness):
     harness = make_harness(cores=2)
     harness.state.concurrency_limit.value = 4.0
     for _ in range(60):  # reading makes every other look at the cores a crowd; their mean is not
@@ -323,7 +332,7 @@
     assert harness.state.concurrency_limit.value == 4.0
 
 
-def test_half_of_the_limit_runs_while_reading_is_behind(make_harness):
+def test_half_of_the_concurrency_limit_runs_while_reading_is_late(make_harness):
     harness = make_harness(cores=4)
     harness.step(*[harness.request(deadline_at=3900, age_ms=400) for _ in range(6)], at=400.0)
     assert len(harness.of(StartRun)) == 3
@@ -331,7 +340,7 @@
     assert len(harness.of(StartRun)) == 6
 
 
-def test_a_share_under_one_call_still_lets_calls_through(make_harness):
+def test_quota_under_one_call_still_admits_calls(make_harness):
     harness = make_harness(call_quota=0.4, cores=4)
     for _ in range(40):
         request = harness.request(UNSAFE, deadline_at=harness.now + 3900)
@@ -344,7 +353,7 @@
     assert len(harness.of(StartCall)) == 40
 
 
-def test_calls_that_hang_stay_within_a_share_under_one_call(make_harness):
+def test_hanging_calls_stay_within_a_quota_under_one_call(make_harness):
     harness = make_harness(call_quota=0.43, cores=4)
     harness.step(*[harness.request(UNSAFE, deadline_at=3900) for _ in range(4)])
     harness.step(*[CallRequested(number) for number in range(1, 5)], at=5.0)
@@ -368,7 +377,7 @@
     assert max(windows) < 0.43
 
 
-def test_one_slow_run_does_not_shut_its_class_out(make_harness):
+def test_one_slow_run_does_not_reject_its_class_for_good(make_harness):
     """The first run of a class took twice its aim; those that come after it are tried, and set the estimate right."""
     harness = make_harness()
     harness.step(first := harness.request())
@@ -381,12 +390,15 @@
 
 
 @pytest.mark.parametrize("left,runs", [(750.0, True), (650.0, False)])
-def test_work_that_waits_is_tried_while_seven_tenths_of_its_aim_are_left(make_harness, left, runs):
+def test_queued_request_starts_while_seven_tenths_of_its_objective_are_left(make_harness, left, runs):
     harness = make_harness(cores=1)
     harness.step(first := harness.request())
     harness.step(RunCompleted(first.id, Outcome.OK, 2000.0), at=2000.0)
     harness.step(running := harness.request())
     harness.step(held := harness.request())
-    assert harness.of(StartRun, running.id) and not harness.of(StartRun, held.id) and not harness.finals(held.id)
+    assert harness.of(StartRun, running.id)
+    assert not harness.of(StartRun, held.id)
+    assert not harness.finals(held.id)
     harness.step(RunCompleted(running.id, Outcome.OK, 2000.0), at=3000.0 - left)
-    assert bool(harness.of(StartRun, held.id)) is runs and len(harness.finals(held.id)) == (not runs)
+    assert bool(harness.of(StartRun, held.id)) is runs
+    assert len(harness.finals(held.id)) == (not runs)
--- a/tests/test_paused_runs.py
+++ b/tests/test_paused_runs.py
@@ -192,7 +192,7 @@
     assert [g.result(n) for n in numbers] == ["done"] * COUNT and not h.executor.orders("KILL")
 
 
-def test_a_paused_run_keeps_its_memory_and_leaves_the_cores(make_harness):
+def test_paused_run_keeps_its_memory_and_frees_its_slot(make_harness):
     harness = make_harness(cancel_mode=CancelMode.PAUSE, overload_runs_per_core=2, call_quota=50)
     harness.tick(1000)  # the limit comes down to its ceiling
     ids = []
@@ -203,15 +203,18 @@
     held = harness.state.memory.used_kb
     harness.step(*(CallCompleted(i, Outcome.OK, 20.0) for i in ids))
     told = [a.id for a in harness.of(CancelRun)]
-    assert len(told) == 4 and harness.state.running == 6
+    assert len(told) == 4
+    assert harness.state.running == 6
     harness.step(*(RunCompleted(i, Outcome.CANCELLED, 5.0) for i in told))
-    assert harness.state.running == 2 and harness.state.memory.used_kb == held
+    assert harness.state.running == 2
+    assert harness.state.memory.used_kb == held
     harness.step(ClientCancelled(told[0]))
     assert harness.state.memory.used_kb == held * 5 / 6 and not [a for a in harness.of(StartRun, told[0])][1:]
     rest = [i for i in ids if i not in told]
     harness.step(RunCompleted(rest[0], Outcome.OK, 30.0))
     woken = [i for i in told if len(harness.of(StartRun, i)) == 2]
-    assert len(woken) == 1 and harness.state.running == 2
+    assert len(woken) == 1
+    assert harness.state.running == 2
     harness.step(CallRequested(woken[0]))  # it goes on as any other
     assert harness.state.running == 2 and sum(len(harness.of(StartRun, i)) == 2 for i in told) == 2
 
@@ -229,7 +232,7 @@
     assert h.figures()["inflight"] == 0 and h.log().count("command=WAKE") == COUNT - 2
 
 
-def test_a_host_that_is_behind_with_reading_pauses_nothing(make_harness):
+def test_late_reading_pauses_no_run(make_harness):
     """One core, and a request that lay unread: it halves what is begun until the next one, which may never come."""
     harness = make_harness(cancel_mode=CancelMode.PAUSE, cores=1)
     harness.step(request := harness.request())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -29,7 +29,7 @@
 # One final answer.
 
 
-def test_running_work_is_answered_by_its_due_time(make_harness):
+def test_running_request_is_answered_by_its_deadline(make_harness):
     harness = make_harness()
     request = harness.request(deadline_at=3000)
     assert StartRun(request.id) in harness.step(request)
@@ -43,7 +43,7 @@
     assert len(harness.finals(request.id)) == 1
 
 
-def test_untold_due_time_counts_from_the_arrival(make_harness):
+def test_unknown_deadline_counts_from_the_arrival(make_harness):
     harness = make_harness(now=500.0)
     request = harness.request(age_ms=500)
     harness.step(request)
@@ -53,7 +53,7 @@
     assert len(harness.finals(request.id)) == 1
 
 
-def test_held_requests_are_refused_in_time_and_once(make_harness):
+def test_queued_requests_are_answered_in_time_and_once(make_harness):
     harness = make_harness()
     many = [harness.request(deadline_at=1200) for _ in range(30)]
     harness.step(*many)
@@ -64,7 +64,7 @@
         assert isinstance(harness.finals(request.id)[0], Fail if ran else Reject)
 
 
-def test_an_answer_that_beats_the_due_time_is_the_only_one(make_harness):
+def test_no_answer_follows_a_run_that_completes_before_the_deadline(make_harness):
     harness = make_harness()
     request = harness.request(deadline_at=1000)
     harness.step(request)
@@ -74,16 +74,17 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.ERROR])
-def test_a_run_that_ends_after_its_answer_is_left_alone(make_harness, outcome):
+def test_run_that_completes_after_its_answer_gets_no_second_answer(make_harness, outcome):
     harness = make_harness(cancel_mode=admission.CancelMode.NONE)
     request = harness.request(deadline_at=400)
     harness.step(request)
     harness.tick(480)
     harness.step(RunCompleted(request.id, outcome, 480))
-    assert len(harness.finals(request.id)) == 1 and not harness.of(CancelRun)
+    assert len(harness.finals(request.id)) == 1
+    assert not harness.of(CancelRun)
 
 
-def test_caller_gone_while_running_stops_the_work_and_owes_nothing(make_harness):
+def test_cancelled_request_stops_its_run_and_gets_no_answer(make_harness):
     harness = make_harness()
     request = harness.request(deadline_at=1000)
     harness.step(request)
@@ -93,7 +94,7 @@
     assert not harness.finals(request.id)
 
 
-def test_events_for_requests_that_are_over_or_unknown_are_ignored(make_harness):
+def test_events_of_completed_or_unknown_requests_are_ignored(make_harness):
     harness = make_harness()
     request = harness.request()
     harness.step(request)
@@ -112,7 +113,7 @@
 # Effects never twice.
 
 
-def test_keyed_is_pinned_before_it_runs(make_harness):
+def test_idempotency_key_is_retained_before_the_run_starts(make_harness):
     harness = make_harness()
     harness.step()
     request = harness.request(KEYED)
@@ -120,17 +121,18 @@
     assert got.index(RetainKey(request.id, 5000)) < got.index(StartRun(request.id))
 
 
-def test_repeat_of_a_running_key_joins_and_never_runs(make_harness):
+def test_retry_of_a_running_key_is_coalesced_and_never_runs(make_harness):
     harness = make_harness()
     first = harness.request(KEYED, deadline_at=4000)
     harness.step(first)
     again = harness.request(KEYED, retry_of=first.id, deadline_at=4000)
     assert Coalesce(again.id) in harness.step(again, at=500)
     harness.tick(300)
-    assert not harness.of(StartRun, again.id) and not harness.of(Reject, again.id)
+    assert not harness.of(StartRun, again.id)
+    assert not harness.of(Reject, again.id)
 
 
-def test_repeat_after_the_run_is_never_refused_nor_run(make_harness):
+def test_retry_of_an_executed_key_is_neither_rejected_nor_run(make_harness):
     harness = make_harness()
     first = harness.request(KEYED)
     harness.step(first)
@@ -140,11 +142,13 @@
     third = harness.request(KEYED, retry_of=again.id, deadline_at=4000)
     assert Coalesce(again.id) in harness.step(again, at=2000)
     harness.step(third, at=2100)
-    assert not harness.of(StartRun, again.id) and not harness.of(StartRun, third.id)
-    assert not harness.of(Reject, again.id) and not harness.of(Reject, third.id)
+    assert not harness.of(StartRun, again.id)
+    assert not harness.of(StartRun, third.id)
+    assert not harness.of(Reject, again.id)
+    assert not harness.of(Reject, third.id)
 
 
-def test_two_tries_of_one_key_in_one_batch_run_once(make_harness):
+def test_two_attempts_of_one_key_in_one_step_run_once(make_harness):
     harness = make_harness()
     a, b = harness.request(KEYED), harness.request(KEYED)
     harness.step(a._replace(retry_of=b.id), b._replace(retry_of=a.id))
@@ -152,35 +156,39 @@
     assert len(harness.of(StartRun)) == 1
 
 
-def test_a_newer_try_takes_over_from_a_held_one(make_harness):
+def test_newer_attempt_replaces_a_queued_one(make_harness):
     harness = make_harness()
     harness.step(*[harness.request(UNSAFE) for _ in range(3)])  # fill the slots
     old = harness.request(KEYED, deadline_at=1500)
     harness.step(old)
     new = harness.request(KEYED, retry_of=old.id, deadline_at=3000)
     harness.step(new, at=100)
-    assert harness.finals(old.id) and not harness.of(Coalesce, new.id)
+    assert harness.finals(old.id)
+    assert not harness.of(Coalesce, new.id)
     for number in range(1, 4):
         harness.step(RunCompleted(number, Outcome.OK, 120), at=120)
-    assert harness.of(StartRun, new.id) and not harness.of(StartRun, old.id)
+    assert harness.of(StartRun, new.id)
+    assert not harness.of(StartRun, old.id)
 
 
-def test_a_refused_key_that_never_ran_is_forgotten(make_harness):
+def test_key_of_a_rejected_attempt_that_never_ran_is_released(make_harness):
     harness = make_harness()
     harness.step(*[harness.request(UNSAFE) for _ in range(3)])
     request = harness.request(KEYED, deadline_at=700)
     harness.step(request)
     harness.tick(900)
-    assert harness.of(Reject, request.id) and harness.of(ReleaseKey, request.id)
+    assert harness.of(Reject, request.id)
+    assert harness.of(ReleaseKey, request.id)
 
 
-def test_keyed_run_goes_on_for_its_repeats_when_the_caller_leaves(make_harness):
+def test_keyed_run_is_not_cancelled_with_its_client(make_harness):
     harness = make_harness()
     request = harness.request(KEYED)
     harness.step(request)
     harness.step(ClientCancelled(request.id), at=50)
     again = harness.request(KEYED, retry_of=request.id)
-    assert not harness.of(CancelRun) and Coalesce(again.id) in harness.step(again, at=90)
+    assert not harness.of(CancelRun)
+    assert Coalesce(again.id) in harness.step(again, at=90)
 
 
 @pytest.mark.parametrize(
@@ -195,7 +203,7 @@
         (Outcome.CANCELLED, False),
     ],
 )
-def test_unsafe_call_is_repeated_only_after_proof_that_it_never_ran(make_harness, outcome, repeats):
+def test_call_with_an_effect_is_retried_only_if_it_never_ran(make_harness, outcome, repeats):
     harness = make_harness()
     request = harness.request(UNSAFE)
     harness.step(request)
@@ -203,10 +211,11 @@
     harness.step(CallCompleted(request.id, outcome, 20), at=70)
     harness.tick(300)
     assert len(harness.of(StartCall, request.id)) == (2 if repeats else 1)
-    assert bool(harness.of(Fail, request.id)) is not repeats and not harness.of(Reject, request.id)
+    assert bool(harness.of(Fail, request.id)) is not repeats
+    assert not harness.of(Reject, request.id)
 
 
-def test_a_failed_call_that_can_be_left_out_is(make_harness):
+def test_failed_call_that_can_be_skipped_is_skipped(make_harness):
     harness = make_harness()
     request = harness.request(SKIPS)
     harness.step(request)
@@ -217,15 +226,16 @@
 # Drain.
 
 
-def test_nothing_runs_that_came_after_the_grace(make_harness):
+def test_request_after_the_drain_grace_never_runs(make_harness):
     harness = make_harness()
     harness.step(ShutdownRequested(6000), at=100)
     request = harness.request(deadline_at=5000)
     harness.step(request, at=1200)
-    assert harness.of(Reject, request.id) and not harness.of(StartRun)
+    assert harness.of(Reject, request.id)
+    assert not harness.of(StartRun)
 
 
-def test_all_is_answered_before_the_stop_even_at_a_call(make_harness):
+def test_all_requests_are_answered_before_the_stop(make_harness):
     harness = make_harness()
     held = [harness.request(UNSAFE, deadline_at=9000) for _ in range(8)]
     harness.step(*held)
@@ -239,7 +249,7 @@
     assert harness.of(admission.SetHealth)[-1] == admission.SetHealth(False, True)
 
 
-def test_drain_refusals_let_the_caller_try_elsewhere(make_harness):
+def test_drain_rejections_allow_a_retry_elsewhere(make_harness):
     harness = make_harness()
     harness.step(ShutdownRequested(6000), at=100)
     request = harness.request(deadline_at=5000)
@@ -250,7 +260,7 @@
 # No falling over.
 
 
-def test_memory_is_counted_before_acting(make_harness):
+def test_memory_stays_within_its_limit(make_harness):
     limit = 1000
     harness = make_harness(memory_kb=limit, cores=8)
     many = [harness.request(deadline_at=3900) for _ in range(60)]
@@ -263,7 +273,7 @@
 
 
 @pytest.mark.parametrize("cold", [False, True])
-def test_runs_on_the_cores_stay_far_under_the_survivable_crowd(make_harness, cold):
+def test_running_requests_stay_under_the_overload_bound(make_harness, cold):
     harness = make_harness(warming_up=cold, cores=4)
     for i in range(50):
         harness.step(*[harness.request(deadline_at=harness.now + 3000) for _ in range(5)])
@@ -272,7 +282,7 @@
         assert harness.state.running <= 4 * (1 + 7 * share)
 
 
-def test_calls_stay_within_the_share(make_harness):
+def test_calls_in_flight_stay_within_the_quota(make_harness):
     harness = make_harness(call_quota=5, cores=10)
     requests = [harness.request(UNSAFE) for _ in range(12)]
     harness.step(*requests)
@@ -286,7 +296,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_random_traffic_keeps_every_promise(make_harness, seed):
+def test_random_traffic_keeps_all_rules(make_harness, seed):
     rng = random.Random(seed)
     harness = make_harness(cores=3, warming_up=bool(seed % 2), call_quota=rng.choice([0, 0.8, 4]))
     open_runs, calls, asked, gone, ran_keys, answered, owed = {}, {}, {}, set(), {}, {}, []
@@ -323,7 +333,9 @@
             events.append(admission.TimerFired(0, (rng.random(), rng.random() * 5)))
         for a in harness.step(*events):
             if isinstance(a, StartRun):
-                assert a.id not in answered and a.id not in gone and not asked[a.id].retry_of
+                assert a.id not in answered
+                assert a.id not in gone
+                assert not asked[a.id].retry_of
                 assert a.id not in open_runs
                 open_runs[a.id] = "run"
                 if asked[a.id].cls == KEYED:
@@ -338,7 +350,8 @@
                 assert a.id not in answered
                 answered[a.id] = harness.now
                 if isinstance(a, Reject):
-                    assert a.id not in open_runs and not asked[a.id].retry_of
+                    assert a.id not in open_runs
+                    assert not asked[a.id].retry_of
                 if isinstance(a, Fail) and open_runs.get(a.id) == "call":
                     del open_runs[a.id]
                     calls.pop(a.id, None)
--- a/tests/test_shared_budget.py
+++ b/tests/test_shared_budget.py
@@ -12,31 +12,33 @@
     return len(make_harness.of(admission.StartRun))
 
 
-def test_the_other_processs_runs_count_against_the_limit_but_leave_a_half(make_harness):
+def test_peer_runs_reduce_the_slots_to_no_less_than_half(make_harness):
     slots = started(make_harness(gauges=GAUGES, cores=8), 30)
     assert slots == 12
     assert started(make_harness(gauges=GAUGES, cores=8), 30, other_runs=4.0) == 8
     assert started(make_harness(gauges=GAUGES, cores=8), 30, other_runs=40.0) == 6
 
 
-def test_the_other_processs_memory_counts_in_full(make_harness):
+def test_peer_memory_counts_in_full(make_harness):
     full = make_harness(gauges=GAUGES, memory_kb=1000)
     assert started(full, 2, other_kb=900.0) == 0
     assert full.of(admission.Reject)[0].retry_after_ms > 0  # the second finds no room to be held
     assert started(make_harness(gauges=GAUGES, memory_kb=1000), 2) == 2
 
 
-def test_the_other_processs_calls_count_against_the_share_but_leave_a_half(make_harness):
+def test_peer_calls_reduce_the_downstream_limit_to_no_less_than_half(make_harness):
     def calls(**others):
         harness = make_harness(gauges=GAUGES, cores=20, call_quota=20.0)
         n = started(harness, 20, **others)
         harness.step(*(admission.CallRequested(i) for i in range(1, n + 1)))
         return len(harness.of(admission.StartCall))
 
-    assert calls() == 12 and calls(other_calls=4.0) == 8 and calls(other_calls=40.0) == 6
+    assert calls() == 12
+    assert calls(other_calls=4.0) == 8
+    assert calls(other_calls=40.0) == 6
 
 
-def test_what_one_process_learned_the_next_begins_with(make_harness):
+def test_estimates_of_one_process_are_adopted_by_the_next(make_harness):
     old = make_harness()
     for _ in range(40):
         request = old.request()
@@ -45,7 +47,8 @@
     known = old.controller.learned()
     new = make_harness()
     new.controller.adopt(known)
-    assert abs(new.state.run_estimates.core_ms[0] - 77.0) < 1 and new.controller.learned() == known
+    assert abs(new.state.run_estimates.core_ms[0] - 77.0) < 1
+    assert new.controller.learned() == known
     seen = make_harness()
     request = seen.request()
     seen.step(request)
@@ -57,13 +60,14 @@
     assert not any(other.state.run_estimates.runs)  # other classes: nothing of it fits
 
 
-def test_a_leave_that_is_handed_over_turns_nothing_away_and_answers_all_in_time(make_harness):
+def test_shutdown_with_hand_over_rejects_nothing_and_answers_all_in_time(make_harness):
     harness = make_harness(drain_grace_ms=500)
     harness.step(admission.ShutdownRequested(3000.0, handed_over=True))
     harness.tick(1000)
     late = harness.request()
     harness.step(late)
-    assert harness.of(admission.StartRun, late.id) and not [a for a in harness.of(admission.SetHealth) if not a.healthy]
+    assert harness.of(admission.StartRun, late.id)
+    assert not [a for a in harness.of(admission.SetHealth) if not a.healthy]
     harness.tick(1990)
     assert harness.finals(late.id)
     assert not [a for a in harness.of(admission.Advertise) if a.value >= 1]
@@ -72,4 +76,5 @@
     left.tick(1000)
     late = left.request()
     left.step(late)
-    assert left.of(admission.Reject, late.id) and [a for a in left.of(admission.SetHealth) if not a.healthy]
+    assert left.of(admission.Reject, late.id)
+    assert [a for a in left.of(admission.SetHealth) if not a.healthy]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -92,7 +92,7 @@
     return struct.pack(">BIQdQfdQBIfdHI", codec.KNOCK, inst, rid, 5000.0, 0, 0.5, 1.0, 0, 1, 0, 20.0, 100.0, 0, 1)
 
 
-def test_the_described_batch_decodes():
+def test_batch_of_the_wire_description_decodes():
     clock, number, records = codec.decode_batch(BATCH)
     assert (clock, number) == (8412.25, 12)
     assert records[0] == (
@@ -117,7 +117,7 @@
     assert records[2] == (4, 5, 0xF167B0E6F2B19)
 
 
-def test_the_described_reply_encodes():
+def test_reply_of_the_wire_description_encodes():
     parts = [
         codec.ACTIONS[codec.DISPATCH].pack(codec.DISPATCH, 3, 0x8F0695D3A91C4),
         codec.ACTIONS[codec.ARM].pack(codec.ARM, 3, 500.0, 0x4D),
@@ -142,7 +142,7 @@
     assert codec.encode_reply(1, []).hex() == "0000000c0000000000000001"
 
 
-def test_described_single_records():
+def test_single_records_of_the_wire_description():
     assert codec.ACTIONS[codec.SAY_NO].pack(codec.SAY_NO, 3, 0xF167B0E6F2B19, 250.0, 1).hex() == (
         "0a00000003000f167b0e6f2b19406f40000000000001"
     )
@@ -172,48 +172,53 @@
         (frame(born(), struct.pack(">BIQBd", codec.RUN_OVER, 3, 5, 77, 1.0)), "unknown outcome"),
     ],
 )
-def test_malformed_input_ends_with_a_plain_message(data, says):
+def test_malformed_input_ends_the_adapter_with_a_message(data, says):
     done = run_adapter(data)
     assert done.returncode != 0
-    assert says in done.stderr.decode() and "Traceback" not in done.stderr.decode()
+    assert says in done.stderr.decode()
+    assert "Traceback" not in done.stderr.decode()
 
 
-def test_end_of_input_is_a_clean_exit():
+def test_end_of_input_exits_cleanly():
     done = run_adapter(frame(number=4))
-    assert done.returncode == 0 and done.stdout == codec.encode_reply(4, []) and done.stderr == b""
+    assert done.returncode == 0
+    assert done.stdout == codec.encode_reply(4, [])
+    assert done.stderr == b""
 
 
-def test_unknown_keys_and_gauges_are_skipped_and_requests_answered():
+def test_unknown_settings_keys_and_gauges_are_ignored():
     out = io.BytesIO()
     timer = struct.pack(">BIQBff", codec.DEADLINE_HIT, 3, 0, 2, 0.5, 7.0)
     adapter.serve(io.BytesIO(frame(born()) + frame(knock(), number=2) + frame(timer, number=3)), out)
     assert codec.ACTIONS[codec.DISPATCH].pack(codec.DISPATCH, 3, 5) in out.getvalue()
 
 
-def test_a_restart_under_the_same_number_begins_anew():
+def test_instance_born_again_starts_with_a_new_controller():
     instances = adapter.Adapter()
     instances.answer(frame(born(), knock(rid=5)))
     kill = struct.pack(">BI", codec.KILL, 3)
     instances.answer(frame(kill, born({**INFO, "FamilyInfo": {**INFO["FamilyInfo"], "Cold": True}}), number=2))
     control = instances.controllers[3]
-    assert control.state.settings.warming_up and not control.state.requests
+    assert control.state.settings.warming_up
+    assert not control.state.requests
 
 
-def test_a_fault_of_the_module_is_reported_with_its_cause(monkeypatch, capsys):
+def test_exception_in_the_decision_module_is_reported_as_fatal(monkeypatch, capsys):
     instances = adapter.Adapter()
     instances.answer(frame(born()))
     monkeypatch.setattr(adapter.Controller, "step", lambda *a: 1 / 0)
     reply = instances.answer(frame(knock(), number=2))
-    assert b"ZeroDivisionError" in reply and reply[12] == codec.FATAL
+    assert b"ZeroDivisionError" in reply
+    assert reply[12] == codec.FATAL
 
 
-def test_callers_and_idle_time_are_read_and_may_be_absent():
+def test_callers_and_idle_timeout_are_optional_settings():
     told = {**INFO, "FamilyInfo": {**INFO["FamilyInfo"], "Upstreams": 230, "Idle": 30000.0}}
     read = [settings_from(msgspec.convert(info, Info)) for info in (told, INFO)]
     assert [(s.callers, s.idle_timeout_ms) for s in read] == [(230, 30000.0), (0, 0.0)]
 
 
-def test_health_and_idle_limit_go_out_as_the_module_says():
+def test_health_and_idle_timeout_actions_encode():
     health, idle = adapter.ENCODERS[admission.SetHealth], adapter.ENCODERS[admission.SetIdleTimeout]
     assert health(3, admission.SetHealth(True, False)) == bytes.fromhex("0d000000030100")
     assert health(3, admission.SetHealth(False, True)) == bytes.fromhex("0d000000030001")
