--- a/lapispick/admission/run_pauser.py
+++ b/lapispick/admission/run_pauser.py
@@ -11,7 +11,7 @@
 
 
 class RunPauser:
-    """Owns the runs that are paused or told to pause; used where a cancelled run keeps its work."""
+    """Owns the runs that are paused or about to pause; used where a cancelled run keeps its work."""
 
     __slots__ = ("_requests", "_state")
 
@@ -51,7 +51,7 @@
         )
 
     def confirm(self, request: TrackedRequest) -> None:
-        """Take in that a run was cancelled: if it was told to pause, it is off the cores now."""
+        """Take in that a run was cancelled: if it was to pause, it is off the cores now."""
         if request in self._requests and request.state is RUNNING:
             request.state = PAUSED
             self._state.running -= 1
--- a/lapispick/admission/settings.py
+++ b/lapispick/admission/settings.py
@@ -1,4 +1,4 @@
-"""What the decision module is told at its start.
+"""The settings of the decision module.
 
 All times are milliseconds, all memory is in kilobytes. Classes are numbered from 0. No default here decides anything.
 """
@@ -59,11 +59,11 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """What a worker host is told at its start. The encoded names are those of stored traces."""
+    """The settings of one worker host. The encoded names are those of stored traces."""
 
     classes: tuple[ClassSettings, ...]
     weight_by_work: bool = field(name="worth_by_work")  # weights count for each unit of work, not for each request
-    callers: int  # callers of this tier at the start; 0 = not told
+    callers: int  # callers of this tier at the start; 0 = unknown
     lower_tier: bool  # requests come from a tier of our own that already worked on them
     cores: int
     memory_kb: float
@@ -79,7 +79,7 @@
     call_quota: float = field(name="calls_out")  # mean calls in flight that are this host's quota; 0 = not limited
     call_quota_window_ms: float = field(name="calls_window_ms")  # the span of that mean
     max_retry_after_ms: float  # 0 = Retry-After is not passed on
-    idle_timeout_ms: float = field(name="idle_ms")  # callers close connections idle for this long; 0 = not told
+    idle_timeout_ms: float = field(name="idle_ms")  # callers close connections idle for this long; 0 = unknown
     gauges: tuple[str, ...]  # names of the values that a timer event brings
 
     def validate(self) -> None:
