--- a/lapispick/admission/__init__.py
+++ b/lapispick/admission/__init__.py
@@ -1,6 +1,7 @@
 """The decision module: which requests are admitted, in which order, and which are rejected. No I/O and no clock.
 
-The types of its interface are exported here; ``controller.Controller`` decides.
+The types of its interface are exported here; ``controller.Controller`` is where decisions start. The parts and the
+order of their work: docs/ADMISSION-DESIGN.md.
 """
 
 from lapispick.admission.actions import (
@@ -11,6 +12,7 @@
     Fail,
     Log,
     Reject,
+    RejectReason,
     ReleaseKey,
     RetainKey,
     SetHealth,
@@ -24,6 +26,7 @@
     PEER_GAUGES,
     CallCompleted,
     CallRequested,
+    CallTimes,
     ClientCancelled,
     Event,
     LearnedEstimates,
@@ -33,7 +36,15 @@
     ShutdownRequested,
     TimerFired,
 )
-from lapispick.admission.settings import BackpressureSignal, CancelMode, ClassSettings, Idempotency, Settings
+from lapispick.admission.settings import (
+    BackpressureSignal,
+    CancelMode,
+    ClassSettings,
+    Idempotency,
+    Settings,
+    SettingsError,
+)
+from lapispick.admission.shadow_prices import Prices
 
 __all__ = [
     "PEER_GAUGES",
@@ -42,6 +53,7 @@
     "BackpressureSignal",
     "CallCompleted",
     "CallRequested",
+    "CallTimes",
     "CancelMode",
     "CancelRun",
     "ClassSettings",
@@ -53,7 +65,9 @@
     "LearnedEstimates",
     "Log",
     "Outcome",
+    "Prices",
     "Reject",
+    "RejectReason",
     "ReleaseKey",
     "RequestReceived",
     "RetainKey",
@@ -62,6 +76,7 @@
     "SetIdleTimeout",
     "SetTimer",
     "Settings",
+    "SettingsError",
     "ShutdownRequested",
     "SkipCall",
     "StartCall",
--- a/lapispick/host/core.py
+++ b/lapispick/host/core.py
@@ -480,8 +480,8 @@
         if self._link is not None and self.control is not None:
             if not self._link.has_unsent():
                 self.ownership.on_flushed()
-            c = self.control
-            usage = messages.ResourceUsage(c.on_core, round(c.memory), c.calls.out, self._link.connections())
+            running, memory_kb, calls_in_flight = self.control.usage()
+            usage = messages.ResourceUsage(running, round(memory_kb), calls_in_flight, self._link.connections())
             if usage != self._told:
                 self._told = usage
                 self._link.send(usage)
@@ -572,7 +572,7 @@
                 task.key is None or task.key.executed_attempt != task.id
             )
             kind = AnswerKind.REJECTED if never_ran else AnswerKind.FAILED
-            self._answer(task, Answer(kind, None, action.retry_after, action.no_retry))
+            self._answer(task, Answer(kind, None, action.retry_after_ms, action.no_retry))
 
     def _fail(self, action: admission.Fail) -> None:
         if (task := self._tasks.get(action.id)) is not None:
@@ -586,7 +586,7 @@
         task.ticket = self.store.call(
             task.request.request_id,
             task.wanted_body,
-            action.timeout or cls.deadline_ms,
+            action.timeout_ms or cls.deadline_ms,
             once=cls.idempotency is not admission.Idempotency.IDEMPOTENT,
         )
 
@@ -613,7 +613,7 @@
             return
         r = task.request
         task.key = self.table.retain(
-            r.idempotency_key, task.id, r.born_at, self._now + action.span, digest_request(r.handler, r.body)
+            r.idempotency_key, task.id, r.born_at, self._now + action.retention_ms, digest_request(r.handler, r.body)
         )
 
     def _forget_key(self, action: admission.ReleaseKey) -> None:
@@ -623,18 +623,18 @@
             self.ownership.release(key)
 
     def _set_health(self, action: admission.SetHealth) -> None:
-        self.duty.well, self.from_store = action.good, action.from_store
+        self.duty.well, self.from_store = action.healthy, action.cached
         self.on_duty(self.duty.listed)
 
     def _limit_idle(self, action: admission.SetIdleTimeout) -> None:
         for front in self.fronts:
-            front.limit_idle(action.span or self.settings.idle_timeout_ms)
+            front.limit_idle(action.timeout_ms or self.settings.idle_timeout_ms)
 
     def _advertise(self, action: admission.Advertise) -> None:
         self.advice = action.value
 
     def _set_timer(self, action: admission.SetTimer) -> None:
-        self._loop.later(action.after / 1000, self.post, host_events.TimerDue(action.token))
+        self._loop.later(action.delay_ms / 1000, self.post, host_events.TimerDue(action.token))
 
     # Answers and what is kept.
 
