--- a/tests/test_member_cluster.py
+++ b/tests/test_member_cluster.py
@@ -426,9 +426,9 @@
 
     until(lambda: set(latency_ratios()) == set(hosts), "a fact of each host")
     assert max(latency_ratios().values()) < 4.0
-    cluster.fleet.store.slow = 200.0  # 0.4 s a call, far more than a busy machine adds to the usual latency
+    cluster.fleet.store.slowdown = 200.0  # 0.4 s a call, far more than a busy machine adds to the usual latency
     until(lambda: sum(ratio > 4.0 for ratio in latency_ratios().values()) >= 2, "that two hosts report it")
-    cluster.fleet.store.slow = 1.0
+    cluster.fleet.store.slowdown = 1.0
     until(lambda: max(latency_ratios().values()) < 3.0, "that it is over")
     assert cluster.fleet.broken_rules() == []
 
