--- a/tests/test_stored_samples.py
+++ b/tests/test_stored_samples.py
@@ -15,7 +15,7 @@
 import pytest
 
 from lapispick.admission import CallTimes, LearnedEstimates, Prices
-from lapispick.agent import generation_store, rollout_store, service
+from lapispick.agent import generation_store, rollout_records, rollout_store, state_file
 from lapispick.durable import database
 from lapispick.file_errors import Fault, Place
 from lapispick.fleet import last_good
@@ -28,7 +28,7 @@
 from lapispick.rollout import host_state as agent_state
 from lapispick.rollout import messages as agent_calls
 from lapispick.rollout import pacing, rollout_state
-from lapispick.rollout.compat import Spoken
+from lapispick.rollout.compat import FormatSupport
 from lapispick.rollout.generations import Generation
 from lapispick.trace import helper as trace_writer
 
@@ -36,6 +36,10 @@
 SOURCE = "inventory.yml group brokers"  # of the stored list
 
 
+def as_json(value):
+    return msgspec.json.decode(msgspec.json.encode(value))
+
+
 def json_codec(kind):
     return msgspec.json.Decoder(kind).decode, msgspec.json.encode
 
@@ -62,11 +66,14 @@
     "inventory-to-helper.jsonl": json_codec(inventory_messages.ToHelper),
     "inventory-from-helper.jsonl": json_codec(inventory_messages.FromHelper),
     "inventory-state/history.jsonl": json_codec(last_good.Entry),
-    "agent-calls.txt": (lambda line: agent_calls.read(line.decode()), lambda call: agent_calls.write(call).encode()),
+    "agent-calls.txt": (
+        lambda line: agent_calls.decode_call(line.decode()),
+        lambda call: agent_calls.encode_call(call).encode(),
+    ),
     "agent-status.jsonl": json_codec(agent_calls.Status),
-    "agent-state.json": json_codec(agent_state.State),
+    "agent-state.json": json_codec(agent_state.HostState),
     "generation.json": json_codec(Generation),
-    "rollout-course.json": json_codec(rollout_state.Course),
+    "rollout-course.json": json_codec(rollout_state.RolloutState),
     "host-config.json": json_codec(host_config.Config),
     "members-turns.jsonl": json_codec(member_reports.LeaseInfo),
     "trace-writer-begin.json": json_codec(trace_writer.Begin),
@@ -107,8 +114,8 @@
     ),
     "learned call times": (CallTimes, ("usual_ms", "recent_ms"), [20.0, 30.0]),
     "learned prices": (Prices, ("occupancy", "cost"), [0.25, 0.75]),
-    "compatibility of a format": (Spoken, ("writes", "oldest", "newest"), [2, 1, 3]),
-    "pace of a rollout": (pacing.Bounds, ("most", "serving_least"), [3, 0.75]),
+    "compatibility of a format": (FormatSupport, ("writes", "oldest", "newest"), [2, 1, 3]),
+    "pace of a rollout": (pacing.Limits, ("max_changing", "min_serving_fraction"), [3, 0.75]),
     "place in a file": (Place, ("file", "line", "column"), ["hosts.yml", 12, 5]),
     "fault of a file": (
         Fault,
@@ -124,9 +131,9 @@
         *(key, int(known.state), known.life, known.born, known.until),
         *(known.body, known.result),
     ),
-    open_ledger=rollout_store.Ledger,
-    open_agent_state=lambda folder, name: service.Store(folder, name),
-    open_generations=generation_store.Shelf,
+    open_ledger=rollout_store.RolloutStore,
+    open_agent_state=state_file.StateFile,
+    open_generations=generation_store.GenerationStore,
     kept_list=last_good.kept,
     keep_list=lambda folder, head, snapshot: last_good.keep(folder, head.source, snapshot, head.at, head.ground),
     history=last_good.history,
@@ -249,27 +256,30 @@
     before = contents(path)
     book = FILES.open_ledger(tmp_path)
     stored = rows(path, "select * from rollouts order by began")
-    found = [(name, began, ended, msgspec.json.encode(course)) for name, began, ended, course in book.history()]
+    found = [(name, began, ended, msgspec.json.encode(state)) for name, began, ended, state in book.history()]
     assert found == stored and [row[0] for row in stored] == ["r0", "r1"]
-    assert msgspec.json.encode(book.course()) == stored[-1][3] == (STORED / "rollout-course.json").read_bytes().strip()
+    assert msgspec.json.encode(book.get()) == stored[-1][3] == (STORED / "rollout-course.json").read_bytes().strip()
     assert book.events("r1") == [(1764576010.5, "begun")]
-    assert book.looked("r1") == (1764576012.0, LOOKED)
-    assert book.explained("r1") == (1764576013.0, EXPLAINED)
-    assert book.steered() == ("alpha", 5, 1764576012.0)
+    assert as_json(book.fleet_summary("r1")) == LOOKED
+    assert rows(path, "select at from looks where rollout = 'r1'") == [(1764576012.0,)]
+    assert as_json(book.explanation("r1")) == [1764576013.0, EXPLAINED]
+    assert book.leadership() == ("alpha", 5, 1764576012.0)
     assert contents(path) == before
-    assert book.take_over("beta", 0) == 6 and book.orders("r1") == ["go", "hold"]
+    assert book.take_over("beta", 0) == 6 and book.take_orders("r1") == ["go", "hold"]
     book.close()
 
 
 def test_a_ledger_is_written_as_stored(tmp_path):
     old = restored("ledger.sql", tmp_path / "old.db")
-    course = CODECS["rollout-course.json"][0](lines("rollout-course.json")[0])
+    state = CODECS["rollout-course.json"][0](lines("rollout-course.json")[0])
     book = FILES.open_ledger(tmp_path / "new")
     assert book.take_over("alpha", 4) == 5
-    book.keep(course, 1764576010.0, [(1764576010.5, "begun")])
-    book.seen(1764576012.0, "r1", LOOKED)
-    book.explain("r1", 1764576013.0, EXPLAINED)
-    book.order("r1", "go")
+    book.save(state, 1764576010.0, [(1764576010.5, "begun")])
+    summary = msgspec.convert(LOOKED, rollout_records.FleetSummary)
+    book.record_heartbeat("r1", 1764576012.0, summary)
+    explanation = msgspec.convert(EXPLAINED, rollout_records.Explanation)
+    book.save_explanation("r1", 1764576013.0, explanation)
+    book.add_order("r1", "go")
     book.close()
     new = tmp_path / "new" / "rollouts.db"
     assert schema(new) == schema(old)
@@ -300,7 +310,7 @@
     store = FILES.open_agent_state(tmp_path, "disp-01")
     assert msgspec.json.encode(store.state) == lines("agent-state.json")[0]
     (tmp_path / "state.json").unlink()
-    store.put(store.state)
+    store.save(store.state)
     assert (tmp_path / "state.json").read_bytes() == lines("agent-state.json")[0]
     assert (tmp_path / "agent.lock").exists()
 
