--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Helpers that build settings and drive a Controller through its interface."""
+"""Helpers that build settings and drive a controller through its interface, and start hosts."""
 
 import re
 
@@ -8,6 +8,12 @@
 from lapispick import ClassSettings, Controller, Settings, admission
 from lapispick.fakes.peers import Host
 
+# The classes of ``make_settings``.
+IDEMPOTENT = 0
+KEYED = 1
+AT_MOST_ONCE = 2
+SKIPPABLE = 3  # idempotent, and its downstream calls can be skipped
+
 
 def make_class(**over):
     base = dict(
@@ -55,7 +61,7 @@
 
 
 class ControllerHarness:
-    """One controller with a record of all its actions."""
+    """One controller with a clock of its own and a record of all its actions; settings are keyword arguments."""
 
     def __init__(self, now=0.0, **over):
         self.settings = make_settings(**over)
@@ -66,6 +72,7 @@
         self.next_id = 0
 
     def step(self, *events, at=None):
+        """Step the controller at the present time, or at the time given; return its actions."""
         if at is not None:
             self.now = at
         got = self.controller.step(self.now, list(events))
@@ -96,11 +103,14 @@
         )
         return admission.RequestReceived(**{**base, **over})
 
-    def of(self, kind, rid=None):
-        return [a for a in self.actions if isinstance(a, kind) and (rid is None or a.id == rid)]
+    def actions_of(self, kind, request_id=None):
+        """Return the actions of a kind so far, of one request if it is given."""
+        found = [action for action in self.actions if isinstance(action, kind)]
+        return found if request_id is None else [action for action in found if action.id == request_id]
 
-    def finals(self, rid):
-        return [a for a in self.actions if isinstance(a, (admission.Reject, admission.Fail)) and a.id == rid]
+    def final_answers(self, request_id):
+        """Return the rejections and failures that a request got."""
+        return self.actions_of((admission.Reject, admission.Fail), request_id)
 
 
 @pytest.fixture
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -16,22 +16,20 @@
     StartCall,
     StartRun,
 )
-from tests.conftest import make_class, make_settings
-
-SAFE, KEYED, UNSAFE, SKIPS = range(4)
+from tests.conftest import AT_MOST_ONCE, IDEMPOTENT, SKIPPABLE, make_class, make_settings
 
 
 def test_requests_over_the_concurrency_limit_are_queued(make_harness):
     harness = make_harness(cores=2)
     harness.step(*[harness.request(deadline_at=3900) for _ in range(10)])
-    assert len(harness.of(StartRun)) == 3  # 1.5 times the cores at the start
+    assert len(harness.actions_of(StartRun)) == 3  # 1.5 times the cores at the start
 
 
 def test_requests_waiting_for_a_call_take_no_slot(make_harness):
     harness = make_harness(cores=2)
-    harness.step(*[harness.request(UNSAFE, deadline_at=3900) for _ in range(6)])
+    harness.step(*[harness.request(AT_MOST_ONCE, deadline_at=3900) for _ in range(6)])
     harness.step(CallRequested(1), CallRequested(2), at=40)
-    assert len(harness.of(StartRun)) == 5
+    assert len(harness.actions_of(StartRun)) == 5
 
 
 def test_concurrency_limit_grows_while_cores_are_idle_and_falls_when_they_are_crowded(make_harness):
@@ -50,8 +48,8 @@
     for i in range(60):
         harness.step(harness.request(deadline_at=i * 100.0 + 25), at=i * 100.0)
         harness.tick(40, gauges=(0.1, 0.0))
-    assert harness.of(Reject)
-    assert all(a.value < 0.02 for a in harness.of(Advertise))
+    assert harness.actions_of(Reject)
+    assert all(a.value < 0.02 for a in harness.actions_of(Advertise))
 
 
 def test_shedding_raises_the_backpressure_level_and_idle_time_lowers_it(make_harness):
@@ -59,10 +57,10 @@
     for i in range(60):
         harness.step(*[harness.request(deadline_at=harness.now + 1000, rank=(i * 7 % 10) / 10) for _ in range(3)])
         harness.tick(120)
-    peak = max(a.value for a in harness.of(Advertise))
+    peak = max(a.value for a in harness.actions_of(Advertise))
     assert peak > 0.2
     harness.tick(20_000)
-    assert harness.of(Advertise)[-1].value < 1e-9
+    assert harness.actions_of(Advertise)[-1].value < 1e-9
 
 
 def test_late_reading_raises_the_backpressure_level(make_harness):
@@ -72,17 +70,17 @@
         harness.step(request)
         harness.step(RunCompleted(request.id, Outcome.OK, 20), at=harness.now + 20)
         harness.tick(100)
-    assert max(a.value for a in harness.of(Advertise)) > 0.2
+    assert max(a.value for a in harness.actions_of(Advertise)) > 0.2
 
 
 def test_request_of_higher_priority_weight_starts_first(make_harness):
     harness = make_harness(cores=1)
     harness.tick(40)
-    harness.step(harness.request(UNSAFE, deadline_at=3900))
-    cheap, dear = harness.request(SAFE, deadline_at=3900), harness.request(UNSAFE, deadline_at=3900)
+    harness.step(harness.request(AT_MOST_ONCE, deadline_at=3900))
+    cheap, dear = harness.request(IDEMPOTENT, deadline_at=3900), harness.request(AT_MOST_ONCE, deadline_at=3900)
     harness.step(cheap, dear)
     harness.step(RunCompleted(1, Outcome.OK, 100), at=100)
-    assert harness.of(StartRun)[1].id == dear.id
+    assert harness.actions_of(StartRun)[1].id == dear.id
 
 
 def test_credit_falls_under_overload_and_stays_positive(make_harness):
@@ -90,7 +88,7 @@
     for _ in range(80):
         harness.step(*[harness.request(deadline_at=harness.now + 1000) for _ in range(3)])
         harness.tick(120)
-    values = [a.value for a in harness.of(Advertise)]
+    values = [a.value for a in harness.actions_of(Advertise)]
     assert 0 < min(values) < 2
 
 
@@ -102,39 +100,39 @@
         harness.step(RunCompleted(request.id, Outcome.OK, 400), at=i * 400.0)
     burst = [harness.request(deadline_at=harness.now + 4000) for _ in range(40)]
     harness.step(*burst)
-    assert len(harness.of(Reject)) > 25
+    assert len(harness.actions_of(Reject)) > 25
 
 
 def test_rejections_carry_a_retry_after_of_a_mean_run(make_harness):
     harness = make_harness(cores=1)
     harness.step(*[harness.request(deadline_at=3000) for _ in range(40)])
-    assert harness.of(Reject)
-    assert all(120 <= a.retry_after_ms <= 180 for a in harness.of(Reject))
+    assert harness.actions_of(Reject)
+    assert all(120 <= a.retry_after_ms <= 180 for a in harness.actions_of(Reject))
 
 
 def test_slow_calls_lower_the_downstream_limit(make_harness):
     harness = make_harness(call_quota=5, cores=10)
     now = 0.0
     for took in [50] * 20 + [600] * 30:
-        request = harness.request(UNSAFE, deadline_at=now + 3900)
+        request = harness.request(AT_MOST_ONCE, deadline_at=now + 3900)
         harness.step(request, at=now)
         harness.step(CallRequested(request.id), at=now + 5)
         now = now + 5 + took
-        if harness.of(StartCall, request.id):
+        if harness.actions_of(StartCall, request.id):
             harness.step(CallCompleted(request.id, Outcome.OK, took), at=now)
         harness.step(RunCompleted(request.id, Outcome.OK, took + 10), at=now + 5)
         now += 1000
     assert harness.state.downstream.limit == pytest.approx(1.0)
 
 
-def call_days(harness, ends, cls):
+def make_calls(harness, ends, cls):
     """Let one request at a time make a call that ends so; return the actions for the last one."""
     for took, outcome in ends:
         request = harness.request(cls, deadline_at=harness.now + 3900)
         harness.step(request)
         harness.step(CallRequested(request.id), at=harness.now + 5)
         last = len(harness.actions)
-        if harness.of(StartCall, request.id):
+        if harness.actions_of(StartCall, request.id):
             harness.step(CallCompleted(request.id, outcome, took), at=harness.now + took)
         last = harness.actions[last:]
         harness.step(RunCompleted(request.id, Outcome.OK, took + 10), at=harness.now + 5)
@@ -145,22 +143,22 @@
 def test_many_lost_replies_lower_the_downstream_limit_and_single_ones_do_not(make_harness):
     harness = make_harness(call_quota=5, cores=10)
     lost = [Outcome.TIMEOUT, Outcome.ERROR, Outcome.RESET]
-    call_days(harness, [(50, Outcome.OK)] * 9, UNSAFE)
+    make_calls(harness, [(50, Outcome.OK)] * 9, AT_MOST_ONCE)
     limit = harness.state.downstream.limit
     for end in lost * 4:
-        call_days(harness, [(400, end)] + [(50, Outcome.OK)] * 12, UNSAFE)
+        make_calls(harness, [(400, end)] + [(50, Outcome.OK)] * 12, AT_MOST_ONCE)
     assert harness.state.downstream.limit == limit
     assert harness.state.downstream.recent_ms == pytest.approx(50)
-    call_days(harness, [(400, Outcome.TIMEOUT)] * 60, UNSAFE)
+    make_calls(harness, [(400, Outcome.TIMEOUT)] * 60, AT_MOST_ONCE)
     assert harness.state.downstream.limit == pytest.approx(1.0)
 
 
 def test_skippable_call_with_a_lost_reply_is_retried_once_with_a_short_timeout(make_harness):
     harness = make_harness(call_quota=5, cores=10)
-    last = call_days(harness, [(50, Outcome.OK)] * 9 + [(60, Outcome.ERROR)], SKIPS)
+    last = make_calls(harness, [(50, Outcome.OK)] * 9 + [(60, Outcome.ERROR)], SKIPPABLE)
     assert [type(a) for a in last] == [StartCall]
     assert last[0].timeout_ms == pytest.approx(400)
-    harness.step(*[harness.request(SKIPS, deadline_at=harness.now + 3900)])
+    harness.step(*[harness.request(SKIPPABLE, deadline_at=harness.now + 3900)])
     harness.step(CallRequested(harness.next_id), at=harness.now + 5)
     for expected in (StartCall, SkipCall):
         got = harness.step(CallCompleted(harness.next_id, Outcome.RESET, 10), at=harness.now + 10)
@@ -169,22 +167,22 @@
 
 def test_scarce_calls_reject_only_requests_that_need_one(make_harness):
     harness = make_harness(call_quota=1, cores=40)
-    call_days(harness, [(50, Outcome.OK)] * 9, SKIPS)
-    call_days(harness, [(50, Outcome.OK)] * 9, UNSAFE)
-    many = [harness.request(UNSAFE, deadline_at=harness.now + 3900) for _ in range(30)]
+    make_calls(harness, [(50, Outcome.OK)] * 9, SKIPPABLE)
+    make_calls(harness, [(50, Outcome.OK)] * 9, AT_MOST_ONCE)
+    many = [harness.request(AT_MOST_ONCE, deadline_at=harness.now + 3900) for _ in range(30)]
     for request in many:
         harness.step(request)
     harness.step(*[CallRequested(request.id) for request in many], at=harness.now + 5)
     assert len(harness.state.downstream.waiting) > 20
     writes, read = (
-        harness.request(UNSAFE, deadline_at=harness.now + 3900),
-        harness.request(SKIPS, deadline_at=harness.now + 3900),
+        harness.request(AT_MOST_ONCE, deadline_at=harness.now + 3900),
+        harness.request(SKIPPABLE, deadline_at=harness.now + 3900),
     )
     harness.step(writes)
     harness.step(read)
-    assert harness.of(Reject, writes.id)
-    assert harness.of(StartRun, read.id)
-    assert not harness.of(Reject, read.id)
+    assert harness.actions_of(Reject, writes.id)
+    assert harness.actions_of(StartRun, read.id)
+    assert not harness.actions_of(Reject, read.id)
 
 
 def test_draining_server_admits_within_the_grace_and_then_keeps_clients_away(make_harness):
@@ -194,20 +192,20 @@
     waits = harness.request(deadline_at=4000)  # there is work ahead of it, and most of the grace of 1 s is left
     harness.step(waits)
     harness.tick(400)
-    assert not harness.of(Reject, waits.id)
-    assert not [a for a in harness.of(Advertise) if a.value == 1]
+    assert not harness.actions_of(Reject, waits.id)
+    assert not [a for a in harness.actions_of(Advertise) if a.value == 1]
     for rid in (1, 2, waits.id):
         harness.step(RunCompleted(rid, Outcome.OK, 100))
     harness.tick(400)
     in_grace = harness.request(deadline_at=4800)
     harness.step(in_grace)
-    assert not harness.of(Reject, in_grace.id)
-    assert harness.of(Advertise)[-1].value == 1
+    assert not harness.actions_of(Reject, in_grace.id)
+    assert harness.actions_of(Advertise)[-1].value == 1
     harness.tick(200)
     late = harness.request(deadline_at=4800)
     harness.step(late)
-    assert harness.of(Reject, late.id)
-    assert not harness.of(Reject, late.id)[0].no_retry
+    assert harness.actions_of(Reject, late.id)
+    assert not harness.actions_of(Reject, late.id)[0].no_retry
 
 
 def test_invalid_settings_are_rejected():
@@ -242,7 +240,7 @@
     harness = make_harness(gauges=())
     harness.step(harness.request())
     harness.tick(1000, gauges=())
-    assert harness.of(StartRun)
+    assert harness.actions_of(StartRun)
 
 
 def test_retry_of_an_unknown_caller_is_recognised_by_its_time_left(make_harness):
@@ -285,10 +283,10 @@
 def test_credit_stays_positive_when_nothing_is_in_flight(make_harness):
     harness = make_harness(backpressure_signal=admission.BackpressureSignal.CREDIT, callers=100)
     harness.step(harness.request(deadline_at=1, age_ms=900), at=2.0)
-    assert harness.of(Reject)
+    assert harness.actions_of(Reject)
     harness.tick(500)
-    assert harness.of(Advertise)
-    assert all(a.value > 0 for a in harness.of(Advertise))
+    assert harness.actions_of(Advertise)
+    assert all(a.value > 0 for a in harness.actions_of(Advertise))
 
 
 def serve_each(harness, callers, count=120):
@@ -302,10 +300,10 @@
 def test_idle_timeout_is_long_where_callers_return_and_short_where_they_do_not(make_harness):
     few = make_harness()
     serve_each(few, callers=5)
-    assert few.of(SetIdleTimeout)[-1].timeout_ms == few.settings.idle_timeout_ms
+    assert few.actions_of(SetIdleTimeout)[-1].timeout_ms == few.settings.idle_timeout_ms
     many = make_harness()
     serve_each(many, callers=120)
-    assert many.of(SetIdleTimeout)[-1].timeout_ms < 0.1 * many.settings.idle_timeout_ms
+    assert many.actions_of(SetIdleTimeout)[-1].timeout_ms < 0.1 * many.settings.idle_timeout_ms
     assert len(many.state.idle_timeout.last_seen) < 40  # callers of the last six seconds, however many there are
 
 
@@ -320,7 +318,7 @@
 def test_no_idle_timeout_is_set_where_the_callers_have_none(make_harness):
     harness = make_harness(idle_timeout_ms=0.0)
     serve_each(harness, callers=60)
-    assert not harness.of(SetIdleTimeout)
+    assert not harness.actions_of(SetIdleTimeout)
 
 
 def test_single_crowded_gauge_readings_do_not_lower_the_concurrency_limit(make_harness):
@@ -335,27 +333,27 @@
 def test_half_of_the_concurrency_limit_runs_while_reading_is_late(make_harness):
     harness = make_harness(cores=4)
     harness.step(*[harness.request(deadline_at=3900, age_ms=400) for _ in range(6)], at=400.0)
-    assert len(harness.of(StartRun)) == 3
+    assert len(harness.actions_of(StartRun)) == 3
     harness.step(harness.request(deadline_at=4300, age_ms=5), at=440.0)
-    assert len(harness.of(StartRun)) == 6
+    assert len(harness.actions_of(StartRun)) == 6
 
 
 def test_quota_under_one_call_still_admits_calls(make_harness):
     harness = make_harness(call_quota=0.4, cores=4)
     for _ in range(40):
-        request = harness.request(UNSAFE, deadline_at=harness.now + 3900)
+        request = harness.request(AT_MOST_ONCE, deadline_at=harness.now + 3900)
         harness.step(request)
         harness.step(CallRequested(request.id), at=harness.now + 5)
         harness.step(
             CallCompleted(request.id, Outcome.OK, 50), RunCompleted(request.id, Outcome.OK, 60), at=harness.now + 50
         )
         harness.tick(345)
-    assert len(harness.of(StartCall)) == 40
+    assert len(harness.actions_of(StartCall)) == 40
 
 
 def test_hanging_calls_stay_within_a_quota_under_one_call(make_harness):
     harness = make_harness(call_quota=0.43, cores=4)
-    harness.step(*[harness.request(UNSAFE, deadline_at=3900) for _ in range(4)])
+    harness.step(*[harness.request(AT_MOST_ONCE, deadline_at=3900) for _ in range(4)])
     harness.step(*[CallRequested(number) for number in range(1, 5)], at=5.0)
     out, held, began = None, [], 0
     while harness.now < 12_000:  # each call hangs until it is given up
@@ -363,14 +361,14 @@
         if out and harness.now >= out[1]:
             harness.step(CallCompleted(out[0], Outcome.TIMEOUT, out[1] - out[2]))
             out = None
-        for a in harness.of(StartCall)[began:]:
+        for a in harness.actions_of(StartCall)[began:]:
             out = (a.id, harness.now + a.timeout_ms, harness.now)
             began += 1
         held.append(out is not None)
         if len(held) % 10 == 0:
-            request = harness.request(UNSAFE, deadline_at=harness.now + 3900)
+            request = harness.request(AT_MOST_ONCE, deadline_at=harness.now + 3900)
             harness.step(request)
-            if harness.of(StartRun, request.id):
+            if harness.actions_of(StartRun, request.id):
                 harness.step(CallRequested(request.id))
     assert began >= 2
     windows = [sum(held[i : i + 125]) / 125 for i in range(len(held) - 125)]  # 125 ticks are 5 s
@@ -384,7 +382,7 @@
     harness.step(RunCompleted(first.id, Outcome.OK, 2000.0), at=2000.0)
     for n in range(20):
         harness.step(each := harness.request(), at=harness.now + 50.0)
-        assert harness.of(StartRun, each.id), n
+        assert harness.actions_of(StartRun, each.id), n
         harness.step(RunCompleted(each.id, Outcome.OK, 40.0), at=harness.now + 40.0)
     assert harness.state.run_estimates.core_ms[0] < 200.0
 
@@ -396,9 +394,9 @@
     harness.step(RunCompleted(first.id, Outcome.OK, 2000.0), at=2000.0)
     harness.step(running := harness.request())
     harness.step(held := harness.request())
-    assert harness.of(StartRun, running.id)
-    assert not harness.of(StartRun, held.id)
-    assert not harness.finals(held.id)
+    assert harness.actions_of(StartRun, running.id)
+    assert not harness.actions_of(StartRun, held.id)
+    assert not harness.final_answers(held.id)
     harness.step(RunCompleted(running.id, Outcome.OK, 2000.0), at=3000.0 - left)
-    assert bool(harness.of(StartRun, held.id)) is runs
-    assert len(harness.finals(held.id)) == (not runs)
+    assert bool(harness.actions_of(StartRun, held.id)) is runs
+    assert len(harness.final_answers(held.id)) == (not runs)
--- a/tests/test_paused_runs.py
+++ b/tests/test_paused_runs.py
@@ -202,21 +202,21 @@
         harness.step(CallRequested(request.id))
     held = harness.state.memory.used_kb
     harness.step(*(CallCompleted(i, Outcome.OK, 20.0) for i in ids))
-    told = [a.id for a in harness.of(CancelRun)]
+    told = [a.id for a in harness.actions_of(CancelRun)]
     assert len(told) == 4
     assert harness.state.running == 6
     harness.step(*(RunCompleted(i, Outcome.CANCELLED, 5.0) for i in told))
     assert harness.state.running == 2
     assert harness.state.memory.used_kb == held
     harness.step(ClientCancelled(told[0]))
-    assert harness.state.memory.used_kb == held * 5 / 6 and not [a for a in harness.of(StartRun, told[0])][1:]
+    assert harness.state.memory.used_kb == held * 5 / 6 and not [a for a in harness.actions_of(StartRun, told[0])][1:]
     rest = [i for i in ids if i not in told]
     harness.step(RunCompleted(rest[0], Outcome.OK, 30.0))
-    woken = [i for i in told if len(harness.of(StartRun, i)) == 2]
+    woken = [i for i in told if len(harness.actions_of(StartRun, i)) == 2]
     assert len(woken) == 1
     assert harness.state.running == 2
     harness.step(CallRequested(woken[0]))  # it goes on as any other
-    assert harness.state.running == 2 and sum(len(harness.of(StartRun, i)) == 2 for i in told) == 2
+    assert harness.state.running == 2 and sum(len(harness.actions_of(StartRun, i)) == 2 for i in told) == 2
 
 
 def test_a_wake_that_the_executor_refuses_fails_its_request_and_frees_its_slot(crowd):
@@ -239,4 +239,4 @@
     harness.tick(2000)
     harness.step(late := harness.request(age_ms=900))
     harness.tick(400)
-    assert harness.of(StartRun, request.id) and not harness.of(CancelRun) and late.id
+    assert harness.actions_of(StartRun, request.id) and not harness.actions_of(CancelRun) and late.id
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -22,9 +22,7 @@
     StartCall,
     StartRun,
 )
-
-SAFE, KEYED, UNSAFE, SKIPS = range(4)
-
+from tests.conftest import AT_MOST_ONCE, KEYED, SKIPPABLE
 
 # One final answer.
 
@@ -34,13 +32,13 @@
     request = harness.request(deadline_at=3000)
     assert StartRun(request.id) in harness.step(request)
     harness.tick(2960)
-    assert not harness.finals(request.id)
+    assert not harness.final_answers(request.id)
     harness.tick(60)
-    assert [type(a) for a in harness.finals(request.id)] == [Fail]
-    assert harness.of(CancelRun, request.id)
+    assert [type(a) for a in harness.final_answers(request.id)] == [Fail]
+    assert harness.actions_of(CancelRun, request.id)
     harness.step(RunCompleted(request.id, Outcome.CANCELLED, 3000))
     harness.tick(3000)
-    assert len(harness.finals(request.id)) == 1
+    assert len(harness.final_answers(request.id)) == 1
 
 
 def test_unknown_deadline_counts_from_the_arrival(make_harness):
@@ -48,9 +46,9 @@
     request = harness.request(age_ms=500)
     harness.step(request)
     harness.tick(3500 - 41)
-    assert not harness.finals(request.id)
+    assert not harness.final_answers(request.id)
     harness.tick(41 + 40)
-    assert len(harness.finals(request.id)) == 1
+    assert len(harness.final_answers(request.id)) == 1
 
 
 def test_queued_requests_are_answered_in_time_and_once(make_harness):
@@ -59,9 +57,9 @@
     harness.step(*many)
     harness.tick(3000)
     for request in many:
-        ran = bool(harness.of(StartRun, request.id))
-        assert len(harness.finals(request.id)) == 1
-        assert isinstance(harness.finals(request.id)[0], Fail if ran else Reject)
+        ran = bool(harness.actions_of(StartRun, request.id))
+        assert len(harness.final_answers(request.id)) == 1
+        assert isinstance(harness.final_answers(request.id)[0], Fail if ran else Reject)
 
 
 def test_no_answer_follows_a_run_that_completes_before_the_deadline(make_harness):
@@ -70,7 +68,7 @@
     harness.step(request)
     harness.step(RunCompleted(request.id, Outcome.OK, 990), admission.TimerFired(0, (1.0, 1.0)), at=999)
     harness.tick(500)
-    assert not harness.finals(request.id)
+    assert not harness.final_answers(request.id)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.ERROR])
@@ -80,8 +78,8 @@
     harness.step(request)
     harness.tick(480)
     harness.step(RunCompleted(request.id, outcome, 480))
-    assert len(harness.finals(request.id)) == 1
-    assert not harness.of(CancelRun)
+    assert len(harness.final_answers(request.id)) == 1
+    assert not harness.actions_of(CancelRun)
 
 
 def test_cancelled_request_stops_its_run_and_gets_no_answer(make_harness):
@@ -91,7 +89,7 @@
     assert CancelRun(request.id) in harness.step(ClientCancelled(request.id), at=100)
     harness.step(RunCompleted(request.id, Outcome.CANCELLED, 100), at=104)
     harness.tick(2000)
-    assert not harness.finals(request.id)
+    assert not harness.final_answers(request.id)
 
 
 def test_events_of_completed_or_unknown_requests_are_ignored(make_harness):
@@ -128,8 +126,8 @@
     again = harness.request(KEYED, retry_of=first.id, deadline_at=4000)
     assert Coalesce(again.id) in harness.step(again, at=500)
     harness.tick(300)
-    assert not harness.of(StartRun, again.id)
-    assert not harness.of(Reject, again.id)
+    assert not harness.actions_of(StartRun, again.id)
+    assert not harness.actions_of(Reject, again.id)
 
 
 def test_retry_of_an_executed_key_is_neither_rejected_nor_run(make_harness):
@@ -142,10 +140,10 @@
     third = harness.request(KEYED, retry_of=again.id, deadline_at=4000)
     assert Coalesce(again.id) in harness.step(again, at=2000)
     harness.step(third, at=2100)
-    assert not harness.of(StartRun, again.id)
-    assert not harness.of(StartRun, third.id)
-    assert not harness.of(Reject, again.id)
-    assert not harness.of(Reject, third.id)
+    assert not harness.actions_of(StartRun, again.id)
+    assert not harness.actions_of(StartRun, third.id)
+    assert not harness.actions_of(Reject, again.id)
+    assert not harness.actions_of(Reject, third.id)
 
 
 def test_two_attempts_of_one_key_in_one_step_run_once(make_harness):
@@ -153,32 +151,32 @@
     a, b = harness.request(KEYED), harness.request(KEYED)
     harness.step(a._replace(retry_of=b.id), b._replace(retry_of=a.id))
     harness.tick(400)
-    assert len(harness.of(StartRun)) == 1
+    assert len(harness.actions_of(StartRun)) == 1
 
 
 def test_newer_attempt_replaces_a_queued_one(make_harness):
     harness = make_harness()
-    harness.step(*[harness.request(UNSAFE) for _ in range(3)])  # fill the slots
+    harness.step(*[harness.request(AT_MOST_ONCE) for _ in range(3)])  # fill the slots
     old = harness.request(KEYED, deadline_at=1500)
     harness.step(old)
     new = harness.request(KEYED, retry_of=old.id, deadline_at=3000)
     harness.step(new, at=100)
-    assert harness.finals(old.id)
-    assert not harness.of(Coalesce, new.id)
+    assert harness.final_answers(old.id)
+    assert not harness.actions_of(Coalesce, new.id)
     for number in range(1, 4):
         harness.step(RunCompleted(number, Outcome.OK, 120), at=120)
-    assert harness.of(StartRun, new.id)
-    assert not harness.of(StartRun, old.id)
+    assert harness.actions_of(StartRun, new.id)
+    assert not harness.actions_of(StartRun, old.id)
 
 
 def test_key_of_a_rejected_attempt_that_never_ran_is_released(make_harness):
     harness = make_harness()
-    harness.step(*[harness.request(UNSAFE) for _ in range(3)])
+    harness.step(*[harness.request(AT_MOST_ONCE) for _ in range(3)])
     request = harness.request(KEYED, deadline_at=700)
     harness.step(request)
     harness.tick(900)
-    assert harness.of(Reject, request.id)
-    assert harness.of(ReleaseKey, request.id)
+    assert harness.actions_of(Reject, request.id)
+    assert harness.actions_of(ReleaseKey, request.id)
 
 
 def test_keyed_run_is_not_cancelled_with_its_client(make_harness):
@@ -187,7 +185,7 @@
     harness.step(request)
     harness.step(ClientCancelled(request.id), at=50)
     again = harness.request(KEYED, retry_of=request.id)
-    assert not harness.of(CancelRun)
+    assert not harness.actions_of(CancelRun)
     assert Coalesce(again.id) in harness.step(again, at=90)
 
 
@@ -205,19 +203,19 @@
 )
 def test_call_with_an_effect_is_retried_only_if_it_never_ran(make_harness, outcome, repeats):
     harness = make_harness()
-    request = harness.request(UNSAFE)
+    request = harness.request(AT_MOST_ONCE)
     harness.step(request)
     harness.step(CallRequested(request.id), at=50)
     harness.step(CallCompleted(request.id, outcome, 20), at=70)
     harness.tick(300)
-    assert len(harness.of(StartCall, request.id)) == (2 if repeats else 1)
-    assert bool(harness.of(Fail, request.id)) is not repeats
-    assert not harness.of(Reject, request.id)
+    assert len(harness.actions_of(StartCall, request.id)) == (2 if repeats else 1)
+    assert bool(harness.actions_of(Fail, request.id)) is not repeats
+    assert not harness.actions_of(Reject, request.id)
 
 
 def test_failed_call_that_can_be_skipped_is_skipped(make_harness):
     harness = make_harness()
-    request = harness.request(SKIPS)
+    request = harness.request(SKIPPABLE)
     harness.step(request)
     harness.step(CallRequested(request.id), at=20)
     assert SkipCall(request.id) in harness.step(CallCompleted(request.id, Outcome.FULL, 10), at=30)
@@ -231,22 +229,22 @@
     harness.step(ShutdownRequested(6000), at=100)
     request = harness.request(deadline_at=5000)
     harness.step(request, at=1200)
-    assert harness.of(Reject, request.id)
-    assert not harness.of(StartRun)
+    assert harness.actions_of(Reject, request.id)
+    assert not harness.actions_of(StartRun)
 
 
 def test_all_requests_are_answered_before_the_stop(make_harness):
     harness = make_harness()
-    held = [harness.request(UNSAFE, deadline_at=9000) for _ in range(8)]
+    held = [harness.request(AT_MOST_ONCE, deadline_at=9000) for _ in range(8)]
     harness.step(*held)
     harness.step(CallRequested(1), at=50)
     harness.step(ShutdownRequested(1000), at=100)
     harness.tick(850)
-    assert all(len(harness.finals(request.id)) == 1 for request in held)
+    assert all(len(harness.final_answers(request.id)) == 1 for request in held)
     late = harness.request(deadline_at=9000)
     harness.step(late)
-    assert harness.finals(late.id)
-    assert harness.of(admission.SetHealth)[-1] == admission.SetHealth(False, True)
+    assert harness.final_answers(late.id)
+    assert harness.actions_of(admission.SetHealth)[-1] == admission.SetHealth(False, True)
 
 
 def test_drain_rejections_allow_a_retry_elsewhere(make_harness):
@@ -254,7 +252,7 @@
     harness.step(ShutdownRequested(6000), at=100)
     request = harness.request(deadline_at=5000)
     harness.step(request, at=1500)
-    assert harness.of(Reject, request.id)[0].no_retry is False
+    assert harness.actions_of(Reject, request.id)[0].no_retry is False
 
 
 # No falling over.
@@ -267,8 +265,12 @@
     harness.step(*many)
     for _ in range(80):
         harness.tick(40)
-        running = len(harness.of(StartRun)) - len({a.id for a in harness.of(Fail)})
-        held = sum(1 for request in many if not harness.finals(request.id) and not harness.of(StartRun, request.id))
+        running = len(harness.actions_of(StartRun)) - len({a.id for a in harness.actions_of(Fail)})
+        held = sum(
+            1
+            for request in many
+            if not harness.final_answers(request.id) and not harness.actions_of(StartRun, request.id)
+        )
         assert 80 * running + 10 * held <= limit
 
 
@@ -284,81 +286,130 @@
 
 def test_calls_in_flight_stay_within_the_quota(make_harness):
     harness = make_harness(call_quota=5, cores=10)
-    requests = [harness.request(UNSAFE) for _ in range(12)]
+    requests = [harness.request(AT_MOST_ONCE) for _ in range(12)]
     harness.step(*requests)
     harness.step(*[CallRequested(request.id) for request in requests], at=10)
     harness.tick(400)
-    out = len(harness.of(StartCall))
+    out = len(harness.actions_of(StartCall))
     assert 1 <= out <= 5
 
 
 # All together.
 
 
+class RandomTraffic:
+    """Clients, an executor and a dependency that act at random, and check each action of the controller."""
+
+    def __init__(self, make_harness, seed):
+        self.rng = random.Random(seed)
+        self.harness = make_harness(cores=3, warming_up=bool(seed % 2), call_quota=self.rng.choice([0, 0.8, 4]))
+        self.requests = {}  # by id
+        self.cancelled = set()
+        self.answered = set()
+        self.runs = {}  # id -> "run" or "call": what a run does
+        self.calls = {}  # id -> whether its call is in flight
+        self.keys = set()  # keyed requests that were started
+        self.owed = []  # events that follow from the actions of the last step
+
+    def step(self):
+        self.harness.now += self.rng.choice([2, 4, 11])
+        events, self.owed = self.owed, []
+        events += self.call_events()
+        events += self.run_events()
+        events += self.client_events()
+        if self.rng.random() < 0.2:
+            events.append(admission.TimerFired(0, (self.rng.random(), self.rng.random() * 5)))
+        for action in self.harness.step(*events):
+            self.check(action)
+
+    def call_events(self):
+        events = []
+        for request_id in list(self.calls):
+            if self.rng.random() < 0.2 and self.calls[request_id]:
+                self.calls[request_id] = False
+                events.append(CallCompleted(request_id, self.rng.choice(list(Outcome)), 30.0))
+        return events
+
+    def run_events(self):
+        events = []
+        for request_id in list(self.runs):
+            draw = self.rng.random()
+            if self.runs[request_id] == "run" and draw < 0.02:
+                events.append(CallRequested(request_id))
+                self.runs[request_id] = "call"
+            elif self.runs[request_id] == "run" and draw < 0.1:
+                del self.runs[request_id]
+                events.append(RunCompleted(request_id, Outcome.OK, 60.0))
+                self.answered.add(request_id)
+        return events
+
+    def client_events(self):
+        events = []
+        if self.rng.random() < 0.5:
+            events.append(self.new_request())
+        if self.requests and self.rng.random() < 0.03:
+            request_id = self.rng.choice(sorted(self.requests))
+            if request_id not in self.answered and request_id not in self.runs:
+                self.cancelled.add(request_id)
+                events.append(ClientCancelled(request_id))
+        return events
+
+    def new_request(self):
+        cls = self.rng.randrange(4)
+        retry_of = 0
+        if cls == KEYED and self.keys and self.rng.random() < 0.4:
+            retry_of = self.rng.choice(sorted(self.keys))
+        deadline_at = self.harness.now + self.rng.choice([200, 1500, 3500])
+        request = self.harness.request(cls, retry_of=retry_of, deadline_at=deadline_at)
+        self.requests[request.id] = request
+        return request
+
+    def check(self, action):
+        match action:
+            case StartRun(request_id):
+                self.check_start(request_id)
+            case StartCall(request_id):
+                assert self.runs.get(request_id) == "call"
+                self.calls[request_id] = True
+            case SkipCall(request_id):
+                assert self.requests[request_id].cls == SKIPPABLE
+                self.runs[request_id] = "run"
+            case Reject(request_id) | Fail(request_id):
+                self.check_final_answer(action, request_id)
+            case CancelRun(request_id):
+                if self.runs.pop(request_id, None):
+                    self.owed.append(RunCompleted(request_id, Outcome.CANCELLED, 50.0))
+
+    def check_start(self, request_id):
+        assert request_id not in self.answered
+        assert request_id not in self.cancelled
+        assert not self.requests[request_id].retry_of
+        assert request_id not in self.runs
+        self.runs[request_id] = "run"
+        if self.requests[request_id].cls == KEYED:
+            self.keys.add(request_id)
+
+    def check_final_answer(self, action, request_id):
+        assert request_id not in self.answered
+        self.answered.add(request_id)
+        if isinstance(action, Reject):
+            assert request_id not in self.runs
+            assert not self.requests[request_id].retry_of
+        elif self.runs.get(request_id) == "call":
+            del self.runs[request_id]
+            self.calls.pop(request_id, None)
+            self.owed.append(RunCompleted(request_id, Outcome.CANCELLED, 50.0))
+
+    def check_deadlines(self):
+        for request_id, request in self.requests.items():
+            if self.harness.now > request.deadline_at + 80 and request_id not in self.cancelled:
+                assert request_id in self.answered
+
+
 @pytest.mark.parametrize("seed", range(6))
 def test_random_traffic_keeps_all_rules(make_harness, seed):
-    rng = random.Random(seed)
-    harness = make_harness(cores=3, warming_up=bool(seed % 2), call_quota=rng.choice([0, 0.8, 4]))
-    open_runs, calls, asked, gone, ran_keys, answered, owed = {}, {}, {}, set(), {}, {}, []
+    traffic = RandomTraffic(make_harness, seed)
     for _ in range(1500):
-        harness.now += rng.choice([2, 4, 11])
-        events, owed = owed, []
-        for rid in list(calls):
-            if rng.random() < 0.2 and calls[rid]:
-                calls[rid] = False
-                events.append(CallCompleted(rid, rng.choice(list(Outcome)), 30.0))
-        for rid in list(open_runs):
-            x = rng.random()
-            if open_runs[rid] == "run" and x < 0.02:
-                events.append(CallRequested(rid))
-                open_runs[rid] = "call"
-            elif open_runs[rid] == "run" and x < 0.1:
-                del open_runs[rid]
-                events.append(RunCompleted(rid, Outcome.OK, 60.0))
-                answered.setdefault(rid, harness.now)
-        if rng.random() < 0.5:
-            cls = rng.randrange(4)
-            retry_of = 0
-            if cls == KEYED and ran_keys and rng.random() < 0.4:
-                retry_of = rng.choice(sorted(ran_keys))
-            request = harness.request(cls, retry_of=retry_of, deadline_at=harness.now + rng.choice([200, 1500, 3500]))
-            asked[request.id] = request
-            events.append(request)
-        if asked and rng.random() < 0.03:
-            rid = rng.choice(sorted(asked))
-            if rid not in answered and rid not in open_runs:
-                gone.add(rid)
-                events.append(ClientCancelled(rid))
-        if rng.random() < 0.2:
-            events.append(admission.TimerFired(0, (rng.random(), rng.random() * 5)))
-        for a in harness.step(*events):
-            if isinstance(a, StartRun):
-                assert a.id not in answered
-                assert a.id not in gone
-                assert not asked[a.id].retry_of
-                assert a.id not in open_runs
-                open_runs[a.id] = "run"
-                if asked[a.id].cls == KEYED:
-                    ran_keys[a.id] = True
-            elif isinstance(a, StartCall):
-                assert open_runs.get(a.id) == "call"
-                calls[a.id] = True
-            elif isinstance(a, SkipCall):
-                assert asked[a.id].cls == SKIPS
-                open_runs[a.id] = "run"
-            elif isinstance(a, (Reject, Fail)):
-                assert a.id not in answered
-                answered[a.id] = harness.now
-                if isinstance(a, Reject):
-                    assert a.id not in open_runs
-                    assert not asked[a.id].retry_of
-                if isinstance(a, Fail) and open_runs.get(a.id) == "call":
-                    del open_runs[a.id]
-                    calls.pop(a.id, None)
-                    owed.append(RunCompleted(a.id, Outcome.CANCELLED, 50.0))
-            elif isinstance(a, CancelRun) and open_runs.pop(a.id, None):
-                owed.append(RunCompleted(a.id, Outcome.CANCELLED, 50.0))
-        for rid, request in asked.items():
-            if harness.now > request.deadline_at + 80 and rid not in gone:
-                assert rid in answered
-    assert len(harness.of(StartRun)) > 100
+        traffic.step()
+        traffic.check_deadlines()
+    assert len(traffic.harness.actions_of(StartRun)) > 100
--- a/tests/test_shared_budget.py
+++ b/tests/test_shared_budget.py
@@ -1,15 +1,16 @@
-"""The decisions while two processes are one server: one budget, what was learned, and a leave that is handed over."""
+"""The decisions while two processes are one server: one budget, learned estimates, and a shutdown with hand-over."""
 
 from lapispick import admission
 
 GAUGES = (*admission.PEER_GAUGES, "core_use", "on_cores")
 
 
-def started(make_harness, n, **others):
-    told = [others.get(name, 0.0) for name in admission.PEER_GAUGES]
-    make_harness.step(admission.TimerFired(0, (*told, 0.1, 1.0)))
-    make_harness.step(*(make_harness.request() for _ in range(n)))
-    return len(make_harness.of(admission.StartRun))
+def started(harness, count, **peer_gauges):
+    """Send requests to a harness whose other process uses so much; return how many were started."""
+    peer = [peer_gauges.get(name, 0.0) for name in admission.PEER_GAUGES]
+    harness.step(admission.TimerFired(0, (*peer, 0.1, 1.0)))
+    harness.step(*(harness.request() for _ in range(count)))
+    return len(harness.actions_of(admission.StartRun))
 
 
 def test_peer_runs_reduce_the_slots_to_no_less_than_half(make_harness):
@@ -22,7 +23,7 @@
 def test_peer_memory_counts_in_full(make_harness):
     full = make_harness(gauges=GAUGES, memory_kb=1000)
     assert started(full, 2, other_kb=900.0) == 0
-    assert full.of(admission.Reject)[0].retry_after_ms > 0  # the second finds no room to be held
+    assert full.actions_of(admission.Reject)[0].retry_after_ms > 0  # the second does not fit
     assert started(make_harness(gauges=GAUGES, memory_kb=1000), 2) == 2
 
 
@@ -31,7 +32,7 @@
         harness = make_harness(gauges=GAUGES, cores=20, call_quota=20.0)
         n = started(harness, 20, **others)
         harness.step(*(admission.CallRequested(i) for i in range(1, n + 1)))
-        return len(harness.of(admission.StartCall))
+        return len(harness.actions_of(admission.StartCall))
 
     assert calls() == 12
     assert calls(other_calls=4.0) == 8
@@ -66,15 +67,15 @@
     harness.tick(1000)
     late = harness.request()
     harness.step(late)
-    assert harness.of(admission.StartRun, late.id)
-    assert not [a for a in harness.of(admission.SetHealth) if not a.healthy]
+    assert harness.actions_of(admission.StartRun, late.id)
+    assert not [a for a in harness.actions_of(admission.SetHealth) if not a.healthy]
     harness.tick(1990)
-    assert harness.finals(late.id)
-    assert not [a for a in harness.of(admission.Advertise) if a.value >= 1]
+    assert harness.final_answers(late.id)
+    assert not [a for a in harness.actions_of(admission.Advertise) if a.value >= 1]
     left = make_harness(drain_grace_ms=500)
     left.step(admission.ShutdownRequested(3000.0))
     left.tick(1000)
     late = left.request()
     left.step(late)
-    assert left.of(admission.Reject, late.id)
-    assert [a for a in left.of(admission.SetHealth) if not a.healthy]
+    assert left.actions_of(admission.Reject, late.id)
+    assert [a for a in left.actions_of(admission.SetHealth) if not a.healthy]
