--- a/lapispick/agent/generation_store.py
+++ b/lapispick/agent/generation_store.py
@@ -89,11 +89,11 @@
             (fresh / PROGRAM / path).parent.mkdir(parents=True, exist_ok=True)
             (fresh / PROGRAM / path).write_bytes(data)
         (fresh / CONF).write_bytes(own)
-        atomic_files.put(fresh / RECORD, msgspec.json.encode(made))
+        atomic_files.replace(fresh / RECORD, msgspec.json.encode(made))
         if (self.folder / name).exists():  # what was left of one whose record is broken
             shutil.rmtree(self.folder / name)
         os.rename(fresh, self.folder / name)
-        atomic_files.sync(self.folder)
+        atomic_files.sync_directory(self.folder)
         return made
 
     def get(self, name: str) -> Generation | None:
--- a/lapispick/agent/service.py
+++ b/lapispick/agent/service.py
@@ -70,7 +70,7 @@
 
     def put(self, state: State) -> None:
         """Let this state be the one that counts; raises ``OSError``."""
-        atomic_files.put(self._path, msgspec.json.encode(state))
+        atomic_files.replace(self._path, msgspec.json.encode(state))
 
 
 class Agent:
@@ -259,7 +259,7 @@
             told["executor"] = self.settings.slot_executors[life.slot]
         path, _ = self._paths(life.number)
         path.parent.mkdir(exist_ok=True)
-        self.work.do(atomic_files.put, path, msgspec.json.encode(told))
+        self.work.do(atomic_files.replace, path, msgspec.json.encode(told))
 
     def _start(self, life: host_state.Life) -> None:
         home, (config, logged) = self.shelf.folder / life.generation, self._paths(life.number)
--- a/lapispick/atomic_files.py
+++ b/lapispick/atomic_files.py
@@ -1,4 +1,4 @@
-"""Small files that must be whole and on the disk: written beside, synced, renamed."""
+"""Small files that are replaced atomically and durably: written beside the old one, synced, renamed."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 from pathlib import Path
 
 
-def put(path: Path, data: bytes) -> None:
-    """Replace a file so that after any end it is the old one or the new one; raises ``OSError``."""
-    fresh = path.with_name(path.name + ".new")
-    fd = os.open(fresh, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+def replace(path: Path, data: bytes) -> None:
+    """Replace a file so that after a crash it holds the old or the new content; raises ``OSError``."""
+    temporary = path.with_name(path.name + ".new")
+    descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
     try:
-        with open(fd, "wb") as file:
+        with open(descriptor, "wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
-        os.rename(fresh, path)
-        sync(path.parent)
+        os.rename(temporary, path)
+        sync_directory(path.parent)
     except OSError:
-        fresh.unlink(missing_ok=True)
+        temporary.unlink(missing_ok=True)
         raise
 
 
-def sync(folder: Path) -> None:
-    """Let names of a folder be on the disk."""
-    fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+def sync_directory(directory: Path) -> None:
+    """Make the entries of a directory durable."""
+    descriptor = os.open(directory, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
     try:
-        os.fsync(fd)
+        os.fsync(descriptor)
     finally:
-        os.close(fd)
+        os.close(descriptor)
--- a/lapispick/cli/agent.py
+++ b/lapispick/cli/agent.py
@@ -89,13 +89,13 @@
 def add(file: Path | None, program: Path, settings: Path | None, config: Path | None, label: str) -> None:
     """Put a generation on this box's shelf and print its digest; nothing runs it so far."""
     from lapispick.conf import settings as conf
-    from lapispick.file_errors import Faulty
+    from lapispick.file_errors import InvalidFileError
 
     try:
         if settings is not None:
             conf.parse(settings)
         made = _shelf(file).add(program, settings, _config(config) if config else {}, label)
-    except Faulty as err:
+    except InvalidFileError as err:
         for fault in err.faults:
             complain(str(fault))
         sys.exit(FAULTY)
--- a/lapispick/cli/config.py
+++ b/lapispick/cli/config.py
@@ -11,7 +11,7 @@
 
 from lapispick.cli.output import FAULTY, as_json, complain, say
 from lapispick.conf import settings as conf
-from lapispick.file_errors import Faulty
+from lapispick.file_errors import InvalidFileError
 
 FILE = click.option(
     "--conf",
@@ -25,7 +25,7 @@
     """Return the settings, or end with the faults of them."""
     try:
         return conf.parse(file) if file is not None else conf.load()
-    except Faulty as err:
+    except InvalidFileError as err:
         for fault in err.faults:
             complain(str(fault))
         sys.exit(FAULTY)
@@ -44,7 +44,7 @@
     faults: list[str] = []
     try:
         conf.parse(file) if file is not None else conf.load()
-    except Faulty as err:
+    except InvalidFileError as err:
         faults += [str(f) for f in err.faults]
     if os.environ.get("LB_CONFIG"):
         from lapispick.host import config as platform
--- a/lapispick/conf/legacy.py
+++ b/lapispick/conf/legacy.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from lapispick.conf.settings import Amqp, Settings
-from lapispick.file_errors import Collector, Faulty, Place, nearest
+from lapispick.file_errors import FaultCollector, InvalidFileError, SourceLocation, suggest_nearest
 
 FILE, VARIABLE = "deploy/amqp.toml", "LAPISPICK_AMQP"
 KEYS = {"enabled": bool, "inventory": str, "group": str}
@@ -23,22 +23,22 @@
 
 
 def merged(settings: Settings, path: Path) -> Settings:
-    """Return the settings with what the old file says; raises ``Faulty``."""
-    faults, place = Collector(), Place(str(path))
+    """Return the settings with what the old file says; raises ``InvalidFileError``."""
+    faults, place = FaultCollector(), SourceLocation(str(path))
     try:
         told = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, ValueError) as err:
         faults.add(place, "", str(err))
-        raise Faulty(faults.found) from None
+        raise InvalidFileError(faults.collected) from None
     for key, value in told.items():
         if key not in KEYS:
-            faults.add(place, key, f"unknown; there are {', '.join(KEYS)}{nearest(key, KEYS)}")
+            faults.add(place, key, f"unknown; there are {', '.join(KEYS)}{suggest_nearest(key, KEYS)}")
         elif type(value) is not KEYS[key]:
             faults.add(place, key, f"must be a {KEYS[key].__name__}")
     if told.get("enabled") and "inventory" not in told:
         faults.add(place, "inventory", "must name the inventory's file")
     if faults:
-        raise Faulty(faults.found)
+        raise InvalidFileError(faults.collected)
     if not told.get("enabled", False):
         return settings
     kept = msgspec.structs.replace(
--- a/lapispick/conf/parser.py
+++ b/lapispick/conf/parser.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from lapispick.file_errors import Collector, Place
+from lapispick.file_errors import FaultCollector, SourceLocation
 
 INCLUDES_MOST = 64  # files of one configuration
 DEPTH_MOST = 8  # includes within includes
@@ -26,7 +26,7 @@
 class Line(msgspec.Struct, frozen=True):
     """One directive: its name, its words and where it stands."""
 
-    place: Place
+    place: SourceLocation
     name: str
     words: tuple[str, ...]
 
@@ -34,7 +34,7 @@
 class Section(msgspec.Struct):
     """One ``section NAME`` to ``end``."""
 
-    place: Place
+    place: SourceLocation
     name: str
     lines: list[Line] = msgspec.field(default_factory=list)
 
@@ -47,7 +47,7 @@
     """Reads one file and all that it includes."""
 
     def __init__(self, opener: Opener) -> None:
-        self.faults = Collector()
+        self.faults = FaultCollector()
         self.sections: list[Section] = []
         self._opener = opener
         self._files: list[PurePath] = []  # being read, the outermost first
@@ -55,9 +55,9 @@
         self._lines = 0
         self._open: Section | None = None
 
-    def file(self, path: PurePath, place: Place | None = None) -> None:
+    def file(self, path: PurePath, place: SourceLocation | None = None) -> None:
         """Read what a pattern names; faults are collected."""
-        place = place or Place(str(path))
+        place = place or SourceLocation(str(path))
         if len(self._files) >= DEPTH_MOST:
             return self.faults.add(place, "include", f"{path} is included more than {DEPTH_MOST} deep")
         try:
@@ -80,15 +80,15 @@
         for number, raw in enumerate(text.splitlines(), 1):
             self._lines += 1
             if self._lines > LINES_MOST:
-                self.faults.add(Place(str(path), number), "", f"more than {LINES_MOST} lines")
+                self.faults.add(SourceLocation(str(path), number), "", f"more than {LINES_MOST} lines")
                 break
-            self._line(Place(str(path), number), raw)
+            self._line(SourceLocation(str(path), number), raw)
         if self._open is not None:
             self.faults.add(self._open.place, "section", f"{self._open.name} has no end")
         self._open = outer
         self._files.pop()
 
-    def _line(self, place: Place, raw: str) -> None:
+    def _line(self, place: SourceLocation, raw: str) -> None:
         try:
             words = shlex.split(raw, comments=True)
         except ValueError as err:
@@ -107,14 +107,14 @@
         else:
             self._open.lines.append(Line(place, name, rest))
 
-    def _include(self, place: Place, words: tuple[str, ...]) -> None:
+    def _include(self, place: SourceLocation, words: tuple[str, ...]) -> None:
         if len(words) != 1:
             return self.faults.add(place, "include", "takes one path or pattern")
         if self._open is not None:
             return self.faults.add(place, "include", f"stands within section {self._open.name}")
         self.file(self._files[-1].parent / words[0], place)
 
-    def _begin(self, place: Place, words: tuple[str, ...]) -> None:
+    def _begin(self, place: SourceLocation, words: tuple[str, ...]) -> None:
         if len(words) != 1:
             return self.faults.add(place, "section", "takes one name")
         if self._open is not None:
@@ -122,7 +122,7 @@
         self._open = Section(place, words[0])
         self.sections.append(self._open)
 
-    def _end(self, place: Place, words: tuple[str, ...]) -> None:
+    def _end(self, place: SourceLocation, words: tuple[str, ...]) -> None:
         if words:
             self.faults.add(place, "end", f"takes nothing, not {words[0]!r}")
         if self._open is None:
--- a/lapispick/conf/settings.py
+++ b/lapispick/conf/settings.py
@@ -12,7 +12,7 @@
 from lapispick.conf import value_types
 from lapispick.conf.parser import Line, Parser, Section
 from lapispick.conf.value_types import Directive
-from lapispick.file_errors import Collector, Faulty, Place, nearest
+from lapispick.file_errors import FaultCollector, InvalidFileError, SourceLocation, suggest_nearest
 
 CONF_FILE = "deploy/lapispick.conf"  # from the root, where the program is started
 VARIABLE = "LAPISPICK_CONF"
@@ -255,7 +255,9 @@
     return made
 
 
-def _take(line: Line, directive: Directive, held: dict[str, Any], first: dict[str, Place], faults: Collector) -> None:
+def _take(
+    line: Line, directive: Directive, held: dict[str, Any], first: dict[str, SourceLocation], faults: FaultCollector
+) -> None:
     key = line.name.replace("-", "_")
     if line.name in first and not directive.many:
         return faults.add(line.place, line.name, f"stands twice, first at {first[line.name]}")
@@ -271,21 +273,21 @@
     held[key] = (*held.get(key, ()), *values) if directive.many else values[0]
 
 
-def _section(name: str, parts: list[Section], faults: Collector) -> msgspec.Struct:
+def _section(name: str, parts: list[Section], faults: FaultCollector) -> msgspec.Struct:
     known = directives(SECTIONS[name])
     held: dict[str, Any] = {}
-    first: dict[str, Place] = {}
+    first: dict[str, SourceLocation] = {}
     for line in (line for part in parts for line in part.lines):
         if line.name not in known:
-            faults.add(line.place, line.name, f"unknown in section {name}{nearest(line.name, known)}")
+            faults.add(line.place, line.name, f"unknown in section {name}{suggest_nearest(line.name, known)}")
         else:
             _take(line, known[line.name], held, first, faults)
     return SECTIONS[name](**held)
 
 
-def _together(made: Settings, places: Mapping[str, Place], faults: Collector) -> None:
+def _together(made: Settings, places: Mapping[str, SourceLocation], faults: FaultCollector) -> None:
     """Check what only several directives show together."""
-    place = places.get("amqp", Place(VARIABLE))
+    place = places.get("amqp", SourceLocation(VARIABLE))
     if made.amqp.enabled and made.inventory.path is None:
         faults.add(place, "enabled", "needs a path in section inventory")
     if made.trace.enabled and made.trace.folder is None:
@@ -352,21 +354,21 @@
 
 
 def parse(path: PurePath) -> Settings:
-    """Read a settings file and what it includes; raises ``Faulty`` with all that is wrong."""
+    """Read a settings file and what it includes; raises ``InvalidFileError`` with all that is wrong."""
     parser = Parser(_open)
     parser.file(path)
     faults = parser.faults
     by_name: dict[str, list[Section]] = {}
     for section in parser.sections:
         if section.name not in SECTIONS:
-            faults.add(section.place, "section", f"{section.name} is unknown{nearest(section.name, SECTIONS)}")
+            faults.add(section.place, "section", f"{section.name} is unknown{suggest_nearest(section.name, SECTIONS)}")
         else:
             by_name.setdefault(section.name, []).append(section)
     made = Settings(**{name: _section(name, by_name.get(name, []), faults) for name in SECTIONS})
     if not faults:
         _together(made, {name: parts[0].place for name, parts in by_name.items()}, faults)
     if faults:
-        raise Faulty(faults.found)
+        raise InvalidFileError(faults.collected)
     return made
 
 
--- a/lapispick/digests.py
+++ b/lapispick/digests.py
@@ -1,8 +1,7 @@
-"""BLAKE2b for processes that have little memory: the same digests as ``hashlib.blake2b``.
+"""BLAKE2b without loading OpenSSL: the same digests as ``hashlib.blake2b``.
 
-``hashlib`` loads the whole of OpenSSL for hashes that nothing here asks for, 3.5 MB of a host that may have 32.
-CPython keeps BLAKE2 in a module of its own, which is all that ``hashlib`` hands on; where an interpreter has none,
-``hashlib`` it is.
+``hashlib`` loads OpenSSL, which takes 3.5 MB and is not needed otherwise. CPython has BLAKE2 in an extension module of
+its own, which ``hashlib`` itself uses; where an interpreter lacks it, ``hashlib`` is the fallback.
 """
 
 from __future__ import annotations
--- a/lapispick/fleet/acceptance.py
+++ b/lapispick/fleet/acceptance.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from lapispick.file_errors import Fault
+from lapispick.file_errors import FileFault
 from lapispick.fleet.snapshot import Difference, Snapshot, difference
 
 
@@ -53,7 +53,7 @@
     """What one look found: a list, or what is wrong."""
 
     snapshot: Snapshot | None
-    faults: tuple[Fault, ...] = ()
+    faults: tuple[FileFault, ...] = ()
     unfinished: str = ""  # why the files may not be whole
     accept: str = ""  # the digest that an operator accepts, or its beginning
 
--- a/lapispick/fleet/csv_reader.py
+++ b/lapispick/fleet/csv_reader.py
@@ -9,7 +9,7 @@
 import io
 from collections.abc import Iterator
 
-from lapispick.file_errors import Collector, Place
+from lapispick.file_errors import FaultCollector, SourceLocation
 from lapispick.fleet import ranges
 from lapispick.fleet.entries import Entry, Var
 
@@ -51,9 +51,9 @@
     return max(fitting, key=lambda d: len(headers[d]), default=",")
 
 
-def _header(file: str, line: int, cells: list[str], faults: Collector) -> list[str]:
+def _header(file: str, line: int, cells: list[str], faults: FaultCollector) -> list[str]:
     header = [c.strip() for c in cells]
-    place = Place(file, line)
+    place = SourceLocation(file, line)
     if NAME not in header:
         faults.add(place, NAME, f"the header has no such column, only {', '.join(header)[:200]}")
     if len(header) > COLUMNS_MOST:
@@ -61,7 +61,7 @@
     for column, key in enumerate(header, 1):
         if header.index(key) != column - 1:
             faults.add(
-                Place(file, line, column),
+                SourceLocation(file, line, column),
                 key or "a column without a name",
                 f"the header has this column twice, first as column {header.index(key) + 1}",
             )
@@ -72,7 +72,7 @@
 Cache = dict[tuple[str, ...], Rows]  # what was made of a row's cells; places in it may have moved since
 
 
-def read(file: str, text: str, delimiter: str, most: int, faults: Collector, cache: Cache) -> tuple[Rows, Cache]:
+def read(file: str, text: str, delimiter: str, most: int, faults: FaultCollector, cache: Cache) -> tuple[Rows, Cache]:
     """Return the rows and what to keep for the next time; faults are collected.
 
     ``delimiter`` may be ``auto``. A row that stands in ``cache`` is taken from there.
@@ -80,7 +80,7 @@
     kept: Cache = {}
     if "\0" in text:
         at = text.index("\0")
-        faults.add(Place(file, text.count("\n", 0, at) + 1), "", "a NUL byte; the file is broken or no text")
+        faults.add(SourceLocation(file, text.count("\n", 0, at) + 1), "", "a NUL byte; the file is broken or no text")
         return [], kept
     mark = DELIMITERS.get(delimiter) or delimiter_of(text)
     header: list[str] = []
@@ -105,19 +105,19 @@
             kept.setdefault(key, made)
             found += made
             if len(found) > most:
-                faults.add(Place(file, line), NAME, f"more than {most} boxes")
+                faults.add(SourceLocation(file, line), NAME, f"more than {most} boxes")
                 return [], kept
     except csv.Error as err:
         # The parser stops here, so that the rows before are no whole list either.
-        faults.add(Place(file, line), "", f"can't be read as CSV behind this line: {err}")
+        faults.add(SourceLocation(file, line), "", f"can't be read as CSV behind this line: {err}")
         kept.clear()
     if not header and not faults:
-        faults.add(Place(file, 1), NAME, "there is no header")
+        faults.add(SourceLocation(file, 1), NAME, "there is no header")
     return found, kept
 
 
-def _row(file: str, line: int, header: list[str], cells: list[str], most: int, faults: Collector) -> Rows:
-    place = Place(file, line)
+def _row(file: str, line: int, header: list[str], cells: list[str], most: int, faults: FaultCollector) -> Rows:
+    place = SourceLocation(file, line)
     if len(cells) != len(header):
         key = header[min(len(cells), len(header) - 1)]
         faults.add(place, key, f"{len(cells)} cells under {len(header)} columns")
@@ -125,7 +125,7 @@
     row: dict[str, Var] = {}
     for column, (key, cell) in enumerate(zip(header, cells, strict=True), 1):
         if value := cell.strip():
-            row[key] = Var(value, Place(file, line, column))
+            row[key] = Var(value, SourceLocation(file, line, column))
     name = row.pop(NAME, None)
     if name is None:
         faults.add(place, NAME, "is empty")
--- a/lapispick/fleet/entries.py
+++ b/lapispick/fleet/entries.py
@@ -4,7 +4,7 @@
 
 from typing import Any, NamedTuple
 
-from lapispick.file_errors import Place
+from lapispick.file_errors import SourceLocation
 
 
 class Tagged(str):
@@ -23,12 +23,12 @@
     """A value and where it stands."""
 
     value: Any
-    place: Place
+    place: SourceLocation
 
 
 class Entry(NamedTuple):
     """One box as it stands in one place: a row, or a host of a group with all that it inherits."""
 
     name: str
-    place: Place
+    place: SourceLocation
     vars: dict[str, Var]
--- a/lapispick/fleet/files.py
+++ b/lapispick/fleet/files.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from lapispick.file_errors import Fault, Place
+from lapispick.file_errors import FileFault, SourceLocation
 from lapispick.fleet.reading import GROUP_VARS, HOST_VARS, File, wanted
 
 FILES_MOST = 5_000
@@ -20,7 +20,7 @@
     """What stands on the disk now. ``signature`` is None where only the contents can tell of a change."""
 
     files: list[File]
-    faults: tuple[Fault, ...]
+    faults: tuple[FileFault, ...]
     unfinished: str
     signature: tuple[object, ...] | None
 
@@ -91,22 +91,22 @@
 def read(path: Path, most: int) -> Found:
     """Read all files of a list, ``most`` bytes together; what can't be read is a fault."""
     files: list[File] = []
-    faults: list[Fault] = []
+    faults: list[FileFault] = []
     unfinished = ""
     mark = signature(path)
     try:
         found = _candidates(path)
     except OSError as err:
-        return Found([], (Fault(Place(path.name), "", f"can't be read: {err.strerror or err}"),), "", None)
+        return Found([], (FileFault(SourceLocation(path.name), "", f"can't be read: {err.strerror or err}"),), "", None)
     if len(found) > FILES_MOST:
-        faults.append(Fault(Place(path.name), "", f"holds more than {FILES_MOST} files"))
+        faults.append(FileFault(SourceLocation(path.name), "", f"holds more than {FILES_MOST} files"))
         found = []
     left = most
     for name, file in found:
         try:
             data, _, still = _read(file, left)
         except OSError as err:
-            faults.append(Fault(Place(name), "", f"can't be read: {err.strerror or err}"))
+            faults.append(FileFault(SourceLocation(name), "", f"can't be read: {err.strerror or err}"))
             continue
         if not still:
             unfinished = unfinished or f"{name} changes while it is read"
--- a/lapispick/fleet/groups.py
+++ b/lapispick/fleet/groups.py
@@ -9,7 +9,7 @@
 
 from typing import Any
 
-from lapispick.file_errors import Collector, Place
+from lapispick.file_errors import FaultCollector, SourceLocation
 from lapispick.fleet import identity, ranges
 from lapispick.fleet.entries import Entry, Var
 from lapispick.fleet.yaml_reader import Map
@@ -25,24 +25,24 @@
 
     __slots__ = ("children", "hosts", "more", "name", "place", "vars")
 
-    def __init__(self, name: str, place: Place) -> None:
+    def __init__(self, name: str, place: SourceLocation) -> None:
         self.name, self.place = name, place
         self.vars: dict[str, Var] = {}
         self.more: dict[str, Var] = {}  # from group_vars
-        self.hosts: dict[str, tuple[Map, Place]] = {}
-        self.children: dict[str, Place] = {}
+        self.hosts: dict[str, tuple[Map, SourceLocation]] = {}
+        self.children: dict[str, SourceLocation] = {}
 
 
 class Tree:
     """All groups of all files."""
 
-    def __init__(self, most: int, faults: Collector) -> None:
+    def __init__(self, most: int, faults: FaultCollector) -> None:
         self.groups: dict[str, Group] = {}
         self.host_vars: dict[str, Map] = {}
         self.rows: list[tuple[str, Entry]] = []  # of CSV files, with their groups
         self._most, self._faults, self._members = most, faults, 0
 
-    def group(self, name: str, place: Place) -> Group:
+    def group(self, name: str, place: SourceLocation) -> Group:
         """Return a group, made where it is new."""
         if (known := self.groups.get(name)) is None:
             known = self.groups[name] = Group(name, place)
@@ -117,12 +117,12 @@
         self._rows: dict[int, tuple[tuple[Any, ...], Entry]] = {}
         self._shared: dict[tuple[Any, ...], dict[str, Var]] = {}
 
-    def entries(self, tree: Tree, wanted: str, domain: str, faults: Collector) -> list[Entry]:
+    def entries(self, tree: Tree, wanted: str, domain: str, faults: FaultCollector) -> list[Entry]:
         """Return the boxes of a group and all below it, in the order of the files."""
         known_group = wanted in tree.groups or wanted == ALL or not all(name for name, _ in tree.rows)
         if not known_group and (tree.groups or tree.rows):
             known = ", ".join(sorted(tree.groups)) or "none"
-            faults.add(Place("inventory"), wanted, f"there is no such group; there are {known[:300]}")
+            faults.add(SourceLocation("inventory"), wanted, f"there is no such group; there are {known[:300]}")
             return []
         if loop := _cycle(tree.groups):
             faults.add(tree.groups[loop[0]].children[loop[1]], loop[0], f"groups hold each other: {' -> '.join(loop)}")
@@ -173,7 +173,7 @@
         host_vars: dict[str, Map],
         domain: str,
         kept: dict[str, Any],
-        faults: Collector,
+        faults: FaultCollector,
     ) -> Entry:
         told = [tree.groups[g].hosts[name] for g in direct]
         more = host_vars.get(name) or host_vars.get(_canonical(name, domain)) if host_vars else None
--- a/lapispick/fleet/helper.py
+++ b/lapispick/fleet/helper.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from lapispick.file_errors import Fault
+from lapispick.file_errors import FileFault, SourceLocation
 from lapispick.fleet import files, last_good, snapshot
 from lapispick.fleet.host_assembly import Box
 from lapispick.fleet.messages import PART, Begin, Keep, Kept, Listed, Look, Part, Status, ToHelper, Trouble
@@ -169,7 +169,7 @@
             return helper.look()
         except Exception as err:  # guards the host: a list that breaks a parser is a faulty list
             helper.forget()
-            return [Listed(faults=(Fault(files.Place("inventory"), "", f"breaks the reader: {err!r:.200}"),))]
+            return [Listed(faults=(FileFault(SourceLocation("inventory"), "", f"breaks the reader: {err!r:.200}"),))]
     if isinstance(message, Keep):
         return helper.keep(message)
     if isinstance(message, Status):
--- a/lapispick/fleet/host_assembly.py
+++ b/lapispick/fleet/host_assembly.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from lapispick.file_errors import Collector, Place
+from lapispick.file_errors import FaultCollector, SourceLocation
 from lapispick.fleet import identity, schema
 from lapispick.fleet.entries import Entry, Var
 from lapispick.fleet.schema import Schema
@@ -33,7 +33,7 @@
     items: tuple[dict[str, Any], ...] = ()  # by name
     digest: bytes = b""  # of all above
     spellings: tuple[str, ...] = ()  # as the files write it
-    places: tuple[Place, ...] = ()
+    places: tuple[SourceLocation, ...] = ()
 
     def shown(self, wanted: Schema) -> dict[str, Any]:
         """Return the variables with secrets hidden."""
@@ -55,8 +55,8 @@
         self.named: tuple[Any, ...] = ()  # entries that share one of these two are one box
         self.at: tuple[Any, ...] = ()
         self.told: dict[str, Var] = {}
-        self.items: list[tuple[dict[str, Any], Place]] = []
-        self.faults = Collector()
+        self.items: list[tuple[dict[str, Any], SourceLocation]] = []
+        self.faults = FaultCollector()
 
 
 class Assembler:
@@ -67,7 +67,7 @@
         self._parts: dict[int, _Part] = {}
         self._boxes: dict[tuple[int, ...], tuple[list[_Part], Box]] = {}
 
-    def boxes(self, entries: list[Entry], most: int, faults: Collector) -> dict[str, Box]:
+    def boxes(self, entries: list[Entry], most: int, faults: FaultCollector) -> dict[str, Box]:
         """Return the boxes by name; faults are collected."""
         parts: dict[int, _Part] = {}
         for entry in entries:
@@ -75,7 +75,7 @@
             if part is None or part.entry is not entry:
                 part = self._part(entry)
             if part.faults:
-                faults.extend(part.faults.found)
+                faults.extend(part.faults.collected)
             parts[id(entry)] = part
         self._parts = parts
         found: dict[str, Box] = {}
@@ -187,13 +187,13 @@
         held = dict(row)
         for key, var in told.items():
             if key not in self._schema.item:
-                near = schema.nearest(key, self._schema.item)
+                near = schema.suggest_nearest(key, self._schema.item)
                 part.faults.add(var.place, key, f"unknown here{near}; there are {', '.join(self._schema.item)}")
             else:
                 self._value(part, self._schema.item[key], key, var, held)
         return held
 
-    def _box(self, parts: list[_Part], faults: Collector) -> Box:
+    def _box(self, parts: list[_Part], faults: FaultCollector) -> Box:
         wanted = self._schema
         told: dict[str, Var] = {}
         # The full name stands for the box where one entry gives an address as name; else the first in order.
@@ -211,7 +211,7 @@
             self._agree(lead.name, reached, part, faults)
         vars_ = {key: v.default for key, v in wanted.box.items() if v.default is not None and key not in wanted.host}
         vars_ |= {key: var.value for key, var in told.items()}
-        items: dict[str, tuple[dict[str, Any], Place]] = {}
+        items: dict[str, tuple[dict[str, Any], SourceLocation]] = {}
         for part in parts:
             for item, place in part.items:
                 self._add_item(items, item, place, faults)
@@ -229,7 +229,7 @@
             tuple(p.entry.place for p in parts),
         )
 
-    def _agree(self, name: str, reached: _Part, part: _Part, faults: Collector) -> None:
+    def _agree(self, name: str, reached: _Part, part: _Part, faults: FaultCollector) -> None:
         """Two entries of one box may be reached by a name and its address, not at two addresses or ports."""
         if identity.address(part.host) and part.host != reached.host:
             faults.add(
@@ -245,7 +245,11 @@
             )
 
     def _add_item(
-        self, items: dict[str, tuple[dict[str, Any], Place]], item: dict[str, Any], place: Place, faults: Collector
+        self,
+        items: dict[str, tuple[dict[str, Any], SourceLocation]],
+        item: dict[str, Any],
+        place: SourceLocation,
+        faults: FaultCollector,
     ) -> None:
         wanted = self._schema
         full = {key: v.default for key, v in wanted.item.items() if v.default is not None} | item
--- a/lapispick/fleet/hosts.py
+++ b/lapispick/fleet/hosts.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from lapispick.file_errors import Collector, Fault
+from lapispick.file_errors import FaultCollector, FileFault
 from lapispick.fleet import identity
 from lapispick.fleet.host_assembly import Box
 from lapispick.fleet.schema import Schema, Variable
@@ -86,10 +86,10 @@
     )
 
 
-def workers(boxes: Iterable[Box]) -> tuple[tuple[Worker, ...], tuple[Fault, ...]]:
+def workers(boxes: Iterable[Box]) -> tuple[tuple[Worker, ...], tuple[FileFault, ...]]:
     """Return the worker hosts by name, and the faults of those whose addresses can't be used or are another's."""
     made: list[Worker] = []
-    faults, taken = Collector(), dict[str, str]()
+    faults, taken = FaultCollector(), dict[str, str]()
     for box in sorted(boxes, key=lambda b: b.name):
         try:
             found = worker(box)
@@ -101,4 +101,4 @@
                 faults.add(box.places[0], "host", f"{box.name}: {at} stands twice, first for {taken[at]}")
             taken.setdefault(at, box.name)
         made.append(found)
-    return tuple(made), tuple(faults.found)
+    return tuple(made), tuple(faults.collected)
--- a/lapispick/fleet/messages.py
+++ b/lapispick/fleet/messages.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from lapispick.file_errors import Fault
+from lapispick.file_errors import FileFault
 from lapispick.fleet.host_assembly import Box
 from lapispick.fleet.reading import Options
 
@@ -56,7 +56,7 @@
 
     parts: int = 0
     digest: str = ""
-    faults: tuple[Fault, ...] = ()
+    faults: tuple[FileFault, ...] = ()
     left_out: int = 0
     unfinished: str = ""
     accept: str = ""
--- a/lapispick/fleet/reading.py
+++ b/lapispick/fleet/reading.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from lapispick.file_errors import Collector, Fault, Place
+from lapispick.file_errors import FaultCollector, FileFault, SourceLocation
 from lapispick.fleet import csv_reader
 from lapispick.fleet.groups import Resolver, Tree
 from lapispick.fleet.host_assembly import Assembler, Box
@@ -49,7 +49,7 @@
     """What the files say: the boxes by name, or what is wrong. ``unfinished`` says why they may not be whole."""
 
     boxes: dict[str, Box]
-    faults: tuple[Fault, ...]
+    faults: tuple[FileFault, ...]
     unfinished: str
     left_out: int = 0  # faults beyond the bound
 
@@ -60,7 +60,7 @@
     return path.suffix in CSV + YAML and not path.name.startswith((".", "#", "~"))
 
 
-def decoded(file: File, faults: Collector) -> str | None:
+def decoded(file: File, faults: FaultCollector) -> str | None:
     """Return the text of a file in UTF-8 or, with its mark, UTF-16."""
     data, encoding = file.data, "utf-8"
     for mark, name in BOMS:
@@ -71,7 +71,7 @@
         return data.decode(encoding)
     except UnicodeDecodeError as err:
         line = data.count(b"\n", 0, err.start) + 1
-        faults.add(Place(file.name, line), "", f"is no {encoding.upper()} at byte {err.start}: {err.reason}")
+        faults.add(SourceLocation(file.name, line), "", f"is no {encoding.upper()} at byte {err.start}: {err.reason}")
         return None
 
 
@@ -114,7 +114,7 @@
         return reading
 
     def _read(self, files: list[File]) -> Reading:
-        options, faults = self._options, Collector()
+        options, faults = self._options, FaultCollector()
         tree = Tree(options.boxes_most, faults)
         why = ""
         self._broken = not files
@@ -130,15 +130,15 @@
                 kept.pop(gone, None)
         boxes: dict[str, Box] = {}
         if not files:
-            faults.add(Place("inventory"), "", "there is no .csv, .yml or .yaml file")
+            faults.add(SourceLocation("inventory"), "", "there is no .csv, .yml or .yaml file")
         if not self._broken:  # rows and keys at fault do not keep the others from being looked at
             entries = self._resolver.entries(tree, options.group, options.domain, faults)
             boxes = self._assembler.boxes(entries, options.boxes_most, faults)
         if not faults and not boxes:
-            faults.add(Place("inventory"), options.group, "no box is in this group; the list is empty")
-        return Reading({} if faults else boxes, tuple(faults.found), why, faults.left_out)
+            faults.add(SourceLocation("inventory"), options.group, "no box is in this group; the list is empty")
+        return Reading({} if faults else boxes, tuple(faults.collected), why, faults.left_out)
 
-    def _file(self, file: File, text: str, tree: Tree, faults: Collector) -> None:
+    def _file(self, file: File, text: str, tree: Tree, faults: FaultCollector) -> None:
         digest = blake2b(file.data, digest_size=16).digest()
         same = self._digests.get(file.name) == digest
         self._digests[file.name] = digest
--- a/lapispick/fleet/schema.py
+++ b/lapispick/fleet/schema.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from lapispick.file_errors import nearest
+from lapispick.file_errors import suggest_nearest
 from lapispick.fleet import identity
 from lapispick.fleet.entries import Tagged
 
@@ -52,7 +52,7 @@
         if not self.prefix or not key.startswith(self.prefix):
             return None
         known = [*self.box, *self.item, *([self.items] if self.items else [])]
-        return None if key in known else f"unknown variable{nearest(key, known)}"
+        return None if key in known else f"unknown variable{suggest_nearest(key, known)}"
 
 
 FLEET = Schema(prefix="", box={})  # any list of boxes: what it says beside names and addresses is left alone
@@ -89,7 +89,9 @@
     if not (variable.low or 0) <= len(text.encode()) <= (variable.high or TEXT_MOST):
         raise fault
     if variable.choices and text and text not in variable.choices:
-        raise ValueError(f"{_short(value)} is none of {', '.join(variable.choices)}{nearest(text, variable.choices)}")
+        raise ValueError(
+            f"{_short(value)} is none of {', '.join(variable.choices)}{suggest_nearest(text, variable.choices)}"
+        )
     return text
 
 
--- a/lapispick/fleet/yaml_reader.py
+++ b/lapispick/fleet/yaml_reader.py
@@ -18,7 +18,7 @@
 from yaml.constructor import ConstructorError, SafeConstructor
 from yaml.nodes import MappingNode, Node, ScalarNode, SequenceNode
 
-from lapispick.file_errors import Collector, Place
+from lapispick.file_errors import FaultCollector, SourceLocation
 from lapispick.fleet.entries import Tagged, Var
 
 Loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
@@ -36,7 +36,7 @@
 
     __slots__ = ("place",)
 
-    def __init__(self, place: Place) -> None:
+    def __init__(self, place: SourceLocation) -> None:
         super().__init__()
         self.place = place
 
@@ -64,17 +64,17 @@
 class _Converter:
     """Makes values of nodes."""
 
-    def __init__(self, file: str, faults: Collector, first_line: int = 0) -> None:
+    def __init__(self, file: str, faults: FaultCollector, first_line: int = 0) -> None:
         self.file, self.faults, self.first_line = file, faults, first_line
         self.segments: list[Segment] = []
         self._scalars = SafeConstructor()
         self._made: dict[int, Any] = {}  # anchored nodes stand once, however often they are named
         self._sizes: dict[int, int] = {}
 
-    def place(self, node: Node) -> Place:
+    def place(self, node: Node) -> SourceLocation:
         """Return where a node begins."""
         mark = node.start_mark
-        return Place(self.file, mark.line + 1 + self.first_line, mark.column + 1)
+        return SourceLocation(self.file, mark.line + 1 + self.first_line, mark.column + 1)
 
     def check(self, node: Node, above: tuple[int, ...] = ()) -> int:
         """Return how many values a node stands for; refuses loops, depth and aliases that multiply."""
@@ -159,17 +159,17 @@
         return made
 
 
-def _compose(file: str, text: str, faults: Collector) -> Node | None:
+def _compose(file: str, text: str, faults: FaultCollector) -> Node | None:
     loader = Loader(text)
     try:
         return loader.get_single_node()
     except yaml.MarkedYAMLError as err:
         mark = err.problem_mark or err.context_mark
-        place = Place(file, mark.line + 1, mark.column + 1) if mark else Place(file, 1)
+        place = SourceLocation(file, mark.line + 1, mark.column + 1) if mark else SourceLocation(file, 1)
         said = ", ".join(str(part) for part in (err.context, err.problem) if part)
         faults.add(place, "", f"can't be read as YAML: {said or err}")
     except (yaml.YAMLError, RecursionError, ValueError) as err:
-        faults.add(Place(file, 1), "", f"can't be read as YAML: {str(err)[:200]}")
+        faults.add(SourceLocation(file, 1), "", f"can't be read as YAML: {str(err)[:200]}")
     finally:
         loader.dispose()
     raise _Refused
@@ -178,17 +178,17 @@
 class Document:
     """One YAML file: its top mapping, and what it takes to read a change of it in small."""
 
-    def __init__(self, file: str, text: str, faults: Collector) -> None:
+    def __init__(self, file: str, text: str, faults: FaultCollector) -> None:
         self.file, self.lines = file, text.splitlines(keepends=True)
         self.top: Map | None = None
         self._segments: list[Segment] = []
         try:
             node = _compose(file, text, faults)
             if node is None:
-                self.top = Map(Place(file, 1))
+                self.top = Map(SourceLocation(file, 1))
                 return
             if not isinstance(node, MappingNode):
-                return faults.add(Place(file, 1), "", "the whole must be a mapping of groups")
+                return faults.add(SourceLocation(file, 1), "", "the whole must be a mapping of groups")
             convert = _Converter(file, faults)
             convert.check(node)
             self.top = convert.value(node)
@@ -226,7 +226,7 @@
         chunk = "".join(new[begin : end + grown])
         if SHARED.search(chunk) or ODD.search(chunk):
             return False
-        faults = Collector()
+        faults = FaultCollector()
         try:
             node = _compose(self.file, chunk, faults)
             if (
--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -16,7 +16,7 @@
 
 from lapispick.conf import settings as conf
 from lapispick.conf.settings import Settings
-from lapispick.file_errors import Faulty
+from lapispick.file_errors import InvalidFileError
 from lapispick.host import core
 from lapispick.host.config import Config, ConfigError, load
 from lapispick.host.core import Core
@@ -337,7 +337,7 @@
 
 
 def _own_settings() -> Settings:
-    """Read the operators' settings, and the file that was theirs before; raises ``Faulty``."""
+    """Read the operators' settings, and the file that was theirs before; raises ``InvalidFileError``."""
     own = conf.load()
     if os.environ.get(OLD_VARIABLE) or os.path.exists(OLD_FILE):
         from lapispick.conf import legacy
@@ -360,7 +360,7 @@
     except ConfigError as err:
         log(LOG, logging.ERROR, "config-faulty", fault=err)
         return 2
-    except Faulty as err:
+    except InvalidFileError as err:
         for fault in err.faults:
             log(LOG, logging.ERROR, "config-faulty", fault=fault)
         return 2
--- a/lapispick/host/members.py
+++ b/lapispick/host/members.py
@@ -173,7 +173,7 @@
         if folder is not None:
             try:
                 Path(folder).mkdir(parents=True, exist_ok=True)
-                atomic_files.put(Path(folder) / LIFE, str(number).encode())
+                atomic_files.replace(Path(folder) / LIFE, str(number).encode())
             except OSError as err:
                 log(LOG, logging.ERROR, "life-not-kept", file=folder, error=err)
         return number
--- a/lapispick/rollout/stages.py
+++ b/lapispick/rollout/stages.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from lapispick.digests import blake2b
-from lapispick.file_errors import nearest
+from lapispick.file_errors import suggest_nearest
 from lapispick.fleet.hosts import Worker
 
 STAGES_MOST = 50
@@ -90,7 +90,7 @@
     named = [name for each in wants for name in each.names]
     for name in named:
         if name not in by_name:
-            raise ValueError(f"there is no box {name}{nearest(name, by_name)}")
+            raise ValueError(f"there is no box {name}{suggest_nearest(name, by_name)}")
     if len(set(named)) != len(named):
         raise ValueError("a box stands in two stages")
     left = [box for box in order(boxes, rollout) if box.name not in named]
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -4,14 +4,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lapispick.file_errors import Fault, Place
+from lapispick.file_errors import FileFault, SourceLocation
 from lapispick.fleet import snapshot
 from lapispick.fleet.acceptance import Acceptance, Phase, Policy, Seen
 from lapispick.fleet.members import Members
 from tests.fleet_files import boxes, csv_list, read
 
 POLICY = Policy(settle=1.0, settle_most=3.0, loss=0.2, turnover=0.5, loss_window=60.0, hold=300.0)
-FAULT = Seen(None, (Fault(Place("f", 1), "", "broken"),))
+FAULT = Seen(None, (FileFault(SourceLocation("f", 1), "", "broken"),))
 
 
 def fleet(names, port=1):
--- a/tests/test_clock_skew.py
+++ b/tests/test_clock_skew.py
@@ -10,7 +10,7 @@
 from lapispick.cli.main import cli
 from lapispick.conf import settings as conf
 from lapispick.fakes.peers import until
-from lapispick.file_errors import Faulty
+from lapispick.file_errors import InvalidFileError
 from lapispick.trace import files
 from lapispick.trace.attempt_matching import tries
 from lapispick.trace.clock_skew import Clock, Try, Unknown, estimate
@@ -176,5 +176,5 @@
         if content:
             (tmp_path / "secret").write_bytes(content)
         (tmp_path / "own.conf").write_text("section trace\n enabled yes\n folder t\n subject-key secret\nend\n")
-        with pytest.raises(Faulty, match="subject-key"):
+        with pytest.raises(InvalidFileError, match="subject-key"):
             conf.parse(tmp_path / "own.conf")
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from lapispick.conf import parser, settings, value_types
-from lapispick.file_errors import Faulty
+from lapispick.file_errors import InvalidFileError
 
 
 def write(folder, **files):
@@ -59,13 +59,13 @@
     ],
 )
 def test_faults_name_file_line_and_directive(tmp_path, text, fault):
-    with pytest.raises(Faulty) as caught:
+    with pytest.raises(InvalidFileError) as caught:
         settings.parse(write(tmp_path, a=text))
     assert any(f"{tmp_path}/{fault}" in str(f) for f in caught.value.faults), caught.value.faults
 
 
 def test_all_faults_are_told_at_once(tmp_path):
-    with pytest.raises(Faulty) as caught:
+    with pytest.raises(InvalidFileError) as caught:
         settings.parse(write(tmp_path, a="section amqp\nx 1\ndrain y\nend\nsection log\nlevel loud\nend\n"))
     assert len(caught.value.faults) == 3
 
@@ -73,7 +73,7 @@
 def test_includes_are_bounded(tmp_path):
     for n in range(12):
         write(tmp_path, **{f"f{n}": f"include f{n + 1}.conf\n"})
-    with pytest.raises(Faulty, match="more than 8 deep"):
+    with pytest.raises(InvalidFileError, match="more than 8 deep"):
         settings.parse(tmp_path / "f0.conf")
 
 
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -7,7 +7,7 @@
 
 from lapispick.cli.main import cli
 from lapispick.conf import settings as conf
-from lapispick.file_errors import Faulty
+from lapispick.file_errors import InvalidFileError
 from lapispick.fleet import hosts
 from lapispick.fleet.hosts import SCHEMA, Worker
 from tests.fleet_files import boxes, faults
@@ -130,5 +130,5 @@
 )
 def test_the_section_is_checked_with_the_others(tmp_path, text, fault):
     (tmp_path / "own.conf").write_text(text)
-    with pytest.raises(Faulty, match=fault):
+    with pytest.raises(InvalidFileError, match=fault):
         conf.parse(tmp_path / "own.conf")
--- a/tests/test_inventory_reading.py
+++ b/tests/test_inventory_reading.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lapispick.file_errors import Collector
+from lapispick.file_errors import FaultCollector
 from lapispick.fleet import snapshot
 from lapispick.fleet.reading import Reader
 from lapispick.fleet.yaml_reader import Document
@@ -237,31 +237,31 @@
 @settings(max_examples=400, deadline=None)
 def test_a_change_read_in_small_is_the_same_as_the_whole_read_anew(count, changes):
     lines = yaml_list({f"b{n}": n + 1 for n in range(count)}).splitlines()
-    document = Document("f.yml", "\n".join(lines) + "\n", Collector())
+    document = Document("f.yml", "\n".join(lines) + "\n", FaultCollector())
     for at, drop, line in changes:
         at %= len(lines) + 1
         lines[at : at + drop] = [line]
         text = "\n".join(lines) + "\n"
-        found = Collector()
+        found = FaultCollector()
         whole = Document("f.yml", text, found)
         if not document.update(text):
             document = whole
             if found:
                 return
         else:
-            assert not found, [str(f) for f in found.found]
+            assert not found, [str(f) for f in found.collected]
             assert plain(document.top) == plain(whole.top)
 
 
 def test_a_change_of_one_box_is_read_in_small():
     ports = {f"b{n}": n + 1 for n in range(30)}
-    document = Document("f.yml", yaml_list(ports), Collector())
+    document = Document("f.yml", yaml_list(ports), FaultCollector())
     for change in ({"b7": 99}, {"new": 5}, {"b29": 3}):
         ports |= change
         assert document.update(yaml_list(ports))
     del ports["b3"]
     assert document.update(yaml_list(ports))
-    assert plain(document.top) == plain(Document("f.yml", yaml_list(ports), Collector()).top)
+    assert plain(document.top) == plain(Document("f.yml", yaml_list(ports), FaultCollector()).top)
 
 
 @given(lists, lists)
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -108,7 +108,7 @@
     assert made.inventory.loss == 0.2 and not made.figures.enabled
     path = tmp_path / "later.conf"
     path.write_text((SPOKEN / "settings-1.conf").read_text() + "section later\n x 1\nend\n")
-    with pytest.raises(conf.Faulty, match="later is unknown"):
+    with pytest.raises(conf.InvalidFileError, match="later is unknown"):
         conf.parse(path)
 
 
--- a/tests/test_stored_samples.py
+++ b/tests/test_stored_samples.py
@@ -17,7 +17,7 @@
 from lapispick.admission import LearnedEstimates
 from lapispick.agent import generation_store, rollout_store, service
 from lapispick.durable import database
-from lapispick.file_errors import Fault, Place
+from lapispick.file_errors import FileFault, SourceLocation
 from lapispick.fleet import last_good
 from lapispick.fleet import messages as inventory_messages
 from lapispick.handover import messages as handover_messages
@@ -104,10 +104,10 @@
     ),
     "compatibility of a format": (Spoken, ("writes", "oldest", "newest"), [2, 1, 3]),
     "pace of a rollout": (pacing.Bounds, ("most", "serving_least"), [3, 0.75]),
-    "place in a file": (Place, ("file", "line", "column"), ["hosts.yml", 12, 5]),
+    "place in a file": (SourceLocation, ("file", "line", "column"), ["hosts.yml", 12, 5]),
     "fault of a file": (
-        Fault,
-        ("place", "key", "text"),
+        FileFault,
+        ("location", "key", "message"),
         [["hosts.yml", 12, 5], "amqp_port", "must be a number"],
     ),
 }
