--- a/lapispick/host/core.py
+++ b/lapispick/host/core.py
@@ -24,7 +24,8 @@
 from lapispick.host.metrics import Figures, Wide
 from lapispick.host.requests import Answer, AnswerKind, Request
 from lapispick.host.scheduler import Loop, Queue
-from lapispick.idempotency.ownership import KeyOwnership, Role, Verdict
+from lapispick.idempotency.ownership import KeyOwnership, Role
+from lapispick.idempotency.states import Verdict
 from lapispick.idempotency.table import (
     DEFAULT_MAX_RESULT_BYTES,
     EXECUTED_BY_PEER,
--- a/lapispick/idempotency/ownership.py
+++ b/lapispick/idempotency/ownership.py
@@ -24,6 +24,7 @@
 from typing import Any, NamedTuple, cast
 
 from lapispick.handover import messages
+from lapispick.idempotency.states import Verdict
 from lapispick.idempotency.table import EXECUTED_BY_PEER, NOT_EXECUTED, IdempotencyRecord, IdempotencyTable
 
 CLAIM_TIMEOUT_MS = 300.0  # a peer whose event loop is blocked for longer would reply too late to be of use
@@ -38,16 +39,6 @@
     SUSPENDED = "suspended"
 
 
-class Verdict(Enum):
-    """What happens to an attempt that the decision module wants to run."""
-
-    RUN = "run"
-    WAIT = "wait"  # ``on_verdict`` is called later
-    COALESCE = "coalesce"  # another attempt was or is being executed: wait for its result
-    REJECT = "reject"  # certainly not executed, and whether it may be cannot be decided in time
-    FAIL = "fail"  # another attempt may have been executed by a process that left no record
-
-
 class PendingClaim(NamedTuple):
     """An attempt that waits for the other process."""
 
@@ -81,7 +72,10 @@
         is_retry: bool,
         now_ms: float,
     ) -> Verdict:
-        """Decide whether an attempt may be executed; ``record`` is that of its key."""
+        """Decide whether an attempt may be executed; ``record`` is that of its key.
+
+        The verdict is ``RUN``, ``COALESCE``, ``FAIL`` or ``WAIT``; a wait ends with a call of ``on_verdict``.
+        """
         if record.executed_attempt:
             return Verdict.COALESCE
         if self.in_doubt(created_at_ms, is_retry):
@@ -138,7 +132,7 @@
         return False
 
     def _mark_executed(self, record: IdempotencyRecord, attempt: int, expires_at_ms: float) -> None:
-        record.executed_attempt = attempt
+        record.mark_started(attempt)
         record.expires_at_ms = max(record.expires_at_ms, expires_at_ms)
 
     def _complete(self, record: IdempotencyRecord, result: str | None) -> None:
@@ -218,7 +212,7 @@
             self._send_to_peer(messages.KeyReleased(granted.key, granted.expires_at_ms))
             return
         del self._pending[granted.key]
-        pending.record.executed_attempt = pending.attempt
+        pending.record.mark_started(pending.attempt)
         self.on_verdict(pending.attempt, Verdict.RUN)
 
     def _on_claim_denied(self, denied: messages.ClaimDenied) -> None:
@@ -228,7 +222,7 @@
         del self._pending[denied.key]
         # Executions are announced before this reply; a request that was not announced is in doubt.
         if not pending.record.executed_attempt:
-            pending.record.executed_attempt = EXECUTED_BY_PEER
+            pending.record.mark_started(EXECUTED_BY_PEER)
             self.table.complete(pending.record, None)
         self.on_verdict(pending.attempt, Verdict.COALESCE)
 
@@ -279,7 +273,7 @@
             if executed_attempt == NOT_EXECUTED and in_doubt:
                 self.on_verdict(pending.attempt, Verdict.FAIL)
             elif executed_attempt in (NOT_EXECUTED, pending.attempt):
-                pending.record.executed_attempt = pending.attempt
+                pending.record.mark_started(pending.attempt)
                 self.on_verdict(pending.attempt, Verdict.RUN)
             else:
                 self.on_verdict(pending.attempt, Verdict.COALESCE)
--- a/lapispick/idempotency/table.py
+++ b/lapispick/idempotency/table.py
@@ -1,6 +1,6 @@
 """The table of idempotency records: which attempt owns a key, which one was executed, and its result.
 
-No I/O, no clock. Times are Unix ms.
+Records follow the state machine of ``states.py``. No I/O, no clock. Times are Unix ms.
 """
 
 from __future__ import annotations
@@ -12,6 +12,7 @@
 import msgspec
 
 from lapispick.digests import blake2b
+from lapispick.idempotency.states import TRANSITIONS, KeyEvent, KeyState
 
 DEFAULT_MAX_RESULT_BYTES = 16 << 20
 NOT_EXECUTED = 0  # in place of an attempt's number
@@ -27,9 +28,29 @@
     expires_at_ms: float  # end of the window: attempts created up to here are matched, however late they are read
     request_digest: int  # of handler and body, which all attempts share
     executed_attempt: int = NOT_EXECUTED  # a number, not the attempt: a cycle would wait minutes for the collector
-    completed: bool = False  # the execution has ended
+    state: KeyState = KeyState.INTENDED
     result: str | None = None  # None once completed: it failed, or the result was evicted
-    waiters: list[Any] = []  # notified once the execution has ended
+    waiters: list[Any] = []  # notified once the record is completed
+
+    @property
+    def completed(self) -> bool:
+        """Tell whether the outcome is final: no execution of this record is pending."""
+        return self.state > KeyState.STARTED
+
+    def apply(self, event: KeyEvent) -> None:
+        """Go to the next state. An event that the state does not allow is ignored, as the peer's messages may cross."""
+        self.state = TRANSITIONS.get((self.state, event), self.state)
+
+    def mark_started(self, attempt: int) -> None:
+        """Note which attempt is executed, or ``EXECUTED_BY_PEER``."""
+        self.executed_attempt = attempt
+        self.apply(KeyEvent.START)
+
+    def take_waiters(self) -> list[Any]:
+        """Return the waiters, each of them once."""
+        waiters = self.waiters
+        self.waiters = []
+        return waiters
 
 
 def digest_request(handler: str, body: str) -> int:
@@ -81,19 +102,18 @@
         if self._records.get(record.key) is record:
             del self._records[record.key]
         self._evict_result(record)
-        return self.complete(record, None)
+        record.apply(KeyEvent.NOT_EXECUTED if record.state is KeyState.STARTED else KeyEvent.WITHDRAW)
+        return record.take_waiters()
 
     def complete(self, record: IdempotencyRecord, result: str | None) -> list[Any]:
         """Record the end of an execution, with None where it failed; return the waiters."""
-        record.completed = True
+        record.apply(KeyEvent.FAIL if result is None else KeyEvent.COMPLETE)
         if result is not None and record.result is None and self._records.get(record.key) is record:
             record.result = result
             self._with_result.append(record)
             self.result_bytes += len(result)
             self.trim()
-        waiters = record.waiters
-        record.waiters = []
-        return waiters
+        return record.take_waiters()
 
     def trim(self) -> None:
         """Evict the oldest results beyond ``max_result_bytes``; their records stay, so nothing is executed twice."""
@@ -105,7 +125,7 @@
         return [
             record
             for record in self._records.values()
-            if record.expires_at_ms < before_ms and (record.completed or not record.executed_attempt)
+            if record.expires_at_ms < before_ms and record.state is not KeyState.STARTED
         ]
 
     def _evict_result_of(self, key: Hashable) -> None:
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -5,13 +5,25 @@
 import pytest
 
 from lapispick.handover import messages
-from lapispick.idempotency.ownership import CLAIM_TIMEOUT_MS, KeyOwnership, Role, Verdict
-from lapispick.idempotency.table import EXECUTED_BY_PEER, IdempotencyTable, digest_request
+from lapispick.idempotency.ownership import CLAIM_TIMEOUT_MS, KeyOwnership, Role
+from lapispick.idempotency.states import TRANSITIONS, KeyState, Verdict
+from lapispick.idempotency.table import EXECUTED_BY_PEER, NOT_EXECUTED, IdempotencyTable, digest_request
 
 WINDOW = 5000.0
 NAMES = [("nonce", str(n)) for n in range(4)]
 
 
+def reachable(state):
+    """Return a state and all that follow it in the state machine."""
+    found = {state}
+    while more := {after for (before, _), after in TRANSITIONS.items() if before in found} - found:
+        found |= more
+    return found
+
+
+REACHABLE = {state: reachable(state) for state in KeyState}
+
+
 class Side:
     """One process: what it was told to run, refuse and answer."""
 
@@ -21,6 +33,7 @@
         self.ownership = s = KeyOwnership(self.table, WINDOW, role)
         self.inbox, self.buffer, self.blocked = [], [], False  # buffer: not yet in the system's hands
         self.open, self.tries, self.answers = {}, {}, {}
+        self.states = {}  # id of a record -> its state when last seen, and the record
         s.send = self._send
         s.on_verdict = self.decided
         s.on_completed = lambda n, result: self.answer(n, result or "failed")
@@ -83,6 +96,15 @@
         self.ownership.complete(self.open.pop(n), result)
         self.answer(n, result or "failed")
 
+    def check_states(self):
+        """Check that every record in the table went from its state before along the state machine, if anywhere."""
+        for record in self.table:
+            before = self.states.get(id(record), (KeyState.INTENDED, record))[0]
+            assert record.state in REACHABLE[before], f"{record.key} went from {before.name} to {record.state.name}"
+            assert record.state is not KeyState.RELEASED
+            assert (record.state is KeyState.INTENDED) == (record.executed_attempt == NOT_EXECUTED)
+            self.states[id(record)] = record.state, record  # kept, so that no other record gets its id
+
     def take(self):
         if self.inbox:
             self.ownership.receive(self.inbox.pop(0))
@@ -269,6 +291,8 @@
             cut(owner, live[1], dead=False)
             if rng.random() < 0.7:
                 owner.link(live[1])
+        for each in sides:
+            each.check_states()
     return sum(len(t) for t in world.runs.values())
 
 
