--- a/benchmarks/durable.py
+++ b/benchmarks/durable.py
@@ -24,7 +24,9 @@
 from google_crc32c import value as crc32c
 
 from benchmarks.common import show
-from lapispick.durable import database, keys
+from lapispick.durable import database
+from lapispick.durable.records import DurableRecord
+from lapispick.idempotency.states import KeyState
 
 RATES = (20, 130, 1000)  # writes a second
 KEYS = (1_000, 10_000, 100_000)
@@ -71,7 +73,7 @@
 
     def put(self, batch: list[tuple[bytes, bytes]]) -> None:
         """Write and sync."""
-        self._db.write([(key, keys.Known(keys.State.FINISHED, 1, 0.0, 1e15, b"", value)) for key, value in batch])
+        self._db.write([(key, DurableRecord(KeyState.COMPLETED, 1, 0.0, 1e15, b"", value)) for key, value in batch])
 
     def all(self) -> int:
         """Read everything."""
@@ -106,7 +108,7 @@
             body = data[at + HEAD.size : at + HEAD.size + length]
             assert crc32c(body) == crc
             state, key, life, born, until, value = msgspec.msgpack.decode(body)
-            found[key] = keys.Known(keys.State(state), life, born, until, b"", value)
+            found[key] = DurableRecord(KeyState(state), life, born, until, b"", value)
             at += HEAD.size + length
         return len(found)
 
--- a/benchmarks/parity_adapters.py
+++ b/benchmarks/parity_adapters.py
@@ -19,9 +19,10 @@
 from lapispick.rollout.judge import Verdict as JudgeVerdict
 
 from benchmarks import rollout_model
-from lapispick.durable import keys as durable
+from lapispick.durable import records as durable
 from lapispick.handover import messages
-from lapispick.idempotency.ownership import KeyOwnership, Role, Verdict
+from lapispick.idempotency.ownership import KeyOwnership, Role
+from lapispick.idempotency.states import KeyLifecycleError, Verdict
 from lapispick.idempotency.table import IdempotencyRecord, IdempotencyTable
 from lapispick.members import words as member_words
 from lapispick.model import script
@@ -261,6 +262,8 @@
 RECORDED_VALUES = {
     "coalesce": "join",
     "reject": "refuse",
+    "replay": "result",
+    "mismatch": "other",
     "standalone": "alone",
     "suspended": "shut",
 }
@@ -396,7 +399,7 @@
 
     def __init__(self, record: Record) -> None:
         self._record = record
-        self._known: dict[str, durable.Known] = {}
+        self._known: dict[str, durable.DurableRecord] = {}
         self.life = 1
 
     @property
@@ -407,9 +410,9 @@
     def arrive(self, name: str, body: bytes, born: float, window: float, now: float) -> None:
         """Take one try: its verdict, and the intent where it may run."""
         known = self._known.get(name)
-        verdict = durable.verdict(known, body, now)
+        verdict = durable.decide(known, body, now)
         self._record(f"durable {_recorded(verdict)}", name.encode())
-        if verdict is durable.Verdict.RUN:
+        if verdict is Verdict.RUN:
             self._store(name, lambda: durable.intend(known, self.life, body, born, window, now))
 
     def step(self, name: str, action: str, result: bytes) -> None:
@@ -418,9 +421,9 @@
         if action == "withdraw":
             self._store(name, lambda: durable.withdraw(known))
             return
-        steps: dict[str, Callable[[], durable.Known]] = {
-            "start": lambda: durable.started(known),
-            "finish": lambda: durable.finish(known, result),
+        steps: dict[str, Callable[[], durable.DurableRecord]] = {
+            "start": lambda: durable.start(known),
+            "finish": lambda: durable.complete(known, result),
             "fail": lambda: durable.fail(known),
             "resolve": lambda: durable.resolve(known, result),
         }
@@ -432,10 +435,10 @@
         for name, known in list(self._known.items()):
             self._store(name, lambda known=known: durable.recover(known, self.life, now))  # type: ignore[misc]
 
-    def _store(self, name: str, step: Callable[[], durable.Known | None]) -> None:
+    def _store(self, name: str, step: Callable[[], durable.DurableRecord | None]) -> None:
         try:
             known = step()
-        except durable.Broken:
+        except KeyLifecycleError:
             self._record("durable error", name.encode())
             return
         if known is None:
@@ -443,7 +446,15 @@
             self._record("durable deleted", name.encode())
             return
         self._known[name] = known
-        row = [name, int(known.state), known.life, known.born, known.until, known.body, known.result]
+        row = [
+            name,
+            int(known.state),
+            known.incarnation,
+            known.created_at_ms,
+            known.expires_at_ms,
+            known.request_digest,
+            known.result,
+        ]
         self._record("durable row", encode_json(row))
 
 
--- a/lapispick/durable/__init__.py
+++ b/lapispick/durable/__init__.py
@@ -1,1 +1,1 @@
-"""What is known of keyed requests, kept across restarts. Not joined to the host yet (docs/DURABLE-DESIGN.md)."""
+"""Idempotency records that survive restarts of a host, in an SQLite database. Not connected to the host yet."""
--- a/lapispick/durable/budget.py
+++ b/lapispick/durable/budget.py
@@ -1,7 +1,7 @@
-"""What is given up when room for keys runs short: results, never the word that a key ran. No I/O, no clock.
+"""Which results are evicted when storage runs short; records of keys never are. No I/O, no clock.
 
-A popular or large result must not push out the guard of another key: without it that key would run twice. So guards
-have a part of the room that results cannot take, and new keys are turned away when guards fill all there is.
+A popular or large result must not evict the record of another key: that key could then be executed twice. So records
+have a part of the storage that results cannot take, and new keys are rejected once records fill all of it.
 """
 
 from __future__ import annotations
@@ -10,45 +10,45 @@
 
 import msgspec
 
-GUARD = 200  # bytes that a key takes without its result, index and all: 431 with one of 300 (docs/MEASUREMENTS.md)
-RESULTS_PART = 0.5  # of the room, at most for results
+RECORD_BYTES = 200  # of a record without its result, index included; docs/MEASUREMENTS.md
+MAX_RESULTS_FRACTION = 0.5  # of the storage
 
 
-class Room(msgspec.Struct):
-    """How much is taken, and by what."""
+class StorageBudget(msgspec.Struct):
+    """How much storage is used, and by what."""
 
-    most: int  # bytes
-    guards: int = 0  # keys
-    results: int = 0  # bytes
-    sizes: OrderedDict[bytes, int] = msgspec.field(default_factory=OrderedDict)  # of results, the oldest first
+    max_bytes: int
+    records: int = 0
+    result_bytes: int = 0
+    result_sizes: OrderedDict[bytes, int] = msgspec.field(default_factory=OrderedDict)  # the oldest first
 
-    def admits(self) -> bool:
-        """Tell whether one more key may be guarded."""
-        return (self.guards + 1) * GUARD <= self.most
+    def admits_record(self) -> bool:
+        """Tell whether there is capacity for one more record."""
+        return (self.records + 1) * RECORD_BYTES <= self.max_bytes
 
-    def guard(self) -> list[bytes]:
-        """Take room for a key; return the keys whose results go for it."""
-        self.guards += 1
-        return self._spare()
+    def add_record(self) -> list[bytes]:
+        """Account for a record; return the keys whose results are evicted for it."""
+        self.records += 1
+        return self._evict()
 
-    def keep(self, key: bytes, size: int) -> list[bytes] | None:
-        """Take room for a result; return the keys whose results go for it, None where this one has none itself."""
-        if size > self.most * RESULTS_PART:
+    def add_result(self, key: bytes, size: int) -> list[bytes] | None:
+        """Account for a result; return the keys whose results are evicted for it, None where it is too large itself."""
+        if size > self.max_bytes * MAX_RESULTS_FRACTION:
             return None
-        self.results += size - self.sizes.pop(key, 0)
-        self.sizes[key] = size
-        return self._spare()
-
-    def drop(self, key: bytes) -> None:
-        """Give a key's room back once its window is over."""
-        self.guards -= 1
-        self.results -= self.sizes.pop(key, 0)
-
-    def _spare(self) -> list[bytes]:
-        gone = []
-        limit = min(self.most * RESULTS_PART, self.most - self.guards * GUARD)
-        while self.results > limit and self.sizes:
-            key, size = self.sizes.popitem(last=False)
-            self.results -= size
-            gone.append(key)
-        return gone
+        self.result_bytes += size - self.result_sizes.pop(key, 0)
+        self.result_sizes[key] = size
+        return self._evict()
+
+    def remove_record(self, key: bytes) -> None:
+        """Release the storage of a key whose window has ended."""
+        self.records -= 1
+        self.result_bytes -= self.result_sizes.pop(key, 0)
+
+    def _evict(self) -> list[bytes]:
+        evicted = []
+        limit = min(self.max_bytes * MAX_RESULTS_FRACTION, self.max_bytes - self.records * RECORD_BYTES)
+        while self.result_bytes > limit and self.result_sizes:
+            key, size = self.result_sizes.popitem(last=False)
+            self.result_bytes -= size
+            evicted.append(key)
+        return evicted
--- a/lapispick/durable/database.py
+++ b/lapispick/durable/database.py
@@ -1,22 +1,33 @@
-"""The store of keys: SQLite with a write-ahead log, one transaction and one sync for all that waits.
+"""The SQLite store of idempotency records: a write-ahead log, and one transaction and sync for a batch of writes.
 
-Blocks on the disk, so it runs in a thread or process of its own, never in the loop. What it is handed was decided in
-``keys``; it decides nothing but whether this file is ours to write.
+Calls block on the disk, so they run in a thread or process of their own, never in the event loop. The caller decides
+what is written (``records``); the store only checks that this incarnation of the host may still write.
+
+Each start of the host raises the incarnation in the store, and each transaction verifies it: a fencing token, so that
+an older process cannot write any more. Column and row names are those of schema version 1.
 """
 
 from __future__ import annotations
 
 import sqlite3
 from collections.abc import Iterable, Iterator
-from contextlib import contextmanager
+from contextlib import contextmanager, suppress
 from pathlib import Path
+from typing import NamedTuple
 
-from lapispick.durable.keys import Known, State
+from lapispick.durable.records import DurableRecord
+from lapispick.idempotency.states import KeyState
 
 VERSION = 1  # of the schema
-BUSY_S = 1.0  # s; for another process that reads
-PAGES = 1000  # of the write-ahead log before it goes into the file
-GONE = (sqlite3.SQLITE_FULL, sqlite3.SQLITE_READONLY, sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB)
+BUSY_TIMEOUT_S = 1.0  # for another process that reads
+CHECKPOINT_PAGES = 1000  # of the write-ahead log before it is copied into the file
+PRIMARY_ERROR_MASK = 0xFF  # extended error codes have the system call in their upper bytes
+UNAVAILABLE_ERRORS = (
+    sqlite3.SQLITE_FULL,
+    sqlite3.SQLITE_READONLY,
+    sqlite3.SQLITE_CORRUPT,
+    sqlite3.SQLITE_NOTADB,
+)
 
 _SCHEMA = """
 create table meta (name text primary key, value) without rowid;
@@ -24,126 +35,154 @@
                    until real not null, body blob not null, result blob) without rowid;
 create index keys_until on keys (until);
 """
+_SELECT = "select key, state, life, born, until, body, result from keys"
+_UPSERT = "insert or replace into keys values (?, ?, ?, ?, ?, ?, ?)"
+_DELETE = "delete from keys where key = ?"
+_DELETE_EXPIRED = "delete from keys where key in (select key from keys where until <= ? limit ?)"
+_SELECT_INCARNATION = "select value from meta where name = 'life'"
+_UPDATE_INCARNATION = "update meta set value = ? where name = 'life'"
+_STORED_STATES = {int(state): state for state in KeyState if state is not KeyState.RELEASED}
+
+
+class StoreError(Exception):
+    """Base of the store's errors."""
 
 
-class Unusable(Exception):
-    """The file cannot be the store: the text says why and what to do."""
+class StoreUnusableError(StoreError):
+    """The file cannot be used as the store."""
+
+    def __init__(self, path: Path, reason: str) -> None:
+        super().__init__(f"{path}: {reason}")
+        self.path = path
+        self.reason = reason
 
 
-class DiskFault(Exception):
-    """A write failed and counts as unknown; ``gone``: the next one will fail too."""
+class StoreWriteError(StoreError):
+    """A write failed, and what it wrote is unknown; ``unavailable``: the next one would fail too."""
 
-    def __init__(self, why: str, gone: bool) -> None:
-        super().__init__(why)
-        self.gone = gone
+    def __init__(self, reason: str, unavailable: bool) -> None:
+        super().__init__(reason)
+        self.unavailable = unavailable
 
 
-class Fenced(DiskFault):
-    """Another life of the box has the store by now: this process must not write, nor run keyed work, any more."""
+class FencedError(StoreWriteError):
+    """A later incarnation of the host has the store: this process must not write or execute keyed requests any more."""
 
-    def __init__(self, life: int) -> None:
-        super().__init__(f"life {life} of this box has the store", True)
+    def __init__(self, incarnation: int) -> None:
+        super().__init__(f"incarnation {incarnation} of this host has the store", unavailable=True)
+        self.incarnation = incarnation
 
 
-Change = tuple[bytes, Known | None]  # a key and what is known of it now; None: its intent was withdrawn or it is over
+class StoreChange(NamedTuple):
+    """A change of one key; a record of None deletes it."""
+
+    key: bytes
+    record: DurableRecord | None
 
 
 class Database:
-    """One box's store, opened for one life of it."""
+    """The store of one host, opened for one incarnation of it."""
 
-    def __init__(self, path: Path, box: str) -> None:
+    def __init__(self, path: Path, host: str) -> None:
         self.path = path
         try:
-            self._db = sqlite3.connect(path, timeout=BUSY_S, isolation_level=None, check_same_thread=False)
+            self._db = sqlite3.connect(path, timeout=BUSY_TIMEOUT_S, isolation_level=None, check_same_thread=False)
             self._db.execute("pragma journal_mode=wal")
-            self._db.execute("pragma synchronous=full")  # a commit is on the disk when it returns
-            self._db.execute(f"pragma wal_autocheckpoint={PAGES}")
-            self.life = self._open(box)
+            self._db.execute("pragma synchronous=full")  # a commit is durable when it returns
+            self._db.execute(f"pragma wal_autocheckpoint={CHECKPOINT_PAGES}")
+            self.incarnation = self._begin_incarnation(host)
         except sqlite3.DatabaseError as err:
-            raise Unusable(f"{path}: {err}; `lapispick store check` tells more") from None
+            raise StoreUnusableError(path, f"{err}; `lapispick store check` tells more") from None
+
+    def load(self) -> Iterator[tuple[bytes, DurableRecord]]:
+        """Yield all keys with their records."""
+        for key, state, *columns in self._db.execute(_SELECT):
+            yield key, DurableRecord(_STORED_STATES[state], *columns)
 
-    def _open(self, box: str) -> int:
-        """Make the schema where there is none, see whose this is, and begin a life."""
+    def write(self, changes: Iterable[StoreChange | tuple[bytes, DurableRecord | None]]) -> None:
+        """Write changes durably, all or none; raises ``StoreWriteError``."""
+        with self._transaction():
+            for key, record in changes:
+                if record is None:
+                    self._db.execute(_DELETE, (key,))
+                else:
+                    self._db.execute(_UPSERT, _row(key, record))
+
+    def expire(self, now_ms: float, limit: int) -> int:
+        """Delete up to ``limit`` keys whose window has ended; return how many; raises ``StoreWriteError``."""
+        with self._transaction():
+            return self._db.execute(_DELETE_EXPIRED, (now_ms, limit)).rowcount
+
+    def check(self) -> list[str]:
+        """Return what SQLite's integrity check finds."""
+        found = [row[0] for row in self._db.execute("pragma integrity_check")]
+        return [] if found == ["ok"] else found
+
+    def close(self) -> None:
+        """Close the file."""
+        self._db.close()
+
+    def _begin_incarnation(self, host: str) -> int:
+        """Create the schema where there is none, check whose store this is, and return the new incarnation."""
         self._db.execute("begin immediate")
         try:
             if not self._db.execute("select 1 from sqlite_master where name = 'meta'").fetchone():
-                for statement in _SCHEMA.split(";"):
-                    self._db.execute(statement)
-                self._db.executemany(
-                    "insert into meta values (?, ?)", [("version", VERSION), ("box", box), ("life", 0)]
-                )
-            told = dict(self._db.execute("select name, value from meta"))
-            if told["version"] > VERSION:
-                raise Unusable(f"{self.path}: has version {told['version']}; this program knows {VERSION}")
-            if told["box"] != box:
-                raise Unusable(f"{self.path}: belongs to the box {told['box']}, not {box}")
-            life = told["life"] + 1
-            self._db.execute("update meta set value = ? where name = 'life'", (life,))
+                self._create_schema(host)
+            incarnation = self._check_owner(host) + 1
+            self._db.execute(_UPDATE_INCARNATION, (incarnation,))
             self._db.execute("commit")
         except BaseException:
             if self._db.in_transaction:
                 self._db.execute("rollback")
             raise
-        return int(life)
-
-    def load(self) -> Iterator[tuple[bytes, Known]]:
-        """Yield all keys."""
-        states = {int(state): state for state in State}
-        for key, state, life, born, until, body, result in self._db.execute(
-            "select key, state, life, born, until, body, result from keys"
-        ):
-            yield key, Known(states[state], life, born, until, body, result)
+        return incarnation
+
+    def _create_schema(self, host: str) -> None:
+        for statement in _SCHEMA.split(";"):
+            self._db.execute(statement)
+        rows = [("version", VERSION), ("box", host), ("life", 0)]
+        self._db.executemany("insert into meta values (?, ?)", rows)
+
+    def _check_owner(self, host: str) -> int:
+        """Return the last incarnation; raises ``StoreUnusableError`` for a newer version or another host's store."""
+        meta = dict(self._db.execute("select name, value from meta"))
+        if meta["version"] > VERSION:
+            raise StoreUnusableError(self.path, f"has version {meta['version']}; this program knows {VERSION}")
+        if meta["box"] != host:
+            raise StoreUnusableError(self.path, f"belongs to the host {meta['box']}, not {host}")
+        return int(meta["life"])
 
     @contextmanager
     def _transaction(self) -> Iterator[None]:
-        """Do all or nothing; raises ``DiskFault``, ``Fenced`` where a later life has begun."""
+        """Commit all or nothing; raises ``StoreWriteError``, ``FencedError`` where a later incarnation has begun."""
         try:
             self._db.execute("begin immediate")
-            (life,) = self._db.execute("select value from meta where name = 'life'").fetchone()
-            if life != self.life:
-                raise Fenced(life)
+            (incarnation,) = self._db.execute(_SELECT_INCARNATION).fetchone()
+            if incarnation != self.incarnation:
+                raise FencedError(incarnation)
             yield
             self._db.execute("commit")
         except sqlite3.Error as err:
-            self._back()
-            # The extended codes tell the system call in their upper bytes.
-            gone = (getattr(err, "sqlite_errorcode", 0) & 0xFF) in GONE
-            raise DiskFault(f"{self.path}: {err}", gone) from None
-        except Fenced:
-            self._back()
+            self._roll_back()
+            code = getattr(err, "sqlite_errorcode", 0) & PRIMARY_ERROR_MASK
+            raise StoreWriteError(f"{self.path}: {err}", unavailable=code in UNAVAILABLE_ERRORS) from None
+        except FencedError:
+            self._roll_back()
             raise
 
-    def write(self, changes: Iterable[Change]) -> None:
-        """Put changes on the disk, all or none."""
-        with self._transaction():
-            for key, known in changes:
-                if known is None:
-                    self._db.execute("delete from keys where key = ?", (key,))
-                else:
-                    self._db.execute(
-                        "insert or replace into keys values (?, ?, ?, ?, ?, ?, ?)",
-                        (key, int(known.state), known.life, known.born, known.until, known.body, known.result),
-                    )
-
-    def expire(self, now: float, most: int) -> int:
-        """Remove up to so many keys whose window is over; return how many went."""
-        with self._transaction():
-            return self._db.execute(
-                "delete from keys where key in (select key from keys where until <= ? limit ?)", (now, most)
-            ).rowcount
-
-    def _back(self) -> None:
-        try:
+    def _roll_back(self) -> None:
+        with suppress(sqlite3.Error):  # the disk that failed the write may fail this too; the next write begins anew
             if self._db.in_transaction:
                 self._db.execute("rollback")
-        except sqlite3.Error:  # the disk that failed the write fails this too; the next write begins anew
-            pass
 
-    def check(self) -> list[str]:
-        """Return what SQLite finds wrong with the file."""
-        found = [row[0] for row in self._db.execute("pragma integrity_check")]
-        return [] if found == ["ok"] else found
 
-    def close(self) -> None:
-        """Close the file."""
-        self._db.close()
+def _row(key: bytes, record: DurableRecord) -> tuple[object, ...]:
+    return (
+        key,
+        int(record.state),
+        record.incarnation,
+        record.created_at_ms,
+        record.expires_at_ms,
+        record.request_digest,
+        record.result,
+    )
--- a/lapispick/handover/messages.py
+++ b/lapispick/handover/messages.py
@@ -61,7 +61,7 @@
     result: str | None = None
 
 
-class InDoubtUntil(Message, tag="doubt"):
+class UnknownOutcomesUntil(Message, tag="doubt"):
     """When a process ended that may have executed requests unknown to the sender; 0 = none did."""
 
     ended_at_ms: float = field(name="ended")
@@ -162,7 +162,7 @@
     | Welcome
     | LinkRejected
     | RecordSnapshot
-    | InDoubtUntil
+    | UnknownOutcomesUntil
     | SnapshotComplete
     | KeyClaimed
     | ClaimRequest
--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -185,7 +185,7 @@
         if made is None or made.owns:
             self.gateways.listen()
             if made is not None and made.last_end:
-                centre.ownership.mark_in_doubt_until(made.last_end * 1000)
+                centre.ownership.mark_outcomes_unknown_until(made.last_end * 1000)
         else:
             centre.duty.open = False
             centre.ownership.role = Role.SUSPENDED
--- a/lapispick/idempotency/ownership.py
+++ b/lapispick/idempotency/ownership.py
@@ -12,8 +12,8 @@
 
 A wait ends after ``CLAIM_TIMEOUT_MS`` with a rejection, as the request has certainly not been executed. A request that
 the other process executed without announcing the end counts as executed and failed. Where the other process ended
-without ``HandoverComplete``, it may have continued unlinked: for one window, requests created before its end, and all
-retries, are in doubt too. Times are Unix ms.
+without ``HandoverComplete``, it may have continued unlinked: for one window, the outcome of requests created before its
+end, and of all retries, is unknown. Times are Unix ms.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
         self.on_verdict: Callable[[Any, Verdict], None] = lambda attempt, verdict: None
         self.on_completed: Callable[[Any, str | None], None] = lambda waiter, result: None
         self._window_ms = idempotency_window_ms
-        self._in_doubt_until_ms = 0.0  # when a process ended that may have executed requests unknown here
+        self._outcomes_unknown_until_ms = 0.0  # when a process ended that may have executed requests unknown here
         self._pending: dict[Hashable, PendingClaim] = {}
 
     # Attempts of this process.
@@ -78,7 +78,7 @@
         """
         if record.executed_attempt:
             return Verdict.COALESCE
-        if self.in_doubt(created_at_ms, is_retry):
+        if self.is_outcome_unknown(created_at_ms, is_retry):
             return Verdict.FAIL
         if self.role is Role.STANDALONE:
             self._mark_executed(record, attempt, expires_at_ms)
@@ -143,15 +143,15 @@
         for waiter in self.table.remove(record):
             self.on_completed(waiter, None)
 
-    # Requests in doubt.
+    # Requests whose outcome is unknown.
 
-    def mark_in_doubt_until(self, ended_at_ms: float) -> None:
+    def mark_outcomes_unknown_until(self, ended_at_ms: float) -> None:
         """Note when a process ended that may have executed requests unknown here."""
-        self._in_doubt_until_ms = max(self._in_doubt_until_ms, ended_at_ms)
+        self._outcomes_unknown_until_ms = max(self._outcomes_unknown_until_ms, ended_at_ms)
 
-    def in_doubt(self, created_at_ms: float, is_retry: bool) -> bool:
-        """Tell whether an attempt's request may have been executed though nothing is known of it."""
-        ended_at_ms = self._in_doubt_until_ms
+    def is_outcome_unknown(self, created_at_ms: float, is_retry: bool) -> bool:
+        """Tell whether the request may have been executed by a process that left no record."""
+        ended_at_ms = self._outcomes_unknown_until_ms
         if not ended_at_ms > 0 or created_at_ms >= ended_at_ms + self._window_ms:
             return False
         return is_retry or created_at_ms <= ended_at_ms
@@ -162,7 +162,7 @@
         """Begin to share the keys, as ``OWNER`` or ``FOLLOWER``."""
         self.role = role
         if role is Role.OWNER:
-            self.send(messages.InDoubtUntil(self._in_doubt_until_ms))
+            self.send(messages.UnknownOutcomesUntil(self._outcomes_unknown_until_ms))
 
     def snapshot(self, keys: list[Hashable]) -> list[messages.Message]:
         """Return the records of these keys whose requests were executed."""
@@ -182,8 +182,8 @@
                 self._on_executed_by_peer(key, expires_at_ms, request_digest)
                 if completed:
                     self._on_completed_by_peer(key, result)
-            case messages.InDoubtUntil(ended_at_ms):
-                self.mark_in_doubt_until(ended_at_ms)
+            case messages.UnknownOutcomesUntil(ended_at_ms):
+                self.mark_outcomes_unknown_until(ended_at_ms)
             case messages.KeyClaimed(key, expires_at_ms, request_digest):
                 self._on_executed_by_peer(key, expires_at_ms, request_digest)
             case messages.KeyCompleted(key, result):
@@ -200,7 +200,7 @@
     def _on_claim_request(self, request: messages.ClaimRequest) -> None:
         record = self.table.find(request.key, request.created_at_ms)
         executed = record is not None and bool(record.executed_attempt)
-        if executed or self.in_doubt(request.created_at_ms, request.is_retry):
+        if executed or self.is_outcome_unknown(request.created_at_ms, request.is_retry):
             self.send(messages.ClaimDenied(request.claim_id, request.key))
             return
         self._on_executed_by_peer(request.key, request.expires_at_ms, request.request_digest)
@@ -220,7 +220,7 @@
         if pending is None or pending.attempt != denied.claim_id:
             return
         del self._pending[denied.key]
-        # Executions are announced before this reply; a request that was not announced is in doubt.
+        # Executions are announced before this reply; the outcome of one that was not is unknown.
         if not pending.record.executed_attempt:
             pending.record.mark_started(EXECUTED_BY_PEER)
             self.table.complete(pending.record, None)
@@ -254,7 +254,7 @@
         ``ended_at_ms`` is set where it owned the keys and ended without ``HandoverComplete``.
         """
         if ended_at_ms:
-            self.mark_in_doubt_until(ended_at_ms)
+            self.mark_outcomes_unknown_until(ended_at_ms)
         # A follower asks before it executes and can no longer ask, so the owner may continue in any case.
         if not peer_ended and self.role is not Role.OWNER:
             if self.role is Role.FOLLOWER:
@@ -263,14 +263,14 @@
         self.role = Role.STANDALONE
         for record in self.table:
             if record.executed_attempt == EXECUTED_BY_PEER and not record.completed:
-                self._complete(record, None)  # in doubt: its end will never be known
-        self._settle_pending(in_doubt=bool(ended_at_ms))
+                self._complete(record, None)  # its outcome will never be known
+        self._settle_pending(owner_lost=bool(ended_at_ms))
 
-    def _settle_pending(self, in_doubt: bool) -> None:
+    def _settle_pending(self, owner_lost: bool) -> None:
         for key, pending in list(self._pending.items()):
             del self._pending[key]
             executed_attempt = pending.record.executed_attempt
-            if executed_attempt == NOT_EXECUTED and in_doubt:
+            if executed_attempt == NOT_EXECUTED and owner_lost:
                 self.on_verdict(pending.attempt, Verdict.FAIL)
             elif executed_attempt in (NOT_EXECUTED, pending.attempt):
                 pending.record.mark_started(pending.attempt)
--- a/lapispick/idempotency/states.py
+++ b/lapispick/idempotency/states.py
@@ -1,20 +1,21 @@
 """The state machine of an idempotency key, in memory and on disk. No I/O, no clock.
 
-    (no record) --INTEND--> INTENDED --START--> STARTED --COMPLETE--> COMPLETED
-                               |  |                | | |----FAIL----> FAILED
-                               |  |                | |-----LOSE-----> IN_DOUBT --RESOLVE--> COMPLETED
-                               |  |------LOSE------|-NOT_EXECUTED---> RELEASED
-                               |---WITHDRAW-------------------------> RELEASED
+    (no record) --INTEND--> INTENDED
+    INTENDED --START--> STARTED --COMPLETE--> COMPLETED
+    INTENDED --WITHDRAW--> RELEASED
+    INTENDED, STARTED --LOSE--> OUTCOME_UNKNOWN --RESOLVE--> COMPLETED
+    STARTED --FAIL--> FAILED
+    STARTED --NOT_EXECUTED--> RELEASED
 
 | state | event | next state |
 | --- | --- | --- |
 | ``INTENDED`` | ``START``: the command leaves for the executor | ``STARTED`` |
 | ``INTENDED`` | ``WITHDRAW``: the command will never leave | ``RELEASED`` |
-| ``INTENDED``, ``STARTED`` | ``LOSE``: the process ended before it could record the outcome | ``IN_DOUBT`` |
+| ``INTENDED``, ``STARTED`` | ``LOSE``: the process ended before it could record the outcome | ``OUTCOME_UNKNOWN`` |
 | ``STARTED`` | ``COMPLETE``: the execution ended with a result | ``COMPLETED`` |
 | ``STARTED`` | ``FAIL``: the execution failed, or its outcome is unknown | ``FAILED`` |
 | ``STARTED`` | ``NOT_EXECUTED``: the executor reports that it never ran the command | ``RELEASED`` |
-| ``IN_DOUBT`` | ``RESOLVE``: the result became known later | ``COMPLETED`` |
+| ``OUTCOME_UNKNOWN`` | ``RESOLVE``: the result became known later | ``COMPLETED`` |
 
 A record ends with its idempotency window, in any state; then its key may be intended again.
 """
@@ -31,7 +32,7 @@
     STARTED = 2  # the command has left, so the execution may take effect at any moment
     COMPLETED = 3  # executed, and the result was known
     FAILED = 4  # executed or possibly executed, without a result
-    IN_DOUBT = 5  # a process ended without recording the outcome
+    OUTCOME_UNKNOWN = 5  # a process ended without recording the outcome
     RELEASED = 6  # certainly not executed, and the record is removed; never stored
 
 
@@ -76,12 +77,12 @@
 TRANSITIONS: dict[tuple[KeyState, KeyEvent], KeyState] = {
     (KeyState.INTENDED, KeyEvent.START): KeyState.STARTED,
     (KeyState.INTENDED, KeyEvent.WITHDRAW): KeyState.RELEASED,
-    (KeyState.INTENDED, KeyEvent.LOSE): KeyState.IN_DOUBT,
+    (KeyState.INTENDED, KeyEvent.LOSE): KeyState.OUTCOME_UNKNOWN,
     (KeyState.STARTED, KeyEvent.COMPLETE): KeyState.COMPLETED,
     (KeyState.STARTED, KeyEvent.FAIL): KeyState.FAILED,
     (KeyState.STARTED, KeyEvent.NOT_EXECUTED): KeyState.RELEASED,
-    (KeyState.STARTED, KeyEvent.LOSE): KeyState.IN_DOUBT,
-    (KeyState.IN_DOUBT, KeyEvent.RESOLVE): KeyState.COMPLETED,
+    (KeyState.STARTED, KeyEvent.LOSE): KeyState.OUTCOME_UNKNOWN,
+    (KeyState.OUTCOME_UNKNOWN, KeyEvent.RESOLVE): KeyState.COMPLETED,
 }
 
 
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -1,4 +1,4 @@
-"""Keys across restarts: the states, the room, the disk's syncs, and the store through kills, faults and two lives."""
+"""Durable idempotency records: states, storage budget, write admission, and the store through kills and disk faults."""
 
 import os
 import random
@@ -10,250 +10,280 @@
 
 import pytest
 
-from lapispick.durable import keys
-from lapispick.durable.budget import GUARD, Room
-from lapispick.durable.commits import Answer, Commits, Disk
-from lapispick.durable.database import Database, DiskFault, Fenced, Unusable
-from lapispick.durable.keys import Broken, Known, State, Verdict
+from lapispick.durable import records
+from lapispick.durable.budget import RECORD_BYTES, StorageBudget
+from lapispick.durable.database import Database, FencedError, StoreUnusableError, StoreWriteError
+from lapispick.durable.records import DurableRecord, IncarnationError
+from lapispick.durable.write_admission import DiskHealth, WriteAdmission, WriteDecision
+from lapispick.idempotency.states import InvalidTransitionError, KeyState, Verdict
 
 WINDOW = 14_286.0
 
 
-def known(state=State.FINISHED, life=1, born=0.0, until=WINDOW, result=b"r"):
-    return Known(state, life, born, until, b"body", result if state is State.FINISHED else None)
+def stored(state=KeyState.COMPLETED, incarnation=1, created_at_ms=0.0, expires_at_ms=WINDOW, result=b"r"):
+    kept = result if state is KeyState.COMPLETED else None
+    return DurableRecord(state, incarnation, created_at_ms, expires_at_ms, b"body", kept)
 
 
 @pytest.mark.parametrize(
-    "state,wanted",
+    ("state", "expected"),
     [
-        (State.INTENDED, Verdict.JOIN),
-        (State.STARTED, Verdict.JOIN),
-        (State.FINISHED, Verdict.RESULT),
-        (State.FAILED, Verdict.FAIL),
-        (State.DOUBT, Verdict.FAIL),
+        (KeyState.INTENDED, Verdict.COALESCE),
+        (KeyState.STARTED, Verdict.COALESCE),
+        (KeyState.COMPLETED, Verdict.REPLAY),
+        (KeyState.FAILED, Verdict.FAIL),
+        (KeyState.OUTCOME_UNKNOWN, Verdict.FAIL),
     ],
 )
-def test_what_a_try_gets(state, wanted):
-    one = known(state)
-    assert keys.verdict(one, b"body", 5.0) is wanted
-    assert keys.verdict(one, b"another", 5.0) is Verdict.OTHER
-    assert keys.verdict(one, b"body", WINDOW) is keys.verdict(None, b"body", 5.0) is Verdict.RUN
+def test_the_verdict_for_an_attempt_follows_from_the_state(state, expected):
+    record = stored(state)
+    assert records.decide(record, b"body", 5.0) is expected
+    assert records.decide(record, b"another", 5.0) is Verdict.MISMATCH
+    assert records.decide(record, b"body", WINDOW) is Verdict.RUN
+    assert records.decide(None, b"body", 5.0) is Verdict.RUN
 
 
-def test_a_result_that_was_given_up_for_room_fails_and_never_runs():
-    assert keys.verdict(known(result=None), b"body", 5.0) is Verdict.FAIL
+def test_an_attempt_fails_and_never_runs_where_the_result_was_evicted():
+    assert records.decide(stored(result=None), b"body", 5.0) is Verdict.FAIL
 
 
-def test_a_window_counts_from_birth_and_no_clock_ahead_stretches_it():
-    assert keys.intend(None, 1, b"", 100.0, WINDOW, 300.0).until == 100.0 + WINDOW
-    assert keys.intend(None, 1, b"", 1e9, WINDOW, 300.0).until == 300.0 + WINDOW
+def test_a_window_counts_from_creation_and_no_clock_ahead_extends_it():
+    assert records.intend(None, 1, b"", 100.0, WINDOW, 300.0).expires_at_ms == 100.0 + WINDOW
+    assert records.intend(None, 1, b"", 1e9, WINDOW, 300.0).expires_at_ms == 300.0 + WINDOW
 
 
 def test_steps_out_of_order_are_faults_of_the_program():
     for step in (
-        lambda: keys.finish(known(State.INTENDED), b""),
-        lambda: keys.fail(known(State.DOUBT)),
-        lambda: keys.started(known(State.STARTED)),
-        lambda: keys.withdraw(known(State.STARTED)),
-        lambda: keys.intend(known(State.FAILED), 1, b"", 0.0, WINDOW, 5.0),
-        lambda: keys.recover(known(State.STARTED, life=3), 3, 5.0),
-        lambda: keys.resolve(known(), b""),
+        lambda: records.complete(stored(KeyState.INTENDED), b""),
+        lambda: records.fail(stored(KeyState.OUTCOME_UNKNOWN)),
+        lambda: records.start(stored(KeyState.STARTED)),
+        lambda: records.withdraw(stored(KeyState.STARTED)),
+        lambda: records.intend(stored(KeyState.FAILED), 1, b"", 0.0, WINDOW, 5.0),
+        lambda: records.resolve(stored(), b""),
     ):
-        with pytest.raises(Broken):
+        with pytest.raises(InvalidTransitionError):
             step()
+    with pytest.raises(IncarnationError):
+        records.recover(stored(KeyState.STARTED, incarnation=3), 3, 5.0)
 
 
-def test_a_new_life_doubts_what_it_cannot_know_and_forgets_what_is_over():
-    for state in (State.INTENDED, State.STARTED):
-        doubt = keys.recover(known(state), 2, 5.0)
-        assert doubt.state is State.DOUBT and keys.resolve(doubt, b"late").result == b"late"
-    for state in (State.FINISHED, State.FAILED, State.DOUBT):
-        assert keys.recover(known(state), 2, 5.0) == known(state)
-    assert keys.recover(known(), 2, WINDOW) is None
+def test_a_new_incarnation_doubts_what_is_unknown_and_drops_what_has_expired():
+    for state in (KeyState.INTENDED, KeyState.STARTED):
+        unknown = records.recover(stored(state), 2, 5.0)
+        assert unknown.state is KeyState.OUTCOME_UNKNOWN
+        assert records.resolve(unknown, b"late").result == b"late"
+    for state in (KeyState.COMPLETED, KeyState.FAILED, KeyState.OUTCOME_UNKNOWN):
+        assert records.recover(stored(state), 2, 5.0) == stored(state)
+    assert records.recover(stored(), 2, WINDOW) is None
 
 
-class Box:
-    """A box that may die between any two of its steps; ``disk`` outlives it, ``effects`` is what the ledger saw."""
+class CrashingHost:
+    """A host that may crash between any two of its steps; ``disk`` survives, ``executions`` is the executor's log."""
 
     def __init__(self, seed):
-        self.rng, self.now, self.life = random.Random(seed), 0.0, 1
-        self.disk, self.live, self.effects, self.served = {}, {}, {}, {}
-
-    def dies(self):
-        if self.rng.random() < 0.1:
-            self.life += 1
-            self.live = {k: kept for k, one in self.disk.items() if (kept := keys.recover(one, self.life, self.now))}
-            self.disk = dict(self.live)
-            return True
-        return False
+        self.rng, self.now, self.incarnation = random.Random(seed), 0.0, 1
+        self.disk, self.memory, self.executions, self.answered = {}, {}, {}, {}
+
+    def crashes(self):
+        if self.rng.random() >= 0.1:
+            return False
+        self.incarnation += 1
+        recovered = {key: records.recover(each, self.incarnation, self.now) for key, each in self.disk.items()}
+        self.memory = {key: each for key, each in recovered.items() if each}
+        self.disk = dict(self.memory)
+        return True
 
     def attempt(self, key):
-        told = keys.verdict(self.live.get(key), b"body", self.now)
-        if told is Verdict.RESULT:
-            assert self.live[key].result == self.served.get(key, self.live[key].result)
-        if told is not Verdict.RUN:
-            assert key in self.effects or self.live[key].state is not State.FINISHED
-            return
-        one = keys.intend(self.live.get(key), self.life, b"body", self.now - self.rng.uniform(0, 500), WINDOW, self.now)
-        self.live[key] = one
-        if self.dies():  # the intent was lost with the process, and no command left
+        verdict = records.decide(self.memory.get(key), b"body", self.now)
+        if verdict is Verdict.REPLAY:
+            assert self.memory[key].result == self.answered.get(key, self.memory[key].result)
+        if verdict is not Verdict.RUN:
+            assert key in self.executions or self.memory[key].state is not KeyState.COMPLETED
             return
-        self.disk[key] = one
-        if self.dies():
+        created_at_ms = self.now - self.rng.uniform(0, 500)
+        record = records.intend(self.memory.get(key), self.incarnation, b"body", created_at_ms, WINDOW, self.now)
+        self.memory[key] = record
+        if self.crashes():  # the intent was lost with the process, and no command left
             return
-        if self.rng.random() < 0.1:  # its due time came first
-            keys.withdraw(one)
-            del self.live[key], self.disk[key]
+        self.disk[key] = record
+        if self.crashes():
             return
-        self.live[key] = one = keys.started(one)
-        ran = self.effects.setdefault(key, [])
-        assert not any(self.now < until for until in ran), "a second run within the window"
-        ran.append(one.until)
-        if self.dies():
+        if self.rng.random() < 0.1:  # its deadline passed first
+            records.withdraw(record)
+            del self.memory[key], self.disk[key]
             return
-        end = keys.finish(one, b"%d" % self.rng.getrandbits(32)) if self.rng.random() < 0.8 else keys.fail(one)
-        self.live[key] = end
-        if self.dies():
+        self.memory[key] = record = records.start(record)
+        executions = self.executions.setdefault(key, [])
+        assert not any(self.now < expires_at_ms for expires_at_ms in executions), "executed twice within the window"
+        executions.append(record.expires_at_ms)
+        if not self.crashes():
+            self.finish(key, record)
+
+    def finish(self, key, record):
+        if self.rng.random() < 0.8:
+            record = records.complete(record, b"%d" % self.rng.getrandbits(32))
+        else:
+            record = records.fail(record)
+        self.memory[key] = record
+        if self.crashes():
             return
-        self.disk[key] = end
-        if self.dies():
+        self.disk[key] = record
+        if self.crashes():
             return
-        if end.state is State.FINISHED:
-            self.served[key] = end.result
+        if record.state is KeyState.COMPLETED:
+            self.answered[key] = record.result
 
 
 @pytest.mark.parametrize("seeds", [range(at, at + 250) for at in range(0, 1000, 250)])
-def test_a_box_that_dies_anywhere_runs_no_key_twice_and_contradicts_no_answer(seeds):
-    verdicts = 0
+def test_a_host_that_crashes_anywhere_executes_no_key_twice_and_contradicts_no_answer(seeds):
+    incarnations = 0
     for seed in seeds:
-        box = Box(seed)
+        host = CrashingHost(seed)
         for _ in range(120):
-            box.now += box.rng.uniform(0, 2000)
-            for key, one in list(box.live.items()):
-                if box.now >= one.until:
-                    del box.live[key]
-                    box.disk.pop(key, None)
-                    box.served.pop(key, None)
-            box.attempt(box.rng.randrange(6))
-        verdicts += box.life
-    assert verdicts > 1000  # there were deaths
-
-
-def test_results_go_for_room_and_guards_never():
-    room = Room(most=100 * GUARD)
+            host.now += host.rng.uniform(0, 2000)
+            for key, record in list(host.memory.items()):
+                if host.now >= record.expires_at_ms:
+                    del host.memory[key]
+                    host.disk.pop(key, None)
+                    host.answered.pop(key, None)
+            host.attempt(host.rng.randrange(6))
+        incarnations += host.incarnation
+    assert incarnations > 1000  # there were crashes
+
+
+def test_results_are_evicted_for_capacity_and_records_never():
+    budget = StorageBudget(max_bytes=100 * RECORD_BYTES)
     for n in range(80):
-        room.guard()
-        room.keep(b"%d" % n, 150)
-    assert room.guards == 80 and room.results + 80 * GUARD <= room.most
-    assert b"0" not in room.sizes and b"79" in room.sizes  # the oldest went
-    assert room.keep(b"huge", 51 * GUARD) is None and b"79" in room.sizes  # and none for one that can't be kept
-    while room.admits():
-        room.guard()
-    assert room.guards == 100 and room.results == 0 and not room.admits()
-    room.drop(b"5")
-    assert room.admits()
-
-
-def test_a_write_is_tried_only_where_its_syncs_fit():
-    it, now = Commits(bare=False), 1000.0
+        budget.add_record()
+        budget.add_result(b"%d" % n, 150)
+    assert budget.records == 80
+    assert budget.result_bytes + 80 * RECORD_BYTES <= budget.max_bytes
+    assert b"0" not in budget.result_sizes  # the oldest was evicted
+    assert b"79" in budget.result_sizes
+    assert budget.add_result(b"huge", 51 * RECORD_BYTES) is None
+    assert b"79" in budget.result_sizes  # and none for one that can't be kept
+    while budget.admits_record():
+        budget.add_record()
+    assert budget.records == 100
+    assert budget.result_bytes == 0
+    assert not budget.admits_record()
+    budget.remove_record(b"5")
+    assert budget.admits_record()
+
+
+def test_a_write_is_admitted_only_where_its_syncs_fit():
+    admission, now = WriteAdmission(allow_unguarded=False), 1000.0
     for _ in range(60):
-        it.began(now)
-        it.ended(now + 4.0)
-    assert it.answer(now, now + 200.0, 100.0) is Answer.WRITE
-    assert it.answer(now, now + 105.0, 100.0) is Answer.REFUSE
-    it.began(now)
-    assert it.answer(now + 500.0, now + 1000.0, 100.0) is Answer.REFUSE  # one hangs: as long again, and its own
-    assert it.pause(now + 500.0) >= 500.0
-    it.ended(now + 500.0)
-    assert it.needs(now) > 50.0
-
-
-def test_a_disk_that_fails_is_left_alone_for_longer_each_time_and_looked_at_again():
-    for bare, wanted in ((False, Answer.REFUSE), (True, Answer.BARE)):
-        it, now, waits = Commits(bare=bare), 0.0, []
-        for _ in range(9):
-            it.began(now)
-            it.failed(now, gone=True)
-            assert it.answer(now, now + 4000, 100.0) is wanted and it.disk is Disk.GONE
-            waits.append(it.again - now)
-            now = it.again
-            assert it.answer(now, now + 4000, 100.0) is Answer.WRITE
-        assert waits[:3] == [100, 200, 400] and waits[-1] == 10_000
-        it.began(now)
-        it.ended(now + 1)
-        assert it.disk is Disk.WELL and it.failures == 0
-
-
-def test_the_store_gives_back_what_was_written_and_forgets_what_is_over(tmp_path):
+        admission.on_sync_started(now)
+        admission.on_sync_completed(now + 4.0)
+    assert admission.decide(now, now + 200.0, 100.0) is WriteDecision.WRITE
+    assert admission.decide(now, now + 105.0, 100.0) is WriteDecision.REJECT
+    admission.on_sync_started(now)
+    # One that hangs: as long again, and its own.
+    assert admission.decide(now + 500.0, now + 1000.0, 100.0) is WriteDecision.REJECT
+    assert admission.retry_after_ms(now + 500.0) >= 500.0
+    admission.on_sync_completed(now + 500.0)
+    assert admission.expected_wait_ms(now) > 50.0
+
+
+@pytest.mark.parametrize(
+    ("allow_unguarded", "expected"), [(False, WriteDecision.REJECT), (True, WriteDecision.UNGUARDED)]
+)
+def test_a_disk_that_fails_is_tried_again_with_a_growing_backoff(allow_unguarded, expected):
+    admission, now, backoffs = WriteAdmission(allow_unguarded), 0.0, []
+    for _ in range(9):
+        admission.on_sync_started(now)
+        admission.on_sync_failed(now, unavailable=True)
+        assert admission.decide(now, now + 4000, 100.0) is expected
+        assert admission.health is DiskHealth.UNAVAILABLE
+        backoffs.append(admission.retry_at_ms - now)
+        now = admission.retry_at_ms
+        assert admission.decide(now, now + 4000, 100.0) is WriteDecision.WRITE
+    assert backoffs[:3] == [100, 200, 400]
+    assert backoffs[-1] == 10_000
+    admission.on_sync_started(now)
+    admission.on_sync_completed(now + 1)
+    assert admission.health is DiskHealth.HEALTHY
+    assert admission.failures == 0
+
+
+def test_the_store_loads_what_was_written_and_deletes_what_has_expired(tmp_path):
     store = Database(tmp_path / "x.db", "n3")
-    made = {b"%d" % n: known(list(State)[n % 5], until=100.0 * n) for n in range(50)}
+    made = {b"%d" % n: stored(list(KeyState)[n % 5], expires_at_ms=100.0 * n) for n in range(50)}
     store.write(made.items())
-    store.write([(b"7", None), (b"8", known())])
+    store.write([(b"7", None), (b"8", stored())])
     del made[b"7"]
-    made[b"8"] = known()
+    made[b"8"] = stored()
     store.close()
     again = Database(tmp_path / "x.db", "n3")
-    assert dict(again.load()) == made and again.life == 2 and again.check() == []
-    assert again.expire(1000.0, 4) == 4 and again.expire(1000.0, 100) == 5
-    assert {one.until for _, one in again.load()} >= {1100.0, WINDOW} and len(dict(again.load())) == 40
+    assert dict(again.load()) == made
+    assert again.incarnation == 2
+    assert again.check() == []
+    assert again.expire(1000.0, 4) == 4
+    assert again.expire(1000.0, 100) == 5
+    assert {record.expires_at_ms for _, record in again.load()} >= {1100.0, WINDOW}
+    assert len(dict(again.load())) == 40
 
 
-def test_a_later_life_fences_the_one_before(tmp_path):
+def test_a_later_incarnation_fences_the_one_before(tmp_path):
     old = Database(tmp_path / "x.db", "n3")
-    old.write([(b"a", known(State.STARTED))])
+    old.write([(b"a", stored(KeyState.STARTED))])
     new = Database(tmp_path / "x.db", "n3")
-    for write in (lambda: old.write([(b"a", known())]), lambda: old.expire(1e9, 9)):
-        with pytest.raises(Fenced, match="life 2"):
+    for write in (lambda: old.write([(b"a", stored())]), lambda: old.expire(1e9, 9)):
+        with pytest.raises(FencedError, match="incarnation 2"):
             write()
-    assert dict(new.load())[b"a"].state is State.STARTED
-    new.write([(b"a", known())])
+    assert dict(new.load())[b"a"].state is KeyState.STARTED
+    new.write([(b"a", stored())])
 
 
 def test_files_that_are_not_ours_are_refused_with_the_reason(tmp_path):
     Database(tmp_path / "x.db", "n3").close()
-    with pytest.raises(Unusable, match="belongs to the box n3, not n4"):
+    with pytest.raises(StoreUnusableError, match="belongs to the host n3, not n4"):
         Database(tmp_path / "x.db", "n4")
     with sqlite3.connect(tmp_path / "x.db") as db:
         db.execute("update meta set value = 9 where name = 'version'")
-    with pytest.raises(Unusable, match="has version 9"):
+    with pytest.raises(StoreUnusableError, match="has version 9"):
         Database(tmp_path / "x.db", "n3")
     (tmp_path / "y.db").write_bytes(b"no database at all" * 500)
-    with pytest.raises(Unusable, match="not a database"):
+    with pytest.raises(StoreUnusableError, match="not a database"):
         Database(tmp_path / "y.db", "n3")
 
 
 def test_a_disk_that_fills_up_fails_the_write_and_keeps_what_was_there(tmp_path):
     store = Database(tmp_path / "x.db", "n3")
-    store.write([(b"a", known())])
+    store.write([(b"a", stored())])
     limits = resource.getrlimit(resource.RLIMIT_FSIZE)
     size = sum(path.stat().st_size for path in tmp_path.iterdir())
     resource.setrlimit(resource.RLIMIT_FSIZE, (size + 8192, limits[1]))
     try:
-        with pytest.raises(DiskFault) as raised:
-            store.write([(b"%d" % n, known(result=b"x" * 4000)) for n in range(200)])
-        assert not isinstance(raised.value, Fenced)
+        with pytest.raises(StoreWriteError) as raised:
+            store.write([(b"%d" % n, stored(result=b"x" * 4000)) for n in range(200)])
+        assert not isinstance(raised.value, FencedError)
     finally:
         resource.setrlimit(resource.RLIMIT_FSIZE, limits)
-    store.write([(b"b", known())])
-    assert set(dict(store.load())) == {b"a", b"b"} and store.check() == []
+    store.write([(b"b", stored())])
+    assert set(dict(store.load())) == {b"a", b"b"}
+    assert store.check() == []
 
 
 def test_a_batch_that_fails_in_the_middle_is_not_there_and_stops_nothing(tmp_path):
     store = Database(tmp_path / "x.db", "n3")
-    with pytest.raises(DiskFault):
-        store.write([(b"a", known()), (b"b", known(result=object()))])
+    with pytest.raises(StoreWriteError):
+        store.write([(b"a", stored()), (b"b", stored(result=object()))])
     assert not dict(store.load())
-    store.write([(b"c", known())])
+    store.write([(b"c", stored())])
     assert set(dict(store.load())) == {b"c"}
 
 
 WRITER = """
 import sys
 from lapispick.durable.database import Database
-from lapispick.durable.keys import Known, State
+from lapispick.durable.records import DurableRecord
+from lapispick.idempotency.states import KeyState
 store = Database(sys.argv[1], "n3")
 for n in range(100_000):
-    store.write([(b"%d.%d" % (n, k), Known(State.STARTED, store.life, 0.0, 1e15, b"", b"x" * 300)) for k in range(3)])
+    record = DurableRecord(KeyState.STARTED, store.incarnation, 0.0, 1e15, b"", b"x" * 300)
+    store.write([(b"%d.%d" % (n, k), record) for k in range(3)])
     print(n, flush=True)
 """
 
@@ -273,5 +303,6 @@
     found = dict(store.load())
     for n in range(told + 1):
         assert {b"%d.%d" % (n, k) for k in range(3)} <= set(found)
-    assert len(found) in (3 * (told + 1), 3 * (told + 2)) and store.check() == []
-    assert all(keys.recover(one, store.life, 5.0).state is State.DOUBT for one in found.values())
+    assert len(found) in (3 * (told + 1), 3 * (told + 2))
+    assert store.check() == []
+    assert all(records.recover(one, store.incarnation, 5.0).state is KeyState.OUTCOME_UNKNOWN for one in found.values())
--- a/tests/test_idempotency_states.py
+++ b/tests/test_idempotency_states.py
@@ -10,12 +10,12 @@
 ALLOWED = {
     (KeyState.INTENDED, KeyEvent.START): KeyState.STARTED,
     (KeyState.INTENDED, KeyEvent.WITHDRAW): KeyState.RELEASED,
-    (KeyState.INTENDED, KeyEvent.LOSE): KeyState.IN_DOUBT,
+    (KeyState.INTENDED, KeyEvent.LOSE): KeyState.OUTCOME_UNKNOWN,
     (KeyState.STARTED, KeyEvent.COMPLETE): KeyState.COMPLETED,
     (KeyState.STARTED, KeyEvent.FAIL): KeyState.FAILED,
     (KeyState.STARTED, KeyEvent.NOT_EXECUTED): KeyState.RELEASED,
-    (KeyState.STARTED, KeyEvent.LOSE): KeyState.IN_DOUBT,
-    (KeyState.IN_DOUBT, KeyEvent.RESOLVE): KeyState.COMPLETED,
+    (KeyState.STARTED, KeyEvent.LOSE): KeyState.OUTCOME_UNKNOWN,
+    (KeyState.OUTCOME_UNKNOWN, KeyEvent.RESOLVE): KeyState.COMPLETED,
 }
 PAIRS = list(itertools.product(KeyState, KeyEvent))
 EXPIRES_AT_MS = 5000.0
--- a/tests/test_module_boundaries.py
+++ b/tests/test_module_boundaries.py
@@ -34,7 +34,10 @@
     "members": (["members"], []),
     "rollout": (["rollout"], []),
     "shares": (["shares"], []),
-    "durable": (["durable/budget.py", "durable/commits.py", "durable/keys.py"], []),
+    "durable": (
+        ["durable/budget.py", "durable/records.py", "durable/write_admission.py"],
+        ["lapispick.idempotency.states"],
+    ),
     "health": (["host/health.py", "host/metrics.py"], []),
     "jitter": (["jitter.py"], []),
 }
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -233,10 +233,10 @@
 
 def test_doubt_ends_with_the_window():
     ownership = KeyOwnership(IdempotencyTable(), 7.0)
-    assert not ownership.in_doubt(0.0, True)
-    ownership.mark_in_doubt_until(3.0)
-    assert ownership.in_doubt(9.0, True) and not ownership.in_doubt(10.0, True)
-    assert ownership.in_doubt(3.0, False) and not ownership.in_doubt(3.1, False)
+    assert not ownership.is_outcome_unknown(0.0, True)
+    ownership.mark_outcomes_unknown_until(3.0)
+    assert ownership.is_outcome_unknown(9.0, True) and not ownership.is_outcome_unknown(10.0, True)
+    assert ownership.is_outcome_unknown(3.0, False) and not ownership.is_outcome_unknown(3.1, False)
 
 
 def test_a_try_that_did_not_run_after_all_frees_its_key_on_both_sides():
@@ -329,7 +329,7 @@
 
 def test_doubt_goes_on_with_the_keys():
     world, old, new = pair()
-    old.ownership.mark_in_doubt_until(world.now)
+    old.ownership.mark_outcomes_unknown_until(world.now)
     old.link(new)
     pump(old, new)
     new.ownership.on_peer_lost(peer_ended=True)
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -16,11 +16,12 @@
 from lapispick.agent.rollout_store import Ledger
 from lapispick.conf import settings as conf
 from lapispick.durable.database import Database
-from lapispick.durable.keys import Known, State
+from lapispick.durable.records import DurableRecord
 from lapispick.fakes.agents import BoxAgent
 from lapispick.fakes.fleet import Fleet, program
 from lapispick.fakes.peers import until
 from lapispick.handover import messages as handover_messages
+from lapispick.idempotency.states import KeyState
 from lapispick.members import messages as members
 from lapispick.rollout import host_state, messages
 from lapispick.rollout.generations import Generation
@@ -99,8 +100,9 @@
 def test_a_store_of_keys_of_version_1_is_read(tmp_path):
     store = Database(restored("durable-1.sql", tmp_path / "keys.db"), "n3")
     found = dict(store.load())
-    assert found[b"k1"] == Known(State.FINISHED, 1, 1000.0, 15286.0, b"body", b"result") and len(found) == 2
-    assert store.life == 2
+    assert found[b"k1"] == DurableRecord(KeyState.COMPLETED, 1, 1000.0, 15286.0, b"body", b"result")
+    assert len(found) == 2
+    assert store.incarnation == 2
 
 
 def test_a_settings_file_of_the_version_before_is_read_and_a_later_one_is_refused_by_name(tmp_path):
--- a/tests/test_stored_samples.py
+++ b/tests/test_stored_samples.py
@@ -115,9 +115,9 @@
 # How the current code opens, reads and writes what is on disk.
 FILES = SimpleNamespace(
     open_keys=database.Database,
-    key_row=lambda key, known: (
-        *(key, int(known.state), known.life, known.born, known.until),
-        *(known.body, known.result),
+    key_row=lambda key, record: (
+        *(key, int(record.state), record.incarnation, record.created_at_ms, record.expires_at_ms),
+        *(record.request_digest, record.result),
     ),
     open_ledger=rollout_store.Ledger,
     open_agent_state=lambda folder, name: service.Store(folder, name),
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -531,7 +531,7 @@
         socket.send_fds(link, [b"\n"], [clients.fileno()])
         told = [
             messages.Welcome(messages.VERSION),
-            messages.InDoubtUntil(0.0),
+            messages.UnknownOutcomesUntil(0.0),
             messages.RecordSnapshot(
                 ("nonce", known), time.time() * 1000 + 60_000, digest_request("book", b64("ran")), True, b64("kept")
             ),
@@ -608,7 +608,11 @@
             b"".join(
                 map(
                     messages.encode,
-                    (messages.Welcome(messages.VERSION), messages.InDoubtUntil(0.0), messages.SnapshotComplete()),
+                    (
+                        messages.Welcome(messages.VERSION),
+                        messages.UnknownOutcomesUntil(0.0),
+                        messages.SnapshotComplete(),
+                    ),
                 )
             )
         )
