--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -604,18 +604,8 @@
         lines = link.makefile("rb")
         hello = messages.decode(lines.readline())
         socket.send_fds(link, [b"\n"], [self.clients.fileno()])
-        link.sendall(
-            b"".join(
-                map(
-                    messages.encode,
-                    (
-                        messages.Welcome(messages.VERSION),
-                        messages.UnknownOutcomesUntil(0.0),
-                        messages.SnapshotComplete(),
-                    ),
-                )
-            )
-        )
+        snapshot = [messages.Welcome(messages.VERSION), messages.UnknownOutcomesUntil(0.0), messages.SnapshotComplete()]
+        link.sendall(b"".join(map(messages.encode, snapshot)))
         return link, hello, lines
 
     def close(self):
