--- a/benchmarks/parity_adapters.py
+++ b/benchmarks/parity_adapters.py
@@ -9,14 +9,10 @@
 import random
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
-from enum import Enum
 from typing import Any, NamedTuple, Protocol
 from unittest import mock
 
 import msgspec
-from lapispick.members.view import Send
-from lapispick.rollout.judge import Judge
-from lapispick.rollout.judge import Verdict as JudgeVerdict
 
 from benchmarks import rollout_model
 from lapispick.durable import records as durable
@@ -24,10 +20,14 @@
 from lapispick.idempotency.ownership import KeyOwnership, Role
 from lapispick.idempotency.states import KeyLifecycleError, Verdict
 from lapispick.idempotency.table import IdempotencyRecord, IdempotencyTable
-from lapispick.members import words as member_words
+from lapispick.members import messages as member_words
+from lapispick.members.membership_view import Send
 from lapispick.model import script
 from lapispick.model.world import World, members
-from lapispick.rollout import box, steering, words
+from lapispick.rollout import host_state, rollout_state
+from lapispick.rollout import messages as rollout_messages
+from lapispick.rollout.canary_analysis import Judge
+from lapispick.rollout.canary_analysis import Verdict as JudgeVerdict
 from lapispick.rollout.generations import Generation
 
 Record = Callable[[str, bytes], None]  # the kind of a frame, and its content
@@ -115,7 +115,12 @@
 OLD_GENERATION, NEW_GENERATION = rollout_model.OLD, rollout_model.NEW
 SHELF = rollout_model.SHELF
 TURN_WAIT_S = 20.0
-AGENT_ACTIONS = {box.Start: "start", box.Reload: "reload", box.Term: "term", box.Kill: "kill"}
+AGENT_ACTIONS = {
+    host_state.Start: "start",
+    host_state.Reload: "reload",
+    host_state.Term: "term",
+    host_state.Kill: "kill",
+}
 
 
 class AgentView(NamedTuple):
@@ -150,17 +155,17 @@
     @property
     def is_over(self) -> bool:
         """Tell whether the rollout has ended."""
-        return self.course.phase in steering.OVER
+        return self.course.phase in rollout_state.OVER
 
     @property
     def asks_a_person(self) -> bool:
         """Tell whether a person has to decide."""
-        return self.course.phase in (steering.ASKING, steering.HOLDING)
+        return self.course.phase in (rollout_state.ASKING, rollout_state.HOLDING)
 
     @property
     def is_returning(self) -> bool:
         """Tell whether the rollout is being undone."""
-        return self.course.phase == steering.RETURNING
+        return self.course.phase == rollout_state.RETURNING
 
     def order(self, text: str) -> None:
         """Give a person's order: ``go``, ``hold`` or ``back``."""
@@ -207,21 +212,21 @@
 @contextmanager
 def recorded_rollout(record: Record, conditions: RolloutConditions) -> Iterator[None]:
     """Record the decisions of agents, controller and judge while this is open; shelves are as before afterwards."""
-    box_step, box_call, fleet_step, judge_verdict = box.step, box.call, steering.step, Judge.verdict
+    box_step, box_call, fleet_step, judge_verdict = host_state.step, host_state.call, rollout_state.step, Judge.verdict
 
-    def agent_step(state: box.State, now: float, seen: box.Seen, bounds: box.Bounds) -> Any:
-        seen, bounds = _seen(seen, conditions.agent_view(state.box)), box.Bounds(turn_wait=TURN_WAIT_S)
+    def agent_step(state: host_state.State, now: float, seen: host_state.Seen, bounds: host_state.Bounds) -> Any:
+        seen, bounds = _seen(seen, conditions.agent_view(state.box)), host_state.Bounds(turn_wait=TURN_WAIT_S)
         after, actions = box_step(state, now, seen, bounds)
         record(f"agent {after.phase}", encode_json([now, after]))
         for action in actions:
             record(f"agent orders {AGENT_ACTIONS[type(action)]}", encode_json(action))
         return after, actions
 
-    def agent_call(state: box.State, asked: words.Call, now: float, seen: box.Seen) -> Any:
-        line = words.write(asked)
-        after, answer = box_call(state, words.read(line), now, seen)
+    def agent_call(state: host_state.State, asked: rollout_messages.Call, now: float, seen: host_state.Seen) -> Any:
+        line = rollout_messages.write(asked)
+        after, answer = box_call(state, rollout_messages.read(line), now, seen)
         record("call", encode_json([now, line, answer, after]))
-        for each in words.told(box.status(after, now, seen)):
+        for each in rollout_messages.told(host_state.status(after, now, seen)):
             record("status", each.encode())
         return after, answer
 
@@ -229,7 +234,7 @@
         known = {name: _with_figures(each, *conditions.figures(name)) for name, each in heard.items()}
         after, calls = fleet_step(course, now, fence, known, verdict, conditions.may_begin(now))
         record(f"course {after.phase}", encode_json([now, after]))
-        record("deviations", encode_json(steering.deviations(after, known)))
+        record("deviations", encode_json(rollout_state.deviations(after, known)))
         return after, calls
 
     def verdict(judge: Judge) -> JudgeVerdict:
@@ -239,38 +244,35 @@
 
     with (
         mock.patch.dict(SHELF),
-        mock.patch.object(box, "step", agent_step),
-        mock.patch.object(box, "call", agent_call),
-        mock.patch.object(steering, "step", controller_step),
+        mock.patch.object(host_state, "step", agent_step),
+        mock.patch.object(host_state, "call", agent_call),
+        mock.patch.object(rollout_state, "step", controller_step),
         mock.patch.object(Judge, "verdict", verdict),
     ):
         yield
 
 
-def _seen(seen: box.Seen, view: AgentView) -> box.Seen:
+def _seen(seen: host_state.Seen, view: AgentView) -> host_state.Seen:
     silent = seen.takes if view.silent else frozenset()
     return seen._replace(boot=view.boot, silent=silent, turn=view.turn)
 
 
-def _with_figures(heard: steering.Heard, memory_kb: int, broken: int) -> steering.Heard:
+def _with_figures(heard: rollout_state.Heard, memory_kb: int, broken: int) -> rollout_state.Heard:
     return heard._replace(memory_kb=memory_kb, broken=broken)
 
 
 # Keys that two processes of one host share.
 
-# The value of a role or verdict -> what is hashed in its place, where the value has been renamed.
-RECORDED_VALUES = {
-    "coalesce": "join",
-    "reject": "refuse",
-    "replay": "result",
-    "mismatch": "other",
-    "standalone": "alone",
-    "suspended": "shut",
+VERDICTS = {
+    Verdict.RUN: "run",
+    Verdict.WAIT: "wait",
+    Verdict.COALESCE: "join",
+    Verdict.REJECT: "refuse",
+    Verdict.FAIL: "fail",
+    Verdict.REPLAY: "result",
+    Verdict.MISMATCH: "other",
 }
-
-
-def _recorded(each: Enum) -> str:
-    return RECORDED_VALUES.get(each.value, each.value)
+ROLES = {Role.STANDALONE: "alone", Role.OWNER: "owner", Role.FOLLOWER: "follower", Role.SUSPENDED: "shut"}
 
 
 class KeyProcess:
@@ -298,7 +300,7 @@
         self.outbox.append(line)
 
     def _settle(self, number: int, verdict: Verdict) -> None:
-        self._note(f"settled {_recorded(verdict)}", number)
+        self._note(f"settled {VERDICTS[verdict]}", number)
         self._follow(number, verdict)
 
     def _ended(self, waiter: int, result: str | None) -> None:
@@ -327,7 +329,7 @@
         if key is None or not key.executed_attempt:
             key = self._table.retain(name, number, born, until, what)
         verdict = self._ownership.claim(number, key, born, until, redo, now)
-        self._note(f"verdict {_recorded(verdict)}", number)
+        self._note(f"verdict {VERDICTS[verdict]}", number)
         self._follow(number, verdict)
 
     def end_run(self, index: int, result: str | None, ran: bool) -> None:
@@ -374,7 +376,7 @@
     def record_table(self) -> None:
         """Record all that is known of the keys."""
         self._note(
-            "table", _recorded(self._ownership.role), self._table.result_bytes, [_key_row(key) for key in self._table]
+            "table", ROLES[self._ownership.role], self._table.result_bytes, [_key_row(key) for key in self._table]
         )
 
 
@@ -411,7 +413,7 @@
         """Take one try: its verdict, and the intent where it may run."""
         known = self._known.get(name)
         verdict = durable.decide(known, body, now)
-        self._record(f"durable {_recorded(verdict)}", name.encode())
+        self._record(f"durable {VERDICTS[verdict]}", name.encode())
         if verdict is Verdict.RUN:
             self._store(name, lambda: durable.intend(known, self.life, body, born, window, now))
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -225,9 +225,11 @@
         lambda: centre.post(events.PeerMessage(link, messages.ClaimGranted(1, ("k",), link.sent[0].expires_at_ms))),
     )
     loop.run()
-    assert [type(m) for m in link.sent] == [messages.ClaimRequest, messages.KeyReleased]
-    assert not centre.executor.runs
-    assert not answers
+    assert (
+        [type(m) for m in link.sent] == [messages.ClaimRequest, messages.KeyReleased]
+        and not centre.executor.runs
+        and not answers
+    )
     assert not len(centre.table) and not centre._tasks
     assert centre.control.seen[-2:] == [
         admission.ClientCancelled(1),
