--- a/lapispick/handover/messages.py
+++ b/lapispick/handover/messages.py
@@ -20,6 +20,11 @@
 
 Key = tuple[str, ...]  # an idempotency key
 
+# Values of ``Hello.listener``.
+NO_LISTENER = ""
+OWN_LISTENER = "own"
+PASSED_LISTENER = "passed"
+
 
 class Message(msgspec.Struct, frozen=True, tag_field="say"):
     """Base of all messages."""
@@ -28,14 +33,14 @@
 class Hello(Message, tag="hello"):
     """First message of the new process: a request to link.
 
-    ``listener`` is the listening socket on which it accepts clients already: ``own``, or the one ``passed`` to it
-    before; empty while it accepts none.
+    ``listener`` tells on which listening socket it accepts clients already: its own, or the one that an earlier link
+    passed to it; empty while it accepts none.
     """
 
     version: int
     name: str
     listen: str
-    listener: str = field(default="", name="listens")
+    listener: str = field(default=NO_LISTENER, name="listens")
     min_version: int = field(default=0, name="lowest")  # the oldest version that it speaks too; 0 = no other
 
 
--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -21,7 +21,8 @@
 from lapispick.host.config import Config, ConfigError, load
 from lapispick.host.core import Core
 from lapispick.host.executor import ExecutorLink
-from lapispick.host.handover import Handover
+from lapispick.host.handover.handshake import HostIdentity
+from lapispick.host.handover.service import Handover
 from lapispick.host.jsonrpc.front import Gateways
 from lapispick.host.logs import log, setup
 from lapispick.host.metrics import Wide
@@ -173,8 +174,7 @@
                 made = Handover(
                     self.loop,
                     Path(folder),
-                    config.name,
-                    config.listen,
+                    HostIdentity(config.name, config.listen),
                     config.limits.unsent,
                     self.gateways,
                     centre.post,
@@ -182,10 +182,10 @@
                 )
             except OSError as err:  # a platform that has no place for it: alone, as before
                 log(LOG, logging.WARNING, "handover-off", error=err)
-        if made is None or made.owns:
+        if made is None or made.lock.held:
             self.gateways.listen()
-            if made is not None and made.last_end:
-                centre.ownership.mark_outcomes_unknown_until(made.last_end * 1000)
+            if made is not None and made.lock.previous_end_s:
+                centre.ownership.mark_outcomes_unknown_until(made.lock.previous_end_s * 1000)
         else:
             centre.duty.open = False
             centre.ownership.role = Role.SUSPENDED
@@ -283,7 +283,7 @@
         stop_ms, loop = self.config.stop_ms, self.loop
         if self.members is not None:
             self.members.leave()
-        if self.handover is not None and self.handover.served_elsewhere:
+        if self.handover is not None and self.handover.peer_serves:
             return self._hand_over(self.handover)
         self.centre.post(events.ShutdownRequested(stop_ms))
         end_at = time.monotonic() + stop_ms / 1000
@@ -305,7 +305,7 @@
         deadline = max(c.deadline_ms for c in self.config.start.classes)
         stop_ms, loop = min(self.config.stop_ms, min(deadline, HANDED_MS[0]) + HANDED_MS[1]), self.loop
         self.centre.post(events.ShutdownRequested(stop_ms, handed_over=True))
-        self.gateways.close_listener(handover.passed)
+        self.gateways.close_listener(handover.listener_shared)
         began = time.monotonic()
         end_at = began + stop_ms / 1000
         while time.monotonic() < end_at - END_S:
@@ -322,7 +322,7 @@
         while time.monotonic() < last and not self.gateways.gone():
             self.loop.sleep(0.005)
         if self.handover is not None:
-            self.handover.done()
+            self.handover.finish()
         if self.recorder is not None:
             self.recorder.close(end_at - time.monotonic())
         log(LOG, logging.INFO, "ended", owed=self.centre.owed)
--- /dev/null
+++ b/lapispick/host/handover/handshake.py
@@ -0,0 +1,76 @@
+"""Opens a link: the hello of the newer process, and the older one's reply with the listening socket."""
+
+from __future__ import annotations
+
+import socket
+from typing import NamedTuple
+
+import msgspec
+
+from lapispick.handover import messages
+from lapispick.host.scheduler import READ, Loop, Overlong, Stream
+
+REPLY_TIMEOUT_S = 1.0
+DESCRIPTOR_CARRIER = b"\n"  # a descriptor needs a byte to travel with
+LINK_ERRORS = (OSError, Overlong, msgspec.DecodeError)  # what a faulty peer causes; TimeoutError is an OSError
+
+
+class HostIdentity(NamedTuple):
+    """What both processes of one worker host have in common."""
+
+    name: str
+    listen: str
+
+
+class LinkReply(NamedTuple):
+    """What the older process replied: the descriptor of its listening socket, and a line to be decoded."""
+
+    listener: int
+    line: bytes
+
+
+class HandshakeError(ConnectionError):
+    """The other process rejected the link or did not answer."""
+
+
+def read_hello(stream: Stream) -> messages.Message | None:
+    """Return the first message of the newer process, None where it sent none; raises ``LINK_ERRORS``."""
+    line = stream.read_line(REPLY_TIMEOUT_S)
+    return messages.decode(line) if line else None
+
+
+def rejection_reason(hello: messages.Hello, identity: HostIdentity, linked: bool, listening: bool) -> str:
+    """Return why a link is rejected; empty where it is accepted."""
+    if messages.negotiate_version(hello) is None:
+        return f"version {hello.version} is not {messages.VERSION}"
+    if (hello.name, hello.listen) != identity:
+        return "another worker host"
+    if linked:
+        return "linked already"
+    if not listening:
+        return "leaving"
+    return ""
+
+
+def reject(stream: Stream, reason: str) -> None:
+    """Reply with a rejection and close."""
+    stream.write(messages.encode(messages.LinkRejected(reason)))
+    stream.close()
+
+
+def pass_listener(stream: Stream, listener: int) -> None:
+    """Send the descriptor of the listening socket; raises ``OSError``."""
+    socket.send_fds(stream.sock, [DESCRIPTOR_CARRIER], [listener])
+
+
+def request_link(loop: Loop, stream: Stream, hello: messages.Hello) -> LinkReply:
+    """Send a hello and return the reply; raises ``LINK_ERRORS``, ``HandshakeError`` among them."""
+    stream.write(messages.encode(hello))
+    if not loop.wait(stream.sock.fileno(), READ, REPLY_TIMEOUT_S):
+        raise TimeoutError("no answer")
+    first_byte, descriptors, _, _ = socket.recv_fds(stream.sock, 1, 1)
+    line = stream.read_line(REPLY_TIMEOUT_S)
+    if descriptors and line is not None:
+        return LinkReply(descriptors[0], line)
+    reply = messages.decode(first_byte + line) if first_byte and line else None
+    raise HandshakeError(reply.reason if isinstance(reply, messages.LinkRejected) else "no answer")
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -349,7 +349,7 @@
     two = host(beside=one)
     serving(two)
     three = host(beside=two, ready=False)  # before the first leaves: a start may take longer than a leave lasts
-    until(lambda: "event=link-waits" in three.log(), "the third one's first look")
+    until(lambda: "event=link-waiting" in three.log(), "the third one's first look")
     one.leave()
     until(lambda: "event=leaving" in one.log(), "the leave")
     one.executor.end(one.executor.runs[0][0], result="booked")
@@ -369,7 +369,7 @@
     two = host(beside=one)
     serving(two)
     three = host(beside=two, ready=False)
-    until(lambda: "event=link-waits" in three.log(), "the third one's first look")
+    until(lambda: "event=link-waiting" in three.log(), "the third one's first look")
     two.process.send_signal(signal.SIGSTOP)
     try:
         one.leave()
@@ -406,7 +406,7 @@
     assert serving(host(beside=old, environ={"TMPDIR": str(with_long)}))
 
 
-POINTS = ["started", "link-up", "linked", "open", "successor-serves", "leaving", "link-ended"]
+POINTS = ["started", "link-up", "linked", "open", "successor-serving", "leaving", "link-ended"]
 
 
 @pytest.mark.parametrize("seed", range(int(os.environ.get("TRIALS", "6"))))
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -33,8 +33,10 @@
 from lapispick.host import __main__ as host_process
 from lapispick.host import config as host_config
 from lapispick.host import events, executor, metrics, ops, registry, scheduler, store
-from lapispick.host import handover as host_handover
 from lapispick.host import members as host_members
+from lapispick.host.handover import key_lock
+from lapispick.host.handover.handshake import HostIdentity
+from lapispick.host.handover.service import Handover
 from lapispick.host.jsonrpc import front
 from lapispick.host.requests import Answer, AnswerKind
 from lapispick.members import leases, membership_view
@@ -124,7 +126,7 @@
     "kinds of an answer, in traces": lambda: [AnswerKind.SERVED, AnswerKind.REJECTED, AnswerKind.FAILED],
     "ends of a run": lambda: {word: int(end) for word, end in executor.ENDS.items()},
     "formats and their versions": lambda: {kind: list(each) for kind, each in versions.SPOKEN.items()},
-    "words in the lock of a hand-over": lambda: [host_handover.SERVING.decode(), host_handover.ENDED.decode()],
+    "words in the lock of a hand-over": lambda: [key_lock.SERVING.decode(), key_lock.ENDED.decode()],
     "file with the number of a life": lambda: host_members.LIFE,
     "host's calls that an agent passes on": lambda: list(agent_service.PASSED),
 }
@@ -485,11 +487,11 @@
 
 def handover_files(folder):
     """Return the files in the folder that two processes share, and what the lock says."""
-    part = host_handover.Handover(FakeLoop(), folder, "n3", "127.0.0.1:8443", 1, None, None, None)
+    part = Handover(FakeLoop(), folder, HostIdentity("n3", "127.0.0.1:8443"), 1, None, None, None)
     return {
         "files": sorted(path.name for path in folder.iterdir()),
         "lock": [path.read_text() for path in folder.glob("*.lock")],
-        "socket": Path(part._path).name,
+        "socket": Path(part.address.path).name,
     }
 
 
