--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -185,7 +185,7 @@
         if made is None or made.lock.held:
             self.gateways.listen()
             if made is not None and made.lock.previous_end_s:
-                centre.ownership.mark_outcomes_unknown_until(made.lock.previous_end_s * 1000)
+                centre.ownership.unknown_outcomes.mark_until(made.lock.previous_end_s * 1000)
         else:
             centre.duty.open = False
             centre.ownership.role = Role.SUSPENDED
--- a/lapispick/host/handover/service.py
+++ b/lapispick/host/handover/service.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import logging
-import os
 import socket
 import time
 from collections.abc import Callable
@@ -17,6 +16,7 @@
 from lapispick.host.handover.handshake import LINK_ERRORS, HostIdentity
 from lapispick.host.handover.key_lock import KeyLock
 from lapispick.host.handover.peer_link import PeerLink, SetPeerConnections
+from lapispick.host.handover.received_listener import OnOpen, ReceivedListener
 from lapispick.host.jsonrpc.front import Gateways
 from lapispick.host.logs import log
 from lapispick.host.scheduler import READ, Loop, Stream
@@ -59,8 +59,7 @@
         unix_socket.check_available()
         self._peer: PeerLink | None = None
         self._was_linked = False
-        self._received_listener: socket.socket | None = None
-        self._listener = messages.NO_LISTENER  # on which clients are accepted, as in ``messages.Hello``
+        self._listener = ReceivedListener()
         self._peer_has_listener = False
         self.lock.try_acquire()
 
@@ -164,7 +163,7 @@
 
     # The follower.
 
-    def join(self, on_open: Callable[[socket.socket | None], None], is_ready: Callable[[], bool]) -> None:
+    def join(self, on_open: OnOpen, is_ready: Callable[[], bool]) -> None:
         """Take over: link to the owner, accept clients beside it, and own the keys once it has ended.
 
         ``on_open`` is called once with the listening socket that was passed, or None where a new one is needed.
@@ -191,15 +190,12 @@
     def _has_records(self) -> bool:
         return self.lock.held or (self._peer is not None and self._peer.snapshot_complete)
 
-    def _open(
-        self, on_open: Callable[[socket.socket | None], None], is_ready: Callable[[], bool], unlinked_at: float
-    ) -> None:
+    def _open(self, on_open: OnOpen, is_ready: Callable[[], bool], unlinked_at: float) -> None:
         while not (is_ready() and (self._has_records() or time.monotonic() > unlinked_at)):
             self._loop.sleep(OPEN_POLL_INTERVAL_S)
         if not self._has_records():
             log(LOG, logging.WARNING, "serving-unlinked")
-        self._listener = messages.OWN_LISTENER if self._received_listener is None else messages.PASSED_LISTENER
-        on_open(self._received_listener)
+        self._listener.open(on_open)
         if self._peer is not None:
             self._peer.send(messages.Serving())
 
@@ -210,9 +206,9 @@
         name, listen = self._identity
         try:
             sock.connect(self.address.path)
-            hello = messages.Hello(messages.VERSION, name, listen, self._listener, messages.MIN_VERSION)
+            hello = messages.Hello(messages.VERSION, name, listen, self._listener.accepting_on, messages.MIN_VERSION)
             reply = handshake.request_link(self._loop, stream, hello)
-            self._keep_listener(reply.listener)
+            self._listener.receive(reply.listener)
             messages.decode(reply.line)
         except LINK_ERRORS as err:
             log(LOG, logging.WARNING, "link-failed", error=err)
@@ -220,12 +216,6 @@
             return None
         return PeerLink(stream, self._gateways, self._set_peer_connections, peer_owns_keys=True)
 
-    def _keep_listener(self, descriptor: int) -> None:
-        if self._received_listener is None and self._listener == messages.NO_LISTENER:
-            self._received_listener = socket.socket(fileno=descriptor)
-        else:
-            os.close(descriptor)
-
     # The end.
 
     def finish(self) -> None:
--- a/lapispick/idempotency/ownership.py
+++ b/lapispick/idempotency/ownership.py
@@ -18,14 +18,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Hashable
+from collections.abc import Callable, Hashable, Iterable
 from enum import Enum
-from math import inf
 from typing import Any, NamedTuple, cast
 
 from lapispick.handover import messages
 from lapispick.idempotency.states import Verdict
 from lapispick.idempotency.table import EXECUTED_BY_PEER, NOT_EXECUTED, IdempotencyRecord, IdempotencyTable
+from lapispick.idempotency.unknown_outcomes import UnknownOutcomes
 
 CLAIM_TIMEOUT_MS = 300.0  # a peer whose event loop is blocked for longer would reply too late to be of use
 
@@ -57,8 +57,7 @@
         self.has_unsent: Callable[[], bool] = lambda: False  # the peer's socket has not taken all that was sent
         self.on_verdict: Callable[[Any, Verdict], None] = lambda attempt, verdict: None
         self.on_completed: Callable[[Any, str | None], None] = lambda waiter, result: None
-        self._window_ms = idempotency_window_ms
-        self._outcomes_unknown_until_ms = 0.0  # when a process ended that may have executed requests unknown here
+        self.unknown_outcomes = UnknownOutcomes(idempotency_window_ms)
         self._pending: dict[Hashable, PendingClaim] = {}
 
     # Attempts of this process.
@@ -78,15 +77,15 @@
         """
         if record.executed_attempt:
             return Verdict.COALESCE
-        if self.is_outcome_unknown(created_at_ms, is_retry):
+        if self.unknown_outcomes.covers(created_at_ms, is_retry):
             return Verdict.FAIL
         if self.role is Role.STANDALONE:
-            self._mark_executed(record, attempt, expires_at_ms)
+            record.mark_started(attempt, expires_at_ms)
             return Verdict.RUN
         if record.key in self._pending:
             return Verdict.COALESCE
         if self.role is Role.OWNER:
-            self._mark_executed(record, attempt, expires_at_ms)
+            record.mark_started(attempt, expires_at_ms)
             self._send_to_peer(messages.KeyClaimed(_key(record), record.expires_at_ms, record.request_digest))
             if not self.has_unsent():
                 return Verdict.RUN
@@ -103,7 +102,7 @@
     def complete(self, record: IdempotencyRecord, result: str | None) -> None:
         """Record the end of an execution of this process; None where it failed."""
         self._send_to_peer(messages.KeyCompleted(_key(record), result))
-        self._complete(record, result)
+        self._notify(self.table.complete(record, result), result)
 
     def release(self, record: IdempotencyRecord) -> None:
         """Release a key whose request was not executed after all."""
@@ -112,7 +111,7 @@
             return  # the reply to another attempt is on its way and still needs the record
         if record.executed_attempt and record.executed_attempt != EXECUTED_BY_PEER:
             self._send_to_peer(messages.KeyReleased(_key(record), record.expires_at_ms))
-        self._remove(record)
+        self._notify(self.table.remove(record), None)
 
     def on_flushed(self) -> None:
         """Run the attempts that waited until the peer's socket had taken their announcement."""
@@ -131,38 +130,17 @@
             self.on_verdict(pending.attempt, Verdict.REJECT)
         return False
 
-    def _mark_executed(self, record: IdempotencyRecord, attempt: int, expires_at_ms: float) -> None:
-        record.mark_started(attempt)
-        record.expires_at_ms = max(record.expires_at_ms, expires_at_ms)
-
-    def _complete(self, record: IdempotencyRecord, result: str | None) -> None:
-        for waiter in self.table.complete(record, result):
+    def _notify(self, waiters: Iterable[Any], result: str | None) -> None:
+        for waiter in waiters:
             self.on_completed(waiter, result)
 
-    def _remove(self, record: IdempotencyRecord) -> None:
-        for waiter in self.table.remove(record):
-            self.on_completed(waiter, None)
-
-    # Requests whose outcome is unknown.
-
-    def mark_outcomes_unknown_until(self, ended_at_ms: float) -> None:
-        """Note when a process ended that may have executed requests unknown here."""
-        self._outcomes_unknown_until_ms = max(self._outcomes_unknown_until_ms, ended_at_ms)
-
-    def is_outcome_unknown(self, created_at_ms: float, is_retry: bool) -> bool:
-        """Tell whether the request may have been executed by a process that left no record."""
-        ended_at_ms = self._outcomes_unknown_until_ms
-        if not ended_at_ms > 0 or created_at_ms >= ended_at_ms + self._window_ms:
-            return False
-        return is_retry or created_at_ms <= ended_at_ms
-
     # The other process.
 
     def on_peer_connected(self, role: Role) -> None:
         """Begin to share the keys, as ``OWNER`` or ``FOLLOWER``."""
         self.role = role
         if role is Role.OWNER:
-            self.send(messages.UnknownOutcomesUntil(self._outcomes_unknown_until_ms))
+            self.send(messages.UnknownOutcomesUntil(self.unknown_outcomes.ended_at_ms))
 
     def snapshot(self, keys: list[Hashable]) -> list[messages.Message]:
         """Return the records of these keys whose requests were executed."""
@@ -179,17 +157,17 @@
         """Apply a message of the other process about keys; others are ignored."""
         match message:
             case messages.RecordSnapshot(key, expires_at_ms, request_digest, completed, result):
-                self._on_executed_by_peer(key, expires_at_ms, request_digest)
+                self.table.mark_executed_by_peer(key, expires_at_ms, request_digest)
                 if completed:
-                    self._on_completed_by_peer(key, result)
+                    self._notify(self.table.complete_by_peer(key, result), result)
             case messages.UnknownOutcomesUntil(ended_at_ms):
-                self.mark_outcomes_unknown_until(ended_at_ms)
+                self.unknown_outcomes.mark_until(ended_at_ms)
             case messages.KeyClaimed(key, expires_at_ms, request_digest):
-                self._on_executed_by_peer(key, expires_at_ms, request_digest)
+                self.table.mark_executed_by_peer(key, expires_at_ms, request_digest)
             case messages.KeyCompleted(key, result):
-                self._on_completed_by_peer(key, result)
+                self._notify(self.table.complete_by_peer(key, result), result)
             case messages.KeyReleased(key, expires_at_ms):
-                self._on_released_by_peer(key, expires_at_ms)
+                self._notify(self.table.release_by_peer(key, expires_at_ms), None)
             case messages.ClaimRequest():
                 self._on_claim_request(message)
             case messages.ClaimGranted():
@@ -200,10 +178,10 @@
     def _on_claim_request(self, request: messages.ClaimRequest) -> None:
         record = self.table.find(request.key, request.created_at_ms)
         executed = record is not None and bool(record.executed_attempt)
-        if executed or self.is_outcome_unknown(request.created_at_ms, request.is_retry):
+        if executed or self.unknown_outcomes.covers(request.created_at_ms, request.is_retry):
             self.send(messages.ClaimDenied(request.claim_id, request.key))
             return
-        self._on_executed_by_peer(request.key, request.expires_at_ms, request.request_digest)
+        self.table.mark_executed_by_peer(request.key, request.expires_at_ms, request.request_digest)
         self.send(messages.ClaimGranted(request.claim_id, request.key, request.expires_at_ms))
 
     def _on_claim_granted(self, granted: messages.ClaimGranted) -> None:
@@ -212,7 +190,7 @@
             self._send_to_peer(messages.KeyReleased(granted.key, granted.expires_at_ms))
             return
         del self._pending[granted.key]
-        pending.record.mark_started(pending.attempt)
+        pending.record.mark_started(pending.attempt, pending.record.expires_at_ms)
         self.on_verdict(pending.attempt, Verdict.RUN)
 
     def _on_claim_denied(self, denied: messages.ClaimDenied) -> None:
@@ -222,39 +200,17 @@
         del self._pending[denied.key]
         # Executions are announced before this reply; the outcome of one that was not is unknown.
         if not pending.record.executed_attempt:
-            pending.record.mark_started(EXECUTED_BY_PEER)
+            pending.record.mark_started(EXECUTED_BY_PEER, pending.record.expires_at_ms)
             self.table.complete(pending.record, None)
         self.on_verdict(pending.attempt, Verdict.COALESCE)
 
-    def _on_executed_by_peer(self, key: messages.Key, expires_at_ms: float, request_digest: int) -> None:
-        """Record that the peer executes a request; an attempt that is held here coalesces with it in its turn."""
-        record = self.table.get(key)
-        if record is not None and record.executed_attempt and expires_at_ms <= record.expires_at_ms:
-            return  # known already, or what was executed here is newer
-        if record is None or record.executed_attempt:  # an execution of an earlier window is superseded
-            record = self.table.retain(key, EXECUTED_BY_PEER, inf, expires_at_ms, request_digest)
-        self._mark_executed(record, EXECUTED_BY_PEER, expires_at_ms)
-        record.request_digest = request_digest
-
-    def _on_completed_by_peer(self, key: messages.Key, result: str | None) -> None:
-        record = self.table.get(key)
-        if record is not None and record.executed_attempt == EXECUTED_BY_PEER and not record.completed:
-            self._complete(record, result)
-
-    def _on_released_by_peer(self, key: messages.Key, expires_at_ms: float) -> None:
-        record = self.table.get(key)
-        if record is None or record.executed_attempt != EXECUTED_BY_PEER:
-            return
-        if record.expires_at_ms <= expires_at_ms:
-            self._remove(record)
-
     def on_peer_lost(self, peer_ended: bool, ended_at_ms: float = 0.0) -> None:
         """Continue without the other process; unless ``peer_ended``, it may still execute requests.
 
         ``ended_at_ms`` is set where it owned the keys and ended without ``HandoverComplete``.
         """
         if ended_at_ms:
-            self.mark_outcomes_unknown_until(ended_at_ms)
+            self.unknown_outcomes.mark_until(ended_at_ms)
         # A follower asks before it executes and can no longer ask, so the owner may continue in any case.
         if not peer_ended and self.role is not Role.OWNER:
             if self.role is Role.FOLLOWER:
@@ -262,8 +218,7 @@
             return
         self.role = Role.STANDALONE
         for record in self.table:
-            if record.executed_attempt == EXECUTED_BY_PEER and not record.completed:
-                self._complete(record, None)  # its outcome will never be known
+            self._notify(self.table.complete_by_peer(record.key, None), None)  # their outcome will never be known
         self._settle_pending(owner_lost=bool(ended_at_ms))
 
     def _settle_pending(self, owner_lost: bool) -> None:
@@ -273,7 +228,7 @@
             if executed_attempt == NOT_EXECUTED and owner_lost:
                 self.on_verdict(pending.attempt, Verdict.FAIL)
             elif executed_attempt in (NOT_EXECUTED, pending.attempt):
-                pending.record.mark_started(pending.attempt)
+                pending.record.mark_started(pending.attempt, pending.record.expires_at_ms)
                 self.on_verdict(pending.attempt, Verdict.RUN)
             else:
                 self.on_verdict(pending.attempt, Verdict.COALESCE)
--- a/lapispick/idempotency/table.py
+++ b/lapispick/idempotency/table.py
@@ -7,6 +7,7 @@
 
 from collections import deque
 from collections.abc import Hashable, Iterable, Iterator
+from math import inf
 from typing import Any
 
 import msgspec
@@ -41,9 +42,10 @@
         """Go to the next state. An event that the state does not allow is ignored, as the peer's messages may cross."""
         self.state = TRANSITIONS.get((self.state, event), self.state)
 
-    def mark_started(self, attempt: int) -> None:
-        """Note which attempt is executed, or ``EXECUTED_BY_PEER``."""
+    def mark_started(self, attempt: int, expires_at_ms: float) -> None:
+        """Note which attempt is executed, or ``EXECUTED_BY_PEER``; the window is extended, never shortened."""
         self.executed_attempt = attempt
+        self.expires_at_ms = max(self.expires_at_ms, expires_at_ms)
         self.apply(KeyEvent.START)
 
     def take_waiters(self) -> list[Any]:
@@ -115,6 +117,34 @@
             self.trim()
         return record.take_waiters()
 
+    # What the other process of this host executes.
+
+    def mark_executed_by_peer(self, key: Hashable, expires_at_ms: float, request_digest: int) -> None:
+        """Record that the peer executes a request; an attempt that is held here coalesces with it in its turn."""
+        record = self._records.get(key)
+        if record is not None and record.executed_attempt and expires_at_ms <= record.expires_at_ms:
+            return  # known already, or what was executed here is newer
+        if record is None or record.executed_attempt:  # an execution of an earlier window is superseded
+            record = self.retain(key, EXECUTED_BY_PEER, inf, expires_at_ms, request_digest)
+        record.mark_started(EXECUTED_BY_PEER, expires_at_ms)
+        record.request_digest = request_digest
+
+    def complete_by_peer(self, key: Hashable, result: str | None) -> list[Any]:
+        """Record the end of the peer's execution, if it is pending; return the waiters."""
+        record = self._records.get(key)
+        if record is None or record.executed_attempt != EXECUTED_BY_PEER or record.completed:
+            return []
+        return self.complete(record, result)
+
+    def release_by_peer(self, key: Hashable, expires_at_ms: float) -> list[Any]:
+        """Remove a record that the peer claimed for this window and did not execute; return the waiters."""
+        record = self._records.get(key)
+        if record is None or record.executed_attempt != EXECUTED_BY_PEER or record.expires_at_ms > expires_at_ms:
+            return []
+        return self.remove(record)
+
+    # Results and expiry.
+
     def trim(self) -> None:
         """Evict the oldest results beyond ``max_result_bytes``; their records stay, so nothing is executed twice."""
         while self.result_bytes > self.max_result_bytes and self._with_result:
--- a/tests/test_idempotency_states.py
+++ b/tests/test_idempotency_states.py
@@ -53,7 +53,7 @@
 def test_an_execution_that_ends_with_a_result_completes_its_record(table):
     record = record_in(table, KeyState.INTENDED)
     record.waiters.append("waiter")
-    record.mark_started(1)
+    record.mark_started(1, EXPIRES_AT_MS)
     assert not record.completed
     assert table.complete(record, "result") == ["waiter"]
     assert record.state is KeyState.COMPLETED
@@ -62,7 +62,7 @@
 
 def test_a_result_that_is_evicted_leaves_the_record_completed(table):
     record = record_in(table, KeyState.INTENDED)
-    record.mark_started(EXECUTED_BY_PEER)
+    record.mark_started(EXECUTED_BY_PEER, EXPIRES_AT_MS)
     table.complete(record, "result")
     table.max_result_bytes = 0
     table.trim()
@@ -77,7 +77,7 @@
     record.waiters.append("waiter")
     assert table.remove(record) == ["waiter"]
     assert record.state is KeyState.RELEASED
-    record.mark_started(2)
+    record.mark_started(2, EXPIRES_AT_MS)
     assert record.state is KeyState.RELEASED
     assert record.completed
     assert table.complete(record, "late") == []
@@ -87,7 +87,7 @@
 def test_only_records_that_are_not_being_executed_expire(table):
     record = record_in(table, KeyState.INTENDED)
     assert table.expired(EXPIRES_AT_MS + 1) == [record]
-    record.mark_started(1)
+    record.mark_started(1, EXPIRES_AT_MS)
     assert table.expired(EXPIRES_AT_MS + 1) == []
     table.complete(record, None)
     assert table.expired(EXPIRES_AT_MS) == []
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -8,6 +8,7 @@
 from lapispick.idempotency.ownership import CLAIM_TIMEOUT_MS, KeyOwnership, Role
 from lapispick.idempotency.states import TRANSITIONS, KeyState, Verdict
 from lapispick.idempotency.table import EXECUTED_BY_PEER, NOT_EXECUTED, IdempotencyTable, digest_request
+from lapispick.idempotency.unknown_outcomes import UnknownOutcomes
 
 WINDOW = 5000.0
 NAMES = [("nonce", str(n)) for n in range(4)]
@@ -232,11 +233,13 @@
 
 
 def test_doubt_ends_with_the_window():
-    ownership = KeyOwnership(IdempotencyTable(), 7.0)
-    assert not ownership.is_outcome_unknown(0.0, True)
-    ownership.mark_outcomes_unknown_until(3.0)
-    assert ownership.is_outcome_unknown(9.0, True) and not ownership.is_outcome_unknown(10.0, True)
-    assert ownership.is_outcome_unknown(3.0, False) and not ownership.is_outcome_unknown(3.1, False)
+    unknown = UnknownOutcomes(7.0)
+    assert not unknown.covers(0.0, is_retry=True)
+    unknown.mark_until(3.0)
+    assert unknown.covers(9.0, is_retry=True)
+    assert not unknown.covers(10.0, is_retry=True)
+    assert unknown.covers(3.0, is_retry=False)
+    assert not unknown.covers(3.1, is_retry=False)
 
 
 def test_a_try_that_did_not_run_after_all_frees_its_key_on_both_sides():
@@ -329,7 +332,7 @@
 
 def test_doubt_goes_on_with_the_keys():
     world, old, new = pair()
-    old.ownership.mark_outcomes_unknown_until(world.now)
+    old.ownership.unknown_outcomes.mark_until(world.now)
     old.link(new)
     pump(old, new)
     new.ownership.on_peer_lost(peer_ended=True)
