--- a/benchmarks/parity_adapters.py
+++ b/benchmarks/parity_adapters.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Iterator, Sequence
 from contextlib import contextmanager
 from typing import Any, NamedTuple, Protocol
 from unittest import mock
@@ -20,10 +20,10 @@
 from lapispick.idempotency.ownership import KeyOwnership, Role
 from lapispick.idempotency.states import KeyLifecycleError, Verdict
 from lapispick.idempotency.table import IdempotencyRecord, IdempotencyTable
-from lapispick.members import messages as member_words
-from lapispick.members.membership_view import Send
-from lapispick.model import script
-from lapispick.model.world import World, members
+from lapispick.members import messages as member_messages
+from lapispick.members.failure_detector import Outgoing
+from lapispick.model import fault_script
+from lapispick.model.cluster import SimulatedCluster, host_names, member_factory
 from lapispick.rollout import host_state, rollout_state
 from lapispick.rollout import messages as rollout_messages
 from lapispick.rollout.canary_analysis import Judge
@@ -42,72 +42,77 @@
 
 # Membership and leases.
 
-LEASE_EVENTS = {
-    "got": "acquired",
-    "renewed": "renewed",
-    "lost": "lost",
-    "released": "released",
-    "dropped": "abandoned",
-}
-
 
-class MemberFleet(World):
-    """A fleet of members in the model, of which every datagram and change is recorded with its time."""
+class MemberFleet(SimulatedCluster):
+    """A simulated cluster of which every datagram and change is recorded with its time."""
 
-    def __init__(self, seed: int, size: int, script_text: str, loss: float, kinds: dict[str, int], record: Record):
+    def __init__(
+        self, seed: int, size: int, script_text: str, loss: float, slot_counts: dict[str, int], record: Record
+    ) -> None:
         self._record = record
-        names = [f"disp-{number:04}" for number in range(1, size + 1)]
-        super().__init__(seed, size, members(names, kinds=kinds), script.parse(script_text), loss)
+        factory = member_factory(host_names(size), slot_counts=slot_counts)
+        super().__init__(seed, size, factory, fault_script.parse(script_text), loss)
 
-    def out(self, name: str, sends: list[Send]) -> None:
+    def send(self, name: str, outgoing: Sequence[Outgoing]) -> None:
         """Record what a member sends before the links lose, delay or deliver it."""
-        for send in sends:
-            datagram = member_words.datagram(send.word)
-            header = f"{self.now!r} {name} {send.to} ".encode()
+        for to, message in outgoing:
+            datagram = member_messages.encode_datagram(message)
+            header = f"{self.now!r} {name} {to} ".encode()
             self._record(f"datagram {message_kind(datagram)}", header + datagram)
-        for event in self.nodes[name].events():
-            what, *details = event
-            self._record(f"lease {LEASE_EVENTS[what]}", encode_json([self.now, name, *details]))
-        seen = len(self.changes)
-        super().out(name, sends)
-        for at, by, change in self.changes[seen:]:
-            self._record("membership", encode_json([at, by, *change]))
-
-    def want(self, name: str, turn: str, owner: str, priority: int) -> int:
-        """Let an owner ask for a turn; return its fencing number, 0 while it waits."""
-        held = self.nodes[name].want(self.clock(name), turn, owner, priority)
-        return 0 if held is None else held.fence
-
-    def give_back(self, name: str, turn: str, owner: str) -> None:
-        """Let an owner give its turn back."""
-        self.out(name, self.nodes[name].done(self.clock(name), turn, owner))
+        for event in self.members[name].leases.take_events():
+            kind, *details = event
+            self._record(f"lease {kind}", encode_json([self.now, name, *details]))
+        recorded = len(self.changes)
+        super().send(name, outgoing)
+        for at, observer, change in self.changes[recorded:]:
+            self._record("membership", encode_json([at, observer, *change]))
+
+    def awake(self, name: str) -> bool:
+        """Tell whether a member is neither dead nor paused."""
+        return self.is_running(name)
+
+    def poke(self, name: str) -> None:
+        """Let a member do at once what is due."""
+        self.tick_now(name)
+
+    def want(self, name: str, lease: str, owner: str, priority: int) -> int:
+        """Let an owner request a lease; return its fencing token, 0 while it waits."""
+        status = self.members[name].leases.request(self.clock(name), lease, owner, priority)
+        return 0 if status is None else status.fencing_token
+
+    def give_back(self, name: str, lease: str, owner: str) -> None:
+        """Let an owner release its lease."""
+        self.send(name, self.members[name].leases.release(self.clock(name), lease, owner))
 
     def say(self, name: str, kind: str, subject: str, value: float, count: int) -> None:
-        """Let a member say a fact."""
-        self.nodes[name].say(self.clock(name), kind, subject, value, count, "text")
+        """Let a member publish a fact."""
+        self.members[name].publish_fact(self.clock(name), kind, subject, value, count, "text")
 
     def change_list(self, name: str, names: list[str], digest: str) -> None:
         """Let a member accept another list of members."""
-        self.nodes[name].listed(names, digest, self.clock(name))
+        self.members[name].set_configuration(names, digest, self.clock(name))
 
     def exchange_views(self, one: str, other: str) -> None:
-        """Let two members exchange their whole views, as over a stream."""
-        self._give_view(one, other, answer=False)
-        self._give_view(other, one, answer=True)
+        """Let two members exchange their complete states, as over a stream."""
+        self._send_state(one, other, is_reply=False)
+        self._send_state(other, one, is_reply=True)
 
-    def _give_view(self, giver: str, taker: str, answer: bool) -> None:
-        view = self.nodes[giver].whole(self.clock(giver), answer)
-        line = member_words.encode(view)
+    def _send_state(self, sender: str, receiver: str, is_reply: bool) -> None:
+        line = member_messages.encode(self.members[sender].state_sync(self.clock(sender), is_reply))
         self._record("view", line)
-        self.nodes[taker].merge(self.clock(taker), member_words.decode(line))
+        self.members[receiver].merge_state(self.clock(receiver), member_messages.decode(line))
 
     def record_views(self) -> None:
-        """Record the whole view and the turns of every member."""
+        """Record the complete state and the leases of every member."""
         for name in self.names:
             now = self.clock(name)
-            self._record("view", member_words.encode(self.nodes[name].whole(now)))
-            turns = [[owner, *held] for owner, held in self.nodes[name].turns(now)]
-            self._record("turns", encode_json(turns))
+            member = self.members[name]
+            self._record("view", member_messages.encode(member.state_sync(now)))
+            leases = [
+                [status.owner, status.lease, status.slot, status.fencing_token, status.remaining_s]
+                for status in member.leases.statuses(now)
+            ]
+            self._record("turns", encode_json(leases))
 
 
 # Rollouts.
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -33,13 +33,14 @@
 from lapispick.host import __main__ as host_process
 from lapispick.host import config as host_config
 from lapispick.host import events, executor, metrics, ops, registry, scheduler, store
-from lapispick.host import members as host_members
 from lapispick.host.handover import key_lock
 from lapispick.host.handover.handshake import HostIdentity
 from lapispick.host.handover.service import Handover
 from lapispick.host.jsonrpc import front
+from lapispick.host.members import process_epoch
+from lapispick.host.members import reports as member_reports
 from lapispick.host.requests import Answer, AnswerKind
-from lapispick.members import leases, membership_view
+from lapispick.members import leases, member_state
 from lapispick.members import messages as member_messages
 from lapispick.rollout import canary_analysis, rollout_state
 from lapispick.rollout import host_state as agent_state
@@ -59,10 +60,10 @@
 # Protocol -> the union of its messages, each with a tag.
 TAGGED = {
     "handover": handover_messages.AnyMessage,
-    "members": member_messages.ANY,
+    "members": member_messages.AnyMessage,
     "inventory, to the helper": inventory_messages.ToHelper,
     "inventory, from the helper": inventory_messages.FromHelper,
-    "votes on turns": leases.Claim | leases.Vote | leases.Release,
+    "votes on turns": leases.LeaseProposal | leases.LeaseVote | leases.LeaseRelease,
 }
 
 # What is read or written without a tag -> its class.
@@ -89,9 +90,9 @@
     "inventory, head of the last good list": last_good.Head,
     "inventory, line of the history": last_good.Entry,
     "trace, start of the writer": trace_writer.Begin,
-    "operators, view of members": host_members.Told,
-    "operators, one member": host_members.Seen,
-    "operators, one turn": host_members.Turn,
+    "operators, view of members": member_reports.ViewInfo,
+    "operators, one member": member_reports.MemberInfo,
+    "operators, one turn": member_reports.LeaseInfo,
 }
 
 # Words that stand in messages and stored states -> where the code has them.
@@ -114,7 +115,7 @@
     ),
     "phases after which a rollout is over": lambda: rollout_state.OVER,
     "outcomes of the judge": lambda: [each.value for each in canary_analysis.Outcome],
-    "states of a member": lambda: {word: int(state) for state, word in membership_view.WORDS.items()},
+    "states of a member": lambda: {name: int(state) for state, name in member_state.STATE_NAMES.items()},
     "phases of an inventory": lambda: [each.value for each in acceptance.Phase],
     "effects of a class": lambda: list(platform_settings.IDEMPOTENCY),
     "ways to halt": lambda: list(platform_settings.CANCEL_MODES),
@@ -127,7 +128,7 @@
     "ends of a run": lambda: {word: int(end) for word, end in executor.ENDS.items()},
     "formats and their versions": lambda: {kind: list(each) for kind, each in versions.SPOKEN.items()},
     "words in the lock of a hand-over": lambda: [key_lock.SERVING.decode(), key_lock.ENDED.decode()],
-    "file with the number of a life": lambda: host_members.LIFE,
+    "file with the number of a life": lambda: process_epoch.FILE_NAME,
     "host's calls that an agent passes on": lambda: list(agent_service.PASSED),
 }
 
