--- a/benchmarks/durable.py
+++ b/benchmarks/durable.py
@@ -1,9 +1,10 @@
-"""Storage for keyed requests: LMDB, SQLite and an append-only log under group commit, and how long each takes to open.
+"""Compares stores for idempotency records: LMDB, SQLite and an append-only log with group commit.
 
     python -m benchmarks.durable
 
-Needs `pip install lmdb==3.0.0`, which the program does not use. Every write is on the disk before it counts; all
-writes that wait share one sync. LATENCY_S sets how long each rate is played.
+Measures the latency of a durable write and how long a store takes to open. Needs ``pip install lmdb==3.0.0``, which
+the program itself does not use. A write counts once it is on disk; all waiting writes share one sync. ``LATENCY_S``
+sets how long each rate is played, ``DURABLE_FOLDER`` where the stores are written.
 """
 
 from __future__ import annotations
@@ -16,9 +17,10 @@
 import tempfile
 import threading
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
 from pathlib import Path
-from typing import Any, Protocol
+from typing import NamedTuple, Protocol
 
 import msgspec
 from google_crc32c import value as crc32c
@@ -28,178 +30,241 @@
 from lapispick.durable.records import DurableRecord
 from lapispick.idempotency.states import KeyState
 
-RATES = (20, 130, 1000)  # writes a second
-KEYS = (1_000, 10_000, 100_000)
-RESULT = 300  # bytes of a kept result, as a booking's answer takes
+WRITE_RATES = (20, 130, 1000)  # a second
+KEY_COUNTS = (1_000, 10_000, 100_000)
+KEY_BYTES = 16
+RESULT_BYTES = 300  # of a booking's answer
+WRITE_BATCH = 1000  # keys, for filling a store
+EXPIRES_AT_MS = 1e15
+LMDB_MAP_BYTES = 1 << 30
+LATENCY_SEED = 5
+RECOVERY_SEED = 6
+DEFAULT_LATENCY_S = 4.0
 
+Batch = list[tuple[bytes, bytes]]  # keys and results
 
-class Backend(Protocol):
-    """What is compared: ``put`` is on the disk when it returns."""
 
-    def put(self, batch: list[tuple[bytes, bytes]]) -> None: ...  # noqa: D102
-    def all(self) -> int: ...  # noqa: D102
-    def close(self) -> None: ...  # noqa: D102
+class Store(Protocol):
+    """What is compared; ``put`` returns once its batch is on disk."""
 
+    def put(self, batch: Batch) -> None:
+        """Write a batch and sync."""
 
-class Lmdb:
-    """One B-tree file, a transaction a batch."""
+    def count(self) -> int:
+        """Read all records and return how many there are."""
+
+    def close(self) -> None:
+        """Close the store."""
+
+
+class LmdbStore:
+    """One B-tree file, a transaction for each batch."""
 
     def __init__(self, folder: Path) -> None:
         import lmdb
 
-        self._env = lmdb.open(str(folder), map_size=1 << 30)
+        self._env = lmdb.open(str(folder), map_size=LMDB_MAP_BYTES)
 
-    def put(self, batch: list[tuple[bytes, bytes]]) -> None:
-        """Write and sync."""
-        with self._env.begin(write=True) as told:
+    def put(self, batch: Batch) -> None:
+        """Write a batch and sync."""
+        with self._env.begin(write=True) as transaction:
             for key, value in batch:
-                told.put(key, value)
+                transaction.put(key, value)
 
-    def all(self) -> int:
-        """Read everything."""
-        with self._env.begin() as told:
-            return sum(1 for _ in told.cursor())
+    def count(self) -> int:
+        """Read all records and return how many there are."""
+        with self._env.begin() as transaction:
+            return sum(1 for _ in transaction.cursor())
 
     def close(self) -> None:
-        """Close."""
+        """Close the store."""
         self._env.close()
 
 
-class Sqlite:
-    """What the program uses."""
+class SqliteStore:
+    """The program's own store."""
 
     def __init__(self, folder: Path) -> None:
-        self._db = database.Database(folder / "x.db", "n3")
+        self._database = database.Database(folder / "x.db", "n3")
 
-    def put(self, batch: list[tuple[bytes, bytes]]) -> None:
-        """Write and sync."""
-        self._db.write([(key, DurableRecord(KeyState.COMPLETED, 1, 0.0, 1e15, b"", value)) for key, value in batch])
+    def put(self, batch: Batch) -> None:
+        """Write a batch and sync."""
+        self._database.write([(key, _record(result)) for key, result in batch])
 
-    def all(self) -> int:
-        """Read everything."""
-        return sum(1 for _ in self._db.load())
+    def count(self) -> int:
+        """Read all records and return how many there are."""
+        return sum(1 for _ in self._database.load())
 
     def close(self) -> None:
-        """Close."""
-        self._db.close()
+        """Close the store."""
+        self._database.close()
 
 
-HEAD = struct.Struct("<II")
+def _record(result: bytes) -> DurableRecord:
+    return DurableRecord(KeyState.COMPLETED, 1, 0.0, EXPIRES_AT_MS, b"", result)
 
 
-class Log:
-    """Records with a length and a checksum at the end of a file."""
+RECORD_HEAD = struct.Struct("<II")  # length and checksum
+
+
+class LogStore:
+    """An append-only file of records with a length and a checksum."""
 
     def __init__(self, folder: Path) -> None:
         self._path = folder / "x.log"
         self._file = open(self._path, "ab", buffering=0)  # noqa: SIM115  # closed by ``close``
 
-    def put(self, batch: list[tuple[bytes, bytes]]) -> None:
-        """Write and sync."""
-        bodies = [msgspec.msgpack.encode((2, key, 1, 0.0, 1e15, value)) for key, value in batch]
-        self._file.write(b"".join(HEAD.pack(len(body), crc32c(body)) + body for body in bodies))
+    def put(self, batch: Batch) -> None:
+        """Write a batch and sync."""
+        bodies = [msgspec.msgpack.encode((2, key, 1, 0.0, EXPIRES_AT_MS, result)) for key, result in batch]
+        self._file.write(b"".join(RECORD_HEAD.pack(len(body), crc32c(body)) + body for body in bodies))
         os.fdatasync(self._file.fileno())
 
-    def all(self) -> int:
-        """Read everything."""
-        data, at, found = self._path.read_bytes(), 0, {}
-        while at < len(data):
-            length, crc = HEAD.unpack_from(data, at)
-            body = data[at + HEAD.size : at + HEAD.size + length]
-            assert crc32c(body) == crc
-            state, key, life, born, until, value = msgspec.msgpack.decode(body)
-            found[key] = DurableRecord(KeyState(state), life, born, until, b"", value)
-            at += HEAD.size + length
+    def count(self) -> int:
+        """Read all records and return how many there are."""
+        data = self._path.read_bytes()
+        offset = 0
+        found = {}
+        while offset < len(data):
+            length, checksum = RECORD_HEAD.unpack_from(data, offset)
+            offset += RECORD_HEAD.size
+            body = data[offset : offset + length]
+            assert crc32c(body) == checksum
+            state, key, incarnation, created_at_ms, expires_at_ms, result = msgspec.msgpack.decode(body)
+            found[key] = DurableRecord(KeyState(state), incarnation, created_at_ms, expires_at_ms, b"", result)
+            offset += length
         return len(found)
 
     def close(self) -> None:
-        """Close."""
+        """Close the store."""
         self._file.close()
 
 
-BACKENDS: dict[str, Callable[[Path], Any]] = {"LMDB": Lmdb, "SQLite": Sqlite, "own log": Log}
+OpenStore = Callable[[Path], Store]
+STORES: dict[str, OpenStore] = {"LMDB": LmdbStore, "SQLite": SqliteStore, "own log": LogStore}
+
+
+class PendingWrite(NamedTuple):
+    """A write that waits for the next sync."""
+
+    requested_at: float
+    key: bytes
+    result: bytes
+
+
+class GroupCommit(threading.Thread):
+    """Writes all that waits as one batch; the latencies of the writes are in ``latencies_ms``."""
+
+    def __init__(self, store: Store) -> None:
+        super().__init__()
+        self.latencies_ms: list[float] = []
+        self.syncs = 0
+        self._store = store
+        self._pending: queue.SimpleQueue[PendingWrite | None] = queue.SimpleQueue()  # None ends it
+
+    def put(self, key: bytes, result: bytes) -> None:
+        """Request a write."""
+        self._pending.put(PendingWrite(time.perf_counter(), key, result))
 
+    def finish(self) -> None:
+        """Write what waits, then end."""
+        self._pending.put(None)
+        self.join()
 
-def latency(make: Callable[[Path], Any], rate: float, seconds: float) -> tuple[list[float], int]:
-    """Return the spans from a write's wish to its being on the disk, ms, and how many syncs there were."""
-    rng, waiting, took, syncs = random.Random(5), queue.SimpleQueue(), [], 0  # type: ignore[var-annotated]
+    def run(self) -> None:
+        """Write batches until the end."""
+        while (first := self._pending.get()) is not None:
+            batch = [first]
+            ended = False
+            while not ended and not self._pending.empty():
+                pending = self._pending.get()
+                if pending is None:
+                    ended = True
+                else:
+                    batch.append(pending)
+            self._write(batch)
+            if ended:
+                return
+
+    def _write(self, batch: list[PendingWrite]) -> None:
+        self._store.put([(write.key, write.result) for write in batch])
+        self.syncs += 1
+        now = time.perf_counter()
+        self.latencies_ms += [(now - write.requested_at) * 1000 for write in batch]
+
+
+@contextmanager
+def _temporary_folder() -> Iterator[Path]:
     with tempfile.TemporaryDirectory(dir=os.environ.get("DURABLE_FOLDER", ".")) as folder:
-        store = make(Path(folder))
-
-        def write() -> None:
-            nonlocal syncs
-            while (first := waiting.get()) is not None:
-                batch = [first]
-                while not waiting.empty() and batch[-1] is not None:
-                    batch.append(waiting.get())
-                kept = [one for one in batch if one is not None]
-                store.put([(key, value) for _, key, value in kept])
-                syncs += 1
-                now = time.perf_counter()
-                took.extend((now - since) * 1000 for since, _, _ in kept)
-                if batch[-1] is None:
-                    return
-
-        thread = threading.Thread(target=write)
-        thread.start()
+        yield Path(folder)
+
+
+def measure_latency(open_store: OpenStore, rate: float, seconds: float) -> GroupCommit:
+    """Write at this mean rate with exponential gaps; return the ended group commit."""
+    rng = random.Random(LATENCY_SEED)
+    with _temporary_folder() as folder:
+        store = open_store(folder)
+        commits = GroupCommit(store)
+        commits.start()
         end = time.perf_counter() + seconds
         while time.perf_counter() < end:
-            waiting.put((time.perf_counter(), rng.randbytes(16), rng.randbytes(RESULT)))
+            commits.put(rng.randbytes(KEY_BYTES), rng.randbytes(RESULT_BYTES))
             time.sleep(rng.expovariate(rate))
-        waiting.put(None)
-        thread.join()
+        commits.finish()
         store.close()
-    return took, syncs
+    return commits
 
 
-def recovery(make: Callable[[Path], Any], count: int) -> tuple[float, float]:
-    """Return how long it takes to open a store of so many keys and read all, ms, and its bytes for a key."""
-    rng = random.Random(6)
-    with tempfile.TemporaryDirectory(dir=os.environ.get("DURABLE_FOLDER", ".")) as folder:
-        store = make(Path(folder))
-        for _ in range(0, count, 1000):
-            store.put([(rng.randbytes(16), rng.randbytes(RESULT)) for _ in range(1000)])
+class Recovery(NamedTuple):
+    """How long it took to open a store and read all, and its size."""
+
+    duration_ms: float
+    bytes_per_key: float
+
+
+def measure_recovery(open_store: OpenStore, count: int) -> Recovery:
+    """Fill a store, close it, and measure how long it takes to open it and read all."""
+    rng = random.Random(RECOVERY_SEED)
+    with _temporary_folder() as folder:
+        store = open_store(folder)
+        for _ in range(0, count, WRITE_BATCH):
+            store.put([(rng.randbytes(KEY_BYTES), rng.randbytes(RESULT_BYTES)) for _ in range(WRITE_BATCH)])
         store.close()
-        size = sum(path.stat().st_size for path in Path(folder).iterdir())
+        size = sum(path.stat().st_size for path in folder.iterdir())
         began = time.perf_counter()
-        store = make(Path(folder))
-        assert store.all() == count
-        spent = time.perf_counter() - began
+        store = open_store(folder)
+        assert store.count() == count
+        duration_s = time.perf_counter() - began
         store.close()
-    return spent * 1000, size / count
+    return Recovery(duration_s * 1000, size / count)
+
+
+def latency_rows(seconds: float) -> Iterator[tuple[object, ...]]:
+    """Yield a row for each rate and store."""
+    for rate in WRITE_RATES:
+        for name, open_store in STORES.items():
+            commits = measure_latency(open_store, rate, seconds)
+            latencies_ms = sorted(commits.latencies_ms)
+            writes = len(latencies_ms)
+            p99_ms = latencies_ms[int(writes * 0.99)]
+            median_ms = statistics.median(latencies_ms)
+            yield rate, name, writes, f"{commits.syncs / writes:.2f}", f"{median_ms:.2f}", f"{p99_ms:.2f}"
+
+
+def recovery_rows() -> Iterator[tuple[object, ...]]:
+    """Yield a row for each number of keys and store."""
+    for count in KEY_COUNTS:
+        for name, open_store in STORES.items():
+            recovery = measure_recovery(open_store, count)
+            yield count, name, f"{recovery.duration_ms:.0f}", f"{recovery.bytes_per_key:.0f}"
 
 
 def main() -> None:
     """Print both tables."""
-    seconds = float(os.environ.get("LATENCY_S", "4"))
-    rows = []
-    for rate in RATES:
-        for name, make in BACKENDS.items():
-            took, syncs = latency(make, rate, seconds)
-            took.sort()
-            rows.append(
-                (
-                    rate,
-                    name,
-                    len(took),
-                    f"{syncs / len(took):.2f}",
-                    f"{statistics.median(took):.2f}",
-                    f"{took[int(len(took) * 0.99)]:.2f}",
-                )
-            )
-    show(
-        "a write until it is on the disk", ("a second", "store", "writes", "syncs a write", "p50, ms", "p99, ms"), rows
-    )
-    show(
-        "opening and reading all",
-        ("keys", "store", "ms", "bytes a key"),
-        (
-            (count, name, f"{spent:.0f}", f"{size:.0f}")
-            for count in KEYS
-            for name, make in BACKENDS.items()
-            for spent, size in [recovery(make, count)]
-        ),
-    )
+    seconds = float(os.environ.get("LATENCY_S", DEFAULT_LATENCY_S))
+    columns = ("a second", "store", "writes", "syncs a write", "p50, ms", "p99, ms")
+    show("latency of a durable write", columns, list(latency_rows(seconds)))
+    show("opening and reading all", ("keys", "store", "ms", "bytes a key"), list(recovery_rows()))
 
 
 if __name__ == "__main__":
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -1,6 +1,9 @@
-"""Measures upgrades and the operators' address: ``python -m benchmarks.upgrade [restart] [calls] [keys]``.
+"""Measures upgrades and the operators' address.
 
-All of it on loopback with the project's own stand-ins; runs end by themselves within a minute or two.
+    python -m benchmarks.upgrade [restart] [calls] [keys]
+
+Everything runs on loopback with the project's own emulators of peers and ends within a minute or two. ``ROUNDS`` sets
+the number of runs.
 """
 
 from __future__ import annotations
@@ -16,98 +19,159 @@
 import tempfile
 import threading
 import time
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from pathlib import Path
+from typing import NamedTuple
 
 from benchmarks.common import cpu_s, memory_mb, ratio, show
 from lapispick.fakes.peers import Executor, Gateway, Host, until
 
-SPAN_S = 1.5  # s of load before and after
+LOAD_S = 1.5  # before and after what is measured
+CLIENTS = 6
+WARM_UP_REQUESTS = 100  # served before a measurement begins
+RECONNECT_PAUSE_S = 0.005  # of a client whose connection was refused
+STOP_MS = 2500
+DEFAULT_ROUNDS = 5
+KEY_COUNTS = (100, 2000, 10_000)
+REQUESTS_IN_FLIGHT = 30
 
 
 @contextlib.contextmanager
-def _address() -> Iterator[str]:
+def _reserved_address() -> Iterator[str]:
+    """Reserve a port that several processes can listen on."""
     with socket.socket() as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.bind(("127.0.0.1", 0))
         yield f"127.0.0.1:{sock.getsockname()[1]}"
 
 
-class Shop(threading.Thread):
-    """Asks without a pause, half the time on new connections, and notes when it was served and when it was not."""
+class Client(threading.Thread):
+    """Sends requests without a pause, half of them on new connections."""
 
-    def __init__(self, at: str, seed: int, stop: threading.Event) -> None:
+    def __init__(self, address: str, seed: int, stop: threading.Event) -> None:
         super().__init__(daemon=True)
-        self.at, self.stop, self.rng = at, stop, random.Random(seed)
-        self.served: list[float] = []
-        self.closed = self.other = 0
+        self.served_at: list[float] = []  # monotonic s
+        self.refused_connections = 0
+        self.not_served = 0
+        self._address = address
+        self._stop_event = stop
+        self._rng = random.Random(seed)
+        self._gateway: Gateway | None = None
 
     def run(self) -> None:
-        """Ask until told to stop."""
-        g = None
-        while not self.stop.is_set():
+        """Send requests until told to stop."""
+        while not self._stop_event.is_set():
             try:
-                if g is None or g.away or self.rng.random() < 0.5:
-                    if g is not None:
-                        g.sock.close()
-                    g = Gateway(self.at)
-                n = g.request("book", "x", f"{self.rng.getrandbits(128):032x}")
-                if "result" in g.answer(n):
-                    self.served.append(time.monotonic())
-                else:
-                    self.other += 1
+                self._request(self._connection())
             except (OSError, AssertionError):
-                self.closed += 1
-                g = None
-                time.sleep(0.005)  # a client that met a closed door looks again soon
-
-
-def _one(upgrade: bool, seed: int) -> tuple[int, int, float]:
-    """Return requests at a closed door, not served, and the longest span with none served, in ms."""
-    stop = threading.Event()
-    with _address() as at, tempfile.TemporaryDirectory() as folder:
-        told = {"listen": at, "stop_ms": 2500, "environ": {"TMPDIR": folder}}
-        hosts = [Host(Path(folder), executor=Executor(work_s=0.003), **told)]
-        shops = [Shop(at, seed * 10 + i, stop) for i in range(6)]
-        for shop in shops:
-            shop.start()
-        until(lambda: sum(len(s.served) for s in shops) > 100)
-        time.sleep(SPAN_S)
+                self.refused_connections += 1
+                self._gateway = None
+                time.sleep(RECONNECT_PAUSE_S)
+
+    def _connection(self) -> Gateway:
+        gateway = self._gateway
+        if gateway is None or gateway.away or self._rng.random() < 0.5:
+            if gateway is not None:
+                gateway.sock.close()
+            gateway = self._gateway = Gateway(self._address)
+        return gateway
+
+    def _request(self, gateway: Gateway) -> None:
+        number = gateway.request("book", "x", f"{self._rng.getrandbits(128):032x}")
+        if "result" in gateway.answer(number):
+            self.served_at.append(time.monotonic())
+        else:
+            self.not_served += 1
+
+
+class Load:
+    """Clients that send requests until the load is stopped."""
+
+    def __init__(self, address: str, seed: int) -> None:
+        self._stop_event = threading.Event()
+        self.clients = [Client(address, seed * 10 + number, self._stop_event) for number in range(CLIENTS)]
+
+    @property
+    def served(self) -> int:
+        """Count the requests that were served."""
+        return sum(len(client.served_at) for client in self.clients)
+
+    def start(self) -> None:
+        """Start the clients and wait until some requests are served."""
+        for client in self.clients:
+            client.start()
+        until(lambda: self.served > WARM_UP_REQUESTS)
+
+    def stop(self) -> None:
+        """Stop the clients."""
+        self._stop_event.set()
+        for client in self.clients:
+            client.join()
+
+    def longest_gap_ms(self) -> float:
+        """Return the longest time in which no request was served."""
+        times = sorted(at for client in self.clients for at in client.served_at)
+        return max(after - before for before, after in itertools.pairwise(times)) * 1000
+
+
+class Release(NamedTuple):
+    """What clients saw of one release."""
+
+    refused_connections: int
+    not_served: int
+    longest_gap_ms: float
+
+
+def _stop(host: Host) -> None:
+    host.leave()
+    host.process.wait()
+
+
+def measure_release(upgrade: bool, seed: int) -> Release:
+    """Replace a host under load, by an upgrade or by a stop and a start."""
+    with _reserved_address() as address, tempfile.TemporaryDirectory() as folder:
+        environ = {"TMPDIR": folder}
+        old = Host(Path(folder), executor=Executor(work_s=0.003), listen=address, stop_ms=STOP_MS, environ=environ)
+        load = Load(address, seed)
+        load.start()
+        time.sleep(LOAD_S)
         if not upgrade:
-            hosts[0].leave()
-            hosts[0].process.wait()
-        hosts.append(hosts[0].beside(executor=Executor(work_s=0.003), environ={"TMPDIR": folder}))
-        until(lambda: hosts[1].call() == ["OK"])
+            _stop(old)
+        new = old.beside(executor=Executor(work_s=0.003), environ=environ)
+        until(lambda: new.call() == ["OK"])
         if upgrade:
-            hosts[0].leave()
-            hosts[0].process.wait()
-        time.sleep(SPAN_S)
-        stop.set()
-        for shop in shops:
-            shop.join()
-        for host in hosts:
+            _stop(old)
+        time.sleep(LOAD_S)
+        load.stop()
+        for host in (old, new):
             host.close()
-    times = sorted(t for s in shops for t in s.served)
-    gap = max(b - a for a, b in itertools.pairwise(times))
-    return sum(s.closed for s in shops), sum(s.other for s in shops), gap * 1000
+    return Release(
+        sum(client.refused_connections for client in load.clients),
+        sum(client.not_served for client in load.clients),
+        load.longest_gap_ms(),
+    )
 
 
-def restart(rounds: int = 5) -> None:
-    """Compare an upgrade with what there was before: stop the old process, then start the new one."""
-    rows, gaps = [], {}
+def restart(rounds: int) -> None:
+    """Compare an upgrade with stopping the old process and then starting the new one."""
+    rows = []
+    gaps_ms = {}
     for name, upgrade in (("stop and start", False), ("upgrade", True)):
-        made = [_one(upgrade, seed) for seed in range(rounds)]
-        gaps[name] = statistics.median(gap for _, _, gap in made)
-        rows.append((name, sum(c for c, _, _ in made), sum(o for _, o, _ in made), f"{gaps[name]:.0f}"))
-    part = gaps["upgrade"] / gaps["stop and start"]
+        releases = [measure_release(upgrade, seed) for seed in range(rounds)]
+        gaps_ms[name] = statistics.median(release.longest_gap_ms for release in releases)
+        refused = sum(release.refused_connections for release in releases)
+        not_served = sum(release.not_served for release in releases)
+        rows.append((name, refused, not_served, f"{gaps_ms[name]:.0f}"))
+    gap_ratio = gaps_ms["upgrade"] / gaps_ms["stop and start"]
     show(
-        f"one release under load, {rounds} runs each with seeds 0 to {rounds - 1}: requests that met a closed door, "
-        f"that were not served, and the longest span with none served, ms (median; ratio {part:.3f})",
-        ("", "closed", "not served", "longest gap"),
+        f"one release under load, {rounds} runs each with seeds 0 to {rounds - 1}: refused connections, requests that "
+        f"were not served, and the longest time with none served, ms (median; ratio {gap_ratio:.3f})",
+        ("", "refused", "not served", "longest gap"),
         rows,
     )
 
 
+# Both are processes of their own, or what is measured would be the load's own interpreter.
 READER = """
 import sys, time
 from lapispick.cli.ops import call
@@ -119,82 +183,120 @@
     print((time.monotonic() - began) * 1000)
     time.sleep(0.1)
 """
+SLEEPER = "import sys, time; time.sleep(float(sys.argv[2]))"
 
 
-def calls(rounds: int = 5) -> None:
-    """Measure the slowest call under load, and what reading the figures ten times a second takes from the load."""
-    slowest, served, cpu = [], {False: [], True: []}, {False: [], True: []}
-    for seed in range(rounds * 2):
-        reading, stop = seed % 2 == 1, threading.Event()
-        with _address() as at, tempfile.TemporaryDirectory() as folder:
-            host = Host(Path(folder), executor=Executor(work_s=0.001), listen=at, environ={"TMPDIR": folder})
-            shops = [Shop(at, seed * 10 + i, stop) for i in range(6)]
-            for shop in shops:
-                shop.start()
-            until(lambda shops=shops: sum(len(s.served) for s in shops) > 100)
-            began, before, first = time.monotonic(), cpu_s(host.process.pid), sum(len(s.served) for s in shops)
-            # A process of its own either way, or what is measured would be the load's own interpreter.
-            script = READER if reading else "import sys, time; time.sleep(float(sys.argv[2]))"
-            told = subprocess.run(
-                [sys.executable, "-c", script, host.ops, str(2 * SPAN_S)], capture_output=True, text=True, check=True
-            )
-            slowest += map(float, told.stdout.split())
-            count = sum(len(s.served) for s in shops) - first
-            served[reading].append(count / (time.monotonic() - began))
-            cpu[reading].append((cpu_s(host.process.pid) - before) / count * 1e6)
-            stop.set()
-            for shop in shops:
-                shop.join()
-            host.close()
-    rows = [
-        (
-            name,
-            f"{statistics.median(values[False]):.0f}",
-            f"{statistics.median(values[True]):.0f}",
-            ratio(values[False], values[True]),
+class CallLoad(NamedTuple):
+    """What a host did under load while its metrics were read, or not."""
+
+    call_durations_ms: list[float]
+    served_per_s: float
+    cpu_us_per_request: float
+
+
+def measure_calls(reading: bool, seed: int) -> CallLoad:
+    """Run a host under load, with its metrics read ten times a second or not at all."""
+    with _reserved_address() as address, tempfile.TemporaryDirectory() as folder:
+        host = Host(Path(folder), executor=Executor(work_s=0.001), listen=address, environ={"TMPDIR": folder})
+        load = Load(address, seed)
+        load.start()
+        began = time.monotonic()
+        cpu_before_s = cpu_s(host.process.pid)
+        served_before = load.served
+        script = READER if reading else SLEEPER
+        command = [sys.executable, "-c", script, host.ops, str(2 * LOAD_S)]
+        output = subprocess.run(command, capture_output=True, text=True, check=True).stdout
+        served = load.served - served_before
+        result = CallLoad(
+            [float(line) for line in output.split()],
+            served / (time.monotonic() - began),
+            (cpu_s(host.process.pid) - cpu_before_s) / served * 1e6,
         )
-        for name, values in (("served a second", served), ("CPU for a request, us", cpu))
-    ]
+        load.stop()
+        host.close()
+    return result
+
+
+def _comparison(name: str, without: list[float], with_reading: list[float]) -> tuple[str, ...]:
+    medians = (f"{statistics.median(values):.0f}" for values in (without, with_reading))
+    return name, *medians, ratio(without, with_reading)
+
+
+def calls(rounds: int) -> None:
+    """Measure the slowest call under load, and the cost of reading the metrics ten times a second."""
+    idle: list[CallLoad] = []
+    read: list[CallLoad] = []
+    for round_number in range(rounds):
+        idle.append(measure_calls(reading=False, seed=2 * round_number))
+        read.append(measure_calls(reading=True, seed=2 * round_number + 1))
+    durations_ms = [duration_ms for each in read for duration_ms in each.call_durations_ms]
     show(
-        f"figures read ten times a second under load, {rounds} runs each; slowest of {len(slowest)} calls "
-        f"{max(slowest):.0f} ms, median {statistics.median(slowest):.1f} ms",
+        f"metrics read ten times a second under load, {rounds} runs each; slowest of {len(durations_ms)} calls "
+        f"{max(durations_ms):.0f} ms, median {statistics.median(durations_ms):.1f} ms",
         ("", "not read", "read", "ratio"),
-        rows,
+        [
+            _comparison("served a second", [each.served_per_s for each in idle], [each.served_per_s for each in read]),
+            _comparison(
+                "CPU for a request, us",
+                [each.cpu_us_per_request for each in idle],
+                [each.cpu_us_per_request for each in read],
+            ),
+        ],
     )
 
 
-def keys(counts: tuple[int, ...] = (100, 2000, 10_000)) -> None:
-    """Measure how long a new process takes to say yes, by the keys that the old one knows."""
-    rows = []
-    for count in counts:
-        with _address() as at, tempfile.TemporaryDirectory() as folder:
-            old = Host(Path(folder), listen=at, environ={"TMPDIR": folder})
-            g = old.gateway()
-            for first in range(0, count, 30):
-                numbers = [g.request("book", f"k{n}", f"{n:032x}") for n in range(first, min(count, first + 30))]
-                for number in numbers:
-                    g.answer(number)
-            began = time.monotonic()
-            new = old.beside(environ={"TMPDIR": folder})
-            until(lambda new=new: new.call() == ["OK"])
-            took, both = time.monotonic() - began, memory_mb(old.process.pid) + memory_mb(new.process.pid)
-            rows.append((count, f"{took:.2f}", f"{both:.0f}"))
-            new.close()
-            old.close()
+class Takeover(NamedTuple):
+    """How long a new process took to be ready, and the peak memory of both."""
+
+    ready_after_s: float
+    memory_mb: float
+
+
+def _fill(gateway: Gateway, count: int) -> None:
+    """Let a host execute this many keyed requests."""
+    for first in range(0, count, REQUESTS_IN_FLIGHT):
+        batch = range(first, min(count, first + REQUESTS_IN_FLIGHT))
+        numbers = [gateway.request("book", f"k{number}", f"{number:032x}") for number in batch]
+        for number in numbers:
+            gateway.answer(number)
+
+
+def measure_takeover(count: int) -> Takeover:
+    """Upgrade a host that knows this many keys."""
+    with _reserved_address() as address, tempfile.TemporaryDirectory() as folder:
+        environ = {"TMPDIR": folder}
+        old = Host(Path(folder), listen=address, environ=environ)
+        _fill(old.gateway(), count)
+        began = time.monotonic()
+        new = old.beside(environ=environ)
+        until(lambda: new.call() == ["OK"])
+        duration_s = time.monotonic() - began
+        peak_mb = memory_mb(old.process.pid) + memory_mb(new.process.pid)
+        new.close()
+        old.close()
+    return Takeover(duration_s, peak_mb)
+
+
+def keys(rounds: int) -> None:
+    """Measure how long a new process takes to be ready, by the number of keys that the old one knows."""
+    takeovers = {count: measure_takeover(count) for count in KEY_COUNTS}
     show(
-        "from the start of the new process to its yes, s, and the memory of both at the peak, MB",
-        ("keys", "yes after", "memory"),
-        rows,
+        "from the start of the new process until it is ready, s, and the peak memory of both, MB",
+        ("keys", "ready after", "memory"),
+        [(count, f"{each.ready_after_s:.2f}", f"{each.memory_mb:.0f}") for count, each in takeovers.items()],
     )
 
 
+MEASUREMENTS: dict[str, Callable[[int], None]] = {"restart": restart, "calls": calls, "keys": keys}
+
+
 def main() -> None:
-    """Run the parts that are named, by default all."""
-    words = sys.argv[1:]
-    rounds = int(os.environ.get("ROUNDS", "5"))
-    for name, part in (("restart", lambda: restart(rounds)), ("calls", lambda: calls(rounds)), ("keys", keys)):
-        if not words or name in words:
-            part()
+    """Run the measurements that are named, by default all."""
+    names = sys.argv[1:]
+    rounds = int(os.environ.get("ROUNDS", DEFAULT_ROUNDS))
+    for name, measure in MEASUREMENTS.items():
+        if not names or name in names:
+            measure(rounds)
 
 
 if __name__ == "__main__":
