--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -183,7 +183,7 @@
                 )
             except OSError as err:  # a platform that has no place for it: alone, as before
                 log(LOG, logging.WARNING, "handover-off", error=err)
-        if made is None or made.lock.held:
+        if made is None or made.lock.acquired:
             self.gateways.listen()
             if made is not None and made.lock.previous_end_s:
                 centre.ownership.unknown_outcomes.mark_until(made.lock.previous_end_s * 1000)
--- a/lapispick/host/handover/key_lock.py
+++ b/lapispick/host/handover/key_lock.py
@@ -25,7 +25,7 @@
         """Open both files; raises ``OSError`` where the folder cannot hold them."""
         self._owner_file = os.open(folder / f"{stem}.lock", OPEN_FLAGS, FILE_MODE)
         self._successor_file = os.open(folder / f"{stem}.next", OPEN_FLAGS, FILE_MODE)
-        self.held = False
+        self.acquired = False
         self.previous_end_s = 0.0  # Unix s; the latest at which an earlier holder ended, 0 = there was none
 
     def try_become_successor(self) -> bool:
@@ -39,7 +39,7 @@
         fcntl.flock(self._successor_file, fcntl.LOCK_UN)
         self.previous_end_s = self._read_previous_end()
         self._write(SERVING)
-        self.held = True
+        self.acquired = True
         return True
 
     def release(self) -> None:
--- a/lapispick/host/handover/service.py
+++ b/lapispick/host/handover/service.py
@@ -173,7 +173,7 @@
         if not self.lock.try_become_successor():
             log(LOG, logging.INFO, "link-waiting", reason="another process comes first")
         completed = False
-        while not self.lock.held:
+        while not self.lock.acquired:
             if self.lock.try_acquire():
                 if not completed:
                     log(LOG, logging.WARNING, "predecessor-ended-early", linked=self._was_linked)
@@ -188,7 +188,7 @@
         self.serve()
 
     def _has_records(self) -> bool:
-        return self.lock.held or (self._peer is not None and self._peer.snapshot_complete)
+        return self.lock.acquired or (self._peer is not None and self._peer.snapshot_complete)
 
     def _open(self, on_open: OnOpen, is_ready: Callable[[], bool], unlinked_at: float) -> None:
         while not (is_ready() and (self._has_records() or time.monotonic() > unlinked_at)):
@@ -225,5 +225,5 @@
             flush_end = time.monotonic() + FLUSH_TIMEOUT_S
             while link.has_unsent() and time.monotonic() < flush_end:
                 self._loop.sleep(FLUSH_POLL_INTERVAL_S)
-        if self.lock.held:
+        if self.lock.acquired:
             self.lock.release()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,7 @@
 """Helpers that build settings and drive a Controller through its interface."""
 
 import re
+import socket
 
 import msgspec
 import pytest
@@ -117,3 +118,20 @@
     for each in started:
         each.close()
         assert not re.search("event=(item|greenlet|call|module)-failed", each.log()), "a part of it raised"
+
+
+@pytest.fixture
+def shared_address():
+    """Return what reserves a port for processes that share it, as an address of the configuration."""
+    reserved = []
+
+    def reserve():
+        sock = socket.socket()
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        sock.bind(("127.0.0.1", 0))
+        reserved.append(sock)
+        return f"127.0.0.1:{sock.getsockname()[1]}"
+
+    yield reserve
+    for sock in reserved:
+        sock.close()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,7 +19,6 @@
 
 from lapispick.fakes.peers import INFO, Executor, Gateway, b64, until
 from lapispick.handover import messages
-from tests.test_upgrade import fixed  # noqa: F401
 
 REFUSED, FAILED = -32050, -32000
 
@@ -125,8 +124,8 @@
     assert h.process.wait(5) == 0 and not h.executor.ran("behind the end")
 
 
-def test_the_keys_are_handed_over_only_after_the_last_connection_takes_nothing(host, fixed, tmp_path):  # noqa: F811
-    old = host(listen=fixed(), stop_ms=2000)
+def test_the_keys_are_handed_over_only_after_the_last_connection_takes_nothing(host, shared_address, tmp_path):
+    old = host(listen=shared_address(), stop_ms=2000)
     g = old.gateway()
     assert g.result(g.request("track", "before")) == "did before"
     with socket.socket(socket.AF_UNIX) as sock:
@@ -146,8 +145,8 @@
     assert old.process.wait(5) == 0
 
 
-def test_the_word_that_a_successor_serves_counts_in_the_instant_of_the_notice(host, fixed, tmp_path):  # noqa: F811
-    old = host(listen=fixed(), stop_ms=1500)
+def test_the_word_that_a_successor_serves_counts_in_the_instant_of_the_notice(host, shared_address, tmp_path):
+    old = host(listen=shared_address(), stop_ms=1500)
     with socket.socket(socket.AF_UNIX) as sock:
         sock.connect(str(next(tmp_path.glob("lapispick-*.sock"))))
         sock.sendall(messages.encode(messages.Hello(messages.VERSION, "n3", old.config["listen"])))
