--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -55,12 +55,13 @@
     return Settings(**{**base, **over})
 
 
-class Rig:
+class ControllerHarness:
     """One controller with a record of all its actions."""
 
     def __init__(self, now=0.0, **over):
         self.settings = make_settings(**over)
-        self.control = Controller(self.settings, 1, now)
+        self.controller = Controller(self.settings, 1, now)
+        self.state = self.controller.state
         self.now = now
         self.actions = []
         self.next_id = 0
@@ -68,7 +69,7 @@
     def step(self, *events, at=None):
         if at is not None:
             self.now = at
-        got = self.control.step(self.now, list(events))
+        got = self.controller.step(self.now, list(events))
         self.actions += got
         return got
 
@@ -84,7 +85,15 @@
     def request(self, cls=0, **over):
         self.next_id += 1
         base = dict(
-            id=self.next_id, deadline_at=0, rank=0.5, age=0, retry_of=0, cost=0, request_memory_kb=10, cls=cls, caller=0
+            id=self.next_id,
+            deadline_at=0,
+            rank=0.5,
+            age_ms=0,
+            retry_of=0,
+            cost=0,
+            request_memory_kb=10,
+            cls=cls,
+            caller=0,
         )
         return admission.RequestReceived(**{**base, **over})
 
@@ -96,8 +105,9 @@
 
 
 @pytest.fixture
-def rig():
-    return Rig
+def make_harness():
+    """Return the class of a controller with a record of its actions; its settings are keyword arguments."""
+    return ControllerHarness
 
 
 def replace(settings, **over):
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -47,7 +47,7 @@
         ("nonce", "5c0f6e1a"), 1764576000123.0, 77, True, "ZG9uZQ=="
     )
     assert found[handover_messages.SnapshotComplete].learned.call_times == (20.0, 30.0)
-    assert found[handover_messages.ShutdownStarted].learned.frozen is True
+    assert found[handover_messages.ShutdownStarted].learned.prices_frozen is True
     assert found[handover_messages.Hello].min_version == 0
     assert found[handover_messages.ResourceUsage] == handover_messages.ResourceUsage(1, 2.5, 3, 4)
     for line in lines:  # a field of a later version is left alone
