--- a/lapispick/idempotency/ownership.py
+++ b/lapispick/idempotency/ownership.py
@@ -101,7 +101,8 @@
 
     def complete(self, record: IdempotencyRecord, result: str | None) -> None:
         """Record the end of an execution of this process; None where it failed."""
-        self._send_to_peer(messages.KeyCompleted(_key(record), result))
+        if self.role is not Role.STANDALONE:
+            self._send_to_peer(messages.KeyCompleted(_key(record), result))
         self._notify(self.table.complete(record, result), result)
 
     def release(self, record: IdempotencyRecord) -> None:
--- a/lapispick/idempotency/states.py
+++ b/lapispick/idempotency/states.py
@@ -36,17 +36,17 @@
     RELEASED = 6  # certainly not executed, and the record is removed; never stored
 
 
-class KeyEvent(Enum):
+class KeyEvent(IntEnum):
     """What happens to a key."""
 
-    INTEND = "intend"
-    START = "start"
-    WITHDRAW = "withdraw"
-    COMPLETE = "complete"
-    FAIL = "fail"
-    NOT_EXECUTED = "not-executed"
-    LOSE = "lose"
-    RESOLVE = "resolve"
+    INTEND = 1
+    START = 2
+    WITHDRAW = 3
+    COMPLETE = 4
+    FAIL = 5
+    NOT_EXECUTED = 6
+    LOSE = 7
+    RESOLVE = 8
 
 
 class Verdict(Enum):
