--- a/lapispick/agent/generation_store.py
+++ b/lapispick/agent/generation_store.py
@@ -114,12 +114,12 @@
             target.parent.mkdir(parents=True, exist_ok=True)
             target.write_bytes(data)
         (temporary / SETTINGS_FILE).write_bytes(settings)
-        atomic_files.put(temporary / RECORD_FILE, msgspec.json.encode(generation))
+        atomic_files.replace(temporary / RECORD_FILE, msgspec.json.encode(generation))
         final = self.folder / generation.digest
         if final.exists():  # its record is broken, or it would have been found
             shutil.rmtree(final)
         os.rename(temporary, final)
-        atomic_files.sync(self.folder)
+        atomic_files.sync_directory(self.folder)
 
     def get(self, name: str) -> Generation | None:
         """Return a generation; None where it is not there, incomplete or not what its name says."""
--- a/lapispick/agent/host_launcher.py
+++ b/lapispick/agent/host_launcher.py
@@ -62,7 +62,7 @@
             config["executor"] = self._settings.slot_executors[process.slot]
         path = self._config_path(process.number)
         path.parent.mkdir(exist_ok=True)
-        atomic_files.put(path, msgspec.json.encode(config))
+        atomic_files.replace(path, msgspec.json.encode(config))
 
     def start(self, process: HostProcess, needed_generations: set[str]) -> None:
         """Start a process and remove what is not needed any more; raises ``OSError``."""
--- a/lapispick/agent/state_file.py
+++ b/lapispick/agent/state_file.py
@@ -46,4 +46,4 @@
 
     def save(self, state: HostState) -> None:
         """Replace the stored state; raises ``OSError``."""
-        atomic_files.put(self._path, msgspec.json.encode(state))
+        atomic_files.replace(self._path, msgspec.json.encode(state))
--- a/lapispick/cli/agent.py
+++ b/lapispick/cli/agent.py
@@ -90,13 +90,13 @@
 def add(file: Path | None, program: Path, settings: Path | None, config: Path | None, label: str) -> None:
     """Store a generation on this host and print its digest; nothing runs it yet."""
     from lapispick.conf import settings as conf
-    from lapispick.file_errors import Faulty
+    from lapispick.file_errors import InvalidFileError
 
     try:
         if settings is not None:
             conf.parse(settings)
         generation = _generation_store(file).add(program, settings, _read_config(config) if config else {}, label)
-    except Faulty as err:
+    except InvalidFileError as err:
         for fault in err.faults:
             complain(str(fault))
         sys.exit(FAULTY)
--- a/lapispick/idempotency/table.py
+++ b/lapispick/idempotency/table.py
@@ -1,17 +1,19 @@
 """The table of idempotency records: which attempt owns a key, which one was executed, and its result.
 
-No I/O, no clock. Times are Unix ms.
+Records follow the state machine of ``states.py``. No I/O, no clock. Times are Unix ms.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Hashable, Iterable, Iterator
+from math import inf
 from typing import Any
 
 import msgspec
 
 from lapispick.digests import blake2b
+from lapispick.idempotency.states import TRANSITIONS, KeyEvent, KeyState
 
 DEFAULT_MAX_RESULT_BYTES = 16 << 20
 NOT_EXECUTED = 0  # in place of an attempt's number
@@ -27,9 +29,30 @@
     expires_at_ms: float  # end of the window: attempts created up to here are matched, however late they are read
     request_digest: int  # of handler and body, which all attempts share
     executed_attempt: int = NOT_EXECUTED  # a number, not the attempt: a cycle would wait minutes for the collector
-    completed: bool = False  # the execution has ended
+    state: KeyState = KeyState.INTENDED
     result: str | None = None  # None once completed: it failed, or the result was evicted
-    waiters: list[Any] = []  # notified once the execution has ended
+    waiters: list[Any] = []  # notified once the record is completed
+
+    @property
+    def completed(self) -> bool:
+        """Tell whether the outcome is final: no execution of this record is pending."""
+        return self.state > KeyState.STARTED
+
+    def apply(self, event: KeyEvent) -> None:
+        """Go to the next state. An event that the state does not allow is ignored, as the peer's messages may cross."""
+        self.state = TRANSITIONS.get((self.state, event), self.state)
+
+    def mark_started(self, attempt: int, expires_at_ms: float) -> None:
+        """Note which attempt is executed, or ``EXECUTED_BY_PEER``; the window is extended, never shortened."""
+        self.executed_attempt = attempt
+        self.expires_at_ms = max(self.expires_at_ms, expires_at_ms)
+        self.apply(KeyEvent.START)
+
+    def take_waiters(self) -> list[Any]:
+        """Return the waiters, each of them once."""
+        waiters = self.waiters
+        self.waiters = []
+        return waiters
 
 
 def digest_request(handler: str, body: str) -> int:
@@ -81,19 +104,46 @@
         if self._records.get(record.key) is record:
             del self._records[record.key]
         self._evict_result(record)
-        return self.complete(record, None)
+        record.apply(KeyEvent.NOT_EXECUTED if record.state is KeyState.STARTED else KeyEvent.WITHDRAW)
+        return record.take_waiters()
 
     def complete(self, record: IdempotencyRecord, result: str | None) -> list[Any]:
         """Record the end of an execution, with None where it failed; return the waiters."""
-        record.completed = True
+        record.apply(KeyEvent.FAIL if result is None else KeyEvent.COMPLETE)
         if result is not None and record.result is None and self._records.get(record.key) is record:
             record.result = result
             self._with_result.append(record)
             self.result_bytes += len(result)
             self.trim()
-        waiters = record.waiters
-        record.waiters = []
-        return waiters
+        return record.take_waiters()
+
+    # What the other process of this host executes.
+
+    def mark_executed_by_peer(self, key: Hashable, expires_at_ms: float, request_digest: int) -> None:
+        """Record that the peer executes a request; an attempt that is held here coalesces with it in its turn."""
+        record = self._records.get(key)
+        if record is not None and record.executed_attempt and expires_at_ms <= record.expires_at_ms:
+            return  # known already, or what was executed here is newer
+        if record is None or record.executed_attempt:  # an execution of an earlier window is superseded
+            record = self.retain(key, EXECUTED_BY_PEER, inf, expires_at_ms, request_digest)
+        record.mark_started(EXECUTED_BY_PEER, expires_at_ms)
+        record.request_digest = request_digest
+
+    def complete_by_peer(self, key: Hashable, result: str | None) -> list[Any]:
+        """Record the end of the peer's execution, if it is pending; return the waiters."""
+        record = self._records.get(key)
+        if record is None or record.executed_attempt != EXECUTED_BY_PEER or record.completed:
+            return []
+        return self.complete(record, result)
+
+    def release_by_peer(self, key: Hashable, expires_at_ms: float) -> list[Any]:
+        """Remove a record that the peer claimed for this window and did not execute; return the waiters."""
+        record = self._records.get(key)
+        if record is None or record.executed_attempt != EXECUTED_BY_PEER or record.expires_at_ms > expires_at_ms:
+            return []
+        return self.remove(record)
+
+    # Results and expiry.
 
     def trim(self) -> None:
         """Evict the oldest results beyond ``max_result_bytes``; their records stay, so nothing is executed twice."""
@@ -105,7 +155,7 @@
         return [
             record
             for record in self._records.values()
-            if record.expires_at_ms < before_ms and (record.completed or not record.executed_attempt)
+            if record.expires_at_ms < before_ms and record.state is not KeyState.STARTED
         ]
 
     def _evict_result_of(self, key: Hashable) -> None:
--- a/tests/test_stored_samples.py
+++ b/tests/test_stored_samples.py
@@ -17,7 +17,7 @@
 from lapispick.admission import CallTimes, LearnedEstimates, Prices
 from lapispick.agent import generation_store, rollout_records, rollout_store, state_file
 from lapispick.durable import database
-from lapispick.file_errors import Fault, Place
+from lapispick.file_errors import FileFault, SourceLocation
 from lapispick.fleet import last_good
 from lapispick.fleet import messages as inventory_messages
 from lapispick.handover import messages as handover_messages
@@ -116,10 +116,10 @@
     "learned prices": (Prices, ("occupancy", "cost"), [0.25, 0.75]),
     "compatibility of a format": (FormatSupport, ("writes", "oldest", "newest"), [2, 1, 3]),
     "pace of a rollout": (pacing.Limits, ("max_changing", "min_serving_fraction"), [3, 0.75]),
-    "place in a file": (Place, ("file", "line", "column"), ["hosts.yml", 12, 5]),
+    "place in a file": (SourceLocation, ("file", "line", "column"), ["hosts.yml", 12, 5]),
     "fault of a file": (
-        Fault,
-        ("place", "key", "text"),
+        FileFault,
+        ("location", "key", "message"),
         [["hosts.yml", 12, 5], "amqp_port", "must be a number"],
     ),
 }
@@ -127,9 +127,9 @@
 # How the current code opens, reads and writes what is on disk.
 FILES = SimpleNamespace(
     open_keys=database.Database,
-    key_row=lambda key, known: (
-        *(key, int(known.state), known.life, known.born, known.until),
-        *(known.body, known.result),
+    key_row=lambda key, record: (
+        *(key, int(record.state), record.incarnation, record.created_at_ms, record.expires_at_ms),
+        *(record.request_digest, record.result),
     ),
     open_ledger=rollout_store.RolloutStore,
     open_agent_state=state_file.StateFile,
