--- a/lapispick/admission/settings.py
+++ b/lapispick/admission/settings.py
@@ -1,4 +1,4 @@
-"""What the decision module is told at its start.
+"""The settings of the decision module.
 
 All times are milliseconds, all memory is in kilobytes. Classes are numbered from 0. No default here decides anything.
 """
@@ -36,6 +36,15 @@
     WEIGHT = "weight"  # they balance by it
 
 
+class SettingsError(ValueError):
+    """A setting that can't be used."""
+
+    def __init__(self, setting: str, value: object, requirement: str) -> None:
+        super().__init__(f"{setting} {requirement}, is {value!r}")
+        self.setting = setting
+        self.value = value
+
+
 class ClassSettings(msgspec.Struct, frozen=True):
     """What is known of one class of requests. The encoded names are those of stored traces."""
 
@@ -50,11 +59,11 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """What a worker host is told at its start. The encoded names are those of stored traces."""
+    """The settings of one worker host. The encoded names are those of stored traces."""
 
     classes: tuple[ClassSettings, ...]
     weight_by_work: bool = field(name="worth_by_work")  # weights count for each unit of work, not for each request
-    callers: int  # callers of this tier at the start; 0 = not told
+    callers: int  # callers of this tier at the start; 0 = unknown
     lower_tier: bool  # requests come from a tier of our own that already worked on them
     cores: int
     memory_kb: float
@@ -70,17 +79,29 @@
     call_quota: float = field(name="calls_out")  # mean calls in flight that are this host's quota; 0 = not limited
     call_quota_window_ms: float = field(name="calls_window_ms")  # the span of that mean
     max_retry_after_ms: float  # 0 = Retry-After is not passed on
-    idle_timeout_ms: float = field(name="idle_ms")  # callers close connections idle for this long; 0 = not told
+    idle_timeout_ms: float = field(name="idle_ms")  # callers close connections idle for this long; 0 = unknown
     gauges: tuple[str, ...]  # names of the values that a timer event brings
 
     def validate(self) -> None:
-        """Raise ``ValueError`` for settings that contradict themselves."""
-        if not self.classes or self.cores < 1 or self.memory_kb <= 0 or self.callers < 0:
-            raise ValueError("there must be a class, cores and memory must be positive, callers not negative")
-        if not 0 < self.cold_speed_fraction <= 1:
-            raise ValueError("cold_from is a share of the speed, over 0 and at most 1")
-        for i, settings in enumerate(self.classes):
-            if not 0 < settings.latency_objective_ms <= settings.deadline_ms:
-                raise ValueError(f"class {i}: the aim must be positive and no later than the deadline")
-            if settings.idempotency is Idempotency.KEYED and settings.idempotency_window_ms <= 0:
-                raise ValueError(f"class {i}: a keyed class needs a window")
+        """Raise ``SettingsError`` for settings that can't be used."""
+        _require(len(self.classes) > 0, "classes", self.classes, "must hold at least one class")
+        _require(self.cores >= 1, "cores", self.cores, "must be at least 1")
+        _require(self.memory_kb > 0, "memory_kb", self.memory_kb, "must be positive")
+        _require(self.callers >= 0, "callers", self.callers, "must not be negative")
+        speed = self.cold_speed_fraction
+        _require(0 < speed <= 1, "cold_speed_fraction", speed, "must be over 0 and at most 1")
+        for number, settings in enumerate(self.classes):
+            where = f"classes[{number}]"
+            objective_ms = settings.latency_objective_ms
+            in_range = 0 < objective_ms <= settings.deadline_ms
+            _require(
+                in_range, f"{where}.latency_objective_ms", objective_ms, "must be positive and within the deadline"
+            )
+            window_ms = settings.idempotency_window_ms
+            has_window = settings.idempotency is not Idempotency.KEYED or window_ms > 0
+            _require(has_window, f"{where}.idempotency_window_ms", window_ms, "must be positive for a keyed class")
+
+
+def _require(holds: bool, setting: str, value: object, requirement: str) -> None:
+    if not holds:
+        raise SettingsError(setting, value, requirement)
--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -16,13 +16,13 @@
 
 from lapispick.conf import settings as conf
 from lapispick.conf.settings import Settings
-from lapispick.file_errors import Faulty
-from lapispick.handover.sharing import Role
+from lapispick.file_errors import InvalidFileError
 from lapispick.host import events
 from lapispick.host.config import Config, ConfigError, load
 from lapispick.host.core import Core
 from lapispick.host.executor import ExecutorLink
-from lapispick.host.handover import Handover
+from lapispick.host.handover.handshake import HostIdentity
+from lapispick.host.handover.service import Handover
 from lapispick.host.jsonrpc.front import Gateways
 from lapispick.host.logs import log, setup
 from lapispick.host.metrics import ExtendedMetrics
@@ -30,6 +30,7 @@
 from lapispick.host.registry import Roster
 from lapispick.host.scheduler import LINGER_S, READ, Loop
 from lapispick.host.store import StoreClient
+from lapispick.idempotency.ownership import Role
 
 LOG = "host"
 CLOSE_LISTENER_S = 0.4  # s before the end; until then those who did not hear yet are refused in plain words
@@ -136,17 +137,18 @@
 
     def _members(self, own: Settings) -> Any:
         """Talk to the other worker hosts of the list; what is off is not even imported."""
-        from lapispick.host.members import Members, Watched
+        from lapispick.host.members.service import MembersService
+        from lapispick.host.members.store_watch import StoreWatch
 
         config = self.config
-        self.watched = Watched(self.core.post)
-        self.store.post = self.watched.post
+        self.store_watch = StoreWatch(self.core.post)
+        self.store.post = self.store_watch.post
         listing = msgspec.structs.replace(own.inventory, group=own.fleet.group, state_folder=own.fleet.state_folder)
-        made = Members(
+        made = MembersService(
             self.loop, own.members, listing, config.name, int(config.seed, 16), self._facts, config.limits.unsent // 4
         )
         if self.operators is not None:
-            self.operators.answers(made.calls(), made.call)
+            self.operators.answers(made.calls.without_arguments(), made.calls.with_arguments)
         return made
 
     def _facts(self) -> list[tuple[str, str, float, int, str]]:
@@ -157,7 +159,7 @@
             ("load", "", round(core.owed / max(1, self.config.limits.open), 2), 1, ""),
             ("cold", "", float(not health.ready), 1, ""),
         ]
-        if (store := self.watched.fact()) is not None:
+        if (store := self.store_watch.relative_latency()) is not None:
             made.append(("store", self.config.store, *store, ""))
         if generation := os.environ.get("LAPISPICK_GENERATION", ""):
             made.append(("generation", "", 1.0, 1, generation))
@@ -173,8 +175,7 @@
                 made = Handover(
                     self.loop,
                     Path(folder),
-                    config.name,
-                    config.listen,
+                    HostIdentity(config.name, config.listen),
                     config.limits.unsent,
                     self.gateways,
                     core.post,
@@ -182,13 +183,13 @@
                 )
             except OSError as err:  # a platform that has no place for it: alone, as before
                 log(LOG, logging.WARNING, "handover-off", error=err)
-        if made is None or made.owns:
+        if made is None or made.lock.acquired:
             self.gateways.listen()
-            if made is not None and made.last_end:
-                core.idempotency.sharing.doubt(made.last_end * 1000)
+            if made is not None and made.lock.previous_end_s:
+                core.idempotency.ownership.unknown_outcomes.mark_until(made.lock.previous_end_s * 1000)
         else:
             core.health.state.listening = False
-            core.idempotency.sharing.role = Role.SHUT
+            core.idempotency.ownership.role = Role.SUSPENDED
         return made
 
     def _share(self, others: int | None) -> None:
@@ -283,7 +284,7 @@
         stop_ms, loop = self.config.stop_ms, self.loop
         if self.members is not None:
             self.members.leave()
-        if self.handover is not None and self.handover.served_elsewhere:
+        if self.handover is not None and self.handover.peer_serves:
             return self._hand_over(self.handover)
         self.core.post(events.ShutdownRequested(stop_ms))
         end_at = time.monotonic() + stop_ms / 1000
@@ -307,7 +308,7 @@
         deadline = max(c.deadline_ms for c in self.config.start.classes)
         stop_ms, loop = min(self.config.stop_ms, min(deadline, HANDED_MS[0]) + HANDED_MS[1]), self.loop
         self.core.post(events.ShutdownRequested(stop_ms, handed_over=True))
-        self.gateways.close_listener(handover.passed)
+        self.gateways.close_listener(handover.listener_shared)
         began = time.monotonic()
         end_at = began + stop_ms / 1000
         while time.monotonic() < end_at - END_S:
@@ -324,7 +325,7 @@
         while time.monotonic() < last and not self.gateways.gone():
             self.loop.sleep(0.005)
         if self.handover is not None:
-            self.handover.done()
+            self.handover.finish()
         if self.recorder is not None:
             self.recorder.close(end_at - time.monotonic())
         log(LOG, logging.INFO, "ended", owed=self.core.owed)
@@ -339,7 +340,7 @@
 
 
 def _own_settings() -> Settings:
-    """Read the operators' settings, and the file that was theirs before; raises ``Faulty``."""
+    """Read the operators' settings, and the file that was theirs before; raises ``InvalidFileError``."""
     own = conf.load()
     if os.environ.get(OLD_VARIABLE) or os.path.exists(OLD_FILE):
         from lapispick.conf import legacy
@@ -362,7 +363,7 @@
     except ConfigError as err:
         log(LOG, logging.ERROR, "config-faulty", fault=err)
         return 2
-    except Faulty as err:
+    except InvalidFileError as err:
         for fault in err.faults:
             log(LOG, logging.ERROR, "config-faulty", fault=fault)
         return 2
--- a/lapispick/host/core/arrivals.py
+++ b/lapispick/host/core/arrivals.py
@@ -5,7 +5,6 @@
 import logging
 
 from lapispick import admission
-from lapispick.handover.table import digest
 from lapispick.host import events
 from lapispick.host.core.answers import AnswerSender
 from lapispick.host.core.clock import Clock
@@ -16,6 +15,7 @@
 from lapispick.host.interfaces import Peers
 from lapispick.host.logs import log
 from lapispick.host.requests import Answer, AnswerKind, Request
+from lapispick.idempotency.table import digest_request
 
 LOG = "core"
 NOT_READY_MS = 500.0  # when to come back to a host that can't take the request yet
@@ -62,14 +62,14 @@
             request.idempotency_key = None
         record = self._idempotency.find_record(request)
         if record is not None:
-            retry_of, fingerprint = record.holder, record.what
+            retry_of, fingerprint = record.owner_attempt, record.request_digest
         elif request.lookup_only:
             return self._answers.send(request, Answer(AnswerKind.FAILED))
         elif (first := self._idempotency.find_in_batch(request, module_events)) is not None:
-            retry_of, fingerprint = first.id, digest(first.request.handler, first.request.body)
+            retry_of, fingerprint = first.id, digest_request(first.request.handler, first.request.body)
         else:
             retry_of, fingerprint = 0, None
-        if fingerprint is not None and fingerprint != digest(request.handler, request.body):
+        if fingerprint is not None and fingerprint != digest_request(request.handler, request.body):
             # Guards the result of one request against whoever names its key with another body.
             return self._answers.send(request, Answer(AnswerKind.FAILED, client_error="the key of another request"))
         entry = self._requests.add(request, record)
--- a/lapispick/host/core/completion.py
+++ b/lapispick/host/core/completion.py
@@ -57,9 +57,9 @@
         entry = self._table.get(action.id)
         if entry is None:
             return
-        never_ran = not entry.held and (entry.record is None or entry.record.ran != entry.id)
+        never_ran = not entry.held and (entry.record is None or entry.record.executed_attempt != entry.id)
         kind = AnswerKind.REJECTED if never_ran else AnswerKind.FAILED
-        self.answer(entry, Answer(kind, None, action.retry_after, action.no_retry))
+        self.answer(entry, Answer(kind, None, action.retry_after_ms, action.no_retry))
 
     def _finish(self, entry: InFlightRequest) -> None:
         self.drop_call(entry)  # the executor ends a run at a call once its request is over
@@ -83,10 +83,10 @@
         if not entry.answered or entry.held or not self._table.remove(entry):
             return
         record = entry.record
-        if record is None or not record.joined:
+        if record is None or not record.waiters:
             return
-        if entry in record.joined:
-            record.joined.remove(entry)
-        elif record.holder == entry.id and not record.ran:
+        if entry in record.waiters:
+            record.waiters.remove(entry)
+        elif record.owner_attempt == entry.id and not record.executed_attempt:
             # The module let the key go, as its window was shorter than the attempt was held.
             self._post(events.OwnerReleased(record, entry.id))
--- a/lapispick/host/core/dispatcher.py
+++ b/lapispick/host/core/dispatcher.py
@@ -7,7 +7,6 @@
 from typing import Any
 
 from lapispick import admission
-from lapispick.handover.table import KEPT_MOST
 from lapispick.host import events
 from lapispick.host.core.answers import AnswerSender
 from lapispick.host.core.arrivals import MAX_OPEN_REQUESTS, ArrivalHandler
@@ -25,6 +24,7 @@
 from lapispick.host.interfaces import Peers
 from lapispick.host.logs import log
 from lapispick.host.scheduler import Loop, Queue
+from lapispick.idempotency.table import DEFAULT_MAX_RESULT_BYTES
 
 LOG = "core"
 
@@ -39,7 +39,7 @@
         loop: Loop,
         settings: admission.Settings,
         seed: int,
-        max_kept_bytes: int = KEPT_MOST,
+        max_result_bytes: int = DEFAULT_MAX_RESULT_BYTES,
         max_open: int = MAX_OPEN_REQUESTS,
         names: Sequence[str] = (),
     ) -> None:
@@ -53,7 +53,7 @@
         self.answers = answers = AnswerSender(clock, settings, names)
         self._completion = completion = RequestCompletion(clock, requests, answers, peers, post)
         self.idempotency = idempotency = IdempotencyCoordinator(
-            clock, settings, requests, completion, post, max_kept_bytes
+            clock, settings, requests, completion, post, max_result_bytes
         )
         self.health = health = HealthReporter(answers, peers)
         self._runs = RunCoordinator(settings, requests, answers, completion, idempotency, peers, post)
@@ -139,4 +139,4 @@
 
     def _set_idle_timeout(self, action: admission.SetIdleTimeout) -> None:
         for front in self.peers.fronts:
-            front.limit_idle(action.span or self._settings.idle_timeout_ms)
+            front.limit_idle(action.timeout_ms or self._settings.idle_timeout_ms)
--- a/lapispick/host/core/health_checks.py
+++ b/lapispick/host/core/health_checks.py
@@ -33,8 +33,8 @@
 
     def set_health(self, action: admission.SetHealth) -> None:
         """Answer health checks as the module orders."""
-        self.state.module_healthy = action.good
-        self._answer_from_state = action.from_store
+        self.state.module_healthy = action.healthy
+        self._answer_from_state = action.cached
         self.report()
 
     def set_draining(self, draining: bool) -> None:
--- a/lapispick/host/core/housekeeping.py
+++ b/lapispick/host/core/housekeeping.py
@@ -50,7 +50,7 @@
         self._loop.later(SWEEP_INTERVAL_S, self._sweep)
         table = self._idempotency.table
         for record in table.expired(time.time() * 1000 - RECORD_GRACE_MS):
-            table.forget(record)
+            table.remove(record)
         for entry in self._requests.answered_before(self._clock.now - LOST_RUN_MS):
             log(LOG, logging.WARNING, "run-lost", request_id=entry.request.request_id)
             self._completion.expect_no_end(entry)  # or it would keep its slot for good
--- a/lapispick/host/core/in_flight.py
+++ b/lapispick/host/core/in_flight.py
@@ -34,8 +34,8 @@
 
 import msgspec
 
-from lapispick.handover.table import Key
 from lapispick.host.requests import Request
+from lapispick.idempotency.table import IdempotencyRecord
 
 
 class RunState(Enum):
@@ -59,7 +59,7 @@
 
     id: int  # at the decision module
     request: Request
-    record: Key | None = None  # of its idempotency key, which it owns or repeats
+    record: IdempotencyRecord | None = None  # of its idempotency key, which it owns or repeats
     state: RunState = RunState.QUEUED
     answered: bool = False  # no answer is owed any more
     answered_at: float = 0.0  # Unix ms
--- a/lapispick/host/core/peer_sync.py
+++ b/lapispick/host/core/peer_sync.py
@@ -8,7 +8,6 @@
 
 from lapispick import admission
 from lapispick.handover import messages
-from lapispick.handover.sharing import Role
 from lapispick.host import events
 from lapispick.host.core.arrivals import ArrivalHandler
 from lapispick.host.core.clock import Clock
@@ -18,12 +17,13 @@
 from lapispick.host.interfaces import Link
 from lapispick.host.logs import log
 from lapispick.host.scheduler import Loop
+from lapispick.idempotency.ownership import Role
 
 LOG = "core"
 SHARED_FRACTION = 0.5  # of the memory that is bounded here, while two processes are one worker host
 SNAPSHOT_PART_KEYS = 100  # keys sent at once
 SNAPSHOT_PAUSE_S = 0.005  # between two parts
-NO_USAGE = messages.Usage(0, 0.0, 0, 0)
+NO_USAGE = messages.ResourceUsage(0, 0.0, 0, 0)
 
 
 class PeerSynchronizer:
@@ -47,7 +47,7 @@
         self._health = health
         self._post = post
         self._link: Link | None = None
-        self._sent_usage: messages.Usage | None = None
+        self._sent_usage: messages.ResourceUsage | None = None
         self.peer_usage = NO_USAGE  # what the other process has in hand
 
     def _use_share(self, share: float) -> None:
@@ -58,27 +58,26 @@
     def announce_drain(self, draining: bool) -> None:
         """Tell the other process of a drain or its end."""
         if self._link is not None:
-            self._link.send(messages.Drain(draining))
+            self._link.send(messages.DrainChanged(draining))
 
     def announce_shutdown(self) -> None:
         """Tell the other process that this one shuts down, and what it has learned."""
         if self._link is not None:
-            self._link.send(messages.Leaving(self._module.learned()))
+            self._link.send(messages.ShutdownStarted(self._module.learned()))
 
     def exchange(self) -> None:
         """Send the other process what is in hand here, and end waits that last too long."""
-        sharing = self._idempotency.sharing
+        ownership = self._idempotency.ownership
         controller = self._module.controller
         if self._link is not None and controller is not None:
-            if not self._link.behind():
-                sharing.flushed()
-            usage = messages.Usage(
-                controller.on_core, round(controller.memory), controller.calls.out, self._link.connections()
-            )
+            if not self._link.has_unsent():
+                ownership.on_flushed()
+            running, memory_kb, calls_in_flight = controller.usage()
+            usage = messages.ResourceUsage(running, round(memory_kb), calls_in_flight, self._link.connections())
             if usage != self._sent_usage:
                 self._sent_usage = usage
                 self._link.send(usage)
-        if sharing.expire(self._clock.now) and self._link is not None:
+        if ownership.expire_claims(self._clock.now) and self._link is not None:
             log(LOG, logging.WARNING, "peer-unresponsive")
             self._link.close()
 
@@ -88,14 +87,14 @@
         """Begin to share with the other process; the owner of the keys sends a snapshot of them."""
         self._link = event.link
         self._sent_usage = None
-        sharing = self._idempotency.sharing
-        sharing.send = event.link.send
-        sharing.behind = event.link.behind
-        sharing.linked(Role.FOLLOWER if event.owns_keys else Role.OWNER)
+        ownership = self._idempotency.ownership
+        ownership.send = event.link.send
+        ownership.has_unsent = event.link.has_unsent
+        ownership.on_peer_connected(Role.FOLLOWER if event.owns_keys else Role.OWNER)
         self._use_share(SHARED_FRACTION)
         if not event.owns_keys:
-            event.link.send(messages.Drain(self._health.state.draining))
-            keys = [record.name for record in self._idempotency.table]
+            event.link.send(messages.DrainChanged(self._health.state.draining))
+            keys = [record.key for record in self._idempotency.table]
             self.on_snapshot_due(events.SnapshotDue(event.link, keys), module_events)
 
     def on_snapshot_due(self, event: events.SnapshotDue, module_events: list[admission.Event]) -> None:
@@ -103,32 +102,32 @@
         if event.link is not self._link:
             return
         keys = event.keys
-        if not event.link.behind():
-            for message in self._idempotency.sharing.snapshot(keys[:SNAPSHOT_PART_KEYS]):
+        if not event.link.has_unsent():
+            for message in self._idempotency.ownership.snapshot(keys[:SNAPSHOT_PART_KEYS]):
                 event.link.send(message)
             keys = keys[SNAPSHOT_PART_KEYS:]
         if keys:
             self._loop.later(SNAPSHOT_PAUSE_S, self._post, events.SnapshotDue(event.link, keys))
         else:
-            event.link.send(messages.Whole(self._module.learned()))
+            event.link.send(messages.SnapshotComplete(self._module.learned()))
 
     def on_peer_message(self, event: events.PeerMessage, module_events: list[admission.Event]) -> None:
         """Take in a message of the other process."""
         if event.link is not self._link:
             return
         match event.message:
-            case messages.Usage():
+            case messages.ResourceUsage():
                 self.peer_usage = event.message
-                event.link.usage(event.message)
-            case messages.Drain(draining):
+                event.link.on_peer_usage(event.message)
+            case messages.DrainChanged(draining):
                 self._health.set_draining(draining)
-            case messages.Whole(learned):
+            case messages.SnapshotComplete(learned):
                 self._module.adopt(learned)
-                event.link.whole()
-            case messages.Leaving(learned):
+                event.link.on_snapshot_complete()
+            case messages.ShutdownStarted(learned):
                 self._module.adopt(learned)
             case _:
-                self._idempotency.sharing.take(event.message)
+                self._idempotency.ownership.receive(event.message)
 
     def on_peer_disconnected(self, event: events.PeerDisconnected, module_events: list[admission.Event]) -> None:
         """Go on without the other process."""
@@ -136,5 +135,5 @@
             return
         self._link = None
         self.peer_usage = NO_USAGE
-        self._idempotency.sharing.lost(event.peer_ended, event.ended_at_s * 1000)
+        self._idempotency.ownership.on_peer_lost(event.peer_ended, event.ended_at_s * 1000)
         self._use_share(1.0)
--- a/lapispick/host/core/request_table.py
+++ b/lapispick/host/core/request_table.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from lapispick.handover.table import Key
 from lapispick.host.core.in_flight import InFlightRequest
 from lapispick.host.requests import Request
+from lapispick.idempotency.table import IdempotencyRecord
 
 
 class RequestTable:
@@ -28,7 +28,7 @@
     def __getitem__(self, number: int) -> InFlightRequest:
         return self._by_id[number]
 
-    def add(self, request: Request, record: Key | None) -> InFlightRequest:
+    def add(self, request: Request, record: IdempotencyRecord | None) -> InFlightRequest:
         """Give a request the next number."""
         self._last_id += 1
         entry = InFlightRequest(self._last_id, request, record)
--- a/lapispick/host/core/runs.py
+++ b/lapispick/host/core/runs.py
@@ -8,7 +8,6 @@
 
 from lapispick import admission
 from lapispick.admission import Outcome
-from lapispick.handover.sharing import Verdict
 from lapispick.host import events
 from lapispick.host.core.answers import AnswerSender
 from lapispick.host.core.arrivals import NOT_READY_MS
@@ -19,6 +18,7 @@
 from lapispick.host.interfaces import Peers
 from lapispick.host.logs import log
 from lapispick.host.requests import Answer, AnswerKind
+from lapispick.idempotency.states import Verdict
 
 LOG = "core"
 
@@ -73,11 +73,11 @@
             self._order_run(entry)
         elif verdict is Verdict.WAIT:
             entry.state = RunState.CLAIMING
-        elif verdict is Verdict.JOIN:
+        elif verdict is Verdict.COALESCE:
             entry.withhold_start(RunState.COALESCED)
             self._idempotency.coalesce(admission.Coalesce(entry.id))
         else:
-            self._withhold(entry, AnswerKind.REJECTED if verdict is Verdict.REFUSE else AnswerKind.FAILED)
+            self._withhold(entry, AnswerKind.REJECTED if verdict is Verdict.REJECT else AnswerKind.FAILED)
 
     def _order_run(self, entry: InFlightRequest) -> None:
         entry.state = RunState.RUNNING
@@ -95,7 +95,7 @@
             logging.WARNING,
             "claim-undecided",
             request_id=entry.request.request_id,
-            role=self._idempotency.sharing.role.value,
+            role=self._idempotency.ownership.role.value,
             answer=kind.value,
         )
         entry.withhold_start(RunState.ENDED)
@@ -119,7 +119,7 @@
         if entry is None or not entry.in_executor or entry.answered:
             return
         request = entry.request
-        timeout_ms = action.timeout or self._settings.classes[request.cls].deadline_ms
+        timeout_ms = action.timeout_ms or self._settings.classes[request.cls].deadline_ms
         entry.call_ticket = self._peers.store.call(
             request.request_id, entry.call_body, timeout_ms, once=self._runs_once(request.cls)
         )
--- a/lapispick/host/core/timers.py
+++ b/lapispick/host/core/timers.py
@@ -21,7 +21,7 @@
 
     def set_timer(self, action: admission.SetTimer) -> None:
         """Set a timer."""
-        self._loop.later(action.after / 1000, self._post, events.TimerDue(action.token))
+        self._loop.later(action.delay_ms / 1000, self._post, events.TimerDue(action.token))
 
 
 class GaugeCollector:
@@ -39,7 +39,7 @@
     def on_timer_due(self, event: events.TimerDue, module_events: list[admission.Event]) -> None:
         """Tell the module that a timer ran out, with the gauges of the other process and of the executor."""
         usage = self._peer_sync.peer_usage
-        gauges = (usage.runs, usage.kb, usage.calls, *self._gauges)
+        gauges = (usage.runs, usage.memory_kb, usage.calls, *self._gauges)
         module_events.append(admission.TimerFired(event.token, gauges))
         self._peer_sync.exchange()
         self._peers.executor.meter()  # for the next timer; waiting for the answer here would delay due answers
--- a/lapispick/host/events.py
+++ b/lapispick/host/events.py
@@ -13,10 +13,10 @@
 from lapispick.host.requests import Request
 
 if TYPE_CHECKING:
-    from lapispick.handover.sharing import Verdict
-    from lapispick.handover.table import Key
     from lapispick.host.core.in_flight import InFlightRequest
     from lapispick.host.interfaces import Link
+    from lapispick.idempotency.states import Verdict
+    from lapispick.idempotency.table import IdempotencyRecord
 
 # From the fronts and the operators.
 
@@ -179,5 +179,5 @@
 class OwnerReleased(NamedTuple):
     """The attempt that owned an idempotency key is gone, and others wait for its result."""
 
-    record: Key
+    record: IdempotencyRecord
     owner_id: int
--- a/lapispick/host/interfaces.py
+++ b/lapispick/host/interfaces.py
@@ -53,16 +53,16 @@
     def send(self, message: messages.Message) -> None:
         """Queue a message."""
 
-    def behind(self) -> bool:
+    def has_unsent(self) -> bool:
         """Tell whether something that was sent has not left this process."""
 
     def connections(self) -> int:
         """Count the clients' connections of this process."""
 
-    def usage(self, told: messages.Usage) -> None:
+    def on_peer_usage(self, told: messages.ResourceUsage) -> None:
         """Take note of what the other process has in hand."""
 
-    def whole(self) -> None:
+    def on_snapshot_complete(self) -> None:
         """Take note that the snapshot is complete."""
 
     def close(self) -> None:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,7 @@
-"""Helpers that build settings and drive a Controller through its interface."""
+"""Helpers that build settings and drive a controller through its interface, and start hosts."""
 
 import re
+import socket
 
 import msgspec
 import pytest
@@ -8,6 +9,12 @@
 from lapispick import ClassSettings, Controller, Settings, admission
 from lapispick.fakes.peers import Host
 
+# The classes of ``make_settings``.
+IDEMPOTENT = 0
+KEYED = 1
+AT_MOST_ONCE = 2
+SKIPPABLE = 3  # idempotent, and its downstream calls can be skipped
+
 
 def make_class(**over):
     base = dict(
@@ -54,20 +61,22 @@
     return Settings(**{**base, **over})
 
 
-class Rig:
-    """One controller with a record of all its actions."""
+class ControllerHarness:
+    """One controller with a clock of its own and a record of all its actions; settings are keyword arguments."""
 
     def __init__(self, now=0.0, **over):
         self.settings = make_settings(**over)
-        self.control = Controller(self.settings, 1, now)
+        self.controller = Controller(self.settings, 1, now)
+        self.state = self.controller.state
         self.now = now
         self.actions = []
         self.next_id = 0
 
     def step(self, *events, at=None):
+        """Step the controller at the present time, or at the time given; return its actions."""
         if at is not None:
             self.now = at
-        got = self.control.step(self.now, list(events))
+        got = self.controller.step(self.now, list(events))
         self.actions += got
         return got
 
@@ -83,20 +92,32 @@
     def request(self, cls=0, **over):
         self.next_id += 1
         base = dict(
-            id=self.next_id, deadline_at=0, rank=0.5, age=0, retry_of=0, cost=0, request_memory_kb=10, cls=cls, caller=0
+            id=self.next_id,
+            deadline_at=0,
+            rank=0.5,
+            age_ms=0,
+            retry_of=0,
+            cost=0,
+            request_memory_kb=10,
+            cls=cls,
+            caller=0,
         )
         return admission.RequestReceived(**{**base, **over})
 
-    def of(self, kind, rid=None):
-        return [a for a in self.actions if isinstance(a, kind) and (rid is None or a.id == rid)]
+    def actions_of(self, kind, request_id=None):
+        """Return the actions of a kind so far, of one request if it is given."""
+        found = [action for action in self.actions if isinstance(action, kind)]
+        return found if request_id is None else [action for action in found if action.id == request_id]
 
-    def finals(self, rid):
-        return [a for a in self.actions if isinstance(a, (admission.Reject, admission.Fail)) and a.id == rid]
+    def final_answers(self, request_id):
+        """Return the rejections and failures that a request got."""
+        return self.actions_of((admission.Reject, admission.Fail), request_id)
 
 
 @pytest.fixture
-def rig():
-    return Rig
+def make_harness():
+    """Return the class of a controller with a record of its actions; its settings are keyword arguments."""
+    return ControllerHarness
 
 
 def replace(settings, **over):
@@ -117,3 +138,20 @@
     for each in started:
         each.close()
         assert not re.search("event=(item|greenlet|call|module)-failed", each.log()), "a part of it raised"
+
+
+@pytest.fixture
+def shared_address():
+    """Return what reserves a port for processes that share it, as an address of the configuration."""
+    reserved = []
+
+    def reserve():
+        sock = socket.socket()
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        sock.bind(("127.0.0.1", 0))
+        reserved.append(sock)
+        return f"127.0.0.1:{sock.getsockname()[1]}"
+
+    yield reserve
+    for sock in reserved:
+        sock.close()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,8 +18,7 @@
 import pytest
 
 from lapispick.fakes.peers import INFO, Executor, Gateway, b64, until
-from lapispick.handover import messages as say
-from tests.test_upgrade import fixed  # noqa: F401
+from lapispick.handover import messages
 
 REFUSED, FAILED = -32050, -32000
 
@@ -125,18 +124,18 @@
     assert h.process.wait(5) == 0 and not h.executor.ran("behind the end")
 
 
-def test_the_keys_are_handed_over_only_after_the_last_connection_takes_nothing(host, fixed, tmp_path):  # noqa: F811
-    old = host(listen=fixed(), stop_ms=2000)
+def test_the_keys_are_handed_over_only_after_the_last_connection_takes_nothing(host, shared_address, tmp_path):
+    old = host(listen=shared_address(), stop_ms=2000)
     g = old.gateway()
     assert g.result(g.request("track", "before")) == "did before"
     with socket.socket(socket.AF_UNIX) as sock:
         sock.connect(str(next(tmp_path.glob("lapispick-*.sock"))))
-        sock.sendall(say.encode(say.Hello(say.VERSION, "n3", old.config["listen"], "passed")))
+        sock.sendall(messages.encode(messages.Hello(messages.VERSION, "n3", old.config["listen"], "passed")))
         _, fds, _, _ = socket.recv_fds(sock, 1, 1)
         os.close(fds[0])
         old.leave()
         lines = sock.makefile("rb")
-        while not isinstance(say.decode(lines.readline()), say.Done):
+        while not isinstance(messages.decode(lines.readline()), messages.HandoverComplete):
             pass
         g.sock.setblocking(False)
         said = b""
@@ -146,16 +145,16 @@
     assert old.process.wait(5) == 0
 
 
-def test_the_word_that_a_successor_serves_counts_in_the_instant_of_the_notice(host, fixed, tmp_path):  # noqa: F811
-    old = host(listen=fixed(), stop_ms=1500)
+def test_the_word_that_a_successor_serves_counts_in_the_instant_of_the_notice(host, shared_address, tmp_path):
+    old = host(listen=shared_address(), stop_ms=1500)
     with socket.socket(socket.AF_UNIX) as sock:
         sock.connect(str(next(tmp_path.glob("lapispick-*.sock"))))
-        sock.sendall(say.encode(say.Hello(say.VERSION, "n3", old.config["listen"])))
+        sock.sendall(messages.encode(messages.Hello(messages.VERSION, "n3", old.config["listen"])))
         _, fds, _, _ = socket.recv_fds(sock, 1, 1)
         old.logged("linked")
         with old.stopped():
             old.leave()
-            sock.sendall(say.encode(say.Serving()))
+            sock.sendall(messages.encode(messages.Serving()))
         old.logged("leaving")
         assert "handed=True" in old.log() and old.process.wait(5) == 0
         os.close(fds[0])
--- a/tests/test_module_boundaries.py
+++ b/tests/test_module_boundaries.py
@@ -30,10 +30,14 @@
 GROUPS = {
     "admission": (["admission"], []),
     "handover": (["handover"], ["lapispick.admission"]),
+    "idempotency": (["idempotency"], ["lapispick.handover"]),
     "members": (["members"], []),
     "rollout": (["rollout"], []),
     "shares": (["shares"], []),
-    "durable": (["durable/budget.py", "durable/commits.py", "durable/keys.py"], []),
+    "durable": (
+        ["durable/budget.py", "durable/records.py", "durable/write_admission.py"],
+        ["lapispick.idempotency.states"],
+    ),
     "health": (["host/health.py", "host/metrics.py", "host/requests.py"], []),
     "jitter": (["jitter.py"], []),
 }
--- a/tests/test_stored_samples.py
+++ b/tests/test_stored_samples.py
@@ -14,21 +14,21 @@
 import msgspec
 import pytest
 
-from lapispick.admission import LearnedEstimates
-from lapispick.agent import generation_store, rollout_store, service
+from lapispick.admission import CallTimes, LearnedEstimates, Prices
+from lapispick.agent import generation_store, rollout_records, rollout_store, state_file
 from lapispick.durable import database
-from lapispick.file_errors import Fault, Place
+from lapispick.file_errors import FileFault, SourceLocation
 from lapispick.fleet import last_good
 from lapispick.fleet import messages as inventory_messages
 from lapispick.handover import messages as handover_messages
 from lapispick.host import config as host_config
-from lapispick.host import members as host_members
+from lapispick.host.members import reports as member_reports
 from lapispick.members import leases
 from lapispick.members import messages as member_messages
 from lapispick.rollout import host_state as agent_state
 from lapispick.rollout import messages as agent_calls
 from lapispick.rollout import pacing, rollout_state
-from lapispick.rollout.compat import Spoken
+from lapispick.rollout.compat import FormatSupport
 from lapispick.rollout.generations import Generation
 from lapispick.trace import helper as trace_writer
 
@@ -36,6 +36,10 @@
 SOURCE = "inventory.yml group brokers"  # of the stored list
 
 
+def as_json(value):
+    return msgspec.json.decode(msgspec.json.encode(value))
+
+
 def json_codec(kind):
     return msgspec.json.Decoder(kind).decode, msgspec.json.encode
 
@@ -62,20 +66,23 @@
     "inventory-to-helper.jsonl": json_codec(inventory_messages.ToHelper),
     "inventory-from-helper.jsonl": json_codec(inventory_messages.FromHelper),
     "inventory-state/history.jsonl": json_codec(last_good.Entry),
-    "agent-calls.txt": (lambda line: agent_calls.read(line.decode()), lambda call: agent_calls.write(call).encode()),
+    "agent-calls.txt": (
+        lambda line: agent_calls.decode_call(line.decode()),
+        lambda call: agent_calls.encode_call(call).encode(),
+    ),
     "agent-status.jsonl": json_codec(agent_calls.Status),
-    "agent-state.json": json_codec(agent_state.State),
+    "agent-state.json": json_codec(agent_state.HostState),
     "generation.json": json_codec(Generation),
-    "rollout-course.json": json_codec(rollout_state.Course),
+    "rollout-course.json": json_codec(rollout_state.RolloutState),
     "host-config.json": json_codec(host_config.Config),
-    "members-turns.jsonl": json_codec(host_members.Turn),
+    "members-turns.jsonl": json_codec(member_reports.LeaseInfo),
     "trace-writer-begin.json": json_codec(trace_writer.Begin),
 }
 
 # Sample -> all kinds of messages that it must hold.
 UNIONS = {
-    "handover.jsonl": handover_messages.ANY,
-    "members.jsonl": member_messages.ANY,
+    "handover.jsonl": handover_messages.AnyMessage,
+    "members.jsonl": member_messages.AnyMessage,
     "inventory-to-helper.jsonl": inventory_messages.ToHelper,
     "inventory-from-helper.jsonl": inventory_messages.FromHelper,
     "agent-calls.txt": agent_calls.Call,
@@ -84,30 +91,35 @@
 # Values that are written as arrays: concept -> (class, attributes in the order of the array, sample).
 ARRAYS = {
     "member state": (
-        member_messages.Rumour,
-        ("name", "state", "incarnation", "life", "by"),
+        member_messages.GossipUpdate,
+        ("name", "state", "incarnation", "process_epoch", "witness"),
         ["disp-02", "suspect", 3, 1764575000, "disp-03"],
     ),
     "member fact": (
         member_messages.Fact,
-        ("author", "life", "number", "kind", "subject", "value", "count", "age", "health", "text"),
+        (
+            *("author", "process_epoch", "sequence", "kind", "subject", "value", "sample_count", "age_s"),
+            *("author_health", "text"),
+        ),
         ["disp-01", 1764576000, 4, "store", "10.0.0.9:80", 2.5, 17, 1.25, 1, "slow"],
     ),
-    "ballot": (leases.Ballot, ("number", "name"), [7, "disp-01"]),
+    "ballot": (leases.Ballot, ("number", "proposer"), [7, "disp-01"]),
     "learned": (
         LearnedEstimates,
         (
-            *("cores", "holds", "calls", "in_call", "counts", "limit", "call_times"),
-            *("call_limit", "prices", "frozen"),
+            *("core_ms", "run_ms", "blocked_ms", "call_ms", "runs", "concurrency_limit", "call_times"),
+            *("call_limit", "prices", "prices_frozen"),
         ),
         [[1.5], [3.0], [5.0], [7.0], [9], 4.5, [20.0, 30.0], 5.5, [0.25, 0.75], True],
     ),
-    "compatibility of a format": (Spoken, ("writes", "oldest", "newest"), [2, 1, 3]),
-    "pace of a rollout": (pacing.Bounds, ("most", "serving_least"), [3, 0.75]),
-    "place in a file": (Place, ("file", "line", "column"), ["hosts.yml", 12, 5]),
+    "learned call times": (CallTimes, ("usual_ms", "recent_ms"), [20.0, 30.0]),
+    "learned prices": (Prices, ("occupancy", "cost"), [0.25, 0.75]),
+    "compatibility of a format": (FormatSupport, ("writes", "oldest", "newest"), [2, 1, 3]),
+    "pace of a rollout": (pacing.Limits, ("max_changing", "min_serving_fraction"), [3, 0.75]),
+    "place in a file": (SourceLocation, ("file", "line", "column"), ["hosts.yml", 12, 5]),
     "fault of a file": (
-        Fault,
-        ("place", "key", "text"),
+        FileFault,
+        ("location", "key", "message"),
         [["hosts.yml", 12, 5], "amqp_port", "must be a number"],
     ),
 }
@@ -115,13 +127,13 @@
 # How the current code opens, reads and writes what is on disk.
 FILES = SimpleNamespace(
     open_keys=database.Database,
-    key_row=lambda key, known: (
-        *(key, int(known.state), known.life, known.born, known.until),
-        *(known.body, known.result),
+    key_row=lambda key, record: (
+        *(key, int(record.state), record.incarnation, record.created_at_ms, record.expires_at_ms),
+        *(record.request_digest, record.result),
     ),
-    open_ledger=rollout_store.Ledger,
-    open_agent_state=lambda folder, name: service.Store(folder, name),
-    open_generations=generation_store.Shelf,
+    open_ledger=rollout_store.RolloutStore,
+    open_agent_state=state_file.StateFile,
+    open_generations=generation_store.GenerationStore,
     kept_list=last_good.kept,
     keep_list=lambda folder, head, snapshot: last_good.keep(folder, head.source, snapshot, head.at, head.ground),
     history=last_good.history,
@@ -244,27 +256,30 @@
     before = contents(path)
     book = FILES.open_ledger(tmp_path)
     stored = rows(path, "select * from rollouts order by began")
-    found = [(name, began, ended, msgspec.json.encode(course)) for name, began, ended, course in book.history()]
+    found = [(name, began, ended, msgspec.json.encode(state)) for name, began, ended, state in book.history()]
     assert found == stored and [row[0] for row in stored] == ["r0", "r1"]
-    assert msgspec.json.encode(book.course()) == stored[-1][3] == (STORED / "rollout-course.json").read_bytes().strip()
+    assert msgspec.json.encode(book.get()) == stored[-1][3] == (STORED / "rollout-course.json").read_bytes().strip()
     assert book.events("r1") == [(1764576010.5, "begun")]
-    assert book.looked("r1") == (1764576012.0, LOOKED)
-    assert book.explained("r1") == (1764576013.0, EXPLAINED)
-    assert book.steered() == ("alpha", 5, 1764576012.0)
+    assert as_json(book.fleet_summary("r1")) == LOOKED
+    assert rows(path, "select at from looks where rollout = 'r1'") == [(1764576012.0,)]
+    assert as_json(book.explanation("r1")) == [1764576013.0, EXPLAINED]
+    assert book.leadership() == ("alpha", 5, 1764576012.0)
     assert contents(path) == before
-    assert book.take_over("beta", 0) == 6 and book.orders("r1") == ["go", "hold"]
+    assert book.take_over("beta", 0) == 6 and book.take_orders("r1") == ["go", "hold"]
     book.close()
 
 
 def test_a_ledger_is_written_as_stored(tmp_path):
     old = restored("ledger.sql", tmp_path / "old.db")
-    course = CODECS["rollout-course.json"][0](lines("rollout-course.json")[0])
+    state = CODECS["rollout-course.json"][0](lines("rollout-course.json")[0])
     book = FILES.open_ledger(tmp_path / "new")
     assert book.take_over("alpha", 4) == 5
-    book.keep(course, 1764576010.0, [(1764576010.5, "begun")])
-    book.seen(1764576012.0, "r1", LOOKED)
-    book.explain("r1", 1764576013.0, EXPLAINED)
-    book.order("r1", "go")
+    book.save(state, 1764576010.0, [(1764576010.5, "begun")])
+    summary = msgspec.convert(LOOKED, rollout_records.FleetSummary)
+    book.record_heartbeat("r1", 1764576012.0, summary)
+    explanation = msgspec.convert(EXPLAINED, rollout_records.Explanation)
+    book.save_explanation("r1", 1764576013.0, explanation)
+    book.add_order("r1", "go")
     book.close()
     new = tmp_path / "new" / "rollouts.db"
     assert schema(new) == schema(old)
@@ -295,7 +310,7 @@
     store = FILES.open_agent_state(tmp_path, "disp-01")
     assert msgspec.json.encode(store.state) == lines("agent-state.json")[0]
     (tmp_path / "state.json").unlink()
-    store.put(store.state)
+    store.save(store.state)
     assert (tmp_path / "state.json").read_bytes() == lines("agent-state.json")[0]
     assert (tmp_path / "agent.lock").exists()
 
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -22,7 +22,7 @@
 
 from lapispick import admission, platform_settings, versions
 from lapispick.admission import Outcome
-from lapispick.agent import controller
+from lapispick.agent import rollout_records, stage_analysis
 from lapispick.agent import service as agent_service
 from lapispick.cli.main import HIDDEN_ALIASES
 from lapispick.cli.main import cli as command_line
@@ -33,13 +33,16 @@
 from lapispick.host import __main__ as host_process
 from lapispick.host import config as host_config
 from lapispick.host import events, executor, metrics, ops, registry, scheduler, store
-from lapispick.host import handover as host_handover
-from lapispick.host import members as host_members
+from lapispick.host.handover import key_lock
+from lapispick.host.handover.handshake import HostIdentity
+from lapispick.host.handover.service import Handover
 from lapispick.host.jsonrpc import front
+from lapispick.host.members import process_epoch
+from lapispick.host.members import reports as member_reports
 from lapispick.host.requests import Answer, AnswerKind
-from lapispick.members import leases, membership_view
+from lapispick.members import leases, member_state
 from lapispick.members import messages as member_messages
-from lapispick.rollout import canary_analysis, rollout_state
+from lapispick.rollout import canary_analysis, rollout_plan, rollout_state
 from lapispick.rollout import host_state as agent_state
 from lapispick.rollout import messages as agent_calls
 from lapispick.rollout.generations import Generation
@@ -56,11 +59,11 @@
 
 # Protocol -> the union of its messages, each with a tag.
 TAGGED = {
-    "handover": handover_messages.ANY,
-    "members": member_messages.ANY,
+    "handover": handover_messages.AnyMessage,
+    "members": member_messages.AnyMessage,
     "inventory, to the helper": inventory_messages.ToHelper,
     "inventory, from the helper": inventory_messages.FromHelper,
-    "votes on turns": leases.Claim | leases.Vote | leases.Release,
+    "votes on turns": leases.LeaseProposal | leases.LeaseVote | leases.LeaseRelease,
 }
 
 # What is read or written without a tag -> its class.
@@ -79,40 +82,27 @@
     "module's settings": admission.Settings,
     "module's settings, class": admission.ClassSettings,
     "agent, status": agent_calls.Status,
-    "agent, stored state": agent_state.State,
-    "agent, stored process": agent_state.Life,
+    "agent, stored state": agent_state.HostState,
+    "agent, stored process": agent_state.HostProcess,
     "generation": Generation,
-    "rollout": rollout_state.Course,
-    "rollout, plan": rollout_state.Plan,
+    "rollout": rollout_state.RolloutState,
+    "rollout, plan": rollout_plan.Plan,
     "inventory, head of the last good list": last_good.Head,
     "inventory, line of the history": last_good.Entry,
     "trace, start of the writer": trace_writer.Begin,
-    "operators, view of members": host_members.Told,
-    "operators, one member": host_members.Seen,
-    "operators, one turn": host_members.Turn,
+    "operators, view of members": member_reports.ViewInfo,
+    "operators, one member": member_reports.MemberInfo,
+    "operators, one turn": member_reports.LeaseInfo,
 }
 
 # Words that stand in messages and stored states -> where the code has them.
 WORDS = {
-    "phases of an agent": lambda: (
-        *(agent_state.STEADY, agent_state.TRYING, agent_state.PROVING),
-        *(agent_state.RETURNING, agent_state.STUCK),
-    ),
-    "roles of a process": lambda: (agent_state.SERVING, agent_state.COMING, agent_state.LEAVING),
-    "phases of a rollout": lambda: (
-        *(
-            rollout_state.WATCHING,
-            rollout_state.CHANGING,
-            rollout_state.BAKING,
-            rollout_state.CONFIRMING,
-            rollout_state.HOLDING,
-        ),
-        *(rollout_state.ASKING, rollout_state.RETURNING, rollout_state.BURNING, rollout_state.WAITING),
-        *(rollout_state.DONE, rollout_state.UNDONE),
-    ),
-    "phases after which a rollout is over": lambda: rollout_state.OVER,
+    "phases of an agent": lambda: list(agent_state.HostPhase),
+    "roles of a process": lambda: list(agent_state.Role),
+    "phases of a rollout": lambda: list(rollout_state.Phase),
+    "phases after which a rollout is over": lambda: sorted(rollout_state.FINAL_PHASES),
     "outcomes of the judge": lambda: [each.value for each in canary_analysis.Outcome],
-    "states of a member": lambda: {word: int(state) for state, word in membership_view.WORDS.items()},
+    "states of a member": lambda: {name: int(state) for state, name in member_state.STATE_NAMES.items()},
     "phases of an inventory": lambda: [each.value for each in acceptance.Phase],
     "effects of a class": lambda: list(platform_settings.IDEMPOTENCY),
     "ways to halt": lambda: list(platform_settings.CANCEL_MODES),
@@ -123,10 +113,10 @@
     "outcomes of a run or call": lambda: {outcome_name(each): int(each) for each in admission.Outcome},
     "kinds of an answer, in traces": lambda: [AnswerKind.SERVED, AnswerKind.REJECTED, AnswerKind.FAILED],
     "ends of a run": lambda: {word: int(end) for word, end in executor.ENDS.items()},
-    "formats and their versions": lambda: {kind: list(each) for kind, each in versions.SPOKEN.items()},
-    "words in the lock of a hand-over": lambda: [host_handover.SERVING.decode(), host_handover.ENDED.decode()],
-    "file with the number of a life": lambda: host_members.LIFE,
-    "host's calls that an agent passes on": lambda: list(agent_service.PASSED),
+    "formats and their versions": lambda: {kind: list(each) for kind, each in versions.FORMATS.items()},
+    "words in the lock of a hand-over": lambda: [key_lock.SERVING.decode(), key_lock.ENDED.decode()],
+    "file with the number of a life": lambda: process_epoch.FILE_NAME,
+    "host's calls that an agent passes on": lambda: list(agent_service.FORWARDED_CALLS),
 }
 
 # Simulator, event -> (code, class that the record becomes; none where it starts or ends an instance).
@@ -485,27 +475,26 @@
 
 def handover_files(folder):
     """Return the files in the folder that two processes share, and what the lock says."""
-    part = host_handover.Handover(FakeLoop(), folder, "n3", "127.0.0.1:8443", 1, None, None, None)
+    part = Handover(FakeLoop(), folder, HostIdentity("n3", "127.0.0.1:8443"), 1, None, None, None)
     return {
         "files": sorted(path.name for path in folder.iterdir()),
         "lock": [path.read_text() for path in folder.glob("*.lock")],
-        "socket": Path(part._path).name,
+        "socket": Path(part.address.path).name,
     }
 
 
 def ledger_objects():
-    """Return the keys of what a controller keeps of a rollout beside its course."""
-    course = msgspec.json.decode((SAMPLES / "rollout-course.json").read_bytes(), type=rollout_state.Course)
+    """Return the keys of what a controller stores of a rollout beside its state."""
+    state = msgspec.json.decode((SAMPLES / "rollout-course.json").read_bytes(), type=rollout_state.RolloutState)
     status = msgspec.json.decode((SAMPLES / "agent-status.jsonl").read_bytes(), type=agent_calls.Status)
-    kept = []
-    part = SimpleNamespace(
-        **{"course": course, "boxes": {}, "_heard": lambda: {"disp-01": rollout_state.Heard(status, 99.0)}},
-        **{"_slice_at": float("-inf"), "_old": [], "_judged": None, "_judging": canary_analysis.Bounds()},
-        **{"ledger": SimpleNamespace(explain=None), "work": SimpleNamespace(do=lambda *call: kept.append(call[-1]))},
-    )
-    controller.Controller._weigh(part)
-    seen = controller.Controller._shown(part)
-    return {"seen": shape(seen), "explained": list(kept[0]), "row of a figure": list(canary_analysis.Row._fields)}
+    reports = {"disp-01": rollout_state.HostReport(status, 99.0)}
+    explanation = stage_analysis.StageAnalysis(canary_analysis.Bounds()).add(state, reports, {})
+    summary = rollout_records.summarize_fleet(rollout_state.deviations(state, reports), reports)
+    return {
+        "seen": shape(json.loads(msgspec.json.encode(summary))),
+        "explained": list(json.loads(msgspec.json.encode(explanation))),
+        "row of a figure": [field.encode_name for field in msgspec.structs.fields(rollout_records.MetricExplanation)],
+    }
 
 
 def command_options(command, name="lapispick"):
