--- a/lapispick/host/core/answers.py
+++ b/lapispick/host/core/answers.py
@@ -37,7 +37,11 @@
         self.metrics.answered(answer.kind, request.cls)
         if self.extended_metrics is not None:
             self._measure(self.extended_metrics, request, answer.kind)
-        request.reply(answer._replace(backpressure=self.backpressure))
+        request.reply(self._with_backpressure(answer))
+
+    def _with_backpressure(self, answer: Answer) -> Answer:
+        kind, result, retry_after_ms, no_retry, _, client_error = answer  # a third of the time of ``_replace``
+        return Answer(kind, result, retry_after_ms, no_retry, self.backpressure, client_error)
 
     def _measure(self, metrics: ExtendedMetrics, request: Request, kind: AnswerKind) -> None:
         now = self._clock.now
