--- a/lapispick/durable/budget.py
+++ b/lapispick/durable/budget.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-RECORD_BYTES = 200  # of a record without its result, index included; docs/MEASUREMENTS.md
+RECORD_BYTES = 200  # of a record without its result, index included; docs/CAPACITY.md
 MAX_RESULTS_FRACTION = 0.5  # of the storage
 
 
