--- a/lapispick/fakes/program_patches.py
+++ b/lapispick/fakes/program_patches.py
@@ -61,20 +61,22 @@
 
 # Places.
 
-CORE = "host/core.py"
+HOUSEKEEPING = "host/core/housekeeping.py"
+ANSWERS = "host/core/answers.py"
+IDEMPOTENCY = "host/core/idempotency.py"
 MAIN = "host/__main__.py"
 MAIN_FUNCTION = Place(MAIN, "def main() -> int:")
 LOGS_SET_UP = Place(MAIN, "    setup()\n")
-CORE_IMPORTS = Place(CORE, "import logging\n")
-CORE_FIRST_CLASS = Place(CORE, "\n\n\nclass ")
-CORE_SERVES = Place(CORE, "    def serve(self) -> None:")
-ANSWER_COUNTED = Place(CORE, "        self.figures.answered(answer.kind, request.cls)\n")
-ANSWER_SENT = Place(CORE, "        request.reply(answer._replace(backpressure=self.advice))")
-ANSWERED_LATE = Place(CORE, "request.read_at <= deadline_at < self._now - SLACK_MS")
-KEY_FOUND_ON_ARRIVAL = Place(CORE, "key = self.table.find(request.idempotency_key, request.born_at) if")
-KEY_FOUND_AMONG_HELD = Place(CORE, "held = self.table.get(request.idempotency_key)")
-KEY_RAN_BEFORE = Place(CORE, "key.executed_attempt not in (0, EXECUTED_BY_PEER)")
-KEY_CLAIMED = Place(CORE, "verdict = self.ownership.claim(")
+HOUSEKEEPING_IMPORTS = Place(HOUSEKEEPING, "import logging\n")
+ANSWERS_FIRST_CLASS = Place(ANSWERS, "\n\n\nclass ")
+HOUSEKEEPING_STARTS = Place(HOUSEKEEPING, "    def start(self) -> None:")
+ANSWER_COUNTED = Place(ANSWERS, "        self.metrics.answered(answer.kind, request.cls)\n")
+ANSWER_SENT = Place(ANSWERS, "        request.reply(answer._replace(backpressure=self.backpressure))")
+ANSWERED_LATE = Place(ANSWERS, "request.read_at <= deadline_at < self._clock.now - SLACK_MS")
+KEY_FOUND_ON_ARRIVAL = Place(IDEMPOTENCY, "record = self.table.find(request.idempotency_key, request.born_at)")
+KEY_FOUND_AMONG_HELD = Place(IDEMPOTENCY, "held = self.table.get(request.idempotency_key)")
+KEY_RAN_BEFORE = Place(IDEMPOTENCY, "record.executed_attempt not in (0, EXECUTED_BY_PEER)")
+KEY_CLAIMED = Place("host/core/runs.py", "verdict = self._idempotency.claim(")
 JSONRPC_ENCODED = Place("host/jsonrpc/front.py", '(_encode({"jsonrpc": "2.0", "id": number, member: fields}) + b"\\n")')
 DRAIN_GRACE = Place("platform_settings.py", "drain_grace_ms=")
 HANDOVER_VERSION = Place("handover/messages.py", "\nVERSION = 1 ")
@@ -91,8 +93,8 @@
 
 
 def module_code(code):
-    """Add code to the core's module, below its imports and constants."""
-    return Patch(CORE_FIRST_CLASS, f"\n\n{code}{CORE_FIRST_CLASS.text}")
+    """Add code to the module that sends answers, below its imports and constants."""
+    return Patch(ANSWERS_FIRST_CLASS, f"\n\n{code}{ANSWERS_FIRST_CLASS.text}")
 
 
 # Hosts that fail.
@@ -105,9 +107,9 @@
     """Let a host end a second after it began to serve, where a condition holds."""
     code = (
         f"\n        if {condition}:\n            {LEAVE_AFTER_A_SECOND}\n"
-        "        return self.serve_unpatched()\n\n    def serve_unpatched(self) -> None:"
+        "        return self.start_unpatched()\n\n    def start_unpatched(self) -> None:"
     )
-    return (insert_after(CORE_SERVES, code), insert_after(CORE_IMPORTS, "import os\n"))
+    return (insert_after(HOUSEKEEPING_STARTS, code), insert_after(HOUSEKEEPING_IMPORTS, "import os\n"))
 
 
 LOGS_DEBUG_LINES = "logging.getLogger().isEnabledFor(logging.DEBUG)"
@@ -128,7 +130,7 @@
 def fails_keyed_requests_when_warm(tenths, after_s):
     return (
         *fails_keyed_requests(tenths, f"time.monotonic() - STARTED_AT > {after_s}"),
-        module_code("STARTED_AT = time.monotonic()"),
+        module_code("import time\n\nSTARTED_AT = time.monotonic()"),
     )
 
 
@@ -153,9 +155,9 @@
     "lost": (Patch(ANSWER_SENT, f"        if not {_ONE_IN_5}:\n    {ANSWER_SENT.text}"),),
     "doubled": (Patch(JSONRPC_ENCODED, f"(2 * {JSONRPC_ENCODED.text})"),),
     "twice": (
-        Patch(KEY_FOUND_ON_ARRIVAL, "key = None if"),
+        Patch(KEY_FOUND_ON_ARRIVAL, "record = None"),
         Patch(KEY_FOUND_AMONG_HELD, "held = None"),
-        Patch(KEY_RAN_BEFORE, "key.executed_attempt == -9"),
+        Patch(KEY_RAN_BEFORE, "record.executed_attempt == -9"),
         Patch(KEY_CLAIMED, "verdict = Verdict.RUN if True else ("),
     ),
     "changed": (insert_before(ANSWER_SENT, "        answer = answer._replace(result=answer.result and 'd3Jvbmc=')\n"),),
