--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -7,7 +7,16 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-PAGES = ("README.md", "CONTRIBUTING.md", "docs/README.md", "docs/ARCHITECTURE.md", "docs/ADMISSION-DESIGN.md")
+PAGES = (
+    "README.md",
+    "CONTRIBUTING.md",
+    "docs/README.md",
+    "docs/ARCHITECTURE.md",
+    "docs/ADMISSION-DESIGN.md",
+    "docs/CROSSINGS.md",
+    "docs/SECOND-SITE.md",
+    "docs/ROADMAP.md",
+)
 PATH = re.compile(r"`((?:lapispick|tests|benchmarks|docs|deploy)/[\w./-]*)(?::([\w.]+))?`")
 LINK = re.compile(r"\]\(([\w./-]+\.md)\)")
 
