--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -3,10 +3,11 @@
 - random: each host draws its backends by a seed of its name;
 - rounds: hosts in rounds, each round with a shuffle of its own, cut into subsets (deterministic subsetting);
 - ring: hosts and backends evenly on a ring, each host has what its stretch covers (deterministic aperture);
-- kept: rendezvous with bounds on both sides (``lapispick/shares/subsets.py``).
+- rendezvous: rendezvous hashing with bounds on both sides, as in use (``lapispick/shares/subsets.py``).
 
-Hosts of equal weight and load. Backends' loads with equal parts and with fitted ones; hosts of a backend; zones of a
-backend's hosts at least; pairs that begin when a host goes, over those that it had; when a backend goes, of all.
+Hosts have equal weight and load. Reported: backends' loads with equal parts and with fitted ones; hosts of a backend;
+zones of a backend's hosts at least; pairs added when a host is removed, over those that it had; pairs added when a
+backend is removed, over all.
 """
 
 from __future__ import annotations
@@ -16,95 +17,174 @@
 import time
 from collections import Counter
 from collections.abc import Callable
+from typing import NamedTuple
 
 import msgspec
 
-from lapispick.shares import subsets
-from lapispick.shares.subsets import Backend, Chosen, Host
-
-Way = Callable[[list[Host], list[Backend], int], Chosen]
-CASES = ((12, 6, 3), (60, 20, 6), (200, 40, 10), (1000, 50, 40))  # hosts, backends, hosts that a backend needs
-
-
-def drawn(hosts: list[Host], backends: list[Backend], least: int) -> Chosen:
-    """Draw, by the host's name."""
-    size = max(1, round(least * len(backends) / len(hosts)))
-    names = sorted(b.name for b in backends)
-    return {h.name: tuple(random.Random(h.name).sample(names, min(size, len(names)))) for h in hosts}
-
-
-def rounds(hosts: list[Host], backends: list[Backend], least: int) -> Chosen:
-    """Shuffle for each round of hosts, and cut the shuffle into subsets."""
-    size = max(1, round(least * len(backends) / len(hosts)))
-    count = max(1, len(backends) // size)
-    made = {}
-    for n, host in enumerate(sorted(h.name for h in hosts)):
-        names = sorted(b.name for b in backends)
-        random.Random(n // count).shuffle(names)
-        at = n % count * size
-        made[host] = tuple(names[at : at + size])
-    return made
-
-
-def ring(hosts: list[Host], backends: list[Backend], least: int) -> Chosen:
-    """Cover a stretch of the ring, with shares by what is covered; here with whole pairs."""
-    names, n = sorted(b.name for b in backends), len(hosts)
-    width = max(least / n, 1 / n)
-    made = {}
-    for at, host in enumerate(sorted(h.name for h in hosts)):
-        low, high = at / n * len(names), (at / n + width) * len(names)
-        made[host] = tuple({names[k % len(names)] for k in range(int(low), max(int(low) + 1, -int(-high // 1)))})
-    return made
-
-
-WAYS: dict[str, Way] = {"random": drawn, "rounds": rounds, "ring": ring, "kept": subsets.assign}
-
-
-def measured(way: Way, hosts: list[Host], backends: list[Backend], least: int, plays: int) -> dict[str, object]:
-    """Return the figures of one way on one case."""
-    began = time.perf_counter()
-    chosen = way(hosts, backends, least)
-    took = time.perf_counter() - began
-    load = Counter({b.name: 0.0 for b in backends})
-    for mine in chosen.values():
-        for backend in mine:
-            load[backend] += 1 / len(mine)
-    mean = sum(load.values()) / len(load)
-    fitted = subsets.loads(hosts, subsets.shares(hosts, backends, chosen))
-    zone = {h.name: h.zone for h in hosts}
-    holders = {b.name: [h for h, mine in chosen.items() if b.name in mine] for b in backends}
-    rng, moves, needs, apart = random.Random(1), 0, 0, 0
-    for gone in rng.sample(hosts, plays):
-        found = subsets.moved(chosen, way([h for h in hosts if h != gone], backends, least))
-        moves, needs = moves + len(found.begun), needs + len(chosen[gone.name])
-    for lost in rng.sample(backends, min(plays, len(backends))):
-        found = subsets.moved(chosen, way(hosts, [b for b in backends if b != lost], least))
-        apart += len(found.begun)
-    pairs = sum(map(len, chosen.values()))
-    return {
-        "worst_load": round(max(load.values()) / mean, 2),
-        "least_load": round(min(load.values()) / mean, 2),
-        "worst_fitted": round(max(fitted.values()) / (len(hosts) / len(backends)), 2),
-        "hosts_least": min(map(len, holders.values())),
-        "hosts_most": max(map(len, holders.values())),
-        "zones_least": min(len({zone[h] for h in each}) for each in holders.values()),
-        "host_gone_moves": round(moves / max(1, needs), 2),
-        "backend_gone_moves_of_all": round(apart / min(plays, len(backends)) / pairs, 3),
-        "s": round(took, 3),
+from lapispick.shares import load_fractions, subsets
+from lapispick.shares.subsets import Assignment, Backend, Host
+
+Assign = Callable[[list[Host], list[Backend], int], Assignment]
+ZONES = 3
+REMOVAL_SEED = 1
+
+
+class Case(NamedTuple):
+    """A fleet: how many hosts and backends, and how many hosts each backend requires."""
+
+    hosts: int
+    backends: int
+    min_hosts: int
+
+
+CASES = (Case(12, 6, 3), Case(60, 20, 6), Case(200, 40, 10), Case(1000, 50, 40))
+
+
+class Result(msgspec.Struct):
+    """What is printed of one way on one case; loads are multiples of the mean."""
+
+    hosts: int
+    backends: int
+    min_hosts: int
+    way: str
+    max_load: float
+    min_load: float
+    max_fitted_load: float
+    min_backend_hosts: int
+    max_backend_hosts: int
+    min_backend_zones: int
+    host_removed_added_ratio: float
+    backend_removed_added_fraction: float
+    duration_s: float
+
+
+def _subset_size(hosts: list[Host], backends: list[Backend], min_hosts: int) -> int:
+    return max(1, round(min_hosts * len(backends) / len(hosts)))
+
+
+def assign_random(hosts: list[Host], backends: list[Backend], min_hosts: int) -> Assignment:
+    """Draw the backends of each host by its name."""
+    names = sorted(backend.name for backend in backends)
+    size = min(_subset_size(hosts, backends, min_hosts), len(names))
+    return {host.name: tuple(random.Random(host.name).sample(names, size)) for host in hosts}
+
+
+def assign_rounds(hosts: list[Host], backends: list[Backend], min_hosts: int) -> Assignment:
+    """Shuffle the backends for each round of hosts, and cut the shuffle into subsets."""
+    size = _subset_size(hosts, backends, min_hosts)
+    subset_count = max(1, len(backends) // size)
+    assignment = {}
+    for number, host in enumerate(sorted(host.name for host in hosts)):
+        names = sorted(backend.name for backend in backends)
+        random.Random(number // subset_count).shuffle(names)
+        start = number % subset_count * size
+        assignment[host] = tuple(names[start : start + size])
+    return assignment
+
+
+def assign_ring(hosts: list[Host], backends: list[Backend], min_hosts: int) -> Assignment:
+    """Give each host the backends that its stretch of the ring covers; here with whole pairs."""
+    names = sorted(backend.name for backend in backends)
+    width = max(min_hosts / len(hosts), 1 / len(hosts))
+    assignment = {}
+    for number, host in enumerate(sorted(host.name for host in hosts)):
+        position = number / len(hosts)
+        low = int(position * len(names))
+        high = max(low + 1, -int(-((position + width) * len(names)) // 1))
+        assignment[host] = tuple({names[index % len(names)] for index in range(low, high)})
+    return assignment
+
+
+WAYS: dict[str, Assign] = {
+    "random": assign_random,
+    "rounds": assign_rounds,
+    "ring": assign_ring,
+    "rendezvous": subsets.assign_backends,
+}
+
+
+def _equal_loads(assignment: Assignment, backends: list[Backend]) -> list[float]:
+    """Return the load of each backend where hosts divide theirs equally."""
+    loads = Counter({backend.name: 0.0 for backend in backends})
+    for assigned in assignment.values():
+        for backend in assigned:
+            loads[backend] += 1 / len(assigned)
+    return list(loads.values())
+
+
+def _host_removed_added_ratio(
+    assign: Assign, hosts: list[Host], backends: list[Backend], min_hosts: int, removed_hosts: list[Host]
+) -> float:
+    """Return the pairs that are added when one host is removed, over those that it had."""
+    before = assign(hosts, backends, min_hosts)
+    added = 0
+    owned = 0
+    for removed in removed_hosts:
+        after = assign([host for host in hosts if host != removed], backends, min_hosts)
+        added += len(subsets.compare_assignments(before, after).added)
+        owned += len(before[removed.name])
+    return added / max(1, owned)
+
+
+def _backend_removed_added_fraction(
+    assign: Assign, hosts: list[Host], backends: list[Backend], min_hosts: int, removed_backends: list[Backend]
+) -> float:
+    """Return the pairs that are added when one backend is removed, over all pairs."""
+    before = assign(hosts, backends, min_hosts)
+    added = 0
+    for removed in removed_backends:
+        after = assign(hosts, [backend for backend in backends if backend != removed], min_hosts)
+        added += len(subsets.compare_assignments(before, after).added)
+    return added / len(removed_backends) / sum(map(len, before.values()))
+
+
+def measure(way: str, case: Case, removals: int) -> Result:
+    """Run one way on one case."""
+    assign = WAYS[way]
+    hosts = [Host(f"disp-{number:04}", f"z{number % ZONES}") for number in range(case.hosts)]
+    backends = [Backend(f"broker-{number:03}") for number in range(case.backends)]
+    started_at = time.perf_counter()
+    assignment = assign(hosts, backends, case.min_hosts)
+    duration_s = time.perf_counter() - started_at
+    loads = _equal_loads(assignment, backends)
+    mean_load = sum(loads) / len(loads)
+    fractions = load_fractions.load_fractions(hosts, backends, assignment)
+    fitted_loads = load_fractions.backend_loads(hosts, fractions)
+    zone_of = {host.name: host.zone for host in hosts}
+    hosts_of = {
+        backend.name: [name for name, assigned in assignment.items() if backend.name in assigned]
+        for backend in backends
     }
+    generator = random.Random(REMOVAL_SEED)
+    removed_hosts = generator.sample(hosts, removals)
+    removed_backends = generator.sample(backends, min(removals, len(backends)))
+    host_removed = _host_removed_added_ratio(assign, hosts, backends, case.min_hosts, removed_hosts)
+    backend_removed = _backend_removed_added_fraction(assign, hosts, backends, case.min_hosts, removed_backends)
+    return Result(
+        hosts=case.hosts,
+        backends=case.backends,
+        min_hosts=case.min_hosts,
+        way=way,
+        max_load=round(max(loads) / mean_load, 2),
+        min_load=round(min(loads) / mean_load, 2),
+        max_fitted_load=round(max(fitted_loads.values()) / (len(hosts) / len(backends)), 2),
+        min_backend_hosts=min(map(len, hosts_of.values())),
+        max_backend_hosts=max(map(len, hosts_of.values())),
+        min_backend_zones=min(len({zone_of[name] for name in names}) for names in hosts_of.values()),
+        host_removed_added_ratio=round(host_removed, 2),
+        backend_removed_added_fraction=round(backend_removed, 3),
+        duration_s=round(duration_s, 3),
+    )
 
 
 def main() -> None:
-    """Play all cases."""
-    options = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    options.add_argument("--plays", type=int, default=8)
-    told = options.parse_args()
-    for many, backends, least in CASES:
-        hosts = [Host(f"disp-{n:04}", f"z{n % 3}") for n in range(many)]
-        for name, way in WAYS.items():
-            row = measured(way, hosts, [Backend(f"broker-{n:03}") for n in range(backends)], least, told.plays)
-            case = {"hosts": many, "backends": backends, "least": least, "way": name}
-            print(msgspec.json.encode({**case, **row}).decode(), flush=True)
+    """Run every way on every case."""
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser.add_argument("--plays", type=int, default=8, help="removals of a host and of a backend")
+    options = parser.parse_args()
+    for case in CASES:
+        for way in WAYS:
+            print(msgspec.json.encode(measure(way, case, options.plays)).decode(), flush=True)
 
 
 if __name__ == "__main__":
--- a/lapispick/cli/shares.py
+++ b/lapispick/cli/shares.py
@@ -1,20 +1,23 @@
-"""``lapispick shares``: which backends each worker host uses, and what a change would move."""
+"""``lapispick shares``: which backends each worker host uses, and what a change of the fleet would move."""
 
 from __future__ import annotations
 
 import sys
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 from pathlib import Path
+from typing import Any
 
 import click
 
 from lapispick.cli.config import FILE, load
 from lapispick.cli.inventory import ANY, Files, Source, source
 from lapispick.cli.output import DIFFERS, FAULTY, as_json, complain, say, table
-from lapispick.fleet import hosts as listing
+from lapispick.fleet import hosts as worker_hosts
 from lapispick.fleet.host_assembly import Box
-from lapispick.shares import subsets
-from lapispick.shares.subsets import Backend, Host
+from lapispick.shares import load_fractions, subsets
+from lapispick.shares.subsets import Assignment, AssignmentChange, Backend, Host
+
+MAX_HOSTS = 100_000
 
 
 @click.group()
@@ -23,23 +26,25 @@
 
 
 PATH = click.Path(exists=True, path_type=Path)
-LISTS = (
+LIST_OPTIONS = (
     FILE,
-    click.option("--backends", "backends_", type=PATH, required=True, help="The list of backends."),
+    click.option("--backends", "backends_path", type=PATH, required=True, help="The list of backends."),
     click.option("--group", default="all", show_default=True, help="Of the backends, in their list."),
-    click.option("--least", default=2, show_default=True, help="Hosts that each backend needs."),
+    click.option("--least", "min_hosts", default=2, show_default=True, help="Hosts that each backend needs."),
     click.option("--json", "json_", is_flag=True, help="For programs."),
 )
 
 
-def _lists(command):  # type: ignore[no-untyped-def]
-    for option in reversed(LISTS):
+def _list_options(command: Callable[..., Any]) -> Callable[..., Any]:
+    """Add the options that all commands of this group have."""
+    for option in reversed(LIST_OPTIONS):
         command = option(command)
     return command
 
 
-def _boxes(where: Source) -> list[Box]:
-    reading = Files(where).read()
+def _read_hosts(files: Source) -> list[Box]:
+    """Return the hosts of an inventory; ends the program where it has faults."""
+    reading = Files(files).read()
     if reading.faults:
         for fault in reading.faults:
             complain(str(fault))
@@ -47,113 +52,145 @@
     return list(reading.boxes.values())
 
 
-def _hosts(conf: Path | None, path: Path | None = None) -> list[Host]:
+def _worker_hosts(conf: Path | None, path: Path | None = None) -> list[Host]:
     group = load(conf).fleet.group
     if not group:
         complain("no group in section fleet of the settings")
         sys.exit(FAULTY)
-    found, _ = listing.workers(_boxes(source(conf, path, group)))
-    return [Host(each.name, each.zone, each.weight) for each in found]
+    workers, _ = worker_hosts.workers(_read_hosts(source(conf, path, group)))
+    return [Host(worker.name, worker.zone, worker.weight) for worker in workers]
 
 
 def _backends(conf: Path | None, path: Path, group: str) -> list[Backend]:
-    return [Backend(box.name) for box in _boxes(source(conf, path, group)._replace(schema=ANY))]
+    files = source(conf, path, group)._replace(schema=ANY)
+    return [Backend(host.name) for host in _read_hosts(files)]
 
 
-def _known(name: str, hosts: Sequence[Host]) -> None:
+def _require_known(name: str, hosts: Sequence[Host]) -> None:
+    """End the program where no host has this name."""
     if name not in {host.name for host in hosts}:
         complain(f"{name} is no worker host of the list")
         sys.exit(FAULTY)
 
 
+def _host_counts(backends: Sequence[Backend], assignment: Assignment) -> list[int]:
+    """Return how many hosts each backend has."""
+    return [sum(backend.name in assigned for assigned in assignment.values()) for backend in backends]
+
+
 @shares.command()
-@_lists
-def show(file: Path | None, backends_: Path, group: str, least: int, json_: bool) -> None:
+@_list_options
+def show(file: Path | None, backends_path: Path, group: str, min_hosts: int, json_: bool) -> None:
     """Show what every host uses, and the load of each backend where all hosts have as much as their weight."""
-    hosts, backends = _hosts(file), _backends(file, backends_, group)
-    chosen = subsets.assign(hosts, backends, least)
-    parts = subsets.shares(hosts, backends, chosen)
-    found = subsets.loads(hosts, parts)
+    hosts = _worker_hosts(file)
+    backends = _backends(file, backends_path, group)
+    assignment = subsets.assign_backends(hosts, backends, min_hosts)
+    fractions = load_fractions.load_fractions(hosts, backends, assignment)
+    loads = load_fractions.backend_loads(hosts, fractions)
     if json_:
-        return as_json({"hosts": parts, "loads": found})
-    table(
-        "hosts",
-        ["host", "backends"],
-        [[name, " ".join(f"{b}:{part:.0%}" for b, part in row.items())] for name, row in parts.items()],
-    )
-    mean = sum(found.values()) / max(1, len(found))
-    return table(
-        "backends",
-        ["backend", "hosts", "load over the mean"],
-        [
-            [b.name, sum(b.name in mine for mine in chosen.values()), f"{found.get(b.name, 0.0) / mean:.2f}"]
-            for b in backends
-        ],
-    )
+        as_json({"hosts": fractions, "loads": loads})
+        return
+    _print_fractions(fractions)
+    _print_loads(backends, _host_counts(backends, assignment), loads)
+
+
+def _print_fractions(fractions: load_fractions.LoadFractions) -> None:
+    rows = []
+    for host, row in fractions.items():
+        rows.append([host, " ".join(f"{backend}:{fraction:.0%}" for backend, fraction in row.items())])
+    table("hosts", ["host", "backends"], rows)
+
+
+def _print_loads(backends: Sequence[Backend], host_counts: Sequence[int], loads: dict[str, float]) -> None:
+    mean = sum(loads.values()) / max(1, len(loads))
+    rows = []
+    for backend, host_count in zip(backends, host_counts, strict=True):
+        rows.append([backend.name, host_count, f"{loads.get(backend.name, 0.0) / mean:.2f}"])
+    table("backends", ["backend", "hosts", "load over the mean"], rows)
 
 
 @shares.command()
 @click.argument("name")
-@_lists
-def subset(name: str, file: Path | None, backends_: Path, group: str, least: int, json_: bool) -> None:
+@_list_options
+def subset(name: str, file: Path | None, backends_path: Path, group: str, min_hosts: int, json_: bool) -> None:
     """Show what one host uses, and by which place in each backend's order it has it."""
-    hosts, backends = _hosts(file), _backends(file, backends_, group)
-    _known(name, hosts)
-    found = subsets.explained(name, hosts, backends, least)
+    hosts = _worker_hosts(file)
+    backends = _backends(file, backends_path, group)
+    _require_known(name, hosts)
+    ranks = subsets.explain_assignment(name, hosts, backends, min_hosts)
     if json_:
-        return as_json(
-            {
-                "name": name,
-                "backends": [{"backend": backend, "place": place, "needs": many} for backend, place, many in found],
-            }
-        )
-    return table(name, ["backend", "place in its order", "hosts that it needs"], found)
+        rows = [{"backend": rank.backend, "place": rank.place, "needs": rank.required_hosts} for rank in ranks]
+        as_json({"name": name, "backends": rows})
+        return
+    table(name, ["backend", "place in its order", "hosts that it needs"], ranks)
 
 
 @shares.command("what-if")
 @click.option("--without", multiple=True, metavar="NAME", help="A host that goes; may stand several times.")
-@click.option("--boxes", type=click.IntRange(1, 100_000), help="So many hosts: the last go, or new ones come.")
-@click.option("--list", "other", type=PATH, help="Another list of worker hosts.")
-@_lists
+@click.option(
+    "--boxes",
+    "host_count",
+    type=click.IntRange(1, MAX_HOSTS),
+    help="So many hosts: the last go, or new ones come.",
+)
+@click.option("--list", "other_list", type=PATH, help="Another list of worker hosts.")
+@_list_options
 def what_if(
     without: tuple[str, ...],
-    boxes: int | None,
-    other: Path | None,
+    host_count: int | None,
+    other_list: Path | None,
     file: Path | None,
-    backends_: Path,
+    backends_path: Path,
     group: str,
-    least: int,
+    min_hosts: int,
     json_: bool,
 ) -> None:
     """Say before a change of the fleet what would move: which hosts would let go of backends, and which take them."""
-    if sum((bool(without), boxes is not None, other is not None)) != 1:
+    if sum((bool(without), host_count is not None, other_list is not None)) != 1:
         complain("name one of --without, --boxes, --list")
         sys.exit(FAULTY)
-    hosts, backends = _hosts(file), _backends(file, backends_, group)
+    hosts = _worker_hosts(file)
+    backends = _backends(file, backends_path, group)
     for name in without:
-        _known(name, hosts)
-    later = [host for host in hosts if host.name not in without]
-    if boxes is not None:
-        zones = sorted({host.zone for host in hosts})
-        more = [Host(f"new-{n:05}", zones[n % len(zones)] if zones else "") for n in range(boxes - len(hosts))]
-        later = sorted(hosts)[:boxes] + more
-    elif other is not None:
-        later = _hosts(file, other)
-    old, new = (subsets.assign(each, backends, least) for each in (hosts, later))
-    found = subsets.moved(old, new)
-    many = [sum(b.name in mine for mine in new.values()) for b in backends]
+        _require_known(name, hosts)
+    if host_count is not None:
+        new_hosts = _resized(hosts, host_count)
+    elif other_list is not None:
+        new_hosts = _worker_hosts(file, other_list)
+    else:
+        new_hosts = [host for host in hosts if host.name not in without]
+    old = subsets.assign_backends(hosts, backends, min_hosts)
+    new = subsets.assign_backends(new_hosts, backends, min_hosts)
+    change = subsets.compare_assignments(old, new)
+    fewest_hosts = min(_host_counts(backends, new), default=0)
     if json_:
-        return as_json(
-            {
-                "hosts": len(later),
-                "least": min(many, default=0),
-                "needed": found.needed,
-                "ended": found.ended,
-                "begun": found.begun,
-            }
-        )
+        _print_change_json(change, len(new_hosts), fewest_hosts)
+        return
+    new_pair_count = sum(map(len, new.values()))
     say(
-        f"{len(hosts)} hosts become {len(later)}: {len(found.begun)} of {sum(map(len, new.values()))} pairs begin, "
-        f"{len(found.ended)} end; {found.needed} had to. Hosts of a backend: {min(many, default=0)} at least"
+        f"{len(hosts)} hosts become {len(new_hosts)}: {len(change.added)} of {new_pair_count} pairs begin, "
+        f"{len(change.removed)} end; {change.min_added} had to. Hosts of a backend: {fewest_hosts} at least"
+    )
+    table("begin", ["host", "backend"], change.added)
+
+
+def _resized(hosts: Sequence[Host], host_count: int) -> list[Host]:
+    """Return the first hosts by name, and new ones evenly over the zones where there are too few."""
+    zones = sorted({host.zone for host in hosts})
+    new_hosts = []
+    for number in range(host_count - len(hosts)):
+        zone = zones[number % len(zones)] if zones else ""
+        new_hosts.append(Host(f"new-{number:05}", zone))
+    return sorted(hosts)[:host_count] + new_hosts
+
+
+def _print_change_json(change: AssignmentChange, host_count: int, fewest_hosts: int) -> None:
+    as_json(
+        {
+            "hosts": host_count,
+            "least": fewest_hosts,
+            "needed": change.min_added,
+            "ended": change.removed,
+            "begun": change.added,
+        }
     )
-    return table("begin", ["host", "backend"], found.begun)
--- a/lapispick/shares/__init__.py
+++ b/lapispick/shares/__init__.py
@@ -1,1 +1,1 @@
-"""Choices of many worker hosts that add up: which backends each of them uses."""
+"""Decisions that hosts make on their own and that add up: which backends each of them uses."""
--- a/lapispick/shares/subsets.py
+++ b/lapispick/shares/subsets.py
@@ -1,18 +1,16 @@
-"""Which of M backends does each of N hosts use? Every box computes the same answer from the list alone. No I/O.
-
-Rendezvous (Thaler, Ravishankar, 1998) with bounds on both sides (after Mirrokni, Thorup, Zadimoghaddam, 2018): all
-pairs go by their score, a digest of both names, the highest first; a pair is taken where the backend still needs a
-host, the host has room, and the backend not its part of that zone. What a box that comes or goes changes is what it
-took, and the short chains that follow from full hosts.
-
-- Each backend has exactly as many hosts as it needs, or all of them: none is left without, and the counts are equal.
-  A host that is left without any has one more, of those with the fewest hosts.
-- Hosts' rooms are in proportion to their weights, with ``slack`` on top, which keeps the chains short.
-- A backend's hosts are spread over as many zones as there are, as evenly as their number allows.
-- Rooms and zones give way where they would leave a backend short, in this order: zones, then rooms.
-
-``shares`` divides each host's load over its backends so that the backends' loads are in proportion to their weights, as
-closely as the pairs allow (iterative proportional fitting: Deming, Stephan, 1940).
+"""Assigns each of N hosts a subset of M backends. Every host computes the same assignment from the lists alone. No I/O.
+
+Rendezvous hashing (Thaler, Ravishankar, 1998) with bounds on both sides (after Mirrokni, Thorup, Zadimoghaddam, 2018):
+the pairs of a host and a backend are visited by descending score, a digest of both names. A pair is assigned where the
+backend still requires a host, the host has capacity left, and the backend has not reached its limit of hosts in that
+zone. When a host joins or leaves, only its own pairs change, and the short chains that follow from hosts at capacity.
+
+- Each backend has exactly as many hosts as it requires, or all of them. A host that would be left without a backend
+  gets one more, from those with the fewest hosts.
+- The capacity of a host is in proportion to its weight, with ``CAPACITY_SLACK_RATIO`` on top, which keeps the chains
+  short.
+- The hosts of a backend are spread over as many zones as there are, as evenly as their number allows.
+- Where these limits would leave a backend short, zone limits are dropped first, then capacities.
 """
 
 from __future__ import annotations
@@ -24,8 +22,8 @@
 
 from lapispick.digests import blake2b
 
-SLACK = 0.25  # of a host's room, over its part of all that is needed
-ROUNDS = 60  # of fitting; after them loads are within 1 % where the pairs allow it
+CAPACITY_SLACK_RATIO = 0.25  # over a host's proportional part of all required pairs
+SCORE_BYTES = 8
 
 
 class Host(NamedTuple):
@@ -43,142 +41,163 @@
     weight: float = 1.0
 
 
-Chosen = dict[str, tuple[str, ...]]  # host -> its backends, by name
+class ScoredPair(NamedTuple):
+    """A host and a backend, by name, with the score of the pair."""
+
+    score: int
+    host: str
+    backend: str
+
+
+class BackendRank(NamedTuple):
+    """The place of a host in the order in which a backend prefers hosts, from 1, and how many hosts it requires."""
+
+    backend: str
+    place: int
+    required_hosts: int
+
+
+Assignment = dict[str, tuple[str, ...]]  # host -> its backends, by name
 
 
-def score(host: str, backend: str) -> int:
-    """Return how well two go together, the same on every box."""
-    return int.from_bytes(blake2b(f"{host}\0{backend}".encode(), digest_size=8).digest())
+def pair_score(host: str, backend: str) -> int:
+    """Return the score of a pair, which is the same on every host."""
+    return int.from_bytes(blake2b(f"{host}\0{backend}".encode(), digest_size=SCORE_BYTES).digest())
 
 
-def needs(backends: Iterable[Backend], hosts: int, least: int) -> dict[str, int]:
-    """Return how many hosts each backend needs: ``least`` for the lightest, more by weight, all at most."""
+def required_hosts(backends: Iterable[Backend], host_count: int, min_hosts: int) -> dict[str, int]:
+    """Return how many hosts each backend requires: ``min_hosts`` for the lightest, in proportion to weight."""
     known = list(backends)
-    lightest = min((each.weight for each in known), default=1.0)
-    return {each.name: min(hosts, round(least * each.weight / lightest)) for each in known}
+    lightest = min((backend.weight for backend in known), default=1.0)
+    return {backend.name: min(host_count, round(min_hosts * backend.weight / lightest)) for backend in known}
 
 
-def rooms(hosts: Iterable[Host], total: int, backends: int) -> dict[str, int]:
+def host_capacities(hosts: Iterable[Host], required_pairs: int, backend_count: int) -> dict[str, int]:
     """Return how many backends each host takes at most."""
     known = list(hosts)
-    weights = sum(each.weight for each in known)
-    return {each.name: min(backends, ceil(total * each.weight / weights * (1 + SLACK))) for each in known}
-
-
-def assign(hosts: Iterable[Host], backends: Iterable[Backend], least: int, each: int = 1) -> Chosen:
-    """Return the backends of each host, where each backend needs ``least`` hosts or more, and each host ``each``."""
-    known, targets = {one.name: one for one in hosts}, {one.name: one for one in backends}
-    if not known or not targets:
-        return {name: () for name in known}
-    wanted = needs(targets.values(), len(known), least)
-    room = rooms(known.values(), sum(wanted.values()), len(targets))
-    zones = len({one.zone for one in known.values()})
-    pairs = sorted(((score(h, b), h, b) for h in known for b in targets), reverse=True)
-    state = _State(known, wanted, room)
-    even = {name: max(1, many // zones) for name, many in wanted.items()}
-    rest = {name: ceil(many / zones) for name, many in wanted.items()}
-    for zoned, roomy in ((even, True), (rest, True), (None, True), (None, False)):
-        if not state.short():
-            break
-        state.take(pairs, zoned, roomy)
-    for name in sorted(known):
-        state.fill(name, min(each, len(targets)))
-    return {name: tuple(sorted(state.chosen[name])) for name in sorted(known)}
-
-
-class _State:
-    """What is taken so far."""
-
-    def __init__(self, hosts: Mapping[str, Host], wanted: dict[str, int], room: Mapping[str, int]) -> None:
-        self._hosts, self._wanted, self._room = hosts, dict(wanted), room
-        self.chosen: dict[str, set[str]] = {name: set() for name in hosts}
-        self._in_zone: Counter[tuple[str, str]] = Counter()
-        self._many: Counter[str] = Counter()
-
-    def short(self) -> bool:
-        """Tell whether some backend still needs a host."""
-        return any(self._wanted.values())
-
-    def take(self, pairs: Iterable[tuple[int, str, str]], zoned: Mapping[str, int] | None, roomy: bool) -> None:
-        """Take pairs by their score, within rooms and so many hosts of a zone for each backend."""
+    total_weight = sum(host.weight for host in known)
+    return {
+        host.name: min(backend_count, ceil(required_pairs * host.weight / total_weight * (1 + CAPACITY_SLACK_RATIO)))
+        for host in known
+    }
+
+
+def assign_backends(
+    hosts: Iterable[Host], backends: Iterable[Backend], min_hosts: int, min_backends: int = 1
+) -> Assignment:
+    """Return the backends of each host.
+
+    Each backend has ``min_hosts`` hosts or more, and each host has ``min_backends`` backends or more, as far as there
+    are so many.
+    """
+    hosts_by_name = {host.name: host for host in hosts}
+    backends_by_name = {backend.name: backend for backend in backends}
+    if not hosts_by_name or not backends_by_name:
+        return {name: () for name in hosts_by_name}
+    required = required_hosts(backends_by_name.values(), len(hosts_by_name), min_hosts)
+    capacities = host_capacities(hosts_by_name.values(), sum(required.values()), len(backends_by_name))
+    builder = _AssignmentBuilder(hosts_by_name, required, capacities)
+    builder.assign_required(_pairs_by_score(hosts_by_name, backends_by_name))
+    for host in sorted(hosts_by_name):
+        builder.assign_minimum(host, min(min_backends, len(backends_by_name)))
+    return builder.assignment()
+
+
+def _pairs_by_score(hosts: Iterable[str], backends: Iterable[str]) -> list[ScoredPair]:
+    backend_names = list(backends)
+    pairs = [ScoredPair(pair_score(host, backend), host, backend) for host in hosts for backend in backend_names]
+    return sorted(pairs, reverse=True)
+
+
+class _AssignmentBuilder:
+    """The pairs that are assigned so far."""
+
+    def __init__(self, hosts: Mapping[str, Host], required: Mapping[str, int], capacities: Mapping[str, int]) -> None:
+        self._hosts = hosts
+        self._required = required
+        self._missing = dict(required)  # backend -> hosts that it still requires
+        self._capacities = capacities
+        self._backends_of: dict[str, set[str]] = {name: set() for name in hosts}
+        self._hosts_in_zone: Counter[tuple[str, str]] = Counter()  # by backend and zone
+        self._host_count: Counter[str] = Counter()  # by backend
+
+    def assignment(self) -> Assignment:
+        """Return what is assigned, in the order of names."""
+        return {host: tuple(sorted(self._backends_of[host])) for host in sorted(self._backends_of)}
+
+    def assign_required(self, pairs: Iterable[ScoredPair]) -> None:
+        """Assign the hosts that backends require, dropping limits one by one where a backend would be left short."""
+        zone_count = len({host.zone for host in self._hosts.values()})
+        even_limits = {name: max(1, count // zone_count) for name, count in self._required.items()}
+        rounded_up_limits = {name: ceil(count / zone_count) for name, count in self._required.items()}
+        self._assign(pairs, even_limits)
+        self._assign(pairs, rounded_up_limits)
+        self._assign(pairs, None)
+        self._assign(pairs, None, limit_capacity=False)
+
+    def assign_minimum(self, host: str, min_backends: int) -> None:
+        """Give a host at least so many backends: those with the fewest hosts, then by score."""
+        assigned = self._backends_of[host]
+        while len(assigned) < min_backends:
+            others = [backend for backend in self._missing if backend not in assigned]
+            backend = min(others, key=lambda name: (self._host_count[name], -pair_score(host, name)))
+            assigned.add(backend)
+            self._host_count[backend] += 1
+
+    def _assign(
+        self, pairs: Iterable[ScoredPair], zone_limits: Mapping[str, int] | None, limit_capacity: bool = True
+    ) -> None:
+        """Assign pairs in their order; ``zone_limits`` bounds the hosts of one zone for each backend."""
+        if not any(self._missing.values()):
+            return
         for _, host, backend in pairs:
-            zone, mine = self._hosts[host].zone, self.chosen[host]
-            if not self._wanted[backend] or backend in mine:
+            zone = self._hosts[host].zone
+            assigned = self._backends_of[host]
+            if not self._missing[backend] or backend in assigned:
                 continue
-            if roomy and len(mine) >= self._room[host]:
+            if limit_capacity and len(assigned) >= self._capacities[host]:
                 continue
-            if zoned is not None and self._in_zone[backend, zone] >= zoned[backend]:
+            if zone_limits is not None and self._hosts_in_zone[backend, zone] >= zone_limits[backend]:
                 continue
-            mine.add(backend)
-            self._wanted[backend] -= 1
-            self._many[backend] += 1
-            self._in_zone[backend, zone] += 1
-
-    def fill(self, host: str, least: int) -> None:
-        """Let a host have some backends at least: those with the fewest hosts, by score."""
-        mine = self.chosen[host]
-        while len(mine) < least:
-            others = [backend for backend in self._wanted if backend not in mine]
-            backend = min(others, key=lambda b: (self._many[b], -score(host, b)))
-            mine.add(backend)
-            self._many[backend] += 1
-
-
-def shares(hosts: Iterable[Host], backends: Iterable[Backend], chosen: Chosen) -> dict[str, dict[str, float]]:
-    """Return which part of its load each host gives to each of its backends; the parts of a host sum to 1."""
-    weight = {each.name: each.weight for each in hosts}
-    wanted = {each.name: each.weight for each in backends}
-    used = {backend for name in weight for backend in chosen.get(name, ())}
-    total = sum(weight[name] for name in weight if chosen.get(name))
-    goal = {name: total * wanted[name] / sum(wanted[each] for each in used) for name in used}
-    parts = {name: dict.fromkeys(chosen.get(name, ()), weight[name]) for name in weight}
-    for _ in range(ROUNDS):
-        for name, row in parts.items():  # each host gives all that it has
-            scale = weight[name] / sum(row.values()) if row else 0.0
-            for backend in row:
-                row[backend] *= scale
-        loads = Counter[str]()
-        for row in parts.values():
-            loads.update(row)
-        for row in parts.values():
-            for backend in row:
-                row[backend] *= goal[backend] / loads[backend]
-    return {name: {backend: value / sum(row.values()) for backend, value in row.items()} for name, row in parts.items()}
-
-
-def loads(hosts: Iterable[Host], parts: Mapping[str, Mapping[str, float]]) -> dict[str, float]:
-    """Return the load of each backend."""
-    found = Counter[str]()
-    for each in hosts:
-        for backend, part in parts.get(each.name, {}).items():
-            found[backend] += each.weight * part
-    return dict(found)
-
-
-class Moved(NamedTuple):
-    """What a change moves: pairs that end and that begin, and how many have to, whatever one does."""
-
-    ended: tuple[tuple[str, str], ...]
-    begun: tuple[tuple[str, str], ...]
-    needed: int
-
-
-def moved(old: Chosen, new: Chosen) -> Moved:
-    """Return what moves from one choice to another."""
-    was, now = ({(host, backend) for host, mine in each.items() for backend in mine} for each in (old, new))
-    gone = {pair for pair in was if pair[0] not in new}
-    lost = Counter(backend for _, backend in gone)
-    many_was, many_now = (Counter(backend for _, backend in each) for each in (was, now))
-    # Pairs of hosts that are gone have to be replaced, as far as the backend still needs as many.
-    needed = sum(max(0, many_now[b] - (many_was[b] - lost[b])) for b in many_now)
-    return Moved(tuple(sorted(was - now)), tuple(sorted(now - was)), needed)
-
-
-def explained(name: str, hosts: Sequence[Host], backends: Sequence[Backend], least: int) -> list[tuple[str, int, int]]:
-    """Return for each backend of a host by which place in that backend's order it has it, and how many it needs."""
-    mine = assign(hosts, backends, least).get(name, ())
-    wanted = needs(backends, len(hosts), least)
-    return [
-        (backend, 1 + sum(score(each.name, backend) > score(name, backend) for each in hosts), wanted[backend])
-        for backend in mine
-    ]
+            assigned.add(backend)
+            self._missing[backend] -= 1
+            self._host_count[backend] += 1
+            self._hosts_in_zone[backend, zone] += 1
+
+
+class AssignmentChange(NamedTuple):
+    """The difference of two assignments: (host, backend) pairs, and the least number of pairs that had to be added."""
+
+    removed: tuple[tuple[str, str], ...]
+    added: tuple[tuple[str, str], ...]
+    min_added: int
+
+
+def compare_assignments(old: Assignment, new: Assignment) -> AssignmentChange:
+    """Return the difference of two assignments."""
+    old_pairs = _pairs_of(old)
+    new_pairs = _pairs_of(new)
+    old_counts = Counter(backend for _, backend in old_pairs)
+    new_counts = Counter(backend for _, backend in new_pairs)
+    # Pairs of removed hosts must be replaced, as far as the backend still has as many hosts.
+    lost_counts = Counter(backend for host, backend in old_pairs if host not in new)
+    min_added = sum(max(0, count - (old_counts[name] - lost_counts[name])) for name, count in new_counts.items())
+    return AssignmentChange(tuple(sorted(old_pairs - new_pairs)), tuple(sorted(new_pairs - old_pairs)), min_added)
+
+
+def _pairs_of(assignment: Assignment) -> set[tuple[str, str]]:
+    return {(host, backend) for host, assigned in assignment.items() for backend in assigned}
+
+
+def explain_assignment(
+    host: str, hosts: Sequence[Host], backends: Sequence[Backend], min_hosts: int
+) -> list[BackendRank]:
+    """Return for each backend of a host why it has it."""
+    assigned = assign_backends(hosts, backends, min_hosts).get(host, ())
+    required = required_hosts(backends, len(hosts), min_hosts)
+    ranks = []
+    for backend in assigned:
+        own_score = pair_score(host, backend)
+        better_hosts = sum(pair_score(other.name, backend) > own_score for other in hosts)
+        ranks.append(BackendRank(backend, 1 + better_hosts, required[backend]))
+    return ranks
