--- a/benchmarks/inventory.py
+++ b/benchmarks/inventory.py
@@ -22,7 +22,7 @@
 
 from benchmarks.common import against, cpu_s, memory_mb, ratio, show
 from lapispick.conf.settings import Inventory as Settings
-from lapispick.fakes.peers import INFO
+from lapispick.fakes.start_settings import PLATFORM_INFO
 from lapispick.fleet import snapshot
 from lapispick.fleet.messages import Begin, FromHelper, Look
 from lapispick.fleet.reading import File, Options, Reader
@@ -148,7 +148,7 @@
     from lapispick.host.inventory import Inventory
     from lapispick.host.scheduler import Loop
 
-    info = msgspec.convert(INFO, Info)
+    info = msgspec.convert(PLATFORM_INFO, Info)
     loop, worst, phase = Loop(), {"idle": 0.0, "first": 0.0, "change": 0.0}, ["idle"]
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / f"list.{form}"
@@ -222,15 +222,15 @@
 
 def off(rounds: int = 5, requests: int = 1200) -> None:
     """Compare a host that has all of it off with an earlier version: memory at start, CPU for a request."""
-    from lapispick.fakes.peers import Host
+    from lapispick.fakes.host_process import HostProcess
 
     found: dict[str, list[tuple[float, float]]] = {"before": [], "now": []}
     with against(BEFORE) as old, tempfile.TemporaryDirectory() as folder:
         for turn in range(rounds):
             order = [("before", old), ("now", Path.cwd())]
             for name, tree in order if turn % 2 else order[::-1]:
-                host = Host(Path(folder), cwd=tree)
-                memory, gateway = host.memory_mb(), host.gateway()
+                host = HostProcess(Path(folder), cwd=tree)
+                memory, gateway = host.peak_memory_mb(), host.gateway()
                 began = cpu_s(host.process.pid)
                 for _ in range(requests // 10):
                     numbers = [gateway.request("track", "x") for _ in range(10)]
--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from lapispick.fakes.peers import Host
+from lapispick.fakes.host_process import HostProcess
 
 BUSY_LOOP = "import time\nend = time.time() + 120\nwhile time.time() < end: pass"
 SHOWN_PACKAGES = 8
@@ -63,11 +63,11 @@
         began = []
         for _ in range(hosts):
             began.append(time.time())
-            host = Host(Path(tempfile.mkdtemp()), started=False)
+            host = HostProcess(Path(tempfile.mkdtemp()), wait_for_start=False)
             stack.callback(host.close)
             started.append(host)
         for host in started:
-            host.logged("ready")
+            host.wait_for_log("ready")
         logs = [host.log() for host in started]
         return [
             Start(event_time(log, "started") - began_at, event_time(log, "ready") - began_at)
--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -28,7 +28,7 @@
 from benchmarks.common import cpu_s, show
 from lapispick import admission
 from lapispick.admission.controller import Controller
-from lapispick.fakes.peers import INFO
+from lapispick.fakes.start_settings import PLATFORM_INFO, make_platform_info
 from lapispick.platform_settings import Info, settings_from
 from lapispick.trace import aggregation, files, lines, merging, replaying
 from lapispick.trace import clock_skew as clocking
@@ -37,10 +37,8 @@
 from lapispick.trace.record_types import Answered, Arrival, Step
 
 SEED, RATE = 7, 130.0  # requests a second
-SETTINGS = settings_from(
-    msgspec.convert({**INFO, "FamilyInfo": {**INFO["FamilyInfo"], "Cores": 3, "CallsOut": 30.0}}, Info)
-)
-NAMES = [s["Name"] for s in INFO["Services"]]
+SETTINGS = settings_from(msgspec.convert(make_platform_info(Cores=3, CallsOut=30.0), Info))
+NAMES = [s["Name"] for s in PLATFORM_INFO["Services"]]
 
 
 class Try(NamedTuple):
@@ -235,7 +233,7 @@
 
     Turns of some milliseconds on one core: what else the machine does meets both alike.
     """
-    from lapispick.fakes.peers import Host
+    from lapispick.fakes.host_process import HostProcess
 
     core = min(os.sched_getaffinity(0))
     with tempfile.TemporaryDirectory() as folder:
@@ -244,7 +242,7 @@
             (Path(folder) / name).mkdir()
             conf = Path(folder) / name / "own.conf"
             conf.write_text(f"section trace\n enabled {'yes' if name == 'on' else 'no'}\n folder t\nend\n")
-            hosts[name] = Host(Path(folder) / name, environ={**os.environ, "LAPISPICK_CONF": str(conf)})
+            hosts[name] = HostProcess(Path(folder) / name, environ={**os.environ, "LAPISPICK_CONF": str(conf)})
             gateways[name] = hosts[name].gateway()
             gateways[name].sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             os.sched_setaffinity(hosts[name].process.pid, {core})
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -8,23 +8,25 @@
 
 from __future__ import annotations
 
-import contextlib
 import itertools
 import os
 import random
-import socket
 import statistics
 import subprocess
 import sys
 import tempfile
 import threading
 import time
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 from pathlib import Path
 from typing import NamedTuple
 
 from benchmarks.common import cpu_s, memory_mb, ratio, show
-from lapispick.fakes.peers import Executor, Gateway, Host, until
+from lapispick.fakes.executor import Executor
+from lapispick.fakes.gateway import GatewayConnection
+from lapispick.fakes.host_process import HostProcess
+from lapispick.fakes.ports import reserved_address
+from lapispick.fakes.waiting import wait_until
 
 LOAD_S = 1.5  # before and after what is measured
 CLIENTS = 6
@@ -36,15 +38,6 @@
 REQUESTS_IN_FLIGHT = 30
 
 
-@contextlib.contextmanager
-def _reserved_address() -> Iterator[str]:
-    """Reserve a port that several processes can listen on."""
-    with socket.socket() as sock:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        sock.bind(("127.0.0.1", 0))
-        yield f"127.0.0.1:{sock.getsockname()[1]}"
-
-
 class Client(threading.Thread):
     """Sends requests without a pause, half of them on new connections."""
 
@@ -56,7 +49,7 @@
         self._address = address
         self._stop_event = stop
         self._rng = random.Random(seed)
-        self._gateway: Gateway | None = None
+        self._gateway: GatewayConnection | None = None
 
     def run(self) -> None:
         """Send requests until told to stop."""
@@ -68,15 +61,15 @@
                 self._gateway = None
                 time.sleep(RECONNECT_PAUSE_S)
 
-    def _connection(self) -> Gateway:
+    def _connection(self) -> GatewayConnection:
         gateway = self._gateway
-        if gateway is None or gateway.away or self._rng.random() < 0.5:
+        if gateway is None or gateway.goaway_received or self._rng.random() < 0.5:
             if gateway is not None:
                 gateway.sock.close()
-            gateway = self._gateway = Gateway(self._address)
+            gateway = self._gateway = GatewayConnection.connect(self._address)
         return gateway
 
-    def _request(self, gateway: Gateway) -> None:
+    def _request(self, gateway: GatewayConnection) -> None:
         number = gateway.request("book", "x", f"{self._rng.getrandbits(128):032x}")
         if "result" in gateway.answer(number):
             self.served_at.append(time.monotonic())
@@ -100,7 +93,7 @@
         """Start the clients and wait until some requests are served."""
         for client in self.clients:
             client.start()
-        until(lambda: self.served > WARM_UP_REQUESTS)
+        wait_until(lambda: self.served > WARM_UP_REQUESTS)
 
     def stop(self) -> None:
         """Stop the clients."""
@@ -122,23 +115,25 @@
     longest_gap_ms: float
 
 
-def _stop(host: Host) -> None:
-    host.leave()
+def _stop(host: HostProcess) -> None:
+    host.terminate()
     host.process.wait()
 
 
 def measure_release(upgrade: bool, seed: int) -> Release:
     """Replace a host under load, by an upgrade or by a stop and a start."""
-    with _reserved_address() as address, tempfile.TemporaryDirectory() as folder:
+    with reserved_address() as address, tempfile.TemporaryDirectory() as folder:
         environ = {"TMPDIR": folder}
-        old = Host(Path(folder), executor=Executor(work_s=0.003), listen=address, stop_ms=STOP_MS, environ=environ)
+        old = HostProcess(
+            Path(folder), executor=Executor(work_s=0.003), listen=address, stop_ms=STOP_MS, environ=environ
+        )
         load = Load(address, seed)
         load.start()
         time.sleep(LOAD_S)
         if not upgrade:
             _stop(old)
-        new = old.beside(executor=Executor(work_s=0.003), environ=environ)
-        until(lambda: new.call() == ["OK"])
+        new = old.start_successor(executor=Executor(work_s=0.003), environ=environ)
+        wait_until(lambda: new.call_operators() == ["OK"])
         if upgrade:
             _stop(old)
         time.sleep(LOAD_S)
@@ -196,8 +191,8 @@
 
 def measure_calls(reading: bool, seed: int) -> CallLoad:
     """Run a host under load, with its metrics read ten times a second or not at all."""
-    with _reserved_address() as address, tempfile.TemporaryDirectory() as folder:
-        host = Host(Path(folder), executor=Executor(work_s=0.001), listen=address, environ={"TMPDIR": folder})
+    with reserved_address() as address, tempfile.TemporaryDirectory() as folder:
+        host = HostProcess(Path(folder), executor=Executor(work_s=0.001), listen=address, environ={"TMPDIR": folder})
         load = Load(address, seed)
         load.start()
         began = time.monotonic()
@@ -252,7 +247,7 @@
     memory_mb: float
 
 
-def _fill(gateway: Gateway, count: int) -> None:
+def _fill(gateway: GatewayConnection, count: int) -> None:
     """Let a host execute this many keyed requests."""
     for first in range(0, count, REQUESTS_IN_FLIGHT):
         batch = range(first, min(count, first + REQUESTS_IN_FLIGHT))
@@ -263,13 +258,13 @@
 
 def measure_takeover(count: int) -> Takeover:
     """Upgrade a host that knows this many keys."""
-    with _reserved_address() as address, tempfile.TemporaryDirectory() as folder:
+    with reserved_address() as address, tempfile.TemporaryDirectory() as folder:
         environ = {"TMPDIR": folder}
-        old = Host(Path(folder), listen=address, environ=environ)
+        old = HostProcess(Path(folder), listen=address, environ=environ)
         _fill(old.gateway(), count)
         began = time.monotonic()
-        new = old.beside(environ=environ)
-        until(lambda: new.call() == ["OK"])
+        new = old.start_successor(environ=environ)
+        wait_until(lambda: new.call_operators() == ["OK"])
         duration_s = time.monotonic() - began
         peak_mb = memory_mb(old.process.pid) + memory_mb(new.process.pid)
         new.close()
--- a/lapispick/cli/demo.py
+++ b/lapispick/cli/demo.py
@@ -53,21 +53,24 @@
 
     def __init__(self, seed: int, folder: Path) -> None:
         from lapispick.fakes.broker import Broker
-        from lapispick.fakes.peers import INFO, Executor, Host, asked
-        from lapispick.fakes.pool import Pool
+        from lapispick.fakes.connection_pool import ConnectionPool
+        from lapispick.fakes.executor import Executor
+        from lapispick.fakes.host_process import HostProcess
+        from lapispick.fakes.messages import request_params
+        from lapispick.fakes.start_settings import PLATFORM_INFO
 
         self.random = random.Random(seed)
         self.broker = Broker()
-        host, port = self.broker.at.split(":")
+        host, port = self.broker.address.split(":")
         (folder / "own.conf").write_text(CONF)
         (folder / "brokers.yml").write_text(BROKERS.format(host=host, port=port))
-        info = {**INFO, "FamilyInfo": {**INFO["FamilyInfo"], "CallsOut": 50.0}}
+        info = {**PLATFORM_INFO, "FamilyInfo": {**PLATFORM_INFO["FamilyInfo"], "CallsOut": 50.0}}
         self.executor = Executor(WORK_S, CORES)
-        self.host = Host(
+        self.host = HostProcess(
             folder, environ={"LAPISPICK_CONF": str(folder / "own.conf")}, info=info, executor=self.executor
         )
-        self.host.logged("consuming")
-        self.gateway, self._params = Pool(self.host.at, self._heard), asked
+        self.host.wait_for_log("consuming")
+        self.gateway, self._params = ConnectionPool(self.host.address, self._heard), request_params
         self.asked: dict[int, str] = {}  # JSON-RPC: number -> kind
         self.answers: dict[int, Any] = {}  # the same numbers; None: the connection ended before the answer
         self.put: dict[str, str] = {}  # AMQP: correlation id -> kind
@@ -86,7 +89,7 @@
             number = len(self.asked)
             self.asked[number] = kind
             more = {"nonce": key} if cls == "book" else {}
-            self.gateway.ask(cls, number, self._params(body, patience=patience, **more))
+            self.gateway.send_request(cls, number, self._params(body, patience=patience, **more))
         else:
             self.put[key] = kind
             self.broker.put(
@@ -116,7 +119,7 @@
             time.sleep(0.02)
         for number, kind in self.asked.items():
             found.setdefault(("json-rpc", kind), collections.Counter())[_word(self.answers.get(number))] += 1
-        replies = {r[1].correlation_id: r[1].type for r in list(self.broker.replies)}
+        replies = {r.properties.correlation_id: r.properties.type for r in list(self.broker.replies)}
         for key, kind in self.put.items():
             found.setdefault(("amqp", kind), collections.Counter())[replies.get(key, "unanswered")] += 1
         return found
--- a/lapispick/fakes/__init__.py
+++ b/lapispick/fakes/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for all that the worker host talks to, for tests, measurements and the first try.
+"""Fakes of all that a worker host talks to, for tests, benchmarks and the demo.
 
-Nothing that a worker host imports imports this.
+No module that a worker host loads imports this package.
 """
--- a/lapispick/fakes/agents.py
+++ b/lapispick/fakes/agents.py
@@ -12,9 +12,9 @@
 from lapispick.agent.generation_store import GenerationStore
 from lapispick.agent.processes import ProcessTable
 from lapispick.fakes.fleet import ROOT, STEER
-from lapispick.fakes.peers import until
 from lapispick.fakes.ports import call_operators, free_port
 from lapispick.fakes.program_patches import program
+from lapispick.fakes.waiting import wait_until
 from lapispick.rollout import host_calls, messages
 
 # Runs a class of the program that ends itself, as SIGKILL does, when it comes to a point for the n-th time.
@@ -101,14 +101,16 @@
         return self
 
     def wait_started(self):
-        until(lambda: AGENT_STARTED in self.log() or self.process.poll() is not None, "the agent's start")
+        wait_until(lambda: AGENT_STARTED in self.log() or self.process.poll() is not None, "the agent's start")
 
     def log(self):
         return self.log_path.read_text()
 
     def wait_ended(self):
         """Wait until the agent has ended; returns its exit code."""
-        return until(lambda: (self.process.poll(),) if self.process.poll() is not None else None, "the agent's end")[0]
+        return wait_until(
+            lambda: (self.process.poll(),) if self.process.poll() is not None else None, "the agent's end"
+        )[0]
 
     def call(self, line):
         """Call the agent directly; None where it does not answer."""
@@ -121,7 +123,7 @@
             lines = self.call(line)
             return lines if lines and lines[0] != host_calls.NOTHING_SERVES else None
 
-        return until(answered, f"an answer to {line}")
+        return wait_until(answered, f"an answer to {line}")
 
     def status(self):
         """Return what the agent reports; None where it does not answer."""
@@ -137,7 +139,7 @@
                 return None
             return status if all(getattr(status, name) == value for name, value in values.items()) else None
 
-        return until(reached, f"{self.host.name} in {'/'.join(phases)} {values}, not {self.status()}")
+        return wait_until(reached, f"{self.host.name} in {'/'.join(phases)} {values}, not {self.status()}")
 
     def wait_serving(self, generation):
         """Wait until a generation accepts clients."""
@@ -146,11 +148,11 @@
             status = self.status()
             return status if status is not None and status.serving == generation else None
 
-        return until(reached, f"{self.host.name} serving {generation}")
+        return wait_until(reached, f"{self.host.name} serving {generation}")
 
     def wait_single_generation(self, generation):
         """Wait until one process runs, and it is of this generation."""
-        until(lambda: self.running_generations() == [generation], f"one process of {generation}")
+        wait_until(lambda: self.running_generations() == [generation], f"one process of {generation}")
 
     def pids(self):
         """Return the processes of the host, whoever started them."""
@@ -235,7 +237,7 @@
         config_file = self.folder / f"{digest}.json"
         config_file.write_text(json.dumps(config or {}))
         running = [agent for agent in self.agents.values() if agent.process is not None]
-        until(lambda: all(digest in agent.status().generations for agent in running), "that the agents see it")
+        wait_until(lambda: all(digest in agent.status().generations for agent in running), "that the agents see it")
         program_folder = folder or this_program(self.fleet)
         options = ["--program", str(program_folder), "--settings", str(settings_file), "--config", str(config_file)]
         return digest, options
--- a/lapispick/fakes/broker.py
+++ b/lapispick/fakes/broker.py
@@ -1,206 +1,330 @@
-"""A stand-in AMQP 0-9-1 broker: queues, prefetch, redelivery, confirms, and what it did with each message."""
+"""A fake AMQP 0-9-1 broker: queues, prefetch, redelivery, confirms, and what became of each message."""
 
 import contextlib
+import enum
 from collections import deque
+from typing import Any, NamedTuple
 
-from lapispick.fakes.peers import Server
+from lapispick.fakes.fake_server import FakeServer
 from lapispick.host.amqp import codec
 from lapispick.host.amqp.codec import Properties
 
+MAX_FRAME_BYTES = 4096
+MAX_CHANNELS = 100
+FRAME_END = b"\xce"
+LOGIN = b"\0guest\0guest"
+
+
+class Fate(enum.StrEnum):
+    """How a consumer settled a message; one that was requeued is delivered again."""
+
+    ACKED = "ack"
+    REJECTED = "reject"
+    REQUEUED = "requeue"
+
 
 class Message:
-    """One message and its fate: None, ``ack``, ``reject`` or ``requeue`` (then it is given out again)."""
+    """One message; ``fate`` is None until it is settled, ``raw`` makes the frames of its first delivery's content."""
+
+    def __init__(self, properties, body, raw=None, redelivered=False):
+        self.properties = properties
+        self.body = body
+        self.raw = raw
+        self.redelivered = redelivered
+        self.fate = None
+        self.delivery_count = 0
+
+    def content_frames(self, channel_number):
+        """Return the frames of the content for the present delivery."""
+        if self.raw and self.delivery_count == 1:
+            return self.raw(channel_number)
+        return codec.encode_content(channel_number, self.properties, self.body, MAX_FRAME_BYTES)
+
+
+class Reply(NamedTuple):
+    """A message that was published to the broker."""
+
+    queue: str
+    properties: Properties
+    body: str
+
+
+class Answer(NamedTuple):
+    """What a requester reads from the reply to its request."""
+
+    outcome: str
+    body: str
+    headers: dict[str, Any]
+
+
+class Publication:
+    """A message that is being published; ``left_bytes`` of its body are not received yet."""
+
+    def __init__(self, queue):
+        self.queue = queue
+        self.properties = None
+        self.body = b""
+        self.left_bytes = 0
+
+
+class Channel:
+    """One channel of a connection."""
+
+    def __init__(self):
+        self.unacked = {}  # delivery tag -> message
+        self.last_delivery_tag = 0
+        self.publish_count = 0
+        self.publication = None
+        self.queue = ""
+        self.consumer_tag = None
+        self.prefetch = 0
 
-    def __init__(self, properties, body, raw=None):
-        self.properties, self.body, self.raw = properties, body, raw
-        self.redelivered, self.fate, self.given = False, None, 0
 
+class Broker(FakeServer):
+    """Serves consumers of queues.
 
-class Broker(Server):
-    """Speaks with consumers; ``lose`` names methods of theirs that break the connection instead."""
+    ``disconnect_on`` names a method of theirs on which the connection breaks, once; ``nacks_left`` publications are not
+    confirmed; ``message_during_cancel`` holds the properties of a message that comes while a consumer cancels.
+    """
 
     def __init__(self, heartbeat=10):
-        self.queues, self.replies, self.messages = {}, [], []
-        self.lose, self.nacks, self.unroutable, self.most_held = None, 0, False, 0
-        self.crossing = None
-        self.cancelled, self.closed, self.methods, self.heartbeat, self.beats = 0, 0, [], heartbeat, 0
+        self.heartbeat = heartbeat  # s
+        self.queues = {}
+        self.channels = {}  # connection -> number -> channel
+        self.messages = []
+        self.replies = []
+        self.methods = []
+        self.disconnect_on = None
+        self.nacks_left = 0
+        self.returns_unroutable = False
+        self.message_during_cancel = None
+        self.max_unacked = 0
+        self.cancel_count = 0
+        self.close_count = 0
+        self.heartbeat_count = 0
         super().__init__()
 
     def put(self, queue, body, raw=None, redelivered=False, **properties):
-        """Put a message into a queue; ``raw`` makes the frames of its first delivery for its content."""
+        """Put a message into a queue."""
         with self.lock:
-            message = Message(Properties(**properties), body.encode(), raw)
-            message.redelivered = redelivered
+            message = Message(Properties(**properties), body.encode(), raw, redelivered)
             self.messages.append(message)
-            self.queues.setdefault(queue, deque()).append(message)
-            for link in list(self.links):
-                with contextlib.suppress(OSError):  # a link that is just ending gives all back
-                    self.pump(link)
+            self._queue(queue).append(message)
+            for connection in list(self.connections):
+                with contextlib.suppress(OSError):  # a connection that is just ending returns all
+                    self._deliver(connection)
         return message
 
-    def talk(self, link):
-        file = link.makefile("rb")
+    def reply(self, correlation_id):
+        """Return the answer to a request; None where there is none, and a failure where there are several."""
+        found = [reply for reply in list(self.replies) if reply.properties.correlation_id == correlation_id]
+        assert len(found) <= 1, "answered twice"
+        if not found:
+            return None
+        return Answer(found[0].properties.type, found[0].body, found[0].properties.headers)
+
+    def consumer_tags(self):
+        """Return the tags that consume now, over all connections."""
+        tags = []
+        for connection in list(self.connections):
+            for channel in list(self.channels.get(connection, {}).values()):
+                if channel.consumer_tag:
+                    tags.append(channel.consumer_tag)
+        return tags
+
+    def send_method(self, connection, channel_number, name, **args):
+        """Send a method."""
+        connection.sendall(codec.encode_method(channel_number, name, **args))
+
+    def serve(self, connection):
+        file = connection.makefile("rb")
         assert file.read(8) == codec.PROTOCOL_HEADER
-        state = LINKS[link] = {}
-        self.say(
-            link,
+        channels = self.channels[connection] = {}
+        self.send_method(
+            connection,
             0,
             "connection.start",
             major=0,
             minor=9,
-            server_properties={"product": "stand-in"},
+            server_properties={"product": "fake"},
             mechanisms=b"PLAIN AMQPLAIN",
             locales=b"en_US",
         )
         try:
-            while head := file.read(7):
-                kind, channel, size = codec.FRAME_HEAD.unpack(head)
+            while head := file.read(codec.FRAME_HEAD.size):
+                kind, channel_number, size = codec.FRAME_HEAD.unpack(head)
                 payload = file.read(size)
-                assert file.read(1) == b"\xce"
+                assert file.read(1) == FRAME_END
                 with self.lock:
-                    if kind == codec.METHOD:
-                        method = codec.decode_method(payload)
-                        self.methods.append(method.name)
-                        if method.name == self.lose:
-                            self.lose = None
-                            return
-                        getattr(self, "on_" + method.name.replace(".", "_").replace("-", "_"))(
-                            link, channel, state, method.args
-                        )
-                    elif kind == codec.HEARTBEAT:
-                        self.beats += 1
-                    else:
-                        self.content(link, channel, state, kind, payload)
+                    if not self._take_frame(connection, kind, channel_number, payload):
+                        return
         finally:
             with self.lock:
-                LINKS.pop(link)
-                for channel in state.values():
-                    self.give_back(channel)
+                self.channels.pop(connection)
+                for channel in channels.values():
+                    self._return_unacked(channel)
+
+    def _take_frame(self, connection, kind, channel_number, payload):
+        """Handle a frame; False where the connection breaks on it."""
+        if kind == codec.HEARTBEAT:
+            self.heartbeat_count += 1
+        elif kind == codec.METHOD:
+            method = codec.decode_method(payload)
+            self.methods.append(method.name)
+            if method.name == self.disconnect_on:
+                self.disconnect_on = None
+                return False
+            handler = getattr(self, "on_" + method.name.replace(".", "_").replace("-", "_"))
+            handler(connection, channel_number, method.args)
+        else:
+            self._take_content(connection, channel_number, kind, payload)
+        return True
+
+    def _queue(self, name):
+        return self.queues.setdefault(name, deque())
 
-    def give_back(self, channel):
+    def _return_unacked(self, channel):
         """Put what a channel did not settle in front of its queue again."""
-        for message in reversed(channel["unacked"].values()):
+        for message in reversed(channel.unacked.values()):
             message.redelivered = True
-            self.queues[channel["queue"]].appendleft(message)
-
-    def say(self, link, channel, name, **args):
-        link.sendall(codec.encode_method(channel, name, **args))
-
-    def pump(self, link):
-        """Give out what the prefetch allows."""
-        for number, c in LINKS.get(link, {}).items():
-            queue = self.queues.setdefault(c["queue"], deque()) if c.get("tag") else ()
-            while queue and len(c["unacked"]) < c["prefetch"]:
-                message = queue.popleft()
-                c["next"] += 1
-                c["unacked"][c["next"]] = message
-                message.given += 1
-                self.most_held = max(self.most_held, len(c["unacked"]))
-                link.sendall(
-                    codec.encode_method(
-                        number,
-                        "basic.deliver",
-                        tag=c["tag"],
-                        delivery=c["next"],
-                        exchange="",
-                        redelivered=message.redelivered,
-                        routing_key=c["queue"],
-                    )
-                )
-                content = codec.encode_content(number, message.properties, message.body, 4096)
-                link.sendall(message.raw(number) if message.raw and message.given == 1 else content)
-
-    def on_connection_start_ok(self, link, channel, state, args):
-        if args["response"] != b"\0guest\0guest":
-            raise ValueError("a wrong log-in")
-        self.say(link, 0, "connection.tune", channel_max=100, frame_max=4096, heartbeat=self.heartbeat)
-
-    def on_connection_tune_ok(self, link, channel, state, args):
-        assert args["frame_max"] == 4096 and args["heartbeat"] <= self.heartbeat
-
-    def on_connection_open(self, link, channel, state, args):
-        self.say(link, 0, "connection.open-ok")
-
-    def on_connection_close(self, link, channel, state, args):
-        self.closed += 1
-        self.say(link, 0, "connection.close-ok")
-
-    def on_connection_close_ok(self, link, channel, state, args):
-        pass
+            self._queue(channel.queue).appendleft(message)
+
+    def _deliver(self, connection):
+        """Deliver to consumers of a connection as much as the prefetch allows."""
+        for number, channel in self.channels.get(connection, {}).items():
+            if not channel.consumer_tag:
+                continue
+            queue = self._queue(channel.queue)
+            while queue and len(channel.unacked) < channel.prefetch:
+                self._deliver_message(connection, number, channel, queue.popleft())
+
+    def _deliver_message(self, connection, number, channel, message):
+        channel.last_delivery_tag += 1
+        channel.unacked[channel.last_delivery_tag] = message
+        message.delivery_count += 1
+        self.max_unacked = max(self.max_unacked, len(channel.unacked))
+        self.send_method(
+            connection,
+            number,
+            "basic.deliver",
+            tag=channel.consumer_tag,
+            delivery=channel.last_delivery_tag,
+            exchange="",
+            redelivered=message.redelivered,
+            routing_key=channel.queue,
+        )
+        connection.sendall(message.content_frames(number))
 
-    def on_channel_open(self, link, channel, state, args):
-        state[channel] = {"unacked": {}, "next": 0, "published": 0, "queue": "", "publish": None}
-        self.say(link, channel, "channel.open-ok")
+    def on_connection_start_ok(self, connection, number, args):
+        if args["response"] != LOGIN:
+            raise ValueError(f"a wrong login: {args['response']!r}")
+        self.send_method(
+            connection,
+            0,
+            "connection.tune",
+            channel_max=MAX_CHANNELS,
+            frame_max=MAX_FRAME_BYTES,
+            heartbeat=self.heartbeat,
+        )
 
-    def on_channel_close(self, link, channel, state, args):
-        self.give_back(state.pop(channel))
-        self.say(link, channel, "channel.close-ok")
+    def on_connection_tune_ok(self, connection, number, args):
+        assert args["frame_max"] == MAX_FRAME_BYTES
+        assert args["heartbeat"] <= self.heartbeat
 
-    def on_channel_close_ok(self, link, channel, state, args):
-        pass
+    def on_connection_open(self, connection, number, args):
+        self.send_method(connection, 0, "connection.open-ok")
+
+    def on_connection_close(self, connection, number, args):
+        self.close_count += 1
+        self.send_method(connection, 0, "connection.close-ok")
 
-    def on_confirm_select(self, link, channel, state, args):
-        self.say(link, channel, "confirm.select-ok")
+    def on_connection_close_ok(self, connection, number, args):
+        pass
 
-    def on_basic_qos(self, link, channel, state, args):
-        state[channel]["prefetch"] = args["count"]
-        self.say(link, channel, "basic.qos-ok")
+    def on_channel_open(self, connection, number, args):
+        self.channels[connection][number] = Channel()
+        self.send_method(connection, number, "channel.open-ok")
 
-    def on_basic_consume(self, link, channel, state, args):
-        state[channel] |= {"queue": args["queue"], "tag": args["tag"]}
-        self.say(link, channel, "basic.consume-ok", tag=args["tag"])
-        self.pump(link)
+    def on_channel_close(self, connection, number, args):
+        self._return_unacked(self.channels[connection].pop(number))
+        self.send_method(connection, number, "channel.close-ok")
 
-    def on_basic_cancel(self, link, channel, state, args):
-        self.cancelled += 1
-        if self.crossing:  # a message that is on its way while the consumer cancels
-            self.put(state[channel]["queue"], "crossing", **self.crossing)
-        state[channel]["tag"] = None
-        self.say(link, channel, "basic.cancel-ok", tag=args["tag"])
+    def on_channel_close_ok(self, connection, number, args):
+        pass
 
-    def settle(self, link, channel, state, tag, fate):
-        c = state[channel]
-        message = c["unacked"].pop(tag)
+    def on_confirm_select(self, connection, number, args):
+        self.send_method(connection, number, "confirm.select-ok")
+
+    def on_basic_qos(self, connection, number, args):
+        self.channels[connection][number].prefetch = args["count"]
+        self.send_method(connection, number, "basic.qos-ok")
+
+    def on_basic_consume(self, connection, number, args):
+        channel = self.channels[connection][number]
+        channel.queue = args["queue"]
+        channel.consumer_tag = args["tag"]
+        self.send_method(connection, number, "basic.consume-ok", tag=args["tag"])
+        self._deliver(connection)
+
+    def on_basic_cancel(self, connection, number, args):
+        self.cancel_count += 1
+        channel = self.channels[connection][number]
+        if self.message_during_cancel:
+            self.put(channel.queue, "crossing", **self.message_during_cancel)
+        channel.consumer_tag = None
+        self.send_method(connection, number, "basic.cancel-ok", tag=args["tag"])
+
+    def on_basic_ack(self, connection, number, args):
+        self._settle(connection, number, args["delivery"], Fate.ACKED)
+
+    def on_basic_reject(self, connection, number, args):
+        fate = Fate.REQUEUED if args["requeue"] else Fate.REJECTED
+        self._settle(connection, number, args["delivery"], fate)
+
+    def _settle(self, connection, number, delivery_tag, fate):
+        message = self.channels[connection][number].unacked.pop(delivery_tag)
         assert message.fate is None
         message.fate = fate
-        self.pump(link)
-
-    def on_basic_ack(self, link, channel, state, args):
-        self.settle(link, channel, state, args["delivery"], "ack")
+        self._deliver(connection)
 
-    def on_basic_reject(self, link, channel, state, args):
-        self.settle(link, channel, state, args["delivery"], "requeue" if args["requeue"] else "reject")
+    def on_basic_publish(self, connection, number, args):
+        self.channels[connection][number].publication = Publication(args["routing_key"])
 
-    def on_basic_publish(self, link, channel, state, args):
-        state[channel]["publish"] = [args["routing_key"], None, b""]
-
-    def content(self, link, channel, state, kind, payload):
-        c = state[channel]
-        publish = c["publish"]
+    def _take_content(self, connection, number, kind, payload):
+        """Take the header or a part of the body of a publication."""
+        channel = self.channels[connection][number]
+        publication = channel.publication
         if kind == codec.HEADER:
-            publish[1], c["left"] = codec.decode_properties(payload), codec.decode_size(payload)
+            publication.properties = codec.decode_properties(payload)
+            publication.left_bytes = codec.decode_size(payload)
         else:
-            publish[2] += payload
-            c["left"] -= len(payload)
-        if c["left"]:
+            publication.body += payload
+            publication.left_bytes -= len(payload)
+        if not publication.left_bytes:
+            channel.publish_count += 1
+            self._confirm(connection, number, publication, channel.publish_count)
+
+    def _confirm(self, connection, number, publication, delivery_tag):
+        """Keep a publication that is complete and confirm it, or do neither."""
+        if self.nacks_left:
+            self.nacks_left -= 1
+            self.send_method(connection, number, "basic.nack", delivery=delivery_tag, multiple=False, requeue=False)
             return
-        c["published"] += 1
-        number = c["published"]
-        if self.nacks:
-            self.nacks -= 1
-            return self.say(link, channel, "basic.nack", delivery=number, multiple=False, requeue=False)
-        if self.unroutable:
-            self.say(link, channel, "basic.return", code=312, text="NO_ROUTE", exchange="", routing_key=publish[0])
-            link.sendall(codec.encode_content(channel, publish[1], publish[2], 4096))
+        if self.returns_unroutable:
+            self._return_publication(connection, number, publication)
         else:
-            self.replies.append((publish[0], publish[1], publish[2].decode()))
-        self.say(link, channel, "basic.ack", delivery=number, multiple=False)
-
-    def reply(self, correlation):
-        """Return (outcome, body, headers) of the only reply with this id, or None."""
-        found = [r for r in list(self.replies) if r[1].correlation_id == correlation]
-        assert len(found) <= 1, "answered twice"
-        return (found[0][1].type, found[0][2], found[0][1].headers) if found else None
-
-
-LINKS = {}  # the state of each connection
+            self.replies.append(Reply(publication.queue, publication.properties, publication.body.decode()))
+        self.send_method(connection, number, "basic.ack", delivery=delivery_tag, multiple=False)
+
+    def _return_publication(self, connection, number, publication):
+        self.send_method(
+            connection,
+            number,
+            "basic.return",
+            code=312,
+            text="NO_ROUTE",
+            exchange="",
+            routing_key=publication.queue,
+        )
+        content = codec.encode_content(number, publication.properties, publication.body, MAX_FRAME_BYTES)
+        connection.sendall(content)
--- /dev/null
+++ b/lapispick/fakes/executor.py
@@ -0,0 +1,147 @@
+"""A fake executor: the process beside a worker host that executes requests."""
+
+import base64
+import contextlib
+import json
+import threading
+import time
+from typing import NamedTuple
+
+from lapispick.fakes.fake_server import FakeServer
+from lapispick.fakes.messages import encode_base64
+
+MAX_KEPT_NOTICES = 4000
+RUN_SPENT_MS = 20.0
+WELCOME_SPENT_MS = 1000
+GAUGE_READINGS = (0.2, 0.5, 0.1, 3.0)
+# Bodies of requests that nobody waits for, and the outcome of their run.
+OUTCOME_BY_ABANDONED_BODY = {"over": "cancelled", "never": "unknown"}
+
+
+class Run(NamedTuple):
+    """One run that was started."""
+
+    task: str
+    handler: str
+    body: str
+
+
+class Executor(FakeServer):
+    """Executes requests by what their body says.
+
+    ``hold`` waits for ``end_run``, ``call:X`` requests a call of the store with body X, ``stay:X`` does so and then
+    waits for ``end_run``, ``error`` and ``unknown`` fail. Others end at once, or after ``work_s`` on one of the cores.
+    """
+
+    def __init__(self, work_s=0.0, cores=2, is_up=True):
+        self.runs = []
+        self.commands = []
+        self.received_verbs = []
+        self.notices = []
+        self.connection = None
+        self.is_up = is_up
+        self.work_s = work_s
+        self.slots = threading.Semaphore(cores)
+        self.resends_all_notices = False  # on a new connection
+        self.max_kept_notices = MAX_KEPT_NOTICES  # those before them are not sent again
+        self.withheld_fences = None  # a list: commands that ask whether all missed notices were read wait in it
+        self.ignores_commands = False  # reads commands and does nothing, like a connection about to break
+        super().__init__()
+
+    def serve(self, connection):
+        for line in connection.makefile("rb"):
+            command = json.loads(line)
+            self.received_verbs.append(command["verb"])
+            with self.lock:
+                if not self.ignores_commands:
+                    self.commands.append(command)
+                    handler = getattr(self, "on_" + command["verb"].lower())
+                    handler(connection, command)
+
+    def send(self, connection, **message):
+        """Send a message that is not numbered."""
+        connection.sendall(json.dumps(message).encode() + b"\n")
+
+    def send_notice(self, **notice):
+        """Send a numbered notice on the present connection, if there is one, and keep it."""
+        with self.lock:
+            notice["index"] = len(self.notices) + 1
+            self.notices.append(notice)
+            with contextlib.suppress(OSError):
+                self.send(self.connection, **notice)
+
+    def become_ready(self):
+        """Welcome the host, after a start with ``is_up=False``."""
+        with self.lock:
+            self.is_up = True
+            self.on_join(self.connection, {"index": 0})
+
+    def end_run(self, task, outcome="complete", result="done"):
+        """End a run."""
+        self.send_notice(verb="EXIT", task=task, outcome=outcome, spent=RUN_SPENT_MS, bytes=encode_base64(result))
+
+    def runs_of(self, body):
+        """Return the runs with a body."""
+        return [run for run in self.runs if run.body == body]
+
+    def on_join(self, connection, command):
+        self.connection = connection
+        if not self.is_up:
+            return
+        self.send(connection, verb="WELCOME", outcome="hot", spent=WELCOME_SPENT_MS)
+        first_missed = 0 if self.resends_all_notices else command["index"]
+        for notice in self.notices[first_missed:][-self.max_kept_notices :]:
+            self.send(connection, **notice)
+
+    def on_exec(self, connection, command):
+        task = command["task"]
+        body = base64.b64decode(command["bytes"]).decode()
+        if body == "unknown":
+            self.send(connection, verb="BAD", outcome="EXEC", task=task)
+        elif body in OUTCOME_BY_ABANDONED_BODY:
+            self.send_notice(verb="EXIT", task=task, outcome=OUTCOME_BY_ABANDONED_BODY[body], spent=0, bytes="")
+        else:
+            run = Run(task, command["handler"], body)
+            self.runs.append(run)
+            self._start(run)
+
+    def _start(self, run):
+        if run.body.startswith(("call:", "stay:")):
+            _, _, call_body = run.body.partition(":")
+            self.send_notice(verb="CALLOUT", task=run.task, bytes=encode_base64(call_body))
+        elif run.body == "error":
+            self.end_run(run.task, outcome="error", result="")
+        elif self.work_s:
+            threading.Thread(target=self._work, args=(run.task, run.body), daemon=True).start()
+        elif run.body != "hold":
+            self.end_run(run.task, result=f"did {run.body}")
+
+    def _work(self, task, body):
+        with self.slots:
+            time.sleep(self.work_s)
+        self.end_run(task, result=f"did {body}")
+
+    def on_kill(self, connection, command):
+        self.end_run(command["task"], outcome="cancelled", result="")
+
+    def on_wake(self, connection, command):  # runs that it cancels have ended
+        self.send(connection, verb="BAD", outcome="WAKE", task=command["task"])
+
+    def on_return(self, connection, command):
+        if not self._body_of(command["task"]).startswith("stay:"):
+            self.end_run(command["task"], result=base64.b64decode(command["bytes"]))
+
+    def on_bypass(self, connection, command):
+        self.end_run(command["task"], result="poorer")
+
+    def on_meter(self, connection, command):
+        if command["nonce"] == "fence" and self.withheld_fences is not None:
+            self.withheld_fences.append((connection, command))
+            return
+        self.send(connection, verb="METERS", nonce=command["nonce"], readings=GAUGE_READINGS)
+
+    def on_diag(self, connection, command):
+        self.send(connection, verb="DIAGNOSED", nonce=command["nonce"], outcome="complete")
+
+    def _body_of(self, task):
+        return next(run.body for run in self.runs if run.task == task)
--- a/lapispick/fakes/fault_proxy.py
+++ b/lapispick/fakes/fault_proxy.py
@@ -1,11 +1,10 @@
-"""Every link between two processes as a proxy on loopback that can be broken: reset, stalled, slowed, cut, one way.
+"""Every link between two processes as a proxy on loopback with faults: partitions, resets, delays, loss, one-way.
 
-A link joins two named ends. What a script says of a link counts for all its connections, those to come too. A partition
-holds bytes back as a network does that TCP sends again on; they arrive when it heals, unless an end has given up.
+A link joins two named ends. A fault of a link applies to all its connections, those to come too. A partition holds
+bytes back as a network does over which TCP sends again; they arrive when it heals, unless an end has given up.
 """
 
 import contextlib
-import dataclasses
 import heapq
 import itertools
 import random
@@ -15,302 +14,297 @@
 import threading
 import time
 
-CHUNK = 64 * 1024
-HELD_MOST = 1 << 20  # bytes of one direction; beyond it nothing more is read, as with full buffers of the system
+from lapispick.fakes.fault_links import Flow, Link
 
+READ_BYTES = 64 * 1024
+MAX_BUFFERED_BYTES = 1 << 20  # of one direction; beyond it nothing more is read, as with full buffers of the system
+MAX_SELECT_S = 1.0
+RATE_INTERVAL_S = 0.02  # a rate-limited direction sends as much at once as this takes
+BUSY_RETRY_S = 0.01
+REORDER_DELAY_S = 0.05
+CONNECT_TIMEOUT_S = 2
+MAX_PORT_ATTEMPTS = 50
 
-@dataclasses.dataclass
-class Way:
-    """How one direction of a link is: seconds, bytes a second, shares of datagrams."""
 
-    held: bool = False  # nothing passes, and nothing is lost
-    delay: float = 0.0
-    jitter: float = 0.0  # on top of the delay, drawn for each piece; the order of a stream stays
-    rate: float = 0.0  # bytes a second; 0 = any
-    cut_at: int = 0  # after so many bytes of a connection it is reset; 0 = never
-    loss: float = 0.0  # of datagrams
-    double: float = 0.0
-    shuffle: float = 0.0  # of datagrams that arrive late, after others
+class LinkMover:
+    """One thread that moves what the links carry."""
 
-
-class Link:
-    """One link from a named end to another one; its address is where the first end connects."""
-
-    def __init__(self, net, ends, target, kind, port=0):
-        self.net, self.ends, self.target, self.kind = net, ends, target, kind
-        self.out = None  # the link by whose address the other end knows this one; datagrams leave there
-        self.there, self.back, self.refuses = Way(), Way(), False
-        self.flows = set()
-        self.sock = socket.socket(socket.AF_INET, kind)
-        self.sock.bind(("127.0.0.1", port))
-        if kind == socket.SOCK_STREAM:
-            self.sock.listen(128)
-        self.sock.setblocking(False)
-        self.at = "{}:{}".format(*self.sock.getsockname())
-
-    def ways(self):
-        return self.there, self.back
-
-
-class _Flow:
-    """One direction of one connection."""
-
-    def __init__(self, link, source, sink, way):
-        self.link, self.source, self.sink, self.way = link, source, sink, way
-        self.waiting, self.size, self.passed, self.free_at, self.ended, self.last = [], 0, 0, 0.0, False, 0.0
-        self.other = None
-
-
-class Net:
-    """All links; one thread moves what they carry."""
-
-    def __init__(self, seed):
-        self.random = random.Random(seed)
+    def __init__(self, rng):
+        self.random = rng
         self.links = []
-        self._lock, self._selector, self._timers = threading.RLock(), selectors.DefaultSelector(), []
-        self._numbers = itertools.count()
-        self._wake, self._woken = socket.socketpair()
-        self._woken.setblocking(False)
-        self._selector.register(self._woken, selectors.EVENT_READ, self._drain)
-        self._over = False
+        self.lock = threading.RLock()
+        self._selector = selectors.DefaultSelector()
+        self._timers = []  # (due, number, callback)
+        self._timer_numbers = itertools.count()
+        self._wake_sender, self._wake_receiver = socket.socketpair()
+        self._wake_receiver.setblocking(False)
+        self._selector.register(self._wake_receiver, selectors.EVENT_READ, self._on_wake)
+        self._stopped = False
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
-    # What scripts say.
-
-    def tcp(self, one, other, target):
-        return self._link(one, other, target, socket.SOCK_STREAM)
-
-    def udp(self, one, other, target):
-        return self._link(one, other, target, socket.SOCK_DGRAM)
-
-    def pair(self, one, other, at_one, at_other):
-        """Join two ends that hear datagrams and streams at one address each.
-
-        Returns the addresses by which the first knows the second and the second the first; datagrams come from there.
-        """
-        for _ in range(50):
-            there, back = (
-                Link(self, ends, target, socket.SOCK_DGRAM)
-                for ends, target in (((one, other), at_other), ((other, one), at_one))
-            )
-            there.out, back.out = back, there
-            made = [there, back]
-            try:
-                for link in (there, back):
-                    made.append(Link(self, link.ends, link.target, socket.SOCK_STREAM, int(link.at.rsplit(":")[-1])))
-            except OSError:  # the port is somebody's for streams
-                for link in made:
-                    link.sock.close()
-                continue
-            for link in made:
-                self._add(link)
-            return there.at, back.at
-        raise AssertionError("no pair of ports is free")
-
-    def between(self, ones, others):
-        """Return (link, its way from the first ends to the others, the way back) for all links between two groups."""
-        found = []
-        for link in self.links:
-            a, b = link.ends
-            if a in ones and b in others:
-                found.append((link, link.there, link.back))
-            elif b in ones and a in others:
-                found.append((link, link.back, link.there))
-        return found
-
-    def part(self, ones, others, one_way=False):
-        """Let nothing pass between two groups, or only nothing from the first to the second."""
-        with self._lock:
-            for _, there, back in self.between(ones, others):
-                there.held, back.held = True, back.held or not one_way
-        self._touch()
-
-    def slow(self, ones, others, **told):
-        """Set delay, jitter, rate, loss, ... of both directions."""
-        with self._lock:
-            for _, *ways in self.between(ones, others):
-                for way in ways:
-                    for name, value in told.items():
-                        setattr(way, name, value)
-        self._touch()
+    def add(self, link):
+        """Serve a link."""
+        with self.lock:
+            self.links.append(link)
+        callback = self._accept if link.kind == socket.SOCK_STREAM else self._take_datagram
+        self._selector.register(link.sock, selectors.EVENT_READ, lambda: callback(link))
+        self.wake()
 
-    def reset(self, ones, others, refuse=False):
-        """Break all connections between two groups, and perhaps refuse new ones."""
-        with self._lock:
-            for link, _, _ in self.between(ones, others):
-                link.refuses = refuse
-                for flow in list(link.flows):
-                    self._kill(flow)
-        self._touch()
+    def wake(self):
+        """Let the thread look at all flows, after a change of their directions."""
+        with contextlib.suppress(OSError):
+            self._wake_sender.send(b"x")
 
-    def heal(self):
-        """Let all links be as they were made."""
-        with self._lock:
-            for link in self.links:
-                link.there.__init__()
-                link.back.__init__()
-                link.refuses = False
-        self._touch()
+    def reset(self, flow):
+        """Reset a connection."""
+        for each in (flow, flow.opposite):
+            flow.link.flows.discard(each)
+            with contextlib.suppress(KeyError, ValueError):
+                self._selector.unregister(each.source)
+            each.pending = []
+        for each in (flow, flow.opposite):
+            _close_with_reset(each.source)
 
     def close(self):
-        self._over = True
-        self._touch()
+        """End the thread and close all listeners."""
+        self._stopped = True
+        self.wake()
         self._thread.join(5)
         for link in self.links:
             link.sock.close()
 
-    # The thread.
+    def _run(self):
+        while not self._stopped:
+            for key, _ in self._selector.select(self._select_timeout_s()):
+                with self.lock:
+                    key.data()
+            with self.lock:
+                while self._timers and self._timers[0][0] <= time.monotonic():
+                    _, _, callback = heapq.heappop(self._timers)
+                    callback()
 
-    def _link(self, one, other, target, kind):
-        return self._add(Link(self, (one, other), target, kind))
+    def _select_timeout_s(self):
+        if not self._timers:
+            return MAX_SELECT_S
+        return max(0.0, min(self._timers[0][0] - time.monotonic(), MAX_SELECT_S))
 
-    def _add(self, link):
-        with self._lock:
-            self.links.append(link)
-        take = self._accept if link.kind == socket.SOCK_STREAM else self._datagram
-        self._selector.register(link.sock, selectors.EVENT_READ, lambda: take(link))
-        self._touch()
-        return link.at
-
-    def _touch(self):
-        with contextlib.suppress(OSError):
-            self._wake.send(b"x")
+    def _call_at(self, due, callback):
+        heapq.heappush(self._timers, (due, next(self._timer_numbers), callback))
 
-    def _drain(self):
+    def _on_wake(self):
         with contextlib.suppress(BlockingIOError):
-            self._woken.recv(4096)
-        with self._lock:  # a way may have opened again
+            self._wake_receiver.recv(4096)
+        with self.lock:
             for link in self.links:
                 for flow in list(link.flows):
                     self._forward(flow)
 
-    def _at(self, due, call):
-        heapq.heappush(self._timers, (due, next(self._numbers), call))
-
-    def _run(self):
-        while not self._over:
-            pause = max(0.0, min(self._timers[0][0] - time.monotonic(), 1.0)) if self._timers else 1.0
-            for key, _ in self._selector.select(pause):
-                with self._lock:
-                    key.data()
-            with self._lock:
-                while self._timers and self._timers[0][0] <= time.monotonic():
-                    heapq.heappop(self._timers)[2]()
-
     def _accept(self, link):
         try:
             near, _ = link.sock.accept()
         except OSError:
             return
-        if link.refuses:
-            return _reset(near)
+        if link.refuses_connections:
+            _close_with_reset(near)
+            return
         far = socket.socket()
         try:
-            host, port = link.target.rsplit(":", 1)
-            far.settimeout(2)
-            far.connect((host, int(port)))  # of this machine: at once, or refused
+            far.settimeout(CONNECT_TIMEOUT_S)
+            far.connect(link.target_address)  # on this machine: at once, or refused
         except OSError:
             far.close()
-            return _reset(near)
+            _close_with_reset(near)
+            return
         for sock in (near, far):
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        there, back = _Flow(link, near, far, link.there), _Flow(link, far, near, link.back)
-        there.other, back.other = back, there
-        for flow in (there, back):
+        self._add_flows(link, near, far)
+
+    def _add_flows(self, link, near, far):
+        forward = Flow(link, near, far, link.forward)
+        backward = Flow(link, far, near, link.backward)
+        forward.opposite = backward
+        backward.opposite = forward
+        for flow in (forward, backward):
             link.flows.add(flow)
-            self._selector.register(flow.source, selectors.EVENT_READ, lambda flow=flow: self._read(flow))
-        return None
+            self._register(flow)
+
+    def _register(self, flow):
+        self._selector.register(flow.source, selectors.EVENT_READ, lambda: self._read(flow))
 
     def _read(self, flow):
         try:
-            data = flow.source.recv(CHUNK)
+            data = flow.source.recv(READ_BYTES)
         except BlockingIOError:
             return
         except OSError:
-            return self._kill(flow)
-        way, now = flow.way, time.monotonic()
-        due = now + way.delay + (self.random.random() * way.jitter if way.jitter else 0.0)
-        flow.last = due = max(due, flow.last)  # a stream keeps its order
-        flow.waiting.append((due, data))
-        flow.size += len(data)
-        if not data or flow.size > HELD_MOST:
+            self.reset(flow)
+            return
+        direction = flow.direction
+        jitter_s = self.random.random() * direction.jitter_s if direction.jitter_s else 0.0
+        flow.add(data, time.monotonic() + direction.delay_s + jitter_s)
+        if not data or flow.pending_bytes > MAX_BUFFERED_BYTES:
             self._selector.unregister(flow.source)
-            flow.ended = not data
+            flow.has_ended = not data
         self._forward(flow)
 
     def _forward(self, flow):
-        while flow.waiting and not flow.way.held:
-            due, data = flow.waiting[0]
+        """Send what is due of a flow."""
+        while flow.pending and not flow.direction.is_held:
+            due, data = flow.pending[0]
             now = time.monotonic()
-            if max(due, flow.free_at) > now:
-                return self._at(max(due, flow.free_at), lambda: self._forward(flow))
+            send_at = max(due, flow.next_send_at)
+            if send_at > now:
+                self._call_at(send_at, lambda: self._forward(flow))
+                return
             if not data:
-                flow.waiting.pop(0)
-                with contextlib.suppress(OSError):
-                    flow.sink.shutdown(socket.SHUT_WR)
-                if flow.other.ended and not flow.other.waiting:
-                    self._kill(flow)
-                return None
-            part = data
-            if flow.way.rate:
-                part = data[: max(1, int(flow.way.rate * 0.02))]
-            if flow.way.cut_at:
-                part = part[: max(0, flow.way.cut_at - flow.passed)]
+                self._forward_end(flow)
+                return
+            piece = flow.next_piece(data, RATE_INTERVAL_S)
             try:
-                sent = flow.sink.send(part) if part else 0
+                sent = flow.sink.send(piece) if piece else 0
             except BlockingIOError:
-                return self._at(now + 0.01, lambda: self._forward(flow))
+                self._call_at(now + BUSY_RETRY_S, lambda: self._forward(flow))
+                return
             except OSError:
-                return self._kill(flow)
-            flow.passed += sent
-            flow.size -= sent
-            if flow.way.cut_at and flow.passed >= flow.way.cut_at:
-                return self._kill(flow)
-            if flow.way.rate:
-                flow.free_at = now + sent / flow.way.rate
-            rest = data[sent:]
-            flow.waiting[0] = (due, rest)
-            if not rest:
-                flow.waiting.pop(0)
-            if flow.size <= HELD_MOST and not flow.ended and flow.source.fileno() >= 0:
-                with contextlib.suppress(KeyError, ValueError):
-                    self._selector.get_key(flow.source)
-                    continue
-                with contextlib.suppress(ValueError):
-                    self._selector.register(flow.source, selectors.EVENT_READ, lambda: self._read(flow))
-        return None
-
-    def _kill(self, flow):
-        for each in (flow, flow.other):
-            flow.link.flows.discard(each)
-            with contextlib.suppress(KeyError, ValueError):
-                self._selector.unregister(each.source)
-            each.waiting = []
-        for each in (flow, flow.other):
-            _reset(each.source)
+                self.reset(flow)
+                return
+            flow.mark_sent(sent, now)
+            if flow.reached_reset():
+                self.reset(flow)
+                return
+            self._resume_reading(flow)
+
+    def _forward_end(self, flow):
+        """Pass on the end of a stream; the connection is closed where the other direction has ended too."""
+        flow.pending.pop(0)
+        with contextlib.suppress(OSError):
+            flow.sink.shutdown(socket.SHUT_WR)
+        if flow.opposite.has_ended and not flow.opposite.pending:
+            self.reset(flow)
 
-    def _datagram(self, link):
+    def _resume_reading(self, flow):
+        """Read from the source again where it was too far ahead."""
+        if flow.pending_bytes > MAX_BUFFERED_BYTES or flow.has_ended or flow.source.fileno() < 0:
+            return
+        with contextlib.suppress(KeyError, ValueError):
+            self._selector.get_key(flow.source)
+            return
+        with contextlib.suppress(ValueError):
+            self._register(flow)
+
+    def _take_datagram(self, link):
         try:
             data, _ = link.sock.recvfrom(65536)
         except OSError:
             return
-        way, rng = link.there, self.random
-        host, port = link.target.rsplit(":", 1)
-        for _ in range(2 if rng.random() < way.double else 1):
-            if way.held or rng.random() < way.loss:
+        direction = link.forward
+        rng = self.random
+        sender = (link.reply_link or link).sock
+        for _ in range(2 if rng.random() < direction.duplicate else 1):
+            if direction.is_held or rng.random() < direction.loss:
                 continue
-            late = way.delay + rng.random() * way.jitter + (0.05 if rng.random() < way.shuffle else 0.0)
-            self._at(time.monotonic() + late, lambda: _sendto((link.out or link).sock, data, (host, int(port))))
+            delay_s = direction.delay_s + rng.random() * direction.jitter_s
+            if rng.random() < direction.reorder:
+                delay_s += REORDER_DELAY_S
+            self._call_at(time.monotonic() + delay_s, lambda: _send_datagram(sender, data, link.target_address))
+
+
+class FaultProxy:
+    """All links, and their faults; ``seed`` draws delays and lost datagrams."""
+
+    def __init__(self, seed):
+        self._mover = LinkMover(random.Random(seed))
+
+    def tcp(self, one, other, target):
+        """Join two ends by streams; returns the address at which the first reaches the target."""
+        return self._add(Link((one, other), target, socket.SOCK_STREAM))
+
+    def udp(self, one, other, target):
+        """Join two ends by datagrams; returns the address at which the first reaches the target."""
+        return self._add(Link((one, other), target, socket.SOCK_DGRAM))
+
+    def pair(self, one, other, address_of_one, address_of_other):
+        """Join two ends that receive datagrams and streams at one address each.
+
+        Returns the addresses by which the first knows the second and the second the first; datagrams come from there.
+        """
+        for _ in range(MAX_PORT_ATTEMPTS):
+            forward = Link((one, other), address_of_other, socket.SOCK_DGRAM)
+            backward = Link((other, one), address_of_one, socket.SOCK_DGRAM)
+            forward.reply_link = backward
+            backward.reply_link = forward
+            links = [forward, backward]
+            try:
+                for link in (forward, backward):
+                    links.append(Link(link.ends, link.target, socket.SOCK_STREAM, link.port))
+            except OSError:  # another process uses the port for streams
+                for link in links:
+                    link.sock.close()
+                continue
+            for link in links:
+                self._add(link)
+            return forward.address, backward.address
+        raise AssertionError("no pair of ports is free")
+
+    def partition(self, ones, others, one_way=False):
+        """Let nothing pass between two groups, or only nothing from the first to the second."""
+        with self._mover.lock:
+            for _, towards_others, towards_ones in self._between(ones, others):
+                towards_others.is_held = True
+                towards_ones.is_held = towards_ones.is_held or not one_way
+        self._mover.wake()
+
+    def impair(self, ones, others, **changes):
+        """Set fields of ``Direction`` in both directions between two groups."""
+        with self._mover.lock:
+            for _, *directions in self._between(ones, others):
+                for direction in directions:
+                    for name, value in changes.items():
+                        setattr(direction, name, value)
+        self._mover.wake()
+
+    def reset(self, ones, others, refuse=False):
+        """Reset all connections between two groups, and perhaps refuse new ones."""
+        with self._mover.lock:
+            for link, _, _ in self._between(ones, others):
+                link.refuses_connections = refuse
+                for flow in list(link.flows):
+                    self._mover.reset(flow)
+        self._mover.wake()
+
+    def heal(self):
+        """End all faults."""
+        with self._mover.lock:
+            for link in self._mover.links:
+                link.reset_state()
+        self._mover.wake()
+
+    def close(self):
+        """Close all links."""
+        self._mover.close()
+
+    def _add(self, link):
+        self._mover.add(link)
+        return link.address
+
+    def _between(self, ones, others):
+        """Yield (link, direction from the first group to the second, direction back)."""
+        for link in self._mover.links:
+            first, second = link.ends
+            if first in ones and second in others:
+                yield link, link.forward, link.backward
+            elif second in ones and first in others:
+                yield link, link.backward, link.forward
 
 
-def _sendto(sock, data, at):
+def _send_datagram(sock, data, address):
     with contextlib.suppress(OSError):
-        sock.sendto(data, at)
+        sock.sendto(data, address)
 
 
-def _reset(sock):
+def _close_with_reset(sock):
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
--- a/lapispick/fakes/fleet.py
+++ b/lapispick/fakes/fleet.py
@@ -13,25 +13,26 @@
 import threading
 import time
 
-from lapispick.fakes import peers
-from lapispick.fakes.fault_proxy import Net
+from lapispick.fakes.fault_proxy import FaultProxy
 from lapispick.fakes.fleet_gateway import Gateway
 from lapispick.fakes.fleet_host import ROOT, ROSTER, FleetHost
 from lapispick.fakes.fleet_peers import STORE, SharedStore
-from lapispick.fakes.host_pauses import Pauses
-from lapispick.fakes.peers import Roster, until
+from lapispick.fakes.host_pauses import PauseMonitor
+from lapispick.fakes.registry import ServiceRegistry
 from lapispick.fakes.rule_checker import FleetRecord, check
+from lapispick.fakes.start_settings import PLATFORM_INFO
+from lapispick.fakes.waiting import wait_until
 
-__all__ = ["INFO", "ROOT", "ROSTER", "STEER", "STORE", "Fleet"]
+__all__ = ["PLATFORM_INFO", "ROOT", "ROSTER", "STEER", "STORE", "Fleet"]
 
 STEER = "steer"
 LISTED_S = 3.0  # an entry of the roster lapses so long after its last report
 MAX_READ_REPORTS = 200  # per host
 IDEMPOTENCY_WINDOW_MS = 14_286.0
 SETTLE_SLACK_S = 1
-INFO = json.loads(json.dumps(peers.INFO))
-INFO["Services"][1]["Window"] = IDEMPOTENCY_WINDOW_MS
-INFO["FamilyInfo"]["CallsOut"] = 50.0
+PLATFORM_INFO = json.loads(json.dumps(PLATFORM_INFO))
+PLATFORM_INFO["Services"][1]["Window"] = IDEMPOTENCY_WINDOW_MS
+PLATFORM_INFO["FamilyInfo"]["CallsOut"] = 50.0
 
 
 class Fleet:
@@ -46,7 +47,7 @@
         gateways=2,
         rate=20.0,
         calls=0.2,
-        info=INFO,
+        info=PLATFORM_INFO,
         executor_options=None,
         stop_ms=2500,
         memory_limit_mb=192,
@@ -64,12 +65,12 @@
         self.patience_s = patience_s
         self.executor_options = executor_options or {}
         self.slowdowns = slowdowns or {}
-        self.net = Net(seed)
+        self.net = FaultProxy(seed)
         self.store = SharedStore(self.record)
-        self.roster = Roster()
+        self.roster = ServiceRegistry()
         self.hosts = [FleetHost(self, f"disp-{n + 1:02}", zones[n % len(zones)]) for n in range(hosts)]
-        self._pauses = Pauses(self.hosts)
-        self.record.paused_s = self._pauses.held
+        self._pauses = PauseMonitor(self.hosts)
+        self.record.paused_s = self._pauses.paused_s
         self._pauses.start()
         self.gateways = [Gateway(self, n, rate, calls) for n in range(gateways)]
         self._paths = {
@@ -124,7 +125,7 @@
     def wait_for_results(self, more):
         """Wait until so many more requests were answered or given up."""
         goal = self._result_count() + more
-        return until(lambda: self._result_count() >= goal, f"{more} answers")
+        return wait_until(lambda: self._result_count() >= goal, f"{more} answers")
 
     def settle(self):
         """End the load and wait until no attempt is open any more."""
@@ -166,7 +167,7 @@
     def partition(self, ones, others, one_way=False):
         """Let nothing pass between two groups of endpoints; returns what ends it."""
         fault = self.record.begin_fault("partition", [*ones, *others])
-        self.net.part(ones, others, one_way)
+        self.net.partition(ones, others, one_way)
 
         def heal():
             self.net.heal()
--- a/lapispick/fakes/fleet_gateway.py
+++ b/lapispick/fakes/fleet_gateway.py
@@ -6,8 +6,8 @@
 import time
 from typing import Any, NamedTuple
 
-from lapispick.fakes.peers import asked
-from lapispick.fakes.pool import Pool
+from lapispick.fakes.connection_pool import ConnectionPool
+from lapispick.fakes.messages import request_params
 from lapispick.fakes.rule_checker import REJECTED, SERVED, Attempt, answer_kind
 
 KEYED_CLASS = "book"
@@ -101,7 +101,7 @@
         )
         self.fleet.record.add_attempt(attempt)
         try:
-            self._pool(host).ask(request.cls, _Sent(attempt, host, request), self._params(attempt))
+            self._pool(host).send_request(request.cls, _Sent(attempt, host, request), self._params(attempt))
         except OSError:  # the host accepts no connection
             self.fleet.record.remove_attempt(attempt)
             self._retry(request, host if is_retry else None, is_retry)
@@ -115,7 +115,7 @@
 
     def _pool(self, host):
         if host.name not in self.pools:
-            self.pools[host.name] = Pool(self.fleet.path(self.name, host), self._on_answer)
+            self.pools[host.name] = ConnectionPool(self.fleet.path(self.name, host), self._on_answer)
         return self.pools[host.name]
 
     def _params(self, attempt):
@@ -124,7 +124,7 @@
             optional["nonce"] = attempt.key
         if attempt.is_retry:
             optional["redo"] = 1
-        return asked(
+        return request_params(
             attempt.body,
             trace=attempt.trace,
             born=attempt.sent_at * 1000,
--- a/lapispick/fakes/fleet_host.py
+++ b/lapispick/fakes/fleet_host.py
@@ -11,12 +11,11 @@
 import sys
 from pathlib import Path
 
-from lapispick.fakes import peers
 from lapispick.fakes.fleet_peers import STORE, RecordingExecutor
-from lapispick.fakes.peers import until
 from lapispick.fakes.ports import call_operators, free_port
+from lapispick.fakes.waiting import wait_until
 
-ROOT = Path(peers.__file__).resolve().parents[2]
+ROOT = Path(__file__).resolve().parents[2]
 ROSTER = "roster"
 
 
@@ -34,8 +33,8 @@
         self._port_holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         self._port_holder.bind(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self._port_holder.getsockname()[1]}"
-        self.store_address = fleet.net.tcp(name, STORE, fleet.store.at)
-        self.roster_address = fleet.net.udp(name, ROSTER, fleet.roster.at)
+        self.store_address = fleet.net.tcp(name, STORE, fleet.store.address)
+        self.roster_address = fleet.net.udp(name, ROSTER, fleet.roster.address)
         self.executors = []
         self.processes = []
         self._starts = 0
@@ -49,7 +48,7 @@
         )
         executor.slowdown = self.fleet.slowdowns.get(self.name, 1.0)
         self.executors.append(executor)
-        return {"ops": f"127.0.0.1:{free_port()}", "executor": executor.at}
+        return {"ops": f"127.0.0.1:{free_port()}", "executor": executor.address}
 
     def config(self, **over):
         """Return the platform's configuration of a process."""
@@ -91,7 +90,7 @@
         self.processes.append(process)
         process.ops = slot["ops"]
         process.name = self.executors[-1].process
-        until(lambda: call_operators(process.ops, "check") == ["OK"], f"yes from {self.name}")
+        wait_until(lambda: call_operators(process.ops, "check") == ["OK"], f"yes from {self.name}")
         return process
 
     def _skewed_clock_folder(self, skew):
@@ -123,7 +122,7 @@
         self.agent.kill()
         for pid in self.agent.pids():
             os.kill(pid, signal.SIGKILL)
-        until(lambda: not self.agent.pids(), "the end of all processes")
+        wait_until(lambda: not self.agent.pids(), "the end of all processes")
 
     def _kill_processes(self):
         for process in self.processes:
@@ -138,7 +137,7 @@
             peaks = [process_peak_memory_mb(pid) for pid in self.serving_pids()]
             return (peaks,) if None not in peaks else None
 
-        return until(measured, f"the memory of all processes of {self.name}")[0]
+        return wait_until(measured, f"the memory of all processes of {self.name}")[0]
 
     def close(self):
         self._kill_processes()
--- a/lapispick/fakes/fleet_peers.py
+++ b/lapispick/fakes/fleet_peers.py
@@ -4,7 +4,8 @@
 import threading
 import time
 
-from lapispick.fakes.peers import Executor, Store
+from lapispick.fakes.executor import Executor
+from lapispick.fakes.store import Store
 
 STORE = "store"
 
@@ -20,23 +21,23 @@
         self.connected_processes = 0
         super().__init__(work_s, cores)
 
-    def on_join(self, link, command):
+    def on_join(self, connection, command):
         if command["index"] == 0 and self.notices:  # another process of the host: notices count from 1 again
             self.notices = []
             self.connected_processes += 1
-        super().on_join(link, command)
+        super().on_join(connection, command)
 
-    def on_exec(self, link, command):
+    def on_exec(self, connection, command):
         body = base64.b64decode(command["bytes"]).decode()
         self.record.add_execution(self.host, self.process, command["task"], body)
-        super().on_exec(link, command)
+        super().on_exec(connection, command)
 
     def _work(self, task, body):
         started_for = self.connected_processes
         with self.slots:
             time.sleep(self.work_s * self.slowdown)
         if started_for == self.connected_processes:
-            self.end(task, result=f"did {body}")
+            self.end_run(task, result=f"did {body}")
 
 
 class SharedStore(Store):
@@ -51,8 +52,8 @@
         self._count_lock = threading.Lock()
         super().__init__()
 
-    def talk(self, link):
-        for headers, body in self.asked(link.makefile("rb")):
+    def serve(self, connection):
+        for headers, body in self.read_calls(connection.makefile("rb")):
             self.record.add_execution("", "", headers["X-For-Request"], body, STORE)
             with self._count_lock:
                 self._concurrent_calls += 1
@@ -61,4 +62,4 @@
             with self._count_lock:
                 self._concurrent_calls -= 1
             reply = f"called {body}"
-            link.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(reply)}\r\n\r\n{reply}".encode())
+            connection.sendall(f"HTTP/1.1 200 OK\r\nContent-Length: {len(reply)}\r\n\r\n{reply}".encode())
--- a/lapispick/fakes/host_pauses.py
+++ b/lapispick/fakes/host_pauses.py
@@ -1,7 +1,7 @@
-"""How long the machine held up the rig and the hosts, so that no rule is laid at a host's door for it.
+"""Measures how long the machine paused the test or a worker host, so that no rule counts it against the host.
 
-A thread that wants its turn every few ms notes each one that came late; of each host's processes the system tells how
-long they could run and had no core (``/proc/PID/schedstat``). The platform's rules leave out the time in which the
+A thread that wakes every few ms records each wake-up that came late; for the processes of hosts the system tells how
+long they were runnable without a core (``/proc/PID/schedstat``). The platform's rules leave out the time in which the
 machine pauses; here it is as much as was measured while a request was open, and nothing on a quiet machine.
 """
 
@@ -9,66 +9,94 @@
 import threading
 import time
 import types
+from typing import NamedTuple
 
-TURN_S = 0.01  # s; between two turns
-LEAST_S = 0.02  # s; less than this in a turn is what any machine does
-LOOK = 5  # turns between two looks at the hosts
-FIND_S = 1.0  # s; between two looks for their processes
+WAKE_INTERVAL_S = 0.01
+MIN_PAUSE_S = 0.02  # shorter ones within an interval are usual on any machine
+WAKES_PER_CHECK = 5  # of the hosts' processes
+FIND_PROCESSES_INTERVAL_S = 1.0
+TEST_PROCESS = ""  # in place of a host's name
 
 
-class Pauses(threading.Thread):
-    """Spans in which somebody was held up: (from, to, whom or "" for the rig itself, for how long)."""
+class Pause(NamedTuple):
+    """A span, Unix s, within which a host or the test was paused for a time."""
 
-    def __init__(self, boxes):
+    since: float
+    until: float
+    host: str
+    paused_s: float
+
+
+class PauseMonitor(threading.Thread):
+    """Records pauses of the test and of hosts; each host has a ``name`` and ``serving_pids()``."""
+
+    def __init__(self, hosts):
         super().__init__(daemon=True)
-        self.spans, self._boxes, self._over, self._waited = [], boxes, threading.Event(), {}
+        self.pauses = []
+        self._hosts = hosts
+        self._stopped = threading.Event()
+        self._waited_s = {}  # process id -> time without a core so far
 
     def run(self):
-        last, turn, looked, found, pids = time.time(), 0, time.time(), 0.0, []
-        while not self._over.wait(TURN_S):
+        last_wake = time.time()
+        last_check = last_wake
+        found_at = 0.0
+        wakes = 0
+        pids = []
+        while not self._stopped.wait(WAKE_INTERVAL_S):
             now = time.time()
-            self.note(last, now, "", now - last - TURN_S)
-            last, turn = now, turn + 1
-            if turn % LOOK == 0:
-                if now - found >= FIND_S:
-                    found, pids = now, [(box.name, pid) for box in list(self._boxes) for pid in self._serving(box)]
-                for name, pid in pids:
-                    self._look(name, pid, looked, now)
-                looked = now
-
-    def _serving(self, box):
-        with contextlib.suppress(OSError):  # it may end at any moment
-            return box.serving_pids()
-        return []
-
-    def _look(self, name, pid, since, now):
+            self.add_pause(last_wake, now, TEST_PROCESS, now - last_wake - WAKE_INTERVAL_S)
+            last_wake = now
+            wakes += 1
+            if wakes % WAKES_PER_CHECK:
+                continue
+            if now - found_at >= FIND_PROCESSES_INTERVAL_S:
+                found_at = now
+                pids = [(host.name, pid) for host in list(self._hosts) for pid in _serving_pids(host)]
+            for name, pid in pids:
+                self._check_process(name, pid, last_check, now)
+            last_check = now
+
+    def _check_process(self, name, pid, since, now):
         with contextlib.suppress(OSError, IndexError, ValueError):
             with open(f"/proc/{pid}/schedstat") as file:
-                waited = int(file.read().split()[1]) / 1e9
-            before = self._waited.get(pid, waited)
-            self._waited[pid] = waited
-            self.note(since, now, name, waited - before)
+                waited_s = int(file.read().split()[1]) / 1e9
+            waited_before_s = self._waited_s.get(pid, waited_s)
+            self._waited_s[pid] = waited_s
+            self.add_pause(since, now, name, waited_s - waited_before_s)
 
-    def note(self, since, until, whom, held):
-        if held >= LEAST_S:
-            self.spans.append((since, until, whom, held))
+    def add_pause(self, since, until, host, paused_s):
+        """Record a pause, unless it is shorter than ``MIN_PAUSE_S``."""
+        if paused_s >= MIN_PAUSE_S:
+            self.pauses.append(Pause(since, until, host, paused_s))
 
-    def held(self, box, since, until):
-        """Return for how long the rig and this box were held up in a span, s."""
+    def paused_s(self, host, since, until):
+        """Return for how long the test and this host were paused in a span."""
         return sum(
-            held for start, end, whom, held in list(self.spans) if whom in ("", box) and start < until and end > since
+            pause.paused_s
+            for pause in list(self.pauses)
+            if pause.host in (TEST_PROCESS, host) and pause.since < until and pause.until > since
         )
 
     def stop(self):
-        self._over.set()
+        """End the thread."""
+        self._stopped.set()
+
+
+def _serving_pids(host):
+    with contextlib.suppress(OSError):  # it may end at any moment
+        return host.serving_pids()
+    return []
 
 
 @contextlib.contextmanager
-def watched(host):
-    """Return what tells for how long the machine has held up a host or the test itself since here, s."""
-    since, pauses = time.time(), Pauses([types.SimpleNamespace(name="it", serving_pids=lambda: [host.process.pid])])
-    pauses.start()
+def measure_pauses(host):
+    """Return what tells for how long the machine has paused a host process or the test since here, s."""
+    since = time.time()
+    name = "host"
+    monitor = PauseMonitor([types.SimpleNamespace(name=name, serving_pids=lambda: [host.process.pid])])
+    monitor.start()
     try:
-        yield lambda: pauses.held("it", since, time.time())
+        yield lambda: monitor.paused_s(name, since, time.time())
     finally:
-        pauses.stop()
+        monitor.stop()
--- /dev/null
+++ b/lapispick/fakes/host_process.py
@@ -0,0 +1,167 @@
+"""A worker host as a process, with fakes for its peers."""
+
+import contextlib
+import json
+import os
+import re
+import signal
+import socket
+import subprocess
+import sys
+
+from lapispick.fakes.executor import Executor
+from lapispick.fakes.gateway import GatewayConnection
+from lapispick.fakes.registry import ServiceRegistry
+from lapispick.fakes.start_settings import LIMITS, PLATFORM_INFO, make_start_settings
+from lapispick.fakes.store import Store
+from lapispick.fakes.waiting import TIMEOUT_S, wait_until
+
+COMMAND = (sys.executable, "-m", "lapispick.host")
+
+
+class HostProcess:
+    """A process of the worker host.
+
+    ``omit`` names start settings that are left out; ``environ`` adds to the environment.
+    """
+
+    def __init__(
+        self,
+        folder,
+        stop_ms=1500,
+        environ=None,
+        info=None,
+        cwd=None,
+        listen="127.0.0.1:0",
+        wait_for_start=True,
+        wait_for_ready=True,
+        omit=(),
+        limits=None,
+        command=COMMAND,
+        seed="8c1f30d27a5be964",
+        executor=None,
+        store=None,
+        registry=None,
+    ):
+        self.folder = folder
+        self.executor = executor or Executor()
+        self.store = store or Store()
+        self.registry = registry or ServiceRegistry()
+        settings = make_start_settings(
+            listen=listen,
+            seed=seed,
+            stop_ms=stop_ms,
+            ops="127.0.0.1:0",
+            limits={**LIMITS, **(limits or {})},
+            settings=info or PLATFORM_INFO,
+            **self._peer_addresses(),
+        )
+        self.config = {key: value for key, value in settings.items() if key not in omit}
+        self.path = folder / f"config{len(list(folder.glob('config*.json'))) or ''}.json"
+        self.path.write_text(json.dumps(self.config))
+        self.log_path = self.path.with_suffix(".log")
+        self.process = subprocess.Popen(
+            command,
+            stderr=self.log_path.open("w"),
+            cwd=cwd,
+            env={**os.environ, "LB_CONFIG": str(self.path), **(environ or {})},
+        )
+        self.address = listen
+        if wait_for_start:
+            self._wait_for_start(wait_for_ready)
+
+    def _peer_addresses(self):
+        """Return the addresses of the peers, by their start settings."""
+        return {
+            "executor": self.executor.address,
+            "store": self.store.address,
+            "roster": self.registry.address,
+        }
+
+    def _wait_for_start(self, wait_for_ready):
+        try:
+            line = wait_until(lambda: re.search(r"event=started .*listen=(\S+)", self.log()), "the start")
+            self.address = line.group(1)
+            found = re.search(r"event=started .*ops=(\S+)", self.log())
+            self.ops = found.group(1) if found else ""  # an earlier version has none
+            if wait_for_ready:
+                self.wait_for_log("ready")
+        except AssertionError:
+            self.close()
+            raise
+
+    def start_successor(self, **over):
+        """Start the program again beside this process, as an upgrade does; the executor is another one."""
+        options = {
+            "store": self.store,
+            "registry": self.registry,
+            "listen": self.config["listen"],
+            "stop_ms": self.config["stop_ms"],
+            "info": self.config["settings"],
+        }
+        return HostProcess(self.folder, **{**options, **over})
+
+    def log(self):
+        """Return what the process logged so far."""
+        return self.log_path.read_text()
+
+    def wait_for_log(self, event):
+        """Wait until an event is logged."""
+        return wait_until(lambda: f"event={event}" in self.log(), f"log line {event}")
+
+    def gateway(self):
+        """Return a new connection of a gateway."""
+        return GatewayConnection.connect(self.address)
+
+    def call_operators(self, line=b"check", end=b"\n"):
+        """Call as operators do; return the lines of the answer."""
+        host, port = self.ops.split(":")
+        with socket.create_connection((host, int(port)), timeout=TIMEOUT_S) as sock:
+            sock.sendall(line + end)
+            return sock.makefile("rb").read().decode().splitlines()
+
+    def metrics(self):
+        """Return the metrics by name, without their ``app.``."""
+        *lines, last = self.call_operators(b"vars")
+        assert last == "END"
+        pairs = [re.fullmatch(r"app\.(\S+):(\d+)\|[cg]", line).groups() for line in lines]
+        return {name: int(value) for name, value in pairs}
+
+    def peak_memory_mb(self):
+        """Return the peak memory of the process."""
+        with open(f"/proc/{self.process.pid}/status") as file:
+            return int(re.search(r"VmHWM:\s+(\d+)", file.read()).group(1)) / 1024
+
+    def reload(self, text=None, omit=(), **over):
+        """Replace the start settings, by default with the peers' present addresses, send SIGHUP and wait."""
+        peers = {key: address for key, address in self._peer_addresses().items() if key not in omit}
+        reloads_before = self.log().count("event=reload")
+        temporary = self.path.with_suffix(".new")
+        temporary.write_text(text or json.dumps({**self.config, **peers, **over}))
+        temporary.replace(self.path)
+        self.process.send_signal(signal.SIGHUP)
+        wait_until(lambda: self.log().count("event=reload") > reloads_before, "the reload")
+
+    def terminate(self):
+        """Request a shutdown, by SIGTERM."""
+        self.process.send_signal(signal.SIGTERM)
+
+    @contextlib.contextmanager
+    def suspended(self):
+        """Stop the process for a while: what is sent meanwhile is there at once when it goes on."""
+        self.process.send_signal(signal.SIGSTOP)
+        wait_until(self.is_suspended, "the stop")
+        yield
+        self.process.send_signal(signal.SIGCONT)
+
+    def is_suspended(self):
+        """Tell whether the process is stopped, or has ended."""
+        with open(f"/proc/{self.process.pid}/status") as file:
+            return re.search(r"State:\s+[TZ]", file.read()) is not None
+
+    def close(self):
+        """Kill the process and close its peers."""
+        self.process.kill()
+        self.process.wait()
+        for peer in (self.executor, self.store, self.registry):
+            peer.close()
--- /dev/null
+++ b/lapispick/fakes/messages.py
@@ -0,0 +1,25 @@
+"""Contents of the messages that gateways and executors send."""
+
+import base64
+import random
+import time
+
+
+def encode_base64(body):
+    """Return text or bytes in base64, as text."""
+    return base64.b64encode(body.encode() if isinstance(body, str) else body).decode()
+
+
+def request_params(body="x", **over):
+    """Return the parameters of a JSON-RPC request, with changes."""
+    return {
+        "trace": f"{random.getrandbits(64):016x}",
+        "born": time.time() * 1000,
+        "client": 1,
+        "customer": "shop",
+        "patience": 4000,
+        "size": 20.0,
+        "order": 0.5,
+        "doc": encode_base64(body),
+        **over,
+    }
--- a/lapispick/fakes/ports.py
+++ b/lapispick/fakes/ports.py
@@ -1,4 +1,4 @@
-"""Ports of the emulated fleet, and calls to operators' addresses."""
+"""Ports for processes that a test starts, and calls to operators' addresses."""
 
 import contextlib
 import itertools
@@ -30,6 +30,15 @@
     raise AssertionError("no port is free")
 
 
+@contextlib.contextmanager
+def reserved_address():
+    """Reserve a port that several processes can listen on, and return its address."""
+    with socket.socket() as sock:
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        sock.bind(("127.0.0.1", 0))
+        yield f"127.0.0.1:{sock.getsockname()[1]}"
+
+
 def call_operators(address, line, timeout=2.0):
     """Make a call as operators do; None where nobody answers."""
     host, port = address.rsplit(":", 1)
--- /dev/null
+++ b/lapispick/fakes/store.py
@@ -0,0 +1,127 @@
+"""A fake store: answers the calls that requests make while they run."""
+
+import itertools
+import socket
+import struct
+import time
+from typing import Any, NamedTuple
+
+from lapispick.fakes.fake_server import FakeServer
+
+LATE_REPLY_AFTER_S = 0.5
+OK_STATUS_LINE = b"HTTP/1.1 200 OK\r\n"
+UNUSABLE_REPLIES = {  # call body -> pieces of the reply; the connection stays open
+    "noise": [b"\x00\xff\x17 nothing\r\n\r\n"],
+    "bare": [OK_STATUS_LINE + b"\r\n"],
+    "minus": [OK_STATUS_LINE + b"Content-Length: -4\r\n\r\n"],
+    "both": [OK_STATUS_LINE + b"Content-Length: 4\r\nContent-Length: 7\r\n\r\nfour"],
+    "odd": [OK_STATUS_LINE + b"no header\r\n\r\n"],
+    "endless": itertools.repeat(b"X-More: of it\r\n" * 99),
+    "interim": itertools.repeat(b"HTTP/1.1 102 Wait\r\n\r\n"),
+    "huge": itertools.chain([OK_STATUS_LINE + b"Content-Length: 3000000000\r\n\r\n"], itertools.repeat(b"x" * 65536)),
+}
+
+
+class Surroundings(NamedTuple):
+    """Bytes before and after a good reply."""
+
+    before: bytes = b""
+    after: bytes = b""
+
+
+SURROUNDED_REPLIES = {  # call body -> what comes with the reply
+    "early": Surroundings(before=b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"),
+    "double": Surroundings(after=OK_STATUS_LINE + b"Content-Length: 5\r\n\r\nwrong"),
+    "trail": Surroundings(after=b"noise\r\n"),
+}
+BODIES_WITH_STATUS_200 = {"late", "forget", "hang up", *SURROUNDED_REPLIES}
+
+
+class StoreCall(NamedTuple):
+    """One call that was received."""
+
+    request: str
+    wait_ms: float
+    body: str
+    connection: Any
+
+
+class Store(FakeServer):
+    """Answers a call by its body.
+
+    - ``STATUS`` or ``STATUS n``, perhaps with ``#name``: a reply with this status, with ``X-Not-Run`` for ``n``;
+    - ``late``: 200 after ``LATE_REPLY_AFTER_S``; ``hang``: no reply; ``break``: a close without a reply;
+    - ``forget`` and ``hang up``: a reset or a close where the connection was used before;
+    - ``cut N``: the first N bytes of a good reply;
+    - the keys of ``UNUSABLE_REPLIES`` and ``SURROUNDED_REPLIES``.
+    """
+
+    def __init__(self):
+        self.calls = []
+        self.ended_requests = []  # whose call was closed while it hung
+        self._used_connections = set()
+        super().__init__()
+
+    @staticmethod
+    def read_calls(file):
+        """Yield headers and body of each call on a connection, as long as they are complete."""
+        while file.readline():
+            headers = {}
+            while (line := file.readline()).strip():
+                name, _, value = line.decode().strip().partition(": ")
+                headers[name] = value
+            if not line:  # given up in the middle of its head
+                return
+            size = int(headers["Content-Length"])
+            body = file.read(size)
+            if len(body) < size:
+                return
+            yield headers, body.decode()
+
+    def serve(self, connection):
+        file = connection.makefile("rb")
+        for headers, body in self.read_calls(file):
+            call = StoreCall(headers["X-For-Request"], float(headers["X-Wait-Ms"]), body, connection)
+            self.calls.append(call)
+            if not self._reply(call, file):
+                return
+
+    def _reply(self, call, file):
+        """Reply to a call; False where the connection ends with it."""
+        body = call.body
+        if body == "hang":
+            file.read(1)
+            self.ended_requests.append(call.request)
+            return False
+        if body == "break":
+            return False
+        if body == "forget" and call.connection in self._used_connections:
+            linger_0 = struct.pack("ii", 1, 0)
+            call.connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger_0)  # closes with a reset
+            return False
+        if body == "hang up" and call.connection in self._used_connections:
+            return False
+        if body.startswith("cut "):
+            size = int(body.removeprefix("cut "))
+            call.connection.sendall((OK_STATUS_LINE + b"Content-Length: 5\r\n\r\nreply")[:size])
+            return False
+        if body == "late":
+            time.sleep(LATE_REPLY_AFTER_S)
+        self._used_connections.add(call.connection)
+        if body in UNUSABLE_REPLIES:
+            for piece in UNUSABLE_REPLIES[body]:
+                call.connection.sendall(piece)
+            file.read(1)
+            return False
+        self._send_reply(call)
+        return True
+
+    def _send_reply(self, call):
+        """Send a reply with the status that the call's body names; what follows ``#`` is left out."""
+        surroundings = SURROUNDED_REPLIES.get(call.body, Surroundings())
+        named = "200" if call.body in BODIES_WITH_STATUS_200 else call.body
+        status, _, not_run = named.partition("#")[0].partition(" ")
+        extra_header = "X-Not-Run: 1\r\n" if not_run else ""
+        reply = f"reply {len(self.calls)}"
+        head = f"HTTP/1.1 {status} Said\r\n{extra_header}Content-Length: {len(reply)}\r\n\r\n"
+        call.connection.sendall(surroundings.before + head.encode() + reply.encode() + surroundings.after)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,13 +1,14 @@
 """Helpers that build settings and drive a controller through its interface, and start hosts."""
 
+import contextlib
 import re
-import socket
 
 import msgspec
 import pytest
 
 from lapispick import ClassSettings, Controller, Settings, admission
-from lapispick.fakes.peers import Host
+from lapispick.fakes.host_process import HostProcess
+from lapispick.fakes.ports import reserved_address
 
 # The classes of ``make_settings``.
 IDEMPOTENT = 0
@@ -126,13 +127,14 @@
 
 @pytest.fixture
 def host(tmp_path, monkeypatch):
-    """Start worker hosts that are ended with the test; ``beside`` an earlier one, or by themselves."""
+    """Start worker hosts that are ended with the test; as the ``successor_of`` an earlier one, or by themselves."""
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     started = []
 
-    def start(beside=None, **over):
-        started.append(beside.beside(**over) if beside else Host(tmp_path, **over))
-        return started[-1]
+    def start(successor_of=None, **over):
+        process = successor_of.start_successor(**over) if successor_of else HostProcess(tmp_path, **over)
+        started.append(process)
+        return process
 
     yield start
     for each in started:
@@ -142,16 +144,6 @@
 
 @pytest.fixture
 def shared_address():
-    """Return what reserves a port for processes that share it, as an address of the configuration."""
-    reserved = []
-
-    def reserve():
-        sock = socket.socket()
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        sock.bind(("127.0.0.1", 0))
-        reserved.append(sock)
-        return f"127.0.0.1:{sock.getsockname()[1]}"
-
-    yield reserve
-    for sock in reserved:
-        sock.close()
+    """Return what reserves a port for processes that share it, as an address of the start settings."""
+    with contextlib.ExitStack() as stack:
+        yield lambda: stack.enter_context(reserved_address())
--- a/tests/fleet_files.py
+++ b/tests/fleet_files.py
@@ -2,12 +2,12 @@
 
 from msgspec import convert
 
-from lapispick.fakes.peers import INFO
+from lapispick.fakes.start_settings import PLATFORM_INFO
 from lapispick.fleet.reading import File, Options, Reader
 from lapispick.host.amqp import listing
 from lapispick.platform_settings import Info
 
-SCHEMA = listing.schema(convert(INFO, Info))
+SCHEMA = listing.schema(convert(PLATFORM_INFO, Info))
 ENVIRON = {"SHOP_WORD": "secret"}
 
 
--- a/tests/test_acceptance_terms.py
+++ b/tests/test_acceptance_terms.py
@@ -1,6 +1,5 @@
 """Three terms of the operators that many processes keep together: a cold ramp, full descriptors, quick starts."""
 
-import copy
 import math
 import random
 import re
@@ -12,19 +11,18 @@
 
 import pytest
 
-from lapispick.fakes.peers import INFO, Executor, Host, Store, asked, until
-from lapispick.fakes.pool import Pool
+from lapispick.fakes.connection_pool import ConnectionPool
+from lapispick.fakes.executor import Executor
+from lapispick.fakes.host_process import HostProcess
+from lapispick.fakes.messages import request_params
+from lapispick.fakes.start_settings import PLATFORM_INFO, make_platform_info
+from lapispick.fakes.store import Store
+from lapispick.fakes.waiting import wait_until
 
 READY_S = 10.0  # s; by then nine in ten restarted processes take clients
 SPINNING = [sys.executable, "-c", "import time\nend = time.time() + 60\nwhile time.time() < end: pass"]
 
 
-def settings(**family):
-    info = copy.deepcopy(INFO)
-    info["FamilyInfo"].update(family)
-    return info
-
-
 @pytest.fixture
 def fleet(tmp_path):
     """Start hosts at once, each with an executor of its own and all with one store."""
@@ -36,12 +34,16 @@
             folder = tmp_path / f"h{i}"
             folder.mkdir()
             hosts.append(
-                Host(folder, executor=executor(), store=store, started=False, seed=f"{i * 7919 + 5:016x}", **over)
+                HostProcess(
+                    folder, executor=executor(), store=store, wait_for_start=False, seed=f"{i * 7919 + 5:016x}", **over
+                )
             )
         for h in hosts:
-            h.at = until(lambda h=h: re.search(r"event=started .*listen=(\S+)", h.log()), "the start").group(1)
+            h.address = wait_until(lambda h=h: re.search(r"event=started .*listen=(\S+)", h.log()), "the start").group(
+                1
+            )
             if ready:
-                h.logged("ready")
+                h.wait_for_log("ready")
         return hosts
 
     yield start
@@ -59,12 +61,12 @@
             left[0] -= 1
             heard.notify()
 
-    pools = [Pool(h.at, took) for h in hosts]
+    pools = [ConnectionPool(h.address, took) for h in hosts]
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         with heard:
             left[0] += 1
-        pools[rng.randrange(len(pools))].ask("track", 1, asked(body, **over))
+        pools[rng.randrange(len(pools))].send_request("track", 1, request_params(body, **over))
         time.sleep(gap)
     with heard:
         heard.wait_for(lambda: left[0] <= 0, wait)
@@ -79,13 +81,13 @@
         self.begun = []
         super().__init__(work_s=0.5, cores=2)
 
-    def on_join(self, link, command):
-        self.link = link
-        self.send(link, verb="WELCOME", outcome="chilly", spent=0)
+    def on_join(self, connection, command):
+        self.connection = connection
+        self.send(connection, verb="WELCOME", outcome="chilly", spent=0)
 
-    def on_exec(self, link, command):
+    def on_exec(self, connection, command):
         self.begun.append(time.monotonic())
-        super().on_exec(link, command)
+        super().on_exec(connection, command)
 
 
 def most_within(times, span):
@@ -101,9 +103,9 @@
 @pytest.mark.parametrize("count", [20, 30])
 def test_cold_hosts_let_through_no_more_than_the_settings_allow(fleet, count):
     print("seed", seed := 11 + count)
-    hosts = fleet(count, executor=Slow, info=settings(Cold=True))
+    hosts = fleet(count, executor=Slow, info=make_platform_info(Cold=True))
     ask_for(5, hosts, 0.25 / count, random.Random(seed), "work")
-    rules = INFO["Guarantees"]
+    rules = PLATFORM_INFO["Guarantees"]
     allowed = 2 * (1 + (rules["FallMultiple"] - 1) * rules["ColdFrom"])  # on two cores, at the least speed
     worst = [most_within(h.executor.begun, 1.5) for h in hosts]
     print("most for one", max(worst), "of", bound(allowed))
@@ -120,14 +122,14 @@
     def listen(self):
         self.sock = socket.socket()
         self.sock.bind(("127.0.0.1", 0))  # an address that refuses until it listens
-        self.at = f"127.0.0.1:{self.sock.getsockname()[1]}"
+        self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
 
     def come_back(self):
         self.sock.listen(512)
-        threading.Thread(target=self._accept, args=(self.sock,), daemon=True).start()
+        self.start_accepting()
 
-    def talk(self, link):
-        for _ in self.asked(link.makefile("rb")):
+    def serve(self, connection):
+        for _ in self.read_calls(connection.makefile("rb")):
             with self.lock:
                 self.begun.append(time.monotonic())
                 self.held += 1
@@ -135,14 +137,14 @@
             time.sleep(0.3)
             with self.lock:
                 self.held -= 1
-            link.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+            connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
 
 @pytest.mark.parametrize("count,share", [(20, 2.0), (30, 2.0), (20, 0.4), (30, 0.4)])
 def test_what_all_hosts_send_to_a_store_that_is_back_adds_up_to_its_share(fleet, count, share):
     print("seed", seed := 7 + count)
     store = Returning()
-    hosts = fleet(count, store, info=settings(CallsOut=share, ClassSkipWorth=[0.0, 0.0]))
+    hosts = fleet(count, store, info=make_platform_info(CallsOut=share, ClassSkipWorth=[0.0, 0.0]))
     back = threading.Timer(2.0, store.come_back)
     back.start()
     ask_for(4, hosts, 0.15 / count, random.Random(seed), "call:200", 1, patience=20_000)  # nothing is given up on
@@ -155,15 +157,15 @@
 def test_idle_clients_that_fill_the_descriptors_keep_nobody_else_out(host, sockets):
     h = host(
         limits={"sockets": sockets},
-        info=settings(Cores=16, CallsOut=100.0),
+        info=make_platform_info(Cores=16, CallsOut=100.0),
         command=["/bin/sh", "-c", f"ulimit -n {sockets}; exec {sys.executable} -m lapispick.host"],
     )
-    h.roster.close()  # discovery is down
+    h.registry.close()  # discovery is down
     first = h.gateway()
     for n in range(1, 15):  # calls of which none ends: as many as there are descriptors for at the least limit
         first.request("book", "call:hang", f"{n:032x}")
-    until(lambda: len(h.store.calls) >= 12, "the calls")
-    name, port = h.at.split(":")
+    wait_until(lambda: len(h.store.calls) >= 12, "the calls")
+    name, port = h.address.split(":")
     idle = [socket.create_connection((name, int(port)), timeout=15) for _ in range(sockets * 2)]
     callers = [socket.create_connection(("127.0.0.1", int(h.ops.split(":")[1])), timeout=15) for _ in range(sockets)]
     g = h.gateway()
@@ -171,13 +173,13 @@
     if sockets > 64:
         assert g.result(g.request("book", "call:200", f"{99:032x}")).startswith("reply")
     with h.executor.lock:
-        h.executor.cut()
-    until(lambda: h.executor.heard.count("JOIN") > 1, "the new link")
+        h.executor.disconnect()
+    wait_until(lambda: h.executor.received_verbs.count("JOIN") > 1, "the new link")
     assert g.result(g.request("track", "linked")) == "did linked"
-    h.roster.move()
+    h.registry.relocate()
     h.reload()
-    until(lambda: h.roster.reports, "a report at the new address")
-    assert h.call() == ["OK"]
+    wait_until(lambda: h.registry.reports, "a report at the new address")
+    assert h.call_operators() == ["OK"]
     assert "Errno 24" not in h.log() and "accept-failed" not in h.log()
     for sock in (*idle, *callers):
         sock.close()
@@ -190,9 +192,9 @@
     shell = ["/bin/sh", "-c", f"ulimit -n 64; exec {sys.executable} -m lapispick.host"]
     old = host(listen=f"127.0.0.1:{held.getsockname()[1]}", limits={"sockets": 64}, command=shell)
     idle = [socket.create_connection(held.getsockname(), timeout=15) for _ in range(100)]
-    new = host(beside=old, limits={"sockets": 64}, command=shell)
-    until(lambda: new.call() == ["OK"], "its yes")
-    old.leave()
+    new = host(successor_of=old, limits={"sockets": 64}, command=shell)
+    wait_until(lambda: new.call_operators() == ["OK"], "its yes")
+    old.terminate()
     assert old.process.wait(10) == 0
     g = new.gateway()
     assert g.result(g.request("track", "new")) == "did new"
@@ -208,7 +210,7 @@
         hosts = fleet(20, ready=False)
         took = []
         for h in hosts:
-            h.logged("ready")
+            h.wait_for_log("ready")
             took.append(time.monotonic() - began)
     finally:
         for each in busy:
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -12,7 +12,6 @@
 from lapispick.fakes.agents import HOST_STARTED, LOG_DEBUG_SETTINGS, METRICS_SETTINGS, HostAgent
 from lapispick.fakes.fleet import Fleet
 from lapispick.fakes.member_cluster import MemberCluster
-from lapispick.fakes.peers import until
 from lapispick.fakes.ports import call_operators
 from lapispick.fakes.program_patches import (
     DOES_NOT_START,
@@ -21,6 +20,7 @@
     exits_after_a_second,
     program,
 )
+from lapispick.fakes.waiting import wait_until
 
 
 class Made:
@@ -62,7 +62,7 @@
     assert agent.call("confirm 1.a r1")[0] == "OK"
     assert agent.call("confirm 1.a r1")[0] == "OK done"
     assert agent.wait_for_phase("steady", good=made.new, serving=made.new).rolled_back_rollout == ""
-    until(lambda: agent.running_generations() == [made.new], "the end of the old process")
+    wait_until(lambda: agent.running_generations() == [made.new], "the end of the old process")
     assert agent.call("back 1.a r1")[0] == "OK"  # a stage that went wrong later on
     agent.wait_for_phase("steady", good=made.good, serving=made.good, rolled_back_rollout="r1")
     made.kept()
@@ -107,10 +107,10 @@
     assert agent.call_until_serving(f"change 1.a r1 {other} 60")[0] == "OK"
     agent.wait_for_phase("proving", serving=other)
     log = next(agent.folder.glob("lives/1.log"))
-    until(lambda: "event=reloaded changed=stop_ms" in log.read_text(), "the reload")
+    wait_until(lambda: "event=reloaded changed=stop_ms" in log.read_text(), "the reload")
     agent.call("back 1.a r1")
     agent.wait_for_phase("steady", serving=made.good)
-    until(lambda: log.read_text().count("event=reloaded changed=stop_ms") == 2, "the reload back")
+    wait_until(lambda: log.read_text().count("event=reloaded changed=stop_ms") == 2, "the reload back")
     assert agent.pids() == [before]
     made.kept()
 
@@ -134,7 +134,7 @@
     found = agent.wait_for_phase("steady", rolled_back_rollout="r1", serving=made.good)
     assert bad in found.fault
     assert found.good == made.good
-    until(lambda: agent.running_generations() == [made.good], "only the good one")
+    wait_until(lambda: agent.running_generations() == [made.good], "only the good one")
     if fault == "dies a second after":
         made.fleet.record.end_fault(number)
     made.fleet.wait_for_results(20)
@@ -145,10 +145,10 @@
     made.up()
     agent = made.agent
     os.rename(agent.store.folder / made.good, agent.store.folder / ".away")
-    until(lambda: made.good not in agent.status().generations, "that the agent sees it")
+    wait_until(lambda: made.good not in agent.status().generations, "that the agent sees it")
     assert "not on the shelf" in agent.call(f"change 1.a r1 {made.new} 9")[0]
     os.rename(agent.store.folder / ".away", agent.store.folder / made.good)
-    until(lambda: made.good in agent.status().generations, "that the agent sees it")
+    wait_until(lambda: made.good in agent.status().generations, "that the agent sees it")
     agent.call(f"change 1.a r1 {made.new} 1.0")
     agent.wait_for_phase("proving")
     os.rename(agent.store.folder / made.good, agent.store.folder / ".away")
@@ -184,7 +184,7 @@
     agent = made.agent
     agent.kill()
     agent.start(dies_at=point, times=times)
-    until(
+    wait_until(
         lambda: agent.process.poll() is not None or getattr(agent.status(), "serving", "") == made.good,
         "the agent at work",
     )
@@ -199,7 +199,7 @@
     agent.wait_for_phase("proving", serving=made.new)
     assert agent.call("confirm 1.a r1")[0].startswith("OK")
     agent.wait_for_phase("steady", serving=made.new, good=made.new)
-    until(lambda: agent.running_generations() == [made.new], "one process of the new generation")
+    wait_until(lambda: agent.running_generations() == [made.new], "one process of the new generation")
     made.fleet.wait_for_results(20)
     made.kept()
 
@@ -212,14 +212,14 @@
     agent = made.agent
     agent.call(f"change 1.a r1 {made.new} 60")
     agent.wait_for_phase("proving", serving=made.new)
-    until(lambda: agent.running_generations() == [made.new], "the end of the old process")
+    wait_until(lambda: agent.running_generations() == [made.new], "the end of the old process")
     agent.kill()
     agent.start(dies_at=point, times=times)
     agent.call("back 1.a r1")
     agent.wait_ended()
     agent.start()
     agent.wait_for_phase("steady", serving=made.good, rolled_back_rollout="r1")
-    until(lambda: agent.running_generations() == [made.good], "one process of the good generation")
+    wait_until(lambda: agent.running_generations() == [made.good], "one process of the good generation")
     made.kept()
 
 
@@ -230,7 +230,7 @@
     agent.wait_for_phase("proving", serving=made.new)
     began = time.monotonic()
     agent.process.send_signal(signal.SIGSTOP)
-    until(lambda: time.monotonic() - began > 2.0, "the end of the confirm time")
+    wait_until(lambda: time.monotonic() - began > 2.0, "the end of the confirm time")
     agent.process.send_signal(signal.SIGCONT)
     assert agent.call("confirm 1.a r1")[0].startswith("ERR")
     agent.wait_for_phase("steady", serving=made.good, rolled_back_rollout="r1")
@@ -242,7 +242,7 @@
     agent, (pid,) = made.agent, made.agent.pids()
     number = made.fleet.record.begin_fault("killed", [made.host.name])
     os.kill(pid, signal.SIGKILL)
-    until(lambda: agent.pids() not in ([], [pid]), "another process")
+    wait_until(lambda: agent.pids() not in ([], [pid]), "another process")
     found = agent.wait_serving(made.good)
     made.fleet.record.end_fault(number)
     assert found.crashes == 1
@@ -259,13 +259,13 @@
         number = made.fleet.record.begin_fault("stopped", [made.host.name])
         os.kill(pid, signal.SIGSTOP)
         began = time.monotonic()
-        until(lambda: made.agent.status().serving == "", "that the agent sees it")
-        until(lambda: time.monotonic() - began > 2.0, "two seconds")
+        wait_until(lambda: made.agent.status().serving == "", "that the agent sees it")
+        wait_until(lambda: time.monotonic() - began > 2.0, "two seconds")
         os.kill(pid, signal.SIGCONT)
         assert made.agent.wait_serving(made.good).crashes == 0
         assert made.agent.pids() == [pid]
         os.kill(pid, signal.SIGSTOP)
-        until(lambda: made.agent.pids() not in ([], [pid]), "another process")
+        wait_until(lambda: made.agent.pids() not in ([], [pid]), "another process")
         assert made.agent.wait_serving(made.good).crashes == 1
         made.fleet.record.end_fault(number)
         made.fleet.wait_for_results(20)
@@ -294,11 +294,11 @@
     log = made.agent.folder / "lives" / "1.log"
     with log.open("ab") as file:
         file.truncate(9 << 20)
-    until(lambda: log.stat().st_size < 1 << 20, "a short log")
+    wait_until(lambda: log.stat().st_size < 1 << 20, "a short log")
     assert (log.with_suffix(".old")).stat().st_size >= 9 << 20
     (pid,) = made.agent.pids()
     os.kill(pid, signal.SIGTERM)  # what the process writes from now on is at the beginning
-    until(lambda: b"event=leaving" in log.read_bytes(), "what it wrote since")
+    wait_until(lambda: b"event=leaving" in log.read_bytes(), "what it wrote since")
 
 
 def test_one_agent_for_a_box_and_an_unreadable_state_is_refused_plainly(made):
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -7,8 +7,10 @@
 
 import pytest
 
-from lapispick.fakes.broker import LINKS, Broker
-from lapispick.fakes.peers import INFO, Executor, until
+from lapispick.fakes.broker import Broker
+from lapispick.fakes.executor import Executor
+from lapispick.fakes.start_settings import PLATFORM_INFO
+from lapispick.fakes.waiting import wait_until
 from lapispick.host.amqp import codec
 from lapispick.host.amqp.codec import Properties
 
@@ -32,7 +34,7 @@
 
     def start(prefetch=32, broker=None, heartbeat=10, **over):
         broker = broker or Broker()
-        name, port = broker.at.split(":")
+        name, port = broker.address.split(":")
         (tmp_path / "shops.csv").write_text(
             f"{ROW}a,shops,{name},{port},jobs,{prefetch},shop,{heartbeat}\nb,others,,,,,,\n"
         )
@@ -40,7 +42,7 @@
         h = host(environ={"LAPISPICK_CONF": str(tmp_path / "own.conf")}, **over)
         h.broker = broker
         brokers.append(broker)
-        h.logged("consuming")
+        h.wait_for_log("consuming")
         return h
 
     brokers = []
@@ -117,10 +119,10 @@
 def test_a_message_is_served_and_the_reply_precedes_the_acknowledgement(edge):
     h = edge()
     message, c = ask(h.broker, "hello", headers={"size": 12.5})
-    outcome, body, headers = until(lambda: h.broker.reply(c), "the reply")
+    outcome, body, headers = wait_until(lambda: h.broker.reply(c), "the reply")
     assert (outcome, body, headers["outcome"]) == ("served", "did hello", "served")
-    assert headers["advice"] >= 0 and h.broker.replies[0][0] == "answers"
-    until(lambda: message.fate == "ack", "the acknowledgement")
+    assert headers["advice"] >= 0 and h.broker.replies[0].queue == "answers"
+    wait_until(lambda: message.fate == "ack", "the acknowledgement")
     assert h.broker.methods.index("basic.publish") < h.broker.methods.index("basic.ack")
     assert h.executor.runs[0][1:] == ("track", "hello")
 
@@ -128,9 +130,9 @@
 def test_long_results_are_cut_into_frames(edge):
     h = edge()
     _, c = ask(h.broker, "hold", cls="book")
-    until(lambda: h.executor.runs, "the run")
-    h.executor.end(h.executor.runs[0][0], result="r" * 10_000)
-    assert until(lambda: h.broker.reply(c), "the reply")[1] == "r" * 10_000
+    wait_until(lambda: h.executor.runs, "the run")
+    h.executor.end_run(h.executor.runs[0].task, result="r" * 10_000)
+    assert wait_until(lambda: h.broker.reply(c), "the reply")[1] == "r" * 10_000
 
 
 def test_deadlines_and_errors_are_mapped(edge):
@@ -139,40 +141,40 @@
     _, old = ask(h.broker, "past", timestamp=int(time.time()) - 9)
     _, past = ask(h.broker, "past", headers={"timestamp_in_ms": int(time.time() * 1000) - 4500})
     _, bad = ask(h.broker, "error", cls="book")
-    assert until(lambda: h.broker.reply(late), "the late one's reply")[0] == "failed"
+    assert wait_until(lambda: h.broker.reply(late), "the late one's reply")[0] == "failed"
     for c in (past, old):
-        outcome, _, headers = until(lambda c=c: h.broker.reply(c), "the refusal")
+        outcome, _, headers = wait_until(lambda c=c: h.broker.reply(c), "the refusal")
         assert outcome == "refused" and headers["pause"] > 0
-    assert until(lambda: h.broker.reply(bad), "the failure")[0] == "failed"
-    assert not h.executor.ran("past")
+    assert wait_until(lambda: h.broker.reply(bad), "the failure")[0] == "failed"
+    assert not h.executor.runs_of("past")
 
 
 def test_without_reply_to_the_settlement_is_the_answer(edge):
     h = edge()
     served, _ = ask(h.broker, "fine", reply_to=None)
     failed, _ = ask(h.broker, "error", cls="book", reply_to=None)
-    until(lambda: (served.fate, failed.fate) == ("ack", "reject"), "both settlements")
+    wait_until(lambda: (served.fate, failed.fate) == ("ack", "reject"), "both settlements")
     assert not h.broker.replies
 
 
 def test_a_lost_acknowledgement_is_answered_from_the_kept_result(edge):
     h = edge()
-    h.broker.lose = "basic.ack"
+    h.broker.disconnect_on = "basic.ack"
     message, c = ask(h.broker, "booking", cls="book")
-    until(lambda: message.fate == "ack", "the acknowledgement of the redelivery")
-    assert message.given == 2 and len(h.executor.ran("booking")) == 1
-    assert [r[2] for r in h.broker.replies if r[1].correlation_id == c] == ["did booking"] * 2
+    wait_until(lambda: message.fate == "ack", "the acknowledgement of the redelivery")
+    assert message.delivery_count == 2 and len(h.executor.runs_of("booking")) == 1
+    assert [r.body for r in h.broker.replies if r.properties.correlation_id == c] == ["did booking"] * 2
 
 
 def test_a_redelivery_while_it_runs_waits_for_that_run(edge):
     h = edge()
     message, c = ask(h.broker, "hold", cls="book")
-    until(lambda: h.executor.runs, "the run")
-    h.broker.cut()
-    until(lambda: message.given == 2, "the redelivery")
-    h.executor.end(h.executor.runs[0][0], result="booked")
-    assert until(lambda: h.broker.reply(c), "the reply")[:2] == ("served", "booked")
-    until(lambda: message.fate == "ack", "the acknowledgement")
+    wait_until(lambda: h.executor.runs, "the run")
+    h.broker.disconnect()
+    wait_until(lambda: message.delivery_count == 2, "the redelivery")
+    h.executor.end_run(h.executor.runs[0].task, result="booked")
+    assert wait_until(lambda: h.broker.reply(c), "the reply")[:2] == ("served", "booked")
+    wait_until(lambda: message.fate == "ack", "the acknowledgement")
     assert len(h.executor.runs) == 1
 
 
@@ -180,20 +182,20 @@
     h = edge()
     write, c = ask(h.broker, "elsewhere", cls="book", redelivered=True)
     _, read = ask(h.broker, "again", redelivered=True)
-    assert until(lambda: h.broker.reply(read), "the read")[0] == "served"
-    assert until(lambda: h.broker.reply(c), "the write's reply")[0] == "failed"
-    until(lambda: write.fate == "ack", "the acknowledgement")
-    assert not h.executor.ran("elsewhere")
+    assert wait_until(lambda: h.broker.reply(read), "the read")[0] == "served"
+    assert wait_until(lambda: h.broker.reply(c), "the write's reply")[0] == "failed"
+    wait_until(lambda: write.fate == "ack", "the acknowledgement")
+    assert not h.executor.runs_of("elsewhere")
 
 
 def test_a_message_id_with_another_body_is_failed_and_gets_no_result(edge):
     h = edge()
     _, first = ask(h.broker, "booking", cls="book", message_id="m-1")
-    assert until(lambda: h.broker.reply(first), "the reply")[:2] == ("served", "did booking")
+    assert wait_until(lambda: h.broker.reply(first), "the reply")[:2] == ("served", "did booking")
     ask(h.broker, "another", cls="book", message_id="m-1", correlation="c-other")
-    assert until(lambda: h.broker.reply("c-other"), "the other reply")[:2] == ("failed", "")
+    assert wait_until(lambda: h.broker.reply("c-other"), "the other reply")[:2] == ("failed", "")
     ask(h.broker, "booking", cls="book", message_id="m-1", correlation="c-same")
-    assert until(lambda: h.broker.reply("c-same"), "the repeat")[1] == "did booking"
+    assert wait_until(lambda: h.broker.reply("c-same"), "the repeat")[1] == "did booking"
     assert len(h.executor.runs) == 1
 
 
@@ -202,26 +204,26 @@
     h = edge()
     for _ in range(20):  # more than may ever run at once
         _, c = ask(h.broker, what)
-        assert until(lambda c=c: h.broker.reply(c), "the reply")[0] == "failed"
+        assert wait_until(lambda c=c: h.broker.reply(c), "the reply")[0] == "failed"
     _, c = ask(h.broker, "next")
-    assert until(lambda: h.broker.reply(c), "the next one")[0] == "served"
+    assert wait_until(lambda: h.broker.reply(c), "the next one")[0] == "served"
 
 
 def test_a_reload_moves_the_peers_of_messages_too(edge):
     h = edge()
-    for peer in (h.executor, h.store, h.roster):
-        peer.move()
+    for peer in (h.executor, h.store, h.registry):
+        peer.relocate()
     h.reload()
     _, c = ask(h.broker, "call:200")
-    assert until(lambda: h.broker.reply(c), "the reply")[0] == "served"
+    assert wait_until(lambda: h.broker.reply(c), "the reply")[0] == "served"
 
 
 def test_a_write_without_message_id_never_runs(edge):
     h = edge()
     silent, _ = ask(h.broker, "nokey", cls="book", message_id=None, reply_to=None)
     _, c = ask(h.broker, "nokey", cls="book", message_id=None)
-    until(lambda: silent.fate == "reject", "the rejection")
-    assert until(lambda: h.broker.reply(c), "the reply")[0] == "failed"
+    wait_until(lambda: silent.fate == "reject", "the rejection")
+    assert wait_until(lambda: h.broker.reply(c), "the reply")[0] == "failed"
     assert not h.executor.runs
 
 
@@ -240,8 +242,8 @@
     h = edge()
     bad, _ = ask(h.broker, over.pop("body", "bad"), reply_to=None, **over)
     _, c = ask(h.broker, "good")
-    assert until(lambda: h.broker.reply(c), "the next one")[0] == "served"
-    until(lambda: bad.fate == "reject", "the rejection")
+    assert wait_until(lambda: h.broker.reply(c), "the next one")[0] == "served"
+    wait_until(lambda: bad.fate == "reject", "the rejection")
     assert len(h.executor.runs) == 1
 
 
@@ -260,19 +262,19 @@
 def test_malformed_frames_cost_the_connection_and_a_new_one_follows(edge, raw):
     h = edge()
     h.broker.put("jobs", "broken", raw=raw)
-    until(lambda: "event=connection-closed" in h.log() or "event=connection-lost" in h.log(), "the end of it")
+    wait_until(lambda: "event=connection-closed" in h.log() or "event=connection-lost" in h.log(), "the end of it")
     _, c = ask(h.broker, "good")
-    assert until(lambda: h.broker.reply(c), "service on a new connection")[0] == "served"
+    assert wait_until(lambda: h.broker.reply(c), "service on a new connection")[0] == "served"
     assert h.broker.methods.count("connection.open") == 2
 
 
 def test_the_last_word_to_a_broker_is_not_reset_away_by_what_it_still_sends(edge):
     h = edge()
-    with h.stopped(), h.broker.lock:
+    with h.suspended(), h.broker.lock:
         h.broker.put("jobs", "x", raw=lambda n: codec.encode_frame(codec.BODY, n, b"early") + b"x" * 150_000)
-    until(lambda: "connection.close" in h.broker.methods, "the last word")
-    until(lambda: h.log().count("event=connected") == 2, "a new connection")
-    assert h.broker.resets == 0
+    wait_until(lambda: "connection.close" in h.broker.methods, "the last word")
+    wait_until(lambda: h.log().count("event=connected") == 2, "a new connection")
+    assert h.broker.reset_count == 0
 
 
 def test_malformed_properties_cost_the_message_only(edge):
@@ -286,68 +288,68 @@
         ),
     )
     _, c = ask(h.broker, "good")
-    assert until(lambda: h.broker.reply(c), "the next one")[0] == "served"
-    assert bad.fate == "reject" and bad.given == 1
+    assert wait_until(lambda: h.broker.reply(c), "the next one")[0] == "served"
+    assert bad.fate == "reject" and bad.delivery_count == 1
 
 
 def test_a_channel_error_opens_a_new_channel(edge):
     h = edge()
     with h.broker.lock:
-        link = next(k for k in h.broker.links if k in LINKS)
-        LINKS[link].clear()
-        h.broker.say(link, 1, "channel.close", code=404, text="NOT_FOUND", class_id=60, method_id=20)
+        link = next(iter(h.broker.channels))
+        h.broker.channels[link].clear()
+        h.broker.send_method(link, 1, "channel.close", code=404, text="NOT_FOUND", class_id=60, method_id=20)
     _, c = ask(h.broker, "good")
-    assert until(lambda: h.broker.reply(c), "service on the new channel")[0] == "served"
+    assert wait_until(lambda: h.broker.reply(c), "service on the new channel")[0] == "served"
     assert "event=channel-closed" in h.log()
 
 
 def test_refused_confirms_are_tried_again_and_lost_replies_settle(edge):
     h = edge()
-    h.broker.nacks = 2
+    h.broker.nacks_left = 2
     message, c = ask(h.broker, "stubborn")
-    assert until(lambda: h.broker.reply(c), "the third try")[0] == "served"
-    until(lambda: message.fate == "ack", "the acknowledgement")
-    h.broker.unroutable = True
+    assert wait_until(lambda: h.broker.reply(c), "the third try")[0] == "served"
+    wait_until(lambda: message.fate == "ack", "the acknowledgement")
+    h.broker.returns_unroutable = True
     served, _ = ask(h.broker, "nobody asks")
     failed, _ = ask(h.broker, "error", cls="book")
-    until(lambda: (served.fate, failed.fate) == ("ack", "reject"), "both settlements")
+    wait_until(lambda: (served.fate, failed.fate) == ("ack", "reject"), "both settlements")
 
 
 def test_heartbeats_go_out_and_silence_ends_the_connection(edge):
     h = edge(broker=Broker(heartbeat=1), heartbeat=1)
-    until(lambda: h.broker.beats >= 2, "two heartbeats")
-    until(lambda: h.broker.methods.count("connection.open") >= 2, "a new connection after the silence")
+    wait_until(lambda: h.broker.heartbeat_count >= 2, "two heartbeats")
+    wait_until(lambda: h.broker.methods.count("connection.open") >= 2, "a new connection after the silence")
 
 
 def test_prefetch_bounds_what_is_held(edge):
     h = edge(prefetch=3)
     for _ in range(10):
         ask(h.broker, "hold")
-    until(lambda: len(h.executor.runs) >= 2, "the runs")
-    assert h.broker.most_held == 3
+    wait_until(lambda: len(h.executor.runs) >= 2, "the runs")
+    assert h.broker.max_unacked == 3
 
 
 def test_the_drain_cancels_and_answers_what_was_taken(edge):
     h = edge(stop_ms=2500)
     taken, c = ask(h.broker, "hold", cls="book")
-    until(lambda: h.executor.runs, "the run")
+    wait_until(lambda: h.executor.runs, "the run")
     began = time.monotonic()
-    h.broker.crossing = {"type": "book", "message_id": "x"}
-    h.leave()
-    until(lambda: h.broker.cancelled == 1, "the cancel")
+    h.broker.message_during_cancel = {"type": "book", "message_id": "x"}
+    h.terminate()
+    wait_until(lambda: h.broker.cancel_count == 1, "the cancel")
     left, _ = ask(h.broker, "left", cls="book")
-    h.executor.end(h.executor.runs[0][0], result="booked")
-    assert until(lambda: h.broker.reply(c), "the reply")[:2] == ("served", "booked")
+    h.executor.end_run(h.executor.runs[0].task, result="booked")
+    assert wait_until(lambda: h.broker.reply(c), "the reply")[:2] == ("served", "booked")
     assert h.process.wait(5) == 0 and time.monotonic() - began < 2.5
-    assert (taken.fate, left.fate, left.given, h.broker.closed) == ("ack", None, 0, 1)
+    assert (taken.fate, left.fate, left.delivery_count, h.broker.close_count) == ("ack", None, 0, 1)
     crossed = next(m for m in h.broker.messages if m.body == b"crossing")
-    assert (crossed.given, crossed.fate) == (1, "requeue")  # not taken: another box may have it
-    assert not h.executor.ran("left") and not h.executor.ran("crossing")
+    assert (crossed.delivery_count, crossed.fate) == (1, "requeue")  # not taken: another box may have it
+    assert not h.executor.runs_of("left") and not h.executor.runs_of("crossing")
 
 
 def test_a_flood_over_capacity_with_lost_acks_has_no_double_effect(edge):
     work_s, cores, seconds = 0.02, 2, 3.0
-    info = {**INFO, "FamilyInfo": {**INFO["FamilyInfo"], "CallsOut": 50.0}}
+    info = {**PLATFORM_INFO, "FamilyInfo": {**PLATFORM_INFO["FamilyInfo"], "CallsOut": 50.0}}
     h = edge(prefetch=60, executor=Executor(work_s, cores), info=info)
     gap = work_s / cores / 1.1  # 110% of what the cores can do
     asked = {}
@@ -361,15 +363,15 @@
     thread = threading.Thread(target=flood)
     thread.start()
     for share in (0.3, 0.6):  # two acknowledgements are lost, with all that is unacknowledged redelivered
-        until(lambda share=share: len(asked) >= share * seconds / gap, "part of the flood")
-        h.broker.lose = "basic.ack"
+        wait_until(lambda share=share: len(asked) >= share * seconds / gap, "part of the flood")
+        h.broker.disconnect_on = "basic.ack"
     thread.join()
-    until(lambda: all(m.fate for _, m, _ in asked.values()), "an end of every message")
+    wait_until(lambda: all(m.fate for _, m, _ in asked.values()), "an end of every message")
     effects = collections.Counter(body for _, handler, body in h.executor.runs if handler == "book")
     assert max(effects.values()) == 1 and h.broker.methods.count("connection.open") >= 3
     outcomes = collections.Counter()
     for subject, (cls, _, c) in asked.items():
-        answers = [r for r in h.broker.replies if r[1].correlation_id == c]
+        answers = [r for r in h.broker.replies if r.properties.correlation_id == c]
         assert answers, subject
         outcomes[answers[-1][1].type] += 1
         for _, p, body in answers:
@@ -381,8 +383,8 @@
 
 def test_frames_may_come_byte_by_byte(edge):
     broker = Broker()
-    broker.trickle = True
+    broker.byte_by_byte = True
     h = edge(broker=broker)
     messages = [ask(broker, f"x{n}", cls="book") for n in range(5)]
-    until(lambda: all(m.fate == "ack" for m, _ in messages), "all acknowledged")
+    wait_until(lambda: all(m.fate == "ack" for m, _ in messages), "all acknowledged")
     assert len(h.executor.runs) == 5
--- a/tests/test_clock_skew.py
+++ b/tests/test_clock_skew.py
@@ -9,7 +9,7 @@
 from lapispick import admission
 from lapispick.cli.main import cli
 from lapispick.conf import settings as conf
-from lapispick.fakes.peers import until
+from lapispick.fakes.waiting import wait_until
 from lapispick.file_errors import InvalidFileError
 from lapispick.trace import files
 from lapispick.trace.attempt_matching import tries
@@ -163,9 +163,9 @@
         h = host(environ={"LAPISPICK_CONF": str(tmp_path / "own.conf")})
         g = h.gateway()
         assert g.result(g.request("book", "x", key)) == "did x"
-        h.leave()
+        h.terminate()
         assert h.process.wait(5) == 0
-        (path,) = until(lambda box=box: list((tmp_path / box).glob("*.lptrace")), "the closed file")
+        (path,) = wait_until(lambda box=box: list((tmp_path / box).glob("*.lptrace")), "the closed file")
         with files.Reader(path) as reader:
             found += [n.subject for step in reader.steps() for n in step.notes if type(n) is Arrival]
     assert len(found) == 2 and (found[0] == found[1]) is shared
--- a/tests/test_connection_overload.py
+++ b/tests/test_connection_overload.py
@@ -12,7 +12,11 @@
 import msgspec
 import pytest
 
-from lapispick.fakes.peers import INFO, Executor, Store, Trickle, until
+from lapispick.fakes.executor import Executor
+from lapispick.fakes.fake_server import ByteByByteSocket
+from lapispick.fakes.start_settings import PLATFORM_INFO
+from lapispick.fakes.store import Store
+from lapispick.fakes.waiting import wait_until
 from lapispick.host import connection_eviction
 from lapispick.host.connection_eviction import FIRST_S, QUIET_S, Standing
 from lapispick.host.jsonrpc.front import Gateways
@@ -74,7 +78,7 @@
 @pytest.fixture
 def front():
     """A front that nobody reads for, and a client's connection to it."""
-    info = msgspec.convert(INFO, Info)
+    info = msgspec.convert(PLATFORM_INFO, Info)
     made = Gateways(Loop(), ("127.0.0.1", 0), info, settings_from(info), 2, lambda item: None, lambda: None)
     made.listen()
     name, port = made.address.split(":")
@@ -147,7 +151,7 @@
     def __init__(self, h, body):
         self.gateway = h.gateway()
         # It comes with its last byte; one that were older than its aim would be worth nothing here.
-        self.line = self.gateway.line("track", body, born=(time.time() + SPAN) * 1000) + b"\n"
+        self.line = self.gateway.request_line("track", body, born=(time.time() + SPAN) * 1000) + b"\n"
         self.at = []
 
     def write(self):
@@ -168,7 +172,7 @@
 def test_true_requests_pass_a_crowd_that_never_finishes_one(host):
     """Who keeps its time is served. Its own delays on a busy machine do not count against the host: it tries again."""
     h = host(executor=Executor(work_s=0.001))
-    crowd = [subprocess.Popen([sys.executable, "-c", CROWD, *h.at.split(":"), str(seed)]) for seed in range(2)]
+    crowd = [subprocess.Popen([sys.executable, "-c", CROWD, *h.address.split(":"), str(seed)]) for seed in range(2)]
     got = []
 
     def write_slowly():
@@ -190,7 +194,7 @@
             g = h.gateway()
             assert g.result(g.request("track", f"x{n}")) == f"did x{n}" and time.monotonic() - began < 2
             g.sock.close()
-            assert h.call() == ["OK"]
+            assert h.call_operators() == ["OK"]
         for each in slow:
             each.join()
     finally:
@@ -198,15 +202,15 @@
             each.kill()
             each.wait()
     assert got == ["did slow"] * 6
-    assert h.memory_mb() < 64
+    assert h.peak_memory_mb() < 64
 
 
 def test_a_request_may_be_cut_at_any_byte(host):
     h = host()
     pulse, g = h.gateway(), h.gateway()
-    line = g.line("track", "cut", number=1) + b"\n"
+    line = g.request_line("track", "cut", number=1) + b"\n"
     for at in range(1, len(line)):
-        line = g.line("track", f"cut{at}", number=at) + b"\n"
+        line = g.request_line("track", f"cut{at}", number=at) + b"\n"
         g.sock.sendall(line[:at])
         pulse.answer(pulse.send("probe"))  # the host has had a turn in between
         g.sock.sendall(line[at:])
@@ -215,7 +219,7 @@
 
 def test_operators_calls_and_all_peers_may_come_byte_by_byte(host):
     executor, store = Executor(), Store()
-    executor.trickle = store.trickle = True
+    executor.byte_by_byte = store.byte_by_byte = True
     h = host(executor=executor, store=store)
     g = h.gateway()
     for n in range(5):
@@ -223,7 +227,7 @@
         assert g.result(g.request("book", f"x{n}", f"{n:032x}")) == f"did x{n}"
     for word in ("check", "vars"):
         with socket.create_connection(h.ops.split(":")) as sock:
-            Trickle(sock).sendall(f"{word}\n".encode())
+            ByteByByteSocket(sock).sendall(f"{word}\n".encode())
             assert sock.makefile().read().splitlines()[-1] in ("OK", "END")
 
 
@@ -233,7 +237,7 @@
     for g in quiet:
         assert g.result(g.request("track", "once")) == "did once"
     began = time.monotonic()
-    until(lambda: time.monotonic() - began > FIRST_S + 0.3, "more than the time for a message")
+    wait_until(lambda: time.monotonic() - began > FIRST_S + 0.3, "more than the time for a message")
     for g in quiet:
         assert g.result(g.request("track", "again")) == "did again"
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -6,7 +6,7 @@
 import pytest
 
 from lapispick import admission
-from lapispick.fakes.peers import INFO
+from lapispick.fakes.start_settings import PLATFORM_INFO
 from lapispick.handover import messages
 from lapispick.host import core, events
 from lapispick.host.requests import AnswerKind, Request
@@ -47,7 +47,7 @@
 def rig():
     def start(decide):
         loop = Loop()
-        centre = core.Core(loop, settings_from(msgspec.convert(INFO, Info)), 1)
+        centre = core.Core(loop, settings_from(msgspec.convert(PLATFORM_INFO, Info)), 1)
         centre.executor = centre.store = Peers(centre)
         centre.control = Recorder(decide)
         loop.spawn(centre.serve)
--- a/tests/test_handover_link.py
+++ b/tests/test_handover_link.py
@@ -10,7 +10,9 @@
 
 import pytest
 
-from lapispick.fakes.peers import Gateway, b64, until
+from lapispick.fakes.gateway import GatewayConnection
+from lapispick.fakes.messages import encode_base64
+from lapispick.fakes.waiting import wait_until
 from lapispick.handover import budget, messages
 from lapispick.idempotency.table import digest_request
 from tests.upgrade_support import (
@@ -55,20 +57,20 @@
 
         threading.Thread(target=reject, daemon=True).start()
         began = time.monotonic()
-        new = host(beside=old, ready=False)
+        new = host(successor_of=old, wait_for_ready=False)
         wait_until_ready(new)
         assert time.monotonic() - began < 6
         g = new.gateway()
         assert g.result(g.request("track", "read")) == "did read"
-        assert g.code(g.request("book", "mine", nonce())) == REJECTED
-        assert not new.executor.ran("mine")
+        assert g.error_code(g.request("book", "mine", nonce())) == REJECTED
+        assert not new.executor.runs_of("mine")
         assert "another version" in new.log()
         fcntl.flock(held, fcntl.LOCK_UN)
         sock.shutdown(socket.SHUT_RDWR)
-    new.logged("owns-keys")
+    new.wait_for_log("owns-keys")
     assert g.result(g.request("book", "mine", nonce())) == "did mine"
-    assert g.code(g.request("book", "theirs", nonce(), redo=1)) != REJECTED
-    assert not new.executor.ran("theirs")
+    assert g.error_code(g.request("book", "theirs", nonce(), redo=1)) != REJECTED
+    assert not new.executor.runs_of("theirs")
 
 
 def test_a_platform_without_a_folder_is_served_alone(host, shared_address, tmp_path):
@@ -79,7 +81,7 @@
     with_long = tmp_path / ("d" * 120)
     with_long.mkdir()
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO, environ={"TMPDIR": str(with_long)})
-    assert wait_until_ready(host(beside=old, environ={"TMPDIR": str(with_long)}))
+    assert wait_until_ready(host(successor_of=old, environ={"TMPDIR": str(with_long)}))
 
 
 @pytest.mark.parametrize("others,mine", [(None, 160), (0, 120), (30, 120), (60, 100), (120, 40), (160, 40)])
@@ -98,17 +100,19 @@
     first.process.wait()
     os.unlink(path)
     known, unknown = nonce(), nonce()
-    name, port = first.at.split(":")
+    name, port = first.address.split(":")
     with lock.open("r+b") as held, socket.socket(socket.AF_UNIX) as sock, socket.socket() as clients:
         fcntl.flock(held, fcntl.LOCK_EX)
         clients.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         clients.bind((name, int(port)))
         clients.listen()
-        queued = Gateway(first.at)  # queued at the old process's socket, and read by nobody so far
+        queued = GatewayConnection.connect(
+            first.address
+        )  # queued at the old process's socket, and read by nobody so far
         n, doubtful = queued.request("track", "first", patience=9000), queued.request("book", "late", nonce())
         sock.bind(path)
         sock.listen()
-        new = host(beside=first, started=False)
+        new = host(successor_of=first, wait_for_start=False)
         link, _ = sock.accept()
         assert isinstance(messages.decode(link.recv(1000).strip()), messages.Hello)
         socket.send_fds(link, [b"\n"], [clients.fileno()])
@@ -116,23 +120,27 @@
             messages.Welcome(messages.VERSION),
             messages.UnknownOutcomesUntil(0.0),
             messages.RecordSnapshot(
-                ("nonce", known), time.time() * 1000 + 60_000, digest_request("book", b64("ran")), True, b64("kept")
+                ("nonce", known),
+                time.time() * 1000 + 60_000,
+                digest_request("book", encode_base64("ran")),
+                True,
+                encode_base64("kept"),
             ),
         ]
         link.sendall(b"".join(map(messages.encode, told)) + tail)
         link.close()
         fcntl.flock(held, fcntl.LOCK_UN)
-    new.ops = until(lambda: operators_address(new), "the start")
+    new.ops = wait_until(lambda: operators_address(new), "the start")
     wait_until_ready(new)
     # The write came before the old process ended, which may have read a second copy of it.
     assert queued.result(n) == "did first"
-    assert queued.code(doubtful) != REJECTED
-    assert not new.executor.ran("late")
+    assert queued.error_code(doubtful) != REJECTED
+    assert not new.executor.runs_of("late")
     g = new.gateway()
     assert g.result(g.request("book", "ran", known, redo=1)) == "kept"
-    assert g.code(g.request("book", "other", unknown, redo=1)) != REJECTED
-    assert not new.executor.ran("ran")
-    assert not new.executor.ran("other")
+    assert g.error_code(g.request("book", "other", unknown, redo=1)) != REJECTED
+    assert not new.executor.runs_of("ran")
+    assert not new.executor.runs_of("other")
 
 
 class FakeOwner:
@@ -178,9 +186,9 @@
     first = host(listen=shared_address(), info=LONG_WINDOW_INFO)
     first.process.kill()
     first.process.wait()
-    owner = FakeOwner(tmp_path, first.at)
+    owner = FakeOwner(tmp_path, first.address)
     try:
-        new = host(beside=first, started=False)
+        new = host(successor_of=first, wait_for_start=False)
         link, hello, lines = owner.accept()
         assert hello.listener == ""
         assert any(isinstance(messages.decode(line), messages.Serving) for line in lines)
@@ -196,9 +204,9 @@
     first = host(listen=shared_address(), info=LONG_WINDOW_INFO)
     first.process.kill()
     first.process.wait()
-    owner = FakeOwner(tmp_path, first.at)
+    owner = FakeOwner(tmp_path, first.address)
     try:
-        new = host(beside=first, started=False)
+        new = host(successor_of=first, wait_for_start=False)
         while "event=serving-unlinked" not in new.log():
             owner.reject()
         _, hello, _ = owner.accept()
@@ -215,19 +223,19 @@
         sock.connect(str(next(tmp_path.glob("lapispick-*.sock"))))
         sock.sendall(messages.encode(messages.Hello(messages.VERSION, "n3", old.config["listen"], listens)))
         _, fds, _, _ = socket.recv_fds(sock, 1, 1)
-        until(lambda: "event=linked" in old.log(), "the link")
-        with old.stopped(), socket.socket(fileno=fds[0]) as passed:
-            waits = [Gateway(old.at) for _ in range(200)]  # more than are accepted in one round
+        wait_until(lambda: "event=linked" in old.log(), "the link")
+        with old.suspended(), socket.socket(fileno=fds[0]) as passed:
+            waits = [GatewayConnection.connect(old.address) for _ in range(200)]  # more than are accepted in one round
             numbers = [g.request("track", "queued") for g in waits]
-            old.leave()
+            old.terminate()
             if listens != "passed":
                 passed.detach()
             else:  # our own copy stays, as the successor's would
                 keep = passed.dup()
-        until(lambda: "event=leaving" in old.log(), "the leave")
+        wait_until(lambda: "event=leaving" in old.log(), "the leave")
         assert f"handed={bool(listens)}" in old.log()
         if listens == "passed":
-            old.logged("ended")
+            old.wait_for_log("ended")
             keep.setblocking(False)
             taken = []
             with contextlib.suppress(BlockingIOError):
@@ -240,5 +248,5 @@
             left = []
             os.close(fds[0])
         for g, n in zip(waits, numbers, strict=True):
-            assert g in left or "result" in g.answer(n) or g.code(n) == REJECTED
+            assert g in left or "result" in g.answer(n) or g.error_code(n) == REJECTED
         assert old.process.wait(5) == 0
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -9,8 +9,11 @@
 
 import pytest
 
-from lapispick.fakes.host_pauses import watched
-from lapispick.fakes.peers import INFO, Executor, b64, until
+from lapispick.fakes.executor import Executor
+from lapispick.fakes.host_pauses import measure_pauses
+from lapispick.fakes.messages import encode_base64
+from lapispick.fakes.start_settings import PLATFORM_INFO
+from lapispick.fakes.waiting import wait_until
 
 REFUSED = -32050
 
@@ -39,7 +42,7 @@
     g = h.gateway()
     assert g.result(g.request("track", f"call:{call}")) == served
     tag, wait, body, _ = h.store.calls[0]
-    assert tag == h.executor.runs[0][0] and wait > 0 and body == call
+    assert tag == h.executor.runs[0].task and wait > 0 and body == call
 
 
 def test_a_write_repeats_a_call_only_after_proof_that_it_never_ran(host):
@@ -48,8 +51,8 @@
     turned_away, unsure = g.request("book", "call:503 n", nonce()), g.request("book", "call:500", nonce())
     assert g.answer(turned_away)["error"]["code"] != REFUSED  # it ran, so it is failed and not turned away
     assert g.answer(unsure)["error"]["code"] != REFUSED
-    assert sum(c[2] == "503 n" for c in h.store.calls) > 1
-    assert sum(c[2] == "500" for c in h.store.calls) == 1
+    assert sum(call.body == "503 n" for call in h.store.calls) > 1
+    assert sum(call.body == "500" for call in h.store.calls) == 1
 
 
 def test_a_store_that_refuses_connections_proves_that_nothing_ran(host):
@@ -66,10 +69,10 @@
 
     def again():
         g.result(g.request("track", "call:200"))
-        return len({c[3] for c in h.store.calls}) < len(h.store.calls)
+        return len({call.connection for call in h.store.calls}) < len(h.store.calls)
 
-    until(again, "a connection that is used again")
-    h.store.cut()  # closes the connection that was kept
+    wait_until(again, "a connection that is used again")
+    h.store.disconnect()  # closes the connection that was kept
     assert g.result(g.request("track", "call:200")).startswith("reply")
 
 
@@ -78,10 +81,10 @@
     h = host()
     g = h.gateway()
     n = g.request(cls, "call:hang", nonce(), trace="00000000000000aa")
-    until(lambda: h.store.calls, "the call")
-    g.raw(json.dumps({"jsonrpc": "2.0", "method": "giveUp", "params": {"id": n}}).encode())
+    wait_until(lambda: h.store.calls, "the call")
+    g.send_line(json.dumps({"jsonrpc": "2.0", "method": "giveUp", "params": {"id": n}}).encode())
     began = time.monotonic()
-    until(lambda: h.store.ended == ["00000000000000aa"], "the end of the call")
+    wait_until(lambda: h.store.ended_requests == ["00000000000000aa"], "the end of the call")
     assert time.monotonic() - began < 1.5  # long before its own time is over
 
 
@@ -89,9 +92,9 @@
     h = host()
     g, key = h.gateway(), nonce()
     first = g.request("book", "hold", key)
-    until(lambda: h.executor.runs, "the run")
+    wait_until(lambda: h.executor.runs, "the run")
     while_it_runs = g.request("book", "hold", key, redo=1)
-    h.executor.end(h.executor.runs[0][0], result="booked")
+    h.executor.end_run(h.executor.runs[0].task, result="booked")
     assert [g.result(n) for n in (first, while_it_runs)] == ["booked"] * 2
     other = h.gateway()
     assert other.result(other.request("book", "hold", key, redo=1)) == "booked"
@@ -102,11 +105,11 @@
     h = host()
     g, key = h.gateway(), nonce()
     lines = []
-    g.raw, raw = lines.append, g.raw
+    g.send_line, raw = lines.append, g.send_line
     numbers = [g.request("book", "once", key, redo=i) for i in (0, 1, 1)]
     raw(b"\n".join(lines))
     answers = [g.answer(n) for n in numbers]
-    assert len(h.executor.ran("once")) == 1
+    assert len(h.executor.runs_of("once")) == 1
     assert all(a.get("result") or a["error"]["code"] == REFUSED for a in answers)
     assert any("result" in a for a in answers)
 
@@ -116,8 +119,8 @@
     g, key = h.gateway(), nonce()
     born = time.time() * 1000
     assert g.result(g.request("book", "late", key, born=born)) == "did late"
-    window = INFO["Services"][1]["Window"]
-    until(lambda: time.time() * 1000 > born + window + 1500, "the end of the window")
+    window = PLATFORM_INFO["Services"][1]["Window"]
+    wait_until(lambda: time.time() * 1000 > born + window + 1500, "the end of the window")
     # It came within the window, though it is read after it: never a second run.
     within = g.request("book", "late", key, born=born + window - 100, patience=9000, redo=1)
     assert g.result(within) == "did late" and len(h.executor.runs) == 1
@@ -128,8 +131,8 @@
 def test_a_failed_write_is_failed_and_its_repeats_too(host):
     h = host()
     g, key = h.gateway(), nonce()
-    assert g.code(g.request("book", "error", key)) != REFUSED
-    assert g.code(g.request("book", "error", key, redo=1)) != REFUSED
+    assert g.error_code(g.request("book", "error", key)) != REFUSED
+    assert g.error_code(g.request("book", "error", key, redo=1)) != REFUSED
     assert len(h.executor.runs) == 1
 
 
@@ -139,18 +142,18 @@
     began = time.monotonic()
     n = g.request("track", "late", born=time.time() * 1000 - 4500, patience=4520)
     data = g.answer(n)["error"]["data"]
-    assert g.code(n) == REFUSED and data["pause"] > 0 and data["terminal"] == 1 and "advice" in data
+    assert g.error_code(n) == REFUSED and data["pause"] > 0 and data["terminal"] == 1 and "advice" in data
     assert time.monotonic() - began < 1 and not h.executor.runs
 
 
 def test_running_work_is_failed_by_its_due_time_and_stopped(host):
     h = host()
     g = h.gateway()
-    with watched(h) as held:
+    with measure_pauses(h) as paused_s:
         born = time.time() * 1000
         n = g.request("track", "hold", born=born, patience=600)
-        assert g.code(n) != REFUSED and time.time() * 1000 <= born + 660 + 1000 * held()
-    until(lambda: any(c["verb"] == "KILL" for c in h.executor.commands), "the stop")
+        assert g.error_code(n) != REFUSED and time.time() * 1000 <= born + 660 + 1000 * paused_s()
+    wait_until(lambda: any(c["verb"] == "KILL" for c in h.executor.commands), "the stop")
 
 
 def test_a_peer_that_never_pauses_does_not_keep_others_waiting(host):
@@ -177,7 +180,7 @@
 
 def test_too_many_connections_leave_room_for_those_in_use(host):
     h = host()
-    name, port = h.at.split(":")
+    name, port = h.address.split(":")
     crowd = [socket.create_connection((name, int(port))) for _ in range(256 * 5 // 8 + 20)]
     g = h.gateway()
     assert g.result(g.request("track", "still")) == "did still"
@@ -199,20 +202,20 @@
             assert time.monotonic() - began < 2
         except OSError:
             break
-    h.logged("slow-reader-dropped")
+    h.wait_for_log("slow-reader-dropped")
     assert g.result(g.request("track", "after")) == "did after"
-    assert h.memory_mb() < 96  # half of the limit
+    assert h.peak_memory_mb() < 96  # half of the limit
 
 
 def test_the_executor_may_come_late_and_probes_are_sick_until_then(host):
-    late = Executor(up=False)
-    h = host(executor=late, ready=False)
+    late = Executor(is_up=False)
+    h = host(executor=late, wait_for_ready=False)
     g = h.gateway()
     assert g.answer(g.send("probe"))["result"]["healthy"] is False
-    assert g.code(g.request("track", "early")) == REFUSED
-    until(lambda: late.commands, "the first message")
-    late.come_up()
-    h.logged("ready")
+    assert g.error_code(g.request("track", "early")) == REFUSED
+    wait_until(lambda: late.commands, "the first message")
+    late.become_ready()
+    h.wait_for_log("ready")
     assert g.answer(g.send("probe"))["result"]["healthy"] is True
     assert g.result(g.request("track", "now")) == "did now"
 
@@ -221,13 +224,13 @@
     h = host()
     g = h.gateway()
     kept, ended = g.request("track", "hold"), g.request("book", "hold", nonce())
-    until(lambda: len(h.executor.runs) == 2, "both runs")
+    wait_until(lambda: len(h.executor.runs) == 2, "both runs")
     with h.executor.lock:
-        h.executor.cut()
+        h.executor.disconnect()
         by_class = {handler: task for task, handler, _ in h.executor.runs}
-        h.executor.end(by_class["book"], result="booked")  # while there is no link
+        h.executor.end_run(by_class["book"], result="booked")  # while there is no link
     assert g.result(ended) == "booked"
-    h.executor.end(by_class["track"], result="tracked")
+    h.executor.end_run(by_class["track"], result="tracked")
     assert g.result(kept) == "tracked"
     assert sum(c["verb"] == "EXEC" and c["task"] == by_class["book"] for c in h.executor.commands) == 1
     assert next(c["index"] for c in h.executor.commands if c["verb"] == "JOIN") == 0
@@ -236,27 +239,27 @@
 def test_a_start_that_went_with_a_link_is_sent_again_for_reads_only(host):
     h = host()
     g = h.gateway()
-    h.executor.deaf = True
+    h.executor.ignores_commands = True
     read, write = g.request("track", "again"), g.request("book", "once", nonce(), patience=1500)
-    until(lambda: h.executor.heard.count("EXEC") == 2, "both were written")
-    h.executor.deaf = False
-    h.executor.cut()
+    wait_until(lambda: h.executor.received_verbs.count("EXEC") == 2, "both were written")
+    h.executor.ignores_commands = False
+    h.executor.disconnect()
     assert g.result(read) == "did again"
-    assert g.code(write) != REFUSED  # it may have run: failed, not turned away
-    assert not h.executor.ran("once")
+    assert g.error_code(write) != REFUSED  # it may have run: failed, not turned away
+    assert not h.executor.runs_of("once")
 
 
 def test_a_start_that_was_lost_takes_no_slot_for_good(host):
     h = host()
     g = h.gateway()
-    h.executor.deaf = True
+    h.executor.ignores_commands = True
     lost = []
     for i in range(1, 9):  # as many as may ever run; one at a time, so that no line makes the module refuse
         lost.append(g.request("book", "never", nonce(), patience=4500))
-        until(lambda i=i: h.executor.heard.count("EXEC") == i, "the start was written")
-    h.executor.deaf = False
-    h.executor.cut()
-    assert all(g.code(n) != REFUSED for n in lost)
+        wait_until(lambda i=i: h.executor.received_verbs.count("EXEC") == i, "the start was written")
+    h.executor.ignores_commands = False
+    h.executor.disconnect()
+    assert all(g.error_code(n) != REFUSED for n in lost)
     assert g.result(g.request("track", "next")) == "did next"
 
 
@@ -264,41 +267,41 @@
     h = host()
     g = h.gateway()
     n = g.request("track", "stay:200")
-    until(lambda: "RETURN" in h.executor.heard, "the reply to the call")
-    h.executor.forgetful = True
-    h.executor.cut()
-    until(lambda: h.executor.heard.count("RETURN") == 2, "the reply once more, behind the old notices")
-    h.executor.end(h.executor.runs[0][0], result="done")
+    wait_until(lambda: "RETURN" in h.executor.received_verbs, "the reply to the call")
+    h.executor.resends_all_notices = True
+    h.executor.disconnect()
+    wait_until(lambda: h.executor.received_verbs.count("RETURN") == 2, "the reply once more, behind the old notices")
+    h.executor.end_run(h.executor.runs[0].task, result="done")
     assert g.result(n) == "done" and len(h.store.calls) == 1
 
 
 def test_the_roster_hears_on_each_second_and_off_at_the_notice(host):
     h = host()
-    until(lambda: len(h.roster.reports) >= 3, "three reports")
-    times = [t for t, word in h.roster.reports if word == "HERE n3 on"]
+    wait_until(lambda: len(h.registry.reports) >= 3, "three reports")
+    times = [t for t, word in h.registry.reports if word == "HERE n3 on"]
     assert len(times) >= 3 and max(b - a for a, b in itertools.pairwise(times)) < 1.5
-    h.leave()
-    until(lambda: h.roster.reports[-1][1] == "HERE n3 off", "off")
+    h.terminate()
+    wait_until(lambda: h.registry.reports[-1].text == "HERE n3 off", "off")
 
 
 def test_the_drain_answers_all_and_ends_in_time(host):
     h = host(stop_ms=3000)
     g = h.gateway()
     running, done = g.request("track", "hold", patience=9000), g.request("book", "hold", nonce())
-    until(lambda: len(h.executor.runs) == 2, "both runs")
+    wait_until(lambda: len(h.executor.runs) == 2, "both runs")
     began = time.monotonic()
-    h.leave()
-    until(lambda: g.read() and g.away, "goaway")
+    h.terminate()
+    wait_until(lambda: g.read() and g.goaway_received, "goaway")
     fresh = h.gateway()
     assert fresh.read()["method"] == "goaway"
     probe = fresh.send("probe")
     assert fresh.answer(probe)["result"]["healthy"] is False
-    h.executor.end(next(t for t, c, _ in h.executor.runs if c == "book"), result="booked")
+    h.executor.end_run(next(t for t, c, _ in h.executor.runs if c == "book"), result="booked")
     assert g.result(done) == "booked"
-    until(lambda: time.monotonic() - began > 1.9, "the end of the grace")
+    wait_until(lambda: time.monotonic() - began > 1.9, "the end of the grace")
     late = fresh.request("track", "late")
-    assert fresh.code(late) == REFUSED and not h.executor.ran("late")
-    assert g.code(running) != REFUSED
+    assert fresh.error_code(late) == REFUSED and not h.executor.runs_of("late")
+    assert g.error_code(running) != REFUSED
     assert h.process.wait(5) == 0 and time.monotonic() - began < 3
 
 
@@ -310,8 +313,8 @@
         ({"seed": "xyz"}, "seed"),
         ({"stop_ms": "soon"}, "stop_ms"),
         ({"limits": {"sockets": 3}}, "limits.sockets"),
-        ({"settings": {**INFO, "Services": []}}, "settings.Services"),
-        ({"settings": {k: v for k, v in INFO.items() if k != "Layer"}}, "settings.Layer"),
+        ({"settings": {**PLATFORM_INFO, "Services": []}}, "settings.Services"),
+        ({"settings": {k: v for k, v in PLATFORM_INFO.items() if k != "Layer"}}, "settings.Layer"),
     ],
 )
 def test_a_faulty_configuration_names_its_key(change, key):
@@ -325,7 +328,7 @@
         "store": "127.0.0.1:4",
         "seed": "8c",
         "stop_ms": 3200,
-        "settings": INFO,
+        "settings": PLATFORM_INFO,
     }
     assert config.parse(json.dumps(base).encode()).limits.sockets == 1024
     with pytest.raises(config.ConfigError, match=f"^{key}"):
@@ -336,4 +339,4 @@
     h = host()
     g = h.gateway()
     n = g.request("track", "plain")
-    assert g.answer(n)["result"]["doc"] == b64("did plain")
+    assert g.answer(n)["result"]["doc"] == encode_base64("did plain")
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -59,9 +59,9 @@
     assert g.result(g.request("track", "call:200")) == "reply 1"
     assert g.result(g.request("book", "x", uuid.uuid4().hex)) == "did x"
     for line in (b"check", b"vars", b"drain-on", b"drain-off"):
-        h.call(line)
+        h.call_operators(line)
     h.reload()
-    h.leave()
+    h.terminate()
     assert h.process.wait(6) == 0
     names = imported(h)
     assert {"lapispick.host.core", "lapispick.admission.controller", "greenlet"} <= names
--- a/tests/test_inventory_watch.py
+++ b/tests/test_inventory_watch.py
@@ -14,7 +14,7 @@
 import pytest
 
 from lapispick.fakes.broker import Broker
-from lapispick.fakes.peers import until
+from lapispick.fakes.waiting import wait_until
 
 HEAD = "host,amqp_host,amqp_port,amqp_queue,amqp_prefetch,amqp_customer,amqp_password\n"
 CONF = """
@@ -40,14 +40,14 @@
         self.folder, self.file = folder, folder / "shops.csv"
         self.brokers = {f"broker-{name}": Broker() for name in "abcdef"[:brokers]}
         self.rows = {
-            name: {"queue": "jobs", "prefetch": "32", "password": "", "host": b.at.split(":")[0]}
+            name: {"queue": "jobs", "prefetch": "32", "password": "", "host": b.address.split(":")[0]}
             for name, b in self.brokers.items()
         }
         self.write()
 
     def text(self, order=None):
         def row(name):
-            told, port = self.rows[name], self.brokers[name].at.split(":")[1]
+            told, port = self.rows[name], self.brokers[name].address.split(":")[1]
             return f"{name},{told['host']},{port},{told['queue']},{told['prefetch']},shop,{told['password']}\n"
 
         return HEAD + "".join(row(n) for n in (order or self.rows))
@@ -67,7 +67,7 @@
 
     def consumed(self, *names):
         """Wait until these and no other brokers are consumed from."""
-        until(lambda: {n for n, b in self.brokers.items() if consumers(b)} == set(names), f"consumers at {names}")
+        wait_until(lambda: {n for n, b in self.brokers.items() if consumers(b)} == set(names), f"consumers at {names}")
 
     def ask(self, name, body, cls="book", queue="jobs", **over):
         correlation = over.pop("correlation", body)
@@ -82,7 +82,7 @@
         )
 
     def seen(self, event, count=1):
-        until(lambda: self.host.log().count(f"event={event}") >= count, f"{count} log lines {event}")
+        wait_until(lambda: self.host.log().count(f"event={event}") >= count, f"{count} log lines {event}")
 
     def tool(self, *words, code=0):
         """Run the command line as an operator would."""
@@ -99,9 +99,7 @@
 
 def consumers(broker):
     """Return the tags that consume now, over all links of a broker."""
-    from lapispick.fakes.broker import LINKS
-
-    return [c["tag"] for link in list(broker.links) for c in list(LINKS.get(link, {}).values()) if c.get("tag")]
+    return broker.consumer_tags()
 
 
 @pytest.fixture
@@ -136,14 +134,16 @@
 
     def account(self):
         """Every message has one final answer, every booking one effect."""
-        until(lambda: len(self.asked) > 50, "enough messages")
+        wait_until(lambda: len(self.asked) > 50, "enough messages")
         self.going = False
         self.thread.join()
         self.fleet.consumed(*self.fleet.brokers)
-        until(lambda: all(m.fate for _, m in self.asked.values()), "an end of every message")
-        replies = collections.Counter(r[1].correlation_id for b in self.fleet.brokers.values() for r in b.replies)
+        wait_until(lambda: all(m.fate for _, m in self.asked.values()), "an end of every message")
+        replies = collections.Counter(
+            r.properties.correlation_id for b in self.fleet.brokers.values() for r in b.replies
+        )
         assert replies == dict.fromkeys(self.asked, 1)
-        assert {r[1].type for b in self.fleet.brokers.values() for r in b.replies} == {"served"}
+        assert {r.properties.type for b in self.fleet.brokers.values() for r in b.replies} == {"served"}
         ran = collections.Counter(body for _, _, body in self.fleet.host.executor.runs)
         assert ran == dict.fromkeys(self.asked, 1)
         assert not any(m.redelivered for _, m in self.asked.values())
@@ -204,19 +204,19 @@
     f.start(host)
     f.consumed(*f.brokers)
     message = f.ask("broker-b", "hold")
-    until(lambda: f.host.executor.runs, "the run")
+    wait_until(lambda: f.host.executor.runs, "the run")
     broker = f.brokers["broker-b"]
     row = f.rows.pop("broker-b")
     f.write()
     f.consumed("broker-a")
     f.ask("broker-b", "later")
-    assert not message.fate and not broker.closed
-    f.host.executor.end(f.host.executor.runs[0][0], result="done")
-    until(lambda: message.fate == "ack" and broker.closed == 1, "the acknowledgement, then the close")
+    assert not message.fate and not broker.close_count
+    f.host.executor.end_run(f.host.executor.runs[0].task, result="done")
+    wait_until(lambda: message.fate == "ack" and broker.close_count == 1, "the acknowledgement, then the close")
     assert broker.reply("hold")[:2] == ("served", "done") and not broker.reply("later")
     f.rows["broker-b"] = row
     f.write()
-    until(lambda: broker.reply("later"), "the message that waited")
+    wait_until(lambda: broker.reply("later"), "the message that waited")
 
 
 def test_a_booking_is_known_whatever_the_list_did_since(fleet, host):
@@ -224,22 +224,22 @@
     f.start(host)
     f.consumed(*f.brokers)
     f.ask("broker-a", "job")
-    until(lambda: f.brokers["broker-a"].reply("job"), "the reply")
+    wait_until(lambda: f.brokers["broker-a"].reply("job"), "the reply")
     row = f.rows.pop("broker-a")
     f.write()
     f.consumed("broker-b")
     f.brokers["broker-b"].put(
         "jobs", "job", type="book", message_id="m-job", correlation_id="again", reply_to="answers", redelivered=True
     )
-    assert until(lambda: f.brokers["broker-b"].reply("again"), "the reply")[:2] == ("served", "did job")
+    assert wait_until(lambda: f.brokers["broker-b"].reply("again"), "the reply")[:2] == ("served", "did job")
     f.rows["broker-a"] = row
     f.write()
     f.consumed(*f.brokers)
     f.brokers["broker-a"].put(
         "jobs", "job", type="book", message_id="m-job", correlation_id="third", reply_to="answers"
     )
-    assert until(lambda: f.brokers["broker-a"].reply("third"), "the reply")[:2] == ("served", "did job")
-    assert len(f.host.executor.ran("job")) == 1
+    assert wait_until(lambda: f.brokers["broker-a"].reply("third"), "the reply")[:2] == ("served", "did job")
+    assert len(f.host.executor.runs_of("job")) == 1
 
 
 def test_a_change_reopens_only_what_it_touches(fleet, host):
@@ -250,21 +250,21 @@
     before = len(b.methods)
     f.rows["broker-a"]["prefetch"] = "7"
     f.write()
-    until(lambda: a.methods.count("basic.cancel") == 1 and len(consumers(a)) == 1, "the consumer's change")
+    wait_until(lambda: a.methods.count("basic.cancel") == 1 and len(consumers(a)) == 1, "the consumer's change")
     assert a.methods.count("channel.open") == 2 and a.methods.count("connection.open") == 1
     f.ask("broker-a", "x")
-    until(lambda: a.reply("x"), "the reply")
+    wait_until(lambda: a.reply("x"), "the reply")
     f.rows["broker-a"]["password"] = "wrong"  # the stand-in breaks such a log-in off
     f.write()
     f.seen("connect-failed", 2)
     f.ask("broker-a", "y")
-    until(lambda: a.reply("y"), "the reply over the old connection")
+    wait_until(lambda: a.reply("y"), "the reply over the old connection")
     assert not a.closed
     f.rows["broker-a"]["password"] = "guest"
     f.write()
     f.seen("broker-ended")
     f.ask("broker-a", "z")
-    until(lambda: a.reply("z"), "the reply")
+    wait_until(lambda: a.reply("z"), "the reply")
     assert len(consumers(a)) == 1 and len(b.methods) == before
 
 
@@ -277,21 +277,21 @@
     f.write()
     f.start(host, "names-file names")
     f.consumed("broker-a")
-    until(lambda: re.search(r"event=connect-failed .*shop-b\.invalid", f.host.log()), "the log line")
+    wait_until(lambda: re.search(r"event=connect-failed .*shop-b\.invalid", f.host.log()), "the log line")
     names.write_text("127.0.0.1 shop-b.invalid other\n")
     f.consumed("broker-a", "broker-b")
     import socket
 
     moved = f.brokers["broker-c"]
     moved.close()
-    moved.sock = socket.create_server(("127.0.0.2", int(f.brokers["broker-b"].at.split(":")[1])))
-    threading.Thread(target=moved._accept, args=(moved.sock,), daemon=True).start()
+    moved.sock = socket.create_server(("127.0.0.2", int(f.brokers["broker-b"].address.split(":")[1])))
+    moved.start_accepting()
     names.write_text("127.0.0.2 shop-b.invalid\n")
     f.consumed("broker-a", "broker-c")
     f.seen("name-moved")
-    until(lambda: f.brokers["broker-b"].closed == 1 and third, "the close of the old address")
+    wait_until(lambda: f.brokers["broker-b"].close_count == 1 and third, "the close of the old address")
     f.ask("broker-c", "x")
-    until(lambda: moved.reply("x"), "the reply from the new address")
+    wait_until(lambda: moved.reply("x"), "the reply from the new address")
 
 
 def test_a_list_that_shrinks_is_held_until_the_operator_accepts_it(fleet, host):
@@ -329,7 +329,7 @@
     f.start(host, "state-folder state")
     f.consumed(*f.brokers)
     kept = f.folder / "state/last-good.jsonl"
-    until(kept.exists, "the last good list")
+    wait_until(kept.exists, "the last good list")
     assert kept.stat().st_mode & 0o77 == 0
     f.host.close()
     f.write("host,amqp_queue\nbroker-a,\n")
@@ -347,7 +347,7 @@
     assert re.search(r"event=last-good boxes=2 .*age_s=\d+", f.host.log())
     f.consumed(*f.brokers)
     f.ask("broker-a", "x")
-    until(lambda: f.brokers["broker-a"].reply("x"), "the reply")
+    wait_until(lambda: f.brokers["broker-a"].reply("x"), "the reply")
 
 
 def test_a_helper_that_dies_is_replaced_and_nothing_else_happens(fleet, host):
@@ -358,14 +358,14 @@
     for _ in range(2):
         (child,) = children(f.host.process.pid)
         os.kill(child, signal.SIGKILL)
-        until(lambda child=child: children(f.host.process.pid) not in ([], [child]), "another helper")
+        wait_until(lambda child=child: children(f.host.process.pid) not in ([], [child]), "another helper")
     f.seen("helper-ended", 2)
     f.rows["broker-b"]["prefetch"] = "9"
     f.write()
     f.seen("inventory-accepted", 2)
-    assert f.host.log().count("event=inventory-accepted") == 2 and not f.brokers["broker-a"].closed
+    assert f.host.log().count("event=inventory-accepted") == 2 and not f.brokers["broker-a"].close_count
     flow.account()
-    f.host.leave()
+    f.host.terminate()
     assert f.host.process.wait(6) == 0
     assert not Path(f"/proc/{child}").exists()
 
@@ -384,13 +384,13 @@
     f.start(host, stop_ms=4000)
     f.consumed(*f.brokers)
     message = f.ask("broker-b", "hold")
-    until(lambda: f.host.executor.runs, "the run")
-    f.host.leave()
-    until(lambda: not consumers(f.brokers["broker-a"]), "the end of consuming")
+    wait_until(lambda: f.host.executor.runs, "the run")
+    f.host.terminate()
+    wait_until(lambda: not consumers(f.brokers["broker-a"]), "the end of consuming")
     f.rows.pop("broker-b")
     f.write()
-    f.host.executor.end(f.host.executor.runs[0][0], result="done")
-    until(lambda: message.fate == "ack", "the acknowledgement")
+    f.host.executor.end_run(f.host.executor.runs[0].task, result="done")
+    wait_until(lambda: message.fate == "ack", "the acknowledgement")
     assert f.host.process.wait(6) == 0 and "event=ended owed=0" in f.host.log()
 
 
@@ -419,7 +419,7 @@
 
 
 def test_a_faulty_settings_file_ends_the_start_with_every_fault(tmp_path):
-    from lapispick.fakes.peers import INFO
+    from lapispick.fakes.start_settings import PLATFORM_INFO
 
     conf, config = tmp_path / "own.conf", tmp_path / "config.json"
     conf.write_text("section amqp\n  enable yes\n  drain 5x\nend\n")
@@ -433,7 +433,7 @@
                 "store": "127.0.0.1:1",
                 "seed": "1",
                 "stop_ms": 9,
-                "settings": INFO,
+                "settings": PLATFORM_INFO,
             }
         )
     )
--- a/tests/test_member_cluster.py
+++ b/tests/test_member_cluster.py
@@ -13,7 +13,7 @@
 
 from lapispick.fakes.fleet import ROOT, Fleet
 from lapispick.fakes.member_cluster import FAST_SETTINGS, SERVICE_SETTINGS, SLOW_SETTINGS, MemberCluster
-from lapispick.fakes.peers import until
+from lapispick.fakes.waiting import wait_until
 
 
 def wait(seconds):
@@ -154,8 +154,8 @@
     hosts = cluster.names()
     cluster.wait_for_agreement(hosts)
     cluster.request_leases(hold_s=0.1)
-    cluster.fleet.net.part([hosts[0]], [hosts[1]])
-    cluster.fleet.net.part([hosts[2]], [hosts[3]], one_way=True)
+    cluster.fleet.net.partition([hosts[0]], [hosts[1]])
+    cluster.fleet.net.partition([hosts[2]], [hosts[3]], one_way=True)
     cluster.wait_for_holds(12)
     wait(6.0)  # each is probed twice, and a suspicion that begins at once has timed out
     assert cluster.deaths() == []
@@ -166,7 +166,7 @@
     cluster = make_cluster(settings=SLOW_SETTINGS).start()
     hosts = cluster.names()
     cluster.wait_for_agreement(hosts)
-    cluster.fleet.net.part([hosts[0]], [hosts[4]])
+    cluster.fleet.net.partition([hosts[0]], [hosts[4]])
     began = time.monotonic()
     while time.monotonic() - began < 10.0:  # more than twice a suspicion
         assert cluster.states(hosts[0]).get(hosts[4]) in ("alive", "suspect")
@@ -191,7 +191,7 @@
     cluster = make_cluster(settings=SLOW_SETTINGS if loss < 0.3 else FAST_SETTINGS).start()
     hosts = cluster.names()
     cluster.wait_for_agreement(hosts)
-    cluster.fleet.net.slow(hosts, hosts, loss=loss, double=0.2, shuffle=0.2, jitter=0.02)
+    cluster.fleet.net.impair(hosts, hosts, loss=loss, duplicate=0.2, reorder=0.2, jitter_s=0.02)
     cluster.request_leases(hold_s=0.1)
     if loss < 0.5:
         cluster.wait_for_holds(4, within=60.0)
@@ -212,7 +212,7 @@
     cluster.request_leases(hold_s=0.2)
     for n in range(8):
         side = hosts[:2] if n % 2 else hosts[3:]
-        cluster.fleet.net.part(side, [name for name in hosts if name not in side], one_way=n % 3 == 2)
+        cluster.fleet.net.partition(side, [name for name in hosts if name not in side], one_way=n % 3 == 2)
         wait(1.0)
         cluster.fleet.net.heal()
     cluster.wait_for_agreement(hosts)
@@ -341,7 +341,7 @@
     print(f"the next holder obtained it after {time.monotonic() - started:.2f} s")
     rest = [name for name in hosts if name != holder]
     cluster.wait_for_agreement(rest, gone=[holder])
-    until(lambda: all(cluster.states(name)[holder] == "left" for name in rest), "that all know that it left")
+    wait_until(lambda: all(cluster.states(name)[holder] == "left" for name in rest), "that all know that it left")
     stop_owners_and_check(cluster)
 
 
@@ -363,7 +363,7 @@
     assert shown.returncode == 0
     assert "sees 3 of 3" in shown.stdout
     assert hosts[2] in shown.stdout
-    until(
+    wait_until(
         lambda: [
             f
             for f in json.loads(lapispick("members", "show", "--json", "--at", ops[0]).stdout)["facts"]
@@ -401,7 +401,7 @@
     ops = cluster.fleet[hosts[0]].processes[-1].ops
     script = f"echo $LAPISPICK_FENCE > {out}; exec sleep 60"
     held = start_lapispick("leases", "hold", "--at", ops, "job", "--", "sh", "-c", script, stderr=subprocess.PIPE)
-    until(lambda: out.exists() and out.read_text().strip(), "the command's start")
+    wait_until(lambda: out.exists() and out.read_text().strip(), "the command's start")
     cluster.fleet.partition([hosts[0]], hosts[1:])  # the holder is cut off from the majority
     started = time.monotonic()
     assert held.wait(30) == 1
@@ -424,12 +424,12 @@
         view = cluster.view(hosts[0]) or {"facts": []}
         return {author: value for author, _, _, kind, _, value, *_ in view["facts"] if kind == "store"}
 
-    until(lambda: set(latency_ratios()) == set(hosts), "a fact of each host")
+    wait_until(lambda: set(latency_ratios()) == set(hosts), "a fact of each host")
     assert max(latency_ratios().values()) < 4.0
     cluster.fleet.store.slowdown = 200.0  # 0.4 s a call, far more than a busy machine adds to the usual latency
-    until(lambda: sum(ratio > 4.0 for ratio in latency_ratios().values()) >= 2, "that two hosts report it")
+    wait_until(lambda: sum(ratio > 4.0 for ratio in latency_ratios().values()) >= 2, "that two hosts report it")
     cluster.fleet.store.slowdown = 1.0
-    until(lambda: max(latency_ratios().values()) < 3.0, "that it is over")
+    wait_until(lambda: max(latency_ratios().values()) < 3.0, "that it is over")
     assert cluster.fleet.broken_rules() == []
 
 
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -6,7 +6,8 @@
 import time
 import uuid
 
-from lapispick.fakes.peers import b64, until
+from lapispick.fakes.messages import encode_base64
+from lapispick.fakes.waiting import wait_until
 
 
 def is_word(got):
@@ -41,7 +42,7 @@
     dict(redo=7),
     dict(doc=None),
     dict(doc="***"),
-    dict(doc=b64("x" * 3000)),
+    dict(doc=encode_base64("x" * 3000)),
     dict(number=None),
     dict(number="one"),
     dict(number=0),
@@ -70,53 +71,53 @@
     bad = []
     for odd in ODD:
         bad.append(h.gateway())
-        line = bad[-1].line(**{"method": "track", **odd})
-        bad[-1].raw(line)
+        line = bad[-1].request_line(**{"method": "track", **odd})
+        bad[-1].send_line(line)
     for line in LINES:
         bad.append(h.gateway())
         with contextlib.suppress(OSError):
-            bad[-1].raw(line)
+            bad[-1].send_line(line)
     assert good.result(good.request("track", "fine")) == "did fine"
-    words = [b.word(0.3) for b in bad]
+    words = [b.read_until_quiet(0.3) for b in bad]
     assert not [(what, got) for what, got in zip(ODD + LINES, words, strict=True) if not is_word(got)]
     assert len(h.executor.runs) == 1 and h.process.poll() is None
     again = h.gateway()
     with contextlib.suppress(OSError):
         for _ in range(50):
-            again.raw(b'{"id":1}')
-    assert again.word(3)[-1] == "closed"  # the same again and again
+            again.send_line(b'{"id":1}')
+    assert again.read_until_quiet(3)[-1] == "closed"  # the same again and again
 
 
 def test_two_requests_under_one_number_or_too_many_at_once_are_never_served(host):
     h = host()
     good = h.gateway()
     twice, used, crowd = h.gateway(), h.gateway(), h.gateway()
-    twice.raw(twice.line("track", "one") + b"\n" + twice.line("track", "two"))
-    used.raw(used.line("track", "hold"))
-    until(lambda: h.executor.ran("hold"), "the run")
-    used.raw(used.line("track", "other"))
+    twice.send_line(twice.request_line("track", "one") + b"\n" + twice.request_line("track", "two"))
+    used.send_line(used.request_line("track", "hold"))
+    wait_until(lambda: h.executor.runs_of("hold"), "the run")
+    used.send_line(used.request_line("track", "other"))
     with contextlib.suppress(OSError):
-        crowd.raw(b"\n".join(crowd.line("track", "many", number=n) for n in range(1, 300)))
-    words = [b.word(1) for b in (twice, used, crowd)]
+        crowd.send_line(b"\n".join(crowd.request_line("track", "many", number=n) for n in range(1, 300)))
+    words = [b.read_until_quiet(1) for b in (twice, used, crowd)]
     assert [is_word(got) for got in words] == [True] * 3, words
     assert good.result(good.request("track", "fine")) == "did fine"
-    assert not (h.executor.ran("one") or h.executor.ran("two") or h.executor.ran("other"))
-    assert not h.executor.ran("many")
+    assert not (h.executor.runs_of("one") or h.executor.runs_of("two") or h.executor.runs_of("other"))
+    assert not h.executor.runs_of("many")
 
 
 def test_a_key_with_another_body_gets_no_result_and_harms_none(host):
     h = host()
     g, key = h.gateway(), uuid.uuid4().hex
     first = g.request("book", "hold", key)
-    until(lambda: h.executor.runs, "the run")
+    wait_until(lambda: h.executor.runs, "the run")
     thief = h.gateway()
-    thief.raw(thief.line("book", "other", nonce=key))
-    assert is_word(thief.word(0.5))
-    h.executor.end(h.executor.runs[0][0], result="booked")
+    thief.send_line(thief.request_line("book", "other", nonce=key))
+    assert is_word(thief.read_until_quiet(0.5))
+    h.executor.end_run(h.executor.runs[0].task, result="booked")
     assert g.result(first) == "booked"
     thief = h.gateway()
-    thief.raw(thief.line("book", "other", nonce=key))
-    assert is_word(thief.word(0.5)) and len(h.executor.runs) == 1
+    thief.send_line(thief.request_line("book", "other", nonce=key))
+    assert is_word(thief.read_until_quiet(0.5)) and len(h.executor.runs) == 1
     other = h.gateway()
     assert other.result(other.request("book", "hold", key, redo=1)) == "booked"
 
@@ -127,13 +128,13 @@
     lines = []
     for n in range(1, 201):
         lines += [
-            bad.line("book", "gone", number=n, nonce=key),
+            bad.request_line("book", "gone", number=n, nonce=key),
             b'{"jsonrpc":"2.0","method":"giveUp","params":{"id":%d}}' % n,
         ]
     with contextlib.suppress(OSError):
-        bad.raw(b"\n".join(lines))
+        bad.send_line(b"\n".join(lines))
     assert g.result(g.request("book", "gone", key)) == "did gone"
-    assert is_word(bad.word(1)) and "item-failed" not in h.log()
+    assert is_word(bad.read_until_quiet(1)) and "item-failed" not in h.log()
 
 
 def test_requests_that_the_executor_does_not_know_cost_no_slot_and_no_key(host):
@@ -141,8 +142,10 @@
     key = uuid.uuid4().hex
     for _ in range(30):
         bad = h.gateway()
-        bad.raw(bad.line("book", "unknown", nonce=key) + b"\n" + bad.line("track", "unknown", number=2))
-        assert is_word(bad.word(0.05))
+        bad.send_line(
+            bad.request_line("book", "unknown", nonce=key) + b"\n" + bad.request_line("track", "unknown", number=2)
+        )
+        assert is_word(bad.read_until_quiet(0.05))
     g = h.gateway()
     assert g.result(g.request("book", "known", key)) == "did known"
     assert g.result(g.request("track", "known")) == "did known"
@@ -153,17 +156,17 @@
     g = h.gateway()
     for n in range(1, 30):  # more than may ever run at once
         number = g.request("track", "over" if n % 2 else "never")
-        assert g.code(number) != -32050
+        assert g.error_code(number) != -32050
     assert g.result(g.request("track", "next")) == "did next"
 
 
 def test_who_says_nothing_or_half_of_it_is_shown_out_and_others_get_in(host):
     h = host()
-    name, port = h.at.split(":")
+    name, port = h.address.split(":")
     crowd = [socket.create_connection((name, int(port))) for _ in range(256 * 5 // 8 + 40)]
     half, endless, stayed = h.gateway(), h.gateway(), h.gateway()
     began = time.monotonic()
-    half.sock.sendall(half.line("track")[:50])
+    half.sock.sendall(half.request_line("track")[:50])
     assert stayed.result(stayed.request("track", "once")) == "did once"
     g = h.gateway()
     assert g.result(g.request("track", "still")) == "did still" and time.monotonic() - began < 1
@@ -179,8 +182,8 @@
         each.settimeout(3)
         with contextlib.suppress(ConnectionError):
             assert each.recv(10) == b""
-    assert half.word(3) == ["closed"] and time.monotonic() - began < 3
+    assert half.read_until_quiet(3) == ["closed"] and time.monotonic() - began < 3
     thread.join()
-    assert endless.word(3)[-1] == "closed"
+    assert endless.read_until_quiet(3)[-1] == "closed"
     assert stayed.result(stayed.request("track", "again")) == "did again"  # who asked once may stay
-    assert h.memory_mb() < 64
+    assert h.peak_memory_mb() < 64
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -15,7 +15,9 @@
 
 from lapispick.cli.main import cli
 from lapispick.cli.ops import NoAnswer, figures
-from lapispick.fakes.peers import INFO, Executor, until
+from lapispick.fakes.executor import Executor
+from lapispick.fakes.start_settings import PLATFORM_INFO
+from lapispick.fakes.waiting import wait_until
 from lapispick.host import config
 from lapispick.host.health import Duty
 
@@ -24,30 +26,30 @@
 
 def test_each_call_has_its_answer_and_all_else_an_error(host):
     h = host()
-    assert h.call(b"check") == ["OK"] and h.call(b"check\r") == ["OK"]
+    assert h.call_operators(b"check") == ["OK"] and h.call_operators(b"check\r") == ["OK"]
     for odd in (b"", b"CHECK", b"vars all", b"\xff\xfe", b"x" * 5000):
-        (answer,) = h.call(odd)
+        (answer,) = h.call_operators(odd)
         assert answer.startswith("ERR ") and len(answer) > 10, odd
     with socket.create_connection(h.ops.split(":"), timeout=5) as sock:
         sock.sendall(b"che")
         sock.shutdown(socket.SHUT_WR)
         assert sock.makefile().read().startswith("ERR ")
-    assert h.call(b"check") == ["OK"]
+    assert h.call_operators(b"check") == ["OK"]
 
 
 def test_check_says_yes_only_once_clients_are_taken(host):
-    late = Executor(up=False)
-    h = host(executor=late, ready=False)
-    (answer,) = h.call()
+    late = Executor(is_up=False)
+    h = host(executor=late, wait_for_ready=False)
+    (answer,) = h.call_operators()
     assert answer.startswith("ERR ")
-    h.call(b"drain-on")  # a drain call before the executor is up holds from then on
-    until(lambda: late.commands, "the first message")
-    late.come_up()
-    h.logged("ready")
-    assert h.call() == ["OK"]
+    h.call_operators(b"drain-on")  # a drain call before the executor is up holds from then on
+    wait_until(lambda: late.commands, "the first message")
+    late.become_ready()
+    h.wait_for_log("ready")
+    assert h.call_operators() == ["OK"]
     g = h.gateway()
     assert g.answer(g.send("probe"))["result"]["healthy"] is False
-    h.call(b"drain-off")
+    h.call_operators(b"drain-off")
     assert g.answer(g.send("probe"))["result"]["healthy"] is True
 
 
@@ -59,7 +61,7 @@
     for each in crowd[::2]:
         with contextlib.suppress(OSError):
             each.sendall(b"va")
-    assert h.call() == ["OK"] and h.figures()["inflight"] == 0
+    assert h.call_operators() == ["OK"] and h.metrics()["inflight"] == 0
     assert time.monotonic() - began < 1
     assert len(os.listdir(f"/proc/{h.process.pid}/fd")) < 30  # 8 of them at most, of 256 descriptors
     for each in crowd:
@@ -75,7 +77,7 @@
 
     def flood():
         g = h.gateway()
-        line = g.line("track", "x") + b"\n"
+        line = g.request_line("track", "x") + b"\n"
         with contextlib.suppress(OSError):
             while not stop.is_set():
                 g.sock.sendall(line * 200)  # ids that are not new: each costs a look and an answer
@@ -88,7 +90,7 @@
         worst = 0.0
         for _ in range(40):
             began = time.monotonic()
-            assert h.call() == ["OK"] and h.call(b"vars")[-1] == "END"
+            assert h.call_operators() == ["OK"] and h.call_operators(b"vars")[-1] == "END"
             worst = max(worst, time.monotonic() - began)
         assert worst < 1
     finally:
@@ -101,7 +103,7 @@
     seed = 20261201
     print("seed", seed)
     rng, h = random.Random(seed), host(executor=Executor(work_s=0.002))
-    assert set(h.figures().values()) == {0}
+    assert set(h.metrics().values()) == {0}
     g, keys, sent, gone = h.gateway(), [uuid.UUID(int=i).hex for i in range(6)], {}, set()
     for turn in range(300):
         cls = rng.choice(["track", "book"])
@@ -110,15 +112,15 @@
         patience = 1 if body == "late" else 4000
         sent[g.request(cls, body, key, born=time.time() * 1000 - (5 if body == "late" else 0), patience=patience)] = cls
         if rng.random() < 0.05:
-            gone.add(g.last)
-            g.raw(json.dumps({"jsonrpc": "2.0", "method": "giveUp", "params": {"id": g.last}}).encode())
+            gone.add(g.last_id)
+            g.send_line(json.dumps({"jsonrpc": "2.0", "method": "giveUp", "params": {"id": g.last_id}}).encode())
         if turn % 100 == 50:
-            h.executor.cut()
+            h.executor.disconnect()
         elif turn % 100 == 70:
-            h.call(rng.choice([b"drain-on", b"drain-off"]))
+            h.call_operators(rng.choice([b"drain-on", b"drain-off"]))
         elif turn % 100 == 80:
-            for peer in (h.executor, h.store, h.roster):
-                peer.move()
+            for peer in (h.executor, h.store, h.registry):
+                peer.relocate()
             h.reload()
         if turn % 30 == 29:  # under the 32 that may be open
             for n in sent:
@@ -128,7 +130,7 @@
         answer = g.answer(n)
         kind = "success" if "result" in answer else "busy" if answer["error"]["code"] == REFUSED else "failure"
         counts[kind, cls] += n not in gone or kind == "failure"  # given up: an answer says so, and is counted
-    figures = h.figures()
+    figures = h.metrics()
     for (kind, cls), count in counts.items():
         assert 0 <= figures[f"{kind}.{cls}"] - count <= len(gone) * (kind != "failure"), (kind, cls)
     assert counts["success", "track"] > 50 and counts["failure", "track"] > 10
@@ -141,12 +143,12 @@
     h = host()
     g = h.gateway()
     held = [g.request("track", "hold") for _ in range(3)]
-    until(lambda: h.figures()["inflight"] == 3, "three in flight")
+    wait_until(lambda: h.metrics()["inflight"] == 3, "three in flight")
     for task, _, _ in list(h.executor.runs):
-        h.executor.end(task)
+        h.executor.end_run(task)
     for n in held:
         g.answer(n)
-    assert h.figures()["inflight"] == 0 and h.figures()["success.track"] == 3
+    assert h.metrics()["inflight"] == 0 and h.metrics()["success.track"] == 3
 
 
 def test_a_drain_by_call_turns_health_bad_and_answers_all_that_comes(host):
@@ -154,28 +156,28 @@
     g = h.gateway()
     for _ in range(3):
         for word, good in ((b"drain-on", False), (b"drain-on", False), (b"drain-off", True), (b"drain-off", True)):
-            assert h.call(word) == ["OK"]
+            assert h.call_operators(word) == ["OK"]
             assert g.answer(g.send("probe"))["result"]["healthy"] is good
-            assert g.result(g.request("track", "still")) == "did still" and h.call() == ["OK"]
-    h.call(b"drain-on")
-    until(lambda: h.roster.reports[-1][1] == "HERE n3 off", "off")
+            assert g.result(g.request("track", "still")) == "did still" and h.call_operators() == ["OK"]
+    h.call_operators(b"drain-on")
+    wait_until(lambda: h.registry.reports[-1].text == "HERE n3 off", "off")
     h.reload()
     assert g.answer(g.send("probe"))["result"]["healthy"] is False  # SIGHUP in a drain changes nothing
-    h.call(b"drain-off")
-    until(lambda: h.roster.reports[-1][1] == "HERE n3 on", "on")
+    h.call_operators(b"drain-off")
+    wait_until(lambda: h.registry.reports[-1].text == "HERE n3 on", "on")
 
 
 def test_sigterm_in_a_drain_is_a_leave_like_any_other(host):
     h = host(stop_ms=2500)
     g = h.gateway()
     held = g.request("track", "hold", patience=9000)
-    until(lambda: h.executor.runs, "the run")
-    h.call(b"drain-on")
-    h.leave()
-    until(lambda: g.read() and g.away, "goaway")
-    assert h.call()[0].startswith("ERR") and h.call(b"drain-off") == ["OK"]  # and the leave goes on
+    wait_until(lambda: h.executor.runs, "the run")
+    h.call_operators(b"drain-on")
+    h.terminate()
+    wait_until(lambda: g.read() and g.goaway_received, "goaway")
+    assert h.call_operators()[0].startswith("ERR") and h.call_operators(b"drain-off") == ["OK"]  # and the leave goes on
     assert g.answer(g.send("probe"))["result"]["healthy"] is False
-    h.executor.end(h.executor.runs[0][0])
+    h.executor.end_run(h.executor.runs[0].task)
     assert g.result(held) == "done" and h.process.wait(5) == 0
 
 
@@ -196,7 +198,7 @@
         "store": "127.0.0.1:4",
         "seed": "8c",
         "stop_ms": 3200,
-        "settings": INFO,
+        "settings": PLATFORM_INFO,
     }
     path = tmp_path / "config.json"
     path.write_text(json.dumps(base))
@@ -245,14 +247,14 @@
     plain = host()
     g = plain.gateway()
     g.result(g.request("track", "x"))
-    assert not [name for name in plain.figures() if name.startswith(("worth", "took", "late", "memory", "generation"))]
+    assert not [name for name in plain.metrics() if name.startswith(("worth", "took", "late", "memory", "generation"))]
     (tmp_path / "own.conf").write_text("section figures\n enabled yes\nend\n")
     h = host(environ={"LAPISPICK_CONF": str(tmp_path / "own.conf"), "LAPISPICK_GENERATION": "abc"})
     g = h.gateway()
     for n in range(20):
         g.result(g.request("track", f"x{n}"))
     g.result(g.request("book", "x", f"{1:032x}"))
-    found = h.figures()
+    found = h.metrics()
     assert found["worth.track"] == 20_000 and found["worth.book"] == 5000 and found["late.track"] == 0
     assert sum(value for name, value in found.items() if name.startswith("took.track.")) == 20
     assert 10_000 < found["memory_kb"] <= found["memory_most_kb"] < 100_000 and found["generation.abc"] == 1
@@ -270,22 +272,22 @@
     g = h.gateway()
     for cls, told in (("track", {"patience": 500}), ("book", {"nonce": uuid.uuid4().hex})):
         number = g.request(cls, "late", born=time.time() * 1000 - 900, **{"patience": 300, **told})
-        assert g.code(number) == REFUSED
-    assert h.figures()["broken"] == 0 and not h.executor.ran("late")
+        assert g.error_code(number) == REFUSED
+    assert h.metrics()["broken"] == 0 and not h.executor.runs_of("late")
 
 
 @pytest.mark.parametrize("told", [True, False])
 def test_an_answer_after_its_due_time_to_what_was_read_in_time_is_a_rule_broken(host, tmp_path, told):
     """The due time is the caller's where it is told, else the class's."""
-    info = json.loads(json.dumps(INFO))
+    info = json.loads(json.dumps(PLATFORM_INFO))
     info["FamilyInfo"]["PassesDeadline"] = told
     info["Services"][0].update(GiveUp=4800.0 if told else 300.0, Promise=250.0)
     h = host(environ=wide(tmp_path), info=info)
     g = h.gateway()
     number = g.request("track", "hold", patience=300 if told else None)
-    until(lambda: h.executor.ran("hold"), "the run")
-    with h.stopped():
+    wait_until(lambda: h.executor.runs_of("hold"), "the run")
+    with h.suspended():
         late = time.monotonic() + 0.5
-        until(lambda: time.monotonic() > late, "its due time and the slack")
+        wait_until(lambda: time.monotonic() > late, "its due time and the slack")
     assert g.answer(number)["error"]["code"] != REFUSED
-    assert h.figures()["broken"] == 1
+    assert h.metrics()["broken"] == 1
