--- a/tests/test_paused_runs.py
+++ b/tests/test_paused_runs.py
@@ -16,7 +16,10 @@
     RunCompleted,
     StartRun,
 )
-from lapispick.fakes.peers import INFO, Executor, Store, until
+from lapispick.fakes.executor import Executor
+from lapispick.fakes.start_settings import PLATFORM_INFO
+from lapispick.fakes.store import Store
+from lapispick.fakes.waiting import wait_until
 
 FAILED = -32000
 COUNT = 12  # runs that come back at once, on two cores with two slots
@@ -24,7 +27,7 @@
 
 
 def settings():
-    info = json.loads(json.dumps(INFO))
+    info = json.loads(json.dumps(PLATFORM_INFO))
     info["FamilyInfo"].update(Halt="pause", CallsOut=50.0, ClassSkipWorth=[0.0, 0.0])
     info["Guarantees"]["FallMultiple"] = 2.0  # the slots stay two
     info["Services"][0].update(Promise=4700.0)
@@ -38,15 +41,15 @@
         self.at_call, self.on_core, self.paused, self.ends = set(), set(), set(), False
         super().__init__()
 
-    def on_exec(self, link, command):
-        super().on_exec(link, command)
+    def on_exec(self, connection, command):
+        super().on_exec(connection, command)
         self.at_call.add(command["task"])
 
-    def on_return(self, link, command):
+    def on_return(self, connection, command):
         self.at_call.discard(command["task"])
         self.on_core.add(command["task"])
 
-    def on_kill(self, link, command):
+    def on_kill(self, connection, command):
         task = command["task"]
         if task not in self.on_core:
             return None
@@ -54,18 +57,18 @@
             return self.done(task)
         self.on_core.remove(task)
         self.paused.add(task)
-        return self.tell(verb="EXIT", task=task, outcome="cancelled", spent=5.0, bytes="")
+        return self.send_notice(verb="EXIT", task=task, outcome="cancelled", spent=5.0, bytes="")
 
-    def on_wake(self, link, command):
+    def on_wake(self, connection, command):
         if command["task"] not in self.paused:
-            return self.send(link, verb="BAD", outcome="WAKE", task=command["task"])
+            return self.send(connection, verb="BAD", outcome="WAKE", task=command["task"])
         self.paused.remove(command["task"])
         return self.on_core.add(command["task"])
 
     def done(self, task):
         with self.lock:
             self.on_core.remove(task)
-            self.end(task)
+            self.end_run(task)
 
     def orders(self, verb):
         return [c["task"] for c in list(self.commands) if c["verb"] == verb]
@@ -78,10 +81,10 @@
         self.gate = threading.Event()
         super().__init__()
 
-    def talk(self, link):
-        for _ in self.asked(link.makefile("rb")):
+    def serve(self, connection):
+        for _ in self.read_calls(connection.makefile("rb")):
             self.gate.wait(20)
-            link.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+            connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
 
 @pytest.fixture
@@ -95,8 +98,8 @@
         numbers = []
         for n in range(COUNT):
             numbers.append(g.request(cls, "stay:x", f"{n:032x}" if cls == BOOK else None, **over))
-            until(lambda n=n: len(h.executor.at_call) > n, "that it is at its call")
-        with h.stopped():  # all replies are there when it goes on
+            wait_until(lambda n=n: len(h.executor.at_call) > n, "that it is at its call")
+        with h.suspended():  # all replies are there when it goes on
             h.store.gate.set()
         return h, g, numbers
 
@@ -105,7 +108,7 @@
 
 def settled(h):
     """Wait until all runs are back and as many are paused as is meant to be."""
-    until(lambda: not h.executor.at_call and len(h.executor.on_core) == 2, "that the others are paused")
+    wait_until(lambda: not h.executor.at_call and len(h.executor.on_core) == 2, "that the others are paused")
     assert len(h.executor.paused) == COUNT - 2
 
 
@@ -114,10 +117,10 @@
     settled(h)
     waits = g.request(TRACK, "plain")  # it was not begun before: those that were go on first
     for _ in range(COUNT):
-        until(lambda: h.executor.on_core, "a run on a core")
+        wait_until(lambda: h.executor.on_core, "a run on a core")
         h.executor.done(min(h.executor.on_core))
     assert [g.result(n) for n in numbers] == ["done"] * COUNT
-    until(lambda: h.executor.ran("plain"), "the one that waited")
+    wait_until(lambda: h.executor.runs_of("plain"), "the one that waited")
     assert g.answer(g.send("probe"))["result"]["healthy"] and not h.executor.paused
     woken, begun = h.executor.orders("WAKE"), h.executor.orders("EXEC")
     assert len(set(woken)) == COUNT - 2 and len(begun) == len(set(begun)) == COUNT + 1
@@ -126,7 +129,7 @@
 
 def test_a_pause_that_crosses_the_end_gives_the_result_and_wakes_nobody(crowd):
     h, g, numbers = crowd(ends=True)  # each run that is told to pause ends in that instant
-    until(lambda: not h.executor.at_call and len(h.executor.on_core) <= 2, "the ends")
+    wait_until(lambda: not h.executor.at_call and len(h.executor.on_core) <= 2, "the ends")
     for task in list(h.executor.on_core):
         h.executor.done(task)
     assert [g.result(n) for n in numbers] == ["done"] * COUNT
@@ -136,17 +139,17 @@
 def test_what_is_given_up_or_due_while_it_is_paused_is_answered_and_never_woken(crowd):
     h, g, numbers = crowd()
     settled(h)
-    with h.stopped():  # all are given up in one instant
+    with h.suspended():  # all are given up in one instant
         for number in numbers:
-            g.raw(json.dumps({"jsonrpc": "2.0", "method": "giveUp", "params": {"id": number}}).encode())
-    assert {g.code(n) for n in numbers} == {FAILED}
-    until(lambda: not h.executor.on_core, "that the two on the cores are stopped")
+            g.send_line(json.dumps({"jsonrpc": "2.0", "method": "giveUp", "params": {"id": number}}).encode())
+    assert {g.error_code(n) for n in numbers} == {FAILED}
+    wait_until(lambda: not h.executor.on_core, "that the two on the cores are stopped")
     late = [g.request(TRACK, "stay:x", patience=1500) for _ in range(3)]  # their slots are free again
-    until(lambda: len(h.executor.on_core) == 2 and len(h.executor.paused) > COUNT, "that one of three is paused")
-    assert {g.code(n) for n in late} == {FAILED}  # by their due time
-    until(lambda: h.figures()["inflight"] == 0, "that nothing is owed")
+    wait_until(lambda: len(h.executor.on_core) == 2 and len(h.executor.paused) > COUNT, "that one of three is paused")
+    assert {g.error_code(n) for n in late} == {FAILED}  # by their due time
+    wait_until(lambda: h.metrics()["inflight"] == 0, "that nothing is owed")
     tallies = h.log().count("event=tally")
-    until(lambda: h.log().count("event=tally") > tallies, "the next tally")
+    wait_until(lambda: h.log().count("event=tally") > tallies, "the next tally")
     assert "tasks=0" in h.log().split("event=tally")[-1]  # nothing is kept of them
     assert not h.executor.orders("WAKE")
 
@@ -155,9 +158,9 @@
     h, g, numbers = crowd(stop_ms=2500)
     settled(h)
     began = time.monotonic()
-    h.leave()
+    h.terminate()
     for _ in range(4):
-        until(lambda: h.executor.on_core, "a run on a core")
+        wait_until(lambda: h.executor.on_core, "a run on a core")
         h.executor.done(min(h.executor.on_core))
     answers = [g.answer(n) for n in numbers]
     assert sum("result" in a for a in answers) == 4
@@ -171,14 +174,14 @@
     with h.executor.lock:
         ended = min(h.executor.on_core)
         h.executor.done(ended)
-        h.executor.deaf = True  # what it is told from now on goes with the link
-    until(lambda: "WAKE" in h.executor.heard, "the order to go on")
+        h.executor.ignores_commands = True  # what it is told from now on goes with the link
+    wait_until(lambda: "WAKE" in h.executor.received_verbs, "the order to go on")
     with h.executor.lock:
-        h.executor.cut()
-        h.executor.deaf = False
-    until(lambda: len(h.executor.on_core) == 2, "that it goes on")
+        h.executor.disconnect()
+        h.executor.ignores_commands = False
+    wait_until(lambda: len(h.executor.on_core) == 2, "that it goes on")
     for _ in range(COUNT - 1):
-        until(lambda: h.executor.on_core, "a run on a core")
+        wait_until(lambda: h.executor.on_core, "a run on a core")
         h.executor.done(min(h.executor.on_core))
     assert [g.result(n) for n in numbers] == ["done"] * COUNT
     assert len(h.executor.orders("EXEC")) == COUNT  # none is begun again
@@ -186,7 +189,7 @@
 
 def test_a_run_with_an_effect_is_never_paused(crowd):
     h, g, numbers = crowd(cls=BOOK)
-    until(lambda: len(h.executor.on_core) == COUNT, "all are back")
+    wait_until(lambda: len(h.executor.on_core) == COUNT, "all are back")
     for task in list(h.executor.on_core):
         h.executor.done(task)
     assert [g.result(n) for n in numbers] == ["done"] * COUNT and not h.executor.orders("KILL")
@@ -229,7 +232,7 @@
     answers = [g.answer(n) for n in numbers]  # long before they are due: each is woken in its turn
     assert sum("result" in a for a in answers) == 2
     assert {a["error"]["code"] for a in answers if "error" in a} == {FAILED}
-    assert h.figures()["inflight"] == 0 and h.log().count("command=WAKE") == COUNT - 2
+    assert h.metrics()["inflight"] == 0 and h.log().count("command=WAKE") == COUNT - 2
 
 
 def test_late_reading_pauses_no_run(make_harness):
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -12,14 +12,15 @@
 
 import pytest
 
-from lapispick.fakes import script
-from lapispick.fakes.fault_proxy import Net
+from lapispick.fakes import fault_script
+from lapispick.fakes.fake_server import FakeServer
+from lapispick.fakes.fault_proxy import FaultProxy
 from lapispick.fakes.fleet import Fleet
 from lapispick.fakes.fleet_gateway import Request
-from lapispick.fakes.host_pauses import Pauses
-from lapispick.fakes.peers import Server, until
+from lapispick.fakes.host_pauses import PauseMonitor
 from lapispick.fakes.program_patches import RULE_BREAKING_HOSTS, program
 from lapispick.fakes.rule_checker import Answer, Attempt, Fault, FleetRecord, check
+from lapispick.fakes.waiting import wait_until
 
 
 def rules(found):
@@ -54,12 +55,14 @@
                 fleet.wait_for_results(5)
                 return fleet.record.executions_by_key()[key] > 1
 
-            until(again, "two runs of one key")
+            wait_until(again, "two runs of one key")
         if rule == "drain":
             fleet.record.add_shutdown(box.name, box.processes[0].name)
             box.processes[0].terminate()
             fleet.listed_hosts = lambda _: fleet.hosts  # gateways that hear late, or never
-            until(lambda: rules(check(fleet.record)) == {"drain"} or box.processes[0].poll() is not None, "a late run")
+            wait_until(
+                lambda: rules(check(fleet.record)) == {"drain"} or box.processes[0].poll() is not None, "a late run"
+            )
         assert rules(fleet.broken_rules()) == {rule}
 
 
@@ -104,11 +107,11 @@
                 fleet.wait_for_results(12)
             fleet.record.end_fault(number)
         else:
-            fleet.net.slow(gateways, [box.name], delay=0.02, jitter=0.05, rate=20_000)
+            fleet.net.impair(gateways, [box.name], delay_s=0.02, jitter_s=0.05, bytes_per_s=20_000)
             fleet.wait_for_results(60)
             fleet.net.heal()
         count = sum(t.host == box.name and bool(t.answers) for t in fleet.record.attempts.values())
-        until(
+        wait_until(
             lambda: (
                 sum(t.host == box.name and bool(t.answers) for t in list(fleet.record.attempts.values())) > count + 20
             ),
@@ -124,7 +127,7 @@
         fleet.start()
         fleet.start_load()
         fleet.wait_for_results(40)
-        script.play(fleet, script.drawn(random.Random(seed), fleet, 5, 4.0))
+        fault_script.play(fleet, fault_script.draw(random.Random(seed), fleet, 5, 4.0))
         fleet.wait_for_results(60)
         assert fleet.broken_rules() == []
 
@@ -133,7 +136,14 @@
     with Fleet(tmp_path, seed=9, hosts=2, rate=25) as fleet:
         fleet.start()
         fleet.start_load()
-        script.play(fleet, [script.Step(lambda: len(fleet.record.executions) > 50, "kill", "disp-01", 0.2)])
+        fault_script.play(
+            fleet,
+            [
+                fault_script.FaultStep(
+                    lambda: len(fleet.record.executions) > 50, fault_script.FaultKind.KILL, "disp-01", 0.2
+                )
+            ],
+        )
         fleet.wait_for_results(40)
         assert fleet.broken_rules() == []
 
@@ -168,13 +178,13 @@
         ([("x", -9.0, 0.25)], True),
         ([("", 0.0, 0.1), ("x", 0.1, 0.15)], False),
     ):
-        record, pauses = FleetRecord(), Pauses([])
-        record.paused_s, now = pauses.held, time.time()
+        record, pauses = FleetRecord(), PauseMonitor([])
+        record.paused_s, now = pauses.paused_s, time.time()
         made = Attempt("a", "g0", "x", "track", "b", "", now - 1.3, now - 0.3)
         record.add_attempt(made)
         made.answers.append(Answer(now, "served", "did b"))
         for whom, at, held in spans:
-            pauses.note(now - 1 + at, now - 0.9 + at, whom, held)
+            pauses.add_pause(now - 1 + at, now - 0.9 + at, whom, held)
         assert [rule for rule, _ in check(record)] == ["lost"] * late, spans
 
 
@@ -186,35 +196,35 @@
         for _ in range(3)
     ]
     box = types.SimpleNamespace(name="x", serving_pids=lambda: [loops[0].pid])
-    pauses = Pauses([box])
+    pauses = PauseMonitor([box])
     pauses.start()
     since = time.time()
     try:
-        until(lambda: pauses.held("x", since, time.time()) > 0.5, "that it is held up")
+        wait_until(lambda: pauses.paused_s("x", since, time.time()) > 0.5, "that it is held up")
     finally:
         pauses.stop()
         for each in loops:
             each.kill()
             each.wait()
-    assert pauses.held("y", since, time.time()) < pauses.held("x", since, time.time())
+    assert pauses.paused_s("y", since, time.time()) < pauses.paused_s("x", since, time.time())
 
 
-class Echo(Server):
-    def talk(self, link):
-        while data := link.recv(1000):
-            link.sendall(data)
+class Echo(FakeServer):
+    def serve(self, connection):
+        while data := connection.recv(1000):
+            connection.sendall(data)
 
 
 @pytest.fixture
 def net():
-    made = Net(1)
+    made = FaultProxy(1)
     yield made
     made.close()
 
 
 def test_a_link_is_held_one_way_cut_and_refused(net):
     echo = Echo()
-    at = net.tcp("a", "b", echo.at).split(":")
+    at = net.tcp("a", "b", echo.address).split(":")
 
     def joined():
         sock = socket.create_connection(at, timeout=5)
@@ -223,7 +233,7 @@
         return sock
 
     sock = joined()
-    net.part(["b"], ["a"], one_way=True)  # what b says is held; nothing is lost
+    net.partition(["b"], ["a"], one_way=True)  # what b says is held; nothing is lost
     sock.sendall(b"again")
     sock.settimeout(0.2)
     with pytest.raises(TimeoutError):
@@ -231,7 +241,7 @@
     net.heal()
     sock.settimeout(5)
     assert sock.recv(10) == b"again"
-    net.slow(["a"], ["b"], cut_at=8)
+    net.impair(["a"], ["b"], reset_after_bytes=8)
     fresh = socket.create_connection(at, timeout=5)
     fresh.sendall(b"0123456789")
     with pytest.raises(ConnectionError):
@@ -255,7 +265,7 @@
         here.bind(("127.0.0.1", 0))
         here.settimeout(0.5)
         host, port = net.udp("a", "b", "{}:{}".format(*here.getsockname())).split(":")
-        net.slow(["a"], ["b"], loss=0.3, double=0.3, shuffle=0.3)
+        net.impair(["a"], ["b"], loss=0.3, duplicate=0.3, reorder=0.3)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as there:
             for n in range(200):
                 there.sendto(str(n).encode(), (host, int(port)))
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -9,7 +9,6 @@
 
 from lapispick.fakes.agents import CONTROL_TAKEN, LOG_WARNINGS_SETTINGS, METRICS_SETTINGS, RolloutFleet
 from lapispick.fakes.fleet import STEER, Fleet
-from lapispick.fakes.peers import until
 from lapispick.fakes.program_patches import (
     COUNTS_ONE_IN_40_AS_LATE,
     DOES_NOT_START,
@@ -20,6 +19,7 @@
     leaks_memory,
     program,
 )
+from lapispick.fakes.waiting import wait_until
 
 QUICK = """ stages 1 100%
  warm-up 0.5s
@@ -162,7 +162,7 @@
     s.wait_for_bake()
     first.send_signal(signal.SIGSTOP)
     second = s.start_controller("resume")
-    until(lambda: CONTROL_TAKEN in second.log(), "the second controller")
+    wait_until(lambda: CONTROL_TAKEN in second.log(), "the second controller")
     first.send_signal(signal.SIGCONT)
     assert first.wait(30) == 3
     fenced_by = ("has taken over", "ERR fenced")  # by the store, or by an agent
@@ -219,7 +219,7 @@
     assert done.returncode == 1
     assert "rollout r1 is not over" in done.stderr
     s.wait_for_bake()
-    s.fleet.net.part([STEER], list(s.agents))  # going back can't end while its boxes are out of reach
+    s.fleet.net.partition([STEER], list(s.agents))  # going back can't end while its boxes are out of reach
     s.run_command("back")
     s.wait_for_phase("returning", "burning")
     again = s.run_command("start", *options)
@@ -309,7 +309,7 @@
     agent.process.send_signal(signal.SIGSTOP)
     s.wait_for_phase("asking", "confirming", "waiting", "changing")
     began = time.monotonic()
-    until(lambda: time.monotonic() - began > 6.5, "the end of the confirm time")
+    wait_until(lambda: time.monotonic() - began > 6.5, "the end of the confirm time")
     agent.process.send_signal(signal.SIGCONT)
     agent.wait_for_phase("steady", serving=s.good, fault="was not confirmed in time")  # whoever steers, it was too late
     s.run_command("back")
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -20,8 +20,8 @@
 from lapispick.fakes.agents import HostAgent
 from lapispick.fakes.fleet import Fleet
 from lapispick.fakes.fleet_gateway import Request
-from lapispick.fakes.peers import until
 from lapispick.fakes.program_patches import NEXT_HANDOVER_VERSION, program
+from lapispick.fakes.waiting import wait_until
 from lapispick.handover import messages as handover_messages
 from lapispick.idempotency.states import KeyState
 from lapispick.members import messages as members
@@ -163,7 +163,7 @@
                 fleet.wait_for_results(40)
                 assert agent.call_until_serving(f"change 1.a r{number} {wanted} 60")[0] == "OK"
                 agent.wait_for_phase("proving", serving=wanted)
-                until(lambda: len(agent.running_generations()) == 1, "the end of the old process")
+                wait_until(lambda: len(agent.running_generations()) == 1, "the end of the old process")
                 assert agent.call(f"confirm 1.a r{number}")[0] == "OK"
         finally:
             over.set()
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,37 +1,32 @@
 """Settings that other deployments bring: what is not there, is off or differs must cost no service."""
 
-import copy
 import json
 import time
 
 import pytest
 
 from lapispick.fakes.fleet import Fleet
-from lapispick.fakes.host_pauses import watched
-from lapispick.fakes.peers import INFO, Store, asked, until
+from lapispick.fakes.host_pauses import measure_pauses
+from lapispick.fakes.messages import request_params
+from lapispick.fakes.start_settings import PLATFORM_INFO, make_platform_info
+from lapispick.fakes.store import Store
+from lapispick.fakes.waiting import wait_until
 from lapispick.host.config import ConfigError, parse
 
 
-def settings(**family):
-    """Return the usual settings with changes of the server's own properties."""
-    info = copy.deepcopy(INFO)
-    info["FamilyInfo"].update(family)
-    return info
-
-
 @pytest.mark.parametrize("below", ["off", "tier"])
 def test_a_host_without_a_store_serves_and_leaves_calls_out(host, below):
-    h = host(info=settings(Below=below, CallsOut=0.0), without=("store",))
+    h = host(info=make_platform_info(Below=below, CallsOut=0.0), omit=("store",))
     g = h.gateway()
     assert g.result(g.request("track", "plain")) == "did plain"
     assert g.result(g.request("track", "call:200")) == "poorer"
-    assert g.code(g.request("book", "call:200", f"{7:032x}")) == -32000  # it ran, and its call can't be left out
-    h.reload(without=("store",))
+    assert g.error_code(g.request("book", "call:200", f"{7:032x}")) == -32000  # it ran, and its call can't be left out
+    h.reload(omit=("store",))
     assert g.result(g.request("track", "again")) == "did again" and not h.store.calls
 
 
 def test_a_store_is_asked_for_where_all_hosts_share_one(host):
-    text = host(started=False).path.read_bytes()
+    text = host(wait_for_start=False).path.read_bytes()
     for below, missing in (("shared", True), ("off", False), ("tier", False)):
         changed = text.replace(b'"shared"', f'"{below}"'.encode()).replace(b'"store"', b'"no store"')
         if missing:
@@ -42,7 +37,7 @@
 
 
 def test_settings_of_two_hosts_share_nothing(host):
-    other = settings(CallsOut=0.5, Advert="off", PassesDeadline=False)
+    other = make_platform_info(CallsOut=0.5, Advert="off", PassesDeadline=False)
     other["Parties"] = []
     other["Services"][1].update(Name="place", GiveUp=1200.0, Promise=600.0)
     a, b = host(), host(info=other)
@@ -50,90 +45,90 @@
     assert ga.result(ga.request("book", "one", f"{1:032x}")) == "did one" and "advice" in ga.answer(1)["result"]
     assert gb.result(gb.request("place", "two", f"{1:032x}", customer="", patience=None)) == "did two"
     assert "advice" not in gb.answer(1)["result"]
-    assert ga.code(ga.request("place", "no", f"{2:032x}")) == -32601
-    assert gb.code(gb.request("book", "no", f"{2:032x}")) == -32601
+    assert ga.error_code(ga.request("place", "no", f"{2:032x}")) == -32601
+    assert gb.error_code(gb.request("book", "no", f"{2:032x}")) == -32601
 
 
 def test_a_request_that_tells_no_patience_is_answered_by_its_classs_time(host):
-    info = settings(PassesDeadline=False)
+    info = make_platform_info(PassesDeadline=False)
     info["Services"][0].update(GiveUp=1500.0, Promise=900.0)
     h = host(info=info)
     g = h.gateway()
-    with watched(h) as held:
+    with measure_pauses(h) as paused_s:
         born = time.time() * 1000
-        number = g.send("track", **{k: v for k, v in asked("hold", born=born).items() if k != "patience"})
-        assert g.code(number) == -32000 and 1300 < time.time() * 1000 - born < 1560 + 1000 * held()
-    assert h.executor.ran("hold")
+        number = g.send("track", **{k: v for k, v in request_params("hold", born=born).items() if k != "patience"})
+        assert g.error_code(number) == -32000 and 1300 < time.time() * 1000 - born < 1560 + 1000 * paused_s()
+    assert h.executor.runs_of("hold")
 
 
 def test_where_callers_tell_their_patience_one_that_does_not_is_at_fault(host):
-    h = host(info=settings(PassesDeadline=True))
+    h = host(info=make_platform_info(PassesDeadline=True))
     g = h.gateway()
-    number = g.send("track", **{k: v for k, v in asked("x").items() if k != "patience"})
-    assert g.code(number) == -32600 and not h.executor.runs
+    number = g.send("track", **{k: v for k, v in request_params("x").items() if k != "patience"})
+    assert g.error_code(number) == -32600 and not h.executor.runs
 
 
 def test_further_tries_without_a_mark_run_a_key_once_and_reads_freely(host):
-    h = host(info=settings(PassesDeadline=False, Advert="off"))
+    h = host(info=make_platform_info(PassesDeadline=False, Advert="off"))
     g, other, key = h.gateway(), h.gateway(), f"{7:032x}"
     first = g.request("book", "hold", key)
-    until(lambda: h.executor.runs, "the run")
+    wait_until(lambda: h.executor.runs, "the run")
     copies = [other.request("book", "hold", key) for _ in range(3)]
     reads = [other.request("track", "copy") for _ in range(2)]
     assert [other.result(n) for n in reads] == ["did copy"] * 2
-    h.executor.end(h.executor.runs[0][0], result="placed")
+    h.executor.end_run(h.executor.runs[0].task, result="placed")
     assert [g.result(first), *(other.result(n) for n in copies)] == ["placed"] * 4
-    assert len(h.executor.ran("hold")) == 1
+    assert len(h.executor.runs_of("hold")) == 1
 
 
 @pytest.mark.parametrize("grace,window", [(500.0, 9195.0), (2000.0, 1000.0)])
 def test_grace_and_window_are_those_of_the_settings(host, grace, window):
-    info = settings()
+    info = make_platform_info()
     info["Guarantees"]["DrainGrace"] = grace
     info["Services"][1]["Window"] = window
     h = host(info=info, stop_ms=4000)
     g, key, born = h.gateway(), f"{3:032x}", time.time() * 1000
     assert g.result(g.request("book", "placed", key, born=born)) == "did placed"
-    until(lambda: time.time() * 1000 > born + 1500, "the end of the short window")
+    wait_until(lambda: time.time() * 1000 > born + 1500, "the end of the short window")
     again = g.request("book", "placed", key)
     assert g.result(again) == "did placed"
-    assert len(h.executor.ran("placed")) == (1 if window > 1500 else 2)
-    h.leave()
-    h.logged("leaving")
+    assert len(h.executor.runs_of("placed")) == (1 if window > 1500 else 2)
+    h.terminate()
+    h.wait_for_log("leaving")
     left = time.time() * 1000
-    until(lambda: time.time() * 1000 > left + 1000, "a second of the drain")
+    wait_until(lambda: time.time() * 1000 > left + 1000, "a second of the drain")
     late = g.request("track", "late")
     answer = g.answer(late)
     assert ("result" in answer) == (grace > 1000)
 
 
 def test_runs_that_nobody_waits_for_are_stopped_where_work_is_paused_too(host):
-    h = host(info=settings(Halt="pause"))
+    h = host(info=make_platform_info(Halt="pause"))
     g = h.gateway()
     number = g.request("track", "hold")
-    until(lambda: h.executor.runs, "the run")
-    g.raw(json.dumps({"jsonrpc": "2.0", "method": "giveUp", "params": {"id": number}}).encode())
-    until(lambda: any(c["verb"] == "KILL" for c in h.executor.commands), "the stop")
+    wait_until(lambda: h.executor.runs, "the run")
+    g.send_line(json.dumps({"jsonrpc": "2.0", "method": "giveUp", "params": {"id": number}}).encode())
+    wait_until(lambda: any(c["verb"] == "KILL" for c in h.executor.commands), "the stop")
     assert g.result(g.request("track", "next")) == "did next"
 
 
 def test_an_executor_that_takes_runs_and_ends_none_costs_their_time_only(host):
-    h = host(info=settings(PassesDeadline=False))
+    h = host(info=make_platform_info(PassesDeadline=False))
     g = h.gateway()
-    h.executor.deaf = True
+    h.executor.ignores_commands = True
     numbers = [g.request("track", "lost", patience=900) for _ in range(4)]
     probe = g.send("probe")
     assert "result" in g.answer(probe)
-    assert all(g.code(n) in (-32000, -32050) for n in numbers)
-    h.executor.deaf = False
-    h.executor.cut()
+    assert all(g.error_code(n) in (-32000, -32050) for n in numbers)
+    h.executor.ignores_commands = False
+    h.executor.disconnect()
     assert g.result(g.request("track", "back")) == "did back"
 
 
 @pytest.mark.parametrize("returning", [False, True])
 def test_callers_that_ask_once_and_stay_leave_before_their_own_time(host, returning):
     """Where a table is full of them, connections that carry nothing cost the work that others need."""
-    h = host(info=settings(Idle=4000.0))
+    h = host(info=make_platform_info(Idle=4000.0))
     callers = [h.gateway() for _ in range(60)]
     began = time.monotonic()
     for n, g in enumerate(callers):
@@ -141,11 +136,11 @@
     callers[0].file.peek(1)  # the goaway
     after = time.monotonic() - began
     callers[0].read()
-    assert callers[0].away and (after > 3.9 if returning else after < 3.9)
+    assert callers[0].goaway_received and (after > 3.9 if returning else after < 3.9)
 
 
 def test_a_few_requests_of_many_times_the_usual_work_cost_only_themselves(host):
-    info = settings(PassesDeadline=False, Halt="pause")
+    info = make_platform_info(PassesDeadline=False, Halt="pause")
     info["Services"][0].update(GiveUp=2500.0, Promise=1000.0)
     h = host(info=info)
     g, heavy, light = h.gateway(), [], []
@@ -153,8 +148,8 @@
         (heavy if n % 50 == 20 else light).append(number := g.request("track", "hold" if n % 50 == 20 else f"x{n}"))
         if number in light:
             assert g.result(number) == f"did x{n}"
-    assert {g.code(n) for n in heavy} == {-32000}
-    until(lambda: len([c for c in h.executor.commands if c["verb"] == "KILL"]) == len(heavy), "their stops")
+    assert {g.error_code(n) for n in heavy} == {-32000}
+    wait_until(lambda: len([c for c in h.executor.commands if c["verb"] == "KILL"]) == len(heavy), "their stops")
     assert g.result(g.request("track", "after")) == "did after"
 
 
@@ -165,19 +160,19 @@
         self.now, self.worst, self.slow, self.work_s = 0, 0, 1.0, 0.01
         super().__init__()
 
-    def talk(self, link):
-        for _ in self.asked(link.makefile("rb")):
+    def serve(self, connection):
+        for _ in self.read_calls(connection.makefile("rb")):
             with self.lock:
                 self.now += 1
                 self.worst = max(self.worst, self.now)
             time.sleep(self.work_s * self.slow)
             with self.lock:
                 self.now -= 1
-            link.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+            connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
 
 def test_a_slow_store_is_asked_no_more_than_its_share_and_all_is_answered(host):
-    info = settings(PassesDeadline=False, CallsOut=3.0, ClassSkipWorth=[0.0, 0.0], DepWindow=1000.0)
+    info = make_platform_info(PassesDeadline=False, CallsOut=3.0, ClassSkipWorth=[0.0, 0.0], DepWindow=1000.0)
     info["Services"][0].update(GiveUp=2000.0, Promise=1000.0)
     h = host(info=info, store=Crowded())
     g, numbers, kinds = h.gateway(), [], []
@@ -192,7 +187,7 @@
 
 
 def test_a_fleet_that_shrinks_to_a_third_keeps_all_rules(tmp_path):
-    info = json.loads(json.dumps(INFO))
+    info = json.loads(json.dumps(PLATFORM_INFO))
     info["FamilyInfo"].update(Halt="pause", Advert="off")
     with Fleet(tmp_path, seed=12, hosts=3, rate=40, info=info) as fleet:
         fleet.start()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -7,22 +7,24 @@
 
 import pytest
 
-from lapispick.fakes.peers import INFO, SPOILT, until
+from lapispick.fakes.start_settings import PLATFORM_INFO
+from lapispick.fakes.store import UNUSABLE_REPLIES
+from lapispick.fakes.waiting import wait_until
 from lapispick.host import store
 from lapispick.host.store import SETTLE_S
 
 REFUSED = -32050
 
 
-@pytest.mark.parametrize("what", SPOILT)
+@pytest.mark.parametrize("what", UNUSABLE_REPLIES)
 def test_a_spoilt_reply_ends_its_call_and_connection_and_a_write_is_not_called_again(host, what):
     h = host()
     g = h.gateway()
     assert g.result(g.request("track", f"call:{what}")) == "poorer"
-    assert g.code(g.request("book", f"call:{what}", uuid.uuid4().hex)) != REFUSED
-    assert [c[2] for c in h.store.calls] == [what] * 3  # the read's call was made once more
+    assert g.error_code(g.request("book", f"call:{what}", uuid.uuid4().hex)) != REFUSED
+    assert [call.body for call in h.store.calls] == [what] * 3  # the read's call was made once more
     assert g.result(g.request("track", "call:200")) == "reply 4"
-    assert len({c[3] for c in h.store.calls}) == 4 and h.memory_mb() < 64
+    assert len({call.connection for call in h.store.calls}) == 4 and h.peak_memory_mb() < 64
 
 
 @pytest.mark.parametrize("lead", [[], [b"HTTP/1.1 200 OK", b"Transfer-Encoding: chunked", b"", b"0"]])
@@ -59,15 +61,15 @@
         assert g.result(g.request("track", "call:forget")).startswith("reply")
         return len(h.store.calls) > len(h.executor.runs)  # one was reset and made again
 
-    until(again, "the reset of a connection that was idle")
+    wait_until(again, "the reset of a connection that was idle")
     assert h.log().count("level=warning") == 0
     assert g.result(g.request("book", "call:200", uuid.uuid4().hex)).startswith("reply")
-    links = [c[3] for c in h.store.calls]
+    links = [call.connection for call in h.store.calls]
     assert links.count(links[-1]) == 1  # a write's call has a connection of its own
 
 
 def test_as_many_connections_lie_idle_as_half_of_those_for_calls(host):
-    info = json.loads(json.dumps(INFO))
+    info = json.loads(json.dumps(PLATFORM_INFO))
     info["FamilyInfo"].update(Cores=40, CallsOut=200.0)
     h = host(info=info)
     wave = 28  # over the 16 that were kept once, under half of a quarter of 256
@@ -76,5 +78,5 @@
         numbers = [g.request("track", "call:late") for _ in range(wave)]
         assert all(g.result(n).startswith("reply") for n in numbers)
         answered = time.monotonic()  # a connection went idle before its answer came, and settles for SETTLE_S
-        until(lambda answered=answered: time.monotonic() - answered > SETTLE_S, "the end of the settling")
-    assert len(h.store.calls) == 3 * wave and 16 < len({c[3] for c in h.store.calls}) <= wave
+        wait_until(lambda answered=answered: time.monotonic() - answered > SETTLE_S, "the end of the settling")
+    assert len(h.store.calls) == 3 * wave and 16 < len({call.connection for call in h.store.calls}) <= wave
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -394,7 +394,7 @@
 @pytest.mark.parametrize(
     "broken,words",
     [
-        ("lapispick.fakes.pool.Pool.ask", ["demo", "--seconds", "0.5"]),
+        ("lapispick.fakes.connection_pool.ConnectionPool.send_request", ["demo", "--seconds", "0.5"]),
         ("lapispick.cli.ops.call", ["ops", "check", "--at", "127.0.0.1:1"]),
     ],
 )
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -18,7 +18,7 @@
 from hypothesis import strategies as st
 
 from lapispick import admission
-from lapispick.fakes.peers import until
+from lapispick.fakes.waiting import wait_until
 from lapispick.trace import aggregation, files, layout, lines, records
 from lapispick.trace.helper import messages
 from lapispick.trace.record_types import ACTIONS, EVENTS, KINDS, NOTES, Answered, Arrival, Gap, Happened, Step
@@ -291,14 +291,14 @@
 def test_a_hosts_trace_replays_step_by_step_and_its_tools_agree(tmp_path, host):
     r = Recorded(tmp_path, host, "rotate-age 1s", stop_ms=2000)
     end = time.monotonic() + 20
-    r.host.call(b"drain-on")
+    r.host.call_operators(b"drain-on")
     while len(r.files()) < 2 and time.monotonic() < end:  # over more than one file
         assert len(r.ask()) == 60
-    r.host.call(b"drain-off")
+    r.host.call_operators(b"drain-off")
     r.host.reload(stop_ms=1900)
-    r.host.leave()
+    r.host.terminate()
     assert r.host.process.wait(6) == 0
-    until(lambda: not r.files(".open"), "the last file whole")
+    wait_until(lambda: not r.files(".open"), "the last file whole")
     told = json.loads(tool("replay", r.folder, "--json"))
     assert told["same_module"] and told["differing"] == told["gaps"] == 0 and told["steps"] > r.asked / 20
     assert r.asked / 2 < told["recorded"]["Run"] <= r.asked
@@ -333,10 +333,10 @@
 def test_a_host_killed_under_load_leaves_a_whole_file(tmp_path, host):
     r = Recorded(tmp_path, host)
     r.ask()
-    seen = until(lambda: r.files(".open") and runs(r.files(".open")[0]), "runs on the disk")
+    seen = wait_until(lambda: r.files(".open") and runs(r.files(".open")[0]), "runs on the disk")
     r.ask()
     r.host.process.kill()
-    until(r.files, "the file, closed by the writer")
+    wait_until(r.files, "the file, closed by the writer")
     tool("verify", r.folder)
     told = json.loads(tool("replay", r.folder, "--json"))
     assert seen <= told["recorded"]["Run"] <= r.asked and not told["differing"]
@@ -353,20 +353,20 @@
 def test_a_writer_killed_under_load_leaves_every_whole_block_and_costs_no_answer(tmp_path, host):
     r = Recorded(tmp_path, host)
     r.ask()
-    until(lambda: r.files(".open") and r.files(".open")[0].stat().st_size > 2000, "a block on the disk")
+    wait_until(lambda: r.files(".open") and r.files(".open")[0].stat().st_size > 2000, "a block on the disk")
     helper, stopped = r.helper(), time.monotonic()
     os.kill(helper, signal.SIGSTOP)  # what is handed over from here on is never written
     r.ask(20)
-    until(lambda: r.ask(20) and time.monotonic() - stopped > 0.3, "some hand-overs, 50 ms apart")
+    wait_until(lambda: r.ask(20) and time.monotonic() - stopped > 0.3, "some hand-overs, 50 ms apart")
     os.kill(helper, signal.SIGKILL)
     assert len(r.ask()) == 60
-    r.host.logged("trace-writer-ended")
+    r.host.wait_for_log("trace-writer-ended")
 
     def written_again():
         r.ask(4)
         return len(r.files(".open")) == 2 and read(r.files(".open")[1])[0]
 
-    first = until(written_again, "the next writer's first block")[0]
+    first = wait_until(written_again, "the next writer's first block")[0]
     (gap,) = (n for n in first.notes if type(n) is Gap)
     lost = int(re.search(r"trace-writer-ended lost=(\d+)", r.host.log()).group(1))
     path, then = r.files(".open")
@@ -392,16 +392,16 @@
         assert len(r.ask(100)) == 100
         assert time.monotonic() - began < 5
     os.kill(r.helper(), signal.SIGCONT)
-    r.host.logged("trace-gap")
+    r.host.wait_for_log("trace-gap")
 
     def gaps():
         r.ask(8)
         return sum(n.steps for p in r.files(".open") for s in read(p)[0] for n in s.notes if type(n) is Gap)
 
-    assert until(gaps, "the gap in the file") > 0
-    r.host.leave()
+    assert wait_until(gaps, "the gap in the file") > 0
+    r.host.terminate()
     r.host.process.wait(6)
-    until(r.files, "the file whole")
+    wait_until(r.files, "the file whole")
     told = json.loads(tool("replay", r.folder, "--json"))
     assert told["gaps"] and not told["differing"]
 
@@ -409,19 +409,19 @@
 def test_a_disk_that_fills_up_costs_its_steps_and_no_answer(tmp_path, host):
     r = Recorded(tmp_path, host)
     r.ask()
-    until(lambda: r.files(".open") and r.files(".open")[0].stat().st_size > 2000, "a block on the disk")
+    wait_until(lambda: r.files(".open") and r.files(".open")[0].stat().st_size > 2000, "a block on the disk")
     resource.prlimit(r.helper(), resource.RLIMIT_FSIZE, (4096, resource.RLIM_INFINITY))
     end = time.monotonic() + 20
     while "event=trace-failed" not in r.host.log() and time.monotonic() < end:
         assert len(r.ask()) == 60
-    r.host.logged("trace-failed")
+    r.host.wait_for_log("trace-failed")
     resource.prlimit(r.helper(), resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY, resource.RLIM_INFINITY))
 
     def gaps():
         r.ask(4)
         return sum(n.steps for p in r.files(".open") for s in read(p)[0] for n in s.notes if type(n) is Gap)
 
-    assert until(gaps, "the gap in the next file") > 0
+    assert wait_until(gaps, "the gap in the next file") > 0
     assert not json.loads(tool("replay", r.folder, "--json"))["differing"]
 
 
@@ -429,7 +429,7 @@
     (tmp_path / "traces").write_text("a file")
     r = Recorded(tmp_path, host)
     r.ask()
-    r.host.logged("trace-failed")
+    r.host.wait_for_log("trace-failed")
     assert len(r.ask()) == 60
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -11,7 +11,10 @@
 
 import pytest
 
-from lapispick.fakes.peers import INFO, Executor, Gateway, until
+from lapispick.fakes.executor import Executor
+from lapispick.fakes.gateway import GatewayConnection
+from lapispick.fakes.start_settings import PLATFORM_INFO
+from lapispick.fakes.waiting import wait_until
 from tests.upgrade_support import (
     LONG_WINDOW_INFO,
     REJECTED,
@@ -38,10 +41,10 @@
         g = None
         while not self.stop.is_set():
             try:
-                if g is None or g.away or not self.keep:
+                if g is None or g.goaway_received or not self.keep:
                     if g is not None:
                         g.sock.close()
-                    g = Gateway(self.at)
+                    g = GatewayConnection.connect(self.at)
                 self.one(g)
             except (OSError, AssertionError) as err:
                 self.errors.append(repr(err))
@@ -94,21 +97,21 @@
 def test_an_upgrade_under_load_refuses_no_connection_and_runs_no_key_twice(host, shared_address):
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO, executor=Executor(work_s=0.003), stop_ms=2500)
     hosts = [old]
-    with load(old.at, 1) as clients:
+    with load(old.address, 1) as clients:
         for _ in range(3):
-            until(lambda: sum(client.answered for client in clients) > 100 * len(hosts), "some load")
-            old, new = hosts[-1], host(beside=hosts[-1], executor=Executor(work_s=0.003))
+            wait_until(lambda: sum(client.answered for client in clients) > 100 * len(hosts), "some load")
+            old, new = hosts[-1], host(successor_of=hosts[-1], executor=Executor(work_s=0.003))
             hosts.append(new)
             wait_until_ready(new)
-            old.leave()
+            old.terminate()
             assert old.process.wait(4) == 0
             assert "event=ended owed=0" in old.log()
-            assert new.logged("owns-keys")
+            assert new.wait_for_log("owns-keys")
     assert not [error for client in clients for error in client.errors]
     assert all(client.requested == client.answered for client in clients)
     check_executions(clients, *hosts)
     assert sum(client.outcomes["failed"] for client in clients) == 0
-    assert not [report for _, report in old.roster.reports if report.endswith("off")]
+    assert not [report for _, report in old.registry.reports if report.endswith("off")]
 
 
 def test_results_and_runs_are_found_at_either_process(host, shared_address):
@@ -116,19 +119,19 @@
     g, done, early, late = old.gateway(), nonce(), nonce(), nonce()
     assert g.result(g.request("book", "done", done)) == "did done"
     first = g.request("book", "hold", early)
-    until(lambda: old.executor.ran("hold"), "the run")
-    new = host(beside=old)
+    wait_until(lambda: old.executor.runs_of("hold"), "the run")
+    new = host(successor_of=old)
     wait_until_ready(new)
     h = connection_to(new, old)
     assert h.result(h.request("book", "done", done, redo=1)) == "did done"  # of the snapshot
     again = h.request("book", "hold", early, redo=1)
-    old.executor.end(old.executor.ran("hold")[0][0], result="booked")
+    old.executor.end_run(old.executor.runs_of("hold")[0].task, result="booked")
     assert g.result(first) == "booked"
     assert h.result(again) == "booked"  # of what came after it
     mine = h.request("book", "hold", late)
-    until(lambda: new.executor.ran("hold"), "the run of the new process")
+    wait_until(lambda: new.executor.runs_of("hold"), "the run of the new process")
     theirs = g.request("book", "hold", late, redo=1)
-    new.executor.end(new.executor.ran("hold")[0][0], result="also")
+    new.executor.end_run(new.executor.runs_of("hold")[0].task, result="also")
     assert h.result(mine) == "also"
     assert g.result(theirs) == "also"
     other = connection_to(new, old)
@@ -140,15 +143,15 @@
 
 def test_a_drain_holds_for_both_processes_and_through_the_upgrade(host, shared_address):
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
-    old.call(b"drain-on")
-    new = host(beside=old)
+    old.call_operators(b"drain-on")
+    new = host(successor_of=old)
     wait_until_ready(new)
     g = connection_to(new, old)
     assert g.answer(g.send("probe"))["result"]["healthy"] is False
-    new.call(b"drain-off")
+    new.call_operators(b"drain-off")
     g = connection_to(old, new)
-    until(lambda: g.answer(g.send("probe"))["result"]["healthy"], "good health at the old process")
-    old.leave()
+    wait_until(lambda: g.answer(g.send("probe"))["result"]["healthy"], "good health at the old process")
+    old.terminate()
     assert old.process.wait(4) == 0
     h = new.gateway()
     assert h.answer(h.send("probe"))["result"]["healthy"] is True
@@ -156,25 +159,25 @@
 
 def test_a_new_process_that_dies_costs_what_it_had_taken_and_nothing_else(host, shared_address):
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
-    new = host(beside=old, executor=Executor(up=False), ready=False)  # up, and never says yes
-    until(lambda: "event=linked" in new.log(), "the link")
-    assert new.call()[0].startswith("ERR")
+    new = host(successor_of=old, executor=Executor(is_up=False), wait_for_ready=False)  # up, and never says yes
+    wait_until(lambda: "event=linked" in new.log(), "the link")
+    assert new.call_operators()[0].startswith("ERR")
     new.process.kill()
-    until(lambda: "event=link-ended" in old.log(), "the end of the link")
+    wait_until(lambda: "event=link-ended" in old.log(), "the end of the link")
     g = old.gateway()
     assert g.result(g.request("book", "after", nonce())) == "did after"
-    new = host(beside=old)
+    new = host(successor_of=old)
     wait_until_ready(new)
     h, key = connection_to(new, old), nonce()
     h.request("book", "hold", key)
-    until(lambda: new.executor.ran("hold"), "the run")
+    wait_until(lambda: new.executor.runs_of("hold"), "the run")
     joined = g.request("book", "hold", key, redo=1)
     new.process.kill()
-    assert g.code(joined) != REJECTED  # outcome unknown: failed, never run
-    assert g.code(g.request("book", "hold", key, redo=1)) != REJECTED
+    assert g.error_code(joined) != REJECTED  # outcome unknown: failed, never run
+    assert g.error_code(g.request("book", "hold", key, redo=1)) != REJECTED
     assert executions_of("hold", old) == 0
     assert g.result(g.request("book", "more", nonce())) == "did more"
-    assert wait_until_ready(host(beside=old))
+    assert wait_until_ready(host(successor_of=old))
 
 
 def test_an_old_process_that_is_killed_leaves_its_keys_behind(host, shared_address):
@@ -182,27 +185,27 @@
     g, done, held = old.gateway(), nonce(), nonce()
     assert g.result(g.request("book", "done", done)) == "did done"
     g.request("book", "hold", held)
-    until(lambda: old.executor.ran("hold"), "the run")
-    new = host(beside=old)
+    wait_until(lambda: old.executor.runs_of("hold"), "the run")
+    new = host(successor_of=old)
     wait_until_ready(new)
     h = connection_to(new, old)
     joined = h.request("book", "hold", held, redo=1)
     old.process.kill()
-    assert h.code(joined) != REJECTED
-    until(lambda: "event=owns-keys" in new.log(), "the keys")
+    assert h.error_code(joined) != REJECTED
+    wait_until(lambda: "event=owns-keys" in new.log(), "the keys")
     assert h.result(h.request("book", "done", done, redo=1)) == "did done"
-    assert h.code(h.request("book", "hold", held, redo=1)) != REJECTED
-    assert h.code(h.request("book", "never seen", nonce(), redo=1)) != REJECTED  # the old one may have run it
+    assert h.error_code(h.request("book", "hold", held, redo=1)) != REJECTED
+    assert h.error_code(h.request("book", "never seen", nonce(), redo=1)) != REJECTED  # the old one may have run it
     assert h.result(h.request("book", "first", nonce())) == "did first"
     assert executions_of("hold", old, new) == 1
-    assert not new.executor.ran("never seen")
+    assert not new.executor.runs_of("never seen")
     assert new.gateway()
-    assert wait_until_ready(host(beside=new))
+    assert wait_until_ready(host(successor_of=new))
 
 
 def test_an_old_process_that_hangs_makes_nobody_wait_beyond_the_deadline(host, shared_address):
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
-    new = host(beside=old)
+    new = host(successor_of=old)
     wait_until_ready(new)
     g = connection_to(new, old)
     old.process.send_signal(signal.SIGSTOP)
@@ -210,18 +213,18 @@
         began = time.monotonic()
         n = g.request("book", "mine", nonce())
         assert g.result(g.request("track", "read")) == "did read"
-        assert g.code(n) == REJECTED
+        assert g.error_code(n) == REJECTED
         assert g.answer(n)["error"]["data"]["pause"] > 0
         assert time.monotonic() - began < 1.5
-        assert not new.executor.ran("mine")
+        assert not new.executor.runs_of("mine")
     finally:
         old.process.send_signal(signal.SIGCONT)
-    assert until(lambda: g.answer(g.request("book", "mine", nonce())).get("result"), "service again")
+    assert wait_until(lambda: g.answer(g.request("book", "mine", nonce())).get("result"), "service again")
 
 
 def test_a_new_process_that_hangs_holds_nothing_up(host, shared_address):
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
-    new = host(beside=old)
+    new = host(successor_of=old)
     wait_until_ready(new)
     g = connection_to(old, new)
     new.process.send_signal(signal.SIGSTOP)
@@ -239,13 +242,13 @@
     old.process.kill()
     old.process.wait()
     assert list(tmp_path.glob("lapispick-*.sock"))  # stale
-    new = host(beside=old)
+    new = host(successor_of=old)
     g = new.gateway()
-    assert g.code(g.request("book", "ran", key, redo=1)) != REJECTED
-    assert not new.executor.ran("ran")
+    assert g.error_code(g.request("book", "ran", key, redo=1)) != REJECTED
+    assert not new.executor.runs_of("ran")
     assert g.result(g.request("book", "first", nonce())) == "did first"
-    window = INFO["Services"][1]["Window"] / 1000
-    until(lambda: time.time() - lock_path(tmp_path).stat().st_mtime > window + 0.2, "the end of the window")
+    window = PLATFORM_INFO["Services"][1]["Window"] / 1000
+    wait_until(lambda: time.time() - lock_path(tmp_path).stat().st_mtime > window + 0.2, "the end of the window")
     assert g.result(g.request("book", "later", nonce(), redo=1)) == "did later"
 
 
@@ -253,12 +256,12 @@
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
     g, key = old.gateway(), nonce()
     assert g.result(g.request("book", "ran", key)) == "did ran"
-    old.leave()
+    old.terminate()
     assert old.process.wait(5) == 0
-    new = host(beside=old)
+    new = host(successor_of=old)
     g = new.gateway()
-    assert g.code(g.request("book", "ran", key, redo=1)) != REJECTED
-    assert not new.executor.ran("ran")
+    assert g.error_code(g.request("book", "ran", key, redo=1)) != REJECTED
+    assert not new.executor.runs_of("ran")
     assert g.result(g.request("book", "first", nonce())) == "did first"
 
 
@@ -266,18 +269,20 @@
     one = host(listen=shared_address(), info=LONG_WINDOW_INFO, stop_ms=4000)
     g, key = one.gateway(), nonce()
     held = g.request("book", "hold", key, patience=9000)
-    until(lambda: one.executor.runs, "the run")
-    two = host(beside=one)
+    wait_until(lambda: one.executor.runs, "the run")
+    two = host(successor_of=one)
     wait_until_ready(two)
-    three = host(beside=two, ready=False)  # before the first leaves: a start may take longer than a leave lasts
-    until(lambda: "event=link-waiting" in three.log(), "the third one's first look")
-    one.leave()
-    until(lambda: "event=leaving" in one.log(), "the leave")
-    one.executor.end(one.executor.runs[0][0], result="booked")
+    three = host(
+        successor_of=two, wait_for_ready=False
+    )  # before the first leaves: a start may take longer than a leave lasts
+    wait_until(lambda: "event=link-waiting" in three.log(), "the third one's first look")
+    one.terminate()
+    wait_until(lambda: "event=leaving" in one.log(), "the leave")
+    one.executor.end_run(one.executor.runs[0].task, result="booked")
     assert g.result(held) == "booked"
     assert one.process.wait(5) == 0
-    until(lambda: "event=linked role=follower" in three.log(), "the link to the second")
-    two.leave()
+    wait_until(lambda: "event=linked role=follower" in three.log(), "the link to the second")
+    two.terminate()
     assert two.process.wait(4) == 0
     wait_until_ready(three)
     h = three.gateway()
@@ -288,21 +293,21 @@
     one = host(listen=shared_address(), info=LONG_WINDOW_INFO, stop_ms=2500)
     g, key = one.gateway(), nonce()
     assert g.result(g.request("book", "mine", key)) == "did mine"
-    two = host(beside=one)
+    two = host(successor_of=one)
     wait_until_ready(two)
-    three = host(beside=two, ready=False)
-    until(lambda: "event=link-waiting" in three.log(), "the third one's first look")
+    three = host(successor_of=two, wait_for_ready=False)
+    wait_until(lambda: "event=link-waiting" in three.log(), "the third one's first look")
     two.process.send_signal(signal.SIGSTOP)
     try:
-        one.leave()
+        one.terminate()
         assert one.process.wait(5) == 0
-        until(lambda: "event=open" in three.log(), "that the third one takes clients")
+        wait_until(lambda: "event=open" in three.log(), "that the third one takes clients")
         assert "event=owns-keys" not in three.log()
     finally:
         two.process.send_signal(signal.SIGCONT)
-    two.logged("owns-keys")
-    until(lambda: "event=linked role=follower" in three.log(), "the link to the second")
-    two.leave()
+    two.wait_for_log("owns-keys")
+    wait_until(lambda: "event=linked role=follower" in three.log(), "the link to the second")
+    two.terminate()
     assert two.process.wait(5) == 0
     h = three.gateway()
     assert h.result(h.request("book", "mine", key, redo=1)) == "did mine"
@@ -312,11 +317,11 @@
 def test_a_shutdown_without_a_successor_is_an_ordinary_one(host, shared_address):
     h = host(listen=shared_address(), info=LONG_WINDOW_INFO, stop_ms=2000)
     g = h.gateway()
-    h.leave()
-    until(lambda: g.read() and g.away, "goaway")
+    h.terminate()
+    wait_until(lambda: g.read() and g.goaway_received, "goaway")
     assert g.answer(g.send("probe"))["result"]["healthy"] is False
     assert h.process.wait(4) == 0
-    assert h.roster.reports[-1][1] == "HERE n3 off"
+    assert h.registry.reports[-1].text == "HERE n3 off"
 
 
 POINTS = ["started", "link-up", "linked", "open", "successor-serving", "leaving", "link-ended"]
@@ -328,11 +333,11 @@
     point, victim = rng.choice(POINTS), rng.choice(["old", "new"])
     print("seed", seed, "kills the", victim, "one at", point)
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO, executor=Executor(work_s=0.003), stop_ms=2500)
-    with load(old.at, seed, clients=4) as clients:
-        until(lambda: sum(client.answered for client in clients) > 60, "some load")
-        new = host(beside=old, executor=Executor(work_s=0.003), started=False)
+    with load(old.address, seed, clients=4) as clients:
+        wait_until(lambda: sum(client.answered for client in clients) > 60, "some load")
+        new = host(successor_of=old, executor=Executor(work_s=0.003), wait_for_start=False)
         either = {"old": old, "new": new}
-        until(
+        wait_until(
             lambda: (
                 f"event={point}" in new.log()
                 or f"event={point}" in old.log()
@@ -348,10 +353,10 @@
             assert old.process.wait(4) == 0
             assert "owed=0" in old.log()
             return check_executions(clients, old, new)
-        left.ops = until(lambda: operators_address(left), "the start")
+        left.ops = wait_until(lambda: operators_address(left), "the start")
         wait_until_ready(left)
         count = sum(client.answered for client in clients)
-        until(lambda: sum(client.answered for client in clients) > count + 60, "service by the one that is left")
+        wait_until(lambda: sum(client.answered for client in clients) > count + 60, "service by the one that is left")
     check_executions(clients, old, new)
 
 
@@ -361,24 +366,24 @@
         return False
     new.ops = at
     with contextlib.suppress(OSError):
-        if new.call() == ["OK"] and not getattr(old, "shut_down", False):
+        if new.call_operators() == ["OK"] and not getattr(old, "shut_down", False):
             old.shut_down = True
-            old.leave()
+            old.terminate()
     return False
 
 
 def test_an_upgrade_that_is_given_up_hands_back_all_that_the_new_process_had(host, shared_address):
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
-    new = host(beside=old)
+    new = host(successor_of=old)
     wait_until_ready(new)
     g, key = connection_to(new, old), nonce()
     n = g.request("book", "hold", key)
-    until(lambda: new.executor.ran("hold"), "the run")
-    new.leave()
-    until(lambda: g.read() and g.away, "goaway")
+    wait_until(lambda: new.executor.runs_of("hold"), "the run")
+    new.terminate()
+    wait_until(lambda: g.read() and g.goaway_received, "goaway")
     h = old.gateway()
     again = h.request("book", "hold", key, redo=1)
-    new.executor.end(new.executor.ran("hold")[0][0], result="booked")
+    new.executor.end_run(new.executor.runs_of("hold")[0].task, result="booked")
     assert g.result(n) == "booked"
     assert h.result(again) == "booked"
     assert new.process.wait(4) == 0
@@ -386,7 +391,7 @@
     assert h.result(h.request("book", "hold", key, redo=1)) == "booked"
     assert executions_of("hold", old, new) == 1
     assert h.answer(h.send("probe"))["result"]["healthy"] is True
-    assert not [report for _, report in old.roster.reports if report.endswith("off")]
+    assert not [report for _, report in old.registry.reports if report.endswith("off")]
 
 
 def test_both_processes_together_hold_no_more_connections_than_one_may(host, shared_address):
@@ -396,23 +401,25 @@
     for _ in range(most):
         crowd.append(old.gateway())
         crowd[-1].result(crowd[-1].request("track", "x"))
-    new = host(beside=old)
+    new = host(successor_of=old)
     wait_until_ready(new)
-    until(lambda: len(os.listdir(f"/proc/{old.process.pid}/fd")) < most, "the old one gives a part of its room")
-    name, port = old.at.split(":")
+    wait_until(lambda: len(os.listdir(f"/proc/{old.process.pid}/fd")) < most, "the old one gives a part of its room")
+    name, port = old.address.split(":")
     crowd += [socket.create_connection((name, int(port))) for _ in range(most)]
 
     def held():
         return sum(len(os.listdir(f"/proc/{h.process.pid}/fd")) for h in (old, new))
 
-    until(lambda: held() < 256, "both within the descriptors of one")
+    wait_until(lambda: held() < 256, "both within the descriptors of one")
     g = new.gateway()
     assert g.result(g.request("track", "room")) == "did room"
     assert held() < 256
     new.process.kill()
-    until(lambda: "event=link-ended" in old.log(), "the end of the link")
+    wait_until(lambda: "event=link-ended" in old.log(), "the end of the link")
     late = [old.gateway() for _ in range(most)]
-    until(lambda: len(os.listdir(f"/proc/{old.process.pid}/fd")) > most, "all of the room for the one that is left")
+    wait_until(
+        lambda: len(os.listdir(f"/proc/{old.process.pid}/fd")) > most, "all of the room for the one that is left"
+    )
     assert late[-1].result(late[-1].request("track", "last")) == "did last"
 
 
@@ -420,20 +427,20 @@
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO, stop_ms=9000)
     g = old.gateway()
     held = g.request("track", "hold", patience=9000)
-    until(lambda: old.executor.ran("hold"), "the run")
-    new = host(beside=old)
+    wait_until(lambda: old.executor.runs_of("hold"), "the run")
+    new = host(successor_of=old)
     wait_until_ready(new)
-    old.leave()
-    until(lambda: "event=leaving" in old.log(), "the leave")
-    until(lambda: g.read() and g.away, "goaway")
+    old.terminate()
+    wait_until(lambda: "event=leaving" in old.log(), "the leave")
+    wait_until(lambda: g.read() and g.goaway_received, "goaway")
     for n in range(40):
         late = new.gateway()
         assert late.result(late.request("track", f"late{n}")) == f"did late{n}"
-        assert not late.away
+        assert not late.goaway_received
     assert len([run for run in new.executor.runs if run[2].startswith("late")]) == 40
     # Nothing ends the run: it is failed, and the process ends before it would be killed. By its own log, as on a busy
     # machine this test may be held up, and so may the system's end of a process.
-    assert g.code(held) != REJECTED
+    assert g.error_code(held) != REJECTED
     assert old.process.wait(8) == 0
     assert logged_at(old, "ended") - logged_at(old, "leaving") < 3.7
     assert "owed=0" in old.log()
@@ -449,16 +456,16 @@
     for _ in range(30):  # what can be learned of runs
         g.result(g.request("track", "call:200"))
     (tmp_path / "own.conf").write_text("section trace\n enabled yes\n folder traces\n flush 50ms\nend\n")
-    new = host(beside=old, environ={"LAPISPICK_CONF": str(tmp_path / "own.conf")})
+    new = host(successor_of=old, environ={"LAPISPICK_CONF": str(tmp_path / "own.conf")})
     assert wait_until_ready(new)
-    old.leave()
+    old.terminate()
     assert old.process.wait(6) == 0
     g = new.gateway()
     for n in range(30):
         g.result(g.request("track" if n % 2 else "book", "call:200", None if n % 2 else nonce()))
-    new.leave()
+    new.terminate()
     assert new.process.wait(6) == 0
-    (path,) = until(lambda: list((tmp_path / "traces").glob("*.lptrace")), "the closed file")
+    (path,) = wait_until(lambda: list((tmp_path / "traces").glob("*.lptrace")), "the closed file")
     with files.Reader(path) as reader:
         steps, source = list(reader.steps()), reader.header
     assert {n.what for s in steps for n in s.notes if type(n) is Happened} == {"adopted"}
--- a/tests/upgrade_support.py
+++ b/tests/upgrade_support.py
@@ -4,15 +4,16 @@
 import json
 import random
 
-from lapispick.fakes.peers import INFO, until
+from lapispick.fakes.start_settings import PLATFORM_INFO
+from lapispick.fakes.waiting import wait_until
 
 REJECTED = -32050
-LONG_WINDOW_INFO = json.loads(json.dumps(INFO))
+LONG_WINDOW_INFO = json.loads(json.dumps(PLATFORM_INFO))
 LONG_WINDOW_INFO["Services"][1]["Window"] = 60_000.0  # so that no key's window ends during a test on a slow machine
 
 
 def served(h):
-    return sum(n for name, n in h.figures().items() if name.startswith("success"))
+    return sum(n for name, n in h.metrics().items() if name.startswith("success"))
 
 
 def nonce(rng=random):
@@ -24,16 +25,16 @@
     while True:
         g, before = h.gateway(), served(h)
         g.result(g.request("track", "whose"))
-        if until(lambda: (served(h), True), "the figures")[0] > before:
+        if wait_until(lambda: (served(h), True), "the figures")[0] > before:
             return g
 
 
 def wait_until_ready(new):
-    return until(lambda: new.call() == ["OK"], "yes from the new process")
+    return wait_until(lambda: new.call_operators() == ["OK"], "yes from the new process")
 
 
 def executions_of(body, *hosts):
-    return sum(len(h.executor.ran(body)) for h in hosts)
+    return sum(len(h.executor.runs_of(body)) for h in hosts)
 
 
 def lock_path(folder):
