--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from lapispick.cli.output import table
+from lapispick.cli.output import print_table
 
 
 @contextmanager
@@ -44,5 +44,5 @@
 
 def show(title: str, columns: Iterable[str], rows: Iterable[Iterable[Any]]) -> None:
     """Print a table."""
-    table(title, columns, rows)
+    print_table(title, columns, rows)
     print()
--- a/lapispick/cli/agent.py
+++ b/lapispick/cli/agent.py
@@ -12,8 +12,8 @@
 from lapispick.agent.errors import AgentError, InvalidGenerationError
 from lapispick.agent.generation_store import GenerationStore
 from lapispick.cli.config import FILE, load
-from lapispick.cli.ops import NoAnswer, call
-from lapispick.cli.output import DIFFERS, FAULTY, NO_STATE, as_json, complain, say, table
+from lapispick.cli.ops import NoAnswerError, call
+from lapispick.cli.output import ExitCode, print_error, print_json, print_line, print_table
 from lapispick.conf.settings import Agent as Settings
 from lapispick.host.scheduler import address
 from lapispick.rollout import messages
@@ -30,8 +30,8 @@
 def _settings(file: Path | None) -> Settings:
     settings = load(file).agent
     if settings.folder is None:
-        complain("no folder in section agent of the settings")
-        sys.exit(FAULTY)
+        print_error("no folder in section agent of the settings")
+        sys.exit(ExitCode.INVALID)
     return settings
 
 
@@ -43,8 +43,8 @@
     try:
         return msgspec.json.decode(path.read_bytes(), type=dict[str, Any])
     except (OSError, msgspec.MsgspecError) as err:
-        complain(f"{path}: {err}")
-        sys.exit(FAULTY)
+        print_error(f"{path}: {err}")
+        sys.exit(ExitCode.INVALID)
 
 
 @agent.command()
@@ -58,8 +58,8 @@
 
     settings = _settings(file)
     if settings.config is None or len(settings.slot_ops) != SLOTS:
-        complain("section agent needs config and slot-ops")
-        sys.exit(FAULTY)
+        print_error("section agent needs config and slot-ops")
+        sys.exit(ExitCode.INVALID)
     base = _read_config(Path(str(settings.config)))
     try:
         name = platform.load({"LB_CONFIG": str(settings.config)}).name
@@ -67,8 +67,8 @@
         service = Agent(name, settings, base)
         service.adopt(adopt)
     except (AgentError, OSError, ValueError, platform.ConfigError) as err:
-        complain(str(err))
-        sys.exit(FAULTY)
+        print_error(str(err))
+        sys.exit(ExitCode.INVALID)
     service.run()
 
 
@@ -98,12 +98,12 @@
         generation = _generation_store(file).add(program, settings, _read_config(config) if config else {}, label)
     except InvalidFileError as err:
         for fault in err.faults:
-            complain(str(fault))
-        sys.exit(FAULTY)
+            print_error(str(fault))
+        sys.exit(ExitCode.INVALID)
     except (InvalidGenerationError, OSError) as err:
-        complain(str(err))
-        sys.exit(FAULTY)
-    say(generation.digest)
+        print_error(str(err))
+        sys.exit(ExitCode.INVALID)
+    print_line(generation.digest)
 
 
 @agent.command()
@@ -114,14 +114,14 @@
     store = _generation_store(file)
     found = [(generation, store.verify(generation.digest)) for generation in store.all().values()]
     if json_:
-        return as_json([{**msgspec.to_builtins(generation), "fault": fault} for generation, fault in found])
+        return print_json([{**msgspec.to_builtins(generation), "fault": fault} for generation, fault in found])
     rows = []
     for generation, fault in found:
         changes = " ".join(f"{key}={value}" for key, value in generation.config.items())
         names = (generation.digest, generation.label, generation.program, generation.settings)
         rows.append((*names, changes, fault or "none"))
-    table("generations", ("digest", "label", "program", "settings", "changes", "fault"), rows)
-    sys.exit(DIFFERS if any(fault for _, fault in found) else 0)
+    print_table("generations", ("digest", "label", "program", "settings", "changes", "fault"), rows)
+    sys.exit(ExitCode.DIFFERENCES if any(fault for _, fault in found) else 0)
 
 
 @agent.command()
@@ -131,12 +131,12 @@
     """Show the status that an agent reports."""
     try:
         answer = messages.decode_status(call(address(at), "status"))
-    except (NoAnswer, ValueError) as err:
-        complain(str(err))
-        sys.exit(NO_STATE)
+    except (NoAnswerError, ValueError) as err:
+        print_error(str(err))
+        sys.exit(ExitCode.NO_STATE)
     shown = msgspec.to_builtins(answer)
     if json_:
-        return as_json(shown)
+        return print_json(shown)
     for key, value in shown.items():
-        say(f"{key:<10} {value}")
+        print_line(f"{key:<10} {value}")
     return None
--- a/lapispick/cli/config.py
+++ b/lapispick/cli/config.py
@@ -9,7 +9,7 @@
 import click
 import msgspec
 
-from lapispick.cli.output import FAULTY, as_json, complain, say
+from lapispick.cli.output import ExitCode, print_error, print_json, print_line
 from lapispick.conf import settings as conf
 from lapispick.file_errors import InvalidFileError
 
@@ -27,8 +27,8 @@
         return conf.parse(file) if file is not None else conf.load()
     except InvalidFileError as err:
         for fault in err.faults:
-            complain(str(fault))
-        sys.exit(FAULTY)
+            print_error(str(fault))
+        sys.exit(ExitCode.INVALID)
 
 
 @click.group()
@@ -54,12 +54,12 @@
         except platform.ConfigError as err:
             faults.append(f"{os.environ['LB_CONFIG']}: {err}")
     if json_:
-        as_json({"faults": faults})
+        print_json({"faults": faults})
     else:
         for fault in faults:
-            complain(fault)
-        say(f"{len(faults)} faults" if faults else f"{file or conf.located()} is in order")
-    sys.exit(FAULTY if faults else 0)
+            print_error(fault)
+        print_line(f"{len(faults)} faults" if faults else f"{file or conf.located()} is in order")
+    sys.exit(ExitCode.INVALID if faults else 0)
 
 
 @config.command()
@@ -69,7 +69,7 @@
     """Show all settings as they are in force, with defaults; the output reads back as a settings file."""
     settings = load(file)
     if json_:
-        as_json(msgspec.to_builtins(settings, enc_hook=str))
+        print_json(msgspec.to_builtins(settings, enc_hook=str))
     else:
         for line in conf.lines(settings):
-            say(line)
+            print_line(line)
--- a/lapispick/cli/demo.py
+++ b/lapispick/cli/demo.py
@@ -1,22 +1,30 @@
-"""``lapispick demo``: one worker host among stand-ins, a few seconds of requests, and what became of them."""
+"""``lapispick demo``: one worker host among fake peers, a few seconds of requests, and their outcomes."""
 
 from __future__ import annotations
 
 import collections
+import enum
 import random
 import sys
 import tempfile
 import time
 import uuid
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import click
 
-from lapispick.cli.output import DIFFERS, as_json, complain, say, table
+from lapispick.cli.output import ExitCode, print_error, print_json, print_line, print_table
 
-WORK_S, CORES = 0.02, 2  # of the stand-in executor
-ANSWERS_S = 10.0  # s; the last answers come within the patience of the last requests, far sooner
+WORK_S = 0.02  # of each run
+CORES = 2  # of the fake executor
+MAX_ANSWER_WAIT_S = 10.0  # the last answers are due within the patience of the last requests, far sooner
+ANSWER_POLL_INTERVAL_S = 0.02
+PATIENCE_MS = 1200
+SHORT_PATIENCE_MS = 15  # less than a run takes
+CALL_QUOTA_PER_S = 50.0
+REJECTED_CODE = -32050
+QUEUE = "jobs"
 CONF = """
 section inventory
     path brokers.yml
@@ -37,103 +45,186 @@
       amqp_customer: shop
       amqp_queues: [jobs]
 """
-KINDS = (("track", 0.55), ("book", 0.25), ("book again", 0.1), ("track, hardly any time", 0.1))
 
 
-def _word(answer: Any) -> str:
+class Front(enum.StrEnum):
+    """How a request reaches the host."""
+
+    JSON_RPC = "json-rpc"
+    AMQP = "amqp"
+
+
+class RequestKind(NamedTuple):
+    """A kind of request, and which fraction of all requests it is."""
+
+    name: str
+    request_class: str
+    fraction: float
+    patience_ms: int = PATIENCE_MS
+    is_retry: bool = False
+
+
+TRACK = RequestKind("track", "track", 0.55)
+BOOK = RequestKind("book", "book", 0.25)
+BOOK_AGAIN = RequestKind("book again", "book", 0.1, is_retry=True)
+TRACK_IN_A_HURRY = RequestKind("track, hardly any time", "track", 0.1, patience_ms=SHORT_PATIENCE_MS)
+KINDS = (TRACK, BOOK, BOOK_AGAIN, TRACK_IN_A_HURRY)
+OUTCOMES = ("served", "refused", "failed", "unanswered")
+
+OutcomeCounts = dict[tuple[str, str], collections.Counter[str]]  # by front and kind
+
+
+class Booking(NamedTuple):
+    """A keyed request that may be sent again."""
+
+    key: str
+    body: str
+
+
+class Result(NamedTuple):
+    """What a demo showed."""
+
+    outcomes: OutcomeCounts
+    second_executions: int
+    rejection_reasons: list[str]
+
+    @property
+    def unanswered(self) -> int:
+        """Count the requests without an answer."""
+        return sum(count["unanswered"] for count in self.outcomes.values())
+
+
+def _outcome(answer: Any) -> str:
+    """Return the outcome that a JSON-RPC answer tells."""
     if answer is None:
         return "unanswered"
     if "result" in answer:
         return "served"
-    return "refused" if answer["error"]["code"] == -32050 else "failed"
+    return "refused" if answer["error"]["code"] == REJECTED_CODE else "failed"
 
 
 class _Demo:
-    """The host, its stand-ins and the requests."""
+    """A worker host with its fake peers, and the requests that are sent to it."""
 
     def __init__(self, seed: int, folder: Path) -> None:
+        # Imported here, so that no other command loads the fakes.
         from lapispick.fakes.broker import Broker
         from lapispick.fakes.connection_pool import ConnectionPool
         from lapispick.fakes.executor import Executor
         from lapispick.fakes.host_process import HostProcess
         from lapispick.fakes.messages import request_params
-        from lapispick.fakes.start_settings import PLATFORM_INFO
+        from lapispick.fakes.start_settings import make_platform_info
 
-        self.random = random.Random(seed)
-        self.broker = Broker()
-        host, port = self.broker.address.split(":")
-        (folder / "own.conf").write_text(CONF)
+        self._random = random.Random(seed)
+        self._broker = Broker()
+        host, port = self._broker.address.split(":")
+        conf = folder / "own.conf"
+        conf.write_text(CONF)
         (folder / "brokers.yml").write_text(BROKERS.format(host=host, port=port))
-        info = {**PLATFORM_INFO, "FamilyInfo": {**PLATFORM_INFO["FamilyInfo"], "CallsOut": 50.0}}
-        self.executor = Executor(WORK_S, CORES)
-        self.host = HostProcess(
-            folder, environ={"LAPISPICK_CONF": str(folder / "own.conf")}, info=info, executor=self.executor
+        self._executor = Executor(WORK_S, CORES)
+        self._host = HostProcess(
+            folder,
+            environ={"LAPISPICK_CONF": str(conf)},
+            info=make_platform_info(CallsOut=CALL_QUOTA_PER_S),
+            executor=self._executor,
         )
-        self.host.wait_for_log("consuming")
-        self.gateway, self._params = ConnectionPool(self.host.address, self._heard), request_params
-        self.asked: dict[int, str] = {}  # JSON-RPC: number -> kind
-        self.answers: dict[int, Any] = {}  # the same numbers; None: the connection ended before the answer
-        self.put: dict[str, str] = {}  # AMQP: correlation id -> kind
-        self.books: list[tuple[str, str]] = []  # key and body of each, for repeats
-
-    def ask(self, kind: str, front: str) -> None:
-        """Send one request."""
-        cls = kind.split()[0].rstrip(",")
-        body, key = f"subject-{len(self.asked) + len(self.put)}", uuid.UUID(int=self.random.getrandbits(128)).hex
-        if kind == "book again" and self.books:
-            key, body = self.random.choice(self.books)
-        elif cls == "book" and front == "json-rpc":
-            self.books.append((key, body))
-        patience = 15 if "hardly" in kind else 1200
-        if front == "json-rpc" or kind == "book again":
-            number = len(self.asked)
-            self.asked[number] = kind
-            more = {"nonce": key} if cls == "book" else {}
-            self.gateway.send_request(cls, number, self._params(body, patience=patience, **more))
-        else:
-            self.put[key] = kind
-            self.broker.put(
-                "jobs", body, type=cls, correlation_id=key, message_id=key, reply_to="answers", expiration=str(patience)
-            )
+        self._host.wait_for_log("consuming")
+        self._gateway = ConnectionPool(self._host.address, self._on_answer)
+        self._request_params = request_params
+        self._json_rpc_kinds: list[RequestKind] = []  # by request number
+        self._answers: dict[int, Any] = {}  # by request number; None: the connection ended before the answer
+        self._amqp_kinds: dict[str, RequestKind] = {}  # by correlation id
+        self._bookings: list[Booking] = []
 
-    def _heard(self, number: int, answer: Any) -> None:
-        self.answers[number] = answer
-
-    def send(self, seconds: float, rate: float) -> None:
-        """Send requests at a rate for a span."""
-        kinds, weights = zip(*KINDS, strict=True)
+    def run(self, seconds: float, requests_per_s: float) -> Result:
+        """Send requests at a rate for a span, and wait for their answers."""
         end = time.monotonic() + seconds
         due = time.monotonic()
         while due < end:
-            self.ask(self.random.choices(kinds, weights)[0], self.random.choice(("json-rpc", "amqp")))
-            due += self.random.expovariate(rate)
+            kind = self._random.choices(KINDS, [kind.fraction for kind in KINDS])[0]
+            self._send(kind, self._random.choice((Front.JSON_RPC, Front.AMQP)))
+            due += self._random.expovariate(requests_per_s)
             time.sleep(max(0.0, due - time.monotonic()))
-
-    def outcomes(self) -> dict[tuple[str, str], collections.Counter[str]]:
-        """Wait for all answers and count them by front and kind."""
-        found: dict[tuple[str, str], collections.Counter[str]] = {}
-        end = time.monotonic() + ANSWERS_S
-        while (
-            len(self.broker.replies) < len(self.put) or len(self.answers) < len(self.asked)
-        ) and time.monotonic() < end:
-            time.sleep(0.02)
-        for number, kind in self.asked.items():
-            found.setdefault(("json-rpc", kind), collections.Counter())[_word(self.answers.get(number))] += 1
-        replies = {r.properties.correlation_id: r.properties.type for r in list(self.broker.replies)}
-        for key, kind in self.put.items():
-            found.setdefault(("amqp", kind), collections.Counter())[replies.get(key, "unanswered")] += 1
-        return found
-
-    def doubles(self) -> int:
-        """Return how many bookings ran twice, which must be none."""
-        runs = collections.Counter(body for _, cls, body in self.executor.runs if cls == "book")
-        return sum(count - 1 for count in runs.values())
+        self._wait_for_answers()
+        return Result(self._outcomes(), self._second_executions(), self._rejection_reasons())
 
     def close(self) -> None:
-        """End the host and the stand-ins."""
-        self.gateway.close()
-        self.host.close()
-        self.broker.close()
+        """End the host and its peers."""
+        self._gateway.close()
+        self._host.close()
+        self._broker.close()
+
+    def _send(self, kind: RequestKind, front: Front) -> None:
+        """Send one request; a retry goes over JSON-RPC."""
+        number = len(self._json_rpc_kinds) + len(self._amqp_kinds)
+        booking = Booking(uuid.UUID(int=self._random.getrandbits(128)).hex, f"subject-{number}")
+        if kind.is_retry and self._bookings:
+            booking = self._random.choice(self._bookings)
+        elif kind.request_class == BOOK.request_class and front is Front.JSON_RPC:
+            self._bookings.append(booking)
+        if front is Front.JSON_RPC or kind.is_retry:
+            self._send_json_rpc(kind, booking)
+        else:
+            self._send_amqp(kind, booking)
+
+    def _send_json_rpc(self, kind: RequestKind, booking: Booking) -> None:
+        number = len(self._json_rpc_kinds)
+        self._json_rpc_kinds.append(kind)
+        key = {"nonce": booking.key} if kind.request_class == BOOK.request_class else {}
+        params = self._request_params(booking.body, patience=kind.patience_ms, **key)
+        self._gateway.send_request(kind.request_class, number, params)
+
+    def _send_amqp(self, kind: RequestKind, booking: Booking) -> None:
+        self._amqp_kinds[booking.key] = kind
+        self._broker.put(
+            QUEUE,
+            booking.body,
+            type=kind.request_class,
+            correlation_id=booking.key,
+            message_id=booking.key,
+            reply_to="answers",
+            expiration=str(kind.patience_ms),
+        )
+
+    def _on_answer(self, number: int, answer: Any) -> None:
+        self._answers[number] = answer
+
+    def _wait_for_answers(self) -> None:
+        end = time.monotonic() + MAX_ANSWER_WAIT_S
+        while time.monotonic() < end:
+            has_replies = len(self._broker.replies) >= len(self._amqp_kinds)
+            if has_replies and len(self._answers) >= len(self._json_rpc_kinds):
+                return
+            time.sleep(ANSWER_POLL_INTERVAL_S)
+
+    def _outcomes(self) -> OutcomeCounts:
+        counts: OutcomeCounts = {}
+        for number, kind in enumerate(self._json_rpc_kinds):
+            outcome = _outcome(self._answers.get(number))
+            counts.setdefault((Front.JSON_RPC, kind.name), collections.Counter())[outcome] += 1
+        replies = {reply.properties.correlation_id: reply.properties.type for reply in list(self._broker.replies)}
+        for key, kind in self._amqp_kinds.items():
+            outcome = replies.get(key, "unanswered")
+            counts.setdefault((Front.AMQP, kind.name), collections.Counter())[outcome] += 1
+        return counts
+
+    def _second_executions(self) -> int:
+        """Return how often a booking was executed again, which must be never."""
+        counts = collections.Counter(run.body for run in self._executor.runs if run.handler == BOOK.request_class)
+        return sum(count - 1 for count in counts.values())
+
+    def _rejection_reasons(self) -> list[str]:
+        """Return the decision module's reasons from the host's log."""
+        lines = [line for line in self._host.log().splitlines() if 'text="' in line]
+        return sorted({line.split('text="')[1].rstrip('"') for line in lines})
+
+
+def _run(seed: int, folder: Path, seconds: float, load: float) -> Result:
+    session = _Demo(seed, folder)
+    try:
+        return session.run(seconds, load * CORES / WORK_S)
+    finally:
+        session.close()
 
 
 @click.command()
@@ -143,48 +234,47 @@
     default=1.6,
     show_default=True,
     type=click.FloatRange(0.1, 3),
-    help="Requests asked for, as a multiple of what the two stand-in cores can do.",
+    help="Requests asked for, as a multiple of what the two cores of the fake executor can do.",
 )
 @click.option("--seed", default=7, show_default=True)
 @click.option("--json", "json_", is_flag=True, help="For programs.")
 def demo(seconds: float, load: float, seed: int, json_: bool) -> None:
-    """Try it: one worker host on loopback among stand-ins, more requests than it can do, over both fronts."""
+    """Try it: one worker host on loopback among fake peers, more requests than it can do, over both fronts."""
+    if not json_:
+        print_line(
+            f"seed {seed}: a worker host with {CORES} cores in its fake executor, {load:g} times what they can do, "
+            f"for {seconds:g} s ..."
+        )
     with tempfile.TemporaryDirectory() as folder:
-        if not json_:
-            say(
-                f"seed {seed}: a worker host with {CORES} stand-in cores, {load:g} times what they can do, "
-                f"for {seconds:g} s ..."
-            )
         try:
-            made = _Demo(seed, Path(folder))
-            try:
-                made.send(seconds, load * CORES / WORK_S)
-                found, doubles, log = made.outcomes(), made.doubles(), made.host.log()
-            finally:
-                made.close()
-        except (OSError, AssertionError) as err:  # no port, no host, a stand-in that lost its peer
+            result = _run(seed, Path(folder), seconds, load)
+        except (OSError, AssertionError) as err:  # no port, no host, a fake that lost its peer
             raise click.ClickException(f"the demo broke off: {err or type(err).__name__}") from err
-    _report(found, doubles, log, json_)
-    unanswered = sum(count["unanswered"] for count in found.values())
-    if doubles or unanswered:
-        complain(f"rules were broken: {unanswered} requests without an answer, {doubles} bookings ran again")
-        sys.exit(DIFFERS)
+    if json_:
+        _print_result_json(result)
+    else:
+        _print_result(result)
+    if result.second_executions or result.unanswered:
+        print_error(
+            f"rules were broken: {result.unanswered} requests without an answer, "
+            f"{result.second_executions} bookings ran again"
+        )
+        sys.exit(ExitCode.DIFFERENCES)
 
 
-def _report(found: dict[tuple[str, str], collections.Counter[str]], doubles: int, log: str, json_: bool) -> None:
-    words = ("served", "refused", "failed", "unanswered")
-    grounds = sorted({line.split('text="')[1].rstrip('"') for line in log.splitlines() if 'text="' in line})
-    if json_:
-        rows: list[dict[str, Any]] = [
-            {"front": f, "kind": k, **{w: c[w] for w in words}} for (f, k), c in sorted(found.items())
-        ]
-        return as_json({"outcomes": rows, "doubles": doubles, "grounds": grounds})
-    table(
-        "what became of them",
-        ("front", "request", *words),
-        ((front, kind, *(count[w] for w in words)) for (front, kind), count in sorted(found.items())),
-    )
-    say("why requests were turned away, in the decision module's words:")
-    for ground in grounds:
-        say(f"  {ground}")
-    return say(f"bookings that ran twice: {doubles}")
+def _print_result_json(result: Result) -> None:
+    rows = []
+    for (front, kind), counts in sorted(result.outcomes.items()):
+        rows.append({"front": front, "kind": kind, **{outcome: counts[outcome] for outcome in OUTCOMES}})
+    print_json({"outcomes": rows, "doubles": result.second_executions, "grounds": result.rejection_reasons})
+
+
+def _print_result(result: Result) -> None:
+    rows = []
+    for (front, kind), counts in sorted(result.outcomes.items()):
+        rows.append((front, kind, *(counts[outcome] for outcome in OUTCOMES)))
+    print_table("outcomes", ("front", "request", *OUTCOMES), rows)
+    print_line("why requests were rejected, in the decision module's words:")
+    for reason in result.rejection_reasons:
+        print_line(f"  {reason}")
+    print_line(f"bookings that ran twice: {result.second_executions}")
--- a/lapispick/cli/inventory.py
+++ b/lapispick/cli/inventory.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from lapispick.cli.config import FILE, load
-from lapispick.cli.output import DIFFERS, FAULTY, NO_STATE, as_json, complain, pairs, say, setup_logs, table
+from lapispick.cli.output import ExitCode, format_pairs, print_error, print_json, print_line, print_table, setup_logs
 from lapispick.conf.settings import Inventory as Settings
 from lapispick.fleet import files, hosts, last_good, snapshot
 from lapispick.fleet.acceptance import ACCEPT_LEAST, Acceptance, Phase, Seen
@@ -44,8 +44,8 @@
     try:
         return listing.schema(platform.load().settings)
     except platform.ConfigError as err:
-        complain(f"{os.environ['LB_CONFIG']}: {err}")
-        sys.exit(FAULTY)
+        print_error(f"{os.environ['LB_CONFIG']}: {err}")
+        sys.exit(ExitCode.INVALID)
 
 
 def source(conf: Path | None, path: Path | None, group: str | None) -> Source:
@@ -55,8 +55,8 @@
     group = group or (told.group if own.amqp.enabled or not fleet.group else fleet.group)
     made = msgspec.structs.replace(told, path=path or told.path, group=group)
     if made.path is None:
-        complain("no path: name one by --path, or in section inventory of the settings")
-        sys.exit(FAULTY)
+        print_error("no path: name one by --path, or in section inventory of the settings")
+        sys.exit(ExitCode.INVALID)
     if fleet.group and group == fleet.group:
         return Source(msgspec.structs.replace(made, state_folder=fleet.state_folder), hosts.SCHEMA)
     return Source(made, _amqp() if group == told.group else ANY)
@@ -86,15 +86,15 @@
     reading = Files(where).read()
     if reading.faults:
         for fault in reading.faults:
-            complain(str(fault))
-        sys.exit(DIFFERS)
+            print_error(str(fault))
+        sys.exit(ExitCode.DIFFERENCES)
     return snapshot.of(reading.boxes)
 
 
 def _folder(settings: Settings) -> Path:
     if settings.state_folder is None:
-        complain("no state-folder in section inventory of the settings: the host leaves no traces")
-        sys.exit(NO_STATE)
+        print_error("no state-folder in section inventory of the settings: the host leaves no traces")
+        sys.exit(ExitCode.NO_STATE)
     return Path(str(settings.state_folder))
 
 
@@ -105,7 +105,7 @@
     try:
         found = last_good.kept(Path(str(settings.state_folder)), f"{settings.path} group {settings.group}")
     except last_good.StateFault as err:
-        complain(str(err))
+        print_error(str(err))
         return None
     return found[1] if found else None
 
@@ -140,7 +140,7 @@
         if len(box.spellings) > 1
     ]
     if json_:
-        as_json(
+        print_json(
             {
                 "boxes": len(made.boxes),
                 "digest": made.digest,
@@ -151,14 +151,14 @@
         )
     else:
         for fault in reading.faults:
-            complain(str(fault))
+            print_error(str(fault))
         if reading.left_out:
-            complain(f"and {reading.left_out} more faults")
+            print_error(f"and {reading.left_out} more faults")
         for remark in remarks:
-            say(remark)
+            print_line(remark)
         if not reading.faults:
-            say(f"{len(made.boxes)} boxes, digest {made.digest}")
-    sys.exit(DIFFERS if reading.faults else 0)
+            print_line(f"{len(made.boxes)} boxes, digest {made.digest}")
+    sys.exit(ExitCode.DIFFERENCES if reading.faults else 0)
 
 
 @inventory.command("list")
@@ -175,11 +175,11 @@
         _folder(settings)
     made = _accepted(settings) if accepted else _snapshot(where)
     if made is None:
-        complain("nothing has been accepted so far")
-        sys.exit(NO_STATE)
+        print_error("nothing has been accepted so far")
+        sys.exit(ExitCode.NO_STATE)
     boxes = [made.boxes[name] for name in sorted(made.boxes)]
     if json_:
-        as_json(
+        print_json(
             [
                 {
                     "name": b.name,
@@ -194,14 +194,14 @@
             ]
         )
     else:
-        table(
+        print_table(
             f"{len(boxes)} boxes, digest {made.digest}",
             ("name", "at", "variables", "queues", "place"),
             (
                 (
                     b.name,
                     f"{b.host}:{b.port}",
-                    pairs({k: v for k, v in b.shown(schema).items() if v != ""}),
+                    format_pairs({k: v for k, v in b.shown(schema).items() if v != ""}),
                     ", ".join(str(item.get(schema.item_name, "")) for item in b.items),
                     b.places[0] if b.places else "",
                 )
@@ -216,8 +216,8 @@
     _folder(where.settings)
     found = _accepted(where.settings)
     if found is None:
-        complain("nothing has been accepted so far")
-        sys.exit(NO_STATE)
+        print_error("nothing has been accepted so far")
+        sys.exit(ExitCode.NO_STATE)
     return found
 
 
@@ -239,14 +239,14 @@
     found = snapshot.difference(one, two)
     objection = Acceptance(policy(where.settings), one).objection(0.0, two)
     if json_:
-        as_json({"old": one.digest, "new": two.digest, **found._asdict(), "held": objection})
+        print_json({"old": one.digest, "new": two.digest, **found._asdict(), "held": objection})
     else:
         for what, names in found._asdict().items():
             for name in names:
                 details = _details(where.schema, one, two, name) if what in ("moved", "changed") else ""
-                say(f"{what:<8} {name}{details}")
-        say(f"held back: {objection}" if objection else f"{sum(found.counts().values())} boxes differ")
-    sys.exit(DIFFERS if found else 0)
+                print_line(f"{what:<8} {name}{details}")
+        print_line(f"held back: {objection}" if objection else f"{sum(found.counts().values())} boxes differ")
+    sys.exit(ExitCode.DIFFERENCES if found else 0)
 
 
 def _details(schema: Schema, one: Snapshot, two: Snapshot, name: str) -> str:
@@ -276,21 +276,27 @@
     folder = _folder(load(file).inventory)
     entries, status = last_good.history(folder), last_good.status(folder)
     if json_:
-        return as_json({"history": entries, "status": status})
-    table(
+        return print_json({"history": entries, "status": status})
+    print_table(
         "accepted lists",
         ("at", "digest", "boxes", "change", "ground"),
         (
-            (_when(e.at), e.digest[:12], e.boxes, pairs({k: v for k, v in e.counts.items() if v}) or "none", e.ground)
+            (
+                _when(e.at),
+                e.digest[:12],
+                e.boxes,
+                format_pairs({k: v for k, v in e.counts.items() if v}) or "none",
+                e.ground,
+            )
             for e in entries
         ),
     )
     if status is None:
-        say("no host has said where it stands")
-        sys.exit(NO_STATE)
-    say(f"now: {status['phase']} since {_when(status['at'])}: {status['ground']}")
+        print_line("no host has said where it stands")
+        sys.exit(ExitCode.NO_STATE)
+    print_line(f"now: {status['phase']} since {_when(status['at'])}: {status['ground']}")
     for fault in status["faults"]:
-        say(fault)
+        print_line(fault)
     return None
 
 
@@ -336,24 +342,24 @@
     folder = _folder(settings)
     status = last_good.status(folder)
     if status is None:
-        complain("no host has said where it stands")
-        sys.exit(NO_STATE)
+        print_error("no host has said where it stands")
+        sys.exit(ExitCode.NO_STATE)
     if not digest and status["phase"] != Phase.HELD.value:
-        complain(f"nothing is held back: the list is {status['phase']} ({status['ground']})")
-        sys.exit(DIFFERS)
+        print_error(f"nothing is held back: the list is {status['phase']} ({status['ground']})")
+        sys.exit(ExitCode.DIFFERENCES)
     wanted = (digest or status["candidate"]).lower()
     if len(wanted) < ACCEPT_LEAST or any(c not in "0123456789abcdef" for c in wanted):
-        complain(f"a digest has at least {ACCEPT_LEAST} hex digits")
-        sys.exit(FAULTY)
+        print_error(f"a digest has at least {ACCEPT_LEAST} hex digits")
+        sys.exit(ExitCode.INVALID)
     last_good.accept(folder, wanted[:32])
-    say(f"told the host to accept {wanted}")
+    print_line(f"told the host to accept {wanted}")
     end = time.monotonic() + wait
     while wait and time.monotonic() < end:
         status = last_good.status(folder) or status
         if str(status["accepted"]).startswith(wanted):
-            return say(f"accepted: {status['boxes']} boxes")
+            return print_line(f"accepted: {status['boxes']} boxes")
         time.sleep(0.05)
     if wait:
-        complain("the host has not accepted it so far; is the list in the files still this one?")
-        sys.exit(DIFFERS)
+        print_error("the host has not accepted it so far; is the list in the files still this one?")
+        sys.exit(ExitCode.DIFFERENCES)
     return None
--- a/lapispick/cli/leases.py
+++ b/lapispick/cli/leases.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from lapispick.cli.members import fetch, fetch_json
-from lapispick.cli.ops import AT, NoAnswer, call, located
-from lapispick.cli.output import DIFFERS, FAULTY, NO_STATE, as_json, complain, say, table
+from lapispick.cli.ops import ADDRESS_OPTION, NoAnswerError, call, resolve_address
+from lapispick.cli.output import ExitCode, print_error, print_json, print_line, print_table
 from lapispick.host.members.reports import LeaseInfo
 
 RENEW_INTERVAL_S = 0.3  # the host drops requests that are not repeated within its setting ``keep``
@@ -40,55 +40,55 @@
 
 
 @leases.command("list")
-@AT
+@ADDRESS_OPTION
 @click.option("--json", "json_", is_flag=True, help="For programs.")
 def list_(at: str | None, json_: bool) -> None:
     """List the leases that are requested at a host, and those that it voted for."""
-    answer = fetch_json(located(at), "turns")
+    answer = fetch_json(resolve_address(at), "turns")
     if json_:
-        return as_json(msgspec.json.decode(answer))
+        return print_json(msgspec.json.decode(answer))
     rows = [
         [lease.slot, lease.owner, _describe(lease), f"{lease.remaining_s:.1f} s", " ".join(lease.waiting)]
         for lease in msgspec.json.decode(answer, type=list[LeaseInfo])
     ]
-    return table("leases", ["slot", "owner", "state", "expires in", "waiting"], rows)
+    return print_table("leases", ["slot", "owner", "state", "expires in", "waiting"], rows)
 
 
 @leases.command()
-@AT
+@ADDRESS_OPTION
 @LEASE_ARGUMENT
 def show(at: str | None, turn: str) -> None:
     """Show who holds a lease, as far as a host's vote tells. Ends with 1 where nobody does."""
     found = [
         each
-        for each in fetch(located(at), "turns", list[LeaseInfo])
+        for each in fetch(resolve_address(at), "turns", list[LeaseInfo])
         if each.slot.split("/")[0] == turn and (each.granted_to or each.fencing_token)
     ]
     for each in found:
         holder = each.granted_to or f"this host, for {each.owner}"
-        say(f"{each.slot}: {holder}, fencing token {each.fencing_token}, expires in {each.remaining_s:.1f} s")
+        print_line(f"{each.slot}: {holder}, fencing token {each.fencing_token}, expires in {each.remaining_s:.1f} s")
     if not found:
-        say(f"nobody holds {turn}, as far as this host's vote tells")
-        sys.exit(DIFFERS)
+        print_line(f"nobody holds {turn}, as far as this host's vote tells")
+        sys.exit(ExitCode.DIFFERENCES)
 
 
 @leases.command()
-@AT
+@ADDRESS_OPTION
 @LEASE_ARGUMENT
 @click.argument("owner")
 def release(at: str | None, turn: str, owner: str) -> None:
     """Release a lease that an owner at a host holds or waits for; from then on its fencing token is outdated."""
     try:
-        lines = call(located(at), f"done {turn} {owner}")
-    except NoAnswer as err:
-        complain(str(err))
-        sys.exit(NO_STATE)
-    say(lines[0])
-    sys.exit(0 if lines[0].startswith("OK") else DIFFERS)
+        lines = call(resolve_address(at), f"done {turn} {owner}")
+    except NoAnswerError as err:
+        print_error(str(err))
+        sys.exit(ExitCode.NO_STATE)
+    print_line(lines[0])
+    sys.exit(0 if lines[0].startswith("OK") else ExitCode.DIFFERENCES)
 
 
 @leases.command(context_settings={"ignore_unknown_options": True})
-@AT
+@ADDRESS_OPTION
 @click.option("--wait", default=600.0, show_default=True, help="Longest time to wait for the lease, in seconds.")
 @click.option("--priority", default=0, show_default=True, help="0 to 99; waiting compensates for it with time.")
 @LEASE_ARGUMENT
@@ -100,7 +100,7 @@
     off from the majority), the command is ended before another host can obtain the lease. Ends with the command's own
     status; with 1 where the lease was not obtained in time or was lost.
     """
-    sys.exit(_LeaseHolder(located(at), turn, priority, command).run(wait))
+    sys.exit(_LeaseHolder(resolve_address(at), turn, priority, command).run(wait))
 
 
 class _LeaseHolder:
@@ -121,24 +121,24 @@
         try:
             return self._run(time.monotonic() + wait_s, wait_s)
         except FileNotFoundError as err:
-            complain(str(err))
-            return FAULTY
+            print_error(str(err))
+            return ExitCode.INVALID
         finally:
             if self._child is not None and self._child.poll() is None:
                 _stop(self._child, self._expires_at)
-            with contextlib.suppress(NoAnswer):  # the host drops a request that is not repeated
+            with contextlib.suppress(NoAnswerError):  # the host drops a request that is not repeated
                 call(self._host, f"done {self._lease} {self._owner}")
 
     def _run(self, deadline: float, wait_s: float) -> int:
         while True:
             if (error := self._renew()) is not None:
-                complain(error)
-                return FAULTY
+                print_error(error)
+                return ExitCode.INVALID
             if self._child is None:
                 if time.monotonic() >= deadline:
                     reason = f": {self._last_failure}" if self._last_failure else ""
-                    complain(f"{self._lease} was not obtained within {wait_s:g} s{reason}")
-                    return DIFFERS
+                    print_error(f"{self._lease} was not obtained within {wait_s:g} s{reason}")
+                    return ExitCode.DIFFERENCES
                 time.sleep(RENEW_INTERVAL_S)
                 continue
             stop_at = self._expires_at - STOP_MARGIN_S
@@ -147,8 +147,8 @@
                 return status if status >= 0 else SIGNAL_EXIT_STATUS - status
             if time.monotonic() >= stop_at:
                 _stop(self._child, self._expires_at)
-                complain(f"{self._lease} was lost while the command ran; it was ended")
-                return DIFFERS
+                print_error(f"{self._lease} was lost while the command ran; it was ended")
+                return ExitCode.DIFFERENCES
 
     def _renew(self) -> str | None:
         """Request the lease once, and start the command when it is obtained. Returns an error of the request."""
@@ -157,7 +157,7 @@
             line = call(self._host, f"want {self._lease} {self._owner} {self._priority}", self._timeout(requested_at))[
                 0
             ]
-        except NoAnswer as err:
+        except NoAnswerError as err:
             self._last_failure = str(err)
             return None
         status, *words = line.split()
--- a/lapispick/cli/main.py
+++ b/lapispick/cli/main.py
@@ -10,7 +10,7 @@
 
 import click
 
-# Each has a module of its name in this package.
+# Each is defined in the module of its name in this package.
 COMMANDS = ("agent", "config", "demo", "inventory", "leases", "members", "model", "ops", "rollout", "shares", "trace")
 HIDDEN_ALIASES = {"turns": "leases"}  # an earlier name -> the command
 
@@ -22,13 +22,13 @@
         return "not installed"
 
 
-class _Spoken(click.Group):
-    """A group whose commands never end in silence, and which loads only the one that was asked for.
+class _LazyGroup(click.Group):
+    """A group that imports only the command that is run, and reports broken pipes of peers.
 
-    An agent is a process of this command line on every box: what other commands need must not stay in its memory.
+    An agent is a process of this command line on every host: what other commands import must not stay in its memory.
 
-    click ends without a word at a broken pipe, for it takes each for that of a reader who left. Only that of our own
-    output is one; any other is a peer that hung up, and people want to know.
+    At a broken pipe click ends without a message, as if the reader of the output had left. Where the output is not
+    broken, a peer closed its connection, which is reported as an error.
     """
 
     def list_commands(self, ctx: click.Context) -> list[str]:
@@ -39,8 +39,8 @@
         """Return a command."""
         name = HIDDEN_ALIASES.get(name, name)
         if name in COMMANDS:
-            found: click.Command = getattr(importlib.import_module(f"lapispick.cli.{name}"), name)
-            return found
+            command: click.Command = getattr(importlib.import_module(f"lapispick.cli.{name}"), name)
+            return command
         return super().get_command(ctx, name)
 
     def invoke(self, ctx: click.Context) -> Any:
@@ -48,22 +48,22 @@
         try:
             return super().invoke(ctx)
         except OSError as err:
-            if not isinstance(err, BrokenPipeError) or not _reader_left():
+            if not isinstance(err, BrokenPipeError) or not _output_is_broken():
                 raise click.ClickException(f"{ctx.invoked_subcommand}: {err}") from err
             raise
 
 
-def _reader_left() -> bool:
-    """Tell whether whoever read our output has gone; with an unbuffered one a flush would not say so."""
+def _output_is_broken() -> bool:
+    """Tell whether the reader of standard output has left; a flush would not show it where output is unbuffered."""
     poll = select.poll()
     try:
         poll.register(sys.stdout.fileno(), 0)
-    except (OSError, ValueError):  # no file of the system's
+    except (OSError, ValueError):  # standard output has no descriptor
         return False
     return bool(poll.poll(0))
 
 
-@click.group(cls=_Spoken, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110})
+@click.group(cls=_LazyGroup, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110})
 @click.version_option(_version(), prog_name="lapispick")
 def cli() -> None:
     """Overload control for dispatch servers: tools for operators.
@@ -79,9 +79,9 @@
     """Print the completion script for a shell, as in: eval "$(lapispick completion bash)"."""
     from click.shell_completion import get_completion_class
 
-    made = get_completion_class(shell)
-    assert made is not None
-    click.echo(made(cli, {}, "lapispick", "_LAPISPICK_COMPLETE").source())
+    completion_class = get_completion_class(shell)
+    assert completion_class is not None
+    click.echo(completion_class(cli, {}, "lapispick", "_LAPISPICK_COMPLETE").source())
 
 
 def main() -> None:
--- a/lapispick/cli/members.py
+++ b/lapispick/cli/members.py
@@ -11,8 +11,8 @@
 from rich.live import Live
 from rich.table import Table
 
-from lapispick.cli.ops import AT, NoAnswer, call, located
-from lapispick.cli.output import DIFFERS, NO_STATE, as_json, complain, say
+from lapispick.cli.ops import ADDRESS_OPTION, NoAnswerError, call, resolve_address
+from lapispick.cli.output import ExitCode, print_error, print_json, print_line
 from lapispick.host.members.reports import ChangesInfo, ViewInfo
 from lapispick.members.messages import Fact
 
@@ -26,12 +26,12 @@
     """Return the JSON that a host answers; ends the program if it answers none."""
     try:
         lines = call(at, request)
-    except NoAnswer as err:
-        complain(str(err))
-        sys.exit(NO_STATE)
+    except NoAnswerError as err:
+        print_error(str(err))
+        sys.exit(ExitCode.NO_STATE)
     if not lines[0].startswith("OK") or len(lines) < 2:
-        complain(lines[0].removeprefix("ERR "))
-        sys.exit(DIFFERS)
+        print_error(lines[0].removeprefix("ERR "))
+        sys.exit(ExitCode.DIFFERENCES)
     return lines[1].encode()
 
 
@@ -77,27 +77,27 @@
 
 
 @members.command()
-@AT
+@ADDRESS_OPTION
 @click.option("--json", "json_", is_flag=True, help="For programs.")
 def show(at: str | None, json_: bool) -> None:
     """Show who is alive, suspect, dead or left. Ends with 1 where the host sees no quorum."""
     from rich.console import Console
 
-    answer = fetch_json(located(at), "members")
+    answer = fetch_json(resolve_address(at), "members")
     view = msgspec.json.decode(answer, type=ViewInfo)
     if json_:
-        as_json(msgspec.json.decode(answer))
+        print_json(msgspec.json.decode(answer))
     else:
         Console().print(_table(view))
-    sys.exit(0 if view.has_quorum else DIFFERS)
+    sys.exit(0 if view.has_quorum else ExitCode.DIFFERENCES)
 
 
 @members.command()
-@AT
+@ADDRESS_OPTION
 @click.option("--seconds", type=float, help="How long; by default until it is interrupted.")
 def watch(at: str | None, seconds: float | None) -> None:
     """Show the members live."""
-    host = located(at)
+    host = resolve_address(at)
     end = time.monotonic() + (seconds or float("inf"))
     with Live(_table(fetch(host, "members", ViewInfo)), refresh_per_second=2) as live:
         while time.monotonic() < end:
@@ -106,16 +106,16 @@
 
 
 @members.command()
-@AT
+@ADDRESS_OPTION
 @click.argument("name")
 @click.option("--json", "json_", is_flag=True, help="For programs.")
 def why(at: str | None, name: str, json_: bool) -> None:
     """Show a member's last changes of state, each with its reason."""
-    answer = fetch_json(located(at), f"why {name}")
+    answer = fetch_json(resolve_address(at), f"why {name}")
     if json_:
-        return as_json(msgspec.json.decode(answer))
+        return print_json(msgspec.json.decode(answer))
     report = msgspec.json.decode(answer, type=ChangesInfo)
-    say(f"{report.name} is {report.state}" + ("" if report.changes else "; nothing has changed since the start"))
+    print_line(f"{report.name} is {report.state}" + ("" if report.changes else "; nothing has changed since the start"))
     for change in report.changes:
-        say(f"  {time.strftime('%H:%M:%S', time.localtime(change.time))}  {change.state:<8} {change.reason}")
+        print_line(f"  {time.strftime('%H:%M:%S', time.localtime(change.time))}  {change.state:<8} {change.reason}")
     return None
--- a/lapispick/cli/model.py
+++ b/lapispick/cli/model.py
@@ -8,7 +8,7 @@
 import click
 import msgspec
 
-from lapispick.cli.output import DIFFERS, FAULTY, as_json, complain, say, table
+from lapispick.cli.output import ExitCode, print_error, print_json, print_line, print_table
 
 
 @click.group()
@@ -49,8 +49,8 @@
     try:
         fault_script.parse(text)
     except fault_script.FaultScriptError as err:
-        complain(f"{path}: {err}")
-        sys.exit(FAULTY)
+        print_error(f"{path}: {err}")
+        sys.exit(ExitCode.INVALID)
     return text
 
 
@@ -67,9 +67,9 @@
     settings = runs.RunSettings(size, seconds, loss, seed, _script_text(script), lease_requesters)
     metrics = runs.simulate(settings)
     if json_:
-        return as_json(metrics)
+        return print_json(metrics)
     for name, value in msgspec.to_builtins(metrics).items():
-        say(f"{name:<24} {value if not isinstance(value, float) else round(value, 4)}")
+        print_line(f"{name:<24} {value if not isinstance(value, float) else round(value, 4)}")
 
 
 @model.command()
@@ -94,18 +94,18 @@
     try:
         cluster_sizes = [int(size) for size in sizes.split(",")]
     except ValueError:
-        complain(f"--sizes {sizes}: takes numbers with commas between")
-        sys.exit(FAULTY)
+        print_error(f"--sizes {sizes}: takes numbers with commas between")
+        sys.exit(ExitCode.INVALID)
     rows = [
         runs.simulate(runs.RunSettings(size, seconds, loss, seed, text, lease_requesters)) for size in cluster_sizes
     ]
     if save is not None:
         save.write_bytes(msgspec.json.encode(rows))
     if json_:
-        return as_json(rows)
+        return print_json(rows)
     cells = [msgspec.to_builtins(row) for row in rows]
     columns = list(cells[0])
-    return table("runs", columns, [[f"{row[column]:.4g}" for column in columns] for row in cells])
+    return print_table("runs", columns, [[f"{row[column]:.4g}" for column in columns] for row in cells])
 
 
 @model.command("check")
@@ -119,14 +119,14 @@
     selected = [FORMER_NAMES.get(name, name) for name in names] or list(PROPERTIES)
     for name in selected:
         if name not in PROPERTIES:
-            complain(f"no property {name}; there are {', '.join(PROPERTIES)}")
-            sys.exit(FAULTY)
+            print_error(f"no property {name}; there are {', '.join(PROPERTIES)}")
+            sys.exit(ExitCode.INVALID)
     violations = check(selected, range(first, first + seeds))
     for violation in violations:
-        complain(f"{violation.name}, seed {violation.seed}: {violation.observed}")
+        print_error(f"{violation.name}, seed {violation.seed}: {violation.observed}")
     if violations:
-        sys.exit(DIFFERS)
-    say(f"{len(selected)} properties hold by {seeds} seeds each")
+        sys.exit(ExitCode.DIFFERENCES)
+    print_line(f"{len(selected)} properties hold by {seeds} seeds each")
 
 
 @model.command()
@@ -139,6 +139,6 @@
     try:
         metrics = msgspec.json.decode(rows.read_bytes(), type=list[runs.RunMetrics])
     except msgspec.MsgspecError as err:
-        complain(f"{rows}: {err}")
-        sys.exit(FAULTY)
+        print_error(f"{rows}: {err}")
+        sys.exit(ExitCode.INVALID)
     runs.plot(metrics, str(picture))
--- a/lapispick/cli/ops.py
+++ b/lapispick/cli/ops.py
@@ -10,73 +10,90 @@
 import click
 import msgspec
 
-from lapispick.cli.output import DIFFERS, FAULTY, NO_STATE, as_json, complain, say
+from lapispick.cli.output import ExitCode, print_error, print_json, print_line
 from lapispick.host.scheduler import address
 
-TIMEOUT_S = 2.0  # s; an answer is due within 1 s
-LOOK_S = 0.05  # s; between two looks of ``wait``
-MOST = 64 * 1024  # bytes of an answer
+CALL_TIMEOUT_S = 2.0  # an answer is due within 1 s
+POLL_INTERVAL_S = 0.05  # of ``wait``
+MAX_ANSWER_BYTES = 64 * 1024
+RECEIVE_BYTES = 4096
+MIN_SOCKET_TIMEOUT_S = 0.001  # 0 would make the socket non-blocking
+METRIC_KINDS = ("c", "g")
+METRIC_PREFIX = "app."
+OK = "OK"
 
 
-class NoAnswer(Exception):
-    """Nobody answered, or what came is no answer."""
+class NoAnswerError(Exception):
+    """Nobody answered at the operators' address, or what came is no answer."""
 
 
-def call(at: tuple[str, int], word: str, timeout: float = TIMEOUT_S) -> list[str]:
-    """Make one call and return the lines of the answer; raises ``NoAnswer``."""
-    until, got = time.monotonic() + timeout, bytearray()
+def call(at: tuple[str, int], line: str, timeout: float = CALL_TIMEOUT_S) -> list[str]:
+    """Make one call and return the lines of the answer; raises ``NoAnswerError``."""
     try:
-        with socket.create_connection(at, timeout=timeout) as sock:
-            sock.sendall(f"{word}\n".encode())
-            while len(got) < MOST:
-                sock.settimeout(max(0.001, until - time.monotonic()))
-                if not (data := sock.recv(4096)):
-                    break
-                got += data
+        answer = _exchange(at, line, time.monotonic() + timeout, timeout)
     except OSError as err:
-        raise NoAnswer(f"{at[0]}:{at[1]}: {err}") from None
-    lines = got.decode(errors="replace").splitlines()
-    if not lines or not got.endswith(b"\n"):
-        raise NoAnswer(f"{at[0]}:{at[1]}: the answer is not whole")
+        raise NoAnswerError(f"{at[0]}:{at[1]}: {err}") from None
+    lines = answer.decode(errors="replace").splitlines()
+    if not lines or not answer.endswith(b"\n"):
+        raise NoAnswerError(f"{at[0]}:{at[1]}: the answer is not whole")
     return lines
 
 
-def figures(lines: list[str]) -> dict[str, int]:
-    """Read the answer to ``vars``; raises ``NoAnswer``."""
+def _exchange(at: tuple[str, int], line: str, deadline: float, timeout: float) -> bytearray:
+    """Send a line and read until the other side closes, the answer is too long or the deadline has passed."""
+    answer = bytearray()
+    with socket.create_connection(at, timeout=timeout) as sock:
+        sock.sendall(f"{line}\n".encode())
+        while len(answer) < MAX_ANSWER_BYTES:
+            sock.settimeout(max(MIN_SOCKET_TIMEOUT_S, deadline - time.monotonic()))
+            data = sock.recv(RECEIVE_BYTES)
+            if not data:
+                break
+            answer += data
+    return answer
+
+
+def parse_metrics(lines: list[str]) -> dict[str, int]:
+    """Read the answer to ``vars``; raises ``NoAnswerError``."""
     if lines[-1] != "END":
-        raise NoAnswer("the figures have no END")
-    found = {}
+        raise NoAnswerError("the figures have no END")
+    metrics = {}
     for line in lines[:-1]:
         name, _, value = line.partition(":")
         number, _, kind = value.partition("|")
-        if not number.isdecimal() or kind not in ("c", "g"):
-            raise NoAnswer(f"{line!r} is no figure")
-        found[name.removeprefix("app.")] = int(number)
-    return found
+        if not number.isdecimal() or kind not in METRIC_KINDS:
+            raise NoAnswerError(f"{line!r} is no figure")
+        metrics[name.removeprefix(METRIC_PREFIX)] = int(number)
+    return metrics
 
 
-class _Told(msgspec.Struct):
+class _StartSettings(msgspec.Struct):
+    """The part of the start settings that is read here."""
+
     ops: str = ""
 
 
-def located(told: str | None) -> tuple[str, int]:
+def resolve_address(option: str | None) -> tuple[str, int]:
     """Return the address that was named, else that of the environment; ends the program where there is none."""
-    text = told or os.environ.get("LB_OPS", "")
-    if not text and (path := os.environ.get("LB_CONFIG")):
+    text = option or os.environ.get("LB_OPS", "")
+    path = os.environ.get("LB_CONFIG")
+    if not text and path:
         try:
             with open(path, "rb") as file:
-                text = msgspec.json.decode(file.read(), type=_Told).ops
+                text = msgspec.json.decode(file.read(), type=_StartSettings).ops
         except (OSError, msgspec.DecodeError) as err:
-            complain(f"{path}: {err}")
-            sys.exit(FAULTY)
+            print_error(f"{path}: {err}")
+            sys.exit(ExitCode.INVALID)
     try:
         return address(text)
     except ValueError as err:
-        complain(f"no operators' address (--at, LB_OPS or ops in LB_CONFIG): {err}")
-        sys.exit(FAULTY)
+        print_error(f"no operators' address (--at, LB_OPS or ops in LB_CONFIG): {err}")
+        sys.exit(ExitCode.INVALID)
 
 
-AT = click.option("--at", metavar="IP:PORT", help="The operators' address; by default that of LB_OPS or LB_CONFIG.")
+ADDRESS_OPTION = click.option(
+    "--at", metavar="IP:PORT", help="The operators' address; by default that of LB_OPS or LB_CONFIG."
+)
 
 
 @click.group()
@@ -84,62 +101,68 @@
     """Call a running worker host at its operators' address."""
 
 
-def _simple(word: str, doc: str) -> click.Command:
-    @click.command(word, help=doc)
-    @AT
+def _plain_command(name: str, help_text: str) -> click.Command:
+    """Return a command that makes the call of its name and prints the answer."""
+
+    @click.command(name, help=help_text)
+    @ADDRESS_OPTION
     def command(at: str | None) -> None:
         try:
-            lines = call(located(at), word)
-        except NoAnswer as err:
-            complain(str(err))
-            sys.exit(NO_STATE)
+            lines = call(resolve_address(at), name)
+        except NoAnswerError as err:
+            print_error(str(err))
+            sys.exit(ExitCode.NO_STATE)
         for line in lines:
-            say(line)
-        sys.exit(0 if lines[0].startswith("OK") else DIFFERS)
+            print_line(line)
+        sys.exit(0 if lines[0].startswith(OK) else ExitCode.DIFFERENCES)
 
     return command
 
 
-for _word, _doc in (
-    ("check", "Tell whether the process takes clients."),
-    ("drain-on", "Send clients away; what still comes is answered as always."),
-    ("drain-off", "End the drain."),
-):
-    ops.add_command(_simple(_word, _doc))
+PLAIN_COMMANDS = {
+    "check": "Tell whether the process takes clients.",
+    "drain-on": "Send clients away; what still comes is answered as always.",
+    "drain-off": "End the drain.",
+}
+for _name, _help_text in PLAIN_COMMANDS.items():
+    ops.add_command(_plain_command(_name, _help_text))
 
 
 @ops.command("vars")
-@AT
+@ADDRESS_OPTION
 @click.option("--json", "json_", is_flag=True, help="For programs.")
-def vars_(at: str | None, json_: bool) -> None:
+def print_metrics(at: str | None, json_: bool) -> None:
     """Print the figures."""
     try:
-        lines = call(located(at), "vars")
-        found = figures(lines)
-    except NoAnswer as err:
-        complain(str(err))
-        sys.exit(NO_STATE)
+        metrics = parse_metrics(call(resolve_address(at), "vars"))
+    except NoAnswerError as err:
+        print_error(str(err))
+        sys.exit(ExitCode.NO_STATE)
     if json_:
-        return as_json(found)
-    width = max(map(len, found))
-    for name, value in found.items():
-        say(f"{name:<{width}}  {value}")
+        print_json(metrics)
+        return
+    width = max(map(len, metrics))
+    for name, value in metrics.items():
+        print_line(f"{name:<{width}}  {value}")
 
 
 @ops.command()
-@AT
+@ADDRESS_OPTION
 @click.option("--seconds", default=6.0, show_default=True, help="How long to wait at most.")
 def wait(at: str | None, seconds: float) -> None:
     """Wait until a process that was started takes clients, as an upgrade does before the old one is told to leave."""
-    where, end, last = located(at), time.monotonic() + seconds, "nobody answered"
-    began = time.monotonic()
-    while time.monotonic() < end:
+    host_address = resolve_address(at)
+    started_at = time.monotonic()
+    last_answer = "nobody answered"
+    while time.monotonic() < started_at + seconds:
         try:
-            last = call(where, "check")[0]
-            if last.startswith("OK"):
-                return say(f"yes after {time.monotonic() - began:.2f} s")
-        except NoAnswer as err:
-            last = str(err)
-        time.sleep(LOOK_S)
-    complain(f"not within {seconds:g} s: {last}")
-    sys.exit(DIFFERS)
+            last_answer = call(host_address, "check")[0]
+        except NoAnswerError as err:
+            last_answer = str(err)
+        else:
+            if last_answer.startswith(OK):
+                print_line(f"yes after {time.monotonic() - started_at:.2f} s")
+                return
+        time.sleep(POLL_INTERVAL_S)
+    print_error(f"not within {seconds:g} s: {last_answer}")
+    sys.exit(ExitCode.DIFFERENCES)
--- a/lapispick/cli/rollout.py
+++ b/lapispick/cli/rollout.py
@@ -13,7 +13,7 @@
 from lapispick.agent.rollout_store import RolloutStore
 from lapispick.cli import rollout_show
 from lapispick.cli.config import FILE
-from lapispick.cli.output import DIFFERS, FAULTY, as_json, complain, say, table
+from lapispick.cli.output import ExitCode, print_error, print_json, print_line, print_table
 from lapispick.cli.rollout_common import (
     CONTROLLER_TIMEOUT_S,
     JSON_OPTION,
@@ -61,12 +61,12 @@
     """Show the stages of the plan."""
     fleet = read_fleet(file, name)
     for fault in fleet.faults:
-        complain(fault)
+        print_error(fault)
     if json_:
-        as_json({"stages": fleet.stages, "remarks": fleet.remarks, "faults": fleet.faults})
+        print_json({"stages": fleet.stages, "remarks": fleet.remarks, "faults": fleet.faults})
     else:
         _show_stages(fleet)
-    sys.exit(FAULTY if fleet.faults else 0)
+    sys.exit(ExitCode.INVALID if fleet.faults else 0)
 
 
 def _show_stages(fleet: Fleet) -> None:
@@ -78,9 +78,9 @@
         more = " ..." if len(stage) > MAX_SHOWN_HOSTS else ""
         rows.append((number, len(stage), stage_kinds, names + more))
     title = f"{len(fleet.workers)} hosts in {len(fleet.stages)} stages"
-    table(title, ("stage", "hosts", "of", "names"), rows)
+    print_table(title, ("stage", "hosts", "of", "names"), rows)
     for remark in fleet.remarks:
-        say(remark)
+        print_line(remark)
 
 
 @rollout.command()
@@ -103,15 +103,15 @@
         except InvalidGenerationError as err:
             faults.append(str(err))
     if json_:
-        as_json({"generation": candidate.digest, "faults": faults, "remarks": fleet.remarks})
+        print_json({"generation": candidate.digest, "faults": faults, "remarks": fleet.remarks})
     else:
         for fault in faults:
-            complain(fault)
+            print_error(fault)
         for remark in fleet.remarks:
-            say(remark)
+            print_line(remark)
         if candidate.digest:
-            say(f"generation {candidate.digest}")
-    sys.exit(FAULTY if faults else 0)
+            print_line(f"generation {candidate.digest}")
+    sys.exit(ExitCode.INVALID if faults else 0)
 
 
 @rollout.command()
@@ -133,7 +133,7 @@
     fleet = read_fleet(file, name)
     faults = [*fleet.faults, *candidate.faults, *agent_objections(fleet, candidate)]
     if faults or not fleet.workers:
-        fail(FAULTY, *(faults or ["the list holds no worker hosts"]))
+        fail(ExitCode.INVALID, *(faults or ["the list holds no worker hosts"]))
     state = RolloutState(name, make_plan(fleet, candidate.digest, memory_mb))
     run_controller(store, state, fleet, memory_mb)
 
@@ -144,9 +144,9 @@
     name = name or f"r{len(records) + 1}"
     unfinished = next((record.name for record in records if not record.state.is_over), None)
     if unfinished is not None:
-        fail(DIFFERS, f"rollout {unfinished} is not over: resume it, or call it back")
+        fail(ExitCode.DIFFERENCES, f"rollout {unfinished} is not over: resume it, or call it back")
     if any(record.name == name for record in records):
-        fail(DIFFERS, f"there was a rollout {name} before")
+        fail(ExitCode.DIFFERENCES, f"there was a rollout {name} before")
     return name
 
 
@@ -172,9 +172,9 @@
         state = get_open_rollout(store, name)
         store.add_order(state.name, order.value)
         if time.time() - store.leadership().seen_at > CONTROLLER_TIMEOUT_S:
-            say(f"{state.name}: {order} is stored, but no controller runs: lapispick rollout resume")
+            print_line(f"{state.name}: {order} is stored, but no controller runs: lapispick rollout resume")
         else:
-            say(f"{state.name}: told the controller: {order}")
+            print_line(f"{state.name}: told the controller: {order}")
 
     return command
 
--- a/lapispick/cli/rollout_common.py
+++ b/lapispick/cli/rollout_common.py
@@ -11,7 +11,7 @@
 from lapispick.agent.errors import RolloutStoreError
 from lapispick.agent.rollout_store import RolloutStore
 from lapispick.cli.config import load
-from lapispick.cli.output import DIFFERS, FAULTY, NO_STATE, complain
+from lapispick.cli.output import ExitCode, print_error
 from lapispick.rollout.rollout_state import RolloutState
 
 JSON_OPTION = click.option("--json", "json_", is_flag=True, help="For programs.")
@@ -22,7 +22,7 @@
 def fail(code: int, *messages: str) -> NoReturn:
     """Print messages and end the command with an exit code."""
     for message in messages:
-        complain(message)
+        print_error(message)
     sys.exit(code)
 
 
@@ -30,18 +30,18 @@
     """Open the store that the settings name, or end the command."""
     settings = load(settings_file).rollout
     if settings.state_folder is None:
-        fail(FAULTY, "no state-folder in section rollout of the settings")
+        fail(ExitCode.INVALID, "no state-folder in section rollout of the settings")
     try:
         return RolloutStore(Path(str(settings.state_folder)))
     except (RolloutStoreError, OSError) as err:
-        fail(FAULTY, str(err))
+        fail(ExitCode.INVALID, str(err))
 
 
 def get_rollout(store: RolloutStore, name: str) -> RolloutState:
     """Return a rollout, by default the newest, or end the command."""
     state = store.get(name)
     if state is None:
-        fail(NO_STATE, f"there is no rollout {name}".rstrip())
+        fail(ExitCode.NO_STATE, f"there is no rollout {name}".rstrip())
     return state
 
 
@@ -49,5 +49,5 @@
     """Return a rollout that is not over, by default the newest, or end the command."""
     state = get_rollout(store, name)
     if state.is_over:
-        fail(DIFFERS, f"rollout {state.name} is over: {state.phase}")
+        fail(ExitCode.DIFFERENCES, f"rollout {state.name} is over: {state.phase}")
     return state
--- a/lapispick/cli/rollout_control.py
+++ b/lapispick/cli/rollout_control.py
@@ -9,7 +9,7 @@
 from lapispick.agent.controller import Controller, ControllerOptions
 from lapispick.agent.rollout_store import RolloutStore
 from lapispick.cli.inventory import Files
-from lapispick.cli.output import DIFFERS, NO_STATE, say
+from lapispick.cli.output import ExitCode, print_line
 from lapispick.cli.rollout_common import fail
 from lapispick.cli.rollout_planning import Fleet
 from lapispick.fleet import hosts, snapshot
@@ -48,9 +48,9 @@
     controller = Controller(store, state, fleet.workers, options, ListReader(fleet).accepted_workers)
     ended = controller.run()
     if controller.ended_reason:
-        fail(NO_STATE, f"another controller is in charge, or this one failed: {controller.ended_reason}")
-    say(f"{ended.name}: {ended.phase}: {ended.reason}")
-    sys.exit(0 if ended.phase == Phase.DONE else DIFFERS)
+        fail(ExitCode.NO_STATE, f"another controller is in charge, or this one failed: {controller.ended_reason}")
+    print_line(f"{ended.name}: {ended.phase}: {ended.reason}")
+    sys.exit(0 if ended.phase == Phase.DONE else ExitCode.DIFFERENCES)
 
 
 def _controller_options(state: RolloutState, fleet: Fleet, default_memory_limit_mb: float) -> ControllerOptions:
--- a/lapispick/cli/rollout_planning.py
+++ b/lapispick/cli/rollout_planning.py
@@ -13,7 +13,7 @@
 from lapispick.agent.errors import InvalidGenerationError
 from lapispick.cli.config import load
 from lapispick.cli.inventory import Files, source
-from lapispick.cli.output import FAULTY
+from lapispick.cli.output import ExitCode
 from lapispick.cli.rollout_common import fail
 from lapispick.conf.settings import Rollout as Settings
 from lapispick.fleet import hosts
@@ -77,7 +77,7 @@
     """Return the fleet of the settings with the stages that a rollout of this name has."""
     settings = load(settings_file)
     if not settings.fleet.group:
-        fail(FAULTY, "no group in section fleet of the settings")
+        fail(ExitCode.INVALID, "no group in section fleet of the settings")
     list_source = source(settings_file, None, settings.fleet.group)
     reading = Files(list_source).read()
     faults = [str(fault) for fault in reading.faults]
@@ -135,9 +135,9 @@
 
 
 def _agent_status(worker: Worker) -> messages.Status | None:
-    from lapispick.cli.ops import NoAnswer, call
+    from lapispick.cli.ops import NoAnswerError, call
 
     try:
         return messages.decode_status(call(line_client.parse_address(worker.agent), "status"))
-    except (NoAnswer, ValueError):
+    except (NoAnswerError, ValueError):
         return None
--- a/lapispick/cli/rollout_show.py
+++ b/lapispick/cli/rollout_show.py
@@ -16,7 +16,7 @@
 from lapispick.agent.rollout_records import MetricExplanation, RolloutRecord
 from lapispick.agent.rollout_store import RolloutStore
 from lapispick.cli.config import FILE
-from lapispick.cli.output import DIFFERS, NO_STATE, as_json, say, table
+from lapispick.cli.output import ExitCode, print_json, print_line, print_table
 from lapispick.cli.rollout_common import (
     CONTROLLER_TIMEOUT_S,
     JSON_OPTION,
@@ -68,14 +68,14 @@
     state = get_rollout(store, name)
     summary = _summary(store, state)
     if json_:
-        as_json(summary)
+        print_json(summary)
     else:
         for key, value in summary.items():
             if key != "boxes":
-                say(f"{key:<11} {value}")
+                print_line(f"{key:<11} {value}")
         if summary["seen_s_ago"] > CONTROLLER_TIMEOUT_S and not state.is_over:
-            say("no controller runs: lapispick rollout resume")
-    sys.exit(DIFFERS if state.phase in (Phase.ROLLED_BACK, Phase.AWAITING_DECISION) else 0)
+            print_line("no controller runs: lapispick rollout resume")
+    sys.exit(ExitCode.DIFFERENCES if state.phase in (Phase.ROLLED_BACK, Phase.AWAITING_DECISION) else 0)
 
 
 @click.command()
@@ -126,15 +126,15 @@
 def _show_events(store: RolloutStore, state: RolloutState, json_: bool) -> None:
     events = store.events(state.name)
     if json_:
-        as_json([event._asdict() for event in events])
+        print_json([event._asdict() for event in events])
         return
     for event in events:
-        say(f"{_local_time(event.at)}  {event.text}")
+        print_line(f"{_local_time(event.at)}  {event.text}")
 
 
 def _show_rollouts(records: list[RolloutRecord], json_: bool) -> None:
     if json_:
-        as_json([_record_json(record) for record in records])
+        print_json([_record_json(record) for record in records])
         return
     rows = (
         (
@@ -146,7 +146,7 @@
         )
         for record in records
     )
-    table("rollouts", ("name", "began", "generation", "phase", "reason"), rows)
+    print_table("rollouts", ("name", "began", "generation", "phase", "reason"), rows)
 
 
 def _record_json(record: RolloutRecord) -> dict[str, Any]:
@@ -170,16 +170,16 @@
     state = get_rollout(store, name)
     stored = store.explanation(state.name)
     if stored is None:
-        fail(NO_STATE, f"{state.name}: there is no canary analysis yet")
+        fail(ExitCode.NO_STATE, f"{state.name}: there is no canary analysis yet")
     explanation = stored.explanation
     if json_:
-        as_json({"at": stored.at, **msgspec.to_builtins(explanation)})
+        print_json({"at": stored.at, **msgspec.to_builtins(explanation)})
         return
-    say(f"{state.name} stage {explanation.stage}: {explanation.outcome}: {explanation.reason}")
+    print_line(f"{state.name} stage {explanation.stage}: {explanation.outcome}: {explanation.reason}")
     changed = " ".join(explanation.changed) or "none warm"
     unchanged = " ".join(explanation.unchanged) or "none"
-    say(f"changed: {changed}; compared with: {unchanged}")
-    table(
+    print_line(f"changed: {changed}; compared with: {unchanged}")
+    print_table(
         "metrics, more is worse",
         ("metric", "slices", "worse by", "between", "margin", "evidence", "needed", "cleared", "unchanged hosts"),
         (_metric_row(metric) for metric in explanation.metrics),
--- a/lapispick/cli/shares.py
+++ b/lapispick/cli/shares.py
@@ -11,7 +11,7 @@
 
 from lapispick.cli.config import FILE, load
 from lapispick.cli.inventory import ANY, Files, Source, source
-from lapispick.cli.output import DIFFERS, FAULTY, as_json, complain, say, table
+from lapispick.cli.output import ExitCode, print_error, print_json, print_line, print_table
 from lapispick.fleet import hosts as worker_hosts
 from lapispick.fleet.host_assembly import Box
 from lapispick.shares import load_fractions, subsets
@@ -47,16 +47,16 @@
     reading = Files(files).read()
     if reading.faults:
         for fault in reading.faults:
-            complain(str(fault))
-        sys.exit(DIFFERS)
+            print_error(str(fault))
+        sys.exit(ExitCode.DIFFERENCES)
     return list(reading.boxes.values())
 
 
 def _worker_hosts(conf: Path | None, path: Path | None = None) -> list[Host]:
     group = load(conf).fleet.group
     if not group:
-        complain("no group in section fleet of the settings")
-        sys.exit(FAULTY)
+        print_error("no group in section fleet of the settings")
+        sys.exit(ExitCode.INVALID)
     workers, _ = worker_hosts.workers(_read_hosts(source(conf, path, group)))
     return [Host(worker.name, worker.zone, worker.weight) for worker in workers]
 
@@ -69,8 +69,8 @@
 def _require_known(name: str, hosts: Sequence[Host]) -> None:
     """End the program where no host has this name."""
     if name not in {host.name for host in hosts}:
-        complain(f"{name} is no worker host of the list")
-        sys.exit(FAULTY)
+        print_error(f"{name} is no worker host of the list")
+        sys.exit(ExitCode.INVALID)
 
 
 def _host_counts(backends: Sequence[Backend], assignment: Assignment) -> list[int]:
@@ -88,7 +88,7 @@
     fractions = load_fractions.load_fractions(hosts, backends, assignment)
     loads = load_fractions.backend_loads(hosts, fractions)
     if json_:
-        as_json({"hosts": fractions, "loads": loads})
+        print_json({"hosts": fractions, "loads": loads})
         return
     _print_fractions(fractions)
     _print_loads(backends, _host_counts(backends, assignment), loads)
@@ -98,7 +98,7 @@
     rows = []
     for host, row in fractions.items():
         rows.append([host, " ".join(f"{backend}:{fraction:.0%}" for backend, fraction in row.items())])
-    table("hosts", ["host", "backends"], rows)
+    print_table("hosts", ["host", "backends"], rows)
 
 
 def _print_loads(backends: Sequence[Backend], host_counts: Sequence[int], loads: dict[str, float]) -> None:
@@ -106,7 +106,7 @@
     rows = []
     for backend, host_count in zip(backends, host_counts, strict=True):
         rows.append([backend.name, host_count, f"{loads.get(backend.name, 0.0) / mean:.2f}"])
-    table("backends", ["backend", "hosts", "load over the mean"], rows)
+    print_table("backends", ["backend", "hosts", "load over the mean"], rows)
 
 
 @shares.command()
@@ -120,9 +120,9 @@
     ranks = subsets.explain_assignment(name, hosts, backends, min_hosts)
     if json_:
         rows = [{"backend": rank.backend, "place": rank.place, "needs": rank.required_hosts} for rank in ranks]
-        as_json({"name": name, "backends": rows})
+        print_json({"name": name, "backends": rows})
         return
-    table(name, ["backend", "place in its order", "hosts that it needs"], ranks)
+    print_table(name, ["backend", "place in its order", "hosts that it needs"], ranks)
 
 
 @shares.command("what-if")
@@ -147,8 +147,8 @@
 ) -> None:
     """Say before a change of the fleet what would move: which hosts would let go of backends, and which take them."""
     if sum((bool(without), host_count is not None, other_list is not None)) != 1:
-        complain("name one of --without, --boxes, --list")
-        sys.exit(FAULTY)
+        print_error("name one of --without, --boxes, --list")
+        sys.exit(ExitCode.INVALID)
     hosts = _worker_hosts(file)
     backends = _backends(file, backends_path, group)
     for name in without:
@@ -167,11 +167,11 @@
         _print_change_json(change, len(new_hosts), fewest_hosts)
         return
     new_pair_count = sum(map(len, new.values()))
-    say(
+    print_line(
         f"{len(hosts)} hosts become {len(new_hosts)}: {len(change.added)} of {new_pair_count} pairs begin, "
         f"{len(change.removed)} end; {change.min_added} had to. Hosts of a backend: {fewest_hosts} at least"
     )
-    table("begin", ["host", "backend"], change.added)
+    print_table("begin", ["host", "backend"], change.added)
 
 
 def _resized(hosts: Sequence[Host], host_count: int) -> list[Host]:
@@ -185,7 +185,7 @@
 
 
 def _print_change_json(change: AssignmentChange, host_count: int, fewest_hosts: int) -> None:
-    as_json(
+    print_json(
         {
             "hosts": host_count,
             "least": fewest_hosts,
--- a/lapispick/cli/trace.py
+++ b/lapispick/cli/trace.py
@@ -9,7 +9,7 @@
 import click
 import msgspec
 
-from lapispick.cli.output import DIFFERS, as_json, say, table
+from lapispick.cli.output import ExitCode, print_json, print_line, print_table
 from lapispick.cli.trace_common import JSON, PATHS, SINCE, UNTIL, bar, blocks, fail, lives, readers, steps, when
 from lapispick.cli.trace_compare import diff, plot, replay
 from lapispick.cli.trace_write import anonymise, convert, cut, merge, repair
@@ -56,9 +56,9 @@
     """Say what the files hold."""
     told = [_told(r) for r in readers(paths)]
     if json_:
-        return as_json(told)
+        return print_json(told)
     keys = ("file", "box", "sequence", "made", "bytes", "blocks", "steps", "first", "last", "indexed", "module")
-    return table(f"{len(told)} files", keys, ((t[k] for k in keys) for t in told))
+    return print_table(f"{len(told)} files", keys, ((t[k] for k in keys) for t in told))
 
 
 @trace.command()
@@ -82,10 +82,10 @@
                 tell(reader.read_bytes - before)
             found.append({"file": str(reader.path), "faults": faults})
     if json_:
-        as_json(found)
+        print_json(found)
     for each in found if not json_ else ():
-        say(f"{each['file']}: {'; '.join(each['faults']) or 'whole'}")
-    sys.exit(DIFFERS if any(each["faults"] for each in found) else 0)
+        print_line(f"{each['file']}: {'; '.join(each['faults']) or 'whole'}")
+    sys.exit(ExitCode.DIFFERENCES if any(each["faults"] for each in found) else 0)
 
 
 @trace.command()
@@ -114,7 +114,7 @@
     )
     unknown = [box for box, clock in found.items() if isinstance(clock, Unknown)]
     if json_:
-        as_json(
+        print_json(
             {
                 "reference": reference,
                 "clocks": {
@@ -124,7 +124,7 @@
             }
         )
     else:
-        table(
+        print_table(
             f"clocks against {reference}",
             ("box", "ahead, ms", "gains, ms a s", "within, ms", "pairs", ""),
             (
@@ -141,7 +141,7 @@
                 for box, c in found.items()
             ),
         )
-    sys.exit(DIFFERS if unknown else 0)
+    sys.exit(ExitCode.DIFFERENCES if unknown else 0)
 
 
 COLUMNS = ("", "requests", "tries", "asked", "served", "share", "in aim", "late", "poorer", "refused", "failed", "gone")
@@ -155,7 +155,7 @@
         ("by 10 s", {when(float(k)): v for k, v in made.windows.items()}),
         ("worst 10 s", {when(float(k)): made.windows[k] for k in made.worst}),
     ):
-        table(
+        print_table(
             title,
             COLUMNS,
             (
@@ -177,14 +177,14 @@
             ),
         )
     for title, spans in (("waits before a run, ms", made.waits), ("runs, ms", made.runs)):
-        table(
+        print_table(
             title,
             ("class", "count", "p50", "p90", "p99", "most"),
             ((name, s.count, s.p50, s.p90, s.p99, s.most) for name, s in spans.items()),
         )
-    table("refused tries by ground", ("ground", "tries"), made.grounds.items())
+    print_table("refused tries by ground", ("ground", "tries"), made.grounds.items())
     if made.gaps:
-        say(f"{made.gaps} steps are missing")
+        print_line(f"{made.gaps} steps are missing")
 
 
 @trace.command()
@@ -205,5 +205,5 @@
     except ValueError as err:
         fail(f"{opened[0].path}: {err}")
     if json_:
-        return as_json(made)
+        return print_json(made)
     return _show(made)
--- a/lapispick/cli/trace_common.py
+++ b/lapispick/cli/trace_common.py
@@ -14,7 +14,7 @@
 from rich.console import Console
 from rich.progress import BarColumn, Progress, TextColumn, TimeRemainingColumn
 
-from lapispick.cli.output import FAULTY, complain
+from lapispick.cli.output import ExitCode, print_error
 from lapispick.trace.files import Reader
 from lapispick.trace.helper import OPEN, SUFFIX
 from lapispick.trace.layout import TraceFault
@@ -55,8 +55,8 @@
 
 def fail(text: str) -> Any:
     """Say what is wrong with the call or the files, and end."""
-    complain(text)
-    sys.exit(FAULTY)
+    print_error(text)
+    sys.exit(ExitCode.INVALID)
 
 
 def readers(paths: Iterable[Path]) -> list[Reader]:
@@ -127,7 +127,7 @@
         try:
             yield reader.columns(place)
         except TraceFault as err:
-            complain(f"left out: {err}")
+            print_error(f"left out: {err}")
         tell(reader.read_bytes - before)
 
 
@@ -137,4 +137,4 @@
         try:
             yield from block.steps()
         except ValueError as err:
-            complain(f"left out: {reader.path}: a block {err}")
+            print_error(f"left out: {reader.path}: a block {err}")
--- a/lapispick/cli/trace_compare.py
+++ b/lapispick/cli/trace_compare.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from lapispick.cli import trace_page
-from lapispick.cli.output import DIFFERS, as_json, complain, say, table
+from lapispick.cli.output import ExitCode, print_error, print_json, print_line, print_table
 from lapispick.cli.trace_common import JSON, PATH, PATHS, bar, blocks, fail, lives, names, readers, steps
 from lapispick.trace import aggregation, comparing, replaying, series
 from lapispick.trace.files import Reader, times
@@ -40,7 +40,7 @@
     fields = ("run", "refused", "failed", "poorer")
     columns = ("class", *(f"{f}, {t}" for f in fields for t in titles), *(f"worth, {t}" for t in titles))
     none = comparing.Choice()
-    table(
+    print_table(
         "decisions by class",
         columns,
         (
@@ -100,17 +100,21 @@
         },
     }
     if json_:
-        as_json(told)
+        print_json(told)
     else:
-        say(f"{made.steps} steps, {made.differing} differ" + (f", ended at a gap of {made.gaps}" if made.gaps else ""))
+        print_line(
+            f"{made.steps} steps, {made.differing} differ" + (f", ended at a gap of {made.gaps}" if made.gaps else "")
+        )
         if made.first is not None:
             recorded, replayed = described_all(made.first.recorded), described_all(made.first.replayed)
-            say(f"first at step {made.first.number}: recorded {recorded}, now {replayed}")
+            print_line(f"first at step {made.first.number}: recorded {recorded}, now {replayed}")
             _shown(recorded.made, present.made, ("recorded", "now"))
-            say("Only the first difference is sound; worth is estimated by the runs of each class.")
+            print_line("Only the first difference is sound; worth is estimated by the runs of each class.")
         kinds = sorted(made.recorded.keys() | made.replayed.keys())
-        table("actions", ("kind", "recorded", "replayed"), ((k, made.recorded[k], made.replayed[k]) for k in kinds))
-    sys.exit(DIFFERS if made.differing else 0)
+        print_table(
+            "actions", ("kind", "recorded", "replayed"), ((k, made.recorded[k], made.replayed[k]) for k in kinds)
+        )
+    sys.exit(ExitCode.DIFFERENCES if made.differing else 0)
 
 
 @click.command()
@@ -139,7 +143,7 @@
         for name, worth in _worth([reader]).items():
             side.made.setdefault(name, comparing.Choice()).worth = worth
     if json_:
-        as_json(
+        print_json(
             {
                 "headers": headers,
                 "first": split,
@@ -149,20 +153,20 @@
             }
         )
     else:
-        say("the headers differ in " + ", ".join(headers) if headers else "the headers agree")
-        say(
+        print_line("the headers differ in " + ", ".join(headers) if headers else "the headers agree")
+        print_line(
             "all steps agree"
             if split is None
             else f"first at step {split.step}, {split.part}: {split.left} against {split.right}"
         )
         _shown(sides[0].made, sides[1].made, ("left", "right"))
         differing = [k for k in sorted(kinds[0] | kinds[1]) if kinds[0][k] != kinds[1][k]]
-        table(
+        print_table(
             "records that differ in number",
             ("kind", "left", "right"),
             ((k, kinds[0][k], kinds[1][k]) for k in differing),
         )
-    sys.exit(DIFFERS if headers or split is not None else 0)
+    sys.exit(ExitCode.DIFFERENCES if headers or split is not None else 0)
 
 
 def _sampled(opened: list[Reader], made: series.Series) -> None:
@@ -179,7 +183,7 @@
         header.settings, header.seed, header.module_now, (step for reader in opened for step in steps(reader)), seen
     )
     if told.differing:
-        return complain("limit and price are left out: the present module decides otherwise")
+        return print_error("limit and price are left out: the present module decides otherwise")
     made.limit = series.sampled([(now, limit) for now, limit, _ in points], made)
     made.price = series.sampled([(now, price) for now, _, price in points], made)
     return None
@@ -214,5 +218,7 @@
     drawn = trace_page.draw(title, summary, made)
     out.write_bytes(drawn if out.suffix == ".png" else trace_page.page(title, summary, drawn).encode())
     if json_:
-        return as_json(made)
-    return say(f"{out}: {summary.whole.requests} requests, {summary.whole.served:g} of {summary.whole.asked:g} served")
+        return print_json(made)
+    return print_line(
+        f"{out}: {summary.whole.requests} requests, {summary.whole.served:g} of {summary.whole.asked:g} served"
+    )
--- a/lapispick/cli/trace_write.py
+++ b/lapispick/cli/trace_write.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from lapispick import admission
-from lapispick.cli.output import DIFFERS, as_json, complain, say
+from lapispick.cli.output import ExitCode, print_error, print_json, print_line
 from lapispick.cli.trace_common import JSON, OUT, PATH, SINCE, UNTIL, bar, fail, lives, names, readers, steps
 from lapispick.trace import attempt_matching, files, lines, merging
 from lapispick.trace.anonymising import Anonymiser, Clash
@@ -128,9 +128,9 @@
             merging.merge([stream(many, tell) for many in lives(opened)], lambda step: files.when(told, step)),
         )
     for why in left:
-        complain(f"not corrected: {why}")
+        print_error(f"not corrected: {why}")
     _done(json_, f"{count} steps of {len(told)} lives", steps=count, lives=len(told), not_corrected=left)
-    sys.exit(DIFFERS if left else 0)
+    sys.exit(ExitCode.DIFFERENCES if left else 0)
 
 
 @click.command()
@@ -168,9 +168,9 @@
 def _done(json_: bool, text: str, **told: Any) -> None:
     """Say what was written: a line for people, or one document for programs."""
     if json_:
-        as_json(told)
+        print_json(told)
     else:
-        say(text)
+        print_line(text)
 
 
 def _left(path: Path, originals: set[str], stand_ins: set[str]) -> set[str]:
--- a/lapispick/fakes/gateway.py
+++ b/lapispick/fakes/gateway.py
@@ -39,6 +39,11 @@
         """Send bytes as they are, with an end of line."""
         self.sock.sendall(line + b"\n")
 
+    def cancel(self, number):
+        """Tell the host that nobody waits for a request any more."""
+        message = {"jsonrpc": "2.0", "method": "giveUp", "params": {"id": number}}
+        self.send_line(json.dumps(message).encode())
+
     def request_line(self, method, body="x", number=1, **over):
         """Return a request as a line, with changes; what is changed to None is left out."""
         params = {key: value for key, value in request_params(body, **over).items() if value is not None}
--- a/lapispick/fakes/messages.py
+++ b/lapispick/fakes/messages.py
@@ -10,6 +10,11 @@
     return base64.b64encode(body.encode() if isinstance(body, str) else body).decode()
 
 
+def make_idempotency_key(rng=random):
+    """Return a new idempotency key."""
+    return f"{rng.getrandbits(128):032x}"
+
+
 def request_params(body="x", **over):
     """Return the parameters of a JSON-RPC request, with changes."""
     return {
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -14,9 +14,9 @@
 from click.testing import CliRunner
 
 from lapispick.cli.main import cli
-from lapispick.cli.ops import NoAnswer, figures
+from lapispick.cli.ops import NoAnswerError, parse_metrics
 from lapispick.fakes.executor import Executor
-from lapispick.fakes.start_settings import PLATFORM_INFO
+from lapispick.fakes.start_settings import PLATFORM_INFO, make_start_settings
 from lapispick.fakes.waiting import wait_until
 from lapispick.host import config
 from lapispick.host.health import Duty
@@ -113,7 +113,7 @@
         sent[g.request(cls, body, key, born=time.time() * 1000 - (5 if body == "late" else 0), patience=patience)] = cls
         if rng.random() < 0.05:
             gone.add(g.last_id)
-            g.send_line(json.dumps({"jsonrpc": "2.0", "method": "giveUp", "params": {"id": g.last_id}}).encode())
+            g.cancel(g.last_id)
         if turn % 100 == 50:
             h.executor.disconnect()
         elif turn % 100 == 70:
@@ -190,16 +190,7 @@
 
 
 def test_the_address_is_read_from_file_and_environment_and_checked(tmp_path):
-    base = {
-        "name": "n3",
-        "listen": "127.0.0.1:1",
-        "executor": "127.0.0.1:2",
-        "roster": "127.0.0.1:3",
-        "store": "127.0.0.1:4",
-        "seed": "8c",
-        "stop_ms": 3200,
-        "settings": PLATFORM_INFO,
-    }
+    base = make_start_settings(listen="127.0.0.1:1")
     path = tmp_path / "config.json"
     path.write_text(json.dumps(base))
     told = {"LB_CONFIG": str(path)}
@@ -239,8 +230,8 @@
 
 @pytest.mark.parametrize("lines", [["app.inflight:1|g"], ["app.x:-1|c", "END"], ["app.x|c", "END"], ["END", "x"]])
 def test_figures_that_are_not_whole_are_no_figures(lines):
-    with pytest.raises(NoAnswer):
-        figures(lines)
+    with pytest.raises(NoAnswerError):
+        parse_metrics(lines)
 
 
 def test_further_figures_are_told_only_where_the_settings_ask_for_them(host, tmp_path):
