--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -12,14 +12,13 @@
 import sys
 import tempfile
 import time
-from collections.abc import Iterator
-from contextlib import ExitStack, contextmanager
+from contextlib import ExitStack
 from pathlib import Path
 from typing import NamedTuple
 
+from lapispick.fakes.busy_processes import busy_processes
 from lapispick.fakes.host_process import HostProcess
 
-BUSY_LOOP = "import time\nend = time.time() + 120\nwhile time.time() < end: pass"
 SHOWN_PACKAGES = 8
 
 
@@ -44,21 +43,9 @@
     return datetime.datetime.fromisoformat(line.group(1)).timestamp()
 
 
-@contextmanager
-def busy_loops(count: int) -> Iterator[None]:
-    """Run this many processes that use a core each."""
-    processes = [subprocess.Popen([sys.executable, "-c", BUSY_LOOP]) for _ in range(count)]
-    try:
-        yield
-    finally:
-        for process in processes:
-            process.kill()
-            process.wait()
-
-
 def start_hosts(hosts: int, busy: int) -> list[Start]:
     """Start hosts at once beside busy loops."""
-    with busy_loops(busy), ExitStack() as stack:
+    with busy_processes(busy), ExitStack() as stack:
         started = []
         began = []
         for _ in range(hosts):
--- a/lapispick/fakes/executor.py
+++ b/lapispick/fakes/executor.py
@@ -10,7 +10,7 @@
 from lapispick.fakes.fake_server import FakeServer
 from lapispick.fakes.messages import encode_base64
 
-MAX_KEPT_NOTICES = 4000
+MAX_RESENT_NOTICES = 4000
 RUN_SPENT_MS = 20.0
 WELCOME_SPENT_MS = 1000
 GAUGE_READINGS = (0.2, 0.5, 0.1, 3.0)
@@ -43,7 +43,7 @@
         self.work_s = work_s
         self.slots = threading.Semaphore(cores)
         self.resends_all_notices = False  # on a new connection
-        self.max_kept_notices = MAX_KEPT_NOTICES  # those before them are not sent again
+        self.max_resent_notices = MAX_RESENT_NOTICES  # on a new connection; those before them are lost
         self.withheld_fences = None  # a list: commands that ask whether all missed notices were read wait in it
         self.ignores_commands = False  # reads commands and does nothing, like a connection about to break
         super().__init__()
@@ -90,7 +90,7 @@
             return
         self.send(connection, verb="WELCOME", outcome="hot", spent=WELCOME_SPENT_MS)
         first_missed = 0 if self.resends_all_notices else command["index"]
-        for notice in self.notices[first_missed:][-self.max_kept_notices :]:
+        for notice in self.notices[first_missed:][-self.max_resent_notices :]:
             self.send(connection, **notice)
 
     def on_exec(self, connection, command):
--- a/lapispick/fakes/fault_links.py
+++ b/lapispick/fakes/fault_links.py
@@ -8,7 +8,7 @@
 class Direction:
     """The state of one direction of a link; fractions are of datagrams."""
 
-    is_held: bool = False  # nothing passes, and nothing is lost
+    is_paused: bool = False  # nothing passes, and nothing is lost
     delay_s: float = 0.0
     jitter_s: float = 0.0  # on top of the delay, drawn for each piece; the order of a stream stays
     bytes_per_s: float = 0.0  # 0 = unlimited
--- a/lapispick/fakes/fault_proxy.py
+++ b/lapispick/fakes/fault_proxy.py
@@ -151,7 +151,7 @@
 
     def _forward(self, flow):
         """Send what is due of a flow."""
-        while flow.pending and not flow.direction.is_held:
+        while flow.pending and not flow.direction.is_paused:
             due, data = flow.pending[0]
             now = time.monotonic()
             send_at = max(due, flow.next_send_at)
@@ -203,7 +203,7 @@
         rng = self.random
         sender = (link.reply_link or link).sock
         for _ in range(2 if rng.random() < direction.duplicate else 1):
-            if direction.is_held or rng.random() < direction.loss:
+            if direction.is_paused or rng.random() < direction.loss:
                 continue
             delay_s = direction.delay_s + rng.random() * direction.jitter_s
             if rng.random() < direction.reorder:
@@ -252,8 +252,8 @@
         """Let nothing pass between two groups, or only nothing from the first to the second."""
         with self._mover.lock:
             for _, towards_others, towards_ones in self._between(ones, others):
-                towards_others.is_held = True
-                towards_ones.is_held = towards_ones.is_held or not one_way
+                towards_others.is_paused = True
+                towards_ones.is_paused = towards_ones.is_paused or not one_way
         self._mover.wake()
 
     def impair(self, ones, others, **changes):
--- a/tests/test_acceptance_terms.py
+++ b/tests/test_acceptance_terms.py
@@ -4,13 +4,13 @@
 import random
 import re
 import socket
-import subprocess
 import sys
 import threading
 import time
 
 import pytest
 
+from lapispick.fakes.busy_processes import busy_processes
 from lapispick.fakes.connection_pool import ConnectionPool
 from lapispick.fakes.executor import Executor
 from lapispick.fakes.host_process import HostProcess
@@ -20,7 +20,6 @@
 from lapispick.fakes.waiting import wait_until
 
 READY_S = 10.0  # s; by then nine in ten restarted processes take clients
-SPINNING = [sys.executable, "-c", "import time\nend = time.time() + 60\nwhile time.time() < end: pass"]
 
 
 @pytest.fixture
@@ -185,13 +184,12 @@
         sock.close()
 
 
-def test_an_upgrade_finds_its_descriptors_among_idle_clients(host):
-    held = socket.socket()
-    held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    held.bind(("127.0.0.1", 0))
+def test_an_upgrade_finds_its_descriptors_among_idle_clients(host, shared_address):
+    address = shared_address()
+    name, port = address.split(":")
     shell = ["/bin/sh", "-c", f"ulimit -n 64; exec {sys.executable} -m lapispick.host"]
-    old = host(listen=f"127.0.0.1:{held.getsockname()[1]}", limits={"sockets": 64}, command=shell)
-    idle = [socket.create_connection(held.getsockname(), timeout=15) for _ in range(100)]
+    old = host(listen=address, limits={"sockets": 64}, command=shell)
+    idle = [socket.create_connection((name, int(port)), timeout=15) for _ in range(100)]
     new = host(successor_of=old, limits={"sockets": 64}, command=shell)
     wait_until(lambda: new.call_operators() == ["OK"], "its yes")
     old.terminate()
@@ -199,22 +197,17 @@
     g = new.gateway()
     assert g.result(g.request("track", "new")) == "did new"
     assert "Errno 24" not in old.log() + new.log() and "event=linked" in new.log()
-    for sock in (*idle, held):
+    for sock in idle:
         sock.close()
 
 
 def test_nine_in_ten_of_twenty_that_start_at_once_beside_busy_cores_are_ready_in_time(fleet):
-    busy = [subprocess.Popen(SPINNING) for _ in range(4)]
-    try:
+    with busy_processes(4):
         began = time.monotonic()
         hosts = fleet(20, ready=False)
         took = []
         for h in hosts:
             h.wait_for_log("ready")
             took.append(time.monotonic() - began)
-    finally:
-        for each in busy:
-            each.kill()
-            each.wait()
     print("ready after, s", [round(each, 2) for each in sorted(took)])
     assert sorted(took)[17] < READY_S
--- a/tests/test_aggregation.py
+++ b/tests/test_aggregation.py
@@ -9,7 +9,7 @@
 from lapispick.trace.aggregation import Fold, Source
 from lapispick.trace.record_types import Answered, Arrival, Gap, Step
 from lapispick.trace.records import Block, pack
-from tests.conftest import make_class
+from tests.controller_harness import make_class
 
 CLASSES = (
     ("track", make_class(latency_objective_ms=1000, priority_weight=2, late_weight=0.5, degraded_weight=0.25)),
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lapispick import admission
-from tests.conftest import KEYED, SKIPPABLE
+from tests.controller_harness import KEYED, SKIPPABLE
 
 
 def at_call_limit(make_harness, **over):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -4,21 +4,19 @@
 """
 
 import contextlib
-import json
 import os
 import signal
 import socket
 import sys
 import time
 import tomllib
-import uuid
 from pathlib import Path
 
 import pytest
 
 from lapispick.fakes.executor import Executor
 from lapispick.fakes.gateway import GatewayConnection
-from lapispick.fakes.messages import encode_base64
+from lapispick.fakes.messages import encode_base64, make_idempotency_key
 from lapispick.fakes.start_settings import make_platform_info
 from lapispick.fakes.waiting import wait_until
 from lapispick.handover import messages
@@ -26,10 +24,6 @@
 REFUSED, FAILED = -32050, -32000
 
 
-def nonce():
-    return uuid.uuid4().hex
-
-
 def ended(g):
     """Read what is left on a connection; True where it ends in order, without a reset."""
     with contextlib.suppress(AssertionError):
@@ -89,7 +83,7 @@
 
 def test_a_request_in_the_last_moment_is_read_before_the_process_ends(host):
     h, g, _ = last_moment(host)
-    number = g.request("book", "last", nonce())
+    number = g.request("book", "last", make_idempotency_key())
     h.process.send_signal(signal.SIGCONT)
     assert "result" in g.answer(number) or g.error_code(number) == REFUSED
     assert h.process.wait(5) == 0
@@ -97,7 +91,7 @@
 
 def test_a_run_whose_end_is_under_way_in_the_last_moment_gives_its_result(host):
     def begin(h, g):
-        number = g.request("book", "hold", nonce())
+        number = g.request("book", "hold", make_idempotency_key())
         wait_until(lambda: h.executor.runs_of("hold"), "the run")
         return number
 
@@ -114,7 +108,7 @@
     h.terminate()
     assert ended(g)  # an end in order and no reset, and then the process takes nothing more
     with contextlib.suppress(OSError):
-        g.request("book", "behind the end", nonce())
+        g.request("book", "behind the end", make_idempotency_key())
     assert h.process.wait(5) == 0 and not h.executor.runs_of("behind the end")
 
 
@@ -157,7 +151,7 @@
 def test_a_second_notice_and_a_reload_change_nothing_of_the_first(host):
     h = host(stop_ms=2500)
     g = h.gateway()
-    number = g.request("book", "hold", nonce())
+    number = g.request("book", "hold", make_idempotency_key())
     wait_until(lambda: h.executor.runs, "the run")
     h.terminate()
     h.wait_for_log("leaving")
@@ -286,14 +280,14 @@
     with h.suspended():
         since = time.monotonic()
         wait_until(lambda: time.monotonic() > since + 1.6, "the time of the close")
-        number = g.request("book", "crossing", nonce())
+        number = g.request("book", "crossing", make_idempotency_key())
     assert g.result(number) == "did crossing" and ended(g)
 
 
 def test_half_a_line_costs_the_connection_but_no_answer_that_is_owed_on_it(host):
     h = host()
     g = h.gateway()
-    number = g.request("book", "hold", nonce())
+    number = g.request("book", "hold", make_idempotency_key())
     wait_until(lambda: h.executor.runs, "the run")
     g.sock.sendall(g.request_line("track", "never whole", 2)[:50])
     assert g.read()["id"] is None  # its word, within 3 s
@@ -338,7 +332,7 @@
     h = host(info=make_platform_info([{}, {"Idempotency": effect}]))
     g = h.gateway()
     h.executor.ignores_commands = True
-    read, write = g.request("track", "again"), g.request("book", "once", nonce(), patience=1500)
+    read, write = g.request("track", "again"), g.request("book", "once", make_idempotency_key(), patience=1500)
     wait_until(lambda: h.executor.received_verbs.count("EXEC") == 2, "both were written")
     h.executor.ignores_commands = False
     h.executor.disconnect()
@@ -351,9 +345,9 @@
     g = h.gateway()
     lost = []
     for i in range(1, 9):  # as many as may ever run
-        lost.append(g.request("book", "hold", nonce(), patience=1500))
+        lost.append(g.request("book", "hold", make_idempotency_key(), patience=1500))
         wait_until(lambda i=i: len(h.executor.runs) == i, "the run")
-    h.executor.max_kept_notices = 4
+    h.executor.max_resent_notices = 4
     with h.executor.lock:
         h.executor.disconnect()
         for task, _, _ in h.executor.runs:
@@ -376,7 +370,7 @@
         wait_until(lambda: h.executor.runs_of("hold"), "the run")
         with h.suspended():
             h.executor.end_run(h.executor.runs[-1].task, result="in time")
-            g.send_line(json.dumps({"jsonrpc": "2.0", "method": "giveUp", "params": {"id": number}}).encode())
+            g.cancel(number)
         g.answer(number)
         h.executor.runs.clear()
     assert g.result(g.request("track", "next")) == "did next"
@@ -406,12 +400,12 @@
     if relinked:
         executor.disconnect()
     wait_until(lambda: len(executor.withheld_fences) == 1 + relinked, "the link")
-    g, key = h.gateway(), nonce()
+    g, key = h.gateway(), make_idempotency_key()
     first = g.request("book", "hold", key)
     wait_until(lambda: executor.runs, "the run")
     held, executor.withheld_fences = executor.withheld_fences, None
     executor.on_meter(*held[-1])
-    g.send_line(json.dumps({"jsonrpc": "2.0", "method": "giveUp", "params": {"id": first}}).encode())
+    g.cancel(first)
     again = g.request("book", "hold", key, redo=1)
     g.answer(g.send("probe"))  # all of this is read
     executor.end_run(executor.runs[0].task, result="booked")
@@ -422,7 +416,7 @@
     h = host()
     g = h.gateway()
     h.executor.ignores_commands = True
-    read, write = g.request("track", "again"), g.request("book", "once", nonce(), patience=3000)
+    read, write = g.request("track", "again"), g.request("book", "once", make_idempotency_key(), patience=3000)
     wait_until(lambda: h.executor.received_verbs.count("EXEC") == 2, "both were written")
     sent = time.monotonic()
     h.executor.ignores_commands, h.executor.withheld_fences = False, []
@@ -456,7 +450,7 @@
 def test_what_an_executor_says_in_a_fault_changes_nothing_else(host):
     h = host()
     g = h.gateway()
-    held = g.request("book", "hold", nonce())
+    held = g.request("book", "hold", make_idempotency_key())
     wait_until(lambda: h.executor.runs, "the run")
     for line, event in FAULTY:
         before = h.log().count(f"event={event}")
@@ -476,8 +470,8 @@
     g = h.gateway()
     whole = len(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply")
     for size in range(whole):
-        assert g.error_code(g.request("book", f"call:cut {size}", nonce())) == FAILED
-    assert g.result(g.request("book", f"call:cut {whole}", nonce())) == "reply"
+        assert g.error_code(g.request("book", f"call:cut {size}", make_idempotency_key())) == FAILED
+    assert g.result(g.request("book", f"call:cut {whole}", make_idempotency_key())) == "reply"
     assert [call.body for call in h.store.calls] == [f"cut {size}" for size in range(whole + 1)]
 
 
@@ -499,11 +493,11 @@
 
 def test_a_repeat_behind_a_give_up_joins_the_run_that_goes_on(host):
     h = host()
-    g, key = h.gateway(), nonce()
+    g, key = h.gateway(), make_idempotency_key()
     first = g.request("book", "hold", key)
     wait_until(lambda: h.executor.runs, "the run")
     with h.suspended():
-        g.send_line(json.dumps({"jsonrpc": "2.0", "method": "giveUp", "params": {"id": first}}).encode())
+        g.cancel(first)
         again = g.request("book", "hold", key, redo=1)
     h.executor.end_run(h.executor.runs[0].task, result="booked")
     assert g.result(again) == "booked" and len(h.executor.runs) == 1
@@ -512,7 +506,7 @@
 @pytest.mark.parametrize("window", [200.0, 3000.0])
 def test_a_repeat_in_the_instant_of_the_end_gets_the_result_whatever_the_window(host, window):
     h = host(info=make_platform_info([{}, {"Window": window}]))
-    g, key, born = h.gateway(), nonce(), time.time() * 1000
+    g, key, born = h.gateway(), make_idempotency_key(), time.time() * 1000
     first = g.request("book", "hold", key, born=born)
     wait_until(lambda: h.executor.runs, "the run")
     wait_until(lambda: time.time() * 1000 > born + 400, "the end of the short window")
@@ -536,7 +530,7 @@
 
 def test_a_try_that_is_held_past_a_short_window_still_runs_once_for_all_its_repeats(host):
     h = host(info=make_platform_info([{}, {"Window": 200.0}]))
-    g, key = h.gateway(), nonce()
+    g, key = h.gateway(), make_idempotency_key()
     full_of_runs(h, g)
     born = time.time() * 1000
     first = g.request("book", "once", key, born=born, patience=4000)
@@ -552,7 +546,7 @@
 
 def test_who_joined_a_try_that_is_turned_away_unrun_is_answered_at_once(host):
     h = host(info=make_platform_info([{}, {"Window": 200.0}]))
-    g, key = h.gateway(), nonce()
+    g, key = h.gateway(), make_idempotency_key()
     full_of_runs(h, g)
     born = time.time() * 1000
     first = g.request("book", "once", key, born=born, patience=1200)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -16,7 +16,7 @@
     StartCall,
     StartRun,
 )
-from tests.conftest import AT_MOST_ONCE, IDEMPOTENT, SKIPPABLE, make_class, make_settings
+from tests.controller_harness import AT_MOST_ONCE, IDEMPOTENT, SKIPPABLE, make_class, make_settings
 
 
 def test_requests_over_the_concurrency_limit_are_queued(make_harness):
--- a/tests/test_handover_link.py
+++ b/tests/test_handover_link.py
@@ -11,7 +11,7 @@
 import pytest
 
 from lapispick.fakes.gateway import GatewayConnection
-from lapispick.fakes.messages import encode_base64
+from lapispick.fakes.messages import encode_base64, make_idempotency_key
 from lapispick.fakes.waiting import wait_until
 from lapispick.handover import budget, messages
 from lapispick.idempotency.table import digest_request
@@ -19,7 +19,6 @@
     LONG_WINDOW_INFO,
     REJECTED,
     lock_path,
-    nonce,
     operators_address,
     wait_until_ready,
 )
@@ -62,14 +61,14 @@
         assert time.monotonic() - began < 6
         g = new.gateway()
         assert g.result(g.request("track", "read")) == "did read"
-        assert g.error_code(g.request("book", "mine", nonce())) == REJECTED
+        assert g.error_code(g.request("book", "mine", make_idempotency_key())) == REJECTED
         assert not new.executor.runs_of("mine")
         assert "another version" in new.log()
         fcntl.flock(held, fcntl.LOCK_UN)
         sock.shutdown(socket.SHUT_RDWR)
     new.wait_for_log("owns-keys")
-    assert g.result(g.request("book", "mine", nonce())) == "did mine"
-    assert g.error_code(g.request("book", "theirs", nonce(), redo=1)) != REJECTED
+    assert g.result(g.request("book", "mine", make_idempotency_key())) == "did mine"
+    assert g.error_code(g.request("book", "theirs", make_idempotency_key(), redo=1)) != REJECTED
     assert not new.executor.runs_of("theirs")
 
 
@@ -77,7 +76,7 @@
     h = host(listen=shared_address(), info=LONG_WINDOW_INFO, environ={"TMPDIR": str(tmp_path / "nowhere")})
     assert "event=handover-off" in h.log()
     g = h.gateway()
-    assert g.result(g.request("book", "x", nonce())) == "did x"
+    assert g.result(g.request("book", "x", make_idempotency_key())) == "did x"
     with_long = tmp_path / ("d" * 120)
     with_long.mkdir()
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO, environ={"TMPDIR": str(with_long)})
@@ -99,7 +98,7 @@
     first.process.kill()
     first.process.wait()
     os.unlink(path)
-    known, unknown = nonce(), nonce()
+    known, unknown = make_idempotency_key(), make_idempotency_key()
     name, port = first.address.split(":")
     with lock.open("r+b") as held, socket.socket(socket.AF_UNIX) as sock, socket.socket() as clients:
         fcntl.flock(held, fcntl.LOCK_EX)
@@ -109,7 +108,10 @@
         queued = GatewayConnection.connect(
             first.address
         )  # queued at the old process's socket, and read by nobody so far
-        n, doubtful = queued.request("track", "first", patience=9000), queued.request("book", "late", nonce())
+        n, doubtful = (
+            queued.request("track", "first", patience=9000),
+            queued.request("book", "late", make_idempotency_key()),
+        )
         sock.bind(path)
         sock.listen()
         new = host(successor_of=first, wait_for_start=False)
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -5,23 +5,18 @@
 import socket
 import threading
 import time
-import uuid
 
 import pytest
 
 from lapispick.fakes.executor import Executor
 from lapispick.fakes.host_pauses import measure_pauses
-from lapispick.fakes.messages import encode_base64
-from lapispick.fakes.start_settings import PLATFORM_INFO
+from lapispick.fakes.messages import encode_base64, make_idempotency_key
+from lapispick.fakes.start_settings import PLATFORM_INFO, make_start_settings
 from lapispick.fakes.waiting import wait_until
 
 REFUSED = -32050
 
 
-def nonce():
-    return uuid.uuid4().hex
-
-
 def test_a_request_is_served_with_the_executors_bytes_and_advice(host):
     h = host()
     g = h.gateway()
@@ -48,7 +43,10 @@
 def test_a_write_repeats_a_call_only_after_proof_that_it_never_ran(host):
     h = host()
     g = h.gateway()
-    turned_away, unsure = g.request("book", "call:503 n", nonce()), g.request("book", "call:500", nonce())
+    turned_away, unsure = (
+        g.request("book", "call:503 n", make_idempotency_key()),
+        g.request("book", "call:500", make_idempotency_key()),
+    )
     assert g.answer(turned_away)["error"]["code"] != REFUSED  # it ran, so it is failed and not turned away
     assert g.answer(unsure)["error"]["code"] != REFUSED
     assert sum(call.body == "503 n" for call in h.store.calls) > 1
@@ -80,9 +78,9 @@
 def test_an_ended_request_closes_its_call(host, cls):
     h = host()
     g = h.gateway()
-    n = g.request(cls, "call:hang", nonce(), trace="00000000000000aa")
+    n = g.request(cls, "call:hang", make_idempotency_key(), trace="00000000000000aa")
     wait_until(lambda: h.store.calls, "the call")
-    g.send_line(json.dumps({"jsonrpc": "2.0", "method": "giveUp", "params": {"id": n}}).encode())
+    g.cancel(n)
     began = time.monotonic()
     wait_until(lambda: h.store.ended_requests == ["00000000000000aa"], "the end of the call")
     assert time.monotonic() - began < 1.5  # long before its own time is over
@@ -90,7 +88,7 @@
 
 def test_a_keyed_request_runs_once_and_repeats_get_the_kept_result(host):
     h = host()
-    g, key = h.gateway(), nonce()
+    g, key = h.gateway(), make_idempotency_key()
     first = g.request("book", "hold", key)
     wait_until(lambda: h.executor.runs, "the run")
     while_it_runs = g.request("book", "hold", key, redo=1)
@@ -103,7 +101,7 @@
 
 def test_two_tries_written_at_once_see_each_other(host):
     h = host()
-    g, key = h.gateway(), nonce()
+    g, key = h.gateway(), make_idempotency_key()
     lines = []
     g.send_line, raw = lines.append, g.send_line
     numbers = [g.request("book", "once", key, redo=i) for i in (0, 1, 1)]
@@ -116,7 +114,7 @@
 
 def test_a_repeat_counts_by_its_own_time_however_late_it_is_read(host):
     h = host()
-    g, key = h.gateway(), nonce()
+    g, key = h.gateway(), make_idempotency_key()
     born = time.time() * 1000
     assert g.result(g.request("book", "late", key, born=born)) == "did late"
     window = PLATFORM_INFO["Services"][1]["Window"]
@@ -130,7 +128,7 @@
 
 def test_a_failed_write_is_failed_and_its_repeats_too(host):
     h = host()
-    g, key = h.gateway(), nonce()
+    g, key = h.gateway(), make_idempotency_key()
     assert g.error_code(g.request("book", "error", key)) != REFUSED
     assert g.error_code(g.request("book", "error", key, redo=1)) != REFUSED
     assert len(h.executor.runs) == 1
@@ -223,7 +221,7 @@
 def test_a_lost_link_loses_no_run_and_starts_no_write_twice(host):
     h = host()
     g = h.gateway()
-    kept, ended = g.request("track", "hold"), g.request("book", "hold", nonce())
+    kept, ended = g.request("track", "hold"), g.request("book", "hold", make_idempotency_key())
     wait_until(lambda: len(h.executor.runs) == 2, "both runs")
     with h.executor.lock:
         h.executor.disconnect()
@@ -240,7 +238,7 @@
     h = host()
     g = h.gateway()
     h.executor.ignores_commands = True
-    read, write = g.request("track", "again"), g.request("book", "once", nonce(), patience=1500)
+    read, write = g.request("track", "again"), g.request("book", "once", make_idempotency_key(), patience=1500)
     wait_until(lambda: h.executor.received_verbs.count("EXEC") == 2, "both were written")
     h.executor.ignores_commands = False
     h.executor.disconnect()
@@ -255,7 +253,7 @@
     h.executor.ignores_commands = True
     lost = []
     for i in range(1, 9):  # as many as may ever run; one at a time, so that no line makes the module refuse
-        lost.append(g.request("book", "never", nonce(), patience=4500))
+        lost.append(g.request("book", "never", make_idempotency_key(), patience=4500))
         wait_until(lambda i=i: h.executor.received_verbs.count("EXEC") == i, "the start was written")
     h.executor.ignores_commands = False
     h.executor.disconnect()
@@ -287,7 +285,7 @@
 def test_the_drain_answers_all_and_ends_in_time(host):
     h = host(stop_ms=3000)
     g = h.gateway()
-    running, done = g.request("track", "hold", patience=9000), g.request("book", "hold", nonce())
+    running, done = g.request("track", "hold", patience=9000), g.request("book", "hold", make_idempotency_key())
     wait_until(lambda: len(h.executor.runs) == 2, "both runs")
     began = time.monotonic()
     h.terminate()
@@ -320,16 +318,7 @@
 def test_a_faulty_configuration_names_its_key(change, key):
     from lapispick.host import config
 
-    base = {
-        "name": "n3",
-        "listen": "127.0.0.1:1",
-        "executor": "127.0.0.1:2",
-        "roster": "127.0.0.1:3",
-        "store": "127.0.0.1:4",
-        "seed": "8c",
-        "stop_ms": 3200,
-        "settings": PLATFORM_INFO,
-    }
+    base = make_start_settings(listen="127.0.0.1:1")
     assert config.parse(json.dumps(base).encode()).limits.sockets == 1024
     with pytest.raises(config.ConfigError, match=f"^{key}"):
         config.parse(json.dumps({**base, **change}).encode())
--- a/tests/test_paused_runs.py
+++ b/tests/test_paused_runs.py
@@ -141,7 +141,7 @@
     settled(h)
     with h.suspended():  # all are given up in one instant
         for number in numbers:
-            g.send_line(json.dumps({"jsonrpc": "2.0", "method": "giveUp", "params": {"id": number}}).encode())
+            g.cancel(number)
     assert {g.error_code(n) for n in numbers} == {FAILED}
     wait_until(lambda: not h.executor.on_core, "that the two on the cores are stopped")
     late = [g.request(TRACK, "stay:x", patience=1500) for _ in range(3)]  # their slots are free again
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -4,8 +4,6 @@
 import os
 import random
 import socket
-import subprocess
-import sys
 import time
 import types
 import uuid
@@ -13,8 +11,10 @@
 import pytest
 
 from lapispick.fakes import fault_script
+from lapispick.fakes.busy_processes import busy_processes
 from lapispick.fakes.fake_server import FakeServer
 from lapispick.fakes.fault_proxy import FaultProxy
+from lapispick.fakes.fault_script import FaultKind, FaultStep
 from lapispick.fakes.fleet import Fleet
 from lapispick.fakes.fleet_gateway import Request
 from lapispick.fakes.host_pauses import PauseMonitor
@@ -136,14 +136,8 @@
     with Fleet(tmp_path, seed=9, hosts=2, rate=25) as fleet:
         fleet.start()
         fleet.start_load()
-        fault_script.play(
-            fleet,
-            [
-                fault_script.FaultStep(
-                    lambda: len(fleet.record.executions) > 50, fault_script.FaultKind.KILL, "disp-01", 0.2
-                )
-            ],
-        )
+        step = FaultStep(lambda: len(fleet.record.executions) > 50, FaultKind.KILL, "disp-01", 0.2)
+        fault_script.play(fleet, [step])
         fleet.wait_for_results(40)
         assert fleet.broken_rules() == []
 
@@ -191,21 +185,15 @@
 def test_a_process_that_finds_no_core_is_seen_to_be_held_up(tmp_path):
     """Three that want one core: each waits for the others two thirds of the time."""
     core = min(os.sched_getaffinity(0))
-    loops = [
-        subprocess.Popen([sys.executable, "-c", f"import os\nos.sched_setaffinity(0, [{core}])\nwhile 1: pass"])
-        for _ in range(3)
-    ]
-    box = types.SimpleNamespace(name="x", serving_pids=lambda: [loops[0].pid])
-    pauses = PauseMonitor([box])
-    pauses.start()
-    since = time.time()
-    try:
-        wait_until(lambda: pauses.paused_s("x", since, time.time()) > 0.5, "that it is held up")
-    finally:
-        pauses.stop()
-        for each in loops:
-            each.kill()
-            each.wait()
+    with busy_processes(3, cores=[core]) as processes:
+        host = types.SimpleNamespace(name="x", serving_pids=lambda: [processes[0].pid])
+        pauses = PauseMonitor([host])
+        pauses.start()
+        since = time.time()
+        try:
+            wait_until(lambda: pauses.paused_s("x", since, time.time()) > 0.5, "that it is held up")
+        finally:
+            pauses.stop()
     assert pauses.paused_s("y", since, time.time()) < pauses.paused_s("x", since, time.time())
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -22,7 +22,7 @@
     StartCall,
     StartRun,
 )
-from tests.conftest import AT_MOST_ONCE, KEYED, SKIPPABLE
+from tests.controller_harness import AT_MOST_ONCE, KEYED, SKIPPABLE
 
 # One final answer.
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -107,7 +107,7 @@
     g = h.gateway()
     number = g.request("track", "hold")
     wait_until(lambda: h.executor.runs, "the run")
-    g.send_line(json.dumps({"jsonrpc": "2.0", "method": "giveUp", "params": {"id": number}}).encode())
+    g.cancel(number)
     wait_until(lambda: any(c["verb"] == "KILL" for c in h.executor.commands), "the stop")
     assert g.result(g.request("track", "next")) == "did next"
 
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -17,7 +17,7 @@
 from lapispick.trace.clock_skew import Clock, Unknown
 from lapispick.trace.record_types import Answered, Arrival, Happened, Step, Straddles
 from lapispick.trace.selecting import DROP, WHOLE, Selector, Wanted
-from tests.conftest import make_settings
+from tests.controller_harness import make_settings
 from tests.test_aggregation import answered, asked
 
 NAMES = ["track", "book", "job", "quote"]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,6 +13,7 @@
 
 from lapispick.fakes.executor import Executor
 from lapispick.fakes.gateway import GatewayConnection
+from lapispick.fakes.messages import make_idempotency_key
 from lapispick.fakes.start_settings import PLATFORM_INFO
 from lapispick.fakes.waiting import wait_until
 from tests.upgrade_support import (
@@ -22,7 +23,6 @@
     executions_of,
     lock_path,
     logged_at,
-    nonce,
     operators_address,
     wait_until_ready,
 )
@@ -56,7 +56,7 @@
             if self.keys and self.rng.random() < 0.5:
                 key, redo = self.rng.choice(self.keys[-5:]), 1
             else:
-                key = nonce(self.rng)
+                key = make_idempotency_key(self.rng)
                 self.keys.append(key)
             n = g.request("book", f"call:200#{key}", key, **({"redo": 1} if redo else {}))
         else:
@@ -116,7 +116,7 @@
 
 def test_results_and_runs_are_found_at_either_process(host, shared_address):
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
-    g, done, early, late = old.gateway(), nonce(), nonce(), nonce()
+    g, done, early, late = old.gateway(), make_idempotency_key(), make_idempotency_key(), make_idempotency_key()
     assert g.result(g.request("book", "done", done)) == "did done"
     first = g.request("book", "hold", early)
     wait_until(lambda: old.executor.runs_of("hold"), "the run")
@@ -165,10 +165,10 @@
     new.process.kill()
     wait_until(lambda: "event=link-ended" in old.log(), "the end of the link")
     g = old.gateway()
-    assert g.result(g.request("book", "after", nonce())) == "did after"
+    assert g.result(g.request("book", "after", make_idempotency_key())) == "did after"
     new = host(successor_of=old)
     wait_until_ready(new)
-    h, key = connection_to(new, old), nonce()
+    h, key = connection_to(new, old), make_idempotency_key()
     h.request("book", "hold", key)
     wait_until(lambda: new.executor.runs_of("hold"), "the run")
     joined = g.request("book", "hold", key, redo=1)
@@ -176,13 +176,13 @@
     assert g.error_code(joined) != REJECTED  # outcome unknown: failed, never run
     assert g.error_code(g.request("book", "hold", key, redo=1)) != REJECTED
     assert executions_of("hold", old) == 0
-    assert g.result(g.request("book", "more", nonce())) == "did more"
+    assert g.result(g.request("book", "more", make_idempotency_key())) == "did more"
     assert wait_until_ready(host(successor_of=old))
 
 
 def test_an_old_process_that_is_killed_leaves_its_keys_behind(host, shared_address):
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
-    g, done, held = old.gateway(), nonce(), nonce()
+    g, done, held = old.gateway(), make_idempotency_key(), make_idempotency_key()
     assert g.result(g.request("book", "done", done)) == "did done"
     g.request("book", "hold", held)
     wait_until(lambda: old.executor.runs_of("hold"), "the run")
@@ -195,8 +195,10 @@
     wait_until(lambda: "event=owns-keys" in new.log(), "the keys")
     assert h.result(h.request("book", "done", done, redo=1)) == "did done"
     assert h.error_code(h.request("book", "hold", held, redo=1)) != REJECTED
-    assert h.error_code(h.request("book", "never seen", nonce(), redo=1)) != REJECTED  # the old one may have run it
-    assert h.result(h.request("book", "first", nonce())) == "did first"
+    assert (
+        h.error_code(h.request("book", "never seen", make_idempotency_key(), redo=1)) != REJECTED
+    )  # the old one may have run it
+    assert h.result(h.request("book", "first", make_idempotency_key())) == "did first"
     assert executions_of("hold", old, new) == 1
     assert not new.executor.runs_of("never seen")
     assert new.gateway()
@@ -211,7 +213,7 @@
     old.process.send_signal(signal.SIGSTOP)
     try:
         began = time.monotonic()
-        n = g.request("book", "mine", nonce())
+        n = g.request("book", "mine", make_idempotency_key())
         assert g.result(g.request("track", "read")) == "did read"
         assert g.error_code(n) == REJECTED
         assert g.answer(n)["error"]["data"]["pause"] > 0
@@ -219,7 +221,9 @@
         assert not new.executor.runs_of("mine")
     finally:
         old.process.send_signal(signal.SIGCONT)
-    assert wait_until(lambda: g.answer(g.request("book", "mine", nonce())).get("result"), "service again")
+    assert wait_until(
+        lambda: g.answer(g.request("book", "mine", make_idempotency_key())).get("result"), "service again"
+    )
 
 
 def test_a_new_process_that_hangs_holds_nothing_up(host, shared_address):
@@ -230,14 +234,14 @@
     new.process.send_signal(signal.SIGSTOP)
     try:
         for _ in range(20):
-            assert g.result(g.request("book", "x", nonce())) == "did x"
+            assert g.result(g.request("book", "x", make_idempotency_key())) == "did x"
     finally:
         new.process.send_signal(signal.SIGCONT)
 
 
 def test_stale_files_of_a_dead_process_do_no_harm_and_outcomes_of_its_keys_are_unknown(host, shared_address, tmp_path):
     old = host(listen=shared_address())
-    g, key = old.gateway(), nonce()
+    g, key = old.gateway(), make_idempotency_key()
     assert g.result(g.request("book", "ran", key)) == "did ran"
     old.process.kill()
     old.process.wait()
@@ -246,15 +250,15 @@
     g = new.gateway()
     assert g.error_code(g.request("book", "ran", key, redo=1)) != REJECTED
     assert not new.executor.runs_of("ran")
-    assert g.result(g.request("book", "first", nonce())) == "did first"
+    assert g.result(g.request("book", "first", make_idempotency_key())) == "did first"
     window = PLATFORM_INFO["Services"][1]["Window"] / 1000
     wait_until(lambda: time.time() - lock_path(tmp_path).stat().st_mtime > window + 0.2, "the end of the window")
-    assert g.result(g.request("book", "later", nonce(), redo=1)) == "did later"
+    assert g.result(g.request("book", "later", make_idempotency_key(), redo=1)) == "did later"
 
 
 def test_outcomes_of_a_process_that_ended_in_order_are_unknown_for_a_window(host, shared_address):
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
-    g, key = old.gateway(), nonce()
+    g, key = old.gateway(), make_idempotency_key()
     assert g.result(g.request("book", "ran", key)) == "did ran"
     old.terminate()
     assert old.process.wait(5) == 0
@@ -262,12 +266,12 @@
     g = new.gateway()
     assert g.error_code(g.request("book", "ran", key, redo=1)) != REJECTED
     assert not new.executor.runs_of("ran")
-    assert g.result(g.request("book", "first", nonce())) == "did first"
+    assert g.result(g.request("book", "first", make_idempotency_key())) == "did first"
 
 
 def test_a_third_process_waits_for_the_second_to_own_the_keys(host, shared_address):
     one = host(listen=shared_address(), info=LONG_WINDOW_INFO, stop_ms=4000)
-    g, key = one.gateway(), nonce()
+    g, key = one.gateway(), make_idempotency_key()
     held = g.request("book", "hold", key, patience=9000)
     wait_until(lambda: one.executor.runs, "the run")
     two = host(successor_of=one)
@@ -291,7 +295,7 @@
 
 def test_no_third_process_takes_the_keys_past_the_second_however_slow_that_is(host, shared_address):
     one = host(listen=shared_address(), info=LONG_WINDOW_INFO, stop_ms=2500)
-    g, key = one.gateway(), nonce()
+    g, key = one.gateway(), make_idempotency_key()
     assert g.result(g.request("book", "mine", key)) == "did mine"
     two = host(successor_of=one)
     wait_until_ready(two)
@@ -376,7 +380,7 @@
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
     new = host(successor_of=old)
     wait_until_ready(new)
-    g, key = connection_to(new, old), nonce()
+    g, key = connection_to(new, old), make_idempotency_key()
     n = g.request("book", "hold", key)
     wait_until(lambda: new.executor.runs_of("hold"), "the run")
     new.terminate()
@@ -462,7 +466,7 @@
     assert old.process.wait(6) == 0
     g = new.gateway()
     for n in range(30):
-        g.result(g.request("track" if n % 2 else "book", "call:200", None if n % 2 else nonce()))
+        g.result(g.request("track" if n % 2 else "book", "call:200", None if n % 2 else make_idempotency_key()))
     new.terminate()
     assert new.process.wait(6) == 0
     (path,) = wait_until(lambda: list((tmp_path / "traces").glob("*.lptrace")), "the closed file")
--- a/tests/upgrade_support.py
+++ b/tests/upgrade_support.py
@@ -2,7 +2,6 @@
 
 import datetime
 import json
-import random
 
 from lapispick.fakes.start_settings import PLATFORM_INFO
 from lapispick.fakes.waiting import wait_until
@@ -16,10 +15,6 @@
     return sum(n for name, n in h.metrics().items() if name.startswith("success"))
 
 
-def nonce(rng=random):
-    return f"{rng.getrandbits(128):032x}"
-
-
 def connection_to(h, other):
     """Return a connection that this process reads, by whose figures it moved."""
     while True:
