--- a/tests/test_program_patches.py
+++ b/tests/test_program_patches.py
@@ -14,7 +14,9 @@
     assert place.text in (PACKAGE_FOLDER / place.file).read_text()
 
 
-@pytest.mark.parametrize("place", [Place("host/core.py", "no such text"), Place("host/none.py", "import logging\n")])
+@pytest.mark.parametrize(
+    "place", [Place("host/core/dispatcher.py", "no such text"), Place("host/none.py", "import logging\n")]
+)
 def test_a_patch_of_a_place_that_does_not_exist_is_an_error(place, tmp_path):
     with pytest.raises(PatchError):
         program(tmp_path / "program", [Patch(place, "")])
