--- a/tests/test_inventory_watch.py
+++ b/tests/test_inventory_watch.py
@@ -259,7 +259,7 @@
     f.seen("connect-failed", 2)
     f.ask("broker-a", "y")
     wait_until(lambda: a.reply("y"), "the reply over the old connection")
-    assert not a.closed
+    assert not a.close_count
     f.rows["broker-a"]["password"] = "guest"
     f.write()
     f.seen("broker-ended")
