--- a/benchmarks/inventory.py
+++ b/benchmarks/inventory.py
@@ -24,7 +24,7 @@
 from lapispick.conf.settings import Inventory as Settings
 from lapispick.fakes.peers import INFO
 from lapispick.fleet import snapshot
-from lapispick.fleet.messages import Begin, FromHelper, Look
+from lapispick.fleet.messages import Begin, FromHelper, Poll
 from lapispick.fleet.reading import File, Options, Reader
 from lapispick.fleet.reconciler import Bounds
 from lapispick.host.amqp import listing
@@ -36,7 +36,7 @@
 
 
 def csv_list(count: int, other: int = -1) -> str:
-    """Return a list in CSV; the box with the number ``other`` has another port."""
+    """Return a list in CSV; the host with the number ``other`` has another port."""
     rows = [
         f"disp-{n:04d}.pipera.example.org,shops,127.{n // 62500}.{n // 250 % 250}.{n % 250 + 1},"
         f"{5 if n == other else 4},bookings,book,pipera\n"
@@ -67,10 +67,10 @@
     gc.collect()
     gc.disable()
     began = time.perf_counter()
-    boxes = reader.read(files).boxes
-    known = base.boxes
-    put = [box for name, box in boxes.items() if known.get(name) is not box]
-    made = base.changed(put, [name for name in known if name not in boxes])
+    hosts = reader.read(files).hosts
+    known = base.hosts
+    updated = [host for name, host in hosts.items() if known.get(name) is not host]
+    made = base.with_changes(updated, [name for name in known if name not in hosts])
     snapshot.difference(base, made)
     took = time.perf_counter() - began
     gc.enable()
@@ -78,7 +78,7 @@
 
 
 def read(rounds: int = 5) -> None:
-    """Read a list first, then with one box changed; medians."""
+    """Read a list first, then with one host changed; medians."""
     rows = []
     for form, make in FORMS.items():
         for size in SIZES:
@@ -91,11 +91,11 @@
                 change.append(took)
             one, two = statistics.median(first), statistics.median(change)
             rows.append((form, size, f"{one:.1f}", f"{two:.2f}", f"{two / one:.3f}"))
-    show("reading and applying, ms (medians)", ("form", "boxes", "first load", "one box changed", "ratio"), rows)
+    show("reading and applying, ms (medians)", ("form", "hosts", "first load", "one host changed", "ratio"), rows)
 
 
 def helper(rounds: int = 5) -> None:
-    """Let a real helper process read a list first, from its start on, and then with one box changed."""
+    """Let a real helper process read a list first, from its start on, and then with one host changed."""
     rows = []
     for form, make in FORMS.items():
         for size in SIZES:
@@ -107,7 +107,7 @@
             one, two = statistics.median(first), statistics.median(change)
             rows.append((form, size, f"{one:.0f}", f"{two:.2f}", f"{two / one:.3f}"))
     show(
-        "the helper process, ms (medians)", ("form", "boxes", "start and first load", "one box changed", "ratio"), rows
+        "the helper process, ms (medians)", ("form", "hosts", "start and first load", "one host changed", "ratio"), rows
     )
 
 
@@ -125,15 +125,15 @@
         def ask(message: msgspec.Struct) -> None:
             ours.sendall(msgspec.json.encode(message) + b"\n")
             head = decode(lines.readline())
-            for _ in range(head.parts):  # type: ignore[union-attr]
+            for _ in range(head.chunk_count):  # type: ignore[union-attr]
                 decode(lines.readline())
 
         ask(Begin(str(path), 64 << 20, Options("shops", PLAIN)))
-        ask(Look())
+        ask(Poll())
         first = time.perf_counter() - began
         path.write_text(new)
         began = time.perf_counter()
-        ask(Look())
+        ask(Poll())
         took = time.perf_counter() - began
         lines.close()
         ours.close()
@@ -158,7 +158,7 @@
             spare.write_text(FORMS[form](size, 1 + turn * size // rounds))
         told = Settings(path=path, group="shops", look=0.05, settle=0.1, settle_most=1.0)
         front = AmqpFront(
-            loop, Bounds(lives=8), info, settings_from(info), lambda item: None, Names(loop, 1.0, None), 60.0
+            loop, Bounds(max_instances=8), info, settings_from(info), lambda item: None, Names(loop, 1.0, None), 60.0
         )
         inventory = Inventory(loop, told, listing.schema(info), front.take)
 
@@ -193,10 +193,10 @@
         loop.spawn(script)
         loop.later(60.0, loop.stop)  # a list that is never accepted must not keep this running
         loop.run()
-        assert inventory._process is not None and phase[0] == "change", "the list was not accepted"
-        helper = memory_mb(inventory._process.pid)
-        inventory._process.kill()
-        inventory._process.wait()
+        assert inventory.helper.process is not None and phase[0] == "change", "the list was not accepted"
+        helper = memory_mb(inventory.helper.process.pid)
+        inventory.helper.process.kill()
+        inventory.helper.process.wait()
     return worst["idle"] * 1000, worst["first"] * 1000, worst["change"] * 1000, helper, memory_mb(os.getpid())
 
 
@@ -215,7 +215,7 @@
             rows.append((form, size, *told.stdout.split()))
     show(
         "longest gap between two turns of the loop, ms; memory at the peak, MB",
-        ("form", "boxes", "idle", "first load", "one box changed", "helper", "host and front"),
+        ("form", "hosts", "idle", "first load", "one host changed", "helper", "host and front"),
         rows,
     )
 
--- a/lapispick/cli/inventory.py
+++ b/lapispick/cli/inventory.py
@@ -1,4 +1,4 @@
-"""``lapispick inventory``: look at the list of boxes as a worker host would, and at what a host made of it."""
+"""``lapispick inventory``: look at the host list as a worker host would, and at what a host made of it."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from lapispick.cli.output import DIFFERS, FAULTY, NO_STATE, as_json, complain, pairs, say, setup_logs, table
 from lapispick.conf.settings import Inventory as Settings
 from lapispick.fleet import files, hosts, last_good, snapshot
-from lapispick.fleet.acceptance import ACCEPT_LEAST, Acceptance, Phase, Seen
+from lapispick.fleet.acceptance import MIN_ACCEPT_DIGITS, Acceptance, Observation, Phase, Verdict
+from lapispick.fleet.errors import StateFolderError
 from lapispick.fleet.reading import Reader, Reading
-from lapispick.fleet.schema import FLEET as ANY
-from lapispick.fleet.schema import Schema
+from lapispick.fleet.schema import ANY_HOST, Schema
 from lapispick.fleet.snapshot import Snapshot
 from lapispick.host.amqp import listing
 from lapispick.host.inventory import options, policy
@@ -29,7 +29,7 @@
 
 
 class Source(NamedTuple):
-    """Which list: how it is read, and what is wanted of its boxes."""
+    """Which list: how it is read, and what is read of its hosts."""
 
     settings: Settings
     schema: Schema
@@ -59,26 +59,28 @@
         sys.exit(FAULTY)
     if fleet.group and group == fleet.group:
         return Source(msgspec.structs.replace(made, state_folder=fleet.state_folder), hosts.SCHEMA)
-    return Source(made, _amqp() if group == told.group else ANY)
+    return Source(made, _amqp() if group == told.group else ANY_HOST)
 
 
 class Files:
     """The files of a list, read again and again."""
 
     def __init__(self, where: Source) -> None:
-        settings, self._schema = where
-        self._path, self._most = Path(str(settings.path)), settings.size_most
+        settings = where.settings
+        self._schema = where.schema
+        self._path = Path(str(settings.path))
+        self._max_bytes = settings.size_most
         self._reader = Reader(options(settings, self._schema), os.environ)
 
     def read(self) -> Reading:
         """Return what the files say now."""
-        found = files.read(self._path, self._most)
+        found = files.read(self._path, self._max_bytes)
         if found.faults:
             return Reading({}, found.faults, "")
         reading = self._reader.read(found.files)
         if self._schema is hosts.SCHEMA and not reading.faults:
-            reading = reading._replace(faults=hosts.workers(reading.boxes.values())[1])
-        return reading._replace(unfinished=found.unfinished or reading.unfinished)
+            reading = reading._replace(faults=hosts.workers(reading.hosts.values())[1])
+        return reading._replace(incomplete_reason=found.incomplete_reason or reading.incomplete_reason)
 
 
 def _snapshot(where: Source) -> Snapshot:
@@ -88,7 +90,7 @@
         for fault in reading.faults:
             complain(str(fault))
         sys.exit(DIFFERS)
-    return snapshot.of(reading.boxes)
+    return snapshot.snapshot_of(reading.hosts)
 
 
 def _folder(settings: Settings) -> Path:
@@ -103,11 +105,11 @@
     if settings.state_folder is None:
         return None
     try:
-        found = last_good.kept(Path(str(settings.state_folder)), f"{settings.path} group {settings.group}")
-    except last_good.StateFault as err:
+        found = last_good.load(Path(str(settings.state_folder)), f"{settings.path} group {settings.group}")
+    except StateFolderError as err:
         complain(str(err))
         return None
-    return found[1] if found else None
+    return found.snapshot if found else None
 
 
 def _when(at: float) -> str:
@@ -116,7 +118,7 @@
 
 @click.group()
 def inventory() -> None:
-    """Look at the list of boxes."""
+    """Look at the host list."""
 
 
 @inventory.command()
@@ -128,36 +130,36 @@
     """Name every fault of the list's files, and what else a host would say of them."""
     where = source(file, path, group)
     settings, reading = where.settings, Files(where).read()
-    made = snapshot.of(reading.boxes)
-    remarks = [reading.unfinished] if reading.unfinished else []
+    made = snapshot.snapshot_of(reading.hosts)
+    remarks = [reading.incomplete_reason] if reading.incomplete_reason else []
     accepted = _accepted(settings)
     if not reading.faults and accepted is not None:
         objection = Acceptance(policy(settings), accepted).objection(0.0, made)
         remarks += [f"a host holds it back: {objection}"] if objection else []
     remarks += [
-        f"one box under several spellings: {', '.join(box.spellings)}"
-        for box in reading.boxes.values()
-        if len(box.spellings) > 1
+        f"one host under several spellings: {', '.join(host.spellings)}"
+        for host in reading.hosts.values()
+        if len(host.spellings) > 1
     ]
     if json_:
         as_json(
             {
-                "boxes": len(made.boxes),
+                "boxes": len(made.hosts),
                 "digest": made.digest,
                 "remarks": remarks,
                 "faults": [str(f) for f in reading.faults],
-                "faults_left_out": reading.left_out,
+                "faults_left_out": reading.omitted_faults,
             }
         )
     else:
         for fault in reading.faults:
             complain(str(fault))
-        if reading.left_out:
-            complain(f"and {reading.left_out} more faults")
+        if reading.omitted_faults:
+            complain(f"and {reading.omitted_faults} more faults")
         for remark in remarks:
             say(remark)
         if not reading.faults:
-            say(f"{len(made.boxes)} boxes, digest {made.digest}")
+            say(f"{len(made.hosts)} hosts, digest {made.digest}")
     sys.exit(DIFFERS if reading.faults else 0)
 
 
@@ -168,7 +170,7 @@
 @JSON
 @click.option("--accepted", is_flag=True, help="What the host has accepted, not what the files say.")
 def list_(file: Path | None, path: Path | None, group: str | None, json_: bool, accepted: bool) -> None:
-    """List the boxes with what is read of them; secrets are hidden."""
+    """List the hosts with what is read of them; secrets are hidden."""
     where = source(file, path, group)
     settings, schema = where
     if accepted:
@@ -177,35 +179,35 @@
     if made is None:
         complain("nothing has been accepted so far")
         sys.exit(NO_STATE)
-    boxes = [made.boxes[name] for name in sorted(made.boxes)]
+    listed = [made.hosts[name] for name in sorted(made.hosts)]
     if json_:
         as_json(
             [
                 {
-                    "name": b.name,
-                    "host": b.host,
-                    "port": b.port,
-                    "vars": b.shown(schema),
-                    "items": b.items,
-                    "spellings": b.spellings,
-                    "places": [str(p) for p in b.places],
+                    "name": host.name,
+                    "host": host.address,
+                    "port": host.port,
+                    "vars": host.shown(schema),
+                    "items": host.items,
+                    "spellings": host.spellings,
+                    "places": [str(p) for p in host.places],
                 }
-                for b in boxes
+                for host in listed
             ]
         )
     else:
         table(
-            f"{len(boxes)} boxes, digest {made.digest}",
+            f"{len(listed)} hosts, digest {made.digest}",
             ("name", "at", "variables", "queues", "place"),
             (
                 (
-                    b.name,
-                    f"{b.host}:{b.port}",
-                    pairs({k: v for k, v in b.shown(schema).items() if v != ""}),
-                    ", ".join(str(item.get(schema.item_name, "")) for item in b.items),
-                    b.places[0] if b.places else "",
+                    host.name,
+                    f"{host.address}:{host.port}",
+                    pairs({k: v for k, v in host.shown(schema).items() if v != ""}),
+                    ", ".join(str(item.get(schema.item_name, "")) for item in host.items),
+                    host.places[0] if host.places else "",
                 )
-                for b in boxes
+                for host in listed
             ),
         )
 
@@ -245,21 +247,21 @@
             for name in names:
                 details = _details(where.schema, one, two, name) if what in ("moved", "changed") else ""
                 say(f"{what:<8} {name}{details}")
-        say(f"held back: {objection}" if objection else f"{sum(found.counts().values())} boxes differ")
+        say(f"held back: {objection}" if objection else f"{sum(found.counts().values())} hosts differ")
     sys.exit(DIFFERS if found else 0)
 
 
 def _details(schema: Schema, one: Snapshot, two: Snapshot, name: str) -> str:
-    """Return what is other in a box, without values that are secret."""
-    old, new = one.boxes[name], two.boxes[name]
+    """Return what differs in a host, without values that are secret."""
+    old, new = one.hosts[name], two.hosts[name]
     parts = []
-    if (old.host, old.port) != (new.host, new.port):
-        parts.append(f"{old.host}:{old.port} -> {new.host}:{new.port}")
+    if (old.address, old.port) != (new.address, new.port):
+        parts.append(f"{old.address}:{old.port} -> {new.address}:{new.port}")
     was, now = old.shown(schema), new.shown(schema)
     for key in sorted(was.keys() | now.keys()):
-        if old.vars.get(key) != new.vars.get(key) and key != schema.port:
+        if old.vars.get(key) != new.vars.get(key) and key != schema.port_variable:
             parts.append(f"{key}: {was.get(key)} -> {now.get(key)}")
-    items_old, items_new = ({item[schema.item_name]: item for item in b.items} for b in (old, new))
+    items_old, items_new = ({item[schema.item_name]: item for item in host.items} for host in (old, new))
     for key in sorted(items_old.keys() | items_new.keys()):
         if items_old.get(key) != items_new.get(key):
             parts.append(
@@ -274,14 +276,20 @@
 def history(file: Path | None, json_: bool) -> None:
     """Show the lists that the host accepted, the newest last, and where it stands now."""
     folder = _folder(load(file).inventory)
-    entries, status = last_good.history(folder), last_good.status(folder)
+    entries, status = last_good.load_history(folder), last_good.load_status(folder)
     if json_:
         return as_json({"history": entries, "status": status})
     table(
         "accepted lists",
-        ("at", "digest", "boxes", "change", "ground"),
+        ("at", "digest", "hosts", "change", "reason"),
         (
-            (_when(e.at), e.digest[:12], e.boxes, pairs({k: v for k, v in e.counts.items() if v}) or "none", e.ground)
+            (
+                _when(e.at),
+                e.digest[:12],
+                e.host_count,
+                pairs({k: v for k, v in e.counts.items() if v}) or "none",
+                e.reason,
+            )
             for e in entries
         ),
     )
@@ -307,22 +315,23 @@
     end = time.monotonic() + seconds if seconds else float("inf")
     while time.monotonic() < end:
         reading = reader.read()
-        seen = Seen(None if reading.faults else snapshot.of(reading.boxes), reading.faults, reading.unfinished)
-        verdict = judge.see(time.monotonic(), seen)
-        if verdict.news:
-            _say_verdict(log, verdict.phase, verdict, seen)
+        found = None if reading.faults else snapshot.snapshot_of(reading.hosts)
+        observation = Observation(found, reading.faults, reading.incomplete_reason)
+        verdict = judge.observe(time.monotonic(), observation)
+        if verdict.is_new:
+            _log_verdict(log, verdict, observation)
         time.sleep(settings.look)
 
 
-def _say_verdict(log: Any, phase: Phase, verdict: Any, seen: Seen) -> None:
-    told: dict[str, Any] = {"ground": verdict.ground}
-    if seen.snapshot is not None:
-        told |= {"digest": seen.snapshot.digest[:12], "boxes": len(seen.snapshot.boxes)}
+def _log_verdict(log: Any, verdict: Verdict, observation: Observation) -> None:
+    fields: dict[str, Any] = {"reason": verdict.reason}
+    if observation.snapshot is not None:
+        fields |= {"digest": observation.snapshot.digest[:12], "hosts": len(observation.snapshot.hosts)}
     if verdict.accepted is not None:
-        told |= verdict.difference.counts()
-    level = {Phase.REFUSED: log.error, Phase.HELD: log.warning}.get(phase, log.info)
-    level(f"inventory-{phase.value}", **told)
-    for fault in seen.faults[1:] if phase is Phase.REFUSED else ():
+        fields |= verdict.difference.counts()
+    level = {Phase.REJECTED: log.error, Phase.HELD: log.warning}.get(verdict.phase, log.info)
+    level(f"inventory-{verdict.phase.name.lower()}", **fields)
+    for fault in observation.faults[1:] if verdict.phase is Phase.REJECTED else ():
         log.error("inventory-fault", fault=str(fault))
 
 
@@ -334,7 +343,7 @@
     """Let the host accept a list that it holds back: the present one, or the one with this DIGEST."""
     settings = load(file).inventory
     folder = _folder(settings)
-    status = last_good.status(folder)
+    status = last_good.load_status(folder)
     if status is None:
         complain("no host has said where it stands")
         sys.exit(NO_STATE)
@@ -342,16 +351,16 @@
         complain(f"nothing is held back: the list is {status['phase']} ({status['ground']})")
         sys.exit(DIFFERS)
     wanted = (digest or status["candidate"]).lower()
-    if len(wanted) < ACCEPT_LEAST or any(c not in "0123456789abcdef" for c in wanted):
-        complain(f"a digest has at least {ACCEPT_LEAST} hex digits")
+    if len(wanted) < MIN_ACCEPT_DIGITS or any(c not in "0123456789abcdef" for c in wanted):
+        complain(f"a digest has at least {MIN_ACCEPT_DIGITS} hex digits")
         sys.exit(FAULTY)
-    last_good.accept(folder, wanted[:32])
+    last_good.save_operator_digest(folder, wanted[:32])
     say(f"told the host to accept {wanted}")
     end = time.monotonic() + wait
     while wait and time.monotonic() < end:
-        status = last_good.status(folder) or status
+        status = last_good.load_status(folder) or status
         if str(status["accepted"]).startswith(wanted):
-            return say(f"accepted: {status['boxes']} boxes")
+            return say(f"accepted: {status['boxes']} hosts")
         time.sleep(0.05)
     if wait:
         complain("the host has not accepted it so far; is the list in the files still this one?")
--- a/lapispick/cli/rollout_control.py
+++ b/lapispick/cli/rollout_control.py
@@ -13,7 +13,7 @@
 from lapispick.cli.rollout_common import fail
 from lapispick.cli.rollout_planning import Fleet
 from lapispick.fleet import hosts, snapshot
-from lapispick.fleet.acceptance import Acceptance, Seen
+from lapispick.fleet.acceptance import Acceptance, Observation
 from lapispick.fleet.hosts import Worker
 from lapispick.host import logs
 from lapispick.host.inventory import policy
@@ -34,11 +34,13 @@
     def accepted_workers(self) -> list[Worker] | None:
         """Return the hosts of a list that was accepted just now; a broken or shrunken list changes nothing."""
         reading = self._files.read()
-        whole = None if reading.faults else snapshot.of(reading.boxes)
-        verdict = self._acceptance.see(time.monotonic(), Seen(whole, reading.faults, reading.unfinished))
+        whole = None if reading.faults else snapshot.snapshot_of(reading.hosts)
+        verdict = self._acceptance.observe(
+            time.monotonic(), Observation(whole, reading.faults, reading.incomplete_reason)
+        )
         if verdict.accepted is None:
             return None
-        return list(hosts.workers(verdict.accepted.boxes.values())[0])
+        return list(hosts.workers(verdict.accepted.hosts.values())[0])
 
 
 def run_controller(store: RolloutStore, state: RolloutState, fleet: Fleet, default_memory_limit_mb: float) -> None:
--- a/lapispick/cli/rollout_planning.py
+++ b/lapispick/cli/rollout_planning.py
@@ -81,7 +81,7 @@
     list_source = source(settings_file, None, settings.fleet.group)
     reading = Files(list_source).read()
     faults = [str(fault) for fault in reading.faults]
-    workers, _ = hosts.workers(reading.boxes.values())
+    workers, _ = hosts.workers(reading.hosts.values())
     limits = stages.Limits(settings.rollout.zone_most)
     planned: list[list[str]] = []
     remarks: list[str] = []
--- a/lapispick/cli/shares.py
+++ b/lapispick/cli/shares.py
@@ -9,10 +9,10 @@
 import click
 
 from lapispick.cli.config import FILE, load
-from lapispick.cli.inventory import ANY, Files, Source, source
+from lapispick.cli.inventory import ANY_HOST, Files, Source, source
 from lapispick.cli.output import DIFFERS, FAULTY, as_json, complain, say, table
 from lapispick.fleet import hosts as listing
-from lapispick.fleet.host_assembly import Box
+from lapispick.fleet.host_assembly import InventoryHost
 from lapispick.shares import subsets
 from lapispick.shares.subsets import Backend, Host
 
@@ -38,13 +38,13 @@
     return command
 
 
-def _boxes(where: Source) -> list[Box]:
+def _inventory_hosts(where: Source) -> list[InventoryHost]:
     reading = Files(where).read()
     if reading.faults:
         for fault in reading.faults:
             complain(str(fault))
         sys.exit(DIFFERS)
-    return list(reading.boxes.values())
+    return list(reading.hosts.values())
 
 
 def _hosts(conf: Path | None, path: Path | None = None) -> list[Host]:
@@ -52,12 +52,12 @@
     if not group:
         complain("no group in section fleet of the settings")
         sys.exit(FAULTY)
-    found, _ = listing.workers(_boxes(source(conf, path, group)))
+    found, _ = listing.workers(_inventory_hosts(source(conf, path, group)))
     return [Host(each.name, each.zone, each.weight) for each in found]
 
 
 def _backends(conf: Path | None, path: Path, group: str) -> list[Backend]:
-    return [Backend(box.name) for box in _boxes(source(conf, path, group)._replace(schema=ANY))]
+    return [Backend(host.name) for host in _inventory_hosts(source(conf, path, group)._replace(schema=ANY_HOST))]
 
 
 def _known(name: str, hosts: Sequence[Host]) -> None:
--- a/lapispick/fleet/csv_reader.py
+++ b/lapispick/fleet/csv_reader.py
@@ -1,6 +1,6 @@
-"""CSV as configuration tools write it: a header, then a row for each box or for each item of a box. No I/O.
+"""CSV as configuration tools write it: a header, then a row for each host or for each item of a host. No I/O.
 
-RFC 4180 with what is met in practice: other delimiters, blank lines, comment lines that begin with ``#``.
+RFC 4180 with what is common in practice: other delimiters, blank lines, comment lines that begin with ``#``.
 """
 
 from __future__ import annotations
@@ -8,132 +8,175 @@
 import csv
 import io
 from collections.abc import Iterator
+from typing import NamedTuple
 
 from lapispick.file_errors import Collector, Place
 from lapispick.fleet import ranges
 from lapispick.fleet.entries import Entry, Var
+from lapispick.fleet.errors import HostRangeError
 
 DELIMITERS = {"comma": ",", "semicolon": ";", "tab": "\t", "bar": "|"}
-NAME, GROUP = "host", "group"
-COLUMNS_MOST = 200
-CELL_MOST = 65_536  # characters of one cell
+DEFAULT_DELIMITER = ","
+NAME_COLUMN = "host"
+GROUP_COLUMN = "group"
+MAX_COLUMNS = 200
+MAX_CELL_CHARACTERS = 65_536
+_MAX_SHOWN_CHARACTERS = 200  # of a header in a message
 
+Rows = list[tuple[str, Entry]]  # (group or "", entry)
+RowCache = dict[tuple[str, ...], Rows]  # the rows by their cells; the places in them may have moved since
 
-def _rows(text: str, delimiter: str) -> Iterator[tuple[int, list[str]]]:
-    """Yield (number of its first line, cells) for each record."""
-    reader = csv.reader(io.StringIO(text, newline=""), delimiter=delimiter, strict=True)
-    at = 1
-    for cells in reader:
-        yield at, cells
-        at = reader.line_num + 1
 
+class CsvRows(NamedTuple):
+    """The rows of one file, and the cache for the next reading of it; an empty cache means an unreadable file."""
 
-def _first(text: str, delimiter: str) -> list[str]:
-    try:
-        for _, cells in _rows(text[:CELL_MOST], delimiter):
-            if any(c.strip() for c in cells) and not cells[0].lstrip().startswith("#"):
-                return [c.strip() for c in cells]
-    except csv.Error:
-        pass
-    return []
+    rows: Rows
+    cache: RowCache
 
 
-def delimiter_of(text: str) -> str:
+def detect_delimiter(text: str) -> str:
     """Return the delimiter under which the header has a column ``host`` and the most columns; else a comma."""
-    for line in text[:CELL_MOST].splitlines():
+    for line in text[:MAX_CELL_CHARACTERS].splitlines():
         if line.strip() and not line.lstrip().startswith("#"):
-            found = [d for d in DELIMITERS.values() if d in line]
+            found = [delimiter for delimiter in DELIMITERS.values() if delimiter in line]
             if len(found) == 1:
-                return found[0]  # nothing to weigh
+                return found[0]
             break
-    headers = {d: _first(text, d) for d in DELIMITERS.values()}
-    fitting = [d for d, header in headers.items() if NAME in header]
-    return max(fitting, key=lambda d: len(headers[d]), default=",")
-
-
-def _header(file: str, line: int, cells: list[str], faults: Collector) -> list[str]:
-    header = [c.strip() for c in cells]
-    place = Place(file, line)
-    if NAME not in header:
-        faults.add(place, NAME, f"the header has no such column, only {', '.join(header)[:200]}")
-    if len(header) > COLUMNS_MOST:
-        faults.add(place, "", f"{len(header)} columns; {COLUMNS_MOST} are the most")
-    for column, key in enumerate(header, 1):
-        if header.index(key) != column - 1:
-            faults.add(
-                Place(file, line, column),
-                key or "a column without a name",
-                f"the header has this column twice, first as column {header.index(key) + 1}",
-            )
-    return header
-
-
-Rows = list[tuple[str, Entry]]  # (group or "", entry)
-Cache = dict[tuple[str, ...], Rows]  # what was made of a row's cells; places in it may have moved since
+    headers = {delimiter: _first_cells(text, delimiter) for delimiter in DELIMITERS.values()}
+    fitting = [delimiter for delimiter, header in headers.items() if NAME_COLUMN in header]
+    return max(fitting, key=lambda delimiter: len(headers[delimiter]), default=DEFAULT_DELIMITER)
 
 
-def read(file: str, text: str, delimiter: str, most: int, faults: Collector, cache: Cache) -> tuple[Rows, Cache]:
-    """Return the rows and what to keep for the next time; faults are collected.
+def read(file: str, text: str, delimiter: str, max_hosts: int, faults: Collector, cache: RowCache) -> CsvRows:
+    """Return the rows of a file; faults are collected.
 
-    ``delimiter`` may be ``auto``. A row that stands in ``cache`` is taken from there.
+    ``delimiter`` may be ``auto``. A row that is in ``cache`` is taken from there.
     """
-    kept: Cache = {}
     if "\0" in text:
-        at = text.index("\0")
-        faults.add(Place(file, text.count("\n", 0, at) + 1), "", "a NUL byte; the file is broken or no text")
-        return [], kept
-    mark = DELIMITERS.get(delimiter) or delimiter_of(text)
-    header: list[str] = []
-    found: Rows = []
+        line = text.count("\n", 0, text.index("\0")) + 1
+        faults.add(Place(file, line), "", "a NUL byte; the file is broken or no text")
+        return CsvRows([], {})
+    reader = _Reader(file, max_hosts, faults, cache)
+    return reader.read(text, DELIMITERS.get(delimiter) or detect_delimiter(text))
+
+
+class _Reader:
+    """Reads one file once."""
+
+    def __init__(self, file: str, max_hosts: int, faults: Collector, cache: RowCache) -> None:
+        self._file = file
+        self._max_hosts = max_hosts
+        self._faults = faults
+        self._old_cache = cache
+        self._cache: RowCache = {}
+        self._header: list[str] = []
+
+    def read(self, text: str, delimiter: str) -> CsvRows:
+        faults = self._faults
+        found: Rows = []
+        line = 1
+        try:
+            for line, cells in _records(text, delimiter):
+                if _is_blank(cells):
+                    continue
+                if not self._header:
+                    self._read_header(line, cells)
+                    if faults:
+                        return CsvRows([], self._cache)
+                    continue
+                found += self._read_row(line, cells)
+                if len(found) > self._max_hosts:
+                    faults.add(Place(self._file, line), NAME_COLUMN, f"more than {self._max_hosts} hosts")
+                    return CsvRows([], self._cache)
+        except csv.Error as err:
+            # The parser stops here, so that the rows before are no complete list either.
+            faults.add(Place(self._file, line), "", f"can't be read as CSV behind this line: {err}")
+            self._cache.clear()
+        if not self._header and not faults:
+            faults.add(Place(self._file, 1), NAME_COLUMN, "there is no header")
+        return CsvRows(found, self._cache)
+
+    def _read_header(self, line: int, cells: list[str]) -> None:
+        self._header = [cell.strip() for cell in cells]
+        self._check_header(line)
+        if self._faults:
+            return
+        key = tuple(self._header)  # the cache of a file begins with its header, which has no rows
+        if self._old_cache.get(key) != []:
+            self._old_cache = {}
+        self._cache[key] = []
+
+    def _check_header(self, line: int) -> None:
+        header = self._header
+        place = Place(self._file, line)
+        if NAME_COLUMN not in header:
+            shown = ", ".join(header)[:_MAX_SHOWN_CHARACTERS]
+            self._faults.add(place, NAME_COLUMN, f"the header has no such column, only {shown}")
+        if len(header) > MAX_COLUMNS:
+            self._faults.add(place, "", f"{len(header)} columns; {MAX_COLUMNS} are the most")
+        for column, key in enumerate(header, 1):
+            first = header.index(key) + 1
+            if first != column:
+                self._faults.add(
+                    Place(self._file, line, column),
+                    key or "a column without a name",
+                    f"the header has this column twice, first as column {first}",
+                )
+
+    def _read_row(self, line: int, cells: list[str]) -> Rows:
+        key = tuple(cells)
+        rows = self._old_cache.get(key)
+        if rows is None or key in self._cache:
+            rows = self._parse_row(line, cells)
+        self._cache.setdefault(key, rows)
+        return rows
+
+    def _parse_row(self, line: int, cells: list[str]) -> Rows:
+        header = self._header
+        place = Place(self._file, line)
+        if len(cells) != len(header):
+            key = header[min(len(cells), len(header) - 1)]
+            self._faults.add(place, key, f"{len(cells)} cells under {len(header)} columns")
+            return []
+        row: dict[str, Var] = {}
+        for column, (key, cell) in enumerate(zip(header, cells, strict=True), 1):
+            if value := cell.strip():
+                row[key] = Var(value, Place(self._file, line, column))
+        name = row.pop(NAME_COLUMN, None)
+        if name is None:
+            self._faults.add(place, NAME_COLUMN, "is empty")
+            return []
+        group = row.pop(GROUP_COLUMN, None)
+        try:
+            names = ranges.expand(name.value, self._max_hosts)
+        except HostRangeError as err:
+            self._faults.add(name.place, NAME_COLUMN, str(err))
+            return []
+        group_name = group.value if group else ""
+        return [(group_name, Entry(expanded, name.place, row)) for expanded in names]
+
+
+def _records(text: str, delimiter: str) -> Iterator[tuple[int, list[str]]]:
+    """Yield (number of its first line, cells) for each record."""
+    reader = csv.reader(io.StringIO(text, newline=""), delimiter=delimiter, strict=True)
     line = 1
+    for cells in reader:
+        yield line, cells
+        line = reader.line_num + 1
+
+
+def _is_blank(cells: list[str]) -> bool:
+    """Tell whether a record is blank or a comment."""
+    first = cells[0].lstrip() if cells else ""
+    return first.startswith("#") or (not first and not any(cell.strip() for cell in cells))
+
+
+def _first_cells(text: str, delimiter: str) -> list[str]:
+    """Return the cells of the first record that is neither blank nor a comment."""
     try:
-        for line, cells in _rows(text, mark):
-            first = cells[0].lstrip() if cells else ""
-            if first.startswith("#") or (not first and not any(c.strip() for c in cells)):
-                continue
-            if not header:
-                header = _header(file, line, cells, faults)
-                if faults:
-                    return [], kept
-                cache = cache if cache.get(tuple(header)) == [] else {}
-                kept[tuple(header)] = []
-                continue
-            key = tuple(cells)
-            made = cache.get(key)
-            if made is None or key in kept:
-                made = _row(file, line, header, cells, most, faults)
-            kept.setdefault(key, made)
-            found += made
-            if len(found) > most:
-                faults.add(Place(file, line), NAME, f"more than {most} boxes")
-                return [], kept
-    except csv.Error as err:
-        # The parser stops here, so that the rows before are no whole list either.
-        faults.add(Place(file, line), "", f"can't be read as CSV behind this line: {err}")
-        kept.clear()
-    if not header and not faults:
-        faults.add(Place(file, 1), NAME, "there is no header")
-    return found, kept
-
-
-def _row(file: str, line: int, header: list[str], cells: list[str], most: int, faults: Collector) -> Rows:
-    place = Place(file, line)
-    if len(cells) != len(header):
-        key = header[min(len(cells), len(header) - 1)]
-        faults.add(place, key, f"{len(cells)} cells under {len(header)} columns")
-        return []
-    row: dict[str, Var] = {}
-    for column, (key, cell) in enumerate(zip(header, cells, strict=True), 1):
-        if value := cell.strip():
-            row[key] = Var(value, Place(file, line, column))
-    name = row.pop(NAME, None)
-    if name is None:
-        faults.add(place, NAME, "is empty")
-        return []
-    group = row.pop(GROUP, None)
-    try:
-        names = ranges.expand(name.value, most)
-    except ranges.RangeFault as err:
-        faults.add(name.place, NAME, str(err))
-        return []
-    return [(group.value if group else "", Entry(n, name.place, row)) for n in names]
+        for _, cells in _records(text[:MAX_CELL_CHARACTERS], delimiter):
+            if any(cell.strip() for cell in cells) and not cells[0].lstrip().startswith("#"):
+                return [cell.strip() for cell in cells]
+    except csv.Error:
+        pass
+    return []
--- a/lapispick/fleet/entries.py
+++ b/lapispick/fleet/entries.py
@@ -1,4 +1,4 @@
-"""What the readers of both forms hand on: entries with variables, each with the place where it stands."""
+"""What both file formats are read into: entries with variables, each with the place where it is written."""
 
 from __future__ import annotations
 
@@ -7,27 +7,29 @@
 from lapispick.file_errors import Place
 
 
-class Tagged(str):
-    """A YAML text with a tag of another tool, such as ``!vault``; kept, never understood."""
+class TaggedText(str):
+    """A YAML text with a tag of another tool, such as ``!vault``; kept but not interpreted."""
 
     __slots__ = ("tag",)
 
-    def __new__(cls, text: str, tag: str) -> Tagged:
+    tag: str
+
+    def __new__(cls, text: str, tag: str) -> TaggedText:
         """Make a text that knows its tag."""
-        made = super().__new__(cls, text)
-        made.tag = tag
-        return made
+        tagged = super().__new__(cls, text)
+        tagged.tag = tag
+        return tagged
 
 
 class Var(NamedTuple):
-    """A value and where it stands."""
+    """A value and where it is written."""
 
     value: Any
     place: Place
 
 
 class Entry(NamedTuple):
-    """One box as it stands in one place: a row, or a host of a group with all that it inherits."""
+    """One host as one place describes it: a CSV row, or a host of a YAML group with all that it inherits."""
 
     name: str
     place: Place
--- a/lapispick/fleet/files.py
+++ b/lapispick/fleet/files.py
@@ -1,4 +1,4 @@
-"""Finds and reads the files of a list. I/O only; it runs where blocking does no harm."""
+"""Finds and reads the files of a list. I/O only; it runs in the helper process, where blocking stalls nobody."""
 
 from __future__ import annotations
 
@@ -9,109 +9,122 @@
 from typing import NamedTuple
 
 from lapispick.file_errors import Fault, Place
-from lapispick.fleet.reading import GROUP_VARS, HOST_VARS, File, wanted
+from lapispick.fleet.reading import GROUP_VARS, HOST_VARS, File, belongs_to_list
 
-FILES_MOST = 5_000
-TRIES = 3  # of reading a file that changes meanwhile
-RACY_S = 2.0  # s; a file that changed within the clock's grain may have changed again unseen
+MAX_FILES = 5_000
+MAX_READ_ATTEMPTS = 3  # of a file that changes while it is read
+RACY_S = 2.0  # a file that changed within the clock's resolution may have changed again unnoticed
 
 
-class Found(NamedTuple):
-    """What stands on the disk now. ``signature`` is None where only the contents can tell of a change."""
+class FileVersion(NamedTuple):
+    """What the file system says of one version of a file."""
+
+    device: int
+    inode: int
+    size: int
+    modified_ns: int
+
+
+class FileSet(NamedTuple):
+    """The files of a list as they are now; ``signature`` is None where only the contents can show a change."""
 
     files: list[File]
     faults: tuple[Fault, ...]
-    unfinished: str
+    incomplete_reason: str
     signature: tuple[object, ...] | None
 
 
-def _listed(folder: Path, below: str) -> list[tuple[str, Path]]:
-    """Return the files of a folder in the order of their names, with their names relative to the list."""
-    found = sorted(entry for entry in os.listdir(folder) if not entry.startswith("."))
-    return [(f"{below}{name}", folder / name) for name in found]
+class _Contents(NamedTuple):
+    data: bytes
+    is_stable: bool  # whether the file was unchanged while it was read
+
+
+def signature(path: Path) -> tuple[object, ...] | None:
+    """Return what distinguishes these files from changed ones without reading them; None where nothing does."""
+    try:
+        versions = [(name, _version(os.stat(file))) for name, file in _candidates(path)]
+    except OSError:
+        return None
+    newest_s = max((version.modified_ns for _, version in versions), default=0) / 1e9
+    return tuple(versions) if versions and time.time() - newest_s > RACY_S else None
+
+
+def read(path: Path, max_bytes: int) -> FileSet:
+    """Read all files of a list, ``max_bytes`` together; what can't be read is a fault."""
+    files: list[File] = []
+    faults: list[Fault] = []
+    incomplete_reason = ""
+    signature_before = signature(path)
+    try:
+        found = _candidates(path)
+    except OSError as err:
+        return FileSet([], (_unreadable(path.name, err),), "", None)
+    if len(found) > MAX_FILES:
+        faults.append(Fault(Place(path.name), "", f"holds more than {MAX_FILES} files"))
+        found = []
+    bytes_left = max_bytes
+    for name, file in found:
+        try:
+            contents = _read(file, bytes_left)
+        except OSError as err:
+            faults.append(_unreadable(name, err))
+            continue
+        if not contents.is_stable:
+            incomplete_reason = incomplete_reason or f"{name} changes while it is read"
+        bytes_left -= len(contents.data)
+        files.append(File(name, contents.data))
+    is_unchanged = signature_before is not None and signature(path) == signature_before
+    return FileSet(files, tuple(faults), incomplete_reason, signature_before if is_unchanged else None)
+
+
+def _unreadable(name: str, err: OSError) -> Fault:
+    return Fault(Place(name), "", f"can't be read: {err.strerror or err}")
+
+
+def _listed(folder: Path, prefix: str) -> list[tuple[str, Path]]:
+    """Return (relative name, path) of the visible entries of a folder in the order of their names."""
+    names = sorted(entry for entry in os.listdir(folder) if not entry.startswith("."))
+    return [(f"{prefix}{name}", folder / name) for name in names]
 
 
 def _candidates(path: Path) -> list[tuple[str, Path]]:
     """Return (relative name, path) of all files that may belong to the list."""
-    made: list[tuple[str, Path]] = []
+    found: list[tuple[str, Path]] = []
     if path.is_dir():
-        home = path
-        made += [(name, file) for name, file in _listed(path, "") if not file.is_dir()]
+        root = path
+        found += [(name, file) for name, file in _listed(path, "") if not file.is_dir()]
     else:
-        home = path.parent
-        made.append((path.name, path))
+        root = path.parent
+        found.append((path.name, path))
     for kind in (GROUP_VARS, HOST_VARS):
-        if not (home / kind).is_dir():
+        if not (root / kind).is_dir():
             continue
-        for name, file in _listed(home / kind, f"{kind}/"):
-            made += _listed(file, f"{name}/") if file.is_dir() else [(name, file)]
-    return [(name, file) for name, file in made if wanted(name) or file == path]
+        for name, file in _listed(root / kind, f"{kind}/"):
+            found += _listed(file, f"{name}/") if file.is_dir() else [(name, file)]
+    return [(name, file) for name, file in found if belongs_to_list(name) or file == path]
 
 
-def _stat(file: Path) -> tuple[int, ...]:
-    told = os.stat(file)
-    return (told.st_dev, told.st_ino, told.st_size, told.st_mtime_ns)
+def _version(status: os.stat_result) -> FileVersion:
+    return FileVersion(status.st_dev, status.st_ino, status.st_size, status.st_mtime_ns)
 
 
-def _read(file: Path, most: int) -> tuple[bytes, tuple[int, ...], bool]:
-    """Return (bytes, what the system says of the file, whether it stood still while it was read)."""
-    for _ in range(TRIES):
+def _read(file: Path, max_bytes: int) -> _Contents:
+    """Read a file, again where it changes meanwhile."""
+    data = b""
+    for _ in range(MAX_READ_ATTEMPTS):
         # A pipe in the place of the file would otherwise block the open until somebody writes.
         fd = os.open(file, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
         try:
             before = os.fstat(fd)
             if not stat.S_ISREG(before.st_mode):
                 raise OSError(f"{file.name} is no regular file")
-            if before.st_size > most:
-                raise OSError(f"{file.name} is over {most} bytes")
+            if before.st_size > max_bytes:
+                raise OSError(f"{file.name} is over {max_bytes} bytes")
             with os.fdopen(os.dup(fd), "rb") as opened:
-                data = opened.read(most + 1)
+                data = opened.read(max_bytes + 1)
             after = os.fstat(fd)
         finally:
             os.close(fd)
-        mark = (after.st_dev, after.st_ino, after.st_size, after.st_mtime_ns)
-        still = (
-            (before.st_size, before.st_mtime_ns) == (after.st_size, after.st_mtime_ns) == (len(data), after.st_mtime_ns)
-        )
-        if still:
-            return data, mark, True
-    return data[:most], mark, False
-
-
-def signature(path: Path) -> tuple[object, ...] | None:
-    """Return what tells these files from changed ones without reading them; None where it can't."""
-    try:
-        told = [(name, *_stat(file)) for name, file in _candidates(path)]
-    except OSError:
-        return None
-    newest = max((part[-1] for part in told), default=0) / 1e9
-    return tuple(told) if told and time.time() - newest > RACY_S else None
-
-
-def read(path: Path, most: int) -> Found:
-    """Read all files of a list, ``most`` bytes together; what can't be read is a fault."""
-    files: list[File] = []
-    faults: list[Fault] = []
-    unfinished = ""
-    mark = signature(path)
-    try:
-        found = _candidates(path)
-    except OSError as err:
-        return Found([], (Fault(Place(path.name), "", f"can't be read: {err.strerror or err}"),), "", None)
-    if len(found) > FILES_MOST:
-        faults.append(Fault(Place(path.name), "", f"holds more than {FILES_MOST} files"))
-        found = []
-    left = most
-    for name, file in found:
-        try:
-            data, _, still = _read(file, left)
-        except OSError as err:
-            faults.append(Fault(Place(name), "", f"can't be read: {err.strerror or err}"))
-            continue
-        if not still:
-            unfinished = unfinished or f"{name} changes while it is read"
-        left -= len(data)
-        files.append(File(name, data))
-    if mark is not None and signature(path) != mark:
-        mark = None
-    return Found(files, tuple(faults), unfinished, mark)
+        if before.st_size == after.st_size == len(data) and before.st_mtime_ns == after.st_mtime_ns:
+            return _Contents(data, True)
+    return _Contents(data[:max_bytes], False)
--- /dev/null
+++ b/lapispick/fleet/group_graph.py
@@ -0,0 +1,96 @@
+"""The graph of groups and their children: loops, depths, descendants, and what a group inherits. No I/O."""
+
+from __future__ import annotations
+
+from lapispick.file_errors import Place
+from lapispick.fleet.entries import Var
+from lapispick.fleet.yaml_values import Map
+
+ALL = "all"  # the group that every host is in
+
+
+class Group:
+    """One group with all that the files say of it."""
+
+    __slots__ = ("children", "group_vars", "hosts", "name", "place", "vars")
+
+    def __init__(self, name: str, place: Place) -> None:
+        self.name = name
+        self.place = place
+        self.vars: dict[str, Var] = {}
+        self.group_vars: dict[str, Var] = {}  # from files of the folder of that name
+        self.hosts: dict[str, tuple[Map, Place]] = {}
+        self.children: dict[str, Place] = {}
+
+
+def find_cycle(groups: dict[str, Group]) -> list[str]:
+    """Return the groups of a loop, the first one again as the last; none where there is no loop."""
+    done: set[str] = set()
+    for start in sorted(groups):
+        path: list[str] = []
+        stack: list[tuple[str, bool]] = [(start, False)]
+        while stack:
+            name, is_exit = stack.pop()
+            if is_exit:
+                path.pop()
+                done.add(name)
+            elif name in path:
+                return [*path[path.index(name) :], name]
+            elif name not in done:
+                path.append(name)
+                stack.append((name, True))
+                stack += [(child, False) for child in sorted(groups[name].children, reverse=True)]
+    return []
+
+
+def parents_of(groups: dict[str, Group]) -> dict[str, list[str]]:
+    """Return the parents of each group."""
+    parents: dict[str, list[str]] = {name: [] for name in groups}
+    for group in groups.values():
+        for child in group.children:
+            parents[child].append(group.name)
+    return parents
+
+
+def depths_of(groups: dict[str, Group]) -> dict[str, int]:
+    """Return the longest path from the top to each group; the groups must have no loop."""
+    depths = {name: 0 if name == ALL else 1 for name in groups}
+    changed = True
+    while changed:
+        changed = False
+        for group in groups.values():
+            for child in group.children:
+                if depths[child] <= depths[group.name]:
+                    depths[child] = depths[group.name] + 1
+                    changed = True
+    return depths
+
+
+def descendants_of(groups: dict[str, Group], root: str) -> set[str]:
+    """Return a group and all groups below it; none where there is no such group."""
+    found: set[str] = set()
+    stack = [root] if root in groups else []
+    while stack:
+        name = stack.pop()
+        if name not in found:
+            found.add(name)
+            stack += groups[name].children
+    return found
+
+
+def inherited_vars(
+    groups: dict[str, Group], direct: tuple[str, ...], parents: dict[str, list[str]], depths: dict[str, int]
+) -> dict[str, Var]:
+    """Return the variables that a host of these groups inherits, from the top down, groups of one depth by name."""
+    ancestors: set[str] = {ALL} & groups.keys()
+    stack = [name for name in direct if name in groups]
+    while stack:
+        name = stack.pop()
+        if name not in ancestors:
+            ancestors.add(name)
+            stack += parents[name]
+    inherited: dict[str, Var] = {}
+    for name in sorted(ancestors, key=lambda name: (depths[name], name)):
+        inherited |= groups[name].vars
+        inherited |= groups[name].group_vars
+    return inherited
--- a/lapispick/fleet/groups.py
+++ b/lapispick/fleet/groups.py
@@ -1,62 +1,62 @@
-"""Groups of boxes: members, children and variables, and what each box inherits. No I/O.
+"""Groups of hosts: members, children and variables, and what each host inherits. No I/O.
 
-Variables count in this order, the later the more: ``all``, then groups from the top down (those of one depth
-by name), what ``group_vars`` says of each of them, the box itself, what ``host_vars`` says of it. Several
-files are read in the order of their names; a later one overrides an earlier one, key by key.
+Variables override each other in this order, the last one counts: ``all``, then groups from the top down (those of one
+depth by name), what ``group_vars`` says of each of them, the host itself, what ``host_vars`` says of it. Several files
+are read in the order of their names; a later one overrides an earlier one, key by key.
 """
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, NamedTuple
 
 from lapispick.file_errors import Collector, Place
 from lapispick.fleet import identity, ranges
 from lapispick.fleet.entries import Entry, Var
-from lapispick.fleet.yaml_reader import Map
-
-ALL = "all"
-KEYS = ("hosts", "vars", "children")
-GROUPS_MOST = 5_000
-DEPTH_MOST = 32  # groups within groups
-
-
-class Group:
-    """One group with all that the files say of it."""
-
-    __slots__ = ("children", "hosts", "more", "name", "place", "vars")
-
-    def __init__(self, name: str, place: Place) -> None:
-        self.name, self.place = name, place
-        self.vars: dict[str, Var] = {}
-        self.more: dict[str, Var] = {}  # from group_vars
-        self.hosts: dict[str, tuple[Map, Place]] = {}
-        self.children: dict[str, Place] = {}
-
-
-class Tree:
+from lapispick.fleet.errors import HostNameError, HostRangeError
+from lapispick.fleet.group_graph import (
+    ALL,
+    Group,
+    depths_of,
+    descendants_of,
+    find_cycle,
+    inherited_vars,
+    parents_of,
+)
+from lapispick.fleet.yaml_values import Map
+
+GROUP_KEYS = ("hosts", "vars", "children")
+MAX_GROUPS = 5_000
+MAX_GROUP_DEPTH = 32  # groups within groups
+_MAX_SHOWN_CHARACTERS = 300  # of the known groups in a message
+
+
+class GroupTree:
     """All groups of all files."""
 
-    def __init__(self, most: int, faults: Collector) -> None:
+    def __init__(self, max_hosts: int, faults: Collector) -> None:
         self.groups: dict[str, Group] = {}
         self.host_vars: dict[str, Map] = {}
         self.rows: list[tuple[str, Entry]] = []  # of CSV files, with their groups
-        self._most, self._faults, self._members = most, faults, 0
+        self._max_hosts = max_hosts
+        self._max_memberships = 2 * max_hosts  # a host may be in several groups
+        self._membership_count = 0
+        self._faults = faults
 
     def group(self, name: str, place: Place) -> Group:
-        """Return a group, made where it is new."""
+        """Return a group, created where it is new."""
         if (known := self.groups.get(name)) is None:
             known = self.groups[name] = Group(name, place)
-            if len(self.groups) == GROUPS_MOST + 1:
-                self._faults.add(place, name, f"more than {GROUPS_MOST} groups")
+            if len(self.groups) == MAX_GROUPS + 1:
+                self._faults.add(place, name, f"more than {MAX_GROUPS} groups")
         return known
 
     def add(self, top: Map) -> None:
-        """Take the groups of one YAML file."""
+        """Add the groups of one YAML file."""
         for name, var in top.items():
-            self._group(name, var, 0)
+            self._add_group(name, var, 0)
 
     def add_rows(self, rows: list[tuple[str, Entry]]) -> None:
-        """Take the rows of one CSV file."""
+        """Add the rows of one CSV file."""
         self.rows += rows
         for name, entry in rows:
             if name and name not in self.groups:
@@ -70,143 +70,177 @@
             return Map(var.place)
         return var.value
 
-    def _group(self, name: str, var: Var, depth: int) -> None:
+    def _add_group(self, name: str, var: Var, depth: int) -> None:
         group = self.group(name, var.place)
-        if depth > DEPTH_MOST:
-            return self._faults.add(var.place, name, f"groups are nested more than {DEPTH_MOST} deep")
-        for key, part in self._mapping(var, name).items():
-            if key not in KEYS:
-                self._faults.add(part.place, key, f"a group has only {', '.join(KEYS)}")
+        if depth > MAX_GROUP_DEPTH:
+            return self._faults.add(var.place, name, f"groups are nested more than {MAX_GROUP_DEPTH} deep")
+        for key, inner in self._mapping(var, name).items():
+            if key not in GROUP_KEYS:
+                self._faults.add(inner.place, key, f"a group has only {', '.join(GROUP_KEYS)}")
                 continue
-            held = self._mapping(part, key)
+            mapping = self._mapping(inner, key)
             if key == "vars":
-                group.vars |= held
+                group.vars |= mapping
             elif key == "children":
-                for child, inner in held.items():
-                    group.children.setdefault(child, inner.place)
-                    self._group(child, inner, depth + 1)
+                self._add_children(group, mapping, depth)
             else:
-                self._hosts(group, held)
-
-    def _hosts(self, group: Group, held: Map) -> None:
-        for pattern, inner in held.items():
-            told = self._mapping(inner, pattern)
-            names = (pattern,)
-            if "[" in pattern:
-                try:
-                    names = ranges.expand(pattern, self._most)
-                except ranges.RangeFault as err:
-                    self._faults.add(inner.place, pattern, str(err))
+                self._add_hosts(group, mapping)
+
+    def _add_children(self, group: Group, children: Map, depth: int) -> None:
+        for name, var in children.items():
+            group.children.setdefault(name, var.place)
+            self._add_group(name, var, depth + 1)
+
+    def _add_hosts(self, group: Group, hosts: Map) -> None:
+        for pattern, var in hosts.items():
+            host_vars = self._mapping(var, pattern)
+            names = self._expand(pattern, var.place)
             for name in names:
                 if name in group.hosts and group.hosts[name][0]:
-                    both = Map(inner.place)
-                    both.update(group.hosts[name][0] | told)
-                    told = both
-                group.hosts[name] = (told, inner.place)
-            self._members += len(names)
-        if self._members > 2 * self._most:  # a box may stand in several groups, but not without end
-            self._faults.add(group.place, group.name, f"more than {2 * self._most} members of groups")
+                    merged = Map(var.place)
+                    merged.update(group.hosts[name][0] | host_vars)
+                    host_vars = merged
+                group.hosts[name] = (host_vars, var.place)
+            self._membership_count += len(names)
+        if self._membership_count > self._max_memberships:
+            self._faults.add(group.place, group.name, f"more than {self._max_memberships} members of groups")
+
+    def _expand(self, pattern: str, place: Place) -> list[str]:
+        try:
+            return ranges.expand(pattern, self._max_hosts)
+        except HostRangeError as err:
+            self._faults.add(place, pattern, str(err))
+            return [pattern]
+
+
+class _ResolvedEntry(NamedTuple):
+    """An entry and the objects it was made of; the same objects, compared by ``is``, give the same entry."""
+
+    sources: tuple[Any, ...]
+    entry: Entry
+
+
+class _Inheritance:
+    """What the hosts of one reading inherit."""
+
+    def __init__(self, tree: GroupTree, domain: str, previous: dict[tuple[str, ...], dict[str, Var]]) -> None:
+        self.by_groups: dict[tuple[str, ...], dict[str, Var]] = {}
+        self._groups = tree.groups
+        self._domain = domain
+        self._previous = previous
+        self._depths = depths_of(tree.groups)
+        self._parents = parents_of(tree.groups)
+        self._host_vars = tree.host_vars | {
+            _canonical(name, domain): mapping for name, mapping in tree.host_vars.items()
+        }
+
+    def group_vars(self, direct: tuple[str, ...]) -> dict[str, Var]:
+        """Return what these groups give a host; the same object as in the last reading where it is equal."""
+        known = self.by_groups.get(direct)
+        if known is None:
+            known = inherited_vars(self._groups, direct, self._parents, self._depths)
+            earlier = self._previous.get(direct)
+            if earlier is not None and earlier == known:
+                known = earlier
+            self.by_groups[direct] = known
+        return known
+
+    def host_vars(self, name: str) -> Map | None:
+        """Return what ``host_vars`` says of a host, under its name as written or its canonical name."""
+        if not self._host_vars:
+            return None
+        return self._host_vars.get(name) or self._host_vars.get(_canonical(name, self._domain))
+
+    def row_vars(self, name: str) -> Map | None:
+        """Return what ``host_vars`` says of the host of a CSV row, under its canonical name."""
+        return self._host_vars.get(_canonical(name, self._domain)) if self._host_vars else None
 
 
 class Resolver:
-    """Works out what each box inherits; keeps what did not change since the last time."""
+    """Resolves what each host inherits; reuses what did not change since the last call."""
 
     def __init__(self) -> None:
-        # What an entry was made of, and the entry; the same parts, told by ``is``, give the same entry.
-        self._kept: dict[str, tuple[tuple[Any, ...], Entry]] = {}
-        self._rows: dict[int, tuple[tuple[Any, ...], Entry]] = {}
-        self._shared: dict[tuple[Any, ...], dict[str, Var]] = {}
-
-    def entries(self, tree: Tree, wanted: str, domain: str, faults: Collector) -> list[Entry]:
-        """Return the boxes of a group and all below it, in the order of the files."""
-        known_group = wanted in tree.groups or wanted == ALL or not all(name for name, _ in tree.rows)
-        if not known_group and (tree.groups or tree.rows):
-            known = ", ".join(sorted(tree.groups)) or "none"
-            faults.add(Place("inventory"), wanted, f"there is no such group; there are {known[:300]}")
-            return []
-        if loop := _cycle(tree.groups):
-            faults.add(tree.groups[loop[0]].children[loop[1]], loop[0], f"groups hold each other: {' -> '.join(loop)}")
+        self._hosts: dict[str, _ResolvedEntry] = {}
+        self._rows: dict[int, _ResolvedEntry] = {}
+        self._inherited: dict[tuple[str, ...], dict[str, Var]] = {}
+
+    def entries(self, tree: GroupTree, wanted: str, domain: str, faults: Collector) -> list[Entry]:
+        """Return the hosts of a group and all below it, in the order of the files."""
+        if not _check_groups(tree, wanted, faults):
             return []
-        depths, parents = _depths(tree.groups), _parents(tree.groups)
-        below = _below(tree.groups, wanted)
-        own_groups: dict[str, list[str]] = {}
-        for group in tree.groups.values():
-            for name in group.hosts:
-                own_groups.setdefault(name, []).append(group.name)
-        shared: dict[tuple[str, ...], dict[str, Var]] = {}
-
-        def inherited(direct: tuple[str, ...]) -> dict[str, Var]:
-            if direct not in shared:
-                shared[direct] = self._steady(direct, _inherit(tree.groups, direct, parents, depths))
-            return shared[direct]
-
-        host_vars = _host_vars(tree.host_vars, domain)
-        made: list[Entry] = []
-        kept: dict[str, tuple[tuple[Any, ...], Entry]] = {}
-        for name, direct in own_groups.items():
-            if wanted == ALL or below.intersection(direct):
-                made.append(
-                    self._host(tree, name, tuple(direct), inherited(tuple(direct)), host_vars, domain, kept, faults)
-                )
-        rows: dict[int, tuple[tuple[Any, ...], Entry]] = {}
+        selected = descendants_of(tree.groups, wanted)
+        inheritance = _Inheritance(tree, domain, self._inherited)
+        entries: list[Entry] = []
+        hosts: dict[str, _ResolvedEntry] = {}
+        for name, direct in _groups_of_hosts(tree.groups).items():
+            if wanted == ALL or selected.intersection(direct):
+                hosts[name] = self._resolve_host(tree, name, tuple(direct), inheritance, faults)
+                entries.append(hosts[name].entry)
+        rows: dict[int, _ResolvedEntry] = {}
         for group_name, row in tree.rows:
-            if not group_name or wanted == ALL or group_name in below:
-                made.append(self._row(row, inherited((group_name or wanted,)), host_vars, domain, rows))
-        # Only what this list uses is kept: groups that are renamed for ever must not add up.
-        self._kept, self._rows, self._shared = kept, rows, shared
-        return made
-
-    def _steady(self, direct: tuple[str, ...], fresh: dict[str, Var]) -> dict[str, Var]:
-        """Return the same object as last time where the values are the same."""
-        old = self._shared.get(direct)
-        if old is not None and old == fresh:
-            return old
-        self._shared[direct] = fresh
-        return fresh
-
-    def _host(
-        self,
-        tree: Tree,
-        name: str,
-        direct: tuple[str, ...],
-        inherited: dict[str, Var],
-        host_vars: dict[str, Map],
-        domain: str,
-        kept: dict[str, Any],
-        faults: Collector,
-    ) -> Entry:
-        told = [tree.groups[g].hosts[name] for g in direct]
-        more = host_vars.get(name) or host_vars.get(_canonical(name, domain)) if host_vars else None
-        parts = (*(t[0] for t in told), more, inherited)
-        old = self._kept.get(name)
-        if old is not None and _identical(old[0], parts):
-            kept[name] = old
-            return old[1]
-        vars_ = dict(inherited)
-        first: dict[str, Var] = {}
-        for mapping, _ in told:
+            if not group_name or wanted == ALL or group_name in selected:
+                rows[id(row)] = self._resolve_row(row, group_name or wanted, inheritance)
+                entries.append(rows[id(row)].entry)
+        # Only what this list uses is retained: groups that are renamed over and over must not add up.
+        self._hosts = hosts
+        self._rows = rows
+        self._inherited = inheritance.by_groups
+        return entries
+
+    def _resolve_host(
+        self, tree: GroupTree, name: str, direct: tuple[str, ...], inheritance: _Inheritance, faults: Collector
+    ) -> _ResolvedEntry:
+        given = [tree.groups[group].hosts[name] for group in direct]
+        inherited = inheritance.group_vars(direct)
+        host_vars = inheritance.host_vars(name)
+        sources = (*(mapping for mapping, _ in given), host_vars, inherited)
+        known = self._hosts.get(name)
+        if known is not None and _identical(known.sources, sources):
+            return known
+        merged: dict[str, Var] = {}
+        for mapping, _ in given:
             for key, var in mapping.items():
-                if key in first and first[key].value != var.value and first[key].place.file == var.place.file:
-                    faults.add(var.place, key, f"{name} has another value at {first[key].place}")
-                first[key] = var
-        vars_ |= first
-        vars_ |= more or {}
-        entry = Entry(name, told[0][1], vars_)
-        kept[name] = (parts, entry)
-        return entry
-
-    def _row(
-        self, row: Entry, inherited: dict[str, Var], host_vars: dict[str, Map], domain: str, rows: dict[int, Any]
-    ) -> Entry:
-        more = host_vars.get(_canonical(row.name, domain)) if host_vars else None
-        if not inherited and not more:
-            return row
-        old = self._rows.get(id(row))
-        parts = (row, inherited, more)
-        if old is None or not _identical(old[0], parts):
-            old = (parts, Entry(row.name, row.place, {**inherited, **row.vars, **(more or {})}))
-        rows[id(row)] = old
-        return old[1]
+                earlier = merged.get(key)
+                if earlier is not None and earlier.value != var.value and earlier.place.file == var.place.file:
+                    faults.add(var.place, key, f"{name} has another value at {earlier.place}")
+                merged[key] = var
+        first_place = given[0][1]
+        return _ResolvedEntry(sources, Entry(name, first_place, {**inherited, **merged, **(host_vars or {})}))
+
+    def _resolve_row(self, row: Entry, group: str, inheritance: _Inheritance) -> _ResolvedEntry:
+        inherited = inheritance.group_vars((group,))
+        host_vars = inheritance.row_vars(row.name)
+        sources = (row, inherited, host_vars)
+        if not inherited and not host_vars:
+            return _ResolvedEntry(sources, row)
+        known = self._rows.get(id(row))
+        if known is not None and _identical(known.sources, sources):
+            return known
+        return _ResolvedEntry(sources, Entry(row.name, row.place, {**inherited, **row.vars, **(host_vars or {})}))
+
+
+def _check_groups(tree: GroupTree, wanted: str, faults: Collector) -> bool:
+    """Tell whether the wanted group exists and no group contains itself; else there is a fault."""
+    is_known = wanted in tree.groups or wanted == ALL or not all(name for name, _ in tree.rows)
+    if not is_known and (tree.groups or tree.rows):
+        known = ", ".join(sorted(tree.groups)) or "none"
+        problem = f"there is no such group; there are {known[:_MAX_SHOWN_CHARACTERS]}"
+        faults.add(Place("inventory"), wanted, problem)
+        return False
+    if cycle := find_cycle(tree.groups):
+        place = tree.groups[cycle[0]].children[cycle[1]]
+        faults.add(place, cycle[0], f"groups hold each other: {' -> '.join(cycle)}")
+        return False
+    return True
+
+
+def _groups_of_hosts(groups: dict[str, Group]) -> dict[str, list[str]]:
+    """Return the groups that name each host."""
+    direct: dict[str, list[str]] = {}
+    for group in groups.values():
+        for name in group.hosts:
+            direct.setdefault(name, []).append(group.name)
+    return direct
 
 
 def _identical(one: tuple[Any, ...], two: tuple[Any, ...]) -> bool:
@@ -216,80 +250,5 @@
 def _canonical(name: str, domain: str) -> str:
     try:
         return identity.endpoint(name, domain)[0]
-    except identity.NameFault:
+    except HostNameError:
         return name
-
-
-def _host_vars(told: dict[str, Map], domain: str) -> dict[str, Map]:
-    return told | {_canonical(name, domain): held for name, held in told.items()}
-
-
-def _parents(groups: dict[str, Group]) -> dict[str, list[str]]:
-    made: dict[str, list[str]] = {name: [] for name in groups}
-    for group in groups.values():
-        for child in group.children:
-            made[child].append(group.name)
-    return made
-
-
-def _cycle(groups: dict[str, Group]) -> list[str]:
-    """Return the groups of a loop, the first one again as the last; none where there is no loop."""
-    done: set[str] = set()
-    for start in sorted(groups):
-        path: list[str] = []
-        stack: list[tuple[str, bool]] = [(start, False)]
-        while stack:
-            name, leaving = stack.pop()
-            if leaving:
-                path.pop()
-                done.add(name)
-            elif name in path:
-                return [*path[path.index(name) :], name]
-            elif name not in done:
-                path.append(name)
-                stack.append((name, True))
-                stack += [(child, False) for child in sorted(groups[name].children, reverse=True)]
-    return []
-
-
-def _depths(groups: dict[str, Group]) -> dict[str, int]:
-    """Return how far each group is from the top at the most; there are no loops any more."""
-    depths = {name: 0 if name == ALL else 1 for name in groups}
-    changed = True
-    while changed:
-        changed = False
-        for group in groups.values():
-            for child in group.children:
-                if depths[child] <= depths[group.name]:
-                    depths[child] = depths[group.name] + 1
-                    changed = True
-    return depths
-
-
-def _below(groups: dict[str, Group], wanted: str) -> set[str]:
-    found: set[str] = set()
-    stack = [wanted] if wanted in groups else []
-    while stack:
-        name = stack.pop()
-        if name not in found:
-            found.add(name)
-            stack += groups[name].children
-    return found
-
-
-def _inherit(
-    groups: dict[str, Group], direct: tuple[str, ...], parents: dict[str, list[str]], depths: dict[str, int]
-) -> dict[str, Var]:
-    found: set[str] = {ALL} & groups.keys()
-    stack = [name for name in direct if name in groups]
-    while stack:
-        name = stack.pop()
-        if name not in found:
-            found.add(name)
-            stack += parents[name]
-    order = sorted(found, key=lambda name: (depths[name], name))
-    made: dict[str, Var] = {}
-    for name in order:
-        made |= groups[name].vars
-        made |= groups[name].more
-    return made
--- a/lapispick/fleet/helper.py
+++ b/lapispick/fleet/helper.py
@@ -1,7 +1,7 @@
-"""The helper process: reads and parses the files, and writes the state folder, away from the host's loop.
+"""The helper process: reads and parses the files, and writes the state folder, away from the host's event loop.
 
-It is started by the host with a socket as its standard input, answers one message after the other and ends
-with the socket. Whatever a file does to a parser, it does it here.
+The host starts it with a socket as its standard input. It answers one message after the other and ends with the
+socket. A file that breaks a parser breaks it here.
 """
 
 from __future__ import annotations
@@ -17,165 +17,197 @@
 
 import msgspec
 
-from lapispick.file_errors import Fault
-from lapispick.fleet import files, last_good, snapshot
-from lapispick.fleet.host_assembly import Box
-from lapispick.fleet.messages import PART, Begin, Keep, Kept, Listed, Look, Part, Status, ToHelper, Trouble
+from lapispick.file_errors import Fault, Place
+from lapispick.fleet import files, last_good
+from lapispick.fleet.errors import StateFolderError
+from lapispick.fleet.host_assembly import InventoryHost
+from lapispick.fleet.messages import (
+    MAX_CHUNK_HOSTS,
+    Begin,
+    Chunk,
+    FromHelper,
+    LastGoodLoaded,
+    Poll,
+    Polled,
+    SaveAccepted,
+    SaveStatus,
+    StateFolderFailed,
+    ToHelper,
+)
 from lapispick.fleet.reading import Reader
-from lapispick.fleet.snapshot import EMPTY, Snapshot
+from lapispick.fleet.snapshot import EMPTY, Snapshot, difference
 
-LISTS = 8  # sent lists that may still be accepted
+MAX_SENT_LISTS = 8  # that may still be accepted
+MAX_CHUNK_NAMES = MAX_CHUNK_HOSTS * 16  # names are short
 
 _encode = msgspec.json.Encoder().encode
 
 
 class Helper:
-    """Answers the host."""
+    """Answers the messages of the host."""
 
     def __init__(self, begin: Begin) -> None:
         self._begin = begin
         self._path = Path(begin.path)
         self._folder = Path(begin.state_folder) if begin.state_folder else None
         self._source = f"{begin.path} group {begin.options.group}"
-        self.forget()
+        self.reset()
         self._sent = EMPTY
-        self._lists: OrderedDict[str, Snapshot] = OrderedDict()
+        self._lists: OrderedDict[str, Snapshot] = OrderedDict()  # by digest, the oldest first
         self._signature: tuple[object, ...] | None = None
-        self._last: Listed | None = None
+        self._last: Polled | None = None
 
-    def forget(self) -> None:
-        """Keep nothing of what was read so far; the next look reads all."""
+    def reset(self) -> None:
+        """Drop the reader's cache; the next poll reads all files."""
         self._reader = Reader(self._begin.options, os.environ)
 
-    def kept(self) -> Iterable[msgspec.Struct]:
+    def load_last_good(self) -> list[FromHelper]:
         """Return the last good list."""
         if self._folder is None:
-            return [Kept()]
+            return [LastGoodLoaded()]
         try:
-            found = last_good.kept(self._folder, self._source)
-        except last_good.StateFault as err:
-            return [Kept(fault=str(err))]
+            found = last_good.load(self._folder, self._source)
+        except StateFolderError as err:
+            return [LastGoodLoaded(fault=str(err))]
         if found is None:
-            return [Kept()]
-        head, self._sent = found
-        parts = _parts(list(self._sent.boxes.values()), [])
-        return [Kept(len(parts), head.digest, head.at, head.ground), *parts]
+            return [LastGoodLoaded()]
+        head = found.head
+        self._sent = found.snapshot
+        chunks = _chunks(list(self._sent.hosts.values()), [])
+        return [LastGoodLoaded(len(chunks), head.digest, head.at, head.reason), *chunks]
 
-    def look(self) -> Iterable[msgspec.Struct]:
+    def poll(self) -> list[FromHelper]:
         """Read what changed and return it."""
         began = time.perf_counter()
-        accept = last_good.accepting(self._folder) if self._folder else ""
-        mark = files.signature(self._path)
-        if mark is not None and mark == self._signature and self._last is not None:
-            return [
-                msgspec.structs.replace(
-                    self._last, parts=0, accept=accept, took_ms=(time.perf_counter() - began) * 1000
-                )
-            ]
-        found = files.read(self._path, self._begin.size_most)
-        self._signature = found.signature
-        parts: list[Part] = []
-        if found.faults:
-            listed = Listed(faults=found.faults)
+        operator_digest = last_good.load_operator_digest(self._folder) if self._folder else ""
+        chunks: list[Chunk] = []
+        signature = files.signature(self._path)
+        if signature is not None and signature == self._signature and self._last is not None:
+            polled = msgspec.structs.replace(self._last, chunk_count=0)
         else:
-            reading = self._reader.read(found.files)
-            listed = Listed(
-                faults=reading.faults, left_out=reading.left_out, unfinished=found.unfinished or reading.unfinished
-            )
-            if not reading.faults:
-                fresh = _next(self._sent, reading.boxes)
-                diff = snapshot.difference(self._sent, fresh)
-                parts = _parts([fresh.boxes[n] for n in (*diff.joined, *diff.moved, *diff.changed)], list(diff.left))
-                listed.parts, listed.digest, self._sent = len(parts), fresh.digest, fresh
-                self._lists[fresh.digest] = fresh
-                while len(self._lists) > LISTS:
-                    self._lists.popitem(last=False)
-        listed.accept, listed.took_ms, self._last = accept, (time.perf_counter() - began) * 1000, listed
-        return [listed, *parts]
-
-    def keep(self, message: Keep) -> Iterable[msgspec.Struct]:
+            polled, chunks = self._read()
+        polled.operator_digest = operator_digest
+        polled.duration_ms = (time.perf_counter() - began) * 1000
+        self._last = polled
+        return [polled, *chunks]
+
+    def save_accepted(self, message: SaveAccepted) -> list[FromHelper]:
         """Write the list that was accepted and its line of the history."""
         if self._folder is None:
             return []
         try:
-            known = self._lists.get(message.digest)
-            if known is not None:
-                last_good.keep(self._folder, self._source, known, message.at, message.ground)
-            size = len(known.boxes) if known is not None else 0
-            last_good.remember(
-                self._folder,
-                last_good.Entry(
-                    message.at, message.digest, message.ground, size, counts=message.counts, **message.names
-                ),
-                self._begin.history,
-            )
-            if message.digest.startswith(last_good.accepting(self._folder) or "-"):
-                last_good.accepted(self._folder)
+            self._save_accepted(self._folder, message)
         except OSError as err:
-            return [Trouble(f"{self._folder}: {err}")]
+            return [StateFolderFailed(f"{self._folder}: {err}")]
         return []
 
-    def status(self, message: Status) -> Iterable[msgspec.Struct]:
+    def save_status(self, message: SaveStatus) -> list[FromHelper]:
         """Write what operators see."""
-        if self._folder is not None:
-            try:
-                last_good.write(self._folder / last_good.STATUS, _encode(message.told) + b"\n", sync=False)
-            except OSError as err:
-                return [Trouble(f"{self._folder}: {err}")]
+        if self._folder is None:
+            return []
+        try:
+            last_good.write_file(self._folder / last_good.STATUS_FILE, _encode(message.status) + b"\n", sync=False)
+        except OSError as err:
+            return [StateFolderFailed(f"{self._folder}: {err}")]
         return []
 
+    def _read(self) -> tuple[Polled, list[Chunk]]:
+        """Read the files; return what they hold and the changes since the last list."""
+        found = files.read(self._path, self._begin.max_bytes)
+        self._signature = found.signature
+        if found.faults:
+            return Polled(faults=found.faults), []
+        reading = self._reader.read(found.files)
+        polled = Polled(
+            faults=reading.faults,
+            omitted_faults=reading.omitted_faults,
+            incomplete_reason=found.incomplete_reason or reading.incomplete_reason,
+        )
+        if reading.faults:
+            return polled, []
+        snapshot = _next_snapshot(self._sent, reading.hosts)
+        changes = difference(self._sent, snapshot)
+        updated = [snapshot.hosts[name] for name in (*changes.joined, *changes.moved, *changes.changed)]
+        chunks = _chunks(updated, list(changes.left))
+        polled.chunk_count = len(chunks)
+        polled.digest = snapshot.digest
+        self._sent = snapshot
+        self._lists[snapshot.digest] = snapshot
+        while len(self._lists) > MAX_SENT_LISTS:
+            self._lists.popitem(last=False)
+        return polled, chunks
+
+    def _save_accepted(self, folder: Path, message: SaveAccepted) -> None:
+        host_count = 0
+        snapshot = self._lists.get(message.digest)
+        if snapshot is not None:
+            host_count = len(snapshot.hosts)
+            last_good.save(folder, self._source, snapshot, message.at, message.reason)
+        entry = last_good.HistoryEntry(
+            message.at, message.digest, message.reason, host_count, counts=message.counts, **message.names
+        )
+        last_good.append_history(folder, entry, self._begin.max_history)
+        operator_digest = last_good.load_operator_digest(folder)
+        if operator_digest and message.digest.startswith(operator_digest):
+            last_good.clear_operator_digest(folder)
+
+
+def _next_snapshot(base: Snapshot, hosts: dict[str, InventoryHost]) -> Snapshot:
+    """Return a list as a change of the one before, so that both share what is equal."""
+    known = base.hosts
+    updated = [
+        host
+        for name, host in hosts.items()
+        if (old := known.get(name)) is not host and (old is None or old.digest != host.digest)
+    ]
+    removed = [name for name in known if name not in hosts] if updated or len(hosts) != len(known) else []
+    return base.with_changes(updated, removed)
+
 
-def _next(base: Snapshot, boxes: dict[str, Box]) -> Snapshot:
-    """Return a list as a change of the one before, so that both share what is the same."""
-    known = base.boxes
-    put = [
-        box
-        for name, box in boxes.items()
-        if (old := known.get(name)) is not box and (old is None or old.digest != box.digest)
+def _chunks(updated: list[InventoryHost], removed: list[str]) -> list[Chunk]:
+    chunks = [
+        Chunk(updated=updated[start : start + MAX_CHUNK_HOSTS]) for start in range(0, len(updated), MAX_CHUNK_HOSTS)
+    ]
+    chunks += [
+        Chunk(removed=removed[start : start + MAX_CHUNK_NAMES]) for start in range(0, len(removed), MAX_CHUNK_NAMES)
     ]
-    gone = [name for name in known if name not in boxes] if put or len(boxes) != len(known) else []
-    return base.changed(put, gone)
+    return chunks
 
 
-def _parts(put: list[Box], gone: list[str]) -> list[Part]:
-    parts = [Part(put=put[at : at + PART]) for at in range(0, len(put), PART)]
-    wide = PART * 16  # names are short
-    return parts + [Part(gone=gone[at : at + wide]) for at in range(0, len(gone), wide)]
+def answer(helper: Helper, message: ToHelper) -> list[FromHelper]:
+    """Return the answer to one message."""
+    if isinstance(message, Poll):
+        try:
+            return helper.poll()
+        except Exception as err:  # a list that breaks a parser is a list with a fault and must not end the helper
+            helper.reset()
+            return [Polled(faults=(Fault(Place("inventory"), "", f"breaks the reader: {err!r:.200}"),))]
+    if isinstance(message, SaveAccepted):
+        return helper.save_accepted(message)
+    if isinstance(message, SaveStatus):
+        return helper.save_status(message)
+    return []
 
 
 def main() -> int:
     """Serve the host until it closes the socket."""
-    gc.disable()  # what is kept has no loops; a collection over many thousand boxes takes longer than a look
-    link = socket.socket(fileno=os.dup(0))
+    gc.disable()  # the cached objects form no cycles, and a full collection over them takes longer than a poll
+    connection = socket.socket(fileno=os.dup(0))
     decode = msgspec.json.Decoder(ToHelper).decode
     helper: Helper | None = None
-    with link, link.makefile("rb") as lines:
+    with connection, connection.makefile("rb") as lines:
         for line in lines:
             message = decode(line)
-            answer: Iterable[msgspec.Struct] = ()
+            messages: Iterable[FromHelper] = ()
             if isinstance(message, Begin):
                 helper = Helper(message)
-                answer = helper.kept()
+                messages = helper.load_last_good()
             elif helper is not None:
-                answer = _serve(helper, message)
-            link.sendall(b"".join(_encode(part) + b"\n" for part in answer))
+                messages = answer(helper, message)
+            connection.sendall(b"".join(_encode(each) + b"\n" for each in messages))
             gc.collect(0)
     return 0
 
 
-def _serve(helper: Helper, message: ToHelper) -> Iterable[msgspec.Struct]:
-    if isinstance(message, Look):
-        try:
-            return helper.look()
-        except Exception as err:  # guards the host: a list that breaks a parser is a faulty list
-            helper.forget()
-            return [Listed(faults=(Fault(files.Place("inventory"), "", f"breaks the reader: {err!r:.200}"),))]
-    if isinstance(message, Keep):
-        return helper.keep(message)
-    if isinstance(message, Status):
-        return helper.status(message)
-    return ()
-
-
 if __name__ == "__main__":
     sys.exit(main())
--- a/lapispick/fleet/host_assembly.py
+++ b/lapispick/fleet/host_assembly.py
@@ -1,8 +1,7 @@
-"""From entries to boxes: one box under all its spellings, with typed variables. No I/O.
+"""Assembles hosts from parsed entries: one host under all its spellings. No I/O.
 
-Two entries are one box where their names agree in their one form, or their addresses and ports do. What they
-say of the box must agree then; a contradiction is a fault that names both places. Items (queues, say) of all
-its entries add up.
+Two entries are one host where their canonical names agree, or their addresses and ports do. What they say of the host
+must agree then; a contradiction is a fault that names both places. Items (queues, say) of all its entries add up.
 """
 
 from __future__ import annotations
@@ -14,22 +13,22 @@
 import msgspec
 
 from lapispick.file_errors import Collector, Place
-from lapispick.fleet import identity, schema
+from lapispick.fleet import identity
 from lapispick.fleet.entries import Entry, Var
+from lapispick.fleet.entry_parser import EntryParser, ParsedEntry, ParsedItem
 from lapispick.fleet.schema import Schema
-from lapispick.fleet.yaml_reader import Map
 
-ITEMS_MOST = 1000  # of one box
+_HIDDEN = "***"
 _pack = msgspec.msgpack.Encoder(order="sorted")
 
 
-class Box(msgspec.Struct, frozen=True):
-    """One box: its name in its one form, where it is reached, and what the user of the list wants to know."""
+class InventoryHost(msgspec.Struct, frozen=True):
+    """One host: its canonical name, where it is reached, and what the user of the list reads of it."""
 
     name: str
-    host: str  # a name or an address, in its one form
+    address: str = msgspec.field(name="host")  # a name or an address, in its canonical form
     port: int | None
-    vars: dict[str, Any]  # all variables of the schema that are told or have a default
+    vars: dict[str, Any]  # all variables of the schema that are given or have a default
     items: tuple[dict[str, Any], ...] = ()  # by name
     digest: bytes = b""  # of all above
     spellings: tuple[str, ...] = ()  # as the files write it
@@ -37,248 +36,154 @@
 
     def shown(self, wanted: Schema) -> dict[str, Any]:
         """Return the variables with secrets hidden."""
-        return {
-            k: "***" if (v := wanted.box.get(k)) is not None and v.secret and told else told
-            for k, told in self.vars.items()
-        }
-
-
-class _Part:
-    """What one entry says, read by the schema."""
+        return {key: _HIDDEN if value and _is_secret(wanted, key) else value for key, value in self.vars.items()}
 
-    __slots__ = ("apart", "at", "entry", "faults", "host", "items", "name", "named", "port", "told")
 
-    def __init__(self, entry: Entry) -> None:
-        self.entry = entry
-        self.name, self.host, self.port = "", "", None
-        self.apart: tuple[Any, ...] = ()
-        self.named: tuple[Any, ...] = ()  # entries that share one of these two are one box
-        self.at: tuple[Any, ...] = ()
-        self.told: dict[str, Var] = {}
-        self.items: list[tuple[dict[str, Any], Place]] = []
-        self.faults = Collector()
+def _is_secret(wanted: Schema, key: str) -> bool:
+    variable = wanted.host_variables.get(key)
+    return variable is not None and variable.secret
 
 
 class Assembler:
-    """Makes boxes of entries for one schema; what did not change since the last time is taken from there."""
+    """Assembles the hosts of one schema; what did not change since the last call is reused."""
 
     def __init__(self, wanted: Schema, domain: str, environ: Mapping[str, str]) -> None:
-        self._schema, self._domain, self._environ = wanted, domain, environ
-        self._parts: dict[int, _Part] = {}
-        self._boxes: dict[tuple[int, ...], tuple[list[_Part], Box]] = {}
-
-    def boxes(self, entries: list[Entry], most: int, faults: Collector) -> dict[str, Box]:
-        """Return the boxes by name; faults are collected."""
-        parts: dict[int, _Part] = {}
-        for entry in entries:
-            part = self._parts.get(id(entry))
-            if part is None or part.entry is not entry:
-                part = self._part(entry)
-            if part.faults:
-                faults.extend(part.faults.found)
-            parts[id(entry)] = part
-        self._parts = parts
-        found: dict[str, Box] = {}
-        kept: dict[tuple[int, ...], tuple[list[_Part], Box]] = {}
+        self._schema = wanted
+        self._parser = EntryParser(wanted, domain, environ)
+        self._parsed: dict[int, ParsedEntry] = {}  # by the identity of their entries
+        self._hosts: dict[tuple[int, ...], tuple[list[ParsedEntry], InventoryHost]] = {}
+
+    def assemble(self, entries: list[Entry], max_hosts: int, faults: Collector) -> dict[str, InventoryHost]:
+        """Return the hosts by name; faults are collected."""
+        parsed_entries = self._parse(entries, faults)
+        found: dict[str, InventoryHost] = {}
         if faults:
             return found
-        for many in _same_boxes(list(parts.values())):
-            key = (id(many[0]),) if len(many) == 1 else tuple(id(p) for p in many)
-            known = self._boxes.get(key)  # it holds its parts, so that no other object has their ids
+        assembled: dict[tuple[int, ...], tuple[list[ParsedEntry], InventoryHost]] = {}
+        for group in _same_hosts(parsed_entries):
+            key = (id(group[0]),) if len(group) == 1 else tuple(id(parsed) for parsed in group)
+            known = self._hosts.get(key)  # it refers to its entries, so that no other object has their ids
             if known is None:
-                known = (many, self._box(many, faults))
-            box = known[1]
-            kept[key] = known
-            if (other := found.get(box.name)) is not None:
-                faults.add(box.places[0], box.name, f"another box has this name at {other.places[0]}")
-            found[box.name] = box
-        self._boxes = kept
-        if len(found) > most:
-            faults.add(entries[0].place, "", f"{len(found)} boxes; {most} are the most")
+                known = (group, self._merge(group, faults))
+            host = known[1]
+            assembled[key] = known
+            if (other := found.get(host.name)) is not None:
+                faults.add(host.places[0], host.name, f"another host has this name at {other.places[0]}")
+            found[host.name] = host
+        self._hosts = assembled
+        if len(found) > max_hosts:
+            faults.add(entries[0].place, "", f"{len(found)} hosts; {max_hosts} are the most")
         return found
 
-    def _part(self, entry: Entry) -> _Part:
-        part, wanted = _Part(entry), self._schema
-        try:
-            part.name, part.port = identity.endpoint(entry.name, self._domain)
-        except identity.NameFault as err:
-            part.faults.add(entry.place, "host", str(err))
-            return part
-        part.host = part.name
-        for key in wanted.host:
-            if (var := entry.vars.get(key)) is not None and var.value != "":
-                self._reached(part, key, var)
-                break
-        rows: dict[str, Any] = {}
-        for key, var in entry.vars.items():
-            if what := wanted.unknown(key):
-                part.faults.add(var.place, key, what)
-            elif key in wanted.box and key not in wanted.host:
-                self._told(part, key, var)
-            elif key in wanted.item:
-                self._value(part, wanted.item[key], key, var, rows)
-        if wanted.port and (told := part.told.get(wanted.port)) is not None:
-            if part.port is not None and part.port != told.value:
-                part.faults.add(told.place, wanted.port, f"{told.value} here, but {part.port} in the name")
-            part.port = told.value
-        elif wanted.port and part.port is None:
-            part.port = wanted.box[wanted.port].default
-        part.apart = tuple(part.told[k].value if k in part.told else wanted.box[k].default for k in wanted.apart)
-        part.named, part.at = (part.name, part.apart), (part.host, part.port, part.apart)
-        self._items(part, rows)
-        return part
-
-    def _reached(self, part: _Part, key: str, var: Var) -> None:
-        try:
-            part.host, port = identity.endpoint(str(var.value), self._domain)
-        except identity.NameFault as err:
-            return part.faults.add(var.place, key, str(err))
-        if port is not None:
-            part.port = port
-
-    def _told(self, part: _Part, key: str, var: Var) -> None:
-        held: dict[str, Any] = {}
-        if not self._value(part, self._schema.box[key], key, var, held):
-            return
-        part.told[key] = Var(held[key], var.place)
-        if (target := self._schema.environ.get(key)) and held[key]:
-            if held[key] not in self._environ:
-                return part.faults.add(var.place, key, f"{held[key]} is not set in the environment")
-            part.told[target] = Var(self._environ[held[key]], var.place)
-
-    def _value(self, part: _Part, variable: schema.Variable, key: str, var: Var, held: dict[str, Any]) -> bool:
-        try:
-            held[key] = schema.read(variable, var.value, self._domain)
-        except (ValueError, OverflowError) as err:
-            part.faults.add(var.place, key, str(err))
-            return False
-        return True
-
-    def _items(self, part: _Part, row: dict[str, Any]) -> None:
-        wanted, entry = self._schema, part.entry
-        if not wanted.item_name:
-            return
-        self._listed(part, row)
-        if not part.items and not part.faults and wanted.item_needed:
-            part.faults.add(entry.place, wanted.item_name, "is not told, and a box needs one")
-
-    def _listed(self, part: _Part, row: dict[str, Any]) -> None:
-        wanted, entry = self._schema, part.entry
-        listed = entry.vars.get(wanted.items) if wanted.items else None
-        if listed is None:
-            if wanted.item_name in row:
-                part.items.append((row, entry.vars[wanted.item_name].place))
-            return
-        if not isinstance(listed.value, list) or wanted.item_name in row:
-            return part.faults.add(
-                listed.place, wanted.items, f"must be a list, and then there is no {wanted.item_name}"
-            )
-        if len(listed.value) > ITEMS_MOST:
-            return part.faults.add(listed.place, wanted.items, f"holds more than {ITEMS_MOST}")
-        for each in listed.value:
-            if isinstance(each, Map):
-                part.items.append((self._item(part, row, each), each.place))
-            elif isinstance(each, str):
-                part.items.append((self._item(part, row, {wanted.item_name: Var(each, listed.place)}), listed.place))
-            else:
-                part.faults.add(listed.place, wanted.items, "holds what is neither a name nor a mapping")
-
-    def _item(self, part: _Part, row: dict[str, Any], told: Mapping[str, Var]) -> dict[str, Any]:
-        held = dict(row)
-        for key, var in told.items():
-            if key not in self._schema.item:
-                near = schema.nearest(key, self._schema.item)
-                part.faults.add(var.place, key, f"unknown here{near}; there are {', '.join(self._schema.item)}")
-            else:
-                self._value(part, self._schema.item[key], key, var, held)
-        return held
-
-    def _box(self, parts: list[_Part], faults: Collector) -> Box:
-        wanted = self._schema
-        told: dict[str, Var] = {}
-        # The full name stands for the box where one entry gives an address as name; else the first in order.
-        lead = min(parts, key=lambda p: (identity.address(p.name) is not None, p.name))
-        for part in parts:
-            for key, var in part.told.items():
-                if key in told and told[key].value != var.value:
-                    secret = wanted.box[key].secret
-                    said = "another value" if secret else f"{var.value!r} here, but {told[key].value!r}"
-                    faults.add(var.place, key, f"{lead.name} has {said} at {told[key].place}")
-                told.setdefault(key, var)
-        # An address that one entry states is where the box is, whatever the others call it.
-        reached = min(parts, key=lambda p: (identity.address(p.host) is None, p.host))
-        for part in parts:
-            self._agree(lead.name, reached, part, faults)
-        vars_ = {key: v.default for key, v in wanted.box.items() if v.default is not None and key not in wanted.host}
-        vars_ |= {key: var.value for key, var in told.items()}
-        items: dict[str, tuple[dict[str, Any], Place]] = {}
-        for part in parts:
-            for item, place in part.items:
-                self._add_item(items, item, place, faults)
-        ordered = tuple(items[name][0] for name in sorted(items))
-        spellings = tuple(dict.fromkeys(p.entry.name for p in parts))
-        packed = _pack.encode((lead.name, reached.host, reached.port, vars_, ordered))
-        return Box(
-            lead.name,
-            reached.host,
-            reached.port,
-            vars_,
-            ordered,
-            blake2b(packed, digest_size=16).digest(),
-            spellings,
-            tuple(p.entry.place for p in parts),
+    def _parse(self, entries: list[Entry], faults: Collector) -> list[ParsedEntry]:
+        parsed_entries: dict[int, ParsedEntry] = {}
+        for entry in entries:
+            parsed = self._parsed.get(id(entry))
+            if parsed is None or parsed.entry is not entry:
+                parsed = self._parser.parse(entry)
+            if parsed.faults:
+                faults.extend(parsed.faults.found)
+            parsed_entries[id(entry)] = parsed
+        self._parsed = parsed_entries
+        return list(parsed_entries.values())
+
+    def _merge(self, group: list[ParsedEntry], faults: Collector) -> InventoryHost:
+        """Return the host that these entries describe."""
+        # A name is preferred to an address as the host's name; else the first in order.
+        leader = min(group, key=lambda parsed: (identity.address(parsed.name) is not None, parsed.name))
+        given = self._merge_values(leader, group, faults)
+        # An address that one entry gives is preferred to names, whatever the others say.
+        reached = min(group, key=lambda parsed: (identity.address(parsed.address) is None, parsed.address))
+        for parsed in group:
+            self._check_agreement(leader.name, reached, parsed, faults)
+        values = {
+            key: variable.default
+            for key, variable in self._schema.host_variables.items()
+            if variable.default is not None and key not in self._schema.address_variables
+        }
+        values |= {key: var.value for key, var in given.items()}
+        items = self._merge_items(group, faults)
+        packed = _pack.encode((leader.name, reached.address, reached.port, values, items))
+        return InventoryHost(
+            name=leader.name,
+            address=reached.address,
+            port=reached.port,
+            vars=values,
+            items=items,
+            digest=blake2b(packed, digest_size=16).digest(),
+            spellings=tuple(dict.fromkeys(parsed.entry.name for parsed in group)),
+            places=tuple(parsed.entry.place for parsed in group),
         )
 
-    def _agree(self, name: str, reached: _Part, part: _Part, faults: Collector) -> None:
-        """Two entries of one box may be reached by a name and its address, not at two addresses or ports."""
-        if identity.address(part.host) and part.host != reached.host:
-            faults.add(
-                part.entry.place,
-                "host",
-                f"{name} is at {part.host} here, but at {reached.host} at {reached.entry.place}",
-            )
-        if part.port != reached.port:
-            faults.add(
-                part.entry.place,
-                self._schema.port or "host",
-                f"{name} has port {part.port} here, but {reached.port} at {reached.entry.place}",
-            )
-
-    def _add_item(
-        self, items: dict[str, tuple[dict[str, Any], Place]], item: dict[str, Any], place: Place, faults: Collector
-    ) -> None:
+    def _merge_values(self, leader: ParsedEntry, group: list[ParsedEntry], faults: Collector) -> dict[str, Var]:
+        merged: dict[str, Var] = {}
+        for parsed in group:
+            for key, var in parsed.values.items():
+                known = merged.setdefault(key, var)
+                if known.value == var.value:
+                    continue
+                secret = self._schema.host_variables[key].secret
+                shown = "another value" if secret else f"{var.value!r} here, but {known.value!r}"
+                faults.add(var.place, key, f"{leader.name} has {shown} at {known.place}")
+        return merged
+
+    def _check_agreement(self, name: str, reached: ParsedEntry, parsed: ParsedEntry, faults: Collector) -> None:
+        """Entries of one host may give a name and its address, but not two addresses or ports."""
+        place = parsed.entry.place
+        other_place = reached.entry.place
+        if identity.address(parsed.address) and parsed.address != reached.address:
+            faults.add(place, "host", f"{name} is at {parsed.address} here, but at {reached.address} at {other_place}")
+        if parsed.port != reached.port:
+            key = self._schema.port_variable or "host"
+            faults.add(place, key, f"{name} has port {parsed.port} here, but {reached.port} at {other_place}")
+
+    def _merge_items(self, group: list[ParsedEntry], faults: Collector) -> tuple[dict[str, Any], ...]:
+        """Return the items of all entries in the order of their names."""
         wanted = self._schema
-        full = {key: v.default for key, v in wanted.item.items() if v.default is not None} | item
-        name = full.get(wanted.item_name)
-        if not name:
-            return faults.add(place, wanted.item_name, "is empty")
-        if name in items:
-            return faults.add(place, wanted.item_name, f"{name!r} stands twice, first at {items[name][1]}")
-        items[name] = (full, place)
-
-
-def _same_boxes(parts: list[_Part]) -> list[list[_Part]]:
-    """Gather the parts of each box, in the order of their first parts."""
-    if len({p.named for p in parts}) == len(parts) == len({p.at for p in parts}):
-        return [[p] for p in parts]  # as it should be
-    leads: dict[Any, int] = {}
-    home = list(range(len(parts)))
-
-    def find(at: int) -> int:
-        while home[at] != at:
-            home[at] = home[home[at]]
-            at = home[at]
-        return at
-
-    for at, part in enumerate(parts):
-        for key in (part.named, part.at):
-            one, two = find(at), find(leads.setdefault(key, at))
-            home[max(one, two)] = min(one, two)
-    made: dict[int, list[_Part]] = {}
-    for at, part in enumerate(parts):
-        made.setdefault(find(at), []).append(part)
-    # The order of the files is no matter: the same parts in another order are the same box.
+        defaults = {
+            key: variable.default for key, variable in wanted.item_variables.items() if variable.default is not None
+        }
+        items: dict[str, ParsedItem] = {}
+        for parsed in group:
+            for values, place in parsed.items:
+                item = defaults | values
+                name = item.get(wanted.item_name)
+                if not name:
+                    faults.add(place, wanted.item_name, "is empty")
+                elif name in items:
+                    faults.add(place, wanted.item_name, f"{name!r} stands twice, first at {items[name].place}")
+                else:
+                    items[name] = ParsedItem(item, place)
+        return tuple(items[name].values for name in sorted(items))
+
+
+def _same_hosts(parsed_entries: list[ParsedEntry]) -> list[list[ParsedEntry]]:
+    """Group the entries of each host, in the order of their first entries (union-find over both keys)."""
+    names = {parsed.name_key for parsed in parsed_entries}
+    addresses = {parsed.address_key for parsed in parsed_entries}
+    if len(names) == len(parsed_entries) == len(addresses):
+        return [[parsed] for parsed in parsed_entries]
+    first_of_key: dict[Any, int] = {}
+    parents = list(range(len(parsed_entries)))
+
+    def find(index: int) -> int:
+        while parents[index] != index:
+            parents[index] = parents[parents[index]]
+            index = parents[index]
+        return index
+
+    for index, parsed in enumerate(parsed_entries):
+        for key in (parsed.name_key, parsed.address_key):
+            root = find(index)
+            other = find(first_of_key.setdefault(key, index))
+            parents[max(root, other)] = min(root, other)
+    groups: dict[int, list[ParsedEntry]] = {}
+    for index, parsed in enumerate(parsed_entries):
+        groups.setdefault(find(index), []).append(parsed)
+    # Sorted, so that the same entries give the same host in whatever order the files have them.
     return [
-        sorted(many, key=lambda p: (p.name, p.entry.name, p.entry.place.line)) if len(many) > 1 else many
-        for many in made.values()
+        sorted(group, key=lambda parsed: (parsed.name, parsed.entry.name, parsed.entry.place.line))
+        if len(group) > 1
+        else group
+        for group in groups.values()
     ]
--- a/lapispick/fleet/hosts.py
+++ b/lapispick/fleet/hosts.py
@@ -1,4 +1,4 @@
-"""What the list of boxes says of worker hosts: the schema of its variables, and boxes into records. No I/O."""
+"""Worker hosts in the inventory: the schema of their variables, and their records. No I/O."""
 
 from __future__ import annotations
 
@@ -8,30 +8,42 @@
 
 from lapispick.file_errors import Collector, Fault
 from lapispick.fleet import identity
-from lapispick.fleet.host_assembly import Box
-from lapispick.fleet.schema import Schema, Variable
+from lapispick.fleet.host_assembly import InventoryHost
+from lapispick.fleet.schema import Schema, Variable, VariableKind
 
 PREFIX = "lapispick_"
 SCHEMA = Schema(
     prefix=PREFIX,
-    box={
-        "lapispick_host": Variable("host", doc="where the box is reached, if not at ansible_host or its name"),
-        "lapispick_port": Variable("integer", 8443, 1, 65535, doc="where gateways connect"),
-        "lapispick_ops": Variable("text", "", 0, 255, doc="where operators call; PORT, or HOST:PORT if elsewhere"),
-        "lapispick_agent": Variable("text", "", 0, 255, doc="the agent's address, likewise"),
-        "lapispick_members": Variable("text", "", 0, 255, doc="where it hears the other worker hosts, likewise"),
-        "lapispick_zone": Variable("text", "", 0, 63, doc="the site"),
-        "lapispick_domain": Variable("text", "", 0, 63, doc="what fails together within a zone: a rack, a power feed"),
-        "lapispick_machine": Variable("text", "", 0, 63, doc="the type of machine; like is compared with like"),
-        "lapispick_weight": Variable("number", 1.0, 0.001, 1000.0, doc="its share of the load beside the others'"),
+    host_variables={
+        "lapispick_host": Variable(
+            VariableKind.HOST, doc="where the host is reached, if not at ansible_host or its name"
+        ),
+        "lapispick_port": Variable(VariableKind.INTEGER, 8443, 1, 65535, doc="where gateways connect"),
+        "lapispick_ops": Variable(
+            VariableKind.TEXT, "", 0, 255, doc="where operators call; PORT, or HOST:PORT if elsewhere"
+        ),
+        "lapispick_agent": Variable(VariableKind.TEXT, "", 0, 255, doc="the agent's address, likewise"),
+        "lapispick_members": Variable(
+            VariableKind.TEXT, "", 0, 255, doc="where it hears the other worker hosts, likewise"
+        ),
+        "lapispick_zone": Variable(VariableKind.TEXT, "", 0, 63, doc="the site"),
+        "lapispick_domain": Variable(
+            VariableKind.TEXT, "", 0, 63, doc="what fails together within a zone: a rack, a power feed"
+        ),
+        "lapispick_machine": Variable(
+            VariableKind.TEXT, "", 0, 63, doc="the type of machine; like is compared with like"
+        ),
+        "lapispick_weight": Variable(
+            VariableKind.NUMBER, 1.0, 0.001, 1000.0, doc="its share of the load beside the others'"
+        ),
     },
-    host=("lapispick_host", "ansible_host"),
-    port="lapispick_port",
+    address_variables=("lapispick_host", "ansible_host"),
+    port_variable="lapispick_port",
 )
 
 
 class Worker(msgspec.Struct, frozen=True, order=True):
-    """One worker host of the list. Addresses are ``HOST:PORT``, or empty where the list tells none."""
+    """One worker host of the list. Addresses are ``HOST:PORT``, or empty where the list gives none."""
 
     name: str
     serves: str
@@ -50,7 +62,7 @@
 
     @property
     def kind(self) -> tuple[str, str]:
-        """Return what it may be compared with: boxes of the same zone and machine."""
+        """Return what it may be compared with: hosts of the same zone and machine."""
         return self.zone, self.machine
 
 
@@ -58,47 +70,48 @@
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
-def _address(told: str, host: str) -> str:
-    """Return ``HOST:PORT`` of what a box tells; raises ``ValueError``."""
-    if not told:
+def _endpoint(given: str, host: str) -> str:
+    """Return ``HOST:PORT`` of what a variable gives; raises ``ValueError``."""
+    if not given:
         return ""
-    if told.isdecimal():
-        told = _joined(host, int(told))
-    name, port = identity.endpoint(told)
+    if given.isdecimal():
+        given = _joined(host, int(given))
+    name, port = identity.endpoint(given)
     if port is None:
-        raise ValueError(f"{told!r} is neither PORT nor HOST:PORT")
+        raise ValueError(f"{given!r} is neither PORT nor HOST:PORT")
     return _joined(name, port)
 
 
-def worker(box: Box) -> Worker:
-    """Return the worker host that a box is; raises ``ValueError`` for an address that is none."""
-    told = box.vars
+def worker(host: InventoryHost) -> Worker:
+    """Return the worker host that a host of the inventory is; raises ``ValueError`` for an address that is none."""
+    values = host.vars
     return Worker(
-        box.name,
-        _joined(box.host, box.port or told["lapispick_port"]),
-        _address(told["lapispick_ops"], box.host),
-        _address(told["lapispick_agent"], box.host),
-        told["lapispick_zone"],
-        told["lapispick_domain"],
-        told["lapispick_machine"],
-        told["lapispick_weight"],
-        _address(told["lapispick_members"], box.host),
+        host.name,
+        _joined(host.address, host.port or values["lapispick_port"]),
+        _endpoint(values["lapispick_ops"], host.address),
+        _endpoint(values["lapispick_agent"], host.address),
+        values["lapispick_zone"],
+        values["lapispick_domain"],
+        values["lapispick_machine"],
+        values["lapispick_weight"],
+        _endpoint(values["lapispick_members"], host.address),
     )
 
 
-def workers(boxes: Iterable[Box]) -> tuple[tuple[Worker, ...], tuple[Fault, ...]]:
+def workers(inventory_hosts: Iterable[InventoryHost]) -> tuple[tuple[Worker, ...], tuple[Fault, ...]]:
     """Return the worker hosts by name, and the faults of those whose addresses can't be used or are another's."""
-    made: list[Worker] = []
-    faults, taken = Collector(), dict[str, str]()
-    for box in sorted(boxes, key=lambda b: b.name):
+    found_workers: list[Worker] = []
+    faults = Collector()
+    taken: dict[str, str] = {}  # address -> name of its host
+    for host in sorted(inventory_hosts, key=lambda host: host.name):
         try:
-            found = worker(box)
+            found = worker(host)
         except ValueError as err:
-            faults.add(box.places[0], PREFIX + "ops", f"{box.name}: {err}")
+            faults.add(host.places[0], PREFIX + "ops", f"{host.name}: {err}")
             continue
-        for at in filter(None, (found.serves, found.ops, found.agent, found.members)):
-            if at in taken:
-                faults.add(box.places[0], "host", f"{box.name}: {at} stands twice, first for {taken[at]}")
-            taken.setdefault(at, box.name)
-        made.append(found)
-    return tuple(made), tuple(faults.found)
+        for endpoint in filter(None, (found.serves, found.ops, found.agent, found.members)):
+            if endpoint in taken:
+                faults.add(host.places[0], "host", f"{host.name}: {endpoint} stands twice, first for {taken[endpoint]}")
+            taken.setdefault(endpoint, host.name)
+        found_workers.append(found)
+    return tuple(found_workers), tuple(faults.found)
--- a/lapispick/fleet/messages.py
+++ b/lapispick/fleet/messages.py
@@ -1,80 +1,83 @@
-"""What the host and its helper process say to each other: JSON, one message a line, over a socket pair."""
+"""The messages between the host and its helper process: JSON, one message a line, over a socket pair.
+
+Another version of the program may read them: tags and encoded field names stay as they are.
+"""
 
 from __future__ import annotations
 
 import msgspec
 
 from lapispick.file_errors import Fault
-from lapispick.fleet.host_assembly import Box
+from lapispick.fleet.host_assembly import InventoryHost
 from lapispick.fleet.reading import Options
 
-PART = 32  # boxes of one message: it is decoded in far less than a millisecond
+MAX_CHUNK_HOSTS = 32  # the host decodes so many in far less than a millisecond
 
 
 class Begin(msgspec.Struct, tag="begin"):
     """To the helper, first: what to read."""
 
     path: str
-    size_most: int
+    max_bytes: int = msgspec.field(name="size_most")
     options: Options
     state_folder: str = ""
-    history: int = 20
+    max_history: int = msgspec.field(default=20, name="history")
 
 
-class Look(msgspec.Struct, tag="look"):
-    """To the helper: look at the files and send what changed since the last list."""
+class Poll(msgspec.Struct, tag="look"):
+    """To the helper: read the files and send what changed since the last list."""
 
 
-class Keep(msgspec.Struct, tag="keep"):
-    """To the helper: the list with this digest was accepted; keep it and remember it."""
+class SaveAccepted(msgspec.Struct, tag="keep"):
+    """To the helper: the list with this digest was accepted; write it and its line of the history."""
 
     digest: str
-    at: float
-    ground: str
-    names: dict[str, list[str]]
+    at: float  # Unix seconds
+    reason: str = msgspec.field(name="ground")
+    names: dict[str, list[str]]  # by field of ``Difference``
     counts: dict[str, int]
 
 
-class Status(msgspec.Struct, tag="status"):
-    """To the helper: what operators should be able to see."""
+class SaveStatus(msgspec.Struct, tag="status"):
+    """To the helper: write what operators should be able to see."""
 
-    told: dict[str, str | int | float | list[str]]
+    status: dict[str, str | int | float | list[str]] = msgspec.field(name="told")
 
 
-class Kept(msgspec.Struct, tag="kept"):
-    """From the helper, first: the last good list, of which ``parts`` follow; none where ``digest`` is empty."""
+class LastGoodLoaded(msgspec.Struct, tag="kept"):
+    """From the helper, first: the last good list, sent as so many chunks; none where ``digest`` is empty."""
 
-    parts: int = 0
+    chunk_count: int = msgspec.field(default=0, name="parts")
     digest: str = ""
-    at: float = 0.0
-    ground: str = ""
+    at: float = 0.0  # Unix seconds when it was accepted
+    reason: str = msgspec.field(default="", name="ground")
     fault: str = ""
 
 
-class Listed(msgspec.Struct, tag="listed"):
-    """From the helper: what a look found. ``parts`` with the changes since the last list follow."""
+class Polled(msgspec.Struct, tag="listed"):
+    """From the helper: what a poll found. So many chunks with the changes since the last list follow."""
 
-    parts: int = 0
+    chunk_count: int = msgspec.field(default=0, name="parts")
     digest: str = ""
     faults: tuple[Fault, ...] = ()
-    left_out: int = 0
-    unfinished: str = ""
-    accept: str = ""
-    took_ms: float = 0.0
+    omitted_faults: int = msgspec.field(default=0, name="left_out")
+    incomplete_reason: str = msgspec.field(default="", name="unfinished")
+    operator_digest: str = msgspec.field(default="", name="accept")
+    duration_ms: float = msgspec.field(default=0.0, name="took_ms")
 
 
-class Part(msgspec.Struct, tag="part"):
-    """From the helper: boxes that came or changed, and names that went."""
+class Chunk(msgspec.Struct, tag="part"):
+    """From the helper: hosts that were added or changed, and names that were removed."""
 
-    put: list[Box] = []  # msgspec copies it
-    gone: list[str] = []
+    updated: list[InventoryHost] = msgspec.field(default_factory=list, name="put")
+    removed: list[str] = msgspec.field(default_factory=list, name="gone")
 
 
-class Trouble(msgspec.Struct, tag="trouble"):
+class StateFolderFailed(msgspec.Struct, tag="trouble"):
     """From the helper: the state folder can't be written."""
 
     text: str
 
 
-ToHelper = Begin | Look | Keep | Status
-FromHelper = Kept | Listed | Part | Trouble
+ToHelper = Begin | Poll | SaveAccepted | SaveStatus
+FromHelper = LastGoodLoaded | Polled | Chunk | StateFolderFailed
--- a/lapispick/fleet/ranges.py
+++ b/lapispick/fleet/ranges.py
@@ -4,46 +4,55 @@
 
 import re
 
-RANGE = re.compile(r"\[(?:(\d+):(\d+)|([A-Za-z]):([A-Za-z]))(?::(\d+))?\]")
-LOOKS_LIKE = re.compile(r"\[[^\]:]+:[^\]:]*(?::[^\]:]*)?\]")  # an IPv6 address in brackets does not
+from lapispick.fleet.errors import HostRangeError
 
+MAX_RANGE_SPAN = 10_000_000
+_RANGE = re.compile(r"\[(?:(\d+):(\d+)|([A-Za-z]):([A-Za-z]))(?::(\d+))?\]")
+_LOOKS_LIKE_RANGE = re.compile(r"\[[^\]:]+:[^\]:]*(?::[^\]:]*)?\]")  # an IPv6 address in brackets does not
 
-class RangeFault(ValueError):
-    """A range that can't be written out."""
 
-
-def _parts(match: re.Match[str]) -> list[str]:
+def _values(match: re.Match[str]) -> list[str]:
+    """Return the texts that one range stands for."""
+    pattern = match.group(0)
     low, high, first, last, step_text = match.groups()
     step = int(step_text) if step_text else 1
     if step < 1:
-        raise RangeFault(f"{match.group(0)} has a step under 1")
+        raise HostRangeError(pattern, "has a step under 1")
     if low is None:
-        if first.islower() != last.islower() or first > last:
-            raise RangeFault(f"{match.group(0)} does not go upwards within one case")
-        return [chr(c) for c in range(ord(first), ord(last) + 1, step)]
+        return _letters(pattern, first, last, step)
+    return _numbers(pattern, low, high, step)
+
+
+def _letters(pattern: str, first: str, last: str, step: int) -> list[str]:
+    if first.islower() != last.islower() or first > last:
+        raise HostRangeError(pattern, "does not go upwards within one case")
+    return [chr(code) for code in range(ord(first), ord(last) + 1, step)]
+
+
+def _numbers(pattern: str, low: str, high: str, step: int) -> list[str]:
     if len(low) > 1 and low.startswith("0") and len(low) != len(high):
-        raise RangeFault(f"{match.group(0)} has ends padded to different widths")
+        raise HostRangeError(pattern, "has ends padded to different widths")
     if int(low) > int(high):
-        raise RangeFault(f"{match.group(0)} does not go upwards")
-    if int(high) - int(low) >= 10_000_000:
-        raise RangeFault(f"{match.group(0)} is too long")
+        raise HostRangeError(pattern, "does not go upwards")
+    if int(high) - int(low) >= MAX_RANGE_SPAN:
+        raise HostRangeError(pattern, "is too long")
     width = len(low) if low.startswith("0") else 0
-    return [str(n).zfill(width) for n in range(int(low), int(high) + 1, step)]
+    return [str(number).zfill(width) for number in range(int(low), int(high) + 1, step)]
 
 
-def expand(text: str, most: int) -> list[str]:
-    """Return the names that a pattern stands for, in order; raises ``RangeFault`` beyond ``most`` names."""
+def expand(text: str, max_names: int) -> list[str]:
+    """Return the names that a pattern stands for, in order; raises ``HostRangeError`` beyond ``max_names`` names."""
     if "[" not in text:
         return [text]
-    made = [""]
-    at = 0
-    for match in RANGE.finditer(text):
-        parts = _parts(match)
-        if len(made) * len(parts) > most:
-            raise RangeFault(f"{text!r} stands for more than {most} names")
-        made = [m + text[at : match.start()] + part for m in made for part in parts]
-        at = match.end()
-    rest = text[at:]
-    if LOOKS_LIKE.search(rest):
-        raise RangeFault(f"{LOOKS_LIKE.search(rest).group(0)} is no range such as [01:14], [a:f] or [0:20:2]")
-    return [m + rest for m in made]
+    names = [""]
+    end = 0
+    for match in _RANGE.finditer(text):
+        values = _values(match)
+        if len(names) * len(values) > max_names:
+            raise HostRangeError(repr(text), f"stands for more than {max_names} names")
+        names = [prefix + text[end : match.start()] + value for prefix in names for value in values]
+        end = match.end()
+    rest = text[end:]
+    if (malformed := _LOOKS_LIKE_RANGE.search(rest)) is not None:
+        raise HostRangeError(malformed.group(0), "is no range such as [01:14], [a:f] or [0:20:2]")
+    return [prefix + rest for prefix in names]
--- a/lapispick/fleet/reconciler.py
+++ b/lapispick/fleet/reconciler.py
@@ -1,11 +1,12 @@
-"""What to open, drain and close so that what runs becomes what is wanted. No I/O, no clock: times come in.
-
-A unit (a broker, say) has a key and a spec; a life of it is opening, open or draining. Lives of one key may
-overlap: where the spec changes, the new life is opened first and the old one drained once the new one is
-open, so that a wrong password costs nothing that works. The order of a step is: units that were never there
-are opened, then new lives beside old ones, then units that left are drained, each by key. At most a share of
-the units is in change at once; a change that is stuck counts no longer after a while, or one dead broker
-would stop all other changes. A life that drains for too long is closed.
+"""Decides what to open, drain and close so that the running instances match the desired state.
+
+No I/O, no clock: times are passed in. A unit (a broker, say) has a key and a spec; an instance of it is opening, open
+or draining. Instances of one key may overlap: where the spec changes, the new instance is opened first, and the old
+one is drained once the new one is open, so that a wrong password interrupts nothing that works. The order of a step
+is: units without any instance are opened, then new instances beside old ones, then units that were removed are
+drained, each by key. At most a fraction of the units changes at once; a change that is stuck stops counting after
+``change_timeout_s``, or one unreachable broker would stop all other changes. An instance that drains for too long is
+closed.
 """
 
 from __future__ import annotations
@@ -18,19 +19,22 @@
 
 import msgspec
 
+_MIN_PAUSE_S = 0.01
+_MAX_PAUSE_S = 60.0
+
 
 class Bounds(msgspec.Struct, frozen=True):
-    """How much may be in change; spans in seconds."""
+    """How much may change at once."""
 
-    share: float = 0.25
-    least: int = 2
-    wait: float = 10.0  # a change that takes longer counts no more
-    drain: float = 30.0  # a life may drain for so long
-    lives: int = 100  # of all units together, draining ones too
+    max_changing_fraction: float = 0.25  # of the units
+    min_changing: int = 2  # units that may always change
+    change_timeout_s: float = 10.0  # a change that takes longer stops counting
+    drain_timeout_s: float = 30.0
+    max_instances: int = 100  # of all units together, draining ones too
 
 
 class State(enum.Enum):
-    """Where a life stands."""
+    """The state of an instance."""
 
     OPENING = "opening"
     OPEN = "open"
@@ -38,169 +42,191 @@
 
 
 class Open(NamedTuple):
-    """Begin a life."""
+    """Open an instance."""
 
-    life: int
+    instance: int
     key: str
     spec: Any
 
 
 class Drain(NamedTuple):
-    """Take nothing more in this life and end it once all is done."""
+    """Accept nothing more in this instance, and end it once all is done."""
 
-    life: int
+    instance: int
     key: str
 
 
 class Close(NamedTuple):
-    """End this life now."""
+    """End this instance now."""
 
-    life: int
+    instance: int
     key: str
 
 
 Action = Open | Drain | Close
 
 
-class Life(msgspec.Struct):
-    """One life of a unit."""
+class Instance(msgspec.Struct):
+    """One instance of a unit."""
 
     number: int
     key: str
     spec: Any
     state: State
-    since: float
+    since: float  # when it entered its state
     served: bool = False  # it was open once; one that never was has nothing to drain
 
 
-class Plan:
-    """Holds what is wanted against what lives."""
+class Reconciler:
+    """Compares the desired units with the instances that exist."""
 
     def __init__(self, bounds: Bounds) -> None:
         self.bounds = bounds
-        self.wanted: dict[str, Any] = {}
-        self.lives: dict[int, Life] = {}
-        self.left_out = 0  # wanted units for which there is no room
-        self._fresh: set[str] = set()  # wanted units without any life
-        self._last = 0
+        self.desired: dict[str, Any] = {}
+        self.instances: dict[int, Instance] = {}
+        self.left_out = 0  # desired units without an instance because of ``max_instances``
+        self._pending: set[str] = set()  # desired units without any instance
+        self._last_number = 0
 
     def put(self, key: str, spec: Any) -> None:
-        """Let a unit live with this spec; specs are compared by ``==``."""
-        if key not in self.wanted and all(life.key != key for life in self.lives.values()):
-            self._fresh.add(key)
-        self.wanted[key] = spec
+        """Desire a unit with this spec; specs are compared by ``==``."""
+        if key not in self.desired and not self._has_instance(key):
+            self._pending.add(key)
+        self.desired[key] = spec
 
     def drop(self, key: str) -> None:
-        """Let a unit live no more."""
-        self.wanted.pop(key, None)
-        self._fresh.discard(key)
+        """Desire a unit no more."""
+        self.desired.pop(key, None)
+        self._pending.discard(key)
 
-    def want(self, wanted: Mapping[str, Any]) -> None:
-        """Set all that is to live."""
-        for key in self.wanted.keys() - wanted.keys():
+    def set_desired(self, desired: Mapping[str, Any]) -> None:
+        """Replace all desired units."""
+        for key in self.desired.keys() - desired.keys():
             self.drop(key)
-        for key, spec in wanted.items():
+        for key, spec in desired.items():
             self.put(key, spec)
 
-    def opened(self, now: float, life: int) -> None:
-        """Take note that a life is open; one that drains stays so."""
-        if (known := self.lives.get(life)) is not None and known.state is State.OPENING:
-            known.state, known.since, known.served = State.OPEN, now, True
-
-    def lost(self, now: float, life: int) -> None:
-        """Take note that an open life has to open again, as after a broken connection."""
-        if (known := self.lives.get(life)) is not None and known.state is State.OPEN:
-            known.state, known.since = State.OPENING, now
-
-    def ended(self, life: int) -> None:
-        """Take note that a life is over."""
-        known = self.lives.pop(life, None)
-        if (
-            known is not None
-            and known.key in self.wanted
-            and all(other.key != known.key for other in self.lives.values())
-        ):
-            self._fresh.add(known.key)
-
-    def in_change(self, now: float) -> int:
+    def opened(self, now: float, number: int) -> None:
+        """Note that an instance is open; one that drains stays draining."""
+        instance = self.instances.get(number)
+        if instance is not None and instance.state is State.OPENING:
+            instance.state = State.OPEN
+            instance.since = now
+            instance.served = True
+
+    def lost(self, now: float, number: int) -> None:
+        """Note that an open instance has to open again, as after a broken connection."""
+        instance = self.instances.get(number)
+        if instance is not None and instance.state is State.OPEN:
+            instance.state = State.OPENING
+            instance.since = now
+
+    def ended(self, number: int) -> None:
+        """Note that an instance has ended."""
+        instance = self.instances.pop(number, None)
+        if instance is not None and instance.key in self.desired and not self._has_instance(instance.key):
+            self._pending.add(instance.key)
+
+    def changing(self, now: float) -> int:
         """Return how many units are opening or draining and not stuck."""
-        return len(
-            {
-                life.key
-                for life in self.lives.values()
-                if (life.state is State.OPENING or (life.state is State.DRAINING and life.served))
-                and now - life.since < self.bounds.wait
-            }
-        )
+        keys = {
+            instance.key
+            for instance in self.instances.values()
+            if (instance.state is State.OPENING or (instance.state is State.DRAINING and instance.served))
+            and now - instance.since < self.bounds.change_timeout_s
+        }
+        return len(keys)
 
     def step(self, now: float) -> list[Action]:
-        """Return what to do now; the lives count as begun or draining from here on."""
-        by_key: dict[str, list[Life]] = {}
-        for life in self.lives.values():
-            by_key.setdefault(life.key, []).append(life)
-        size = max(len(self.wanted), len(by_key))
-        room = max(self.bounds.least, ceil(self.bounds.share * size)) - self.in_change(now)
-        actions: list[Action] = self._overdue(now)
-        # Thousands may be wanted and few have room: only as many are put in order as can begin.
-        places = min(room, self.bounds.lives - len(self.lives))
-        for key in nsmallest(max(0, places), self._fresh):
-            actions.append(self._begin(now, key))
-            room -= 1
-        self.left_out = len(self._fresh) if len(self.lives) >= self.bounds.lives else 0
-        for key in sorted(by_key):
-            lives = by_key[key]
-            if key not in self.wanted:
-                continue
-            if room > 0 and not self._lives(lives, key):
-                if len(self.lives) < self.bounds.lives:
-                    actions.append(self._begin(now, key))
-                    room -= 1
-                elif old := [life for life in lives if life.state is not State.DRAINING]:
-                    actions += [self._drain(now, life) for life in old]  # no room for both lives
-                    room -= 1
-            actions += [self._drain(now, life) for life in self._replaced(lives, key)]
-        for key in sorted(by_key.keys() - self.wanted.keys()):
-            live = [life for life in by_key[key] if life.state is not State.DRAINING]
-            served = any(life.served for life in live)
-            if live and (room > 0 or not served):
-                actions += [self._drain(now, life) for life in live]
-                room -= served
+        """Return what to do now; the instances count as begun or draining from here on."""
+        by_key: dict[str, list[Instance]] = {}
+        for instance in self.instances.values():
+            by_key.setdefault(instance.key, []).append(instance)
+        unit_count = max(len(self.desired), len(by_key))
+        allowed = max(self.bounds.min_changing, ceil(self.bounds.max_changing_fraction * unit_count))
+        budget = allowed - self.changing(now)
+        actions = self._close_overdue(now)
+        opened = self._open_pending(now, budget)
+        actions += opened
+        budget -= len(opened)
+        self.left_out = len(self._pending) if self._is_full() else 0
+        for key in sorted(by_key.keys() & self.desired.keys()):
+            replacing = self._replace(now, key, by_key[key], budget)
+            budget -= bool(replacing)
+            actions += replacing
+            actions += [self._drain(now, instance) for instance in self._superseded(by_key[key], key)]
+        for key in sorted(by_key.keys() - self.desired.keys()):
+            live = _live(by_key[key])
+            served = any(instance.served for instance in live)
+            if live and (budget > 0 or not served):
+                actions += [self._drain(now, instance) for instance in live]
+                budget -= served
         return actions
 
-    def _lives(self, lives: list[Life], key: str) -> bool:
-        """Tell whether a life of the wanted spec is there."""
-        return any(life.state is not State.DRAINING and life.spec == self.wanted[key] for life in lives)
-
-    def _replaced(self, lives: list[Life], key: str) -> list[Life]:
-        """Return the lives that the wanted one makes needless."""
-        stale = [life for life in lives if life.state is not State.DRAINING and life.spec != self.wanted[key]]
-        ready = any(life.state is State.OPEN and life.spec == self.wanted[key] for life in lives)
-        # One that never opened does nothing that would be missed.
-        return stale if ready else [life for life in stale if life.state is State.OPENING]
-
-    def _overdue(self, now: float) -> list[Action]:
-        late = [
-            life
-            for life in self.lives.values()
-            if life.state is State.DRAINING and now - life.since >= self.bounds.drain
+    def _has_instance(self, key: str) -> bool:
+        return any(instance.key == key for instance in self.instances.values())
+
+    def _is_full(self) -> bool:
+        return len(self.instances) >= self.bounds.max_instances
+
+    def _close_overdue(self, now: float) -> list[Action]:
+        overdue = [
+            instance
+            for instance in self.instances.values()
+            if instance.state is State.DRAINING and now - instance.since >= self.bounds.drain_timeout_s
         ]
-        for life in late:
-            self.ended(life.number)
-        return [Close(life.number, life.key) for life in late]
-
-    def _begin(self, now: float, key: str) -> Open:
-        self._last += 1
-        self._fresh.discard(key)
-        self.lives[self._last] = Life(self._last, key, self.wanted[key], State.OPENING, now)
-        return Open(self._last, key, self.wanted[key])
-
-    def _drain(self, now: float, life: Life) -> Drain:
-        life.state, life.since = State.DRAINING, now
-        return Drain(life.number, life.key)
-
-
-def next_due(plan: Plan, now: float) -> float:
-    """Return after how many seconds a step is worth while though nothing happens."""
-    spans = [plan.bounds.drain - (now - life.since) for life in plan.lives.values() if life.state is State.DRAINING]
-    spans += [plan.bounds.wait - (now - life.since) for life in plan.lives.values() if life.state is not State.OPEN]
-    return max(0.01, min((s for s in spans if s > 0), default=60.0))
+        for instance in overdue:
+            self.ended(instance.number)
+        return [Close(instance.number, instance.key) for instance in overdue]
+
+    def _open_pending(self, now: float, budget: int) -> list[Action]:
+        """Open units without any instance; of thousands only as many are sorted as can begin."""
+        count = min(budget, self.bounds.max_instances - len(self.instances))
+        return [self._open(now, key) for key in nsmallest(max(0, count), self._pending)]
+
+    def _replace(self, now: float, key: str, instances: list[Instance], budget: int) -> list[Action]:
+        """Open an instance of the desired spec beside old ones, or drain these where there is room for one only."""
+        if budget <= 0 or self._has_desired_spec(instances, key):
+            return []
+        if not self._is_full():
+            return [self._open(now, key)]
+        return [self._drain(now, instance) for instance in _live(instances)]
+
+    def _has_desired_spec(self, instances: list[Instance], key: str) -> bool:
+        return any(instance.spec == self.desired[key] for instance in _live(instances))
+
+    def _superseded(self, instances: list[Instance], key: str) -> list[Instance]:
+        """Return the instances that the one of the desired spec replaces."""
+        outdated = [instance for instance in _live(instances) if instance.spec != self.desired[key]]
+        if any(instance.state is State.OPEN and instance.spec == self.desired[key] for instance in instances):
+            return outdated
+        # One that never opened can go without a replacement.
+        return [instance for instance in outdated if instance.state is State.OPENING]
+
+    def _open(self, now: float, key: str) -> Action:
+        self._last_number += 1
+        self._pending.discard(key)
+        self.instances[self._last_number] = Instance(self._last_number, key, self.desired[key], State.OPENING, now)
+        return Open(self._last_number, key, self.desired[key])
+
+    def _drain(self, now: float, instance: Instance) -> Action:
+        instance.state = State.DRAINING
+        instance.since = now
+        return Drain(instance.number, instance.key)
+
+
+def _live(instances: list[Instance]) -> list[Instance]:
+    return [instance for instance in instances if instance.state is not State.DRAINING]
+
+
+def next_due(reconciler: Reconciler, now: float) -> float:
+    """Return after how many seconds a step is worthwhile though nothing happens."""
+    bounds = reconciler.bounds
+    delays: list[float] = []
+    for instance in reconciler.instances.values():
+        elapsed_s = now - instance.since
+        if instance.state is State.DRAINING:
+            delays.append(bounds.drain_timeout_s - elapsed_s)
+        if instance.state is not State.OPEN:
+            delays.append(bounds.change_timeout_s - elapsed_s)
+    return max(_MIN_PAUSE_S, min((delay for delay in delays if delay > 0), default=_MAX_PAUSE_S))
--- a/lapispick/fleet/yaml_reader.py
+++ b/lapispick/fleet/yaml_reader.py
@@ -1,298 +1,163 @@
-"""YAML into plain values that know where they stand, and a change of a few lines into a change of a few. No I/O.
+"""YAML files that are read incrementally: a change of a few lines costs about what changed. No I/O.
 
-The events come from libyaml, where PyYAML has it; tags are resolved by PyYAML's safe schema. A file of
-thousands of boxes takes most of a second to parse, and one box of it changes: ``Document.update`` parses
-again only the entries that the changed lines belong to. It does so where the lines around them show that
-the rest reads as before, and reads the whole anew in every other case. Places in the parts that were kept
-may then be off by the lines that came or went: whoever reports a fault reads the whole again first.
+A file of thousands of hosts takes most of a second to parse, and one host of it changes: ``Document.update`` parses
+again only the entries that the changed lines belong to. It does so where the lines around them show that the rest
+reads as before, and reports otherwise that the whole file must be read again. Places in the parts that were not read
+again may then be off by the lines that were inserted or removed: whoever reports a fault reads the whole file first.
 """
 
 from __future__ import annotations
 
 import re
 from bisect import bisect_left, bisect_right
-from itertools import pairwise
-from typing import Any
+from typing import NamedTuple
 
-import yaml
-from yaml.constructor import ConstructorError, SafeConstructor
-from yaml.nodes import MappingNode, Node, ScalarNode, SequenceNode
+from yaml.nodes import MappingNode
 
 from lapispick.file_errors import Collector, Place
-from lapispick.fleet.entries import Tagged, Var
+from lapispick.fleet.yaml_values import Map, Segment, UnreadableYamlError, YamlConverter, compose, is_ascending
 
-Loader = getattr(yaml, "CSafeLoader", yaml.SafeLoader)
-NODES_MOST = 2_000_000  # values of one file, each alias counted in full
-DEPTH_MOST = 64  # values within values
-SEGMENT_LEAST = 4  # entries; smaller mappings are not worth the book-keeping
-SHARED = re.compile(r"(?:^|[\s\[{,:-])[&*][^\s]|<<|^%|^---|^\.\.\.", re.M)  # anchors, merges, documents
-PREFIX = "tag:yaml.org,2002:"
-ODD = re.compile("[\x0b\x0c\x1c-\x1e\x85\u2028\u2029]|\r(?!\n)")  # line ends that parsers count otherwise
-_INT = re.compile(r"[-+]?(?:0|[1-9][0-9]{0,17})")
+_SHARED_SYNTAX = re.compile(r"(?:^|[\s\[{,:-])[&*][^\s]|<<|^%|^---|^\.\.\.", re.M)  # anchors, merges, documents
+# Line ends that the parser counts differently from ``str.splitlines``, or the reverse.
+_UNUSUAL_LINE_ENDS = re.compile("[\x0b\x0c\x1c-\x1e\x85\u2028\u2029]|\r(?!\n)")
+_COMPARED_LINES = 4096  # in one comparison of slices
 
 
-class Map(dict[str, Var]):
-    """A mapping of texts to values with their places; ``place`` is its own."""
+class _Entries(NamedTuple):
+    """Entries of a segment that were read again, and the lines at which they start."""
 
-    __slots__ = ("place",)
-
-    def __init__(self, place: Place) -> None:
-        super().__init__()
-        self.place = place
-
-
-class Segment:
-    """A block mapping of many entries: where each begins, and where the lines of the whole end."""
-
-    __slots__ = ("column", "end", "keys", "map", "starts")
-
-    def __init__(self, made: Map, keys: list[str], column: int, starts: list[int], end: int) -> None:
-        self.map, self.keys, self.column, self.starts, self.end = made, keys, column, starts, end
-
-    def shift(self, after: int, lines: int) -> None:
-        """Take into account that lines came or went behind a line."""
-        at = bisect_right(self.starts, after)
-        self.starts[at:] = [s + lines for s in self.starts[at:]]
-        if self.end > after:
-            self.end += lines
-
-
-class _Refused(Exception):
-    """The file can't be read; its faults have been collected."""
-
-
-class _Converter:
-    """Makes values of nodes."""
-
-    def __init__(self, file: str, faults: Collector, first_line: int = 0) -> None:
-        self.file, self.faults, self.first_line = file, faults, first_line
-        self.segments: list[Segment] = []
-        self._scalars = SafeConstructor()
-        self._made: dict[int, Any] = {}  # anchored nodes stand once, however often they are named
-        self._sizes: dict[int, int] = {}
-
-    def place(self, node: Node) -> Place:
-        """Return where a node begins."""
-        mark = node.start_mark
-        return Place(self.file, mark.line + 1 + self.first_line, mark.column + 1)
-
-    def check(self, node: Node, above: tuple[int, ...] = ()) -> int:
-        """Return how many values a node stands for; refuses loops, depth and aliases that multiply."""
-        if (known := self._sizes.get(id(node))) is not None:
-            return known
-        if isinstance(node, ScalarNode):
-            return 1
-        if id(node) in above:
-            self._refuse(node, "an alias within its own anchor")
-        if len(above) > DEPTH_MOST:
-            self._refuse(node, f"nested more than {DEPTH_MOST} deep")
-        parts = [p for pair in node.value for p in pair] if isinstance(node, MappingNode) else node.value
-        size = 1
-        for part in parts:
-            size += 1 if isinstance(part, ScalarNode) else self.check(part, (*above, id(node)))
-        if size > NODES_MOST:
-            self._refuse(node, f"stands for more than {NODES_MOST} values")
-        self._sizes[id(node)] = size
-        return size
-
-    def _refuse(self, node: Node, text: str) -> None:
-        self.faults.add(self.place(node), "", text)
-        raise _Refused
-
-    def value(self, node: Node) -> Any:
-        """Return the value of a node."""
-        if isinstance(node, ScalarNode):
-            return self._scalar(node)
-        if id(node) in self._made:
-            return self._made[id(node)]
-        if isinstance(node, SequenceNode):
-            made: Any = [self.value(part) for part in node.value]
-        elif isinstance(node, MappingNode):
-            made = self._mapping(node)
-        else:
-            self._refuse(node, "is of no known kind")
-        self._made[id(node)] = made
-        return made
-
-    def _scalar(self, node: ScalarNode) -> Any:
-        tag, text = node.tag, node.value
-        if tag == PREFIX + "str":
-            return text
-        if tag == PREFIX + "int" and _INT.fullmatch(text):
-            return int(text)
-        if not tag.startswith(PREFIX):
-            return Tagged(text, tag)
-        try:
-            return self._scalars.construct_object(node)
-        except (ConstructorError, ValueError, OverflowError) as err:
-            what = err.problem if isinstance(err, ConstructorError) else err
-            self.faults.add(self.place(node), "", f"{text[:60]!r} can't be read: {what}")
-            return None
-
-    def _mapping(self, node: MappingNode) -> Map:
-        made = Map(self.place(node))
-        merged: list[Map] = []
-        for key, value in node.value:
-            if key.tag == PREFIX + "merge":
-                merged += self._merged(value)
-            elif not isinstance(key, ScalarNode):
-                self.faults.add(self.place(key), "", "a key must be a plain text")
-            elif key.value in made:
-                self.faults.add(self.place(key), key.value, f"this key stands twice, first at {made[key.value].place}")
-            else:
-                made[key.value] = Var(self.value(value), self.place(key))
-        for other in merged:
-            for name, var in other.items():
-                made.setdefault(name, var)
-        if not node.flow_style and len(node.value) >= SEGMENT_LEAST:
-            starts = [key.start_mark.line for key, _ in node.value]
-            keys = [key.value for key, _ in node.value]
-            if _upward(starts):
-                self.segments.append(Segment(made, keys, node.start_mark.column, starts, node.end_mark.line))
-        return made
-
-    def _merged(self, node: Node) -> list[Map]:
-        parts = node.value if isinstance(node, SequenceNode) else [node]
-        made = [self.value(part) for part in parts if isinstance(part, MappingNode)]
-        if len(made) != len(parts):
-            self.faults.add(self.place(node), "<<", "takes a mapping or a list of mappings")
-        return made
-
-
-def _compose(file: str, text: str, faults: Collector) -> Node | None:
-    loader = Loader(text)
-    try:
-        return loader.get_single_node()
-    except yaml.MarkedYAMLError as err:
-        mark = err.problem_mark or err.context_mark
-        place = Place(file, mark.line + 1, mark.column + 1) if mark else Place(file, 1)
-        said = ", ".join(str(part) for part in (err.context, err.problem) if part)
-        faults.add(place, "", f"can't be read as YAML: {said or err}")
-    except (yaml.YAMLError, RecursionError, ValueError) as err:
-        faults.add(Place(file, 1), "", f"can't be read as YAML: {str(err)[:200]}")
-    finally:
-        loader.dispose()
-    raise _Refused
+    mapping: Map
+    starts: list[int]
 
 
 class Document:
-    """One YAML file: its top mapping, and what it takes to read a change of it in small."""
+    """One YAML file: its top mapping, and what it takes to read a small change of it."""
 
     def __init__(self, file: str, text: str, faults: Collector) -> None:
-        self.file, self.lines = file, text.splitlines(keepends=True)
-        self.top: Map | None = None
+        self.file = file
+        self.lines = text.splitlines(keepends=True)
+        self.top: Map | None = None  # None where the file can't be read
         self._segments: list[Segment] = []
+        converter = YamlConverter(file, faults)
         try:
-            node = _compose(file, text, faults)
+            node = compose(file, text, faults)
             if node is None:
                 self.top = Map(Place(file, 1))
                 return
             if not isinstance(node, MappingNode):
                 return faults.add(Place(file, 1), "", "the whole must be a mapping of groups")
-            convert = _Converter(file, faults)
-            convert.check(node)
-            self.top = convert.value(node)
-        except _Refused:
+            converter.check(node)
+            self.top = converter.value(node)
+        except UnreadableYamlError:
             return
-        # Unusual line ends would be counted otherwise here than by the parser.
-        if not faults and not SHARED.search(text) and not ODD.search(text):
-            lists = _lists(self.top)
-            self._segments = [s for s in convert.segments if id(s.map) in lists]
+        if not faults and _is_plain(text):
+            members = _member_mappings(self.top)
+            self._segments = [segment for segment in converter.segments if id(segment.mapping) in members]
 
     def update(self, text: str) -> bool:
-        """Take over a changed text in small; False where the whole must be read anew (nothing is changed)."""
+        """Apply a changed text; False where the whole must be read again (nothing is changed then)."""
         if self.top is None or not self._segments:
             return False
-        new, old = text.splitlines(keepends=True), self.lines
-        most = min(len(new), len(old))
-        head = _same(old, new, most)
-        tail = _same(old[::-1], new[::-1], most - head)
-        if head == len(old) == len(new):
+        old = self.lines
+        new = text.splitlines(keepends=True)
+        shorter = min(len(new), len(old))
+        first_changed = _common_prefix_length(old, new, shorter)
+        unchanged_tail = _common_prefix_length(old[::-1], new[::-1], shorter - first_changed)
+        if first_changed == len(old) == len(new):
             return True
+        end_changed = len(old) - unchanged_tail
         for segment in self._segments:
-            if segment.starts[0] <= head and len(old) - tail <= segment.end:
-                return self._splice(segment, new, head, len(old) - tail)
+            if segment.starts[0] <= first_changed and end_changed <= segment.end:
+                return self._update_segment(segment, new, first_changed, end_changed)
         return False
 
-    def _splice(self, segment: Segment, new: list[str], head: int, tail: int) -> bool:
-        """Read anew the entries that hold the old lines ``head`` to ``tail``."""
+    def _update_segment(self, segment: Segment, new: list[str], first_changed: int, end_changed: int) -> bool:
+        """Read again the entries that contain the old lines ``first_changed`` to ``end_changed``."""
         starts = segment.starts
-        first = max(0, bisect_right(starts, head) - 1)
-        if first and starts[first] == head:
-            first -= 1  # lines that come in front of an entry may belong to the one before
-        last = max(first + 1, bisect_left(starts, tail))
-        begin, end = starts[first], starts[last] if last < len(starts) else segment.end
-        grown = len(new) - len(self.lines)
-        chunk = "".join(new[begin : end + grown])
-        if SHARED.search(chunk) or ODD.search(chunk):
-            return False
-        faults = Collector()
-        try:
-            node = _compose(self.file, chunk, faults)
-            if (
-                not isinstance(node, MappingNode)
-                or node.flow_style
-                or not node.value
-                or any(key.start_mark.column != segment.column for key, _ in node.value)
-            ):
-                return False
-            convert = _Converter(self.file, faults, begin)
-            convert.check(node)
-            made = convert.value(node)
-        except _Refused:
+        first = max(0, bisect_right(starts, first_changed) - 1)
+        if first and starts[first] == first_changed:
+            first -= 1  # lines that are inserted in front of an entry may belong to the one before
+        last = max(first + 1, bisect_left(starts, end_changed))
+        begin = starts[first]
+        end = starts[last] if last < len(starts) else segment.end
+        inserted = len(new) - len(self.lines)
+        entries = self._read_entries(segment, "".join(new[begin : end + inserted]), begin)
+        removed = segment.keys[first:last]
+        if entries is None or any(key in segment.mapping and key not in removed for key in entries.mapping):
             return False
-        keys, fresh = list(made), [key.start_mark.line + begin for key, _ in node.value]
-        gone = segment.keys[first:last]
-        lists = _lists(made) - {id(made)}
-        if (
-            faults
-            or any(id(s.map) in lists for s in convert.segments)
-            or not _upward(fresh)
-            or any(k in segment.map and k not in gone for k in keys)
-            or any(s is not segment and begin <= s.starts[0] < end for s in self._segments)
-        ):
+        if any(other is not segment and begin <= other.starts[0] < end for other in self._segments):
             return False
-        for key in gone:
-            del segment.map[key]
-        segment.map.update(made)
-        segment.keys[first:last], segment.starts[first:last] = keys, fresh
-        at = first + len(fresh)
-        segment.starts[at:] = [s + grown for s in segment.starts[at:]]
-        segment.end += grown
+        for key in removed:
+            del segment.mapping[key]
+        segment.mapping.update(entries.mapping)
+        segment.keys[first:last] = list(entries.mapping)
+        segment.starts[first:last] = entries.starts
+        behind = first + len(entries.starts)
+        segment.starts[behind:] = [start + inserted for start in segment.starts[behind:]]
+        segment.end += inserted
         for other in self._segments:
             if other is not segment:
-                other.shift(begin, grown)
+                other.shift(begin, inserted)
         self.lines = new
         return True
 
+    def _read_entries(self, segment: Segment, text: str, first_line: int) -> _Entries | None:
+        """Return the entries of a part of a segment; None where it doesn't read the same on its own."""
+        if not _is_plain(text):
+            return None
+        faults = Collector()
+        converter = YamlConverter(self.file, faults, first_line)
+        try:
+            node = compose(self.file, text, faults)
+            if not isinstance(node, MappingNode) or not _is_block_at(node, segment.column):
+                return None
+            converter.check(node)
+            mapping = converter.value(node)
+        except UnreadableYamlError:
+            return None
+        starts = [key.start_mark.line + first_line for key, _ in node.value]
+        members = _member_mappings(mapping) - {id(mapping)}
+        has_inner_segment = any(id(inner.mapping) in members for inner in converter.segments)
+        if faults or has_inner_segment or not is_ascending(starts):
+            return None
+        return _Entries(mapping, starts)
+
+
+def _is_plain(text: str) -> bool:
+    """Tell whether a text has nothing that reaches beyond its lines: anchors, documents, unusual line ends."""
+    return not _SHARED_SYNTAX.search(text) and not _UNUSUAL_LINE_ENDS.search(text)
 
-def _lists(top: Map) -> set[int]:
-    """Return the mappings whose entries are whole hosts or groups.
 
-    Only they change in place: whoever keeps what a host was made of tells by its mapping whether it changed.
+def _is_block_at(node: MappingNode, column: int) -> bool:
+    if node.flow_style or not node.value:
+        return False
+    return all(key.start_mark.column == column for key, _ in node.value)
+
+
+def _member_mappings(top: Map) -> set[int]:
+    """Return the ids of the mappings whose entries are complete hosts or groups.
+
+    Only they change in place: whoever caches what a host was made of compares its mapping by identity.
     """
-    found, stack = {id(top)}, [top]
+    found = {id(top)}
+    stack = [top]
     while stack:
         for var in stack.pop().values():
             for key in ("hosts", "children"):
-                part = var.value.get(key) if isinstance(var.value, Map) else None
-                if part is not None and isinstance(part.value, Map) and id(part.value) not in found:
-                    found.add(id(part.value))
-                    stack += [part.value] if key == "children" else []
+                inner = var.value.get(key) if isinstance(var.value, Map) else None
+                if inner is not None and isinstance(inner.value, Map) and id(inner.value) not in found:
+                    found.add(id(inner.value))
+                    if key == "children":
+                        stack.append(inner.value)
     return found
 
 
-def _upward(lines: list[int]) -> bool:
-    """Tell whether each entry begins on a line of its own."""
-    return all(a < b for a, b in pairwise(lines))
-
-
-def _same(one: list[str], two: list[str], most: int) -> int:
-    """Return how many items two lists share from their start, at most ``most``."""
+def _common_prefix_length(one: list[str], two: list[str], limit: int) -> int:
+    """Return how many items two lists share from their start, at most ``limit``."""
     low = 0
-    step = 4096
-    while low < most:
-        high = min(low + step, most)
+    step = _COMPARED_LINES
+    while low < limit:
+        high = min(low + step, limit)
         if one[low:high] == two[low:high]:
             low = high
         elif high - low == 1:
--- a/lapispick/host/amqp/front.py
+++ b/lapispick/host/amqp/front.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from lapispick import admission, jitter
-from lapispick.fleet.reconciler import Bounds, Close, Drain, Open, Plan, next_due
+from lapispick.fleet.reconciler import Bounds, Close, Drain, Open, Reconciler, next_due
 from lapispick.fleet.snapshot import Difference, Snapshot
 from lapispick.host.amqp.consumer import Translator
 from lapispick.host.amqp.listing import Broker, Queue, broker, queues
@@ -22,7 +22,7 @@
 
 LOG = "amqp"
 CALLERS_FROM = 1_000_000  # queues count as callers from here on, apart from the gateways' numbers
-SLICE = 100  # boxes that are taken over before others have their turn
+SLICE = 100  # hosts that are taken over before others have their turn
 MISSES = 2  # look-ups without the present address before a broker counts as moved
 
 
@@ -62,7 +62,7 @@
         self.loop, self.post, self.translator = loop, post, Translator(info, settings)
         self.leaving = False
         self._names, self._names_every = names, names_every
-        self._plan = Plan(bounds)
+        self._reconciler = Reconciler(bounds)
         self._queues: dict[str, dict[str, Queue]] = {}  # of each broker that is wanted
         self._sessions: dict[int, Session] = {}  # by life
         self._moves: dict[str, int] = {}  # how often a broker's name has moved
@@ -87,13 +87,13 @@
     def take(self, snapshot: Snapshot, change: Difference) -> None:
         """Take over a changed list; called by one greenlet, and others have their turn meanwhile."""
         for at, key in enumerate((*change.joined, *change.moved, *change.changed), 1):
-            box = snapshot.boxes[key]
-            self._queues[key] = queues(box)
-            self._want(key, broker(box))
+            host = snapshot.hosts[key]
+            self._queues[key] = queues(host)
+            self._want(key, broker(host))
             if not at % SLICE:
                 self.loop.give_way()
         for key in change.left:
-            self._plan.drop(key)
+            self._reconciler.drop(key)
             self._queues.pop(key, None)
             self._moves.pop(key, None)
         self._step()
@@ -102,49 +102,55 @@
                 session.update(self._queues[session.key])
 
     def _want(self, key: str, told: Broker) -> None:
-        self._plan.put(key, (told, self._moves.get(key, 0)))
+        self._reconciler.put(key, (told, self._moves.get(key, 0)))
 
     def _step(self) -> None:
-        """Carry out what the plan orders now, and come back when time alone changes it."""
+        """Carry out what the reconciler orders now, and come back when time alone changes it."""
         if self.leaving:
             return
         now = time.monotonic()
-        for action in self._plan.step(now):
+        for action in self._reconciler.step(now):
             if isinstance(action, Open):
                 self._open(action)
-            elif (session := self._sessions.get(action.life)) is not None:
+            elif (session := self._sessions.get(action.instance)) is not None:
                 told = "broker-drains" if isinstance(action, Drain) else "broker-closed-late"
                 log(LOG, logging.INFO, told, broker=session.name)
                 if isinstance(action, Close):
                     session.close()
                 else:
                     session.leave()
-        if self._plan.left_out != self._left_out:
-            self._left_out = self._plan.left_out
-            log(LOG, logging.ERROR, "brokers-left-out", brokers=self._left_out, most=self._plan.bounds.lives)
+        if self._reconciler.left_out != self._left_out:
+            self._left_out = self._reconciler.left_out
+            log(
+                LOG,
+                logging.ERROR,
+                "brokers-left-out",
+                brokers=self._left_out,
+                most=self._reconciler.bounds.max_instances,
+            )
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self.loop.later(next_due(self._plan, now), self._step)
+        self._timer = self.loop.later(next_due(self._reconciler, now), self._step)
 
     def _open(self, action: Open) -> None:
         told: Broker = action.spec[0]
-        self._sessions[action.life] = Session(self, action.life, action.key, told, self._queues[action.key])
+        self._sessions[action.instance] = Session(self, action.instance, action.key, told, self._queues[action.key])
 
     # Word of the sessions.
 
     def opened(self, session: Session) -> None:
         """Take note that a broker is consumed from; the old life of it may go."""
-        self._plan.opened(time.monotonic(), session.life)
+        self._reconciler.opened(time.monotonic(), session.life)
         self.loop.soon(self._step)
 
     def lost(self, session: Session) -> None:
         """Take note that a connection broke; it is tried again."""
-        self._plan.lost(time.monotonic(), session.life)
+        self._reconciler.lost(time.monotonic(), session.life)
 
     def over(self, session: Session) -> None:
         """Forget a session that has ended."""
         self._sessions.pop(session.life, None)
-        self._plan.ended(session.life)
+        self._reconciler.ended(session.life)
         if session.key not in self._queues and all(s.key != session.key for s in self._sessions.values()):
             self._callers.drop(session.key)
         log(LOG, logging.INFO, "broker-ended", broker=session.name)
--- a/lapispick/host/amqp/listing.py
+++ b/lapispick/host/amqp/listing.py
@@ -1,45 +1,45 @@
-"""What the list of boxes says of brokers and queues: the schema of its variables, and boxes into records."""
+"""Brokers and queues in the inventory: the schema of their variables, and their records."""
 
 from __future__ import annotations
 
 import msgspec
 
-from lapispick.fleet.host_assembly import Box
-from lapispick.fleet.schema import Schema, Variable
+from lapispick.fleet.host_assembly import InventoryHost
+from lapispick.fleet.schema import Schema, Variable, VariableKind
 from lapispick.platform_settings import Info
 
 VARIABLES = {
-    "amqp_host": Variable("host", doc="where the broker listens"),
-    "amqp_port": Variable("integer", 5672, 1, 65535),
-    "amqp_vhost": Variable("text", "/", 1, 255),
-    "amqp_user": Variable("text", "guest", 0, 255),
-    "amqp_password": Variable("text", "guest", 0, 1024, secret=True),
-    "amqp_password_env": Variable("text", "", 0, 255, doc="the environment variable with the password"),
-    "amqp_heartbeat": Variable("integer", 10, 1, 3600, doc="seconds; the broker may ask for less"),
+    "amqp_host": Variable(VariableKind.HOST, doc="where the broker listens"),
+    "amqp_port": Variable(VariableKind.INTEGER, 5672, 1, 65535),
+    "amqp_vhost": Variable(VariableKind.TEXT, "/", 1, 255),
+    "amqp_user": Variable(VariableKind.TEXT, "guest", 0, 255),
+    "amqp_password": Variable(VariableKind.TEXT, "guest", 0, 1024, secret=True),
+    "amqp_password_env": Variable(VariableKind.TEXT, "", 0, 255, doc="the environment variable with the password"),
+    "amqp_heartbeat": Variable(VariableKind.INTEGER, 10, 1, 3600, doc="seconds; the broker may ask for less"),
 }
 
 
 def schema(info: Info | None) -> Schema:
-    """Return what the front reads of a box; without the start settings any class and customer will do."""
+    """Return what the front reads of a host; without the start settings any class and customer will do."""
     classes = tuple(s.name for s in info.services) if info else ()
     customers = tuple(p.name for p in info.parties) if info else ()
     return Schema(
         prefix="amqp_",
-        box=VARIABLES,
-        items="amqp_queues",
+        host_variables=VARIABLES,
+        items_variable="amqp_queues",
         item_name="amqp_queue",
-        item_needed=True,
-        item={
-            "amqp_queue": Variable("text", None, 1, 255),
-            "amqp_prefetch": Variable("integer", 32, 1, 1000, doc="messages in hand"),
-            "amqp_class": Variable("text", "", choices=classes),
-            "amqp_customer": Variable("text", "", choices=customers),
-            "amqp_held_kb": Variable("number", 24.0, 0.1, 1999.0, doc="booked memory"),
+        item_required=True,
+        item_variables={
+            "amqp_queue": Variable(VariableKind.TEXT, None, 1, 255),
+            "amqp_prefetch": Variable(VariableKind.INTEGER, 32, 1, 1000, doc="messages in hand"),
+            "amqp_class": Variable(VariableKind.TEXT, "", choices=classes),
+            "amqp_customer": Variable(VariableKind.TEXT, "", choices=customers),
+            "amqp_held_kb": Variable(VariableKind.NUMBER, 24.0, 0.1, 1999.0, doc="booked memory"),
         },
-        host=("amqp_host", "ansible_host"),
-        port="amqp_port",
-        apart=("amqp_vhost",),
-        environ={"amqp_password_env": "amqp_password"},
+        address_variables=("amqp_host", "ansible_host"),
+        port_variable="amqp_port",
+        distinguishing_variables=("amqp_vhost",),
+        environment_variables={"amqp_password_env": "amqp_password"},
     )
 
 
@@ -69,24 +69,24 @@
         return f"{self.host}:{self.port}"
 
 
-def broker(box: Box) -> Broker:
-    """Return the broker that a box is."""
-    told = box.vars
+def broker(host: InventoryHost) -> Broker:
+    """Return the broker that a host of the inventory is."""
+    values = host.vars
     return Broker(
-        box.host,
-        box.port or told["amqp_port"],
-        told["amqp_vhost"],
-        told["amqp_user"],
-        told["amqp_password"],
-        told["amqp_heartbeat"],
+        host.address,
+        host.port or values["amqp_port"],
+        values["amqp_vhost"],
+        values["amqp_user"],
+        values["amqp_password"],
+        values["amqp_heartbeat"],
     )
 
 
-def queues(box: Box) -> dict[str, Queue]:
-    """Return the queues of a box by name."""
+def queues(host: InventoryHost) -> dict[str, Queue]:
+    """Return the queues of a host by name."""
     return {
         item["amqp_queue"]: Queue(
             item["amqp_queue"], item["amqp_prefetch"], item["amqp_class"], item["amqp_customer"], item["amqp_held_kb"]
         )
-        for item in box.items
+        for item in host.items
     }
--- a/lapispick/host/dns_resolver.py
+++ b/lapispick/host/dns_resolver.py
@@ -7,6 +7,7 @@
 from pathlib import Path
 
 from lapispick.fleet import identity
+from lapispick.fleet.errors import HostNameError
 from lapispick.host.logs import log
 from lapispick.host.scheduler import Loop
 from lapispick.host.worker_threads import Busy, Work
@@ -30,7 +31,7 @@
         try:
             address = identity.address(words[0]) if len(words) > 1 else None
             names = [identity.name(word) for word in words[1:]]
-        except identity.NameFault:
+        except HostNameError:
             continue
         for name in names if address else ():
             found.setdefault(name, []).append(address)
--- a/lapispick/host/inventory.py
+++ b/lapispick/host/inventory.py
@@ -1,6 +1,6 @@
-"""Follows the list of boxes: asks the helper process for it, lets it be judged and hands on what is accepted.
+"""Follows the inventory: polls the helper process, judges what it found and passes on the lists that are accepted.
 
-The loop itself touches no disk and parses no file; it takes the changes in parts, with others' turns between.
+The event loop itself touches no disk and parses no file; it applies changes in chunks and yields between them.
 """
 
 from __future__ import annotations
@@ -17,9 +17,21 @@
 
 from lapispick import jitter
 from lapispick.conf.settings import Inventory as Settings
-from lapispick.fleet.acceptance import Acceptance, Phase, Policy, Seen, Verdict
-from lapispick.fleet.members import Members
-from lapispick.fleet.messages import Begin, FromHelper, Keep, Kept, Listed, Look, Part, Status, Trouble
+from lapispick.fleet.acceptance import Acceptance, Observation, Phase, Policy, Verdict
+from lapispick.fleet.errors import HelperProtocolError
+from lapispick.fleet.messages import (
+    Begin,
+    Chunk,
+    FromHelper,
+    LastGoodLoaded,
+    Poll,
+    Polled,
+    SaveAccepted,
+    SaveStatus,
+    StateFolderFailed,
+    ToHelper,
+)
+from lapispick.fleet.presence import PresenceTracker
 from lapispick.fleet.reading import Options
 from lapispick.fleet.schema import Schema
 from lapispick.fleet.snapshot import EMPTY, Difference, History, Snapshot, Version
@@ -27,70 +39,60 @@
 from lapispick.host.scheduler import Closed, Loop, Overlong, Stream
 
 LOG = "inventory"
-ANSWER_S = 60.0  # s; for one message of the helper; a helper that takes longer is ended
-PAUSE_S = (0.2, 10.0)  # s; first and longest pause before another helper is started
-LINE_MOST = 8 << 20  # bytes of one message of the helper
-NAMES_MOST = 50  # names of one kind in the history
+ANSWER_TIMEOUT_S = 60.0  # for one message of the helper; one that takes longer is ended
+MIN_RESTART_PAUSE_S = 0.2
+MAX_RESTART_PAUSE_S = 10.0
+STABLE_RUN_S = 60.0  # a helper that ran for longer is restarted with the shortest pause
+EXIT_POLL_S = 0.02
+MAX_MESSAGE_BYTES = 8 << 20
+MAX_HISTORY_NAMES = 50  # of each kind of change
+SHOWN_DIGEST_DIGITS = 12
 
-Taker = Callable[[Snapshot, Difference], None]
-
-
-class Disagreement(Exception):
-    """Helper and host do not hold the same list, or the helper says what can't be read."""
+AcceptedHandler = Callable[[Snapshot, Difference], None]
 
 
 def options(settings: Settings, schema: Schema) -> Options:
     """Return how the files are read."""
     return Options(
-        settings.group,
-        schema,
-        settings.domain,
-        settings.delimiter,
-        settings.end_marker,
-        settings.final_newline,
-        settings.boxes_most,
+        group=settings.group,
+        schema=schema,
+        domain=settings.domain,
+        delimiter=settings.delimiter,
+        end_marker=settings.end_marker,
+        final_newline=settings.final_newline,
+        max_hosts=settings.boxes_most,
     )
 
 
 def policy(settings: Settings) -> Policy:
     """Return when a list is accepted."""
-    return Policy(**{f.name: getattr(settings, f.name) for f in msgspec.structs.fields(Policy)})
+    return Policy(
+        settle_s=settings.settle,
+        max_settle_s=settings.settle_most,
+        max_loss_fraction=settings.loss,
+        min_allowed_loss=settings.loss_least,
+        max_turnover_fraction=settings.turnover,
+        loss_window_s=settings.loss_window,
+        hold_s=settings.hold,
+    )
 
 
-class Inventory:
-    """The list of boxes as it stands for this host."""
+class HelperConnection:
+    """The helper process and the socket to it."""
 
-    def __init__(self, loop: Loop, settings: Settings, schema: Schema, take: Taker) -> None:
-        self._loop, self._settings, self._schema, self._take = loop, settings, schema, take
-        self.acceptance = Acceptance(policy(settings))
-        self.history = History(settings.history)
-        self.members = Members(settings.returns, settings.boxes_most)
-        self._received = EMPTY  # what the helper sent last
-        self._process: subprocess.Popen[bytes] | None = None
+    def __init__(self, loop: Loop) -> None:
+        self._loop = loop
+        self.process: subprocess.Popen[bytes] | None = None
         self._stream: Stream | None = None
         self._decode = msgspec.json.Decoder(FromHelper).decode
         self._encode = msgspec.json.Encoder().encode
 
-    def serve(self) -> None:
-        """Follow the list, for ever; a helper that ends is replaced."""
-        pause = PAUSE_S[0]
-        while True:
-            began = time.monotonic()
-            try:
-                self._start()
-                self._follow()
-            except (OSError, Closed, Overlong, msgspec.MsgspecError, Disagreement) as err:
-                log(LOG, logging.ERROR, "helper-ended", error=err, again_s=pause)
-            self._end()
-            self._loop.sleep(jitter.pause(pause, random.random()))
-            lasted = time.monotonic() - began > 60
-            pause = PAUSE_S[0] if lasted else min(PAUSE_S[1], pause * 2)
-
-    def _start(self) -> None:
+    def start(self) -> None:
+        """Start a process; raises ``OSError``."""
         ours, theirs = socket.socketpair()
         try:
             # A session of its own: a Ctrl-C meant for the host must not end the helper before a drain is over.
-            self._process = subprocess.Popen(
+            self.process = subprocess.Popen(
                 [sys.executable, "-m", "lapispick.fleet.helper"],
                 stdin=theirs,
                 stdout=subprocess.DEVNULL,
@@ -99,141 +101,192 @@
             )
         finally:
             theirs.close()
-        self._stream = Stream(self._loop, ours, LINE_MOST)
-        self._received = EMPTY
+        self._stream = Stream(self._loop, ours, MAX_MESSAGE_BYTES)
 
-    def _end(self) -> None:
+    def end(self) -> None:
+        """End the process and wait for it."""
         if self._stream is not None:
             self._stream.close()
-        if self._process is not None:
-            self._process.kill()
-            while self._process.poll() is None:
-                self._loop.sleep(0.02)
-        self._stream = self._process = None
+        if self.process is not None:
+            self.process.kill()
+            while self.process.poll() is None:
+                self._loop.sleep(EXIT_POLL_S)
+        self._stream = None
+        self.process = None
 
-    def _send(self, message: msgspec.Struct) -> None:
+    def send(self, message: ToHelper) -> None:
+        """Send a message."""
         assert self._stream is not None
         self._stream.write(self._encode(message) + b"\n")
 
-    def _read(self) -> FromHelper:
+    def read(self) -> FromHelper:
+        """Return the next message; failures of the state folder are logged here."""
         assert self._stream is not None
-        line = self._stream.read_line(ANSWER_S)
+        line = self._stream.read_line(ANSWER_TIMEOUT_S)
         if line is None:
             raise Closed("the helper closed its socket")
         message = self._decode(line)
-        if isinstance(message, Trouble):
+        if isinstance(message, StateFolderFailed):
             log(LOG, logging.ERROR, "state-failed", fault=message.text)
-            return self._read()
+            return self.read()
         return message
 
-    def _parts(self, head: Kept | Listed) -> None:
-        """Take over the changes that follow; others have their turn between the parts."""
-        for _ in range(head.parts):
-            part = self._read()
-            if not isinstance(part, Part):
-                raise Disagreement(f"{type(part).__name__} came in place of a part")
-            self._received = self._received.changed(part.put, part.gone)
-            self._loop.give_way()
-        if head.digest and head.digest != self._received.digest:
-            raise Disagreement("the helper's digest is another")
+
+class Inventory:
+    """The host list that is in force for this host."""
+
+    def __init__(self, loop: Loop, settings: Settings, schema: Schema, on_accepted: AcceptedHandler) -> None:
+        self._loop = loop
+        self._settings = settings
+        self._schema = schema
+        self._on_accepted = on_accepted
+        self.acceptance = Acceptance(policy(settings))
+        self.history = History(settings.history)
+        self.presence = PresenceTracker(settings.returns, settings.boxes_most)
+        self.helper = HelperConnection(loop)
+        self._received = EMPTY  # what the helper sent last
+
+    def serve(self) -> None:
+        """Follow the list for ever; a helper that ends is restarted with backoff."""
+        pause_s = MIN_RESTART_PAUSE_S
+        while True:
+            began = time.monotonic()
+            try:
+                self.helper.start()
+                self._received = EMPTY
+                self._follow()
+            except (OSError, Closed, Overlong, msgspec.MsgspecError, HelperProtocolError) as err:
+                log(LOG, logging.ERROR, "helper-ended", error=err, retry_s=pause_s)
+            self.helper.end()
+            self._loop.sleep(jitter.pause(pause_s, random.random()))
+            was_stable = time.monotonic() - began > STABLE_RUN_S
+            pause_s = MIN_RESTART_PAUSE_S if was_stable else min(MAX_RESTART_PAUSE_S, pause_s * 2)
 
     def _follow(self) -> None:
+        """Poll the files through one helper until it fails."""
+        self._begin()
+        while True:
+            self.helper.send(Poll())
+            polled = self.helper.read()
+            if not isinstance(polled, Polled):
+                raise HelperProtocolError(f"{type(polled).__name__} came in place of a list")
+            self._apply_chunks(polled)
+            self._judge(polled)
+            self._loop.sleep(self._settings.look)
+
+    def _begin(self) -> None:
+        """Tell a new helper what to read, and take over the last good list."""
         settings = self._settings
-        self._send(
+        self.helper.send(
             Begin(
-                str(settings.path),
-                settings.size_most,
-                options(settings, self._schema),
-                str(settings.state_folder or ""),
-                settings.history,
+                path=str(settings.path),
+                max_bytes=settings.size_most,
+                options=options(settings, self._schema),
+                state_folder=str(settings.state_folder or ""),
+                max_history=settings.history,
             )
         )
-        kept = self._read()
-        if not isinstance(kept, Kept):
-            raise Disagreement(f"{type(kept).__name__} came first")
-        self._parts(kept)
-        self._last_good(kept)
-        while True:
-            self._send(Look())
-            listed = self._read()
-            if not isinstance(listed, Listed):
-                raise Disagreement(f"{type(listed).__name__} came in place of a list")
-            self._parts(listed)
-            seen = Seen(None if listed.faults else self._received, listed.faults, listed.unfinished, listed.accept)
-            self._judged(self.acceptance.see(time.monotonic(), seen), listed)
-            self._loop.sleep(settings.look)
-
-    def _last_good(self, kept: Kept) -> None:
-        if kept.fault:
-            log(LOG, logging.ERROR, "last-good-unusable", fault=kept.fault)
-        if not kept.digest or self.acceptance.accepted is not None:
+        loaded = self.helper.read()
+        if not isinstance(loaded, LastGoodLoaded):
+            raise HelperProtocolError(f"{type(loaded).__name__} came first")
+        self._apply_chunks(loaded)
+        self._take_last_good(loaded)
+
+    def _apply_chunks(self, head: LastGoodLoaded | Polled) -> None:
+        """Apply the changes that follow; other greenlets run between the chunks."""
+        for _ in range(head.chunk_count):
+            chunk = self.helper.read()
+            if not isinstance(chunk, Chunk):
+                raise HelperProtocolError(f"{type(chunk).__name__} came in place of a chunk")
+            self._received = self._received.with_changes(chunk.updated, chunk.removed)
+            self._loop.give_way()
+        if head.digest and head.digest != self._received.digest:
+            raise HelperProtocolError(f"the helper's list is {head.digest}, the host's {self._received.digest}")
+
+    def _take_last_good(self, loaded: LastGoodLoaded) -> None:
+        """Put the last good list in force where nothing was accepted so far."""
+        if loaded.fault:
+            log(LOG, logging.ERROR, "last-good-unusable", fault=loaded.fault)
+        if not loaded.digest or self.acceptance.accepted is not None:
             return
-        now = time.time()
         log(
             LOG,
             logging.WARNING,
             "last-good",
-            boxes=len(self._received.boxes),
-            digest=kept.digest[:12],
-            age_s=int(max(0.0, now - kept.at)),
+            hosts=len(self._received.hosts),
+            digest=loaded.digest[:SHOWN_DIGEST_DIGITS],
+            age_s=int(max(0.0, time.time() - loaded.at)),
         )
-        diff = Difference(tuple(self._received.boxes))
+        changes = Difference(tuple(self._received.hosts))
         self.acceptance.accepted = self._received
-        self.history.add(Version(kept.at, self._received, diff, "last good"))
-        self.members.apply(time.monotonic(), diff.joined, ())
-        self._take(self._received, diff)
+        self.history.add(Version(loaded.at, self._received, changes, "last good"))
+        self.presence.apply(time.monotonic(), changes.joined, ())
+        self._on_accepted(self._received, changes)
 
-    def _judged(self, verdict: Verdict, listed: Listed) -> None:
-        if verdict.accepted is not None:
-            self._accepted(verdict, verdict.accepted)
-        if not verdict.news:
-            return
-        self._tell(verdict, listed)
-        accepted = self.acceptance.accepted
-        self._send(
-            Status(
-                {
-                    "at": time.time(),
-                    "phase": verdict.phase.value,
-                    "ground": verdict.ground,
-                    "accepted": accepted.digest if accepted else "",
-                    "boxes": len(accepted.boxes) if accepted else 0,
-                    "candidate": listed.digest,
-                    "faults": [str(f) for f in listed.faults],
-                }
-            )
+    def _judge(self, polled: Polled) -> None:
+        """Judge what a poll found, and report it where anything is new."""
+        observation = Observation(
+            snapshot=None if polled.faults else self._received,
+            faults=polled.faults,
+            incomplete_reason=polled.incomplete_reason,
+            operator_digest=polled.operator_digest,
         )
+        verdict = self.acceptance.observe(time.monotonic(), observation)
+        if verdict.accepted is not None:
+            self._accept(verdict, verdict.accepted)
+        if verdict.is_new:
+            self._log_verdict(verdict, polled)
+            self._save_status(verdict, polled)
 
-    def _accepted(self, verdict: Verdict, accepted: Snapshot) -> None:
-        now, diff = time.time(), verdict.difference
-        self.history.add(Version(now, accepted, diff, verdict.ground))
-        for member in self.members.apply(time.monotonic(), diff.joined, diff.left):
-            log(LOG, logging.INFO, "box-returned", name=member.name, incarnation=member.incarnation)
+    def _accept(self, verdict: Verdict, accepted: Snapshot) -> None:
+        """Put a list in force."""
+        now = time.time()
+        changes = verdict.difference
+        self.history.add(Version(now, accepted, changes, verdict.reason))
+        for returned in self.presence.apply(time.monotonic(), changes.joined, changes.left):
+            log(LOG, logging.INFO, "host-returned", host=returned.name, incarnation=returned.incarnation)
         log(
             LOG,
             logging.INFO,
             "inventory-accepted",
-            digest=accepted.digest[:12],
-            boxes=len(accepted.boxes),
-            ground=verdict.ground,
-            **diff.counts(),
+            digest=accepted.digest[:SHOWN_DIGEST_DIGITS],
+            hosts=len(accepted.hosts),
+            reason=verdict.reason,
+            **changes.counts(),
         )
-        self._take(accepted, diff)
-        names = {key: list(part[:NAMES_MOST]) for key, part in zip(diff._fields, diff, strict=True)}
-        self._send(Keep(accepted.digest, now, verdict.ground, names, diff.counts()))
-
-    def _tell(self, verdict: Verdict, listed: Listed) -> None:
-        if verdict.phase is Phase.REFUSED:
-            more = len(listed.faults) + listed.left_out - 1
-            log(LOG, logging.ERROR, "inventory-refused", fault=verdict.ground, more=max(0, more))
-            for fault in listed.faults[1:]:
+        self._on_accepted(accepted, changes)
+        names = {field: list(found[:MAX_HISTORY_NAMES]) for field, found in changes._asdict().items()}
+        self.helper.send(SaveAccepted(accepted.digest, now, verdict.reason, names, changes.counts()))
+
+    def _log_verdict(self, verdict: Verdict, polled: Polled) -> None:
+        if verdict.phase is Phase.REJECTED:
+            more = len(polled.faults) + polled.omitted_faults - 1
+            log(LOG, logging.ERROR, "inventory-rejected", fault=verdict.reason, more=max(0, more))
+            for fault in polled.faults[1:]:
                 log(LOG, logging.ERROR, "inventory-fault", fault=fault)
         elif verdict.phase is Phase.HELD:
             log(
                 LOG,
                 logging.WARNING,
                 "inventory-held",
-                digest=listed.digest[:12],
-                ground=verdict.ground,
+                digest=polled.digest[:SHOWN_DIGEST_DIGITS],
+                reason=verdict.reason,
                 hold_s=self._settings.hold,
             )
+
+    def _save_status(self, verdict: Verdict, polled: Polled) -> None:
+        """Write ``status.json``; its keys are read by other versions of the commands."""
+        accepted = self.acceptance.accepted
+        self.helper.send(
+            SaveStatus(
+                {
+                    "at": time.time(),
+                    "phase": verdict.phase.value,
+                    "ground": verdict.reason,
+                    "accepted": accepted.digest if accepted else "",
+                    "boxes": len(accepted.hosts) if accepted else 0,
+                    "candidate": polled.digest,
+                    "faults": [str(fault) for fault in polled.faults],
+                }
+            )
+        )
--- a/lapispick/host/members/directory.py
+++ b/lapispick/host/members/directory.py
@@ -62,7 +62,7 @@
 
     def accept(self, snapshot: Snapshot, _difference: Difference) -> None:
         """Take a list that the inventory accepted."""
-        found, faults = hosts.workers(snapshot.boxes.values())
+        found, faults = hosts.workers(snapshot.hosts.values())
         for fault in faults[:MAX_LOGGED_FAULTS]:
             log(LOG, logging.ERROR, "members-list-invalid", fault=fault)
         self.workers = {each.name: each for each in found if each.members}
--- a/tests/fleet_files.py
+++ b/tests/fleet_files.py
@@ -1,4 +1,4 @@
-"""Lists of boxes as configuration tools write them, and short ways to read them."""
+"""Host lists as configuration tools write them, and short ways to read them."""
 
 from msgspec import convert
 
@@ -12,7 +12,7 @@
 
 
 def reader(**over):
-    return Reader(Options(**{"group": "shops", "wanted": SCHEMA, **over}), ENVIRON)
+    return Reader(Options(**{"group": "shops", "schema": SCHEMA, **over}), ENVIRON)
 
 
 def files(text, name="f.yml"):
@@ -25,10 +25,10 @@
     return reader(**over).read(files(text, name))
 
 
-def boxes(text, name="f.yml", **over):
+def hosts(text, name="f.yml", **over):
     found = read(text, name, **over)
     assert not found.faults, [str(f) for f in found.faults]
-    return found.boxes
+    return found.hosts
 
 
 def faults(text, name="f.yml", **over):
@@ -36,7 +36,7 @@
 
 
 def yaml_list(ports):
-    """Return a YAML list of boxes with these names and ports."""
+    """Return a YAML list of hosts with these names and ports."""
     lines = ["shops:", "  vars: {amqp_user: shop}", "  hosts:"]
     for name, port in ports.items():
         lines += [f"    {name}:", f"      amqp_port: {port}", "      amqp_queues:", "        - jobs"]
