--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -6,16 +6,23 @@
 
 from lapispick.file_errors import Fault, Place
 from lapispick.fleet import snapshot
-from lapispick.fleet.acceptance import Acceptance, Phase, Policy, Seen
-from lapispick.fleet.members import Members
-from tests.fleet_files import boxes, csv_list, read
-
-POLICY = Policy(settle=1.0, settle_most=3.0, loss=0.2, turnover=0.5, loss_window=60.0, hold=300.0)
-FAULT = Seen(None, (Fault(Place("f", 1), "", "broken"),))
+from lapispick.fleet.acceptance import Acceptance, Observation, Phase, Policy
+from lapispick.fleet.presence import PresenceTracker
+from tests.fleet_files import csv_list, hosts, read
+
+POLICY = Policy(
+    settle_s=1.0,
+    max_settle_s=3.0,
+    max_loss_fraction=0.2,
+    max_turnover_fraction=0.5,
+    loss_window_s=60.0,
+    hold_s=300.0,
+)
+FAULT = Observation(None, (Fault(Place("f", 1), "", "broken"),))
 
 
 def fleet(names, port=1):
-    return snapshot.of(boxes(csv_list(dict.fromkeys(names, port)), "f.csv"))
+    return snapshot.snapshot_of(hosts(csv_list(dict.fromkeys(names, port)), "f.csv"))
 
 
 def names(count, first=0):
@@ -27,21 +34,23 @@
 
     def __init__(self, accepted=None, **over):
         self.now, self.verdicts = 0.0, []
-        self.it = Acceptance(Policy(**{**{f: getattr(POLICY, f) for f in POLICY.__struct_fields__}, **over}), accepted)
+        self.acceptance = Acceptance(
+            Policy(**{**{f: getattr(POLICY, f) for f in POLICY.__struct_fields__}, **over}), accepted
+        )
 
-    def see(self, seen, seconds=0.5):
+    def see(self, observed, seconds=0.5):
         """Let this be seen for a span; return the last verdict."""
-        seen = seen if isinstance(seen, Seen) else Seen(seen)
+        observation = observed if isinstance(observed, Observation) else Observation(observed)
         end = self.now + seconds
         while self.now < end:
             self.now += 0.5
-            verdict = self.it.see(self.now, seen)
+            verdict = self.acceptance.observe(self.now, observation)
             self.verdicts.append(verdict)
         return verdict
 
     @property
     def size(self):
-        return len(self.it.accepted.boxes) if self.it.accepted else 0
+        return len(self.acceptance.accepted.hosts) if self.acceptance.accepted else 0
 
 
 def test_a_list_settles_before_it_is_accepted_once():
@@ -50,35 +59,39 @@
     verdict = j.see(fleet(names(3)))
     assert verdict.phase is Phase.ACCEPTED and len(verdict.difference.joined) == 3
     verdict = j.see(fleet(names(3)), 5)
-    assert verdict.accepted is None and not verdict.news
+    assert verdict.accepted is None and not verdict.is_new
 
 
 def test_a_list_that_keeps_changing_is_judged_as_it_stands():
     j = Judge(fleet(names(100)))
     for n in range(8):
         j.see(fleet(names(100 + n)))
-    assert 100 < j.size < 108 and "changing" in next(v.ground for v in j.verdicts if v.accepted)
+    assert 100 < j.size < 108 and "changing" in next(v.reason for v in j.verdicts if v.accepted)
 
 
 @pytest.mark.parametrize(
-    "seen,ground",
-    [(FAULT, "f:1: broken"), (Seen(None), "there is no file"), (Seen(fleet(names(9)), unfinished="cut"), "cut")],
+    "observation,reason",
+    [
+        (FAULT, "f:1: broken"),
+        (Observation(None), "there is no file"),
+        (Observation(fleet(names(9)), incomplete_reason="cut"), "cut"),
+    ],
 )
-def test_what_is_faulty_missing_or_cut_is_refused_and_the_last_list_stays(seen, ground):
+def test_what_is_faulty_missing_or_cut_is_rejected_and_the_last_list_stays(observation, reason):
     j = Judge(fleet(names(10)))
-    assert j.see(seen, 0.5).phase is Phase.SETTLING  # a tool may be in the middle of writing it
-    verdict = j.see(seen, 4)
-    assert (verdict.phase, verdict.ground) == (Phase.REFUSED, ground) and j.size == 10
-    assert sum(v.news and v.phase is Phase.REFUSED for v in j.verdicts) == 1  # it is told once
+    assert j.see(observation, 0.5).phase is Phase.SETTLING  # a tool may be in the middle of writing it
+    verdict = j.see(observation, 4)
+    assert (verdict.phase, verdict.reason) == (Phase.REJECTED, reason) and j.size == 10
+    assert sum(v.is_new and v.phase is Phase.REJECTED for v in j.verdicts) == 1  # it is told once
     j.see(fleet(names(11)), 2)
     assert j.size == 11
 
 
-def test_a_fault_of_a_moment_is_never_refused():
+def test_a_momentary_fault_is_never_rejected():
     j = Judge(fleet(names(10)))
     j.see(FAULT, 0.5)
     j.see(fleet(names(11)), 2)
-    assert j.size == 11 and all(v.phase is not Phase.REFUSED for v in j.verdicts)
+    assert j.size == 11 and all(v.phase is not Phase.REJECTED for v in j.verdicts)
 
 
 def test_a_list_that_loses_too_much_is_held_until_it_stays_or_an_operator_accepts_it():
@@ -92,10 +105,12 @@
     assert j.size == 7
     j = Judge(fleet(names(10)))
     j.see(less, 5)
-    assert j.see(Seen(less, accept=less.digest[:7]), 1).phase is Phase.HELD  # too short to mean this one
-    assert j.see(Seen(less, accept=fleet(names(6)).digest), 1).phase is Phase.HELD
-    verdict = j.see(Seen(less, accept=less.digest[:8]))
-    assert verdict.ground == "accepted by an operator" and j.size == 7
+    assert (
+        j.see(Observation(less, operator_digest=less.digest[:7]), 1).phase is Phase.HELD
+    )  # too short to mean this one
+    assert j.see(Observation(less, operator_digest=fleet(names(6)).digest), 1).phase is Phase.HELD
+    verdict = j.see(Observation(less, operator_digest=less.digest[:8]))
+    assert verdict.reason == "accepted by an operator" and j.size == 7
 
 
 def test_many_small_losses_add_up():
@@ -108,10 +123,10 @@
     assert j.size == 70  # later it is another 15 of 85
 
 
-def test_a_list_of_other_boxes_is_held():
+def test_a_list_of_other_hosts_is_held():
     j = Judge(fleet(names(10)))
-    assert "10 of 10 boxes go or move" in j.see(fleet(names(10, 50)), 5).ground
-    assert "10 of 10 boxes go or move" in j.see(fleet(names(10), port=2), 5).ground
+    assert "10 of 10 hosts go or move" in j.see(fleet(names(10, 50)), 5).reason
+    assert "10 of 10 hosts go or move" in j.see(fleet(names(10), port=2), 5).reason
     assert j.size == 10
 
 
@@ -137,7 +152,7 @@
         if (turn + 1) * step > j.now:
             j.see(fleet(listed), (turn + 1) * step - j.now)
     j.see(fleet(listed), 5)
-    assert set(j.it.accepted.boxes) == set(listed)
+    assert set(j.acceptance.accepted.hosts) == set(listed)
     assert not any(v.phase is Phase.HELD for v in j.verdicts)
 
 
@@ -149,14 +164,19 @@
     cut = text[: at % len(text)]
     j = Judge(fleet(names(count)))
     found = read(cut, "f.csv", final_newline=newline)
-    j.see(Seen(snapshot.of(found.boxes) if not found.faults else None, found.faults, found.unfinished), 20)
+    j.see(
+        Observation(
+            snapshot.snapshot_of(found.hosts) if not found.faults else None, found.faults, found.incomplete_reason
+        ),
+        20,
+    )
     assert count - j.size <= max(1, -(-count // 5))
 
 
 @given(st.lists(st.tuples(st.integers(1, 30), st.integers(1, 8)), max_size=20), st.integers(8, 30))
 @settings(max_examples=100, deadline=None)
 def test_no_row_of_lists_loses_more_than_the_guard_within_its_window(steps, size):
-    j = Judge(fleet(names(size)), hold=10_000.0)
+    j = Judge(fleet(names(size)), hold_s=10_000.0)
     sizes = [(0.0, size)]
     for count, seconds in steps:
         before = j.size
@@ -170,23 +190,23 @@
 
 
 def test_peaks_do_not_add_up_over_time():
-    j = Judge(fleet(names(50)), settle=0.0, settle_most=0.0)
+    j = Judge(fleet(names(50)), settle_s=0.0, max_settle_s=0.0)
     for n in range(300):
         j.see(fleet(names(50 + n % 5)))
-    assert len(j.it._peaks) <= 6
+    assert len(j.acceptance._peaks) <= 6
 
 
-def test_a_box_that_returns_in_time_is_the_same_in_a_new_incarnation():
-    members = Members(returns=100, most=3)
-    members.apply(0, ["a", "b"], [])
-    members.apply(10, [], ["a"])
-    (back,) = members.apply(60, ["a"], [])
+def test_a_host_that_returns_in_time_is_the_same_in_a_new_incarnation():
+    tracker = PresenceTracker(return_window_s=100, max_left=3)
+    tracker.apply(0, ["a", "b"], [])
+    tracker.apply(10, [], ["a"])
+    (back,) = tracker.apply(60, ["a"], [])
     assert (back.incarnation, back.joined) == (2, 60)
-    members.apply(61, [], ["b"])
-    assert not members.apply(170, ["b"], []) and members.present["b"].incarnation == 1
+    tracker.apply(61, [], ["b"])
+    assert not tracker.apply(170, ["b"], []) and tracker.present["b"].incarnation == 1
     for n in range(50):
-        members.apply(200 + n, [f"x{n}"], [f"x{n - 1}"])
-    assert len(members._left) <= 4
+        tracker.apply(200 + n, [f"x{n}"], [f"x{n - 1}"])
+    assert len(tracker._left) <= 4
 
 
 def test_the_history_keeps_the_last_lists():
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -140,7 +140,7 @@
     found = json.loads(made.stdout)
     assert [b["name"] for b in found] == ["a", "b"] and "geheim" not in made.stdout
     assert found[0]["spellings"] == ["A.", "a"]
-    assert "one box under several spellings: A., a" in tool("inventory", "check", "--path", str(one), *options).stdout
+    assert "one host under several spellings: A., a" in tool("inventory", "check", "--path", str(one), *options).stdout
     made = tool("inventory", "diff", str(one), str(two), *options)
     assert made.returncode == 1 and "joined   c" in made.stdout and "moved    b (b:2 -> b:3)" in made.stdout
     assert "queue r left" in made.stdout
@@ -149,5 +149,5 @@
     made = tool("inventory", "check", "--path", str(one), *options)
     assert made.returncode == 1 and "1.csv:2:3: amqp_port: 'x' is not a whole number" in made.stderr
     made = tool("inventory", "watch", "--path", str(two), "--seconds", "2.2", *options)
-    assert "level=info event=inventory-accepted" in made.stderr and "boxes=3" in made.stderr
+    assert "level=info event=inventory-accepted" in made.stderr and "hosts=3" in made.stderr
     assert tool("inventory", "history").returncode == 3
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -10,7 +10,8 @@
 from lapispick.file_errors import Faulty
 from lapispick.fleet import hosts
 from lapispick.fleet.hosts import SCHEMA, Worker
-from tests.fleet_files import boxes, faults
+from tests.fleet_files import faults
+from tests.fleet_files import hosts as inventory_hosts
 
 LIST = """
 dispatch:
@@ -31,10 +32,10 @@
 
 
 def made(text, **over):
-    return hosts.workers(boxes(text, group="dispatch", wanted=SCHEMA, **over).values())
+    return hosts.workers(inventory_hosts(text, group="dispatch", schema=SCHEMA, **over).values())
 
 
-def test_a_box_is_read_with_its_addresses_place_and_weight():
+def test_a_host_is_read_with_its_addresses_place_and_weight():
     found, wrong = made(LIST)
     assert not wrong and len(found) == 3
     assert found[0] == Worker(
@@ -64,7 +65,7 @@
     ],
 )
 def test_faults_name_the_variable_and_what_is_wanted(row, fault):
-    found = faults("dispatch:\n  hosts:\n    " + row, group="dispatch", wanted=SCHEMA)
+    found = faults("dispatch:\n  hosts:\n    " + row, group="dispatch", schema=SCHEMA)
     assert (fault in found[0]) if fault else found == []
 
 
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -5,7 +5,8 @@
 from hypothesis import strategies as st
 
 from lapispick.fleet import identity, ranges
-from tests.fleet_files import boxes, faults
+from lapispick.fleet.errors import HostNameError, HostRangeError
+from tests.fleet_files import faults, hosts
 
 HEAD = "host,group,amqp_host,amqp_port,amqp_queue,amqp_user\n"
 
@@ -43,7 +44,7 @@
     ],
 )
 def test_what_is_no_name_says_why(text, what):
-    with pytest.raises(identity.NameFault, match=what):
+    with pytest.raises(HostNameError, match=what):
         identity.name(text)
 
 
@@ -51,7 +52,7 @@
 def test_normalising_is_idempotent(text):
     try:
         once = identity.name(text, "x.example")
-    except identity.NameFault:
+    except HostNameError:
         return
     assert identity.name(once, "x.example") == once
 
@@ -68,7 +69,7 @@
 )
 def test_ports_behind_names(text, host, port):
     assert identity.endpoint(text) == (host, port)
-    with pytest.raises(identity.NameFault, match="port from 1"):
+    with pytest.raises(HostNameError, match="port from 1"):
         identity.endpoint("b:0")
 
 
@@ -101,18 +102,18 @@
     ],
 )
 def test_ranges_that_cannot_be_written_out(text, what):
-    with pytest.raises(ranges.RangeFault, match=what):
+    with pytest.raises(HostRangeError, match=what):
         ranges.expand(text, 100)
 
 
-def test_one_box_under_many_spellings_is_one_box():
+def test_one_host_under_many_spellings_is_one_host():
     text = HEAD + (
         "disp-07,shops,,,q1,\nDISP-07.pipera.example.org.,shops,,5672,q2,\n"
         "disp-07.pipera.example.org:5672,shops,::ffff:10.0.0.7,,q3,\n10.0.0.7,shops,,,q4,\n"
     )
-    (box,) = boxes(text, "f.csv", domain="pipera.example.org").values()
-    assert (box.name, box.host, box.port) == ("disp-07.pipera.example.org", "10.0.0.7", 5672)
-    assert [q["amqp_queue"] for q in box.items] == ["q1", "q2", "q3", "q4"] and len(box.spellings) == 4
+    (host,) = hosts(text, "f.csv", domain="pipera.example.org").values()
+    assert (host.name, host.address, host.port) == ("disp-07.pipera.example.org", "10.0.0.7", 5672)
+    assert [q["amqp_queue"] for q in host.items] == ["q1", "q2", "q3", "q4"] and len(host.spellings) == 4
 
 
 @pytest.mark.parametrize(
@@ -133,4 +134,4 @@
 
 def test_one_address_with_other_vhosts_is_several_brokers():
     text = "host,amqp_host,amqp_vhost,amqp_queue\na,10.0.0.1,/,q\nb,10.0.0.1,/other,q\n"
-    assert set(boxes(text, "f.csv")) == {"a", "b"}
+    assert set(hosts(text, "f.csv")) == {"a", "b"}
--- a/tests/test_inventory_files.py
+++ b/tests/test_inventory_files.py
@@ -5,12 +5,13 @@
 import pytest
 
 from lapispick.fleet import files, last_good, snapshot
-from lapispick.fleet.helper import Helper, _serve
-from lapispick.fleet.messages import Begin, Keep, Look
+from lapispick.fleet.errors import StateFolderError
+from lapispick.fleet.helper import Helper, answer
+from lapispick.fleet.messages import Begin, Poll, SaveAccepted
 from lapispick.fleet.reading import Options
-from tests.fleet_files import SCHEMA, boxes, csv_list
+from tests.fleet_files import SCHEMA, csv_list, hosts
 
-MOST = 1 << 20
+MAX_BYTES = 1 << 20
 
 
 def test_a_folder_is_read_in_the_order_of_names_without_what_tools_leave_there(tmp_path):
@@ -27,7 +28,7 @@
     ):
         (tmp_path / name).parent.mkdir(parents=True, exist_ok=True)
         (tmp_path / name).write_text(f"# {name}\n")
-    found = files.read(tmp_path, MOST)
+    found = files.read(tmp_path, MAX_BYTES)
     assert [f.name for f in found.files] == [
         "10.csv",
         "20.yml",
@@ -35,7 +36,7 @@
         "group_vars/shops/1.yml",
         "host_vars/b.yaml",
     ]
-    assert files.read(tmp_path / "20.yml", MOST).files[0].name == "20.yml"
+    assert files.read(tmp_path / "20.yml", MAX_BYTES).files[0].name == "20.yml"
 
 
 @pytest.mark.parametrize(
@@ -44,14 +45,14 @@
         (lambda p: None, "No such file"),
         (lambda p: os.mkfifo(p), "no regular file"),
         (lambda p: p.symlink_to(p), "Too many levels"),
-        (lambda p: p.write_bytes(b"x" * (MOST + 1)), "over 1048576"),
+        (lambda p: p.write_bytes(b"x" * (MAX_BYTES + 1)), "over 1048576"),
         (lambda p: p.symlink_to("/dev/zero"), "no regular file"),
     ],
 )
 def test_what_cannot_be_read_is_a_fault_and_blocks_nothing(tmp_path, make, fault):
     path = tmp_path / "list.csv"
     make(path)
-    (found,) = files.read(path, MOST).faults
+    (found,) = files.read(path, MAX_BYTES).faults
     assert fault in str(found) and str(found).startswith("list.csv: can't be read")
 
 
@@ -64,34 +65,34 @@
 
 
 def kept(folder):
-    return last_good.kept(folder, "source")
+    return last_good.load(folder, "source")
 
 
 def test_the_last_good_list_is_the_old_or_the_new_one_at_any_cut(tmp_path):
-    one, two = (snapshot.of(boxes(csv_list({"a": n, "b": 1}), "f.csv")) for n in (1, 2))
+    one, two = (snapshot.snapshot_of(hosts(csv_list({"a": n, "b": 1}), "f.csv")) for n in (1, 2))
     assert kept(tmp_path) is None
-    last_good.keep(tmp_path, "source", one, 5.0, "settled")
+    last_good.save(tmp_path, "source", one, 5.0, "settled")
     head, found = kept(tmp_path)
-    assert found.digest == one.digest and (head.at, head.boxes) == (5.0, 2)
-    path = tmp_path / last_good.LAST_GOOD
-    last_good.keep(tmp_path, "source", two, 6.0, "settled")
+    assert found.digest == one.digest and (head.at, head.host_count) == (5.0, 2)
+    path = tmp_path / last_good.LAST_GOOD_FILE
+    last_good.save(tmp_path, "source", two, 6.0, "settled")
     whole = path.read_bytes()
     for at in range(len(whole)):
         path.write_bytes(whole[:at])
-        with pytest.raises(last_good.StateFault):
+        with pytest.raises(StateFolderError):
             kept(tmp_path)
     for at in range(0, len(whole), 7):
         path.write_bytes(whole[:at] + bytes([whole[at] ^ 1]) + whole[at + 1 :])
-        with pytest.raises(last_good.StateFault):
+        with pytest.raises(StateFolderError):
             kept(tmp_path)
     path.write_bytes(whole)
-    with pytest.raises(last_good.StateFault, match="is the list of source"):
-        last_good.kept(tmp_path, "another")
+    with pytest.raises(StateFolderError, match="is the list of source"):
+        last_good.load(tmp_path, "another")
 
 
 def test_a_crash_within_writing_leaves_the_old_list(tmp_path, monkeypatch):
-    one, two = (snapshot.of(boxes(csv_list({"a": n}), "f.csv")) for n in (1, 2))
-    last_good.keep(tmp_path, "source", one, 5.0, "")
+    one, two = (snapshot.snapshot_of(hosts(csv_list({"a": n}), "f.csv")) for n in (1, 2))
+    last_good.save(tmp_path, "source", one, 5.0, "")
     for step in ("fsync", "replace"):
 
         def fail(*_):
@@ -100,21 +101,21 @@
         with monkeypatch.context() as patch:
             patch.setattr(os, step, fail)
             with pytest.raises(OSError, match="no space"):
-                last_good.keep(tmp_path, "source", two, 6.0, "")
+                last_good.save(tmp_path, "source", two, 6.0, "")
         assert kept(tmp_path)[1].digest == one.digest
-        assert os.listdir(tmp_path) == [last_good.LAST_GOOD]
+        assert os.listdir(tmp_path) == [last_good.LAST_GOOD_FILE]
 
 
 def test_the_history_is_bounded_and_survives_a_torn_line(tmp_path):
     for n in range(5):
-        last_good.remember(tmp_path, last_good.Entry(n, f"{n:032x}", "settled", n), 3)
-    path = tmp_path / last_good.HISTORY
+        last_good.append_history(tmp_path, last_good.HistoryEntry(n, f"{n:032x}", "settled", n), 3)
+    path = tmp_path / last_good.HISTORY_FILE
     path.write_bytes(path.read_bytes()[:-20])
-    assert [e.at for e in last_good.history(tmp_path)] == [2, 3]
+    assert [e.at for e in last_good.load_history(tmp_path)] == [2, 3]
 
 
 def helper(path, **over):
-    return Helper(Begin(str(path), MOST, Options("shops", SCHEMA), **over))
+    return Helper(Begin(str(path), MAX_BYTES, Options("shops", SCHEMA), **over))
 
 
 def test_the_helper_sends_what_changed_only(tmp_path):
@@ -122,18 +123,18 @@
     ports = {f"b{n}": 1 for n in range(100)}
     path.write_text(csv_list(ports))
     h = helper(path)
-    first, *parts = h.look()
-    assert first.parts == len(parts) == 4 and sum(len(p.put) for p in parts) == 100
+    first, *parts = h.poll()
+    assert first.chunk_count == len(parts) == 4 and sum(len(p.updated) for p in parts) == 100
     ports["b7"] = 2
     del ports["b9"]
     path.write_text(csv_list(ports))
-    second, *parts = h.look()
-    assert [[b.name for b in p.put] or p.gone for p in parts] == [["b7"], ["b9"]]
+    second, *parts = h.poll()
+    assert [[b.name for b in p.updated] or p.removed for p in parts] == [["b7"], ["b9"]]
     path.write_text(csv_list(ports)[:-3] + "x,\n")
-    third, *parts = h.look()
+    third, *parts = h.poll()
     assert third.faults and not parts and not third.digest
     path.write_text(csv_list(ports))
-    fourth, *parts = h.look()
+    fourth, *parts = h.poll()
     assert fourth.digest == second.digest and not parts
 
 
@@ -141,15 +142,15 @@
     (tmp_path / "list.csv").write_text(csv_list({"a": 1}))
     h = helper(tmp_path / "list.csv")
     monkeypatch.setattr(h._reader, "read", lambda _: 1 / 0)
-    (listed,) = _serve(h, Look())
+    (listed,) = answer(h, Poll())
     assert "breaks the reader: ZeroDivisionError" in str(listed.faults[0])
-    assert _serve(h, Look())[0].digest
+    assert answer(h, Poll())[0].digest
 
 
 def test_a_state_folder_that_cannot_be_written_is_told(tmp_path):
     (tmp_path / "list.csv").write_text(csv_list({"a": 1}))
     (tmp_path / "state").write_text("a file")
     h = helper(tmp_path / "list.csv", state_folder=str(tmp_path / "state"))
-    digest = h.look()[0].digest
-    (trouble,) = _serve(h, Keep(digest, 1.0, "", {}, {}))
+    digest = h.poll()[0].digest
+    (trouble,) = answer(h, SaveAccepted(digest, 1.0, "", {}, {}))
     assert "state" in trouble.text
--- a/tests/test_inventory_reading.py
+++ b/tests/test_inventory_reading.py
@@ -10,7 +10,7 @@
 from lapispick.fleet import snapshot
 from lapispick.fleet.reading import Reader
 from lapispick.fleet.yaml_reader import Document
-from tests.fleet_files import boxes, csv_list, faults, files, read, reader, yaml_list
+from tests.fleet_files import csv_list, faults, files, hosts, read, reader, yaml_list
 
 YAML = """\
 all:
@@ -33,10 +33,10 @@
 
 
 def test_yaml_groups_pass_their_variables_down_and_hosts_have_the_last_word():
-    found = boxes(YAML)
+    found = hosts(YAML)
     assert set(found) == {"b1", "b2"}
     one, two = found["b1"], found["b2"]
-    assert (one.host, one.port, one.vars["amqp_user"], one.vars["amqp_password"]) == (
+    assert (one.address, one.port, one.vars["amqp_user"], one.vars["amqp_password"]) == (
         "127.0.0.1",
         5672,
         "shop",
@@ -46,11 +46,11 @@
         ("books", 9, "book"),
         ("jobs", 5, ""),
     ]
-    assert (two.host, two.port, two.vars["amqp_user"]) == ("127.0.0.2", 5673, "other")
+    assert (two.address, two.port, two.vars["amqp_user"]) == ("127.0.0.2", 5673, "other")
 
 
 def test_several_files_and_folders_of_variables_are_merged_in_their_order():
-    found = boxes(
+    found = hosts(
         {
             "10-base.yml": "shops: {hosts: {'b[1:2]': {amqp_queue: q}}, vars: {amqp_user: base, amqp_port: 1}}\n",
             "20-site.yml": "shops: {vars: {amqp_user: site}}\n",
@@ -80,7 +80,7 @@
     ],
 )
 def test_csv_in_its_dialects(data):
-    assert boxes(data, "f.csv")["a"].port == 1
+    assert hosts(data, "f.csv")["a"].port == 1
 
 
 H = "host,amqp_queue,amqp_port\n"
@@ -98,7 +98,7 @@
         ("i.csv", "host,host\n", r"i\.csv:1:2: host: the header has this column twice, first as column 1"),
         ("i.csv", 'host,amqp_queue\n"b,q\n', r"i\.csv:1: can't be read as CSV behind this line: unexpected end"),
         ("i.csv", "", r"i\.csv:1: host: there is no header"),
-        ("i.csv", H, r"inventory: shops: no box is in this group; the list is empty|there is no such group"),
+        ("i.csv", H, r"inventory: shops: no host is in this group; the list is empty|there is no such group"),
         ("i.csv", H + "b,q,1\nc\0,q,1\n", r"i\.csv:3: a NUL byte"),
         ("i.csv", H + "d-[1:x],q,1\n", r"i\.csv:2:1: host: \[1:x\] is no range"),
         (
@@ -147,12 +147,12 @@
 def test_all_faults_are_listed_up_to_a_bound():
     assert len(faults(H + "b1,q,x\nb2,q,y\n,q,3\n", "f.csv")) >= 2
     found = read(H + "b,q,x\n" * 300, "f.csv")
-    assert len(found.faults) == 50 and found.left_out == 250
+    assert len(found.faults) == 50 and found.omitted_faults == 250
 
 
 def test_merge_keys_and_anchors_are_read():
     text = "x: {vars: &v {amqp_port: 7, amqp_user: me}}\nshops: {hosts: {a: {<<: *v, amqp_port: 8, amqp_queue: q}}}\n"
-    assert (boxes(text)["a"].port, boxes(text)["a"].vars["amqp_user"]) == (8, "me")
+    assert (hosts(text)["a"].port, hosts(text)["a"].vars["amqp_user"]) == (8, "me")
 
 
 @pytest.mark.parametrize(
@@ -160,8 +160,8 @@
 )
 def test_a_text_that_may_be_cut_is_told(over, whole):
     text = csv_list({"a": 1, "b": 2})
-    assert bool(read(text[:-1], "f.csv", **over).unfinished) != whole
-    assert not read(text + "# end\n", "f.csv", **over).unfinished
+    assert bool(read(text[:-1], "f.csv", **over).incomplete_reason) != whole
+    assert not read(text + "# end\n", "f.csv", **over).incomplete_reason
 
 
 names = st.sampled_from([f"b{n}" for n in range(40)])
@@ -173,19 +173,19 @@
 def test_any_order_and_either_form_give_one_digest(ports, random):
     mixed = list(ports.items())
     random.shuffle(mixed)
-    lists_ = [boxes(csv_list(ports), "f.csv"), boxes(csv_list(dict(mixed)), "f.csv")]
-    assert len({snapshot.of(found).digest for found in lists_}) == 1
-    tuples = [snapshot.of(boxes(yaml_list(p))).digest for p in (ports, dict(mixed))]
+    lists_ = [hosts(csv_list(ports), "f.csv"), hosts(csv_list(dict(mixed)), "f.csv")]
+    assert len({snapshot.snapshot_of(found).digest for found in lists_}) == 1
+    tuples = [snapshot.snapshot_of(hosts(yaml_list(p))).digest for p in (ports, dict(mixed))]
     assert tuples[0] == tuples[1]
 
 
 @given(lists, lists)
 @settings(max_examples=60, deadline=None)
 def test_a_difference_applied_gives_the_new_list(old, new):
-    one, two = (snapshot.of(boxes(csv_list(p), "f.csv")) for p in (old, new))
+    one, two = (snapshot.snapshot_of(hosts(csv_list(p), "f.csv")) for p in (old, new))
     diff = snapshot.difference(one, two)
-    made = one.changed([two.boxes[n] for n in (*diff.joined, *diff.moved, *diff.changed)], diff.left)
-    assert made.digest == two.digest and set(made.boxes) == set(two.boxes)
+    made = one.with_changes([two.hosts[n] for n in (*diff.joined, *diff.moved, *diff.changed)], diff.left)
+    assert made.digest == two.digest and set(made.hosts) == set(two.hosts)
     assert bool(diff) == (one.digest != two.digest)
     assert not snapshot.difference(made, two)
 
@@ -253,7 +253,7 @@
             assert plain(document.top) == plain(whole.top)
 
 
-def test_a_change_of_one_box_is_read_in_small():
+def test_a_change_of_one_host_is_read_in_small():
     ports = {f"b{n}": n + 1 for n in range(30)}
     document = Document("f.yml", yaml_list(ports), Collector())
     for change in ({"b7": 99}, {"new": 5}, {"b29": 3}):
@@ -272,7 +272,7 @@
         for ports in (old, new, old):
             found = warm.read(files(form(ports), name))
             fresh = read(form(ports), name)
-            assert {n: b.digest for n, b in found.boxes.items()} == {n: b.digest for n, b in fresh.boxes.items()}
+            assert {n: b.digest for n, b in found.hosts.items()} == {n: b.digest for n, b in fresh.hosts.items()}
 
 
 def test_places_are_right_after_a_change_that_moved_lines():
@@ -289,13 +289,13 @@
 def test_no_bytes_break_the_reader(data):
     for name in ("f.csv", "f.yml"):
         found = read(data, name)
-        assert found.faults or found.boxes
+        assert found.faults or found.hosts
 
 
 def test_no_word_of_a_file_without_this_user_is_checked():
-    from lapispick.fleet.schema import FLEET
+    from lapispick.fleet.schema import ANY_HOST
 
-    assert set(Reader(read_options(FLEET), {}).read(files("host,amqp_port,x\na,none,\n", "f.csv")).boxes) == {"a"}
+    assert set(Reader(read_options(ANY_HOST), {}).read(files("host,amqp_port,x\na,none,\n", "f.csv")).hosts) == {"a"}
 
 
 def read_options(schema):
--- a/tests/test_inventory_watch.py
+++ b/tests/test_inventory_watch.py
@@ -161,7 +161,7 @@
     f.file.write_text(whole)
     f.consumed("broker-a", "broker-b")
     f.write(whole + f.text().splitlines()[1].replace("broker-a", "BROKER-A.").replace(",32,", ",9,") + "\n")
-    f.seen("inventory-refused")
+    f.seen("inventory-rejected")
     f.write(order=["broker-b", "broker-a"])
     other = f.folder / "elsewhere.csv"
     other.write_text(whole)
@@ -169,9 +169,9 @@
     f.file.symlink_to(other)
     time.sleep(0.2)
     f.file.unlink()
-    f.seen("inventory-refused", 2)
+    f.seen("inventory-rejected", 2)
     f.file.mkdir()
-    f.seen("inventory-refused", 3)
+    f.seen("inventory-rejected", 3)
     f.file.rmdir()
     f.write()
     flow.account()
@@ -194,7 +194,7 @@
         f.rows = dict(rows)
         f.write()
         f.consumed(*rows)
-    assert f.host.log().count("event=box-returned") == 5 and "incarnation=2" in f.host.log()
+    assert f.host.log().count("event=host-returned") == 5 and "incarnation=2" in f.host.log()
     assert "event=inventory-held" not in f.host.log()
     flow.account()
 
@@ -302,12 +302,12 @@
         f.rows.pop(name)
     f.write()
     f.seen("inventory-held")
-    assert "3 boxes, where there were 5; 20% may go at once" in f.host.log()
+    assert "3 hosts, where there were 5; 20% may go at once" in f.host.log()
     f.consumed(*f.brokers)
     assert "held" in f.tool("inventory", "history")
     found = json.loads(f.tool("inventory", "diff", "--json", code=1))
-    assert found["left"] == ["broker-b", "broker-c"] and "3 boxes" in found["held"]
-    assert "accepted: 3 boxes" in f.tool("inventory", "accept")
+    assert found["left"] == ["broker-b", "broker-c"] and "3 hosts" in found["held"]
+    assert "accepted: 3 hosts" in f.tool("inventory", "accept")
     f.consumed(*f.rows)
     told = json.loads(f.tool("inventory", "history", "--json"))
     assert [e["boxes"] for e in told["history"]] == [5, 3] and told["status"]["phase"] == "accepted"
@@ -324,7 +324,7 @@
 
 
 @pytest.mark.parametrize("spoil", ["none", "torn", "flipped"])
-def test_a_box_that_starts_with_a_broken_file_runs_on_the_last_good_list(fleet, host, spoil):
+def test_a_host_that_starts_with_a_broken_file_runs_on_the_last_good_list(fleet, host, spoil):
     f = fleet()
     f.start(host, "state-folder state")
     f.consumed(*f.brokers)
@@ -339,12 +339,12 @@
     elif spoil == "flipped":
         kept.write_bytes(data.replace(b'"jobs"', b'"jobz"', 1))
     f.host = host(environ=f.environ)
-    f.seen("inventory-refused")
+    f.seen("inventory-rejected")
     assert "shops.csv:2:1: amqp_queue: is not told" in f.host.log()
     if spoil != "none":
         assert re.search("event=last-good-unusable .*checksum", f.host.log())
         return f.consumed()
-    assert re.search(r"event=last-good boxes=2 .*age_s=\d+", f.host.log())
+    assert re.search(r"event=last-good hosts=2 .*age_s=\d+", f.host.log())
     f.consumed(*f.brokers)
     f.ask("broker-a", "x")
     until(lambda: f.brokers["broker-a"].reply("x"), "the reply")
--- a/tests/test_stored_samples.py
+++ b/tests/test_stored_samples.py
@@ -65,7 +65,7 @@
     "members.jsonl": (member_messages.decode, member_messages.encode),
     "inventory-to-helper.jsonl": json_codec(inventory_messages.ToHelper),
     "inventory-from-helper.jsonl": json_codec(inventory_messages.FromHelper),
-    "inventory-state/history.jsonl": json_codec(last_good.Entry),
+    "inventory-state/history.jsonl": json_codec(last_good.HistoryEntry),
     "agent-calls.txt": (
         lambda line: agent_calls.decode_call(line.decode()),
         lambda call: agent_calls.encode_call(call).encode(),
@@ -134,13 +134,13 @@
     open_ledger=rollout_store.RolloutStore,
     open_agent_state=state_file.StateFile,
     open_generations=generation_store.GenerationStore,
-    kept_list=last_good.kept,
-    keep_list=lambda folder, head, snapshot: last_good.keep(folder, head.source, snapshot, head.at, head.ground),
-    history=last_good.history,
-    remember=last_good.remember,
-    status=last_good.status,
-    accepting=last_good.accepting,
-    accept=last_good.accept,
+    kept_list=last_good.load,
+    keep_list=lambda folder, head, snapshot: last_good.save(folder, head.source, snapshot, head.at, head.reason),
+    history=last_good.load_history,
+    remember=last_good.append_history,
+    status=last_good.load_status,
+    accepting=last_good.load_operator_digest,
+    accept=last_good.save_operator_digest,
 )
 
 
@@ -302,7 +302,7 @@
     for name in ("last-good.jsonl", "history.jsonl", "accept"):
         assert (fresh / name).read_bytes() == (folder / name).read_bytes(), name
     assert msgspec.json.encode(FILES.status(folder)) == (folder / "status.json").read_bytes().strip()
-    assert [p for value in (head, *snapshot.boxes.values()) for p in unpopulated(value)] == []
+    assert [p for value in (head, *snapshot.hosts.values()) for p in unpopulated(value)] == []
 
 
 def test_an_agent_finds_its_stored_state_and_writes_it_again(tmp_path):
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -86,7 +86,7 @@
     "rollout": rollout_state.RolloutState,
     "rollout, plan": rollout_plan.Plan,
     "inventory, head of the last good list": last_good.Head,
-    "inventory, line of the history": last_good.Entry,
+    "inventory, line of the history": last_good.HistoryEntry,
     "trace, start of the writer": trace_writer.Begin,
     "operators, view of members": member_reports.ViewInfo,
     "operators, one member": member_reports.MemberInfo,
