--- a/benchmarks/parity_adapters.py
+++ b/benchmarks/parity_adapters.py
@@ -15,9 +15,10 @@
 import msgspec
 
 from benchmarks import rollout_model
-from lapispick.durable import keys as durable
+from lapispick.durable import records as durable
 from lapispick.handover import messages
-from lapispick.idempotency.ownership import KeyOwnership, Role, Verdict
+from lapispick.idempotency.ownership import KeyOwnership, Role
+from lapispick.idempotency.states import KeyLifecycleError, Verdict
 from lapispick.idempotency.table import IdempotencyRecord, IdempotencyTable
 from lapispick.members import messages as member_messages
 from lapispick.members.failure_detector import Outgoing
@@ -289,6 +290,8 @@
     Verdict.COALESCE: "join",
     Verdict.REJECT: "refuse",
     Verdict.FAIL: "fail",
+    Verdict.REPLAY: "result",
+    Verdict.MISMATCH: "other",
 }
 ROLES = {Role.STANDALONE: "alone", Role.OWNER: "owner", Role.FOLLOWER: "follower", Role.SUSPENDED: "shut"}
 
@@ -419,7 +422,7 @@
 
     def __init__(self, record: Record) -> None:
         self._record = record
-        self._known: dict[str, durable.Known] = {}
+        self._known: dict[str, durable.DurableRecord] = {}
         self.life = 1
 
     @property
@@ -430,9 +433,9 @@
     def arrive(self, name: str, body: bytes, born: float, window: float, now: float) -> None:
         """Take one try: its verdict, and the intent where it may run."""
         known = self._known.get(name)
-        verdict = durable.verdict(known, body, now)
-        self._record(f"durable {verdict.value}", name.encode())
-        if verdict is durable.Verdict.RUN:
+        verdict = durable.decide(known, body, now)
+        self._record(f"durable {VERDICTS[verdict]}", name.encode())
+        if verdict is Verdict.RUN:
             self._store(name, lambda: durable.intend(known, self.life, body, born, window, now))
 
     def step(self, name: str, action: str, result: bytes) -> None:
@@ -441,9 +444,9 @@
         if action == "withdraw":
             self._store(name, lambda: durable.withdraw(known))
             return
-        steps: dict[str, Callable[[], durable.Known]] = {
-            "start": lambda: durable.started(known),
-            "finish": lambda: durable.finish(known, result),
+        steps: dict[str, Callable[[], durable.DurableRecord]] = {
+            "start": lambda: durable.start(known),
+            "finish": lambda: durable.complete(known, result),
             "fail": lambda: durable.fail(known),
             "resolve": lambda: durable.resolve(known, result),
         }
@@ -455,10 +458,10 @@
         for name, known in list(self._known.items()):
             self._store(name, lambda known=known: durable.recover(known, self.life, now))  # type: ignore[misc]
 
-    def _store(self, name: str, step: Callable[[], durable.Known | None]) -> None:
+    def _store(self, name: str, step: Callable[[], durable.DurableRecord | None]) -> None:
         try:
             known = step()
-        except durable.Broken:
+        except KeyLifecycleError:
             self._record("durable error", name.encode())
             return
         if known is None:
@@ -466,7 +469,15 @@
             self._record("durable deleted", name.encode())
             return
         self._known[name] = known
-        row = [name, int(known.state), known.life, known.born, known.until, known.body, known.result]
+        row = [
+            name,
+            int(known.state),
+            known.incarnation,
+            known.created_at_ms,
+            known.expires_at_ms,
+            known.request_digest,
+            known.result,
+        ]
         self._record("durable row", encode_json(row))
 
 
--- a/lapispick/cli/inventory.py
+++ b/lapispick/cli/inventory.py
@@ -190,7 +190,7 @@
                     "vars": host.shown(schema),
                     "items": host.items,
                     "spellings": host.spellings,
-                    "places": [str(p) for p in host.places],
+                    "places": [str(p) for p in host.locations],
                 }
                 for host in listed
             ]
@@ -205,7 +205,7 @@
                     f"{host.address}:{host.port}",
                     pairs({k: v for k, v in host.shown(schema).items() if v != ""}),
                     ", ".join(str(item.get(schema.item_name, "")) for item in host.items),
-                    host.places[0] if host.places else "",
+                    host.locations[0] if host.locations else "",
                 )
                 for host in listed
             ),
--- a/lapispick/fleet/acceptance.py
+++ b/lapispick/fleet/acceptance.py
@@ -23,7 +23,7 @@
 
 import msgspec
 
-from lapispick.file_errors import Fault
+from lapispick.file_errors import FileFault
 from lapispick.fleet.snapshot import Difference, Snapshot, difference
 
 MIN_ACCEPT_DIGITS = 8  # hex digits of a digest that an operator must give
@@ -56,7 +56,7 @@
     """What one poll of the files found: a list, or what is wrong."""
 
     snapshot: Snapshot | None
-    faults: tuple[Fault, ...] = ()
+    faults: tuple[FileFault, ...] = ()
     incomplete_reason: str = ""  # why the files may be incomplete
     operator_digest: str = ""  # the digest that an operator accepts, or its beginning
 
--- a/lapispick/fleet/csv_reader.py
+++ b/lapispick/fleet/csv_reader.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from lapispick.file_errors import Collector, Place
+from lapispick.file_errors import FaultCollector, SourceLocation
 from lapispick.fleet import ranges
 from lapispick.fleet.entries import Entry, Var
 from lapispick.fleet.errors import HostRangeError
@@ -24,7 +24,7 @@
 _MAX_SHOWN_CHARACTERS = 200  # of a header in a message
 
 Rows = list[tuple[str, Entry]]  # (group or "", entry)
-RowCache = dict[tuple[str, ...], Rows]  # the rows by their cells; the places in them may have moved since
+RowCache = dict[tuple[str, ...], Rows]  # the rows by their cells; the locations in them may have moved since
 
 
 class CsvRows(NamedTuple):
@@ -47,14 +47,14 @@
     return max(fitting, key=lambda delimiter: len(headers[delimiter]), default=DEFAULT_DELIMITER)
 
 
-def read(file: str, text: str, delimiter: str, max_hosts: int, faults: Collector, cache: RowCache) -> CsvRows:
+def read(file: str, text: str, delimiter: str, max_hosts: int, faults: FaultCollector, cache: RowCache) -> CsvRows:
     """Return the rows of a file; faults are collected.
 
     ``delimiter`` may be ``auto``. A row that is in ``cache`` is taken from there.
     """
     if "\0" in text:
         line = text.count("\n", 0, text.index("\0")) + 1
-        faults.add(Place(file, line), "", "a NUL byte; the file is broken or no text")
+        faults.add(SourceLocation(file, line), "", "a NUL byte; the file is broken or no text")
         return CsvRows([], {})
     reader = _Reader(file, max_hosts, faults, cache)
     return reader.read(text, DELIMITERS.get(delimiter) or detect_delimiter(text))
@@ -63,7 +63,7 @@
 class _Reader:
     """Reads one file once."""
 
-    def __init__(self, file: str, max_hosts: int, faults: Collector, cache: RowCache) -> None:
+    def __init__(self, file: str, max_hosts: int, faults: FaultCollector, cache: RowCache) -> None:
         self._file = file
         self._max_hosts = max_hosts
         self._faults = faults
@@ -86,14 +86,14 @@
                     continue
                 found += self._read_row(line, cells)
                 if len(found) > self._max_hosts:
-                    faults.add(Place(self._file, line), NAME_COLUMN, f"more than {self._max_hosts} hosts")
+                    faults.add(SourceLocation(self._file, line), NAME_COLUMN, f"more than {self._max_hosts} hosts")
                     return CsvRows([], self._cache)
         except csv.Error as err:
             # The parser stops here, so that the rows before are no complete list either.
-            faults.add(Place(self._file, line), "", f"can't be read as CSV behind this line: {err}")
+            faults.add(SourceLocation(self._file, line), "", f"can't be read as CSV behind this line: {err}")
             self._cache.clear()
         if not self._header and not faults:
-            faults.add(Place(self._file, 1), NAME_COLUMN, "there is no header")
+            faults.add(SourceLocation(self._file, 1), NAME_COLUMN, "there is no header")
         return CsvRows(found, self._cache)
 
     def _read_header(self, line: int, cells: list[str]) -> None:
@@ -108,17 +108,17 @@
 
     def _check_header(self, line: int) -> None:
         header = self._header
-        place = Place(self._file, line)
+        location = SourceLocation(self._file, line)
         if NAME_COLUMN not in header:
             shown = ", ".join(header)[:_MAX_SHOWN_CHARACTERS]
-            self._faults.add(place, NAME_COLUMN, f"the header has no such column, only {shown}")
+            self._faults.add(location, NAME_COLUMN, f"the header has no such column, only {shown}")
         if len(header) > MAX_COLUMNS:
-            self._faults.add(place, "", f"{len(header)} columns; {MAX_COLUMNS} are the most")
+            self._faults.add(location, "", f"{len(header)} columns; {MAX_COLUMNS} are the most")
         for column, key in enumerate(header, 1):
             first = header.index(key) + 1
             if first != column:
                 self._faults.add(
-                    Place(self._file, line, column),
+                    SourceLocation(self._file, line, column),
                     key or "a column without a name",
                     f"the header has this column twice, first as column {first}",
                 )
@@ -133,27 +133,27 @@
 
     def _parse_row(self, line: int, cells: list[str]) -> Rows:
         header = self._header
-        place = Place(self._file, line)
+        location = SourceLocation(self._file, line)
         if len(cells) != len(header):
             key = header[min(len(cells), len(header) - 1)]
-            self._faults.add(place, key, f"{len(cells)} cells under {len(header)} columns")
+            self._faults.add(location, key, f"{len(cells)} cells under {len(header)} columns")
             return []
         row: dict[str, Var] = {}
         for column, (key, cell) in enumerate(zip(header, cells, strict=True), 1):
             if value := cell.strip():
-                row[key] = Var(value, Place(self._file, line, column))
+                row[key] = Var(value, SourceLocation(self._file, line, column))
         name = row.pop(NAME_COLUMN, None)
         if name is None:
-            self._faults.add(place, NAME_COLUMN, "is empty")
+            self._faults.add(location, NAME_COLUMN, "is empty")
             return []
         group = row.pop(GROUP_COLUMN, None)
         try:
             names = ranges.expand(name.value, self._max_hosts)
         except HostRangeError as err:
-            self._faults.add(name.place, NAME_COLUMN, str(err))
+            self._faults.add(name.location, NAME_COLUMN, str(err))
             return []
         group_name = group.value if group else ""
-        return [(group_name, Entry(expanded, name.place, row)) for expanded in names]
+        return [(group_name, Entry(expanded, name.location, row)) for expanded in names]
 
 
 def _records(text: str, delimiter: str) -> Iterator[tuple[int, list[str]]]:
--- a/lapispick/fleet/entries.py
+++ b/lapispick/fleet/entries.py
@@ -1,10 +1,10 @@
-"""What both file formats are read into: entries with variables, each with the place where it is written."""
+"""What both file formats are read into: entries with variables, each with its location in a file."""
 
 from __future__ import annotations
 
 from typing import Any, NamedTuple
 
-from lapispick.file_errors import Place
+from lapispick.file_errors import SourceLocation
 
 
 class TaggedText(str):
@@ -25,12 +25,12 @@
     """A value and where it is written."""
 
     value: Any
-    place: Place
+    location: SourceLocation
 
 
 class Entry(NamedTuple):
-    """One host as one place describes it: a CSV row, or a host of a YAML group with all that it inherits."""
+    """One host as one place in a file describes it: a CSV row, or a host of a YAML group with all that it inherits."""
 
     name: str
-    place: Place
+    location: SourceLocation
     vars: dict[str, Var]
--- a/lapispick/fleet/entry_parser.py
+++ b/lapispick/fleet/entry_parser.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
-from lapispick.file_errors import Collector, Place
+from lapispick.file_errors import FaultCollector, SourceLocation
 from lapispick.fleet import identity, schema
 from lapispick.fleet.entries import Entry, Var
 from lapispick.fleet.errors import HostNameError
@@ -19,7 +19,7 @@
     """An item (a queue, say) by the names of its variables, and where it is written."""
 
     values: dict[str, Any]
-    place: Place
+    location: SourceLocation
 
 
 class ParsedEntry:
@@ -48,7 +48,7 @@
         self.address_key: tuple[Any, ...] = ()
         self.values: dict[str, Var] = {}
         self.items: list[ParsedItem] = []
-        self.faults = Collector()
+        self.faults = FaultCollector()
 
 
 class EntryParser:
@@ -65,7 +65,7 @@
         try:
             parsed.name, parsed.port = identity.endpoint(entry.name, self._domain)
         except HostNameError as err:
-            parsed.faults.add(entry.place, "host", str(err))
+            parsed.faults.add(entry.location, "host", str(err))
             return parsed
         parsed.address = parsed.name
         self._parse_address(parsed)
@@ -85,7 +85,7 @@
             try:
                 parsed.address, port = identity.endpoint(str(var.value), self._domain)
             except HostNameError as err:
-                return parsed.faults.add(var.place, key, str(err))
+                return parsed.faults.add(var.location, key, str(err))
             if port is not None:
                 parsed.port = port
             return None
@@ -96,7 +96,7 @@
         item_defaults: dict[str, Any] = {}
         for key, var in parsed.entry.vars.items():
             if problem := wanted.unknown(key):
-                parsed.faults.add(var.place, key, problem)
+                parsed.faults.add(var.location, key, problem)
             elif key in wanted.host_variables and key not in wanted.address_variables:
                 self._parse_host_variable(parsed, key, var)
             elif key in wanted.item_variables:
@@ -108,13 +108,13 @@
         if not self._read_into(read, parsed, self._schema.host_variables[key], key, var):
             return
         value = read[key]
-        parsed.values[key] = Var(value, var.place)
+        parsed.values[key] = Var(value, var.location)
         target = self._schema.environment_variables.get(key)
         if not target or not value:
             return
         if value not in self._environ:
-            return parsed.faults.add(var.place, key, f"{value} is not set in the environment")
-        parsed.values[target] = Var(self._environ[value], var.place)
+            return parsed.faults.add(var.location, key, f"{value} is not set in the environment")
+        parsed.values[target] = Var(self._environ[value], var.location)
 
     def _read_into(
         self, values: dict[str, Any], parsed: ParsedEntry, variable: schema.Variable, key: str, var: Var
@@ -123,7 +123,7 @@
         try:
             values[key] = schema.read(variable, var.value, self._domain)
         except (ValueError, OverflowError) as err:
-            parsed.faults.add(var.place, key, str(err))
+            parsed.faults.add(var.location, key, str(err))
             return False
         return True
 
@@ -133,7 +133,7 @@
         port_variable = wanted.port_variable
         if port_variable and (given := parsed.values.get(port_variable)) is not None:
             if parsed.port is not None and parsed.port != given.value:
-                parsed.faults.add(given.place, port_variable, f"{given.value} here, but {parsed.port} in the name")
+                parsed.faults.add(given.location, port_variable, f"{given.value} here, but {parsed.port} in the name")
             parsed.port = given.value
         elif port_variable and parsed.port is None:
             parsed.port = wanted.host_variables[port_variable].default
@@ -151,26 +151,26 @@
         if item_list is not None:
             self._parse_item_list(parsed, item_defaults, item_list)
         elif wanted.item_name in item_defaults:
-            parsed.items.append(ParsedItem(item_defaults, entry_vars[wanted.item_name].place))
+            parsed.items.append(ParsedItem(item_defaults, entry_vars[wanted.item_name].location))
         if not parsed.items and not parsed.faults and wanted.item_required:
-            parsed.faults.add(parsed.entry.place, wanted.item_name, "is not told, and a host needs one")
+            parsed.faults.add(parsed.entry.location, wanted.item_name, "is not told, and a host needs one")
 
     def _parse_item_list(self, parsed: ParsedEntry, item_defaults: dict[str, Any], item_list: Var) -> None:
         wanted = self._schema
-        place = item_list.place
+        location = item_list.location
         key = wanted.items_variable
         if not isinstance(item_list.value, list) or wanted.item_name in item_defaults:
-            return parsed.faults.add(place, key, f"must be a list, and then there is no {wanted.item_name}")
+            return parsed.faults.add(location, key, f"must be a list, and then there is no {wanted.item_name}")
         if len(item_list.value) > MAX_ITEMS:
-            return parsed.faults.add(place, key, f"holds more than {MAX_ITEMS}")
+            return parsed.faults.add(location, key, f"holds more than {MAX_ITEMS}")
         for element in item_list.value:
             if isinstance(element, Map):
-                parsed.items.append(ParsedItem(self._parse_item(parsed, item_defaults, element), element.place))
+                parsed.items.append(ParsedItem(self._parse_item(parsed, item_defaults, element), element.location))
             elif isinstance(element, str):
-                named = {wanted.item_name: Var(element, place)}
-                parsed.items.append(ParsedItem(self._parse_item(parsed, item_defaults, named), place))
+                named = {wanted.item_name: Var(element, location)}
+                parsed.items.append(ParsedItem(self._parse_item(parsed, item_defaults, named), location))
             else:
-                parsed.faults.add(place, key, "holds what is neither a name nor a mapping")
+                parsed.faults.add(location, key, "holds what is neither a name nor a mapping")
 
     def _parse_item(
         self, parsed: ParsedEntry, item_defaults: dict[str, Any], given: Mapping[str, Var]
@@ -182,5 +182,7 @@
                 self._read_into(item, parsed, variables[key], key, var)
             else:
                 known = ", ".join(variables)
-                parsed.faults.add(var.place, key, f"unknown here{schema.nearest(key, variables)}; there are {known}")
+                parsed.faults.add(
+                    var.location, key, f"unknown here{schema.suggest_nearest(key, variables)}; there are {known}"
+                )
         return item
--- a/lapispick/fleet/files.py
+++ b/lapispick/fleet/files.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from lapispick.file_errors import Fault, Place
+from lapispick.file_errors import FileFault, SourceLocation
 from lapispick.fleet.reading import GROUP_VARS, HOST_VARS, File, belongs_to_list
 
 MAX_FILES = 5_000
@@ -29,7 +29,7 @@
     """The files of a list as they are now; ``signature`` is None where only the contents can show a change."""
 
     files: list[File]
-    faults: tuple[Fault, ...]
+    faults: tuple[FileFault, ...]
     incomplete_reason: str
     signature: tuple[object, ...] | None
 
@@ -52,7 +52,7 @@
 def read(path: Path, max_bytes: int) -> FileSet:
     """Read all files of a list, ``max_bytes`` together; what can't be read is a fault."""
     files: list[File] = []
-    faults: list[Fault] = []
+    faults: list[FileFault] = []
     incomplete_reason = ""
     signature_before = signature(path)
     try:
@@ -60,7 +60,7 @@
     except OSError as err:
         return FileSet([], (_unreadable(path.name, err),), "", None)
     if len(found) > MAX_FILES:
-        faults.append(Fault(Place(path.name), "", f"holds more than {MAX_FILES} files"))
+        faults.append(FileFault(SourceLocation(path.name), "", f"holds more than {MAX_FILES} files"))
         found = []
     bytes_left = max_bytes
     for name, file in found:
@@ -77,8 +77,8 @@
     return FileSet(files, tuple(faults), incomplete_reason, signature_before if is_unchanged else None)
 
 
-def _unreadable(name: str, err: OSError) -> Fault:
-    return Fault(Place(name), "", f"can't be read: {err.strerror or err}")
+def _unreadable(name: str, err: OSError) -> FileFault:
+    return FileFault(SourceLocation(name), "", f"can't be read: {err.strerror or err}")
 
 
 def _listed(folder: Path, prefix: str) -> list[tuple[str, Path]]:
--- a/lapispick/fleet/group_graph.py
+++ b/lapispick/fleet/group_graph.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lapispick.file_errors import Place
+from lapispick.file_errors import SourceLocation
 from lapispick.fleet.entries import Var
 from lapispick.fleet.yaml_values import Map
 
@@ -12,15 +12,15 @@
 class Group:
     """One group with all that the files say of it."""
 
-    __slots__ = ("children", "group_vars", "hosts", "name", "place", "vars")
+    __slots__ = ("children", "group_vars", "hosts", "location", "name", "vars")
 
-    def __init__(self, name: str, place: Place) -> None:
+    def __init__(self, name: str, location: SourceLocation) -> None:
         self.name = name
-        self.place = place
+        self.location = location
         self.vars: dict[str, Var] = {}
         self.group_vars: dict[str, Var] = {}  # from files of the folder of that name
-        self.hosts: dict[str, tuple[Map, Place]] = {}
-        self.children: dict[str, Place] = {}
+        self.hosts: dict[str, tuple[Map, SourceLocation]] = {}
+        self.children: dict[str, SourceLocation] = {}
 
 
 def find_cycle(groups: dict[str, Group]) -> list[str]:
--- a/lapispick/fleet/groups.py
+++ b/lapispick/fleet/groups.py
@@ -9,7 +9,7 @@
 
 from typing import Any, NamedTuple
 
-from lapispick.file_errors import Collector, Place
+from lapispick.file_errors import FaultCollector, SourceLocation
 from lapispick.fleet import identity, ranges
 from lapispick.fleet.entries import Entry, Var
 from lapispick.fleet.errors import HostNameError, HostRangeError
@@ -33,7 +33,7 @@
 class GroupTree:
     """All groups of all files."""
 
-    def __init__(self, max_hosts: int, faults: Collector) -> None:
+    def __init__(self, max_hosts: int, faults: FaultCollector) -> None:
         self.groups: dict[str, Group] = {}
         self.host_vars: dict[str, Map] = {}
         self.rows: list[tuple[str, Entry]] = []  # of CSV files, with their groups
@@ -42,12 +42,12 @@
         self._membership_count = 0
         self._faults = faults
 
-    def group(self, name: str, place: Place) -> Group:
+    def group(self, name: str, location: SourceLocation) -> Group:
         """Return a group, created where it is new."""
         if (known := self.groups.get(name)) is None:
-            known = self.groups[name] = Group(name, place)
+            known = self.groups[name] = Group(name, location)
             if len(self.groups) == MAX_GROUPS + 1:
-                self._faults.add(place, name, f"more than {MAX_GROUPS} groups")
+                self._faults.add(location, name, f"more than {MAX_GROUPS} groups")
         return known
 
     def add(self, top: Map) -> None:
@@ -60,23 +60,23 @@
         self.rows += rows
         for name, entry in rows:
             if name and name not in self.groups:
-                self.group(name, entry.place)
+                self.group(name, entry.location)
 
     def _mapping(self, var: Var, key: str) -> Map:
         if var.value is None:
-            return Map(var.place)
+            return Map(var.location)
         if not isinstance(var.value, Map):
-            self._faults.add(var.place, key, "must be a mapping")
-            return Map(var.place)
+            self._faults.add(var.location, key, "must be a mapping")
+            return Map(var.location)
         return var.value
 
     def _add_group(self, name: str, var: Var, depth: int) -> None:
-        group = self.group(name, var.place)
+        group = self.group(name, var.location)
         if depth > MAX_GROUP_DEPTH:
-            return self._faults.add(var.place, name, f"groups are nested more than {MAX_GROUP_DEPTH} deep")
+            return self._faults.add(var.location, name, f"groups are nested more than {MAX_GROUP_DEPTH} deep")
         for key, inner in self._mapping(var, name).items():
             if key not in GROUP_KEYS:
-                self._faults.add(inner.place, key, f"a group has only {', '.join(GROUP_KEYS)}")
+                self._faults.add(inner.location, key, f"a group has only {', '.join(GROUP_KEYS)}")
                 continue
             mapping = self._mapping(inner, key)
             if key == "vars":
@@ -88,28 +88,28 @@
 
     def _add_children(self, group: Group, children: Map, depth: int) -> None:
         for name, var in children.items():
-            group.children.setdefault(name, var.place)
+            group.children.setdefault(name, var.location)
             self._add_group(name, var, depth + 1)
 
     def _add_hosts(self, group: Group, hosts: Map) -> None:
         for pattern, var in hosts.items():
             host_vars = self._mapping(var, pattern)
-            names = self._expand(pattern, var.place)
+            names = self._expand(pattern, var.location)
             for name in names:
                 if name in group.hosts and group.hosts[name][0]:
-                    merged = Map(var.place)
+                    merged = Map(var.location)
                     merged.update(group.hosts[name][0] | host_vars)
                     host_vars = merged
-                group.hosts[name] = (host_vars, var.place)
+                group.hosts[name] = (host_vars, var.location)
             self._membership_count += len(names)
         if self._membership_count > self._max_memberships:
-            self._faults.add(group.place, group.name, f"more than {self._max_memberships} members of groups")
+            self._faults.add(group.location, group.name, f"more than {self._max_memberships} members of groups")
 
-    def _expand(self, pattern: str, place: Place) -> list[str]:
+    def _expand(self, pattern: str, location: SourceLocation) -> list[str]:
         try:
             return ranges.expand(pattern, self._max_hosts)
         except HostRangeError as err:
-            self._faults.add(place, pattern, str(err))
+            self._faults.add(location, pattern, str(err))
             return [pattern]
 
 
@@ -164,7 +164,7 @@
         self._rows: dict[int, _ResolvedEntry] = {}
         self._inherited: dict[tuple[str, ...], dict[str, Var]] = {}
 
-    def entries(self, tree: GroupTree, wanted: str, domain: str, faults: Collector) -> list[Entry]:
+    def entries(self, tree: GroupTree, wanted: str, domain: str, faults: FaultCollector) -> list[Entry]:
         """Return the hosts of a group and all below it, in the order of the files."""
         if not _check_groups(tree, wanted, faults):
             return []
@@ -188,7 +188,7 @@
         return entries
 
     def _resolve_host(
-        self, tree: GroupTree, name: str, direct: tuple[str, ...], inheritance: _Inheritance, faults: Collector
+        self, tree: GroupTree, name: str, direct: tuple[str, ...], inheritance: _Inheritance, faults: FaultCollector
     ) -> _ResolvedEntry:
         given = [tree.groups[group].hosts[name] for group in direct]
         inherited = inheritance.group_vars(direct)
@@ -201,11 +201,11 @@
         for mapping, _ in given:
             for key, var in mapping.items():
                 earlier = merged.get(key)
-                if earlier is not None and earlier.value != var.value and earlier.place.file == var.place.file:
-                    faults.add(var.place, key, f"{name} has another value at {earlier.place}")
+                if earlier is not None and earlier.value != var.value and earlier.location.file == var.location.file:
+                    faults.add(var.location, key, f"{name} has another value at {earlier.location}")
                 merged[key] = var
-        first_place = given[0][1]
-        return _ResolvedEntry(sources, Entry(name, first_place, {**inherited, **merged, **(host_vars or {})}))
+        first_location = given[0][1]
+        return _ResolvedEntry(sources, Entry(name, first_location, {**inherited, **merged, **(host_vars or {})}))
 
     def _resolve_row(self, row: Entry, group: str, inheritance: _Inheritance) -> _ResolvedEntry:
         inherited = inheritance.group_vars((group,))
@@ -216,20 +216,20 @@
         known = self._rows.get(id(row))
         if known is not None and _identical(known.sources, sources):
             return known
-        return _ResolvedEntry(sources, Entry(row.name, row.place, {**inherited, **row.vars, **(host_vars or {})}))
+        return _ResolvedEntry(sources, Entry(row.name, row.location, {**inherited, **row.vars, **(host_vars or {})}))
 
 
-def _check_groups(tree: GroupTree, wanted: str, faults: Collector) -> bool:
+def _check_groups(tree: GroupTree, wanted: str, faults: FaultCollector) -> bool:
     """Tell whether the wanted group exists and no group contains itself; else there is a fault."""
     is_known = wanted in tree.groups or wanted == ALL or not all(name for name, _ in tree.rows)
     if not is_known and (tree.groups or tree.rows):
         known = ", ".join(sorted(tree.groups)) or "none"
         problem = f"there is no such group; there are {known[:_MAX_SHOWN_CHARACTERS]}"
-        faults.add(Place("inventory"), wanted, problem)
+        faults.add(SourceLocation("inventory"), wanted, problem)
         return False
     if cycle := find_cycle(tree.groups):
-        place = tree.groups[cycle[0]].children[cycle[1]]
-        faults.add(place, cycle[0], f"groups hold each other: {' -> '.join(cycle)}")
+        location = tree.groups[cycle[0]].children[cycle[1]]
+        faults.add(location, cycle[0], f"groups hold each other: {' -> '.join(cycle)}")
         return False
     return True
 
--- a/lapispick/fleet/helper.py
+++ b/lapispick/fleet/helper.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from lapispick.file_errors import Fault, Place
+from lapispick.file_errors import FileFault, SourceLocation
 from lapispick.fleet import files, last_good
 from lapispick.fleet.errors import StateFolderError
 from lapispick.fleet.host_assembly import InventoryHost
@@ -181,7 +181,7 @@
             return helper.poll()
         except Exception as err:  # a list that breaks a parser is a list with a fault and must not end the helper
             helper.reset()
-            return [Polled(faults=(Fault(Place("inventory"), "", f"breaks the reader: {err!r:.200}"),))]
+            return [Polled(faults=(FileFault(SourceLocation("inventory"), "", f"breaks the reader: {err!r:.200}"),))]
     if isinstance(message, SaveAccepted):
         return helper.save_accepted(message)
     if isinstance(message, SaveStatus):
--- a/lapispick/fleet/host_assembly.py
+++ b/lapispick/fleet/host_assembly.py
@@ -1,7 +1,7 @@
 """Assembles hosts from parsed entries: one host under all its spellings. No I/O.
 
 Two entries are one host where their canonical names agree, or their addresses and ports do. What they say of the host
-must agree then; a contradiction is a fault that names both places. Items (queues, say) of all its entries add up.
+must agree then; a contradiction is a fault that names both locations. Items (queues, say) of all its entries add up.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from lapispick.file_errors import Collector, Place
+from lapispick.file_errors import FaultCollector, SourceLocation
 from lapispick.fleet import identity
 from lapispick.fleet.entries import Entry, Var
 from lapispick.fleet.entry_parser import EntryParser, ParsedEntry, ParsedItem
@@ -32,7 +32,7 @@
     items: tuple[dict[str, Any], ...] = ()  # by name
     digest: bytes = b""  # of all above
     spellings: tuple[str, ...] = ()  # as the files write it
-    places: tuple[Place, ...] = ()
+    locations: tuple[SourceLocation, ...] = msgspec.field(default=(), name="places")
 
     def shown(self, wanted: Schema) -> dict[str, Any]:
         """Return the variables with secrets hidden."""
@@ -53,7 +53,7 @@
         self._parsed: dict[int, ParsedEntry] = {}  # by the identity of their entries
         self._hosts: dict[tuple[int, ...], tuple[list[ParsedEntry], InventoryHost]] = {}
 
-    def assemble(self, entries: list[Entry], max_hosts: int, faults: Collector) -> dict[str, InventoryHost]:
+    def assemble(self, entries: list[Entry], max_hosts: int, faults: FaultCollector) -> dict[str, InventoryHost]:
         """Return the hosts by name; faults are collected."""
         parsed_entries = self._parse(entries, faults)
         found: dict[str, InventoryHost] = {}
@@ -68,26 +68,26 @@
             host = known[1]
             assembled[key] = known
             if (other := found.get(host.name)) is not None:
-                faults.add(host.places[0], host.name, f"another host has this name at {other.places[0]}")
+                faults.add(host.locations[0], host.name, f"another host has this name at {other.locations[0]}")
             found[host.name] = host
         self._hosts = assembled
         if len(found) > max_hosts:
-            faults.add(entries[0].place, "", f"{len(found)} hosts; {max_hosts} are the most")
+            faults.add(entries[0].location, "", f"{len(found)} hosts; {max_hosts} are the most")
         return found
 
-    def _parse(self, entries: list[Entry], faults: Collector) -> list[ParsedEntry]:
+    def _parse(self, entries: list[Entry], faults: FaultCollector) -> list[ParsedEntry]:
         parsed_entries: dict[int, ParsedEntry] = {}
         for entry in entries:
             parsed = self._parsed.get(id(entry))
             if parsed is None or parsed.entry is not entry:
                 parsed = self._parser.parse(entry)
             if parsed.faults:
-                faults.extend(parsed.faults.found)
+                faults.extend(parsed.faults.collected)
             parsed_entries[id(entry)] = parsed
         self._parsed = parsed_entries
         return list(parsed_entries.values())
 
-    def _merge(self, group: list[ParsedEntry], faults: Collector) -> InventoryHost:
+    def _merge(self, group: list[ParsedEntry], faults: FaultCollector) -> InventoryHost:
         """Return the host that these entries describe."""
         # A name is preferred to an address as the host's name; else the first in order.
         leader = min(group, key=lambda parsed: (identity.address(parsed.name) is not None, parsed.name))
@@ -112,10 +112,10 @@
             items=items,
             digest=blake2b(packed, digest_size=16).digest(),
             spellings=tuple(dict.fromkeys(parsed.entry.name for parsed in group)),
-            places=tuple(parsed.entry.place for parsed in group),
+            locations=tuple(parsed.entry.location for parsed in group),
         )
 
-    def _merge_values(self, leader: ParsedEntry, group: list[ParsedEntry], faults: Collector) -> dict[str, Var]:
+    def _merge_values(self, leader: ParsedEntry, group: list[ParsedEntry], faults: FaultCollector) -> dict[str, Var]:
         merged: dict[str, Var] = {}
         for parsed in group:
             for key, var in parsed.values.items():
@@ -124,20 +124,22 @@
                     continue
                 secret = self._schema.host_variables[key].secret
                 shown = "another value" if secret else f"{var.value!r} here, but {known.value!r}"
-                faults.add(var.place, key, f"{leader.name} has {shown} at {known.place}")
+                faults.add(var.location, key, f"{leader.name} has {shown} at {known.location}")
         return merged
 
-    def _check_agreement(self, name: str, reached: ParsedEntry, parsed: ParsedEntry, faults: Collector) -> None:
+    def _check_agreement(self, name: str, reached: ParsedEntry, parsed: ParsedEntry, faults: FaultCollector) -> None:
         """Entries of one host may give a name and its address, but not two addresses or ports."""
-        place = parsed.entry.place
-        other_place = reached.entry.place
+        location = parsed.entry.location
+        other_location = reached.entry.location
         if identity.address(parsed.address) and parsed.address != reached.address:
-            faults.add(place, "host", f"{name} is at {parsed.address} here, but at {reached.address} at {other_place}")
+            faults.add(
+                location, "host", f"{name} is at {parsed.address} here, but at {reached.address} at {other_location}"
+            )
         if parsed.port != reached.port:
             key = self._schema.port_variable or "host"
-            faults.add(place, key, f"{name} has port {parsed.port} here, but {reached.port} at {other_place}")
+            faults.add(location, key, f"{name} has port {parsed.port} here, but {reached.port} at {other_location}")
 
-    def _merge_items(self, group: list[ParsedEntry], faults: Collector) -> tuple[dict[str, Any], ...]:
+    def _merge_items(self, group: list[ParsedEntry], faults: FaultCollector) -> tuple[dict[str, Any], ...]:
         """Return the items of all entries in the order of their names."""
         wanted = self._schema
         defaults = {
@@ -145,15 +147,15 @@
         }
         items: dict[str, ParsedItem] = {}
         for parsed in group:
-            for values, place in parsed.items:
+            for values, location in parsed.items:
                 item = defaults | values
                 name = item.get(wanted.item_name)
                 if not name:
-                    faults.add(place, wanted.item_name, "is empty")
+                    faults.add(location, wanted.item_name, "is empty")
                 elif name in items:
-                    faults.add(place, wanted.item_name, f"{name!r} stands twice, first at {items[name].place}")
+                    faults.add(location, wanted.item_name, f"{name!r} stands twice, first at {items[name].location}")
                 else:
-                    items[name] = ParsedItem(item, place)
+                    items[name] = ParsedItem(item, location)
         return tuple(items[name].values for name in sorted(items))
 
 
@@ -182,7 +184,7 @@
         groups.setdefault(find(index), []).append(parsed)
     # Sorted, so that the same entries give the same host in whatever order the files have them.
     return [
-        sorted(group, key=lambda parsed: (parsed.name, parsed.entry.name, parsed.entry.place.line))
+        sorted(group, key=lambda parsed: (parsed.name, parsed.entry.name, parsed.entry.location.line))
         if len(group) > 1
         else group
         for group in groups.values()
--- a/lapispick/fleet/hosts.py
+++ b/lapispick/fleet/hosts.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from lapispick.file_errors import Collector, Fault
+from lapispick.file_errors import FaultCollector, FileFault
 from lapispick.fleet import identity
 from lapispick.fleet.host_assembly import InventoryHost
 from lapispick.fleet.schema import Schema, Variable, VariableKind
@@ -98,20 +98,22 @@
     )
 
 
-def workers(inventory_hosts: Iterable[InventoryHost]) -> tuple[tuple[Worker, ...], tuple[Fault, ...]]:
+def workers(inventory_hosts: Iterable[InventoryHost]) -> tuple[tuple[Worker, ...], tuple[FileFault, ...]]:
     """Return the worker hosts by name, and the faults of those whose addresses can't be used or are another's."""
     found_workers: list[Worker] = []
-    faults = Collector()
+    faults = FaultCollector()
     taken: dict[str, str] = {}  # address -> name of its host
     for host in sorted(inventory_hosts, key=lambda host: host.name):
         try:
             found = worker(host)
         except ValueError as err:
-            faults.add(host.places[0], PREFIX + "ops", f"{host.name}: {err}")
+            faults.add(host.locations[0], PREFIX + "ops", f"{host.name}: {err}")
             continue
         for endpoint in filter(None, (found.serves, found.ops, found.agent, found.members)):
             if endpoint in taken:
-                faults.add(host.places[0], "host", f"{host.name}: {endpoint} stands twice, first for {taken[endpoint]}")
+                faults.add(
+                    host.locations[0], "host", f"{host.name}: {endpoint} stands twice, first for {taken[endpoint]}"
+                )
             taken.setdefault(endpoint, host.name)
         found_workers.append(found)
-    return tuple(found_workers), tuple(faults.found)
+    return tuple(found_workers), tuple(faults.collected)
--- a/lapispick/fleet/messages.py
+++ b/lapispick/fleet/messages.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from lapispick.file_errors import Fault
+from lapispick.file_errors import FileFault
 from lapispick.fleet.host_assembly import InventoryHost
 from lapispick.fleet.reading import Options
 
@@ -59,7 +59,7 @@
 
     chunk_count: int = msgspec.field(default=0, name="parts")
     digest: str = ""
-    faults: tuple[Fault, ...] = ()
+    faults: tuple[FileFault, ...] = ()
     omitted_faults: int = msgspec.field(default=0, name="left_out")
     incomplete_reason: str = msgspec.field(default="", name="unfinished")
     operator_digest: str = msgspec.field(default="", name="accept")
--- a/lapispick/fleet/reading.py
+++ b/lapispick/fleet/reading.py
@@ -1,7 +1,7 @@
 """From the bytes of all files to a list of hosts. No I/O: files are passed as (name, bytes) in their order.
 
 The reader caches what it made of each file, so that a change costs about what changed. Where anything is wrong it
-first reads all files again without the cache, so that every place in a fault is right.
+first reads all files again without the cache, so that every location in a fault is right.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from lapispick.file_errors import Collector, Fault, Place
+from lapispick.file_errors import FaultCollector, FileFault, SourceLocation
 from lapispick.fleet import csv_reader
 from lapispick.fleet.csv_reader import CsvRows
 from lapispick.fleet.groups import GroupTree, Resolver
@@ -57,7 +57,7 @@
     """What the files say: the hosts by name, or what is wrong."""
 
     hosts: dict[str, InventoryHost]
-    faults: tuple[Fault, ...]
+    faults: tuple[FileFault, ...]
     incomplete_reason: str  # why the files may be incomplete
     omitted_faults: int = 0  # beyond the bound
 
@@ -68,7 +68,7 @@
     return path.suffix in CSV_SUFFIXES + YAML_SUFFIXES and not path.name.startswith((".", "#", "~"))
 
 
-def decode(file: File, faults: Collector) -> str | None:
+def decode(file: File, faults: FaultCollector) -> str | None:
     """Return the text of a file in UTF-8 or, with its byte order mark, UTF-16."""
     data = file.data
     encoding = "utf-8"
@@ -81,7 +81,7 @@
         return data.decode(encoding)
     except UnicodeDecodeError as err:
         line = data.count(b"\n", 0, err.start) + 1
-        faults.add(Place(file.name, line), "", f"is no {encoding.upper()} at byte {err.start}: {err.reason}")
+        faults.add(SourceLocation(file.name, line), "", f"is no {encoding.upper()} at byte {err.start}: {err.reason}")
         return None
 
 
@@ -127,7 +127,7 @@
 
     def _read(self, files: list[File]) -> Reading:
         options = self._options
-        faults = Collector()
+        faults = FaultCollector()
         tree = GroupTree(options.max_hosts, faults)
         reason = ""
         self._is_unreadable = not files
@@ -141,13 +141,13 @@
         self._drop_removed(files)
         hosts: dict[str, InventoryHost] = {}
         if not files:
-            faults.add(Place("inventory"), "", "there is no .csv, .yml or .yaml file")
+            faults.add(SourceLocation("inventory"), "", "there is no .csv, .yml or .yaml file")
         if not self._is_unreadable:  # rows and keys with faults don't prevent a look at the others
             entries = self._resolver.entries(tree, options.group, options.domain, faults)
             hosts = self._assembler.assemble(entries, options.max_hosts, faults)
         if not faults and not hosts:
-            faults.add(Place("inventory"), options.group, "no host is in this group; the list is empty")
-        return Reading({} if faults else hosts, tuple(faults.found), reason, faults.left_out)
+            faults.add(SourceLocation("inventory"), options.group, "no host is in this group; the list is empty")
+        return Reading({} if faults else hosts, tuple(faults.collected), reason, faults.left_out)
 
     def _drop_removed(self, files: list[File]) -> None:
         """Drop from the cache the files that are there no more."""
@@ -156,7 +156,7 @@
             self._documents.pop(removed, None)
             self._rows.pop(removed, None)
 
-    def _read_file(self, file: File, text: str, tree: GroupTree, faults: Collector) -> None:
+    def _read_file(self, file: File, text: str, tree: GroupTree, faults: FaultCollector) -> None:
         digest = blake2b(file.data, digest_size=16).digest()
         is_unchanged = self._digests.get(file.name) == digest
         self._digests[file.name] = digest
@@ -165,7 +165,7 @@
         else:
             self._read_yaml(file.name, text, is_unchanged, tree, faults)
 
-    def _read_csv(self, name: str, text: str, is_unchanged: bool, tree: GroupTree, faults: Collector) -> None:
+    def _read_csv(self, name: str, text: str, is_unchanged: bool, tree: GroupTree, faults: FaultCollector) -> None:
         known = self._rows.get(name)
         if known is None or not is_unchanged:
             cache = known.cache if known is not None else {}
@@ -174,7 +174,7 @@
         self._is_unreadable = self._is_unreadable or not known.cache
         tree.add_rows(known.rows)
 
-    def _read_yaml(self, name: str, text: str, is_unchanged: bool, tree: GroupTree, faults: Collector) -> None:
+    def _read_yaml(self, name: str, text: str, is_unchanged: bool, tree: GroupTree, faults: FaultCollector) -> None:
         document = self._documents.get(name)
         if document is None or (not is_unchanged and not document.update(text)):
             document = self._documents[name] = Document(name, text, faults)
@@ -187,12 +187,12 @@
         """Add the contents of a YAML file where its folder says that they belong."""
         kind = path.parts[0] if len(path.parts) > 1 else ""
         if kind == GROUP_VARS:
-            tree.group(path.parts[1].removesuffix(path.suffix), top.place).group_vars |= top
+            tree.group(path.parts[1].removesuffix(path.suffix), top.location).group_vars |= top
         elif kind == HOST_VARS:
             host = path.parts[1].removesuffix(path.suffix) if len(path.parts) == 2 else path.parts[1]
             known = tree.host_vars.get(host)
             if known is not None:
-                merged = Map(top.place)
+                merged = Map(top.location)
                 merged.update(known | top)
                 top = merged
             tree.host_vars[host] = top
--- a/lapispick/fleet/schema.py
+++ b/lapispick/fleet/schema.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from lapispick.file_errors import nearest
+from lapispick.file_errors import suggest_nearest
 from lapispick.fleet import identity
 from lapispick.fleet.entries import TaggedText
 
@@ -78,7 +78,7 @@
         known = [*self.host_variables, *self.item_variables]
         if self.items_variable:
             known.append(self.items_variable)
-        return None if key in known else f"unknown variable{nearest(key, known)}"
+        return None if key in known else f"unknown variable{suggest_nearest(key, known)}"
 
 
 ANY_HOST = Schema(prefix="", host_variables={})  # names and addresses of any list, without further variables
@@ -102,7 +102,7 @@
         raise error
     if variable.choices and text and text not in variable.choices:
         choices = ", ".join(variable.choices)
-        raise ValueError(f"{_shortened(value)} is none of {choices}{nearest(text, variable.choices)}")
+        raise ValueError(f"{_shortened(value)} is none of {choices}{suggest_nearest(text, variable.choices)}")
     return text
 
 
--- a/lapispick/fleet/yaml_reader.py
+++ b/lapispick/fleet/yaml_reader.py
@@ -14,7 +14,7 @@
 
 from yaml.nodes import MappingNode
 
-from lapispick.file_errors import Collector, Place
+from lapispick.file_errors import FaultCollector, SourceLocation
 from lapispick.fleet.yaml_values import Map, Segment, UnreadableYamlError, YamlConverter, compose, is_ascending
 
 _SHARED_SYNTAX = re.compile(r"(?:^|[\s\[{,:-])[&*][^\s]|<<|^%|^---|^\.\.\.", re.M)  # anchors, merges, documents
@@ -33,7 +33,7 @@
 class Document:
     """One YAML file: its top mapping, and what it takes to read a small change of it."""
 
-    def __init__(self, file: str, text: str, faults: Collector) -> None:
+    def __init__(self, file: str, text: str, faults: FaultCollector) -> None:
         self.file = file
         self.lines = text.splitlines(keepends=True)
         self.top: Map | None = None  # None where the file can't be read
@@ -42,10 +42,10 @@
         try:
             node = compose(file, text, faults)
             if node is None:
-                self.top = Map(Place(file, 1))
+                self.top = Map(SourceLocation(file, 1))
                 return
             if not isinstance(node, MappingNode):
-                return faults.add(Place(file, 1), "", "the whole must be a mapping of groups")
+                return faults.add(SourceLocation(file, 1), "", "the whole must be a mapping of groups")
             converter.check(node)
             self.top = converter.value(node)
         except UnreadableYamlError:
@@ -105,7 +105,7 @@
         """Return the entries of a part of a segment; None where it doesn't read the same on its own."""
         if not _is_plain(text):
             return None
-        faults = Collector()
+        faults = FaultCollector()
         converter = YamlConverter(self.file, faults, first_line)
         try:
             node = compose(self.file, text, faults)
--- a/lapispick/fleet/yaml_values.py
+++ b/lapispick/fleet/yaml_values.py
@@ -14,7 +14,7 @@
 from yaml.constructor import ConstructorError, SafeConstructor
 from yaml.nodes import MappingNode, Node, ScalarNode, SequenceNode
 
-from lapispick.file_errors import Collector, Place
+from lapispick.file_errors import FaultCollector, SourceLocation
 from lapispick.fleet.entries import TaggedText, Var
 from lapispick.fleet.errors import InventoryError
 
@@ -28,13 +28,13 @@
 
 
 class Map(dict[str, Var]):
-    """A mapping of texts to values with their places; ``place`` is its own."""
+    """A mapping of texts to values with their locations; ``location`` is its own."""
 
-    __slots__ = ("place",)
+    __slots__ = ("location",)
 
-    def __init__(self, place: Place) -> None:
+    def __init__(self, location: SourceLocation) -> None:
         super().__init__()
-        self.place = place
+        self.location = location
 
 
 class Segment:
@@ -64,7 +64,7 @@
 class YamlConverter:
     """Converts the nodes of one file to values."""
 
-    def __init__(self, file: str, faults: Collector, first_line: int = 0) -> None:
+    def __init__(self, file: str, faults: FaultCollector, first_line: int = 0) -> None:
         self.file = file
         self.faults = faults
         self.first_line = first_line
@@ -73,10 +73,10 @@
         self._converted: dict[int, Any] = {}  # an anchored node has one value, however many aliases it has
         self._sizes: dict[int, int] = {}
 
-    def place(self, node: Node) -> Place:
+    def location(self, node: Node) -> SourceLocation:
         """Return where a node begins."""
         mark = node.start_mark
-        return Place(self.file, mark.line + 1 + self.first_line, mark.column + 1)
+        return SourceLocation(self.file, mark.line + 1 + self.first_line, mark.column + 1)
 
     def check(self, node: Node, above: tuple[int, ...] = ()) -> int:
         """Return how many values a node stands for; rejects loops, depth and aliases that multiply."""
@@ -98,7 +98,7 @@
         return size
 
     def _reject(self, node: Node, text: str) -> NoReturn:
-        self.faults.add(self.place(node), "", text)
+        self.faults.add(self.location(node), "", text)
         raise UnreadableYamlError(f"{self.file}: {text}")
 
     def value(self, node: Node) -> Any:
@@ -128,22 +128,22 @@
             return self._scalars.construct_object(node)
         except (ConstructorError, ValueError, OverflowError) as err:
             problem = err.problem if isinstance(err, ConstructorError) else err
-            self.faults.add(self.place(node), "", f"{text[:MAX_SHOWN_CHARACTERS]!r} can't be read: {problem}")
+            self.faults.add(self.location(node), "", f"{text[:MAX_SHOWN_CHARACTERS]!r} can't be read: {problem}")
             return None
 
     def _mapping(self, node: MappingNode) -> Map:
-        mapping = Map(self.place(node))
+        mapping = Map(self.location(node))
         merged: list[Map] = []
         for key, value in node.value:
             if key.tag == _YAML_TAG_PREFIX + "merge":
                 merged += self._merged(value)
             elif not isinstance(key, ScalarNode):
-                self.faults.add(self.place(key), "", "a key must be a plain text")
+                self.faults.add(self.location(key), "", "a key must be a plain text")
             elif key.value in mapping:
-                first = mapping[key.value].place
-                self.faults.add(self.place(key), key.value, f"this key stands twice, first at {first}")
+                first = mapping[key.value].location
+                self.faults.add(self.location(key), key.value, f"this key stands twice, first at {first}")
             else:
-                mapping[key.value] = Var(self.value(value), self.place(key))
+                mapping[key.value] = Var(self.value(value), self.location(key))
         for other in merged:
             for name, var in other.items():
                 mapping.setdefault(name, var)
@@ -163,11 +163,11 @@
         sources = node.value if isinstance(node, SequenceNode) else [node]
         mappings = [self.value(source) for source in sources if isinstance(source, MappingNode)]
         if len(mappings) != len(sources):
-            self.faults.add(self.place(node), "<<", "takes a mapping or a list of mappings")
+            self.faults.add(self.location(node), "<<", "takes a mapping or a list of mappings")
         return mappings
 
 
-def compose(file: str, text: str, faults: Collector) -> Node | None:
+def compose(file: str, text: str, faults: FaultCollector) -> Node | None:
     """Return the top node of a text, None where it is empty.
 
     Raises ``UnreadableYamlError`` with the fault collected.
@@ -177,11 +177,11 @@
         return loader.get_single_node()
     except yaml.MarkedYAMLError as err:
         mark = err.problem_mark or err.context_mark
-        place = Place(file, mark.line + 1, mark.column + 1) if mark else Place(file, 1)
+        location = SourceLocation(file, mark.line + 1, mark.column + 1) if mark else SourceLocation(file, 1)
         problem = ", ".join(str(part) for part in (err.context, err.problem) if part)
-        faults.add(place, "", f"can't be read as YAML: {problem or err}")
+        faults.add(location, "", f"can't be read as YAML: {problem or err}")
     except (yaml.YAMLError, RecursionError, ValueError) as err:
-        faults.add(Place(file, 1), "", f"can't be read as YAML: {str(err)[:200]}")
+        faults.add(SourceLocation(file, 1), "", f"can't be read as YAML: {str(err)[:200]}")
     finally:
         loader.dispose()
     raise UnreadableYamlError(f"{file} can't be read as YAML")
--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -16,12 +16,13 @@
 
 from lapispick.conf import settings as conf
 from lapispick.conf.settings import Settings
-from lapispick.file_errors import Faulty
+from lapispick.file_errors import InvalidFileError
 from lapispick.host import events
 from lapispick.host.config import Config, ConfigError, load
 from lapispick.host.core import Core
 from lapispick.host.executor import ExecutorLink
-from lapispick.host.handover import Handover
+from lapispick.host.handover.handshake import HostIdentity
+from lapispick.host.handover.service import Handover
 from lapispick.host.jsonrpc.front import Gateways
 from lapispick.host.logs import log, setup
 from lapispick.host.metrics import Wide
@@ -174,8 +175,7 @@
                 made = Handover(
                     self.loop,
                     Path(folder),
-                    config.name,
-                    config.listen,
+                    HostIdentity(config.name, config.listen),
                     config.limits.unsent,
                     self.gateways,
                     centre.post,
@@ -183,10 +183,10 @@
                 )
             except OSError as err:  # a platform that has no place for it: alone, as before
                 log(LOG, logging.WARNING, "handover-off", error=err)
-        if made is None or made.owns:
+        if made is None or made.lock.acquired:
             self.gateways.listen()
-            if made is not None and made.last_end:
-                centre.ownership.mark_in_doubt_until(made.last_end * 1000)
+            if made is not None and made.lock.previous_end_s:
+                centre.ownership.unknown_outcomes.mark_until(made.lock.previous_end_s * 1000)
         else:
             centre.duty.open = False
             centre.ownership.role = Role.SUSPENDED
@@ -284,7 +284,7 @@
         stop_ms, loop = self.config.stop_ms, self.loop
         if self.members is not None:
             self.members.leave()
-        if self.handover is not None and self.handover.served_elsewhere:
+        if self.handover is not None and self.handover.peer_serves:
             return self._hand_over(self.handover)
         self.centre.post(events.ShutdownRequested(stop_ms))
         end_at = time.monotonic() + stop_ms / 1000
@@ -306,7 +306,7 @@
         deadline = max(c.deadline_ms for c in self.config.start.classes)
         stop_ms, loop = min(self.config.stop_ms, min(deadline, HANDED_MS[0]) + HANDED_MS[1]), self.loop
         self.centre.post(events.ShutdownRequested(stop_ms, handed_over=True))
-        self.gateways.close_listener(handover.passed)
+        self.gateways.close_listener(handover.listener_shared)
         began = time.monotonic()
         end_at = began + stop_ms / 1000
         while time.monotonic() < end_at - END_S:
@@ -323,7 +323,7 @@
         while time.monotonic() < last and not self.gateways.gone():
             self.loop.sleep(0.005)
         if self.handover is not None:
-            self.handover.done()
+            self.handover.finish()
         if self.recorder is not None:
             self.recorder.close(end_at - time.monotonic())
         log(LOG, logging.INFO, "ended", owed=self.centre.owed)
@@ -338,7 +338,7 @@
 
 
 def _own_settings() -> Settings:
-    """Read the operators' settings, and the file that was theirs before; raises ``Faulty``."""
+    """Read the operators' settings, and the file that was theirs before; raises ``InvalidFileError``."""
     own = conf.load()
     if os.environ.get(OLD_VARIABLE) or os.path.exists(OLD_FILE):
         from lapispick.conf import legacy
@@ -361,7 +361,7 @@
     except ConfigError as err:
         log(LOG, logging.ERROR, "config-faulty", fault=err)
         return 2
-    except Faulty as err:
+    except InvalidFileError as err:
         for fault in err.faults:
             log(LOG, logging.ERROR, "config-faulty", fault=fault)
         return 2
--- a/lapispick/rollout/stages.py
+++ b/lapispick/rollout/stages.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from lapispick.digests import blake2b
-from lapispick.file_errors import nearest
+from lapispick.file_errors import suggest_nearest
 from lapispick.fleet.hosts import Worker
 
 MAX_COUNT = 100_000
@@ -121,7 +121,7 @@
 def _check_names(named: Sequence[str], by_name: dict[str, Worker]) -> None:
     for name in named:
         if name not in by_name:
-            raise ValueError(f"there is no box {name}{nearest(name, by_name)}")
+            raise ValueError(f"there is no box {name}{suggest_nearest(name, by_name)}")
     if len(set(named)) != len(named):
         raise ValueError("a box stands in two stages")
 
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lapispick.file_errors import Fault, Place
+from lapispick.file_errors import FileFault, SourceLocation
 from lapispick.fleet import snapshot
 from lapispick.fleet.acceptance import Acceptance, Observation, Phase, Policy
 from lapispick.fleet.presence import PresenceTracker
@@ -18,7 +18,7 @@
     loss_window_s=60.0,
     hold_s=300.0,
 )
-FAULT = Observation(None, (Fault(Place("f", 1), "", "broken"),))
+FAULT = Observation(None, (FileFault(SourceLocation("f", 1), "", "broken"),))
 
 
 def fleet(names, port=1):
