--- a/benchmarks/inventory.py
+++ b/benchmarks/inventory.py
@@ -21,7 +21,7 @@
 import msgspec
 
 from benchmarks.common import against, cpu_s, memory_mb, ratio, show
-from lapispick.conf.settings import Inventory as Settings
+from lapispick.conf.sections import InventorySettings
 from lapispick.fakes.peers import INFO
 from lapispick.fleet import snapshot
 from lapispick.fleet.messages import Begin, FromHelper, Poll
@@ -156,7 +156,7 @@
         spares = [path.with_name(f"spare{turn}") for turn in range(rounds)]  # written ahead, not by the loop
         for turn, spare in enumerate(spares):
             spare.write_text(FORMS[form](size, 1 + turn * size // rounds))
-        told = Settings(path=path, group="shops", look=0.05, settle=0.1, settle_most=1.0)
+        told = InventorySettings(path=path, group="shops", poll_interval_s=0.05, settle_s=0.1, max_settle_s=1.0)
         front = AmqpFront(
             loop, Bounds(max_instances=8), info, settings_from(info), lambda item: None, Names(loop, 1.0, None), 60.0
         )
--- a/lapispick/agent/host_launcher.py
+++ b/lapispick/agent/host_launcher.py
@@ -17,7 +17,7 @@
 from lapispick import atomic_files
 from lapispick.agent.generation_store import PROGRAM_FOLDER, SETTINGS_FILE, GenerationStore
 from lapispick.agent.processes import HOST_MODULE, ProcessTable
-from lapispick.conf.settings import Agent as Settings
+from lapispick.conf.sections import AgentSettings
 from lapispick.rollout.generations import Generation
 from lapispick.rollout.host_state import HostProcess
 
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        settings: Settings,
+        settings: AgentSettings,
         base: Mapping[str, Any],
         processes: ProcessTable,
         generations: GenerationStore,
@@ -83,7 +83,7 @@
         log = config.with_suffix(".log")
         self._processes.start(process.number, command, home / PROGRAM_FOLDER, environment, log)
         self._remove_old_files(process.number)
-        for removed in self._generations.prune(self._settings.keep, needed_generations):
+        for removed in self._generations.prune(self._settings.max_spare_generations, needed_generations):
             shutil.rmtree(self._generations.folder / removed, ignore_errors=True)
 
     def _remove_old_files(self, newest: int) -> None:
--- a/lapispick/agent/service.py
+++ b/lapispick/agent/service.py
@@ -26,7 +26,7 @@
 from lapispick.agent.processes import ProcessTable
 from lapispick.agent.rollback_lease import RollbackLease
 from lapispick.agent.state_file import StateFile
-from lapispick.conf.settings import Agent as Settings
+from lapispick.conf.sections import AgentSettings
 from lapispick.host.logs import log
 from lapispick.host.ops import Operators
 from lapispick.host.scheduler import Loop, address
@@ -47,7 +47,7 @@
 class Agent:
     """The agent of one host."""
 
-    def __init__(self, name: str, settings: Settings, base: dict[str, Any], python: str = sys.executable) -> None:
+    def __init__(self, name: str, settings: AgentSettings, base: dict[str, Any], python: str = sys.executable) -> None:
         """Take the folder; raises ``StateFileError`` and ``OSError``. ``base``: the platform's configuration."""
         self.name = name
         self.settings = settings
@@ -60,11 +60,11 @@
         self.work = Work(self.loop)
         self._launcher = HostLauncher(settings, base, self.processes, self.store, python)
         self._memory_limit_mb = float(base.get("limits", {}).get("memory_mb", 0.0))
-        lease_wait_s = settings.turn_wait if settings.turn else 0.0
-        self._timeouts = Timeouts(settings.start, settings.stop, rollback_lease_wait_s=lease_wait_s)
+        lease_wait_s = settings.rollback_lease_wait_s if settings.rollback_lease else 0.0
+        self._timeouts = Timeouts(settings.start_timeout_s, settings.stop_timeout_s, rollback_lease_wait_s=lease_wait_s)
         self._generations = self.store.all()
         self._client = HostClient(self.loop, settings.slot_ops)
-        self._lease = RollbackLease(settings.turn, self._forward)
+        self._lease = RollbackLease(settings.rollback_lease, self._forward)
         self._checks = HealthChecks()
         self._is_deciding = False
         self._disk_error_logged_at = 0.0
@@ -110,7 +110,7 @@
                 self._step()
             except OSError as err:  # nothing is done that is not stored, and what runs goes on
                 self._log_disk_error(err)
-            self.loop.sleep(self.settings.look)
+            self.loop.sleep(self.settings.poll_interval_s)
 
     def _repeat_reload(self) -> None:
         """Reload the serving process: the agent before this one may have ended before it sent the signal."""
--- a/lapispick/cli/agent.py
+++ b/lapispick/cli/agent.py
@@ -14,7 +14,7 @@
 from lapispick.cli.config import FILE, load
 from lapispick.cli.ops import NoAnswer, call
 from lapispick.cli.output import DIFFERS, FAULTY, NO_STATE, as_json, complain, say, table
-from lapispick.conf.settings import Agent as Settings
+from lapispick.conf.sections import AgentSettings
 from lapispick.host.scheduler import address
 from lapispick.rollout import messages
 from lapispick.rollout.host_state import SLOTS
@@ -27,7 +27,7 @@
     """Run a host's agent, manage its generations, or show its status."""
 
 
-def _settings(file: Path | None) -> Settings:
+def _settings(file: Path | None) -> AgentSettings:
     settings = load(file).agent
     if settings.folder is None:
         complain("no folder in section agent of the settings")
@@ -57,12 +57,12 @@
     from lapispick.host import logs
 
     settings = _settings(file)
-    if settings.config is None or len(settings.slot_ops) != SLOTS:
+    if settings.host_config is None or len(settings.slot_ops) != SLOTS:
         complain("section agent needs config and slot-ops")
         sys.exit(FAULTY)
-    base = _read_config(Path(str(settings.config)))
+    base = _read_config(Path(str(settings.host_config)))
     try:
-        name = platform.load({"LB_CONFIG": str(settings.config)}).name
+        name = platform.load({"LB_CONFIG": str(settings.host_config)}).name
         logs.setup()
         service = Agent(name, settings, base)
         service.adopt(adopt)
--- a/lapispick/cli/inventory.py
+++ b/lapispick/cli/inventory.py
@@ -13,7 +13,7 @@
 
 from lapispick.cli.config import FILE, load
 from lapispick.cli.output import DIFFERS, FAULTY, NO_STATE, as_json, complain, pairs, say, setup_logs, table
-from lapispick.conf.settings import Inventory as Settings
+from lapispick.conf.sections import InventorySettings
 from lapispick.fleet import files, hosts, last_good, snapshot
 from lapispick.fleet.acceptance import MIN_ACCEPT_DIGITS, Acceptance, Observation, Phase, Verdict
 from lapispick.fleet.errors import StateFolderError
@@ -31,7 +31,7 @@
 class Source(NamedTuple):
     """Which list: how it is read, and what is read of its hosts."""
 
-    settings: Settings
+    settings: InventorySettings
     schema: Schema
 
 
@@ -69,7 +69,7 @@
         settings = where.settings
         self._schema = where.schema
         self._path = Path(str(settings.path))
-        self._max_bytes = settings.size_most
+        self._max_bytes = settings.max_bytes
         self._reader = Reader(options(settings, self._schema), os.environ)
 
     def read(self) -> Reading:
@@ -93,14 +93,14 @@
     return snapshot.snapshot_of(reading.hosts)
 
 
-def _folder(settings: Settings) -> Path:
+def _folder(settings: InventorySettings) -> Path:
     if settings.state_folder is None:
         complain("no state-folder in section inventory of the settings: the host leaves no traces")
         sys.exit(NO_STATE)
     return Path(str(settings.state_folder))
 
 
-def _accepted(settings: Settings) -> Snapshot | None:
+def _accepted(settings: InventorySettings) -> Snapshot | None:
     """Return the last good list of the host, None where there is none that can be used."""
     if settings.state_folder is None:
         return None
@@ -320,7 +320,7 @@
         verdict = judge.observe(time.monotonic(), observation)
         if verdict.is_new:
             _log_verdict(log, verdict, observation)
-        time.sleep(settings.look)
+        time.sleep(settings.poll_interval_s)
 
 
 def _log_verdict(log: Any, verdict: Verdict, observation: Observation) -> None:
--- a/lapispick/cli/rollout_control.py
+++ b/lapispick/cli/rollout_control.py
@@ -57,18 +57,18 @@
 
 def _controller_options(state: RolloutState, fleet: Fleet, default_memory_limit_mb: float) -> ControllerOptions:
     settings = fleet.settings
-    names_file = fleet.source.settings.names_file
+    names_file = fleet.source.settings.hosts_file
     bounds = Bounds(
-        alarm=settings.alarm,
+        alarm=settings.false_alarm_probability,
         stages=max(1, len(state.plan.stages)),
-        worse=settings.worse,
+        worse=settings.tolerated_degradation,
         memory_limit_kb=default_memory_limit_mb * _KB_PER_MB,
     )
     return ControllerOptions(
-        name=settings.who,
-        poll_interval_s=settings.look,
+        name=settings.controller_name,
+        poll_interval_s=settings.poll_interval_s,
         analysis_bounds=bounds,
         hours=pacing.parse_hours(settings.hours),
-        excluded_days=settings.not_days,
+        excluded_days=settings.excluded_days,
         names_file=Path(str(names_file)) if names_file else None,
     )
--- a/lapispick/cli/rollout_planning.py
+++ b/lapispick/cli/rollout_planning.py
@@ -15,7 +15,7 @@
 from lapispick.cli.inventory import Files, source
 from lapispick.cli.output import FAULTY
 from lapispick.cli.rollout_common import fail
-from lapispick.conf.settings import Rollout as Settings
+from lapispick.conf.sections import RolloutSettings
 from lapispick.fleet import hosts
 from lapispick.fleet.hosts import Worker
 from lapispick.rollout import compat, generations, messages, pacing, stages
@@ -36,7 +36,7 @@
 class Fleet(NamedTuple):
     """The list of hosts, and the stages that follow from it and the settings."""
 
-    settings: Settings
+    settings: RolloutSettings
     workers: tuple[Worker, ...]
     stages: list[list[str]]
     remarks: list[str]
@@ -82,7 +82,7 @@
     reading = Files(list_source).read()
     faults = [str(fault) for fault in reading.faults]
     workers, _ = hosts.workers(reading.hosts.values())
-    limits = stages.Limits(settings.rollout.zone_most)
+    limits = stages.Limits(settings.rollout.max_zone_fraction)
     planned: list[list[str]] = []
     remarks: list[str] = []
     try:
@@ -101,19 +101,19 @@
     return Plan(
         generation=generation,
         stages=tuple(tuple(stage) for stage in fleet.stages),
-        hold_after_stages=tuple(int(number) for number in settings.hold),
+        hold_after_stages=tuple(int(number) for number in settings.hold_after_stages),
         host_kinds={worker.name: worker.kind for worker in fleet.workers},
-        warm_up_s=settings.warm_up,
-        min_bake_s=settings.bake,
-        max_bake_s=settings.bake_most,
-        confirm_timeout_s=settings.confirm,
-        baseline_s=max(settings.warm_up, settings.bake / 2),
-        pace=pacing.Limits(settings.change_most, settings.serving_least),
-        max_concurrent_rollbacks=settings.back_most,
-        unreachable_after_s=settings.unreached,
-        max_down_fraction=settings.fire,
-        use_controls=settings.controls,
-        max_memory_fraction=settings.memory_most,
+        warm_up_s=settings.warm_up_s,
+        min_bake_s=settings.min_bake_s,
+        max_bake_s=settings.max_bake_s,
+        confirm_timeout_s=settings.confirm_timeout_s,
+        baseline_s=max(settings.warm_up_s, settings.min_bake_s / 2),
+        pace=pacing.Limits(settings.max_changing, settings.min_serving_fraction),
+        max_concurrent_rollbacks=settings.max_concurrent_rollbacks,
+        unreachable_after_s=settings.unreachable_after_s,
+        max_down_fraction=settings.max_down_fraction,
+        use_controls=settings.use_controls,
+        max_memory_fraction=settings.max_memory_fraction,
         default_memory_limit_mb=default_memory_limit_mb,
     )
 
--- a/lapispick/conf/legacy.py
+++ b/lapispick/conf/legacy.py
@@ -8,40 +8,44 @@
 
 import msgspec
 
-from lapispick.conf.settings import Amqp, Settings
+from lapispick.conf.sections import AmqpSettings, Settings
 from lapispick.file_errors import FaultCollector, InvalidFileError, SourceLocation, suggest_nearest
 
-FILE, VARIABLE = "deploy/amqp.toml", "LAPISPICK_AMQP"
-KEYS = {"enabled": bool, "inventory": str, "group": str}
+DEFAULT_PATH = "deploy/amqp.toml"
+PATH_VARIABLE = "LAPISPICK_AMQP"
+KEY_TYPES = {"enabled": bool, "inventory": str, "group": str}
 
 
 def located(environ: Mapping[str, str]) -> Path | None:
     """Return the path of such a file, None where there is none."""
-    if told := environ.get(VARIABLE):
-        return Path(told)
-    return Path(FILE) if Path(FILE).exists() else None
+    if named := environ.get(PATH_VARIABLE):
+        return Path(named)
+    return Path(DEFAULT_PATH) if Path(DEFAULT_PATH).exists() else None
 
 
 def merged(settings: Settings, path: Path) -> Settings:
     """Return the settings with what the old file says; raises ``InvalidFileError``."""
-    faults, place = FaultCollector(), SourceLocation(str(path))
+    faults = FaultCollector()
+    location = SourceLocation(str(path))
     try:
-        told = tomllib.loads(path.read_text(encoding="utf-8"))
+        given = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, ValueError) as err:
-        faults.add(place, "", str(err))
+        faults.add(location, "", str(err))
         raise InvalidFileError(faults.collected) from None
-    for key, value in told.items():
-        if key not in KEYS:
-            faults.add(place, key, f"unknown; there are {', '.join(KEYS)}{suggest_nearest(key, KEYS)}")
-        elif type(value) is not KEYS[key]:
-            faults.add(place, key, f"must be a {KEYS[key].__name__}")
-    if told.get("enabled") and "inventory" not in told:
-        faults.add(place, "inventory", "must name the inventory's file")
+    for key, value in given.items():
+        if key not in KEY_TYPES:
+            faults.add(location, key, f"unknown; there are {', '.join(KEY_TYPES)}{suggest_nearest(key, KEY_TYPES)}")
+        elif type(value) is not KEY_TYPES[key]:
+            faults.add(location, key, f"must be a {KEY_TYPES[key].__name__}")
+    if given.get("enabled") and "inventory" not in given:
+        faults.add(location, "inventory", "must name the inventory's file")
     if faults:
         raise InvalidFileError(faults.collected)
-    if not told.get("enabled", False):
+    if not given.get("enabled", False):
         return settings
-    kept = msgspec.structs.replace(
-        settings.inventory, path=path.parent / told["inventory"], group=told.get("group", "amqp")
+    inventory = msgspec.structs.replace(
+        settings.inventory, path=path.parent / given["inventory"], group=given.get("group", "amqp")
+    )
+    return msgspec.structs.replace(
+        settings, inventory=inventory, amqp=AmqpSettings(enabled=True, drain_timeout_s=settings.amqp.drain_timeout_s)
     )
-    return msgspec.structs.replace(settings, inventory=kept, amqp=Amqp(enabled=True, drain=settings.amqp.drain))
--- a/lapispick/conf/parser.py
+++ b/lapispick/conf/parser.py
@@ -18,15 +18,15 @@
 
 from lapispick.file_errors import FaultCollector, SourceLocation
 
-INCLUDES_MOST = 64  # files of one configuration
-DEPTH_MOST = 8  # includes within includes
-LINES_MOST = 20_000  # of all files together
+MAX_FILES = 64  # files of one configuration
+MAX_INCLUDE_DEPTH = 8  # includes within includes
+MAX_LINES = 20_000  # of all files together
 
 
 class Line(msgspec.Struct, frozen=True):
-    """One directive: its name, its words and where it stands."""
+    """One directive: its name, its words and where it is written."""
 
-    place: SourceLocation
+    location: SourceLocation
     name: str
     words: tuple[str, ...]
 
@@ -34,7 +34,7 @@
 class Section(msgspec.Struct):
     """One ``section NAME`` to ``end``."""
 
-    place: SourceLocation
+    location: SourceLocation
     name: str
     lines: list[Line] = msgspec.field(default_factory=list)
 
@@ -50,81 +50,83 @@
         self.faults = FaultCollector()
         self.sections: list[Section] = []
         self._opener = opener
-        self._files: list[PurePath] = []  # being read, the outermost first
-        self._read = 0
-        self._lines = 0
-        self._open: Section | None = None
+        self._open_files: list[PurePath] = []  # being parsed, the outermost first
+        self._file_count = 0
+        self._line_count = 0
+        self._open_section: Section | None = None
 
-    def file(self, path: PurePath, place: SourceLocation | None = None) -> None:
+    def file(self, path: PurePath, location: SourceLocation | None = None) -> None:
         """Read what a pattern names; faults are collected."""
-        place = place or SourceLocation(str(path))
-        if len(self._files) >= DEPTH_MOST:
-            return self.faults.add(place, "include", f"{path} is included more than {DEPTH_MOST} deep")
+        location = location or SourceLocation(str(path))
+        if len(self._open_files) >= MAX_INCLUDE_DEPTH:
+            return self.faults.add(location, "include", f"{path} is included more than {MAX_INCLUDE_DEPTH} deep")
         try:
             found = self._opener(path)
         except (OSError, ValueError) as err:
-            return self.faults.add(place, "include" if self._files else "", f"{path} can't be read: {err}")
+            return self.faults.add(location, "include" if self._open_files else "", f"{path} can't be read: {err}")
         for each, text in found:
-            self._read += 1
-            if each in self._files:
-                chain = " -> ".join(str(f) for f in (*self._files, each))
-                self.faults.add(place, "include", f"a file includes itself: {chain}")
-            elif self._read > INCLUDES_MOST:
-                return self.faults.add(place, "include", f"more than {INCLUDES_MOST} files")
+            self._file_count += 1
+            if each in self._open_files:
+                chain = " -> ".join(str(f) for f in (*self._open_files, each))
+                self.faults.add(location, "include", f"a file includes itself: {chain}")
+            elif self._file_count > MAX_FILES:
+                return self.faults.add(location, "include", f"more than {MAX_FILES} files")
             else:
-                self._text(each, text)
+                self._parse_text(each, text)
 
-    def _text(self, path: PurePath, text: str) -> None:
-        self._files.append(path)
-        outer, self._open = self._open, None
+    def _parse_text(self, path: PurePath, text: str) -> None:
+        self._open_files.append(path)
+        outer = self._open_section
+        self._open_section = None
         for number, raw in enumerate(text.splitlines(), 1):
-            self._lines += 1
-            if self._lines > LINES_MOST:
-                self.faults.add(SourceLocation(str(path), number), "", f"more than {LINES_MOST} lines")
+            self._line_count += 1
+            if self._line_count > MAX_LINES:
+                self.faults.add(SourceLocation(str(path), number), "", f"more than {MAX_LINES} lines")
                 break
-            self._line(SourceLocation(str(path), number), raw)
-        if self._open is not None:
-            self.faults.add(self._open.place, "section", f"{self._open.name} has no end")
-        self._open = outer
-        self._files.pop()
+            self._parse_line(SourceLocation(str(path), number), raw)
+        if self._open_section is not None:
+            self.faults.add(self._open_section.location, "section", f"{self._open_section.name} has no end")
+        self._open_section = outer
+        self._open_files.pop()
 
-    def _line(self, place: SourceLocation, raw: str) -> None:
+    def _parse_line(self, location: SourceLocation, raw: str) -> None:
         try:
             words = shlex.split(raw, comments=True)
         except ValueError as err:
-            return self.faults.add(place, raw.split(maxsplit=1)[0], f"can't be split into words: {err}")
+            return self.faults.add(location, raw.split(maxsplit=1)[0], f"can't be split into words: {err}")
         if not words:
             return
-        name, rest = words[0], tuple(words[1:])
+        name = words[0]
+        rest = tuple(words[1:])
         if name == "include":
-            self._include(place, rest)
+            self._include(location, rest)
         elif name == "section":
-            self._begin(place, rest)
+            self._begin_section(location, rest)
         elif name == "end":
-            self._end(place, rest)
-        elif self._open is None:
-            self.faults.add(place, name, "stands outside of a section")
+            self._end_section(location, rest)
+        elif self._open_section is None:
+            self.faults.add(location, name, "stands outside of a section")
         else:
-            self._open.lines.append(Line(place, name, rest))
+            self._open_section.lines.append(Line(location, name, rest))
 
-    def _include(self, place: SourceLocation, words: tuple[str, ...]) -> None:
+    def _include(self, location: SourceLocation, words: tuple[str, ...]) -> None:
         if len(words) != 1:
-            return self.faults.add(place, "include", "takes one path or pattern")
-        if self._open is not None:
-            return self.faults.add(place, "include", f"stands within section {self._open.name}")
-        self.file(self._files[-1].parent / words[0], place)
+            return self.faults.add(location, "include", "takes one path or pattern")
+        if self._open_section is not None:
+            return self.faults.add(location, "include", f"stands within section {self._open_section.name}")
+        self.file(self._open_files[-1].parent / words[0], location)
 
-    def _begin(self, place: SourceLocation, words: tuple[str, ...]) -> None:
+    def _begin_section(self, location: SourceLocation, words: tuple[str, ...]) -> None:
         if len(words) != 1:
-            return self.faults.add(place, "section", "takes one name")
-        if self._open is not None:
-            self.faults.add(place, "section", f"{self._open.name} has no end before this")
-        self._open = Section(place, words[0])
-        self.sections.append(self._open)
+            return self.faults.add(location, "section", "takes one name")
+        if self._open_section is not None:
+            self.faults.add(location, "section", f"{self._open_section.name} has no end before this")
+        self._open_section = Section(location, words[0])
+        self.sections.append(self._open_section)
 
-    def _end(self, place: SourceLocation, words: tuple[str, ...]) -> None:
+    def _end_section(self, location: SourceLocation, words: tuple[str, ...]) -> None:
         if words:
-            self.faults.add(place, "end", f"takes nothing, not {words[0]!r}")
-        if self._open is None:
-            self.faults.add(place, "end", "there is no section to end")
-        self._open = None
+            self.faults.add(location, "end", f"takes nothing, not {words[0]!r}")
+        if self._open_section is None:
+            self.faults.add(location, "end", "there is no section to end")
+        self._open_section = None
--- a/lapispick/conf/value_types.py
+++ b/lapispick/conf/value_types.py
@@ -1,42 +1,44 @@
-"""The kinds of values that directives take, with their units. No I/O.
+"""The types of values that directives take, with their units. No I/O.
 
-Each kind reads the words of a line into a value, or raises ``ValueError`` with what is wanted.
+Each type parses a word of a line into a value, or raises ``ValueError`` with what is expected.
 """
 
 from __future__ import annotations
 
 import re
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from math import isfinite
 from pathlib import PurePath
 from typing import Any
 
 import msgspec
 
-SPANS = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0, "d": 86_400.0}
-SIZES = {"B": 1, "KB": 1 << 10, "MB": 1 << 20, "GB": 1 << 30}
-YES, NO = ("yes", "on", "true"), ("no", "off", "false")
+DURATION_UNITS_S = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0, "d": 86_400.0}
+SIZE_UNITS_BYTES = {"B": 1, "KB": 1 << 10, "MB": 1 << 20, "GB": 1 << 30}
+TRUE_WORDS = ("yes", "on", "true")
+FALSE_WORDS = ("no", "off", "false")
+_FIRST_PRINTABLE = 32  # code point
 
 
-def _number(text: str, units: dict[str, float] | dict[str, int], unit: str, example: str) -> float:
+def _quantity(text: str, units: Mapping[str, float], default_unit: str, example: str) -> float:
     match = re.fullmatch(r"(\d+(?:\.\d+)?)\s*([A-Za-z]*)", text)
-    if not match or (match.group(2) or unit) not in units:
+    if not match or (match.group(2) or default_unit) not in units:
         raise ValueError(f"{text!r} is not {example}; units are {', '.join(units)}")
-    return float(match.group(1)) * units[match.group(2) or unit]
+    return float(match.group(1)) * units[match.group(2) or default_unit]
 
 
 def text(word: str) -> str:
     """Take any text."""
-    if any(ord(c) < 32 for c in word):
+    if any(ord(character) < _FIRST_PRINTABLE for character in word):
         raise ValueError(f"{word!r} holds a control character")
     return word
 
 
-def flag(word: str) -> bool:
+def boolean(word: str) -> bool:
     """Take ``yes`` or ``no``."""
-    if word.lower() in YES:
+    if word.lower() in TRUE_WORDS:
         return True
-    if word.lower() in NO:
+    if word.lower() in FALSE_WORDS:
         return False
     raise ValueError(f"{word!r} is neither yes nor no")
 
@@ -48,18 +50,18 @@
     return int(word)
 
 
-def span(word: str) -> float:
-    """Take a span such as ``5s`` or ``200ms``; returns seconds. A bare number is seconds."""
-    return _number(word, SPANS, "s", "a span such as 5s")
+def duration(word: str) -> float:
+    """Take a duration such as ``5s`` or ``200ms``; returns seconds. A bare number is seconds."""
+    return _quantity(word, DURATION_UNITS_S, "s", "a span such as 5s")
 
 
-def size(word: str) -> int:
+def byte_size(word: str) -> int:
     """Take a size such as ``32MB``; returns bytes. A bare number is bytes."""
-    return int(_number(word, SIZES, "B", "a size such as 32MB"))
+    return int(_quantity(word, SIZE_UNITS_BYTES, "B", "a size such as 32MB"))
 
 
-def share(word: str) -> float:
-    """Take a share such as ``17%`` or ``0.17``; returns a number from 0 to 1."""
+def fraction(word: str) -> float:
+    """Take a fraction such as ``17%`` or ``0.17``; returns a number from 0 to 1."""
     try:
         value = float(word[:-1]) / 100 if word.endswith("%") else float(word)
     except ValueError:
@@ -83,34 +85,32 @@
     if isinstance(value, float):
         return f"{value:g}"
     if isinstance(value, tuple):
-        return " ".join(shown(v) for v in value)
+        return " ".join(shown(element) for element in value)
     written = str(value)
     plain = re.fullmatch(r"[\w./:%+,@=-]+", written)
     return written if plain else "'" + written.replace("'", "'\"'\"'") + "'"
 
 
 class Directive(msgspec.Struct, frozen=True):
-    """What one directive takes; ``low`` and ``high`` are bounds in the value's own unit."""
+    """What one directive takes; ``minimum`` and ``maximum`` are bounds in the value's own unit."""
 
-    kind: Callable[[str], Any]
+    parse: Callable[[str], Any]
     doc: str
-    low: float | None = None
-    high: float | None = None
+    minimum: float | None = None
+    maximum: float | None = None
     choices: tuple[str, ...] = ()
-    many: bool = False  # takes several words, and may stand on several lines
+    repeatable: bool = False  # takes several words, and may stand on several lines
     secret: bool = False
 
     def value(self, word: str) -> Any:
         """Read one word; raises ``ValueError``."""
-        made = self.kind(word)
-        if self.choices and made not in self.choices:
+        value = self.parse(word)
+        if self.choices and value not in self.choices:
             raise ValueError(f"{word!r} is none of {', '.join(self.choices)}")
-        low, high = self.low, self.high
-        if (low is not None and made < low) or (high is not None and made > high):
-            # A span is told in seconds and a share in parts of 1, as the value is kept.
-            raise ValueError(
-                f"{word!r} is outside of {shown(low)} to {shown(high)}"
-                if low is not None and high is not None
-                else f"{word!r} is out of bounds"
-            )
-        return made
+        minimum = self.minimum
+        maximum = self.maximum
+        if (minimum is not None and value < minimum) or (maximum is not None and value > maximum):
+            if minimum is None or maximum is None:
+                raise ValueError(f"{word!r} is out of bounds")
+            raise ValueError(f"{word!r} is outside of {shown(minimum)} to {shown(maximum)}")
+        return value
--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from lapispick.conf import settings as conf
-from lapispick.conf.settings import Settings
+from lapispick.conf.sections import Settings
 from lapispick.file_errors import InvalidFileError
 from lapispick.host import events
 from lapispick.host.config import Config, ConfigError, load
@@ -101,7 +101,7 @@
             )
         self.members = self._members(own) if own.members.enabled else None
         self.handover = self._handover(own)
-        if own.figures.enabled:
+        if own.metrics.enabled:
             centre.wide = Wide(
                 [s.name for s in config.settings.services],
                 [(c.latency_objective_ms, c.priority_weight, c.late_weight) for c in settings.classes],
@@ -127,9 +127,15 @@
         from lapispick.host.inventory import Inventory
 
         config, told, centre = self.config, own.inventory, self.centre
-        names = Names(self.loop, told.names_timeout, told.names_file)
-        bounds = Bounds(told.change_most, told.change_least, told.change_wait, own.amqp.drain, config.limits.brokers)
-        front = AmqpFront(self.loop, bounds, config.settings, config.start, centre.post, names, told.names_every)
+        names = Names(self.loop, told.resolve_timeout_s, told.hosts_file)
+        bounds = Bounds(
+            told.max_changing_fraction,
+            told.min_changing,
+            told.change_timeout_s,
+            own.amqp.drain_timeout_s,
+            config.limits.brokers,
+        )
+        front = AmqpFront(self.loop, bounds, config.settings, config.start, centre.post, names, told.resolve_interval_s)
         centre.fronts.append(front)
         inventory = Inventory(self.loop, told, listing.schema(config.settings), front.take)
         front.start()
--- a/lapispick/host/inventory.py
+++ b/lapispick/host/inventory.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from lapispick import jitter
-from lapispick.conf.settings import Inventory as Settings
+from lapispick.conf.sections import InventorySettings
 from lapispick.fleet.acceptance import Acceptance, Observation, Phase, Policy, Verdict
 from lapispick.fleet.errors import HelperProtocolError
 from lapispick.fleet.messages import (
@@ -51,7 +51,7 @@
 AcceptedHandler = Callable[[Snapshot, Difference], None]
 
 
-def options(settings: Settings, schema: Schema) -> Options:
+def options(settings: InventorySettings, schema: Schema) -> Options:
     """Return how the files are read."""
     return Options(
         group=settings.group,
@@ -60,20 +60,20 @@
         delimiter=settings.delimiter,
         end_marker=settings.end_marker,
         final_newline=settings.final_newline,
-        max_hosts=settings.boxes_most,
+        max_hosts=settings.max_hosts,
     )
 
 
-def policy(settings: Settings) -> Policy:
+def policy(settings: InventorySettings) -> Policy:
     """Return when a list is accepted."""
     return Policy(
-        settle_s=settings.settle,
-        max_settle_s=settings.settle_most,
-        max_loss_fraction=settings.loss,
-        min_allowed_loss=settings.loss_least,
-        max_turnover_fraction=settings.turnover,
-        loss_window_s=settings.loss_window,
-        hold_s=settings.hold,
+        settle_s=settings.settle_s,
+        max_settle_s=settings.max_settle_s,
+        max_loss_fraction=settings.max_loss_fraction,
+        min_allowed_loss=settings.min_allowed_loss,
+        max_turnover_fraction=settings.max_turnover_fraction,
+        loss_window_s=settings.loss_window_s,
+        hold_s=settings.hold_s,
     )
 
 
@@ -135,14 +135,14 @@
 class Inventory:
     """The host list that is in force for this host."""
 
-    def __init__(self, loop: Loop, settings: Settings, schema: Schema, on_accepted: AcceptedHandler) -> None:
+    def __init__(self, loop: Loop, settings: InventorySettings, schema: Schema, on_accepted: AcceptedHandler) -> None:
         self._loop = loop
         self._settings = settings
         self._schema = schema
         self._on_accepted = on_accepted
         self.acceptance = Acceptance(policy(settings))
-        self.history = History(settings.history)
-        self.presence = PresenceTracker(settings.returns, settings.boxes_most)
+        self.history = History(settings.max_history)
+        self.presence = PresenceTracker(settings.return_window_s, settings.max_hosts)
         self.helper = HelperConnection(loop)
         self._received = EMPTY  # what the helper sent last
 
@@ -172,7 +172,7 @@
                 raise HelperProtocolError(f"{type(polled).__name__} came in place of a list")
             self._apply_chunks(polled)
             self._judge(polled)
-            self._loop.sleep(self._settings.look)
+            self._loop.sleep(self._settings.poll_interval_s)
 
     def _begin(self) -> None:
         """Tell a new helper what to read, and take over the last good list."""
@@ -180,10 +180,10 @@
         self.helper.send(
             Begin(
                 path=str(settings.path),
-                max_bytes=settings.size_most,
+                max_bytes=settings.max_bytes,
                 options=options(settings, self._schema),
                 state_folder=str(settings.state_folder or ""),
-                max_history=settings.history,
+                max_history=settings.max_history,
             )
         )
         loaded = self.helper.read()
@@ -271,7 +271,7 @@
                 "inventory-held",
                 digest=polled.digest[:SHOWN_DIGEST_DIGITS],
                 reason=verdict.reason,
-                hold_s=self._settings.hold,
+                hold_s=self._settings.hold_s,
             )
 
     def _save_status(self, verdict: Verdict, polled: Polled) -> None:
--- a/lapispick/host/members/directory.py
+++ b/lapispick/host/members/directory.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from lapispick.conf.settings import Inventory as InventorySettings
+from lapispick.conf.sections import InventorySettings
 from lapispick.digests import blake2b
 from lapispick.fleet import hosts
 from lapispick.fleet.hosts import Worker
@@ -48,8 +48,8 @@
         self.addresses: dict[str, Address] = {}
         self._loop = loop
         self._on_change = on_change
-        hosts_file = Path(settings.names_file) if settings.names_file else None
-        self._resolver = Names(loop, settings.names_timeout, hosts_file)
+        hosts_file = Path(settings.hosts_file) if settings.hosts_file else None
+        self._resolver = Names(loop, settings.resolve_timeout_s, hosts_file)
         self._inventory = Inventory(loop, settings, hosts.SCHEMA, self.accept)
 
     def serve(self) -> None:
--- a/lapispick/host/members/local_member.py
+++ b/lapispick/host/members/local_member.py
@@ -8,7 +8,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from lapispick.conf.settings import Members as Settings
+from lapispick.conf.sections import MembersSettings
 from lapispick.host.logs import log
 from lapispick.host.members.directory import AcceptedList, MemberDirectory
 from lapispick.host.members.reports import LoggedChange
@@ -29,7 +29,7 @@
 class LocalMember:
     """Holds this host's ``Member``: None until a list names the host. ``has_left``: it takes part no more."""
 
-    def __init__(self, settings: Settings, directory: MemberDirectory, rng: random.Random) -> None:
+    def __init__(self, settings: MembersSettings, directory: MemberDirectory, rng: random.Random) -> None:
         self.settings = settings
         self.directory = directory
         self.rng = rng
@@ -51,7 +51,7 @@
             return
         self.member = Member(
             self.directory.name,
-            self.settings.name,
+            self.settings.fleet_name,
             self.process_epoch,
             accepted.names,
             accepted.digest,
--- a/lapispick/host/members/service.py
+++ b/lapispick/host/members/service.py
@@ -10,8 +10,7 @@
 from collections.abc import Callable, Iterable
 
 from lapispick import jitter
-from lapispick.conf.settings import Inventory as InventorySettings
-from lapispick.conf.settings import Members as Settings
+from lapispick.conf.sections import InventorySettings, MembersSettings
 from lapispick.host.logs import log
 from lapispick.host.members.anti_entropy import AntiEntropy
 from lapispick.host.members.directory import AcceptedList, MemberDirectory
@@ -41,7 +40,7 @@
     def __init__(
         self,
         loop: Loop,
-        settings: Settings,
+        settings: MembersSettings,
         inventory: InventorySettings,
         name: str,
         seed: int,
@@ -58,8 +57,8 @@
         self.directory = MemberDirectory(loop, inventory, name, self._accept_list)
         self.local = LocalMember(settings, self.directory, self._rng)
         counters = TransportCounters()
-        self.transport = DatagramTransport(loop, self.local, counters, settings.rate)
-        self._anti_entropy = AntiEntropy(loop, self.local, counters, settings.sync, max_state_bytes)
+        self.transport = DatagramTransport(loop, self.local, counters, settings.max_messages_per_s)
+        self._anti_entropy = AntiEntropy(loop, self.local, counters, settings.sync_interval_s, max_state_bytes)
         self.calls = OperatorCalls(self.local, self.transport, counters)
 
     def serve(self) -> None:
--- a/lapispick/host/members/settings.py
+++ b/lapispick/host/members/settings.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lapispick.conf.settings import Members as Settings
+from lapispick.conf.sections import MembersSettings
 from lapispick.members.leases import LeaseSettings
 from lapispick.members.member import MemberSettings
 from lapispick.members.suspicion import SwimSettings
@@ -14,32 +14,32 @@
 WAITER_TIMEOUT_VOTES = 4  # times the timeout of a vote
 
 
-def member_settings(section: Settings) -> MemberSettings:
+def member_settings(section: MembersSettings) -> MemberSettings:
     """Return the settings of this host's member."""
     return MemberSettings(
         swim=SwimSettings(
-            probe_interval_s=section.period,
-            probe_timeout_s=section.timeout,
-            indirect_probes=section.helpers,
-            suspicion_factor=float(section.suspicion),
-            epoch_adoption_s=max(MIN_EPOCH_ADOPTION_S, EPOCH_ADOPTION_PERIODS * section.period),
+            probe_interval_s=section.probe_interval_s,
+            probe_timeout_s=section.probe_timeout_s,
+            indirect_probes=section.indirect_probes,
+            suspicion_factor=float(section.suspicion_factor),
+            epoch_adoption_s=max(MIN_EPOCH_ADOPTION_S, EPOCH_ADOPTION_PERIODS * section.probe_interval_s),
         ),
         leases=LeaseSettings(
-            lease_s=section.lease,
-            clock_drift_ratio=section.drift,
-            vote_timeout_s=section.answer,
-            retry_delay_s=min(MAX_LEASE_RETRY_S, section.answer / 2),
-            configuration_overlap_s=section.lists,
-            waiter_timeout_s=max(MIN_WAITER_TIMEOUT_S, WAITER_TIMEOUT_VOTES * section.answer),
+            lease_s=section.lease_s,
+            clock_drift_ratio=section.clock_drift_ratio,
+            vote_timeout_s=section.vote_timeout_s,
+            retry_delay_s=min(MAX_LEASE_RETRY_S, section.vote_timeout_s / 2),
+            configuration_overlap_s=section.configuration_overlap_s,
+            waiter_timeout_s=max(MIN_WAITER_TIMEOUT_S, WAITER_TIMEOUT_VOTES * section.vote_timeout_s),
         ),
-        lease_owner_timeout_s=section.keep,
+        lease_owner_timeout_s=section.lease_owner_timeout_s,
     )
 
 
-def slot_counts(section: Settings) -> dict[str, int]:
+def slot_counts(section: MembersSettings) -> dict[str, int]:
     """Return how many hosts may hold each named lease."""
     counts = {}
-    for each in section.turns:
+    for each in section.leases:
         name, _, count = each.partition(":")
         counts[name] = int(count)
     return counts
--- a/lapispick/host/recorder.py
+++ b/lapispick/host/recorder.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from lapispick import admission
-from lapispick.conf.settings import Trace
+from lapispick.conf.sections import TraceSettings
 from lapispick.digests import blake2b
 from lapispick.host.logs import log
 from lapispick.host.requests import Request
@@ -38,9 +38,9 @@
 class Recorder:
     """Takes the steps of one life of the host."""
 
-    def __init__(self, loop: Loop, settings: Trace, name: str, info: Info, memory_mb: float) -> None:
+    def __init__(self, loop: Loop, settings: TraceSettings, name: str, info: Info, memory_mb: float) -> None:
         self._loop, self._settings, self._name, self._info = loop, settings, name, info
-        self._buffer = min(settings.buffer, int(memory_mb * (1 << 20) / BUFFER_PART))
+        self._buffer = min(settings.buffer_bytes, int(memory_mb * (1 << 20) / BUFFER_PART))
         # Subjects of one life can be told apart, and not guessed from a trace; with a shared key, those of all boxes.
         key = settings.subject_key
         self._salt = os.urandom(16) if key is None else Path(key).read_bytes()
@@ -61,10 +61,10 @@
                 "folder": str(told.folder),
                 "box": self._name,
                 "incarnation": f"{int(time.time() * 1000):012x}-{os.getpid()}",
-                "rotate_size": told.rotate_size,
-                "rotate_age": told.rotate_age,
-                "keep_size": told.keep_size,
-                "keep_age": told.keep_age,
+                "rotate_size": told.max_file_bytes,
+                "rotate_age": told.max_file_age_s,
+                "keep_size": told.max_total_bytes,
+                "keep_age": told.retention_s,
                 "sync": told.sync,
                 "seed": seed,
                 "module_now": now,
@@ -75,7 +75,7 @@
             }
         )
         self._start()
-        self._loop.later(told.flush, self._beat)
+        self._loop.later(told.flush_interval_s, self._beat)
 
     def _start(self) -> None:
         """Start a writer; what the one before it had not written is a gap in the trace."""
@@ -121,7 +121,7 @@
 
     def _beat(self) -> None:
         self._hand_over()
-        self._loop.later(self._settings.flush, self._beat)
+        self._loop.later(self._settings.flush_interval_s, self._beat)
 
     def _hand_over(self) -> None:
         """Send what waits; where the writer is behind, drop it instead and count it."""
--- a/lapispick/model/fault_script.py
+++ b/lapispick/model/fault_script.py
@@ -63,7 +63,7 @@
         if self.hosts == ALL_HOSTS:
             return list(names)
         if self.hosts.endswith("%"):
-            return sorted(rng.sample(sorted(names), round(len(names) * value_types.share(self.hosts))))
+            return sorted(rng.sample(sorted(names), round(len(names) * value_types.fraction(self.hosts))))
         return self.hosts.split(",")
 
 
@@ -89,14 +89,14 @@
         raise ValueError(f"{kind} is none of {', '.join(FaultKind)}")
     span = DEFAULT_SPAN_S
     if rest[:1] == [SPAN_KEYWORD]:
-        span = value_types.span(rest[1])
+        span = value_types.duration(rest[1])
         rest = rest[2:]
     takes_value = kind in KINDS_WITH_VALUE
     if len(rest) > 1 or bool(rest) != takes_value:
         raise ValueError(f"{kind} takes {'one value' if takes_value else 'no value'}")
     value = 0.0
     if kind == FaultKind.LOSS:
-        value = value_types.share(rest[0])
+        value = value_types.fraction(rest[0])
     elif kind == FaultKind.DELAY:
-        value = value_types.span(rest[0])
-    return FaultStep(value_types.span(at), kind, hosts, span, value)
+        value = value_types.duration(rest[0])
+    return FaultStep(value_types.duration(at), kind, hosts, span, value)
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -10,6 +10,7 @@
 from hypothesis import strategies as st
 
 from lapispick.conf import parser, settings, value_types
+from lapispick.conf.sections import AmqpSettings
 from lapispick.file_errors import InvalidFileError
 
 
@@ -29,8 +30,8 @@
     (tmp_path / "more/x.conf").write_text("section amqp\n enabled yes\n drain 1m\nend\n")
     made = settings.parse(path)
     kept = made.inventory
-    assert kept.path == tmp_path / "my list.yml" and made.amqp == settings.Amqp(True, 60.0)
-    assert (kept.settle, kept.loss, kept.size_most, kept.end_marker) == (0.2, 0.17, 2 << 20, "# end")
+    assert kept.path == tmp_path / "my list.yml" and made.amqp == AmqpSettings(True, 60.0)
+    assert (kept.settle_s, kept.max_loss_fraction, kept.max_bytes, kept.end_marker) == (0.2, 0.17, 2 << 20, "# end")
 
 
 @pytest.mark.parametrize(
@@ -95,11 +96,11 @@
 @given(st.text(max_size=12))
 def test_no_word_breaks_a_kind(word):
     for kind in (
-        value_types.span,
-        value_types.size,
-        value_types.share,
+        value_types.duration,
+        value_types.byte_size,
+        value_types.fraction,
         value_types.count,
-        value_types.flag,
+        value_types.boolean,
         value_types.text,
         value_types.path,
     ):
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -117,8 +117,8 @@
 
 def test_a_settings_file_of_the_version_before_is_read_and_a_later_one_is_refused_by_name(tmp_path):
     made = conf.parse(SPOKEN / "settings-1.conf")
-    assert made.inventory.loss == 0.2
-    assert not made.figures.enabled
+    assert made.inventory.max_loss_fraction == 0.2
+    assert not made.metrics.enabled
     path = tmp_path / "later.conf"
     path.write_text((SPOKEN / "settings-1.conf").read_text() + "section later\n x 1\nend\n")
     with pytest.raises(conf.InvalidFileError, match="later is unknown"):
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -201,11 +201,11 @@
 
 
 def test_what_waits_for_the_writer_follows_the_memory_limit():
-    from lapispick.conf.settings import Trace
+    from lapispick.conf.sections import TraceSettings
     from lapispick.host.recorder import Recorder
 
-    assert Recorder(None, Trace(), "n3", None, 32)._buffer == 512 << 10
-    assert Recorder(None, Trace(buffer=64 << 10), "n3", None, 192)._buffer == 64 << 10
+    assert Recorder(None, TraceSettings(), "n3", None, 32)._buffer == 512 << 10
+    assert Recorder(None, TraceSettings(buffer_bytes=64 << 10), "n3", None, 192)._buffer == 64 << 10
 
 
 @given(st.binary(max_size=400), st.integers(0, 5000))
