--- a/lapispick/cli/trace_common.py
+++ b/lapispick/cli/trace_common.py
@@ -16,7 +16,7 @@
 
 from lapispick.cli.output import FAULTY, complain
 from lapispick.trace.files import Reader
-from lapispick.trace.helper import OPEN, SUFFIX
+from lapispick.trace.helper import OPEN_SUFFIX, SUFFIX
 from lapispick.trace.layout import TraceFault
 from lapispick.trace.record_types import Step
 from lapispick.trace.records import Block
@@ -63,7 +63,7 @@
     """Open the files, of folders all traces in them, in the order of life and sequence; ends on a fault."""
     found: list[Reader] = []
     for path in paths:
-        many = sorted(p for p in path.iterdir() if p.name.endswith((SUFFIX, OPEN))) if path.is_dir() else [path]
+        many = sorted(p for p in path.iterdir() if p.name.endswith((SUFFIX, OPEN_SUFFIX))) if path.is_dir() else [path]
         for each in many:
             try:
                 found.append(Reader(each))
--- a/lapispick/host/recorder.py
+++ b/lapispick/host/recorder.py
@@ -1,7 +1,7 @@
-"""Records what the decisions are handed and order: encodes it and hands it to a process that writes files.
+"""Records what the decision module receives and orders: encodes it and sends it to a process that writes files.
 
-Nothing here waits for the disk. What a slow or full disk leaves no room for is dropped in whole steps, and
-the next thing that is written says how many.
+Nothing here waits for the disk. Steps for which a slow or full disk leaves no room in the buffer are dropped, and the
+next record that is written says how many.
 """
 
 from __future__ import annotations
@@ -24,58 +24,109 @@
 from lapispick.host.requests import Request
 from lapispick.host.scheduler import Closed, Loop, Overlong, Stream
 from lapispick.platform_settings import Info
+from lapispick.trace.messages import Begin
 from lapispick.trace.record_types import NUMBERS, Answered, Arrival, Gap, Happened
 
 LOG = "trace"
-HAND_OVER = 200  # steps; then they are handed over at once
-BUFFER_PART = 64  # of the memory limit may wait for the writer, at most
-RESTART_S, RESTART_MOST_S = 1.0, 60.0  # s; before another writer is started, doubled each time it wrote nothing
-WROTE = b"wrote "  # the writer's word of how many steps are in whole blocks; all other lines are complaints
-CLOSE_S = 0.05  # s; kept free of what a drain leaves for the last hand-over
-ARRIVAL, ANSWERED, GAP, HAPPENED = (NUMBERS[kind] for kind in (Arrival, Answered, Gap, Happened))
+MAX_BATCH_STEPS = 200  # are sent at once
+MAX_BUFFER_RATIO = 64  # the memory limit over the buffer for the writer
+BUFFER_SLACK_BYTES = 64 << 10
+MIN_RESTART_PAUSE_S = 1.0  # before another writer is started; doubled each time that one wrote nothing
+MAX_RESTART_PAUSE_S = 60.0
+WRITTEN_PREFIX = b"wrote "  # of a line with the number of steps in a written block; other lines are errors
+CLOSE_S = 0.05  # reserved at shutdown for the last batch
+CLOSE_POLL_S = 0.005
+LENGTH_BYTES = 4  # in front of each message
+SUBJECT_DIGEST_BYTES = 8
+SALT_BYTES = 16
+ARRIVAL = NUMBERS[Arrival]
+ANSWERED = NUMBERS[Answered]
+GAP = NUMBERS[Gap]
+HAPPENED = NUMBERS[Happened]
 
 
 class Recorder:
-    """Takes the steps of one life of the host."""
+    """Records the steps of one incarnation of the host."""
 
     def __init__(self, loop: Loop, settings: TraceSettings, name: str, info: Info, memory_mb: float) -> None:
-        self._loop, self._settings, self._name, self._info = loop, settings, name, info
-        self._buffer = min(settings.buffer_bytes, int(memory_mb * (1 << 20) / BUFFER_PART))
-        # Subjects of one life can be told apart, and not guessed from a trace; with a shared key, those of all boxes.
+        self._loop = loop
+        self._settings = settings
+        self._name = name
+        self._info = info
+        self._buffer_bytes = min(settings.buffer_bytes, int(memory_mb * (1 << 20) / MAX_BUFFER_RATIO))
+        # Subjects of one incarnation can be told apart but not guessed; with a shared key, those of all hosts.
         key = settings.subject_key
-        self._salt = os.urandom(16) if key is None else Path(key).read_bytes()
+        self._salt = os.urandom(SALT_BYTES) if key is None else Path(key).read_bytes()
         self._encode = msgspec.msgpack.Encoder().encode
-        self._waiting: list[tuple[Any, ...]] = []
+        self._pending: list[tuple[Any, ...]] = []
+        self._notes: list[tuple[Any, ...]] = []
         self._lost = 0
         self._begin = b""
-        self._handed = self._written = 0  # steps, by the present writer
-        self._pause, self._closing = RESTART_S, False
-        self._notes: list[tuple[Any, ...]] = []
+        self._sent_steps = 0  # to the present writer
+        self._written_steps = 0  # by the present writer
+        self._restart_pause_s = MIN_RESTART_PAUSE_S
+        self._closing = False
         self._stream: Stream | None = None
 
     def begin(self, settings: admission.Settings, seed: int, now: float) -> None:
         """Start the process that writes; ``now`` is the module's clock at its start, ms."""
-        told = self._settings
+        section = self._settings
         self._begin = msgspec.json.encode(
-            {
-                "folder": str(told.folder),
-                "box": self._name,
-                "incarnation": f"{int(time.time() * 1000):012x}-{os.getpid()}",
-                "rotate_size": told.max_file_bytes,
-                "rotate_age": told.max_file_age_s,
-                "keep_size": told.max_total_bytes,
-                "keep_age": told.retention_s,
-                "sync": told.sync,
-                "seed": seed,
-                "module_now": now,
-                "started_ms": time.time() * 1000,
-                "settings": msgspec.json.encode(settings).decode(),
-                "classes": [s.name for s in self._info.services],
-                "accounts": [p.name for p in self._info.parties],
-            }
+            Begin(
+                folder=str(section.folder),
+                host=self._name,
+                incarnation=f"{int(time.time() * 1000):012x}-{os.getpid()}",
+                max_file_bytes=section.max_file_bytes,
+                max_file_age_s=section.max_file_age_s,
+                max_total_bytes=section.max_total_bytes,
+                retention_s=section.retention_s,
+                sync=section.sync,
+                seed=seed,
+                module_now=now,
+                started_ms=time.time() * 1000,
+                settings=msgspec.json.encode(settings).decode(),
+                classes=[service.name for service in self._info.services],
+                accounts=[party.name for party in self._info.parties],
+            )
         )
         self._start()
-        self._loop.later(told.flush_interval_s, self._beat)
+        self._loop.later(section.flush_interval_s, self._flush_periodically)
+
+    def step(self, now: float, events: list[admission.Event], actions: list[admission.Action]) -> None:
+        """Record one step of the module."""
+        # References only: encoding step by step costs three times as much as encoding many at once.
+        self._pending.append((now, events, actions, self._notes))
+        self._notes = []
+        if len(self._pending) >= MAX_BATCH_STEPS:
+            self._flush()
+
+    def arrival(self, number: int, request: Request) -> None:
+        """Record what a request says beside the module's event; its subject only as a digest."""
+        subject = b""
+        if request.idempotency_key is not None:
+            encoded = repr(request.idempotency_key).encode()
+            subject = blake2b(encoded, digest_size=SUBJECT_DIGEST_BYTES, key=self._salt).digest()
+        self._notes.append((ARRIVAL, number, request.account, subject, request.born_at))
+
+    def answered(self, number: int, kind: str, age: float) -> None:
+        """Record the final answer of a request."""
+        self._notes.append((ANSWERED, number, kind, age))
+
+    def happened(self, what: str, details: str = "") -> None:
+        """Record what operators did."""
+        self._notes.append((HAPPENED, what, details))
+
+    def close(self, seconds: float) -> None:
+        """Send the last steps; the writer closes its file once the socket ends."""
+        self._closing = True
+        if self._stream is None:
+            return
+        if self._notes:
+            self.step(time.time() * 1000, [], [])
+        self._flush()
+        end = time.monotonic() + max(0.0, seconds - CLOSE_S / 2)
+        while self._stream.unsent and time.monotonic() < end:
+            self._loop.sleep(CLOSE_POLL_S)
 
     def _start(self) -> None:
         """Start a writer; what the one before it had not written is a gap in the trace."""
@@ -91,51 +142,30 @@
                 stderr=subprocess.DEVNULL,
                 start_new_session=True,
             )
-        self._handed = self._written = 0
-        self._stream = Stream(self._loop, ours, out_most=self._buffer + (64 << 10))
+        self._sent_steps = 0
+        self._written_steps = 0
+        self._stream = Stream(self._loop, ours, out_most=self._buffer_bytes + BUFFER_SLACK_BYTES)
         self._send(self._begin)
         self._loop.spawn(self._listen, self._stream)
 
-    def step(self, now: float, events: list[admission.Event], actions: list[admission.Action]) -> None:
-        """Take one step of the module."""
-        # References only: encoding step by step costs three times as much as encoding many at once.
-        self._waiting.append((now, events, actions, self._notes))
-        self._notes = []
-        if len(self._waiting) >= HAND_OVER:
-            self._hand_over()
-
-    def arrival(self, number: int, request: Request) -> None:
-        """Note what a request says beside the module's event; its subject only as a digest."""
-        subject = b""
-        if request.idempotency_key is not None:
-            subject = blake2b(repr(request.idempotency_key).encode(), digest_size=8, key=self._salt).digest()
-        self._notes.append((ARRIVAL, number, request.account, subject, request.born_at))
-
-    def answered(self, number: int, kind: str, age: float) -> None:
-        """Note the final answer of a request."""
-        self._notes.append((ANSWERED, number, kind, age))
+    def _flush_periodically(self) -> None:
+        self._flush()
+        self._loop.later(self._settings.flush_interval_s, self._flush_periodically)
 
-    def happened(self, what: str, told: str = "") -> None:
-        """Note what operators did."""
-        self._notes.append((HAPPENED, what, told))
-
-    def _beat(self) -> None:
-        self._hand_over()
-        self._loop.later(self._settings.flush_interval_s, self._beat)
-
-    def _hand_over(self) -> None:
-        """Send what waits; where the writer is behind, drop it instead and count it."""
-        stream, steps = self._stream, self._waiting
-        self._waiting = []
+    def _flush(self) -> None:
+        """Send the pending steps; where the writer is behind, drop them instead and count them."""
+        stream = self._stream
+        steps = self._pending
+        self._pending = []
         if not steps or stream is None:
             return
         # Records encode as they are, all their kinds beside them: a tuple made for each would cost as much again.
         numbers = NUMBERS
         kinds = bytes(
-            [numbers[type(one)] for _, events, actions, _ in steps for part in (events, actions) for one in part]
+            [numbers[type(record)] for _, events, actions, _ in steps for part in (events, actions) for record in part]
         )
         data = self._encode((kinds, steps))
-        if stream.closed or stream.unsent + len(data) > self._buffer:
+        if stream.closed or stream.unsent + len(data) > self._buffer_bytes:
             if not self._lost:
                 log(LOG, logging.WARNING, "trace-gap", unsent=stream.unsent, ended=stream.closed)
             self._lost += len(steps)
@@ -143,40 +173,32 @@
         if self._lost:
             self._send(self._encode((b"", [(time.time() * 1000, [], [], [(GAP, self._lost)])])))
             self._lost = 0
-        self._handed += len(steps)
+        self._sent_steps += len(steps)
         self._send(data)
 
     def _send(self, data: bytes) -> None:
         assert self._stream is not None
-        self._stream.write(len(data).to_bytes(4, "little") + data)
+        self._stream.write(len(data).to_bytes(LENGTH_BYTES, "little") + data)
 
     def _listen(self, stream: Stream) -> None:
-        """Take the writer's word of what it wrote, log what it complains of, and start another one if it ends."""
+        """Count what the writer has written, log its errors, and start another one if it ends."""
         try:
             while (line := stream.read_line()) is not None:
-                if line.startswith(WROTE) and line[len(WROTE) :].isdigit():
-                    self._written += int(line[len(WROTE) :])
-                    self._pause = RESTART_S
-                else:
-                    log(LOG, logging.ERROR, "trace-failed", fault=line.decode(errors="replace"))
+                self._handle_line(line)
         except (Overlong, Closed):
             pass
         stream.close()
         if self._closing:
             return
-        self._lost += max(0, self._handed - self._written)
-        log(LOG, logging.WARNING, "trace-writer-ended", lost=self._lost, again_s=self._pause)
-        self._loop.later(self._pause, self._start)
-        self._pause = min(RESTART_MOST_S, 2 * self._pause)
-
-    def close(self, seconds: float) -> None:
-        """Hand over the last steps; the writer closes its file whole once the socket ends."""
-        self._closing = True
-        if self._stream is None:
-            return
-        if self._notes:
-            self.step(time.time() * 1000, [], [])
-        self._hand_over()
-        end = time.monotonic() + max(0.0, seconds - CLOSE_S / 2)
-        while self._stream.unsent and time.monotonic() < end:
-            self._loop.sleep(0.005)
+        self._lost += max(0, self._sent_steps - self._written_steps)
+        log(LOG, logging.WARNING, "trace-writer-ended", lost=self._lost, retry_s=self._restart_pause_s)
+        self._loop.later(self._restart_pause_s, self._start)
+        self._restart_pause_s = min(MAX_RESTART_PAUSE_S, 2 * self._restart_pause_s)
+
+    def _handle_line(self, line: bytes) -> None:
+        count = line.removeprefix(WRITTEN_PREFIX)
+        if line.startswith(WRITTEN_PREFIX) and count.isdigit():
+            self._written_steps += int(count)
+            self._restart_pause_s = MIN_RESTART_PAUSE_S
+        else:
+            log(LOG, logging.ERROR, "trace-failed", fault=line.decode(errors="replace"))
--- a/lapispick/trace/helper.py
+++ b/lapispick/trace/helper.py
@@ -1,8 +1,8 @@
-"""The process that writes trace files: it may wait for the disk as long as it likes.
+"""The process that writes trace files, so that the host never waits for the disk.
 
-The host starts it with a socket as standard input: a JSON message with the settings first, then steps in
-msgpack, each with its length before it. With the end of the socket the file is closed whole, so that neither
-SIGTERM nor SIGKILL of the host leaves half a file; a kill of this process loses the open block only.
+The host starts it with a socket as standard input: ``Begin`` as JSON first, then batches of steps in msgpack, each
+with its length before it. At the end of the socket the file is closed properly, so that neither SIGTERM nor SIGKILL of
+the host leaves an incomplete file; a kill of this process loses the open block only.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import socket
 import sys
 import time
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from contextlib import suppress
 from hashlib import sha256
 from pathlib import Path
@@ -22,44 +22,29 @@
 
 from lapispick import admission
 from lapispick.trace.files import STEPS, Writer, blank
+from lapispick.trace.messages import Begin
 from lapispick.trace.record_types import KINDS, Gap, Step
-from lapispick.trace.retention import Kept, expired, rotate
+from lapispick.trace.retention import TraceFile, expired, rotate
 
-BLOCK_S = 1.0  # s; an open block is written after this at the latest
-NICE = 5  # the host goes first, and this process still gets a third of its share
-RETRY_S = 1.0  # s; after a disk that failed
-SUFFIX, OPEN = ".lptrace", ".lptrace.open"
-
-
-class Begin(msgspec.Struct):
-    """What the host says first."""
-
-    folder: str
-    box: str
-    incarnation: str
-    rotate_size: int
-    rotate_age: float
-    keep_size: int
-    keep_age: float
-    sync: str
-    seed: int
-    module_now: float
-    started_ms: float
-    settings: str
-    classes: list[str]
-    accounts: list[str]
+BLOCK_S = 1.0  # an open block is written after this at the latest
+NICE = 5  # the host goes first where they share a core, and this process still gets a third of its share
+RETRY_S = 1.0  # after a failure of the disk
+SUFFIX = ".lptrace"
+OPEN_SUFFIX = ".lptrace.open"
+LENGTH_BYTES = 4  # in front of each message
+RECEIVE_BYTES = 1 << 16
 
 
 def module_digest() -> str:
-    """Return a digest of the module's text, which a replay with another one differs in."""
-    made = sha256()
+    """Return a digest of the decision module's source; a replay compares it with its own."""
+    digest = sha256()
     for path in sorted(Path(admission.__file__).parent.glob("*.py")):
-        made.update(path.read_bytes())
-    return made.hexdigest()[:16]
+        digest.update(path.read_bytes())
+    return digest.hexdigest()[:16]
 
 
-def steps(data: bytes) -> list[Step]:
-    """Return the steps of one hand-over, as the recorder encodes them."""
+def decode_steps(data: bytes) -> list[Step]:
+    """Return the steps of one batch, as the recorder encodes them."""
     kinds, found = msgspec.msgpack.decode(data)
     numbers = iter(kinds)
     return [
@@ -81,8 +66,8 @@
     return kind(*values)
 
 
-def _next(folder: Path, name: str) -> int:
-    """Return the number of the next file of this life: another writer may have begun it and ended early."""
+def _next_sequence(folder: Path, name: str) -> int:
+    """Return the number of the next file of this incarnation: another writer may have ended before this one."""
     with suppress(OSError):
         found = [
             entry.name.removeprefix(name).split(".")[0] for entry in os.scandir(folder) if entry.name.startswith(name)
@@ -92,164 +77,187 @@
 
 
 class Recording:
-    """The files of one life of a host."""
-
-    def __init__(self, begin: Begin, complain: Any, told: Any = lambda count: None) -> None:
-        self._begin, self._folder, self._complain, self._told = begin, Path(begin.folder), complain, told
+    """The files of one incarnation of a host.
+
+    ``report_error`` gets the text of each failure, ``report_written`` the number of steps in each written block.
+    """
+
+    def __init__(
+        self,
+        begin: Begin,
+        report_error: Callable[[str], None],
+        report_written: Callable[[int], None] = lambda count: None,
+    ) -> None:
+        self._begin = begin
+        self._folder = Path(begin.folder)
+        self._report_error = report_error
+        self._report_written = report_written
         self._module = module_digest()
-        self._sequence = _next(self._folder, f"{begin.box}-{begin.incarnation}-")
+        self._sequence = _next_sequence(self._folder, f"{begin.host}-{begin.incarnation}-")
         self._writer: Writer | None = None
         self._path = self._folder
         self._file: Any = None
-        self._opened = self._wait_until = 0.0
+        self._opened_at = 0.0
+        self._retry_at = 0.0
         self._steps: list[Step] = []
-        self._since = 0.0
+        self._block_began_at = 0.0
         self._lost = 0
 
-    def add(self, made: Step, now: float) -> None:
-        """Take a step; ``now`` is a clock in seconds."""
+    def add(self, step: Step, now: float) -> None:
+        """Add a step; ``now`` is a clock in seconds."""
         if not self._steps:
-            self._since = now
-        self._steps.append(made)
+            self._block_began_at = now
+        self._steps.append(step)
         if len(self._steps) >= STEPS:
             self.flush(now)
 
-    def due(self, now: float) -> None:
+    def flush_due(self, now: float) -> None:
         """Write the open block if it has waited long enough."""
-        if self._steps and now - self._since >= BLOCK_S:
+        if self._steps and now - self._block_began_at >= BLOCK_S:
             self.flush(now)
 
     def flush(self, now: float) -> None:
         """Write the open block; where the disk fails its steps are counted as lost."""
-        steps, self._steps = self._steps, []
+        steps = self._steps
+        self._steps = []
         if not steps:
             return
-        if now < self._wait_until:
+        if now < self._retry_at:
             self._lost += len(steps)
             return
         try:
-            writer = self._open(now)
-            if self._lost:
-                steps.insert(0, Step(steps[0].now, notes=(Gap(self._lost),)))
-            writer.block(steps)
-            self._file.flush()
-            if self._begin.sync == "block":
-                os.fsync(self._file.fileno())
-            self._lost = 0
-            self._told(sum(1 for s in steps if not any(type(n) is Gap for n in s.notes)))
-            if rotate(writer.size, self._opened, now, self._begin.rotate_size, self._begin.rotate_age):
-                self.close()
+            self._write(steps, now)
         except OSError as err:
-            self._lost += sum(1 for s in steps if s.events or s.actions)
-            self._wait_until = now + RETRY_S
+            self._lost += sum(1 for step in steps if step.events or step.actions)
+            self._retry_at = now + RETRY_S
             self._abandon()
-            self._complain(str(err))
+            self._report_error(str(err))
 
-    def _open(self, now: float) -> Writer:
+    def close(self) -> None:
+        """Close the file and remove those that are beyond the retention."""
         if self._writer is None:
-            begin = self._begin
-            self._folder.mkdir(parents=True, exist_ok=True)
-            name = f"{begin.box}-{begin.incarnation}-{self._sequence:06d}"
-            self._path = self._folder / (name + OPEN)
-            self._file = open(self._path, "wb")  # noqa: SIM115  # closed by ``close``
-            self._opened = now
-            self._writer = Writer(
-                self._file,
-                blank(
-                    box=begin.box,
-                    incarnation=begin.incarnation,
-                    sequence=self._sequence,
-                    seed=begin.seed,
-                    started_ms=begin.started_ms,
-                    module_now=begin.module_now,
-                    settings=begin.settings.encode(),
-                    module=self._module,
-                    created_ms=time.time() * 1000,
-                    classes=begin.classes,
-                    accounts=begin.accounts,
-                ),
-            )
-            self._file.flush()  # whoever looks finds a trace, not an empty file
-            self._sequence += 1
+            return
+        self._writer.close(sync=self._begin.sync != "no")
+        self._writer = None
+        self._file = None
+        os.replace(self._path, self._path.with_name(self._path.name.removesuffix(OPEN_SUFFIX) + SUFFIX))
+        self._remove_expired()
+
+    def _write(self, steps: list[Step], now: float) -> None:
+        """Write a block, and close the file if it is large or old enough; raises ``OSError``."""
+        writer = self._open(now)
+        if self._lost:
+            steps.insert(0, Step(steps[0].now, notes=(Gap(self._lost),)))
+        writer.block(steps)
+        self._file.flush()
+        if self._begin.sync == "block":
+            os.fsync(self._file.fileno())
+        self._lost = 0
+        self._report_written(sum(1 for step in steps if not any(type(note) is Gap for note in step.notes)))
+        if rotate(writer.size, self._opened_at, now, self._begin.max_file_bytes, self._begin.max_file_age_s):
+            self.close()
+
+    def _open(self, now: float) -> Writer:
+        """Return the writer of the open file, a new one where there is none."""
+        if self._writer is not None:
+            return self._writer
+        begin = self._begin
+        self._folder.mkdir(parents=True, exist_ok=True)
+        name = f"{begin.host}-{begin.incarnation}-{self._sequence:06d}"
+        self._path = self._folder / (name + OPEN_SUFFIX)
+        self._file = open(self._path, "wb")  # noqa: SIM115  # closed by ``close``
+        self._opened_at = now
+        header = blank(
+            box=begin.host,
+            incarnation=begin.incarnation,
+            sequence=self._sequence,
+            seed=begin.seed,
+            started_ms=begin.started_ms,
+            module_now=begin.module_now,
+            settings=begin.settings.encode(),
+            module=self._module,
+            created_ms=time.time() * 1000,
+            classes=begin.classes,
+            accounts=begin.accounts,
+        )
+        self._writer = Writer(self._file, header)
+        self._file.flush()  # a reader finds a trace, not an empty file
+        self._sequence += 1
         return self._writer
 
     def _abandon(self) -> None:
-        """Leave a file that can't be written on as it is; its whole blocks can be read."""
+        """Leave a file that can't be written as it is; its complete blocks can be read."""
         if self._file is not None:
             with suppress(OSError):  # what was buffered is lost with the block
                 self._file.close()
-        self._writer = self._file = None
+        self._writer = None
+        self._file = None
 
-    def close(self) -> None:
-        """Close the file whole and remove those that the budget has no room for."""
-        if self._writer is None:
-            return
-        self._writer.close(sync=self._begin.sync != "no")
-        self._writer = self._file = None
-        os.replace(self._path, self._path.with_name(self._path.name.removesuffix(OPEN) + SUFFIX))
-        kept = []
+    def _remove_expired(self) -> None:
+        files = []
         for entry in os.scandir(self._folder):
-            if entry.name.endswith((SUFFIX, OPEN)):
-                told = entry.stat()
-                kept.append(Kept(entry.name, told.st_size, told.st_mtime))
-        for name in expired(kept, time.time(), self._begin.keep_size, self._begin.keep_age):
+            if entry.name.endswith((SUFFIX, OPEN_SUFFIX)):
+                status = entry.stat()
+                files.append(TraceFile(entry.name, status.st_size, status.st_mtime))
+        for name in expired(files, time.time(), self._begin.max_total_bytes, self._begin.retention_s):
             (self._folder / name).unlink(missing_ok=True)
 
 
-def messages(link: socket.socket) -> Iterator[bytes | None]:
-    """Yield whole messages, and None whenever nothing came for a while; ends with the socket."""
-    waiting = bytearray()
+def messages(connection: socket.socket) -> Iterator[bytes | None]:
+    """Yield complete messages, and None whenever nothing arrived for a while; ends with the socket."""
+    buffer = bytearray()
     while True:
-        if not select.select([link], [], [], BLOCK_S / 4)[0]:
+        if not select.select([connection], [], [], BLOCK_S / 4)[0]:
             yield None
             continue
         try:
-            data = link.recv(1 << 16)
-        except ConnectionResetError:  # the end too: the host ended before it read our last word; all it sent came first
+            data = connection.recv(RECEIVE_BYTES)
+        except ConnectionResetError:  # the host ended with an unread message of ours; all that it sent came first
             return
         if not data:
             return
-        waiting += data
-        at = 0
-        while len(waiting) - at >= 4:
-            size = int.from_bytes(waiting[at : at + 4], "little")
-            if len(waiting) - at - 4 < size:
+        buffer += data
+        start = 0
+        while len(buffer) - start >= LENGTH_BYTES:
+            body = start + LENGTH_BYTES
+            size = int.from_bytes(buffer[start:body], "little")
+            if len(buffer) - body < size:
                 break
-            yield bytes(waiting[at + 4 : at + 4 + size])
-            at += 4 + size
-        del waiting[:at]
+            yield bytes(buffer[body : body + size])
+            start = body + size
+        del buffer[:start]
 
 
 def main() -> int:
     """Write until the host closes the socket."""
-    os.nice(NICE)  # where they share a core the host goes first; it is the disk that this process is here to wait for
-    link = socket.socket(fileno=os.dup(0))
+    os.nice(NICE)
+    connection = socket.socket(fileno=os.dup(0))
 
-    def complain(text: str) -> None:
-        with suppress(OSError):  # the host has gone or does not listen; the gap says it too
-            link.send(text.replace("\n", " ").encode() + b"\n", socket.MSG_DONTWAIT)
+    def report_error(text: str) -> None:
+        with suppress(OSError):  # the host has ended or does not read; the gap in the trace shows it too
+            connection.send(text.replace("\n", " ").encode() + b"\n", socket.MSG_DONTWAIT)
 
-    def told(count: int) -> None:
-        with suppress(OSError):  # the host then takes these steps for lost if this process ends, no more
-            link.send(b"wrote %d\n" % count, socket.MSG_DONTWAIT)
+    def report_written(count: int) -> None:
+        with suppress(OSError):  # the host then counts these steps as lost if this process ends, no more
+            connection.send(b"wrote %d\n" % count, socket.MSG_DONTWAIT)
 
     recording: Recording | None = None
-    for data in messages(link):
+    for data in messages(connection):
         now = time.monotonic()
         if recording is None:
             if data is not None:
-                recording = Recording(msgspec.json.decode(data, type=Begin), complain, told)
+                recording = Recording(msgspec.json.decode(data, type=Begin), report_error, report_written)
             continue
         if data is not None:
-            for made in steps(data):
-                recording.add(made, now)
-        recording.due(now)
+            for step in decode_steps(data):
+                recording.add(step, now)
+        recording.flush_due(now)
     if recording is not None:
         recording.flush(time.monotonic())
         try:
             recording.close()
         except OSError as err:
-            complain(str(err))
+            report_error(str(err))
     return 0
 
 
--- a/lapispick/trace/retention.py
+++ b/lapispick/trace/retention.py
@@ -1,4 +1,4 @@
-"""Which trace files go when the budget is spent, and when a file is closed for the next. No I/O, no clock."""
+"""Decides which trace files to remove, and when a file is closed for the next one. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -6,29 +6,29 @@
 from typing import NamedTuple
 
 
-class Kept(NamedTuple):
-    """One closed file; ``at`` is when it was written last, in seconds of any clock."""
+class TraceFile(NamedTuple):
+    """One file of the folder."""
 
     name: str
     size: int
-    at: float
+    modified_at: float  # seconds of any clock
 
 
-def expired(files: Iterable[Kept], now: float, bytes_most: int, age_most: float) -> list[str]:
-    """Return the files to remove, the oldest first: those too old, then as many as the budget wants.
+def expired(files: Iterable[TraceFile], now: float, max_total_bytes: int, retention_s: float) -> list[str]:
+    """Return the files to remove, the oldest first: those too old, then as many as the total size requires.
 
-    The newest is never removed: an incident of right now is what it is kept for.
+    The newest is never removed: an incident of this moment is in it.
     """
-    ordered = sorted(files, key=lambda f: (f.at, f.name))
-    total = sum(f.size for f in ordered)
-    gone: list[str] = []
+    ordered = sorted(files, key=lambda file: (file.modified_at, file.name))
+    total_bytes = sum(file.size for file in ordered)
+    removed: list[str] = []
     for file in ordered[:-1]:
-        if now - file.at > age_most or total > bytes_most:
-            gone.append(file.name)
-            total -= file.size
-    return gone
+        if now - file.modified_at > retention_s or total_bytes > max_total_bytes:
+            removed.append(file.name)
+            total_bytes -= file.size
+    return removed
 
 
-def rotate(size: int, opened: float, now: float, size_most: int, age_most: float) -> bool:
+def rotate(size: int, opened_at: float, now: float, max_file_bytes: int, max_file_age_s: float) -> bool:
     """Tell whether a file is closed and the next one begun."""
-    return size >= size_most or now - opened >= age_most
+    return size >= max_file_bytes or now - opened_at >= max_file_age_s
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -22,7 +22,7 @@
 from lapispick.trace import aggregation, files, layout, lines, records
 from lapispick.trace.helper import messages
 from lapispick.trace.record_types import ACTIONS, EVENTS, KINDS, NOTES, Answered, Arrival, Gap, Happened, Step
-from lapispick.trace.retention import Kept, expired, rotate
+from lapispick.trace.retention import TraceFile, expired, rotate
 
 HEADER = files.blank(box="n3", incarnation="a-1", seed=5, classes=["track"], accounts=["shop"])
 
@@ -204,8 +204,8 @@
     from lapispick.conf.sections import TraceSettings
     from lapispick.host.recorder import Recorder
 
-    assert Recorder(None, TraceSettings(), "n3", None, 32)._buffer == 512 << 10
-    assert Recorder(None, TraceSettings(buffer_bytes=64 << 10), "n3", None, 192)._buffer == 64 << 10
+    assert Recorder(None, TraceSettings(), "n3", None, 32)._buffer_bytes == 512 << 10
+    assert Recorder(None, TraceSettings(buffer_bytes=64 << 10), "n3", None, 192)._buffer_bytes == 64 << 10
 
 
 @given(st.binary(max_size=400), st.integers(0, 5000))
@@ -232,7 +232,7 @@
 
 
 def test_retention_and_rotation():
-    kept = [Kept(f"f{n}", 10, float(n)) for n in range(5)]
+    kept = [TraceFile(f"f{n}", 10, float(n)) for n in range(5)]
     assert expired(kept, 5.0, 25, 1e9) == ["f0", "f1", "f2"]
     assert expired(reversed(kept), 100.0, 10**9, 97.5) == ["f0", "f1", "f2"]
     assert expired(kept[:1], 1e9, 0, 0) == []  # the newest stays
