--- a/lapispick/cli/trace_write.py
+++ b/lapispick/cli/trace_write.py
@@ -20,7 +20,7 @@
 from lapispick.trace.clock_skew import estimate
 from lapispick.trace.record_types import Step
 from lapispick.trace.records import Header
-from lapispick.trace.selecting import DROP, MARK, WHOLE, Selector, Wanted
+from lapispick.trace.selecting import DROP, MARK, WHOLE, Selection, Selector
 
 WITHIN_LEAST = 4  # bytes; a shorter name stands within others by chance
 
@@ -69,7 +69,7 @@
     known = {name for source in reader.sources for name in source.classes}
     if unknown := set(classes) - known:
         fail(f"--class: the trace knows {', '.join(sorted(known))}, not {', '.join(sorted(unknown))}")
-    wanted = Wanted(since, until, frozenset(classes), frozenset(accounts), frozenset(outcomes), edges)
+    selection = Selection(since, until, frozenset(classes), frozenset(accounts), frozenset(outcomes), edges)
     longest = max(
         (
             c.deadline_ms
@@ -79,9 +79,11 @@
         ),
         default=10_000.0,
     )
-    selector = Selector(wanted, names(reader.sources), longest, lambda step: files.when(reader.sources, step))
+    selector = Selector(selection, names(reader.sources), longest, lambda step: files.when(reader.sources, step))
     header = Header.FromString(reader.whole_header.SerializeToString())
-    header.made.append("cut" + (f" to {edges}" if edges != MARK else "") + (" by request" if wanted.by_request else ""))
+    header.made.append(
+        "cut" + (f" to {edges}" if edges != MARK else "") + (" by request" if selection.by_request else "")
+    )
     count = files.write(out, header, selector.run(reader.steps(since - selector.margin, until + selector.margin)))
     _done(
         json_,
--- a/lapispick/trace/selecting.py
+++ b/lapispick/trace/selecting.py
@@ -1,8 +1,8 @@
-"""Which records a cut keeps: by time, and by the class, account and outcome of requests. No I/O.
+"""Selects the records of a cut: by time, and by the class, account and outcome of requests. No I/O.
 
-A step waits until the outcomes of all its requests are known, which the longest deadline bounds; so memory follows
-what is open and not the length of the trace. A request that the window's edges cut through is marked, kept whole
-or left out, as asked.
+A step waits until the outcomes of all its attempts are known, which the longest deadline bounds; so memory follows
+what is open and not the length of the trace. An attempt that spans an edge of the window is marked, selected with all
+its records or left out, as the selection says.
 """
 
 from __future__ import annotations
@@ -14,16 +14,20 @@
 from lapispick import admission
 from lapispick.trace.record_types import Answered, Arrival, Step, Straddles
 
-MARK, WHOLE, DROP = "mark", "whole", "drop"
-SLACK_MS = 1000.0  # ms; beyond the longest deadline: an answer may be late, and its note comes a step later
-GONE = "gone"  # the outcome of what has no answer
+# What becomes of attempts that span an edge; options of ``trace cut``.
+MARK = "mark"
+WHOLE = "whole"
+DROP = "drop"
+LATE_ANSWER_MS = 1000.0  # beyond the longest deadline: an answer may be late, and its note comes a step later
+NO_ANSWER = "gone"  # the outcome of an attempt without an answer
+MEMORY_HORIZONS = 2  # an attempt is forgotten after so many horizons
 
 
-class Wanted(NamedTuple):
-    """What a cut keeps; an empty set stands for all."""
+class Selection(NamedTuple):
+    """What a cut selects; an empty set stands for all."""
 
-    since: float = float("-inf")  # ms; the first step that is kept
-    until: float = float("inf")  # the first that is not
+    since: float = float("-inf")  # ms; the first step
+    until: float = float("inf")  # the first step behind
     classes: frozenset[str] = frozenset()
     accounts: frozenset[str] = frozenset()
     outcomes: frozenset[str] = frozenset()
@@ -31,129 +35,183 @@
 
     @property
     def by_request(self) -> bool:
-        """Tell whether requests are chosen by more than time."""
+        """Tell whether requests are selected by more than time."""
         return bool(self.classes or self.accounts or self.outcomes)
 
+    def includes(self, now: float) -> bool:
+        """Tell whether a time is within the window."""
+        return self.since <= now < self.until
 
-class _Try:
-    __slots__ = ("account", "cls", "ended_inside", "inside", "outcome", "since", "whole_begin")
 
-    def __init__(self, since: float, whole_begin: bool) -> None:
-        self.since, self.whole_begin, self.inside, self.ended_inside = since, whole_begin, False, False
-        self.cls, self.account, self.outcome = "", "", ""
+class _Attempt:
+    """What is known of an attempt so far."""
 
+    __slots__ = ("account", "cls", "ended_inside", "inside", "outcome", "since", "starts_with_request")
 
-Number = tuple[int, int]  # box and request
+    def __init__(self, since: float, starts_with_request: bool) -> None:
+        self.since = since
+        self.starts_with_request = starts_with_request  # else it began before the first step that was read
+        self.inside = False  # any record of it is within the window
+        self.ended_inside = False
+        self.cls = ""
+        self.account = ""
+        self.outcome = ""
 
 
-def _number(step: Step, record: Any) -> Number | None:
-    """Return the request that a record belongs to."""
+AttemptId = tuple[int, int]  # host and number of the request
+
+
+class _PendingStep(NamedTuple):
+    """A step whose attempts are not all known to have ended."""
+
+    now: float
+    step: Step
+    attempts: list[AttemptId]
+
+
+class _Edges(NamedTuple):
+    """Which edges of the window an attempt spans."""
+
+    before: bool
+    after: bool
+
+
+def _attempt_id(step: Step, record: Any) -> AttemptId | None:
+    """Return the attempt that a record belongs to."""
     number = getattr(record, "id", None)
     return None if number is None else (step.box, number)
 
 
 class Selector:
-    """Takes the steps around a window, in order, and yields what is kept."""
+    """Takes the steps around a window, in order, and yields what is selected."""
 
     def __init__(
-        self, wanted: Wanted, names: Callable[[int, int], str], deadline_ms: float, when: Callable[[Step], float]
+        self,
+        selection: Selection,
+        names: Callable[[int, int], str],
+        deadline_ms: float,
+        when: Callable[[Step], float],
     ) -> None:
-        self._wanted, self._names, self._when = wanted, names, when
-        self._horizon = deadline_ms + SLACK_MS
-        self._tries: dict[Number, _Try] = {}
-        self._waiting: deque[tuple[float, Step, list[Number]]] = deque()
-        self._marked: set[Number] = set()
+        """``names`` returns the name of a host's class, ``when`` the time of a step in ms."""
+        self._selection = selection
+        self._names = names
+        self._when = when
+        self._horizon_ms = deadline_ms + LATE_ANSWER_MS
+        self._attempts: dict[AttemptId, _Attempt] = {}
+        self._pending: deque[_PendingStep] = deque()
+        self._marked: set[AttemptId] = set()
 
     @property
     def margin(self) -> float:
         """Return how far beyond the window steps are needed, ms."""
-        return self._horizon if self._wanted.edges == WHOLE or self._wanted.by_request else 0.0
+        selection = self._selection
+        return self._horizon_ms if selection.edges == WHOLE or selection.by_request else 0.0
 
     def run(self, steps: Iterable[Step]) -> Iterator[Step]:
-        """Yield the steps that are kept, with what is kept of them."""
+        """Yield the steps that are selected, with the selected records of them."""
         for step in steps:
             now = self._when(step)
-            self._take(now, step)
-            while self._waiting and self._ready(now):
-                yield from self._give(self._waiting.popleft())
-        while self._waiting:
-            yield from self._give(self._waiting.popleft())
-
-    def _take(self, now: float, step: Step) -> None:
-        numbers, inside = [], self._wanted.since <= now < self._wanted.until
-        for part in (step.events, step.notes, step.actions):
-            for record in part:
-                number = _number(step, record)
-                if number is None:
-                    continue
-                held = self._tries.get(number)
-                if held is None:
-                    held = self._tries[number] = _Try(now, type(record) is admission.RequestReceived)
-                held.inside |= inside
-                numbers.append(number)
-                if type(record) is admission.RequestReceived:
-                    held.cls = self._names(step.box, record.cls)
-                elif type(record) is Arrival:
-                    held.account = record.account
-                elif type(record) in (Answered, admission.ClientCancelled) and not held.outcome:
-                    held.outcome = record.kind if type(record) is Answered else GONE
-                    held.ended_inside = inside
-        self._waiting.append((now, step, numbers))
-
-    def _ready(self, now: float) -> bool:
-        since, _, numbers = self._waiting[0]
-        return now - since > self._horizon or all(self._tries[n].outcome for n in numbers if n in self._tries)
-
-    def _chosen(self, held: _Try | None) -> bool:
-        wanted = self._wanted
-        if held is None:
-            return not wanted.by_request
-        return (
-            (not wanted.classes or held.cls in wanted.classes)
-            and (not wanted.accounts or held.account in wanted.accounts)
-            and (not wanted.outcomes or (held.outcome or GONE) in wanted.outcomes)
-        )
-
-    def _straddles(self, held: _Try) -> tuple[bool, bool]:
-        before = not held.whole_begin or held.since < self._wanted.since
-        return before and held.inside, held.inside and not held.ended_inside
-
-    def _keep(self, number: Number | None, inside: bool) -> bool:
-        if number is None:
-            return inside and not self._wanted.by_request
-        held = self._tries.get(number)
-        if not self._chosen(held):
+            self._add(now, step)
+            while self._pending and self._is_decidable(now):
+                yield from self._select(self._pending.popleft())
+        while self._pending:
+            yield from self._select(self._pending.popleft())
+
+    def _add(self, now: float, step: Step) -> None:
+        """Note what the records of a step say of their attempts."""
+        inside = self._selection.includes(now)
+        attempts: list[AttemptId] = []
+        for records in (step.events, step.notes, step.actions):
+            for record in records:
+                attempt_id = _attempt_id(step, record)
+                if attempt_id is not None:
+                    attempts.append(attempt_id)
+                    self._note(now, step, record, attempt_id, inside)
+        self._pending.append(_PendingStep(now, step, attempts))
+
+    def _note(self, now: float, step: Step, record: Any, attempt_id: AttemptId, inside: bool) -> None:
+        kind = type(record)
+        attempt = self._attempts.get(attempt_id)
+        if attempt is None:
+            attempt = self._attempts[attempt_id] = _Attempt(now, kind is admission.RequestReceived)
+        attempt.inside |= inside
+        if kind is admission.RequestReceived:
+            attempt.cls = self._names(step.box, record.cls)
+        elif kind is Arrival:
+            attempt.account = record.account
+        elif kind in (Answered, admission.ClientCancelled) and not attempt.outcome:
+            attempt.outcome = record.kind if kind is Answered else NO_ANSWER
+            attempt.ended_inside = inside
+
+    def _is_decidable(self, now: float) -> bool:
+        """Tell whether the outcomes of the oldest pending step are known, or none can come any more."""
+        oldest = self._pending[0]
+        if now - oldest.now > self._horizon_ms:
+            return True
+        return all(self._attempts[each].outcome for each in oldest.attempts if each in self._attempts)
+
+    def _matches(self, attempt: _Attempt | None) -> bool:
+        """Tell whether an attempt is one of those that are selected, whenever it was."""
+        selection = self._selection
+        if attempt is None:
+            return not selection.by_request
+        if selection.classes and attempt.cls not in selection.classes:
             return False
-        if held is None or self._wanted.edges == MARK:
+        if selection.accounts and attempt.account not in selection.accounts:
+            return False
+        return not selection.outcomes or (attempt.outcome or NO_ANSWER) in selection.outcomes
+
+    def _edges(self, attempt: _Attempt) -> _Edges:
+        began_before = not attempt.starts_with_request or attempt.since < self._selection.since
+        return _Edges(began_before and attempt.inside, attempt.inside and not attempt.ended_inside)
+
+    def _is_selected(self, attempt_id: AttemptId | None, inside: bool) -> bool:
+        """Tell whether a record of an attempt, or of none, is selected."""
+        selection = self._selection
+        if attempt_id is None:
+            return inside and not selection.by_request
+        attempt = self._attempts.get(attempt_id)
+        if not self._matches(attempt):
+            return False
+        if attempt is None or selection.edges == MARK:
             return inside
-        if self._wanted.edges == WHOLE:
-            return held.inside
-        return inside and not any(self._straddles(held))
-
-    def _give(self, waiting: tuple[float, Step, list[Number]]) -> Iterator[Step]:
-        now, step, numbers = waiting
-        inside = self._wanted.since <= now < self._wanted.until
-        parts = [
-            tuple(r for r in part if self._keep(_number(step, r), inside))
-            for part in (step.events, step.actions, step.notes)
-        ]
-        if inside and self._wanted.edges == MARK:
-            for number in dict.fromkeys(numbers):
-                if number in self._tries and number not in self._marked and self._chosen(self._tries[number]):
-                    before, after = self._straddles(self._tries[number])
-                    if before or after:
-                        self._marked.add(number)
-                        parts[2] = (*parts[2], Straddles(number[1], before, after))
-        whole = inside and not self._wanted.by_request and self._wanted.edges == MARK
-        if whole or any(parts):
-            yield step._replace(events=parts[0], actions=parts[1], notes=parts[2])
-        self._forget(now)
+        if selection.edges == WHOLE:
+            return attempt.inside
+        return inside and not any(self._edges(attempt))
+
+    def _select(self, pending: _PendingStep) -> Iterator[Step]:
+        step = pending.step
+        inside = self._selection.includes(pending.now)
+        events, actions, notes = (
+            tuple(record for record in records if self._is_selected(_attempt_id(step, record), inside))
+            for records in (step.events, step.actions, step.notes)
+        )
+        marks_edges = inside and self._selection.edges == MARK
+        if marks_edges:
+            notes += self._edge_marks(pending.attempts)
+        keeps_empty = marks_edges and not self._selection.by_request
+        if keeps_empty or events or actions or notes:
+            yield step._replace(events=events, actions=actions, notes=notes)
+        self._forget(pending.now)
+
+    def _edge_marks(self, attempts: list[AttemptId]) -> tuple[Straddles, ...]:
+        """Return a note for each attempt that spans an edge and has none yet."""
+        marks: list[Straddles] = []
+        for attempt_id in dict.fromkeys(attempts):
+            attempt = self._attempts.get(attempt_id)
+            if attempt is None or attempt_id in self._marked or not self._matches(attempt):
+                continue
+            edges = self._edges(attempt)
+            if any(edges):
+                self._marked.add(attempt_id)
+                marks.append(Straddles(attempt_id[1], edges.before, edges.after))
+        return tuple(marks)
 
     def _forget(self, now: float) -> None:
-        """Forget requests that nothing more can be told of; dicts keep the order of arrival."""
-        while self._tries:
-            number, held = next(iter(self._tries.items()))
-            if now - held.since <= 2 * self._horizon:
+        """Forget attempts of which no record can come any more; dicts keep the order of arrival."""
+        while self._attempts:
+            attempt_id, attempt = next(iter(self._attempts.items()))
+            if now - attempt.since <= MEMORY_HORIZONS * self._horizon_ms:
                 break
-            del self._tries[number]
-            self._marked.discard(number)
+            del self._attempts[attempt_id]
+            self._marked.discard(attempt_id)
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -16,7 +16,7 @@
 from lapispick.trace.anonymising import Anonymiser, Clash
 from lapispick.trace.clock_skew import Clock, Unknown
 from lapispick.trace.record_types import Answered, Arrival, Happened, Step, Straddles
-from lapispick.trace.selecting import DROP, WHOLE, Selector, Wanted
+from lapispick.trace.selecting import DROP, WHOLE, Selection, Selector
 from tests.conftest import make_settings
 from tests.test_aggregation import answered, asked
 
@@ -44,7 +44,7 @@
 
 
 def cut(steps, **wanted):
-    selector = Selector(Wanted(**wanted), lambda box, cls: NAMES[cls], 4000.0, lambda s: s.now)
+    selector = Selector(Selection(**wanted), lambda box, cls: NAMES[cls], 4000.0, lambda s: s.now)
     since, until = wanted.get("since", float("-inf")), wanted.get("until", float("inf"))
     return list(selector.run(s for s in steps if since - selector.margin <= s.now < until + selector.margin))
 
@@ -106,7 +106,7 @@
 
 def test_what_a_cut_holds_does_not_grow_with_the_trace():
     selector, most = (
-        Selector(Wanted(outcomes=frozenset({"served"})), lambda box, cls: "track", 4000.0, lambda s: s.now),
+        Selector(Selection(outcomes=frozenset({"served"})), lambda box, cls: "track", 4000.0, lambda s: s.now),
         0,
     )
 
@@ -116,7 +116,7 @@
             yield asked(n * 10.0, n + 1)
             if n % 2:
                 yield answered(n * 10.0 + 5, n + 1)
-            most = max(most, len(selector._tries) + len(selector._waiting) + len(selector._marked))
+            most = max(most, len(selector._attempts) + len(selector._pending) + len(selector._marked))
 
     assert sum(1 for _ in selector.run(steps())) == 20_000
     assert most < 2500
