--- a/lapispick/cli/trace_compare.py
+++ b/lapispick/cli/trace_compare.py
@@ -36,22 +36,22 @@
     )
 
 
-def _shown(left: dict[str, comparing.Choice], right: dict[str, comparing.Choice], titles: tuple[str, str]) -> None:
-    fields = ("run", "refused", "failed", "poorer")
-    columns = ("class", *(f"{f}, {t}" for f in fields for t in titles), *(f"worth, {t}" for t in titles))
-    none = comparing.Choice()
-    table(
-        "decisions by class",
-        columns,
-        (
-            (
-                name,
-                *(getattr(side.get(name, none), f) for f in fields for side in (left, right)),
-                *(f"{side.get(name, none).worth:.0f}" for side in (left, right)),
-            )
-            for name in sorted(left.keys() | right.keys())
-        ),
-    )
+DECISION_COLUMNS = {"run": "runs", "refused": "rejected", "failed": "failed", "poorer": "degraded"}
+
+
+def _say_decisions(left: comparing.Decisions, right: comparing.Decisions, titles: tuple[str, str]) -> None:
+    """Write a table of the decisions by class on both sides."""
+    sides = (left.by_class, right.by_class)
+    none = comparing.ClassDecisions()
+    columns = [f"{column}, {title}" for column in DECISION_COLUMNS for title in titles]
+    columns += [f"worth, {title}" for title in titles]
+    rows = []
+    for name in sorted(left.by_class.keys() | right.by_class.keys()):
+        decisions = [side.get(name, none) for side in sides]
+        counts = [getattr(each, field) for field in DECISION_COLUMNS.values() for each in decisions]
+        weights = [f"{each.priority_weight:.0f}" for each in decisions]
+        rows.append((name, *counts, *weights))
+    table("decisions by class", ("class", *columns), rows)
 
 
 @click.command()
@@ -65,52 +65,83 @@
     opened = readers(paths)
     if not _from_the_first(opened):
         fail("needs all files of one life of one box, from the first on, and none that was cut")
-    header, by_name = opened[0].header, names(opened[0].sources)
-    recorded, present = comparing.Decisions(by_name), comparing.Decisions(by_name)
+    header = opened[0].header
+    class_name = names(opened[0].sources)
+    recorded = comparing.Decisions(class_name)
+    present = comparing.Decisions(class_name)
 
-    def seen(step: Step, got: tuple[Any, ...], _: Any) -> None:
+    def on_step(step: Step, replayed: tuple[Any, ...], _: Any) -> None:
         recorded.add(step, step.actions)
-        present.add(step, got)
+        present.add(step, replayed)
 
     with bar("replay", opened) as tell:
-        made = replaying.replay(
-            header.settings,
-            header.seed,
-            header.module_now,
-            (step for reader in opened for step in steps(reader, tell)),
-            seen,
-        )
-    if made.differing:
-        comparing.estimate(recorded.made, present.made, _worth(opened))
-    told = {
-        "steps": made.steps,
-        "differing": made.differing,
-        "gaps": made.gaps,
-        "same_module": header.module == module_digest(),
-        "recorded": dict(made.recorded),
-        "replayed": dict(made.replayed),
-        "decisions": msgspec.to_builtins({"recorded": recorded.made, "replayed": present.made}),
-        "first": None
-        if made.first is None
-        else {
-            "step": made.first.number,
-            "now": made.first.now,
-            "recorded": [described(action) for action in made.first.recorded],
-            "replayed": [described(action) for action in made.first.replayed],
-        },
-    }
+        all_steps = (step for reader in opened for step in steps(reader, tell))
+        result = replaying.replay(header.settings, header.seed, header.module_now, all_steps, on_step)
+    if result.differing:
+        comparing.estimate(recorded.by_class, present.by_class, _worth(opened))
     if json_:
-        as_json(told)
+        as_json(_replay_fields(result, recorded, present, header.module == module_digest()))
     else:
-        say(f"{made.steps} steps, {made.differing} differ" + (f", ended at a gap of {made.gaps}" if made.gaps else ""))
-        if made.first is not None:
-            recorded, replayed = described_all(made.first.recorded), described_all(made.first.replayed)
-            say(f"first at step {made.first.number}: recorded {recorded}, now {replayed}")
-            _shown(recorded.made, present.made, ("recorded", "now"))
-            say("Only the first difference is sound; worth is estimated by the runs of each class.")
-        kinds = sorted(made.recorded.keys() | made.replayed.keys())
-        table("actions", ("kind", "recorded", "replayed"), ((k, made.recorded[k], made.replayed[k]) for k in kinds))
-    sys.exit(DIFFERS if made.differing else 0)
+        _say_replay(result, recorded, present)
+    sys.exit(DIFFERS if result.differing else 0)
+
+
+def _replay_fields(
+    result: replaying.Result, recorded: comparing.Decisions, present: comparing.Decisions, same_module: bool
+) -> dict[str, Any]:
+    """Return the JSON output of a replay."""
+    first = None
+    if result.first is not None:
+        first = {
+            "step": result.first.number,
+            "now": result.first.now,
+            "recorded": [described(action) for action in result.first.recorded],
+            "replayed": [described(action) for action in result.first.replayed],
+        }
+    return {
+        "steps": result.steps,
+        "differing": result.differing,
+        "gaps": result.gaps,
+        "same_module": same_module,
+        "recorded": dict(result.recorded),
+        "replayed": dict(result.replayed),
+        "decisions": msgspec.to_builtins({"recorded": recorded.by_class, "replayed": present.by_class}),
+        "first": first,
+    }
+
+
+def _say_replay(result: replaying.Result, recorded: comparing.Decisions, present: comparing.Decisions) -> None:
+    gap = f", ended at a gap of {result.gaps}" if result.gaps else ""
+    say(f"{result.steps} steps, {result.differing} differ{gap}")
+    if result.first is not None:
+        before = described_all(result.first.recorded)
+        now = described_all(result.first.replayed)
+        say(f"first at step {result.first.number}: recorded {before}, now {now}")
+        _say_decisions(recorded, present, ("recorded", "now"))
+        say("Only the first difference is sound; worth is estimated by the runs of each class.")
+    kinds = sorted(result.recorded.keys() | result.replayed.keys())
+    table("actions", ("kind", "recorded", "replayed"), ((k, result.recorded[k], result.replayed[k]) for k in kinds))
+
+
+class _Side:
+    """What one of two traces holds."""
+
+    def __init__(self, reader: Reader) -> None:
+        self.reader = reader
+        self.decisions = comparing.Decisions(names(reader.sources))
+        self.records: Counter[str] = Counter()  # by kind
+
+    def add(self, step: Step) -> None:
+        """Count the decisions and records of a step."""
+        self.decisions.add(step, step.actions)
+        self.records.update(
+            record_name(type(record)) for records in (step.events, step.actions, step.notes) for record in records
+        )
+
+    def set_weights(self) -> None:
+        """Set what the runs of each class earned."""
+        for name, weight in _worth([self.reader]).items():
+            self.decisions.by_class.setdefault(name, comparing.ClassDecisions()).priority_weight = weight
 
 
 @click.command()
@@ -119,50 +150,53 @@
 @JSON
 def diff(path: Path, other: Path, json_: bool) -> None:
     """Hold two traces against each other, step by step and by what was decided; ends with 1 where they differ."""
-    (left,), (right,) = readers((path,)), readers((other,))
-    headers = [
-        name
-        for name in ("box", "incarnation", "settings", "seed", "module")
-        if [getattr(s, name) for s in left.sources] != [getattr(s, name) for s in right.sources]
-    ]
-    sides = comparing.Decisions(names(left.sources)), comparing.Decisions(names(right.sources))
-    kinds: tuple[Counter[str], Counter[str]] = (Counter(), Counter())
-
-    def seen(a: Step, b: Step) -> None:
-        for side, count, step in zip(sides, kinds, (a, b), strict=True):
-            side.add(step, step.actions)
-            count.update(record_name(type(one)) for part in (step.events, step.actions, step.notes) for one in part)
-
-    with bar("diff", (left, right)) as tell:
-        split = comparing.first_split(steps(left, tell), steps(right, tell), seen)
-    for side, reader in zip(sides, (left, right), strict=True):
-        for name, worth in _worth([reader]).items():
-            side.made.setdefault(name, comparing.Choice()).worth = worth
+    (left_reader,) = readers((path,))
+    (right_reader,) = readers((other,))
+    left = _Side(left_reader)
+    right = _Side(right_reader)
+    headers = _differing_headers(left.reader, right.reader)
+
+    def on_pair(one: Step, two: Step) -> None:
+        left.add(one)
+        right.add(two)
+
+    with bar("diff", (left.reader, right.reader)) as tell:
+        divergence = comparing.first_divergence(steps(left.reader, tell), steps(right.reader, tell), on_pair)
+    left.set_weights()
+    right.set_weights()
     if json_:
         as_json(
             {
                 "headers": headers,
-                "first": split,
-                "decisions": [side.made for side in sides],
-                "grounds": [dict(side.grounds) for side in sides],
-                "records": [dict(k) for k in kinds],
+                "first": divergence,
+                "decisions": [side.decisions.by_class for side in (left, right)],
+                "grounds": [dict(side.decisions.reasons) for side in (left, right)],
+                "records": [dict(side.records) for side in (left, right)],
             }
         )
     else:
-        say("the headers differ in " + ", ".join(headers) if headers else "the headers agree")
-        say(
-            "all steps agree"
-            if split is None
-            else f"first at step {split.step}, {split.part}: {split.left} against {split.right}"
-        )
-        _shown(sides[0].made, sides[1].made, ("left", "right"))
-        differing = [k for k in sorted(kinds[0] | kinds[1]) if kinds[0][k] != kinds[1][k]]
-        table(
-            "records that differ in number",
-            ("kind", "left", "right"),
-            ((k, kinds[0][k], kinds[1][k]) for k in differing),
-        )
-    sys.exit(DIFFERS if headers or split is not None else 0)
+        _say_diff(headers, divergence, left, right)
+    sys.exit(DIFFERS if headers or divergence is not None else 0)
+
+
+def _differing_headers(left: Reader, right: Reader) -> list[str]:
+    return [
+        name
+        for name in ("box", "incarnation", "settings", "seed", "module")
+        if [getattr(source, name) for source in left.sources] != [getattr(source, name) for source in right.sources]
+    ]
+
+
+def _say_diff(headers: list[str], divergence: comparing.Divergence | None, left: _Side, right: _Side) -> None:
+    say("the headers differ in " + ", ".join(headers) if headers else "the headers agree")
+    if divergence is None:
+        say("all steps agree")
+    else:
+        say(f"first at step {divergence.step}, {divergence.part}: {divergence.left} against {divergence.right}")
+    _say_decisions(left.decisions, right.decisions, ("left", "right"))
+    kinds = [kind for kind in sorted(left.records | right.records) if left.records[kind] != right.records[kind]]
+    rows = ((kind, left.records[kind], right.records[kind]) for kind in kinds)
+    table("records that differ in number", ("kind", "left", "right"), rows)
 
 
 def _sampled(opened: list[Reader], made: series.Series) -> None:
--- a/lapispick/trace/comparing.py
+++ b/lapispick/trace/comparing.py
@@ -1,7 +1,7 @@
-"""Two traces, or a trace and what the present module makes of it: where they part, and what that is worth. No I/O.
+"""Compares two traces, or a trace and what the present module makes of it. No I/O.
 
 Only the first difference is sound. What follows tells what the decisions would have been in situations that may not
-have come about; worth is estimated as if a run were worth what the recorded runs of its class were on average.
+have come about; the weight is estimated as if a run had the average weight of the recorded runs of its class.
 """
 
 from __future__ import annotations
@@ -17,31 +17,41 @@
 from lapispick.trace.record_types import Step
 from lapispick.trace.text_names import described_all
 
-KNOWN_MOST = 200_000  # requests whose class is kept; far more than are ever open, so that memory has a bound
-DECISIONS: dict[type, str] = {
-    admission.StartRun: "run",
-    admission.Reject: "refused",
-    admission.Fail: "failed",
-    admission.SkipCall: "poorer",
-}
+MAX_KNOWN_REQUESTS = 200_000  # whose class is stored; far more than are ever open
+UNKNOWN_REASON = "not told"
 
 
-class Choice(msgspec.Struct):
-    """What was decided for a class; ``worth`` is estimated from the first side's runs."""
+class ClassDecisions(msgspec.Struct):
+    """How often each decision was made for a class; the weight is estimated from the first side's runs."""
 
-    run: int = 0
-    refused: int = 0
+    runs: int = msgspec.field(default=0, name="run")
+    rejected: int = msgspec.field(default=0, name="refused")
     failed: int = 0
-    poorer: int = 0
-    worth: float = 0.0
+    degraded: int = msgspec.field(default=0, name="poorer")
+    priority_weight: float = msgspec.field(default=0.0, name="worth")
 
+    def count(self, action: type) -> None:
+        """Count an action, which is one of ``DECISIONS``."""
+        if action is admission.StartRun:
+            self.runs += 1
+        elif action is admission.Reject:
+            self.rejected += 1
+        elif action is admission.Fail:
+            self.failed += 1
+        else:
+            self.degraded += 1
 
-class Split(msgspec.Struct):
+
+DECISIONS = frozenset((admission.StartRun, admission.Reject, admission.Fail, admission.SkipCall))
+_FINAL = (admission.Reject, admission.Fail)
+
+
+class Divergence(msgspec.Struct):
     """The first step in which two sides differ, from 1, and what each has there."""
 
     step: int
     now: float
-    part: str  # now, box, events, actions or notes
+    part: str  # a field of ``Step``, or ``end``
     left: str
     right: str
 
@@ -49,62 +59,72 @@
 class Decisions:
     """Counts decisions by class, on one side."""
 
-    def __init__(self, names: Callable[[int, int], str]) -> None:
-        self._names = names
-        self._cls: dict[tuple[int, int], str] = {}
-        self.made: dict[str, Choice] = {}
-        self.grounds: Counter[str] = Counter()
+    def __init__(self, class_name: Callable[[int, int], str]) -> None:
+        """``class_name`` returns the name of a host's class."""
+        self._class_name = class_name
+        self._classes: dict[tuple[int, int], str] = {}  # by host and request
+        self.by_class: dict[str, ClassDecisions] = {}
+        self.reasons: Counter[str] = Counter()
 
     def add(self, step: Step, actions: Iterable[Any]) -> None:
-        """Take a step's requests and what one side ordered in it."""
+        """Add a step's requests and what one side ordered in it."""
         for event in step.events:
             if type(event) is admission.RequestReceived:
-                self._cls[step.box, event.id] = self._names(step.box, event.cls)
+                self._classes[step.box, event.id] = self._class_name(step.box, event.cls)
         for action in actions:
-            name = DECISIONS.get(type(action))
-            if name is None or (cls := self._cls.get((step.box, action.id))) is None:
-                continue
-            made = self.made.setdefault(cls, Choice())
-            setattr(made, name, getattr(made, name) + 1)
-            if type(action) is admission.Reject:
-                self.grounds[action.reason or "not told"] += 1
-            if type(action) in (admission.Reject, admission.Fail):
-                del self._cls[step.box, action.id]
-        if len(self._cls) > KNOWN_MOST:
-            for key in list(self._cls)[: KNOWN_MOST // 2]:
-                del self._cls[key]
-
-
-def estimate(recorded: dict[str, Choice], other: dict[str, Choice], served: dict[str, float]) -> None:
-    """Write the worth into both sides: ``served`` is the worth that the recorded runs of a class earned."""
-    for name, choice in recorded.items():
-        choice.worth = served.get(name, 0.0)
-    for name, choice in other.items():
-        had = recorded.get(name, Choice())
-        choice.worth = served.get(name, 0.0) / had.run * choice.run if had.run else 0.0
-
-
-def first_split(left: Iterable[Step], right: Iterable[Step], seen: Callable[[Step, Step], None]) -> Split | None:
-    """Walk two traces step by step; return where they part first. ``seen`` gets every pair, blank where one ended."""
-    split = None
-    for number, (a, b) in enumerate(zip_longest(left, right), 1):
-        seen(a or Step(0.0), b or Step(0.0))
-        if split is None and a != b:
-            split = _split(number, a, b)
-    return split
-
-
-def _split(number: int, a: Step | None, b: Step | None) -> Split:
-    if a is None or b is None:
-        return Split(
-            number,
-            (a or b).now,
-            "end",
-            "ended" if a is None else "goes on",  # type: ignore[union-attr]
-            "ended" if b is None else "goes on",
-        )
-    part = next(name for name in Step._fields if getattr(a, name) != getattr(b, name))
-    return Split(number, a.now, part, _shown(getattr(a, part)), _shown(getattr(b, part)))
+            if type(action) in DECISIONS:
+                self._count(step.box, action)
+        if len(self._classes) > MAX_KNOWN_REQUESTS:
+            for key in list(self._classes)[: MAX_KNOWN_REQUESTS // 2]:
+                del self._classes[key]
+
+    def _count(self, host: int, action: Any) -> None:
+        name = self._classes.get((host, action.id))
+        if name is None:
+            return
+        self.by_class.setdefault(name, ClassDecisions()).count(type(action))
+        if type(action) is admission.Reject:
+            self.reasons[action.reason or UNKNOWN_REASON] += 1
+        if type(action) in _FINAL:
+            del self._classes[host, action.id]
+
+
+def estimate(recorded: dict[str, ClassDecisions], other: dict[str, ClassDecisions], served: dict[str, float]) -> None:
+    """Set the weight on both sides; ``served`` is what the recorded runs of each class earned."""
+    for name, decisions in recorded.items():
+        decisions.priority_weight = served.get(name, 0.0)
+    for name, decisions in other.items():
+        recorded_runs = recorded.get(name, ClassDecisions()).runs
+        if recorded_runs:
+            decisions.priority_weight = served.get(name, 0.0) / recorded_runs * decisions.runs
+        else:
+            decisions.priority_weight = 0.0
+
+
+def first_divergence(
+    left: Iterable[Step], right: Iterable[Step], on_pair: Callable[[Step, Step], None]
+) -> Divergence | None:
+    """Walk two traces step by step; return where they first differ.
+
+    ``on_pair`` gets every pair of steps, an empty step where one trace has ended.
+    """
+    found = None
+    for number, (one, two) in enumerate(zip_longest(left, right), 1):
+        on_pair(one or Step(0.0), two or Step(0.0))
+        if found is None and one != two:
+            found = _divergence(number, one, two)
+    return found
+
+
+def _divergence(number: int, one: Step | None, two: Step | None) -> Divergence:
+    if one is None or two is None:
+        longer = one or two
+        assert longer is not None
+        left = "ended" if one is None else "goes on"
+        right = "ended" if two is None else "goes on"
+        return Divergence(number, longer.now, "end", left, right)
+    part = next(name for name in Step._fields if getattr(one, name) != getattr(two, name))
+    return Divergence(number, one.now, part, _shown(getattr(one, part)), _shown(getattr(two, part)))
 
 
 def _shown(value: Any) -> str:
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -194,25 +194,30 @@
     other = [s._replace(actions=(admission.Reject(2, 5.0, True, "price"),)) if s.now == 200 else s for s in STEPS]
     sides = [comparing.Decisions(lambda box, cls: NAMES[cls]) for _ in range(2)]
 
-    def seen(a, b):
-        for side, step in zip(sides, (a, b), strict=True):
+    def on_pair(one, two):
+        for side, step in zip(sides, (one, two), strict=True):
             side.add(step, step.actions)
 
-    split = comparing.first_split(STEPS, other, seen)
-    assert (split.step, split.part, split.left) == (5, "actions", "(Run(id=2),)")
-    comparing.estimate(sides[0].made, sides[1].made, {"track": 2.0, "book": 5.0})
-    assert (sides[0].made["book"].run, sides[1].made["book"].refused, sides[1].made["book"].worth) == (1, 1, 0.0)
-    assert sides[1].made["track"].worth == 2.0 and sides[1].grounds == {"price": 1}
-    assert comparing.first_split(STEPS, STEPS, seen) is None
-    assert comparing.first_split(STEPS, STEPS[:-1], seen).part == "end"
+    found = comparing.first_divergence(STEPS, other, on_pair)
+    assert (found.step, found.part, found.left) == (5, "actions", "(Run(id=2),)")
+    left, right = (side.by_class for side in sides)
+    comparing.estimate(left, right, {"track": 2.0, "book": 5.0})
+    assert left["book"].runs == 1
+    assert right["book"].rejected == 1
+    assert right["book"].priority_weight == 0.0
+    assert right["track"].priority_weight == 2.0
+    assert sides[1].reasons == {"price": 1}
+    assert comparing.first_divergence(STEPS, STEPS, on_pair) is None
+    assert comparing.first_divergence(STEPS, STEPS[:-1], on_pair).part == "end"
 
 
 def test_classes_are_remembered_for_so_many_requests_only(monkeypatch):
-    monkeypatch.setattr(comparing, "KNOWN_MOST", 100)
+    monkeypatch.setattr(comparing, "MAX_KNOWN_REQUESTS", 100)
     side = comparing.Decisions(lambda box, cls: NAMES[cls])
     for n in range(1, 1000):
         side.add(asked(n, n), (admission.StartRun(n),))
-    assert len(side._cls) <= 101 and side.made["track"].run == 999
+    assert len(side._classes) <= 101
+    assert side.by_class["track"].runs == 999
 
 
 @pytest.mark.parametrize(
