--- a/lapispick/cli/trace_page.py
+++ b/lapispick/cli/trace_page.py
@@ -15,11 +15,12 @@
 COLOURS = {"served": "#2a7f62", "refused": "#c9822b", "failed": "#b23a48"}
 
 
-def _steps(axes: Any, made: Series, values: list[float], **how: Any) -> None:
-    axes.step([n * made.span / 1000 for n in range(len(values))], values, where="post", linewidth=0.9, **how)
+GREY = "#9aa0a6"
+MARK_COLOUR = "#555555"
+LIMIT_COLOUR = "#3b5b92"
 
 
-def draw(title: str, summary: Summary, made: Series) -> bytes:
+def draw(title: str, summary: Summary, series: Series) -> bytes:
     """Return a PNG; time counts in s from the first step."""
     # Imported here: the other commands do without it.
     import matplotlib as mpl
@@ -28,57 +29,16 @@
     from matplotlib import pyplot
 
     figure, rows = pyplot.subplots(5, 1, figsize=(11, 13), sharex=True, layout="constrained")
-    worth, answers, grounds, waits, limit = rows
-    keys = sorted(summary.windows, key=int)
-    at = [(int(k) - made.begin) / 1000 for k in keys]
-    for name, colour in (("asked", "#9aa0a6"), ("served", COLOURS["served"])):
-        worth.bar(
-            at,
-            [getattr(summary.windows[k], name) for k in keys],
-            width=WINDOW_MS / 1000,
-            align="edge",
-            label=name,
-            color=colour,
-            alpha=0.9 if name == "served" else 0.5,
-        )
-    worth.set_ylabel("worth, by 10 s of birth")
-    per = 1000 / made.span
-    for name, counts in made.answers.items():
-        _steps(answers, made, [c * per for c in counts], label=name, color=COLOURS.get(name))
-    _steps(answers, made, [c * per for c in made.arrived], label="tries that came", color="#9aa0a6")
-    answers.set_ylabel("a second")
-    for name, counts in made.grounds.items():
-        _steps(grounds, made, [c * per for c in counts], label=name)
-    grounds.set_ylabel("refused tries a second, by ground")
-    _steps(waits, made, made.waits, label="age of what is served, median, ms", color=COLOURS["served"])
+    weights, answers, reasons, waits, limit = rows
+    _draw_weights(weights, summary, series)
+    _draw_answers(answers, series)
+    _draw_reasons(reasons, series)
+    _steps(waits, series, series.waits, label="age of what is served, median, ms", color=COLOURS["served"])
     waits.set_ylabel("ms")
-    _steps(limit, made, [float(n) for n in made.inflight], label="open tries", color="#9aa0a6")
-    if made.limit:
-        _steps(limit, made, made.limit, label="limit on runs", color="#3b5b92")
-    limit.set_ylabel("tries")
-    if any(made.price):
-        other = limit.twinx()
-        _steps(other, made, made.price, label="price of hold", color=COLOURS["refused"])
-        other.set_ylabel("worth a slot and ms")
-        other.legend(loc="upper right", fontsize=8)
+    _draw_limit(limit, series)
     for axes in rows:
-        axes.margins(x=0)
-        axes.set_ylim(bottom=0)
-        for time, what in made.marks:
-            axes.axvline((time - made.begin) / 1000, color="#555555", linestyle=":", linewidth=0.8)
-            if axes is worth:
-                axes.annotate(
-                    what,
-                    ((time - made.begin) / 1000, 1),
-                    xycoords=("data", "axes fraction"),
-                    fontsize=7,
-                    rotation=90,
-                    va="top",
-                    ha="right",
-                )
-        if axes.get_legend_handles_labels()[0]:
-            axes.legend(loc="upper left", fontsize=8)
-    limit.set_xlabel(f"s since {when(made.begin)}")
+        _finish(axes, series, with_names=axes is weights)
+    limit.set_xlabel(f"s since {when(series.begin)}")
     figure.suptitle(f"{title}: {summary.whole.served:g} of {summary.whole.asked:g} served")
     out = BytesIO()
     figure.savefig(out, format="png", dpi=100)
@@ -86,6 +46,67 @@
     return out.getvalue()
 
 
+def _steps(axes: Any, series: Series, values: list[float], **options: Any) -> None:
+    """Draw a value for each span."""
+    seconds = [number * series.span / 1000 for number in range(len(values))]
+    axes.step(seconds, values, where="post", linewidth=0.9, **options)
+
+
+def _per_second(series: Series, counts: list[int]) -> list[float]:
+    spans_per_second = 1000 / series.span
+    return [count * spans_per_second for count in counts]
+
+
+def _draw_weights(axes: Any, summary: Summary, series: Series) -> None:
+    """Draw what was asked and served, by the time when requests were born."""
+    keys = sorted(summary.windows, key=int)
+    seconds = [(int(key) - series.begin) / 1000 for key in keys]
+    for name, colour, alpha in (("asked", GREY, 0.5), ("served", COLOURS["served"], 0.9)):
+        values = [getattr(summary.windows[key], name) for key in keys]
+        axes.bar(seconds, values, width=WINDOW_MS / 1000, align="edge", label=name, color=colour, alpha=alpha)
+    axes.set_ylabel("worth, by 10 s of birth")
+
+
+def _draw_answers(axes: Any, series: Series) -> None:
+    for name, counts in series.answers.items():
+        _steps(axes, series, _per_second(series, counts), label=name, color=COLOURS.get(name))
+    _steps(axes, series, _per_second(series, series.arrived), label="tries that came", color=GREY)
+    axes.set_ylabel("a second")
+
+
+def _draw_reasons(axes: Any, series: Series) -> None:
+    for name, counts in series.grounds.items():
+        _steps(axes, series, _per_second(series, counts), label=name)
+    axes.set_ylabel("refused tries a second, by ground")
+
+
+def _draw_limit(axes: Any, series: Series) -> None:
+    """Draw the attempts in flight, and the module's limit and price where they are known."""
+    _steps(axes, series, [float(count) for count in series.inflight], label="open tries", color=GREY)
+    if series.limit:
+        _steps(axes, series, series.limit, label="limit on runs", color=LIMIT_COLOUR)
+    axes.set_ylabel("tries")
+    if any(series.price):
+        other = axes.twinx()
+        _steps(other, series, series.price, label="price of hold", color=COLOURS["refused"])
+        other.set_ylabel("worth a slot and ms")
+        other.legend(loc="upper right", fontsize=8)
+
+
+def _finish(axes: Any, series: Series, with_names: bool) -> None:
+    """Set the bounds, and draw what operators did and the legend."""
+    axes.margins(x=0)
+    axes.set_ylim(bottom=0)
+    for time, name in series.marks:
+        seconds = (time - series.begin) / 1000
+        axes.axvline(seconds, color=MARK_COLOUR, linestyle=":", linewidth=0.8)
+        if with_names:
+            at_top = {"xycoords": ("data", "axes fraction"), "va": "top", "ha": "right"}
+            axes.annotate(name, (seconds, 1), fontsize=7, rotation=90, **at_top)
+    if axes.get_legend_handles_labels()[0]:
+        axes.legend(loc="upper left", fontsize=8)
+
+
 def _table(title: str, columns: Iterable[str], rows: Iterable[Iterable[Any]]) -> str:
     def cells(tag: str, row: Iterable[Any]) -> str:
         return "".join(f"<{tag}>{html.escape(str(cell))}</{tag}>" for cell in row)
