--- a/lapispick/cli/trace_write.py
+++ b/lapispick/cli/trace_write.py
@@ -107,14 +107,14 @@
     opened = readers(paths)
     if out.resolve() in {r.path.resolve() for r in opened}:
         fail(f"{out}: is one of the traces to be merged")
-    told, places = merging.sources([r.sources for r in opened])
+    sources, positions = merging.merge_sources([r.sources for r in opened])
     left: list[str] = []
     if correct_clocks:
         _, found = estimate(
-            attempt_matching.kept(attempt_matching.tries(r.sources, steps(r)) for r in opened), {s.box for s in told}
+            attempt_matching.kept(attempt_matching.tries(r.sources, steps(r)) for r in opened), {s.box for s in sources}
         )
-        left = merging.corrected(told, found)
-    by_reader = {id(r): place for r, place in zip(opened, places, strict=True)}
+        left = merging.apply_clocks(sources, found)
+    by_reader = {id(r): place for r, place in zip(opened, positions, strict=True)}
 
     def stream(many: list[files.Reader], tell: Callable[[int], None]) -> Iterator[Step]:
         for reader in many:
@@ -122,16 +122,16 @@
             for step in steps(reader, tell):
                 yield step if place == [step.box] else step._replace(box=place[step.box])
 
-    header = Header(sources=told, made=["merged by corrected clocks" if correct_clocks else "merged"])
+    header = Header(sources=sources, made=["merged by corrected clocks" if correct_clocks else "merged"])
     with bar("merge", opened) as tell:
         count = files.write(
             out,
             header,
-            merging.merge([stream(many, tell) for many in lives(opened)], lambda step: files.when(told, step)),
+            merging.merge([stream(many, tell) for many in lives(opened)], lambda step: files.when(sources, step)),
         )
     for why in left:
         complain(f"not corrected: {why}")
-    _done(json_, f"{count} steps of {len(told)} lives", steps=count, lives=len(told), not_corrected=left)
+    _done(json_, f"{count} steps of {len(sources)} lives", steps=count, lives=len(sources), not_corrected=left)
     sys.exit(DIFFERS if left else 0)
 
 
--- a/lapispick/trace/merging.py
+++ b/lapispick/trace/merging.py
@@ -1,54 +1,69 @@
-"""One trace out of those of several boxes: whose steps come when, and whose they are. No I/O.
+"""Merges the traces of several hosts: the order of their steps, and the sources that they come from. No I/O.
 
-Never reorders within one life of a box, whatever its clock did.
+Never reorders within one incarnation of a host, whatever its clock did.
 """
 
 from __future__ import annotations
 
 import heapq
 from collections.abc import Callable, Iterable, Iterator, Sequence
-from typing import Any
+from typing import Any, NamedTuple
 
 from lapispick.trace.clock_skew import Clock, Unknown
 from lapispick.trace.record_types import Step
 
-Life = tuple[str, str]  # box and incarnation
 
+class Incarnation(NamedTuple):
+    """One incarnation of a host; its files differ in their sequence only."""
 
-def life(source: Any) -> Life:
-    """Return which life of which box a source stands for; its files differ in their sequence only."""
-    return source.box, source.incarnation
+    host: str
+    number: str
 
 
-def sources(files: Iterable[Sequence[Any]]) -> tuple[list[Any], list[list[int]]]:
-    """Return the distinct sources of files' headers, in order of their first file, and each file's places in them."""
-    made: dict[Life, int] = {}
-    kept: list[Any] = []
-    places = []
-    for told in files:
-        for one in told:
-            if life(one) not in made:
-                made[life(one)] = len(kept)
-                kept.append(one)
-        places.append([made[life(one)] for one in told])
-    return kept, places
+class MergedSources(NamedTuple):
+    """The distinct sources of files, in order of their first file, and where those of each file are among them."""
 
+    sources: list[Any]
+    positions: list[list[int]]
 
-def corrected(told: Sequence[Any], clocks: dict[str, Clock | Unknown]) -> list[str]:
-    """Write the clocks of boxes into their sources; return why those that are not corrected are not."""
-    left = []
-    for source in told:
+
+def incarnation_of(source: Any) -> Incarnation:
+    """Return which incarnation of which host a source stands for."""
+    return Incarnation(source.box, source.incarnation)
+
+
+def merge_sources(files: Iterable[Sequence[Any]]) -> MergedSources:
+    """Return the distinct sources in the headers of files."""
+    known: dict[Incarnation, int] = {}
+    distinct: list[Any] = []
+    positions: list[list[int]] = []
+    for sources in files:
+        for source in sources:
+            if incarnation_of(source) not in known:
+                known[incarnation_of(source)] = len(distinct)
+                distinct.append(source)
+        positions.append([known[incarnation_of(source)] for source in sources])
+    return MergedSources(distinct, positions)
+
+
+def apply_clocks(sources: Sequence[Any], clocks: dict[str, Clock | Unknown]) -> list[str]:
+    """Write the clocks of hosts into their sources; return why those that are not corrected are not."""
+    reasons: list[str] = []
+    for source in sources:
         clock = clocks.get(source.box)
         if isinstance(clock, Clock):
-            source.offset, source.drift, source.error = clock.offset, clock.drift, clock.error
-            source.at = clock.at + clock.offset  # when it was that far ahead, by the box's own clock
+            source.offset = clock.offset
+            source.drift = clock.drift
+            source.error = clock.error
+            source.at = clock.at + clock.offset  # when it was that far ahead, by the host's own clock
         else:
-            left.append(f"{source.box}: {clock.why if clock is not None else 'cannot tell: it was not looked at'}")
-    return left
+            reason = clock.why if clock is not None else "cannot tell: it was not looked at"
+            reasons.append(f"{source.box}: {reason}")
+    return reasons
 
 
 def merge(streams: Sequence[Iterable[Step]], when: Callable[[Step], float]) -> Iterator[Step]:
-    """Yield the steps of lives by time; at the same time by the order of the streams.
+    """Yield the steps of all streams by time; at the same time by the order of the streams.
 
     A step that is earlier than the one before it in its stream follows that one at once: no other head is earlier.
     """
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -135,14 +135,14 @@
 
 
 def test_sources_of_one_life_are_one_and_clocks_are_corrected_where_they_are_told():
-    told, places = merging.sources(
+    told, places = merging.merge_sources(
         [header(sequence=0).sources, header(sequence=1).sources, header("b").sources, header(incarnation="2").sources]
     )
     assert [(s.box, s.incarnation) for s in told] == [("a", "1"), ("b", "1"), ("a", "2")]
     assert places == [[0], [0], [1], [2]]
-    left = merging.corrected(told, {"a": Clock(0.0, 0.0, 0.0, 0.0, 9, True), "b": Unknown("cannot tell: no")})
+    left = merging.apply_clocks(told, {"a": Clock(0.0, 0.0, 0.0, 0.0, 9, True), "b": Unknown("cannot tell: no")})
     assert left == ["b: cannot tell: no"]
-    merging.corrected(told, {"b": Clock(1000.0, 2.0, 50_000.0, 3.0, 9, True)})
+    merging.apply_clocks(told, {"b": Clock(1000.0, 2.0, 50_000.0, 3.0, 9, True)})
     assert files.when(told, Step(51_000.0, box=1)) == 50_000.0
     assert files.when(told, Step(61_000.0, box=1)) == pytest.approx(59_980.0)
 
