--- a/lapispick/cli/agent.py
+++ b/lapispick/cli/agent.py
@@ -14,7 +14,7 @@
 from lapispick.cli.config import FILE, load
 from lapispick.cli.ops import NoAnswerError, call
 from lapispick.cli.output import ExitCode, print_error, print_json, print_line, print_table
-from lapispick.conf.settings import Agent as Settings
+from lapispick.conf.sections import AgentSettings
 from lapispick.host.scheduler import address
 from lapispick.rollout import messages
 from lapispick.rollout.host_state import SLOTS
@@ -27,7 +27,7 @@
     """Run a host's agent, manage its generations, or show its status."""
 
 
-def _settings(file: Path | None) -> Settings:
+def _settings(file: Path | None) -> AgentSettings:
     settings = load(file).agent
     if settings.folder is None:
         print_error("no folder in section agent of the settings")
@@ -57,12 +57,12 @@
     from lapispick.host import logs
 
     settings = _settings(file)
-    if settings.config is None or len(settings.slot_ops) != SLOTS:
+    if settings.host_config is None or len(settings.slot_ops) != SLOTS:
         print_error("section agent needs config and slot-ops")
         sys.exit(ExitCode.INVALID)
-    base = _read_config(Path(str(settings.config)))
+    base = _read_config(Path(str(settings.host_config)))
     try:
-        name = platform.load({"LB_CONFIG": str(settings.config)}).name
+        name = platform.load({"LB_CONFIG": str(settings.host_config)}).name
         logs.setup()
         service = Agent(name, settings, base)
         service.adopt(adopt)
--- a/lapispick/cli/rollout_control.py
+++ b/lapispick/cli/rollout_control.py
@@ -13,7 +13,7 @@
 from lapispick.cli.rollout_common import fail
 from lapispick.cli.rollout_planning import Fleet
 from lapispick.fleet import hosts, snapshot
-from lapispick.fleet.acceptance import Acceptance, Seen
+from lapispick.fleet.acceptance import Acceptance, Observation
 from lapispick.fleet.hosts import Worker
 from lapispick.host import logs
 from lapispick.host.inventory import policy
@@ -34,11 +34,13 @@
     def accepted_workers(self) -> list[Worker] | None:
         """Return the hosts of a list that was accepted just now; a broken or shrunken list changes nothing."""
         reading = self._files.read()
-        whole = None if reading.faults else snapshot.of(reading.boxes)
-        verdict = self._acceptance.see(time.monotonic(), Seen(whole, reading.faults, reading.unfinished))
+        whole = None if reading.faults else snapshot.snapshot_of(reading.hosts)
+        verdict = self._acceptance.observe(
+            time.monotonic(), Observation(whole, reading.faults, reading.incomplete_reason)
+        )
         if verdict.accepted is None:
             return None
-        return list(hosts.workers(verdict.accepted.boxes.values())[0])
+        return list(hosts.workers(verdict.accepted.hosts.values())[0])
 
 
 def run_controller(store: RolloutStore, state: RolloutState, fleet: Fleet, default_memory_limit_mb: float) -> None:
@@ -55,18 +57,18 @@
 
 def _controller_options(state: RolloutState, fleet: Fleet, default_memory_limit_mb: float) -> ControllerOptions:
     settings = fleet.settings
-    names_file = fleet.source.settings.names_file
+    names_file = fleet.source.settings.hosts_file
     bounds = Bounds(
-        alarm=settings.alarm,
+        alarm=settings.false_alarm_probability,
         stages=max(1, len(state.plan.stages)),
-        worse=settings.worse,
+        worse=settings.tolerated_degradation,
         memory_limit_kb=default_memory_limit_mb * _KB_PER_MB,
     )
     return ControllerOptions(
-        name=settings.who,
-        poll_interval_s=settings.look,
+        name=settings.controller_name,
+        poll_interval_s=settings.poll_interval_s,
         analysis_bounds=bounds,
         hours=pacing.parse_hours(settings.hours),
-        excluded_days=settings.not_days,
+        excluded_days=settings.excluded_days,
         names_file=Path(str(names_file)) if names_file else None,
     )
--- a/lapispick/cli/shares.py
+++ b/lapispick/cli/shares.py
@@ -10,10 +10,10 @@
 import click
 
 from lapispick.cli.config import FILE, load
-from lapispick.cli.inventory import ANY, Files, Source, source
+from lapispick.cli.inventory import ANY_HOST, Files, Source, source
 from lapispick.cli.output import ExitCode, print_error, print_json, print_line, print_table
 from lapispick.fleet import hosts as worker_hosts
-from lapispick.fleet.host_assembly import Box
+from lapispick.fleet.host_assembly import InventoryHost
 from lapispick.shares import load_fractions, subsets
 from lapispick.shares.subsets import Assignment, AssignmentChange, Backend, Host
 
@@ -42,14 +42,14 @@
     return command
 
 
-def _read_hosts(files: Source) -> list[Box]:
+def _read_hosts(files: Source) -> list[InventoryHost]:
     """Return the hosts of an inventory; ends the program where it has faults."""
     reading = Files(files).read()
     if reading.faults:
         for fault in reading.faults:
             print_error(str(fault))
         sys.exit(ExitCode.DIFFERENCES)
-    return list(reading.boxes.values())
+    return list(reading.hosts.values())
 
 
 def _worker_hosts(conf: Path | None, path: Path | None = None) -> list[Host]:
@@ -62,7 +62,7 @@
 
 
 def _backends(conf: Path | None, path: Path, group: str) -> list[Backend]:
-    files = source(conf, path, group)._replace(schema=ANY)
+    files = source(conf, path, group)._replace(schema=ANY_HOST)
     return [Backend(host.name) for host in _read_hosts(files)]
 
 
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -10,6 +10,7 @@
 from hypothesis import strategies as st
 
 from lapispick.conf import parser, settings, value_types
+from lapispick.conf.sections import AmqpSettings
 from lapispick.file_errors import InvalidFileError
 
 
@@ -29,8 +30,8 @@
     (tmp_path / "more/x.conf").write_text("section amqp\n enabled yes\n drain 1m\nend\n")
     made = settings.parse(path)
     kept = made.inventory
-    assert kept.path == tmp_path / "my list.yml" and made.amqp == settings.Amqp(True, 60.0)
-    assert (kept.settle, kept.loss, kept.size_most, kept.end_marker) == (0.2, 0.17, 2 << 20, "# end")
+    assert kept.path == tmp_path / "my list.yml" and made.amqp == AmqpSettings(True, 60.0)
+    assert (kept.settle_s, kept.max_loss_fraction, kept.max_bytes, kept.end_marker) == (0.2, 0.17, 2 << 20, "# end")
 
 
 @pytest.mark.parametrize(
@@ -95,11 +96,11 @@
 @given(st.text(max_size=12))
 def test_no_word_breaks_a_kind(word):
     for kind in (
-        value_types.span,
-        value_types.size,
-        value_types.share,
+        value_types.duration,
+        value_types.byte_size,
+        value_types.fraction,
         value_types.count,
-        value_types.flag,
+        value_types.boolean,
         value_types.text,
         value_types.path,
     ):
@@ -140,7 +141,7 @@
     found = json.loads(made.stdout)
     assert [b["name"] for b in found] == ["a", "b"] and "geheim" not in made.stdout
     assert found[0]["spellings"] == ["A.", "a"]
-    assert "one box under several spellings: A., a" in tool("inventory", "check", "--path", str(one), *options).stdout
+    assert "one host under several spellings: A., a" in tool("inventory", "check", "--path", str(one), *options).stdout
     made = tool("inventory", "diff", str(one), str(two), *options)
     assert made.returncode == 1 and "joined   c" in made.stdout and "moved    b (b:2 -> b:3)" in made.stdout
     assert "queue r left" in made.stdout
@@ -149,5 +150,5 @@
     made = tool("inventory", "check", "--path", str(one), *options)
     assert made.returncode == 1 and "1.csv:2:3: amqp_port: 'x' is not a whole number" in made.stderr
     made = tool("inventory", "watch", "--path", str(two), "--seconds", "2.2", *options)
-    assert "level=info event=inventory-accepted" in made.stderr and "boxes=3" in made.stderr
+    assert "level=info event=inventory-accepted" in made.stderr and "hosts=3" in made.stderr
     assert tool("inventory", "history").returncode == 3
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -16,7 +16,7 @@
 from lapispick.trace.anonymising import Anonymiser, Clash
 from lapispick.trace.clock_skew import Clock, Unknown
 from lapispick.trace.record_types import Answered, Arrival, Happened, Step, Straddles
-from lapispick.trace.selecting import DROP, WHOLE, Selector, Wanted
+from lapispick.trace.selecting import DROP, WHOLE, Selection, Selector
 from tests.controller_harness import make_settings
 from tests.test_aggregation import answered, asked
 
@@ -44,7 +44,7 @@
 
 
 def cut(steps, **wanted):
-    selector = Selector(Wanted(**wanted), lambda box, cls: NAMES[cls], 4000.0, lambda s: s.now)
+    selector = Selector(Selection(**wanted), lambda box, cls: NAMES[cls], 4000.0, lambda s: s.now)
     since, until = wanted.get("since", float("-inf")), wanted.get("until", float("inf"))
     return list(selector.run(s for s in steps if since - selector.margin <= s.now < until + selector.margin))
 
@@ -106,7 +106,7 @@
 
 def test_what_a_cut_holds_does_not_grow_with_the_trace():
     selector, most = (
-        Selector(Wanted(outcomes=frozenset({"served"})), lambda box, cls: "track", 4000.0, lambda s: s.now),
+        Selector(Selection(outcomes=frozenset({"served"})), lambda box, cls: "track", 4000.0, lambda s: s.now),
         0,
     )
 
@@ -116,7 +116,7 @@
             yield asked(n * 10.0, n + 1)
             if n % 2:
                 yield answered(n * 10.0 + 5, n + 1)
-            most = max(most, len(selector._tries) + len(selector._waiting) + len(selector._marked))
+            most = max(most, len(selector._attempts) + len(selector._pending) + len(selector._marked))
 
     assert sum(1 for _ in selector.run(steps())) == 20_000
     assert most < 2500
@@ -135,14 +135,14 @@
 
 
 def test_sources_of_one_life_are_one_and_clocks_are_corrected_where_they_are_told():
-    told, places = merging.sources(
+    told, places = merging.merge_sources(
         [header(sequence=0).sources, header(sequence=1).sources, header("b").sources, header(incarnation="2").sources]
     )
     assert [(s.box, s.incarnation) for s in told] == [("a", "1"), ("b", "1"), ("a", "2")]
     assert places == [[0], [0], [1], [2]]
-    left = merging.corrected(told, {"a": Clock(0.0, 0.0, 0.0, 0.0, 9, True), "b": Unknown("cannot tell: no")})
+    left = merging.apply_clocks(told, {"a": Clock(0.0, 0.0, 0.0, 0.0, 9, True), "b": Unknown("cannot tell: no")})
     assert left == ["b: cannot tell: no"]
-    merging.corrected(told, {"b": Clock(1000.0, 2.0, 50_000.0, 3.0, 9, True)})
+    merging.apply_clocks(told, {"b": Clock(1000.0, 2.0, 50_000.0, 3.0, 9, True)})
     assert files.when(told, Step(51_000.0, box=1)) == 50_000.0
     assert files.when(told, Step(61_000.0, box=1)) == pytest.approx(59_980.0)
 
@@ -194,25 +194,30 @@
     other = [s._replace(actions=(admission.Reject(2, 5.0, True, "price"),)) if s.now == 200 else s for s in STEPS]
     sides = [comparing.Decisions(lambda box, cls: NAMES[cls]) for _ in range(2)]
 
-    def seen(a, b):
-        for side, step in zip(sides, (a, b), strict=True):
+    def on_pair(one, two):
+        for side, step in zip(sides, (one, two), strict=True):
             side.add(step, step.actions)
 
-    split = comparing.first_split(STEPS, other, seen)
-    assert (split.step, split.part, split.left) == (5, "actions", "(Run(id=2),)")
-    comparing.estimate(sides[0].made, sides[1].made, {"track": 2.0, "book": 5.0})
-    assert (sides[0].made["book"].run, sides[1].made["book"].refused, sides[1].made["book"].worth) == (1, 1, 0.0)
-    assert sides[1].made["track"].worth == 2.0 and sides[1].grounds == {"price": 1}
-    assert comparing.first_split(STEPS, STEPS, seen) is None
-    assert comparing.first_split(STEPS, STEPS[:-1], seen).part == "end"
+    found = comparing.first_divergence(STEPS, other, on_pair)
+    assert (found.step, found.part, found.left) == (5, "actions", "(Run(id=2),)")
+    left, right = (side.by_class for side in sides)
+    comparing.estimate(left, right, {"track": 2.0, "book": 5.0})
+    assert left["book"].runs == 1
+    assert right["book"].rejected == 1
+    assert right["book"].priority_weight == 0.0
+    assert right["track"].priority_weight == 2.0
+    assert sides[1].reasons == {"price": 1}
+    assert comparing.first_divergence(STEPS, STEPS, on_pair) is None
+    assert comparing.first_divergence(STEPS, STEPS[:-1], on_pair).part == "end"
 
 
 def test_classes_are_remembered_for_so_many_requests_only(monkeypatch):
-    monkeypatch.setattr(comparing, "KNOWN_MOST", 100)
+    monkeypatch.setattr(comparing, "MAX_KNOWN_REQUESTS", 100)
     side = comparing.Decisions(lambda box, cls: NAMES[cls])
     for n in range(1, 1000):
         side.add(asked(n, n), (admission.StartRun(n),))
-    assert len(side._cls) <= 101 and side.made["track"].run == 999
+    assert len(side._classes) <= 101
+    assert side.by_class["track"].runs == 999
 
 
 @pytest.mark.parametrize(
