--- a/benchmarks/inventory.py
+++ b/benchmarks/inventory.py
@@ -146,10 +146,10 @@
     from lapispick.host.amqp.front import AmqpFront
     from lapispick.host.dns_resolver import Names
     from lapispick.host.inventory import Inventory
-    from lapispick.host.scheduler import Loop
+    from lapispick.host.scheduler import EventLoop
 
     info = msgspec.convert(INFO, Info)
-    loop, worst, phase = Loop(), {"idle": 0.0, "first": 0.0, "change": 0.0}, ["idle"]
+    loop, worst, phase = EventLoop(), {"idle": 0.0, "first": 0.0, "change": 0.0}, ["idle"]
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / f"list.{form}"
         path.write_text(FORMS[form](size))
@@ -165,7 +165,7 @@
         def beat() -> None:
             last = time.perf_counter()
             while True:
-                loop.give_way()
+                loop.yield_control()
                 now = time.perf_counter()
                 worst[phase[0]] = max(worst[phase[0]], now - last)
                 last = now
@@ -191,7 +191,7 @@
 
         loop.spawn(beat)
         loop.spawn(script)
-        loop.later(60.0, loop.stop)  # a list that is never accepted must not keep this running
+        loop.call_later(60.0, loop.stop)  # a list that is never accepted must not keep this running
         loop.run()
         assert inventory._process is not None and phase[0] == "change", "the list was not accepted"
         helper = memory_mb(inventory._process.pid)
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -111,8 +111,8 @@
 READER = """
 import sys, time
 from lapispick.cli.ops import call
-from lapispick.host.scheduler import address
-at, end = address(sys.argv[1]), time.monotonic() + float(sys.argv[2])
+from lapispick.host.addresses import parse_address
+at, end = parse_address(sys.argv[1]), time.monotonic() + float(sys.argv[2])
 while time.monotonic() < end:
     began = time.monotonic()
     call(at, "vars")
--- a/lapispick/agent/controller.py
+++ b/lapispick/agent/controller.py
@@ -19,7 +19,8 @@
 from lapispick.fleet.hosts import Worker
 from lapispick.host.dns_resolver import Names
 from lapispick.host.logs import log
-from lapispick.host.scheduler import Closed, Loop, Overlong, connect
+from lapispick.host.scheduler import EventLoop
+from lapispick.host.streams import LineTooLongError, StreamClosedError, connect
 from lapispick.host.worker_threads import Work
 from lapispick.rollout import messages, metrics, pacing, rollout_state
 from lapispick.rollout.canary_analysis import Bounds as Judging
@@ -73,7 +74,7 @@
         listed: Callable[[], list[Worker] | None] | None = None,
         names_file: Path | None = None,
     ) -> None:
-        self.loop = Loop()
+        self.loop = EventLoop()
         self.work, self._names = Work(self.loop), Names(self.loop, ASK_S, names_file)
         self.ledger, self.course, self.who, self._judging, self._hours = ledger, course, who, judging, hours
         self._look, self._listed = look, listed
@@ -230,7 +231,7 @@
             stream.write(line.encode() + b"\n")
             while (part := stream.read_line(max(0.001, end - time.monotonic()))) is not None:
                 lines.append(part.decode("utf-8", "replace"))
-        except (Overlong, Closed) as err:
+        except (LineTooLongError, StreamClosedError) as err:
             raise OSError(str(err)) from None
         finally:
             stream.close()
--- a/lapispick/agent/service.py
+++ b/lapispick/agent/service.py
@@ -24,9 +24,11 @@
 from lapispick.agent.generation_store import CONF, PROGRAM, Shelf
 from lapispick.agent.processes import Processes
 from lapispick.conf.settings import Agent as Settings
+from lapispick.host.addresses import parse_address
 from lapispick.host.logs import log
 from lapispick.host.ops import Operators
-from lapispick.host.scheduler import Closed, Loop, Overlong, address, connect
+from lapispick.host.scheduler import EventLoop
+from lapispick.host.streams import LineTooLongError, StreamClosedError, connect
 from lapispick.host.worker_threads import Work
 from lapispick.rollout import host_state, messages
 from lapispick.rollout.generations import Generation
@@ -84,7 +86,7 @@
         self.store = Store(self.folder, name)
         self.state, self.shelf = self.store.state, Shelf(self.folder / "generations", python)
         self.processes = Processes(f"{name}:{self.folder}")
-        self.loop = Loop()
+        self.loop = EventLoop()
         self.work = Work(self.loop)
         self._known = self.shelf.all()
         self._takes: frozenset[int] = frozenset()
@@ -93,7 +95,7 @@
         self._busy, self._failed = False, 0.0
         self._waiting: list[Callable[[], None]] = []
         calls = {"status": self._status, **{word: lambda word=word: self._passed(word) for word in PASSED}}
-        self.operators = Operators(self.loop, address(settings.listen, 0), CALLERS, calls, self._call)
+        self.operators = Operators(self.loop, parse_address(settings.listen, 0), CALLERS, calls, self._call)
 
     def point(self, name: str) -> None:
         """Mark a named point; kills at each of them are tested."""
@@ -286,7 +288,7 @@
     def _asked(self, slot: int, word: str) -> list[str] | None:
         """Ask the host at one of its operators' addresses; None where it does not answer in time."""
         try:
-            stream = connect(self.loop, address(self.settings.slot_ops[slot]), ASK_S)
+            stream = connect(self.loop, parse_address(self.settings.slot_ops[slot]), ASK_S)
         except OSError:
             return None
         lines, end = [], time.monotonic() + ASK_S
@@ -294,7 +296,7 @@
             stream.write(word.encode() + b"\n")
             while (line := stream.read_line(max(0.001, end - time.monotonic()))) is not None:
                 lines.append(line.decode("ascii", "replace"))
-        except (OSError, Overlong, Closed):
+        except (OSError, LineTooLongError, StreamClosedError):
             return None
         finally:
             stream.close()
--- a/lapispick/cli/agent.py
+++ b/lapispick/cli/agent.py
@@ -15,7 +15,7 @@
 from lapispick.cli.ops import NoAnswer, call
 from lapispick.cli.output import DIFFERS, FAULTY, NO_STATE, as_json, complain, say, table
 from lapispick.conf.settings import Agent as Settings
-from lapispick.host.scheduler import address
+from lapispick.host.addresses import parse_address
 from lapispick.rollout import messages
 
 JSON = click.option("--json", "json_", is_flag=True, help="For programs.")
@@ -131,7 +131,7 @@
 def status(at: str, json_: bool) -> None:
     """Ask an agent where its box stands."""
     try:
-        found = messages.heard(call(address(at), "status"))
+        found = messages.heard(call(parse_address(at), "status"))
     except (NoAnswer, ValueError) as err:
         complain(str(err))
         sys.exit(NO_STATE)
--- a/lapispick/cli/ops.py
+++ b/lapispick/cli/ops.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from lapispick.cli.output import DIFFERS, FAULTY, NO_STATE, as_json, complain, say
-from lapispick.host.scheduler import address
+from lapispick.host.addresses import parse_address
 
 TIMEOUT_S = 2.0  # s; an answer is due within 1 s
 LOOK_S = 0.05  # s; between two looks of ``wait``
@@ -70,7 +70,7 @@
             complain(f"{path}: {err}")
             sys.exit(FAULTY)
     try:
-        return address(text)
+        return parse_address(text)
     except ValueError as err:
         complain(f"no operators' address (--at, LB_OPS or ops in LB_CONFIG): {err}")
         sys.exit(FAULTY)
--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -27,8 +27,9 @@
 from lapispick.host.metrics import Wide
 from lapispick.host.ops import Operators
 from lapispick.host.registry import Roster
-from lapispick.host.scheduler import LINGER_S, READ, Loop
+from lapispick.host.scheduler import READ, EventLoop
 from lapispick.host.store import StoreClient
+from lapispick.host.streams import GRACEFUL_CLOSE_S
 from lapispick.idempotency.ownership import Role
 
 LOG = "host"
@@ -66,7 +67,7 @@
 
     def __init__(self, config: Config, own: Settings, signals: Signals) -> None:
         limits, settings = config.limits, config.start
-        self.loop, self.config, self.signals, self.leaving = Loop(limits.unsent), config, signals, False
+        self.loop, self.config, self.signals, self.leaving = EventLoop(limits.unsent), config, signals, False
         loop = self.loop
         self.centre = centre = Core(
             loop, settings, int(config.seed, 16), limits.kept, limits.open, [s.name for s in config.settings.services]
@@ -250,10 +251,10 @@
     def _watch(self) -> None:
         """Act on signals, for ever: SIGHUP may come at any time, also while we leave."""
         while True:
-            self.loop.wait(self.signals.told.fileno(), READ)
+            self.loop.wait_for_io(self.signals.told.fileno(), READ)
             came = self.signals.take()
             if signal.SIGHUP in came:
-                self.loop.soon(self._reload)
+                self.loop.call_soon(self._reload)
             if not self.leaving and (signal.SIGTERM in came or signal.SIGINT in came):
                 self.leaving = True
                 self.loop.spawn(self._leave)
@@ -319,7 +320,7 @@
         # From here on nothing is read that would be lost, nor run behind the last word to the other process; peers
         # still get what is on its way, which a process that ends over unread bytes would reset.
         self.gateways.finish()
-        last = min(end_at - LAST_S, time.monotonic() + LINGER_S)
+        last = min(end_at - LAST_S, time.monotonic() + GRACEFUL_CLOSE_S)
         while time.monotonic() < last and not self.gateways.gone():
             self.loop.sleep(0.005)
         if self.handover is not None:
--- /dev/null
+++ b/lapispick/host/addresses.py
@@ -0,0 +1,15 @@
+"""Addresses in settings: an IP address and a port, never a name, whose resolution would block the event loop."""
+
+from __future__ import annotations
+
+from ipaddress import ip_address
+
+MAX_PORT = 65535
+
+
+def parse_address(text: str, min_port: int = 1) -> tuple[str, int]:
+    """Split ``IP:port``, IPv6 addresses in brackets or without; raises ``ValueError``."""
+    host, colon, port = text.rpartition(":")
+    if not colon or not port.isdecimal() or not min_port <= int(port) <= MAX_PORT:
+        raise ValueError(f"{text!r} is not IP:port")
+    return str(ip_address(host.strip("[]"))), int(port)
--- a/lapispick/host/amqp/consumer.py
+++ b/lapispick/host/amqp/consumer.py
@@ -267,7 +267,7 @@
         log(LOG, logging.WARNING, "consumer-cancelled", broker=self.session.name, queue=self.queue.name)
         self.consuming = False
         if not self.cancelled:
-            self.session.loop.later(jitter.pause(REOPEN_S, random.random()), self._consume_again)
+            self.session.loop.call_later(jitter.pause(REOPEN_S, random.random()), self._consume_again)
 
     def _consume_again(self) -> None:
         if self.session.current(self) and not self.consuming:
--- a/lapispick/host/amqp/front.py
+++ b/lapispick/host/amqp/front.py
@@ -17,7 +17,8 @@
 from lapispick.host.amqp.session import Session
 from lapispick.host.dns_resolver import Names, NoAddress
 from lapispick.host.logs import log
-from lapispick.host.scheduler import Loop, Timer
+from lapispick.host.scheduler import EventLoop
+from lapispick.host.timers import Timer
 from lapispick.platform_settings import Info
 
 LOG = "amqp"
@@ -51,7 +52,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         bounds: Bounds,
         info: Info,
         settings: admission.Settings,
@@ -91,7 +92,7 @@
             self._queues[key] = queues(box)
             self._want(key, broker(box))
             if not at % SLICE:
-                self.loop.give_way()
+                self.loop.yield_control()
         for key in change.left:
             self._plan.drop(key)
             self._queues.pop(key, None)
@@ -124,7 +125,7 @@
             log(LOG, logging.ERROR, "brokers-left-out", brokers=self._left_out, most=self._plan.bounds.lives)
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self.loop.later(next_due(self._plan, now), self._step)
+        self._timer = self.loop.call_later(next_due(self._plan, now), self._step)
 
     def _open(self, action: Open) -> None:
         told: Broker = action.spec[0]
@@ -135,7 +136,7 @@
     def opened(self, session: Session) -> None:
         """Take note that a broker is consumed from; the old life of it may go."""
         self._plan.opened(time.monotonic(), session.life)
-        self.loop.soon(self._step)
+        self.loop.call_soon(self._step)
 
     def lost(self, session: Session) -> None:
         """Take note that a connection broke; it is tried again."""
@@ -148,7 +149,7 @@
         if session.key not in self._queues and all(s.key != session.key for s in self._sessions.values()):
             self._callers.drop(session.key)
         log(LOG, logging.INFO, "broker-ended", broker=session.name)
-        self.loop.soon(self._step)
+        self.loop.call_soon(self._step)
 
     def _renew(self) -> None:
         """Look the names of connected brokers up again; one that moved for good is opened anew."""
--- a/lapispick/host/amqp/session.py
+++ b/lapispick/host/amqp/session.py
@@ -13,7 +13,8 @@
 from lapispick.host.amqp.consumer import REOPEN_S, BrokerClosed, Channel, Translator
 from lapispick.host.amqp.listing import Broker, Queue
 from lapispick.host.logs import log
-from lapispick.host.scheduler import Closed, Loop, Stream, connect
+from lapispick.host.scheduler import EventLoop
+from lapispick.host.streams import Stream, StreamClosedError, connect
 
 LOG = "amqp"
 CONNECT_S = 3.0  # s; for one try of a connection
@@ -32,7 +33,7 @@
 class Front(Protocol):
     """What a session asks of the front."""
 
-    loop: Loop
+    loop: EventLoop
     translator: Translator
     leaving: bool
 
@@ -102,7 +103,7 @@
             self._handshake()
             opened, self._addresses = True, []
             self._consume()
-        except (OSError, Closed) as err:  # time-outs among them
+        except (OSError, StreamClosedError) as err:  # time-outs among them
             log(LOG, logging.WARNING, "connection-lost" if opened else "connect-failed", broker=self.name, error=err)
         except CodecError as err:
             self._hang_up(codec.SYNTAX_ERROR, str(err))
@@ -120,7 +121,7 @@
 
     def _drop(self) -> None:
         if self._stream is not None:  # a close over what the broker still sends would reset our last frames away
-            self.loop.spawn(self._stream.linger)
+            self.loop.spawn(self._stream.close_gracefully_and_wait)
         self._stream, self.channels, self._handshaken = None, {}, False
         if self._opened:
             self._opened = False
@@ -195,7 +196,7 @@
         log(LOG, logging.INFO, "connected", broker=self.name, heartbeat_s=heartbeat)
 
     def _consume(self) -> None:
-        self.loop.later(self._heartbeat / 2, self._beat, self._stream)
+        self.loop.call_later(self._heartbeat / 2, self._beat, self._stream)
         for queue in list(self.queues.values()):
             self._open_channel(queue)
         if self.leaving:
@@ -227,7 +228,7 @@
         if self._stream is stream and not stream.closed:
             if time.monotonic() - self._sent_at >= self._heartbeat / 2 - 0.05:
                 self.send(codec.encode_frame(codec.HEARTBEAT, 0, b""))
-            self.loop.later(self._heartbeat / 2, self._beat, stream)
+            self.loop.call_later(self._heartbeat / 2, self._beat, stream)
 
     def _open_channel(self, queue: Queue) -> None:
         number = next(n for n in range(1, CHANNELS_MOST + 1) if n not in self.channels)
@@ -255,7 +256,7 @@
                 self._open_channel(queue)
 
         if not channel.retired:
-            self.loop.later(REOPEN_S, again)
+            self.loop.call_later(REOPEN_S, again)
         self.check_end()
 
     def gone(self, channel: Channel) -> None:
@@ -306,5 +307,5 @@
     def flushed(self) -> bool:
         """Tell whether all that was taken is answered and handed over."""
         return not any(c.in_hand for c in self.channels.values()) and not (
-            self._stream is not None and self._stream.unsent
+            self._stream is not None and self._stream.unsent_bytes
         )
--- a/lapispick/host/config.py
+++ b/lapispick/host/config.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from lapispick import admission
-from lapispick.host.scheduler import address
+from lapispick.host.addresses import parse_address
 from lapispick.platform_settings import BACKPRESSURE_SIGNALS, CANCEL_MODES, IDEMPOTENCY, Info, settings_from
 
 Address = tuple[str, int]
@@ -85,7 +85,7 @@
 
     def address(self, key: str) -> Address:
         """Return one of the addresses that must be there."""
-        return address(getattr(self, key), least=0)
+        return parse_address(getattr(self, key), min_port=0)
 
     @property
     def store_address(self) -> Address | None:
@@ -129,7 +129,7 @@
     )
     for key in ("listen", "executor", "roster", *(key for key in ("store", "ops") if getattr(config, key))):
         try:
-            address(getattr(config, key), least=0 if key in ("listen", "ops") else 1)
+            parse_address(getattr(config, key), min_port=0 if key in ("listen", "ops") else 1)
         except ValueError as err:
             raise ConfigError(f"{key}: {err}") from None
     try:
@@ -172,7 +172,7 @@
         raise ConfigError(f"LB_CONFIG: {err}") from None
     if told := environ.get("LB_OPS"):  # of this very start, where a file may have been written for the next one
         try:
-            address(told, least=0)
+            parse_address(told, min_port=0)
         except ValueError as err:
             raise ConfigError(f"LB_OPS: {err}") from None
         config.ops = told
--- a/lapispick/host/core.py
+++ b/lapispick/host/core.py
@@ -23,7 +23,7 @@
 from lapispick.host.logs import log
 from lapispick.host.metrics import Figures, Wide
 from lapispick.host.requests import Answer, AnswerKind, Request
-from lapispick.host.scheduler import Loop, Queue
+from lapispick.host.scheduler import EventLoop, Queue
 from lapispick.idempotency.ownership import KeyOwnership, Role, Verdict
 from lapispick.idempotency.table import (
     DEFAULT_MAX_RESULT_BYTES,
@@ -87,7 +87,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         settings: admission.Settings,
         seed: int,
         kept_most: int = DEFAULT_MAX_RESULT_BYTES,
@@ -174,8 +174,8 @@
 
     def serve(self) -> None:
         """Take what happened and act on it, for ever; this greenlet alone owns the Controller."""
-        self._loop.later(SWEEP_S, self._sweep)
-        self._loop.later(TALLY_S, self._report)
+        self._loop.call_later(SWEEP_S, self._sweep)
+        self._loop.call_later(TALLY_S, self._report)
         while True:
             batch = self._queue.take_all()
             self._now = max(self._now, time.time() * 1000)  # the module's clock never goes back
@@ -434,7 +434,7 @@
                 item.link.send(message)
             item = item._replace(keys=item.keys[SLICE:])
         if item.keys:
-            self._loop.later(SLICE_S, self.post, item)
+            self._loop.call_later(SLICE_S, self.post, item)
         else:
             item.link.send(messages.SnapshotComplete(self.control.learned() if self.control is not None else None))
 
@@ -634,7 +634,7 @@
         self.advice = action.value
 
     def _set_timer(self, action: admission.SetTimer) -> None:
-        self._loop.later(action.after / 1000, self.post, host_events.TimerDue(action.token))
+        self._loop.call_later(action.after / 1000, self.post, host_events.TimerDue(action.token))
 
     # Answers and what is kept.
 
@@ -699,7 +699,7 @@
 
     def _sweep(self) -> None:
         """Drop entries that ran out so long ago that no repeat of their time can still be unread."""
-        self._loop.later(SWEEP_S, self._sweep)
+        self._loop.call_later(SWEEP_S, self._sweep)
         limit = time.time() * 1000 - GHOST_MS
         for key in self.table.expired(limit):
             self.table.remove(key)
@@ -709,7 +709,7 @@
             self._end_unsure(task)
 
     def _report(self) -> None:
-        self._loop.later(TALLY_S, self._report)
+        self._loop.call_later(TALLY_S, self._report)
         log(
             LOG,
             logging.INFO,
--- a/lapispick/host/dns_resolver.py
+++ b/lapispick/host/dns_resolver.py
@@ -8,7 +8,7 @@
 
 from lapispick.fleet import identity
 from lapispick.host.logs import log
-from lapispick.host.scheduler import Loop
+from lapispick.host.scheduler import EventLoop
 from lapispick.host.worker_threads import Busy, Work
 
 LOG = "names"
@@ -40,7 +40,7 @@
 class Names:
     """Looks names up for greenlets."""
 
-    def __init__(self, loop: Loop, timeout: float, file: Path | None) -> None:
+    def __init__(self, loop: EventLoop, timeout: float, file: Path | None) -> None:
         """Look up by threads, which end with the process."""
         self._work, self._timeout, self._file = Work(loop, THREADS, WAITING_MOST), timeout, file
 
--- a/lapispick/host/executor.py
+++ b/lapispick/host/executor.py
@@ -12,7 +12,8 @@
 from lapispick.admission import Outcome
 from lapispick.host import events
 from lapispick.host.logs import log
-from lapispick.host.scheduler import Loop, Overlong, Stream, Waiter, connect
+from lapispick.host.scheduler import EventLoop, Waiter
+from lapispick.host.streams import LineTooLongError, Stream, connect
 
 LOG = "executor"
 CONNECT_S = 1.0  # s; for one try of a connection
@@ -53,7 +54,7 @@
 class ExecutorLink:
     """Keeps one link open and turns notices into what the core understands."""
 
-    def __init__(self, loop: Loop, address: tuple[str, int], post: Callable[[Any], None]) -> None:
+    def __init__(self, loop: EventLoop, address: tuple[str, int], post: Callable[[Any], None]) -> None:
         self._loop, self._address, self._post = loop, address, post
         self._stream: Stream | None = None  # set while commands may be sent
         self._link: Stream | None = None  # set while a connection is open
@@ -142,12 +143,12 @@
         while True:
             to = self._address
             try:
-                self._link = connect(self._loop, to, CONNECT_S, longest=LONGEST, out_most=OUT_MOST)
+                self._link = connect(self._loop, to, CONNECT_S, max_line_bytes=LONGEST, max_unsent_bytes=OUT_MOST)
                 if to == self._address:
                     self._send(self._link, {"verb": "JOIN", "index": self._index})
                     self._read(self._link)
                 log(LOG, logging.WARNING, "link-ended", index=self._index, open=len(self._open))
-            except (OSError, Overlong) as err:
+            except (OSError, LineTooLongError) as err:
                 log(LOG, logging.WARNING, "link-failed", error=err)
             finally:
                 self._stream = None
@@ -171,7 +172,7 @@
         stream, self._stream = self._stream, None  # what comes now waits for the new link
         if stream is not None:
             self._send(stream, {"verb": "METER", "nonce": LAST})
-            self._loop.later(LAST_S, stream.close)
+            self._loop.call_later(LAST_S, stream.close)
         elif self._link is not None:
             self._link.close()
 
--- a/lapispick/host/handover.py
+++ b/lapispick/host/handover.py
@@ -26,7 +26,8 @@
 from lapispick.host import events
 from lapispick.host.jsonrpc.front import Gateways
 from lapispick.host.logs import log
-from lapispick.host.scheduler import READ, Loop, Overlong, Stream
+from lapispick.host.scheduler import READ, EventLoop
+from lapispick.host.streams import LineTooLongError, Stream
 
 LOG = "handover"
 LONGEST = 2 << 20  # bytes of one message; a result has at most one notice of the executor
@@ -58,7 +59,7 @@
 
     def has_unsent(self) -> bool:
         """Tell whether something that was sent has not left this process."""
-        return self.stream.unsent > 0 or self.stream.closed
+        return self.stream.unsent_bytes > 0 or self.stream.closed
 
     def connections(self) -> int:
         """Count the clients' connections here."""
@@ -90,7 +91,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         folder: Path,
         name: str,
         listen: str,
@@ -166,7 +167,7 @@
             sock.close()
             return log(LOG, logging.WARNING, "handover-off", error=err)
         while True:
-            if self._loop.wait(sock.fileno(), READ):
+            if self._loop.wait_for_io(sock.fileno(), READ):
                 try:
                     link, _ = sock.accept()
                 except OSError as err:  # out of descriptors, say: it goes on waiting in the system
@@ -190,7 +191,7 @@
                 stream.write(messages.encode(messages.LinkRejected(why)))
                 return stream.close()
             socket.send_fds(stream.sock, [b"\n"], [self._gateways.fileno()])
-        except (OSError, Overlong, msgspec.DecodeError) as err:  # TimeoutError among them
+        except (OSError, LineTooLongError, msgspec.DecodeError) as err:  # TimeoutError among them
             log(LOG, logging.WARNING, "link-refused", error=err)
             return stream.close()
         # A successor that had to open a socket of its own never accepts from ours: what waits there is ours to read.
@@ -234,7 +235,7 @@
                 else:
                     peer.serves &= not isinstance(message, messages.ShutdownStarted)
                     self._post(events.PeerMessage(peer, message))
-        except (OSError, Overlong, msgspec.DecodeError) as err:
+        except (OSError, LineTooLongError, msgspec.DecodeError) as err:
             log(LOG, logging.WARNING, "link-faulty", error=err)
         peer.stream.close()
         self.peer = None
@@ -295,7 +296,7 @@
                     messages.Hello(messages.VERSION, self._name, self._listen, self._listens, messages.MIN_VERSION)
                 )
             )
-            if not self._loop.wait(sock.fileno(), READ, HELLO_S):
+            if not self._loop.wait_for_io(sock.fileno(), READ, HELLO_S):
                 raise TimeoutError("no answer")
             first, fds, _, _ = socket.recv_fds(sock, 1, 1)
             line = stream.read_line(HELLO_S)
@@ -308,7 +309,7 @@
                 os.close(fds[0])
             messages.decode(line)
             return Peer(stream, self._gateways, self._share, owns=True)
-        except (OSError, Overlong, msgspec.DecodeError) as err:
+        except (OSError, LineTooLongError, msgspec.DecodeError) as err:
             log(LOG, logging.WARNING, "link-failed", error=err)
             stream.close()
             return None
--- a/lapispick/host/inventory.py
+++ b/lapispick/host/inventory.py
@@ -24,7 +24,8 @@
 from lapispick.fleet.schema import Schema
 from lapispick.fleet.snapshot import EMPTY, Difference, History, Snapshot, Version
 from lapispick.host.logs import log
-from lapispick.host.scheduler import Closed, Loop, Overlong, Stream
+from lapispick.host.scheduler import EventLoop
+from lapispick.host.streams import LineTooLongError, Stream, StreamClosedError
 
 LOG = "inventory"
 ANSWER_S = 60.0  # s; for one message of the helper; a helper that takes longer is ended
@@ -60,7 +61,7 @@
 class Inventory:
     """The list of boxes as it stands for this host."""
 
-    def __init__(self, loop: Loop, settings: Settings, schema: Schema, take: Taker) -> None:
+    def __init__(self, loop: EventLoop, settings: Settings, schema: Schema, take: Taker) -> None:
         self._loop, self._settings, self._schema, self._take = loop, settings, schema, take
         self.acceptance = Acceptance(policy(settings))
         self.history = History(settings.history)
@@ -79,7 +80,7 @@
             try:
                 self._start()
                 self._follow()
-            except (OSError, Closed, Overlong, msgspec.MsgspecError, Disagreement) as err:
+            except (OSError, StreamClosedError, LineTooLongError, msgspec.MsgspecError, Disagreement) as err:
                 log(LOG, logging.ERROR, "helper-ended", error=err, again_s=pause)
             self._end()
             self._loop.sleep(jitter.pause(pause, random.random()))
@@ -119,7 +120,7 @@
         assert self._stream is not None
         line = self._stream.read_line(ANSWER_S)
         if line is None:
-            raise Closed("the helper closed its socket")
+            raise StreamClosedError("the helper closed its socket")
         message = self._decode(line)
         if isinstance(message, Trouble):
             log(LOG, logging.ERROR, "state-failed", fault=message.text)
@@ -133,7 +134,7 @@
             if not isinstance(part, Part):
                 raise Disagreement(f"{type(part).__name__} came in place of a part")
             self._received = self._received.changed(part.put, part.gone)
-            self._loop.give_way()
+            self._loop.yield_control()
         if head.digest and head.digest != self._received.digest:
             raise Disagreement("the helper's digest is another")
 
--- a/lapispick/host/jsonrpc/front.py
+++ b/lapispick/host/jsonrpc/front.py
@@ -19,7 +19,8 @@
 from lapispick.host import connection_eviction, events
 from lapispick.host.logs import log
 from lapispick.host.requests import MAX_BODY_BYTES, MAX_REQUEST_MEMORY_KB, Answer, AnswerKind, Request
-from lapispick.host.scheduler import READ, Loop, Overlong, Stream, readable
+from lapispick.host.scheduler import READ, EventLoop
+from lapispick.host.streams import LineTooLongError, Stream, is_readable
 from lapispick.platform_settings import Info
 
 LOG = "clients"
@@ -139,12 +140,12 @@
                 if line.strip():
                     self._take(line)
                 # What stands behind a request may show that its peer is at fault: it is read first.
-                if not self.stream.holds_line():
+                if not self.stream.has_line():
                     self._hand_over()
                     lines = 0
                 elif (lines := lines + 1) % LINES_A_TURN == 0:
-                    self.front.loop.give_way()
-        except Overlong as err:
+                    self.front.loop.yield_control()
+        except LineTooLongError as err:
             self._fault(None, INVALID, "the message is too long", last=True, error=err)
         except Exception:  # guards the peer against waiting for a connection that nobody reads any more
             self.close()
@@ -155,7 +156,7 @@
         if self.stream.failed:
             self.close()
         elif not self.open:
-            self.stream.finish(ENDED_S)
+            self.stream.close_gracefully(ENDED_S)
 
     def close(self) -> None:
         """Close the connection; whoever waited on it has gone."""
@@ -170,7 +171,7 @@
         for number in list(self.open):
             self._end(number)
             self._error(number, FAILED, "The connection ends")
-        self.stream.finish()
+        self.stream.close_gracefully()
 
     def _end(self, number: int) -> None:
         """Note that nobody waits for a request any more; the core is told where it knows of it."""
@@ -181,7 +182,7 @@
     def shut_in(self) -> None:
         """Take nothing more; end the connection as soon as what is open is answered."""
         self.shut = True
-        self.stream.deafen()
+        self.stream.discard_input()
         self._settled()
 
     def goaway(self) -> None:
@@ -192,35 +193,35 @@
 
     def overdue(self, now: float) -> bool:
         """Tell whether the peer has been silent, or in the middle of a message, for too long."""
-        if self.part_since and not self.stream.unread:
+        if self.part_since and not self.stream.unread_bytes:
             self.part_since = 0.0
-        elif not self.part_since and self.stream.unread and not self.stream.holds_line():
+        elif not self.part_since and self.stream.unread_bytes and not self.stream.has_line():
             self.part_since = now
-        if self.proven and not (self.part_since or self.stream.unsent):
+        if self.proven and not (self.part_since or self.stream.unsent_bytes):
             return False
         if not connection_eviction.overdue(
             self.standing(), now
         ):  # which also looks whether a slow reader has taken anything
             return False
         # Guards those whose bytes wait in the system because this host was held up: they have one more look.
-        waits, self.suspect = not self.suspect and self.stream.waiting(), True
+        waits, self.suspect = not self.suspect and self.stream.has_pending_input(), True
         return not waits
 
     def standing(self) -> connection_eviction.Standing:
         """Return what decides whether this connection is kept."""
-        part = self.stream.unread > 0 and not self.stream.holds_line()
-        stopped = self.stream.stalled() > STOPPED_S
+        part = self.stream.unread_bytes > 0 and not self.stream.has_line()
+        stopped = self.stream.stalled_s() > STOPPED_S
         # A message that was received whole and has not had its turn yet is as good as open.
-        owed = bool(self.open or self._fresh or self.stream.holds_line() or (self.stream.unsent and not stopped))
+        owed = bool(self.open or self._fresh or self.stream.has_line() or (self.stream.unsent_bytes and not stopped))
         return connection_eviction.Standing(
             self.since,
             self.used_at,
-            self.stream.heard_at,
-            self.stream.pieces,
-            (self.part_since or self.stream.heard_at) if part else 0.0,
+            self.stream.last_received_at,
+            self.stream.receive_count,
+            (self.part_since or self.stream.last_received_at) if part else 0.0,
             owed,
             self.proven,
-            self.faults > 0 or self.stream.ending or stopped,
+            self.faults > 0 or self.stream.closing or stopped,
         )
 
     def _take(self, line: bytes) -> None:
@@ -351,9 +352,9 @@
         if self.stream.failed:
             self.close()
         elif not self.open and self.ended:
-            self.stream.finish(ENDED_S)
+            self.stream.close_gracefully(ENDED_S)
         elif not self.open and self.shut:
-            self.stream.finish()
+            self.stream.close_gracefully()
 
     def _health(self, number: int, good: bool, advice: float | None) -> None:
         self._send(number, "result", {"healthy": good}, advice)
@@ -380,7 +381,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         listen: tuple[str, int],
         info: Info,
         settings: admission.Settings,
@@ -426,17 +427,17 @@
 
     def serve(self) -> None:
         """Accept connections until told to close."""
-        self.loop.later(SWEEP_S, self._sweep)
+        self.loop.call_later(SWEEP_S, self._sweep)
         while (sock := self._sock) is not None:
             # The listener may be closed between its wake and our turn.
-            if self.loop.wait(sock.fileno(), READ) and self._sock is sock and not self._accept(sock):
+            if self.loop.wait_for_io(sock.fileno(), READ) and self._sock is sock and not self._accept(sock):
                 self.loop.sleep(0.05)
 
     def _accept(self, listener: socket.socket) -> bool:
         """Accept what waits; False where there is no room just now."""
         for _ in range(ACCEPTS):
             if len(self.connections) >= budget.max_connections(self._most, self.others):
-                if not readable(listener):  # nobody waits, so nobody has to go
+                if not is_readable(listener):  # nobody waits, so nobody has to go
                     break
                 if not self._make_room():
                     return False
@@ -471,7 +472,7 @@
                 # What came since the order was found may be a reason to keep a connection, and is looked at again.
                 if c.stream.closed or not connection_eviction.still(kind, c.standing(), now):
                     continue
-                if c.stream.ending or not c.stream.waiting():
+                if c.stream.closing or not c.stream.has_pending_input():
                     c.close()
                     return True
             self._going = None
@@ -495,16 +496,16 @@
         """Take in what has connected so far and refuse the rest; where it was passed on, the other process goes on."""
         if (sock := self._sock) is not None:
             rounds = 0 if passed else BACKLOG // ACCEPTS + 1  # all that the system holds, which is the backlog at most
-            while rounds and readable(sock) and self._accept(sock):
+            while rounds and is_readable(sock) and self._accept(sock):
                 rounds -= 1
             self._sock = None
-            self.loop.forget(sock.fileno())
+            self.loop.cancel_io_waits(sock.fileno())
             sock.close()
 
     def quiet(self) -> bool:
         """Tell whether nothing is open, unread or half read on any connection that still takes something."""
         return not any(
-            c.open or c.stream.unsent or not (c.stream.deaf or c.stream.ended or c.stream.quiet())
+            c.open or c.stream.unsent_bytes or not (c.stream.discarding or c.stream.eof_received or c.stream.is_idle())
             for c in self.connections
         )
 
@@ -519,27 +520,29 @@
 
     def flushed(self) -> bool:
         """Tell whether all answers were handed to the system."""
-        return not any(c.stream.unsent for c in self.connections)
+        return not any(c.stream.unsent_bytes for c in self.connections)
 
     def _sweep(self) -> None:
-        self.loop.later(SWEEP_S, self._sweep)
+        self.loop.call_later(SWEEP_S, self._sweep)
         now = time.monotonic()
         while len(self.connections) > budget.max_connections(self._most, self.others) and self._make_room():
             pass  # another process of this worker host needs a part of the descriptors
         for c in list(self.connections):
             if c.stream.closed:
                 c.close()
-            elif c.stream.deaf or c.ended:
+            elif c.stream.discarding or c.ended:
                 pass  # it ends by itself
             elif c.overdue(now):
-                log(LOG, logging.INFO, "silent-closed", unread=c.stream.unread, open=len(c.open))
+                log(LOG, logging.INFO, "silent-closed", unread=c.stream.unread_bytes, open=len(c.open))
                 if c.open:  # what was asked before is still answered; the message that never ends has its word now
                     c.word("the message did not come whole in time")
                     c.shut_in()
                 else:
                     c.finish()
-            elif not (c.open or c.stream.unsent) and self._idle_s and now - c.used_at > self._idle_s:
+            elif not (c.open or c.stream.unsent_bytes) and self._idle_s and now - c.used_at > self._idle_s:
                 # First goaway, so that a request that crosses the close is not lost; then the gateway closes.
                 c.goaway()
-                if now - c.used_at > self._idle_s + CLOSE_S and not (c.stream.unread or c.stream.waiting()):
+                if now - c.used_at > self._idle_s + CLOSE_S and not (
+                    c.stream.unread_bytes or c.stream.has_pending_input()
+                ):
                     c.finish()
--- a/lapispick/host/members/anti_entropy.py
+++ b/lapispick/host/members/anti_entropy.py
@@ -11,7 +11,8 @@
 from lapispick.host.members.directory import Address
 from lapispick.host.members.local_member import LocalMember
 from lapispick.host.members.transport import TransportCounters, TransportReject, decode
-from lapispick.host.scheduler import READ, Closed, Loop, Overlong, Stream, connect
+from lapispick.host.scheduler import READ, EventLoop
+from lapispick.host.streams import LineTooLongError, Stream, StreamClosedError, connect
 from lapispick.members import messages
 from lapispick.members.member import Member
 
@@ -27,7 +28,7 @@
     """Exchanges states with one member each ``interval_s``, and answers others."""
 
     def __init__(
-        self, loop: Loop, local: LocalMember, counters: TransportCounters, interval_s: float, max_state_bytes: int
+        self, loop: EventLoop, local: LocalMember, counters: TransportCounters, interval_s: float, max_state_bytes: int
     ) -> None:
         self._loop = loop
         self._local = local
@@ -45,7 +46,7 @@
         """Accept streams for ever."""
         assert self._listener is not None
         while True:
-            if self._loop.wait(self._listener.fileno(), READ):
+            if self._loop.wait_for_io(self._listener.fileno(), READ):
                 self._accept(self._listener)
 
     def _accept(self, listener: socket.socket) -> None:
@@ -64,20 +65,20 @@
         self._loop.spawn(self._answer, stream, source[0])
 
     def _answer(self, stream: Stream, ip: str) -> None:
-        timeout = self._loop.later(STREAM_TIMEOUT_S, stream.close)
+        timeout = self._loop.call_later(STREAM_TIMEOUT_S, stream.close)
         try:
             line = stream.read_line()
             member = self._local.member
             if member is not None and not stream.closed and self._merge(member, line, ip):
                 stream.write(messages.encode(member.state_sync(time.monotonic(), is_reply=True)) + b"\n")
-                while stream.unsent and not stream.closed:
+                while stream.unsent_bytes and not stream.closed:
                     self._loop.sleep(FLUSH_INTERVAL_S)
-        except (Overlong, OSError):
+        except (LineTooLongError, OSError):
             self._counters.reject(TransportReject.INVALID)
         finally:
             timeout.cancel()
             self._incoming -= 1
-            stream.finish()
+            stream.close_gracefully()
 
     def sync_periodically(self) -> None:
         """Exchange states for ever, first soon after the start."""
@@ -98,12 +99,12 @@
         name = self._local.rng.choice(candidates)
         try:
             self._exchange(member, addresses[name])
-        except (OSError, Closed, Overlong) as err:
+        except (OSError, StreamClosedError, LineTooLongError) as err:
             log(LOG, logging.DEBUG, "sync-failed", host=name, error=err)
 
     def _exchange(self, member: Member, address: Address) -> None:
         limit = self._max_state_bytes
-        stream = connect(self._loop, address, STREAM_TIMEOUT_S, longest=limit, out_most=limit)
+        stream = connect(self._loop, address, STREAM_TIMEOUT_S, max_line_bytes=limit, max_unsent_bytes=limit)
         try:
             stream.write(messages.encode(member.state_sync(time.monotonic())) + b"\n")
             self._merge(member, stream.read_line(STREAM_TIMEOUT_S), address.ip)
--- a/lapispick/host/members/directory.py
+++ b/lapispick/host/members/directory.py
@@ -15,7 +15,7 @@
 from lapispick.host.dns_resolver import Names, NoAddress
 from lapispick.host.inventory import Inventory
 from lapispick.host.logs import log
-from lapispick.host.scheduler import Loop
+from lapispick.host.scheduler import EventLoop
 
 LOG = "members"
 MAX_LOGGED_FAULTS = 4
@@ -40,7 +40,7 @@
     """Follows the inventory: who the members are, and where. ``on_change`` is called with each accepted list."""
 
     def __init__(
-        self, loop: Loop, settings: InventorySettings, name: str, on_change: Callable[[AcceptedList], None]
+        self, loop: EventLoop, settings: InventorySettings, name: str, on_change: Callable[[AcceptedList], None]
     ) -> None:
         self.name = name
         self.accepted: AcceptedList | None = None
--- a/lapispick/host/members/service.py
+++ b/lapispick/host/members/service.py
@@ -12,6 +12,7 @@
 from lapispick import jitter
 from lapispick.conf.settings import Inventory as InventorySettings
 from lapispick.conf.settings import Members as Settings
+from lapispick.host.addresses import parse_address
 from lapispick.host.logs import log
 from lapispick.host.members.anti_entropy import AntiEntropy
 from lapispick.host.members.directory import AcceptedList, MemberDirectory
@@ -19,7 +20,7 @@
 from lapispick.host.members.operator_calls import OperatorCalls
 from lapispick.host.members.process_epoch import next_process_epoch
 from lapispick.host.members.transport import DatagramTransport, TransportCounters
-from lapispick.host.scheduler import Loop, address
+from lapispick.host.scheduler import EventLoop
 from lapispick.host.worker_threads import Work
 from lapispick.members.messages import MAX_TEXT_LENGTH
 
@@ -40,7 +41,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         settings: Settings,
         inventory: InventorySettings,
         name: str,
@@ -52,7 +53,7 @@
         self.settings = settings
         self._loop = loop
         self._fact_source = fact_source
-        self._address = address(settings.listen)
+        self._address = parse_address(settings.listen)
         self._rng = random.Random(seed)
         self._worker = Work(loop)
         self.directory = MemberDirectory(loop, inventory, name, self._accept_list)
--- a/lapispick/host/members/transport.py
+++ b/lapispick/host/members/transport.py
@@ -14,7 +14,7 @@
 from lapispick.host.logs import log
 from lapispick.host.members.directory import Address
 from lapispick.host.members.local_member import LocalMember
-from lapispick.host.scheduler import READ, Loop
+from lapispick.host.scheduler import READ, EventLoop
 from lapispick.members import messages
 from lapispick.members.failure_detector import Outgoing
 
@@ -85,7 +85,7 @@
 class DatagramTransport:
     """Passes datagrams from listed addresses to the local member, and sends its messages."""
 
-    def __init__(self, loop: Loop, local: LocalMember, counters: TransportCounters, max_rate: int) -> None:
+    def __init__(self, loop: EventLoop, local: LocalMember, counters: TransportCounters, max_rate: int) -> None:
         self.limiter = RateLimiter(max_rate)
         self._loop = loop
         self._local = local
@@ -100,9 +100,9 @@
         """Receive for ever."""
         assert self._socket is not None
         while True:
-            if self._loop.wait(self._socket.fileno(), READ):
+            if self._loop.wait_for_io(self._socket.fileno(), READ):
                 self._receive_burst(self._socket)
-                self._loop.give_way()
+                self._loop.yield_control()
 
     def _receive_burst(self, bound: socket.socket) -> None:
         for _ in range(MAX_BURST):
--- a/lapispick/host/ops.py
+++ b/lapispick/host/ops.py
@@ -12,7 +12,8 @@
 from collections.abc import Callable
 
 from lapispick.host.logs import log
-from lapispick.host.scheduler import READ, Loop, Overlong, Stream
+from lapispick.host.scheduler import READ, EventLoop
+from lapispick.host.streams import LineTooLongError, Stream
 
 LOG = "ops"
 LONGEST = 128  # bytes of one call
@@ -28,7 +29,7 @@
     """Listens for operators and answers each call from the table that it is given."""
 
     def __init__(
-        self, loop: Loop, listen: tuple[str, int], most: int, calls: dict[str, Call], worded: Worded | None = None
+        self, loop: EventLoop, listen: tuple[str, int], most: int, calls: dict[str, Call], worded: Worded | None = None
     ) -> None:
         self._loop, self._most, self._calls, self._worded = loop, most, calls, worded
         self._open: dict[Stream, float] = {}  # with the time when each came; 0 = it has its answer
@@ -47,7 +48,7 @@
     def serve(self) -> None:
         """Accept callers for ever."""
         while True:
-            if not self._loop.wait(self._sock.fileno(), READ, urgent=True):
+            if not self._loop.wait_for_io(self._sock.fileno(), READ, urgent=True):
                 continue
             try:
                 sock, _ = self._sock.accept()
@@ -74,18 +75,18 @@
         return True
 
     def _talk(self, stream: Stream) -> None:
-        watch = self._loop.later(CALL_S, stream.close)
+        watch = self._loop.call_later(CALL_S, stream.close)
         try:
             line = stream.read_line()
             if stream.closed:
                 return
             stream.write("\n".join([*self._answer(line), ""]).encode())
-        except Overlong:
+        except LineTooLongError:
             stream.write(f"ERR a call has at most {LONGEST} bytes\n".encode())
         finally:
             watch.cancel()
             self._open[stream] = 0.0  # it has its answer, and makes room before all who have none
-            stream.linger(CALL_S)
+            stream.close_gracefully_and_wait(CALL_S)
             self._open.pop(stream, None)
 
     def _answer(self, line: bytes | None) -> list[str]:
--- a/lapispick/host/recorder.py
+++ b/lapispick/host/recorder.py
@@ -22,7 +22,8 @@
 from lapispick.digests import blake2b
 from lapispick.host.logs import log
 from lapispick.host.requests import Request
-from lapispick.host.scheduler import Closed, Loop, Overlong, Stream
+from lapispick.host.scheduler import EventLoop
+from lapispick.host.streams import LineTooLongError, Stream, StreamClosedError
 from lapispick.platform_settings import Info
 from lapispick.trace.record_types import NUMBERS, Answered, Arrival, Gap, Happened
 
@@ -38,7 +39,7 @@
 class Recorder:
     """Takes the steps of one life of the host."""
 
-    def __init__(self, loop: Loop, settings: Trace, name: str, info: Info, memory_mb: float) -> None:
+    def __init__(self, loop: EventLoop, settings: Trace, name: str, info: Info, memory_mb: float) -> None:
         self._loop, self._settings, self._name, self._info = loop, settings, name, info
         self._buffer = min(settings.buffer, int(memory_mb * (1 << 20) / BUFFER_PART))
         # Subjects of one life can be told apart, and not guessed from a trace; with a shared key, those of all boxes.
@@ -75,7 +76,7 @@
             }
         )
         self._start()
-        self._loop.later(told.flush, self._beat)
+        self._loop.call_later(told.flush, self._beat)
 
     def _start(self) -> None:
         """Start a writer; what the one before it had not written is a gap in the trace."""
@@ -92,7 +93,7 @@
                 start_new_session=True,
             )
         self._handed = self._written = 0
-        self._stream = Stream(self._loop, ours, out_most=self._buffer + (64 << 10))
+        self._stream = Stream(self._loop, ours, max_unsent_bytes=self._buffer + (64 << 10))
         self._send(self._begin)
         self._loop.spawn(self._listen, self._stream)
 
@@ -121,7 +122,7 @@
 
     def _beat(self) -> None:
         self._hand_over()
-        self._loop.later(self._settings.flush, self._beat)
+        self._loop.call_later(self._settings.flush, self._beat)
 
     def _hand_over(self) -> None:
         """Send what waits; where the writer is behind, drop it instead and count it."""
@@ -135,9 +136,9 @@
             [numbers[type(one)] for _, events, actions, _ in steps for part in (events, actions) for one in part]
         )
         data = self._encode((kinds, steps))
-        if stream.closed or stream.unsent + len(data) > self._buffer:
+        if stream.closed or stream.unsent_bytes + len(data) > self._buffer:
             if not self._lost:
-                log(LOG, logging.WARNING, "trace-gap", unsent=stream.unsent, ended=stream.closed)
+                log(LOG, logging.WARNING, "trace-gap", unsent=stream.unsent_bytes, ended=stream.closed)
             self._lost += len(steps)
             return
         if self._lost:
@@ -159,14 +160,14 @@
                     self._pause = RESTART_S
                 else:
                     log(LOG, logging.ERROR, "trace-failed", fault=line.decode(errors="replace"))
-        except (Overlong, Closed):
+        except (LineTooLongError, StreamClosedError):
             pass
         stream.close()
         if self._closing:
             return
         self._lost += max(0, self._handed - self._written)
         log(LOG, logging.WARNING, "trace-writer-ended", lost=self._lost, again_s=self._pause)
-        self._loop.later(self._pause, self._start)
+        self._loop.call_later(self._pause, self._start)
         self._pause = min(RESTART_MOST_S, 2 * self._pause)
 
     def close(self, seconds: float) -> None:
@@ -178,5 +179,5 @@
             self.step(time.time() * 1000, [], [])
         self._hand_over()
         end = time.monotonic() + max(0.0, seconds - CLOSE_S / 2)
-        while self._stream.unsent and time.monotonic() < end:
+        while self._stream.unsent_bytes and time.monotonic() < end:
             self._loop.sleep(0.005)
--- a/lapispick/host/registry.py
+++ b/lapispick/host/registry.py
@@ -6,7 +6,7 @@
 import socket
 
 from lapispick.host.logs import log
-from lapispick.host.scheduler import Loop
+from lapispick.host.scheduler import EventLoop
 
 LOG = "roster"
 # s; a quarter of the datagrams are lost and an entry lapses after 3 s: with twelve in that time none does
@@ -17,7 +17,7 @@
 class Roster:
     """Says on or off for this worker host."""
 
-    def __init__(self, loop: Loop, address: tuple[str, int], name: str) -> None:
+    def __init__(self, loop: EventLoop, address: tuple[str, int], name: str) -> None:
         self._loop, self._address, self._name, self._on = loop, address, name, True
         self._sock = self._opened()
 
@@ -43,7 +43,7 @@
 
     def _report_change(self) -> None:
         for after in REPEATS_S:
-            self._loop.later(after, self._report)
+            self._loop.call_later(after, self._report)
 
     def serve(self) -> None:
         """Report for ever."""
--- a/lapispick/host/store.py
+++ b/lapispick/host/store.py
@@ -17,7 +17,8 @@
 from lapispick.handover import budget
 from lapispick.host import events
 from lapispick.host.logs import log
-from lapispick.host.scheduler import Closed, Loop, Overlong, Stream, connect
+from lapispick.host.scheduler import EventLoop
+from lapispick.host.streams import LineTooLongError, Stream, StreamClosedError, connect
 
 LOG = "store"
 # s; the store closes idle connections at 10 s, and a call that meets such a close has proved nothing
@@ -54,7 +55,7 @@
 
 
 def read_reply(stream: Stream, deadline: float) -> tuple[int, dict[bytes, bytes], bytes]:
-    """Read status, headers and body; raises ``Malformed``, ``Closed``, ``Overlong`` or ``TimeoutError``."""
+    """Read status, headers and body; raises ``Malformed``, ``StreamError`` or ``TimeoutError``."""
 
     def line() -> bytes:
         left = deadline - time.monotonic()
@@ -62,7 +63,7 @@
             raise TimeoutError("the reply took too long")
         got = stream.read_line(left)
         if got is None:
-            raise Closed("the connection ended in a reply")
+            raise StreamClosedError("the connection ended in a reply")
         return got.rstrip(b"\r")
 
     for _ in range(INTERIM_MOST):
@@ -131,7 +132,9 @@
 class StoreClient:
     """Makes calls and reports each one's end, unless the call was dropped before."""
 
-    def __init__(self, loop: Loop, address: tuple[str, int] | None, post: Callable[[Any], None], most: int) -> None:
+    def __init__(
+        self, loop: EventLoop, address: tuple[str, int] | None, post: Callable[[Any], None], most: int
+    ) -> None:
         self._loop, self._address, self.post, self._most = loop, address, post, most
         self.shared = False  # with another process of this worker host
         self._idle: deque[tuple[float, Stream]] = deque()  # by the time they went idle
@@ -208,18 +211,18 @@
             status, headers, reply = read_reply(stream, deadline)
         except TimeoutError:
             return Outcome.TIMEOUT, b"", False
-        except Closed:
-            if ticket.reused and not stream.received:
+        except StreamClosedError:
+            if ticket.reused and not stream.received_bytes:
                 # The store had forgotten the idle connection, or closed it as the call was written. Only calls that may
                 # be made twice go out on a connection that was used before.
                 ticket.reused, ticket.stream = False, None
                 return self._exchange(ticket, fresh=True)
             return Outcome.RESET, b"", False
-        except (Malformed, Overlong) as err:
+        except (Malformed, LineTooLongError) as err:
             log(LOG, logging.WARNING, "reply-malformed", error=err)
             return Outcome.ERROR, b"", False
         # Surplus behind a good reply would be read as the next one.
-        reusable = headers.get(b"connection", b"").lower() != b"close" and stream.quiet()
+        reusable = headers.get(b"connection", b"").lower() != b"close" and stream.is_idle()
         return outcome_of(status, headers), reply, reusable
 
     def _open(self, ticket: Ticket, fresh: bool) -> Stream:
@@ -230,7 +233,7 @@
         # A reset on a connection that was idle may come instead of the reply as well: where the call must not
         # be made twice, the two are kept apart by a connection of its own.
         if not fresh and not ticket.once and (stream := self._settled()) is not None:
-            ticket.reused, stream.received = True, 0
+            ticket.reused, stream.received_bytes = True, 0
             return stream
         if self._busy > self._bound:
             raise OSError("too many calls are out")
@@ -238,7 +241,11 @@
             self._idle.popleft()[1].close()
         try:
             return connect(
-                self._loop, ticket.address, min(CONNECT_S, ticket.timeout), longest=LONGEST_HEAD, chunk=CHUNK
+                self._loop,
+                ticket.address,
+                min(CONNECT_S, ticket.timeout),
+                max_line_bytes=LONGEST_HEAD,
+                receive_bytes=CHUNK,
             )
         except OSError:
             if ticket.address == self._address:
@@ -251,7 +258,7 @@
             since, stream = self._idle.pop()
             if now - since < SETTLE_S:
                 young.append((since, stream))
-            elif now - since < KEEP_S and stream.quiet():
+            elif now - since < KEEP_S and stream.is_idle():
                 found = stream
             else:
                 stream.close()
@@ -266,7 +273,7 @@
         self._idle.append((time.monotonic(), stream))
         if not self._sweeping:
             self._sweeping = True
-            self._loop.later(KEEP_S / 2, self._sweep)
+            self._loop.call_later(KEEP_S / 2, self._sweep)
 
     def _sweep(self) -> None:
         limit = time.monotonic() - KEEP_S
@@ -274,4 +281,4 @@
             self._idle.popleft()[1].close()
         self._sweeping = bool(self._idle)
         if self._sweeping:
-            self._loop.later(KEEP_S / 2, self._sweep)
+            self._loop.call_later(KEEP_S / 2, self._sweep)
--- a/lapispick/host/worker_threads.py
+++ b/lapispick/host/worker_threads.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any, TypeVar
 
-from lapispick.host.scheduler import READ, Loop, Waiter
+from lapispick.host.scheduler import READ, EventLoop, Waiter
 
 WAITING_MOST = 64  # jobs
 T = TypeVar("T")
@@ -25,7 +25,7 @@
 class Work:
     """Threads, by default one: then jobs are done in the order in which they were asked for."""
 
-    def __init__(self, loop: Loop, threads: int = 1, most: int = WAITING_MOST) -> None:
+    def __init__(self, loop: EventLoop, threads: int = 1, most: int = WAITING_MOST) -> None:
         self._loop, self._last = loop, 0
         self._jobs: queue.Queue[tuple[int, Callable[[], Any]]] = queue.Queue(most)
         self._done: deque[tuple[int, Any, BaseException | None]] = deque()
@@ -62,7 +62,7 @@
 
     def _serve(self) -> None:
         while True:
-            self._loop.wait(self._told.fileno(), READ)
+            self._loop.wait_for_io(self._told.fileno(), READ)
             try:
                 self._told.recv(4096)
             except BlockingIOError:
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -112,7 +112,7 @@
         (
             "host/core.py",
             "    def serve(self) -> None:",
-            "    def serve(self) -> None:\n        self._loop.later(1.0, os._exit, 9)\n        "
+            "    def serve(self) -> None:\n        self._loop.call_later(1.0, os._exit, 9)\n        "
             "return self.serves()\n\n    def serves(self) -> None:",
         ),
         ("host/core.py", "import logging\n", "import logging\nimport os\n"),
@@ -272,7 +272,7 @@
             "host/core.py",
             "    def serve(self) -> None:",
             "    def serve(self) -> None:\n        if logging.getLogger().isEnabledFor(logging.DEBUG):\n"
-            "            self._loop.later(1.0, os._exit, 9)\n        return self.serves()\n\n"
+            "            self._loop.call_later(1.0, os._exit, 9)\n        return self.serves()\n\n"
             "    def serves(self) -> None:",
         ),
         ("host/core.py", "import logging\n", "import logging\nimport os\n"),
--- a/tests/test_connection_overload.py
+++ b/tests/test_connection_overload.py
@@ -16,7 +16,7 @@
 from lapispick.host import connection_eviction
 from lapispick.host.connection_eviction import FIRST_S, QUIET_S, Standing
 from lapispick.host.jsonrpc.front import Gateways
-from lapispick.host.scheduler import Loop
+from lapispick.host.scheduler import EventLoop
 from lapispick.platform_settings import Info, settings_from
 
 NEW = Standing(since=0.0, used_at=0.0, heard_at=0.0, pieces=1, begun_at=0.0, open=False, served=False, at_fault=False)
@@ -75,7 +75,7 @@
 def front():
     """A front that nobody reads for, and a client's connection to it."""
     info = msgspec.convert(INFO, Info)
-    made = Gateways(Loop(), ("127.0.0.1", 0), info, settings_from(info), 2, lambda item: None, lambda: None)
+    made = Gateways(EventLoop(), ("127.0.0.1", 0), info, settings_from(info), 2, lambda item: None, lambda: None)
     made.listen()
     name, port = made.address.split(":")
     clients = []
@@ -109,17 +109,17 @@
     front.client().sendall(b'{"jsonrpc":"2.0"}\n')
     (kept,) = front.connections
     select.select([kept.stream.sock], [], [], 5)
-    kept.stream.loop.give_way = lambda: None
+    kept.stream.loop.yield_control = lambda: None
     kept.stream._receive(None)  # in the buffer, and its reader gives way to others before it takes it
-    assert not kept.stream.waiting() and not front._make_room() and not kept.stream.closed
+    assert not kept.stream.has_pending_input() and not front._make_room() and not kept.stream.closed
     kept.used_at -= 60
     front.limit_idle(100.0)
     front._sweep()
-    assert not kept.stream.ending and not kept.stream.closed
+    assert not kept.stream.closing and not kept.stream.closed
 
 
 def test_a_listener_that_is_closed_between_its_wake_and_its_turn_is_let_be(front):
-    front.loop.wait = lambda fd, event: front.close_listener(passed=True) is None
+    front.loop.wait_for_io = lambda fd, event: front.close_listener(passed=True) is None
     front._accept = lambda sock: pytest.fail("a closed listener was asked")
     front.serve()
     assert not front.listening
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -10,7 +10,7 @@
 from lapispick.handover import messages
 from lapispick.host import core, events
 from lapispick.host.requests import AnswerKind, Request
-from lapispick.host.scheduler import Loop
+from lapispick.host.scheduler import EventLoop
 from lapispick.idempotency.ownership import Role
 from lapispick.idempotency.table import digest_request
 from lapispick.platform_settings import Info, settings_from
@@ -46,12 +46,12 @@
 @pytest.fixture
 def rig():
     def start(decide):
-        loop = Loop()
+        loop = EventLoop()
         centre = core.Core(loop, settings_from(msgspec.convert(INFO, Info)), 1)
         centre.executor = centre.store = Peers(centre)
         centre.control = Recorder(decide)
         loop.spawn(centre.serve)
-        loop.later(0.1, loop.stop)
+        loop.call_later(0.1, loop.stop)
         return loop, centre
 
     return start
@@ -156,7 +156,7 @@
     try:
         for n in range(3):
             centre.post(events.RequestArrived(request(f"kept{n}", answers, cls=1, key=n)))
-            loop.later(0.02, centre.post, events.RunCompleted(f"kept{n}", admission.Outcome.OK, 1.0, "r"))
+            loop.call_later(0.02, centre.post, events.RunCompleted(f"kept{n}", admission.Outcome.OK, 1.0, "r"))
         loop.run()
         assert len(answers) == len(centre.table) == 3 and centre.table.result_bytes == 3
         assert not [o for o in gc.get_objects() if type(o) is Request and "kept" in o.request_id]
@@ -179,8 +179,8 @@
     answers = []
     for n in range(5):
         centre.post(events.RequestArrived(request(f"t{n}", answers, cls=1, key=n)))
-        loop.later(0.02, centre.post, events.RunCompleted(f"t{n}", admission.Outcome.OK, 1.0, "r" * 100))
-        loop.later(0.04, centre.post, events.RequestArrived(request(f"again{n}", answers, cls=1, key=n)))
+        loop.call_later(0.02, centre.post, events.RunCompleted(f"t{n}", admission.Outcome.OK, 1.0, "r" * 100))
+        loop.call_later(0.04, centre.post, events.RequestArrived(request(f"again{n}", answers, cls=1, key=n)))
     loop.run()
     assert dict(answers) == {
         **{f"t{n}": AnswerKind.SERVED for n in range(5)},
@@ -219,8 +219,8 @@
     asked = request("a", answers, cls=1, key=("k",))
     centre.post(events.PeerConnected(link, owns_keys=True))
     centre.post(events.RequestArrived(asked))
-    loop.later(0.02, centre.post, events.ClientCancelled(asked))
-    loop.later(
+    loop.call_later(0.02, centre.post, events.ClientCancelled(asked))
+    loop.call_later(
         0.04,
         lambda: centre.post(events.PeerMessage(link, messages.ClaimGranted(1, ("k",), link.sent[0].expires_at_ms))),
     )
@@ -247,7 +247,7 @@
         (0.03, messages.ClaimDenied(1, ("k",))),
         (0.05, messages.KeyCompleted(("k",), "r")),
     ):
-        loop.later(after, centre.post, events.PeerMessage(link, message))
+        loop.call_later(after, centre.post, events.PeerMessage(link, message))
     loop.run()
     assert answers == [("a", AnswerKind.SERVED)] and not centre.executor.runs and not centre._tasks
     assert centre.control.seen[-2:] == [
@@ -262,7 +262,7 @@
     centre.post(events.PeerConnected(link, owns_keys=True))
     centre.post(events.PeerConnected(next_link, owns_keys=True))
     centre.post(events.RequestArrived(request("a", answers, cls=1, key=("k",))))
-    loop.later(0.02, centre.post, events.PeerMessage(link, messages.ClaimGranted(1, ("k",), 1e13)))
-    loop.later(0.03, centre.post, events.PeerDisconnected(link, True))
+    loop.call_later(0.02, centre.post, events.PeerMessage(link, messages.ClaimGranted(1, ("k",), 1e13)))
+    loop.call_later(0.03, centre.post, events.PeerDisconnected(link, True))
     loop.run()
     assert not centre.executor.runs and centre.ownership.role is Role.FOLLOWER
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -13,7 +13,7 @@
 from lapispick.fleet.snapshot import EMPTY, Difference
 from lapispick.host.members.reports import LoggedChange
 from lapispick.host.members.service import MembersService
-from lapispick.host.scheduler import Loop
+from lapispick.host.scheduler import EventLoop
 from lapispick.members import messages
 from lapispick.members.member import Member, MemberSettings
 from lapispick.members.member_state import MemberState
@@ -135,7 +135,7 @@
 
 def test_what_is_kept_of_a_member_is_dropped_when_the_list_names_it_no_more():
     settings = Settings(listen="127.0.0.1:9300")
-    service = MembersService(Loop(), settings, Inventory(), "a", 1, lambda: (), 1 << 16)
+    service = MembersService(EventLoop(), settings, Inventory(), "a", 1, lambda: (), 1 << 16)
     service.transport.limiter.allows("gone", 1.0)
     service.local.changes["gone"] = deque([LoggedChange(1.0, "left", "")])
     service.directory.accept(EMPTY, Difference())
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -173,8 +173,8 @@
 class FakeStream:
     """A connection that reads given lines, calls what stands between them, and keeps what is written."""
 
-    closed = failed = ended = ending = deaf = False
-    unsent = unread = received = 0
+    closed = failed = eof_received = closing = discarding = False
+    unsent_bytes = unread_bytes = received_bytes = 0
 
     def __init__(self, *feed):
         self.feed, self.written = list(feed), []
@@ -193,13 +193,13 @@
     def write(self, data):
         self.written.append(data)
 
-    def holds_line(self):
+    def has_line(self):
         return False
 
-    def quiet(self):
+    def is_idle(self):
         return False
 
-    def finish(self, span=0.0):
+    def close_gracefully(self, span=0.0):
         pass
 
     def close(self):
@@ -209,13 +209,13 @@
 class FakeLoop:
     """Runs what is spawned at once, no timers, and ends whoever waits."""
 
-    unsent_most = 1 << 20
+    max_unsent_bytes = 1 << 20
     suspend = sleep = staticmethod(stop)
 
     def spawn(self, function, *arguments):
         function(*arguments)
 
-    def later(self, span, function, *arguments):
+    def call_later(self, span, function, *arguments):
         pass
 
 
@@ -388,7 +388,7 @@
 
 def operators_answers():
     """Return how an answer begins: to a known call, an unknown one, one without an end, one that is no text."""
-    made = ops.Operators(scheduler.Loop(), ("127.0.0.1", 0), 4, {"check": lambda: ["OK"]})
+    made = ops.Operators(scheduler.EventLoop(), ("127.0.0.1", 0), 4, {"check": lambda: ["OK"]})
     return [made._answer(line)[0].split()[0] for line in (b"check", b"other", None, b"\xff")]
 
 
