--- a/benchmarks/parity_adapters.py
+++ b/benchmarks/parity_adapters.py
@@ -15,19 +15,23 @@
 import msgspec
 
 from benchmarks import rollout_model
-from lapispick.durable import keys as durable
+from lapispick.durable import records as durable
 from lapispick.handover import messages
-from lapispick.idempotency.ownership import KeyOwnership, Role, Verdict
+from lapispick.idempotency.ownership import KeyOwnership, Role
+from lapispick.idempotency.states import KeyLifecycleError, Verdict
 from lapispick.idempotency.table import IdempotencyRecord, IdempotencyTable
 from lapispick.members import messages as member_messages
 from lapispick.members.failure_detector import Outgoing
 from lapispick.model import fault_script
 from lapispick.model.cluster import SimulatedCluster, host_names, member_factory
-from lapispick.rollout import host_state, rollout_state
+from lapispick.rollout import host_actions, host_calls, host_step, rollout_step
 from lapispick.rollout import messages as rollout_messages
-from lapispick.rollout.canary_analysis import Judge
-from lapispick.rollout.canary_analysis import Verdict as JudgeVerdict
+from lapispick.rollout.canary_analysis import CanaryAnalysis
+from lapispick.rollout.canary_analysis import Verdict as CanaryVerdict
 from lapispick.rollout.generations import Generation
+from lapispick.rollout.host_state import HostState, Observation, Timeouts
+from lapispick.rollout.rollout_state import HostReport, Phase, RolloutState, deviations
+from lapispick.rollout.step_context import Observations
 
 Record = Callable[[str, bytes], None]  # the kind of a frame, and its content
 encode_json = msgspec.json.Encoder().encode
@@ -117,14 +121,15 @@
 # Rollouts.
 
 OLD_GENERATION, NEW_GENERATION = rollout_model.OLD, rollout_model.NEW
-SHELF = rollout_model.SHELF
+GENERATIONS = rollout_model.GENERATIONS
 TURN_WAIT_S = 20.0
 AGENT_ACTIONS = {
-    host_state.Start: "start",
-    host_state.Reload: "reload",
-    host_state.Term: "term",
-    host_state.Kill: "kill",
+    host_actions.Start: "start",
+    host_actions.Reload: "reload",
+    host_actions.Terminate: "term",
+    host_actions.Kill: "kill",
 }
+PLAN_NAMES = {"hold": "hold_after_stages", "controls": "use_controls"}
 
 
 class AgentView(NamedTuple):
@@ -139,130 +144,142 @@
     """What the scenario adds to the rollout model."""
 
     def figures(self, name: str) -> tuple[int, int]:
-        """Return the memory in KB and the broken rules of a box."""
+        """Return the memory in KB and the broken rules of a host."""
 
     def may_begin(self, now: float) -> str:
         """Return why no stage may begin at a time; empty where one may."""
 
     def agent_view(self, name: str) -> AgentView:
-        """Return what the agent of a box sees."""
+        """Return what the agent of a host sees."""
 
 
-class RolloutFleet(rollout_model.Fleet):
+class RolloutFleet(rollout_model.SimulatedFleet):
     """A fleet in simulated time, of which faults can be ordered by stable names."""
 
+    def __init__(self, seed: int, size: int, plan: dict[str, Any], **options: Any) -> None:
+        plan = {PLAN_NAMES.get(name, name): value for name, value in plan.items()}
+        super().__init__(seed, size, plan, **options)
+
     @property
     def names(self) -> list[str]:
-        """Return the boxes on the list."""
-        return list(self.boxes)
+        """Return the hosts on the list."""
+        return list(self.hosts)
 
     @property
     def is_over(self) -> bool:
         """Tell whether the rollout has ended."""
-        return self.course.phase in rollout_state.OVER
+        return self.rollout.is_over
 
     @property
     def asks_a_person(self) -> bool:
-        """Tell whether a person has to decide."""
-        return self.course.phase in (rollout_state.ASKING, rollout_state.HOLDING)
+        """Tell whether an operator has to decide."""
+        return self.rollout.phase in (Phase.AWAITING_DECISION, Phase.HELD)
 
     @property
     def is_returning(self) -> bool:
-        """Tell whether the rollout is being undone."""
-        return self.course.phase == rollout_state.RETURNING
+        """Tell whether the rollout is being rolled back."""
+        return self.rollout.phase == Phase.ROLLING_BACK
 
     def order(self, text: str) -> None:
-        """Give a person's order: ``go``, ``hold`` or ``back``."""
-        self.course.told = text
+        """Give an operator's order: ``go``, ``hold`` or ``back``."""
+        self.rollout.order = text
 
     def lose_old_generation(self) -> None:
-        """Take the old generation from all shelves."""
-        SHELF.pop(OLD_GENERATION, None)
+        """Remove the old generation from all hosts."""
+        GENERATIONS.pop(OLD_GENERATION, None)
 
     def restore_old_generation(self) -> None:
-        """Put the old generation on all shelves again."""
-        SHELF[OLD_GENERATION] = Generation(OLD_GENERATION, OLD_GENERATION, "", {}, rollout_model.SPEAKS)
+        """Store the old generation at all hosts again."""
+        formats = rollout_model.FORMATS
+        GENERATIONS[OLD_GENERATION] = Generation(OLD_GENERATION, OLD_GENERATION, "", {}, formats)
 
     def differ_in_place(self) -> None:
-        """Let the new generation differ from the old one only in what a reload takes."""
-        change = {"stop_ms": 5000}
-        SHELF[NEW_GENERATION] = Generation(NEW_GENERATION, OLD_GENERATION, "", change, rollout_model.SPEAKS)
+        """Let the new generation differ from the old one only in what a reload applies."""
+        formats = rollout_model.FORMATS
+        GENERATIONS[NEW_GENERATION] = Generation(NEW_GENERATION, OLD_GENERATION, "", {"stop_ms": 5000}, formats)
 
     def kill_processes(self, name: str) -> None:
-        """Let all processes of a box end."""
-        self.boxes[name].procs.clear()
+        """Let all processes of a host end."""
+        self.hosts[name].processes.clear()
 
     def never_serves(self, name: str) -> None:
-        """Let the new generation never take clients at a box."""
-        self.boxes[name].fails.add(NEW_GENERATION)
+        """Let the new generation never accept clients at a host."""
+        self.hosts[name].failing_generations.add(NEW_GENERATION)
 
     def set_reached(self, name: str, reached: bool) -> None:
-        """Let a box's agent be reached or not."""
-        self.boxes[name].reached = reached
+        """Let a host's agent be reachable or not."""
+        self.hosts[name].reachable = reached
 
     def set_agent(self, name: str, running: bool) -> None:
-        """Let a box's agent run or not."""
-        self.boxes[name].agent_up = running
+        """Let a host's agent run or not."""
+        self.hosts[name].agent_up = running
 
     def strike_off(self, name: str) -> Any:
-        """Take a box off the list; return it, for ``put_back``."""
-        return self.boxes.pop(name)
+        """Take a host off the list; return it, for ``put_back``."""
+        return self.hosts.pop(name)
 
-    def put_back(self, name: str, each: Any) -> None:
-        """Put a box on the list again."""
-        self.boxes[name] = each
+    def put_back(self, name: str, host: Any) -> None:
+        """Put a host on the list again."""
+        self.hosts[name] = host
 
 
 @contextmanager
 def recorded_rollout(record: Record, conditions: RolloutConditions) -> Iterator[None]:
-    """Record the decisions of agents, controller and judge while this is open; shelves are as before afterwards."""
-    box_step, box_call, fleet_step, judge_verdict = host_state.step, host_state.call, rollout_state.step, Judge.verdict
-
-    def agent_step(state: host_state.State, now: float, seen: host_state.Seen, bounds: host_state.Bounds) -> Any:
-        seen, bounds = _seen(seen, conditions.agent_view(state.box)), host_state.Bounds(turn_wait=TURN_WAIT_S)
-        after, actions = box_step(state, now, seen, bounds)
-        record(f"agent {after.phase}", encode_json([now, after]))
-        for action in actions:
+    """Record the decisions of agents, controller and analysis while this is open; generations are restored after."""
+    decide_host = host_step.decide
+    handle_call = host_calls.handle_call
+    decide_rollout = rollout_step.decide
+    decide_verdict = CanaryAnalysis.verdict
+
+    def agent_step(state: HostState, now: float, observation: Observation, timeouts: Timeouts) -> Any:
+        observation = _observed(observation, conditions.agent_view(state.host))
+        decision = decide_host(state, now, observation, Timeouts(rollback_lease_wait_s=TURN_WAIT_S))
+        record(f"agent {decision.state.phase}", encode_json([now, decision.state]))
+        for action in decision.actions:
             record(f"agent orders {AGENT_ACTIONS[type(action)]}", encode_json(action))
-        return after, actions
+        return decision
 
-    def agent_call(state: host_state.State, asked: rollout_messages.Call, now: float, seen: host_state.Seen) -> Any:
-        line = rollout_messages.write(asked)
-        after, answer = box_call(state, rollout_messages.read(line), now, seen)
-        record("call", encode_json([now, line, answer, after]))
-        for each in rollout_messages.told(host_state.status(after, now, seen)):
+    def agent_call(state: HostState, call: rollout_messages.Call, now: float, observation: Observation) -> Any:
+        line = rollout_messages.encode_call(call)
+        result = handle_call(state, rollout_messages.decode_call(line), now, observation)
+        record("call", encode_json([now, line, [result.answer], result.state]))
+        for each in rollout_messages.encode_status(host_calls.status_of(result.state, now, observation)):
             record("status", each.encode())
-        return after, answer
-
-    def controller_step(course: Any, now: float, fence: Any, heard: Any, verdict: Any) -> Any:
-        known = {name: _with_figures(each, *conditions.figures(name)) for name, each in heard.items()}
-        after, calls = fleet_step(course, now, fence, known, verdict, conditions.may_begin(now))
-        record(f"course {after.phase}", encode_json([now, after]))
-        record("deviations", encode_json(rollout_state.deviations(after, known)))
-        return after, calls
-
-    def verdict(judge: Judge) -> JudgeVerdict:
-        found = judge_verdict(judge)
-        record(f"verdict {found.outcome.value}", encode_json([found.outcome.value, found.ground, found.rows]))
+        return result
+
+    def controller_step(state: RolloutState, fence: Any, observations: Observations) -> Any:
+        now = observations.now
+        reports = {
+            name: _with_figures(report, *conditions.figures(name)) for name, report in observations.reports.items()
+        }
+        closed_reason = conditions.may_begin(now)
+        decision = decide_rollout(state, fence, observations._replace(reports=reports, closed_reason=closed_reason))
+        record(f"course {decision.state.phase}", encode_json([now, decision.state]))
+        record("deviations", encode_json(deviations(decision.state, reports)))
+        return decision
+
+    def verdict(analysis: CanaryAnalysis) -> CanaryVerdict:
+        found = decide_verdict(analysis)
+        record(f"verdict {found.outcome.value}", encode_json([found.outcome.value, found.reason, found.results]))
         return found
 
     with (
-        mock.patch.dict(SHELF),
-        mock.patch.object(host_state, "step", agent_step),
-        mock.patch.object(host_state, "call", agent_call),
-        mock.patch.object(rollout_state, "step", controller_step),
-        mock.patch.object(Judge, "verdict", verdict),
+        mock.patch.dict(GENERATIONS),
+        mock.patch.object(host_step, "decide", agent_step),
+        mock.patch.object(host_calls, "handle_call", agent_call),
+        mock.patch.object(rollout_step, "decide", controller_step),
+        mock.patch.object(CanaryAnalysis, "verdict", verdict),
     ):
         yield
 
 
-def _seen(seen: host_state.Seen, view: AgentView) -> host_state.Seen:
-    silent = seen.takes if view.silent else frozenset()
-    return seen._replace(boot=view.boot, silent=silent, turn=view.turn)
+def _observed(observation: Observation, view: AgentView) -> Observation:
+    unresponsive = observation.accepting if view.silent else frozenset()
+    return observation._replace(boot_id=view.boot, unresponsive=unresponsive, has_lease=view.turn)
 
 
-def _with_figures(heard: rollout_state.Heard, memory_kb: int, broken: int) -> rollout_state.Heard:
-    return heard._replace(memory_kb=memory_kb, broken=broken)
+def _with_figures(report: HostReport, memory_kb: int, broken: int) -> HostReport:
+    return report._replace(memory_kb=memory_kb, broken_rules=broken)
 
 
 # Keys that two processes of one host share.
@@ -273,6 +290,8 @@
     Verdict.COALESCE: "join",
     Verdict.REJECT: "refuse",
     Verdict.FAIL: "fail",
+    Verdict.REPLAY: "result",
+    Verdict.MISMATCH: "other",
 }
 ROLES = {Role.STANDALONE: "alone", Role.OWNER: "owner", Role.FOLLOWER: "follower", Role.SUSPENDED: "shut"}
 
@@ -403,7 +422,7 @@
 
     def __init__(self, record: Record) -> None:
         self._record = record
-        self._known: dict[str, durable.Known] = {}
+        self._known: dict[str, durable.DurableRecord] = {}
         self.life = 1
 
     @property
@@ -414,9 +433,9 @@
     def arrive(self, name: str, body: bytes, born: float, window: float, now: float) -> None:
         """Take one try: its verdict, and the intent where it may run."""
         known = self._known.get(name)
-        verdict = durable.verdict(known, body, now)
-        self._record(f"durable {verdict.value}", name.encode())
-        if verdict is durable.Verdict.RUN:
+        verdict = durable.decide(known, body, now)
+        self._record(f"durable {VERDICTS[verdict]}", name.encode())
+        if verdict is Verdict.RUN:
             self._store(name, lambda: durable.intend(known, self.life, body, born, window, now))
 
     def step(self, name: str, action: str, result: bytes) -> None:
@@ -425,9 +444,9 @@
         if action == "withdraw":
             self._store(name, lambda: durable.withdraw(known))
             return
-        steps: dict[str, Callable[[], durable.Known]] = {
-            "start": lambda: durable.started(known),
-            "finish": lambda: durable.finish(known, result),
+        steps: dict[str, Callable[[], durable.DurableRecord]] = {
+            "start": lambda: durable.start(known),
+            "finish": lambda: durable.complete(known, result),
             "fail": lambda: durable.fail(known),
             "resolve": lambda: durable.resolve(known, result),
         }
@@ -439,10 +458,10 @@
         for name, known in list(self._known.items()):
             self._store(name, lambda known=known: durable.recover(known, self.life, now))  # type: ignore[misc]
 
-    def _store(self, name: str, step: Callable[[], durable.Known | None]) -> None:
+    def _store(self, name: str, step: Callable[[], durable.DurableRecord | None]) -> None:
         try:
             known = step()
-        except durable.Broken:
+        except KeyLifecycleError:
             self._record("durable error", name.encode())
             return
         if known is None:
@@ -450,7 +469,15 @@
             self._record("durable deleted", name.encode())
             return
         self._known[name] = known
-        row = [name, int(known.state), known.life, known.born, known.until, known.body, known.result]
+        row = [
+            name,
+            int(known.state),
+            known.incarnation,
+            known.created_at_ms,
+            known.expires_at_ms,
+            known.request_digest,
+            known.result,
+        ]
         self._record("durable row", encode_json(row))
 
 
--- a/lapispick/fakes/member_cluster.py
+++ b/lapispick/fakes/member_cluster.py
@@ -1,7 +1,7 @@
 """Running hosts that are members: their lists, owners of leases, and a resource that checks fencing tokens.
 
 Each host has a list of its own, for it reaches each other host through a proxy of its own. Links are named as in
-``fleet.py``, so a partition between two hosts is ``fleet.part(["disp-01"], ["disp-02"])``.
+``fleet.py``, so a partition between two hosts is ``fleet.partition(["disp-01"], ["disp-02"])``.
 """
 
 import itertools
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from lapispick.fakes.fleet import call, free_port
+from lapispick.fakes.ports import call_operators, free_port
 
 LIST_HEADER = "host,lapispick_port,lapispick_members,ansible_host\n"
 FAST_SETTINGS = """ period 200ms
@@ -121,7 +121,7 @@
         release_at = 0.0
         while not self._stopped.is_set():
             requested_at = time.monotonic()
-            lines = call(self._ops(), f"want {self.lease} worker", CALL_TIMEOUT_S)
+            lines = call_operators(self._ops(), f"want {self.lease} worker", CALL_TIMEOUT_S)
             words = lines[0].split() if lines else []
             if words[:2] == ["OK", "held"]:
                 slot, token = words[2], int(words[3])
@@ -144,7 +144,7 @@
     def _release(self, lease):
         """Do nothing more under the lease, and release it."""
         lease.end(time.monotonic())
-        call(self._ops(), f"done {self.lease} worker", CALL_TIMEOUT_S)
+        call_operators(self._ops(), f"done {self.lease} worker", CALL_TIMEOUT_S)
         return True
 
     def _ops(self):
@@ -159,17 +159,17 @@
         self.settings = settings
         self.resource = FencedResource()
         self.owners = []
-        self.addresses = {host.name: f"127.0.0.1:{free_port()}" for host in fleet.boxes}
-        self.config_files = {host.name: host.folder / "members.conf" for host in fleet.boxes}
-        self._list_files = {host.name: host.folder / "boxes.csv" for host in fleet.boxes}
+        self.addresses = {host.name: f"127.0.0.1:{free_port()}" for host in fleet.hosts}
+        self.config_files = {host.name: host.folder / "members.conf" for host in fleet.hosts}
+        self._list_files = {host.name: host.folder / "boxes.csv" for host in fleet.hosts}
         self._proxies = self._connect_all()
-        for host in fleet.boxes:
+        for host in fleet.hosts:
             self.set_list(names or self.names(), [host.name])
             self.config_files[host.name].write_text(self._config(host))
 
     def _connect_all(self):
         """Return the address by which each host (first key) reaches each other one, through a proxy."""
-        proxies = {host.name: {} for host in self.fleet.boxes}
+        proxies = {host.name: {} for host in self.fleet.hosts}
         for one, other in itertools.combinations(self.names(), 2):
             there, back = self.fleet.net.pair(one, other, self.addresses[one], self.addresses[other])
             proxies[one][other] = there
@@ -185,13 +185,13 @@
         )
 
     def names(self):
-        return [host.name for host in self.fleet.boxes]
+        return [host.name for host in self.fleet.hosts]
 
     def set_list(self, names, at=None):
         """Write a list of these members, at all hosts or some."""
         for reader in at or self.names():
             rows = "".join(
-                f"{name},{self.fleet[name].at.rsplit(':')[1]},"
+                f"{name},{self.fleet[name].address.rsplit(':')[1]},"
                 f"{self.addresses[name] if name == reader else self._proxies[reader][name]},127.0.0.1\n"
                 for name in names
             )
@@ -202,7 +202,7 @@
     def start(self, names=None, clock_offsets=None):
         """Start hosts in parallel, with offsets of their wall clocks in s where they are given."""
         threads = []
-        for host in self.fleet.boxes:
+        for host in self.fleet.hosts:
             if names is None or host.name in names:
                 options = {"conf": self.config_files[host.name]}
                 if clock_offsets is not None:
@@ -219,7 +219,7 @@
     def view(self, name):
         """Return the membership view of a host; None if it does not answer."""
         host = self.fleet[name]
-        lines = call(host.processes[-1].ops, "members", CALL_TIMEOUT_S) if host.processes else None
+        lines = call_operators(host.processes[-1].ops, "members", CALL_TIMEOUT_S) if host.processes else None
         return json.loads(lines[1]) if lines and lines[0] == "OK" else None
 
     def process_epoch(self, observer, name):
@@ -249,7 +249,7 @@
     def deaths(self):
         """Return who declared whom dead, from the logs."""
         found = []
-        for host in self.fleet.boxes:
+        for host in self.fleet.hosts:
             for path in sorted(host.folder.glob("config-*.log")):
                 for line in path.read_text().splitlines():
                     if "event=member-dead " in line:
@@ -261,7 +261,7 @@
     def request_leases(self, lease="job", names=None, hold_s=0.6):
         """Let an owner at each host request a lease from now on."""
         owners = [
-            LeaseOwner(self, host, lease, hold_s) for host in self.fleet.boxes if names is None or host.name in names
+            LeaseOwner(self, host, lease, hold_s) for host in self.fleet.hosts if names is None or host.name in names
         ]
         for owner in owners:
             owner.start()
--- a/lapispick/host/members/process_epoch.py
+++ b/lapispick/host/members/process_epoch.py
@@ -43,6 +43,6 @@
 def _save_epoch(folder: Path, epoch: int) -> None:
     try:
         folder.mkdir(parents=True, exist_ok=True)
-        atomic_files.put(folder / FILE_NAME, str(epoch).encode())
+        atomic_files.replace(folder / FILE_NAME, str(epoch).encode())
     except OSError as err:
         log(LOG, logging.ERROR, "process-epoch-not-saved", file=folder, error=err)
--- a/tests/test_member_cluster.py
+++ b/tests/test_member_cluster.py
@@ -29,7 +29,7 @@
     opened = []
 
     def make(hosts=5, settings=FAST_SETTINGS, seed=11, rate=8.0):
-        fleet = Fleet(tmp_path, seed=seed, boxes=hosts, gateways=1, rate=rate)
+        fleet = Fleet(tmp_path, seed=seed, hosts=hosts, gateways=1, rate=rate)
         opened.append(fleet)
         cluster = MemberCluster(fleet, settings)
         opened.append(cluster)
@@ -42,7 +42,7 @@
 
 def partition(cluster, *groups):
     """Cut the links between groups of hosts; returns what heals them."""
-    heal_functions = [cluster.fleet.part(one, other) for n, one in enumerate(groups) for other in groups[n + 1 :]]
+    heal_functions = [cluster.fleet.partition(one, other) for n, one in enumerate(groups) for other in groups[n + 1 :]]
     return lambda: [heal() for heal in heal_functions]
 
 
@@ -53,14 +53,14 @@
 
 def test_members_agree_and_pass_leases_on_while_requests_are_answered(make_cluster):
     cluster = make_cluster(settings=SLOW_SETTINGS).start()
-    cluster.fleet.load()
+    cluster.fleet.start_load()
     hosts = cluster.names()
     cluster.wait_for_agreement(hosts)
     view = cluster.view(hosts[0])
     assert (view["seen"], view["size"], view["majority"]) == (5, 5, True)
     owners = cluster.request_leases(hold_s=0.1)
     cluster.wait_for_holds(10)
-    cluster.fleet.answered(20)
+    cluster.fleet.wait_for_results(20)
     stop_owners_and_check(cluster)
     assert sum(bool(owner.held) for owner in owners) >= 4  # no host is overtaken all the time
     assert cluster.deaths() == []
@@ -69,7 +69,7 @@
 
 def test_only_the_majority_of_a_partition_obtains_leases_until_it_heals(make_cluster):
     cluster = make_cluster().start()
-    cluster.fleet.load()
+    cluster.fleet.start_load()
     hosts = cluster.names()
     minority = hosts[:2]
     majority = hosts[2:]
@@ -88,7 +88,7 @@
     heal()
     cluster.wait_for_agreement(hosts)
     cluster.wait_for_holds(6)
-    cluster.fleet.answered(5)
+    cluster.fleet.wait_for_results(5)
     stop_owners_and_check(cluster)
     assert cluster.fleet.broken_rules() == []
 
@@ -116,7 +116,7 @@
     owners = {owner.host.name: owner for owner in cluster.request_leases(hold_s=20.0)}  # each would keep it for long
     cluster.wait_for_holds(1)
     holder = cluster.resource.last_holder()
-    resume = cluster.fleet.stop(cluster.fleet[holder])
+    resume = cluster.fleet.suspend(cluster.fleet[holder])
     cluster.wait_for_holds(1)  # its lease expires at the others, and one of them obtains it
     assert cluster.resource.last_holder() != holder
     resume()
@@ -179,7 +179,7 @@
     hosts = cluster.names()
     cluster.wait_for_agreement(hosts)
     for name in hosts[:3]:
-        resume = cluster.fleet.stop(cluster.fleet[name])
+        resume = cluster.fleet.suspend(cluster.fleet[name])
         wait(2.0)
         resume()
     cluster.wait_for_agreement(hosts)
@@ -318,8 +318,8 @@
         stream.settimeout(5)
         with contextlib.suppress(OSError):
             assert stream.recv(10) == b""
-    cluster.fleet.load()
-    cluster.fleet.answered(10)
+    cluster.fleet.start_load()
+    cluster.fleet.wait_for_results(10)
     view = cluster.view(hosts[0])
     assert view["dropped"]["not from its address"] > 100
     assert view["dropped"]["nonsense"] > 100
@@ -402,7 +402,7 @@
     script = f"echo $LAPISPICK_FENCE > {out}; exec sleep 60"
     held = start_lapispick("leases", "hold", "--at", ops, "job", "--", "sh", "-c", script, stderr=subprocess.PIPE)
     until(lambda: out.exists() and out.read_text().strip(), "the command's start")
-    cluster.fleet.part([hosts[0]], hosts[1:])  # the holder is cut off from the majority
+    cluster.fleet.partition([hosts[0]], hosts[1:])  # the holder is cut off from the majority
     started = time.monotonic()
     assert held.wait(30) == 1
     assert b"was lost while the command ran" in held.stderr.read()
@@ -417,8 +417,8 @@
     cluster = make_cluster(3, rate=40.0).start()
     hosts = cluster.names()
     cluster.wait_for_agreement(hosts)
-    cluster.fleet.load()
-    cluster.fleet.answered(150)  # some seconds of the usual latency
+    cluster.fleet.start_load()
+    cluster.fleet.wait_for_results(150)  # some seconds of the usual latency
 
     def latency_ratios():
         view = cluster.view(hosts[0]) or {"facts": []}
@@ -426,9 +426,9 @@
 
     until(lambda: set(latency_ratios()) == set(hosts), "a fact of each host")
     assert max(latency_ratios().values()) < 4.0
-    cluster.fleet.store.slow = 200.0  # 0.4 s a call, far more than a busy machine adds to the usual latency
+    cluster.fleet.store.slowdown = 200.0  # 0.4 s a call, far more than a busy machine adds to the usual latency
     until(lambda: sum(ratio > 4.0 for ratio in latency_ratios().values()) >= 2, "that two hosts report it")
-    cluster.fleet.store.slow = 1.0
+    cluster.fleet.store.slowdown = 1.0
     until(lambda: max(latency_ratios().values()) < 3.0, "that it is over")
     assert cluster.fleet.broken_rules() == []
 
--- a/tests/test_module_boundaries.py
+++ b/tests/test_module_boundaries.py
@@ -34,8 +34,11 @@
     "members": (["members"], []),
     "rollout": (["rollout"], []),
     "shares": (["shares"], []),
-    "durable": (["durable/budget.py", "durable/commits.py", "durable/keys.py"], []),
-    "health": (["host/health.py", "host/metrics.py"], []),
+    "durable": (
+        ["durable/budget.py", "durable/records.py", "durable/write_admission.py"],
+        ["lapispick.idempotency.states"],
+    ),
+    "health": (["host/health.py", "host/metrics.py", "host/requests.py"], []),
     "jitter": (["jitter.py"], []),
 }
 CLOCK_AND_IO = {"open", "print", "input", "eval", "exec", "__import__", "now", "utcnow", "today", "SystemRandom"}
