--- a/lapispick/fakes/program_patches.py
+++ b/lapispick/fakes/program_patches.py
@@ -77,7 +77,9 @@
 KEY_FOUND_AMONG_HELD = Place(IDEMPOTENCY, "held = self.table.get(request.idempotency_key)")
 KEY_RAN_BEFORE = Place(IDEMPOTENCY, "record.executed_attempt not in (0, EXECUTED_BY_PEER)")
 KEY_CLAIMED = Place("host/core/runs.py", "verdict = self._idempotency.claim(")
-JSONRPC_ENCODED = Place("host/jsonrpc/front.py", '(_encode({"jsonrpc": "2.0", "id": number, member: fields}) + b"\\n")')
+JSONRPC_ENCODED = Place(
+    "host/jsonrpc/connection.py", '(messages.encode({"jsonrpc": "2.0", "id": number, member: fields}) + b"\\n")'
+)
 DRAIN_GRACE = Place("platform_settings.py", "drain_grace_ms=")
 HANDOVER_VERSION = Place("handover/messages.py", "\nVERSION = 1 ")
 HANDOVER_HELLO_END = Place("handover/messages.py", "0 = no other\n")
--- /dev/null
+++ b/lapispick/host/jsonrpc/messages.py
@@ -0,0 +1,115 @@
+"""The messages of the platform's JSON-RPC 2.0 protocol: their fields, error codes and the bounds of their values.
+
+The names on the wire are the platform's; they are mapped to ours here and nowhere else.
+"""
+
+from __future__ import annotations
+
+import base64
+import binascii
+import re
+import time
+from enum import IntEnum
+from typing import Literal
+
+import msgspec
+
+from lapispick import admission
+from lapispick.host.errors import HostError
+from lapispick.host.requests import MAX_BODY_BYTES, MAX_REQUEST_MEMORY_KB
+
+MAX_MESSAGE_AGE_MS = 60_000.0  # since a request reached the machine
+MAX_CLOCK_SKEW_MS = 1000.0
+MAX_TIMEOUT_DEADLINE_RATIO = 10.0  # times the deadline of a class; no gateway waits longer
+MAX_GATEWAY_NUMBER = (1 << 32) - 1
+ATTEMPT_ID = re.compile("[0-9a-fA-F]{16}")
+IDEMPOTENCY_KEY = re.compile("[0-9a-fA-F]{32}")
+HEALTH_CHECK_METHOD = "probe"
+CANCEL_METHOD = "giveUp"
+GOAWAY = b'{"jsonrpc":"2.0","method":"goaway"}\n'
+
+
+class ErrorCode(IntEnum):
+    """Codes of error answers; those above -32100 are the platform's own."""
+
+    PARSE_ERROR = -32700
+    INVALID_REQUEST = -32600
+    METHOD_NOT_FOUND = -32601
+    FAILED = -32000
+    REJECTED = -32050
+
+
+class InvalidMessageError(HostError):
+    """A message has a value outside the protocol's bounds; its text goes out to the peer."""
+
+
+class Params(msgspec.Struct):
+    """The values used of any message's params."""
+
+    attempt_id: str = msgspec.field(default="", name="trace")
+    created_at_ms: float = msgspec.field(default=0.0, name="born")  # Unix ms; when the request reached the machine
+    gateway: int = msgspec.field(default=0, name="client")
+    tenant: str = msgspec.field(default="", name="customer")
+    timeout_ms: float | None = msgspec.field(default=None, name="patience")
+    is_retry: Literal[0, 1] = msgspec.field(default=0, name="redo")
+    memory_kb: float = msgspec.field(default=0.0, name="size")
+    rank: float = msgspec.field(default=-1.0, name="order")
+    idempotency_key: str = msgspec.field(default="", name="nonce")
+    body: str | None = msgspec.field(default=None, name="doc")  # base64
+    is_deep: bool = msgspec.field(default=False, name="thorough")  # of a health check
+    cancelled_id: int | None = msgspec.field(default=None, name="id")
+
+
+class Message(msgspec.Struct):
+    """A request or a notification."""
+
+    jsonrpc: Literal["2.0"]
+    method: str
+    id: int | None = None
+    params: Params = msgspec.field(default_factory=Params)
+
+
+class MessageId(msgspec.Struct):
+    """What is needed to answer a message that can't be used."""
+
+    id: int | None = None
+
+
+decode = msgspec.json.Decoder(Message).decode
+decode_id = msgspec.json.Decoder(MessageId).decode
+encode = msgspec.json.Encoder().encode
+
+
+def validate(params: Params, settings: admission.ClassSettings, tenants: set[str], needs_timeout: bool) -> None:
+    """Raise ``InvalidMessageError`` for values outside the protocol's bounds, which must not reach the decisions."""
+    if not ATTEMPT_ID.fullmatch(params.attempt_id):
+        raise InvalidMessageError("trace must be 16 hex digits")
+    age_ms = time.time() * 1000 - params.created_at_ms
+    if not -MAX_CLOCK_SKEW_MS <= age_ms <= MAX_MESSAGE_AGE_MS:
+        raise InvalidMessageError("born must be a time of the last minute, in Unix milliseconds")
+    timeout_ms = params.timeout_ms
+    if timeout_ms is None and needs_timeout:
+        raise InvalidMessageError("patience is needed")
+    if timeout_ms is not None and not 0 < timeout_ms <= MAX_TIMEOUT_DEADLINE_RATIO * settings.deadline_ms:
+        raise InvalidMessageError("patience must be above 0 and no more than any client waits")
+    if not 0 <= params.gateway <= MAX_GATEWAY_NUMBER:
+        raise InvalidMessageError("client must be the number of a gateway")
+    if tenants and params.tenant not in tenants:
+        raise InvalidMessageError("there is no such customer")
+    if not 0 < params.memory_kb < MAX_REQUEST_MEMORY_KB:
+        raise InvalidMessageError("size must be above 0 and under 2,000")
+    if not 0 <= params.rank < 1:
+        raise InvalidMessageError("order must be from 0 to under 1")
+    is_keyed = settings.idempotency is admission.Idempotency.KEYED
+    if is_keyed and not IDEMPOTENCY_KEY.fullmatch(params.idempotency_key):
+        raise InvalidMessageError("a keyed class needs a nonce of 32 hex digits")
+    _validate_body(params.body)
+
+
+def _validate_body(body: str | None) -> None:
+    try:
+        size = len(base64.b64decode(body or "", validate=True))
+    except (binascii.Error, ValueError):
+        raise InvalidMessageError("doc is not base64") from None
+    if body is None or size > MAX_BODY_BYTES:
+        raise InvalidMessageError(f"doc holds {size} bytes")
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -36,7 +36,8 @@
 from lapispick.host.handover import key_lock
 from lapispick.host.handover.handshake import HostIdentity
 from lapispick.host.handover.service import Handover
-from lapispick.host.jsonrpc import front
+from lapispick.host.jsonrpc import connection as jsonrpc_connection
+from lapispick.host.jsonrpc import messages as jsonrpc_messages
 from lapispick.host.members import process_epoch
 from lapispick.host.members import reports as member_reports
 from lapispick.host.requests import Answer, AnswerKind
@@ -68,8 +69,8 @@
 
 # What is read or written without a tag -> its class.
 PLAIN = {
-    "platform, message": front.Message,
-    "platform, parameters": front.Params,
+    "platform, message": jsonrpc_messages.Message,
+    "platform, parameters": jsonrpc_messages.Params,
     "executor, notice": executor.Notice,
     "platform's configuration": host_config.Config,
     "platform's configuration, limits": host_config.Limits,
@@ -236,8 +237,8 @@
     """Talk to one connection and return what it writes, by occasion."""
     info = msgspec.convert(start_settings(), platform_settings.Info)
     gateways = SimpleNamespace(
-        **{"classes": {"book": 0}, "settings": platform_settings.settings_from(info), "customers": {"acme"}},
-        **{"needs_patience": True, "advice": lambda: 2.5, "loop": FakeLoop(), "closed": lambda connection: None},
+        **{"classes": {"book": 0}, "settings": platform_settings.settings_from(info), "tenants": {"acme"}},
+        **{"needs_timeout": True, "advice": lambda: 2.5, "loop": FakeLoop(), "closed": lambda connection: None},
     )
     found = {}
 
@@ -250,7 +251,7 @@
         line = {"jsonrpc": "2.0", "id": 5, "method": method, "params": params, **message}
         posted, stream = [], FakeStream(json.dumps(line).encode())
         gateways.post = posted.append
-        connection = front.Connection(gateways, stream)
+        connection = jsonrpc_connection.Connection(gateways, stream)
         connection.serve()
         act(connection, posted[0])
         found[occasion] = objects(stream.written)
@@ -270,7 +271,7 @@
 
 
 def platform_codes():
-    return [front.PARSE, front.INVALID, front.NO_METHOD, front.FAILED, front.REFUSED]
+    return list(jsonrpc_messages.ErrorCode)
 
 
 def executor_commands(monkeypatch):
