--- a/benchmarks/inventory.py
+++ b/benchmarks/inventory.py
@@ -144,7 +144,7 @@
 def _stalls(size: int, form: str, rounds: int) -> tuple[float, float, float, float, float]:
     """Return (idle, first load, change) longest gaps between turns in ms, helper's and own memory in MB."""
     from lapispick.host.amqp.front import AmqpFront
-    from lapispick.host.dns_resolver import Names
+    from lapispick.host.dns_resolver import DnsResolver
     from lapispick.host.inventory import Inventory
     from lapispick.host.scheduler import EventLoop
 
@@ -158,7 +158,7 @@
             spare.write_text(FORMS[form](size, 1 + turn * size // rounds))
         told = Settings(path=path, group="shops", look=0.05, settle=0.1, settle_most=1.0)
         front = AmqpFront(
-            loop, Bounds(lives=8), info, settings_from(info), lambda item: None, Names(loop, 1.0, None), 60.0
+            loop, Bounds(lives=8), info, settings_from(info), lambda item: None, DnsResolver(loop, 1.0, None), 60.0
         )
         inventory = Inventory(loop, told, listing.schema(info), front.take)
 
--- a/lapispick/agent/controller.py
+++ b/lapispick/agent/controller.py
@@ -22,10 +22,10 @@
 from lapispick.agent.rollout_store import RolloutStore
 from lapispick.agent.stage_analysis import StageAnalysis
 from lapispick.fleet.hosts import Worker
-from lapispick.host.dns_resolver import Names
+from lapispick.host.dns_resolver import DnsResolver
 from lapispick.host.logs import log
 from lapispick.host.scheduler import EventLoop
-from lapispick.host.worker_threads import Work
+from lapispick.host.worker_threads import WorkerThreads
 from lapispick.rollout import messages, metrics, pacing, rollout_state, rollout_step
 from lapispick.rollout.canary_analysis import Bounds
 from lapispick.rollout.messages import Fence
@@ -66,7 +66,7 @@
     ) -> None:
         """``accepted_workers`` returns the hosts of a list that was accepted just now, None where it did not change."""
         self.loop = EventLoop()
-        self.work = Work(self.loop)
+        self.work = WorkerThreads(self.loop)
         self.store = store
         self.state = state
         self.hosts = {worker.name: ManagedHost(worker) for worker in workers}
@@ -74,7 +74,7 @@
         self.ended_reason = ""  # why this controller is not in charge any more
         self._options = options
         self._accepted_workers = accepted_workers
-        self._names = Names(self.loop, CALL_TIMEOUT_S, options.names_file)
+        self._names = DnsResolver(self.loop, CALL_TIMEOUT_S, options.names_file)
         self._analysis = StageAnalysis(options.analysis_bounds)
         self._slice_at = 0.0
         self._heartbeat_at = 0.0
@@ -108,7 +108,7 @@
         self._for_each(list(self.hosts), self._poll_host)
         statuses = [host.status for host in self.hosts.values() if host.status is not None]
         epochs = [messages.parse_fence(status.fence).epoch for status in statuses]
-        epoch = self.work.do(self.store.take_over, self._options.name, max(epochs, default=0))
+        epoch = self.work.run(self.store.take_over, self._options.name, max(epochs, default=0))
         self.fence = Fence(epoch, self._options.name)
         log(
             LOG,
@@ -143,7 +143,7 @@
     def _update_list(self) -> None:
         if self._accepted_workers is None:
             return
-        workers = self.work.do(self._accepted_workers)
+        workers = self.work.run(self._accepted_workers)
         if workers is None:
             return
         for worker in workers:
@@ -152,7 +152,7 @@
             del self.hosts[name]
 
     def _with_newest_order(self) -> RolloutState:
-        orders = self.work.do(self.store.take_orders, self.state.name)
+        orders = self.work.run(self.store.take_orders, self.state.name)
         return msgspec.structs.replace(self.state, order=orders[-1]) if orders else self.state
 
     def _reports(self) -> dict[str, HostReport]:
@@ -163,7 +163,7 @@
         notes = state.notes[-1:]  # the oldest were dropped
         if len(state.notes) >= self._stored_notes:
             notes = state.notes[self._stored_notes :]
-        self.work.do(self.store.save, state, now, notes)
+        self.work.run(self.store.save, state, now, notes)
         for _, text in notes:
             log(LOG, logging.INFO, "rollout-phase", rollout=state.name, note=text)
         self._stored_notes = len(state.notes)
@@ -175,7 +175,7 @@
         self._heartbeat_at = time.monotonic()
         reports = self._reports()
         summary = summarize_fleet(rollout_state.deviations(self.state, reports), reports)
-        self.work.do(self.store.record_heartbeat, self.state.name, now, summary)
+        self.work.run(self.store.record_heartbeat, self.state.name, now, summary)
 
     def _analyse(self) -> None:
         """Give the canary analysis a slice of time, once it is long enough."""
@@ -189,7 +189,7 @@
             self._store_explanation(explanation)
 
     def _store_explanation(self, explanation: Explanation) -> None:
-        self.work.do(self.store.save_explanation, self.state.name, time.time(), explanation)
+        self.work.run(self.store.save_explanation, self.state.name, time.time(), explanation)
 
     # Calls to agents.
 
--- a/lapispick/agent/service.py
+++ b/lapispick/agent/service.py
@@ -31,7 +31,7 @@
 from lapispick.host.logs import log
 from lapispick.host.ops import Operators
 from lapispick.host.scheduler import EventLoop
-from lapispick.host.worker_threads import Work
+from lapispick.host.worker_threads import WorkerThreads
 from lapispick.rollout import host_calls, host_state, host_step, messages
 from lapispick.rollout.generations import Generation
 from lapispick.rollout.host_actions import Action, Kill, Reload, Start, Terminate
@@ -58,7 +58,7 @@
         self.store = GenerationStore(self.folder / "generations", python)
         self.processes = ProcessTable(f"{name}:{self.folder}")
         self.loop = EventLoop()
-        self.work = Work(self.loop)
+        self.work = WorkerThreads(self.loop)
         self._launcher = HostLauncher(settings, base, self.processes, self.store, python)
         self._memory_limit_mb = float(base.get("limits", {}).get("memory_mb", 0.0))
         lease_wait_s = settings.turn_wait if settings.turn else 0.0
@@ -140,7 +140,7 @@
         )
 
     def _step(self) -> None:
-        self._generations = self.work.do(self._refresh_disk)
+        self._generations = self.work.run(self._refresh_disk)
         alive = self.processes.alive()
         self._checks = self._client.check([each for each in self.state.processes if each.number in alive])
         self._lease.update(self._rolls_back_unconfirmed())
@@ -174,7 +174,7 @@
         if state == self.state:
             return
         self.point("decided")
-        self.work.do(self.state_file.save, state)
+        self.work.run(self.state_file.save, state)
         self._log_phase(state)
         self.state = state
         self.point("stored")
@@ -215,7 +215,7 @@
             return
         self.point("starting")
         self._write_config(process)
-        self.work.do(self._launcher.start, process, host_state.needed_generations(self.state))
+        self.work.run(self._launcher.start, process, host_state.needed_generations(self.state))
         log(LOG, logging.INFO, "host-started", process=process.number, generation=process.generation)
         self.point("started")
 
@@ -227,7 +227,7 @@
         self.point("reloaded")
 
     def _write_config(self, process: HostProcess) -> None:
-        self.work.do(self._launcher.write_config, process, self._generations[process.generation])
+        self.work.run(self._launcher.write_config, process, self._generations[process.generation])
 
     # Calls.
 
--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -27,7 +27,7 @@
 from lapispick.host.logs import log, setup
 from lapispick.host.metrics import ExtendedMetrics
 from lapispick.host.ops import Operators
-from lapispick.host.registry import Roster
+from lapispick.host.registry import RegistryClient
 from lapispick.host.scheduler import READ, EventLoop
 from lapispick.host.store import StoreClient
 from lapispick.host.streams import GRACEFUL_CLOSE_S
@@ -75,8 +75,8 @@
         )
         self.executor = core.peers.executor = ExecutorLink(loop, config.address("executor"), core.post)
         self.store = core.peers.store = StoreClient(loop, config.store_address, core.post, most=limits.calls)
-        self.roster = Roster(loop, config.address("roster"), config.name)
-        core.health.on_listed = self.roster.set
+        self.registry = RegistryClient(loop, config.address("roster"), config.name)
+        core.health.on_listed = self.registry.set
         self.gateways = Gateways(
             loop,
             config.address("listen"),
@@ -124,11 +124,11 @@
         from lapispick.fleet.reconciler import Bounds
         from lapispick.host.amqp import listing
         from lapispick.host.amqp.front import AmqpFront
-        from lapispick.host.dns_resolver import Names
+        from lapispick.host.dns_resolver import DnsResolver
         from lapispick.host.inventory import Inventory
 
         config, told, core = self.config, own.inventory, self.core
-        names = Names(self.loop, told.names_timeout, told.names_file)
+        names = DnsResolver(self.loop, told.names_timeout, told.names_file)
         bounds = Bounds(told.change_most, told.change_least, told.change_wait, own.amqp.drain, config.limits.brokers)
         front = AmqpFront(self.loop, bounds, config.settings, config.start, core.post, names, told.names_every)
         core.peers.fronts.append(front)
@@ -201,7 +201,7 @@
         """Take clients, beside the process that served so far or after it."""
         self.gateways.listen(listener)
         self.core.health.state.listening = True
-        for serve in (self.gateways.serve, self.roster.serve):
+        for serve in (self.gateways.serve, self.registry.serve):
             self.loop.spawn(serve)
         log(LOG, logging.INFO, "open", listen=self.gateways.address, passed=listener is not None)
 
@@ -222,7 +222,7 @@
         for serve in (self.core.serve, self.executor.serve, self._watch):
             self.loop.spawn(serve)
         if self.gateways.listening:
-            for serve in (self.gateways.serve, self.roster.serve):
+            for serve in (self.gateways.serve, self.registry.serve):
                 self.loop.spawn(serve)
             if self.handover is not None:
                 self.loop.spawn(self.handover.serve)
@@ -278,7 +278,7 @@
             log(LOG, logging.WARNING, "reload-left-out", needs_restart=",".join(left))
         self.executor.move(self.config.address("executor"))
         self.store.move(self.config.store_address)
-        self.roster.move(self.config.address("roster"))
+        self.registry.move(self.config.address("roster"))
 
     def _leave(self) -> None:
         """Serve until shortly before the process is stopped, and end once all that was read is answered."""
--- a/lapispick/host/amqp/front.py
+++ b/lapispick/host/amqp/front.py
@@ -15,7 +15,7 @@
 from lapispick.host.amqp.consumer import Translator
 from lapispick.host.amqp.listing import Broker, Queue, broker, queues
 from lapispick.host.amqp.session import Session
-from lapispick.host.dns_resolver import Names, NoAddress
+from lapispick.host.dns_resolver import DnsResolver, NameNotResolvedError
 from lapispick.host.logs import log
 from lapispick.host.scheduler import EventLoop
 from lapispick.host.timers import Timer
@@ -57,7 +57,7 @@
         info: Info,
         settings: admission.Settings,
         post: Callable[[Any], None],
-        names: Names,
+        names: DnsResolver,
         names_every: float,
     ) -> None:
         self.loop, self.post, self.translator = loop, post, Translator(info, settings)
@@ -80,7 +80,7 @@
         return self._callers.number(key, queue)
 
     def lookup(self, name: str) -> list[str]:
-        """Return the addresses of a broker's name; raises ``NoAddress``, which costs that broker only."""
+        """Return the addresses of a broker's name; raises ``NameNotResolvedError``, which costs that broker only."""
         return self._names.lookup(name)
 
     # The list.
@@ -161,7 +161,7 @@
                     continue
                 try:
                     found = self._names.lookup(session.broker.host)
-                except NoAddress as err:  # what is connected stays so
+                except NameNotResolvedError as err:  # what is connected stays so
                     log(LOG, logging.WARNING, "name-lost", broker=session.name, error=err)
                     continue
                 misses[life] = 0 if session.address in found else misses.get(life, 0) + 1
--- a/lapispick/host/members/directory.py
+++ b/lapispick/host/members/directory.py
@@ -12,7 +12,7 @@
 from lapispick.fleet import hosts
 from lapispick.fleet.hosts import Worker
 from lapispick.fleet.snapshot import Difference, Snapshot
-from lapispick.host.dns_resolver import Names, NoAddress
+from lapispick.host.dns_resolver import DnsResolver, NameNotResolvedError
 from lapispick.host.inventory import Inventory
 from lapispick.host.logs import log
 from lapispick.host.scheduler import EventLoop
@@ -49,7 +49,7 @@
         self._loop = loop
         self._on_change = on_change
         hosts_file = Path(settings.names_file) if settings.names_file else None
-        self._resolver = Names(loop, settings.names_timeout, hosts_file)
+        self._resolver = DnsResolver(loop, settings.names_timeout, hosts_file)
         self._inventory = Inventory(loop, settings, hosts.SCHEMA, self.accept)
 
     def serve(self) -> None:
@@ -81,7 +81,7 @@
             host, _, port = worker.members.rpartition(":")
             try:
                 self.addresses[name] = Address(self._resolver.lookup(host.strip("[]"))[0], int(port))
-            except NoAddress as err:
+            except NameNotResolvedError as err:
                 log(LOG, logging.WARNING, "member-address-unresolved", host=name, error=err)
         for removed in self.addresses.keys() - self.workers.keys():
             del self.addresses[removed]
--- a/lapispick/host/members/service.py
+++ b/lapispick/host/members/service.py
@@ -21,7 +21,7 @@
 from lapispick.host.members.process_epoch import next_process_epoch
 from lapispick.host.members.transport import DatagramTransport, TransportCounters
 from lapispick.host.scheduler import EventLoop
-from lapispick.host.worker_threads import Work
+from lapispick.host.worker_threads import WorkerThreads
 from lapispick.members.messages import MAX_TEXT_LENGTH
 
 LOG = "members"
@@ -55,7 +55,7 @@
         self._fact_source = fact_source
         self._address = parse_address(settings.listen)
         self._rng = random.Random(seed)
-        self._worker = Work(loop)
+        self._worker = WorkerThreads(loop)
         self.directory = MemberDirectory(loop, inventory, name, self._accept_list)
         self.local = LocalMember(settings, self.directory, self._rng)
         counters = TransportCounters()
@@ -65,7 +65,7 @@
 
     def serve(self) -> None:
         """Bind the address, then follow the list and take part, for ever."""
-        self.local.process_epoch = self._worker.do(lambda: next_process_epoch(self.settings.state_folder))
+        self.local.process_epoch = self._worker.run(lambda: next_process_epoch(self.settings.state_folder))
         self._loop.spawn(self.directory.serve)
         while not self._bind():
             self._loop.sleep(BIND_RETRY_S)
--- a/lapispick/host/registry.py
+++ b/lapispick/host/registry.py
@@ -1,4 +1,4 @@
-"""Reports to the roster: four datagrams a second, and several at once when something changes."""
+"""Reports to the service registry: four datagrams a second, and several at once when something changes."""
 
 from __future__ import annotations
 
@@ -10,15 +10,18 @@
 
 LOG = "roster"
 # s; a quarter of the datagrams are lost and an entry lapses after 3 s: with twelve in that time none does
-EVERY_S = 0.25
-REPEATS_S = (0.0, 0.03, 0.08)  # s; when a change is reported, so that it is heard at once
+REPORT_INTERVAL_S = 0.25
+CHANGE_REPORT_DELAYS_S = (0.0, 0.03, 0.08)  # s; when a change is reported, so that it is heard at once
 
 
-class Roster:
+class RegistryClient:
     """Says on or off for this worker host."""
 
     def __init__(self, loop: EventLoop, address: tuple[str, int], name: str) -> None:
-        self._loop, self._address, self._name, self._on = loop, address, name, True
+        self._loop = loop
+        self._address = address
+        self._name = name
+        self._on = True
         self._sock = self._opened()
 
     def _opened(self) -> socket.socket:
@@ -42,7 +45,7 @@
             self._report_change()
 
     def _report_change(self) -> None:
-        for after in REPEATS_S:
+        for after in CHANGE_REPORT_DELAYS_S:
             self._loop.call_later(after, self._report)
 
     def serve(self) -> None:
@@ -50,10 +53,10 @@
         self._report_change()
         while True:
             self._report()
-            self._loop.sleep(EVERY_S)
+            self._loop.sleep(REPORT_INTERVAL_S)
 
     def _report(self) -> None:
         try:
             self._sock.sendto(f"HERE {self._name} {'on' if self._on else 'off'}".encode(), self._address)
-        except OSError as err:  # the roster may be down: entries do not lapse meanwhile
+        except OSError as err:  # the registry may be down: entries do not lapse meanwhile
             log(LOG, logging.DEBUG, "report-failed", error=err)
--- a/lapispick/host/worker_threads.py
+++ b/lapispick/host/worker_threads.py
@@ -1,6 +1,6 @@
 """Runs what blocks (disks, look-ups, starts of processes) in threads and hands results to the greenlets that wait.
 
-A thread puts what it made into a queue of its own and wakes the loop by a byte; nothing else is shared.
+A thread puts what it result into a queue of its own and wakes the loop by a byte; nothing else is shared.
 """
 
 from __future__ import annotations
@@ -12,65 +12,68 @@
 from collections.abc import Callable
 from typing import Any, TypeVar
 
+from lapispick.host.errors import HostError
 from lapispick.host.scheduler import READ, EventLoop, Waiter
 
-WAITING_MOST = 64  # jobs
+MAX_WAITING_JOBS = 64
 T = TypeVar("T")
 
 
-class Busy(Exception):
+class TooManyJobsError(HostError):
     """Too many jobs wait already."""
 
 
-class Work:
+class WorkerThreads:
     """Threads, by default one: then jobs are done in the order in which they were asked for."""
 
-    def __init__(self, loop: EventLoop, threads: int = 1, most: int = WAITING_MOST) -> None:
-        self._loop, self._last = loop, 0
-        self._jobs: queue.Queue[tuple[int, Callable[[], Any]]] = queue.Queue(most)
+    def __init__(self, loop: EventLoop, threads: int = 1, max_waiting: int = MAX_WAITING_JOBS) -> None:
+        self._loop = loop
+        self._last_job = 0
+        self._jobs: queue.Queue[tuple[int, Callable[[], Any]]] = queue.Queue(max_waiting)
         self._done: deque[tuple[int, Any, BaseException | None]] = deque()
         self._waiters: dict[int, Waiter] = {}
-        self._told, self._tell = socket.socketpair()
-        for end in (self._told, self._tell):
+        self._wake_receiver, self._wake_sender = socket.socketpair()
+        for end in (self._wake_receiver, self._wake_sender):
             end.setblocking(False)
         for _ in range(threads):
             threading.Thread(target=self._work, daemon=True).start()
         loop.spawn(self._serve)
 
-    def do(self, job: Callable[..., T], *args: Any, timeout: float | None = None) -> T:
+    def run(self, job: Callable[..., T], *args: Any, timeout: float | None = None) -> T:
         """Do a job and return what it does, or raise what it raises; others have their turn meanwhile.
 
-        Raises ``Busy`` where too many wait, and ``TimeoutError`` after a timeout in s; the job itself goes on.
+        Raises ``TooManyJobsError`` where too many wait, and ``TimeoutError`` after a timeout in s, which does not end
+        the job.
         """
-        self._last += 1
-        number = self._last
+        self._last_job += 1
+        number = self._last_job
         try:
             self._jobs.put_nowait((number, lambda: job(*args)))
         except queue.Full:
-            raise Busy(f"{self._jobs.maxsize} others wait") from None
+            raise TooManyJobsError(f"{self._jobs.maxsize} others wait") from None
         waiter = self._waiters[number] = Waiter(self._loop)
         try:
-            answer = self._loop.suspend(waiter, timeout)
+            outcome = self._loop.suspend(waiter, timeout)
         finally:
             del self._waiters[number]
-        if answer is None:
+        if outcome is None:
             raise TimeoutError
-        made, fault = answer
-        if fault is not None:
-            raise fault
-        return made
+        result, error = outcome
+        if error is not None:
+            raise error
+        return result
 
     def _serve(self) -> None:
         while True:
-            self._loop.wait_for_io(self._told.fileno(), READ)
+            self._loop.wait_for_io(self._wake_receiver.fileno(), READ)
             try:
-                self._told.recv(4096)
+                self._wake_receiver.recv(4096)
             except BlockingIOError:
                 continue
             while self._done:
-                number, made, fault = self._done.popleft()
+                number, result, error = self._done.popleft()
                 if (waiter := self._waiters.get(number)) is not None:
-                    waiter.wake((made, fault))
+                    waiter.wake((result, error))
 
     # In the thread: only the two queues and the wake-up are touched from here.
 
@@ -82,7 +85,7 @@
             except BaseException as err:
                 self._done.append((number, None, err))
             try:
-                self._tell.send(b"\0")
+                self._wake_sender.send(b"\0")
             except BlockingIOError:
                 pass  # full: the loop is awake anyway
             except OSError:
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -337,7 +337,7 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as heard:
         heard.bind(("127.0.0.1", 0))
         heard.settimeout(5)
-        reports, teller = [], registry.Roster(FakeLoop(), heard.getsockname(), "n3")
+        reports, teller = [], registry.RegistryClient(FakeLoop(), heard.getsockname(), "n3")
         for on in (True, False):
             teller.set(on)
             with pytest.raises(Stop):
