--- a/benchmarks/inventory.py
+++ b/benchmarks/inventory.py
@@ -144,12 +144,12 @@
 def _stalls(size: int, form: str, rounds: int) -> tuple[float, float, float, float, float]:
     """Return (idle, first load, change) longest gaps between turns in ms, helper's and own memory in MB."""
     from lapispick.host.amqp.front import AmqpFront
-    from lapispick.host.dns_resolver import Names
+    from lapispick.host.dns_resolver import DnsResolver
     from lapispick.host.inventory import Inventory
-    from lapispick.host.scheduler import Loop
+    from lapispick.host.scheduler import EventLoop
 
     info = msgspec.convert(PLATFORM_INFO, Info)
-    loop, worst, phase = Loop(), {"idle": 0.0, "first": 0.0, "change": 0.0}, ["idle"]
+    loop, worst, phase = EventLoop(), {"idle": 0.0, "first": 0.0, "change": 0.0}, ["idle"]
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / f"list.{form}"
         path.write_text(FORMS[form](size))
@@ -158,14 +158,20 @@
             spare.write_text(FORMS[form](size, 1 + turn * size // rounds))
         told = InventorySettings(path=path, group="shops", poll_interval_s=0.05, settle_s=0.1, max_settle_s=1.0)
         front = AmqpFront(
-            loop, Bounds(max_instances=8), info, settings_from(info), lambda item: None, Names(loop, 1.0, None), 60.0
+            loop,
+            Bounds(max_instances=8),
+            info,
+            settings_from(info),
+            lambda item: None,
+            DnsResolver(loop, 1.0, None),
+            60.0,
         )
         inventory = Inventory(loop, told, listing.schema(info), front.take)
 
         def beat() -> None:
             last = time.perf_counter()
             while True:
-                loop.give_way()
+                loop.yield_control()
                 now = time.perf_counter()
                 worst[phase[0]] = max(worst[phase[0]], now - last)
                 last = now
@@ -191,7 +197,7 @@
 
         loop.spawn(beat)
         loop.spawn(script)
-        loop.later(60.0, loop.stop)  # a list that is never accepted must not keep this running
+        loop.call_later(60.0, loop.stop)  # a list that is never accepted must not keep this running
         loop.run()
         assert inventory.helper.process is not None and phase[0] == "change", "the list was not accepted"
         helper = memory_mb(inventory.helper.process.pid)
--- a/lapispick/agent/host_client.py
+++ b/lapispick/agent/host_client.py
@@ -6,7 +6,8 @@
 from typing import NamedTuple
 
 from lapispick.agent import line_client
-from lapispick.host.scheduler import Loop, address
+from lapispick.host.addresses import parse_address
+from lapispick.host.scheduler import EventLoop
 from lapispick.rollout.host_state import HostProcess
 
 CALL_TIMEOUT_S = 1.0
@@ -23,14 +24,14 @@
 class HostClient:
     """Calls the processes of one host by their slots."""
 
-    def __init__(self, loop: Loop, slot_addresses: Sequence[str]) -> None:
+    def __init__(self, loop: EventLoop, slot_addresses: Sequence[str]) -> None:
         self._loop = loop
         self._slot_addresses = slot_addresses
 
     def call(self, slot: int, line: str) -> list[str] | None:
         """Return the answer of the process in a slot; None where it does not answer in time."""
         try:
-            return line_client.call(self._loop, address(self._slot_addresses[slot]), line, CALL_TIMEOUT_S)
+            return line_client.call(self._loop, parse_address(self._slot_addresses[slot]), line, CALL_TIMEOUT_S)
         except OSError:
             return None
 
--- a/lapispick/agent/line_client.py
+++ b/lapispick/agent/line_client.py
@@ -4,12 +4,13 @@
 
 import time
 
-from lapispick.host.scheduler import Closed, Loop, Overlong, connect
+from lapispick.host.scheduler import EventLoop
+from lapispick.host.streams import LineTooLongError, StreamClosedError, connect
 
 _MIN_TIMEOUT_S = 0.001
 
 
-def call(loop: Loop, address: tuple[str, int], line: str, timeout_s: float) -> list[str]:
+def call(loop: EventLoop, address: tuple[str, int], line: str, timeout_s: float) -> list[str]:
     """Send a line and return the lines of the answer; raises ``OSError``, also on timeout."""
     stream = connect(loop, address, timeout_s)
     deadline = time.monotonic() + timeout_s
@@ -18,7 +19,7 @@
         stream.write(line.encode() + b"\n")
         while (part := stream.read_line(max(_MIN_TIMEOUT_S, deadline - time.monotonic()))) is not None:
             lines.append(part.decode("utf-8", "replace"))
-    except (Overlong, Closed) as err:
+    except (LineTooLongError, StreamClosedError) as err:
         raise OSError(str(err)) from None
     finally:
         stream.close()
--- a/lapispick/cli/agent.py
+++ b/lapispick/cli/agent.py
@@ -15,7 +15,7 @@
 from lapispick.cli.ops import NoAnswerError, call
 from lapispick.cli.output import ExitCode, print_error, print_json, print_line, print_table
 from lapispick.conf.sections import AgentSettings
-from lapispick.host.scheduler import address
+from lapispick.host.addresses import parse_address
 from lapispick.rollout import messages
 from lapispick.rollout.host_state import SLOTS
 
@@ -130,7 +130,7 @@
 def status(at: str, json_: bool) -> None:
     """Show the status that an agent reports."""
     try:
-        answer = messages.decode_status(call(address(at), "status"))
+        answer = messages.decode_status(call(parse_address(at), "status"))
     except (NoAnswerError, ValueError) as err:
         print_error(str(err))
         sys.exit(ExitCode.NO_STATE)
--- a/lapispick/cli/ops.py
+++ b/lapispick/cli/ops.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from lapispick.cli.output import ExitCode, print_error, print_json, print_line
-from lapispick.host.scheduler import address
+from lapispick.host.addresses import parse_address
 
 CALL_TIMEOUT_S = 2.0  # an answer is due within 1 s
 POLL_INTERVAL_S = 0.05  # of ``wait``
@@ -85,7 +85,7 @@
             print_error(f"{path}: {err}")
             sys.exit(ExitCode.INVALID)
     try:
-        return address(text)
+        return parse_address(text)
     except ValueError as err:
         print_error(f"no operators' address (--at, LB_OPS or ops in LB_CONFIG): {err}")
         sys.exit(ExitCode.INVALID)
--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -27,9 +27,10 @@
 from lapispick.host.logs import log, setup
 from lapispick.host.metrics import ExtendedMetrics
 from lapispick.host.ops import Operators
-from lapispick.host.registry import Roster
-from lapispick.host.scheduler import LINGER_S, READ, Loop
+from lapispick.host.registry import RegistryClient
+from lapispick.host.scheduler import READ, EventLoop
 from lapispick.host.store import StoreClient
+from lapispick.host.streams import GRACEFUL_CLOSE_S
 from lapispick.idempotency.ownership import Role
 
 LOG = "host"
@@ -67,15 +68,15 @@
 
     def __init__(self, config: Config, own: Settings, signals: Signals) -> None:
         limits, settings = config.limits, config.start
-        self.loop, self.config, self.signals, self.leaving = Loop(limits.unsent), config, signals, False
+        self.loop, self.config, self.signals, self.leaving = EventLoop(limits.unsent), config, signals, False
         loop = self.loop
         self.core = core = Core(
             loop, settings, int(config.seed, 16), limits.kept, limits.open, [s.name for s in config.settings.services]
         )
         self.executor = core.peers.executor = ExecutorLink(loop, config.address("executor"), core.post)
         self.store = core.peers.store = StoreClient(loop, config.store_address, core.post, most=limits.calls)
-        self.roster = Roster(loop, config.address("roster"), config.name)
-        core.health.on_listed = self.roster.set
+        self.registry = RegistryClient(loop, config.address("roster"), config.name)
+        core.health.on_listed = self.registry.set
         self.gateways = Gateways(
             loop,
             config.address("listen"),
@@ -123,11 +124,11 @@
         from lapispick.fleet.reconciler import Bounds
         from lapispick.host.amqp import listing
         from lapispick.host.amqp.front import AmqpFront
-        from lapispick.host.dns_resolver import Names
+        from lapispick.host.dns_resolver import DnsResolver
         from lapispick.host.inventory import Inventory
 
         config, told, core = self.config, own.inventory, self.core
-        names = Names(self.loop, told.resolve_timeout_s, told.hosts_file)
+        names = DnsResolver(self.loop, told.resolve_timeout_s, told.hosts_file)
         bounds = Bounds(
             told.max_changing_fraction,
             told.min_changing,
@@ -206,7 +207,7 @@
         """Take clients, beside the process that served so far or after it."""
         self.gateways.listen(listener)
         self.core.health.state.listening = True
-        for serve in (self.gateways.serve, self.roster.serve):
+        for serve in (self.gateways.serve, self.registry.serve):
             self.loop.spawn(serve)
         log(LOG, logging.INFO, "open", listen=self.gateways.address, passed=listener is not None)
 
@@ -227,7 +228,7 @@
         for serve in (self.core.serve, self.executor.serve, self._watch):
             self.loop.spawn(serve)
         if self.gateways.listening:
-            for serve in (self.gateways.serve, self.roster.serve):
+            for serve in (self.gateways.serve, self.registry.serve):
                 self.loop.spawn(serve)
             if self.handover is not None:
                 self.loop.spawn(self.handover.serve)
@@ -256,10 +257,10 @@
     def _watch(self) -> None:
         """Act on signals, for ever: SIGHUP may come at any time, also while we leave."""
         while True:
-            self.loop.wait(self.signals.told.fileno(), READ)
+            self.loop.wait_for_io(self.signals.told.fileno(), READ)
             came = self.signals.take()
             if signal.SIGHUP in came:
-                self.loop.soon(self._reload)
+                self.loop.call_soon(self._reload)
             if not self.leaving and (signal.SIGTERM in came or signal.SIGINT in came):
                 self.leaving = True
                 self.loop.spawn(self._leave)
@@ -283,7 +284,7 @@
             log(LOG, logging.WARNING, "reload-left-out", needs_restart=",".join(left))
         self.executor.move(self.config.address("executor"))
         self.store.move(self.config.store_address)
-        self.roster.move(self.config.address("roster"))
+        self.registry.move(self.config.address("roster"))
 
     def _leave(self) -> None:
         """Serve until shortly before the process is stopped, and end once all that was read is answered."""
@@ -327,7 +328,7 @@
         # From here on nothing is read that would be lost, nor run behind the last word to the other process; peers
         # still get what is on its way, which a process that ends over unread bytes would reset.
         self.gateways.finish()
-        last = min(end_at - LAST_S, time.monotonic() + LINGER_S)
+        last = min(end_at - LAST_S, time.monotonic() + GRACEFUL_CLOSE_S)
         while time.monotonic() < last and not self.gateways.gone():
             self.loop.sleep(0.005)
         if self.handover is not None:
--- a/lapispick/host/amqp/front.py
+++ b/lapispick/host/amqp/front.py
@@ -15,9 +15,10 @@
 from lapispick.host.amqp.consumer import Translator
 from lapispick.host.amqp.listing import Broker, Queue, broker, queues
 from lapispick.host.amqp.session import Session
-from lapispick.host.dns_resolver import Names, NoAddress
+from lapispick.host.dns_resolver import DnsResolver, NameNotResolvedError
 from lapispick.host.logs import log
-from lapispick.host.scheduler import Loop, Timer
+from lapispick.host.scheduler import EventLoop
+from lapispick.host.timers import Timer
 from lapispick.platform_settings import Info
 
 LOG = "amqp"
@@ -51,12 +52,12 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         bounds: Bounds,
         info: Info,
         settings: admission.Settings,
         post: Callable[[Any], None],
-        names: Names,
+        names: DnsResolver,
         names_every: float,
     ) -> None:
         self.loop, self.post, self.translator = loop, post, Translator(info, settings)
@@ -79,7 +80,7 @@
         return self._callers.number(key, queue)
 
     def lookup(self, name: str) -> list[str]:
-        """Return the addresses of a broker's name; raises ``NoAddress``, which costs that broker only."""
+        """Return the addresses of a broker's name; raises ``NameNotResolvedError``, which costs that broker only."""
         return self._names.lookup(name)
 
     # The list.
@@ -91,7 +92,7 @@
             self._queues[key] = queues(host)
             self._want(key, broker(host))
             if not at % SLICE:
-                self.loop.give_way()
+                self.loop.yield_control()
         for key in change.left:
             self._reconciler.drop(key)
             self._queues.pop(key, None)
@@ -130,7 +131,7 @@
             )
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self.loop.later(next_due(self._reconciler, now), self._step)
+        self._timer = self.loop.call_later(next_due(self._reconciler, now), self._step)
 
     def _open(self, action: Open) -> None:
         told: Broker = action.spec[0]
@@ -141,7 +142,7 @@
     def opened(self, session: Session) -> None:
         """Take note that a broker is consumed from; the old life of it may go."""
         self._reconciler.opened(time.monotonic(), session.life)
-        self.loop.soon(self._step)
+        self.loop.call_soon(self._step)
 
     def lost(self, session: Session) -> None:
         """Take note that a connection broke; it is tried again."""
@@ -154,7 +155,7 @@
         if session.key not in self._queues and all(s.key != session.key for s in self._sessions.values()):
             self._callers.drop(session.key)
         log(LOG, logging.INFO, "broker-ended", broker=session.name)
-        self.loop.soon(self._step)
+        self.loop.call_soon(self._step)
 
     def _renew(self) -> None:
         """Look the names of connected brokers up again; one that moved for good is opened anew."""
@@ -166,7 +167,7 @@
                     continue
                 try:
                     found = self._names.lookup(session.broker.host)
-                except NoAddress as err:  # what is connected stays so
+                except NameNotResolvedError as err:  # what is connected stays so
                     log(LOG, logging.WARNING, "name-lost", broker=session.name, error=err)
                     continue
                 misses[life] = 0 if session.address in found else misses.get(life, 0) + 1
--- a/lapispick/host/core/dispatcher.py
+++ b/lapispick/host/core/dispatcher.py
@@ -23,7 +23,7 @@
 from lapispick.host.core.timers import GaugeCollector, ModuleTimers
 from lapispick.host.interfaces import Peers
 from lapispick.host.logs import log
-from lapispick.host.scheduler import Loop, Queue
+from lapispick.host.scheduler import EventLoop, Queue
 from lapispick.idempotency.table import DEFAULT_MAX_RESULT_BYTES
 
 LOG = "core"
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         settings: admission.Settings,
         seed: int,
         max_result_bytes: int = DEFAULT_MAX_RESULT_BYTES,
--- a/lapispick/host/core/housekeeping.py
+++ b/lapispick/host/core/housekeeping.py
@@ -12,7 +12,7 @@
 from lapispick.host.core.request_table import RequestTable
 from lapispick.host.logs import log
 from lapispick.host.requests import AnswerKind
-from lapispick.host.scheduler import Loop
+from lapispick.host.scheduler import EventLoop
 
 LOG = "core"
 RECORD_GRACE_MS = 30_000.0  # an expired record is kept this much longer for repeats that are read late
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         clock: Clock,
         requests: RequestTable,
         answers: AnswerSender,
@@ -42,12 +42,12 @@
 
     def start(self) -> None:
         """Begin the periodic work."""
-        self._loop.later(SWEEP_INTERVAL_S, self._sweep)
-        self._loop.later(TALLY_S, self._log_totals)
+        self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+        self._loop.call_later(TALLY_S, self._log_totals)
 
     def _sweep(self) -> None:
         """Drop records that expired so long ago that no repeat of their time can be unread, and end lost runs."""
-        self._loop.later(SWEEP_INTERVAL_S, self._sweep)
+        self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         table = self._idempotency.table
         for record in table.expired(time.time() * 1000 - RECORD_GRACE_MS):
             table.remove(record)
@@ -56,7 +56,7 @@
             self._completion.expect_no_end(entry)  # or it would keep its slot for good
 
     def _log_totals(self) -> None:
-        self._loop.later(TALLY_S, self._log_totals)
+        self._loop.call_later(TALLY_S, self._log_totals)
         log(
             LOG,
             logging.INFO,
--- a/lapispick/host/core/peer_sync.py
+++ b/lapispick/host/core/peer_sync.py
@@ -16,7 +16,7 @@
 from lapispick.host.core.idempotency import IdempotencyCoordinator
 from lapispick.host.interfaces import Link
 from lapispick.host.logs import log
-from lapispick.host.scheduler import Loop
+from lapispick.host.scheduler import EventLoop
 from lapispick.idempotency.ownership import Role
 
 LOG = "core"
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         clock: Clock,
         module: DecisionModule,
         arrivals: ArrivalHandler,
@@ -107,7 +107,7 @@
                 event.link.send(message)
             keys = keys[SNAPSHOT_PART_KEYS:]
         if keys:
-            self._loop.later(SNAPSHOT_PAUSE_S, self._post, events.SnapshotDue(event.link, keys))
+            self._loop.call_later(SNAPSHOT_PAUSE_S, self._post, events.SnapshotDue(event.link, keys))
         else:
             event.link.send(messages.SnapshotComplete(self._module.learned()))
 
--- a/lapispick/host/core/timers.py
+++ b/lapispick/host/core/timers.py
@@ -9,19 +9,19 @@
 from lapispick.host import events
 from lapispick.host.core.peer_sync import PeerSynchronizer
 from lapispick.host.interfaces import Peers
-from lapispick.host.scheduler import Loop
+from lapispick.host.scheduler import EventLoop
 
 
 class ModuleTimers:
     """Sets the timers that the module orders."""
 
-    def __init__(self, loop: Loop, post: Callable[[Any], None]) -> None:
+    def __init__(self, loop: EventLoop, post: Callable[[Any], None]) -> None:
         self._loop = loop
         self._post = post
 
     def set_timer(self, action: admission.SetTimer) -> None:
         """Set a timer."""
-        self._loop.later(action.delay_ms / 1000, self._post, events.TimerDue(action.token))
+        self._loop.call_later(action.delay_ms / 1000, self._post, events.TimerDue(action.token))
 
 
 class GaugeCollector:
--- a/lapispick/host/handover/handshake.py
+++ b/lapispick/host/handover/handshake.py
@@ -8,11 +8,12 @@
 import msgspec
 
 from lapispick.handover import messages
-from lapispick.host.scheduler import READ, Loop, Overlong, Stream
+from lapispick.host.scheduler import READ, EventLoop
+from lapispick.host.streams import LineTooLongError, Stream
 
 REPLY_TIMEOUT_S = 1.0
 DESCRIPTOR_CARRIER = b"\n"  # a descriptor needs a byte to travel with
-LINK_ERRORS = (OSError, Overlong, msgspec.DecodeError)  # what a faulty peer causes; TimeoutError is an OSError
+LINK_ERRORS = (OSError, LineTooLongError, msgspec.DecodeError)  # what a faulty peer causes; TimeoutError is an OSError
 
 
 class HostIdentity(NamedTuple):
@@ -63,10 +64,10 @@
     socket.send_fds(stream.sock, [DESCRIPTOR_CARRIER], [listener])
 
 
-def request_link(loop: Loop, stream: Stream, hello: messages.Hello) -> LinkReply:
+def request_link(loop: EventLoop, stream: Stream, hello: messages.Hello) -> LinkReply:
     """Send a hello and return the reply; raises ``LINK_ERRORS``, ``HandshakeError`` among them."""
     stream.write(messages.encode(hello))
-    if not loop.wait(stream.sock.fileno(), READ, REPLY_TIMEOUT_S):
+    if not loop.wait_for_io(stream.sock.fileno(), READ, REPLY_TIMEOUT_S):
         raise TimeoutError("no answer")
     first_byte, descriptors, _, _ = socket.recv_fds(stream.sock, 1, 1)
     line = stream.read_line(REPLY_TIMEOUT_S)
--- a/lapispick/host/handover/peer_link.py
+++ b/lapispick/host/handover/peer_link.py
@@ -6,7 +6,7 @@
 
 from lapispick.handover import messages
 from lapispick.host.jsonrpc.front import Gateways
-from lapispick.host.scheduler import Stream
+from lapispick.host.streams import Stream
 
 # Called with the number of the other process's connections; None = there is no other process any more.
 SetPeerConnections = Callable[[int | None], None]
@@ -36,7 +36,7 @@
 
     def has_unsent(self) -> bool:
         """Tell whether something that was sent has not left this process."""
-        return self.stream.unsent > 0 or self.stream.closed
+        return self.stream.unsent_bytes > 0 or self.stream.closed
 
     def connections(self) -> int:
         """Count the clients' connections of this process."""
--- a/lapispick/host/handover/service.py
+++ b/lapispick/host/handover/service.py
@@ -19,7 +19,8 @@
 from lapispick.host.handover.received_listener import OnOpen, ReceivedListener
 from lapispick.host.jsonrpc.front import Gateways
 from lapispick.host.logs import log
-from lapispick.host.scheduler import READ, Loop, Stream
+from lapispick.host.scheduler import READ, EventLoop
+from lapispick.host.streams import Stream
 
 LOG = "handover"
 STEM_DIGEST_BYTES = 8
@@ -37,7 +38,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         folder: Path,
         identity: HostIdentity,
         max_unsent_bytes: int,
@@ -83,7 +84,7 @@
             log(LOG, logging.WARNING, "handover-off", error=err)
             return
         while True:
-            if not self._loop.wait(sock.fileno(), READ):
+            if not self._loop.wait_for_io(sock.fileno(), READ):
                 continue
             try:
                 accepted, _ = sock.accept()
--- a/lapispick/host/handover/unix_socket.py
+++ b/lapispick/host/handover/unix_socket.py
@@ -7,7 +7,8 @@
 from contextlib import suppress
 from pathlib import Path
 
-from lapispick.host.scheduler import Loop, Stream
+from lapispick.host.scheduler import EventLoop
+from lapispick.host.streams import Stream
 
 MAX_MESSAGE_BYTES = 2 << 20  # a result has at most one notice of the executor
 KERNEL_BUFFER_BYTES = 1 << 20  # while it has capacity, no run waits for the other process
@@ -48,7 +49,7 @@
     return sock
 
 
-def stream_of(loop: Loop, sock: socket.socket, max_unsent_bytes: int) -> Stream:
+def stream_of(loop: EventLoop, sock: socket.socket, max_unsent_bytes: int) -> Stream:
     """Return the stream of messages on a socket."""
     for option in (socket.SO_SNDBUF, socket.SO_RCVBUF):
         sock.setsockopt(socket.SOL_SOCKET, option, KERNEL_BUFFER_BYTES)
--- a/lapispick/host/inventory.py
+++ b/lapispick/host/inventory.py
@@ -36,7 +36,8 @@
 from lapispick.fleet.schema import Schema
 from lapispick.fleet.snapshot import EMPTY, Difference, History, Snapshot, Version
 from lapispick.host.logs import log
-from lapispick.host.scheduler import Closed, Loop, Overlong, Stream
+from lapispick.host.scheduler import EventLoop
+from lapispick.host.streams import LineTooLongError, Stream, StreamClosedError
 
 LOG = "inventory"
 ANSWER_TIMEOUT_S = 60.0  # for one message of the helper; one that takes longer is ended
@@ -80,7 +81,7 @@
 class HelperConnection:
     """The helper process and the socket to it."""
 
-    def __init__(self, loop: Loop) -> None:
+    def __init__(self, loop: EventLoop) -> None:
         self._loop = loop
         self.process: subprocess.Popen[bytes] | None = None
         self._stream: Stream | None = None
@@ -124,7 +125,7 @@
         assert self._stream is not None
         line = self._stream.read_line(ANSWER_TIMEOUT_S)
         if line is None:
-            raise Closed("the helper closed its socket")
+            raise StreamClosedError("the helper closed its socket")
         message = self._decode(line)
         if isinstance(message, StateFolderFailed):
             log(LOG, logging.ERROR, "state-failed", fault=message.text)
@@ -135,7 +136,9 @@
 class Inventory:
     """The host list that is in force for this host."""
 
-    def __init__(self, loop: Loop, settings: InventorySettings, schema: Schema, on_accepted: AcceptedHandler) -> None:
+    def __init__(
+        self, loop: EventLoop, settings: InventorySettings, schema: Schema, on_accepted: AcceptedHandler
+    ) -> None:
         self._loop = loop
         self._settings = settings
         self._schema = schema
@@ -155,7 +158,7 @@
                 self.helper.start()
                 self._received = EMPTY
                 self._follow()
-            except (OSError, Closed, Overlong, msgspec.MsgspecError, HelperProtocolError) as err:
+            except (OSError, StreamClosedError, LineTooLongError, msgspec.MsgspecError, HelperProtocolError) as err:
                 log(LOG, logging.ERROR, "helper-ended", error=err, retry_s=pause_s)
             self.helper.end()
             self._loop.sleep(jitter.pause(pause_s, random.random()))
@@ -199,7 +202,7 @@
             if not isinstance(chunk, Chunk):
                 raise HelperProtocolError(f"{type(chunk).__name__} came in place of a chunk")
             self._received = self._received.with_changes(chunk.updated, chunk.removed)
-            self._loop.give_way()
+            self._loop.yield_control()
         if head.digest and head.digest != self._received.digest:
             raise HelperProtocolError(f"the helper's list is {head.digest}, the host's {self._received.digest}")
 
--- a/lapispick/host/members/service.py
+++ b/lapispick/host/members/service.py
@@ -11,6 +11,7 @@
 
 from lapispick import jitter
 from lapispick.conf.sections import InventorySettings, MembersSettings
+from lapispick.host.addresses import parse_address
 from lapispick.host.logs import log
 from lapispick.host.members.anti_entropy import AntiEntropy
 from lapispick.host.members.directory import AcceptedList, MemberDirectory
@@ -18,8 +19,8 @@
 from lapispick.host.members.operator_calls import OperatorCalls
 from lapispick.host.members.process_epoch import next_process_epoch
 from lapispick.host.members.transport import DatagramTransport, TransportCounters
-from lapispick.host.scheduler import Loop, address
-from lapispick.host.worker_threads import Work
+from lapispick.host.scheduler import EventLoop
+from lapispick.host.worker_threads import WorkerThreads
 from lapispick.members.messages import MAX_TEXT_LENGTH
 
 LOG = "members"
@@ -39,7 +40,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         settings: MembersSettings,
         inventory: InventorySettings,
         name: str,
@@ -51,9 +52,9 @@
         self.settings = settings
         self._loop = loop
         self._fact_source = fact_source
-        self._address = address(settings.listen)
+        self._address = parse_address(settings.listen)
         self._rng = random.Random(seed)
-        self._worker = Work(loop)
+        self._worker = WorkerThreads(loop)
         self.directory = MemberDirectory(loop, inventory, name, self._accept_list)
         self.local = LocalMember(settings, self.directory, self._rng)
         counters = TransportCounters()
@@ -63,7 +64,7 @@
 
     def serve(self) -> None:
         """Bind the address, then follow the list and take part, for ever."""
-        self.local.process_epoch = self._worker.do(lambda: next_process_epoch(self.settings.state_folder))
+        self.local.process_epoch = self._worker.run(lambda: next_process_epoch(self.settings.state_folder))
         self._loop.spawn(self.directory.serve)
         while not self._bind():
             self._loop.sleep(BIND_RETRY_S)
--- a/lapispick/host/recorder.py
+++ b/lapispick/host/recorder.py
@@ -22,7 +22,8 @@
 from lapispick.digests import blake2b
 from lapispick.host.logs import log
 from lapispick.host.requests import Request
-from lapispick.host.scheduler import Closed, Loop, Overlong, Stream
+from lapispick.host.scheduler import EventLoop
+from lapispick.host.streams import LineTooLongError, Stream, StreamClosedError
 from lapispick.platform_settings import Info
 from lapispick.trace.messages import Begin
 from lapispick.trace.record_types import NUMBERS, Answered, Arrival, Gap, Happened
@@ -48,7 +49,7 @@
 class Recorder:
     """Records the steps of one incarnation of the host."""
 
-    def __init__(self, loop: Loop, settings: TraceSettings, name: str, info: Info, memory_mb: float) -> None:
+    def __init__(self, loop: EventLoop, settings: TraceSettings, name: str, info: Info, memory_mb: float) -> None:
         self._loop = loop
         self._settings = settings
         self._name = name
@@ -90,7 +91,7 @@
             )
         )
         self._start()
-        self._loop.later(section.flush_interval_s, self._flush_periodically)
+        self._loop.call_later(section.flush_interval_s, self._flush_periodically)
 
     def step(self, now: float, events: list[admission.Event], actions: list[admission.Action]) -> None:
         """Record one step of the module."""
@@ -125,7 +126,7 @@
             self.step(time.time() * 1000, [], [])
         self._flush()
         end = time.monotonic() + max(0.0, seconds - CLOSE_S / 2)
-        while self._stream.unsent and time.monotonic() < end:
+        while self._stream.unsent_bytes and time.monotonic() < end:
             self._loop.sleep(CLOSE_POLL_S)
 
     def _start(self) -> None:
@@ -144,13 +145,13 @@
             )
         self._sent_steps = 0
         self._written_steps = 0
-        self._stream = Stream(self._loop, ours, out_most=self._buffer_bytes + BUFFER_SLACK_BYTES)
+        self._stream = Stream(self._loop, ours, max_unsent_bytes=self._buffer_bytes + BUFFER_SLACK_BYTES)
         self._send(self._begin)
         self._loop.spawn(self._listen, self._stream)
 
     def _flush_periodically(self) -> None:
         self._flush()
-        self._loop.later(self._settings.flush_interval_s, self._flush_periodically)
+        self._loop.call_later(self._settings.flush_interval_s, self._flush_periodically)
 
     def _flush(self) -> None:
         """Send the pending steps; where the writer is behind, drop them instead and count them."""
@@ -165,9 +166,9 @@
             [numbers[type(record)] for _, events, actions, _ in steps for part in (events, actions) for record in part]
         )
         data = self._encode((kinds, steps))
-        if stream.closed or stream.unsent + len(data) > self._buffer_bytes:
+        if stream.closed or stream.unsent_bytes + len(data) > self._buffer_bytes:
             if not self._lost:
-                log(LOG, logging.WARNING, "trace-gap", unsent=stream.unsent, ended=stream.closed)
+                log(LOG, logging.WARNING, "trace-gap", unsent=stream.unsent_bytes, ended=stream.closed)
             self._lost += len(steps)
             return
         if self._lost:
@@ -185,14 +186,14 @@
         try:
             while (line := stream.read_line()) is not None:
                 self._handle_line(line)
-        except (Overlong, Closed):
+        except (LineTooLongError, StreamClosedError):
             pass
         stream.close()
         if self._closing:
             return
         self._lost += max(0, self._sent_steps - self._written_steps)
         log(LOG, logging.WARNING, "trace-writer-ended", lost=self._lost, retry_s=self._restart_pause_s)
-        self._loop.later(self._restart_pause_s, self._start)
+        self._loop.call_later(self._restart_pause_s, self._start)
         self._restart_pause_s = min(MAX_RESTART_PAUSE_S, 2 * self._restart_pause_s)
 
     def _handle_line(self, line: bytes) -> None:
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -36,7 +36,8 @@
 from lapispick.host.handover import key_lock
 from lapispick.host.handover.handshake import HostIdentity
 from lapispick.host.handover.service import Handover
-from lapispick.host.jsonrpc import front
+from lapispick.host.jsonrpc import connection as jsonrpc_connection
+from lapispick.host.jsonrpc import messages as jsonrpc_messages
 from lapispick.host.members import process_epoch
 from lapispick.host.members import reports as member_reports
 from lapispick.host.requests import Answer, AnswerKind
@@ -68,8 +69,8 @@
 
 # What is read or written without a tag -> its class.
 PLAIN = {
-    "platform, message": front.Message,
-    "platform, parameters": front.Params,
+    "platform, message": jsonrpc_messages.Message,
+    "platform, parameters": jsonrpc_messages.Params,
     "executor, notice": executor.Notice,
     "platform's configuration": host_config.Config,
     "platform's configuration, limits": host_config.Limits,
@@ -162,8 +163,8 @@
 class FakeStream:
     """A connection that reads given lines, calls what stands between them, and keeps what is written."""
 
-    closed = failed = ended = ending = deaf = False
-    unsent = unread = received = 0
+    closed = failed = eof_received = closing = discarding = False
+    unsent_bytes = unread_bytes = received_bytes = 0
 
     def __init__(self, *feed):
         self.feed, self.written = list(feed), []
@@ -182,13 +183,13 @@
     def write(self, data):
         self.written.append(data)
 
-    def holds_line(self):
+    def has_line(self):
         return False
 
-    def quiet(self):
+    def is_idle(self):
         return False
 
-    def finish(self, span=0.0):
+    def close_gracefully(self, span=0.0):
         pass
 
     def close(self):
@@ -198,13 +199,13 @@
 class FakeLoop:
     """Runs what is spawned at once, no timers, and ends whoever waits."""
 
-    unsent_most = 1 << 20
+    max_unsent_bytes = 1 << 20
     suspend = sleep = staticmethod(stop)
 
     def spawn(self, function, *arguments):
         function(*arguments)
 
-    def later(self, span, function, *arguments):
+    def call_later(self, span, function, *arguments):
         pass
 
 
@@ -236,8 +237,8 @@
     """Talk to one connection and return what it writes, by occasion."""
     info = msgspec.convert(start_settings(), platform_settings.Info)
     gateways = SimpleNamespace(
-        **{"classes": {"book": 0}, "settings": platform_settings.settings_from(info), "customers": {"acme"}},
-        **{"needs_patience": True, "advice": lambda: 2.5, "loop": FakeLoop(), "closed": lambda connection: None},
+        **{"classes": {"book": 0}, "settings": platform_settings.settings_from(info), "tenants": {"acme"}},
+        **{"needs_timeout": True, "advice": lambda: 2.5, "loop": FakeLoop(), "closed": lambda connection: None},
     )
     found = {}
 
@@ -250,7 +251,7 @@
         line = {"jsonrpc": "2.0", "id": 5, "method": method, "params": params, **message}
         posted, stream = [], FakeStream(json.dumps(line).encode())
         gateways.post = posted.append
-        connection = front.Connection(gateways, stream)
+        connection = jsonrpc_connection.Connection(gateways, stream)
         connection.serve()
         act(connection, posted[0])
         found[occasion] = objects(stream.written)
@@ -270,7 +271,7 @@
 
 
 def platform_codes():
-    return [front.PARSE, front.INVALID, front.NO_METHOD, front.FAILED, front.REFUSED]
+    return list(jsonrpc_messages.ErrorCode)
 
 
 def executor_commands(monkeypatch):
@@ -336,7 +337,7 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as heard:
         heard.bind(("127.0.0.1", 0))
         heard.settimeout(5)
-        reports, teller = [], registry.Roster(FakeLoop(), heard.getsockname(), "n3")
+        reports, teller = [], registry.RegistryClient(FakeLoop(), heard.getsockname(), "n3")
         for on in (True, False):
             teller.set(on)
             with pytest.raises(Stop):
@@ -377,7 +378,7 @@
 
 def operators_answers():
     """Return how an answer begins: to a known call, an unknown one, one without an end, one that is no text."""
-    made = ops.Operators(scheduler.Loop(), ("127.0.0.1", 0), 4, {"check": lambda: ["OK"]})
+    made = ops.Operators(scheduler.EventLoop(), ("127.0.0.1", 0), 4, {"check": lambda: ["OK"]})
     return [made._answer(line)[0].split()[0] for line in (b"check", b"other", None, b"\xff")]
 
 
