--- a/lapispick/fleet/groups.py
+++ b/lapispick/fleet/groups.py
@@ -179,8 +179,7 @@
         rows: dict[int, _ResolvedEntry] = {}
         for group_name, row in tree.rows:
             if not group_name or wanted == ALL or group_name in selected:
-                rows[id(row)] = self._resolve_row(row, group_name or wanted, inheritance)
-                entries.append(rows[id(row)].entry)
+                entries.append(self._resolve_row(row, group_name or wanted, inheritance, rows))
         # Only what this list uses is retained: groups that are renamed over and over must not add up.
         self._hosts = hosts
         self._rows = rows
@@ -207,16 +206,19 @@
         first_location = given[0][1]
         return _ResolvedEntry(sources, Entry(name, first_location, {**inherited, **merged, **(host_vars or {})}))
 
-    def _resolve_row(self, row: Entry, group: str, inheritance: _Inheritance) -> _ResolvedEntry:
+    def _resolve_row(self, row: Entry, group: str, inheritance: _Inheritance, rows: dict[int, _ResolvedEntry]) -> Entry:
+        """Return the entry of a row; the row itself where it inherits nothing, else one that is added to ``rows``."""
         inherited = inheritance.group_vars((group,))
         host_vars = inheritance.row_vars(row.name)
-        sources = (row, inherited, host_vars)
         if not inherited and not host_vars:
-            return _ResolvedEntry(sources, row)
-        known = self._rows.get(id(row))
-        if known is not None and _identical(known.sources, sources):
-            return known
-        return _ResolvedEntry(sources, Entry(row.name, row.location, {**inherited, **row.vars, **(host_vars or {})}))
+            return row
+        sources = (row, inherited, host_vars)
+        resolved = self._rows.get(id(row))
+        if resolved is None or not _identical(resolved.sources, sources):
+            entry = Entry(row.name, row.location, {**inherited, **row.vars, **(host_vars or {})})
+            resolved = _ResolvedEntry(sources, entry)
+        rows[id(row)] = resolved
+        return resolved.entry
 
 
 def _check_groups(tree: GroupTree, wanted: str, faults: FaultCollector) -> bool:
