--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,6 +5,7 @@
 import pytest
 
 from lapispick.fakes.host_process import HostProcess
+from lapispick.fakes.log_events import internal_errors
 from lapispick.fakes.ports import reserved_address
 from tests.controller_harness import ControllerHarness
 
@@ -29,7 +30,7 @@
     yield start
     for each in started:
         each.close()
-        each.check_log()
+        assert internal_errors(each.log()) == []
 
 
 @pytest.fixture
--- a/tests/test_acceptance_terms.py
+++ b/tests/test_acceptance_terms.py
@@ -14,6 +14,7 @@
 from lapispick.fakes.connection_pool import ConnectionPool
 from lapispick.fakes.executor import Executor
 from lapispick.fakes.host_process import HostProcess
+from lapispick.fakes.log_events import internal_errors
 from lapispick.fakes.messages import request_params
 from lapispick.fakes.start_settings import PLATFORM_INFO, make_platform_info
 from lapispick.fakes.store import Store
@@ -48,7 +49,7 @@
     yield start
     for h in hosts:
         h.close()
-        h.check_log()
+        assert internal_errors(h.log()) == []
 
 
 def ask_for(seconds, hosts, gap, rng, body, wait=10, **over):
