--- a/lapispick/fakes/host_process.py
+++ b/lapispick/fakes/host_process.py
@@ -11,6 +11,7 @@
 
 from lapispick.fakes.executor import Executor
 from lapispick.fakes.gateway import GatewayConnection
+from lapispick.fakes.log_events import internal_errors
 from lapispick.fakes.registry import ServiceRegistry
 from lapispick.fakes.start_settings import LIMITS, PLATFORM_INFO, make_start_settings
 from lapispick.fakes.store import Store
@@ -109,6 +110,10 @@
         """Wait until an event is logged."""
         return wait_until(lambda: f"event={event}" in self.log(), f"log line {event}")
 
+    def check_log(self):
+        """Fail where a part of the program raised."""
+        assert internal_errors(self.log()) == [], "a part of it raised"
+
     def gateway(self):
         """Return a new connection of a gateway."""
         return GatewayConnection.connect(self.address)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,7 +5,6 @@
 import pytest
 
 from lapispick.fakes.host_process import HostProcess
-from lapispick.fakes.log_events import internal_errors
 from lapispick.fakes.ports import reserved_address
 from tests.controller_harness import ControllerHarness
 
@@ -30,7 +29,7 @@
     yield start
     for each in started:
         each.close()
-        assert internal_errors(each.log()) == []
+        each.check_log()
 
 
 @pytest.fixture
