--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -68,7 +68,7 @@
 def test_a_member_that_leaves_is_left_and_not_dead():
     names = ["a", "b", "c"]
     members = {name: make_member(name, names) for name in names}
-    for outgoing in members["a"].terminate():
+    for outgoing in members["a"].leave():
         members[outgoing.to].receive(1.0, messages.decode(messages.encode(outgoing.message)))
     view = members["b"].view
     assert view.state_of("a") is MemberState.LEFT
