--- a/lapispick/host/core/arrivals.py
+++ b/lapispick/host/core/arrivals.py
@@ -11,8 +11,8 @@
 from lapispick.host.core.completion import RequestCompletion
 from lapispick.host.core.decision_module import DecisionModule
 from lapispick.host.core.idempotency import IdempotencyCoordinator
+from lapispick.host.core.peers import Peers
 from lapispick.host.core.request_table import RequestTable
-from lapispick.host.interfaces import Peers
 from lapispick.host.logs import log
 from lapispick.host.requests import Answer, AnswerKind, Request
 from lapispick.idempotency.table import digest_request
--- a/lapispick/host/core/completion.py
+++ b/lapispick/host/core/completion.py
@@ -11,8 +11,8 @@
 from lapispick.host.core.answers import AnswerSender
 from lapispick.host.core.clock import Clock
 from lapispick.host.core.in_flight import InFlightRequest, RunState
+from lapispick.host.core.peers import Peers
 from lapispick.host.core.request_table import RequestTable
-from lapispick.host.interfaces import Peers
 from lapispick.host.requests import Answer, AnswerKind
 
 
--- a/lapispick/host/core/decision_module.py
+++ b/lapispick/host/core/decision_module.py
@@ -12,9 +12,9 @@
 from lapispick.admission.controller import Controller
 from lapispick.host import events
 from lapispick.host.core.clock import Clock
+from lapispick.host.core.peers import Peers
 from lapispick.host.core.request_table import RequestTable
 from lapispick.host.health import HealthState
-from lapispick.host.interfaces import Peers
 from lapispick.host.logs import log
 
 LOG = "core"
--- a/lapispick/host/core/dispatcher.py
+++ b/lapispick/host/core/dispatcher.py
@@ -17,11 +17,11 @@
 from lapispick.host.core.housekeeping import Housekeeper
 from lapispick.host.core.idempotency import IdempotencyCoordinator
 from lapispick.host.core.peer_sync import PeerSynchronizer
+from lapispick.host.core.peers import Peers
 from lapispick.host.core.request_table import RequestTable
 from lapispick.host.core.runs import RunCoordinator
 from lapispick.host.core.shutdown import ShutdownHandler
 from lapispick.host.core.timers import GaugeCollector, ModuleTimers
-from lapispick.host.interfaces import Peers
 from lapispick.host.logs import log
 from lapispick.host.scheduler import EventLoop, Queue
 from lapispick.idempotency.table import DEFAULT_MAX_RESULT_BYTES
--- a/lapispick/host/core/health_checks.py
+++ b/lapispick/host/core/health_checks.py
@@ -8,8 +8,8 @@
 from lapispick import admission
 from lapispick.host import events
 from lapispick.host.core.answers import AnswerSender
+from lapispick.host.core.peers import Peers
 from lapispick.host.health import HealthState
-from lapispick.host.interfaces import Peers
 from lapispick.host.logs import log
 
 LOG = "core"
--- a/lapispick/host/core/peer_sync.py
+++ b/lapispick/host/core/peer_sync.py
@@ -4,7 +4,7 @@
 
 import logging
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from lapispick import admission
 from lapispick.handover import messages
@@ -14,11 +14,13 @@
 from lapispick.host.core.decision_module import DecisionModule
 from lapispick.host.core.health_checks import HealthReporter
 from lapispick.host.core.idempotency import IdempotencyCoordinator
-from lapispick.host.interfaces import Link
 from lapispick.host.logs import log
 from lapispick.host.scheduler import EventLoop
 from lapispick.idempotency.ownership import Role
 
+if TYPE_CHECKING:
+    from lapispick.host.interfaces import Link
+
 LOG = "core"
 SHARED_FRACTION = 0.5  # of the memory that is bounded here, while two processes are one worker host
 SNAPSHOT_PART_KEYS = 100  # keys sent at once
--- a/lapispick/host/core/runs.py
+++ b/lapispick/host/core/runs.py
@@ -14,8 +14,8 @@
 from lapispick.host.core.completion import RequestCompletion
 from lapispick.host.core.idempotency import IdempotencyCoordinator
 from lapispick.host.core.in_flight import InFlightRequest, RunState
+from lapispick.host.core.peers import Peers
 from lapispick.host.core.request_table import RequestTable
-from lapispick.host.interfaces import Peers
 from lapispick.host.logs import log
 from lapispick.host.requests import Answer, AnswerKind
 from lapispick.idempotency.states import Verdict
--- a/lapispick/host/core/shutdown.py
+++ b/lapispick/host/core/shutdown.py
@@ -10,7 +10,7 @@
 from lapispick.host.core.clock import Clock
 from lapispick.host.core.health_checks import HealthReporter
 from lapispick.host.core.peer_sync import PeerSynchronizer
-from lapispick.host.interfaces import Peers
+from lapispick.host.core.peers import Peers
 from lapispick.host.logs import log
 
 LOG = "core"
--- a/lapispick/host/core/timers.py
+++ b/lapispick/host/core/timers.py
@@ -8,7 +8,7 @@
 from lapispick import admission
 from lapispick.host import events
 from lapispick.host.core.peer_sync import PeerSynchronizer
-from lapispick.host.interfaces import Peers
+from lapispick.host.core.peers import Peers
 from lapispick.host.scheduler import EventLoop
 
 
--- a/lapispick/host/interfaces.py
+++ b/lapispick/host/interfaces.py
@@ -99,14 +99,3 @@
 
     def flushed(self) -> bool:
         """Tell whether all answers were handed to the operating system."""
-
-
-class Peers:
-    """The peers of the core; the host fills them in after it has made them."""
-
-    executor: Executor
-    store: Store
-
-    def __init__(self) -> None:
-        self.fronts: list[Front] = []
-        self.recorder: Recorder | None = None
