--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -1,12 +1,16 @@
-"""The log events that tests watch for are those that the host writes."""
+"""The log events that tests watch for are those that the host writes, and ONCALL.md has each event."""
 
+import ast
+import re
 from pathlib import Path
 
 import pytest
 
 from lapispick.fakes.log_events import INTERNAL_ERRORS, internal_errors
 
-HOST = Path(__file__).parent.parent / "lapispick" / "host"
+ROOT = Path(__file__).parent.parent
+HOST = ROOT / "lapispick" / "host"
+EVENT = re.compile(r"[a-z]+(-[a-z0-9]+)*")
 SOURCE = "\n".join(path.read_text(encoding="utf-8") for path in sorted(HOST.rglob("*.py")))
 
 
@@ -22,3 +26,27 @@
 
 def test_other_events_are_no_internal_error():
     assert internal_errors("ts=1 level=warning event=connect-failed error=refused\n") == []
+
+
+def _event_names(argument):
+    """Return the names that the event argument of a call of ``log`` can have, as far as it states them."""
+    names = (node.value for node in ast.walk(argument) if isinstance(node, ast.Constant))
+    return {name for name in names if isinstance(name, str) and EVENT.fullmatch(name)}
+
+
+def _logged_events():
+    """Return the events of all calls ``log(logger, level, event, ...)`` in the program."""
+    events = set()
+    for path in sorted((ROOT / "lapispick").rglob("*.py")):
+        for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
+            if isinstance(node, ast.Call) and getattr(node.func, "id", "") == "log" and len(node.args) >= 3:
+                events |= _event_names(node.args[2])
+    return events
+
+
+def test_the_on_call_page_has_each_event():
+    events = _logged_events()
+    page = (ROOT / "ONCALL.md").read_text(encoding="utf-8").partition("## Renamed events")[0]
+    documented = set(re.findall(r"`([a-z0-9-]+)`", page))
+    assert len(events) > 80
+    assert events - documented == set()
