--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -75,7 +75,7 @@
     return Request(**{**told, **over})
 
 
-def test_timers_carry_the_gauges_that_were_asked_for_at_the_one_before(rig):
+def test_a_timer_carries_the_gauges_requested_at_the_previous_one(rig):
     def decide(event):
         return [admission.SetTimer(5.0, event.token + 1)] if event.token < 2 else []
 
@@ -88,7 +88,7 @@
     ]
 
 
-def test_a_fault_of_the_module_fails_what_it_was_just_told_of(rig):
+def test_an_exception_of_the_decision_module_fails_the_requests_of_its_batch(rig):
     loop, host = rig(lambda event: 1 / 0)
     answers = []
     host.post(events.RequestArrived(request("a", answers)))
@@ -97,7 +97,7 @@
     assert host.owed == 0
 
 
-def test_a_keys_second_run_is_never_started_whatever_the_module_says(rig):
+def test_a_second_run_of_a_key_is_never_started_whatever_the_module_orders(rig):
     def decide(event):
         if type(event) is admission.RequestReceived:
             return [admission.RetainKey(event.id, 5000.0), admission.StartRun(event.id)]
@@ -112,7 +112,7 @@
     assert answers == [("b", AnswerKind.FAILED)]
 
 
-def test_a_try_that_ran_is_never_turned_away(rig):
+def test_an_attempt_that_was_executed_is_never_rejected(rig):
     def decide(event):
         if type(event) is admission.RequestReceived:
             return [
@@ -129,7 +129,7 @@
     assert answers == [("a", AnswerKind.FAILED)]
 
 
-def test_each_request_gets_one_answer_and_none_once_its_caller_has_gone(rig):
+def test_each_request_gets_one_answer_and_none_after_its_client_cancelled(rig):
     def decide(event):
         return (
             [admission.Fail(event.id), admission.Reject(event.id, 0.0, False)]
@@ -151,7 +151,7 @@
     assert host.owed == 0
 
 
-def test_a_key_that_is_kept_holds_nothing_but_its_result(rig):
+def test_a_retained_record_holds_nothing_but_its_result(rig):
     def decide(event):
         if type(event) is admission.RequestReceived:
             return [admission.RetainKey(event.id, 5000.0), admission.StartRun(event.id)]
@@ -172,7 +172,7 @@
         gc.enable()
 
 
-def test_results_past_their_bound_go_and_their_keys_stay(rig):
+def test_results_over_the_bound_are_evicted_and_their_records_stay(rig):
     def decide(event):
         if type(event) is not admission.RequestReceived:
             return []
@@ -222,7 +222,7 @@
     )
 
 
-def test_a_try_given_up_while_it_waited_for_the_word_is_not_begun_and_its_key_is_free(rig):
+def test_an_attempt_cancelled_while_its_claim_waits_is_not_started_and_releases_its_key(rig):
     loop, host = rig(keyed)
     answers, link = [], Link()
     asked = request("a", answers, cls=1, key=("k",))
@@ -245,7 +245,7 @@
     ]
 
 
-def test_a_try_that_may_not_run_gets_the_other_processs_result_and_teaches_no_time(rig):
+def test_an_attempt_denied_by_the_other_process_gets_its_result_and_teaches_no_run_time(rig):
     loop, host = rig(keyed)
     answers, link = [], Link()
     host.post(events.PeerConnected(link, owns_keys=True))
@@ -266,7 +266,7 @@
     ]
 
 
-def test_a_word_from_a_link_that_has_ended_counts_no_more(rig):
+def test_messages_of_a_link_that_has_ended_are_ignored(rig):
     loop, host = rig(keyed)
     answers, link, next_link = [], Link(), Link()
     host.post(events.PeerConnected(link, owns_keys=True))
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -24,7 +24,7 @@
 REFUSED = -32050
 
 
-def test_each_call_has_its_answer_and_all_else_an_error(host):
+def test_each_call_is_answered_and_anything_else_is_an_error(host):
     h = host()
     assert h.call_operators(b"check") == ["OK"]
     assert h.call_operators(b"check\r") == ["OK"]
@@ -39,7 +39,7 @@
     assert h.call_operators(b"check") == ["OK"]
 
 
-def test_check_says_yes_only_once_clients_are_taken(host):
+def test_check_succeeds_only_while_clients_are_accepted(host):
     late = Executor(is_up=False)
     h = host(executor=late, wait_for_ready=False)
     (answer,) = h.call_operators()
@@ -55,7 +55,7 @@
     assert g.answer(g.send("probe"))["result"]["healthy"] is True
 
 
-def test_silent_callers_cost_only_themselves(host):
+def test_silent_callers_affect_only_themselves(host):
     h = host()
     name, port = h.ops.split(":")
     began = time.monotonic()
@@ -103,7 +103,7 @@
             each.join()
 
 
-def test_figures_agree_with_the_stand_ins_through_a_seeded_mix(host):
+def test_metrics_agree_with_the_fake_peers_through_a_seeded_mix(host):
     seed = 20261201
     print("seed", seed)
     rng, h = random.Random(seed), host(executor=Executor(work_s=0.002))
@@ -144,7 +144,7 @@
     assert figures["inflight"] == 0
 
 
-def test_inflight_counts_what_is_taken_and_not_yet_ended(host):
+def test_inflight_counts_requests_received_and_not_answered(host):
     h = host()
     g = h.gateway()
     held = [g.request("track", "hold") for _ in range(3)]
@@ -157,7 +157,7 @@
     assert h.metrics()["success.track"] == 3
 
 
-def test_a_drain_by_call_turns_health_bad_and_answers_all_that_comes(host):
+def test_a_drain_by_call_fails_health_checks_and_answers_all_requests(host):
     h = host()
     g = h.gateway()
     for _ in range(3):
@@ -174,7 +174,7 @@
     wait_until(lambda: h.registry.reports[-1].text == "HERE n3 on", "on")
 
 
-def test_sigterm_in_a_drain_is_a_leave_like_any_other(host):
+def test_sigterm_while_draining_is_an_ordinary_shutdown(host):
     h = host(stop_ms=2500)
     g = h.gateway()
     held = g.request("track", "hold", patience=9000)
@@ -200,7 +200,7 @@
     assert (state.not_accepting_reason == "") == (ready and not shutting_down)
 
 
-def test_the_address_is_read_from_file_and_environment_and_checked(tmp_path):
+def test_the_operators_address_is_read_from_file_and_environment_and_validated(tmp_path):
     base = make_start_settings(listen="127.0.0.1:1")
     path = tmp_path / "config.json"
     path.write_text(json.dumps(base))
@@ -217,7 +217,7 @@
         config.load(told)
 
 
-def test_the_command_line_calls_a_host_and_says_how_it_went(host, tmp_path, monkeypatch):
+def test_the_command_line_calls_a_host_and_reports_the_outcome(host, tmp_path, monkeypatch):
     runner, h = CliRunner(), host()
 
     def lapispick(*words):
@@ -243,12 +243,12 @@
 
 
 @pytest.mark.parametrize("lines", [["app.inflight:1|g"], ["app.x:-1|c", "END"], ["app.x|c", "END"], ["END", "x"]])
-def test_figures_that_are_not_whole_are_no_figures(lines):
+def test_incomplete_metrics_are_rejected(lines):
     with pytest.raises(NoAnswerError):
         parse_metrics(lines)
 
 
-def test_further_figures_are_told_only_where_the_settings_ask_for_them(host, tmp_path):
+def test_extended_metrics_are_shown_only_where_the_settings_enable_them(host, tmp_path):
     plain = host()
     g = plain.gateway()
     g.result(g.request("track", "x"))
@@ -274,7 +274,7 @@
     return {"LAPISPICK_CONF": str(tmp_path / "own.conf")}
 
 
-def test_what_came_after_its_due_time_is_no_rule_that_the_host_broke(host, tmp_path):
+def test_a_request_that_arrived_after_its_deadline_counts_as_no_broken_rule(host, tmp_path):
     """Senders may be held up between a request's ``born`` and its last byte; a rollout must not go back for that."""
     h = host(environ=wide(tmp_path))
     g = h.gateway()
@@ -286,7 +286,7 @@
 
 
 @pytest.mark.parametrize("told", [True, False])
-def test_an_answer_after_its_due_time_to_what_was_read_in_time_is_a_rule_broken(host, tmp_path, told):
+def test_a_late_answer_to_a_request_read_in_time_counts_as_a_broken_rule(host, tmp_path, told):
     """The due time is the caller's where it is told, else the class's."""
     info = json.loads(json.dumps(PLATFORM_INFO))
     info["FamilyInfo"]["PassesDeadline"] = told
--- a/tests/test_paused_runs.py
+++ b/tests/test_paused_runs.py
@@ -112,7 +112,7 @@
     assert len(h.executor.paused) == COUNT - 2
 
 
-def test_runs_that_crowd_the_cores_are_paused_and_go_on_one_by_one(crowd):
+def test_runs_that_overload_the_cores_are_paused_and_resumed_one_by_one(crowd):
     h, g, numbers = crowd()
     settled(h)
     waits = g.request(TRACK, "plain")  # it was not begun before: those that were go on first
@@ -129,7 +129,7 @@
     assert waits not in g.answers or "result" in g.answers[waits]
 
 
-def test_a_pause_that_crosses_the_end_gives_the_result_and_wakes_nobody(crowd):
+def test_a_pause_that_races_with_the_end_gives_the_result_and_resumes_nothing(crowd):
     h, g, numbers = crowd(ends=True)  # each run that is told to pause ends in that instant
     wait_until(lambda: not h.executor.at_call and len(h.executor.on_core) <= 2, "the ends")
     for task in list(h.executor.on_core):
@@ -139,7 +139,7 @@
     assert not h.executor.orders("WAKE")
 
 
-def test_what_is_given_up_or_due_while_it_is_paused_is_answered_and_never_woken(crowd):
+def test_a_paused_run_that_is_cancelled_or_due_is_answered_and_never_resumed(crowd):
     h, g, numbers = crowd()
     settled(h)
     with h.suspended():  # all are given up in one instant
@@ -157,7 +157,7 @@
     assert not h.executor.orders("WAKE")
 
 
-def test_a_drain_answers_what_is_paused_before_the_stop(crowd):
+def test_a_shutdown_answers_paused_runs_before_the_stop(crowd):
     h, g, numbers = crowd(stop_ms=2500)
     settled(h)
     began = time.monotonic()
@@ -172,7 +172,7 @@
     assert time.monotonic() - began < 5
 
 
-def test_a_wake_that_went_with_a_link_is_said_again(crowd):
+def test_a_resume_lost_with_a_link_is_sent_again(crowd):
     h, g, numbers = crowd()
     settled(h)
     with h.executor.lock:
@@ -191,7 +191,7 @@
     assert len(h.executor.orders("EXEC")) == COUNT  # none is begun again
 
 
-def test_a_run_with_an_effect_is_never_paused(crowd):
+def test_a_run_that_is_not_idempotent_is_never_paused(crowd):
     h, g, numbers = crowd(cls=BOOK)
     wait_until(lambda: len(h.executor.on_core) == COUNT, "all are back")
     for task in list(h.executor.on_core):
@@ -229,7 +229,7 @@
     assert sum(len(harness.actions_of(StartRun, i)) == 2 for i in told) == 2
 
 
-def test_a_wake_that_the_executor_refuses_fails_its_request_and_frees_its_slot(crowd):
+def test_a_resume_that_the_executor_rejects_fails_its_request_and_frees_its_slot(crowd):
     h, g, numbers = crowd()
     settled(h)
     with h.executor.lock:
