--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -335,7 +335,7 @@
             self.handover.finish()
         if self.recorder is not None:
             self.recorder.close(end_at - time.monotonic())
-        log(LOG, logging.INFO, "ended", owed=self.core.owed)
+        log(LOG, logging.INFO, "ended", unanswered=self.core.owed)
         self.loop.stop()
 
 
--- a/lapispick/host/core/health_checks.py
+++ b/lapispick/host/core/health_checks.py
@@ -45,7 +45,7 @@
         name = "drain-on" if draining else "drain-off"
         if self._peers.recorder is not None:
             self._peers.recorder.happened(name)
-        log(LOG, logging.INFO, name, owed=self._answers.owed)
+        log(LOG, logging.INFO, name, unanswered=self._answers.owed)
         self.report()
 
     def on_health_check_received(self, event: events.HealthCheckReceived, module_events: list[admission.Event]) -> None:
--- a/lapispick/host/core/housekeeping.py
+++ b/lapispick/host/core/housekeeping.py
@@ -18,7 +18,7 @@
 RECORD_GRACE_MS = 30_000.0  # an expired record is kept this much longer for repeats that are read late
 SWEEP_INTERVAL_S = 1.0
 LOST_RUN_MS = 15_000.0  # a run whose request is answered and that has not ended after this was lost
-TALLY_S = 10.0  # between two log lines with what was answered
+TOTALS_INTERVAL_S = 10.0  # between two log lines with what was answered
 
 
 class Housekeeper:
@@ -43,7 +43,7 @@
     def start(self) -> None:
         """Begin the periodic work."""
         self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
-        self._loop.call_later(TALLY_S, self._log_totals)
+        self._loop.call_later(TOTALS_INTERVAL_S, self._log_totals)
 
     def _sweep(self) -> None:
         """Drop records that expired so long ago that no repeat of their time can be unread, and end lost runs."""
@@ -56,14 +56,14 @@
             self._completion.expect_no_end(entry)  # or it would keep its slot for good
 
     def _log_totals(self) -> None:
-        self._loop.call_later(TALLY_S, self._log_totals)
+        self._loop.call_later(TOTALS_INTERVAL_S, self._log_totals)
         log(
             LOG,
             logging.INFO,
-            "tally",
+            "request-totals",
             **{kind.value: self._answers.metrics.total(kind) for kind in AnswerKind},
             cancelled=self._answers.cancelled,
-            owed=self._answers.owed,
+            unanswered=self._answers.owed,
             in_flight=len(self._requests),
             keys=len(self._idempotency.table),
             backpressure=self._answers.backpressure,
--- a/lapispick/host/core/shutdown.py
+++ b/lapispick/host/core/shutdown.py
@@ -48,10 +48,10 @@
         log(
             LOG,
             logging.INFO,
-            "leaving",
+            "shutdown-started",
             stop_ms=event.stop_ms,
-            owed=self._answers.owed,
-            handed=event.handed_over,
+            unanswered=self._answers.owed,
+            handed_over=event.handed_over,
         )
         module_events.append(admission.ShutdownRequested(self._clock.now + event.stop_ms, event.handed_over))
         self._peer_sync.announce_shutdown()
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -298,7 +298,7 @@
     assert (log.with_suffix(".old")).stat().st_size >= 9 << 20
     (pid,) = made.agent.pids()
     os.kill(pid, signal.SIGTERM)  # what the process writes from now on is at the beginning
-    wait_until(lambda: b"event=leaving" in log.read_bytes(), "what it wrote since")
+    wait_until(lambda: b"event=shutdown-started" in log.read_bytes(), "what it wrote since")
 
 
 def test_one_agent_for_a_box_and_an_unreadable_state_is_refused_plainly(made):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -56,7 +56,7 @@
         answer = g.answer(n)  # a run that the stop cut short is failed
         assert "result" in answer or answer["error"]["code"] in (REFUSED, FAILED)
     assert h.process.wait(5) == 0
-    assert "owed=0" in h.log().split("event=ended")[1]
+    assert "unanswered=0" in h.log().split("event=ended")[1]
 
 
 def last_moment(host, begin=lambda h, g: g.result(g.request("track", "before"))):
@@ -146,8 +146,8 @@
         with old.suspended():
             old.terminate()
             sock.sendall(messages.encode(messages.Serving()))
-        old.wait_for_log("leaving")
-        assert "handed=True" in old.log()
+        old.wait_for_log("shutdown-started")
+        assert "handed_over=True" in old.log()
         assert old.process.wait(5) == 0
         os.close(fds[0])
 
@@ -158,13 +158,13 @@
     number = g.request("book", "hold", make_idempotency_key())
     wait_until(lambda: h.executor.runs, "the run")
     h.terminate()
-    h.wait_for_log("leaving")
+    h.wait_for_log("shutdown-started")
     h.reload(stop_ms=60_000)
     h.terminate()
     h.executor.end_run(h.executor.runs[0].task, result="booked")
     assert g.result(number) == "booked"
     assert h.process.wait(5) == 0
-    assert h.log().count("event=leaving") == 1
+    assert h.log().count("event=shutdown-started") == 1
 
 
 def test_a_host_that_leaves_before_its_executor_is_up_never_takes_anything(host):
@@ -172,7 +172,7 @@
     h = host(executor=late, wait_for_ready=False, stop_ms=1500)
     g = h.gateway()
     h.terminate()
-    h.wait_for_log("leaving")
+    h.wait_for_log("shutdown-started")
     wait_until(lambda: late.commands, "the first message")
     late.become_ready()
     h.wait_for_log("link-up")
--- a/tests/test_handover_link.py
+++ b/tests/test_handover_link.py
@@ -234,8 +234,8 @@
                 passed.detach()
             else:  # our own copy stays, as the successor's would
                 keep = passed.dup()
-        wait_until(lambda: "event=leaving" in old.log(), "the leave")
-        assert f"handed={bool(listens)}" in old.log()
+        wait_until(lambda: "event=shutdown-started" in old.log(), "the leave")
+        assert f"handed_over={bool(listens)}" in old.log()
         if listens == "passed":
             old.wait_for_log("ended")
             keep.setblocking(False)
--- a/tests/test_inventory_watch.py
+++ b/tests/test_inventory_watch.py
@@ -400,7 +400,7 @@
     f.host.executor.end_run(f.host.executor.runs[0].task, result="done")
     wait_until(lambda: message.fate == "ack", "the acknowledgement")
     assert f.host.process.wait(6) == 0
-    assert "event=ended owed=0" in f.host.log()
+    assert "event=ended unanswered=0" in f.host.log()
 
 
 def test_the_old_settings_file_is_read_with_a_warning(fleet, host):
--- a/tests/test_paused_runs.py
+++ b/tests/test_paused_runs.py
@@ -151,9 +151,9 @@
     wait_until(lambda: len(h.executor.on_core) == 2 and len(h.executor.paused) > COUNT, "that one of three is paused")
     assert {g.error_code(n) for n in late} == {FAILED}  # by their due time
     wait_until(lambda: h.metrics()["inflight"] == 0, "that nothing is owed")
-    tallies = h.log().count("event=tally")
-    wait_until(lambda: h.log().count("event=tally") > tallies, "the next tally")
-    assert "in_flight=0" in h.log().split("event=tally")[-1]  # nothing is kept of them
+    tallies = h.log().count("event=request-totals")
+    wait_until(lambda: h.log().count("event=request-totals") > tallies, "the next tally")
+    assert "in_flight=0" in h.log().split("event=request-totals")[-1]  # nothing is kept of them
     assert not h.executor.orders("WAKE")
 
 
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -98,7 +98,7 @@
     assert g.result(again) == "did placed"
     assert len(h.executor.runs_of("placed")) == (1 if window > 1500 else 2)
     h.terminate()
-    h.wait_for_log("leaving")
+    h.wait_for_log("shutdown-started")
     left = time.time() * 1000
     wait_until(lambda: time.time() * 1000 > left + 1000, "a second of the drain")
     late = g.request("track", "late")
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -105,7 +105,7 @@
             wait_until_ready(new)
             old.terminate()
             assert old.process.wait(4) == 0
-            assert "event=ended owed=0" in old.log()
+            assert "event=ended unanswered=0" in old.log()
             assert new.wait_for_log("owns-keys")
     assert not [error for client in clients for error in client.errors]
     assert all(client.requested == client.answered for client in clients)
@@ -281,7 +281,7 @@
     )  # before the first leaves: a start may take longer than a leave lasts
     wait_until(lambda: "event=link-waiting" in three.log(), "the third one's first look")
     one.terminate()
-    wait_until(lambda: "event=leaving" in one.log(), "the leave")
+    wait_until(lambda: "event=shutdown-started" in one.log(), "the leave")
     one.executor.end_run(one.executor.runs[0].task, result="booked")
     assert g.result(held) == "booked"
     assert one.process.wait(5) == 0
@@ -328,7 +328,7 @@
     assert h.registry.reports[-1].text == "HERE n3 off"
 
 
-POINTS = ["started", "link-up", "linked", "open", "successor-serving", "leaving", "link-ended"]
+POINTS = ["started", "link-up", "linked", "open", "successor-serving", "shutdown-started", "link-ended"]
 
 
 @pytest.mark.parametrize("seed", range(int(os.environ.get("TRIALS", "6"))))
@@ -355,7 +355,7 @@
         left = new if victim == "old" else old
         if victim == "new" and getattr(old, "shut_down", False):  # it was told to go: it ends, and owes nothing
             assert old.process.wait(4) == 0
-            assert "owed=0" in old.log()
+            assert "unanswered=0" in old.log()
             return check_executions(clients, old, new)
         left.ops = wait_until(lambda: operators_address(left), "the start")
         wait_until_ready(left)
@@ -391,7 +391,7 @@
     assert g.result(n) == "booked"
     assert h.result(again) == "booked"
     assert new.process.wait(4) == 0
-    assert "event=ended owed=0" in new.log()
+    assert "event=ended unanswered=0" in new.log()
     assert h.result(h.request("book", "hold", key, redo=1)) == "booked"
     assert executions_of("hold", old, new) == 1
     assert h.answer(h.send("probe"))["result"]["healthy"] is True
@@ -435,7 +435,7 @@
     new = host(successor_of=old)
     wait_until_ready(new)
     old.terminate()
-    wait_until(lambda: "event=leaving" in old.log(), "the leave")
+    wait_until(lambda: "event=shutdown-started" in old.log(), "the leave")
     wait_until(lambda: g.read() and g.goaway_received, "goaway")
     for n in range(40):
         late = new.gateway()
@@ -446,8 +446,8 @@
     # machine this test may be held up, and so may the system's end of a process.
     assert g.error_code(held) != REJECTED
     assert old.process.wait(8) == 0
-    assert logged_at(old, "ended") - logged_at(old, "leaving") < 3.7
-    assert "owed=0" in old.log()
+    assert logged_at(old, "ended") - logged_at(old, "shutdown-started") < 3.7
+    assert "unanswered=0" in old.log()
 
 
 def test_what_an_upgrade_takes_over_is_in_the_trace_and_replays(host, shared_address, tmp_path):
