--- a/benchmarks/parity_server.py
+++ b/benchmarks/parity_server.py
@@ -72,7 +72,7 @@
     """One request that a server has read."""
 
     id: int
-    cls: int
+    class_index: int
     key: int
     caller: int
     due: float
@@ -177,9 +177,9 @@
         mean = self._rate() * elapsed
         while self.rng.random() < mean:
             mean -= 1.0
-            cls = self._draw_class()
-            if self._caller_sends(self._rank(cls)):
-                self._arrive(cls, self.rng.randrange(1, KEY_SPACE), 0.0, retry=False)
+            class_index = self._draw_class()
+            if self._caller_sends(self._rank(class_index)):
+                self._arrive(class_index, self.rng.randrange(1, KEY_SPACE), 0.0, retry=False)
 
     def _rate(self) -> float:
         """Return the arrivals per ms at this moment."""
@@ -196,8 +196,8 @@
         classes = self.scenario.classes
         return self.rng.choices(range(len(classes)), [each.share for each in classes])[0]
 
-    def _rank(self, cls: int) -> float:
-        low, width = self._ranks[cls]
+    def _rank(self, class_index: int) -> float:
+        low, width = self._ranks[class_index]
         return low + width * self.rng.random()
 
     def _caller_sends(self, rank: float) -> bool:
@@ -212,28 +212,28 @@
                 return len(self._tasks) < self._advert * self.scenario.callers
         return True
 
-    def _arrive(self, cls: int, key: int, spent: float, retry: bool) -> None:
+    def _arrive(self, class_index: int, key: int, spent: float, retry: bool) -> None:
         """Let a request be read, now and then twice; ``spent`` is the time since its client's first try."""
-        keyed = self.scenario.classes[cls].idempotency == DEDUPLICATED
+        keyed = self.scenario.classes[class_index].idempotency == DEDUPLICATED
         twice = keyed and self.rng.random() < TWIN_PART
         following = self._request_id(self._next_id + 1)
-        first = self._read(cls, key, spent, retry, following if twice else 0)
+        first = self._read(class_index, key, spent, retry, following if twice else 0)
         if twice:
-            self._read(cls, key, spent, True, first.id)
+            self._read(class_index, key, spent, True, first.id)
 
     def _request_id(self, count: int) -> int:
         return count + self.number * INSTANCE_IDS
 
-    def _read(self, cls: int, key: int, spent: float, retry: bool, twin: int) -> Task:
+    def _read(self, class_index: int, key: int, spent: float, retry: bool, twin: int) -> Task:
         """Let a server read a request; ``twin`` is the try of it that came in the same batch."""
-        scenario, each, rng = self.scenario, self.scenario.classes[cls], self.rng
+        scenario, each, rng = self.scenario, self.scenario.classes[class_index], self.rng
         request = self._request_id(self._next_id)
         self._next_id += 1
         unread = round(rng.expovariate(1.0) * scenario.unread_ms * (1 + len(self._tasks) / (8 * scenario.cores)), 3)
         due = self.clock - unread + max(50.0, each.give_up - spent)
         work = max(1.0, each.work_ms * rng.lognormvariate(-0.25, 0.7))
         caller, kb = rng.randrange(scenario.callers), rng.uniform(*scenario.held_kb)
-        task = Task(request, cls, key, caller, due, kb, work, work, twin)
+        task = Task(request, class_index, key, caller, due, kb, work, work, twin)
         task.same_as = self._find_prior(task) or twin
         task.calls_at = self._draw_calls(each, work)
         self._tasks[request] = task
@@ -249,7 +249,7 @@
         return sorted(work * self.rng.random() for _ in range(count))
 
     def _knock_fields(self, task: Task, unread: float, retry: bool) -> wire.Knock:
-        each, scenario = self.scenario.classes[task.cls], self.scenario
+        each, scenario = self.scenario.classes[task.class_index], self.scenario
         bits = (wire.RETRY if retry else 0) | (wire.WRITE if each.write else 0)
         cost = 0.0
         if scenario.hints and self.rng.random() < 0.9:
@@ -259,25 +259,25 @@
             request=task.id,
             deadline=task.due if scenario.passes_deadline else 0.0,
             key=0 if each.idempotency == DEDUPLICATED else task.key,
-            rank=self._rank(task.cls),
+            rank=self._rank(task.class_index),
             unread_for=unread,
             same_as=task.same_as,
             bits=bits,
             tenant=self.rng.randrange(scenario.tenants) if scenario.tenants else 0,
             memory_kb=task.kb,
             cost=cost,
-            cls=task.cls,
+            class_index=task.class_index,
             caller=task.caller,
         )
 
     def _find_prior(self, task: Task) -> int:
         """Return the request that this one repeats, 0 for none."""
-        each = self.scenario.classes[task.cls]
+        each = self.scenario.classes[task.class_index]
         if each.idempotency == DEDUPLICATED:
-            entry = self._keys.get((task.cls, task.key))
+            entry = self._keys.get((task.class_index, task.key))
             return entry.holder if entry is not None and entry.until > self.clock else 0
         if each.idempotency == IDEMPOTENT and self.scenario.fresh > 0:
-            same = (t.id for t in self._tasks.values() if (t.cls, t.key) == (task.cls, task.key))
+            same = (t.id for t in self._tasks.values() if (t.class_index, t.key) == (task.class_index, task.key))
             return next(same, 0)
         return 0
 
@@ -289,7 +289,7 @@
         self._at(task.due, self._caller_leaves, task)
         if each.idempotency == DEDUPLICATED and rng.random() < REPEAT_PART:
             delay = left * rng.random()
-            self._at(self.clock + delay, self._arrive, task.cls, task.key, spent + delay, True)
+            self._at(self.clock + delay, self._arrive, task.class_index, task.key, spent + delay, True)
 
     def _caller_leaves(self, task: Task) -> None:
         if task.answered or task.state is State.OVER:
@@ -433,7 +433,7 @@
     def _on_pin(self, request: int, keep_for: float) -> None:
         task = self._tasks.get(request)
         if task is not None:
-            self._keys[task.cls, task.key] = KeyEntry(request, self.clock + keep_for)
+            self._keys[task.class_index, task.key] = KeyEntry(request, self.clock + keep_for)
 
     def _on_release_key(self, request: int) -> None:
         for name, entry in list(self._keys.items()):
@@ -456,7 +456,7 @@
             return
         task.state, task.called, task.call = State.CALLING, self.clock, task.call + 1
         took, outcome = self._draw_call()
-        limit = timeout if timeout > 0 else self.scenario.classes[task.cls].give_up
+        limit = timeout if timeout > 0 else self.scenario.classes[task.class_index].give_up
         if took > limit:
             took, outcome = limit, Outcome.TIMEOUT
         self._at(self.clock + took, self._call_ends, task, task.call, outcome)
@@ -505,7 +505,7 @@
             self._end(task, ok=False)
         elif task.state in (State.WANTS_CALL, State.CALLING):
             self._at(self.clock, self._parked_ends, task)
-        if self.scenario.classes[task.cls].idempotency in (IDEMPOTENT, DEDUPLICATED):
+        if self.scenario.classes[task.class_index].idempotency in (IDEMPOTENT, DEDUPLICATED):
             self._maybe_retry(task, 0.0, 1.0)
 
     def _parked_ends(self, task: Task) -> None:
@@ -518,8 +518,8 @@
         delay = max(come_back, RETRY_PAUSE_MS) * self.rng.uniform(1.0, 1.5)
         left = task.due - self.clock - delay
         if left > 50.0:
-            spent = self.scenario.classes[task.cls].give_up - left
-            self._at(self.clock + delay, self._arrive, task.cls, task.key, spent, True)
+            spent = self.scenario.classes[task.class_index].give_up - left
+            self._at(self.clock + delay, self._arrive, task.class_index, task.key, spent, True)
 
     def _on_mark_health(self, good: bool, _shallow: bool) -> None:
         if self.scenario.readiness and good != self._healthy:
@@ -535,8 +535,8 @@
 def _class_bands(classes: tuple[ServiceClass, ...]) -> list[tuple[float, float]]:
     """Return the band of ranks of each class as its low end and width: equal bands, ordered by worth."""
     width = 1 / len(classes)
-    order = sorted(range(len(classes)), key=lambda cls: (classes[cls].worth, cls))
-    return [(order.index(cls) * width, width) for cls in range(len(classes))]
+    order = sorted(range(len(classes)), key=lambda class_index: (classes[class_index].worth, class_index))
+    return [(order.index(class_index) * width, width) for class_index in range(len(classes))]
 
 
 ACTION_HANDLERS: dict[ActionCode, Callable[..., None]] = {
--- a/benchmarks/parity_wire.py
+++ b/benchmarks/parity_wire.py
@@ -140,7 +140,7 @@
     tenant: int
     memory_kb: float
     cost: float
-    cls: int
+    class_index: int
     caller: int
 
 
--- a/benchmarks/plainfold.py
+++ b/benchmarks/plainfold.py
@@ -14,9 +14,9 @@
 
 
 class _Request:
-    def __init__(self, name: str, cls: admission.ClassSettings, born: float) -> None:
-        self.name, self.cls, self.born = name, cls, born
-        self.until = born + max(cls.idempotency_window_ms, cls.deadline_ms) + REPEATED_MS
+    def __init__(self, name: str, class_index: admission.ClassSettings, born: float) -> None:
+        self.name, self.class_index, self.born = name, class_index, born
+        self.until = born + max(class_index.idempotency_window_ms, class_index.deadline_ms) + REPEATED_MS
         self.account, self.kind, self.age, self.poorer, self.tries = "", "", 0.0, False, 1
 
 
@@ -44,7 +44,7 @@
                 if first is None and subject and (first := subjects.get(subject)) and first.until <= now:
                     first = None
                 if first is None:
-                    first = _Request(*source.classes[event.cls], now - event.age_ms)
+                    first = _Request(*source.classes[event.class_index], now - event.age_ms)
                     requests.append(first)
                     if subject:
                         subjects[subject] = first
@@ -97,15 +97,15 @@
 
 def _count(into: Worth, one: _Request) -> None:
     served = one.kind == "served"
-    in_aim = served and one.age <= one.cls.latency_objective_ms
+    in_aim = served and one.age <= one.class_index.latency_objective_ms
     into.requests += 1
     into.tries += one.tries
-    into.asked += one.cls.priority_weight
+    into.asked += one.class_index.priority_weight
     if served:
         into.served += (
-            one.cls.priority_weight
-            * (1 if in_aim else one.cls.late_weight)
-            * (one.cls.degraded_weight if one.poorer else 1)
+            one.class_index.priority_weight
+            * (1 if in_aim else one.class_index.late_weight)
+            * (one.class_index.degraded_weight if one.poorer else 1)
         )
     into.in_aim += in_aim
     into.late += served and not in_aim
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -126,7 +126,7 @@
 
 def _lost_fraction(seed: int, staged: bool) -> float:
     plan = {"pace": pacing.Limits(60, 0.0), "max_concurrent_rollbacks": 60, "use_controls": False}
-    fleet = SimulatedFleet(seed, 60, {} if staged else plan, effect=lambda cls, warm: 0.3)
+    fleet = SimulatedFleet(seed, 60, {} if staged else plan, effect=lambda class_name, warm: 0.3)
     if not staged:
         fleet.rollout.plan = msgspec.structs.replace(fleet.rollout.plan, stages=(tuple(fleet.hosts),))
     fleet.play(COMPARISON_S, "back")
--- a/benchmarks/state_parity.py
+++ b/benchmarks/state_parity.py
@@ -218,7 +218,7 @@
 def generation_effect(number: int) -> Callable[[str, float], float] | None:
     """Return the part of the requests that the new generation loses, by class and warm share."""
     worse = (0.0, 0.3, 0.05, 0.0)[number % 4]
-    return (lambda cls, warm: worse if cls == "book" else 0.0) if worse else None
+    return (lambda class_name, warm: worse if class_name == "book" else 0.0) if worse else None
 
 
 def play_rollout(seed: int, number: int) -> parity.ScenarioResult:
--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -44,7 +44,7 @@
 class Try(NamedTuple):
     """One try of a request that is made up."""
 
-    cls: int
+    class_index: int
     subject: bytes
     born: int
     retry_of: int
@@ -74,8 +74,14 @@
                 continue
             last += 1
             if what == "arrive":
-                cls = int(rng.random() < 0.2)
-                told = Try(cls, rng.randbytes(8) if cls else b"", int(now - rng.uniform(0, 3)), 0, rng.randrange(6))
+                class_index = int(rng.random() < 0.2)
+                told = Try(
+                    class_index,
+                    rng.randbytes(8) if class_index else b"",
+                    int(now - rng.uniform(0, 3)),
+                    0,
+                    rng.randrange(6),
+                )
                 heappush(due, (now + rng.expovariate(RATE) * 1000, count, "arrive", None))
             tries[last] = told
             deadline_at = told.born + rng.choice((2900, 3000, 4000))
@@ -88,7 +94,7 @@
                     told.retry_of,
                     0.0,
                     rng.randrange(100, 560) / 10,
-                    told.cls,
+                    told.class_index,
                     rng.randrange(4),
                 )
             )
--- a/lapispick/admission/coalescing.py
+++ b/lapispick/admission/coalescing.py
@@ -22,7 +22,7 @@
 
     def coalesce(self, request: TrackedRequest, retry_of: int) -> bool:
         """Attach a repeat to the attempt that it repeats; False if it is to be taken as a request of its own."""
-        if self._state.settings.classes[request.cls].idempotency is Idempotency.KEYED:
+        if self._state.settings.classes[request.class_index].idempotency is Idempotency.KEYED:
             attaches = self._attaches_keyed(request, retry_of)
         else:
             attaches = self._attaches(retry_of)
--- a/lapispick/admission/downstream_calls.py
+++ b/lapispick/admission/downstream_calls.py
@@ -83,7 +83,7 @@
         """Make the call of a request, skip it, or let it wait for capacity."""
         if request.state is not WAITING_FOR_CALL or request.answered:
             return
-        if self._degradable[request.cls]:
+        if self._degradable[request.class_index]:
             self._call_or_skip(request)
             return
         state = self._state
@@ -98,7 +98,7 @@
         state = self._state
         downstream = state.downstream
         spare_ms = self._spare_ms(request)
-        if spare_ms < MIN_CALL_TIME_FRACTION * state.run_estimates.blocked_ms[request.cls]:
+        if spare_ms < MIN_CALL_TIME_FRACTION * state.run_estimates.blocked_ms[request.class_index]:
             self._skip(request)
         elif downstream.has_capacity():
             self._start_call(request, min(spare_ms, downstream.skippable_call_timeout_ms()))
@@ -139,7 +139,7 @@
     def _recover(self, request: TrackedRequest, outcome: Outcome, single_loss: bool) -> None:
         """Repeat a failed call, skip it or fail its request: no call with an effect is made twice."""
         state = self._state
-        settings = state.settings.classes[request.cls]
+        settings = state.settings.classes[request.class_index]
         repeatable = outcome in NEVER_RAN_OUTCOMES or settings.idempotency is Idempotency.IDEMPOTENT
         retries = repeatable and request.call_attempts < MAX_CALL_ATTEMPTS
         if single_loss and retries and request.call_attempts == 1:
--- a/lapispick/admission/events.py
+++ b/lapispick/admission/events.py
@@ -59,7 +59,7 @@
     retry_of: int  # the request that this one repeats; 0 = none
     cost: float  # expected work; 0 = no hint
     request_memory_kb: float  # while it is queued
-    cls: int
+    class_index: int
     caller: int
 
 
--- a/lapispick/admission/price_test.py
+++ b/lapispick/admission/price_test.py
@@ -33,10 +33,10 @@
             prices.end_pressure()
             return True
         late = queue >= state.queue.late_offset
-        value = request.value * (state.settings.classes[request.cls].late_weight if late else 1.0)
+        value = request.value * (state.settings.classes[request.class_index].late_weight if late else 1.0)
         occupancy_ms = state.run_estimates.core_time_ms(request)
         if not prices.frozen and not late:
-            self._sample(wait_ms, SampledRequest(request.cls, value, occupancy_ms, request.cost))
+            self._sample(wait_ms, SampledRequest(request.class_index, value, occupancy_ms, request.cost))
         last_at = request.deadline_at if late else request.objective_at
         spare_ms = last_at - now - state.run_estimates.expected_run_ms(request)
         pressure = wait_ms / (MAX_WAIT_FRACTION * spare_ms) if spare_ms > 0 else inf
@@ -69,8 +69,8 @@
             if work := queued_ms[number]:
                 work_ms += work
                 if needs_call[number]:
-                    cls = number % late_offset
-                    call_work_ms += work * estimates.call_ms[cls] / max(1.0, estimates.core_ms[cls])
+                    class_index = number % late_offset
+                    call_work_ms += work * estimates.call_ms[class_index] / max(1.0, estimates.core_ms[class_index])
             if number == queue:
                 break
         wait_ms = work_ms / state.concurrency_limit.value
--- a/lapispick/admission/request_admission.py
+++ b/lapispick/admission/request_admission.py
@@ -41,7 +41,7 @@
     def _track(self, event: RequestReceived) -> TrackedRequest:
         """Make the record of a request and count it."""
         state = self._state
-        settings = state.settings.classes[event.cls]
+        settings = state.settings.classes[event.class_index]
         request = TrackedRequest(event, state.now)
         due_at = event.deadline_at if event.deadline_at > 0 else request.arrived_at + settings.deadline_ms
         request.value = settings.priority_weight
@@ -88,7 +88,7 @@
     def _queue(self, request: TrackedRequest, retry_of: int) -> None:
         """Queue a request; a key is retained before it can come again, or two attempts could run."""
         state = self._state
-        settings = state.settings.classes[request.cls]
+        settings = state.settings.classes[request.class_index]
         if settings.idempotency is Idempotency.KEYED:
             window_ms = settings.idempotency_window_ms
             state.idempotency.retain(request.id, state.now + window_ms, state.idempotency.get(retry_of))
--- a/lapispick/admission/request_lifecycle.py
+++ b/lapispick/admission/request_lifecycle.py
@@ -39,7 +39,7 @@
         """Give a request that never ran its final answer, with a Retry-After of a mean run of its class."""
         state = self._state
         self.log_bound(reason)
-        retry_after_ms = min(state.run_estimates.run_ms[request.cls], state.settings.max_retry_after_ms)
+        retry_after_ms = min(state.run_estimates.run_ms[request.class_index], state.settings.max_retry_after_ms)
         retry_after_ms = round(retry_after_ms * state.generator.uniform(MIN_RETRY_AFTER_FRACTION, 1), 1)
         state.actions.append(Reject(request.id, retry_after_ms, not retry_elsewhere, reason.value))
         self._mark_answered(request, shed=reason not in NOT_SHED)
@@ -121,7 +121,7 @@
         settings = self._state.settings
         if (
             settings.cancel_mode is not CancelMode.NONE
-            and settings.classes[request.cls].idempotency is not Idempotency.KEYED
+            and settings.classes[request.class_index].idempotency is not Idempotency.KEYED
         ):
             self._state.actions.append(CancelRun(request.id))
 
--- a/lapispick/admission/request_queue.py
+++ b/lapispick/admission/request_queue.py
@@ -39,7 +39,7 @@
 
     def number_of(self, request: TrackedRequest, now: float) -> int:
         """Return the queue that a request belongs to."""
-        return request.cls + (self.late_offset if now >= request.objective_at else 0)
+        return request.class_index + (self.late_offset if now >= request.objective_at else 0)
 
     def remove(self, request: TrackedRequest) -> None:
         """Take a request's work off its queue; its place in the heap is skipped later."""
@@ -52,7 +52,7 @@
         self.order.sort(key=lambda queue: (-self._value_density(queue), queue))
 
     def _value_density(self, queue: int) -> float:
-        cls = queue % self.late_offset
-        settings = self._settings.classes[cls]
+        class_index = queue % self.late_offset
+        settings = self._settings.classes[class_index]
         value = settings.priority_weight * (settings.late_weight if queue >= self.late_offset else 1.0)
-        return value if self._settings.weight_by_work else value / max(1.0, self._estimates.core_ms[cls])
+        return value if self._settings.weight_by_work else value / max(1.0, self._estimates.core_ms[class_index])
--- a/lapispick/admission/request_state.py
+++ b/lapispick/admission/request_state.py
@@ -43,7 +43,7 @@
         "call_needed_at",
         "call_started_at",
         "caller",
-        "cls",
+        "class_index",
         "cost",
         "deadline_at",
         "id",
@@ -59,7 +59,7 @@
 
     def __init__(self, event: RequestReceived, now: float) -> None:
         self.id = event.id
-        self.cls = event.cls
+        self.class_index = event.class_index
         self.caller = event.caller
         self.memory_kb = event.request_memory_kb
         self.cost = event.cost
--- a/lapispick/admission/run_estimates.py
+++ b/lapispick/admission/run_estimates.py
@@ -29,24 +29,24 @@
 
     def core_time_ms(self, request: TrackedRequest) -> float:
         """Return the expected time on the cores and at the disk."""
-        return request.cost * self._cost_ratio if request.cost > 0 else self.core_ms[request.cls]
+        return request.cost * self._cost_ratio if request.cost > 0 else self.core_ms[request.class_index]
 
     def expected_run_ms(self, request: TrackedRequest) -> float:
         """Return the expected run time; bounded, as an estimate near the objective would reject its class for good."""
-        cls = request.cls
-        return min(self.core_time_ms(request) + self.blocked_ms[cls], self._max_expected_ms[cls])
+        class_index = request.class_index
+        return min(self.core_time_ms(request) + self.blocked_ms[class_index], self._max_expected_ms[class_index])
 
     def learn(self, request: TrackedRequest, duration_ms: float) -> float:
         """Take in a finished run; return its time on the cores over what was expected."""
-        cls = request.cls
+        class_index = request.class_index
         core_ms = max(0.0, duration_ms - request.blocked_ms)
         latency_ratio = core_ms / max(1.0, self.core_time_ms(request))
-        runs = min(MAX_AVERAGED_RUNS, self.runs[cls] + 1)
-        self.runs[cls] = runs
-        self.core_ms[cls] += (core_ms - self.core_ms[cls]) / runs
-        self.run_ms[cls] += (duration_ms - self.run_ms[cls]) / runs
-        self.blocked_ms[cls] += (request.blocked_ms - self.blocked_ms[cls]) / runs
-        self.call_ms[cls] += (request.call_ms - self.call_ms[cls]) / runs
+        runs = min(MAX_AVERAGED_RUNS, self.runs[class_index] + 1)
+        self.runs[class_index] = runs
+        self.core_ms[class_index] += (core_ms - self.core_ms[class_index]) / runs
+        self.run_ms[class_index] += (duration_ms - self.run_ms[class_index]) / runs
+        self.blocked_ms[class_index] += (request.blocked_ms - self.blocked_ms[class_index]) / runs
+        self.call_ms[class_index] += (request.call_ms - self.call_ms[class_index]) / runs
         if request.cost > 0:
             self._cost_runs = min(2 * MAX_AVERAGED_RUNS, self._cost_runs + 1)
             self._cost_ratio += (core_ms / request.cost - self._cost_ratio) / self._cost_runs
--- a/lapispick/admission/run_pauser.py
+++ b/lapispick/admission/run_pauser.py
@@ -47,7 +47,7 @@
             request.state is RUNNING
             and not request.answered
             and request not in self._requests
-            and self._state.settings.classes[request.cls].idempotency is Idempotency.IDEMPOTENT
+            and self._state.settings.classes[request.class_index].idempotency is Idempotency.IDEMPOTENT
         )
 
     def confirm(self, request: TrackedRequest) -> None:
--- a/lapispick/admission/run_scheduler.py
+++ b/lapispick/admission/run_scheduler.py
@@ -77,7 +77,7 @@
         """Queue a request that can't meet its objective as late, or reject it where a late answer has no value."""
         state = self._state
         state.queue.remove(request)
-        if state.settings.classes[request.cls].late_weight > 0:
+        if state.settings.classes[request.class_index].late_weight > 0:
             request.objective_at = min(request.objective_at, state.now)
             state.queue.push(request, state.now)
         else:
--- a/lapispick/admission/shadow_prices.py
+++ b/lapispick/admission/shadow_prices.py
@@ -28,7 +28,7 @@
 class SampledRequest(NamedTuple):
     """One request of the sample."""
 
-    cls: int
+    class_index: int
     value: float
     occupancy_ms: float
     cost: float
@@ -134,8 +134,8 @@
     def _request_types(self, periods: float) -> list[RequestType]:
         """Return the sample's classes with their rate and mean figures."""
         types = []
-        for cls in sorted({request.cls for request in self.sample}):
-            requests = [request for request in self.sample if request.cls == cls]
+        for class_index in sorted({request.class_index for request in self.sample}):
+            requests = [request for request in self.sample if request.class_index == class_index]
             count = len(requests)
             types.append(
                 RequestType(
--- a/lapispick/cli/trace_common.py
+++ b/lapispick/cli/trace_common.py
@@ -95,8 +95,8 @@
     """Return what tells a class's name by source and number."""
     known = [list(source.classes) for source in sources]
 
-    def name(box: int, cls: int) -> str:
-        return known[box][cls] if box < len(known) and cls < len(known[box]) else str(cls)
+    def name(box: int, class_index: int) -> str:
+        return known[box][class_index] if box < len(known) and class_index < len(known[box]) else str(class_index)
 
     return name
 
--- a/lapispick/fakes/fleet_gateway.py
+++ b/lapispick/fakes/fleet_gateway.py
@@ -24,7 +24,7 @@
 class Request(NamedTuple):
     """A request with the attempts that it has left."""
 
-    cls: str
+    class_name: str
     body: str
     key: str
     began_at: float
@@ -33,7 +33,7 @@
 
     @property
     def weight(self):
-        return KEYED_WEIGHT if self.cls == KEYED_CLASS else OTHER_WEIGHT
+        return KEYED_WEIGHT if self.class_name == KEYED_CLASS else OTHER_WEIGHT
 
 
 class Result(NamedTuple):
@@ -80,13 +80,13 @@
 
     def _next_request(self):
         self._request_count += 1
-        cls = KEYED_CLASS if self.random.random() < KEYED_FRACTION else OTHER_CLASS
+        class_name = KEYED_CLASS if self.random.random() < KEYED_FRACTION else OTHER_CLASS
         body = f"{self.name}-{self._request_count}"
         if self.random.random() < self.calls:
             body = f"call:{body}"
-        key = f"{self.random.getrandbits(128):032x}" if cls == KEYED_CLASS else ""
+        key = f"{self.random.getrandbits(128):032x}" if class_name == KEYED_CLASS else ""
         now = time.time()
-        return Request(cls, body, key, now, now + self.fleet.patience_s)
+        return Request(class_name, body, key, now, now + self.fleet.patience_s)
 
     def send(self, request, host=None, is_retry=False):
         """Send an attempt of a request to a host, by default one that the roster lists."""
@@ -97,11 +97,11 @@
         now = time.time()
         trace = f"{self.random.getrandbits(64):016x}"
         attempt = Attempt(
-            trace, self.name, host.name, request.cls, request.body, request.key, now, request.due, is_retry
+            trace, self.name, host.name, request.class_name, request.body, request.key, now, request.due, is_retry
         )
         self.fleet.record.add_attempt(attempt)
         try:
-            self._pool(host).send_request(request.cls, _Sent(attempt, host, request), self._params(attempt))
+            self._pool(host).send_request(request.class_name, _Sent(attempt, host, request), self._params(attempt))
         except OSError:  # the host accepts no connection
             self.fleet.record.remove_attempt(attempt)
             self._retry(request, host if is_retry else None, is_retry)
--- a/lapispick/fakes/rule_checker.py
+++ b/lapispick/fakes/rule_checker.py
@@ -35,7 +35,7 @@
     trace: str
     gateway: str
     host: str
-    cls: str
+    class_name: str
     body: str
     key: str
     sent_at: float
--- a/lapispick/host/amqp/consumer.py
+++ b/lapispick/host/amqp/consumer.py
@@ -75,7 +75,7 @@
         self.customers = {p.name for p in info.parties}
         self.classes = settings.classes
         by_worth = sorted(range(len(self.names)), key=lambda i: (settings.classes[i].priority_weight, i))
-        self.ranks = {cls: (place + 0.5) / len(by_worth) for place, cls in enumerate(by_worth)}
+        self.ranks = {class_index: (place + 0.5) / len(by_worth) for place, class_index in enumerate(by_worth)}
 
     def request(self, delivery: Delivery, queue: Queue, caller: int, reply: Callable[[Answer], None]) -> Request:
         """Return a message's request; raises ``UnusableMessageError``."""
@@ -84,32 +84,33 @@
             raise UnusableMessageError("its properties can't be read")
         if delivery.size > MAX_BODY_BYTES:
             raise UnusableMessageError(f"its body holds {delivery.size} bytes")
-        name = p.headers.get("class") or p.type or queue.cls
+        name = p.headers.get("class") or p.type or queue.class_name
         if name not in self.names:
             raise UnusableMessageError(f"there is no class {name!r}")
-        cls = self.names.index(name)
+        class_index = self.names.index(name)
         customer = p.headers.get("customer") or queue.customer
         if self.customers and customer not in self.customers:
             raise UnusableMessageError(f"there is no customer {customer!r}")
-        keyed = self.classes[cls].idempotency is admission.Idempotency.KEYED
+        keyed = self.classes[class_index].idempotency is admission.Idempotency.KEYED
         if keyed and not p.message_id:
             raise UnusableMessageError(f"{name} needs a message-id, or a second copy could run")
         born = min(now, self._born(p) or now)
         return Request(
             request_id=f"{random.getrandbits(64):016x}",
             handler=name,
-            cls=cls,
+            class_index=class_index,
             body=base64.b64encode(delivery.body).decode(),
             born_at=born,
-            deadline_at=self._due(p, born, cls),
+            deadline_at=self._due(p, born, class_index),
             request_memory_kb=self._size(p, queue),
-            rank=self.ranks[cls],
+            rank=self.ranks[class_index],
             caller=caller,
             idempotency_key=("amqp", customer, name, p.message_id) if keyed else None,
             reply=reply,
             account=str(customer or ""),
             # Guards the rule on duplicates: what another life or another box was given may have run there.
-            lookup_only=delivery.redelivered and self.classes[cls].idempotency is not admission.Idempotency.IDEMPOTENT,
+            lookup_only=delivery.redelivered
+            and self.classes[class_index].idempotency is not admission.Idempotency.IDEMPOTENT,
         )
 
     def _born(self, p: Properties) -> float:
@@ -119,9 +120,9 @@
             return float(exact)
         return p.timestamp * 1000.0 if p.timestamp else 0.0
 
-    def _due(self, p: Properties, born: float, cls: int) -> float:
+    def _due(self, p: Properties, born: float, class_index: int) -> float:
         if p.expiration is None:
-            return born + self.classes[cls].deadline_ms
+            return born + self.classes[class_index].deadline_ms
         if not p.expiration.isascii() or not p.expiration.isdecimal() or len(p.expiration) > 12:
             raise UnusableMessageError(f"its expiration {p.expiration[:20]!r} is no number of milliseconds")
         return born + float(p.expiration)
--- a/lapispick/host/amqp/listing.py
+++ b/lapispick/host/amqp/listing.py
@@ -48,7 +48,7 @@
 
     name: str
     prefetch: int
-    cls: str
+    class_name: str
     customer: str
     request_memory_kb: float
 
--- a/lapispick/host/core/arrivals.py
+++ b/lapispick/host/core/arrivals.py
@@ -58,7 +58,7 @@
         self._answers.opened(request)
         if (refusal := self._refusal(request)) is not None:
             return self._answers.send(request, refusal)
-        if self._classes[request.cls].idempotency is not admission.Idempotency.KEYED:
+        if self._classes[request.class_index].idempotency is not admission.Idempotency.KEYED:
             request.idempotency_key = None
         record = self._idempotency.find_record(request)
         if record is not None:
@@ -98,7 +98,7 @@
             retry_of,
             0.0,
             request.request_memory_kb,
-            request.cls,
+            request.class_index,
             request.caller,
         )
 
--- a/lapispick/host/core/idempotency.py
+++ b/lapispick/host/core/idempotency.py
@@ -87,7 +87,7 @@
 
     def may_run_twice(self, entry: InFlightRequest) -> bool:
         """Tell whether starting this attempt would run its key a second time, whatever the module says."""
-        if self._classes[entry.request.cls].idempotency is not admission.Idempotency.KEYED:
+        if self._classes[entry.request.class_index].idempotency is not admission.Idempotency.KEYED:
             return False
         record = entry.record
         return record is None or record.executed_attempt not in (0, EXECUTED_BY_PEER)
@@ -98,7 +98,7 @@
         if record is None:
             return Verdict.RUN
         request = entry.request
-        until = request.born_at + self._classes[request.cls].idempotency_window_ms
+        until = request.born_at + self._classes[request.class_index].idempotency_window_ms
         return self.ownership.claim(entry.id, record, request.born_at, until, request.is_retry, self._clock.now)
 
     # How a run of a key ends.
--- a/lapispick/host/core/runs.py
+++ b/lapispick/host/core/runs.py
@@ -83,10 +83,12 @@
         entry.state = RunState.RUNNING
         self._answers.metrics.runs += 1
         request = entry.request
-        self._peers.executor.run(request.request_id, request.handler, request.body, self._runs_once(request.cls))
+        self._peers.executor.run(
+            request.request_id, request.handler, request.body, self._runs_once(request.class_index)
+        )
 
-    def _runs_once(self, cls: int) -> bool:
-        return self._settings.classes[cls].idempotency is not admission.Idempotency.IDEMPOTENT
+    def _runs_once(self, class_index: int) -> bool:
+        return self._settings.classes[class_index].idempotency is not admission.Idempotency.IDEMPOTENT
 
     def _withhold(self, entry: InFlightRequest, kind: AnswerKind) -> None:
         """Answer an attempt that has not run, as nobody can say in time whether it may."""
@@ -119,9 +121,9 @@
         if entry is None or not entry.in_executor or entry.answered:
             return
         request = entry.request
-        timeout_ms = action.timeout_ms or self._settings.classes[request.cls].deadline_ms
+        timeout_ms = action.timeout_ms or self._settings.classes[request.class_index].deadline_ms
         entry.call_ticket = self._peers.store.call(
-            request.request_id, entry.call_body, timeout_ms, once=self._runs_once(request.cls)
+            request.request_id, entry.call_body, timeout_ms, once=self._runs_once(request.class_index)
         )
 
     def skip_call(self, action: admission.SkipCall) -> None:
--- a/lapispick/host/jsonrpc/connection.py
+++ b/lapispick/host/jsonrpc/connection.py
@@ -152,18 +152,18 @@
             )
         if not self._new_id(number):
             return
-        cls = self.front.classes.get(message.method)
-        if cls is None:
+        class_index = self.front.classes.get(message.method)
+        if class_index is None:
             return self._fault(number, ErrorCode.METHOD_NOT_FOUND, "no such class")
         try:
             messages.validate(
-                message.params, self.front.settings.classes[cls], self.front.tenants, self.front.needs_timeout
+                message.params, self.front.settings.classes[class_index], self.front.tenants, self.front.needs_timeout
             )
         except InvalidMessageError as err:
             return self._fault(number, ErrorCode.INVALID_REQUEST, str(err))
         if len(self.open) >= MAX_OPEN_REQUESTS:
             return self._fault(number, ErrorCode.REJECTED, "too many open requests", last=True)
-        self._request(number, cls, message)
+        self._request(number, class_index, message)
 
     def _new_id(self, number: int) -> bool:
         """Note an id; one that was used ends the connection, for no answer to it could be told apart."""
@@ -175,13 +175,13 @@
         self._fault(known, ErrorCode.INVALID_REQUEST, "the id is not new on this connection", last=True)
         return False
 
-    def _request(self, number: int, cls: int, message: Message) -> None:
+    def _request(self, number: int, class_index: int, message: Message) -> None:
         params = message.params
         self.proven = True
         self.open[number] = self._fresh[number] = Request(
             request_id=params.attempt_id,
             handler=message.method,
-            cls=cls,
+            class_index=class_index,
             body=params.body or "",
             born_at=params.created_at_ms,
             deadline_at=params.created_at_ms + params.timeout_ms if params.timeout_ms else 0.0,
--- a/lapispick/host/metrics.py
+++ b/lapispick/host/metrics.py
@@ -27,9 +27,9 @@
         self._counts = {kind: [0] * len(names) for kind in METRIC_NAMES}
         self.runs = 0
 
-    def answered(self, kind: AnswerKind, cls: int) -> None:
+    def answered(self, kind: AnswerKind, class_index: int) -> None:
         """Count a final answer."""
-        self._counts[kind][cls] += 1
+        self._counts[kind][class_index] += 1
 
     def total(self, kind: AnswerKind) -> int:
         """Return the answers of one kind over all classes."""
@@ -109,23 +109,26 @@
         self._late = [0] * len(names)
         self._durations = [[0] * (len(DURATION_BUCKETS_MS) + 1) for _ in names]
 
-    def answered(self, kind: AnswerKind, cls: int, age_ms: float, duration_ms: float) -> None:
+    def answered(self, kind: AnswerKind, class_index: int, age_ms: float, duration_ms: float) -> None:
         """Count a final answer: how long after the request came to the machine, and after it was read here."""
-        self._durations[cls][bisect_left(DURATION_BUCKETS_MS, duration_ms)] += 1
+        self._durations[class_index][bisect_left(DURATION_BUCKETS_MS, duration_ms)] += 1
         if kind == AnswerKind.SERVED:
-            objective_ms, weight, late_fraction = self._objectives[cls]
+            objective_ms, weight, late_fraction = self._objectives[class_index]
             late = age_ms > objective_ms
-            self._late[cls] += late
-            self._weight_served[cls] += int(WEIGHT_UNITS * weight * (late_fraction if late else 1.0))
+            self._late[class_index] += late
+            self._weight_served[class_index] += int(WEIGHT_UNITS * weight * (late_fraction if late else 1.0))
 
     def lines(self) -> list[str]:
         """Write these metrics."""
         made = []
-        for cls, name in enumerate(self._names):
-            made += [f"app.worth.{name}:{self._weight_served[cls]}|c", f"app.late.{name}:{self._late[cls]}|c"]
+        for class_index, name in enumerate(self._names):
+            made += [
+                f"app.worth.{name}:{self._weight_served[class_index]}|c",
+                f"app.late.{name}:{self._late[class_index]}|c",
+            ]
             made += [
                 f"app.took.{name}.{bound}:{count}|c"
-                for bound, count in zip((*DURATION_BUCKETS_MS, "more"), self._durations[cls], strict=True)
+                for bound, count in zip((*DURATION_BUCKETS_MS, "more"), self._durations[class_index], strict=True)
             ]
         made += [
             f"app.{name}:{value}|g" for name, value in zip(("memory_kb", "memory_most_kb"), self._memory(), strict=True)
--- a/lapispick/host/requests.py
+++ b/lapispick/host/requests.py
@@ -36,7 +36,7 @@
 
     request_id: str  # identifies this attempt at the executor and the store
     handler: str  # the name of its class
-    cls: int
+    class_index: int
     body: str  # base64, unchanged
     born_at: float  # Unix ms; when it reached the machine
     deadline_at: float  # Unix ms; 0 = none given
--- a/lapispick/simulator/adapter.py
+++ b/lapispick/simulator/adapter.py
@@ -21,10 +21,12 @@
 
 
 def _request_received(record: Record) -> admission.RequestReceived:
-    (_, _, request_id, deadline_at, _, rank, age_ms, retry_of, flags, _, memory_kb, cost, cls, caller) = record
+    (_, _, request_id, deadline_at, _, rank, age_ms, retry_of, flags, _, memory_kb, cost, class_index, caller) = record
     if not flags & COST_KNOWN_BIT:
         cost = 0.0
-    return admission.RequestReceived(request_id, deadline_at, rank, age_ms, retry_of, cost, memory_kb, cls, caller)
+    return admission.RequestReceived(
+        request_id, deadline_at, rank, age_ms, retry_of, cost, memory_kb, class_index, caller
+    )
 
 
 DECODERS: dict[int, Callable[[Record], admission.Event]] = {
--- a/lapispick/trace/aggregation.py
+++ b/lapispick/trace/aggregation.py
@@ -153,7 +153,7 @@
         ]
         self._roots = _Table(
             born=np.float64,
-            cls=np.int64,
+            class_index=np.int64,
             account=np.int64,
             kind=np.uint8,
             age=np.float64,
@@ -191,14 +191,14 @@
         if not rows.count:
             return
         now, ids = self._at[rows.steps], rows.column("id")
-        boxes, cls = self._box[rows.steps], np.zeros(rows.count, np.int64)
+        boxes, class_index = self._box[rows.steps], np.zeros(rows.count, np.int64)
         for box, of in enumerate(self._of):
             here = boxes == box
-            told = rows.column("cls")[here]
+            told = rows.column("class_index")[here]
             if len(told) and not 0 <= int(told.min()) <= int(told.max()) < len(of):
                 raise ValueError("holds a request of a class that its header does not name")
-            cls[here] = of[told]
-        first = self._roots.add(rows.count, born=now - rows.column("age_ms"), cls=cls, tries=1)
+            class_index[here] = of[told]
+        first = self._roots.add(rows.count, born=now - rows.column("age_ms"), class_index=class_index, tries=1)
         for box, table in enumerate(self._tries):
             here = np.flatnonzero(boxes == box)
             rising = np.concatenate((table["id"][-1:], ids[here]))
@@ -236,7 +236,7 @@
 
     def _live_one(self, place: int, now: float) -> bool:
         place -= self._roots.begin
-        return place >= 0 and self._roots["born"][place] + self._kept[self._roots["cls"][place]] > now
+        return place >= 0 and self._roots["born"][place] + self._kept[self._roots["class_index"][place]] > now
 
     def _found(self, rows: Rows) -> tuple[Any, list[tuple[int, Any, Any]]]:
         """Return the places of the rows' requests, -1 where one takes no part; and the tries of those that do."""
@@ -251,8 +251,8 @@
             here, at = here[known], at[known]
             root = table["root"][at] - self._roots.begin
             live = root >= 0
-            born, cls = self._roots["born"][root[live]], self._roots["cls"][root[live]]
-            live[live] = born + self._kept[cls] > self._at[rows.steps[here[live]]]
+            born, class_index = self._roots["born"][root[live]], self._roots["class_index"][root[live]]
+            live[live] = born + self._kept[class_index] > self._at[rows.steps[here[live]]]
             places[here[live]] = root[live]
             tries.append((box, here[live], at[live]))
         return places, tries
@@ -285,9 +285,9 @@
             self._spans(self._waits, places[here[once]], self._at[rows.steps[here[once]]] - table["came"][at])
 
     def _spans(self, into: _Spans, places: Any, spans: Any) -> None:
-        cls = self._roots["cls"][places]
-        for one in np.unique(cls).tolist():
-            into.add(self._names[one], spans[cls == one])
+        class_index = self._roots["class_index"][places]
+        for one in np.unique(class_index).tolist():
+            into.add(self._names[one], spans[class_index == one])
 
     def _ends(self, block: Block) -> None:
         """Take what ended runs and tries; a try that nobody waits for takes no answer."""
@@ -344,7 +344,7 @@
     def _forget(self, now: float) -> None:
         """Count the requests at the front that no repeat can come for any more, and forget them and their tries."""
         roots = self._roots
-        live = roots["born"] + self._kept[roots["cls"]] > now
+        live = roots["born"] + self._kept[roots["class_index"]] > now
         count = int(np.argmax(live)) if live.any() else roots.size
         if count < roots.size // 4 and now < np.inf:
             return  # moving what stays costs more than it frees
@@ -361,15 +361,15 @@
     def _count(self, part: slice) -> None:
         roots = self._roots
         kept = np.flatnonzero(~roots["void"][part])
-        cls, kind, age = roots["cls"][kept], roots["kind"][kept], roots["age"][kept]
+        class_index, kind, age = roots["class_index"][kept], roots["kind"][kept], roots["age"][kept]
         served, poorer = kind == SERVED, roots["poorer"][kept]
-        in_aim = served & (age <= self._aim[cls])
-        worth = np.where(served, self._worth[cls], 0.0) * np.where(in_aim, 1.0, self._late[cls])
-        worth *= np.where(poorer, self._skip[cls], 1.0)
+        in_aim = served & (age <= self._aim[class_index])
+        worth = np.where(served, self._worth[class_index], 0.0) * np.where(in_aim, 1.0, self._late[class_index])
+        worth *= np.where(poorer, self._skip[class_index], 1.0)
         columns = {
             "requests": np.ones(len(kept), np.int64),
             "tries": roots["tries"][kept],
-            "asked": self._worth[cls],
+            "asked": self._worth[class_index],
             "served": worth,
             "in_aim": in_aim,
             "late": served & ~in_aim,
@@ -381,7 +381,7 @@
         made, accounts = self._made, list(self._accounts)
         windows = (roots["born"][kept] // WINDOW_MS).astype(np.int64)
         _sum(columns, np.zeros(len(kept), np.int64), lambda _: made.whole)
-        _sum(columns, cls, lambda n: made.classes[self._names[n]])
+        _sum(columns, class_index, lambda n: made.classes[self._names[n]])
         _sum(columns, roots["account"][kept], lambda n: made.accounts.setdefault(accounts[n], Worth()))
         _sum(columns, windows, lambda n: made.windows.setdefault(str(int(n * WINDOW_MS)), Worth()))
 
--- a/lapispick/trace/comparing.py
+++ b/lapispick/trace/comparing.py
@@ -70,7 +70,7 @@
         """Add a step's requests and what one side ordered in it."""
         for event in step.events:
             if type(event) is admission.RequestReceived:
-                self._classes[step.box, event.id] = self._class_name(step.box, event.cls)
+                self._classes[step.box, event.id] = self._class_name(step.box, event.class_index)
         for action in actions:
             if type(action) in DECISIONS:
                 self._count(step.box, action)
--- a/lapispick/trace/selecting.py
+++ b/lapispick/trace/selecting.py
@@ -46,14 +46,14 @@
 class _Attempt:
     """What is known of an attempt so far."""
 
-    __slots__ = ("account", "cls", "ended_inside", "inside", "outcome", "since", "starts_with_request")
+    __slots__ = ("account", "class_name", "ended_inside", "inside", "outcome", "since", "starts_with_request")
 
     def __init__(self, since: float, starts_with_request: bool) -> None:
         self.since = since
         self.starts_with_request = starts_with_request  # else it began before the first step that was read
         self.inside = False  # any record of it is within the window
         self.ended_inside = False
-        self.cls = ""
+        self.class_name = ""
         self.account = ""
         self.outcome = ""
 
@@ -136,7 +136,7 @@
             attempt = self._attempts[attempt_id] = _Attempt(now, kind is admission.RequestReceived)
         attempt.inside |= inside
         if kind is admission.RequestReceived:
-            attempt.cls = self._names(step.box, record.cls)
+            attempt.class_name = self._names(step.box, record.class_index)
         elif kind is Arrival:
             attempt.account = record.account
         elif kind in (Answered, admission.ClientCancelled) and not attempt.outcome:
@@ -155,7 +155,7 @@
         selection = self._selection
         if attempt is None:
             return not selection.by_request
-        if selection.classes and attempt.cls not in selection.classes:
+        if selection.classes and attempt.class_name not in selection.classes:
             return False
         if selection.accounts and attempt.account not in selection.accounts:
             return False
--- a/lapispick/trace/text_names.py
+++ b/lapispick/trace/text_names.py
@@ -33,6 +33,7 @@
     (admission.RequestReceived, "age_ms"): "age",
     (admission.RequestReceived, "retry_of"): "prior",
     (admission.RequestReceived, "request_memory_kb"): "held_kb",
+    (admission.RequestReceived, "class_index"): "cls",
     (admission.RunCompleted, "duration_ms"): "took",
     (admission.CallCompleted, "duration_ms"): "took",
     (admission.ShutdownRequested, "handed_over"): "handed",
--- a/tests/controller_harness.py
+++ b/tests/controller_harness.py
@@ -82,7 +82,7 @@
             got += self.step(admission.TimerFired(0, gauges))
         return got
 
-    def request(self, cls=0, **over):
+    def request(self, class_index=0, **over):
         self.next_id += 1
         base = dict(
             id=self.next_id,
@@ -92,7 +92,7 @@
             retry_of=0,
             cost=0,
             request_memory_kb=10,
-            cls=cls,
+            class_index=class_index,
             caller=0,
         )
         return admission.RequestReceived(**{**base, **over})
--- a/tests/test_aggregation.py
+++ b/tests/test_aggregation.py
@@ -18,8 +18,8 @@
 ONE, TWO = [Source(CLASSES)], [Source(CLASSES), Source(CLASSES, 1000.0, 0.05, 2000.0)]
 
 
-def request(number, cls=0, retry_of=0, age=0.0):
-    return admission.RequestReceived(number, 0.0, 0.5, age, retry_of, 0.0, 10.0, cls, 1)
+def request(number, class_index=0, retry_of=0, age=0.0):
+    return admission.RequestReceived(number, 0.0, 0.5, age, retry_of, 0.0, 10.0, class_index, 1)
 
 
 def blocks(steps, size=1000):
@@ -33,8 +33,10 @@
     return made.end()
 
 
-def asked(now, number, cls=0, retry_of=0, account="shop", age=0.0, subject=b"", box=0):
-    return Step(now, (request(number, cls, retry_of, age),), (), (Arrival(number, account, subject, now - age),), box)
+def asked(now, number, class_index=0, retry_of=0, account="shop", age=0.0, subject=b"", box=0):
+    return Step(
+        now, (request(number, class_index, retry_of, age),), (), (Arrival(number, account, subject, now - age),), box
+    )
 
 
 def answered(now, number, kind="served", box=0):
@@ -128,7 +130,7 @@
     with pytest.raises(ValueError, match="does not name"):
         fold(asked(0, 1, box=1))
     with pytest.raises(ValueError, match="of a class"):
-        fold(asked(0, 1, cls=7))
+        fold(asked(0, 1, class_index=7))
 
 
 def noise(seed, count=250):
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -51,11 +51,11 @@
         each.close()
 
 
-def ask(broker, body, cls="track", correlation=None, reply_to="answers", **over):
+def ask(broker, body, class_name="track", correlation=None, reply_to="answers", **over):
     """Put a request; return the message and its correlation id."""
     correlation = correlation or f"c{len(broker.messages)}"
     properties = {
-        "type": cls,
+        "type": class_name,
         "correlation_id": correlation,
         "reply_to": reply_to,
         "expiration": "4000",
@@ -132,7 +132,7 @@
 
 def test_long_results_are_cut_into_frames(edge):
     h = edge()
-    _, c = ask(h.broker, "hold", cls="book")
+    _, c = ask(h.broker, "hold", class_name="book")
     wait_until(lambda: h.executor.runs, "the run")
     h.executor.end_run(h.executor.runs[0].task, result="r" * 10_000)
     assert wait_until(lambda: h.broker.reply(c), "the reply")[1] == "r" * 10_000
@@ -143,7 +143,7 @@
     _, late = ask(h.broker, "hold", expiration="500")
     _, old = ask(h.broker, "past", timestamp=int(time.time()) - 9)
     _, past = ask(h.broker, "past", headers={"timestamp_in_ms": int(time.time() * 1000) - 4500})
-    _, bad = ask(h.broker, "error", cls="book")
+    _, bad = ask(h.broker, "error", class_name="book")
     assert wait_until(lambda: h.broker.reply(late), "the late one's reply")[0] == "failed"
     for c in (past, old):
         outcome, _, headers = wait_until(lambda c=c: h.broker.reply(c), "the refusal")
@@ -156,7 +156,7 @@
 def test_without_reply_to_the_settlement_is_the_answer(edge):
     h = edge()
     served, _ = ask(h.broker, "fine", reply_to=None)
-    failed, _ = ask(h.broker, "error", cls="book", reply_to=None)
+    failed, _ = ask(h.broker, "error", class_name="book", reply_to=None)
     wait_until(lambda: (served.fate, failed.fate) == ("ack", "reject"), "both settlements")
     assert not h.broker.replies
 
@@ -164,7 +164,7 @@
 def test_a_lost_acknowledgement_is_answered_from_the_kept_result(edge):
     h = edge()
     h.broker.disconnect_on = "basic.ack"
-    message, c = ask(h.broker, "booking", cls="book")
+    message, c = ask(h.broker, "booking", class_name="book")
     wait_until(lambda: message.fate == "ack", "the acknowledgement of the redelivery")
     assert message.delivery_count == 2
     assert len(h.executor.runs_of("booking")) == 1
@@ -173,7 +173,7 @@
 
 def test_a_redelivery_while_it_runs_waits_for_that_run(edge):
     h = edge()
-    message, c = ask(h.broker, "hold", cls="book")
+    message, c = ask(h.broker, "hold", class_name="book")
     wait_until(lambda: h.executor.runs, "the run")
     h.broker.disconnect()
     wait_until(lambda: message.delivery_count == 2, "the redelivery")
@@ -185,7 +185,7 @@
 
 def test_a_redelivered_write_of_another_life_is_failed_and_a_read_runs(edge):
     h = edge()
-    write, c = ask(h.broker, "elsewhere", cls="book", redelivered=True)
+    write, c = ask(h.broker, "elsewhere", class_name="book", redelivered=True)
     _, read = ask(h.broker, "again", redelivered=True)
     assert wait_until(lambda: h.broker.reply(read), "the read")[0] == "served"
     assert wait_until(lambda: h.broker.reply(c), "the write's reply")[0] == "failed"
@@ -195,11 +195,11 @@
 
 def test_a_message_id_with_another_body_is_failed_and_gets_no_result(edge):
     h = edge()
-    _, first = ask(h.broker, "booking", cls="book", message_id="m-1")
+    _, first = ask(h.broker, "booking", class_name="book", message_id="m-1")
     assert wait_until(lambda: h.broker.reply(first), "the reply")[:2] == ("served", "did booking")
-    ask(h.broker, "another", cls="book", message_id="m-1", correlation="c-other")
+    ask(h.broker, "another", class_name="book", message_id="m-1", correlation="c-other")
     assert wait_until(lambda: h.broker.reply("c-other"), "the other reply")[:2] == ("failed", "")
-    ask(h.broker, "booking", cls="book", message_id="m-1", correlation="c-same")
+    ask(h.broker, "booking", class_name="book", message_id="m-1", correlation="c-same")
     assert wait_until(lambda: h.broker.reply("c-same"), "the repeat")[1] == "did booking"
     assert len(h.executor.runs) == 1
 
@@ -225,8 +225,8 @@
 
 def test_a_write_without_message_id_never_runs(edge):
     h = edge()
-    silent, _ = ask(h.broker, "nokey", cls="book", message_id=None, reply_to=None)
-    _, c = ask(h.broker, "nokey", cls="book", message_id=None)
+    silent, _ = ask(h.broker, "nokey", class_name="book", message_id=None, reply_to=None)
+    _, c = ask(h.broker, "nokey", class_name="book", message_id=None)
     wait_until(lambda: silent.fate == "reject", "the rejection")
     assert wait_until(lambda: h.broker.reply(c), "the reply")[0] == "failed"
     assert not h.executor.runs
@@ -235,7 +235,7 @@
 @pytest.mark.parametrize(
     "over",
     [
-        {"cls": "nothing"},
+        {"class_name": "nothing"},
         {"headers": {"customer": "nobody"}},
         {"expiration": "soon"},
         {"headers": {"size": -1}},
@@ -317,7 +317,7 @@
     wait_until(lambda: message.fate == "ack", "the acknowledgement")
     h.broker.returns_unroutable = True
     served, _ = ask(h.broker, "nobody asks")
-    failed, _ = ask(h.broker, "error", cls="book")
+    failed, _ = ask(h.broker, "error", class_name="book")
     wait_until(lambda: (served.fate, failed.fate) == ("ack", "reject"), "both settlements")
 
 
@@ -337,13 +337,13 @@
 
 def test_the_drain_cancels_and_answers_what_was_taken(edge):
     h = edge(stop_ms=2500)
-    taken, c = ask(h.broker, "hold", cls="book")
+    taken, c = ask(h.broker, "hold", class_name="book")
     wait_until(lambda: h.executor.runs, "the run")
     began = time.monotonic()
     h.broker.message_during_cancel = {"type": "book", "message_id": "x"}
     h.terminate()
     wait_until(lambda: h.broker.cancel_count == 1, "the cancel")
-    left, _ = ask(h.broker, "left", cls="book")
+    left, _ = ask(h.broker, "left", class_name="book")
     h.executor.end_run(h.executor.runs[0].task, result="booked")
     assert wait_until(lambda: h.broker.reply(c), "the reply")[:2] == ("served", "booked")
     assert h.process.wait(5) == 0
@@ -364,8 +364,8 @@
 
     def flood():
         for i in range(int(seconds / gap)):
-            cls = "book" if i % 3 == 0 else "track"
-            asked[f"subject-{i}"] = (cls, *ask(h.broker, f"subject-{i}", cls, correlation=f"s{i}"))
+            class_name = "book" if i % 3 == 0 else "track"
+            asked[f"subject-{i}"] = (class_name, *ask(h.broker, f"subject-{i}", class_name, correlation=f"s{i}"))
             time.sleep(gap)
 
     thread = threading.Thread(target=flood)
@@ -379,14 +379,14 @@
     assert max(effects.values()) == 1
     assert h.broker.methods.count("connection.open") >= 3
     outcomes = collections.Counter()
-    for subject, (cls, _, c) in asked.items():
+    for subject, (class_name, _, c) in asked.items():
         answers = [r for r in h.broker.replies if r.properties.correlation_id == c]
         assert answers, subject
         outcomes[answers[-1][1].type] += 1
         for _, p, body in answers:
             assert p.type != "served" or body == f"did {subject}"
             # What is turned away has never run, not even for the sake of another copy.
-            assert cls != "book" or p.type != "refused" or not effects[subject]
+            assert class_name != "book" or p.type != "refused" or not effects[subject]
     assert outcomes["served"] > 0.5 * len(asked)
 
 
@@ -394,6 +394,6 @@
     broker = Broker()
     broker.byte_by_byte = True
     h = edge(broker=broker)
-    messages = [ask(broker, f"x{n}", cls="book") for n in range(5)]
+    messages = [ask(broker, f"x{n}", class_name="book") for n in range(5)]
     wait_until(lambda: all(m.fate == "ack" for m, _ in messages), "all acknowledged")
     assert len(h.executor.runs) == 5
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -10,22 +10,22 @@
     """Return a harness whose limit of calls is used up, and the ids that use it; a call usually takes 10 ms."""
     harness = make_harness(cores=40, call_quota=10.0, **over)
     for _ in range(30):  # what a call usually takes
-        one = harness.request(cls=SKIPPABLE)
+        one = harness.request(class_index=SKIPPABLE)
         harness.step(one)
         harness.step(admission.CallRequested(one.id))
         harness.step(admission.CallCompleted(one.id, admission.Outcome.OK, 10.0), at=harness.now + 10)
         harness.step(admission.RunCompleted(one.id, admission.Outcome.OK, 30.0), at=harness.now + 5)
     taken = []
     while harness.state.downstream.has_capacity():
-        one = harness.request(cls=SKIPPABLE)
+        one = harness.request(class_index=SKIPPABLE)
         harness.step(one, at=harness.now + 0.01)
         harness.step(admission.CallRequested(one.id))
         taken.append(one.id)
     return harness, taken
 
 
-def request_with_call(harness, cls=SKIPPABLE):
-    one = harness.request(cls=cls)
+def request_with_call(harness, class_index=SKIPPABLE):
+    one = harness.request(class_index=class_index)
     harness.step(one)
     harness.step(admission.CallRequested(one.id))
     return one.id
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -58,11 +58,11 @@
     return start
 
 
-def request(tag, answers, cls=0, key=None, **over):
+def request(tag, answers, class_index=0, key=None, **over):
     told = dict(
         request_id=tag,
         handler="any",
-        cls=cls,
+        class_index=class_index,
         body="",
         born_at=1.0,
         deadline_at=0.0,
@@ -106,7 +106,7 @@
     loop, host = rig(decide)
     answers = []
     for tag in ("a", "b"):
-        host.post(events.RequestArrived(request(tag, answers, cls=1, key="k")))
+        host.post(events.RequestArrived(request(tag, answers, class_index=1, key="k")))
     loop.run()
     assert host.peers.executor.runs == ["a"]
     assert answers == [("b", AnswerKind.FAILED)]
@@ -124,7 +124,7 @@
 
     loop, host = rig(decide)
     answers = []
-    host.post(events.RequestArrived(request("a", answers, cls=1, key="k")))
+    host.post(events.RequestArrived(request("a", answers, class_index=1, key="k")))
     loop.run()
     assert answers == [("a", AnswerKind.FAILED)]
 
@@ -162,7 +162,7 @@
     gc.disable()  # a cycle would hold the request until the collector runs, minutes later
     try:
         for n in range(3):
-            host.post(events.RequestArrived(request(f"kept{n}", answers, cls=1, key=n)))
+            host.post(events.RequestArrived(request(f"kept{n}", answers, class_index=1, key=n)))
             loop.call_later(0.02, host.post, events.RunCompleted(f"kept{n}", admission.Outcome.OK, 1.0, "r"))
         loop.run()
         assert len(answers) == len(host.idempotency.table) == 3
@@ -186,9 +186,9 @@
     host.idempotency.table.max_result_bytes = 250
     answers = []
     for n in range(5):
-        host.post(events.RequestArrived(request(f"t{n}", answers, cls=1, key=n)))
+        host.post(events.RequestArrived(request(f"t{n}", answers, class_index=1, key=n)))
         loop.call_later(0.02, host.post, events.RunCompleted(f"t{n}", admission.Outcome.OK, 1.0, "r" * 100))
-        loop.call_later(0.04, host.post, events.RequestArrived(request(f"again{n}", answers, cls=1, key=n)))
+        loop.call_later(0.04, host.post, events.RequestArrived(request(f"again{n}", answers, class_index=1, key=n)))
     loop.run()
     assert dict(answers) == {
         **{f"t{n}": AnswerKind.SERVED for n in range(5)},
@@ -225,7 +225,7 @@
 def test_an_attempt_cancelled_while_its_claim_waits_is_not_started_and_releases_its_key(rig):
     loop, host = rig(keyed)
     answers, link = [], Link()
-    asked = request("a", answers, cls=1, key=("k",))
+    asked = request("a", answers, class_index=1, key=("k",))
     host.post(events.PeerConnected(link, owns_keys=True))
     host.post(events.RequestArrived(asked))
     loop.call_later(0.02, host.post, events.ClientCancelled(asked))
@@ -249,7 +249,7 @@
     loop, host = rig(keyed)
     answers, link = [], Link()
     host.post(events.PeerConnected(link, owns_keys=True))
-    host.post(events.RequestArrived(request("a", answers, cls=1, key=("k",))))
+    host.post(events.RequestArrived(request("a", answers, class_index=1, key=("k",))))
     for after, message in (
         (0.02, messages.KeyClaimed(("k",), 6000.0, digest_request("any", ""))),
         (0.03, messages.ClaimDenied(1, ("k",))),
@@ -271,7 +271,7 @@
     answers, link, next_link = [], Link(), Link()
     host.post(events.PeerConnected(link, owns_keys=True))
     host.post(events.PeerConnected(next_link, owns_keys=True))
-    host.post(events.RequestArrived(request("a", answers, cls=1, key=("k",))))
+    host.post(events.RequestArrived(request("a", answers, class_index=1, key=("k",))))
     loop.call_later(0.02, host.post, events.PeerMessage(link, messages.ClaimGranted(1, ("k",), 1e13)))
     loop.call_later(0.03, host.post, events.PeerDisconnected(link, True))
     loop.run()
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -125,10 +125,10 @@
     assert harness.state.downstream.limit == pytest.approx(1.0)
 
 
-def make_calls(harness, ends, cls):
+def make_calls(harness, ends, class_index):
     """Let one request at a time make a call that ends so; return the actions for the last one."""
     for took, outcome in ends:
-        request = harness.request(cls, deadline_at=harness.now + 3900)
+        request = harness.request(class_index, deadline_at=harness.now + 3900)
         harness.step(request)
         harness.step(CallRequested(request.id), at=harness.now + 5)
         last = len(harness.actions)
--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -33,8 +33,8 @@
     h = host(executor=Clumsy())
     g = h.gateway()
     for n in range(20):
-        cls, key = ("book", uuid.uuid4().hex) if n % 2 else ("track", None)
-        number = g.request(cls, f"call:200 {n}", key)
+        class_name, key = ("book", uuid.uuid4().hex) if n % 2 else ("track", None)
+        number = g.request(class_name, f"call:200 {n}", key)
         assert g.result(number).startswith("reply")
     assert len(h.store.calls) == 20
     assert len({run.task for run in h.executor.runs}) == len(h.executor.runs) == 20
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -78,11 +78,11 @@
     assert g.result(g.request("track", "call:200")).startswith("reply")
 
 
-@pytest.mark.parametrize("cls", ["track", "book"])
-def test_an_ended_request_closes_its_call(host, cls):
+@pytest.mark.parametrize("class_name", ["track", "book"])
+def test_an_ended_request_closes_its_call(host, class_name):
     h = host()
     g = h.gateway()
-    n = g.request(cls, "call:hang", make_idempotency_key(), trace="00000000000000aa")
+    n = g.request(class_name, "call:hang", make_idempotency_key(), trace="00000000000000aa")
     wait_until(lambda: h.store.calls, "the call")
     g.cancel(n)
     began = time.monotonic()
--- a/tests/test_inventory_watch.py
+++ b/tests/test_inventory_watch.py
@@ -69,12 +69,12 @@
         """Wait until these and no other brokers are consumed from."""
         wait_until(lambda: {n for n, b in self.brokers.items() if consumers(b)} == set(names), f"consumers at {names}")
 
-    def ask(self, name, body, cls="book", queue="jobs", **over):
+    def ask(self, name, body, class_name="book", queue="jobs", **over):
         correlation = over.pop("correlation", body)
         return self.brokers[name].put(
             queue,
             body,
-            type=cls,
+            type=class_name,
             correlation_id=correlation,
             reply_to="answers",
             expiration="4000",
@@ -128,8 +128,8 @@
         names = list(self.fleet.brokers)
         while self.going and len(self.asked) < 5000:
             n = len(self.asked)
-            cls = "book" if n % 3 else "track"
-            self.asked[f"s{n}"] = (cls, self.fleet.ask(names[n % len(names)], f"s{n}", cls))
+            class_name = "book" if n % 3 else "track"
+            self.asked[f"s{n}"] = (class_name, self.fleet.ask(names[n % len(names)], f"s{n}", class_name))
             time.sleep(0.01)
 
     def account(self):
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -110,11 +110,13 @@
     assert set(h.metrics().values()) == {0}
     g, keys, sent, gone = h.gateway(), [uuid.UUID(int=i).hex for i in range(6)], {}, set()
     for turn in range(300):
-        cls = rng.choice(["track", "book"])
-        key = rng.choice(keys) if cls == "book" else None
+        class_name = rng.choice(["track", "book"])
+        key = rng.choice(keys) if class_name == "book" else None
         body = f"keyed {key}" if key else rng.choice(["x", "error", "call:200", "call:500", "late"])
         patience = 1 if body == "late" else 4000
-        sent[g.request(cls, body, key, born=time.time() * 1000 - (5 if body == "late" else 0), patience=patience)] = cls
+        sent[
+            g.request(class_name, body, key, born=time.time() * 1000 - (5 if body == "late" else 0), patience=patience)
+        ] = class_name
         if rng.random() < 0.05:
             gone.add(g.last_id)
             g.cancel(g.last_id)
@@ -130,13 +132,13 @@
             for n in sent:
                 g.answer(n)
     counts = dict.fromkeys(itertools.product(("success", "busy", "failure"), ("track", "book")), 0)
-    for n, cls in sent.items():
+    for n, class_name in sent.items():
         answer = g.answer(n)
         kind = "success" if "result" in answer else "busy" if answer["error"]["code"] == REFUSED else "failure"
-        counts[kind, cls] += n not in gone or kind == "failure"  # given up: an answer says so, and is counted
+        counts[kind, class_name] += n not in gone or kind == "failure"  # given up: an answer says so, and is counted
     figures = h.metrics()
-    for (kind, cls), count in counts.items():
-        assert 0 <= figures[f"{kind}.{cls}"] - count <= len(gone) * (kind != "failure"), (kind, cls)
+    for (kind, class_name), count in counts.items():
+        assert 0 <= figures[f"{kind}.{class_name}"] - count <= len(gone) * (kind != "failure"), (kind, class_name)
     assert counts["success", "track"] > 50
     assert counts["failure", "track"] > 10
     # Starts that were lost with a link are sent again: the host handed over each run once.
@@ -278,8 +280,8 @@
     """Senders may be held up between a request's ``born`` and its last byte; a rollout must not go back for that."""
     h = host(environ=wide(tmp_path))
     g = h.gateway()
-    for cls, told in (("track", {"patience": 500}), ("book", {"nonce": uuid.uuid4().hex})):
-        number = g.request(cls, "late", born=time.time() * 1000 - 900, **{"patience": 300, **told})
+    for class_name, told in (("track", {"patience": 500}), ("book", {"nonce": uuid.uuid4().hex})):
+        number = g.request(class_name, "late", born=time.time() * 1000 - 900, **{"patience": 300, **told})
         assert g.error_code(number) == REFUSED
     assert h.metrics()["broken"] == 0
     assert not h.executor.runs_of("late")
--- a/tests/test_paused_runs.py
+++ b/tests/test_paused_runs.py
@@ -89,15 +89,15 @@
 
 @pytest.fixture
 def crowd(host):
-    """Return a host whose runs have all come back from their calls at once, and the requests; ``cls`` of each."""
+    """Return a host whose runs have all come back from their calls at once, and the requests; of one class."""
 
-    def made(cls=TRACK, ends=False, stop_ms=6000, **over):
+    def made(class_name=TRACK, ends=False, stop_ms=6000, **over):
         h = host(executor=Pausing(), store=Gated(), info=settings(), stop_ms=stop_ms)
         h.executor.ends = ends
         g = h.gateway()
         numbers = []
         for n in range(COUNT):
-            numbers.append(g.request(cls, "stay:x", f"{n:032x}" if cls == BOOK else None, **over))
+            numbers.append(g.request(class_name, "stay:x", f"{n:032x}" if class_name == BOOK else None, **over))
             wait_until(lambda n=n: len(h.executor.at_call) > n, "that it is at its call")
         with h.suspended():  # all replies are there when it goes on
             h.store.gate.set()
@@ -192,7 +192,7 @@
 
 
 def test_a_run_that_is_not_idempotent_is_never_paused(crowd):
-    h, g, numbers = crowd(cls=BOOK)
+    h, g, numbers = crowd(class_name=BOOK)
     wait_until(lambda: len(h.executor.on_core) == COUNT, "all are back")
     for task in list(h.executor.on_core):
         h.executor.done(task)
--- a/tests/test_prices.py
+++ b/tests/test_prices.py
@@ -71,8 +71,8 @@
 def fill(prices, spec, interval_ms=10):
     """Give the prices a whole sample of requests, in turn of the (class, value, occupancy_ms) of ``spec``."""
     for i in range(SAMPLE_SIZE):
-        cls, value, occupancy_ms = spec[i % len(spec)]
-        prices.observe(i * interval_ms, 0, SampledRequest(cls, value, occupancy_ms, 0))
+        class_index, value, occupancy_ms = spec[i % len(spec)]
+        prices.observe(i * interval_ms, 0, SampledRequest(class_index, value, occupancy_ms, 0))
 
 
 def test_learned_prices_are_adopted_when_better_on_the_sample_and_frozen():
--- a/tests/test_rollout_state.py
+++ b/tests/test_rollout_state.py
@@ -23,7 +23,7 @@
 
 
 def test_a_bad_generation_costs_little_and_is_rolled_back():
-    fleet = SimulatedFleet(4, 60, effect=lambda cls, warm: 0.3)
+    fleet = SimulatedFleet(4, 60, effect=lambda class_name, warm: 0.3)
     state = fleet.play()
     assert state.phase == Phase.ROLLED_BACK
     assert all(b.serving(fleet.now)[0] == OLD for b in fleet.hosts.values())
@@ -31,7 +31,7 @@
 
 
 def test_a_generation_that_is_bad_only_when_warm_is_found():
-    state = SimulatedFleet(5, 60, effect=lambda cls, warm: 0.25 if warm >= 1 else 0.0).play()
+    state = SimulatedFleet(5, 60, effect=lambda class_name, warm: 0.25 if warm >= 1 else 0.0).play()
     assert state.phase == Phase.ROLLED_BACK
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -355,12 +355,12 @@
         return events
 
     def new_request(self):
-        cls = self.rng.randrange(4)
+        class_index = self.rng.randrange(4)
         retry_of = 0
-        if cls == KEYED and self.keys and self.rng.random() < 0.4:
+        if class_index == KEYED and self.keys and self.rng.random() < 0.4:
             retry_of = self.rng.choice(sorted(self.keys))
         deadline_at = self.harness.now + self.rng.choice([200, 1500, 3500])
-        request = self.harness.request(cls, retry_of=retry_of, deadline_at=deadline_at)
+        request = self.harness.request(class_index, retry_of=retry_of, deadline_at=deadline_at)
         self.requests[request.id] = request
         return request
 
@@ -372,7 +372,7 @@
                 assert self.runs.get(request_id) == "call"
                 self.calls[request_id] = True
             case SkipCall(request_id):
-                assert self.requests[request_id].cls == SKIPPABLE
+                assert self.requests[request_id].class_index == SKIPPABLE
                 self.runs[request_id] = "run"
             case Reject(request_id) | Fail(request_id):
                 self.check_final_answer(action, request_id)
@@ -386,7 +386,7 @@
         assert not self.requests[request_id].retry_of
         assert request_id not in self.runs
         self.runs[request_id] = "run"
-        if self.requests[request_id].cls == KEYED:
+        if self.requests[request_id].class_index == KEYED:
             self.keys.add(request_id)
 
     def check_final_answer(self, action, request_id):
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -44,7 +44,7 @@
 
 
 def cut(steps, **wanted):
-    selector = Selector(Selection(**wanted), lambda box, cls: NAMES[cls], 4000.0, lambda s: s.now)
+    selector = Selector(Selection(**wanted), lambda box, class_index: NAMES[class_index], 4000.0, lambda s: s.now)
     since, until = wanted.get("since", float("-inf")), wanted.get("until", float("inf"))
     return list(selector.run(s for s in steps if since - selector.margin <= s.now < until + selector.margin))
 
@@ -106,7 +106,7 @@
 
 def test_what_a_cut_holds_does_not_grow_with_the_trace():
     selector, most = (
-        Selector(Selection(outcomes=frozenset({"served"})), lambda box, cls: "track", 4000.0, lambda s: s.now),
+        Selector(Selection(outcomes=frozenset({"served"})), lambda box, class_index: "track", 4000.0, lambda s: s.now),
         0,
     )
 
@@ -196,7 +196,7 @@
 
 def test_where_two_traces_part_and_what_was_decided():
     other = [s._replace(actions=(admission.Reject(2, 5.0, True, "price"),)) if s.now == 200 else s for s in STEPS]
-    sides = [comparing.Decisions(lambda box, cls: NAMES[cls]) for _ in range(2)]
+    sides = [comparing.Decisions(lambda box, class_index: NAMES[class_index]) for _ in range(2)]
 
     def on_pair(one, two):
         for side, step in zip(sides, (one, two), strict=True):
@@ -217,7 +217,7 @@
 
 def test_classes_are_remembered_for_so_many_requests_only(monkeypatch):
     monkeypatch.setattr(comparing, "MAX_KNOWN_REQUESTS", 100)
-    side = comparing.Decisions(lambda box, cls: NAMES[cls])
+    side = comparing.Decisions(lambda box, class_index: NAMES[class_index])
     for n in range(1, 1000):
         side.add(asked(n, n), (admission.StartRun(n),))
     assert len(side._classes) <= 101
