--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -73,8 +73,9 @@
         self.core = core = Core(
             loop, settings, int(config.seed, 16), limits.kept, limits.open, [s.name for s in config.settings.services]
         )
-        self.executor = core.peers.executor = ExecutorLink(loop, config.address("executor"), core.post)
-        self.store = core.peers.store = StoreClient(loop, config.store_address, core.post, most=limits.calls)
+        self.executor = ExecutorLink(loop, config.address("executor"), core.post)
+        core.peers.executor = self.executor.commands
+        self.store = core.peers.store = StoreClient(loop, config.store_address, core.post, max_calls=limits.calls)
         self.registry = RegistryClient(loop, config.address("roster"), config.name)
         core.health.on_listed = self.registry.set
         self.gateways = Gateways(
@@ -282,9 +283,9 @@
             self.recorder.happened("reloaded", ",".join(taken))
         if left := [key for key in changed if key not in RELOADED]:
             log(LOG, logging.WARNING, "reload-left-out", needs_restart=",".join(left))
-        self.executor.move(self.config.address("executor"))
-        self.store.move(self.config.store_address)
-        self.registry.move(self.config.address("roster"))
+        self.executor.change_address(self.config.address("executor"))
+        self.store.change_address(self.config.store_address)
+        self.registry.change_address(self.config.address("roster"))
 
     def _leave(self) -> None:
         """Serve until shortly before the process is stopped, and end once all that was read is answered."""
--- a/lapispick/host/core/completion.py
+++ b/lapispick/host/core/completion.py
@@ -69,14 +69,14 @@
 
     def expect_no_end(self, entry: InFlightRequest) -> None:
         """End a run of which no report may ever come, as where its start was lost with a link."""
-        self._peers.executor.forget(entry.request.request_id)
+        self._peers.executor.forget_run(entry.request.request_id)
         self._post(events.RunCompleted(entry.request.request_id, Outcome.CANCELLED, 0.0, ""))
 
     def drop_call(self, entry: InFlightRequest) -> None:
         """Abandon the call under way."""
-        if entry.call_ticket is not None:
-            self._peers.store.drop(entry.call_ticket)
-            entry.call_ticket = None
+        if entry.store_call is not None:
+            self._peers.store.cancel_call(entry.store_call)
+            entry.store_call = None
 
     def release(self, entry: InFlightRequest) -> None:
         """Forget a request that is answered and of which no report is awaited."""
--- a/lapispick/host/core/health_checks.py
+++ b/lapispick/host/core/health_checks.py
@@ -52,7 +52,7 @@
         """Answer a health check, a deep one by the executor's word where the module orders so."""
         healthy = self.state.healthy and len(self._open_checks) < MAX_OPEN_CHECKS
         if event.deep and not self._answer_from_state and healthy:
-            self._open_checks[self._peers.executor.diagnose()] = event
+            self._open_checks[self._peers.executor.start_health_check()] = event
         else:
             event.reply(healthy, self._answers.backpressure)
 
--- a/lapispick/host/core/in_flight.py
+++ b/lapispick/host/core/in_flight.py
@@ -30,13 +30,16 @@
 from __future__ import annotations
 
 from enum import Enum
-from typing import Any
+from typing import TYPE_CHECKING
 
 import msgspec
 
 from lapispick.host.requests import Request
 from lapispick.idempotency.table import IdempotencyRecord
 
+if TYPE_CHECKING:
+    from lapispick.host.store import StoreCall
+
 
 class RunState(Enum):
     """Where a request is; see the table of this module."""
@@ -67,7 +70,7 @@
     start_withheld: bool = False  # the module started it, and the executor was never told
     call_notice: int = 0  # the executor's notice that requested its call
     call_body: str = ""
-    call_ticket: Any = None  # the call under way
+    store_call: StoreCall | None = None  # the call under way
 
     @property
     def in_executor(self) -> bool:
--- a/lapispick/host/core/runs.py
+++ b/lapispick/host/core/runs.py
@@ -53,7 +53,7 @@
             return
         if entry.state is RunState.PAUSED:
             entry.state = RunState.RUNNING
-            return self._peers.executor.wake(entry.request.request_id)
+            return self._peers.executor.resume_run(entry.request.request_id)
         if self._idempotency.may_run_twice(entry):
             return self._prevent_duplicate(entry)
         verdict = self._idempotency.claim(entry)
@@ -83,12 +83,12 @@
         entry.state = RunState.RUNNING
         self._answers.metrics.runs += 1
         request = entry.request
-        self._peers.executor.run(
-            request.request_id, request.handler, request.body, self._runs_once(request.class_index)
+        self._peers.executor.start_run(
+            request.request_id, request.handler, request.body, self._is_idempotent(request.class_index)
         )
 
-    def _runs_once(self, class_index: int) -> bool:
-        return self._settings.classes[class_index].idempotency is not admission.Idempotency.IDEMPOTENT
+    def _is_idempotent(self, class_index: int) -> bool:
+        return self._settings.classes[class_index].idempotency is admission.Idempotency.IDEMPOTENT
 
     def _withhold(self, entry: InFlightRequest, kind: AnswerKind) -> None:
         """Answer an attempt that has not run, as nobody can say in time whether it may."""
@@ -113,7 +113,7 @@
             return
         self._completion.drop_call(entry)
         entry.cancel_ordered(not entry.answered and self._settings.cancel_mode is admission.CancelMode.PAUSE)
-        self._peers.executor.stop(entry.request.request_id)
+        self._peers.executor.cancel_run(entry.request.request_id)
 
     def start_call(self, action: admission.StartCall) -> None:
         """Make the call that a run waits for."""
@@ -122,8 +122,8 @@
             return
         request = entry.request
         timeout_ms = action.timeout_ms or self._settings.classes[request.class_index].deadline_ms
-        entry.call_ticket = self._peers.store.call(
-            request.request_id, entry.call_body, timeout_ms, once=self._runs_once(request.class_index)
+        entry.store_call = self._peers.store.start_call(
+            request.request_id, entry.call_body, timeout_ms, self._is_idempotent(request.class_index)
         )
 
     def skip_call(self, action: admission.SkipCall) -> None:
@@ -131,7 +131,7 @@
         entry = self._requests.get(action.id)
         if entry is not None and entry.in_executor:
             self._completion.drop_call(entry)
-            self._peers.executor.skip(entry.request.request_id, entry.call_notice)
+            self._peers.executor.skip_call(entry.request.request_id, entry.call_notice)
 
     # Events.
 
@@ -210,10 +210,11 @@
 
     def on_call_completed(self, event: events.CallCompleted, module_events: list[admission.Event]) -> None:
         """Hand a run the reply to its call."""
-        entry = self._requests.find(event.ticket.tag)
-        if entry is None or entry.call_ticket is not event.ticket:
+        request_id = event.call.request_id
+        entry = self._requests.find(request_id)
+        if entry is None or entry.store_call is not event.call:
             return
-        entry.call_ticket = None
+        entry.store_call = None
         if event.outcome is Outcome.OK:
-            self._peers.executor.resume(event.ticket.tag, event.body)
+            self._peers.executor.send_call_reply(request_id, event.body)
         module_events.append(admission.CallCompleted(entry.id, event.outcome, event.duration_ms))
--- a/lapispick/host/core/timers.py
+++ b/lapispick/host/core/timers.py
@@ -42,4 +42,4 @@
         gauges = (usage.runs, usage.memory_kb, usage.calls, *self._gauges)
         module_events.append(admission.TimerFired(event.token, gauges))
         self._peer_sync.exchange()
-        self._peers.executor.meter()  # for the next timer; waiting for the answer here would delay due answers
+        self._peers.executor.request_gauges()  # for the next timer; waiting for the answer here would delay due answers
--- a/lapispick/host/events.py
+++ b/lapispick/host/events.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Hashable
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from lapispick.admission import Outcome
 from lapispick.handover.messages import Message
@@ -15,6 +15,7 @@
 if TYPE_CHECKING:
     from lapispick.host.core.in_flight import InFlightRequest
     from lapispick.host.interfaces import Link
+    from lapispick.host.store import StoreCall
     from lapispick.idempotency.states import Verdict
     from lapispick.idempotency.table import IdempotencyRecord
 
@@ -106,13 +107,24 @@
     healthy: bool
 
 
+ExecutorEvent = (
+    ExecutorReady
+    | RunCompleted
+    | RunUnknown
+    | RunOutcomeUnknown
+    | CallRequested
+    | GaugesReported
+    | HealthCheckCompleted
+)
+
+
 # From the store.
 
 
 class CallCompleted(NamedTuple):
     """A downstream call has ended; the body is base64."""
 
-    ticket: Any
+    call: StoreCall
     outcome: Outcome
     duration_ms: float
     body: str
--- a/lapispick/host/executor.py
+++ b/lapispick/host/executor.py
@@ -1,11 +1,11 @@
-"""The executor's link: one JSON object a line, numbered notices, and what a lost link leaves open."""
+"""The link to the executor: commands and numbered notices, one JSON object a line, and recovery of a lost link."""
 
 from __future__ import annotations
 
 import logging
 import time
 from collections.abc import Callable
-from typing import Any
+from typing import Literal
 
 import msgspec
 
@@ -16,167 +16,305 @@
 from lapispick.host.streams import LineTooLongError, Stream, connect
 
 LOG = "executor"
-CONNECT_S = 1.0  # s; for one try of a connection
-BACKOFF_S = (0.01, 0.4)  # s; first and longest pause before the next try
-# s; what was sent this long before a break was noticed may be lost with it: the executor may lose the last
-# 50 ms, the rest is what a busy host takes to notice
-UNSURE_S = 0.5
-LAST_S = 0.3  # s; the longest wait for the answer that ends a link which is given up for a new address
-LONGEST = 1 << 20  # bytes of one notice; results hold up to 4 KiB
-OUT_MOST = 4 << 20  # bytes of commands kept for an executor that does not read
-ENDS = {"complete": Outcome.OK, "error": Outcome.ERROR, "cancelled": Outcome.CANCELLED, "unknown": Outcome.ABANDONED}
-FENCE = "fence"  # the METER whose answer says that all notices of the time without a link were read
-LAST = "last"  # the METER whose answer says that all commands before it were carried out
+CONNECT_TIMEOUT_S = 1.0  # for one attempt
+MIN_BACKOFF_S = 0.01
+MAX_BACKOFF_S = 0.4
+# A command that was written this long before a break was noticed may be lost with it: the executor may lose the last
+# 50 ms, and the rest is the time that a busy host takes to notice the break.
+MAX_LOST_COMMAND_AGE_S = 0.5
+DRAIN_TIMEOUT_S = 0.3  # for the last answer on a link that is replaced by one to a new address
+MAX_NOTICE_BYTES = 1 << 20  # results hold up to 4 KiB
+MAX_UNSENT_BYTES = 4 << 20  # of commands for an executor that does not read
+RUN_OUTCOMES = {
+    "complete": Outcome.OK,
+    "error": Outcome.ERROR,
+    "cancelled": Outcome.CANCELLED,
+    "unknown": Outcome.ABANDONED,
+}
+
+# Nonces of METER commands, which the executor answers in order with all else.
+GAUGES_NONCE = "tick"  # a plain request for the gauges
+FENCE_NONCE = "fence"  # its answer shows that all notices of the time without a link were read
+DRAIN_NONCE = "last"  # its answer shows that all commands before it were carried out
+
+CommandVerb = Literal["JOIN", "EXEC", "KILL", "WAKE", "RETURN", "BYPASS", "METER", "DIAG"]
+
+
+class Command(msgspec.Struct):
+    """A message to the executor; fields that are not set are not sent."""
+
+    verb: CommandVerb
+    request_id: str | msgspec.UnsetType = msgspec.field(name="task", default=msgspec.UNSET)
+    handler: str | msgspec.UnsetType = msgspec.UNSET
+    body: str | msgspec.UnsetType = msgspec.field(name="bytes", default=msgspec.UNSET)  # base64
+    index: int | msgspec.UnsetType = msgspec.UNSET
+    nonce: str | msgspec.UnsetType = msgspec.UNSET
 
 
 class Notice(msgspec.Struct):
     """Any message from the executor."""
 
     verb: str
-    index: int = 0
-    task: str = ""
+    index: int = 0  # counts the notices that are sent again after a lost link; 0 = none of these
+    request_id: str = msgspec.field(name="task", default="")
     outcome: str = ""
-    spent: float = 0.0
-    bytes: str = ""
+    duration_ms: float = msgspec.field(name="spent", default=0.0)  # of a run; of WELCOME: the executor's uptime
+    body: str = msgspec.field(name="bytes", default="")  # base64
     nonce: str = ""
-    readings: tuple[float, ...] = ()
+    gauges: tuple[float, ...] = msgspec.field(name="readings", default=())
 
 
-class Open(msgspec.Struct):
-    """A run with no end so far, and the last command for it, until a notice shows what became of that."""
+class OpenRun(msgspec.Struct):
+    """A run that has not ended, and the last command for it until a notice shows that it was carried out."""
 
-    once: bool  # it must not begin twice
-    command: dict[str, Any] | None
-    sent_at: float = 0.0  # when it was written to a link; 0 = not yet
-    doubtful: bool = False  # the link that it was written to may have lost it
+    idempotent: bool  # it may be started twice
+    command: Command | None = None
+    sent_at: float = 0.0  # monotonic s; 0 = not yet
+    may_be_lost: bool = False  # with the link that the command was written to
 
+    def on_link_lost(self, now: float) -> None:
+        """Decide whether the command may have been lost with the link; it was not if it is old enough."""
+        if self.command is None or not self.sent_at or self.may_be_lost:
+            return
+        if self.sent_at < now - MAX_LOST_COMMAND_AGE_S:
+            self.command = None
+        else:
+            self.may_be_lost = True
 
-class ExecutorLink:
-    """Keeps one link open and turns notices into what the core understands."""
-
-    def __init__(self, loop: EventLoop, address: tuple[str, int], post: Callable[[Any], None]) -> None:
-        self._loop, self._address, self._post = loop, address, post
-        self._stream: Stream | None = None  # set while commands may be sent
-        self._link: Stream | None = None  # set while a connection is open
-        self._nap: Waiter | None = None  # set between two tries
-        self._pause = BACKOFF_S[0]
-        self._open: dict[str, Open] = {}
-        self._index = 0
-        self._checks = 0
-        self._asked: set[str] = set()  # deep checks without an answer so far
-        self._encode = msgspec.json.Encoder().encode
-        self._decode = msgspec.json.Decoder(Notice).decode
-        self._takers: dict[str, Callable[[Notice], None]] = {
-            "EXIT": self._exit,
-            "CALLOUT": self._callout,
-            "METERS": self._meters,
-            "DIAGNOSED": self._diagnosed,
-            "BAD": self._bad,
-            "LOG": lambda n: None,
-        }
+    def on_link_drained(self) -> None:
+        """Take note that the executor has carried out all that was sent on the link."""
+        if self.sent_at and not self.may_be_lost:
+            self.command = None
+
+    def needs_resend(self) -> bool:
+        """Tell whether the command was not sent on the present link."""
+        return self.command is not None and (self.may_be_lost or not self.sent_at)
+
+    def may_start_twice(self) -> bool:
+        """Tell whether sending the command again could start a run twice that must not be."""
+        return self.may_be_lost and not self.idempotent and self.command is not None and self.command.verb == "EXEC"
+
+
+_encode = msgspec.json.Encoder().encode
+
+
+def send(stream: Stream, command: Command) -> None:
+    """Write a command to a connection."""
+    stream.write(_encode(command) + b"\n")
+
+
+class ExecutorCommands:
+    """Sends the core's commands, and sends again those that a lost link may have taken along.
+
+    While there is no link, commands for runs wait for the next one.
+    """
+
+    def __init__(self, post: Callable[[events.ExecutorEvent], None]) -> None:
+        self._post = post
+        self._stream: Stream | None = None  # while commands may be sent
+        self._open_runs: dict[str, OpenRun] = {}
+        self._last_check = 0
+        self._open_checks: set[str] = set()  # nonces of deep health checks without an answer so far
 
-    # Commands, from the core.
+    # From the core.
 
-    def run(self, tag: str, handler: str, body: str, once: bool) -> None:
-        """Start a run; ``once``: its start is never sent again where it may have got through."""
-        self._open[tag] = Open(once, None)
-        self._order(tag, {"verb": "EXEC", "task": tag, "handler": handler, "bytes": body})
+    def start_run(self, request_id: str, handler: str, body: str, idempotent: bool) -> None:
+        """Start a run; one that is not idempotent is never started again where its start may have arrived."""
+        self._open_runs[request_id] = OpenRun(idempotent)
+        self._send_for_run(request_id, Command("EXEC", request_id, handler, body))
 
-    def stop(self, tag: str) -> None:
-        """Stop a run."""
-        self._order(tag, {"verb": "KILL", "task": tag})
+    def cancel_run(self, request_id: str) -> None:
+        """Cancel a run, or pause it where the settings say so."""
+        self._send_for_run(request_id, Command("KILL", request_id))
 
-    def wake(self, tag: str) -> None:
-        """Let a paused run go on; word that it was paused has ended its entry here."""
-        self._open[tag] = Open(False, None)
-        self._order(tag, {"verb": "WAKE", "task": tag})
+    def resume_run(self, request_id: str) -> None:
+        """Resume a paused run; it is open again, as the notice that it was paused closed it."""
+        self._open_runs[request_id] = OpenRun(idempotent=True)
+        self._send_for_run(request_id, Command("WAKE", request_id))
 
-    def resume(self, tag: str, body: str) -> None:
-        """Give a run the reply to its call."""
-        self._order(tag, {"verb": "RETURN", "task": tag, "bytes": body})
+    def send_call_reply(self, request_id: str, body: str) -> None:
+        """Hand a run the reply to its call."""
+        self._send_for_run(request_id, Command("RETURN", request_id, body=body))
 
-    def skip(self, tag: str, index: int) -> None:
-        """Let a run go on without the call that this notice asked for."""
-        self._order(tag, {"verb": "BYPASS", "task": tag, "index": index})
+    def skip_call(self, request_id: str, notice_index: int) -> None:
+        """Let a run go on without the call that this notice requested."""
+        self._send_for_run(request_id, Command("BYPASS", request_id, index=notice_index))
 
-    def forget(self, tag: str) -> None:
-        """Wait for no end of this run any more."""
-        self._open.pop(tag, None)
+    def forget_run(self, request_id: str) -> None:
+        """Expect no end of this run any more."""
+        self._open_runs.pop(request_id, None)
 
-    def meter(self) -> None:
-        """Ask for the gauges."""
+    def request_gauges(self) -> None:
+        """Request the gauges; they arrive as ``GaugesReported``."""
         if self._stream is not None:
-            self._send(self._stream, {"verb": "METER", "nonce": "tick"})
+            send(self._stream, Command("METER", nonce=GAUGES_NONCE))
 
-    def diagnose(self) -> str:
-        """Ask for a deep health check; return the word that its answer will carry."""
-        self._checks += 1
-        nonce = f"check-{self._checks}"
-        self._asked.add(nonce)
+    def start_health_check(self) -> str:
+        """Request a deep health check; return the nonce of its ``HealthCheckCompleted``."""
+        self._last_check += 1
+        nonce = f"check-{self._last_check}"
+        self._open_checks.add(nonce)
         if self._stream is not None:
-            self._send(self._stream, {"verb": "DIAG", "nonce": nonce})
+            send(self._stream, Command("DIAG", nonce=nonce))
         else:
-            self._lose_checks()
+            self._fail_open_checks()
         return nonce
 
-    def _lose_checks(self) -> None:
-        """Fail the checks that went with a link: their answers are not sent again."""
-        asked, self._asked = self._asked, set()
-        for nonce in asked:
+    def _send_for_run(self, request_id: str, command: Command) -> None:
+        if (run := self._open_runs.get(request_id)) is None:
+            return
+        run.command = command
+        run.sent_at = 0.0
+        run.may_be_lost = False
+        if self._stream is not None:
+            run.sent_at = time.monotonic()
+            send(self._stream, command)
+
+    def _fail_open_checks(self) -> None:
+        """Fail the checks of a link that is lost: the executor does not repeat their answers."""
+        failed, self._open_checks = self._open_checks, set()
+        for nonce in failed:
             self._post(events.HealthCheckCompleted(nonce, False))
 
-    def _order(self, tag: str, command: dict[str, Any]) -> None:
-        if (task := self._open.get(tag)) is None:
+    # From the link.
+
+    @property
+    def open_run_count(self) -> int:
+        """How many runs have not ended."""
+        return len(self._open_runs)
+
+    def started_runs(self) -> list[str]:
+        """Return the open runs for which a command was sent."""
+        return [request_id for request_id, run in self._open_runs.items() if run.sent_at]
+
+    def close_run(self, request_id: str) -> bool:
+        """Take note that a run has ended, or is paused; False where it was not open."""
+        return self._open_runs.pop(request_id, None) is not None
+
+    def on_command_completed(self, request_id: str) -> None:
+        """Take note that the last command for a run was carried out."""
+        if (run := self._open_runs.get(request_id)) is not None:
+            run.command = None
+
+    def on_health_check_completed(self, nonce: str, healthy: bool) -> None:
+        """Report the answer to a health check."""
+        self._open_checks.discard(nonce)
+        self._post(events.HealthCheckCompleted(nonce, healthy))
+
+    def on_link_up(self, stream: Stream) -> None:
+        """Send commands on this connection from now on."""
+        self._stream = stream
+
+    def hold_back(self) -> Stream | None:
+        """Keep further commands for the next link; return the connection of the present one."""
+        stream, self._stream = self._stream, None
+        return stream
+
+    def on_link_lost(self) -> None:
+        """Note at once which commands may be lost: the next link may break before the answer to its fence."""
+        self._stream = None
+        now = time.monotonic()
+        for run in self._open_runs.values():
+            run.on_link_lost(now)
+        self._fail_open_checks()
+
+    def on_link_drained(self) -> None:
+        """Take note that the executor has carried out all commands that were sent on the link."""
+        for run in self._open_runs.values():
+            run.on_link_drained()
+
+    def resend(self) -> None:
+        """Send what an earlier link may have lost, but no start that could run an effect twice."""
+        if (stream := self._stream) is None:
             return
-        task.command, task.sent_at, task.doubtful = command, 0.0, False
-        if self._stream is not None:
-            task.sent_at = time.monotonic()
-            self._send(self._stream, command)
+        for request_id, run in list(self._open_runs.items()):
+            if run.command is None or not run.needs_resend():
+                continue
+            if run.may_start_twice():
+                run.command = None
+                self._post(events.RunOutcomeUnknown(request_id))
+            else:
+                run.sent_at = time.monotonic()
+                run.may_be_lost = False
+                send(stream, run.command)
 
-    def _send(self, stream: Stream, command: dict[str, Any]) -> None:
-        stream.write(self._encode(command) + b"\n")
 
-    # The link.
+class ExecutorLink:
+    """Keeps one link to the executor open and posts its notices as events; ``commands`` is for the core.
+
+    A lost link is replaced. The executor then repeats the notices that were missed, and ``commands`` what may be lost.
+    """
+
+    def __init__(self, loop: EventLoop, address: tuple[str, int], post: Callable[[events.ExecutorEvent], None]) -> None:
+        self.commands = ExecutorCommands(post)
+        self._loop = loop
+        self._address = address
+        self._post = post
+        self._connection: Stream | None = None
+        self._backoff_waiter: Waiter | None = None
+        self._backoff_s = MIN_BACKOFF_S
+        self._last_index = 0  # of the notices that were read
+        self._decode = msgspec.json.Decoder(Notice).decode
+        self._notice_handlers: dict[str, Callable[[Notice], None]] = {
+            "EXIT": self._on_run_completed,
+            "CALLOUT": self._on_call_requested,
+            "METERS": self._on_gauges,
+            "DIAGNOSED": self._on_health_check_completed,
+            "BAD": self._on_command_rejected,
+            "LOG": lambda notice: None,
+        }
 
     def serve(self) -> None:
         """Hold a link, and open a new one whenever it ends."""
         while True:
-            to = self._address
+            address = self._address
             try:
-                self._link = connect(self._loop, to, CONNECT_S, max_line_bytes=LONGEST, max_unsent_bytes=OUT_MOST)
-                if to == self._address:
-                    self._send(self._link, {"verb": "JOIN", "index": self._index})
-                    self._read(self._link)
-                log(LOG, logging.WARNING, "link-ended", index=self._index, open=len(self._open))
+                self._serve_link(address)
             except (OSError, LineTooLongError) as err:
                 log(LOG, logging.WARNING, "link-failed", error=err)
             finally:
-                self._stream = None
-                self._broken(time.monotonic())
-                self._lose_checks()
-                if self._link is not None:
-                    self._link.close()
-                self._link = None
-            if to == self._address:
-                self._nap = Waiter(self._loop)
-                self._loop.suspend(self._nap, self._pause)
-                self._nap, self._pause = None, min(BACKOFF_S[1], self._pause * 2)
-
-    def move(self, address: tuple[str, int]) -> None:
-        """Go over to a new address, after the present link's commands were carried out: none is lost."""
+                self.commands.on_link_lost()
+                if self._connection is not None:
+                    self._connection.close()
+                self._connection = None
+            if address == self._address:
+                self._back_off()
+
+    def _serve_link(self, address: tuple[str, int]) -> None:
+        self._connection = connect(
+            self._loop,
+            address,
+            CONNECT_TIMEOUT_S,
+            max_line_bytes=MAX_NOTICE_BYTES,
+            max_unsent_bytes=MAX_UNSENT_BYTES,
+        )
+        if address == self._address:
+            send(self._connection, Command("JOIN", index=self._last_index))
+            self._read_notices(self._connection)
+        log(LOG, logging.WARNING, "link-ended", index=self._last_index, open=self.commands.open_run_count)
+
+    def _back_off(self) -> None:
+        self._backoff_waiter = Waiter(self._loop)
+        self._loop.suspend(self._backoff_waiter, self._backoff_s)
+        self._backoff_waiter = None
+        self._backoff_s = min(MAX_BACKOFF_S, self._backoff_s * 2)
+
+    def change_address(self, address: tuple[str, int]) -> None:
+        """Link to a new address, once the commands sent on the present link were carried out: none is lost."""
         if address == self._address:
             return
-        self._address, self._pause = address, BACKOFF_S[0]
-        if self._nap is not None:
-            self._nap.wake()
-        stream, self._stream = self._stream, None  # what comes now waits for the new link
+        self._address = address
+        self._backoff_s = MIN_BACKOFF_S
+        if self._backoff_waiter is not None:
+            self._backoff_waiter.wake()
+        stream = self.commands.hold_back()
         if stream is not None:
-            self._send(stream, {"verb": "METER", "nonce": LAST})
-            self._loop.call_later(LAST_S, stream.close)
-        elif self._link is not None:
-            self._link.close()
+            send(stream, Command("METER", nonce=DRAIN_NONCE))
+            self._loop.call_later(DRAIN_TIMEOUT_S, stream.close)
+        elif self._connection is not None:
+            self._connection.close()
 
-    def _read(self, stream: Stream) -> None:
+    def _read_notices(self, stream: Stream) -> None:
         """Read notices until the link ends."""
         while (line := stream.read_line()) is not None:
             try:
@@ -185,90 +323,59 @@
                 log(LOG, logging.WARNING, "notice-malformed", error=err)
                 continue
             if notice.verb == "WELCOME":
-                self._welcome(stream, notice)
-            elif notice.index and notice.index <= self._index:
-                continue  # a link that was replaced had brought it already
-            elif (taker := self._takers.get(notice.verb)) is None:
+                self._on_welcome(stream, notice)
+            elif notice.index and notice.index <= self._last_index:
+                continue  # a repeated notice: a link before this one brought it
+            elif (handler := self._notice_handlers.get(notice.verb)) is None:
                 log(LOG, logging.WARNING, "notice-unknown", verb=notice.verb)
             else:
-                if notice.index > self._index + 1:
-                    self._missed(notice.index)
-                self._index = max(self._index, notice.index)
-                taker(notice)
-
-    def _missed(self, index: int) -> None:
-        """Guard the slots against ends that nobody will tell of: the executor keeps its last notices only."""
-        begun = [tag for tag, task in self._open.items() if task.sent_at]
-        log(LOG, logging.ERROR, "notices-missed", after=self._index, next=index, open=len(begun))
-        for tag in begun:
-            self._post(events.RunOutcomeUnknown(tag))
-
-    def _welcome(self, stream: Stream, notice: Notice) -> None:
-        log(LOG, logging.INFO, "link-up", outcome=notice.outcome, spent_ms=notice.spent, index=self._index)
-        self._post(events.ExecutorReady(notice.outcome == "chilly", notice.spent))
-        # Notices of the time without a link come first; the answer to this says that all were read.
-        self._send(stream, {"verb": "METER", "nonce": FENCE})
-        self._stream, self._pause = stream, BACKOFF_S[0]
-
-    def _broken(self, now: float) -> None:
-        """Note at once which commands went with the link: it may break again before the next fence is answered."""
-        for task in self._open.values():
-            if task.command is None or not task.sent_at or task.doubtful:
-                continue
-            if task.sent_at < now - UNSURE_S:
-                task.command = None  # it got through: a second copy could only do harm
-            else:
-                task.doubtful = True
-
-    def _after_fence(self) -> None:
-        """Send again what the old link may have lost, but no start of an effect that may have got through."""
-        for tag, task in list(self._open.items()):
-            if task.command is None or self._stream is None or (task.sent_at and not task.doubtful):
-                continue  # what was sent and is not in doubt went out on this link
-            if task.doubtful and task.once and task.command["verb"] == "EXEC":
-                task.command = None
-                self._post(events.RunOutcomeUnknown(tag))
-            else:
-                task.sent_at, task.doubtful = time.monotonic(), False
-                self._send(self._stream, task.command)
-
-    def _carried_out(self) -> None:
-        """Note that the executor has read all that was sent to the link which is being left."""
-        for task in self._open.values():
-            if task.sent_at and not task.doubtful:
-                task.command = None
-        if self._link is not None:
-            self._link.close()
-
-    # Notices.
-
-    def _exit(self, notice: Notice) -> None:
-        self._open.pop(notice.task, None)
-        outcome = ENDS.get(notice.outcome, Outcome.ERROR)
-        self._post(events.RunCompleted(notice.task, outcome, notice.spent, notice.bytes))
-
-    def _callout(self, notice: Notice) -> None:
-        if (task := self._open.get(notice.task)) is not None:
-            task.command = None  # the last command was carried out
-        self._post(events.CallRequested(notice.task, notice.index, notice.bytes))
-
-    def _meters(self, notice: Notice) -> None:
-        if notice.nonce == FENCE:
-            self._after_fence()
-        elif notice.nonce == LAST:
-            self._carried_out()
-        self._post(events.GaugesReported(notice.readings))
-
-    def _diagnosed(self, notice: Notice) -> None:
-        self._asked.discard(notice.nonce)
-        self._post(events.HealthCheckCompleted(notice.nonce, notice.outcome == "complete"))
-
-    def _bad(self, notice: Notice) -> None:
-        log(LOG, logging.WARNING, "command-refused", command=notice.outcome, tag=notice.task)
-        if notice.outcome in ("EXEC", "KILL", "WAKE") and self._open.pop(notice.task, None) is not None:
-            # Either way nothing runs, and no other notice will say so.
-            self._post(
-                events.RunUnknown(notice.task)
-                if notice.outcome == "EXEC"
-                else events.RunCompleted(notice.task, Outcome.CANCELLED, 0.0, "")
-            )
+                if notice.index > self._last_index + 1:
+                    self._on_notices_missed(notice.index)
+                self._last_index = max(self._last_index, notice.index)
+                handler(notice)
+
+    def _on_notices_missed(self, next_index: int) -> None:
+        """Report all started runs as unknown, as the executor no longer has the notices of some ends."""
+        started = self.commands.started_runs()
+        log(LOG, logging.ERROR, "notices-missed", after=self._last_index, next=next_index, open=len(started))
+        for request_id in started:
+            self._post(events.RunOutcomeUnknown(request_id))
+
+    def _on_welcome(self, stream: Stream, notice: Notice) -> None:
+        uptime_ms = notice.duration_ms
+        log(LOG, logging.INFO, "link-up", outcome=notice.outcome, spent_ms=uptime_ms, index=self._last_index)
+        self._post(events.ExecutorReady(notice.outcome == "chilly", uptime_ms))
+        send(stream, Command("METER", nonce=FENCE_NONCE))
+        self.commands.on_link_up(stream)
+        self._backoff_s = MIN_BACKOFF_S
+
+    def _on_run_completed(self, notice: Notice) -> None:
+        self.commands.close_run(notice.request_id)
+        outcome = RUN_OUTCOMES.get(notice.outcome, Outcome.ERROR)
+        self._post(events.RunCompleted(notice.request_id, outcome, notice.duration_ms, notice.body))
+
+    def _on_call_requested(self, notice: Notice) -> None:
+        self.commands.on_command_completed(notice.request_id)
+        self._post(events.CallRequested(notice.request_id, notice.index, notice.body))
+
+    def _on_gauges(self, notice: Notice) -> None:
+        if notice.nonce == FENCE_NONCE:
+            self.commands.resend()
+        elif notice.nonce == DRAIN_NONCE:
+            self.commands.on_link_drained()
+            if self._connection is not None:
+                self._connection.close()
+        self._post(events.GaugesReported(notice.gauges))
+
+    def _on_health_check_completed(self, notice: Notice) -> None:
+        self.commands.on_health_check_completed(notice.nonce, notice.outcome == "complete")
+
+    def _on_command_rejected(self, notice: Notice) -> None:
+        """Report the end of a run that is not there; no other notice will."""
+        log(LOG, logging.WARNING, "command-refused", command=notice.outcome, tag=notice.request_id)
+        if notice.outcome not in ("EXEC", "KILL", "WAKE") or not self.commands.close_run(notice.request_id):
+            return
+        if notice.outcome == "EXEC":
+            self._post(events.RunUnknown(notice.request_id))
+        else:
+            self._post(events.RunCompleted(notice.request_id, Outcome.CANCELLED, 0.0, ""))
--- a/lapispick/host/interfaces.py
+++ b/lapispick/host/interfaces.py
@@ -2,48 +2,49 @@
 
 from __future__ import annotations
 
-from typing import Any, Protocol
+from typing import Protocol
 
 from lapispick import admission
 from lapispick.handover import messages
 from lapispick.host.requests import Request
+from lapispick.host.store import StoreCall
 
 
 class Executor(Protocol):
     """Runs requests; every method only queues a command."""
 
-    def run(self, tag: str, handler: str, body: str, once: bool) -> None:
-        """Start a run; ``once``: its start is not sent again where it may have arrived."""
+    def start_run(self, request_id: str, handler: str, body: str, idempotent: bool) -> None:
+        """Start a run; one that is not idempotent is never started again where its start may have arrived."""
 
-    def stop(self, tag: str) -> None:
+    def cancel_run(self, request_id: str) -> None:
         """Cancel a run, or pause it where the settings say so."""
 
-    def wake(self, tag: str) -> None:
+    def resume_run(self, request_id: str) -> None:
         """Resume a paused run."""
 
-    def resume(self, tag: str, body: str) -> None:
+    def send_call_reply(self, request_id: str, body: str) -> None:
         """Hand a run the reply to its call."""
 
-    def skip(self, tag: str, index: int) -> None:
+    def skip_call(self, request_id: str, notice_index: int) -> None:
         """Let a run go on without the call that this notice requested."""
 
-    def meter(self) -> None:
+    def request_gauges(self) -> None:
         """Request the gauges; they arrive as ``GaugesReported``."""
 
-    def forget(self, tag: str) -> None:
+    def forget_run(self, request_id: str) -> None:
         """Expect no end of this run any more."""
 
-    def diagnose(self) -> str:
+    def start_health_check(self) -> str:
         """Request a deep health check; return the nonce of its ``HealthCheckCompleted``."""
 
 
 class Store(Protocol):
     """Carries out downstream calls."""
 
-    def call(self, tag: str, body: str, timeout_ms: float, once: bool) -> Any:
-        """Start a call and return its ticket; it ends with a ``CallCompleted``."""
+    def start_call(self, request_id: str, body: str, timeout_ms: float, idempotent: bool) -> StoreCall:
+        """Start a call, which ends with a ``CallCompleted``; one that is not idempotent is never repeated if it ran."""
 
-    def drop(self, ticket: Any) -> None:
+    def cancel_call(self, call: StoreCall) -> None:
         """Abandon a call; nothing is reported of it."""
 
 
--- a/lapispick/host/members/store_watch.py
+++ b/lapispick/host/members/store_watch.py
@@ -4,7 +4,6 @@
 
 import time
 from collections.abc import Callable
-from typing import Any
 
 from lapispick.admission import Outcome
 from lapispick.host.events import CallCompleted
@@ -14,14 +13,13 @@
 class StoreWatch:
     """Passes the store client's events on to the core, and records the latency of calls."""
 
-    def __init__(self, post: Callable[[Any], None]) -> None:
+    def __init__(self, post: Callable[[CallCompleted], None]) -> None:
         self._post = post
         self._latency = StoreLatency()
 
-    def post(self, event: Any) -> None:
+    def post(self, event: CallCompleted) -> None:
         """Take an event of the store client."""
-        if isinstance(event, CallCompleted):
-            self._latency.record_call(time.monotonic(), event.duration_ms, event.outcome is Outcome.OK)
+        self._latency.record_call(time.monotonic(), event.duration_ms, event.outcome is Outcome.OK)
         self._post(event)
 
     def relative_latency(self) -> RelativeLatency | None:
--- a/lapispick/host/registry.py
+++ b/lapispick/host/registry.py
@@ -36,7 +36,7 @@
             self._on = on
             self._report_change()
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Report to a new address from now on."""
         if address != self._address:
             self._address = address
--- a/lapispick/host/store.py
+++ b/lapispick/host/store.py
@@ -1,4 +1,4 @@
-"""The store's client: HTTP/1.1, one call at a time on a connection, connections kept for a short while."""
+"""The client of the store: HTTP/1.1, one call at a time on a connection, connections reused for a short while."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 import time
 from collections import deque
 from collections.abc import Callable
-from typing import Any
 
+import msgspec
 from greenlet import greenlet
 
 from lapispick.admission import Outcome
@@ -21,104 +21,126 @@
 from lapispick.host.streams import LineTooLongError, Stream, StreamClosedError, connect
 
 LOG = "store"
-# s; the store closes idle connections at 10 s, and a call that meets such a close has proved nothing
-KEEP_S = 4.0
-# of the connections; so many may lie idle. One is used again SETTLE_S after its last reply: at 650 calls a second 20
-# are settling at any time, and where fewer are kept each further call pays for a new one
-KEEP_PART = 0.5
-SETTLE_S = 0.03  # s; what may still follow a good reply, and would pass for the next one, has come by then
-CONNECT_S = 1.0  # s; the most for opening a connection
-LONGEST_HEAD = 8192  # bytes of one header line
-HEADERS_MOST = 64
-LONGEST_BODY = 64 * 1024  # bytes; results hold up to 4 KiB
-CHUNK = 16 * 1024  # bytes read at once
-INTERIM_MOST = 16  # 1xx heads before a reply
-TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")  # what a header's name is made of
+# The store closes idle connections after 10 s, and a call that meets such a close has proved nothing.
+MAX_IDLE_S = 4.0
+# Of the connections for calls. A connection settles for SETTLE_S before it is reused: at 650 calls a second 20 are
+# settling at any time, and with fewer idle ones allowed each further call would open a connection.
+MAX_IDLE_FRACTION = 0.5
+SETTLE_S = 0.03  # surplus bytes after a good reply, which would pass for the next one, have come by then
+CONNECT_TIMEOUT_S = 1.0
+MAX_HEADER_LINE_BYTES = 8192
+MAX_HEADER_LINES = 64
+MAX_BODY_BYTES = 64 * 1024  # results hold up to 4 KiB
+MAX_LENGTH_DIGITS = 9
+MAX_INTERIM_REPLIES = 16  # 1xx heads before a reply
+RECEIVE_BYTES = 16 * 1024
+HEADER_NAME = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
+CHUNK_SIZE = re.compile(rb"[0-9a-fA-F]{1,8}")
+
+Headers = dict[bytes, bytes]  # by name in lower case
 
 
 class MalformedReplyError(Exception):
     """The reply does not follow HTTP/1.1."""
 
 
-class Ticket:
-    """One call."""
+class Reply(msgspec.Struct):
+    """A complete reply."""
 
-    __slots__ = ("address", "began", "body", "done", "once", "reused", "stream", "tag", "timeout", "worker")
+    status: int
+    headers: Headers
+    body: bytes
 
-    def __init__(self, tag: str, body: str, timeout_ms: float, once: bool) -> None:
-        self.tag, self.body, self.timeout, self.once = tag, body, timeout_ms / 1000, once
-        self.reused = False  # on a connection that carried a call before
-        self.began, self.done = time.monotonic(), False
-        self.stream: Stream | None = None
-        self.address: tuple[str, int] | None = None  # where it was made
-        self.worker: greenlet | None = None
+    def keeps_connection(self) -> bool:
+        """Tell whether the store leaves the connection open after this reply."""
+        return self.headers.get(b"connection", b"").lower() != b"close"
 
 
-def read_reply(stream: Stream, deadline: float) -> tuple[int, dict[bytes, bytes], bytes]:
-    """Read status, headers and body; raises ``MalformedReplyError``, ``StreamError`` or ``TimeoutError``."""
+class ReplyReader:
+    """Reads one reply from a connection until a deadline (monotonic s)."""
 
-    def line() -> bytes:
-        left = deadline - time.monotonic()
-        if left <= 0:  # a reply that never ends comes without a pause, and no wait would run out
-            raise TimeoutError("the reply took too long")
-        got = stream.read_line(left)
-        if got is None:
-            raise StreamClosedError("the connection ended in a reply")
-        return got.rstrip(b"\r")
+    __slots__ = ("_deadline", "_stream")
+
+    def __init__(self, stream: Stream, deadline: float) -> None:
+        self._stream = stream
+        self._deadline = deadline
+
+    def read(self) -> Reply:
+        """Read the reply; raises ``MalformedReplyError``, ``StreamError`` or ``TimeoutError``."""
+        for _ in range(MAX_INTERIM_REPLIES):
+            version, status = self._read_status_line()
+            headers = self.read_headers()
+            if not 100 <= status < 200:
+                break
+        else:
+            raise MalformedReplyError("no end of 1xx heads")
+        if version == b"HTTP/1.0" and headers.get(b"connection", b"").lower() != b"keep-alive":
+            headers[b"connection"] = b"close"
+        return Reply(status, headers, self._read_body(headers))
 
-    for _ in range(INTERIM_MOST):
-        version, _, rest = line().partition(b" ")
+    def _read_status_line(self) -> tuple[bytes, int]:
+        version, _, rest = self._read_line().partition(b" ")
         status = rest[:3]
         if version not in (b"HTTP/1.1", b"HTTP/1.0") or not status.isdigit() or rest[3:4] not in (b"", b" "):
             raise MalformedReplyError("no status line")
-        headers = _read_head(line)
-        if not 100 <= int(status) < 200:
-            break
-    else:
-        raise MalformedReplyError("no end of 1xx heads")
-    if version == b"HTTP/1.0" and headers.get(b"connection", b"").lower() != b"keep-alive":
-        headers[b"connection"] = b"close"
-    length, coding = headers.get(b"content-length"), headers.get(b"transfer-encoding", b"").lower()
-    if coding == b"chunked" and length is None:
-        return int(status), headers, _read_chunks(stream, line, deadline)
-    if coding or length is None or not length.isdigit() or len(length) > 9 or int(length) > LONGEST_BODY:
-        raise MalformedReplyError("no usable content-length")
-    return int(status), headers, stream.read_exactly(int(length), max(0.0, deadline - time.monotonic()))
-
-
-def _read_head(line: Callable[[], bytes]) -> dict[bytes, bytes]:
-    headers: dict[bytes, bytes] = {}
-    lines = 0
-    while head := line():
-        lines += 1  # of one name too: a head that never ends would keep us busy for as long as the call may last
-        name, colon, value = head.partition(b":")
-        name, value = name.lower(), value.strip()
-        if not colon or not TOKEN.fullmatch(name) or lines > HEADERS_MOST:
-            raise MalformedReplyError("bad or too many headers")
-        if headers.setdefault(name, value) != value and name in (b"content-length", b"transfer-encoding"):
-            raise MalformedReplyError("two lengths")
-    return headers
-
-
-def _read_chunks(stream: Stream, line: Callable[[], bytes], deadline: float) -> bytes:
-    body = bytearray()
-    while True:
-        size = line().partition(b";")[0].strip()
-        if not re.fullmatch(rb"[0-9a-fA-F]{1,8}", size):
-            raise MalformedReplyError("bad chunk size")
-        count = int(size, 16)
-        if len(body) + count > LONGEST_BODY:
-            raise MalformedReplyError("bad chunk size")
-        if not count:
-            _read_head(line)  # trailers, bounded like the head
-            return bytes(body)
-        body += stream.read_exactly(count, max(0.0, deadline - time.monotonic()))
-        if line():
-            raise MalformedReplyError("a chunk without its end")
-
-
-def outcome_of(status: int, headers: dict[bytes, bytes]) -> Outcome:
-    """Tell what a reply proves."""
+        return version, int(status)
+
+    def read_headers(self) -> Headers:
+        """Read headers or trailers up to the empty line that ends them."""
+        headers: Headers = {}
+        line_count = 0
+        while line := self._read_line():
+            line_count += 1  # repeated names count too: an endless head would keep the host busy until the deadline
+            name, colon, value = line.partition(b":")
+            name, value = name.lower(), value.strip()
+            if not colon or not HEADER_NAME.fullmatch(name) or line_count > MAX_HEADER_LINES:
+                raise MalformedReplyError("bad or too many headers")
+            if headers.setdefault(name, value) != value and name in (b"content-length", b"transfer-encoding"):
+                raise MalformedReplyError("two lengths")
+        return headers
+
+    def _read_body(self, headers: Headers) -> bytes:
+        length = headers.get(b"content-length")
+        coding = headers.get(b"transfer-encoding", b"").lower()
+        if coding == b"chunked" and length is None:
+            return self._read_chunks()
+        if coding or length is None or not length.isdigit() or len(length) > MAX_LENGTH_DIGITS:
+            raise MalformedReplyError("no usable content-length")
+        if int(length) > MAX_BODY_BYTES:
+            raise MalformedReplyError("no usable content-length")
+        return self._read_exactly(int(length))
+
+    def _read_chunks(self) -> bytes:
+        body = bytearray()
+        while True:
+            size = self._read_line().partition(b";")[0].strip()
+            if not CHUNK_SIZE.fullmatch(size):
+                raise MalformedReplyError("bad chunk size")
+            count = int(size, 16)
+            if len(body) + count > MAX_BODY_BYTES:
+                raise MalformedReplyError("bad chunk size")
+            if not count:
+                self.read_headers()  # trailers
+                return bytes(body)
+            body += self._read_exactly(count)
+            if self._read_line():
+                raise MalformedReplyError("a chunk without its end")
+
+    def _read_line(self) -> bytes:
+        remaining_s = self._deadline - time.monotonic()
+        if remaining_s <= 0:  # an endless reply comes without a pause, so that no wait would time out
+            raise TimeoutError("the reply took too long")
+        line = self._stream.read_line(remaining_s)
+        if line is None:
+            raise StreamClosedError("the connection ended in a reply")
+        return line.rstrip(b"\r")
+
+    def _read_exactly(self, size: int) -> bytes:
+        return self._stream.read_exactly(size, max(0.0, self._deadline - time.monotonic()))
+
+
+def outcome_of_reply(status: int, headers: Headers) -> Outcome:
+    """Return what a reply proves of its call."""
     not_run = headers.get(b"x-not-run") == b"1"
     if status == 200:
         return Outcome.OK
@@ -129,156 +151,229 @@
     return Outcome.TIMEOUT if status == 504 else Outcome.ERROR
 
 
+class StoreCall:
+    """One downstream call."""
+
+    __slots__ = (
+        "address",
+        "body",
+        "ended",
+        "idempotent",
+        "request_id",
+        "reuses_connection",
+        "started_at",
+        "stream",
+        "timeout_s",
+        "worker",
+    )
+
+    def __init__(self, request_id: str, body: str, timeout_s: float, idempotent: bool) -> None:
+        self.request_id = request_id
+        self.body = body  # base64
+        self.timeout_s = timeout_s
+        self.idempotent = idempotent  # it may be made twice
+        self.reuses_connection = False  # its connection carried a call before
+        self.started_at = time.monotonic()
+        self.ended = False
+        self.stream: Stream | None = None
+        self.address: tuple[str, int] | None = None  # where it was made
+        self.worker: greenlet | None = None
+
+
+class CallResult(msgspec.Struct):
+    """How a call ended."""
+
+    outcome: Outcome
+    body: bytes = b""
+    connection_reusable: bool = False
+
+
+class IdleConnections:
+    """Connections that wait for further calls; the one that was used last is taken first."""
+
+    __slots__ = ("_connections", "_loop", "_sweep_scheduled")
+
+    def __init__(self, loop: EventLoop) -> None:
+        self._loop = loop
+        self._connections: deque[tuple[float, Stream]] = deque()  # by the time since which they are idle
+        self._sweep_scheduled = False
+
+    def __len__(self) -> int:
+        return len(self._connections)
+
+    def add(self, stream: Stream) -> None:
+        """Add a connection whose call has just ended."""
+        self._connections.append((time.monotonic(), stream))
+        if not self._sweep_scheduled:
+            self._sweep_scheduled = True
+            self._loop.call_later(MAX_IDLE_S / 2, self._sweep)
+
+    def take(self) -> Stream | None:
+        """Return a connection that has settled and is still usable; those that are not are closed."""
+        now, settling, found = time.monotonic(), [], None
+        while self._connections and found is None:
+            idle_since, stream = self._connections.pop()
+            if now - idle_since < SETTLE_S:
+                settling.append((idle_since, stream))
+            elif now - idle_since < MAX_IDLE_S and stream.is_idle():
+                found = stream
+            else:
+                stream.close()
+        self._connections.extend(reversed(settling))
+        return found
+
+    def close_oldest(self) -> None:
+        """Close the connection that has been idle for longest."""
+        self._connections.popleft()[1].close()
+
+    def close_all(self) -> None:
+        """Close all connections."""
+        while self._connections:
+            self._connections.pop()[1].close()
+
+    def _sweep(self) -> None:
+        limit = time.monotonic() - MAX_IDLE_S
+        while self._connections and self._connections[0][0] < limit:
+            self.close_oldest()
+        self._sweep_scheduled = bool(self._connections)
+        if self._sweep_scheduled:
+            self._loop.call_later(MAX_IDLE_S / 2, self._sweep)
+
+
 class StoreClient:
-    """Makes calls and reports each one's end, unless the call was dropped before."""
+    """Makes calls and reports the end of each, unless it was cancelled."""
 
     def __init__(
-        self, loop: EventLoop, address: tuple[str, int] | None, post: Callable[[Any], None], most: int
+        self,
+        loop: EventLoop,
+        address: tuple[str, int] | None,
+        post: Callable[[events.CallCompleted], None],
+        max_calls: int,
     ) -> None:
-        self._loop, self._address, self.post, self._most = loop, address, post, most
+        self._loop = loop
+        self._address = address
+        self.post = post
+        self._max_calls = max_calls
         self.shared = False  # with another process of this worker host
-        self._idle: deque[tuple[float, Stream]] = deque()  # by the time they went idle
-        self._busy = 0
-        self._sweeping = False
+        self._idle = IdleConnections(loop)
+        self._active_calls = 0
 
     @property
-    def _bound(self) -> int:
-        return budget.max_calls(self._most, self.shared)
-
-    def call(self, tag: str, body: str, timeout_ms: float, once: bool) -> Ticket:
-        """Begin a call with a base64 body; ``once``: it must not be made again unless it never ran."""
-        ticket = Ticket(tag, body, timeout_ms, once)
-        ticket.worker = self._loop.spawn(self._run, ticket)
-        return ticket
-
-    def move(self, address: tuple[str, int] | None) -> None:
-        """Make new calls at a new address, or nowhere; those that are out end where they began."""
+    def _max_connections(self) -> int:
+        return budget.max_calls(self._max_calls, self.shared)
+
+    def start_call(self, request_id: str, body: str, timeout_ms: float, idempotent: bool) -> StoreCall:
+        """Start a call with a base64 body; one that is not idempotent is made again only if it never ran."""
+        call = StoreCall(request_id, body, timeout_ms / 1000, idempotent)
+        call.worker = self._loop.spawn(self._run, call)
+        return call
+
+    def cancel_call(self, call: StoreCall) -> None:
+        """Abandon a call: its connection is closed and nothing is reported."""
+        if call.ended:
+            return
+        call.ended = True
+        if call.stream is not None:
+            call.stream.close()
+        if call.worker is not None:
+            self._loop.kill(call.worker)
+
+    def change_address(self, address: tuple[str, int] | None) -> None:
+        """Make new calls at a new address, or nowhere; those under way end where they began."""
         if address != self._address:
             self._address = address
-            while self._idle:
-                self._idle.pop()[1].close()
-
-    def drop(self, ticket: Ticket) -> None:
-        """Give a call up: its connection is closed and nothing is reported."""
-        if not ticket.done:
-            ticket.done = True
-            if ticket.stream is not None:
-                ticket.stream.close()
-            if ticket.worker is not None:
-                self._loop.kill(ticket.worker)
-
-    def _run(self, ticket: Ticket) -> None:
-        if ticket.done:
+            self._idle.close_all()
+
+    def _run(self, call: StoreCall) -> None:
+        if call.ended:
             return
-        outcome, reply, reusable = Outcome.ERROR, b"", False
-        self._busy += 1
+        result = CallResult(Outcome.ERROR)
+        self._active_calls += 1
         try:
-            outcome, reply, reusable = self._exchange(ticket)
+            result = self._exchange(call)
         finally:
-            self._busy -= 1
-            if ticket.stream is not None and not (reusable and not ticket.done):
-                ticket.stream.close()
-        if ticket.done:
+            self._active_calls -= 1
+            if call.stream is not None and not (result.connection_reusable and not call.ended):
+                call.stream.close()
+        if call.ended:
             return
-        ticket.done = True
-        if ticket.stream is not None and reusable:
-            self._keep(ticket.stream, ticket.address)
-        took = round((time.monotonic() - ticket.began) * 1000, 3)  # to the us; more is noise
-        self.post(events.CallCompleted(ticket, outcome, took, base64.b64encode(reply).decode()))
-
-    def _exchange(self, ticket: Ticket, fresh: bool = False) -> tuple[Outcome, bytes, bool]:
-        """Return the outcome, the reply's body, and whether the connection can be used again."""
-        deadline = ticket.began + ticket.timeout
+        call.ended = True
+        if call.stream is not None and result.connection_reusable:
+            self._keep(call.stream, call.address)
+        duration_ms = round((time.monotonic() - call.started_at) * 1000, 3)  # to the us; more is noise
+        self.post(events.CallCompleted(call, result.outcome, duration_ms, base64.b64encode(result.body).decode()))
+
+    def _exchange(self, call: StoreCall, new_connection: bool = False) -> CallResult:
+        deadline = call.started_at + call.timeout_s
         try:
-            body = base64.b64decode(ticket.body, validate=True)
+            body = base64.b64decode(call.body, validate=True)
         except binascii.Error:
-            return Outcome.ERROR, b"", False
+            return CallResult(Outcome.ERROR)
         try:
-            ticket.stream = self._open(ticket, fresh)
+            call.stream = stream = self._connection_for(call, new_connection)
         except OSError as err:  # nothing was sent, so no call ran
             log(LOG, logging.WARNING, "connect-failed", error=err)
-            return Outcome.CONNECT_FAILED, b"", False
-        wait = max(1, int((deadline - time.monotonic()) * 1000))
-        assert ticket.address is not None
-        host, port = ticket.address
-        head = (
-            f"POST /query HTTP/1.1\r\nHost: {host}:{port}\r\nX-For-Request: {ticket.tag}\r\n"
-            f"X-Wait-Ms: {wait}\r\nContent-Length: {len(body)}\r\n\r\n"
-        )
-        stream = ticket.stream
-        stream.write(head.encode() + body)
+            return CallResult(Outcome.CONNECT_FAILED)
+        stream.write(self._request_head(call, len(body), deadline) + body)
         try:
-            status, headers, reply = read_reply(stream, deadline)
+            reply = ReplyReader(stream, deadline).read()
         except TimeoutError:
-            return Outcome.TIMEOUT, b"", False
+            return CallResult(Outcome.TIMEOUT)
         except StreamClosedError:
-            if ticket.reused and not stream.received_bytes:
-                # The store had forgotten the idle connection, or closed it as the call was written. Only calls that may
-                # be made twice go out on a connection that was used before.
-                ticket.reused, ticket.stream = False, None
-                return self._exchange(ticket, fresh=True)
-            return Outcome.RESET, b"", False
+            if call.reuses_connection and not stream.received_bytes:
+                # The store had closed the idle connection, or did so as the call was written. Only idempotent calls
+                # are made on a connection that was used before, so this one may be repeated.
+                call.reuses_connection, call.stream = False, None
+                return self._exchange(call, new_connection=True)
+            return CallResult(Outcome.RESET)
         except (MalformedReplyError, LineTooLongError) as err:
             log(LOG, logging.WARNING, "reply-malformed", error=err)
-            return Outcome.ERROR, b"", False
-        # Surplus behind a good reply would be read as the next one.
-        reusable = headers.get(b"connection", b"").lower() != b"close" and stream.is_idle()
-        return outcome_of(status, headers), reply, reusable
-
-    def _open(self, ticket: Ticket, fresh: bool) -> Stream:
-        """Take the freshest idle connection that has settled and is still good, or open one."""
-        ticket.address = self._address
-        if ticket.address is None:
+            return CallResult(Outcome.ERROR)
+        # Surplus bytes after a good reply would be read as the next one.
+        reusable = reply.keeps_connection() and stream.is_idle()
+        return CallResult(outcome_of_reply(reply.status, reply.headers), reply.body, reusable)
+
+    @staticmethod
+    def _request_head(call: StoreCall, body_bytes: int, deadline: float) -> bytes:
+        assert call.address is not None
+        host, port = call.address
+        wait_ms = max(1, int((deadline - time.monotonic()) * 1000))
+        head = (
+            f"POST /query HTTP/1.1\r\nHost: {host}:{port}\r\nX-For-Request: {call.request_id}\r\n"
+            f"X-Wait-Ms: {wait_ms}\r\nContent-Length: {body_bytes}\r\n\r\n"
+        )
+        return head.encode()
+
+    def _connection_for(self, call: StoreCall, new_connection: bool) -> Stream:
+        """Take an idle connection or open one; raises ``OSError`` with nothing sent."""
+        call.address = self._address
+        if call.address is None:
             raise OSError("there is no store")
-        # A reset on a connection that was idle may come instead of the reply as well: where the call must not
-        # be made twice, the two are kept apart by a connection of its own.
-        if not fresh and not ticket.once and (stream := self._settled()) is not None:
-            ticket.reused, stream.received_bytes = True, 0
+        # The reset of an idle connection may also come in place of a reply. A call that is not idempotent gets a
+        # connection of its own, so that the two cases can be told apart.
+        if not new_connection and call.idempotent and (stream := self._idle.take()) is not None:
+            call.reuses_connection, stream.received_bytes = True, 0
             return stream
-        if self._busy > self._bound:
+        if self._active_calls > self._max_connections:
             raise OSError("too many calls are out")
-        while self._idle and len(self._idle) + self._busy > self._bound:
-            self._idle.popleft()[1].close()
+        while self._idle and len(self._idle) + self._active_calls > self._max_connections:
+            self._idle.close_oldest()
         try:
             return connect(
                 self._loop,
-                ticket.address,
-                min(CONNECT_S, ticket.timeout),
-                max_line_bytes=LONGEST_HEAD,
-                receive_bytes=CHUNK,
+                call.address,
+                min(CONNECT_TIMEOUT_S, call.timeout_s),
+                max_line_bytes=MAX_HEADER_LINE_BYTES,
+                receive_bytes=RECEIVE_BYTES,
             )
         except OSError:
-            if ticket.address == self._address:
+            if call.address == self._address:
                 raise
-            return self._open(ticket, fresh)  # the store has a new address since; nothing was sent to the old
-
-    def _settled(self) -> Stream | None:
-        now, young, found = time.monotonic(), [], None
-        while self._idle and found is None:
-            since, stream = self._idle.pop()
-            if now - since < SETTLE_S:
-                young.append((since, stream))
-            elif now - since < KEEP_S and stream.is_idle():
-                found = stream
-            else:
-                stream.close()
-        self._idle.extend(reversed(young))
-        return found
+            return self._connection_for(call, new_connection)  # the address changed; nothing was sent to the old one
 
     def _keep(self, stream: Stream, address: tuple[str, int] | None) -> None:
-        if address != self._address or len(self._idle) + self._busy >= self._bound:
+        if address != self._address or len(self._idle) + self._active_calls >= self._max_connections:
             return stream.close()
-        if len(self._idle) >= self._bound * KEEP_PART:
-            self._idle.popleft()[1].close()
-        self._idle.append((time.monotonic(), stream))
-        if not self._sweeping:
-            self._sweeping = True
-            self._loop.call_later(KEEP_S / 2, self._sweep)
-
-    def _sweep(self) -> None:
-        limit = time.monotonic() - KEEP_S
-        while self._idle and self._idle[0][0] < limit:
-            self._idle.popleft()[1].close()
-        self._sweeping = bool(self._idle)
-        if self._sweeping:
-            self._loop.call_later(KEEP_S / 2, self._sweep)
+        if len(self._idle) >= self._max_connections * MAX_IDLE_FRACTION:
+            self._idle.close_oldest()
+        self._idle.add(stream)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -33,13 +33,13 @@
     def __init__(self, host):
         self.host, self.runs = host, []
 
-    def meter(self):
+    def request_gauges(self):
         self.host.post(events.GaugesReported((0.5, 2.0)))
 
-    def run(self, tag, handler, body, keyed):
+    def start_run(self, tag, handler, body, idempotent):
         self.runs.append(tag)
 
-    def forget(self, tag):
+    def forget_run(self, tag):
         self.forgot = tag
 
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -58,7 +58,7 @@
 def test_a_deep_check_without_a_link_fails_at_once():
     loop, posted = EventLoop(), []
     link = ExecutorLink(loop, ("127.0.0.1", 1), posted.append)
-    nonce = link.diagnose()
+    nonce = link.commands.start_health_check()
     assert posted == [HealthCheckCompleted(nonce, False)]
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize("lead", [[], [b"HTTP/1.1 200 OK", b"Transfer-Encoding: chunked", b"", b"0"]])
 def test_a_head_that_repeats_one_line_for_ever_is_given_up_at_its_bound(lead):
     """It kept the whole host busy for as long as the call could last; the same for what stands behind the chunks."""
-    taken = itertools.chain(lead, itertools.repeat(b"X-More: of it", 2 * store.HEADERS_MOST))
+    taken = itertools.chain(lead, itertools.repeat(b"X-More: of it", 2 * store.MAX_HEADER_LINES))
 
     class Lines:
         def read_line(self, _):
@@ -39,10 +39,10 @@
 
     with pytest.raises(store.MalformedReplyError):
         if lead:
-            store.read_reply(Lines(), time.monotonic() + 10)
+            store.ReplyReader(Lines(), time.monotonic() + 10).read()
         else:
-            store._read_head(lambda: next(taken))
-    assert sum(1 for _ in taken) >= store.HEADERS_MOST - 1
+            store.ReplyReader(Lines(), time.monotonic() + 10).read_headers()
+    assert sum(1 for _ in taken) >= store.MAX_HEADER_LINES - 1
 
 
 @pytest.mark.parametrize("what", ["early", "double", "trail"])
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -113,7 +113,7 @@
     "ways to advertise, in the module's settings": lambda: [each.value for each in admission.BackpressureSignal],
     "outcomes of a run or call": lambda: {outcome_name(each): int(each) for each in admission.Outcome},
     "kinds of an answer, in traces": lambda: [AnswerKind.SERVED, AnswerKind.REJECTED, AnswerKind.FAILED],
-    "ends of a run": lambda: {word: int(end) for word, end in executor.ENDS.items()},
+    "ends of a run": lambda: {word: int(end) for word, end in executor.RUN_OUTCOMES.items()},
     "formats and their versions": lambda: {kind: list(each) for kind, each in versions.FORMATS.items()},
     "words in the lock of a hand-over": lambda: [key_lock.SERVING.decode(), key_lock.ENDED.decode()],
     "file with the number of a life": lambda: process_epoch.FILE_NAME,
@@ -296,13 +296,13 @@
         return json.dumps(told).encode()
 
     def command():
-        link.run("a", "book", "eA==", True)
-        link.stop("a")
-        link.wake("a")
-        link.resume("a", "eQ==")
-        link.skip("a", 9)
-        link.meter()
-        link.diagnose()
+        link.commands.start_run("a", "book", "eA==", idempotent=False)
+        link.commands.cancel_run("a")
+        link.commands.resume_run("a")
+        link.commands.send_call_reply("a", "eQ==")
+        link.commands.skip_call("a", 9)
+        link.commands.request_gauges()
+        link.commands.start_health_check()
 
     stream = FakeStream(
         notice(verb="WELCOME", outcome="chilly", spent=1.5),
@@ -311,7 +311,7 @@
         notice(verb="EXIT", index=2, task="a", outcome="complete", spent=2.5, bytes="eQ=="),
         notice(verb="METERS", index=3, nonce="tick", readings=[1.5, 2.5]),
         notice(verb="DIAGNOSED", index=4, nonce="check-1", outcome="complete"),
-        lambda: link.run("b", "book", "eA==", False),
+        lambda: link.commands.start_run("b", "book", "eA==", idempotent=True),
         notice(verb="BAD", index=5, outcome="EXEC", task="b"),
     )
     monkeypatch.setattr(executor, "connect", lambda *_, **__: stream)
@@ -335,7 +335,7 @@
     stream = FakeStream(b"HTTP/1.1 503 Busy\r", b"X-Not-Run: 1\r", b"Content-Length: 2\r", b"\r", b"no")
     monkeypatch.setattr(store, "connect", lambda *_, **__: stream)
     client = store.StoreClient(FakeLoop(), ("127.0.0.1", 8080), posted.append, 10)
-    client.call("0123456789abcdef", base64.b64encode(b"body").decode(), 250.0, True)
+    client.start_call("0123456789abcdef", base64.b64encode(b"body").decode(), 250.0, idempotent=False)
     assert [(each[1], each[3]) for each in posted] == [(Outcome.FULL, base64.b64encode(b"no").decode())]
     return re.sub(r"(?<=X-Wait-Ms: )\d+", "N", b"".join(stream.written).decode())
 
@@ -343,7 +343,7 @@
 def store_outcomes():
     given = {"200": {}, "409, not run": {b"x-not-run": b"1"}, "503, not run": {b"x-not-run": b"1"}, "503": {}}
     given |= {"504": {}, "500": {}}
-    return {told: int(store.outcome_of(int(told[:3]), headers)) for told, headers in given.items()}
+    return {told: int(store.outcome_of_reply(int(told[:3]), headers)) for told, headers in given.items()}
 
 
 def roster_reports():
