--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -77,7 +77,7 @@
         core.peers.executor = self.executor.commands
         self.store = core.peers.store = StoreClient(loop, config.store_address, core.post, max_calls=limits.calls)
         self.registry = RegistryClient(loop, config.address("roster"), config.name)
-        core.health.on_listed = self.registry.set
+        core.health.on_listed = self.registry.set_listed
         self.gateways = Gateways(
             loop,
             config.address("listen"),
--- a/lapispick/host/addresses.py
+++ b/lapispick/host/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses in settings: an IP address and a port, never a name, whose resolution would block the event loop."""
+"""Addresses in settings: an IP address and a port, but no name, as its resolution would block the event loop."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def parse_address(text: str, min_port: int = 1) -> tuple[str, int]:
-    """Split ``IP:port``, IPv6 addresses in brackets or without; raises ``ValueError``."""
+    """Split ``IP:port``, where an IPv6 address may be in brackets; raises ``ValueError``."""
     host, colon, port = text.rpartition(":")
     if not colon or not port.isdecimal() or not min_port <= int(port) <= MAX_PORT:
         raise ValueError(f"{text!r} is not IP:port")
--- a/lapispick/host/dns_resolver.py
+++ b/lapispick/host/dns_resolver.py
@@ -1,10 +1,11 @@
-"""Addresses of names, looked up in threads: the system's look-up blocks, and may block for long."""
+"""Resolves names in threads, as the system's resolver blocks, perhaps for long."""
 
 from __future__ import annotations
 
 import logging
 import socket
 from pathlib import Path
+from typing import NamedTuple
 
 from lapispick.fleet import identity
 from lapispick.fleet.errors import HostNameError
@@ -14,70 +15,79 @@
 from lapispick.host.worker_threads import TooManyJobsError, WorkerThreads
 
 LOG = "names"
-THREADS = 2  # one that hangs must not stop the other look-ups
+THREADS = 2  # one look-up that hangs must not stop the others
 MAX_WAITING_LOOKUPS = 256
 MAX_ADDRESSES_PER_NAME = 16
 MAX_FILE_BYTES = 1 << 20
 
 
+class LookupResult(NamedTuple):
+    """The addresses of a name, or why there are none."""
+
+    addresses: list[str]
+    error: str = ""
+
+
 class NameNotResolvedError(HostError, OSError):
-    """A name has no address, or it was not found in time."""
+    """A name has no address, or it was not resolved in time."""
 
 
-def parse(text: str) -> dict[str, list[str]]:
-    """Read lines of an address and its names, as in /etc/hosts; lines that can't be read are left out."""
-    found: dict[str, list[str]] = {}
+def parse_hosts(text: str) -> dict[str, list[str]]:
+    """Return the addresses of each name in the format of /etc/hosts; invalid lines are left out."""
+    addresses: dict[str, list[str]] = {}
     for line in text.splitlines():
-        words = line.partition("#")[0].split()
+        fields = line.partition("#")[0].split()
         try:
-            address = identity.address(words[0]) if len(words) > 1 else None
-            names = [identity.name(word) for word in words[1:]]
+            address = identity.address(fields[0]) if len(fields) > 1 else None
+            names = [identity.name(field) for field in fields[1:]]
         except HostNameError:
             continue
-        for name in names if address else ():
-            found.setdefault(name, []).append(address)
-    return found
+        if address is None:
+            continue
+        for name in names:
+            addresses.setdefault(name, []).append(address)
+    return addresses
 
 
 class DnsResolver:
-    """Resolves names for greenlets, in threads."""
+    """Resolves names for greenlets, first from an optional hosts file. Its threads end with the process."""
 
-    def __init__(self, loop: EventLoop, timeout: float, file: Path | None) -> None:
-        """Look up by threads, which end with the process."""
-        self._work = WorkerThreads(loop, THREADS, MAX_WAITING_LOOKUPS)
-        self._timeout = timeout
-        self._file = file
+    def __init__(self, loop: EventLoop, timeout_s: float, hosts_file: Path | None) -> None:
+        self._threads = WorkerThreads(loop, THREADS, MAX_WAITING_LOOKUPS)
+        self._timeout_s = timeout_s
+        self._hosts_file = hosts_file
 
     def lookup(self, name: str) -> list[str]:
-        """Return the addresses of a name, or itself where it is one; raises ``NameNotResolvedError``."""
+        """Return the addresses of a name, or the name itself if it is an address; raises ``NameNotResolvedError``."""
         if identity.address(name) is not None:
             return [name]
         try:
-            addresses, fault = self._work.run(self._find, name, timeout=self._timeout)
+            result = self._threads.run(self._find, name, timeout=self._timeout_s)
         except TooManyJobsError as err:
             raise NameNotResolvedError(f"{name} is not looked up: {err}") from None
         except TimeoutError:
-            raise NameNotResolvedError(f"{name} was not found within {self._timeout:g} s") from None
-        if not addresses:
-            raise NameNotResolvedError(f"{name} has no address: {fault}")
-        return addresses
+            raise NameNotResolvedError(f"{name} was not found within {self._timeout_s:g} s") from None
+        if not result.addresses:
+            raise NameNotResolvedError(f"{name} has no address: {result.error}")
+        return result.addresses
 
     # In the threads.
 
-    def _find(self, name: str) -> tuple[list[str], str]:
+    def _find(self, name: str) -> LookupResult:
         try:
-            if self._file is not None and (known := self._in_file().get(name)):
-                return known[:MAX_ADDRESSES_PER_NAME], ""
-            told = socket.getaddrinfo(name, None, type=socket.SOCK_STREAM)
+            if self._hosts_file is not None and (listed := self._read_hosts(self._hosts_file).get(name)):
+                return LookupResult(listed[:MAX_ADDRESSES_PER_NAME])
+            entries = socket.getaddrinfo(name, None, type=socket.SOCK_STREAM)
         except (OSError, UnicodeError) as err:
-            return [], str(err)
-        return list(dict.fromkeys(str(part[4][0]) for part in told))[:MAX_ADDRESSES_PER_NAME], ""
+            return LookupResult([], str(err))
+        addresses = dict.fromkeys(str(socket_address[0]) for *_, socket_address in entries)
+        return LookupResult(list(addresses)[:MAX_ADDRESSES_PER_NAME])
 
-    def _in_file(self) -> dict[str, list[str]]:
-        assert self._file is not None
+    @staticmethod
+    def _read_hosts(file: Path) -> dict[str, list[str]]:
         try:
-            with open(self._file, encoding="utf-8", errors="replace") as opened:
-                return parse(opened.read(MAX_FILE_BYTES))
+            with open(file, encoding="utf-8", errors="replace") as opened:
+                return parse_hosts(opened.read(MAX_FILE_BYTES))
         except OSError as err:
-            log(LOG, logging.WARNING, "names-file-failed", file=self._file, error=err)
+            log(LOG, logging.WARNING, "names-file-failed", file=file, error=err)
             return {}
--- a/lapispick/host/errors.py
+++ b/lapispick/host/errors.py
@@ -1,5 +1,5 @@
-"""The base of the errors that this package raises."""
+"""The base class of this package's errors."""
 
 
 class HostError(Exception):
-    """What went wrong in the worker host's own parts; subclasses say what."""
+    """Base of the errors that parts of the worker host raise."""
--- a/lapispick/host/interfaces.py
+++ b/lapispick/host/interfaces.py
@@ -60,8 +60,8 @@
     def connections(self) -> int:
         """Count the clients' connections of this process."""
 
-    def on_peer_usage(self, told: messages.ResourceUsage) -> None:
-        """Take note of what the other process has in hand."""
+    def on_peer_usage(self, usage: messages.ResourceUsage) -> None:
+        """Take note of the other process's resource usage."""
 
     def on_snapshot_complete(self) -> None:
         """Take note that the snapshot is complete."""
@@ -85,7 +85,7 @@
     def answered(self, number: int, kind: str, age: float) -> None:
         """Record a final answer, ``age`` ms after the request reached the machine."""
 
-    def happened(self, what: str, told: str = "") -> None:
+    def happened(self, action: str, detail: str = "") -> None:
         """Record an operator's action."""
 
 
--- a/lapispick/host/scheduler.py
+++ b/lapispick/host/scheduler.py
@@ -17,14 +17,14 @@
 READ = select.POLLIN
 WRITE = select.POLLOUT
 ERROR_EVENTS = select.POLLERR | select.POLLHUP | select.POLLNVAL
-MAX_ROUND_S = 0.02  # then the hub polls, so that urgent sockets wait for one call and no more
-DEFAULT_MAX_UNSENT_BYTES = 4 << 20  # that wait for all slow readers together
+MAX_ROUND_S = 0.02  # after this the hub polls again, so that urgent sockets wait for one call at most
+DEFAULT_MAX_UNSENT_BYTES = 4 << 20  # for all slow readers together
 
 Call = tuple[Callable[..., Any], tuple[Any, ...]]  # a function and its arguments
 
 
 class Waiter:
-    """One wait of one greenlet: the first wake counts and later ones do nothing."""
+    """One wait of one greenlet; only the first ``wake`` has an effect."""
 
     __slots__ = ("done", "greenlet", "loop", "urgent")
 
@@ -35,33 +35,33 @@
         self.urgent = urgent
 
     def wake(self, value: Any = None) -> None:
-        """Let the greenlet go on with this value in the next round."""
+        """Resume the greenlet with this value in the next round."""
         if not self.done:
             self.done = True
             self.loop.call_soon(self.greenlet.switch, value, urgent=self.urgent)
 
 
 class EventLoop:
-    """Runs greenlets until stopped. Its hub is the greenlet that made it; only the hub polls."""
+    """Runs greenlets until stopped. Its hub is the greenlet that created it; only the hub polls."""
 
     def __init__(self, max_unsent_bytes: int = DEFAULT_MAX_UNSENT_BYTES) -> None:
         self.max_unsent_bytes = max_unsent_bytes
         self._hub = getcurrent()
         self._poll = select.poll()
         self._ready: deque[Call] = deque()
-        self._urgent: deque[Call] = deque()  # these go first, in their order
+        self._urgent: deque[Call] = deque()  # called before all others, in their order
         self._timers = TimerQueue()
-        self._waits: dict[int, dict[int, Waiter]] = {}
+        self._waits: dict[int, dict[int, Waiter]] = {}  # by descriptor and event
         self._stopped = False
-        self.unsent_bytes = 0  # on all streams together
+        self.unsent_bytes = 0  # of all streams together
 
     def call_soon(self, callback: Callable[..., Any], *args: Any, urgent: bool = False) -> None:
-        """Call a function from the hub in the next round, or before all others in it."""
+        """Call a function from the hub in the next round; urgent ones come before all others in it."""
         calls = self._urgent if urgent else self._ready
         calls.append((callback, args))
 
     def call_later(self, seconds: float, callback: Callable[..., Any], *args: Any) -> Timer:
-        """Call a function from the hub after so many seconds."""
+        """Call a function from the hub after a time (s)."""
         return self._timers.add(time.monotonic() + seconds, callback, args)
 
     def spawn(self, callback: Callable[..., Any], *args: Any, urgent: bool = False) -> greenlet:
@@ -71,11 +71,11 @@
         return task
 
     def kill(self, task: greenlet) -> None:
-        """End a greenlet at its present wait."""
+        """Raise ``GreenletExit`` in a greenlet where it waits."""
         self.call_soon(lambda: task.dead or task.throw(GreenletExit))
 
     def _guarded(self, callback: Callable[..., Any], *args: Any) -> None:
-        # Guards the process: an uncaught exception of one greenlet would end the hub, and all others.
+        # An exception that is not caught here would end the hub, and with it all other greenlets.
         try:
             callback(*args)
         except GreenletExit:
@@ -84,11 +84,11 @@
             logging.getLogger("loop").exception("greenlet-failed", extra={"pairs": {"in": callback.__qualname__}})
 
     def sleep(self, seconds: float) -> None:
-        """Wait for so many seconds."""
+        """Wait for a time (s)."""
         self.suspend(Waiter(self), seconds)
 
     def yield_control(self) -> None:
-        """Let all others that can go on have their turn first."""
+        """Let all other greenlets that are ready run first."""
         waiter = Waiter(self)
         waiter.wake()
         self.suspend(waiter)
@@ -123,25 +123,25 @@
         self._poll.unregister(fd)
 
     def cancel_io_waits(self, fd: int) -> None:
-        """Wake whoever waits for a descriptor that is about to be closed."""
+        """Wake all greenlets that wait for a descriptor, which is about to be closed."""
         if fd in self._waits:
             for waiter in self._waits[fd].values():
                 waiter.wake(False)
             self._unregister(fd)
 
     def stop(self) -> None:
-        """End ``run`` after this round."""
+        """Make ``run`` return after this round."""
         self._stopped = True
 
     def run(self) -> None:
-        """Poll and switch until stopped."""
+        """Poll and switch to greenlets until stopped."""
         while not self._stopped:
             for _ in range(len(self._urgent)):
                 self._call(*self._urgent.popleft())
             round_end = time.monotonic() + MAX_ROUND_S
             for _ in range(len(self._ready)):
                 self._call(*self._ready.popleft())
-                if time.monotonic() > round_end:  # the rest still comes before all that the poll finds, but the urgent
+                if time.monotonic() > round_end:  # the rest stays ahead of what the poll adds, except urgent calls
                     break
             for fd, events in self._poll.poll(self._poll_timeout_ms()):
                 for event, waiter in list(self._waits.get(fd, {}).items()):
@@ -154,7 +154,7 @@
     def _call(self, callback: Callable[..., Any], args: tuple[Any, ...]) -> None:
         try:
             callback(*args)
-        except Exception:  # guards the process: a fault in one call from the hub would end all greenlets
+        except Exception:  # one that is not caught here would end all greenlets
             logging.getLogger("loop").exception("call-failed", extra={"pairs": {"in": str(callback)}})
 
     def _poll_timeout_ms(self) -> int | None:
@@ -168,7 +168,7 @@
 
 
 class Queue:
-    """Items for one greenlet, which takes all that wait at once."""
+    """An unbounded queue for one consumer greenlet, which takes all waiting items at once."""
 
     __slots__ = ("_items", "_loop", "_waiter")
 
--- a/lapispick/host/streams.py
+++ b/lapispick/host/streams.py
@@ -1,4 +1,4 @@
-"""Buffered non-blocking sockets for greenlets: reads that wait, writes that don't, and connections that are opened."""
+"""Buffered non-blocking sockets for greenlets: reads wait, writes do not; and opening of connections."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from lapispick.host.scheduler import READ, WRITE, EventLoop
 from lapispick.host.timers import Timer
 
-RECEIVE_BYTES = 65536  # read at once, and the max_line_bytes line, unless the owner says otherwise
-MAX_UNSENT_BYTES = 1 << 20  # that wait for a slow reader before its connection is given up
-GRACEFUL_CLOSE_S = 0.5  # how long what a peer still sends is read and discarded before its connection is closed
-MAX_DISCARDED_BYTES = 256 * 1024  # a peer that sends more to a connection that is closing is cut off
-SIOCOUTQ = 0x5411  # asks the system how many bytes of a connection its peer has not acknowledged
+RECEIVE_BYTES = 65536  # the default of what one read takes, and of the longest line
+MAX_UNSENT_BYTES = 1 << 20  # the default of what may wait for a slow reader; with more its connection is closed
+GRACEFUL_CLOSE_S = 0.5  # how long input is read and discarded before a connection is closed
+MAX_DISCARDED_BYTES = 256 * 1024  # with more input than this a connection is closed at once
+SIOCOUTQ = 0x5411  # the ioctl for the number of bytes that the peer has not acknowledged
 
 
 class StreamError(HostError):
@@ -37,29 +37,66 @@
     """The connection ended in the middle of what was to be read."""
 
 
-class SendProgress:
-    """Tells for how long a peer has acknowledged none of the bytes that were written to it."""
+class SendBuffer:
+    """Bytes that wait for a slow peer, and for how long the peer has acknowledged none of what was sent."""
 
-    __slots__ = ("_last_progress_at", "_sock", "_unacknowledged_bytes")
+    __slots__ = ("_data", "_last_progress_at", "_loop", "_sock", "_unacknowledged_bytes")
 
-    def __init__(self, sock: socket.socket) -> None:
+    def __init__(self, loop: EventLoop, sock: socket.socket) -> None:
+        self._loop = loop
         self._sock = sock
+        self._data = bytearray()
         self._last_progress_at = 0.0
-        self._unacknowledged_bytes = 0  # at the last look
+        self._unacknowledged_bytes = 0  # when last checked
 
-    def reset(self) -> None:
-        """Take note that the system took bytes just now."""
+    def __len__(self) -> int:
+        return len(self._data)
+
+    def send(self, data: bytes) -> bool:
+        """Send what the socket takes now and keep the rest; False where something is kept. Raises ``OSError``."""
+        if not self._data:
+            self._on_progress()
+            try:
+                sent = self._sock.send(data)
+            except BlockingIOError:
+                sent = 0
+            if sent == len(data):
+                return True
+            data = data[sent:]
+        self._data += data
+        self._loop.unsent_bytes += len(data)
+        return False
+
+    def send_kept(self) -> None:
+        """Send what the socket takes of the bytes that were kept; raises ``OSError``."""
+        sent = self._sock.send(self._data)
+        del self._data[:sent]
+        self._loop.unsent_bytes -= sent
+        self._on_progress()
+
+    def exceeds(self, max_bytes: int) -> bool:
+        """Tell whether more is kept than this, or more than the loop allows for all slow readers together."""
+        return len(self._data) > max_bytes or self._loop.unsent_bytes > self._loop.max_unsent_bytes
+
+    def clear(self) -> None:
+        """Drop the bytes that were kept."""
+        self._loop.unsent_bytes -= len(self._data)
+        self._data.clear()
+
+    def _on_progress(self) -> None:
         self._last_progress_at = time.monotonic()
         self._unacknowledged_bytes = 0
 
     def stalled_s(self) -> float:
-        """Return the seconds since the last sign of progress.
+        """Return the seconds since the last sign of progress; 0 where nothing is kept.
 
-        Guards slow readers: the system takes bytes by the megabyte and then none for many seconds, all of which time
-        the peer may be reading.
+        Acknowledged bytes count as progress too: the kernel takes bytes by the megabyte and then none for many
+        seconds, while the peer may be reading all the time.
         """
+        if not self._data:
+            return 0.0
         answer = bytes(4)
-        with suppress(OSError):  # where the system can't tell, only what it takes counts
+        with suppress(OSError):  # where the kernel can't tell, only what it takes counts
             answer = ioctl(self._sock.fileno(), SIOCOUTQ, answer)
         unacknowledged = int.from_bytes(answer, sys.byteorder)
         if unacknowledged < self._unacknowledged_bytes:
@@ -68,6 +105,12 @@
         return time.monotonic() - self._last_progress_at
 
 
+def _configure(sock: socket.socket) -> None:
+    sock.setblocking(False)
+    if sock.family != socket.AF_UNIX:
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+
+
 class Stream:
     """A socket with buffers. One greenlet reads; ``write`` never blocks and its backlog is bounded."""
 
@@ -80,9 +123,7 @@
         receive_bytes: int = RECEIVE_BYTES,
         urgent: bool = False,
     ) -> None:
-        sock.setblocking(False)
-        if sock.family != socket.AF_UNIX:
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        _configure(sock)
         self.loop = loop
         self.sock = sock
         self.max_line_bytes = max_line_bytes
@@ -91,44 +132,43 @@
         self.urgent = urgent
         self.closed = False
         self.failed = False
-        self.discarding = False  # what comes is read and dropped
-        self.closing = False  # what is written still goes out, and nothing after it
-        self.eof_received = False  # the peer sends nothing more
-        self.received_bytes = 0  # ever, or since the owner set it back
+        self.discarding = False  # input is read and dropped
+        self.closing = False  # what was written is still sent, and nothing after it
+        self.eof_received = False
+        self.received_bytes = 0  # since the start, or since the owner reset it
         self.last_received_at = 0.0
         self.receive_count = 0
         self._input = bytearray()
-        self._output = bytearray()
+        self._output = SendBuffer(loop, sock)
         self._flusher: greenlet | None = None
-        self._progress = SendProgress(sock)
         self._discarded_bytes = 0
         self._close_timer: Timer | None = None
 
     @property
     def unsent_bytes(self) -> int:
-        """How many bytes wait for the peer."""
+        """How many written bytes wait for the peer."""
         return len(self._output)
 
     def stalled_s(self) -> float:
         """Return for how many seconds the peer has taken none of what waits for it."""
-        return self._progress.stalled_s() if self._output else 0.0
+        return self._output.stalled_s()
 
     def _receive(self, timeout: float | None) -> bool:
-        """Add what the peer sent to the buffer; False at its end. Raises ``TimeoutError``."""
+        """Add input to the buffer; False at the end of the stream. Raises ``TimeoutError``."""
         waited = False
         while not self.closed:
             try:
                 data = self.sock.recv(self.receive_bytes)
             except BlockingIOError:
-                data = None  # the wait stands outside, or each waiting greenlet would hold a traceback
+                data = None  # waits outside of the handler, or each waiting greenlet would hold a traceback
             except OSError:
                 self.failed = True
                 if self.closing:
                     self.close()
                 return False
             if data is None:
-                came = self.loop.wait_for_io(self.sock.fileno(), READ, timeout, self.urgent)
-                if not (came or self.closed or self.discarding):
+                ready = self.loop.wait_for_io(self.sock.fileno(), READ, timeout, self.urgent)
+                if not (ready or self.closed or self.discarding):
                     raise TimeoutError("nothing was received in time")
                 waited = True
                 continue
@@ -144,7 +184,7 @@
             self.received_bytes += len(data)
             self.last_received_at = time.monotonic()
             self.receive_count += 1
-            if not waited:  # a peer that sends without a pause must not keep the others waiting
+            if not waited:  # a peer that sends without a pause must not starve the others
                 self.loop.yield_control()
             return bool(data)
         return False
@@ -165,7 +205,7 @@
         return line
 
     def read_exactly(self, size: int, timeout: float | None = None) -> bytes:
-        """Return this many bytes; raises ``StreamClosedError`` where the stream ends before."""
+        """Return this many bytes; raises ``StreamClosedError`` if the stream ends before."""
         while len(self._input) < size:
             if not self._receive(timeout):
                 raise StreamClosedError(f"the stream ended {size - len(self._input)} bytes early")
@@ -174,63 +214,41 @@
         return data
 
     def has_line(self) -> bool:
-        """Tell whether a whole line can be read without waiting."""
+        """Tell whether a complete line can be read without waiting."""
         return b"\n" in self._input
 
     @property
     def unread_bytes(self) -> int:
-        """How many bytes were received and not taken so far."""
+        """How many bytes were received and not read by the owner so far."""
         return len(self._input)
 
     def has_pending_input(self) -> bool:
-        """Tell whether bytes of the peer wait in the system."""
-        try:
-            return bool(self.sock.recv(1, socket.MSG_PEEK))
-        except OSError:
-            return False
+        """Tell whether input waits in the kernel's buffer."""
+        return bool(peek(self.sock))
 
     def is_idle(self) -> bool:
         """Tell whether the peer has neither closed nor sent anything that is still unread."""
-        try:
-            self.sock.recv(1, socket.MSG_PEEK)
-        except BlockingIOError:
-            return not self._input
-        except OSError:
-            return False
-        return False
+        return peek(self.sock) is None and not self._input
 
     def write(self, data: bytes) -> None:
-        """Send now what the socket takes and keep the rest for later."""
+        """Send now what the socket takes and keep the rest for later; never waits."""
         if self.closed or self.closing:
             return
-        if not self._output:
-            self._progress.reset()
-            try:
-                data = data[self.sock.send(data) :]
-            except BlockingIOError:
-                pass
-            except OSError:
-                return self._fail()
-            if not data:
+        try:
+            if self._output.send(data):
                 return
-        self._output += data
-        self.loop.unsent_bytes += len(data)
-        # Guards the memory: neither one slow reader nor hundreds of them may fill it.
-        if len(self._output) > self.max_unsent_bytes or self.loop.unsent_bytes > self.loop.max_unsent_bytes:
+        except OSError:
+            return self._fail()
+        if self._output.exceeds(self.max_unsent_bytes):
             log("loop", logging.WARNING, "slow-reader-dropped", unsent=len(self._output))
             self._fail()
         elif self._flusher is None:
             self._flusher = self.loop.spawn(self._flush)
 
     def _flush(self) -> None:
-        while self._output and not self.closed:
-            if not self.loop.wait_for_io(self.sock.fileno(), WRITE):
-                break
+        while self._output and not self.closed and self.loop.wait_for_io(self.sock.fileno(), WRITE):
             try:
-                sent = self.sock.send(self._output)
-                del self._output[:sent]
-                self.loop.unsent_bytes -= sent
-                self._progress.reset()
+                self._output.send_kept()
             except BlockingIOError:
                 continue
             except OSError:
@@ -244,23 +262,22 @@
         self.close()
 
     def discard_input(self) -> None:
-        """Hand out nothing that comes from now on; whoever reads here goes on reading, and drops it."""
+        """Drop all further input; the greenlet that reads must go on reading."""
         self.discarding = True
         self._input.clear()
 
     def _discard(self, size: int) -> bool:
-        """Count bytes that are dropped; False where no more are read."""
+        """Count dropped input; False where no more is read."""
         self._discarded_bytes += size
         if self._discarded_bytes > MAX_DISCARDED_BYTES or (self.eof_received and self.closing and not self._output):
             self.close()
         return not (self.closed or self.eof_received)
 
     def close_gracefully(self, timeout: float = GRACEFUL_CLOSE_S) -> None:
-        """Send what was written, say that nothing follows, and close when the peer has ended too, or after a while.
+        """Send what was written, half-close, and close once the peer has ended too, or after a timeout (s).
 
-        Guards what is on its way: the system turns a close over bytes that nobody read into a reset, which takes
-        answers along that the peer has not read. What comes meanwhile reaches nobody here, so the peer may send it
-        again elsewhere. Whoever reads the stream goes on; see ``close_gracefully_and_wait`` where nobody would.
+        A close over unread input becomes a reset, which may destroy answers that the peer has not read. So the greenlet
+        that reads the stream must go on, and drops the input; without one call ``close_gracefully_and_wait``.
         """
         if self.closed or self.closing:
             return
@@ -279,23 +296,32 @@
                 self.close()
 
     def close_gracefully_and_wait(self, timeout: float = GRACEFUL_CLOSE_S) -> None:
-        """Finish, and wait here until the stream is closed."""
+        """Close gracefully, reading in the calling greenlet, and wait until the stream is closed."""
         self.close_gracefully(timeout)
         if not self.eof_received:
             self._receive(None)
 
     def close(self) -> None:
-        """Close the socket and wake whoever waits for it."""
+        """Close the socket at once and wake all greenlets that wait for it."""
         if not self.closed:
             self.closed = True
-            if self._close_timer is not None:  # or it would hold the stream until its time
+            if self._close_timer is not None:  # a pending timer would keep the stream in memory
                 self._close_timer.cancel()
-            self.loop.unsent_bytes -= len(self._output)
             self._output.clear()
             self.loop.cancel_io_waits(self.sock.fileno())
             self.sock.close()
 
 
+def peek(sock: socket.socket) -> bytes | None:
+    """Return the next byte of input, ``b""`` if the connection is closed or failed, or None if nothing waits."""
+    try:
+        return sock.recv(1, socket.MSG_PEEK)
+    except BlockingIOError:
+        return None
+    except OSError:
+        return b""
+
+
 def is_readable(sock: socket.socket) -> bool:
     """Tell whether a socket can be read, or a listener accepted from, without waiting."""
     poll = select.poll()
--- a/lapispick/host/timers.py
+++ b/lapispick/host/timers.py
@@ -1,4 +1,4 @@
-"""Timers: calls at a later time, in a binary heap ordered by due time."""
+"""Timers: calls at a later time, in a binary heap ordered by the time when they are due."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         self.args = args
 
     def cancel(self) -> None:
-        """Make sure that the call does not happen."""
+        """Prevent the call; has no effect after it."""
         self.callback = None
 
 
--- a/lapispick/host/worker_threads.py
+++ b/lapispick/host/worker_threads.py
@@ -1,6 +1,6 @@
-"""Runs what blocks (disks, look-ups, starts of processes) in threads and hands results to the greenlets that wait.
+"""Runs blocking jobs (disk access, name look-ups, process starts) in threads while greenlets wait for the results.
 
-A thread puts what it result into a queue of its own and wakes the loop by a byte; nothing else is shared.
+A thread puts its result into a queue and wakes the event loop by a byte on a socket; nothing else is shared.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 
 class TooManyJobsError(HostError):
-    """Too many jobs wait already."""
+    """Too many jobs are waiting."""
 
 
 class WorkerThreads:
-    """Threads, by default one: then jobs are done in the order in which they were asked for."""
+    """A pool of threads. With one, the default, jobs are done in the order in which they were requested."""
 
     def __init__(self, loop: EventLoop, threads: int = 1, max_waiting: int = MAX_WAITING_JOBS) -> None:
         self._loop = loop
@@ -40,10 +40,10 @@
         loop.spawn(self._serve)
 
     def run(self, job: Callable[..., T], *args: Any, timeout: float | None = None) -> T:
-        """Do a job and return what it does, or raise what it raises; others have their turn meanwhile.
+        """Run a job and return its result, or raise its exception; other greenlets run meanwhile.
 
-        Raises ``TooManyJobsError`` where too many wait, and ``TimeoutError`` after a timeout in s, which does not end
-        the job.
+        Raises ``TooManyJobsError`` if too many wait, and ``TimeoutError`` after a timeout (s), which does not end the
+        job.
         """
         self._last_job += 1
         number = self._last_job
@@ -75,7 +75,7 @@
                 if (waiter := self._waiters.get(number)) is not None:
                     waiter.wake((result, error))
 
-    # In the thread: only the two queues and the wake-up are touched from here.
+    # In the threads: only the two queues and the sending socket are used here.
 
     def _work(self) -> None:
         while True:
@@ -87,6 +87,6 @@
             try:
                 self._wake_sender.send(b"\0")
             except BlockingIOError:
-                pass  # full: the loop is awake anyway
+                pass  # the socket is full, so that the loop is awake anyway
             except OSError:
                 return
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -350,11 +350,11 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as heard:
         heard.bind(("127.0.0.1", 0))
         heard.settimeout(5)
-        reports, teller = [], registry.RegistryClient(FakeLoop(), heard.getsockname(), "n3")
-        for on in (True, False):
-            teller.set(on)
+        reports, client = [], registry.RegistryClient(FakeLoop(), heard.getsockname(), "n3")
+        for listed in (True, False):
+            client.set_listed(listed)
             with pytest.raises(StopError):
-                teller.serve()
+                client.serve()
             reports.append(heard.recv(200).decode())
     return reports
 
