--- a/lapispick/host/amqp/consumer.py
+++ b/lapispick/host/amqp/consumer.py
@@ -97,7 +97,7 @@
         born = min(now, self._born(p) or now)
         return Request(
             request_id=f"{random.getrandbits(64):016x}",
-            handler=name,
+            class_name=name,
             class_index=class_index,
             body=base64.b64encode(delivery.body).decode(),
             born_at=born,
@@ -107,7 +107,7 @@
             caller=caller,
             idempotency_key=("amqp", customer, name, p.message_id) if keyed else None,
             reply=reply,
-            account=str(customer or ""),
+            tenant=str(customer or ""),
             # Guards the rule on duplicates: what another life or another box was given may have run there.
             lookup_only=delivery.redelivered
             and self.classes[class_index].idempotency is not admission.Idempotency.IDEMPOTENT,
--- a/lapispick/host/amqp/front.py
+++ b/lapispick/host/amqp/front.py
@@ -181,10 +181,10 @@
 
     # As the core tells every front.
 
-    def limit_idle(self, span_ms: float) -> None:
+    def set_idle_timeout(self, span_ms: float) -> None:
         """Nothing to do: the connections to brokers are our own."""
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """Take nothing more."""
         self.leaving = True
         for session in list(self._sessions.values()):
--- a/lapispick/host/core/arrivals.py
+++ b/lapispick/host/core/arrivals.py
@@ -66,10 +66,10 @@
         elif request.lookup_only:
             return self._answers.send(request, Answer(AnswerKind.FAILED))
         elif (first := self._idempotency.find_in_batch(request, module_events)) is not None:
-            retry_of, fingerprint = first.id, digest_request(first.request.handler, first.request.body)
+            retry_of, fingerprint = first.id, digest_request(first.request.class_name, first.request.body)
         else:
             retry_of, fingerprint = 0, None
-        if fingerprint is not None and fingerprint != digest_request(request.handler, request.body):
+        if fingerprint is not None and fingerprint != digest_request(request.class_name, request.body):
             # Guards the result of one request against whoever names its key with another body.
             return self._answers.send(request, Answer(AnswerKind.FAILED, client_error="the key of another request"))
         entry = self._requests.add(request, record)
--- a/lapispick/host/core/idempotency.py
+++ b/lapispick/host/core/idempotency.py
@@ -133,7 +133,7 @@
             return
         request = entry.request
         until = self._clock.now + action.retention_ms
-        fingerprint = digest_request(request.handler, request.body)
+        fingerprint = digest_request(request.class_name, request.body)
         entry.record = self.table.retain(request.idempotency_key, entry.id, request.born_at, until, fingerprint)
 
     def release(self, action: admission.ReleaseKey) -> None:
--- a/lapispick/host/core/runs.py
+++ b/lapispick/host/core/runs.py
@@ -84,7 +84,7 @@
         self._answers.metrics.runs += 1
         request = entry.request
         self._peers.executor.start_run(
-            request.request_id, request.handler, request.body, self._is_idempotent(request.class_index)
+            request.request_id, request.class_name, request.body, self._is_idempotent(request.class_index)
         )
 
     def _is_idempotent(self, class_index: int) -> bool:
--- a/lapispick/host/executor.py
+++ b/lapispick/host/executor.py
@@ -45,7 +45,7 @@
 
     verb: CommandVerb
     request_id: str | msgspec.UnsetType = msgspec.field(name="task", default=msgspec.UNSET)
-    handler: str | msgspec.UnsetType = msgspec.UNSET
+    class_name: str | msgspec.UnsetType = msgspec.field(name="handler", default=msgspec.UNSET)
     body: str | msgspec.UnsetType = msgspec.field(name="bytes", default=msgspec.UNSET)  # base64
     index: int | msgspec.UnsetType = msgspec.UNSET
     nonce: str | msgspec.UnsetType = msgspec.UNSET
@@ -118,10 +118,10 @@
 
     # From the core.
 
-    def start_run(self, request_id: str, handler: str, body: str, idempotent: bool) -> None:
+    def start_run(self, request_id: str, class_name: str, body: str, idempotent: bool) -> None:
         """Start a run; one that is not idempotent is never started again where its start may have arrived."""
         self._open_runs[request_id] = OpenRun(idempotent)
-        self._send_for_run(request_id, Command("EXEC", request_id, handler, body))
+        self._send_for_run(request_id, Command("EXEC", request_id, class_name, body))
 
     def cancel_run(self, request_id: str) -> None:
         """Cancel a run, or pause it where the settings say so."""
--- a/lapispick/host/interfaces.py
+++ b/lapispick/host/interfaces.py
@@ -13,7 +13,7 @@
 class Executor(Protocol):
     """Runs requests; every method only queues a command."""
 
-    def start_run(self, request_id: str, handler: str, body: str, idempotent: bool) -> None:
+    def start_run(self, request_id: str, class_name: str, body: str, idempotent: bool) -> None:
         """Start a run; one that is not idempotent is never started again where its start may have arrived."""
 
     def cancel_run(self, request_id: str) -> None:
@@ -92,10 +92,10 @@
 class Front(Protocol):
     """Accepts clients and passes their requests to the core."""
 
-    def limit_idle(self, span_ms: float) -> None:
+    def set_idle_timeout(self, span_ms: float) -> None:
         """Close connections that carried nothing for this long."""
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """Begin a graceful shutdown."""
 
     def flushed(self) -> bool:
--- a/lapispick/host/jsonrpc/connection.py
+++ b/lapispick/host/jsonrpc/connection.py
@@ -180,7 +180,7 @@
         self.proven = True
         self.open[number] = self._fresh[number] = Request(
             request_id=params.attempt_id,
-            handler=message.method,
+            class_name=message.method,
             class_index=class_index,
             body=params.body or "",
             born_at=params.created_at_ms,
@@ -189,7 +189,7 @@
             rank=params.rank,
             caller=params.gateway,
             idempotency_key=("nonce", params.idempotency_key) if params.idempotency_key else None,
-            account=params.tenant,
+            tenant=params.tenant,
             is_retry=bool(params.is_retry),
             reply=lambda answer: self._answer(number, answer),
         )
--- a/lapispick/host/jsonrpc/front.py
+++ b/lapispick/host/jsonrpc/front.py
@@ -143,11 +143,11 @@
         """Forget a connection."""
         self.connections.discard(connection)
 
-    def limit_idle(self, span_ms: float) -> None:
+    def set_idle_timeout(self, span_ms: float) -> None:
         """Let connections go that carried nothing for this long."""
         self._idle_s = span_ms / 1000
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """Tell all gateways that nothing new is wanted here."""
         self._leaving = True
         for connection in self.connections:
--- a/lapispick/host/requests.py
+++ b/lapispick/host/requests.py
@@ -1,4 +1,4 @@
-"""A request as every front hands it to the core, and its one final answer."""
+"""A request as all fronts hand it to the core, and its one final answer."""
 
 from __future__ import annotations
 
@@ -32,20 +32,20 @@
 
 
 class Request(msgspec.Struct, eq=False):
-    """A request as any front hands it over."""
+    """One attempt of a request, with no trace of its wire format."""
 
     request_id: str  # identifies this attempt at the executor and the store
-    handler: str  # the name of its class
+    class_name: str
     class_index: int
     body: str  # base64, unchanged
     born_at: float  # Unix ms; when it reached the machine
     deadline_at: float  # Unix ms; 0 = none given
     request_memory_kb: float
     rank: float
-    caller: int
+    caller: int  # the number of the gateway or broker that sent it
     idempotency_key: Hashable | None  # the same for all attempts of one request
     reply: Callable[[Answer], None]
-    account: str = ""  # the customer; for traces only
+    tenant: str = ""  # for traces only
     is_retry: bool = False  # an earlier attempt may have run
     lookup_only: bool = False  # may be answered from the idempotency table, but must not run itself
     read_at: float = 0.0  # Unix ms; when it was read, where the extended metrics are on
--- a/tests/test_connection_overload.py
+++ b/tests/test_connection_overload.py
@@ -123,7 +123,7 @@
     assert not front._make_room()
     assert not kept.stream.closed
     kept.used_at -= 60
-    front.limit_idle(100.0)
+    front.set_idle_timeout(100.0)
     front._sweep()
     assert not kept.stream.closing
     assert not kept.stream.closed
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -36,11 +36,11 @@
     def request_gauges(self):
         self.host.post(events.GaugesReported((0.5, 2.0)))
 
-    def start_run(self, tag, handler, body, idempotent):
-        self.runs.append(tag)
+    def start_run(self, request_id, class_name, body, idempotent):
+        self.runs.append(request_id)
 
-    def forget_run(self, tag):
-        self.forgot = tag
+    def forget_run(self, request_id):
+        self.forgot = request_id
 
 
 @pytest.fixture
@@ -61,7 +61,7 @@
 def request(tag, answers, class_index=0, key=None, **over):
     told = dict(
         request_id=tag,
-        handler="any",
+        class_name="any",
         class_index=class_index,
         body="",
         born_at=1.0,
