--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -53,7 +53,7 @@
         return len(self.acceptance.accepted.hosts) if self.acceptance.accepted else 0
 
 
-def test_a_list_settles_before_it_is_accepted_once():
+def test_list_is_accepted_once_after_it_settles():
     j = Judge()
     assert j.see(fleet(names(3)), 1.0).phase is Phase.SETTLING
     assert not j.size
@@ -65,7 +65,7 @@
     assert not verdict.is_new
 
 
-def test_a_list_that_keeps_changing_is_judged_as_it_stands():
+def test_changing_list_is_evaluated_after_the_maximum_settling_time():
     j = Judge(fleet(names(100)))
     for n in range(8):
         j.see(fleet(names(100 + n)))
@@ -81,7 +81,7 @@
         (Observation(fleet(names(9)), incomplete_reason="cut"), "cut"),
     ],
 )
-def test_what_is_faulty_missing_or_cut_is_rejected_and_the_last_list_stays(observation, reason):
+def test_faulty_missing_or_incomplete_list_is_rejected(observation, reason):
     j = Judge(fleet(names(10)))
     assert j.see(observation, 0.5).phase is Phase.SETTLING  # a tool may be in the middle of writing it
     verdict = j.see(observation, 4)
@@ -92,7 +92,7 @@
     assert j.size == 11
 
 
-def test_a_momentary_fault_is_never_rejected():
+def test_momentary_fault_is_not_rejected():
     j = Judge(fleet(names(10)))
     j.see(FAULT, 0.5)
     j.see(fleet(names(11)), 2)
@@ -100,7 +100,7 @@
     assert all(v.phase is not Phase.REJECTED for v in j.verdicts)
 
 
-def test_a_list_that_loses_too_much_is_held_until_it_stays_or_an_operator_accepts_it():
+def test_list_that_loses_too_many_hosts_is_held_until_it_persists_or_is_accepted():
     less = fleet(names(7))
     j = Judge(fleet(names(10)))
     assert j.see(less, 290).phase is Phase.HELD
@@ -121,7 +121,7 @@
     assert j.size == 7
 
 
-def test_many_small_losses_add_up():
+def test_small_losses_within_the_window_add_up():
     j = Judge(fleet(names(100)))
     for left in (85, 70, 60):
         j.see(fleet(names(left)), 3)
@@ -131,7 +131,7 @@
     assert j.size == 70  # later it is another 15 of 85
 
 
-def test_a_list_of_other_hosts_is_held():
+def test_list_of_other_hosts_is_held():
     j = Judge(fleet(names(10)))
     assert "10 of 10 hosts go or move" in j.see(fleet(names(10, 50)), 5).reason
     assert "10 of 10 hosts go or move" in j.see(fleet(names(10), port=2), 5).reason
@@ -142,7 +142,7 @@
 @pytest.mark.parametrize("span", [21.0, 40.0])
 @pytest.mark.parametrize("batch_share", [0.0, 0.17])
 @pytest.mark.parametrize("renamed", [False, True])
-def test_a_rolling_deploy_passes_without_an_operator(fleet_size, span, batch_share, renamed):
+def test_rolling_deploy_is_accepted_without_an_operator(fleet_size, span, batch_share, renamed):
     """Up to 86% within 21 to 40 s, 17% at a time: each batch leaves the list and comes back, or successors do."""
     count = int(fleet_size * 0.86)
     batch = max(1, int(fleet_size * batch_share))
@@ -166,7 +166,7 @@
 
 @given(st.integers(5, 40), st.integers(0, 10_000), st.booleans())
 @settings(max_examples=150, deadline=None)
-def test_no_prefix_of_a_list_is_accepted_below_the_guard(count, at, newline):
+def test_truncated_list_is_never_accepted_below_the_guard(count, at, newline):
     ports = dict.fromkeys(names(count), 1)
     text = csv_list(ports)
     cut = text[: at % len(text)]
@@ -183,7 +183,7 @@
 
 @given(st.lists(st.tuples(st.integers(1, 30), st.integers(1, 8)), max_size=20), st.integers(8, 30))
 @settings(max_examples=100, deadline=None)
-def test_no_row_of_lists_loses_more_than_the_guard_within_its_window(steps, size):
+def test_sequence_of_lists_never_loses_more_than_the_guard_in_a_window(steps, size):
     j = Judge(fleet(names(size)), hold_s=10_000.0)
     sizes = [(0.0, size)]
     for count, seconds in steps:
@@ -197,14 +197,14 @@
                 assert had - now <= max(1, -(-had // 5)), (sizes, since)
 
 
-def test_peaks_do_not_add_up_over_time():
+def test_recorded_peaks_are_bounded():
     j = Judge(fleet(names(50)), settle_s=0.0, max_settle_s=0.0)
     for n in range(300):
         j.see(fleet(names(50 + n % 5)))
     assert len(j.acceptance._peaks) <= 6
 
 
-def test_a_host_that_returns_in_time_is_the_same_in_a_new_incarnation():
+def test_host_that_returns_in_time_gets_a_new_incarnation():
     tracker = PresenceTracker(return_window_s=100, max_left=3)
     tracker.apply(0, ["a", "b"], [])
     tracker.apply(10, [], ["a"])
@@ -218,7 +218,7 @@
     assert len(tracker._left) <= 4
 
 
-def test_the_history_keeps_the_last_lists():
+def test_history_keeps_the_last_lists():
     history = snapshot.History(3)
     for n in range(5):
         history.add(snapshot.Version(n, fleet(names(n + 1)), snapshot.Difference(), "settled"))
--- a/tests/test_acceptance_terms.py
+++ b/tests/test_acceptance_terms.py
@@ -37,18 +37,18 @@
                     folder, executor=executor(), store=store, wait_for_start=False, seed=f"{i * 7919 + 5:016x}", **over
                 )
             )
-        for h in hosts:
-            h.address = wait_until(lambda h=h: re.search(r"event=started .*listen=(\S+)", h.log()), "the start").group(
-                1
-            )
+        for worker in hosts:
+            worker.address = wait_until(
+                lambda worker=worker: re.search(r"event=started .*listen=(\S+)", worker.log()), "the start"
+            ).group(1)
             if ready:
-                h.wait_for_log("ready")
+                worker.wait_for_log("ready")
         return hosts
 
     yield start
-    for h in hosts:
-        h.close()
-        h.check_log()
+    for worker in hosts:
+        worker.close()
+        worker.check_log()
 
 
 def ask_for(seconds, hosts, gap, rng, body, wait=10, **over):
@@ -60,7 +60,7 @@
             left[0] -= 1
             heard.notify()
 
-    pools = [ConnectionPool(h.address, took) for h in hosts]
+    pools = [ConnectionPool(worker.address, took) for worker in hosts]
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         with heard:
@@ -100,13 +100,13 @@
 
 
 @pytest.mark.parametrize("count", [20, 30])
-def test_cold_hosts_let_through_no_more_than_the_settings_allow(fleet, count):
+def test_warming_up_hosts_admit_no_more_than_the_settings_allow(fleet, count):
     print("seed", seed := 11 + count)
     hosts = fleet(count, executor=Slow, info=make_platform_info(Cold=True))
     ask_for(5, hosts, 0.25 / count, random.Random(seed), "work")
     rules = PLATFORM_INFO["Guarantees"]
     allowed = 2 * (1 + (rules["FallMultiple"] - 1) * rules["ColdFrom"])  # on two cores, at the least speed
-    worst = [most_within(h.executor.begun, 1.5) for h in hosts]
+    worst = [most_within(worker.executor.begun, 1.5) for worker in hosts]
     print("most for one", max(worst), "of", bound(allowed))
     assert max(worst) <= bound(allowed)
     assert min(worst) > 0
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize(("count", "share"), [(20, 2.0), (30, 2.0), (20, 0.4), (30, 0.4)])
-def test_what_all_hosts_send_to_a_store_that_is_back_adds_up_to_its_share(fleet, count, share):
+def test_calls_of_all_hosts_to_a_recovered_store_stay_within_its_quota(fleet, count, share):
     print("seed", seed := 7 + count)
     store = Returning()
     hosts = fleet(count, store, info=make_platform_info(CallsOut=share, ClassSkipWorth=[0.0, 0.0]))
@@ -155,39 +155,41 @@
 
 
 @pytest.mark.parametrize("sockets", [64, 256])
-def test_idle_clients_that_fill_the_descriptors_keep_nobody_else_out(host, sockets):
-    h = host(
+def test_idle_clients_that_fill_the_descriptors_block_nobody_else(host, sockets):
+    worker = host(
         limits={"sockets": sockets},
         info=make_platform_info(Cores=16, CallsOut=100.0),
         command=["/bin/sh", "-c", f"ulimit -n {sockets}; exec {sys.executable} -m lapispick.host"],
     )
-    h.registry.close()  # discovery is down
-    first = h.gateway()
+    worker.registry.close()  # discovery is down
+    first = worker.gateway()
     for n in range(1, 15):  # calls of which none ends: as many as there are descriptors for at the least limit
         first.request("book", "call:hang", f"{n:032x}")
-    wait_until(lambda: len(h.store.calls) >= 12, "the calls")
-    name, port = h.address.split(":")
+    wait_until(lambda: len(worker.store.calls) >= 12, "the calls")
+    name, port = worker.address.split(":")
     idle = [socket.create_connection((name, int(port)), timeout=15) for _ in range(sockets * 2)]
-    callers = [socket.create_connection(("127.0.0.1", int(h.ops.split(":")[1])), timeout=15) for _ in range(sockets)]
-    g = h.gateway()
-    assert g.result(g.request("track", "true")) == "did true"
+    callers = [
+        socket.create_connection(("127.0.0.1", int(worker.ops.split(":")[1])), timeout=15) for _ in range(sockets)
+    ]
+    gateway = worker.gateway()
+    assert gateway.result(gateway.request("track", "true")) == "did true"
     if sockets > 64:
-        assert g.result(g.request("book", "call:200", f"{99:032x}")).startswith("reply")
-    with h.executor.lock:
-        h.executor.disconnect()
-    wait_until(lambda: h.executor.received_verbs.count("JOIN") > 1, "the new link")
-    assert g.result(g.request("track", "linked")) == "did linked"
-    h.registry.relocate()
-    h.reload()
-    wait_until(lambda: h.registry.reports, "a report at the new address")
-    assert h.call_operators() == ["OK"]
-    assert "Errno 24" not in h.log()
-    assert "accept-failed" not in h.log()
+        assert gateway.result(gateway.request("book", "call:200", f"{99:032x}")).startswith("reply")
+    with worker.executor.lock:
+        worker.executor.disconnect()
+    wait_until(lambda: worker.executor.received_verbs.count("JOIN") > 1, "the new link")
+    assert gateway.result(gateway.request("track", "linked")) == "did linked"
+    worker.registry.relocate()
+    worker.reload()
+    wait_until(lambda: worker.registry.reports, "a report at the new address")
+    assert worker.call_operators() == ["OK"]
+    assert "Errno 24" not in worker.log()
+    assert "accept-failed" not in worker.log()
     for sock in (*idle, *callers):
         sock.close()
 
 
-def test_an_upgrade_finds_its_descriptors_among_idle_clients(host, shared_address):
+def test_upgrade_succeeds_beside_idle_clients_that_fill_the_descriptors(host, shared_address):
     address = shared_address()
     name, port = address.split(":")
     shell = ["/bin/sh", "-c", f"ulimit -n 64; exec {sys.executable} -m lapispick.host"]
@@ -197,21 +199,21 @@
     wait_until(lambda: new.call_operators() == ["OK"], "its yes")
     old.terminate()
     assert old.process.wait(10) == 0
-    g = new.gateway()
-    assert g.result(g.request("track", "new")) == "did new"
+    gateway = new.gateway()
+    assert gateway.result(gateway.request("track", "new")) == "did new"
     assert "Errno 24" not in old.log() + new.log()
     assert "event=linked" in new.log()
     for sock in idle:
         sock.close()
 
 
-def test_nine_in_ten_of_twenty_that_start_at_once_beside_busy_cores_are_ready_in_time(fleet):
+def test_hosts_started_at_once_on_busy_cores_are_ready_in_time(fleet):
     with busy_processes(4):
         began = time.monotonic()
         hosts = fleet(20, ready=False)
         took = []
-        for h in hosts:
-            h.wait_for_log("ready")
+        for worker in hosts:
+            worker.wait_for_log("ready")
             took.append(time.monotonic() - began)
     print("ready after, s", [round(each, 2) for each in sorted(took)])
     assert sorted(took)[17] < READY_S
--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -1,4 +1,4 @@
-"""A link to the executor that breaks in mid-notice, repeats notices and sends remarks between them."""
+"""The link to the executor: notices that are split, repeated or cut off, and commands around a lost link."""
 
 import itertools
 import json
@@ -6,9 +6,14 @@
 
 from lapispick.fakes.executor import Executor
 from lapispick.fakes.waiting import wait_until
+from lapispick.host.events import HealthCheckCompleted
+from lapispick.host.executor import ExecutorLink
+from lapispick.host.scheduler import EventLoop
 
+REJECTED = -32050
 
-class Clumsy(Executor):
+
+class UnreliableExecutor(Executor):
     """Sends each notice in pieces and twice, with a remark before; breaks the link within some."""
 
     def __init__(self):
@@ -29,35 +34,44 @@
         return None
 
 
-def test_broken_split_and_repeated_notices_lose_and_double_nothing(host):
-    h = host(executor=Clumsy())
-    g = h.gateway()
-    for n in range(20):
-        class_name, key = ("book", uuid.uuid4().hex) if n % 2 else ("track", None)
-        number = g.request(class_name, f"call:200 {n}", key)
-        assert g.result(number).startswith("reply")
-    assert len(h.store.calls) == 20
-    assert len({run.task for run in h.executor.runs}) == len(h.executor.runs) == 20
-    assert h.executor.received_verbs.count("JOIN") > 3
-
-
-def test_what_was_sent_long_before_a_break_is_not_sent_again(host):
-    h = host()
-    g = h.gateway()
-    n = g.request("track", "stay:200")
-    wait_until(lambda: "RETURN" in h.executor.received_verbs, "the reply to the call")
-    beats = h.executor.received_verbs.count("METER")
-    wait_until(lambda: h.executor.received_verbs.count("METER") > beats + 20, "some time")  # 20 ticks of 40 ms
-    h.executor.disconnect()
-    wait_until(lambda: h.executor.received_verbs.count("JOIN") == 2, "the new link")
-    h.executor.end_run(h.executor.runs[0].task)
-    assert g.result(n) == "done"
-    assert h.executor.received_verbs.count("RETURN") == 1
-
-
-def test_a_write_that_the_executor_never_began_frees_its_key(host):
-    h = host()
-    g, key = h.gateway(), uuid.uuid4().hex
-    assert g.error_code(g.request("book", "never", key)) != -32050
-    assert g.error_code(g.request("book", "never", key, redo=1)) != -32050  # a try of its own, not the kept end
-    assert sum(c["verb"] == "EXEC" for c in h.executor.commands) == 2
+def test_split_repeated_or_truncated_notices_lose_and_repeat_no_run(host):
+    worker = host(executor=UnreliableExecutor())
+    gateway = worker.gateway()
+    for number in range(20):
+        class_name, key = ("book", uuid.uuid4().hex) if number % 2 else ("track", None)
+        request_id = gateway.request(class_name, f"call:200 {number}", key)
+        assert gateway.result(request_id).startswith("reply")
+    assert len(worker.store.calls) == 20
+    assert len({run.task for run in worker.executor.runs}) == len(worker.executor.runs) == 20
+    assert worker.executor.received_verbs.count("JOIN") > 3
+
+
+def test_command_sent_long_before_a_lost_link_is_not_resent(host):
+    worker = host()
+    gateway = worker.gateway()
+    request_id = gateway.request("track", "stay:200")
+    verbs = worker.executor.received_verbs
+    wait_until(lambda: "RETURN" in verbs, "the reply to the call")
+    ticks = verbs.count("METER")
+    wait_until(lambda: verbs.count("METER") > ticks + 20, "20 ticks of 40 ms")
+    worker.executor.disconnect()
+    wait_until(lambda: verbs.count("JOIN") == 2, "the new link")
+    worker.executor.end_run(worker.executor.runs[0].task)
+    assert gateway.result(request_id) == "done"
+    assert verbs.count("RETURN") == 1
+
+
+def test_keyed_request_that_never_ran_releases_its_key(host):
+    worker = host()
+    gateway, key = worker.gateway(), uuid.uuid4().hex
+    assert gateway.error_code(gateway.request("book", "never", key)) != REJECTED
+    # The retry is an attempt of its own, and not answered with the first one's outcome.
+    assert gateway.error_code(gateway.request("book", "never", key, redo=1)) != REJECTED
+    assert sum(command["verb"] == "EXEC" for command in worker.executor.commands) == 2
+
+
+def test_health_check_without_a_link_fails_at_once():
+    posted = []
+    link = ExecutorLink(EventLoop(), ("127.0.0.1", 1), posted.append)
+    nonce = link.commands.start_health_check()
+    assert posted == [HealthCheckCompleted(nonce, False)]
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,89 +1,84 @@
-"""The scheduler by itself: what one part does wrong costs that part only."""
+"""The event loop: faults stay with the part that caused them, and what runs in which order."""
 
 import socket
 import time
 
-from lapispick.host.events import HealthCheckCompleted
-from lapispick.host.executor import ExecutorLink
 from lapispick.host.scheduler import READ, EventLoop, Queue
 
 
-def test_faults_of_greenlets_and_timers_leave_the_rest_running():
-    loop, seen = EventLoop(), []
+def test_exception_in_a_greenlet_or_timer_does_not_stop_the_loop():
+    loop = EventLoop()
+    calls = []
     loop.spawn(lambda: 1 / 0)
     loop.call_later(0.0, lambda: 1 / 0)
-    loop.call_later(0.01, seen.append, "later")
+    loop.call_later(0.01, calls.append, "later")
     loop.call_later(0.02, loop.stop)
     loop.run()
-    assert seen == ["later"]
+    assert calls == ["later"]
 
 
-def test_cancelled_timers_and_killed_greenlets_do_nothing_more():
-    loop, seen = EventLoop(), []
+def test_cancelled_timers_and_killed_greenlets_do_not_run():
+    loop = EventLoop()
+    calls = []
 
     def sleeper():
         try:
             loop.sleep(60)
-            seen.append("woke")
+            calls.append("woke")
         finally:
-            seen.append("ended")
+            calls.append("ended")
 
     task = loop.spawn(sleeper)
-    loop.call_later(0.0, seen.append, "never").cancel()
+    loop.call_later(0.0, calls.append, "never").cancel()
     loop.call_later(0.01, loop.kill, task)
     loop.call_later(0.02, loop.stop)
-    began = time.monotonic()
+    started_at = time.monotonic()
     loop.run()
-    assert seen == ["ended"]
+    assert calls == ["ended"]
     assert task.dead
-    assert time.monotonic() - began < 5
+    assert time.monotonic() - started_at < 5
 
 
-def test_a_queue_hands_over_all_that_waits_in_order():
-    loop, got = EventLoop(), []
+def test_queue_returns_all_waiting_items_in_order():
+    loop = EventLoop()
     queue = Queue(loop)
+    batches = []
 
-    def taker():
-        while len(got) < 2:
-            got.append(queue.take_all())
+    def consumer():
+        while len(batches) < 2:
+            batches.append(queue.take_all())
         loop.stop()
 
-    loop.spawn(taker)
+    loop.spawn(consumer)
     loop.call_later(0.0, lambda: [queue.put(i) for i in (1, 2, 3)])
     loop.call_later(0.01, queue.put, 4)
     loop.run()
-    assert got == [[1, 2, 3], [4]]
+    assert batches == [[1, 2, 3], [4]]
 
 
-def test_a_deep_check_without_a_link_fails_at_once():
-    loop, posted = EventLoop(), []
-    link = ExecutorLink(loop, ("127.0.0.1", 1), posted.append)
-    nonce = link.commands.start_health_check()
-    assert posted == [HealthCheckCompleted(nonce, False)]
+def test_urgent_socket_is_served_before_the_rest_of_a_round():
+    loop = EventLoop()
+    calls_done, calls_done_before = [], []
+    receiver, sender = socket.socketpair()
 
+    def wait_urgently():
+        loop.wait_for_io(receiver.fileno(), READ, urgent=True)
+        calls_done_before.append(len(calls_done))
 
-def test_urgent_sockets_wait_for_one_call_and_not_for_the_round():
-    loop, done, seen = EventLoop(), [], []
-    ours, theirs = socket.socketpair()
-
-    def urgent():
-        loop.wait_for_io(ours.fileno(), READ, urgent=True)
-        seen.append(len(done))
-
-    def busy():
+    def work():
         time.sleep(0.002)
-        done.append(1)
+        calls_done.append(1)
 
-    def all_at_once():
-        theirs.send(b"x")
+    def start_all():
+        sender.send(b"x")
         for _ in range(200):
-            loop.call_soon(busy)
+            loop.call_soon(work)
 
-    loop.spawn(urgent)
-    loop.call_later(0.01, all_at_once)
+    loop.spawn(wait_urgently)
+    loop.call_later(0.01, start_all)
     loop.call_later(1.0, loop.stop)
     loop.run()
-    ours.close()
-    theirs.close()
-    assert len(done) == 200
-    assert seen[0] < 50
+    receiver.close()
+    sender.close()
+    assert len(calls_done) == 200
+    assert calls_done_before[0] < 50
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -40,7 +40,7 @@
     return path
 
 
-def test_every_message_of_a_handover_of_version_1_is_read():
+def test_handover_messages_of_version_1_are_read():
     lines = (SPOKEN / "handover-1.jsonl").read_bytes().splitlines()
     found = {type(message): message for message in map(handover_messages.decode, lines)}
     # a new kind of message needs a sample, and a version
@@ -57,7 +57,7 @@
         assert handover_messages.decode(later) == handover_messages.decode(line)
 
 
-def test_every_word_between_members_of_version_1_is_read():
+def test_member_messages_of_version_1_are_read():
     lines = (SPOKEN / "members-1.jsonl").read_bytes().splitlines()
     found = {type(word): word for word in map(members.decode, lines)}
     assert set(found) == set(members.AnyMessage.__args__)  # a new kind of word needs a sample, and perhaps a version
@@ -72,12 +72,12 @@
 @pytest.mark.parametrize(
     ("told", "version"), [((1, 0), 1), ((2, 1), 1), ((2, 0), None), ((3, 2), None), ((0, 0), None)]
 )
-def test_two_processes_speak_the_newest_version_that_both_know(told, version):
+def test_newest_common_handover_version_is_negotiated(told, version):
     hello = handover_messages.Hello(told[0], "n3", "x", "", told[1])
     assert handover_messages.negotiate_version(hello) == version
 
 
-def test_calls_states_and_generations_of_version_1_are_read():
+def test_agent_calls_states_and_generations_of_version_1_are_read():
     fence, lines = Fence(12, "alpha"), (SPOKEN / "agent-1.txt").read_text().splitlines()
     assert [messages.decode_call(line) for line in lines[:5]] == [
         Change(fence, "r1", G, 30.0),
@@ -98,7 +98,7 @@
     assert generation.config == {"stop_ms": 2400}
 
 
-def test_a_ledger_of_version_1_is_gone_on_with(tmp_path):
+def test_rollout_database_of_version_1_is_continued(tmp_path):
     restored("ledger-1.sql", tmp_path / "rollouts.db")
     store = RolloutStore(tmp_path)
     state = store.get()
@@ -109,7 +109,7 @@
     store.save(state, 11.0, [])
 
 
-def test_a_store_of_keys_of_version_1_is_read(tmp_path):
+def test_durable_records_of_version_1_are_read(tmp_path):
     store = Database(restored("durable-1.sql", tmp_path / "keys.db"), "n3")
     found = dict(store.load())
     assert found[b"k1"] == DurableRecord(KeyState.COMPLETED, 1, 1000.0, 15286.0, b"body", b"result")
@@ -117,7 +117,7 @@
     assert store.incarnation == 2
 
 
-def test_a_settings_file_of_the_version_before_is_read_and_a_later_one_is_refused_by_name(tmp_path):
+def test_settings_of_the_previous_version_are_read_and_of_a_later_one_rejected(tmp_path):
     made = conf.parse(SPOKEN / "settings-1.conf")
     assert made.inventory.max_loss_fraction == 0.2
     assert not made.metrics.enabled
@@ -127,7 +127,7 @@
         conf.parse(path)
 
 
-def test_what_is_written_today_is_among_the_samples():
+def test_samples_exist_for_all_written_versions():
     """Whoever raises a version stores what the one before wrote."""
     assert {p.name for p in SPOKEN.iterdir()} >= {
         f"{kind}-{writes}.{end}"
@@ -136,7 +136,7 @@
     }
 
 
-def test_keyed_retries_reach_old_and_new_processes_in_turn_and_no_effect_comes_twice(tmp_path):
+def test_keyed_retries_to_alternating_versions_run_once(tmp_path):
     """Two versions whose messages differ by one, forth and back, with 200 keyed bookings repeated throughout."""
     with Fleet(tmp_path, seed=7, hosts=1, gateways=2, rate=20) as fleet:
         agent = HostAgent(fleet.hosts[0])
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""A store whose replies can't be trusted: what is spoilt counts as a call that ran, and nothing leaks on."""
+"""A store with unusable replies: their calls count as made, and no byte of them reaches another call."""
 
 import itertools
 import json
@@ -13,44 +13,45 @@
 from lapispick.host import store
 from lapispick.host.store import SETTLE_S
 
-REFUSED = -32050
+REJECTED = -32050
 
 
-@pytest.mark.parametrize("what", UNUSABLE_REPLIES)
-def test_a_spoilt_reply_ends_its_call_and_connection_and_a_write_is_not_called_again(host, what):
-    h = host()
-    g = h.gateway()
-    assert g.result(g.request("track", f"call:{what}")) == "poorer"
-    assert g.error_code(g.request("book", f"call:{what}", uuid.uuid4().hex)) != REFUSED
-    assert [call.body for call in h.store.calls] == [what] * 3  # the read's call was made once more
-    assert g.result(g.request("track", "call:200")) == "reply 4"
-    assert len({call.connection for call in h.store.calls}) == 4
-    assert h.peak_memory_mb() < 64
+@pytest.mark.parametrize("reply", UNUSABLE_REPLIES)
+def test_unusable_reply_closes_its_connection_and_only_idempotent_calls_are_repeated(host, reply):
+    worker = host()
+    gateway = worker.gateway()
+    assert gateway.result(gateway.request("track", f"call:{reply}")) == "poorer"
+    assert gateway.error_code(gateway.request("book", f"call:{reply}", uuid.uuid4().hex)) != REJECTED
+    assert [call.body for call in worker.store.calls] == [reply] * 3  # the call of "track" was made once more
+    assert gateway.result(gateway.request("track", "call:200")) == "reply 4"
+    assert len({call.connection for call in worker.store.calls}) == 4
+    assert worker.peak_memory_mb() < 64
 
 
-@pytest.mark.parametrize("lead", [[], [b"HTTP/1.1 200 OK", b"Transfer-Encoding: chunked", b"", b"0"]])
-def test_a_head_that_repeats_one_line_for_ever_is_given_up_at_its_bound(lead):
-    """It kept the whole host busy for as long as the call could last; the same for what stands behind the chunks."""
-    taken = itertools.chain(lead, itertools.repeat(b"X-More: of it", 2 * store.MAX_HEADER_LINES))
+@pytest.mark.parametrize("head", [[], [b"HTTP/1.1 200 OK", b"Transfer-Encoding: chunked", b"", b"0"]])
+def test_endless_headers_are_rejected_at_the_line_limit(head):
+    """Headers, and trailers after the chunks: either would keep the host busy for as long as the call may last."""
+    lines = itertools.chain(head, itertools.repeat(b"X-More: of it", 2 * store.MAX_HEADER_LINES))
 
-    class Lines:
+    class EndlessStream:
         def read_line(self, _):
-            return next(taken)
+            return next(lines)
 
+    reader = store.ReplyReader(EndlessStream(), time.monotonic() + 10)
     with pytest.raises(store.MalformedReplyError):
-        if lead:
-            store.ReplyReader(Lines(), time.monotonic() + 10).read()
+        if head:
+            reader.read()
         else:
-            store.ReplyReader(Lines(), time.monotonic() + 10).read_headers()
-    assert sum(1 for _ in taken) >= store.MAX_HEADER_LINES - 1
+            reader.read_headers()
+    assert sum(1 for _ in lines) >= store.MAX_HEADER_LINES - 1
 
 
-@pytest.mark.parametrize("what", ["early", "double", "trail"])
-def test_what_stands_around_a_good_reply_reaches_no_run(host, what):
-    h = host()
-    g = h.gateway()
-    for n in range(1, 40):
-        assert g.result(g.request("track", f"call:{what}")) == f"reply {n}"
+@pytest.mark.parametrize("reply", ["early", "double", "trail"])
+def test_bytes_around_a_good_reply_reach_no_run(host, reply):
+    worker = host()
+    gateway = worker.gateway()
+    for number in range(1, 40):
+        assert gateway.result(gateway.request("track", f"call:{reply}")) == f"reply {number}"
 
 
 def test_a_forgotten_connection_costs_no_call(host):
