--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -151,6 +151,7 @@
     g = h.gateway()
     held = [g.request("track", "hold") for _ in range(3)]
     wait_until(lambda: h.metrics()["inflight"] == 3, "three in flight")
+    wait_until(lambda: len(h.executor.runs) == 3, "three runs at the executor")
     for task, _, _ in list(h.executor.runs):
         h.executor.end_run(task)
     for n in held:
