--- a/lapispick/fakes/fake_server.py
+++ b/lapispick/fakes/fake_server.py
@@ -4,6 +4,7 @@
 import socket
 import threading
 
+from lapispick.fakes.ports import LOOPBACK, bind_in_own_range
 from lapispick.host.amqp import codec
 
 OLD_LISTENER_CLOSES_AFTER_S = 0.3
@@ -26,7 +27,7 @@
 
 
 class FakeServer:
-    """Accepts connections on an ephemeral port of loopback, each served by a thread of its own."""
+    """Accepts connections on a loopback port of the test worker's range, each served by a thread of its own."""
 
     byte_by_byte = False  # send each byte by itself
 
@@ -38,8 +39,11 @@
 
     def listen(self):
         """Listen at a new address."""
-        self.sock = socket.create_server(("127.0.0.1", 0))
-        self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
+        self.sock = socket.socket()
+        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        port = bind_in_own_range(self.sock)
+        self.sock.listen()
+        self.address = f"{LOOPBACK}:{port}"
         self.start_accepting()
 
     def start_accepting(self):
--- a/lapispick/fakes/registry.py
+++ b/lapispick/fakes/registry.py
@@ -5,6 +5,8 @@
 import time
 from typing import NamedTuple
 
+from lapispick.fakes.ports import LOOPBACK, bind_in_own_range
+
 MAX_REPORT_BYTES = 200
 
 
@@ -25,8 +27,7 @@
     def relocate(self):
         """Listen at a new address only."""
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.sock.bind(("127.0.0.1", 0))
-        self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
+        self.address = f"{LOOPBACK}:{bind_in_own_range(self.sock)}"
         threading.Thread(target=self._read, args=(self.sock,), daemon=True).start()
 
     def _read(self, sock):
