--- a/lapispick/durable/database.py
+++ b/lapispick/durable/database.py
@@ -92,7 +92,7 @@
             self._db.execute(f"pragma wal_autocheckpoint={CHECKPOINT_PAGES}")
             self.incarnation = self._begin_incarnation(host)
         except sqlite3.DatabaseError as err:
-            raise StoreUnusableError(path, f"{err}; `lapispick store check` tells more") from None
+            raise StoreUnusableError(path, str(err)) from None
 
     def load(self) -> Iterator[tuple[bytes, DurableRecord]]:
         """Yield all keys with their records."""
