--- a/tests/test_acceptance_terms.py
+++ b/tests/test_acceptance_terms.py
@@ -1,4 +1,4 @@
-"""Three terms of the operators that many processes keep together: a cold ramp, full descriptors, quick starts."""
+"""Limits that many hosts keep together: slow start, calls to a recovered store, descriptors, and the time to start."""
 
 import math
 import random
@@ -19,7 +19,7 @@
 from lapispick.fakes.store import Store
 from lapispick.fakes.waiting import wait_until
 
-READY_S = 10.0  # s; by then nine in ten restarted processes take clients
+READY_S = 10.0  # by then nine in ten restarted processes take clients
 
 
 @pytest.fixture
@@ -38,9 +38,10 @@
                 )
             )
         for worker in hosts:
-            worker.address = wait_until(
+            started = wait_until(
                 lambda worker=worker: re.search(r"event=started .*listen=(\S+)", worker.log()), "the start"
-            ).group(1)
+            )
+            worker.address = started.group(1)
             if ready:
                 worker.wait_for_log("ready")
         return hosts
@@ -51,33 +52,33 @@
         worker.check_log()
 
 
-def ask_for(seconds, hosts, gap, rng, body, wait=10, **over):
-    """Ask every host at random, ``gap`` s apart for all of them together; return once all are answered, or later."""
-    left, heard = [0], threading.Condition()
+def send_requests(hosts, duration_s, interval_s, rng, body, answer_timeout_s=10, **over):
+    """Send requests to random hosts at an interval; return once all are answered, or after a timeout."""
+    open_requests, answered = [0], threading.Condition()
 
-    def took(token, answer):
-        with heard:
-            left[0] -= 1
-            heard.notify()
+    def on_answer(token, answer):
+        with answered:
+            open_requests[0] -= 1
+            answered.notify()
 
-    pools = [ConnectionPool(worker.address, took) for worker in hosts]
-    end = time.monotonic() + seconds
+    pools = [ConnectionPool(worker.address, on_answer) for worker in hosts]
+    end = time.monotonic() + duration_s
     while time.monotonic() < end:
-        with heard:
-            left[0] += 1
+        with answered:
+            open_requests[0] += 1
         pools[rng.randrange(len(pools))].send_request("track", 1, request_params(body, **over))
-        time.sleep(gap)
-    with heard:
-        heard.wait_for(lambda: left[0] <= 0, wait)
+        time.sleep(interval_s)
+    with answered:
+        answered.wait_for(lambda: open_requests[0] <= 0, answer_timeout_s)
     for pool in pools:
         pool.close()
 
 
-class Slow(Executor):
-    """A cold executor: as many runs as cores, each five times as long as on a warm one; it notes each start."""
+class ColdExecutor(Executor):
+    """Warms up: as many runs as cores, each five times as long as usual; records the time of each start."""
 
     def __init__(self):
-        self.begun = []
+        self.started_at = []
         super().__init__(work_s=0.5, cores=2)
 
     def on_join(self, connection, command):
@@ -85,38 +86,41 @@
         self.send(connection, verb="WELCOME", outcome="chilly", spent=0)
 
     def on_exec(self, connection, command):
-        self.begun.append(time.monotonic())
+        self.started_at.append(time.monotonic())
         super().on_exec(connection, command)
 
 
-def most_within(times, span):
-    """Return how many of these lie within any such span."""
+def max_within(times, span):
+    """Return how many of the times lie within any span of this length, at most."""
     times = sorted(times)
-    return max((sum(at <= t < at + span for t in times[i:]) for i, at in enumerate(times)), default=0)
+    return max((sum(at <= other < at + span for other in times[i:]) for i, at in enumerate(times)), default=0)
 
 
-def bound(n):
-    return n + 2 * math.sqrt(n) + 2
+def upper_bound(mean):
+    """Return a bound on a random count with this mean."""
+    return mean + 2 * math.sqrt(mean) + 2
 
 
 @pytest.mark.parametrize("count", [20, 30])
 def test_warming_up_hosts_admit_no_more_than_the_settings_allow(fleet, count):
     print("seed", seed := 11 + count)
-    hosts = fleet(count, executor=Slow, info=make_platform_info(Cold=True))
-    ask_for(5, hosts, 0.25 / count, random.Random(seed), "work")
+    hosts = fleet(count, executor=ColdExecutor, info=make_platform_info(Cold=True))
+    send_requests(hosts, 5, 0.25 / count, random.Random(seed), "work")
     rules = PLATFORM_INFO["Guarantees"]
-    allowed = 2 * (1 + (rules["FallMultiple"] - 1) * rules["ColdFrom"])  # on two cores, at the least speed
-    worst = [most_within(worker.executor.begun, 1.5) for worker in hosts]
-    print("most for one", max(worst), "of", bound(allowed))
-    assert max(worst) <= bound(allowed)
-    assert min(worst) > 0
+    allowed = 2 * (1 + (rules["FallMultiple"] - 1) * rules["ColdFrom"])  # on two cores, at the lowest speed
+    max_starts = [max_within(worker.executor.started_at, 1.5) for worker in hosts]
+    print("most starts of one host", max(max_starts), "of", upper_bound(allowed))
+    assert max(max_starts) <= upper_bound(allowed)
+    assert min(max_starts) > 0
 
 
-class Returning(Store):
-    """A store that is down at first, and slow when it is back; it notes how many calls it has in hand."""
+class RecoveringStore(Store):
+    """Is down at first, and slow after its recovery; records how many calls are in flight."""
 
     def __init__(self):
-        self.held, self.worst, self.begun = 0, 0, []
+        self.in_flight = 0
+        self.max_in_flight = 0
+        self.started_at = []
         super().__init__()
 
     def listen(self):
@@ -124,34 +128,35 @@
         self.sock.bind(("127.0.0.1", 0))  # an address that refuses until it listens
         self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
 
-    def come_back(self):
+    def recover(self):
         self.sock.listen(512)
         self.start_accepting()
 
     def serve(self, connection):
         for _ in self.read_calls(connection.makefile("rb")):
             with self.lock:
-                self.begun.append(time.monotonic())
-                self.held += 1
-                self.worst = max(self.worst, self.held)
+                self.started_at.append(time.monotonic())
+                self.in_flight += 1
+                self.max_in_flight = max(self.max_in_flight, self.in_flight)
             time.sleep(0.3)
             with self.lock:
-                self.held -= 1
+                self.in_flight -= 1
             connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
 
-@pytest.mark.parametrize(("count", "share"), [(20, 2.0), (30, 2.0), (20, 0.4), (30, 0.4)])
-def test_calls_of_all_hosts_to_a_recovered_store_stay_within_its_quota(fleet, count, share):
+@pytest.mark.parametrize(("count", "quota"), [(20, 2.0), (30, 2.0), (20, 0.4), (30, 0.4)])
+def test_calls_of_all_hosts_to_a_recovered_store_stay_within_its_quota(fleet, count, quota):
     print("seed", seed := 7 + count)
-    store = Returning()
-    hosts = fleet(count, store, info=make_platform_info(CallsOut=share, ClassSkipWorth=[0.0, 0.0]))
-    back = threading.Timer(2.0, store.come_back)
-    back.start()
-    ask_for(4, hosts, 0.15 / count, random.Random(seed), "call:200", 1, patience=20_000)  # nothing is given up on
-    back.join()
-    print("most in hand", store.worst, "of", bound(share * count), "calls", len(store.begun))
-    assert store.begun
-    assert store.worst <= bound(share * count)
+    store = RecoveringStore()
+    hosts = fleet(count, store, info=make_platform_info(CallsOut=quota, ClassSkipWorth=[0.0, 0.0]))
+    recovery = threading.Timer(2.0, store.recover)
+    recovery.start()
+    # No request ends by its deadline.
+    send_requests(hosts, 4, 0.15 / count, random.Random(seed), "call:200", answer_timeout_s=1, patience=20_000)
+    recovery.join()
+    print("most calls in flight", store.max_in_flight, "of", upper_bound(quota * count), "calls", len(store.started_at))
+    assert store.started_at
+    assert store.max_in_flight <= upper_bound(quota * count)
 
 
 @pytest.mark.parametrize("sockets", [64, 256])
@@ -161,10 +166,10 @@
         info=make_platform_info(Cores=16, CallsOut=100.0),
         command=["/bin/sh", "-c", f"ulimit -n {sockets}; exec {sys.executable} -m lapispick.host"],
     )
-    worker.registry.close()  # discovery is down
+    worker.registry.close()  # the service registry is down
     first = worker.gateway()
-    for n in range(1, 15):  # calls of which none ends: as many as there are descriptors for at the least limit
-        first.request("book", "call:hang", f"{n:032x}")
+    for number in range(1, 15):  # calls that never end: as many as there are descriptors for at the lowest limit
+        first.request("book", "call:hang", f"{number:032x}")
     wait_until(lambda: len(worker.store.calls) >= 12, "the calls")
     name, port = worker.address.split(":")
     idle = [socket.create_connection((name, int(port)), timeout=15) for _ in range(sockets * 2)]
@@ -196,7 +201,7 @@
     old = host(listen=address, limits={"sockets": 64}, command=shell)
     idle = [socket.create_connection((name, int(port)), timeout=15) for _ in range(100)]
     new = host(successor_of=old, limits={"sockets": 64}, command=shell)
-    wait_until(lambda: new.call_operators() == ["OK"], "its yes")
+    wait_until(lambda: new.call_operators() == ["OK"], "the successor to be healthy")
     old.terminate()
     assert old.process.wait(10) == 0
     gateway = new.gateway()
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -1,4 +1,4 @@
-"""Versions side by side: stored samples of every message and file of earlier versions, and two versions under load."""
+"""Compatibility of versions: stored samples of all messages and files of earlier ones, and two versions under load."""
 
 import json
 import random
@@ -29,21 +29,22 @@
 from lapispick.rollout.generations import Generation
 from lapispick.rollout.messages import Change, Confirm, Fence, RollBack, TakeControl
 
-SPOKEN = Path(__file__).parent / "data" / "spoken"
-G = "0123456789abcdef"
+SAMPLES = Path(__file__).parent / "data" / "spoken"
+GENERATION = "0123456789abcdef"
 
 
-def restored(name, path):
+def restore_database(name, path):
+    """Create an SQLite database from a stored dump."""
     with sqlite3.connect(path) as db:
-        db.executescript((SPOKEN / name).read_text())
+        db.executescript((SAMPLES / name).read_text())
     db.close()
     return path
 
 
 def test_handover_messages_of_version_1_are_read():
-    lines = (SPOKEN / "handover-1.jsonl").read_bytes().splitlines()
+    lines = (SAMPLES / "handover-1.jsonl").read_bytes().splitlines()
     found = {type(message): message for message in map(handover_messages.decode, lines)}
-    # a new kind of message needs a sample, and a version
+    # A new kind of message needs a sample, and a version.
     assert set(found) == set(handover_messages.AnyMessage.__args__)
     assert found[handover_messages.RecordSnapshot] == handover_messages.RecordSnapshot(
         ("nonce", "5c0f6e1a"), 1764576000123.0, 77, True, "ZG9uZQ=="
@@ -52,36 +53,36 @@
     assert found[handover_messages.ShutdownStarted].learned.prices_frozen is True
     assert found[handover_messages.Hello].min_version == 0
     assert found[handover_messages.ResourceUsage] == handover_messages.ResourceUsage(1, 2.5, 3, 4)
-    for line in lines:  # a field of a later version is left alone
+    for line in lines:  # a field of a later version is ignored
         later = json.dumps({**json.loads(line), "later": [1]}).encode()
         assert handover_messages.decode(later) == handover_messages.decode(line)
 
 
 def test_member_messages_of_version_1_are_read():
-    lines = (SPOKEN / "members-1.jsonl").read_bytes().splitlines()
-    found = {type(word): word for word in map(members.decode, lines)}
-    assert set(found) == set(members.AnyMessage.__args__)  # a new kind of word needs a sample, and perhaps a version
+    lines = (SAMPLES / "members-1.jsonl").read_bytes().splitlines()
+    found = {type(message): message for message in map(members.decode, lines)}
+    assert set(found) == set(members.AnyMessage.__args__)  # a new kind needs a sample, and perhaps a version
     assert found[members.LeaseProposalMessage].proposal.ballot == (7, "disp-01")
     assert found[members.LeaseVoteMessage].vote.highest_ballot_number == 8
     assert found[members.Ack].updates[0].witness == "disp-03"
     assert found[members.Probe].facts[0].age_s == 1.25
-    for line in lines:  # a field of a later version is left alone
+    for line in lines:  # a field of a later version is ignored
         assert members.decode(json.dumps({**json.loads(line), "later": [1]}).encode()) == members.decode(line)
 
 
 @pytest.mark.parametrize(
-    ("told", "version"), [((1, 0), 1), ((2, 1), 1), ((2, 0), None), ((3, 2), None), ((0, 0), None)]
+    ("offered", "negotiated"), [((1, 0), 1), ((2, 1), 1), ((2, 0), None), ((3, 2), None), ((0, 0), None)]
 )
-def test_newest_common_handover_version_is_negotiated(told, version):
-    hello = handover_messages.Hello(told[0], "n3", "x", "", told[1])
-    assert handover_messages.negotiate_version(hello) == version
+def test_newest_common_handover_version_is_negotiated(offered, negotiated):
+    hello = handover_messages.Hello(offered[0], "n3", "x", "", offered[1])
+    assert handover_messages.negotiate_version(hello) == negotiated
 
 
 def test_agent_calls_states_and_generations_of_version_1_are_read():
-    fence, lines = Fence(12, "alpha"), (SPOKEN / "agent-1.txt").read_text().splitlines()
+    fence, lines = Fence(12, "alpha"), (SAMPLES / "agent-1.txt").read_text().splitlines()
     assert [messages.decode_call(line) for line in lines[:5]] == [
-        Change(fence, "r1", G, 30.0),
-        Change(fence, "r1.c", G, 30.0, True),
+        Change(fence, "r1", GENERATION, 30.0),
+        Change(fence, "r1.c", GENERATION, 30.0, True),
         Confirm(fence, "r1"),
         RollBack(fence, "r1"),
         TakeControl(fence),
@@ -89,17 +90,17 @@
     status = messages.decode_status(lines[5:])
     assert (status.host, status.confirm_left_s) == ("disp-01", 9.5)
     assert status.formats == {"handover": (1, 1, 1)}
-    state = msgspec.json.decode((SPOKEN / "state-1.json").read_bytes(), type=host_state.HostState)
+    state = msgspec.json.decode((SAMPLES / "state-1.json").read_bytes(), type=host_state.HostState)
     assert state.fence == fence
     assert state.processes[0].role == host_state.Role.SERVING
     assert state.confirm_deadline == 99.5
-    generation = msgspec.json.decode((SPOKEN / "generation-1.json").read_bytes(), type=Generation)
+    generation = msgspec.json.decode((SAMPLES / "generation-1.json").read_bytes(), type=Generation)
     assert generation.formats["handover"].reads(1)
     assert generation.config == {"stop_ms": 2400}
 
 
 def test_rollout_database_of_version_1_is_continued(tmp_path):
-    restored("ledger-1.sql", tmp_path / "rollouts.db")
+    restore_database("ledger-1.sql", tmp_path / "rollouts.db")
     store = RolloutStore(tmp_path)
     state = store.get()
     assert (state.name, state.phase, state.stage_hosts) == ("r1", "baking", ["disp-01"])
@@ -110,7 +111,7 @@
 
 
 def test_durable_records_of_version_1_are_read(tmp_path):
-    store = Database(restored("durable-1.sql", tmp_path / "keys.db"), "n3")
+    store = Database(restore_database("durable-1.sql", tmp_path / "keys.db"), "n3")
     found = dict(store.load())
     assert found[b"k1"] == DurableRecord(KeyState.COMPLETED, 1, 1000.0, 15286.0, b"body", b"result")
     assert len(found) == 2
@@ -118,26 +119,24 @@
 
 
 def test_settings_of_the_previous_version_are_read_and_of_a_later_one_rejected(tmp_path):
-    made = conf.parse(SPOKEN / "settings-1.conf")
-    assert made.inventory.max_loss_fraction == 0.2
-    assert not made.metrics.enabled
+    settings = conf.parse(SAMPLES / "settings-1.conf")
+    assert settings.inventory.max_loss_fraction == 0.2
+    assert not settings.metrics.enabled
     path = tmp_path / "later.conf"
-    path.write_text((SPOKEN / "settings-1.conf").read_text() + "section later\n x 1\nend\n")
+    path.write_text((SAMPLES / "settings-1.conf").read_text() + "section later\n x 1\nend\n")
     with pytest.raises(conf.InvalidFileError, match="later is unknown"):
         conf.parse(path)
 
 
 def test_samples_exist_for_all_written_versions():
-    """Whoever raises a version stores what the one before wrote."""
-    assert {p.name for p in SPOKEN.iterdir()} >= {
-        f"{kind}-{writes}.{end}"
-        for kind, end in (("handover", "jsonl"), ("agent", "txt"), ("ledger", "sql"), ("durable", "sql"))
-        for writes in [versions.FORMATS[kind][0]]
-    }
+    """Raising a version requires a sample of what the previous one wrote."""
+    suffixes = {"handover": "jsonl", "agent": "txt", "ledger": "sql", "durable": "sql"}
+    written = {f"{kind}-{versions.FORMATS[kind][0]}.{suffix}" for kind, suffix in suffixes.items()}
+    assert {path.name for path in SAMPLES.iterdir()} >= written
 
 
 def test_keyed_retries_to_alternating_versions_run_once(tmp_path):
-    """Two versions whose messages differ by one, forth and back, with 200 keyed bookings repeated throughout."""
+    """Upgrade and roll back between adjacent versions, while 200 keyed requests are retried throughout."""
     with Fleet(tmp_path, seed=7, hosts=1, gateways=2, rate=20) as fleet:
         agent = HostAgent(fleet.hosts[0])
         old = agent.add(label="old")
@@ -145,30 +144,30 @@
         agent.start(adopt=old)
         agent.wait_serving(old)
         fleet.start_load()
-        over, rng, keys = threading.Event(), random.Random(7), [uuid.uuid4().hex for _ in range(200)]
-        due = time.time() + 60
+        stop, rng, keys = threading.Event(), random.Random(7), [uuid.uuid4().hex for _ in range(200)]
+        deadline = time.time() + 60
 
-        def repeat():
+        def send_retries():
             gateway = fleet.gateways[0]
-            for n in range(100_000):
-                key = keys[n % 200]
+            for number in range(100_000):
+                key = keys[number % 200]
                 now = time.time()
-                request = Request("book", f"again-{key}", key, now, min(due, now + 3), attempts_left=1)
-                gateway.send(request, fleet.hosts[0], is_retry=n >= 200)
-                if over.wait(rng.uniform(0.002, 0.01)):
+                request = Request("book", f"again-{key}", key, now, min(deadline, now + 3), attempts_left=1)
+                gateway.send(request, fleet.hosts[0], is_retry=number >= 200)
+                if stop.wait(rng.uniform(0.002, 0.01)):
                     return
 
-        thread = threading.Thread(target=repeat)
+        thread = threading.Thread(target=send_retries)
         thread.start()
         try:
-            for number, wanted in enumerate((new, old, new), 1):
+            for number, generation in enumerate((new, old, new), 1):
                 fleet.wait_for_results(40)
-                assert agent.call_until_serving(f"change 1.a r{number} {wanted} 60")[0] == "OK"
-                agent.wait_for_phase("proving", serving=wanted)
+                assert agent.call_until_serving(f"change 1.a r{number} {generation} 60")[0] == "OK"
+                agent.wait_for_phase("proving", serving=generation)
                 wait_until(lambda: len(agent.running_generations()) == 1, "the end of the old process")
                 assert agent.call(f"confirm 1.a r{number}")[0] == "OK"
         finally:
-            over.set()
+            stop.set()
             thread.join()
         logs = [path.read_text() for path in sorted(agent.folder.glob("lives/*.log"))]
         assert all("event=linked role=follower" in log for log in logs[1:])
