--- a/lapispick/host/executor.py
+++ b/lapispick/host/executor.py
@@ -25,8 +25,10 @@
 DRAIN_TIMEOUT_S = 0.3  # for the last answer on a link that is replaced by one to a new address
 MAX_NOTICE_BYTES = 1 << 20  # results hold up to 4 KiB
 MAX_UNSENT_BYTES = 4 << 20  # of commands for an executor that does not read
+COLD_START = "chilly"  # outcome of a WELCOME
+COMPLETED = "complete"  # outcome of a run or a health check
 RUN_OUTCOMES = {
-    "complete": Outcome.OK,
+    COMPLETED: Outcome.OK,
     "error": Outcome.ERROR,
     "cancelled": Outcome.CANCELLED,
     "unknown": Outcome.ABANDONED,
@@ -37,6 +39,8 @@
 FENCE_NONCE = "fence"  # its answer shows that all notices of the time without a link were read
 DRAIN_NONCE = "last"  # its answer shows that all commands before it were carried out
 
+VERBS_WITHOUT_A_RUN = ("EXEC", "KILL", "WAKE")  # where a command with one of these is rejected, nothing runs
+
 CommandVerb = Literal["JOIN", "EXEC", "KILL", "WAKE", "RETURN", "BYPASS", "METER", "DIAG"]
 
 
@@ -98,7 +102,7 @@
 _encode = msgspec.json.Encoder().encode
 
 
-def send(stream: Stream, command: Command) -> None:
+def _send(stream: Stream, command: Command) -> None:
     """Write a command to a connection."""
     stream.write(_encode(command) + b"\n")
 
@@ -147,7 +151,7 @@
     def request_gauges(self) -> None:
         """Request the gauges; they arrive as ``GaugesReported``."""
         if self._stream is not None:
-            send(self._stream, Command("METER", nonce=GAUGES_NONCE))
+            _send(self._stream, Command("METER", nonce=GAUGES_NONCE))
 
     def start_health_check(self) -> str:
         """Request a deep health check; return the nonce of its ``HealthCheckCompleted``."""
@@ -155,7 +159,7 @@
         nonce = f"check-{self._last_check}"
         self._open_checks.add(nonce)
         if self._stream is not None:
-            send(self._stream, Command("DIAG", nonce=nonce))
+            _send(self._stream, Command("DIAG", nonce=nonce))
         else:
             self._fail_open_checks()
         return nonce
@@ -168,7 +172,7 @@
         run.may_be_lost = False
         if self._stream is not None:
             run.sent_at = time.monotonic()
-            send(self._stream, command)
+            _send(self._stream, command)
 
     def _fail_open_checks(self) -> None:
         """Fail the checks of a link that is lost: the executor does not repeat their answers."""
@@ -236,7 +240,7 @@
             else:
                 run.sent_at = time.monotonic()
                 run.may_be_lost = False
-                send(stream, run.command)
+                _send(stream, run.command)
 
 
 class ExecutorLink:
@@ -289,7 +293,7 @@
             max_unsent_bytes=MAX_UNSENT_BYTES,
         )
         if address == self._address:
-            send(self._connection, Command("JOIN", index=self._last_index))
+            _send(self._connection, Command("JOIN", index=self._last_index))
             self._read_notices(self._connection)
         log(LOG, logging.WARNING, "link-ended", index=self._last_index, open=self.commands.open_run_count)
 
@@ -309,7 +313,7 @@
             self._backoff_waiter.wake()
         stream = self.commands.hold_back()
         if stream is not None:
-            send(stream, Command("METER", nonce=DRAIN_NONCE))
+            _send(stream, Command("METER", nonce=DRAIN_NONCE))
             self._loop.call_later(DRAIN_TIMEOUT_S, stream.close)
         elif self._connection is not None:
             self._connection.close()
@@ -344,8 +348,8 @@
     def _on_welcome(self, stream: Stream, notice: Notice) -> None:
         uptime_ms = notice.duration_ms
         log(LOG, logging.INFO, "link-up", outcome=notice.outcome, spent_ms=uptime_ms, index=self._last_index)
-        self._post(events.ExecutorReady(notice.outcome == "chilly", uptime_ms))
-        send(stream, Command("METER", nonce=FENCE_NONCE))
+        self._post(events.ExecutorReady(notice.outcome == COLD_START, uptime_ms))
+        _send(stream, Command("METER", nonce=FENCE_NONCE))
         self.commands.on_link_up(stream)
         self._backoff_s = MIN_BACKOFF_S
 
@@ -368,12 +372,12 @@
         self._post(events.GaugesReported(notice.gauges))
 
     def _on_health_check_completed(self, notice: Notice) -> None:
-        self.commands.on_health_check_completed(notice.nonce, notice.outcome == "complete")
+        self.commands.on_health_check_completed(notice.nonce, notice.outcome == COMPLETED)
 
     def _on_command_rejected(self, notice: Notice) -> None:
         """Report the end of a run that is not there; no other notice will."""
         log(LOG, logging.WARNING, "command-refused", command=notice.outcome, tag=notice.request_id)
-        if notice.outcome not in ("EXEC", "KILL", "WAKE") or not self.commands.close_run(notice.request_id):
+        if notice.outcome not in VERBS_WITHOUT_A_RUN or not self.commands.close_run(notice.request_id):
             return
         if notice.outcome == "EXEC":
             self._post(events.RunUnknown(notice.request_id))
