--- a/benchmarks/plainfold.py
+++ b/benchmarks/plainfold.py
@@ -9,18 +9,19 @@
 from typing import Any
 
 from lapispick import admission
-from lapispick.trace.aggregation import REPEATED_MS, WINDOW_MS, Source, Worth
+from lapispick.trace.aggregation import RETRY_MARGIN_MS, SourceInfo
 from lapispick.trace.record_types import Answered, Arrival, Gap, Step
+from lapispick.trace.summary import WINDOW_MS, RequestTotals
 
 
 class _Request:
     def __init__(self, name: str, class_index: admission.ClassSettings, born: float) -> None:
         self.name, self.class_index, self.born = name, class_index, born
-        self.until = born + max(class_index.idempotency_window_ms, class_index.deadline_ms) + REPEATED_MS
+        self.until = born + max(class_index.idempotency_window_ms, class_index.deadline_ms) + RETRY_MARGIN_MS
         self.account, self.kind, self.age, self.poorer, self.tries = "", "", 0.0, False, 1
 
 
-def fold(sources: list[Source], steps: Iterable[Step]) -> dict[str, Any]:
+def fold(sources: list[SourceInfo], steps: Iterable[Step]) -> dict[str, Any]:
     """Return whole, classes, accounts, windows, grounds, waits and runs (sorted lists of ms) and gaps."""
     now, requests, tries, subjects = float("-inf"), [], {}, {}
     grounds: dict[str, int] = {}
@@ -28,7 +29,7 @@
     runs: dict[str, list[float]] = {}
     open_, came, gaps = set(), {}, 0
     for step in steps:
-        source, box = sources[step.box], step.box
+        source, box = sources[step.source_index], step.source_index
         now = max(now, step.now - source.offset - source.drift * (step.now - source.at) / 1000)
         arrived = {note.id: note for note in step.notes if type(note) is Arrival}
 
@@ -74,7 +75,7 @@
             elif type(action) is admission.Reject:
                 grounds[action.reason or "not told"] = grounds.get(action.reason or "not told", 0) + 1
     made: dict[str, Any] = {
-        "whole": Worth(),
+        "whole": RequestTotals(),
         "classes": {},
         "accounts": {},
         "windows": {},
@@ -87,29 +88,29 @@
         window = str(int(one.born // WINDOW_MS * WINDOW_MS))
         for into in (
             made["whole"],
-            made["classes"].setdefault(one.name, Worth()),
-            made["accounts"].setdefault(one.account, Worth()),
-            made["windows"].setdefault(window, Worth()),
+            made["classes"].setdefault(one.name, RequestTotals()),
+            made["accounts"].setdefault(one.account, RequestTotals()),
+            made["windows"].setdefault(window, RequestTotals()),
         ):
             _count(into, one)
     return made
 
 
-def _count(into: Worth, one: _Request) -> None:
+def _count(into: RequestTotals, one: _Request) -> None:
     served = one.kind == "served"
     in_aim = served and one.age <= one.class_index.latency_objective_ms
     into.requests += 1
-    into.tries += one.tries
-    into.asked += one.class_index.priority_weight
+    into.attempts += one.tries
+    into.offered_weight += one.class_index.priority_weight
     if served:
-        into.served += (
+        into.served_weight += (
             one.class_index.priority_weight
             * (1 if in_aim else one.class_index.late_weight)
             * (one.class_index.degraded_weight if one.poorer else 1)
         )
-    into.in_aim += in_aim
+    into.within_objective += in_aim
     into.late += served and not in_aim
-    into.poorer += served and one.poorer
-    into.refused += one.kind == "refused"
+    into.degraded += served and one.poorer
+    into.rejected += one.kind == "refused"
     into.failed += one.kind == "failed"
-    into.gone += not one.kind
+    into.unanswered += not one.kind
--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -33,7 +33,7 @@
 from lapispick.trace import aggregation, files, lines, merging, replaying
 from lapispick.trace import clock_skew as clocking
 from lapispick.trace.anonymising import Anonymiser
-from lapispick.trace.clock_skew import Clock, estimate, ways
+from lapispick.trace.clock_skew import Clock, estimate_clocks, transits_by_hosts
 from lapispick.trace.record_types import Answered, Arrival, Step
 
 SEED, RATE = 7, 130.0  # requests a second
@@ -148,16 +148,16 @@
 
 
 def _summary(path: Path) -> Any:
-    with files.Reader(path) as reader:
-        return aggregation.summarise(reader.sources, (reader.columns(place) for place in reader.places))
+    with files.TraceReader(path) as reader:
+        return aggregation.summarise(reader.sources, (reader.read_block(place) for place in reader.blocks))
 
 
 def _plain(path: Path) -> Any:
     """Sum up JSON lines, as a short script would."""
     with gzip.open(path, "rb") as file:
-        header = lines.read_header(file.readline())
+        header = lines.decode_header(file.readline())
         return plainfold.fold(
-            [aggregation.source(s) for s in header.sources], (lines.read_step(line, 0) for line in file)
+            [aggregation.source_info(s) for s in header.sources], (lines.decode_step(line, 0) for line in file)
         )
 
 
@@ -174,7 +174,7 @@
 
 def file(minutes: float) -> None:
     """Take a long trace through cut, merge, anonymise and replay; the same records as gzipped JSON lines beside it."""
-    header = files.blank(
+    header = files.make_header(
         box="n3",
         incarnation="1",
         seed=SEED,
@@ -187,34 +187,36 @@
         path, beside, part, other, back = (
             Path(folder) / name for name in ("x.lptrace", "x.jsonl.gz", "a.lptrace", "b.lptrace", "c.lptrace")
         )
-        writing, count = _timed(lambda: files.write(path, header, drive(minutes)))
-        with files.Reader(path) as reader, gzip.open(beside, "wb", compresslevel=6) as out:
-            for line in lines.write(header, reader.steps()):
+        writing, count = _timed(lambda: files.write_trace(path, header, drive(minutes)))
+        with files.TraceReader(path) as reader, gzip.open(beside, "wb", compresslevel=6) as out:
+            for line in lines.encode_trace(header, reader.steps()):
                 out.write(line + b"\n")
         ours, before = _timed(lambda: _summary(path))
         theirs, plain = _timed(lambda: _plain(beside))
         only, _ = _timed(lambda: _decoded(beside))
-        with files.Reader(path) as reader:
-            middle = (reader.places[0].first + reader.places[-1].last) / 2
-            cutting, _ = _timed(lambda: files.write(part, header, reader.steps(middle, middle + 60_000)))
+        with files.TraceReader(path) as reader:
+            middle = (reader.blocks[0].first + reader.blocks[-1].last) / 2
+            cutting, _ = _timed(lambda: files.write_trace(part, header, reader.steps(middle, middle + 60_000)))
             share = reader.read_bytes / reader.size
-        with files.Reader(path) as reader:
-            files.write(part, header, reader.steps(until=middle))
-            files.write(other, header, reader.steps(since=middle))
-        with files.Reader(part) as left, files.Reader(other) as right:
-            files.write(back, header, merging.merge([chain(left.steps(), right.steps())], lambda step: step.now))
+        with files.TraceReader(path) as reader:
+            files.write_trace(part, header, reader.steps(until=middle))
+            files.write_trace(other, header, reader.steps(since=middle))
+        with files.TraceReader(part) as left, files.TraceReader(other) as right:
+            files.write_trace(back, header, merging.merge([chain(left.steps(), right.steps())], lambda step: step.now))
         merged = _summary(back) == before
-        with files.Reader(back) as reader:
-            result = replaying.replay(reader.header.settings, SEED, reader.header.module_now, reader.steps())
+        with files.TraceReader(back) as reader:
+            result = replaying.replay(
+                reader.first_source.settings, SEED, reader.first_source.module_now, reader.steps()
+            )
             made = Anonymiser(bytes(range(32)))
-            made.header(header)
-            files.write(part, header, made.steps(reader.steps()))
+            made.replace_header(header)
+            files.write_trace(part, header, made.replace_steps(reader.steps()))
         hidden = _nameless(_summary(part)) == _nameless(before)
         show(
             f"a trace of {minutes:g} minutes at {RATE:g} requests a second",
             ("", "value"),
             (
-                ("requests, tries, steps", f"{before.whole.requests}, {before.whole.tries}, {count}"),
+                ("requests, tries, steps", f"{before.total.requests}, {before.total.attempts}, {count}"),
                 ("bytes", path.stat().st_size),
                 ("bytes of gzipped JSON lines", beside.stat().st_size),
                 ("size ratio", f"{path.stat().st_size / beside.stat().st_size:.3f}"),
@@ -222,7 +224,7 @@
                 ("summarise, s", f"{ours:.2f}"),
                 ("summarise the JSON lines, s", f"{theirs:.1f}, {theirs / ours:.1f} times ours"),
                 ("only decode the JSON lines, s", f"{only:.1f}, {only / ours:.1f} times ours"),
-                ("both summaries agree", plain["whole"] == before.whole and plain["accounts"] == before.accounts),
+                ("both summaries agree", plain["whole"] == before.total and plain["accounts"] == before.accounts),
                 ("a minute's cut", f"{cutting:.2f} s, reads {share:.2%}"),
                 ("cut in two and merged: the same summary", merged),
                 ("anonymised: the same summary", hidden),
@@ -303,17 +305,17 @@
                 first, then = rng.sample(sorted(shown), 2)
                 subject = b"%06d" % n
                 tries += [
-                    clocking.Try(subject, first, shown[first](at - 20), shown[first](at), False),
-                    clocking.Try(subject, then, shown[then](at + took), shown[then](at + took + 30), True),
+                    clocking.Attempt(subject, first, shown[first](at - 20), shown[first](at), False),
+                    clocking.Attempt(subject, then, shown[then](at + took), shown[then](at + took + 30), True),
                 ]
-            reference, found = estimate(tries, shown)
+            reference, found = estimate_clocks(tries, shown)
             other = "b" if reference == "a" else "a"
             clock, middle = found[other], 1_800_000.0
             truth = shown[other](middle) - shown[reference](middle)
             if isinstance(clock, Clock):
                 ours.append(abs(clock.ahead(shown[reference](middle)) - truth))
                 held += ours[-1] <= clock.error + 1
-            met = ways(tries)
+            met = transits_by_hosts(tries)
             both = [statistics.mean(d for _, d in met[a, b]) for a, b in ((reference, other), (other, reference))]
             plain.append(abs((both[0] - both[1]) / 2 - truth))
         rows.append(
--- a/lapispick/cli/trace_common.py
+++ b/lapispick/cli/trace_common.py
@@ -1,10 +1,10 @@
-"""What the trace commands share: opening files, reading on past spoilt blocks, times, and a bar for long work."""
+"""What the trace commands share: opening files, reading past corrupt blocks, times, and a progress bar."""
 
 from __future__ import annotations
 
 import sys
 import time
-from collections.abc import Callable, Iterable, Iterator
+from collections.abc import Callable, Iterable, Iterator, Sequence
 from contextlib import contextmanager
 from datetime import UTC, datetime
 from pathlib import Path
@@ -15,16 +15,22 @@
 from rich.progress import BarColumn, Progress, TextColumn, TimeRemainingColumn
 
 from lapispick.cli.output import ExitCode, print_error
-from lapispick.trace.files import Reader
+from lapispick.trace.block_reader import Block
+from lapispick.trace.files import TraceReader
 from lapispick.trace.helper import OPEN_SUFFIX, SUFFIX
 from lapispick.trace.layout import TraceError
 from lapispick.trace.record_types import Step
-from lapispick.trace.records import Block
 
 JSON = click.option("--json", "json_", is_flag=True, help="For programs.")
 PATHS = click.argument("paths", nargs=-1, required=True, type=click.Path(path_type=Path))
 PATH = click.argument("path", type=click.Path(path_type=Path))
 OUT = click.argument("out", type=click.Path(path_type=Path))
+ReportBytes = Callable[[int], None]  # gets the number of bytes that were read since the last call
+ClassName = Callable[[int, int], str]  # returns the name of a class by the index of its source and its own
+
+
+def _report_nothing(_: int) -> None:
+    """Report no progress."""
 
 
 class Moment(click.ParamType):
@@ -41,10 +47,11 @@
         except ValueError:
             pass
         try:
-            made = datetime.fromisoformat(value)
+            moment = datetime.fromisoformat(value)
         except ValueError:
             self.fail(f"{value!r} is neither Unix ms nor a time as in 2026-12-01T12:30:05Z", param, ctx)
-        return (made if made.tzinfo else made.replace(tzinfo=UTC)).timestamp() * 1000
+        with_zone = moment if moment.tzinfo else moment.replace(tzinfo=UTC)
+        return with_zone.timestamp() * 1000
 
 
 SINCE = click.option(
@@ -54,87 +61,107 @@
 
 
 def fail(text: str) -> Any:
-    """Say what is wrong with the call or the files, and end."""
+    """Print what is wrong with the call or the files, and exit."""
     print_error(text)
     sys.exit(ExitCode.INVALID)
 
 
-def readers(paths: Iterable[Path]) -> list[Reader]:
-    """Open the files, of folders all traces in them, in the order of life and sequence; ends on a fault."""
-    found: list[Reader] = []
+def open_traces(paths: Iterable[Path]) -> list[TraceReader]:
+    """Open files, and all traces of folders, ordered by incarnation and sequence; exits if one can't be opened."""
+    readers: list[TraceReader] = []
     for path in paths:
-        many = sorted(p for p in path.iterdir() if p.name.endswith((SUFFIX, OPEN_SUFFIX))) if path.is_dir() else [path]
-        for each in many:
+        for file in _traces_at(path):
             try:
-                found.append(Reader(each))
+                readers.append(TraceReader(file))
             except TraceError as err:
                 fail(str(err))
-    if not found:
+    if not readers:
         fail("no trace there")
-    return sorted(
-        found,
-        key=lambda r: (r.header.box, r.header.incarnation, r.header.sequence, r.places[0].first if r.places else 0.0),
-    )
+    return sorted(readers, key=_order)
+
+
+def _traces_at(path: Path) -> list[Path]:
+    if not path.is_dir():
+        return [path]
+    return sorted(file for file in path.iterdir() if file.name.endswith((SUFFIX, OPEN_SUFFIX)))
+
+
+def _order(reader: TraceReader) -> tuple[str, str, int, float]:
+    source = reader.first_source
+    return source.box, source.incarnation, source.sequence, reader.blocks[0].first if reader.blocks else 0.0
+
 
+def group_by_incarnation(readers: Iterable[TraceReader]) -> list[list[TraceReader]]:
+    """Return the files of each incarnation of a host together, and each merged file by itself, in order."""
+    groups: dict[Any, list[TraceReader]] = {}
+    for reader in readers:
+        is_merged = len(reader.sources) > 1
+        source = reader.first_source
+        groups.setdefault(reader.path if is_merged else (source.box, source.incarnation), []).append(reader)
+    return list(groups.values())
 
-def lives(found: Iterable[Reader]) -> list[list[Reader]]:
-    """Return the files of each life of a box together, and each merged file by itself, in order."""
-    made: dict[Any, list[Reader]] = {}
-    for reader in found:
-        alone = len(reader.sources) > 1
-        made.setdefault(reader.path if alone else (reader.header.box, reader.header.incarnation), []).append(reader)
-    return list(made.values())
 
+def host_names(sources: Iterable[Any]) -> list[str]:
+    """Return the distinct names of the hosts of sources."""
+    return list(dict.fromkeys(source.box for source in sources))
 
-def when(ms: float) -> str:
-    """Write a time for people."""
+
+def format_time(ms: float) -> str:
+    """Return a time as text."""
     return time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(ms / 1000)) + f".{int(ms % 1000):03d}Z"
 
 
-def names(sources: Iterable[Any]) -> Callable[[int, int], str]:
-    """Return what tells a class's name by source and number."""
-    known = [list(source.classes) for source in sources]
+def class_names(sources: Iterable[Any]) -> ClassName:
+    """Return a function that returns the name of a class, or its number if the header does not name it."""
+    names_by_source = [list(source.classes) for source in sources]
 
-    def name(box: int, class_index: int) -> str:
-        return known[box][class_index] if box < len(known) and class_index < len(known[box]) else str(class_index)
+    def class_name(source_index: int, class_index: int) -> str:
+        names: Sequence[str] = names_by_source[source_index] if source_index < len(names_by_source) else ()
+        return names[class_index] if class_index < len(names) else str(class_index)
 
-    return name
+    return class_name
 
 
 @contextmanager
-def bar(title: str, found: Iterable[Reader]) -> Iterator[Callable[[int], None]]:
-    """Show on a terminal how far the reading of these files is; yields what takes the bytes that were read."""
+def progress_bar(title: str, readers: Iterable[TraceReader]) -> Iterator[ReportBytes]:
+    """Show on a terminal how much of these files has been read."""
     console = Console(stderr=True)
     if not console.is_terminal:
-        yield lambda _: None
+        yield _report_nothing
         return
-    with Progress(
-        TextColumn(title),
-        BarColumn(),
-        TextColumn("{task.percentage:>3.0f}%"),
-        TimeRemainingColumn(),
-        console=console,
-        transient=True,
-    ) as shown:
-        task = shown.add_task(title, total=sum(r.size for r in found))
-        yield lambda read: shown.advance(task, read)
-
-
-def blocks(reader: Reader, tell: Callable[[int], None] = lambda _: None) -> Iterator[Block]:
-    """Yield the whole blocks; of spoilt ones a line is written."""
-    for place in reader.places:
-        before = reader.read_bytes
+    columns = (TextColumn(title), BarColumn(), TextColumn("{task.percentage:>3.0f}%"), TimeRemainingColumn())
+    with Progress(*columns, console=console, transient=True) as progress:
+        task = progress.add_task(title, total=sum(reader.size for reader in readers))
+        yield lambda read_bytes: progress.advance(task, read_bytes)
+
+
+def read_blocks(reader: TraceReader, report: ReportBytes = _report_nothing) -> Iterator[Block]:
+    """Yield the valid blocks; a line is printed for each corrupt one."""
+    for location in reader.blocks:
+        read_before = reader.read_bytes
         try:
-            yield reader.columns(place)
+            yield reader.read_block(location)
         except TraceError as err:
             print_error(f"left out: {err}")
-        tell(reader.read_bytes - before)
+        report(reader.read_bytes - read_before)
+
 
+def read_all_blocks(readers: Iterable[TraceReader], report: ReportBytes = _report_nothing) -> Iterator[Block]:
+    """Yield the valid blocks of several files."""
+    for reader in readers:
+        yield from read_blocks(reader, report)
 
-def steps(reader: Reader, tell: Callable[[int], None] = lambda _: None) -> Iterator[Step]:
-    """Yield the steps of the whole blocks."""
-    for block in blocks(reader, tell):
+
+def read_steps(reader: TraceReader, report: ReportBytes = _report_nothing) -> Iterator[Step]:
+    """Yield the steps of the valid blocks."""
+    for block in read_blocks(reader, report):
         try:
             yield from block.steps()
         except ValueError as err:
             print_error(f"left out: {reader.path}: a block {err}")
+
+
+def read_all_steps(readers: Iterable[TraceReader], report: ReportBytes = _report_nothing) -> Iterator[Step]:
+    """Yield the steps of the valid blocks of several files."""
+    for reader in readers:
+        yield from read_steps(reader, report)
--- a/lapispick/cli/trace_compare.py
+++ b/lapispick/cli/trace_compare.py
@@ -1,46 +1,59 @@
-"""``lapispick trace``: commands that hold a trace against another one, the present module, or time."""
+"""``lapispick trace``: commands that compare a trace with another one, or with the present decision module."""
 
 from __future__ import annotations
 
 import sys
 from collections import Counter
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import click
 import msgspec
 
-from lapispick.cli import trace_page
-from lapispick.cli.output import ExitCode, print_error, print_json, print_line, print_table
-from lapispick.cli.trace_common import JSON, PATH, PATHS, bar, blocks, fail, lives, names, readers, steps
-from lapispick.trace import aggregation, comparing, replaying, series
-from lapispick.trace.files import Reader, times
+from lapispick.cli.output import ExitCode, print_json, print_line, print_table
+from lapispick.cli.trace_common import (
+    JSON,
+    PATH,
+    PATHS,
+    class_names,
+    fail,
+    group_by_incarnation,
+    open_traces,
+    progress_bar,
+    read_all_blocks,
+    read_all_steps,
+    read_steps,
+)
+from lapispick.trace import aggregation, comparing, replaying
+from lapispick.trace.files import TraceReader
 from lapispick.trace.helper import module_digest
 from lapispick.trace.record_types import Step
-from lapispick.trace.text_names import described, described_all, record_name
+from lapispick.trace.text_names import format_record, format_records, record_name
+
+# Columns of the decisions by class, and the fields of ``ClassDecisions`` that they show.
+DECISION_COLUMNS = {"run": "runs", "refused": "rejected", "failed": "failed", "poorer": "degraded"}
+COMPARED_SOURCE_FIELDS = ("box", "incarnation", "settings", "seed", "module")
+CUT_NOTE = "cut"  # what the header's note on how the file was made begins with
 
 
-def _worth(opened: list[Reader]) -> dict[str, float]:
-    """Return the worth that was served by class."""
-    made = aggregation.summarise(opened[0].sources, (block for reader in opened for block in blocks(reader)))
-    return {name: worth.served for name, worth in made.classes.items()}
+def _served_weights(readers: list[TraceReader]) -> dict[str, float]:
+    """Return the priority weight that was served, by class."""
+    summary = aggregation.summarise(readers[0].sources, read_all_blocks(readers))
+    return {name: totals.served_weight for name, totals in summary.classes.items()}
 
 
-def _from_the_first(opened: list[Reader]) -> bool:
-    """Tell whether these are all files of one life from its start on, none of them cut."""
+def is_complete_incarnation(readers: list[TraceReader]) -> bool:
+    """Tell whether these are all files of one incarnation from its start on, none of them cut."""
     return (
-        len(lives(opened)) == 1
-        and len(opened[0].sources) == 1
-        and [r.header.sequence for r in opened] == list(range(len(opened)))
-        and not any(made.startswith("cut") for r in opened for made in r.whole_header.made)
+        len(group_by_incarnation(readers)) == 1
+        and len(readers[0].sources) == 1
+        and [reader.first_source.sequence for reader in readers] == list(range(len(readers)))
+        and not any(note.startswith(CUT_NOTE) for reader in readers for note in reader.header.made)
     )
 
 
-DECISION_COLUMNS = {"run": "runs", "refused": "rejected", "failed": "failed", "poorer": "degraded"}
-
-
-def _say_decisions(left: comparing.Decisions, right: comparing.Decisions, titles: tuple[str, str]) -> None:
-    """Write a table of the decisions by class on both sides."""
+def _print_decisions(left: comparing.Decisions, right: comparing.Decisions, titles: tuple[str, str]) -> None:
+    """Print a table of the decisions by class on both sides."""
     sides = (left.by_class, right.by_class)
     none = comparing.ClassDecisions()
     columns = [f"{column}, {title}" for column in DECISION_COLUMNS for title in titles]
@@ -54,6 +67,15 @@
     print_table("decisions by class", ("class", *columns), rows)
 
 
+class _Replay(NamedTuple):
+    """A replay, and the decisions on both sides."""
+
+    result: replaying.ReplayResult
+    recorded: comparing.Decisions
+    replayed: comparing.Decisions
+    same_module: bool
+
+
 @click.command()
 @PATHS
 @JSON
@@ -62,76 +84,82 @@
 
     This is open-loop: what the module orders now does not change what came next.
     """
-    opened = readers(paths)
-    if not _from_the_first(opened):
+    readers = open_traces(paths)
+    if not is_complete_incarnation(readers):
         fail("needs all files of one life of one box, from the first on, and none that was cut")
-    header = opened[0].header
-    class_name = names(opened[0].sources)
+    replayed = _replay(readers)
+    if json_:
+        print_json(_replay_fields(replayed))
+    else:
+        _print_replay(replayed)
+    sys.exit(ExitCode.DIFFERENCES if replayed.result.differing else 0)
+
+
+def _replay(readers: list[TraceReader]) -> _Replay:
+    source = readers[0].first_source
+    class_name = class_names(readers[0].sources)
     recorded = comparing.Decisions(class_name)
-    present = comparing.Decisions(class_name)
+    replayed = comparing.Decisions(class_name)
 
-    def on_step(step: Step, replayed: tuple[Any, ...], _: Any) -> None:
+    def on_step(step: Step, actions: tuple[Any, ...], _: Any) -> None:
         recorded.add(step, step.actions)
-        present.add(step, replayed)
+        replayed.add(step, actions)
 
-    with bar("replay", opened) as tell:
-        all_steps = (step for reader in opened for step in steps(reader, tell))
-        result = replaying.replay(header.settings, header.seed, header.module_now, all_steps, on_step)
+    with progress_bar("replay", readers) as report:
+        steps = read_all_steps(readers, report)
+        result = replaying.replay(source.settings, source.seed, source.module_now, steps, on_step)
     if result.differing:
-        comparing.estimate(recorded.by_class, present.by_class, _worth(opened))
-    if json_:
-        print_json(_replay_fields(result, recorded, present, header.module == module_digest()))
-    else:
-        _say_replay(result, recorded, present)
-    sys.exit(ExitCode.DIFFERENCES if result.differing else 0)
+        comparing.estimate(recorded.by_class, replayed.by_class, _served_weights(readers))
+    return _Replay(result, recorded, replayed, source.module == module_digest())
 
 
-def _replay_fields(
-    result: replaying.Result, recorded: comparing.Decisions, present: comparing.Decisions, same_module: bool
-) -> dict[str, Any]:
+def _replay_fields(replayed: _Replay) -> dict[str, Any]:
     """Return the JSON output of a replay."""
-    first = None
-    if result.first is not None:
-        first = {
-            "step": result.first.number,
-            "now": result.first.now,
-            "recorded": [described(action) for action in result.first.recorded],
-            "replayed": [described(action) for action in result.first.replayed],
-        }
+    result = replayed.result
+    decisions = {"recorded": replayed.recorded.by_class, "replayed": replayed.replayed.by_class}
     return {
         "steps": result.steps,
         "differing": result.differing,
-        "gaps": result.gaps,
-        "same_module": same_module,
+        "gaps": result.lost_steps,
+        "same_module": replayed.same_module,
         "recorded": dict(result.recorded),
         "replayed": dict(result.replayed),
-        "decisions": msgspec.to_builtins({"recorded": recorded.by_class, "replayed": present.by_class}),
-        "first": first,
+        "decisions": msgspec.to_builtins(decisions),
+        "first": None if result.first is None else _difference_fields(result.first),
+    }
+
+
+def _difference_fields(difference: replaying.Difference) -> dict[str, Any]:
+    return {
+        "step": difference.number,
+        "now": difference.now,
+        "recorded": [format_record(action) for action in difference.recorded],
+        "replayed": [format_record(action) for action in difference.replayed],
     }
 
 
-def _say_replay(result: replaying.Result, recorded: comparing.Decisions, present: comparing.Decisions) -> None:
-    gap = f", ended at a gap of {result.gaps}" if result.gaps else ""
+def _print_replay(replayed: _Replay) -> None:
+    result = replayed.result
+    gap = f", ended at a gap of {result.lost_steps}" if result.lost_steps else ""
     print_line(f"{result.steps} steps, {result.differing} differ{gap}")
     if result.first is not None:
-        before = described_all(result.first.recorded)
-        now = described_all(result.first.replayed)
+        before = format_records(result.first.recorded)
+        now = format_records(result.first.replayed)
         print_line(f"first at step {result.first.number}: recorded {before}, now {now}")
-        _say_decisions(recorded, present, ("recorded", "now"))
+        _print_decisions(replayed.recorded, replayed.replayed, ("recorded", "now"))
         print_line("Only the first difference is sound; worth is estimated by the runs of each class.")
-    kinds = sorted(result.recorded.keys() | result.replayed.keys())
-    print_table(
-        "actions", ("kind", "recorded", "replayed"), ((k, result.recorded[k], result.replayed[k]) for k in kinds)
-    )
+    names = sorted(result.recorded.keys() | result.replayed.keys())
+    rows = ((name, result.recorded[name], result.replayed[name]) for name in names)
+    print_table("actions", ("kind", "recorded", "replayed"), rows)
 
 
 class _Side:
     """What one of two traces holds."""
 
-    def __init__(self, reader: Reader) -> None:
+    def __init__(self, reader: TraceReader) -> None:
         self.reader = reader
-        self.decisions = comparing.Decisions(names(reader.sources))
-        self.records: Counter[str] = Counter()  # by kind
+        self.decisions = comparing.Decisions(class_names(reader.sources))
+        self.records: Counter[str] = Counter()  # by name
 
     def add(self, step: Step) -> None:
         """Count the decisions and records of a step."""
@@ -142,7 +170,7 @@
 
     def set_weights(self) -> None:
         """Set what the runs of each class earned."""
-        for name, weight in _worth([self.reader]).items():
+        for name, weight in _served_weights([self.reader]).items():
             self.decisions.by_class.setdefault(name, comparing.ClassDecisions()).priority_weight = weight
 
 
@@ -152,8 +180,8 @@
 @JSON
 def diff(path: Path, other: Path, json_: bool) -> None:
     """Hold two traces against each other, step by step and by what was decided; ends with 1 where they differ."""
-    (left_reader,) = readers((path,))
-    (right_reader,) = readers((other,))
+    (left_reader,) = open_traces((path,))
+    (right_reader,) = open_traces((other,))
     left = _Side(left_reader)
     right = _Side(right_reader)
     headers = _differing_headers(left.reader, right.reader)
@@ -162,95 +190,48 @@
         left.add(one)
         right.add(two)
 
-    with bar("diff", (left.reader, right.reader)) as tell:
-        divergence = comparing.first_divergence(steps(left.reader, tell), steps(right.reader, tell), on_pair)
+    with progress_bar("diff", (left.reader, right.reader)) as report:
+        divergence = comparing.first_divergence(
+            read_steps(left.reader, report), read_steps(right.reader, report), on_pair
+        )
     left.set_weights()
     right.set_weights()
     if json_:
-        print_json(
-            {
-                "headers": headers,
-                "first": divergence,
-                "decisions": [side.decisions.by_class for side in (left, right)],
-                "grounds": [dict(side.decisions.reasons) for side in (left, right)],
-                "records": [dict(side.records) for side in (left, right)],
-            }
-        )
+        print_json(_diff_fields(headers, divergence, left, right))
     else:
-        _say_diff(headers, divergence, left, right)
+        _print_diff(headers, divergence, left, right)
     sys.exit(ExitCode.DIFFERENCES if headers or divergence is not None else 0)
 
 
-def _differing_headers(left: Reader, right: Reader) -> list[str]:
+def _diff_fields(
+    headers: list[str], divergence: comparing.Divergence | None, left: _Side, right: _Side
+) -> dict[str, Any]:
+    """Return the JSON output of a comparison."""
+    sides = (left, right)
+    return {
+        "headers": headers,
+        "first": divergence,
+        "decisions": [side.decisions.by_class for side in sides],
+        "grounds": [dict(side.decisions.reasons) for side in sides],
+        "records": [dict(side.records) for side in sides],
+    }
+
+
+def _differing_headers(left: TraceReader, right: TraceReader) -> list[str]:
     return [
         name
-        for name in ("box", "incarnation", "settings", "seed", "module")
+        for name in COMPARED_SOURCE_FIELDS
         if [getattr(source, name) for source in left.sources] != [getattr(source, name) for source in right.sources]
     ]
 
 
-def _say_diff(headers: list[str], divergence: comparing.Divergence | None, left: _Side, right: _Side) -> None:
+def _print_diff(headers: list[str], divergence: comparing.Divergence | None, left: _Side, right: _Side) -> None:
     print_line("the headers differ in " + ", ".join(headers) if headers else "the headers agree")
     if divergence is None:
         print_line("all steps agree")
     else:
         print_line(f"first at step {divergence.step}, {divergence.part}: {divergence.left} against {divergence.right}")
-    _say_decisions(left.decisions, right.decisions, ("left", "right"))
-    kinds = [kind for kind in sorted(left.records | right.records) if left.records[kind] != right.records[kind]]
-    rows = ((kind, left.records[kind], right.records[kind]) for kind in kinds)
+    _print_decisions(left.decisions, right.decisions, ("left", "right"))
+    names = [name for name in sorted(left.records | right.records) if left.records[name] != right.records[name]]
+    rows = ((name, left.records[name], right.records[name]) for name in names)
     print_table("records that differ in number", ("kind", "left", "right"), rows)
-
-
-def _sampled(opened: list[Reader], made: series.Series) -> None:
-    """Write the module's limit and price into the series, by a replay; left out where none is exact."""
-    points: list[tuple[float, float, float]] = []
-
-    def seen(step: Step, got: tuple[Any, ...], control: Any) -> None:
-        if not points or step.now - points[-1][0] >= made.span / 2:
-            state = control.state
-            points.append((step.now, state.concurrency_limit.value, state.shadow_prices.occupancy_price))
-
-    header = opened[0].header
-    told = replaying.replay(
-        header.settings, header.seed, header.module_now, (step for reader in opened for step in steps(reader)), seen
-    )
-    if told.differing:
-        return print_error("limit and price are left out: the present module decides otherwise")
-    made.limit = series.sampled([(now, limit) for now, limit, _ in points], made)
-    made.price = series.sampled([(now, price) for now, _, price in points], made)
-    return None
-
-
-@click.command()
-@click.argument("paths", nargs=-1, required=True, type=click.Path(path_type=Path))
-@click.option(
-    "--out", required=True, type=click.Path(path_type=Path), help="A .png, or a .html that needs nothing else."
-)
-@JSON
-def plot(paths: tuple[Path, ...], out: Path, json_: bool) -> None:
-    """Draw worth over time, answers, refusals by ground, waits, and the module's limit and price."""
-    if out.suffix not in (".png", ".html"):
-        fail(f"{out}: must end in .png or .html")
-    opened = readers(paths)
-    if len(lives(opened)) != 1:
-        fail("needs files of one life of one box, or one merged file")
-    places = [place for reader in opened for place in reader.places]
-    if not places:
-        fail("no steps there")
-    with bar("plot", opened) as tell:
-        summary = aggregation.summarise(opened[0].sources, (b for reader in opened for b in blocks(reader, tell)))
-    made = series.series(
-        ((block, times(reader.sources, block)) for reader in opened for block in blocks(reader)),
-        min(p.first for p in places),
-        max(p.last for p in places),
-    )
-    if _from_the_first(opened):
-        _sampled(opened, made)
-    title = ", ".join(dict.fromkeys(s.box for s in opened[0].sources))
-    drawn = trace_page.draw(title, summary, made)
-    out.write_bytes(drawn if out.suffix == ".png" else trace_page.page(title, summary, drawn).encode())
-    if json_:
-        return print_json(made)
-    return print_line(
-        f"{out}: {summary.whole.requests} requests, {summary.whole.served:g} of {summary.whole.asked:g} served"
-    )
--- a/lapispick/cli/trace_page.py
+++ b/lapispick/cli/trace_page.py
@@ -1,23 +1,27 @@
-"""The plots of a trace: one picture, or one HTML page that holds it and the tables."""
+"""The plots of a trace: one picture, or one HTML page with the picture and the tables."""
 
 from __future__ import annotations
 
 import base64
 import html
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
 from io import BytesIO
 from typing import Any
 
-from lapispick.cli.trace_common import when
-from lapispick.trace.aggregation import WINDOW_MS, Summary, Worth
+from lapispick.cli.trace_common import format_time
+from lapispick.cli.trace_tables import PERCENTILE_COLUMNS, TOTALS_COLUMNS, percentile_rows, totals_rows
 from lapispick.trace.series import Series
+from lapispick.trace.summary import WINDOW_MS, RequestTotals, Summary
 
 COLOURS = {"served": "#2a7f62", "refused": "#c9822b", "failed": "#b23a48"}
-
-
 GREY = "#9aa0a6"
 MARK_COLOUR = "#555555"
 LIMIT_COLOUR = "#3b5b92"
+PAGE_COLUMNS = tuple(column for column in TOTALS_COLUMNS if column != "in aim")
+STYLE = (
+    "body{font:14px sans-serif;margin:2em;max-width:70em}table{border-collapse:collapse}"
+    "td,th{padding:.2em .7em;text-align:right;border-bottom:1px solid #ddd}img{max-width:100%}"
+)
 
 
 def draw(title: str, summary: Summary, series: Series) -> bytes:
@@ -33,62 +37,64 @@
     _draw_weights(weights, summary, series)
     _draw_answers(answers, series)
     _draw_reasons(reasons, series)
-    _steps(waits, series, series.waits, label="age of what is served, median, ms", color=COLOURS["served"])
+    _draw_line(waits, series, series.served_ages, label="age of what is served, median, ms", color=COLOURS["served"])
     waits.set_ylabel("ms")
     _draw_limit(limit, series)
     for axes in rows:
         _finish(axes, series, with_names=axes is weights)
-    limit.set_xlabel(f"s since {when(series.begin)}")
-    figure.suptitle(f"{title}: {summary.whole.served:g} of {summary.whole.asked:g} served")
+    limit.set_xlabel(f"s since {format_time(series.begin)}")
+    figure.suptitle(f"{title}: {summary.total.served_weight:g} of {summary.total.offered_weight:g} served")
     out = BytesIO()
     figure.savefig(out, format="png", dpi=100)
     pyplot.close(figure)
     return out.getvalue()
 
 
-def _steps(axes: Any, series: Series, values: list[float], **options: Any) -> None:
-    """Draw a value for each span."""
-    seconds = [number * series.span / 1000 for number in range(len(values))]
+def _draw_line(axes: Any, series: Series, values: list[float], **options: Any) -> None:
+    """Draw a value for each interval."""
+    seconds = [number * series.interval_ms / 1000 for number in range(len(values))]
     axes.step(seconds, values, where="post", linewidth=0.9, **options)
 
 
 def _per_second(series: Series, counts: list[int]) -> list[float]:
-    spans_per_second = 1000 / series.span
-    return [count * spans_per_second for count in counts]
+    intervals_per_second = 1000 / series.interval_ms
+    return [count * intervals_per_second for count in counts]
 
 
 def _draw_weights(axes: Any, summary: Summary, series: Series) -> None:
-    """Draw what was asked and served, by the time when requests were born."""
+    """Draw the offered and served weight by the time when requests were born."""
     keys = sorted(summary.windows, key=int)
     seconds = [(int(key) - series.begin) / 1000 for key in keys]
-    for name, colour, alpha in (("asked", GREY, 0.5), ("served", COLOURS["served"], 0.9)):
-        values = [getattr(summary.windows[key], name) for key in keys]
-        axes.bar(seconds, values, width=WINDOW_MS / 1000, align="edge", label=name, color=colour, alpha=alpha)
+    offered = [summary.windows[key].offered_weight for key in keys]
+    served = [summary.windows[key].served_weight for key in keys]
+    layout = {"width": WINDOW_MS / 1000, "align": "edge"}
+    axes.bar(seconds, offered, label="asked", color=GREY, alpha=0.5, **layout)
+    axes.bar(seconds, served, label="served", color=COLOURS["served"], alpha=0.9, **layout)
     axes.set_ylabel("worth, by 10 s of birth")
 
 
 def _draw_answers(axes: Any, series: Series) -> None:
     for name, counts in series.answers.items():
-        _steps(axes, series, _per_second(series, counts), label=name, color=COLOURS.get(name))
-    _steps(axes, series, _per_second(series, series.arrived), label="tries that came", color=GREY)
+        _draw_line(axes, series, _per_second(series, counts), label=name, color=COLOURS.get(name))
+    _draw_line(axes, series, _per_second(series, series.arrived), label="tries that came", color=GREY)
     axes.set_ylabel("a second")
 
 
 def _draw_reasons(axes: Any, series: Series) -> None:
-    for name, counts in series.grounds.items():
-        _steps(axes, series, _per_second(series, counts), label=name)
+    for name, counts in series.rejection_reasons.items():
+        _draw_line(axes, series, _per_second(series, counts), label=name)
     axes.set_ylabel("refused tries a second, by ground")
 
 
 def _draw_limit(axes: Any, series: Series) -> None:
     """Draw the attempts in flight, and the module's limit and price where they are known."""
-    _steps(axes, series, [float(count) for count in series.inflight], label="open tries", color=GREY)
-    if series.limit:
-        _steps(axes, series, series.limit, label="limit on runs", color=LIMIT_COLOUR)
+    _draw_line(axes, series, [float(count) for count in series.open_attempts], label="open tries", color=GREY)
+    if series.concurrency_limit:
+        _draw_line(axes, series, series.concurrency_limit, label="limit on runs", color=LIMIT_COLOUR)
     axes.set_ylabel("tries")
-    if any(series.price):
+    if any(series.occupancy_price):
         other = axes.twinx()
-        _steps(other, series, series.price, label="price of hold", color=COLOURS["refused"])
+        _draw_line(other, series, series.occupancy_price, label="price of hold", color=COLOURS["refused"])
         other.set_ylabel("worth a slot and ms")
         other.legend(loc="upper right", fontsize=8)
 
@@ -115,53 +121,27 @@
     return f"<h2>{html.escape(title)}</h2><table><tr>{cells('th', columns)}</tr>{body}</table>"
 
 
-def _worths(title: str, parts: dict[str, Worth]) -> str:
-    columns = ("", "requests", "tries", "asked", "served", "share", "late", "poorer", "refused", "failed", "gone")
-    return _table(
-        title,
-        columns,
-        (
-            (
-                name or "not told",
-                w.requests,
-                w.tries,
-                f"{w.asked:g}",
-                f"{w.served:g}",
-                f"{w.served / w.asked:.3f}" if w.asked else "-",
-                w.late,
-                w.poorer,
-                w.refused,
-                w.failed,
-                w.gone,
-            )
-            for name, w in parts.items()
-        ),
-    )
+def _totals_table(title: str, totals_by_name: Mapping[str, RequestTotals]) -> str:
+    return _table(title, ("", *PAGE_COLUMNS), totals_rows(totals_by_name, PAGE_COLUMNS))
 
 
-def page(title: str, summary: Summary, drawn: bytes) -> str:
-    """Return an HTML page with the picture in it; it asks for nothing else."""
-    picture = base64.b64encode(drawn).decode()
-    spans = [
-        (kind, name, s.count, s.p50, s.p90, s.p99, s.most)
-        for kind, of in (("wait", summary.waits), ("run", summary.runs))
-        for name, s in of.items()
-    ]
+def page(title: str, summary: Summary, picture: bytes) -> str:
+    """Return an HTML page with the picture in it; it loads nothing else."""
+    encoded = base64.b64encode(picture).decode()
+    worst_windows = {format_time(float(begin)): summary.windows[begin] for begin in summary.worst_windows}
+    percentiles = [("wait", *row) for row in percentile_rows(summary.queue_times)]
+    percentiles += [("run", *row) for row in percentile_rows(summary.run_durations)]
     tables = [
-        _worths("Whole", {"all": summary.whole}),
-        _worths("By class", summary.classes),
-        _worths("By account", summary.accounts),
-        _worths("Worst 10 s", {when(float(k)): summary.windows[k] for k in summary.worst}),
-        _table("Refused tries by ground", ("ground", "tries"), summary.grounds.items()),
-        _table("Waits before a run, and runs; ms", ("", "class", "count", "p50", "p90", "p99", "most"), spans),
+        _totals_table("Whole", {"all": summary.total}),
+        _totals_table("By class", summary.classes),
+        _totals_table("By account", summary.accounts),
+        _totals_table("Worst 10 s", worst_windows),
+        _table("Refused tries by ground", ("ground", "tries"), summary.rejection_reasons.items()),
+        _table("Waits before a run, and runs; ms", ("", *PERCENTILE_COLUMNS), percentiles),
     ]
-    style = (
-        "body{font:14px sans-serif;margin:2em;max-width:70em}table{border-collapse:collapse}"
-        "td,th{padding:.2em .7em;text-align:right;border-bottom:1px solid #ddd}img{max-width:100%}"
-    )
     return (
         "<!doctype html><html lang=en><meta charset=utf-8>"
-        f"<title>{html.escape(title)}</title><style>{style}</style>"
+        f"<title>{html.escape(title)}</title><style>{STYLE}</style>"
         f"<h1>{html.escape(title)}</h1><img alt='worth, answers, refusals, waits and limit over time' "
-        f"src='data:image/png;base64,{picture}'>{''.join(tables)}</html>\n"
+        f"src='data:image/png;base64,{encoded}'>{''.join(tables)}</html>\n"
     )
--- a/lapispick/cli/trace_write.py
+++ b/lapispick/cli/trace_write.py
@@ -1,11 +1,10 @@
-"""``lapispick trace``: commands that write a trace out of others."""
+"""``lapispick trace``: commands that write a trace made from others."""
 
 from __future__ import annotations
 
 import gzip
 import sys
-from collections.abc import Callable, Iterator
-from contextlib import ExitStack
+from collections.abc import Iterator, Sequence
 from pathlib import Path
 from typing import Any, BinaryIO
 
@@ -14,15 +13,42 @@
 
 from lapispick import admission
 from lapispick.cli.output import ExitCode, print_error, print_json, print_line
-from lapispick.cli.trace_common import JSON, OUT, PATH, SINCE, UNTIL, bar, fail, lives, names, readers, steps
-from lapispick.trace import attempt_matching, files, lines, merging
+from lapispick.cli.trace_common import (
+    JSON,
+    OUT,
+    PATH,
+    SINCE,
+    UNTIL,
+    ReportBytes,
+    class_names,
+    fail,
+    group_by_incarnation,
+    open_traces,
+    progress_bar,
+    read_steps,
+)
+from lapispick.cli.trace_summary import estimate_from
+from lapispick.trace import files, lines, merging
 from lapispick.trace.anonymising import Anonymiser, PseudonymConflictError
-from lapispick.trace.clock_skew import estimate
 from lapispick.trace.record_types import Step
-from lapispick.trace.records import Header
-from lapispick.trace.selecting import DROP, MARK, WHOLE, Selection, Selector
+from lapispick.trace.schema import Header
+from lapispick.trace.selecting import COMPLETE, DROP, MARK, Selection, Selector
+
+MIN_PARTIAL_MATCH_BYTES = 4  # of a name; shorter ones are part of other words by chance
+DEFAULT_DEADLINE_MS = 10_000.0  # if no header has the settings of the classes
+LINES_SUFFIX = ".jsonl"
+
+
+def _print_result(json_: bool, text: str, **fields: Any) -> None:
+    """Print what was written: a line for people, or one document for programs."""
+    if json_:
+        print_json(fields)
+    else:
+        print_line(text)
 
-WITHIN_LEAST = 4  # bytes; a shorter name stands within others by chance
+
+def _copy_header(reader: files.TraceReader) -> Any:
+    return Header.FromString(reader.header.SerializeToString())
 
 
 @click.command()
@@ -31,10 +57,10 @@
 @JSON
 def repair(path: Path, out: Path, json_: bool) -> None:
     """Write every whole block of a file to OUT, with a new index."""
-    opened = readers((path,))
-    with bar("repair", opened) as tell:
-        count = files.write(out, opened[0].whole_header, steps(opened[0], tell))
-    _done(json_, f"{count} steps", steps=count)
+    (reader,) = open_traces((path,))
+    with progress_bar("repair", (reader,)) as report:
+        count = files.write_trace(out, reader.header, read_steps(reader, report))
+    _print_result(json_, f"{count} steps", steps=count)
 
 
 @click.command()
@@ -47,7 +73,7 @@
 @click.option("--outcome", "outcomes", multiple=True, type=click.Choice(["served", "refused", "failed", "gone"]))
 @click.option(
     "--edges",
-    type=click.Choice([MARK, WHOLE, DROP]),
+    type=click.Choice([MARK, COMPLETE, DROP]),
     default=MARK,
     show_default=True,
     help="What becomes of requests that an edge of the window cuts through.",
@@ -65,33 +91,35 @@
     json_: bool,
 ) -> None:
     """Write a part of a file to OUT: a time window, or some requests; only the blocks around the window are read."""
-    (reader,) = readers((path,))
+    (reader,) = open_traces((path,))
     known = {name for source in reader.sources for name in source.classes}
     if unknown := set(classes) - known:
         fail(f"--class: the trace knows {', '.join(sorted(known))}, not {', '.join(sorted(unknown))}")
     selection = Selection(since, until, frozenset(classes), frozenset(accounts), frozenset(outcomes), edges)
-    longest = max(
-        (
-            c.deadline_ms
-            for s in reader.sources
-            if s.settings
-            for c in msgspec.json.decode(s.settings, type=admission.Settings).classes
-        ),
-        default=10_000.0,
-    )
-    selector = Selector(selection, names(reader.sources), longest, lambda step: files.when(reader.sources, step))
-    header = Header.FromString(reader.whole_header.SerializeToString())
-    header.made.append(
-        "cut" + (f" to {edges}" if edges != MARK else "") + (" by request" if selection.by_request else "")
-    )
-    count = files.write(out, header, selector.run(reader.steps(since - selector.margin, until + selector.margin)))
-    _done(
-        json_,
-        f"{count} steps, {reader.read_bytes} of {reader.size} bytes read",
-        steps=count,
-        read_bytes=reader.read_bytes,
-        bytes=reader.size,
+    selector = Selector(
+        selection,
+        class_names(reader.sources),
+        _longest_deadline_ms(reader.sources),
+        lambda step: files.step_time(reader.sources, step),
     )
+    header = _copy_header(reader)
+    header.made.append(_cut_note(selection))
+    steps = reader.steps(since - selector.margin, until + selector.margin)
+    count = files.write_trace(out, header, selector.run(steps))
+    text = f"{count} steps, {reader.read_bytes} of {reader.size} bytes read"
+    _print_result(json_, text, steps=count, read_bytes=reader.read_bytes, bytes=reader.size)
+
+
+def _longest_deadline_ms(sources: Sequence[Any]) -> float:
+    """Return the longest deadline of all classes."""
+    settings = (msgspec.json.decode(source.settings, type=admission.Settings) for source in sources if source.settings)
+    return max((each.deadline_ms for one in settings for each in one.classes), default=DEFAULT_DEADLINE_MS)
+
+
+def _cut_note(selection: Selection) -> str:
+    """Return the header's note on how the file was made."""
+    edges = f" to {selection.edges}" if selection.edges != MARK else ""
+    return "cut" + edges + (" by request" if selection.by_request else "")
 
 
 @click.command()
@@ -104,35 +132,33 @@
 
     Each step keeps its box's own time. Ends with 1 where a clock was to be corrected and cannot be told.
     """
-    opened = readers(paths)
-    if out.resolve() in {r.path.resolve() for r in opened}:
+    readers = open_traces(paths)
+    if out.resolve() in {reader.path.resolve() for reader in readers}:
         fail(f"{out}: is one of the traces to be merged")
-    sources, positions = merging.merge_sources([r.sources for r in opened])
-    left: list[str] = []
-    if correct_clocks:
-        _, found = estimate(
-            attempt_matching.kept(attempt_matching.tries(r.sources, steps(r)) for r in opened), {s.box for s in sources}
-        )
-        left = merging.apply_clocks(sources, found)
-    by_reader = {id(r): place for r, place in zip(opened, positions, strict=True)}
-
-    def stream(many: list[files.Reader], tell: Callable[[int], None]) -> Iterator[Step]:
-        for reader in many:
-            place = by_reader[id(reader)]
-            for step in steps(reader, tell):
-                yield step if place == [step.box] else step._replace(box=place[step.box])
-
+    sources, positions = merging.merge_sources([reader.sources for reader in readers])
+    uncorrected = merging.apply_clocks(sources, estimate_from(readers).clocks) if correct_clocks else []
+    positions_by_path = {reader.path: each for reader, each in zip(readers, positions, strict=True)}
     header = Header(sources=sources, made=["merged by corrected clocks" if correct_clocks else "merged"])
-    with bar("merge", opened) as tell:
-        count = files.write(
-            out,
-            header,
-            merging.merge([stream(many, tell) for many in lives(opened)], lambda step: files.when(sources, step)),
-        )
-    for why in left:
-        print_error(f"not corrected: {why}")
-    _done(json_, f"{count} steps of {len(sources)} lives", steps=count, lives=len(sources), not_corrected=left)
-    sys.exit(ExitCode.DIFFERENCES if left else 0)
+    with progress_bar("merge", readers) as report:
+        streams = [_merged_steps(group, positions_by_path, report) for group in group_by_incarnation(readers)]
+        steps = merging.merge(streams, lambda step: files.step_time(sources, step))
+        count = files.write_trace(out, header, steps)
+    for reason in uncorrected:
+        print_error(f"not corrected: {reason}")
+    text = f"{count} steps of {len(sources)} lives"
+    _print_result(json_, text, steps=count, lives=len(sources), not_corrected=uncorrected)
+    sys.exit(ExitCode.DIFFERENCES if uncorrected else 0)
+
+
+def _merged_steps(
+    readers: list[files.TraceReader], positions_by_path: dict[Path, list[int]], report: ReportBytes
+) -> Iterator[Step]:
+    """Yield the steps of files with the positions of their sources in the merged file."""
+    for reader in readers:
+        positions = positions_by_path[reader.path]
+        for step in read_steps(reader, report):
+            is_unchanged = positions == [step.source_index]  # copying a step takes a while
+            yield step if is_unchanged else step._replace(source_index=positions[step.source_index])
 
 
 @click.command()
@@ -144,64 +170,73 @@
     type=click.Path(path_type=Path, exists=True, dir_okay=False),
     help="A file of 16 to 64 bytes; the same key gives the same stand-ins.",
 )
-@click.option("--boxes", is_flag=True, help="Replace the boxes' names too.")
+@click.option("--boxes", "hosts", is_flag=True, help="Replace the boxes' names too.")
 @JSON
-def anonymise(path: Path, out: Path, key: Path, boxes: bool, json_: bool) -> None:
+def anonymise(path: Path, out: Path, key: Path, hosts: bool, json_: bool) -> None:
     """Write a file to OUT with stand-ins for subjects, accounts and callers; then look that no name is left."""
-    (reader,) = readers((path,))
+    (reader,) = open_traces((path,))
     try:
-        made = Anonymiser(key.read_bytes(), boxes)
+        anonymiser = Anonymiser(key.read_bytes(), hosts)
     except ValueError as err:
         fail(f"{key}: {err}")
-    header = Header.FromString(reader.whole_header.SerializeToString())
+    header = _copy_header(reader)
     try:
-        made.header(header)
-        with bar("anonymise", (reader,)) as tell:
-            count = files.write(out, header, made.steps(steps(reader, tell)))
+        anonymiser.replace_header(header)
+        with progress_bar("anonymise", (reader,)) as report:
+            count = files.write_trace(out, header, anonymiser.replace_steps(read_steps(reader, report)))
     except PseudonymConflictError as err:
         fail(str(err))
-    if left := _left(out, made.originals(), made.stand_ins()):
+    originals = anonymiser.originals()
+    if remaining := _remaining_names(out, originals, anonymiser.pseudonyms()):
         out.unlink()
-        fail(f"{', '.join(sorted(left))}: still stands in the result, which was removed")
-    names_ = len(made.originals())
-    _done(json_, f"{count} steps, {names_} names replaced, none left", steps=count, names=names_)
-
+        fail(f"{', '.join(sorted(remaining))}: still stands in the result, which was removed")
+    text = f"{count} steps, {len(originals)} names replaced, none left"
+    _print_result(json_, text, steps=count, names=len(originals))
 
-def _done(json_: bool, text: str, **told: Any) -> None:
-    """Say what was written: a line for people, or one document for programs."""
-    if json_:
-        print_json(told)
-    else:
-        print_line(text)
 
-
-def _left(path: Path, originals: set[str], stand_ins: set[str]) -> set[str]:
-    """Return which of these are a word of a file, or stand within one where they are long enough to mean something."""
-    wanted, found = {name: name.encode() for name in originals - stand_ins}, set()
-    fine = {name.encode() for name in stand_ins}
-    with files.Reader(path) as reader:
-        texts = [{text.encode() for s in reader.sources for text in (s.box, s.incarnation, *s.accounts)}]
-        for place in reader.places:
-            texts.append({word for column in reader.columns(place).columns.values() for word in column.words})
-            whole = b"\0".join(texts[-1] - fine)
-            found |= {
+def _remaining_names(path: Path, originals: set[str], pseudonyms: set[str]) -> set[str]:
+    """Return the original names that are a word in a file, or part of one if they are long enough."""
+    searched = {name: name.encode() for name in originals - pseudonyms}
+    allowed = {name.encode() for name in pseudonyms}
+    remaining: set[str] = set()
+    with files.TraceReader(path) as reader:
+        header_words = {
+            text.encode() for source in reader.sources for text in (source.box, source.incarnation, *source.accounts)
+        }
+        for location in reader.blocks:
+            columns = reader.read_block(location).columns.values()
+            block_words = {word for column in columns for word in column.words}
+            all_text = b"\0".join(block_words - allowed)
+            remaining |= {
                 name
-                for name, raw in wanted.items()
-                if any(raw in words for words in texts) or (len(raw) >= WITHIN_LEAST and raw in whole)
+                for name, encoded in searched.items()
+                if encoded in header_words
+                or encoded in block_words
+                or (len(encoded) >= MIN_PARTIAL_MATCH_BYTES and encoded in all_text)
             }
-            texts = texts[:1]
-    return found
+    return remaining
 
 
-def _opened(path: Path, mode: str) -> BinaryIO:
+def _open_lines(path: Path, mode: str) -> BinaryIO:
+    """Open a file of JSON lines, compressed if its name says so."""
     return gzip.open(path, mode) if path.suffix == ".gz" else path.open(mode)  # type: ignore[return-value]
 
 
-def _from_lines(path: Path, out: Path) -> int:
-    with ExitStack() as stack:
-        file = stack.enter_context(_opened(path, "rb"))
-        header = lines.read_header(file.readline())
-        return files.write(out, header, (lines.read_step(line, n) for n, line in enumerate(file, 2) if line.strip()))
+def _convert_from_lines(path: Path, out: Path) -> int:
+    """Write a trace from JSON lines; return its number of steps."""
+    with _open_lines(path, "rb") as file:
+        header = lines.decode_header(file.readline())
+        steps = (lines.decode_step(line, number) for number, line in enumerate(file, 2) if line.strip())
+        return files.write_trace(out, header, steps)
+
+
+def _convert_to_lines(path: Path, out: Path) -> int:
+    """Write the JSON lines of a trace; return its number of steps."""
+    (reader,) = open_traces((path,))
+    with progress_bar("convert", (reader,)) as report, _open_lines(out, "wb") as file:
+        for line in lines.encode_trace(reader.header, read_steps(reader, report)):
+            file.write(line + b"\n")
+    return sum(location.steps for location in reader.blocks)
 
 
 @click.command()
@@ -210,17 +245,13 @@
 @JSON
 def convert(path: Path, out: Path, json_: bool) -> None:
     """Write a trace as JSON lines (.jsonl, .jsonl.gz), or such lines as a trace."""
-    if ".jsonl" in path.suffixes:
+    if LINES_SUFFIX in path.suffixes:
         try:
-            count = _from_lines(path, out)
-            return _done(json_, f"{count} steps", steps=count)
+            count = _convert_from_lines(path, out)
         except (lines.TraceLineError, OSError, EOFError) as err:
             fail(f"{path}: {err}")
-    if ".jsonl" not in out.suffixes:
+    elif LINES_SUFFIX in out.suffixes:
+        count = _convert_to_lines(path, out)
+    else:
         fail(f"{out}: one of the two must be .jsonl or .jsonl.gz")
-    (reader,) = readers((path,))
-    with bar("convert", (reader,)) as tell, _opened(out, "wb") as file:
-        for line in lines.write(reader.whole_header, steps(reader, tell)):
-            file.write(line + b"\n")
-    count = sum(p.steps for p in reader.places)
-    return _done(json_, f"{count} steps", steps=count)
+    _print_result(json_, f"{count} steps", steps=count)
--- a/lapispick/host/recorder.py
+++ b/lapispick/host/recorder.py
@@ -26,7 +26,7 @@
 from lapispick.host.streams import LineTooLongError, Stream, StreamClosedError
 from lapispick.platform_settings import Info
 from lapispick.trace.messages import Begin
-from lapispick.trace.record_types import NUMBERS, Answered, Arrival, Gap, Happened
+from lapispick.trace.record_types import RECORD_NUMBERS, Answered, Arrival, ExternalEvent, Gap
 
 LOG = "trace"
 MAX_BATCH_STEPS = 200  # are sent at once
@@ -40,10 +40,10 @@
 LENGTH_BYTES = 4  # in front of each message
 SUBJECT_DIGEST_BYTES = 8
 SALT_BYTES = 16
-ARRIVAL = NUMBERS[Arrival]
-ANSWERED = NUMBERS[Answered]
-GAP = NUMBERS[Gap]
-HAPPENED = NUMBERS[Happened]
+ARRIVAL = RECORD_NUMBERS[Arrival]
+ANSWERED = RECORD_NUMBERS[Answered]
+GAP = RECORD_NUMBERS[Gap]
+HAPPENED = RECORD_NUMBERS[ExternalEvent]
 
 
 class Recorder:
@@ -161,7 +161,7 @@
         if not steps or stream is None:
             return
         # Records encode as they are, all their kinds beside them: a tuple made for each would cost as much again.
-        numbers = NUMBERS
+        numbers = RECORD_NUMBERS
         kinds = bytes(
             [numbers[type(record)] for _, events, actions, _ in steps for part in (events, actions) for record in part]
         )
--- a/lapispick/trace/anonymising.py
+++ b/lapispick/trace/anonymising.py
@@ -1,94 +1,113 @@
-"""Stand-ins for subjects, accounts, callers and boxes: keyed, the same each time, one to one. No I/O.
+"""Replaces subjects, accounts, callers and hosts by pseudonyms: keyed, stable and one to one. No I/O.
 
-What is equal stays equal and what differs differs, so popularity and the order of first use are kept, and a replay
-orders the same. Nobody can go back without the key, which no file holds. Times, sizes and classes stay as they are.
+Equal names have equal pseudonyms and different names different ones, so a replay orders the same. Pseudonyms can't be
+reversed without the key, which no file holds. Times, sizes and classes stay as they are.
 """
 
 from __future__ import annotations
 
+import enum
 from collections.abc import Iterable, Iterator
 from hashlib import blake2b
 from typing import Any
 
 from lapispick import admission
-from lapispick.trace.record_types import Arrival, Happened, Step
+from lapispick.trace.record_types import Arrival, ExternalEvent, Step
 
-KEY_LEAST, KEY_MOST = 16, 64  # bytes
+MIN_KEY_BYTES = 16
+MAX_KEY_BYTES = 64
+DIGEST_BYTES = 8
+DIGEST_CHARACTERS = 10  # of a name's pseudonym
+CALLER_BYTES = 4  # callers are numbers of 31 bits elsewhere
+ADOPTED = "adopted"  # the only external event whose details a replay needs; those of others may name addresses
+MADE_NOTE = "anonymised"
+
+
+class NameKind(enum.StrEnum):
+    """What a name stands for; part of the pseudonym."""
+
+    ACCOUNT = "account"
+    CALLER = "caller"
+    HOST = "box"
+    SUBJECT = "subject"
 
 
 class PseudonymConflictError(Exception):
-    """Two names have one stand-in; another key is needed."""
+    """Two names have the same pseudonym; another key is needed."""
 
 
 class Anonymiser:
-    """Replaces names; remembers them, for as many as there are, to see that no two get one stand-in."""
-
-    def __init__(self, key: bytes, boxes: bool = False) -> None:
-        if not KEY_LEAST <= len(key) <= KEY_MOST:
-            raise ValueError(f"the key must hold {KEY_LEAST} to {KEY_MOST} bytes, not {len(key)}")
-        self._key, self._boxes = key, boxes
-        self._made: dict[tuple[str, Any], Any] = {}
-        self._taken: dict[tuple[str, Any], Any] = {}
-
-    def _digest(self, what: str, original: bytes) -> bytes:
-        return blake2b(original, digest_size=8, key=self._key, person=what.encode()).digest()
-
-    def _stand_in(self, what: str, original: Any) -> Any:
-        made = self._made.get((what, original))
-        if made is not None:
-            return made
-        if what == "caller":
-            # 31 bits: callers are told in 4 bytes elsewhere
-            made = int.from_bytes(self._digest(what, b"%d" % original)[:4], "little") >> 1
-        else:
-            made = f"{what}-{self._digest(what, original.encode()).hex()[:10]}"
-        if self._taken.setdefault((what, made), original) != original:
-            raise PseudonymConflictError(f"two {what}s have one stand-in with this key; take another key")
-        self._made[what, original] = made
-        return made
+    """Replaces names, and remembers them all to see that no two have the same pseudonym."""
 
-    def _subject(self, original: bytes) -> bytes:
-        return self._digest("subject", original) if original else b""
+    def __init__(self, key: bytes, hosts: bool = False) -> None:
+        """``hosts``: replace the names of hosts too. Raises ``ValueError`` for a key of the wrong length."""
+        if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
+            raise ValueError(f"the key must hold {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes, not {len(key)}")
+        self._key = key
+        self._replaces_hosts = hosts
+        self._pseudonyms: dict[tuple[NameKind, Any], Any] = {}
+        self._originals: dict[tuple[NameKind, Any], Any] = {}  # by pseudonym
 
     def originals(self) -> set[str]:
-        """Return the names that were replaced, to look whether one is left."""
-        return {original for (what, original) in self._made if what != "caller" and original}
+        """Return the names that were replaced."""
+        return {original for kind, original in self._pseudonyms if kind is not NameKind.CALLER and original}
 
-    def stand_ins(self) -> set[str]:
+    def pseudonyms(self) -> set[str]:
         """Return the names that stand for others."""
-        return {made for (what, _), made in self._made.items() if what != "caller"}
+        return {pseudonym for (kind, _), pseudonym in self._pseudonyms.items() if kind is not NameKind.CALLER}
 
-    def header(self, header: Any) -> None:
-        """Replace what a header says."""
+    def replace_header(self, header: Any) -> None:
+        """Replace the names in a header."""
         for source in header.sources:
-            accounts = [self._stand_in("account", name) for name in source.accounts]
+            accounts = [self._pseudonym(NameKind.ACCOUNT, name) for name in source.accounts]
             del source.accounts[:]
             source.accounts.extend(accounts)
-            if self._boxes:
-                source.box = self._stand_in("box", source.box)
-        # How the file came to be may name boxes and folders.
+            if self._replaces_hosts:
+                source.box = self._pseudonym(NameKind.HOST, source.box)
+        # How the file was made may name hosts and folders.
         del header.made[:]
-        header.made.append("anonymised")
+        header.made.append(MADE_NOTE)
 
-    def steps(self, steps: Iterable[Step]) -> Iterator[Step]:
-        """Yield the steps with stand-ins."""
+    def replace_steps(self, steps: Iterable[Step]) -> Iterator[Step]:
+        """Yield the steps with pseudonyms."""
         for step in steps:
-            events, notes = step.events, step.notes
-            if any(type(one) is admission.RequestReceived for one in events):
-                events = tuple(
-                    one._replace(caller=self._stand_in("caller", one.caller))
-                    if type(one) is admission.RequestReceived
-                    else one
-                    for one in events
-                )
-            if notes:
-                notes = tuple(self._note(one) for one in notes)
-            yield step._replace(events=events, notes=notes)
-
-    def _note(self, note: Any) -> Any:
+            yield step._replace(
+                events=tuple(self._replace_event(event) for event in step.events),
+                notes=tuple(self._replace_note(note) for note in step.notes),
+            )
+
+    def _replace_event(self, event: Any) -> Any:
+        if type(event) is admission.RequestReceived:
+            return event._replace(caller=self._pseudonym(NameKind.CALLER, event.caller))
+        return event
+
+    def _replace_note(self, note: Any) -> Any:
         if type(note) is Arrival:
-            account = self._stand_in("account", note.account) if note.account else ""
+            account = self._pseudonym(NameKind.ACCOUNT, note.account) if note.account else ""
             return note._replace(account=account, subject=self._subject(note.subject))
-        if type(note) is Happened and note.what != "adopted":  # its text may name addresses
-            return note._replace(told="")
+        if type(note) is ExternalEvent and note.kind != ADOPTED:
+            return note._replace(details="")
         return note
+
+    def _subject(self, original: bytes) -> bytes:
+        return self._digest(NameKind.SUBJECT, original) if original else b""
+
+    def _pseudonym(self, kind: NameKind, original: Any) -> Any:
+        known = self._pseudonyms.get((kind, original))
+        if known is not None:
+            return known
+        pseudonym = self._caller(original) if kind is NameKind.CALLER else self._name(kind, original)
+        if self._originals.setdefault((kind, pseudonym), original) != original:
+            raise PseudonymConflictError(f"two {kind}s have one stand-in with this key; take another key")
+        self._pseudonyms[kind, original] = pseudonym
+        return pseudonym
+
+    def _caller(self, original: int) -> int:
+        digest = self._digest(NameKind.CALLER, b"%d" % original)
+        return int.from_bytes(digest[:CALLER_BYTES], "little") >> 1
+
+    def _name(self, kind: NameKind, original: str) -> str:
+        return f"{kind}-{self._digest(kind, original.encode()).hex()[:DIGEST_CHARACTERS]}"
+
+    def _digest(self, kind: NameKind, original: bytes) -> bytes:
+        return blake2b(original, digest_size=DIGEST_BYTES, key=self._key, person=kind.encode()).digest()
--- a/lapispick/trace/attempt_matching.py
+++ b/lapispick/trace/attempt_matching.py
@@ -1,4 +1,7 @@
-"""The tries of subjects out of a box's steps, for what compares boxes. No I/O; memory follows what is open."""
+"""Collects the attempts that name a subject from the steps of hosts, to compare their clocks. No I/O.
+
+Memory follows the attempts that are open.
+"""
 
 from __future__ import annotations
 
@@ -6,41 +9,52 @@
 from typing import Any
 
 from lapispick import admission
-from lapispick.trace.clock_skew import Try
+from lapispick.trace.clock_skew import Attempt
 from lapispick.trace.record_types import Answered, Arrival, Step
 
-TRIES_MOST = 200_000  # tries that are kept for an estimate; a thousand tell a clock to the ms
+MAX_ATTEMPTS = 200_000  # that are used for an estimate; a thousand determine a clock to the ms
+SUBJECT_RANK_BYTES = 8
+MAX_SUBJECT_RANK = 1 << (8 * SUBJECT_RANK_BYTES)
 
 
-def tries(sources: Sequence[Any], steps: Iterable[Step]) -> Iterator[Try]:
-    """Yield the answered tries that name a subject, by each box's own clock."""
-    open_: dict[tuple[int, int], Arrival] = {}
+def answered_attempts(sources: Sequence[Any], steps: Iterable[Step]) -> Iterator[Attempt]:
+    """Yield the answered attempts that name a subject, with the times of each host's own clock."""
+    open_arrivals: dict[tuple[int, int], Arrival] = {}  # by source and request
     for step in steps:
         for note in step.notes:
             if type(note) is Arrival and note.subject:
-                open_[step.box, note.id] = note
-            elif type(note) is Answered and (came := open_.pop((step.box, note.id), None)) is not None:
-                yield Try(came.subject, sources[step.box].box, came.born, came.born + note.age, note.kind == "served")
+                open_arrivals[step.source_index, note.id] = note
+            elif type(note) is Answered:
+                arrival = open_arrivals.pop((step.source_index, note.id), None)
+                if arrival is not None:
+                    yield _attempt(sources[step.source_index].box, arrival, note)
         for event in step.events:
-            if type(event) is admission.ClientCancelled:  # nobody waited for an answer, so none tells when it ended
-                open_.pop((step.box, event.id), None)
+            if type(event) is admission.ClientCancelled:  # nobody waited for the answer, so its time says nothing
+                open_arrivals.pop((step.source_index, event.id), None)
+
+
+def _attempt(host: str, arrival: Arrival, answer: Answered) -> Attempt:
+    ended_at = arrival.born_at + answer.age_ms
+    return Attempt(arrival.subject, host, arrival.born_at, ended_at, served=answer.kind == "served")
 
 
-def kept(many: Iterable[Iterable[Try]], most: int = TRIES_MOST) -> list[Try]:
-    """Return the tries of a share of the subjects: the same subjects of all boxes, as many as there is room for.
+def sample_subjects(traces: Iterable[Iterable[Attempt]], max_attempts: int = MAX_ATTEMPTS) -> list[Attempt]:
+    """Return the attempts of a sample of the subjects: the same subjects at all hosts, as many as fit.
 
-    Subjects are digests, so the lowest of them are a fair choice.
+    Subjects are digests, so those with the lowest values are a fair sample.
     """
-    limit, found = 1 << 64, []
-    for of in many:
-        for one in of:
-            if _rank(one) < limit:
-                found.append(one)
-                while len(found) > most:
-                    limit //= 2
-                    found = [held for held in found if _rank(held) < limit]
-    return found
-
-
-def _rank(one: Try) -> int:
-    return int.from_bytes(one.subject[:8].ljust(8, b"\0"), "big")
+    rank_limit = MAX_SUBJECT_RANK
+    sample: list[Attempt] = []
+    for attempts in traces:
+        for attempt in attempts:
+            if _rank(attempt) >= rank_limit:
+                continue
+            sample.append(attempt)
+            while len(sample) > max_attempts:
+                rank_limit //= 2
+                sample = [each for each in sample if _rank(each) < rank_limit]
+    return sample
+
+
+def _rank(attempt: Attempt) -> int:
+    return int.from_bytes(attempt.subject[:SUBJECT_RANK_BYTES].ljust(SUBJECT_RANK_BYTES, b"\0"), "big")
--- /dev/null
+++ b/lapispick/trace/block_reader.py
@@ -0,0 +1,206 @@
+"""Decodes the blocks of a trace: column by column on demand, or whole steps. No I/O.
+
+Readers skip records and fields that they don't know, and read zeros or empty values for fields that a file lacks.
+"""
+
+from __future__ import annotations
+
+from typing import Any, NamedTuple
+
+import numpy as np
+
+from lapispick import admission
+from lapispick.trace.column_codec import EncodedColumn, decode_column
+from lapispick.trace.record_types import RECORD_NUMBERS, RECORD_TYPES, Step
+from lapispick.trace.schema import (
+    LIST_LENGTHS_OFFSET,
+    MAX_BLOCK_RECORDS,
+    MAX_BLOCK_STEPS,
+    PART_OF_RECORD,
+    RECORD_FIELDS,
+    SHAPE_SEPARATOR,
+    STEP_RECORD,
+    BlockMessage,
+    FieldType,
+    Part,
+    RecordField,
+    StepField,
+)
+
+OUTCOMES = {int(outcome): outcome for outcome in admission.Outcome}
+
+
+class PartRecords(NamedTuple):
+    """The records of one part of all steps, in order: the position of each one's step, and its number."""
+
+    step_positions: Any
+    record_numbers: Any
+
+
+class Records:
+    """All records of one type in a block, field by field; ``step_positions`` are those of their steps."""
+
+    __slots__ = ("_block", "_columns", "count", "record_type", "step_positions")
+
+    def __init__(self, block: Block, record_type: type, step_positions: Any) -> None:
+        self._block = block
+        self.record_type = record_type
+        self.step_positions = step_positions
+        self.count = len(step_positions)
+        self._columns: dict[str, Any] = {}
+
+    def column(self, name: str) -> Any:
+        """Return a field's values: an array of numbers, or of positions in ``words(name)``."""
+        if name not in self._columns:
+            self._columns[name] = self._decode(name)
+        return self._columns[name]
+
+    def words(self, name: str) -> list[bytes]:
+        """Return the distinct values of a field of strings or bytes; [b''] if the file lacks the field."""
+        column = self._block.columns.get((RECORD_NUMBERS[self.record_type], self._field(name)[0]))
+        words = list(column.words) if column is not None else [b""]
+        positions = self.column(name)
+        if self.count and not (int(positions.min()) >= 0 and int(positions.max()) < len(words)):
+            raise ValueError("is no block: a word that is not there")
+        return words
+
+    def values(self, name: str) -> list[Any]:
+        """Return a field's values as the records hold them."""
+        _, field = self._field(name)
+        if field.type is FieldType.FLOATS:
+            return self._lists(name)
+        values = self.column(name).tolist()
+        if field.type is FieldType.OUTCOME:
+            if not set(values) <= set(OUTCOMES):
+                raise ValueError("is no block: an outcome that is not known")
+            return [OUTCOMES[value] for value in values]
+        if field.type is FieldType.BOOL:
+            return [bool(value) for value in values]
+        if field.type is FieldType.BYTES:
+            words = self.words(name)
+            return [words[position] for position in values]
+        if field.type is FieldType.STR:
+            texts = [word.decode() for word in self.words(name)]
+            return [texts[position] for position in values]
+        return values
+
+    def _field(self, name: str) -> tuple[int, RecordField]:
+        """Return the number and the description of a field."""
+        for number, field in enumerate(RECORD_FIELDS[self.record_type], 1):
+            if field.name == name:
+                return number, field
+        raise KeyError(name)
+
+    def _decode(self, name: str) -> Any:
+        number, field = self._field(name)
+        step_times = self._block.now[self.step_positions]
+        values = self._block.decode_column(RECORD_NUMBERS[self.record_type], number, self.count, step_times)
+        if values is not None:
+            return values
+        return np.zeros(self.count, np.float64 if field.type is FieldType.FLOAT else np.int64)
+
+    def _lists(self, name: str) -> list[tuple[float, ...]]:
+        """Return the values of a field of lists."""
+        number, _ = self._field(name)
+        record = RECORD_NUMBERS[self.record_type]
+        lengths = self._block.decode_column(record, number + LIST_LENGTHS_OFFSET, self.count)
+        if lengths is None:
+            return [()] * self.count
+        ends = np.cumsum(lengths)
+        total = int(ends[-1]) if self.count else 0
+        if self.count and (int(lengths.min()) < 0 or max(int(lengths.max()), total) > MAX_BLOCK_RECORDS):
+            raise ValueError("is no block: a list without bounds")
+        items = self._block.decode_column(record, number, total).tolist()
+        return [tuple(items[end - length : end]) for length, end in zip(lengths.tolist(), ends.tolist(), strict=True)]
+
+
+class Block:
+    """The steps of a block by columns, each decoded on demand; raises ``ValueError`` for an invalid block."""
+
+    def __init__(self, data: bytes) -> None:
+        try:
+            message = BlockMessage.FromString(data)
+        except Exception as err:  # noqa: BLE001 - the library's DecodeError has no common base across its versions
+            raise ValueError(f"is no block: {err}") from None
+        self.columns = {(column.record, column.field): column for column in message.columns}
+        self.count = message.steps
+        if self.count > MAX_BLOCK_STEPS:
+            raise ValueError(f"is no block: {self.count} steps; {MAX_BLOCK_STEPS} are the most")
+        self.now = self._step_column(StepField.NOW, np.float64)
+        self.source_index = self._step_column(StepField.SOURCE_INDEX, np.int64)
+        self._parts: dict[Part, PartRecords] = {}
+
+    def decode_column(self, record: int, field: int, count: int, step_times: Any = None) -> Any:
+        """Return a column's values, None if the block lacks it; ``step_times``: the clock of each value's step."""
+        column = self.columns.get((record, field))
+        if column is None:
+            return None
+        encoded = EncodedColumn(column.form, column.scale, column.delta, column.width, column.data, column.against)
+        return decode_column(encoded, count, step_times)
+
+    def part(self, part: Part) -> PartRecords:
+        """Return the records of one part of all steps."""
+        if part not in self._parts:
+            self._parts[part] = self._decode_part(part)
+        return self._parts[part]
+
+    def records(self, record_type: type) -> Records:
+        """Return all records of a type, in order."""
+        part = self.part(PART_OF_RECORD[record_type])
+        has_type = part.record_numbers == RECORD_NUMBERS[record_type]
+        return Records(self, record_type, part.step_positions[has_type])
+
+    def steps(self) -> list[Step]:
+        """Return the steps with their records."""
+        parts = [self._records_by_step(part) for part in Part]
+        columns = (self.now.tolist(), *parts, self.source_index.tolist())
+        return [Step(*values) for values in zip(*columns, strict=True)]
+
+    def _step_column(self, field: StepField, dtype: Any) -> Any:
+        values = self.decode_column(STEP_RECORD, field, self.count)
+        return np.zeros(self.count, dtype) if values is None else values
+
+    def _shapes(self) -> list[list[bytes]]:
+        """Return the distinct shapes, each split into its parts."""
+        column = self.columns.get((STEP_RECORD, StepField.SHAPE))
+        return [shape.split(SHAPE_SEPARATOR) for shape in column.words] if column is not None else []
+
+    def _decode_part(self, part: Part) -> PartRecords:
+        shapes = self._shapes()
+        shape_of_step = self._step_column(StepField.SHAPE, np.int64)
+        if any(len(parts) < len(Part) for parts in shapes) or (
+            self.count and not 0 <= int(shape_of_step.min()) <= int(shape_of_step.max()) < len(shapes)
+        ):
+            raise ValueError("is no block: a step without a shape")
+        # All shapes one after the other; each step takes its slice of them.
+        record_numbers = np.frombuffer(b"".join(parts[part] for parts in shapes), dtype=np.uint8)
+        lengths = np.array([len(parts[part]) for parts in shapes], dtype=np.int64)
+        counts = lengths[shape_of_step] if self.count else np.zeros(0, np.int64)
+        total = int(counts.sum())
+        if total > MAX_BLOCK_RECORDS:
+            raise ValueError(f"is no block: {total} records; {MAX_BLOCK_RECORDS} are the most")
+        slice_starts = (np.cumsum(lengths) - lengths)[shape_of_step] if self.count else counts
+        first_records = np.cumsum(counts) - counts
+        indices = np.arange(total) + np.repeat(slice_starts - first_records, counts)
+        return PartRecords(np.repeat(np.arange(self.count), counts), record_numbers[indices])
+
+    def _records_by_step(self, part: Part) -> list[tuple[Any, ...]]:
+        """Return the records of one part, step by step, without those of unknown types."""
+        step_positions, record_numbers = self.part(part)
+        known = {number for number in set(record_numbers.tolist()) if number in RECORD_TYPES}
+        remaining = {number: iter(self._decode_records(RECORD_TYPES[number])) for number in known}
+        by_step: list[list[Any]] = [[] for _ in range(self.count)]
+        for position, number in zip(step_positions.tolist(), record_numbers.tolist(), strict=True):
+            if number in remaining:
+                by_step[position].append(next(remaining[number]))
+        return [tuple(records) for records in by_step]
+
+    def _decode_records(self, record_type: type) -> list[Any]:
+        records = self.records(record_type)
+        columns = (records.values(field.name) for field in RECORD_FIELDS[record_type])
+        return [record_type(*values) for values in zip(*columns, strict=True)]
+
+
+def decode_block(data: bytes) -> list[Step]:
+    """Return the steps of a block; raises ``ValueError`` if it is invalid."""
+    return Block(data).steps()
--- /dev/null
+++ b/lapispick/trace/block_writer.py
@@ -0,0 +1,109 @@
+"""Encodes the steps of a block as columns in one protobuf message. No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Sequence
+from itertools import chain
+from typing import Any
+
+import numpy as np
+
+from lapispick.trace.column_codec import EncodedColumn, encode_floats, encode_integers, encode_words
+from lapispick.trace.record_types import RECORD_NUMBERS, Step
+from lapispick.trace.schema import (
+    LIST_LENGTHS_OFFSET,
+    RECORD_FIELDS,
+    SHAPE_SEPARATOR,
+    STEP_RECORD,
+    BlockMessage,
+    FieldType,
+    StepField,
+)
+
+
+class _RecordsByType:
+    """The records of a block by their type, each with the position of its step."""
+
+    def __init__(self, steps: Sequence[Step]) -> None:
+        self.records: dict[type, list[Any]] = {}
+        self.positions: dict[type, list[int]] = {}
+        self.shapes = [self._add(position, step) for position, step in enumerate(steps)]
+
+    def _add(self, position: int, step: Step) -> bytes:
+        """Add a step's records; return its shape."""
+        shape = bytearray()
+        for part in (step.events, step.actions, step.notes):
+            for record in part:
+                record_type = type(record)
+                shape.append(RECORD_NUMBERS[record_type])
+                self.records.setdefault(record_type, []).append(record)
+                self.positions.setdefault(record_type, []).append(position)
+            shape += SHAPE_SEPARATOR
+        return bytes(shape)
+
+
+def encode_block(steps: Sequence[Step]) -> list[bytes]:
+    """Return the bytes of a block with these steps, in pieces for ``layout.encode_frame``."""
+    block = BlockMessage(steps=len(steps))
+    now = np.array([step.now for step in steps], dtype=np.float64)
+    _add_column(block, STEP_RECORD, StepField.NOW, encode_floats(now))
+    _add_column(block, STEP_RECORD, StepField.SOURCE_INDEX, encode_integers([step.source_index for step in steps]))
+    by_type = _RecordsByType(steps)
+    shapes = encode_words(by_type.shapes)
+    _add_column(block, STEP_RECORD, StepField.SHAPE, shapes.positions, shapes.words)
+    for record_type, records in by_type.records.items():
+        step_times = now[by_type.positions[record_type]]
+        values_by_field = zip(*records, strict=True)
+        for number, (field, values) in enumerate(zip(RECORD_FIELDS[record_type], values_by_field, strict=True), 1):
+            _add_field(block, RECORD_NUMBERS[record_type], number, field.type, values, step_times)
+    return _pieces(block)
+
+
+def _add_column(block: Any, record: int, field: int, column: EncodedColumn, words: Iterable[bytes] = ()) -> None:
+    block.columns.add(
+        record=record,
+        field=field,
+        form=column.form,
+        scale=column.scale,
+        delta=column.delta,
+        width=column.width,
+        against=column.relative_to,
+        words=words,
+        data=column.data,
+    )
+
+
+def _add_field(
+    block: Any, record: int, field: int, field_type: FieldType, values: Sequence[Any], step_times: Any
+) -> None:
+    """Add the columns of one field of all records of a type."""
+    if field_type is FieldType.FLOAT:
+        _add_column(block, record, field, encode_floats(values, step_times))
+    elif field_type in (FieldType.STR, FieldType.BYTES):
+        positions, words = encode_words(values)
+        encoded = [word.encode() if isinstance(word, str) else word for word in words]
+        _add_column(block, record, field, positions, encoded)
+    elif field_type is FieldType.FLOATS:
+        _add_column(block, record, field, encode_floats(list(chain.from_iterable(values))))
+        lengths = encode_integers([len(value) for value in values])
+        _add_column(block, record, field + LIST_LENGTHS_OFFSET, lengths)
+    else:
+        _add_column(block, record, field, encode_integers(values))
+
+
+def _pieces(block: Any) -> list[bytes]:
+    """Return the bytes of a block in pieces that compress best one by one: each byte plane is a piece.
+
+    A protobuf message may be concatenated from parts that repeat its fields, and ``data`` is the last field of a
+    column.
+    """
+    pieces = [BlockMessage(steps=block.steps).SerializeToString()]
+    for column in block.columns:
+        encoded = BlockMessage(columns=[column]).SerializeToString()
+        plane_bytes = len(column.data) // max(1, column.width)
+        data_offset = len(encoded) - len(column.data)
+        pieces.append(encoded[:data_offset])
+        pieces += [
+            encoded[offset : offset + plane_bytes] for offset in range(data_offset, len(encoded), max(1, plane_bytes))
+        ]
+    return pieces
--- a/lapispick/trace/clock_skew.py
+++ b/lapispick/trace/clock_skew.py
@@ -1,12 +1,12 @@
-"""How far the clocks of boxes are apart, told from subjects that were tried at more than one. No I/O.
+"""Estimates how far the clocks of hosts are apart, from subjects that were attempted at more than one. No I/O.
 
-A try that was refused or failed at box A and whose subject was then served at box B came to B after it had ended at A:
-by B's clock no earlier than that moment by A's clock plus what B's clock is ahead. Each such pair bounds the difference
-from one side, a pair that went the other way from the other side, and between the two lies the truth. The shortest of
-many pairs bound it closely.
+An attempt that was rejected or failed at host A and whose subject was then served at host B arrived at B after it had
+ended at A: by B's clock no earlier than that moment by A's clock plus what B's clock is ahead. Each such pair bounds
+the difference of the clocks from one side, and a pair in the other direction from the other side. The pairs with the
+shortest transit bound it closely.
 
-What is not sound is left out or weighed: a pair whose order can't be told from its outcomes, the few pairs that a
-caller made out of order (the least of many is a low quantile, not the minimum), and slices of time with too few pairs.
+Pairs whose order can't be derived from their outcomes are left out. A few pairs in the wrong order do little harm, as
+a low quantile is taken instead of the minimum. Time slices with too few pairs are left out.
 """
 
 from __future__ import annotations
@@ -19,177 +19,260 @@
 
 import msgspec
 
-LOW = 0.05  # quantile that stands for the shortest way; with 60 pairs three wrong ones are passed over
-PAIRS_LEAST = 5  # pairs each way; with fewer a single odd one decides
-SLICES = 6  # of the time in which two boxes met; each tells an offset of its own, and their line the drift
-APART_MS = 60_000.0  # ms; what seems to take longer is no retry but a client that came again
-# ms; slices may lie this much beside their line, and their own bounds more; then one clock was set in between
-STEP_MS = 50.0
+SHORTEST_TRANSIT_QUANTILE = 0.05  # with 60 pairs three wrong ones are passed over
+MIN_PAIRS = 5  # in each direction; with fewer a single wrong one decides
+SLICES = 6  # of the time that the pairs cover; each gives an offset, and the line through them the drift
+MIN_SLICES = 3  # with pairs; with fewer the drift is unknown
+MAX_TRANSIT_MS = 60_000.0  # what seems to take longer is no retry but a new request
+MAX_LINE_DISTANCE_MS = 50.0  # of a slice, beyond its own error; if it is further off, the clock was set in between
+NO_SHARED_SUBJECT = "cannot tell: no subject was tried at both"
 
 
-class Try(NamedTuple):
-    """One try of a subject at one box, by that box's clock, ms."""
+class Attempt(NamedTuple):
+    """One attempt of a subject at one host, by that host's clock, ms."""
 
     subject: bytes
-    box: str
-    came: float
-    ended: float
+    host: str
+    arrived_at: float
+    ended_at: float
     served: bool
 
 
 class Clock(msgspec.Struct, frozen=True):
-    """A box's clock against the reference: ``offset`` ms ahead at ``at``, gaining ``drift`` ms a second."""
+    """A host's clock against the reference: ``offset`` ms ahead at ``at``, gaining ``drift`` ms per second."""
 
     offset: float
     drift: float
     at: float  # ms, by the reference's clock
-    error: float  # ms; the offset lies within this, as long as most pairs are what they seem
+    error: float  # ms; the offset lies within this, as long as most pairs are in the order that they seem to be
     pairs: int
-    drift_told: bool  # False: too few pairs over time, and the drift is taken for 0
+    drift_known: bool = msgspec.field(name="drift_told")  # False: too few pairs over time; the drift counts as 0
 
     def ahead(self, now: float) -> float:
         """Return how far the clock is ahead at a time of the reference, ms."""
         return self.offset + self.drift * (now - self.at) / 1000
 
 
-class Unknown(msgspec.Struct, frozen=True):
-    """Nothing can be said of a box's clock, and why."""
+class UnknownClock(msgspec.Struct, frozen=True):
+    """Nothing is known of a host's clock, for a reason."""
 
-    why: str
+    reason: str
+
+
+class ClockEstimates(NamedTuple):
+    """The reference host, and the clock of every host against it."""
+
+    reference: str
+    clocks: dict[str, Clock | UnknownClock]
+
+
+class Transit(NamedTuple):
+    """What a pair of attempts says of the way from one host to another."""
+
+    ended_at: float  # ms, by the first host's clock
+    duration: float  # ms, by both clocks: what it took, and what the second clock is ahead
+
+
+class _Bounds(NamedTuple):
+    """What the pairs of both directions allow for the difference of two clocks, ms."""
+
+    offset: float
+    error: float
+
+
+class _SliceOffset(NamedTuple):
+    """The difference of two clocks in a slice of time."""
+
+    at: float
+    offset: float
+    error: float
 
 
 class _Link(NamedTuple):
-    """What is known of box b's clock against box a's."""
+    """What is known of one host's clock against another one's."""
 
     offset: float
     drift: float
     at: float
     error: float
     pairs: int
-    drift_told: bool
+    drift_known: bool
+
+
+class _Comparisons(NamedTuple):
+    """What is known of each pair of hosts."""
 
+    links: dict[str, dict[str, _Link]]  # of the second host's clock against the first one's
+    unknown_reasons: dict[str, str]  # why a host's clock is not known against another one's
+    pair_counts: dict[str, int]
 
-Ways = list[tuple[float, float]]  # when by the first box's clock, and how long it seems to take; ms
 
+HostPair = tuple[str, str]
 
-def ways(tries: Iterable[Try]) -> dict[tuple[str, str], Ways]:
-    """Return, for each ordered pair of boxes, the ways that subjects took from the first to the second."""
-    by_subject: dict[bytes, list[Try]] = defaultdict(list)
-    for one in tries:
-        if one.subject:
-            by_subject[one.subject].append(one)
-    found: dict[tuple[str, str], Ways] = defaultdict(list)
-    for met in by_subject.values():
-        # Clocks that disagree tell no order; that only the last try is served does. Two that were served, or a subject
-        # that came to one box several times, leave it open.
-        boxes = [t.box for t in met]
-        served = [t for t in met if t.served]
-        if len(served) != 1 or len(set(boxes)) != len(boxes):
+
+def transits_by_hosts(attempts: Iterable[Attempt]) -> dict[HostPair, list[Transit]]:
+    """Return, for each ordered pair of hosts, the transits of subjects from the first to the second."""
+    by_subject: dict[bytes, list[Attempt]] = defaultdict(list)
+    for attempt in attempts:
+        if attempt.subject:
+            by_subject[attempt.subject].append(attempt)
+    transits: dict[HostPair, list[Transit]] = defaultdict(list)
+    for same_subject in by_subject.values():
+        last = _last_attempt(same_subject)
+        if last is None:
             continue
-        for one in met:
-            if not one.served and abs(served[0].came - one.ended) < APART_MS:
-                found[one.box, served[0].box].append((one.ended, served[0].came - one.ended))
-    return found
+        for attempt in same_subject:
+            duration = last.arrived_at - attempt.ended_at
+            if not attempt.served and abs(duration) < MAX_TRANSIT_MS:
+                transits[attempt.host, last.host].append(Transit(attempt.ended_at, duration))
+    return transits
+
 
+def _last_attempt(attempts: list[Attempt]) -> Attempt | None:
+    """Return the last attempt of a subject, None if the order is unknown.
+
+    Clocks that disagree don't give the order, but only the last attempt is served. Several that were served, or
+    several at one host, leave it open.
+    """
+    served = [attempt for attempt in attempts if attempt.served]
+    hosts = {attempt.host for attempt in attempts}
+    return served[0] if len(served) == 1 and len(hosts) == len(attempts) else None
 
-def _low(values: list[float]) -> float:
-    return sorted(values)[int(len(values) * LOW)]
 
+def _shortest(transits: list[Transit]) -> float:
+    durations = sorted(transit.duration for transit in transits)
+    return durations[int(len(durations) * SHORTEST_TRANSIT_QUANTILE)]
 
-def _bounds(forth: Ways, back: Ways) -> tuple[float, float] | None:
-    """Return the middle of what both ways allow, and half of its width; None where they allow nothing."""
-    if len(forth) < PAIRS_LEAST or len(back) < PAIRS_LEAST:
+
+def _bounds(forth: list[Transit], back: list[Transit]) -> _Bounds | None:
+    """Return what both directions allow, None if there are too few pairs."""
+    if len(forth) < MIN_PAIRS or len(back) < MIN_PAIRS:
         return None
-    most, least = _low([d for _, d in forth]), -_low([d for _, d in back])
-    # Where they cross a little, odd pairs outweigh the shortest way: the width then says by how much.
-    return (most + least) / 2, abs(most - least) / 2
+    upper = _shortest(forth)
+    lower = -_shortest(back)
+    # If they cross a little, because of pairs in the wrong order, the distance is still the size of the error.
+    return _Bounds((upper + lower) / 2, abs(upper - lower) / 2)
 
 
-def compare(forth: Ways, back: Ways) -> _Link | Unknown:
-    """Tell the second box's clock against the first's, from the ways between them."""
-    count = len(forth) + len(back)
-    if not count:
-        return Unknown("cannot tell: no subject was tried at both")
+def _compare(forth: list[Transit], back: list[Transit]) -> _Link | UnknownClock:
+    """Estimate the second host's clock against the first one's, from the transits between them."""
+    pairs = len(forth) + len(back)
+    if not pairs:
+        return UnknownClock(NO_SHARED_SUBJECT)
     if not forth or not back:
-        return Unknown("cannot tell: subjects went one way only, which bounds the clock from one side")
-    middle = _bounds(forth, back)
-    if middle is None:
-        return Unknown(f"cannot tell: {len(forth)} and {len(back)} pairs, at least {PAIRS_LEAST} each way are needed")
-    offset, error = middle
-    # The ways back start by the other clock; near enough for slices that are far longer than the offset.
-    back = [(at - offset, d) for at, d in back]
-    first, last = min(at for at, _ in (*forth, *back)), max(at for at, _ in (*forth, *back))
-    points = []
-    for n in range(SLICES):
-        begin, end = first + (last - first) * n / SLICES, first + (last - first) * (n + 1) / SLICES
-        cut = [[w for w in way if begin <= w[0] < end or (n == SLICES - 1 and w[0] == end)] for way in (forth, back)]
-        if (told := _bounds(*cut)) is not None:
-            points.append(((begin + end) / 2, *told))
-    if len(points) < 3:
-        return _Link(offset, 0.0, (first + last) / 2, error, count, False)
-    return _line(points, count)
-
-
-def _line(points: list[tuple[float, float, float]], count: int) -> _Link | Unknown:
-    """Lay a line through the slices' offsets; one that does not fit is no drift."""
-    at = sum(t for t, _, _ in points) / len(points)
-    offset = sum(o for _, o, _ in points) / len(points)
-    spread = sum((t - at) ** 2 for t, _, _ in points)
-    slope = sum((t - at) * (o - offset) for t, o, _ in points) / spread if spread else 0.0
-    beside = [abs(o - offset - slope * (t - at)) for t, o, _ in points]
-    if any(b > STEP_MS + width for b, (_, _, width) in zip(beside, points, strict=True)):
-        return Unknown(f"cannot tell: the clock was set in between, up to {max(beside):.0f} ms beside a line")
-    error = max(max(beside), max(width for _, _, width in points))
-    return _Link(offset, slope * 1000, at, error, count, True)
-
-
-def estimate(tries: Iterable[Try], boxes: Iterable[str]) -> tuple[str, dict[str, Clock | Unknown]]:
-    """Return the reference, the box that met the others most, and every box's clock against it.
-
-    A box that never met the reference is told over boxes that both met, along the way with the least error.
+        return UnknownClock("cannot tell: subjects went one way only, which bounds the clock from one side")
+    bounds = _bounds(forth, back)
+    if bounds is None:
+        return UnknownClock(
+            f"cannot tell: {len(forth)} and {len(back)} pairs, at least {MIN_PAIRS} each way are needed"
+        )
+    # Transits back begin by the other clock; the offset brings them close enough for slices that are far longer.
+    back = [transit._replace(ended_at=transit.ended_at - bounds.offset) for transit in back]
+    first = min(transit.ended_at for transit in (*forth, *back))
+    last = max(transit.ended_at for transit in (*forth, *back))
+    slices = _slice_offsets(forth, back, first, last)
+    if len(slices) < MIN_SLICES:
+        return _Link(bounds.offset, 0.0, (first + last) / 2, bounds.error, pairs, drift_known=False)
+    return _fit_line(slices, pairs)
+
+
+def _slice_offsets(forth: list[Transit], back: list[Transit], first: float, last: float) -> list[_SliceOffset]:
+    """Return the offset in each slice of time that has enough pairs."""
+    offsets: list[_SliceOffset] = []
+    for number in range(SLICES):
+        begin = first + (last - first) * number / SLICES
+        end = first + (last - first) * (number + 1) / SLICES
+        is_last = number == SLICES - 1
+        bounds = _bounds(_within(forth, begin, end, is_last), _within(back, begin, end, is_last))
+        if bounds is not None:
+            offsets.append(_SliceOffset((begin + end) / 2, bounds.offset, bounds.error))
+    return offsets
+
+
+def _within(transits: list[Transit], begin: float, end: float, with_end: bool) -> list[Transit]:
+    return [
+        transit for transit in transits if begin <= transit.ended_at < end or (with_end and transit.ended_at == end)
+    ]
+
+
+def _fit_line(slices: list[_SliceOffset], pairs: int) -> _Link | UnknownClock:
+    """Fit a line through the slices' offsets by least squares; one that does not fit is no drift."""
+    at = sum(each.at for each in slices) / len(slices)
+    offset = sum(each.offset for each in slices) / len(slices)
+    variance = sum((each.at - at) ** 2 for each in slices)
+    covariance = sum((each.at - at) * (each.offset - offset) for each in slices)
+    slope = covariance / variance if variance else 0.0
+    distances = [abs(each.offset - offset - slope * (each.at - at)) for each in slices]
+    if any(distance > MAX_LINE_DISTANCE_MS + each.error for distance, each in zip(distances, slices, strict=True)):
+        furthest = max(distances)
+        return UnknownClock(f"cannot tell: the clock was set in between, up to {furthest:.0f} ms beside a line")
+    error = max(*distances, *(each.error for each in slices))
+    return _Link(offset, slope * 1000, at, error, pairs, drift_known=True)
+
+
+def estimate_clocks(attempts: Iterable[Attempt], hosts: Iterable[str]) -> ClockEstimates:
+    """Estimate the clock of every host; the reference is the host that shares subjects with most others.
+
+    A host that shares no subjects with the reference is compared by way of others, along the path with the least
+    error.
     """
-    names, found = sorted(boxes), ways(tries)
+    names = sorted(hosts)
+    links, unknown_reasons, pair_counts = _compare_all(names, transits_by_hosts(attempts))
+    clocks: dict[str, Clock | UnknownClock] = {
+        name: UnknownClock(unknown_reasons.get(name, NO_SHARED_SUBJECT)) for name in names
+    }
+    reference = max(names, key=lambda name: (len(links[name]), pair_counts[name]), default="")
+    if reference:
+        own_clock = Clock(0.0, 0.0, 0.0, 0.0, pair_counts[reference], drift_known=True)
+        clocks.update(_chain_links(reference, own_clock, links))
+    return ClockEstimates(reference, clocks)
+
+
+def _compare_all(names: list[str], transits: dict[HostPair, list[Transit]]) -> _Comparisons:
     links: dict[str, dict[str, _Link]] = {name: {} for name in names}
-    whys: dict[str, str] = {}
-    met = dict.fromkeys(names, 0)
-    for a in names:
-        for b in names:
-            forth, back = found.get((a, b), []), found.get((b, a), [])
-            if a == b:
+    unknown_reasons: dict[str, str] = {}
+    pair_counts = dict.fromkeys(names, 0)
+    for first in names:
+        for second in names:
+            if first == second:
                 continue
-            met[a] += len(forth) + len(back)
-            link = compare(forth, back)
+            forth = transits.get((first, second), [])
+            back = transits.get((second, first), [])
+            pair_counts[first] += len(forth) + len(back)
+            link = _compare(forth, back)
             if isinstance(link, _Link):
-                links[a][b] = link
-            elif forth or back or b not in whys:
-                whys[b] = link.why
-    reference = max(names, key=lambda name: (len(links[name]), met[name]), default="")
-    clocks: dict[str, Clock | Unknown] = {
-        name: Unknown(whys.get(name, "cannot tell: no subject was tried at both")) for name in names
-    }
-    if not reference:
-        return "", clocks
-    queue: list[tuple[float, str, Clock]] = [(0.0, reference, Clock(0.0, 0.0, 0.0, 0.0, met[reference], True))]
-    best: dict[str, float] = {}
+                links[first][second] = link
+            elif forth or back or second not in unknown_reasons:
+                unknown_reasons[second] = link.reason
+    return _Comparisons(links, unknown_reasons, pair_counts)
+
+
+def _chain_links(reference: str, own_clock: Clock, links: dict[str, dict[str, _Link]]) -> dict[str, Clock]:
+    """Return the clocks of all hosts that are linked to the reference, by Dijkstra's algorithm on the errors."""
+    clocks: dict[str, Clock] = {}
+    least_errors: dict[str, float] = {}
+    queue: list[tuple[float, str, Clock]] = [(0.0, reference, own_clock)]
     while queue:
         error, name, clock = heapq.heappop(queue)
-        if error >= best.get(name, inf):
+        if error >= least_errors.get(name, inf):
             continue
-        best[name], clocks[name] = error, clock
+        least_errors[name] = error
+        clocks[name] = clock
         for other, link in links[name].items():
-            if other not in best:
-                heapq.heappush(queue, (error + link.error, other, _joined(clock, link)))
-    return reference, clocks
+            if other not in least_errors:
+                heapq.heappush(queue, (error + link.error, other, _extend(clock, link)))
+    return clocks
 
 
-def _joined(clock: Clock, link: _Link) -> Clock:
-    """Return the clock of a box that is told over another one's."""
-    at = link.at - clock.ahead(link.at)  # by the reference, near enough for a drift of some parts in a thousand
+def _extend(clock: Clock, link: _Link) -> Clock:
+    """Return the clock of a host that is known against another one's."""
+    # By the reference; close enough, as clocks drift by a few parts in a thousand at most.
+    at = link.at - clock.ahead(link.at)
     return Clock(
-        clock.ahead(at) + link.offset,
-        clock.drift + link.drift,
-        at,
-        clock.error + link.error,
-        min(clock.pairs, link.pairs) if clock.pairs else link.pairs,
-        clock.drift_told and link.drift_told,
+        offset=clock.ahead(at) + link.offset,
+        drift=clock.drift + link.drift,
+        at=at,
+        error=clock.error + link.error,
+        pairs=min(clock.pairs, link.pairs) if clock.pairs else link.pairs,
+        drift_known=clock.drift_known and link.drift_known,
     )
--- a/lapispick/trace/column_codec.py
+++ b/lapispick/trace/column_codec.py
@@ -1,124 +1,178 @@
-"""Columns of numbers and words as bytes, and back. No I/O.
+"""Encodes columns of numbers and strings as bytes, and decodes them. No I/O.
 
-A column holds one field of many records. Floats that are whole multiples of a power of ten or of two are kept as
-those multiples, others by their bits; of each the differences or the values, whichever is smaller. Numbers are
-folded to unsigned ones (zigzag) and laid down byte plane by byte plane, lowest first, without the planes that are
-all zero: that is what a general compressor then does well with. Every column comes back bit for bit.
+A column holds one field of many records. Floats that are multiples of a power of ten or two are stored as these
+integers, others as their 64 bits; either the values or their differences, whichever compresses better. Integers are
+mapped to unsigned ones (zigzag) and stored byte plane by byte plane, lowest first, without the planes that are all
+zero, which suits a general compressor. Every column decodes to the same bits.
 """
 
 from __future__ import annotations
 
-from collections.abc import Sequence
+import enum
+from collections.abc import Iterator, Sequence
 from typing import Any, NamedTuple
 
 import numpy as np
 
-WHOLE, BITS, DECIMAL, DYADIC = range(4)
-DECIMALS = range(7)  # powers of ten that are tried: ms down to ns, as people write them
-DYADICS = (12, 13, 14, 16, 20)  # powers of two: the system's clock in ms has steps of 2**-12 until 2039
-PLAIN, FROM_BASE, OVER_BASE = range(3)  # the value itself, the base less the value, the value and the base
-EXACT = float(1 << 53)  # up to here a float holds every whole number
+DECIMAL_SCALES = range(7)  # exponents of ten that are tried; ms with up to six decimals
+BINARY_SCALES = (12, 13, 14, 16, 20)  # exponents of two that are tried; a clock in ms has steps of 2**-12 until 2039
+MAX_SCALE = 62
+MAX_EXACT_FLOAT = float(1 << 53)  # up to here a float represents every integer
+WORD_BYTES = 8
+TABLE_BITS_PER_BYTE_VALUE = 8  # estimated size of a compressor's table entry
 Array = np.ndarray[Any, Any]
 
 
-class Coded(NamedTuple):
-    """One column: ``width`` byte planes of ``data`` for each value."""
+class ColumnForm(enum.IntEnum):
+    """How a column's integers stand for its values; the numbers are stored."""
+
+    INTEGER = 0
+    FLOAT_BITS = 1
+    DECIMAL = 2  # float: the integer over 10**scale
+    BINARY = 3  # float: the integer over 2**scale
+
+
+class RelativeTo(enum.IntEnum):
+    """How a column's decoded floats relate to the base times; the numbers are stored."""
+
+    NOTHING = 0  # the decoded number is the value
+    BASE_MINUS_VALUE = 1
+    BASE_PLUS_VALUE = 2
+
+
+class EncodedColumn(NamedTuple):
+    """One column: ``width`` byte planes in ``data``, each with a byte for every value."""
 
     form: int
     scale: int
-    delta: bool
+    delta: bool  # the integers are differences to the one before
     width: int
     data: bytes
-    against: int = PLAIN
+    relative_to: int = RelativeTo.NOTHING
+
+
+class EncodedWords(NamedTuple):
+    """A column of strings or bytes: positions in the list of distinct values."""
+
+    positions: EncodedColumn
+    words: list[Any]
 
 
-def _fold(values: Array) -> Array:
+class _Candidate(NamedTuple):
+    """One way to encode a column, and about how many bits it takes after compression."""
+
+    cost: float
+    column: EncodedColumn
+
+
+def _zigzag(values: Array) -> Array:
     return ((values << 1) ^ (values >> 63)).view(np.uint64)
 
 
-def _planes(folded: Array) -> Array:
-    width = (int(folded.max()).bit_length() + 7) // 8 if len(folded) else 0
-    return folded.astype("<u8").view(np.uint8).reshape(-1, 8)[:, :width].T
+def _byte_planes(unsigned: Array) -> Array:
+    width = (int(unsigned.max()).bit_length() + 7) // 8 if len(unsigned) else 0
+    return unsigned.astype("<u8").view(np.uint8).reshape(-1, WORD_BYTES)[:, :width].T
 
 
-def _cost(planes: Array) -> float:
-    """Return about how many bits a compressor makes of these planes: the entropy of each one's bytes."""
+def _compressed_bits(planes: Array) -> float:
+    """Estimate the size after compression, in bits: the entropy of each plane's bytes, and its table."""
     cost = 0.0
     for plane in planes:
-        seen = np.bincount(plane)
-        seen = seen[seen > 0]
-        cost += float((seen * np.log2(len(plane) / seen)).sum()) + 8 * len(seen)
+        counts = np.bincount(plane)
+        counts = counts[counts > 0]
+        cost += float((counts * np.log2(len(plane) / counts)).sum()) + TABLE_BITS_PER_BYTE_VALUE * len(counts)
     return cost
 
 
-def _laid(values: Array, form: int, scale: int, against: int = PLAIN) -> tuple[float, Coded]:
-    """Return the cost and the column of whole numbers: of themselves or of their differences."""
-    plain, steps = _planes(_fold(values)), _planes(_fold(np.diff(values, prepend=np.int64(0))))
-    plain_cost, steps_cost = _cost(plain), _cost(steps)
-    delta = steps_cost < plain_cost
-    planes = steps if delta else plain
-    return min(plain_cost, steps_cost), Coded(form, scale, delta, len(planes), planes.tobytes(), against)
+def _candidate(values: Array, form: int, scale: int, relative_to: int = RelativeTo.NOTHING) -> _Candidate:
+    """Encode integers, as values or as differences, whichever is smaller."""
+    value_planes = _byte_planes(_zigzag(values))
+    delta_planes = _byte_planes(_zigzag(np.diff(values, prepend=np.int64(0))))
+    value_cost = _compressed_bits(value_planes)
+    delta_cost = _compressed_bits(delta_planes)
+    delta = delta_cost < value_cost
+    planes = delta_planes if delta else value_planes
+    column = EncodedColumn(form, scale, delta, len(planes), planes.tobytes(), relative_to)
+    return _Candidate(min(value_cost, delta_cost), column)
 
 
-def whole(values: Sequence[int]) -> Coded:
-    """Code whole numbers of at most 64 bits; raises ``OverflowError`` beyond."""
-    return _laid(np.array(values, dtype=np.int64), WHOLE, 0)[1]
+def encode_integers(values: Sequence[int]) -> EncodedColumn:
+    """Encode integers of at most 64 bits; raises ``OverflowError`` beyond."""
+    return _candidate(np.array(values, dtype=np.int64), ColumnForm.INTEGER, 0).column
 
 
-def _same(a: Array, b: Array) -> bool:
-    return bool(np.array_equal(a.view(np.int64), b.view(np.int64)))
+def _same_bits(one: Array, other: Array) -> bool:
+    return bool(np.array_equal(one.view(np.int64), other.view(np.int64)))
 
 
-def _multiples(made: Array, against: int) -> list[tuple[float, Coded]]:
-    """Return the columns by powers of ten and of two that give these floats back bit for bit."""
-    found = []
-    for form, base, scales in ((DECIMAL, 10.0, DECIMALS), (DYADIC, 2.0, DYADICS)):
+def _scaled_candidates(values: Array, relative_to: int) -> Iterator[_Candidate]:
+    """Yield the encodings by powers of ten and of two that decode to the same bits."""
+    for form, radix, scales in (
+        (ColumnForm.DECIMAL, 10.0, DECIMAL_SCALES),
+        (ColumnForm.BINARY, 2.0, BINARY_SCALES),
+    ):
         for scale in scales:
-            times = np.rint(made * base**scale)
-            if (np.abs(times) < EXACT).all() and _same(times / base**scale, made):
-                found.append(_laid(times.astype(np.int64), form, scale, against))
+            multiples = np.rint(values * radix**scale)
+            if (np.abs(multiples) < MAX_EXACT_FLOAT).all() and _same_bits(multiples / radix**scale, values):
+                yield _candidate(multiples.astype(np.int64), form, scale, relative_to)
                 break
-    return found
 
 
-def floats(values: Sequence[float], base: Array | None = None) -> Coded:
-    """Code floats, not-a-number and minus zero as they are; ``base``: times that they may be told against."""
-    made = np.array(values, dtype=np.float64)
-    found = [_laid(made.view(np.int64), BITS, 0)]
-    if len(made) and np.isfinite(made).all() and float(np.abs(made).max()) < EXACT:
-        found += _multiples(made, PLAIN)
+def encode_floats(values: Sequence[float] | Array, base: Array | None = None) -> EncodedColumn:
+    """Encode floats, including not-a-number and minus zero; ``base``: times that they may be stored relative to."""
+    floats = np.array(values, dtype=np.float64)
+    candidates = [_candidate(floats.view(np.int64), ColumnForm.FLOAT_BITS, 0)]
+    if len(floats) and np.isfinite(floats).all() and float(np.abs(floats).max()) < MAX_EXACT_FLOAT:
+        candidates += _scaled_candidates(floats, RelativeTo.NOTHING)
         if base is not None and np.isfinite(base).all():
-            for against, told in ((FROM_BASE, base - made), (OVER_BASE, base + made)):
-                if _same(_against(told, base, against), made):
-                    found += _multiples(told, against)
-    return min(found, key=lambda pair: pair[0])[1]
+            for relative_to, relative in (
+                (RelativeTo.BASE_MINUS_VALUE, base - floats),
+                (RelativeTo.BASE_PLUS_VALUE, base + floats),
+            ):
+                if _same_bits(_absolute(relative, base, relative_to), floats):
+                    candidates += _scaled_candidates(relative, relative_to)
+    return min(candidates, key=lambda candidate: candidate.cost).column
 
 
-def _against(told: Array, base: Array, against: int) -> Array:
-    return base - told if against == FROM_BASE else told - base
+def _absolute(relative: Array, base: Array, relative_to: int) -> Array:
+    return base - relative if relative_to == RelativeTo.BASE_MINUS_VALUE else relative - base
 
 
-def numbers(column: Coded, count: int, base: Array | None = None) -> Array:
-    """Return ``count`` values as an array; raises ``ValueError`` where the column holds another number of them."""
-    form, scale, delta, width, data, against = column
-    if not 0 <= width <= 8 or len(data) != width * count or form > DYADIC or scale > 62 or against > OVER_BASE:
+def encode_words(values: Sequence[Any]) -> EncodedWords:
+    """Encode strings or bytes as positions in the list of distinct ones, by first use."""
+    known: dict[Any, int] = {}
+    positions = [known.setdefault(value, len(known)) for value in values]
+    return EncodedWords(encode_integers(positions), list(known))
+
+
+def decode_column(column: EncodedColumn, count: int, base: Array | None = None) -> Array:
+    """Return ``count`` values as an array; raises ``ValueError`` if the column is inconsistent with that."""
+    if not _is_consistent(column, count):
         raise ValueError("is no block: a column that contradicts itself")
-    planes = np.zeros((count, 8), dtype=np.uint8)
-    planes[:, :width] = np.frombuffer(data, dtype=np.uint8).reshape(width, count).T
-    folded = planes.view("<u8")[:, 0] if count else np.zeros(0, dtype=np.uint64)
-    values = (folded >> np.uint64(1)).astype(np.int64) ^ -(folded & np.uint64(1)).astype(np.int64)
-    if delta:
-        values = np.cumsum(values, dtype=np.int64)
-    if form == WHOLE:
+    integers = _decode_integers(column, count)
+    if column.form == ColumnForm.INTEGER:
+        return integers
+    if column.form == ColumnForm.FLOAT_BITS:
+        return integers.view(np.float64)
+    values = integers / (10.0 if column.form == ColumnForm.DECIMAL else 2.0) ** column.scale
+    if column.relative_to == RelativeTo.NOTHING or base is None:
         return values
-    if form == BITS:
-        return values.view(np.float64)
-    made = values / (10.0 if form == DECIMAL else 2.0) ** scale
-    return made if against == PLAIN or base is None else _against(made, base, against)
+    return _absolute(values, base, column.relative_to)
 
 
-def words(values: Sequence[Any]) -> tuple[Coded, list[Any]]:
-    """Code strings or bytes as places in a list of distinct ones, by first use."""
-    known: dict[Any, int] = {}
-    places = [known.setdefault(value, len(known)) for value in values]
-    return whole(places), list(known)
+def _is_consistent(column: EncodedColumn, count: int) -> bool:
+    return (
+        0 <= column.width <= WORD_BYTES
+        and len(column.data) == column.width * count
+        and column.form <= ColumnForm.BINARY
+        and column.scale <= MAX_SCALE
+        and column.relative_to <= RelativeTo.BASE_PLUS_VALUE
+    )
+
+
+def _decode_integers(column: EncodedColumn, count: int) -> Array:
+    planes = np.zeros((count, WORD_BYTES), dtype=np.uint8)
+    planes[:, : column.width] = np.frombuffer(column.data, dtype=np.uint8).reshape(column.width, count).T
+    unsigned = planes.view("<u8")[:, 0] if count else np.zeros(0, dtype=np.uint64)
+    integers = (unsigned >> np.uint64(1)).astype(np.int64) ^ -(unsigned & np.uint64(1)).astype(np.int64)
+    return np.cumsum(integers, dtype=np.int64) if column.delta else integers
--- a/lapispick/trace/comparing.py
+++ b/lapispick/trace/comparing.py
@@ -1,7 +1,7 @@
-"""Compares two traces, or a trace and what the present module makes of it. No I/O.
+"""Compares two traces, or a trace with a replay of it. No I/O.
 
-Only the first difference is sound. What follows tells what the decisions would have been in situations that may not
-have come about; the weight is estimated as if a run had the average weight of the recorded runs of its class.
+Only the first difference is reliable: what follows would have been decided in situations that might not have come
+about. The weight is estimated as if each run had the average weight of the recorded runs of its class.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 from lapispick import admission
 from lapispick.trace.record_types import Step
-from lapispick.trace.text_names import described_all
+from lapispick.trace.summary import UNKNOWN_NAME
+from lapispick.trace.text_names import format_records, step_field_name
 
 MAX_KNOWN_REQUESTS = 200_000  # whose class is stored; far more than are ever open
-UNKNOWN_REASON = "not told"
 
 
 class ClassDecisions(msgspec.Struct):
@@ -51,7 +51,7 @@
 
     step: int
     now: float
-    part: str  # a field of ``Step``, or ``end``
+    part: str  # a field of a step by its name in text, or ``end``
     left: str
     right: str
 
@@ -60,9 +60,9 @@
     """Counts decisions by class, on one side."""
 
     def __init__(self, class_name: Callable[[int, int], str]) -> None:
-        """``class_name`` returns the name of a host's class."""
+        """``class_name`` returns the name of a source's class."""
         self._class_name = class_name
-        self._classes: dict[tuple[int, int], str] = {}  # by host and request
+        self._classes: dict[tuple[int, int], str] = {}  # by source and request
         self.by_class: dict[str, ClassDecisions] = {}
         self.reasons: Counter[str] = Counter()
 
@@ -70,23 +70,23 @@
         """Add a step's requests and what one side ordered in it."""
         for event in step.events:
             if type(event) is admission.RequestReceived:
-                self._classes[step.box, event.id] = self._class_name(step.box, event.class_index)
+                self._classes[step.source_index, event.id] = self._class_name(step.source_index, event.class_index)
         for action in actions:
             if type(action) in DECISIONS:
-                self._count(step.box, action)
+                self._count(step.source_index, action)
         if len(self._classes) > MAX_KNOWN_REQUESTS:
             for key in list(self._classes)[: MAX_KNOWN_REQUESTS // 2]:
                 del self._classes[key]
 
-    def _count(self, host: int, action: Any) -> None:
-        name = self._classes.get((host, action.id))
+    def _count(self, source_index: int, action: Any) -> None:
+        name = self._classes.get((source_index, action.id))
         if name is None:
             return
         self.by_class.setdefault(name, ClassDecisions()).count(type(action))
         if type(action) is admission.Reject:
-            self.reasons[action.reason or UNKNOWN_REASON] += 1
+            self.reasons[action.reason or UNKNOWN_NAME] += 1
         if type(action) in _FINAL:
-            del self._classes[host, action.id]
+            del self._classes[source_index, action.id]
 
 
 def estimate(recorded: dict[str, ClassDecisions], other: dict[str, ClassDecisions], served: dict[str, float]) -> None:
@@ -124,8 +124,9 @@
         right = "ended" if two is None else "goes on"
         return Divergence(number, longer.now, "end", left, right)
     part = next(name for name in Step._fields if getattr(one, name) != getattr(two, name))
-    return Divergence(number, one.now, part, _shown(getattr(one, part)), _shown(getattr(two, part)))
+    left, right = (_format(getattr(step, part)) for step in (one, two))
+    return Divergence(number, one.now, step_field_name(part), left, right)
 
 
-def _shown(value: Any) -> str:
-    return described_all(value) if isinstance(value, tuple) else repr(value)
+def _format(value: Any) -> str:
+    return format_records(value) if isinstance(value, tuple) else repr(value)
--- a/lapispick/trace/files.py
+++ b/lapispick/trace/files.py
@@ -1,9 +1,9 @@
-"""Writing and reading trace files as streams; memory does not grow with their length."""
+"""Writes and reads trace files as streams; memory does not grow with their length."""
 
 from __future__ import annotations
 
 import os
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable, Iterator, Sequence
 from io import BytesIO
 from pathlib import Path
 from typing import Any, BinaryIO, NamedTuple
@@ -11,16 +11,18 @@
 import numpy as np
 
 from lapispick.trace import layout
-from lapispick.trace.layout import BLOCK, HEAD, INDEX, TraceError
+from lapispick.trace.block_reader import Block
+from lapispick.trace.block_writer import encode_block
+from lapispick.trace.layout import FRAME_HEADER_BYTES, FrameKind, TraceError
 from lapispick.trace.record_types import Step
-from lapispick.trace.records import Block, Header, Index, Source, pack
+from lapispick.trace.schema import Header, Index, Source
 
-STEPS = 4000  # of a block, unless its bytes come first
-CHUNK = 1 << 20  # bytes that a search for the next frame reads at once
+STEPS_PER_BLOCK = 4000  # fewer where a block would be larger than a frame may be
+SEARCH_CHUNK_BYTES = 1 << 20  # read at once by the search for the next frame
 
 
-class Place(NamedTuple):
-    """One block: where it stands and which steps it holds (module clock, ms)."""
+class BlockLocation(NamedTuple):
+    """Where a block is in the file, and the times of its steps (ms)."""
 
     offset: int
     first: float
@@ -29,65 +31,78 @@
 
 
 class Damage(NamedTuple):
-    """Bytes that are no whole frame."""
+    """Bytes that are not a valid frame."""
 
     offset: int
     length: int
-    what: str
+    reason: str
 
 
-def when(sources: Any, step: Step) -> float:
-    """Return when a step was, by the clock that the file's sources are told against; ms."""
-    if step.box >= len(sources):
+class _Frame(NamedTuple):
+    """A frame that was read, with its body decompressed."""
+
+    header: layout.FrameHeader
+    body: bytes
+
+
+def step_time(sources: Sequence[Any], step: Step) -> float:
+    """Return the time of a step by the reference clock of the file's sources, ms."""
+    if step.source_index >= len(sources):
         return step.now
-    source = sources[step.box]
+    source = sources[step.source_index]
     return step.now - source.offset - source.drift * (step.now - source.at) / 1000
 
 
-def times(sources: Any, block: Block) -> Any:
-    """Return ``when`` of all steps of a block, as an array."""
-    offset, drift, at = (np.array([getattr(s, name) for s in sources])[block.box] for name in ("offset", "drift", "at"))
+def step_times(sources: Sequence[Any], block: Block) -> Any:
+    """Return ``step_time`` of all steps of a block, as an array."""
+    offset, drift, at = (
+        np.array([getattr(source, name) for source in sources])[block.source_index]
+        for name in ("offset", "drift", "at")
+    )
     return block.now - offset - drift * (block.now - at) / 1000
 
 
-class Writer:
-    """Writes one file; whole blocks survive a kill, and ``close`` adds the index."""
+class TraceWriter:
+    """Writes one file; the blocks already written survive a kill, and ``close`` adds the index."""
 
     def __init__(self, file: BinaryIO, header: Any) -> None:
-        self._file, self._sources = file, header.sources
-        self.size = file.write(layout.prelude(header.SerializeToString()))
-        self._places: list[Place] = []
-
-    def block(self, steps: list[Step]) -> None:
-        """Add a block; a step that brings it over the bound on bytes is put in the next."""
-        raw = pack(steps)
-        if sum(map(len, raw)) > layout.BODY_MOST and len(steps) > 1:
+        self._file = file
+        self._sources = header.sources
+        self.size = file.write(layout.encode_prelude(header.SerializeToString()))
+        self._locations: list[BlockLocation] = []
+
+    def write_block(self, steps: list[Step]) -> None:
+        """Add a block; steps that are too large for one frame are split into several."""
+        pieces = encode_block(steps)
+        if sum(map(len, pieces)) > layout.MAX_BODY_BYTES and len(steps) > 1:
             half = len(steps) // 2
-            self.block(steps[:half])
-            return self.block(steps[half:])
-        times = [when(self._sources, step) for step in steps]  # a clock may have stepped back in between
-        place = Place(self.size, min(times), max(times), len(steps))
-        self.size += self._file.write(layout.frame(BLOCK, raw, *place[3:], *place[1:3]))
-        self._places.append(place)
-        return None
+            self.write_block(steps[:half])
+            self.write_block(steps[half:])
+            return
+        times = [step_time(self._sources, step) for step in steps]  # a clock may have been set back in between
+        location = BlockLocation(self.size, min(times), max(times), len(steps))
+        frame = layout.encode_frame(FrameKind.BLOCK, pieces, location.steps, location.first, location.last)
+        self.size += self._file.write(frame)
+        self._locations.append(location)
 
     def close(self, sync: bool = False) -> None:
-        """Write the index and the trailer."""
+        """Write the index and the trailer, and close the file."""
         index = Index()
-        for place in self._places:
-            index.entries.add(**place._asdict())
-        first = min((place.first for place in self._places), default=0.0)
-        last = max((place.last for place in self._places), default=0.0)
-        frame = layout.frame(INDEX, [index.SerializeToString()], len(self._places), first, last)
-        self._file.write(frame + layout.trailer(self.size, frame))
+        for location in self._locations:
+            index.entries.add(**location._asdict())
+        first = min((location.first for location in self._locations), default=0.0)
+        last = max((location.last for location in self._locations), default=0.0)
+        pieces = [index.SerializeToString()]
+        frame = layout.encode_frame(FrameKind.INDEX, pieces, len(self._locations), first, last)
+        self._file.write(frame + layout.encode_trailer(self.size, frame))
         self._file.flush()
         if sync:
             os.fsync(self._file.fileno())
         self._file.close()
 
 
-class Reader:
-    """Reads one file; without its index the blocks are found by looking for them."""
+class TraceReader:
+    """Reads one file; if its index is missing, the blocks are found by scanning."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -95,33 +110,22 @@
             self._file = open(path, "rb")  # noqa: SIM115  # closed by ``close``
         except OSError as err:
             raise TraceError(f"{path}: {err.strerror}") from None
-        try:
-            header, self.minor = layout.read_prelude(self._file.read)
-            self.whole_header = Header.FromString(header)
-        except TraceError as err:
-            self._file.close()
-            raise TraceError(f"{path}: {err}") from None
-        except Exception as err:  # noqa: BLE001 - the library's DecodeError has no common base across its versions
-            self._file.close()
-            raise TraceError(f"{path}: its header is no header: {err}") from None
-        self.sources = list(self.whole_header.sources) or [Source()]
-        self.header = self.sources[0]  # of a file that is not merged, its one box
-        self._begin = self._file.tell()
+        self._read_header()
+        self.sources = list(self.header.sources) or [Source()]
+        self.first_source = self.sources[0]  # the only one, unless the file was merged
+        self._frames_offset = self._file.tell()
         self.size = os.fstat(self._file.fileno()).st_size
-        self.read_bytes = self._begin
+        self.read_bytes = self._frames_offset
         self.damage: list[Damage] = []
-        self.indexed = True
-        found = self._index()
-        if found is None:
-            self.indexed = False
-            found = list(self._scan())
-        self.places: list[Place] = found
+        locations = self._read_index()
+        self.indexed = locations is not None
+        self.blocks: list[BlockLocation] = list(self._scan()) if locations is None else locations
 
     def close(self) -> None:
         """Close the file."""
         self._file.close()
 
-    def __enter__(self) -> Reader:
+    def __enter__(self) -> TraceReader:
         """Return itself."""
         return self
 
@@ -129,117 +133,150 @@
         """Close the file."""
         self.close()
 
-    def _at(self, offset: int, length: int) -> bytes:
+    def read_block(self, location: BlockLocation) -> Block:
+        """Return a block by its columns; raises ``TraceError`` if it is corrupt."""
+        frame = self._read_frame(location.offset)
+        if frame is None:
+            raise TraceError(f"{self.path}: the block at byte {location.offset} is spoilt")
+        try:
+            return Block(frame.body)
+        except ValueError as err:
+            raise TraceError(f"{self.path}: the block at byte {location.offset} {err}") from None
+
+    def read_steps(self, location: BlockLocation) -> list[Step]:
+        """Return the steps of a block; raises ``TraceError`` if it is corrupt."""
+        try:
+            return self.read_block(location).steps()
+        except ValueError as err:
+            raise TraceError(f"{self.path}: the block at byte {location.offset} {err}") from None
+
+    def steps(self, since: float = float("-inf"), until: float = float("inf")) -> Iterator[Step]:
+        """Yield the steps from ``since`` to before ``until`` (ms, as ``step_time``), reading only their blocks."""
+        for location in self.blocks:
+            if location.last < since or location.first >= until:
+                continue
+            includes_all = location.first >= since and location.last < until
+            for step in self.read_steps(location):
+                if includes_all or since <= step_time(self.sources, step) < until:
+                    yield step
+
+    def _read_header(self) -> None:
+        try:
+            prelude = layout.read_prelude(self._file.read)
+            self.minor_version = prelude.minor_version
+            self.header = Header.FromString(prelude.header)
+        except TraceError as err:
+            self._file.close()
+            raise TraceError(f"{self.path}: {err}") from None
+        except Exception as err:  # noqa: BLE001 - the library's DecodeError has no common base across its versions
+            self._file.close()
+            raise TraceError(f"{self.path}: its header is no header: {err}") from None
+
+    def _read(self, offset: int, length: int) -> bytes:
         self._file.seek(offset)
         data = self._file.read(length)
         self.read_bytes += len(data)
         return data
 
-    def _index(self) -> list[Place] | None:
-        size = layout.TRAILER.size
-        data = self._at(max(0, self.size - size), size)
-        if len(data) < size or data[-8:] != layout.END_MAGIC:
+    def _read_frame(self, offset: int) -> _Frame | None:
+        """Return the frame at this offset, None if it is not a valid one."""
+        header = layout.decode_frame_header(self._read(offset, FRAME_HEADER_BYTES))
+        if header is None:
+            return None
+        body = layout.decode_body(header, self._read(offset + FRAME_HEADER_BYTES, header.stored))
+        return None if body is None else _Frame(header, body)
+
+    def _read_index(self) -> list[BlockLocation] | None:
+        """Return the blocks that the index lists, None if the file has no valid index."""
+        trailer_offset = self.size - layout.TRAILER.size
+        data = self._read(max(0, trailer_offset), layout.TRAILER.size)
+        if len(data) < layout.TRAILER.size or not data.endswith(layout.END_MAGIC):
             return None
         offset, crc, _ = layout.TRAILER.unpack(data)
-        frame = self._at(offset, self.size - size - offset) if self._begin <= offset < self.size else b""
-        head = layout.read_head(frame)
-        if head is None or head.kind != INDEX or layout.crc32c(frame) != crc:
+        in_bounds = self._frames_offset <= offset < self.size
+        frame = self._read(offset, trailer_offset - offset) if in_bounds else b""
+        header = layout.decode_frame_header(frame)
+        if header is None or header.kind != FrameKind.INDEX or layout.crc32c(frame) != crc:
+            return None
+        body = layout.decode_body(header, frame[FRAME_HEADER_BYTES:])
+        if body is None:
             return None
-        raw = layout.body(head, frame[HEAD:])
         try:
-            entries = Index.FromString(raw or b"").entries
+            entries = Index.FromString(body).entries
         except Exception:  # noqa: BLE001 - the library's DecodeError has no common base across its versions
             return None
-        if raw is None or any(not self._begin <= e.offset < offset for e in entries):
+        if any(not self._frames_offset <= entry.offset < offset for entry in entries):
             return None
-        return [Place(e.offset, e.first, e.last, e.steps) for e in entries]
-
-    def _scan(self) -> Iterator[Place]:
-        """Find whole blocks one after the other; what lies between is damage."""
-        at, lost = self._begin, -1
-        while at < self.size:
-            head = layout.read_head(self._at(at, HEAD))
-            whole = head is not None and layout.body(head, self._at(at + HEAD, head.stored)) is not None
-            if head is not None and whole:
-                if lost >= 0:
-                    self.damage.append(Damage(lost, at - lost, "no whole block"))
-                    lost = -1
-                if head.kind == BLOCK:
-                    yield Place(at, head.first, head.last, head.steps)
-                at += HEAD + head.stored
-                if head.kind == INDEX:
-                    break
+        return [BlockLocation(entry.offset, entry.first, entry.last, entry.steps) for entry in entries]
+
+    def _scan(self) -> Iterator[BlockLocation]:
+        """Find the valid blocks one after the other; the bytes between them are damage."""
+        offset = self._frames_offset
+        damage_offset: int | None = None
+        while offset < self.size:
+            frame = self._read_frame(offset)
+            if frame is None:
+                damage_offset = offset if damage_offset is None else damage_offset
+                offset = self._find_mark(offset + 1)
                 continue
-            lost = at if lost < 0 else lost
-            at = self._next_mark(at + 1)
-        if lost >= 0:
-            self.damage.append(Damage(lost, self.size - lost, "no whole block"))
-
-    def _next_mark(self, at: int) -> int:
-        while at < self.size:
-            data = self._at(at, CHUNK)
-            found = data.find(layout.MARK)
+            if damage_offset is not None:
+                self._add_damage(damage_offset, offset)
+                damage_offset = None
+            header = frame.header
+            if header.kind == FrameKind.BLOCK:
+                yield BlockLocation(offset, header.first, header.last, header.steps)
+            offset += FRAME_HEADER_BYTES + header.stored
+            if header.kind == FrameKind.INDEX:
+                break
+        if damage_offset is not None:
+            self._add_damage(damage_offset, self.size)
+
+    def _add_damage(self, begin: int, end: int) -> None:
+        self.damage.append(Damage(begin, end - begin, "no whole block"))
+
+    def _find_mark(self, offset: int) -> int:
+        """Return where the next frame may begin at or after an offset; the size of the file if none does."""
+        while offset < self.size:
+            data = self._read(offset, SEARCH_CHUNK_BYTES)
+            found = data.find(layout.FRAME_MARK)
             if found >= 0:
-                return at + found
-            at += max(1, len(data) - len(layout.MARK) + 1)
+                return offset + found
+            offset += max(1, len(data) - len(layout.FRAME_MARK) + 1)
         return self.size
 
-    def columns(self, place: Place) -> Block:
-        """Return a block by its columns; raises ``TraceError`` where it is spoilt."""
-        head = layout.read_head(self._at(place.offset, HEAD))
-        raw = layout.body(head, self._at(place.offset + HEAD, head.stored)) if head else None
-        if raw is None:
-            raise TraceError(f"{self.path}: the block at byte {place.offset} is spoilt")
-        try:
-            return Block(raw)
-        except ValueError as err:
-            raise TraceError(f"{self.path}: the block at byte {place.offset} {err}") from None
 
-    def block(self, place: Place) -> list[Step]:
-        """Return the steps of a block; raises ``TraceError`` where it is spoilt."""
-        try:
-            return self.columns(place).steps()
-        except ValueError as err:
-            raise TraceError(f"{self.path}: the block at byte {place.offset} {err}") from None
-
-    def steps(self, since: float = float("-inf"), until: float = float("inf")) -> Iterator[Step]:
-        """Yield the steps from ``since`` to before ``until`` (ms, as ``when`` tells), reading only their blocks."""
-        for place in self.places:
-            if place.last >= since and place.first < until:
-                whole = place.first >= since and place.last < until
-                for step in self.block(place):
-                    if whole or since <= when(self.sources, step) < until:
-                        yield step
-
-
-def write(path: Path, header: Any, steps: Iterable[Step], sync: bool = False) -> int:
-    """Write a whole file beside and rename it; return how many steps it holds."""
-    spare, count, block = path.with_name(f".{path.name}.part"), 0, []
-    with open(spare, "wb") as file:
-        writer = Writer(file, header)
+def write_trace(path: Path, header: Any, steps: Iterable[Step], sync: bool = False) -> int:
+    """Write a file under a temporary name and rename it; return its number of steps."""
+    temporary = path.with_name(f".{path.name}.part")
+    count = 0
+    block: list[Step] = []
+    with open(temporary, "wb") as file:
+        writer = TraceWriter(file, header)
         for step in steps:
             block.append(step)
-            if len(block) == STEPS:
-                writer.block(block)
-                count, block = count + len(block), []
+            if len(block) == STEPS_PER_BLOCK:
+                writer.write_block(block)
+                count += len(block)
+                block = []
         if block:
-            writer.block(block)
+            writer.write_block(block)
+            count += len(block)
         writer.close(sync)
-    os.replace(spare, path)
-    return count + len(block)
+    os.replace(temporary, path)
+    return count
 
 
-def blank(**told: Any) -> Any:
-    """Return the header of a file of one box."""
-    return Header(sources=[Source(**told)])
+def make_header(**source_fields: Any) -> Any:
+    """Return the header of a file with one source."""
+    return Header(sources=[Source(**source_fields)])
 
 
-def in_memory(header: Any, blocks: list[list[Step]]) -> bytes:
-    """Return the bytes of a whole file, for tests and tools."""
-    kept = BytesIO()
-    kept.close = lambda: None  # type: ignore[method-assign]
-    writer = Writer(kept, header)
+def encode_file(header: Any, blocks: list[list[Step]]) -> bytes:
+    """Return the bytes of a file, for tests and tools."""
+    buffer = BytesIO()
+    buffer.close = lambda: None  # type: ignore[method-assign]
+    writer = TraceWriter(buffer, header)
     for block in blocks:
-        writer.block(block)
+        writer.write_block(block)
     writer.close()
-    return kept.getvalue()
+    return buffer.getvalue()
--- /dev/null
+++ b/lapispick/trace/growing_table.py
@@ -0,0 +1,46 @@
+"""A table of numpy columns to which rows are appended and from which the oldest are dropped. No I/O."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import numpy as np
+
+INITIAL_ROWS = 1024
+
+
+class GrowingTable:
+    """Named columns of equal length.
+
+    A *row* counts from the first one that is still there, an *index* from the first one that ever was.
+    """
+
+    def __init__(self, **dtypes: Any) -> None:
+        self.first_index = 0
+        self.size = 0
+        self._columns = {name: np.zeros(INITIAL_ROWS, dtype) for name, dtype in dtypes.items()}
+
+    def __getitem__(self, name: str) -> Any:
+        return self._columns[name][: self.size]
+
+    def append(self, count: int, **values: Any) -> int:
+        """Append rows, zero where no values are given; return the index of the first."""
+        self._reserve(self.size + count)
+        for name, column in self._columns.items():
+            column[self.size : self.size + count] = values.get(name, 0)
+        self.size += count
+        return self.first_index + self.size - count
+
+    def drop(self, count: int) -> None:
+        """Drop the oldest rows."""
+        for column in self._columns.values():
+            column[: self.size - count] = column[count : self.size].copy()
+        self.first_index += count
+        self.size -= count
+
+    def _reserve(self, rows: int) -> None:
+        for name, column in self._columns.items():
+            if rows > len(column):
+                grown = np.zeros(2 * rows, column.dtype)
+                grown[: self.size] = column[: self.size]
+                self._columns[name] = grown
--- a/lapispick/trace/helper.py
+++ b/lapispick/trace/helper.py
@@ -2,7 +2,7 @@
 
 The host starts it with a socket as standard input: ``Begin`` as JSON first, then batches of steps in msgpack, each
 with its length before it. At the end of the socket the file is closed properly, so that neither SIGTERM nor SIGKILL of
-the host leaves an incomplete file; a kill of this process loses the open block only.
+the host leaves an incomplete file; a kill of this process loses only the open block.
 """
 
 from __future__ import annotations
@@ -21,15 +21,17 @@
 import msgspec
 
 from lapispick import admission
-from lapispick.trace.files import STEPS, Writer, blank
+from lapispick.trace.files import STEPS_PER_BLOCK, TraceWriter, make_header
 from lapispick.trace.messages import Begin
-from lapispick.trace.record_types import KINDS, Gap, Step
+from lapispick.trace.record_types import RECORD_TYPES, Gap, Step
 from lapispick.trace.retention import TraceFile, expired, rotate
 
-BLOCK_S = 1.0  # an open block is written after this at the latest
-NICE = 5  # the host goes first where they share a core, and this process still gets a third of its share
+MAX_BLOCK_AGE_S = 1.0  # an open block is written after this at the latest
+POLL_S = MAX_BLOCK_AGE_S / 4  # how often an open block's age is checked
+NICENESS = 5  # the host goes first where they share a core, and this process still gets a third of its share
 RETRY_S = 1.0  # after a failure of the disk
 SUFFIX = ".lptrace"
+MODULE_DIGEST_CHARACTERS = 16
 OPEN_SUFFIX = ".lptrace.open"
 LENGTH_BYTES = 4  # in front of each message
 RECEIVE_BYTES = 1 << 16
@@ -40,39 +42,40 @@
     digest = sha256()
     for path in sorted(Path(admission.__file__).parent.glob("*.py")):
         digest.update(path.read_bytes())
-    return digest.hexdigest()[:16]
+    return digest.hexdigest()[:MODULE_DIGEST_CHARACTERS]
 
 
 def decode_steps(data: bytes) -> list[Step]:
     """Return the steps of one batch, as the recorder encodes them."""
-    kinds, found = msgspec.msgpack.decode(data)
-    numbers = iter(kinds)
+    # The numbers of all events and actions come first; notes carry their own.
+    record_numbers, steps = msgspec.msgpack.decode(data)
+    numbers = iter(record_numbers)
     return [
         Step(
             now,
-            *(tuple(_record(next(numbers), values) for values in part) for part in (events, actions)),
-            tuple(_record(number, values) for number, *values in notes),
+            tuple(_decode_record(next(numbers), values) for values in events),
+            tuple(_decode_record(next(numbers), values) for values in actions),
+            tuple(_decode_record(number, values) for number, *values in notes),
         )
-        for now, events, actions, notes in found
+        for now, events, actions, notes in steps
     ]
 
 
-def _record(number: int, values: list[Any]) -> Any:
-    kind = KINDS[number]
-    if kind in (admission.RunCompleted, admission.CallCompleted):
+def _decode_record(number: int, values: list[Any]) -> Any:
+    record_type = RECORD_TYPES[number]
+    if record_type in (admission.RunCompleted, admission.CallCompleted):
         values[1] = admission.Outcome(values[1])
-    elif kind is admission.TimerFired:
+    elif record_type is admission.TimerFired:
         values[1] = tuple(values[1])
-    return kind(*values)
+    return record_type(*values)
 
 
-def _next_sequence(folder: Path, name: str) -> int:
+def _next_sequence(folder: Path, prefix: str) -> int:
     """Return the number of the next file of this incarnation: another writer may have ended before this one."""
     with suppress(OSError):
-        found = [
-            entry.name.removeprefix(name).split(".")[0] for entry in os.scandir(folder) if entry.name.startswith(name)
-        ]
-        return max((int(number) + 1 for number in found if number.isdigit()), default=0)
+        names = [entry.name for entry in os.scandir(folder) if entry.name.startswith(prefix)]
+        numbers = [name.removeprefix(prefix).split(".")[0] for name in names]
+        return max((int(number) + 1 for number in numbers if number.isdigit()), default=0)
     return 0
 
 
@@ -94,7 +97,7 @@
         self._report_written = report_written
         self._module = module_digest()
         self._sequence = _next_sequence(self._folder, f"{begin.host}-{begin.incarnation}-")
-        self._writer: Writer | None = None
+        self._writer: TraceWriter | None = None
         self._path = self._folder
         self._file: Any = None
         self._opened_at = 0.0
@@ -108,12 +111,12 @@
         if not self._steps:
             self._block_began_at = now
         self._steps.append(step)
-        if len(self._steps) >= STEPS:
+        if len(self._steps) >= STEPS_PER_BLOCK:
             self.flush(now)
 
     def flush_due(self, now: float) -> None:
         """Write the open block if it has waited long enough."""
-        if self._steps and now - self._block_began_at >= BLOCK_S:
+        if self._steps and now - self._block_began_at >= MAX_BLOCK_AGE_S:
             self.flush(now)
 
     def flush(self, now: float) -> None:
@@ -148,7 +151,7 @@
         writer = self._open(now)
         if self._lost:
             steps.insert(0, Step(steps[0].now, notes=(Gap(self._lost),)))
-        writer.block(steps)
+        writer.write_block(steps)
         self._file.flush()
         if self._begin.sync == "block":
             os.fsync(self._file.fileno())
@@ -157,7 +160,7 @@
         if rotate(writer.size, self._opened_at, now, self._begin.max_file_bytes, self._begin.max_file_age_s):
             self.close()
 
-    def _open(self, now: float) -> Writer:
+    def _open(self, now: float) -> TraceWriter:
         """Return the writer of the open file, a new one where there is none."""
         if self._writer is not None:
             return self._writer
@@ -167,7 +170,7 @@
         self._path = self._folder / (name + OPEN_SUFFIX)
         self._file = open(self._path, "wb")  # noqa: SIM115  # closed by ``close``
         self._opened_at = now
-        header = blank(
+        header = make_header(
             box=begin.host,
             incarnation=begin.incarnation,
             sequence=self._sequence,
@@ -180,7 +183,7 @@
             classes=begin.classes,
             accounts=begin.accounts,
         )
-        self._writer = Writer(self._file, header)
+        self._writer = TraceWriter(self._file, header)
         self._file.flush()  # a reader finds a trace, not an empty file
         self._sequence += 1
         return self._writer
@@ -207,7 +210,7 @@
     """Yield complete messages, and None whenever nothing arrived for a while; ends with the socket."""
     buffer = bytearray()
     while True:
-        if not select.select([connection], [], [], BLOCK_S / 4)[0]:
+        if not select.select([connection], [], [], POLL_S)[0]:
             yield None
             continue
         try:
@@ -230,7 +233,7 @@
 
 def main() -> int:
     """Write until the host closes the socket."""
-    os.nice(NICE)
+    os.nice(NICENESS)
     connection = socket.socket(fileno=os.dup(0))
 
     def report_error(text: str) -> None:
--- a/lapispick/trace/lines.py
+++ b/lapispick/trace/lines.py
@@ -1,7 +1,7 @@
-"""A trace as JSON lines and back: the header first, then one step a line. No I/O.
+"""Converts traces to JSON lines and back: the header first, then one step a line. No I/O.
 
-Bytes stand as base64, an outcome by its name, numbers as they are: every float comes back bit for bit, but for
-not-a-number and the infinities, which JSON has no word for and which no module hands out.
+Bytes are base64, outcomes are names, numbers are JSON numbers: every float comes back with the same bits, except
+not-a-number and the infinities, which JSON can't express and the decision module never emits.
 """
 
 from __future__ import annotations
@@ -16,17 +16,25 @@
 
 from lapispick import admission
 from lapispick.trace.record_types import Step
-from lapispick.trace.records import FIELDS, Header, part_of
+from lapispick.trace.schema import PART_OF_RECORD, RECORD_FIELDS, FieldType, Header, Part
 from lapispick.trace.text_names import OUTCOMES_BY_NAME, RECORDS_BY_NAME, field_name, outcome_name, record_name
 
-PARTS = ("events", "actions", "notes")
+_PART_NAMES: dict[Part, str] = {Part.EVENTS: "events", Part.ACTIONS: "actions", Part.NOTES: "notes"}
+_JSON_TYPES: dict[FieldType, type] = {
+    FieldType.INT: int,
+    FieldType.FLOAT: float,
+    FieldType.BOOL: bool,
+    FieldType.STR: str,
+}
 
 
 class TraceLineError(Exception):
-    """A line is no part of a trace; the text names it."""
+    """A line is not part of a trace; the text says which and why."""
 
 
 class _Line(msgspec.Struct):
+    """A step as it is written in a line."""
+
     now: float
     events: list[dict[str, Any]] = []
     actions: list[dict[str, Any]] = []
@@ -34,75 +42,78 @@
     source: int = 0
 
 
-def _shown(value: Any) -> Any:
+def _encode_value(value: Any) -> Any:
     if isinstance(value, bytes):
         return base64.b64encode(value).decode()
     return outcome_name(value) if isinstance(value, admission.Outcome) else value
 
 
-def _record_line(record: Any) -> dict[str, Any]:
-    kind = type(record)
-    fields = {field_name(kind, name): _shown(value) for name, value in record._asdict().items()}
-    return {"record": record_name(kind), **fields}
+def _encode_record(record: Any) -> dict[str, Any]:
+    record_type = type(record)
+    fields = {field_name(record_type, name): _encode_value(value) for name, value in record._asdict().items()}
+    return {"record": record_name(record_type), **fields}
 
 
-def step_line(step: Step, box: str) -> bytes:
-    """Return a step as one line of JSON, without its end."""
-    made: dict[str, Any] = {"now": step.now, "box": box}
-    if step.box:
-        made["source"] = step.box
-    for name in PARTS:
-        if part := getattr(step, name):
-            made[name] = [_record_line(record) for record in part]
-    return msgspec.json.encode(made)
+def encode_step(step: Step, host: str) -> bytes:
+    """Return a step as one line of JSON, without the newline."""
+    line: dict[str, Any] = {"now": step.now, "box": host}
+    if step.source_index:
+        line["source"] = step.source_index
+    for name in _PART_NAMES.values():
+        if records := getattr(step, name):
+            line[name] = [_encode_record(record) for record in records]
+    return msgspec.json.encode(line)
 
 
-def write(header: Any, steps: Iterable[Step]) -> Iterator[bytes]:
+def encode_trace(header: Any, steps: Iterable[Step]) -> Iterator[bytes]:
     """Yield the lines of a trace."""
     yield msgspec.json.encode({"header": json_format.MessageToDict(header, preserving_proto_field_name=True)})
-    boxes = [source.box for source in header.sources]
+    hosts = [source.box for source in header.sources]
     for step in steps:
-        yield step_line(step, boxes[step.box] if step.box < len(boxes) else "")
+        yield encode_step(step, hosts[step.source_index] if step.source_index < len(hosts) else "")
 
 
-def read_header(line: bytes) -> Any:
-    """Return the header that the first line holds; raises ``TraceLineError``."""
+def decode_header(line: bytes) -> Any:
+    """Return the header in the first line; raises ``TraceLineError``."""
     try:
-        told = msgspec.json.decode(line, type=dict[str, Any])
-        return json_format.ParseDict(told["header"], Header())
+        document = msgspec.json.decode(line, type=dict[str, Any])
+        return json_format.ParseDict(document["header"], Header())
     except (msgspec.MsgspecError, KeyError, json_format.ParseError) as err:
         raise TraceLineError(f"line 1: is no header of a trace: {err}") from None
 
 
-def read_step(line: bytes, number: int) -> Step:
-    """Return the step that a line holds; raises ``TraceLineError``."""
+def decode_step(line: bytes, number: int) -> Step:
+    """Return the step in a line, whose number is for the error; raises ``TraceLineError``."""
     try:
-        told = msgspec.json.decode(line, type=_Line)
-        parts = (tuple(_record(one, at) for one in getattr(told, name)) for at, name in enumerate(PARTS))
-        return Step(told.now, *parts, told.source)
+        decoded = msgspec.json.decode(line, type=_Line)
+        events, actions, notes = (
+            tuple(_decode_record(fields, part) for fields in getattr(decoded, name))
+            for part, name in _PART_NAMES.items()
+        )
+        return Step(decoded.now, events, actions, notes, decoded.source)
     except (msgspec.MsgspecError, ValueError, KeyError, TypeError, binascii.Error) as err:
         raise TraceLineError(f"line {number}: {err}") from None
 
 
-def _record(told: dict[str, Any], part: int) -> Any:
-    kind = RECORDS_BY_NAME.get(told.get("record", ""))
-    if kind is None or part_of(kind) != part:
-        raise ValueError(f"no record {told.get('record')!r} among the {PARTS[part]}")
-    values = {key: value for key, value in told.items() if key != "record"}
-    made = {}
-    for name, annotation in FIELDS[kind]:
-        value = values.pop(field_name(kind, name))
-        if annotation == "bytes":
-            made[name] = base64.b64decode(value, validate=True)
-        elif annotation == "Outcome":
-            made[name] = OUTCOMES_BY_NAME[value]
-        elif annotation.startswith("tuple"):
-            made[name] = tuple(msgspec.convert(value, list[float]))
-        else:
-            made[name] = msgspec.convert(value, _SCALARS[annotation])
-    if values:
-        raise ValueError(f"{record_name(kind)} has no field {next(iter(values))!r}")
-    return kind(**made)
-
-
-_SCALARS: dict[str, type] = {"int": int, "float": float, "bool": bool, "str": str}
+def _decode_record(fields: dict[str, Any], part: Part) -> Any:
+    record_type = RECORDS_BY_NAME.get(fields.get("record", ""))
+    if record_type is None or PART_OF_RECORD[record_type] is not part:
+        raise ValueError(f"no record {fields.get('record')!r} among the {_PART_NAMES[part]}")
+    remaining = {name: value for name, value in fields.items() if name != "record"}
+    values = {
+        field.name: _decode_value(remaining.pop(field_name(record_type, field.name)), field.type)
+        for field in RECORD_FIELDS[record_type]
+    }
+    if remaining:
+        raise ValueError(f"{record_name(record_type)} has no field {next(iter(remaining))!r}")
+    return record_type(**values)
+
+
+def _decode_value(value: Any, field_type: FieldType) -> Any:
+    if field_type is FieldType.BYTES:
+        return base64.b64decode(value, validate=True)
+    if field_type is FieldType.OUTCOME:
+        return OUTCOMES_BY_NAME[value]
+    if field_type is FieldType.FLOATS:
+        return tuple(msgspec.convert(value, list[float]))
+    return msgspec.convert(value, _JSON_TYPES[field_type])
--- a/lapispick/trace/merging.py
+++ b/lapispick/trace/merging.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable, Iterator, Sequence
 from typing import Any, NamedTuple
 
-from lapispick.trace.clock_skew import Clock, Unknown
+from lapispick.trace.clock_skew import Clock, UnknownClock
 from lapispick.trace.record_types import Step
 
 
@@ -46,8 +46,8 @@
     return MergedSources(distinct, positions)
 
 
-def apply_clocks(sources: Sequence[Any], clocks: dict[str, Clock | Unknown]) -> list[str]:
-    """Write the clocks of hosts into their sources; return why those that are not corrected are not."""
+def apply_clocks(sources: Sequence[Any], clocks: dict[str, Clock | UnknownClock]) -> list[str]:
+    """Write the clocks of hosts into their sources; return the reasons for those that are not corrected."""
     reasons: list[str] = []
     for source in sources:
         clock = clocks.get(source.box)
@@ -57,14 +57,14 @@
             source.error = clock.error
             source.at = clock.at + clock.offset  # when it was that far ahead, by the host's own clock
         else:
-            reason = clock.why if clock is not None else "cannot tell: it was not looked at"
+            reason = clock.reason if clock is not None else "cannot tell: it was not looked at"
             reasons.append(f"{source.box}: {reason}")
     return reasons
 
 
-def merge(streams: Sequence[Iterable[Step]], when: Callable[[Step], float]) -> Iterator[Step]:
+def merge(streams: Sequence[Iterable[Step]], step_time: Callable[[Step], float]) -> Iterator[Step]:
     """Yield the steps of all streams by time; at the same time by the order of the streams.
 
-    A step that is earlier than the one before it in its stream follows that one at once: no other head is earlier.
+    A step that is earlier than the one before it in its stream follows that one at once.
     """
-    return heapq.merge(*streams, key=when)
+    return heapq.merge(*streams, key=step_time)
--- a/lapispick/trace/record_types.py
+++ b/lapispick/trace/record_types.py
@@ -1,6 +1,7 @@
-"""The kinds of records and their numbers; nothing here needs more than the interface.
+"""The types of the records in a trace, and the numbers that stand for them in files.
 
-docs/TRACE-FORMAT.md states the same numbers. A number is never used again for something else.
+``docs/TRACE-FORMAT.md`` lists the same numbers; a number is never reused. The worker host imports this module, so it
+depends on nothing but the decision module's events and actions.
 """
 
 from __future__ import annotations
@@ -37,53 +38,55 @@
 
 
 class Arrival(NamedTuple):
-    """What is known of a request beside the module's event: one a request, in the step that hands it over."""
+    """What is known of a request beside the decision module's event; one for each request, in the step that has it."""
 
     id: int
     account: str
     subject: bytes  # a keyed digest of a keyed request's subject; empty where it has none
-    born: float  # Unix ms
+    born_at: float  # Unix ms
 
 
 class Answered(NamedTuple):
-    """The final answer; ``age`` is in ms since ``born``."""
+    """The final answer of a request."""
 
     id: int
-    kind: str  # served, refused, failed
-    age: float
+    kind: str  # served, refused or failed
+    age_ms: float  # since ``Arrival.born_at``
 
 
 class Gap(NamedTuple):
-    """Steps that were not kept, as the disk was slow or full."""
+    """Steps that were lost, because the disk was slow or full or the writer ended."""
 
     steps: int
 
 
-class Happened(NamedTuple):
-    """What came from outside the module's events: a drain's begin or end, a reload, an upgrade."""
+class ExternalEvent(NamedTuple):
+    """A drain, a reload or an upgrade: what the host reports beside the decision module's events."""
 
-    what: str  # drain-on, drain-off, reloaded; adopted: the module took over what another process had learned
-    told: str  # reloaded: the keys; adopted: JSON of it
+    kind: str  # drain-on, drain-off, reloaded; adopted: the module took over the estimates of another process
+    details: str  # reloaded: the changed keys; adopted: the estimates as JSON; else empty
 
 
-class Straddles(NamedTuple):
-    """A request that a cut goes through: what came before its begin, or what came after its end, is not there."""
+class SpansBoundary(NamedTuple):
+    """A request that is only partly inside the time window of a cut."""
 
     id: int
-    before: bool
-    after: bool
+    began_before: bool  # records before the window are missing
+    ends_after: bool  # records after the window are missing
 
 
-NOTES: tuple[type, ...] = (Arrival, Answered, Gap, Happened, Straddles)
-NUMBERS: dict[type, int] = {kind: at for at, kind in enumerate((*EVENTS, *ACTIONS, *NOTES), 1)}
-KINDS: dict[int, type] = {at: kind for kind, at in NUMBERS.items()}
+NOTES: tuple[type, ...] = (Arrival, Answered, Gap, ExternalEvent, SpansBoundary)
+RECORD_NUMBERS: dict[type, int] = {
+    record_type: number for number, record_type in enumerate((*EVENTS, *ACTIONS, *NOTES), 1)
+}
+RECORD_TYPES: dict[int, type] = {number: record_type for record_type, number in RECORD_NUMBERS.items()}
 
 
 class Step(NamedTuple):
-    """One step of the module: its clock (ms), what it was handed, what it ordered, and what else is known."""
+    """One step of the decision module: its clock (ms), its input, its output, and notes of the host."""
 
     now: float
     events: tuple[Any, ...] = ()
     actions: tuple[Any, ...] = ()
     notes: tuple[Any, ...] = ()
-    box: int = 0  # which source of the file's header it comes from
+    source_index: int = 0  # of the incarnation of a host that it comes from, in the file's header
--- a/lapispick/trace/replaying.py
+++ b/lapispick/trace/replaying.py
@@ -1,7 +1,7 @@
-"""Feeds a trace to the present module on its own clock and compares what it orders. No I/O.
+"""Replays a trace: feeds it to the present decision module on the recorded clock and compares the actions. No I/O.
 
-This is open-loop: what the module orders now does not change what happened then. With another module only
-the first difference is sound; what follows says what it would do in situations that it may not have got into.
+The replay is open-loop: what the module orders now does not change the recorded events. With another module only the
+first difference is reliable; later ones show its decisions in situations that it might not have caused.
 """
 
 from __future__ import annotations
@@ -15,9 +15,12 @@
 
 from lapispick import admission
 from lapispick.admission.controller import Controller
-from lapispick.trace.record_types import Gap, Happened, Step
+from lapispick.trace.record_types import ExternalEvent, Gap, Step
 from lapispick.trace.text_names import record_name
 
+ADOPTED = "adopted"  # the external event of taking over the estimates of the process before, in an upgrade
+StepObserver = Callable[[Step, tuple[Any, ...], Controller], None]
+
 
 class Difference(NamedTuple):
     """The first step whose actions differ."""
@@ -29,46 +32,54 @@
 
 
 @dataclasses.dataclass
-class Result:
-    """What a replay found; actions are counted by kind."""
+class ReplayResult:
+    """The result of a replay; actions are counted by name."""
 
     steps: int = 0
     differing: int = 0
     first: Difference | None = None
-    gaps: int = 0  # steps that were not recorded; behind one nothing can be compared
+    lost_steps: int = 0  # in the gap at which the replay ended
     recorded: Counter[str] = dataclasses.field(default_factory=Counter)
     replayed: Counter[str] = dataclasses.field(default_factory=Counter)
 
+    def add(self, step: Step, replayed: tuple[Any, ...]) -> None:
+        """Compare the actions of a step."""
+        self.steps += 1
+        self.recorded.update(record_name(type(action)) for action in step.actions)
+        self.replayed.update(record_name(type(action)) for action in replayed)
+        if replayed != step.actions:
+            self.differing += 1
+            self.first = self.first or Difference(self.steps, step.now, step.actions, replayed)
+
 
 def replay(
     settings: bytes,
     seed: int,
     module_now: float,
     steps: Iterable[Step],
-    seen: Callable[[Step, tuple[Any, ...], Controller], None] | None = None,
-) -> Result:
-    """Run the module over the steps of one incarnation from its first on; ends at a gap.
+    on_step: StepObserver | None = None,
+) -> ReplayResult:
+    """Replay the steps of one incarnation from its first on; ends at a gap, as the state behind it is unknown.
 
-    ``seen`` gets each step, what the module orders now, and the module.
+    ``on_step`` gets each step, the actions of the present module, and the module.
     """
-    control = Controller(msgspec.json.decode(settings, type=admission.Settings), seed, module_now)
-    made = Result()
+    controller = Controller(msgspec.json.decode(settings, type=admission.Settings), seed, module_now)
+    result = ReplayResult()
     for step in steps:
-        if gap := sum(note.steps for note in step.notes if type(note) is Gap):
-            made.gaps += gap
+        if lost_steps := sum(note.steps for note in step.notes if type(note) is Gap):
+            result.lost_steps += lost_steps
             break
-        for note in step.notes:
-            if type(note) is Happened and note.what == "adopted":  # from the process before it, in an upgrade
-                control.adopt(msgspec.json.decode(note.told, type=admission.LearnedEstimates))
-        if not step.events and not step.actions and made.steps:
+        _adopt_estimates(controller, step)
+        if not step.events and not step.actions and result.steps:
             continue  # notes only
-        got = tuple(control.step(step.now, list(step.events)))
-        made.steps += 1
-        made.recorded.update(record_name(type(a)) for a in step.actions)
-        made.replayed.update(record_name(type(a)) for a in got)
-        if seen is not None:
-            seen(step, got, control)
-        if got != step.actions:
-            made.differing += 1
-            made.first = made.first or Difference(made.steps, step.now, step.actions, got)
-    return made
+        actions = tuple(controller.step(step.now, list(step.events)))
+        result.add(step, actions)
+        if on_step is not None:
+            on_step(step, actions, controller)
+    return result
+
+
+def _adopt_estimates(controller: Controller, step: Step) -> None:
+    for note in step.notes:
+        if type(note) is ExternalEvent and note.kind == ADOPTED:
+            controller.adopt(msgspec.json.decode(note.details, type=admission.LearnedEstimates))
--- /dev/null
+++ b/lapispick/trace/request_answers.py
@@ -0,0 +1,64 @@
+"""Stores the answers of a block in the table of requests. No I/O."""
+
+from __future__ import annotations
+
+from typing import Any, NamedTuple
+
+import numpy as np
+
+from lapispick.trace.block_reader import Records
+from lapispick.trace.request_table import AnswerCode, FoundAttempts, RequestTable
+
+NEVER = np.iinfo(np.int64).max
+ANSWER_CODES = {b"refused": AnswerCode.REJECTED, b"failed": AnswerCode.FAILED, b"served": AnswerCode.SERVED}
+
+
+class CancelledAttempts(NamedTuple):
+    """Attempts of one source that clients cancelled in a block, and in which of its steps."""
+
+    attempt_rows: Any
+    step_positions: Any
+
+
+def add_answers(
+    table: RequestTable, answers: Records, times: Any, found: FoundAttempts, cancelled: dict[int, CancelledAttempts]
+) -> None:
+    """Store answers, given as ``Answered`` records, in the requests that they belong to.
+
+    Only the first answer of an open attempt counts. ``cancelled`` are the cancelled attempts of the block by source.
+    """
+    codes = np.array([ANSWER_CODES.get(word, AnswerCode.NONE) for word in answers.words("kind")], np.uint8)
+    answer = codes[answers.column("kind")]
+    counts = np.zeros(answers.count, np.bool_)
+    for source, record_rows, attempt_rows in found.by_source:
+        attempts = table.attempts[source]
+        is_first = np.zeros(len(attempt_rows), np.bool_)
+        is_first[np.unique(attempt_rows, return_index=True)[1]] = True
+        is_first &= attempts["open"][attempt_rows]
+        if source in cancelled:  # a cancellation in the same block or step came before the answer's note
+            cancelled_step = np.full(attempts.size, NEVER, np.int64)
+            cancelled_step[cancelled[source].attempt_rows[::-1]] = cancelled[source].step_positions[::-1]
+            is_first &= cancelled_step[attempt_rows] > answers.step_positions[record_rows]
+        attempts["open"][attempt_rows] = False
+        counts[record_rows[is_first]] = answer[record_rows[is_first]] != AnswerCode.NONE
+    _store_unserved(table, found.request_rows, answer, counts)
+    _store_served(table, found.request_rows, times, counts & (answer == AnswerCode.SERVED))
+
+
+def _store_unserved(table: RequestTable, request_rows: Any, answer: Any, counts: Any) -> None:
+    """Store rejections and failures, the last of each request, unless the request was served."""
+    stored_answer = table.requests["answer"]
+    unserved = counts & (answer != AnswerCode.SERVED)
+    unserved[unserved] = stored_answer[request_rows[unserved]] != AnswerCode.SERVED
+    stored_answer[request_rows[unserved]] = answer[unserved]
+
+
+def _store_served(table: RequestTable, request_rows: Any, times: Any, served: Any) -> None:
+    """Store the first served answer of each request with its age."""
+    requests = table.requests
+    stored_answer = requests["answer"]
+    rows = np.flatnonzero(served)
+    rows = rows[stored_answer[request_rows[rows]] != AnswerCode.SERVED]
+    rows = rows[np.unique(request_rows[rows], return_index=True)[1]]
+    stored_answer[request_rows[rows]] = AnswerCode.SERVED
+    requests["age_ms"][request_rows[rows]] = times[rows] - requests["born_at"][request_rows[rows]]
--- /dev/null
+++ b/lapispick/trace/request_table.py
@@ -0,0 +1,132 @@
+"""The requests and attempts of a trace that are open or may still be retried, as columns. No I/O."""
+
+from __future__ import annotations
+
+import enum
+from typing import Any, NamedTuple
+
+import numpy as np
+
+from lapispick.trace.growing_table import GrowingTable
+
+
+class AnswerCode(enum.IntEnum):
+    """The final answer of a request."""
+
+    NONE = 0
+    REJECTED = 1
+    FAILED = 2
+    SERVED = 3
+
+
+class AttemptRows(NamedTuple):
+    """Attempts of one source that records refer to."""
+
+    source_index: int
+    record_rows: Any  # the records, by their position in the array that was looked up
+    attempt_rows: Any  # their attempts, by their rows in the table of the source
+
+
+class FoundAttempts(NamedTuple):
+    """The attempts that records refer to."""
+
+    request_rows: Any  # for each record; -1 where its request is unknown or can't be retried any more
+    by_source: list[AttemptRows]
+
+
+class RequestTable:
+    """One table of requests, and one of attempts for each source; attempts refer to requests by their index.
+
+    Whether a request still takes part depends on the clock alone, so the result does not depend on how a trace is
+    divided into blocks.
+    """
+
+    def __init__(self, source_count: int, retention_ms: Any) -> None:
+        """``retention_ms``: by class, how long after its birth a request is remembered for retries."""
+        self._retention_ms = retention_ms
+        self.requests = GrowingTable(
+            born_at=np.float64,
+            class_index=np.int64,
+            account=np.int64,
+            answer=np.uint8,
+            age_ms=np.float64,
+            degraded=np.bool_,
+            attempts=np.int64,
+            is_retry=np.bool_,  # the row is unused, as the attempt counts for an earlier request
+        )
+        self.attempts = [
+            GrowingTable(id=np.int64, request=np.int64, open=np.bool_, waiting=np.bool_, received_at=np.float64)
+            for _ in range(source_count)
+        ]
+
+    def add(self, ids: Any, source_index: Any, received_at: Any, ages_ms: Any, class_index: Any) -> int:
+        """Add an attempt with a request of its own for each id; return the index of the first request.
+
+        Raises ``ValueError`` if the ids of a source don't rise.
+        """
+        first = self.requests.append(len(ids), born_at=received_at - ages_ms, class_index=class_index, attempts=1)
+        for source, attempts in enumerate(self.attempts):
+            rows = np.flatnonzero(source_index == source)
+            rising = np.concatenate((attempts["id"][-1:], ids[rows]))
+            if (np.diff(rising) <= 0).any():
+                raise ValueError("holds requests whose numbers do not rise")
+            attempts.append(
+                len(rows), id=ids[rows], request=first + rows, open=True, waiting=True, received_at=received_at[rows]
+            )
+        return first
+
+    def find_attempts(self, ids: Any, source_index: Any, times: Any) -> FoundAttempts:
+        """Look up the attempts with these ids, as of these times."""
+        request_rows = np.full(len(ids), -1, np.int64)
+        by_source: list[AttemptRows] = []
+        for source, attempts in enumerate(self.attempts):
+            records = np.flatnonzero(source_index == source)
+            if not len(records) or not attempts.size:
+                continue
+            rows = np.minimum(np.searchsorted(attempts["id"], ids[records]), attempts.size - 1)
+            known = attempts["id"][rows] == ids[records]
+            records = records[known]
+            rows = rows[known]
+            requests = attempts["request"][rows] - self.requests.first_index
+            retained = requests >= 0
+            retained[retained] = self._is_retained(requests[retained], times[records[retained]])
+            request_rows[records[retained]] = requests[retained]
+            by_source.append(AttemptRows(source, records[retained], rows[retained]))
+        return FoundAttempts(request_rows, by_source)
+
+    def request_of(self, source: int, attempt_id: int) -> int | None:
+        """Return the index of an attempt's request, None if the attempt is unknown."""
+        attempts = self.attempts[source]
+        row = int(np.searchsorted(attempts["id"], attempt_id))
+        if row < attempts.size and attempts["id"][row] == attempt_id:
+            return int(attempts["request"][row])
+        return None
+
+    def can_be_retried(self, request: int | None, now: float) -> bool:
+        """Tell whether a request, given by its index, is still remembered for retries."""
+        if request is None or request < self.requests.first_index:
+            return False
+        return bool(self._is_retained(request - self.requests.first_index, now))
+
+    def merge_retry(self, source: int, attempt_id: int, own_request: int, request: int) -> None:
+        """Count an attempt for an earlier request instead of its own; requests are given by their index."""
+        attempts = self.attempts[source]
+        attempts["request"][int(np.searchsorted(attempts["id"], attempt_id))] = request
+        self.requests["is_retry"][own_request - self.requests.first_index] = True
+        self.requests["attempts"][request - self.requests.first_index] += 1
+
+    def expired_count(self, now: float) -> int:
+        """Return how many of the oldest requests can't be retried any more."""
+        retained = self._is_retained(slice(None), now)
+        return int(np.argmax(retained)) if retained.any() else self.requests.size
+
+    def drop(self, count: int) -> None:
+        """Drop the oldest requests, and the attempts that only they need."""
+        self.requests.drop(count)
+        for attempts in self.attempts:
+            needed = attempts["request"] >= self.requests.first_index
+            attempts.drop(int(np.argmax(needed)) if needed.any() else attempts.size)
+
+    def _is_retained(self, rows: Any, times: Any) -> Any:
+        requests = self.requests
+        return requests["born_at"][rows] + self._retention_ms[requests["class_index"][rows]] > times
--- a/lapispick/trace/selecting.py
+++ b/lapispick/trace/selecting.py
@@ -12,11 +12,11 @@
 from typing import Any, NamedTuple
 
 from lapispick import admission
-from lapispick.trace.record_types import Answered, Arrival, Step, Straddles
+from lapispick.trace.record_types import Answered, Arrival, SpansBoundary, Step
 
-# What becomes of attempts that span an edge; options of ``trace cut``.
+# What becomes of attempts that span an edge of the window; options of ``trace cut``.
 MARK = "mark"
-WHOLE = "whole"
+COMPLETE = "whole"
 DROP = "drop"
 LATE_ANSWER_MS = 1000.0  # beyond the longest deadline: an answer may be late, and its note comes a step later
 NO_ANSWER = "gone"  # the outcome of an attempt without an answer
@@ -26,8 +26,8 @@
 class Selection(NamedTuple):
     """What a cut selects; an empty set stands for all."""
 
-    since: float = float("-inf")  # ms; the first step
-    until: float = float("inf")  # the first step behind
+    since: float = float("-inf")  # ms; the window begins here
+    until: float = float("inf")  # ms; the window ends before
     classes: frozenset[str] = frozenset()
     accounts: frozenset[str] = frozenset()
     outcomes: frozenset[str] = frozenset()
@@ -58,7 +58,7 @@
         self.outcome = ""
 
 
-AttemptId = tuple[int, int]  # host and number of the request
+AttemptId = tuple[int, int]  # index of the source, and number of the request
 
 
 class _PendingStep(NamedTuple):
@@ -72,14 +72,14 @@
 class _Edges(NamedTuple):
     """Which edges of the window an attempt spans."""
 
-    before: bool
-    after: bool
+    began_before: bool
+    ends_after: bool
 
 
 def _attempt_id(step: Step, record: Any) -> AttemptId | None:
     """Return the attempt that a record belongs to."""
     number = getattr(record, "id", None)
-    return None if number is None else (step.box, number)
+    return None if number is None else (step.source_index, number)
 
 
 class Selector:
@@ -88,14 +88,14 @@
     def __init__(
         self,
         selection: Selection,
-        names: Callable[[int, int], str],
+        class_name: Callable[[int, int], str],
         deadline_ms: float,
-        when: Callable[[Step], float],
+        step_time: Callable[[Step], float],
     ) -> None:
-        """``names`` returns the name of a host's class, ``when`` the time of a step in ms."""
+        """``class_name`` returns the name of a source's class, ``step_time`` the time of a step in ms."""
         self._selection = selection
-        self._names = names
-        self._when = when
+        self._class_name = class_name
+        self._step_time = step_time
         self._horizon_ms = deadline_ms + LATE_ANSWER_MS
         self._attempts: dict[AttemptId, _Attempt] = {}
         self._pending: deque[_PendingStep] = deque()
@@ -105,12 +105,12 @@
     def margin(self) -> float:
         """Return how far beyond the window steps are needed, ms."""
         selection = self._selection
-        return self._horizon_ms if selection.edges == WHOLE or selection.by_request else 0.0
+        return self._horizon_ms if selection.edges == COMPLETE or selection.by_request else 0.0
 
     def run(self, steps: Iterable[Step]) -> Iterator[Step]:
         """Yield the steps that are selected, with the selected records of them."""
         for step in steps:
-            now = self._when(step)
+            now = self._step_time(step)
             self._add(now, step)
             while self._pending and self._is_decidable(now):
                 yield from self._select(self._pending.popleft())
@@ -136,7 +136,7 @@
             attempt = self._attempts[attempt_id] = _Attempt(now, kind is admission.RequestReceived)
         attempt.inside |= inside
         if kind is admission.RequestReceived:
-            attempt.class_name = self._names(step.box, record.class_index)
+            attempt.class_name = self._class_name(step.source_index, record.class_index)
         elif kind is Arrival:
             attempt.account = record.account
         elif kind in (Answered, admission.ClientCancelled) and not attempt.outcome:
@@ -175,7 +175,7 @@
             return False
         if attempt is None or selection.edges == MARK:
             return inside
-        if selection.edges == WHOLE:
+        if selection.edges == COMPLETE:
             return attempt.inside
         return inside and not any(self._edges(attempt))
 
@@ -194,9 +194,9 @@
             yield step._replace(events=events, actions=actions, notes=notes)
         self._forget(pending.now)
 
-    def _edge_marks(self, attempts: list[AttemptId]) -> tuple[Straddles, ...]:
+    def _edge_marks(self, attempts: list[AttemptId]) -> tuple[SpansBoundary, ...]:
         """Return a note for each attempt that spans an edge and has none yet."""
-        marks: list[Straddles] = []
+        marks: list[SpansBoundary] = []
         for attempt_id in dict.fromkeys(attempts):
             attempt = self._attempts.get(attempt_id)
             if attempt is None or attempt_id in self._marked or not self._matches(attempt):
@@ -204,7 +204,7 @@
             edges = self._edges(attempt)
             if any(edges):
                 self._marked.add(attempt_id)
-                marks.append(Straddles(attempt_id[1], edges.before, edges.after))
+                marks.append(SpansBoundary(attempt_id[1], edges.began_before, edges.ends_after))
         return tuple(marks)
 
     def _forget(self, now: float) -> None:
