--- a/lapispick/trace/series.py
+++ b/lapispick/trace/series.py
@@ -1,114 +1,172 @@
-"""A trace over time: what was asked and decided in each span, for plots. No I/O.
+"""A trace over time, for plots: what arrived and what was decided in each interval. No I/O.
 
-Memory follows the time that a trace covers, not what happened in it; long traces get longer spans.
+Memory follows the time that a trace covers, not the number of its steps; long traces get longer intervals.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 import numpy as np
 
 from lapispick import admission
-from lapispick.trace.record_types import Answered, Arrival, Happened
-from lapispick.trace.records import Block
+from lapispick.trace.block_reader import Block, Records
+from lapispick.trace.record_types import Answered, Arrival, ExternalEvent
+from lapispick.trace.summary import UNKNOWN_NAME
 
-POINTS_MOST = 1200  # spans of one plot; more are not seen
-SPAN_LEAST = 250.0  # ms
-KEPT_MOST = 1000  # ages that a span's median is taken of
+MAX_POINTS = 1200  # intervals of one plot; more can't be told apart
+MIN_INTERVAL_MS = 250.0
+MAX_AGES = 1000  # of which the median of an interval is taken
+SHUTDOWN_MARK = "leave"
+
+
+class Mark(NamedTuple):
+    """Something that operators did, or the shutdown of a host."""
+
+    time: float
+    name: str
+
+
+class Sample(NamedTuple):
+    """A value at a time."""
+
+    time: float
+    value: float
 
 
 class Series(msgspec.Struct):
-    """Counts by span; ``begin`` is the first one's first ms, ``span`` their length in ms."""
+    """Counts by interval; times and lengths are in ms. The JSON form is read by other programs."""
 
-    begin: float
-    span: float
+    begin: float  # of the first interval
+    interval_ms: float = msgspec.field(name="span")
     arrived: list[int]
     answers: dict[str, list[int]]  # by served, refused, failed
-    grounds: dict[str, list[int]]  # refused tries
-    inflight: list[int]  # tries without an answer at the end of the span
-    waits: list[float]  # from coming to the box to the final answer of what was served, median, ms; 0 where none was
-    marks: list[tuple[float, str]]  # what operators did and when a box left
-    limit: list[float] = []  # of the module, where it could be replayed
-    price: list[float] = []
+    rejection_reasons: dict[str, list[int]] = msgspec.field(name="grounds")  # rejected attempts
+    open_attempts: list[int] = msgspec.field(name="inflight")  # without an answer at the end of the interval
+    served_ages: list[float] = msgspec.field(name="waits")  # median from arrival to the served answer; 0: none
+    marks: list[Mark]
+    concurrency_limit: list[float] = msgspec.field(default_factory=list, name="limit")  # if the trace was replayed
+    occupancy_price: list[float] = msgspec.field(default_factory=list, name="price")
 
 
-def span_of(first: float, last: float) -> float:
-    """Return the span in ms for a plot from first to last."""
-    return max(SPAN_LEAST, (last - first) / POINTS_MOST)
+def interval_ms(first: float, last: float) -> float:
+    """Return the length of an interval for a plot from first to last."""
+    return max(MIN_INTERVAL_MS, (last - first) / MAX_POINTS)
 
 
-class _Rows:
-    def __init__(self, count: int) -> None:
-        self._count = count
-        self.made: dict[str, Any] = {}
+class _Counts:
+    """Counts by name and interval."""
 
-    def add(self, name: str, at: Any) -> None:
-        """Count these spans under a name."""
-        held = self.made.setdefault(name, np.zeros(self._count, np.int64))
-        held += np.bincount(at, minlength=self._count)
-
-    def lists(self) -> dict[str, list[int]]:
-        """Return the counts by name."""
-        return {name: held.tolist() for name, held in sorted(self.made.items())}
+    def __init__(self, interval_count: int) -> None:
+        self._interval_count = interval_count
+        self._by_name: dict[str, Any] = {}
 
+    def add(self, name: str, intervals: Any) -> None:
+        """Count one for each of these intervals."""
+        counts = self._by_name.setdefault(name, np.zeros(self._interval_count, np.int64))
+        counts += np.bincount(intervals, minlength=self._interval_count)
 
-def series(blocks: Iterable[tuple[Block, Any]], first: float, last: float) -> Series:
-    """Return what blocks and the times of their steps (ms) tell between the first and the last."""
-    span = span_of(first, last)
-    count = int((last - first) // span) + 1
-    came, answers, grounds, gone = _Rows(count), _Rows(count), _Rows(count), _Rows(count)
-    marks: list[tuple[float, str]] = []
-    ages: list[list[float]] = [[] for _ in range(count)]
+    def add_by_word(self, records: Records, field: str, intervals: Any) -> None:
+        """Count records by the value of a field of strings."""
+        if not records.count:
+            return
+        positions = records.column(field)
+        for position, word in enumerate(records.words(field)):
+            self.add(word.decode(errors="replace") or UNKNOWN_NAME, intervals[positions == position])
 
-    def at(times: Any) -> Any:
-        return np.clip((times - first) // span, 0, count - 1).astype(np.int64)
+    def total(self) -> Any:
+        """Return the counts of all names together."""
+        return sum(self._by_name.values(), np.zeros(self._interval_count, np.int64))
 
+    def lists(self) -> dict[str, list[int]]:
+        """Return the counts by name."""
+        return {name: counts.tolist() for name, counts in sorted(self._by_name.items())}
+
+
+class _SeriesBuilder:
+    """Collects the series from blocks."""
+
+    def __init__(self, first: float, last: float) -> None:
+        self._first = first
+        self._interval_ms = interval_ms(first, last)
+        self._interval_count = int((last - first) // self._interval_ms) + 1
+        self._arrived = _Counts(self._interval_count)
+        self._answers = _Counts(self._interval_count)
+        self._rejection_reasons = _Counts(self._interval_count)
+        self._cancelled = _Counts(self._interval_count)
+        self._ages: list[list[float]] = [[] for _ in range(self._interval_count)]
+        self._marks: list[Mark] = []
+
+    def add(self, block: Block, times: Any) -> None:
+        """Add a block; ``times`` are those of its steps."""
+        intervals = np.clip((times - self._first) // self._interval_ms, 0, self._interval_count - 1).astype(np.int64)
+
+        def of(records: Records) -> Any:
+            return intervals[records.step_positions]
+
+        arrivals = block.records(Arrival)
+        self._arrived.add("all", of(arrivals))
+        cancellations = block.records(admission.ClientCancelled)
+        self._cancelled.add("all", of(cancellations))
+        answers = block.records(Answered)
+        self._answers.add_by_word(answers, "kind", of(answers))
+        rejections = block.records(admission.Reject)
+        self._rejection_reasons.add_by_word(rejections, "reason", of(rejections))
+        self._add_ages(answers, of(answers))
+        self._add_marks(block, times)
+
+    def build(self) -> Series:
+        """Return the series."""
+        arrived = self._arrived.total()
+        ended = self._answers.total() + self._cancelled.total()
+        return Series(
+            begin=self._first,
+            interval_ms=self._interval_ms,
+            arrived=arrived.tolist(),
+            answers=self._answers.lists(),
+            rejection_reasons=self._rejection_reasons.lists(),
+            open_attempts=np.maximum(0, np.cumsum(arrived - ended)).tolist(),
+            served_ages=[float(np.median(ages)) if ages else 0.0 for ages in self._ages],
+            marks=self._marks,
+        )
+
+    def _add_ages(self, answers: Records, intervals: Any) -> None:
+        is_served = np.array([word == b"served" for word in answers.words("kind")], np.bool_)
+        served = is_served[answers.column("kind")]
+        served_intervals = intervals[served]
+        served_ages = answers.column("age_ms")[served]
+        for interval in np.unique(served_intervals).tolist():
+            ages = self._ages[interval]
+            remaining = max(0, MAX_AGES - len(ages))
+            ages += served_ages[served_intervals == interval][:remaining].tolist()
+
+    def _add_marks(self, block: Block, times: Any) -> None:
+        events = block.records(ExternalEvent)
+        event_times = times[events.step_positions].tolist()
+        self._marks += map(Mark, event_times, events.values("kind"))
+        shutdowns = block.records(admission.ShutdownRequested)
+        self._marks += [Mark(time, SHUTDOWN_MARK) for time in times[shutdowns.step_positions].tolist()]
+
+
+def build_series(blocks: Iterable[tuple[Block, Any]], first: float, last: float) -> Series:
+    """Return the series of blocks, each with the times of its steps (ms), from the first to the last time."""
+    builder = _SeriesBuilder(first, last)
     for block, times in blocks:
-        rows = block.rows(Arrival)
-        came.add("all", at(times[rows.steps]))
-        rows = block.rows(admission.ClientCancelled)
-        gone.add("all", at(times[rows.steps]))
-        _by_word(block.rows(Answered), "kind", answers, at, times)
-        _by_word(block.rows(admission.Reject), "reason", grounds, at, times)
-        rows = block.rows(Answered)
-        served = np.array([word == b"served" for word in rows.words("kind")], np.bool_)[rows.column("kind")]
-        spans, held = at(times[rows.steps])[served], rows.column("age")[served]
-        for place in np.unique(spans).tolist():
-            room = KEPT_MOST - len(ages[place])
-            ages[place] += held[spans == place][: max(0, room)].tolist()
-        rows = block.rows(Happened)
-        marks += zip(times[rows.steps].tolist(), rows.values("what"), strict=True)
-        marks += [(time, "leave") for time in times[block.rows(admission.ShutdownRequested).steps].tolist()]
-    arrived = came.made.get("all", np.zeros(count, np.int64))
-    ended = sum(answers.made.values(), gone.made.get("all", np.zeros(count, np.int64)))
-    return Series(
-        first,
-        span,
-        arrived.tolist(),
-        answers.lists(),
-        grounds.lists(),
-        np.maximum(0, np.cumsum(arrived - ended)).tolist(),
-        [float(np.median(held)) if held else 0.0 for held in ages],
-        marks,
-    )
-
-
-def _by_word(rows: Any, field: str, into: _Rows, at: Any, times: Any) -> None:
-    if rows.count:
-        spans, places = at(times[rows.steps]), rows.column(field)
-        for place, word in enumerate(rows.words(field)):
-            into.add(word.decode(errors="replace") or "not told", spans[places == place])
-
-
-def sampled(points: Sequence[tuple[float, float]], made: Series) -> list[float]:
-    """Return the last value in each span of what was sampled at times; before the first, the first."""
-    held, at, out = points[0][1] if points else 0.0, 0, []
-    for n in range(len(made.arrived)):
-        until = made.begin + (n + 1) * made.span
-        while at < len(points) and points[at][0] < until:
-            held, at = points[at][1], at + 1
-        out.append(held)
-    return out
+        builder.add(block, times)
+    return builder.build()
+
+
+def resample(samples: Sequence[Sample], series: Series) -> list[float]:
+    """Return the last sampled value of each interval; before the first sample, the first one's."""
+    value = samples[0].value if samples else 0.0
+    position = 0
+    values: list[float] = []
+    for interval in range(len(series.arrived)):
+        end = series.begin + (interval + 1) * series.interval_ms
+        while position < len(samples) and samples[position].time < end:
+            value = samples[position].value
+            position += 1
+        values.append(value)
+    return values
--- a/lapispick/trace/text_names.py
+++ b/lapispick/trace/text_names.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from lapispick import admission
-from lapispick.trace.record_types import KINDS
+from lapispick.trace.record_types import RECORD_TYPES, Answered, Arrival, ExternalEvent, SpansBoundary
 
 _RECORD_NAMES: dict[type, str] = {
     admission.RequestReceived: "Request",
@@ -27,6 +27,8 @@
     admission.RetainKey: "KeepKey",
     admission.ReleaseKey: "ForgetKey",
     admission.SetIdleTimeout: "LimitIdle",
+    ExternalEvent: "Happened",
+    SpansBoundary: "Straddles",
 }
 _FIELD_NAMES: dict[tuple[type, str], str] = {
     (admission.RequestReceived, "deadline_at"): "due_at",
@@ -45,18 +47,30 @@
     (admission.SetHealth, "cached"): "from_store",
     (admission.SetIdleTimeout, "timeout_ms"): "span",
     (admission.SetTimer, "delay_ms"): "after",
+    (Arrival, "born_at"): "born",
+    (Answered, "age_ms"): "age",
+    (ExternalEvent, "kind"): "what",
+    (ExternalEvent, "details"): "told",
+    (SpansBoundary, "began_before"): "before",
+    (SpansBoundary, "ends_after"): "after",
 }
+_STEP_FIELD_NAMES = {"source_index": "box"}
 _OUTCOME_NAMES = {admission.Outcome.ABANDONED: "MOOT"}
 
 
-def record_name(kind: type) -> str:
-    """Return the name of a record's type in text."""
-    return _RECORD_NAMES.get(kind, kind.__name__)
+def record_name(record_type: type) -> str:
+    """Return the name of a record type in text."""
+    return _RECORD_NAMES.get(record_type, record_type.__name__)
 
 
-def field_name(kind: type, field: str) -> str:
+def field_name(record_type: type, field: str) -> str:
     """Return the name in text of a record's field."""
-    return _FIELD_NAMES.get((kind, field), field)
+    return _FIELD_NAMES.get((record_type, field), field)
+
+
+def step_field_name(field: str) -> str:
+    """Return the name in text of a field of ``Step``."""
+    return _STEP_FIELD_NAMES.get(field, field)
 
 
 def outcome_name(outcome: admission.Outcome) -> str:
@@ -64,24 +78,24 @@
     return _OUTCOME_NAMES.get(outcome, outcome.name)
 
 
-def described(record: Any) -> str:
+def format_record(record: Any) -> str:
     """Return one record as a line of text, such as ``Run(id=2)``."""
-    kind = type(record)
-    fields = (f"{field_name(kind, name)}={_described_value(value)}" for name, value in record._asdict().items())
-    return f"{record_name(kind)}({', '.join(fields)})"
+    record_type = type(record)
+    fields = (f"{field_name(record_type, name)}={_format_value(value)}" for name, value in record._asdict().items())
+    return f"{record_name(record_type)}({', '.join(fields)})"
 
 
-def _described_value(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if isinstance(value, admission.Outcome):
         return f"<Outcome.{outcome_name(value)}: {value.value}>"
     return repr(value)
 
 
-def described_all(records: Sequence[Any]) -> str:
+def format_records(records: Sequence[Any]) -> str:
     """Return the records of a step's part as the text of a tuple."""
-    texts = [described(record) for record in records]
+    texts = [format_record(record) for record in records]
     return f"({texts[0]},)" if len(texts) == 1 else f"({', '.join(texts)})"
 
 
-RECORDS_BY_NAME: dict[str, type] = {record_name(kind): kind for kind in KINDS.values()}
-OUTCOMES_BY_NAME: dict[str, admission.Outcome] = {outcome_name(one): one for one in admission.Outcome}
+RECORDS_BY_NAME: dict[str, type] = {record_name(record_type): record_type for record_type in RECORD_TYPES.values()}
+OUTCOMES_BY_NAME: dict[str, admission.Outcome] = {outcome_name(outcome): outcome for outcome in admission.Outcome}
--- a/tests/test_aggregation.py
+++ b/tests/test_aggregation.py
@@ -6,16 +6,17 @@
 
 from benchmarks import plainfold
 from lapispick import admission
-from lapispick.trace.aggregation import Fold, Source
+from lapispick.trace.aggregation import Aggregator, SourceInfo
+from lapispick.trace.block_reader import Block
+from lapispick.trace.block_writer import encode_block
 from lapispick.trace.record_types import Answered, Arrival, Gap, Step
-from lapispick.trace.records import Block, pack
 from tests.controller_harness import make_class
 
 CLASSES = (
     ("track", make_class(latency_objective_ms=1000, priority_weight=2, late_weight=0.5, degraded_weight=0.25)),
     ("book", make_class(idempotency=admission.Idempotency.KEYED, priority_weight=5, idempotency_window_ms=5000)),
 )
-ONE, TWO = [Source(CLASSES)], [Source(CLASSES), Source(CLASSES, 1000.0, 0.05, 2000.0)]
+ONE, TWO = [SourceInfo(CLASSES)], [SourceInfo(CLASSES), SourceInfo(CLASSES, 1000.0, 0.05, 2000.0)]
 
 
 def request(number, class_index=0, retry_of=0, age=0.0):
@@ -23,14 +24,14 @@
 
 
 def blocks(steps, size=1000):
-    return [Block(b"".join(pack(steps[at : at + size]))) for at in range(0, len(steps), size)]
+    return [Block(b"".join(encode_block(steps[at : at + size]))) for at in range(0, len(steps), size)]
 
 
 def fold(*steps, sources=ONE, size=1000):
-    made = Fold(sources)
+    made = Aggregator(sources)
     for block in blocks(steps, size):
         made.add(block)
-    return made.end()
+    return made.finish()
 
 
 def asked(now, number, class_index=0, retry_of=0, account="shop", age=0.0, subject=b"", box=0):
@@ -45,23 +46,23 @@
 
 def test_a_repeat_counts_for_its_first_try():
     made = fold(asked(0, 1, 1), answered(500, 1, "refused"), asked(700, 2, 1, retry_of=1), answered(900, 2))
-    assert (made.whole.requests, made.whole.tries, made.whole.served, made.whole.refused) == (1, 2, 5, 0)
+    assert (made.total.requests, made.total.attempts, made.total.served_weight, made.total.rejected) == (1, 2, 5, 0)
     made = fold(asked(0, 1, 1), answered(10, 1, "served"), asked(700, 2, 1, retry_of=1), answered(900, 2, "failed"))
-    assert (made.whole.served, made.whole.failed) == (5, 0)
+    assert (made.total.served_weight, made.total.failed) == (5, 0)
 
 
 @pytest.mark.parametrize(("took", "worth"), [(900, 2), (1500, 1)])
 def test_an_answer_after_the_aim_earns_its_part(took, worth):
     made = fold(asked(100, 1, age=100.0), answered(took, 1))
-    assert made.classes["track"].served == worth
-    assert made.accounts["shop"].asked == 2
+    assert made.classes["track"].served_weight == worth
+    assert made.accounts["shop"].offered_weight == 2
     assert made.classes["track"].late == (worth == 1)
     assert made.classes["book"].requests == 0
 
 
 def test_an_answer_without_its_call_earns_its_part():
     made = fold(asked(0, 1), Step(5, (), (admission.SkipCall(1),)), answered(9, 1))
-    assert (made.whole.served, made.whole.poorer) == (0.5, 1)
+    assert (made.total.served_weight, made.total.degraded) == (0.5, 1)
 
 
 def test_waits_runs_windows_and_those_that_went():
@@ -76,16 +77,20 @@
         asked(10_300, 3),
         Step(10_400, (), (), (Gap(7),)),
     )
-    assert (made.waits["track"].count, made.waits["track"].p50, made.runs["track"].most) == (1, 40, 50)
+    assert (made.queue_times["track"].count, made.queue_times["track"].p50, made.run_durations["track"].maximum) == (
+        1,
+        40,
+        50,
+    )
     assert {k: v.requests for k, v in made.windows.items()} == {"0": 1, "10000": 2}
-    assert made.whole.gone == 2
-    assert made.gaps == 7
-    assert made.worst == ["10000", "0"]
+    assert made.total.unanswered == 2
+    assert made.lost_steps == 7
+    assert made.worst_windows == ["10000", "0"]
 
 
 def test_a_request_that_repeats_itself_or_a_later_one_is_a_request():
     made = fold(Step(0, (request(1, 0, 1), request(2, 0, 3), request(3))))
-    assert (made.whole.requests, made.whole.tries) == (3, 3)
+    assert (made.total.requests, made.total.attempts) == (3, 3)
 
 
 def test_refusals_by_ground():
@@ -101,7 +106,7 @@
             ),
         ),
     )
-    assert made.grounds == {"not told": 1, "price": 2}
+    assert made.rejection_reasons == {"not told": 1, "price": 2}
 
 
 def test_a_write_that_two_boxes_saw_is_one_request_by_the_corrected_clock():
@@ -113,7 +118,7 @@
         answered(1700, 7, box=1),
     )
     made = fold(*steps, sources=TWO)
-    assert (made.whole.requests, made.whole.tries, made.whole.in_aim) == (1, 2, 1)
+    assert (made.total.requests, made.total.attempts, made.total.within_objective) == (1, 2, 1)
     apart = fold(
         *(
             s._replace(notes=tuple(n._replace(subject=b"") if type(n) is Arrival else n for n in s.notes))
@@ -121,7 +126,7 @@
         ),
         sources=TWO,
     )
-    assert (apart.whole.requests, apart.whole.refused) == (2, 1)
+    assert (apart.total.requests, apart.total.rejected) == (2, 1)
 
 
 def test_numbers_that_do_not_rise_and_boxes_that_are_not_there_are_told():
@@ -180,24 +185,24 @@
     plain = plainfold.fold(TWO, steps)
     for size in (1, 7, 1000):
         made = fold(*steps, sources=TWO, size=size)
-        assert made.whole == plain["whole"], size
-        assert made.grounds == plain["grounds"], size
+        assert made.total == plain["whole"], size
+        assert made.rejection_reasons == plain["grounds"], size
         assert {k: v for k, v in made.classes.items() if v.requests} == plain["classes"]
         assert made.accounts == plain["accounts"]
         assert made.windows == plain["windows"]
         for name in ("track", "book"):
-            for spans, held in ((made.waits, plain["waits"]), (made.runs, plain["runs"])):
+            for spans, held in ((made.queue_times, plain["waits"]), (made.run_durations, plain["runs"])):
                 assert spans[name].count == len(held.get(name, ()))
-                assert spans[name].most == pytest.approx(max(map(round, held.get(name, (0,)))), rel=2e-3, abs=1)
+                assert spans[name].maximum == pytest.approx(max(map(round, held.get(name, (0,)))), rel=2e-3, abs=1)
 
 
 def test_what_is_kept_does_not_grow_with_the_trace():
-    it, most = Fold(ONE), 0
+    it, most = Aggregator(ONE), 0
     for at in range(0, 20_000, 100):
         steps = []
         for n in range(at, at + 100):
             steps += [asked(n * 50.0, n + 1, n % 2, subject=b"%d" % n * (n % 2)), answered(n * 50.0 + 10, n + 1)]
         it.add(*blocks(steps))
-        most = max(most, it._roots.size + it._tries[0].size + len(it._subjects))
+        most = max(most, it.tracked_rows())
     assert most < 4000
-    assert it.end().whole.requests == 20_000
+    assert it.finish().total.requests == 20_000
--- a/tests/test_clock_skew.py
+++ b/tests/test_clock_skew.py
@@ -12,8 +12,8 @@
 from lapispick.fakes.waiting import wait_until
 from lapispick.file_errors import InvalidFileError
 from lapispick.trace import files
-from lapispick.trace.attempt_matching import tries
-from lapispick.trace.clock_skew import Clock, Try, Unknown, estimate
+from lapispick.trace.attempt_matching import answered_attempts
+from lapispick.trace.clock_skew import Attempt, Clock, UnknownClock, estimate_clocks
 from lapispick.trace.record_types import Answered, Arrival, Step
 
 HOUR = 3_600_000.0
@@ -27,8 +27,8 @@
         subject, at = b"%08d" % n, rng.uniform(0, span)
         came = at + delay(rng)
         first, then = (a, b) if rng.random() >= odd else (b, a)  # an odd one is served first and refused later
-        made.append(Try(subject, first, clocks[first](at - 20), clocks[first](at), False))
-        made.append(Try(subject, then, clocks[then](came), clocks[then](came + 30), True))
+        made.append(Attempt(subject, first, clocks[first](at - 20), clocks[first](at), False))
+        made.append(Attempt(subject, then, clocks[then](came), clocks[then](came + 30), True))
         if first == b:  # what looks like the order is not
             made[-2:] = [made[-2]._replace(served=True), made[-1]._replace(served=False)]
     rng.shuffle(made)
@@ -47,7 +47,7 @@
 def test_a_second_apart_comes_out_within_20_ms_from_fifty_retries(seed, offset):
     rng = random.Random(seed)
     clocks = {"a": lambda t: t, "b": lambda t: t + offset}
-    told = estimate(meetings(rng, clocks, 50), clocks)
+    told = estimate_clocks(meetings(rng, clocks, 50), clocks)
     assert right(told, clocks, HOUR / 2, 20.0)
 
 
@@ -55,9 +55,9 @@
 def test_a_drift_is_told_and_right_at_both_ends(seed):
     rng = random.Random(seed)
     clocks = {"a": lambda t: t, "b": lambda t: t * (1 + 100e-6) + 1000.0}  # 360 ms in the hour
-    reference, found = estimate(meetings(rng, clocks, 400), clocks)
+    reference, found = estimate_clocks(meetings(rng, clocks, 400), clocks)
     other = next(c for box, c in found.items() if box != reference)
-    assert other.drift_told
+    assert other.drift_known
     assert abs(abs(other.drift) - 0.1) < 0.01
     for at in (0.0, HOUR):
         assert right((reference, found), clocks, at, 20.0)
@@ -67,7 +67,7 @@
 def test_the_stated_error_holds_and_is_small(seed):
     rng = random.Random(seed)
     clocks = {"a": lambda t: t, "b": lambda t: t - 700.0, "c": lambda t: t + 250.0}
-    reference, found = estimate(meetings(rng, clocks, 300), clocks)
+    reference, found = estimate_clocks(meetings(rng, clocks, 300), clocks)
     for box, c in found.items():
         truth = clocks[box](HOUR / 2) - clocks[reference](HOUR / 2)
         assert abs(c.ahead(clocks[reference](HOUR / 2)) - truth) <= c.error + 1.0
@@ -78,21 +78,21 @@
 def test_a_few_pairs_out_of_order_do_no_harm(seed):
     rng = random.Random(seed)
     clocks = {"a": lambda t: t, "b": lambda t: t + 1000.0}
-    assert right(estimate(meetings(rng, clocks, 200, odd=0.02), clocks), clocks, HOUR / 2, 20.0)
+    assert right(estimate_clocks(meetings(rng, clocks, 200, odd=0.02), clocks), clocks, HOUR / 2, 20.0)
 
 
 def test_without_shared_subjects_or_with_one_way_only_it_says_cannot_tell():
     rng = random.Random(1)
     clocks = {"a": lambda t: t, "b": lambda t: t + 1000.0}
     both = meetings(rng, clocks, 60)
-    assert estimate([], ["a", "b"])[1]["b"] == Unknown("cannot tell: no subject was tried at both")
-    apart = [t._replace(subject=t.subject + t.box.encode()) for t in both]
-    assert all(isinstance(c, Unknown) or c.offset == 0 for c in estimate(apart, clocks)[1].values())
-    served_at_b = {t.subject for t in both if t.served and t.box == "b"}
-    one_way = estimate([t for t in both if t.subject in served_at_b], clocks)
-    assert [c for c in one_way[1].values() if isinstance(c, Unknown) and "one way" in c.why]
-    few = estimate([t for t in both if t.subject in sorted(served_at_b)[:3]], clocks)
-    assert [c for c in few[1].values() if isinstance(c, Unknown)]
+    assert estimate_clocks([], ["a", "b"])[1]["b"] == UnknownClock("cannot tell: no subject was tried at both")
+    apart = [t._replace(subject=t.subject + t.host.encode()) for t in both]
+    assert all(isinstance(c, UnknownClock) or c.offset == 0 for c in estimate_clocks(apart, clocks)[1].values())
+    served_at_b = {t.subject for t in both if t.served and t.host == "b"}
+    one_way = estimate_clocks([t for t in both if t.subject in served_at_b], clocks)
+    assert [c for c in one_way[1].values() if isinstance(c, UnknownClock) and "one way" in c.reason]
+    few = estimate_clocks([t for t in both if t.subject in sorted(served_at_b)[:3]], clocks)
+    assert [c for c in few[1].values() if isinstance(c, UnknownClock)]
 
 
 def test_a_box_that_never_met_the_reference_is_told_over_others():
@@ -100,36 +100,41 @@
     clocks = {"a": lambda t: t, "b": lambda t: t + 1000.0, "c": lambda t: t - 500.0}
     ab = meetings(rng, {k: clocks[k] for k in "ab"}, 100)
     bc = [t._replace(subject=b"x" + t.subject) for t in meetings(rng, {k: clocks[k] for k in "bc"}, 100)]
-    told = estimate(ab + bc, clocks)
+    told = estimate_clocks(ab + bc, clocks)
     assert told[0] == "b"
     assert right(told, clocks, HOUR / 2, 20.0)
-    lonely = estimate(ab, clocks)
-    assert isinstance(lonely[1]["c"], Unknown)
+    lonely = estimate_clocks(ab, clocks)
+    assert isinstance(lonely[1]["c"], UnknownClock)
 
 
 def test_a_clock_that_was_set_in_between_is_no_drift():
     rng = random.Random(3)
     clocks = {"a": lambda t: t, "b": lambda t: t + (1000.0 if t < HOUR / 2 else -500.0)}
-    _, found = estimate(meetings(rng, clocks, 400), clocks)
-    assert [c for c in found.values() if isinstance(c, Unknown) and "was set" in c.why]
+    _, found = estimate_clocks(meetings(rng, clocks, 400), clocks)
+    assert [c for c in found.values() if isinstance(c, UnknownClock) and "was set" in c.reason]
 
 
 def test_what_tells_no_order_is_left_out():
-    both_served = [Try(b"s", "a", 0, 10, True), Try(b"s", "b", 1000, 1010, True)] * 20
-    again = [Try(b"t", "a", 0, 10, False), Try(b"t", "a", 20, 30, False), Try(b"t", "b", 1000, 1010, True)]
-    nameless = [Try(b"", "a", 0, 10, False), Try(b"", "b", 1000, 1010, True)] * 20
-    found = estimate(both_served + again + nameless, ["a", "b"])[1]
-    assert [c for c in found.values() if isinstance(c, Unknown)]
+    both_served = [Attempt(b"s", "a", 0, 10, True), Attempt(b"s", "b", 1000, 1010, True)] * 20
+    again = [Attempt(b"t", "a", 0, 10, False), Attempt(b"t", "a", 20, 30, False), Attempt(b"t", "b", 1000, 1010, True)]
+    nameless = [Attempt(b"", "a", 0, 10, False), Attempt(b"", "b", 1000, 1010, True)] * 20
+    found = estimate_clocks(both_served + again + nameless, ["a", "b"])[1]
+    assert [c for c in found.values() if isinstance(c, UnknownClock)]
 
 
 def write(folder, name, made):
     """Write one box's tries as a trace."""
     steps = []
-    for n, t in enumerate(sorted((t for t in made if t.box == name), key=lambda t: t.ended), 1):
+    for n, t in enumerate(sorted((t for t in made if t.host == name), key=lambda t: t.ended_at), 1):
         kind = "served" if t.served else "refused"
-        steps.append(Step(t.ended, notes=(Arrival(n, "shop", t.subject, t.came), Answered(n, kind, t.ended - t.came))))
+        steps.append(
+            Step(
+                t.ended_at,
+                notes=(Arrival(n, "shop", t.subject, t.arrived_at), Answered(n, kind, t.ended_at - t.arrived_at)),
+            )
+        )
     path = folder / f"{name}.lptrace"
-    files.write(path, files.blank(box=name, incarnation="1"), steps)
+    files.write_trace(path, files.make_header(box=name, incarnation="1"), steps)
     return str(path)
 
 
@@ -144,7 +149,7 @@
     assert done.exit_code == 0
     assert abs(abs(other["offset"]) - 1000) < 20
     assert other["error"] < 20
-    lonely = write(tmp_path, "c", [t._replace(box="c", subject=b"other" + t.subject) for t in made])
+    lonely = write(tmp_path, "c", [t._replace(host="c", subject=b"other" + t.subject) for t in made])
     done = CliRunner().invoke(cli, ["trace", "clocks", *paths, lonely])
     assert done.exit_code == 1
     assert "cannot tell" in done.output
@@ -156,7 +161,7 @@
         Step(2.0, events=(admission.ClientCancelled(1),)),
         Step(3.0, notes=(Answered(1, "failed", 2.0), Answered(2, "failed", 2.0), Answered(3, "failed", 2.0))),
     ]
-    assert list(tries(files.blank(box="a").sources, steps)) == [Try(b"t", "a", 1.0, 3.0, False)]
+    assert list(answered_attempts(files.make_header(box="a").sources, steps)) == [Attempt(b"t", "a", 1.0, 3.0, False)]
 
 
 @pytest.mark.parametrize("shared", [True, False])
@@ -172,7 +177,7 @@
         h.terminate()
         assert h.process.wait(5) == 0
         (path,) = wait_until(lambda box=box: list((tmp_path / box).glob("*.lptrace")), "the closed file")
-        with files.Reader(path) as reader:
+        with files.TraceReader(path) as reader:
             found += [n.subject for step in reader.steps() for n in step.notes if type(n) is Arrival]
     assert len(found) == 2
     assert (found[0] == found[1]) is shared
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -14,9 +14,9 @@
 from lapispick.cli.main import cli
 from lapispick.trace import attempt_matching, comparing, files, lines, merging
 from lapispick.trace.anonymising import Anonymiser, PseudonymConflictError
-from lapispick.trace.clock_skew import Clock, Unknown
-from lapispick.trace.record_types import Answered, Arrival, Happened, Step, Straddles
-from lapispick.trace.selecting import DROP, WHOLE, Selection, Selector
+from lapispick.trace.clock_skew import Clock, UnknownClock
+from lapispick.trace.record_types import Answered, Arrival, ExternalEvent, SpansBoundary, Step
+from lapispick.trace.selecting import COMPLETE, DROP, Selection, Selector
 from tests.controller_harness import make_settings
 from tests.test_aggregation import answered, asked
 
@@ -25,7 +25,7 @@
 
 
 def header(box="a", incarnation="1", **over):
-    return files.blank(
+    return files.make_header(
         **{
             **dict(
                 box=box,
@@ -65,13 +65,13 @@
 
 def ids(steps):
     return [
-        (s.now, *(r.id for part in s[1:4] for r in part if hasattr(r, "id") and type(r) is not Straddles))
+        (s.now, *(r.id for part in s[1:4] for r in part if hasattr(r, "id") and type(r) is not SpansBoundary))
         for s in steps
     ]
 
 
 def marks(steps):
-    return [(n.id, n.before, n.after) for s in steps for n in s.notes if type(n) is Straddles]
+    return [(n.id, n.began_before, n.ends_after) for s in steps for n in s.notes if type(n) is SpansBoundary]
 
 
 def test_a_window_keeps_its_steps_and_marks_what_its_edges_cut_through():
@@ -81,7 +81,7 @@
 
 
 def test_requests_at_the_edges_are_kept_whole_or_left_out_as_asked():
-    made = cut(STEPS, since=120.0, until=350.0, edges=WHOLE)
+    made = cut(STEPS, since=120.0, until=350.0, edges=COMPLETE)
     assert ids(made) == [(0, 1, 1), (10, 1), (100, 2, 2), (150, 1), (200, 2), (300, 3, 3), (310,), (320, 3), (400, 2)]
     assert not marks(made)
     assert ids(cut(STEPS, since=120.0, until=350.0, edges=DROP)) == [(300, 3, 3), (310,), (320, 3)]
@@ -124,14 +124,14 @@
 
 def test_lives_are_merged_by_time_and_never_reordered_within():
     a = [Step(t) for t in (0.0, 5.0, 3.0, 6.0)]  # its clock steps back
-    b = [Step(t, box=1) for t in (1.0, 5.0, 5.5)]
+    b = [Step(t, source_index=1) for t in (1.0, 5.0, 5.5)]
     made = list(merging.merge([a, b], lambda s: s.now))
-    assert [(s.now, s.box) for s in made] == [(0, 0), (1, 1), (5, 0), (3, 0), (5, 1), (5.5, 1), (6, 0)]
+    assert [(s.now, s.source_index) for s in made] == [(0, 0), (1, 1), (5, 0), (3, 0), (5, 1), (5.5, 1), (6, 0)]
     for seed in range(50):
         rng = random.Random(seed)
-        streams = [[Step(rng.uniform(0, 100), box=n) for _ in range(rng.randrange(9))] for n in range(3)]
+        streams = [[Step(rng.uniform(0, 100), source_index=n) for _ in range(rng.randrange(9))] for n in range(3)]
         made = list(merging.merge(streams, lambda s: s.now))
-        assert [[s for s in made if s.box == n] for n in range(3)] == streams, seed
+        assert [[s for s in made if s.source_index == n] for n in range(3)] == streams, seed
 
 
 def test_sources_of_one_life_are_one_and_clocks_are_corrected_where_they_are_told():
@@ -140,11 +140,11 @@
     )
     assert [(s.box, s.incarnation) for s in told] == [("a", "1"), ("b", "1"), ("a", "2")]
     assert places == [[0], [0], [1], [2]]
-    left = merging.apply_clocks(told, {"a": Clock(0.0, 0.0, 0.0, 0.0, 9, True), "b": Unknown("cannot tell: no")})
+    left = merging.apply_clocks(told, {"a": Clock(0.0, 0.0, 0.0, 0.0, 9, True), "b": UnknownClock("cannot tell: no")})
     assert left == ["b: cannot tell: no"]
     merging.apply_clocks(told, {"b": Clock(1000.0, 2.0, 50_000.0, 3.0, 9, True)})
-    assert files.when(told, Step(51_000.0, box=1)) == 50_000.0
-    assert files.when(told, Step(61_000.0, box=1)) == pytest.approx(59_980.0)
+    assert files.step_time(told, Step(51_000.0, source_index=1)) == 50_000.0
+    assert files.step_time(told, Step(61_000.0, source_index=1)) == pytest.approx(59_980.0)
 
 
 def test_tries_that_are_kept_are_of_the_same_subjects_at_all_boxes():
@@ -152,32 +152,32 @@
     subjects = [rng.randbytes(8) for _ in range(3000)]
     many = [
         list(
-            attempt_matching.tries(
+            attempt_matching.answered_attempts(
                 header(box).sources,
                 (step for n, s in enumerate(subjects) for step in (asked(n, n + 1, 1, subject=s), answered(n, n + 1))),
             )
         )
         for box in "ab"
     ]
-    held = attempt_matching.kept(many, 1000)
+    held = attempt_matching.sample_subjects(many, 1000)
     assert 300 < len(held) <= 1000
-    assert {t.subject for t in held if t.box == "b"} <= {t.subject for t in held if t.box == "a"}
+    assert {t.subject for t in held if t.host == "b"} <= {t.subject for t in held if t.host == "a"}
 
 
 def test_stand_ins_are_keyed_stable_and_one_to_one():
     steps = [asked(n, n + 1, 1, account=a, subject=a.encode()) for n, a in enumerate(["shop", "bar", "shop"])]
-    steps.append(Step(9.0, (), (), (Happened("reloaded", "127.0.0.1:99"),)))
-    made = list(Anonymiser(KEY).steps(steps))
+    steps.append(Step(9.0, (), (), (ExternalEvent("reloaded", "127.0.0.1:99"),)))
+    made = list(Anonymiser(KEY).replace_steps(steps))
     accounts = [n.account for s in made for n in s.notes if type(n) is Arrival]
     assert accounts[0] == accounts[2] != accounts[1]
     assert not {"shop", "bar"} & set(accounts)
-    assert list(Anonymiser(KEY).steps(steps)) == made != list(Anonymiser(KEY + b"x").steps(steps))
+    assert list(Anonymiser(KEY).replace_steps(steps)) == made != list(Anonymiser(KEY + b"x").replace_steps(steps))
     assert made[0].events[0].caller != steps[0].events[0].caller
-    assert made[3].notes[0].told == ""
+    assert made[3].notes[0].details == ""
     assert len({n.subject for s in made for n in s.notes if type(n) is Arrival}) == 2
     told = header()
-    it = Anonymiser(KEY, boxes=True)
-    it.header(told)
+    it = Anonymiser(KEY, hosts=True)
+    it.replace_header(told)
     assert list(told.sources[0].accounts) == accounts[:2]
     assert told.sources[0].box.startswith("box-")
     assert it.originals() == {"a", "shop", "bar"}
@@ -188,10 +188,10 @@
 
 def test_two_names_with_one_stand_in_are_told():
     it = Anonymiser(KEY)
-    it._taken["account", it._stand_in("account", "shop")] = "another"
-    del it._made["account", "shop"]
+    it._originals["account", it._pseudonym("account", "shop")] = "another"
+    del it._pseudonyms["account", "shop"]
     with pytest.raises(PseudonymConflictError, match="another key"):
-        list(it.steps([asked(0, 1)]))
+        list(it.replace_steps([asked(0, 1)]))
 
 
 def test_where_two_traces_part_and_what_was_decided():
@@ -238,7 +238,7 @@
 )
 def test_lines_that_are_no_step_are_named(line, why):
     with pytest.raises(lines.TraceLineError, match=why):
-        lines.read_step(line, 7)
+        lines.decode_step(line, 7)
 
 
 # The commands.
@@ -251,7 +251,7 @@
 
 
 def read(path):
-    with files.Reader(path) as reader:
+    with files.TraceReader(path) as reader:
         return list(reader.steps())
 
 
@@ -268,7 +268,7 @@
         steps = []
         for number, (now, subject, kind) in enumerate(sorted(tries), 1):
             steps += [asked(now, number, 1, subject=subject), Step(now + 20, (), (), (Answered(number, kind, 20.0),))]
-        files.write(folder / f"{box}.lptrace", header(box), steps)
+        files.write_trace(folder / f"{box}.lptrace", header(box), steps)
     return folder / "a.lptrace", folder / "b.lptrace"
 
 
@@ -277,21 +277,21 @@
     out, plain = tmp_path / "m.lptrace", tmp_path / "p.lptrace"
     tool("merge", out, *paths, "--correct-clocks")
     tool("merge", plain, *paths)
-    with files.Reader(out) as reader:
+    with files.TraceReader(out) as reader:
         steps = list(reader.steps())
         (ahead,) = (s.offset for s in reader.sources if s.box == "b")
         if reader.sources[0].offset:
             ahead = -reader.sources[0].offset
         assert ahead == pytest.approx(1000, abs=20)
-        assert list(reader.whole_header.made) == ["merged by corrected clocks"]
-        assert [s for s in steps if s.box == 0] == read(paths[0])  # each box as it was
+        assert list(reader.header.made) == ["merged by corrected clocks"]
+        assert [s for s in steps if s.source_index == 0] == read(paths[0])  # each box as it was
     summary = json.loads(tool("summarise", out, "--json"))["whole"]
     assert (summary["requests"], summary["tries"], summary["in_aim"]) == (300, 600, 300)
     assert json.loads(tool("summarise", plain, "--json"))["whole"]["late"] > 50  # a second counts as age
     assert "needs files of one life" in tool("summarise", *paths, code=2)
     assert "one of the traces" in tool("merge", paths[0], *paths, code=2)
     alone = tmp_path / "c.lptrace"
-    files.write(alone, header("c"), [asked(5.0, 1)])
+    files.write_trace(alone, header("c"), [asked(5.0, 1)])
     assert "not corrected: c: cannot tell" in tool("merge", out, *paths, alone, "--correct-clocks", code=1)
 
 
@@ -299,12 +299,12 @@
     paths = fleet(tmp_path, count=600, drift=0.002)  # 1.2 s in ten minutes
     out = tmp_path / "m.lptrace"
     tool("merge", out, *paths, "--correct-clocks")
-    with files.Reader(out) as reader:
+    with files.TraceReader(out) as reader:
         met = {}
         for step in reader.steps():
             for note in step.notes:
                 if type(note) is Arrival:
-                    met.setdefault(note.subject, []).append((files.when(reader.sources, step), step.box))
+                    met.setdefault(note.subject, []).append((files.step_time(reader.sources, step), step.source_index))
     ways = [then[0] - first[0] for first, then in met.values()]
     assert min(ways) > 0
     assert sorted(ways)[len(ways) // 2] < 60
@@ -314,7 +314,7 @@
     folder = tmp_path / "traces"
     folder.mkdir()
     for life in "12":
-        files.write(
+        files.write_trace(
             folder / f"a-{life}.lptrace",
             header(incarnation=life),
             [asked(100.0 * int(life), 1), answered(100.0 * int(life) + 50, 1)],
@@ -335,12 +335,12 @@
     assert read(first)
     assert read(then)
     tool("merge", out, then, first)
-    kept = [s._replace(notes=tuple(n for n in s.notes if type(n) is not Straddles)) for s in read(out)]
+    kept = [s._replace(notes=tuple(n for n in s.notes if type(n) is not SpansBoundary)) for s in read(out)]
     assert kept == read(whole)
     assert json.loads(tool("summarise", out, "--json")) == json.loads(tool("summarise", whole, "--json"))
     assert "neither Unix ms nor a time" in tool("cut", whole, out, "--since", "noon", code=2)
     assert "knows book, job, quote, track, not x" in tool("cut", whole, out, "--class", "x", code=2)
-    tool("cut", whole, out, "--outcome", "refused", "--edges", WHOLE)
+    tool("cut", whole, out, "--outcome", "refused", "--edges", COMPLETE)
     summary = json.loads(tool("summarise", out, "--json"))["whole"]
     assert summary["refused"] == summary["requests"] > 0
     assert "none that was cut" in tool("replay", out, code=2)
@@ -362,7 +362,7 @@
 def test_a_name_that_stands_where_nobody_looked_stops_it(tmp_path):
     path, out, key = tmp_path / "x.lptrace", tmp_path / "o.lptrace", tmp_path / "key"
     key.write_bytes(KEY)
-    files.write(path, header(), [asked(0, 1), Step(1.0, (), (admission.Log("a line that names shop"),))])
+    files.write_trace(path, header(), [asked(0, 1), Step(1.0, (), (admission.Log("a line that names shop"),))])
     assert "shop: still stands" in tool("anonymise", path, out, "--key", key, code=2)
     assert not out.exists()
 
@@ -391,7 +391,7 @@
     assert "data:image/png;base64," in page
     assert "http" not in page
     assert "By account" in page
-    files.write(tmp_path / "e.lptrace", header(), [])
+    files.write_trace(tmp_path / "e.lptrace", header(), [])
     assert "no steps" in tool("plot", tmp_path / "e.lptrace", "--out", tmp_path / "x.png", code=2)
     assert "must end in" in tool("plot", whole, "--out", tmp_path / "x.svg", code=2)
 
@@ -399,7 +399,7 @@
 def test_an_empty_file_and_one_with_one_record_are_traces(tmp_path):
     for steps in ([], [Step(1.0, (), (admission.StartRun(1),))]):
         path = tmp_path / "x.lptrace"
-        files.write(path, header(), steps)
+        files.write_trace(path, header(), steps)
         assert json.loads(tool("summarise", path, "--json"))["whole"]["requests"] == 0
         tool("verify", path)
         tool("cut", path, tmp_path / "o.lptrace", "--since", "5")
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -19,12 +19,24 @@
 
 from lapispick import admission
 from lapispick.fakes.waiting import wait_until
-from lapispick.trace import aggregation, files, layout, lines, records
+from lapispick.trace import aggregation, files, layout, lines, schema
+from lapispick.trace.block_reader import decode_block
+from lapispick.trace.block_writer import encode_block
 from lapispick.trace.helper import messages
-from lapispick.trace.record_types import ACTIONS, EVENTS, KINDS, NOTES, Answered, Arrival, Gap, Happened, Step
+from lapispick.trace.record_types import (
+    ACTIONS,
+    EVENTS,
+    NOTES,
+    RECORD_TYPES,
+    Answered,
+    Arrival,
+    ExternalEvent,
+    Gap,
+    Step,
+)
 from lapispick.trace.retention import TraceFile, expired, rotate
 
-HEADER = files.blank(box="n3", incarnation="a-1", seed=5, classes=["track"], accounts=["shop"])
+HEADER = files.make_header(box="n3", incarnation="a-1", seed=5, classes=["track"], accounts=["shop"])
 
 
 def step(n):
@@ -52,19 +64,19 @@
 
 
 def read(path):
-    with files.Reader(path) as reader:
-        return [s for place in reader.places for s in reader.block(place)], reader
+    with files.TraceReader(path) as reader:
+        return [s for place in reader.blocks for s in reader.read_steps(place)], reader
 
 
 @pytest.mark.parametrize("sizes", [(), (1,), (3, 4, 5)])
 def test_steps_come_back_as_written_with_and_without_the_index(tmp_path, sizes):
     made = blocks(*sizes)
-    data = files.in_memory(HEADER, made)
+    data = files.encode_file(HEADER, made)
     wanted = [s for block in made for s in block]
     found, reader = read(put(tmp_path, data))
     assert found == wanted
     assert reader.indexed
-    assert reader.header.box == "n3"
+    assert reader.first_source.box == "n3"
     found, reader = read(put(tmp_path, data[: -layout.TRAILER.size]))
     assert found == wanted
     assert not reader.indexed
@@ -80,18 +92,21 @@
         "Outcome": admission.Outcome.ERROR,
         "tuple[float, ...]": (1.0, 0.0),
     }
-    items = {kind: kind(*(samples[a] for a in records.fields_of(kind).values())) for kind in KINDS.values()}
+    items = {
+        kind: kind(*(samples[a] for a in (field.type for field in schema.RECORD_FIELDS[kind])))
+        for kind in RECORD_TYPES.values()
+    }
     whole = Step(1.5, *(tuple(items[k] for k in part) for part in (EVENTS, ACTIONS, NOTES)))
-    assert records.unpack(b"".join(records.pack([whole]))) == [whole]
-    assert list(KINDS) == list(range(1, 27))
-    assert KINDS[8] is admission.StartRun
-    assert KINDS[22] is Arrival
+    assert decode_block(b"".join(encode_block([whole]))) == [whole]
+    assert list(RECORD_TYPES) == list(range(1, 27))
+    assert RECORD_TYPES[8] is admission.StartRun
+    assert RECORD_TYPES[22] is Arrival
 
 
 def test_a_file_cut_at_every_byte_of_its_last_two_blocks_gives_every_whole_block(tmp_path):
     made = blocks(3, 4, 5)
-    data = files.in_memory(HEADER, made)
-    ends = [p.offset for p in read(put(tmp_path, data))[1].places]
+    data = files.encode_file(HEADER, made)
+    ends = [p.offset for p in read(put(tmp_path, data))[1].blocks]
     offset = layout.TRAILER.unpack(data[-layout.TRAILER.size :])[0]
     for at in range(ends[1], len(data)):
         found, reader = read(put(tmp_path, data[:at]))
@@ -104,16 +119,16 @@
 
 def test_a_flipped_bit_costs_its_own_block_or_is_told(tmp_path):
     made = blocks(2, 2, 2)
-    data = files.in_memory(HEADER, made)
+    data = files.encode_file(HEADER, made)
     wanted = [s for block in made for s in block]
     for at in range(len(data)):
         path = put(tmp_path, data[:at] + bytes([data[at] ^ 4]) + data[at + 1 :])
         try:
-            with files.Reader(path) as reader:
+            with files.TraceReader(path) as reader:
                 found, lost = [], 0
-                for place in reader.places:
+                for place in reader.blocks:
                     try:
-                        found += reader.block(place)
+                        found += reader.read_steps(place)
                     except layout.TraceError:
                         lost += 1
         except layout.TraceError as err:
@@ -125,24 +140,28 @@
 
 
 def test_newer_versions(tmp_path):
-    data = files.in_memory(HEADER, blocks(2))
+    data = files.encode_file(HEADER, blocks(2))
     minor = data[:10] + b"\x07\0" + data[12:]
     assert read(put(tmp_path, minor))[0] == blocks(2)[0]
     with pytest.raises(layout.TraceError, match=r"version 2\.0; this program reads versions 1\.x"):
-        files.Reader(put(tmp_path, data[:8] + b"\x02\0" + data[10:]))
-    newer = records.BlockMessage.FromString(b"".join(records.pack([step(1)])))
+        files.TraceReader(put(tmp_path, data[:8] + b"\x02\0" + data[10:]))
+    newer = schema.BlockMessage.FromString(b"".join(encode_block([step(1)])))
     for column in newer.columns:
-        if (column.record, column.field) == (0, records.SHAPE):  # a record 127 among the events
+        if (column.record, column.field) == (0, schema.StepField.SHAPE):  # a record 127 among the events
             column.words[0] = column.words[0][:1] + b"\x7f" + column.words[0][1:]
     newer.columns.add(record=127, field=1, width=1, data=b"\x04")
     newer.columns.add(record=1, field=40, width=1, data=b"\x04")  # and a new field of a known one
     newer.MergeFromString(b"\xfa\x07\x02\x08\x01")
-    assert records.unpack(newer.SerializeToString()) == [step(1)]
-    older = records.BlockMessage.FromString(b"".join(records.pack([step(1)])))
-    kept = [c for c in older.columns if (c.record, c.field) not in ((1, 3), (22, 2), (7, 2), (7, 2 + records.LENGTHS))]
+    assert decode_block(newer.SerializeToString()) == [step(1)]
+    older = schema.BlockMessage.FromString(b"".join(encode_block([step(1)])))
+    kept = [
+        c
+        for c in older.columns
+        if (c.record, c.field) not in ((1, 3), (22, 2), (7, 2), (7, 2 + schema.LIST_LENGTHS_OFFSET))
+    ]
     del older.columns[:]
     older.columns.extend(kept)
-    (found,) = records.unpack(older.SerializeToString())
+    (found,) = decode_block(older.SerializeToString())
     assert (found.events[0].rank, found.notes[0].account, found.events[1].gauges) == (0.0, "", ())
 
 
@@ -151,18 +170,23 @@
     path = Path(__file__).parent / "data" / "v1.lptrace"
     found, reader = read(path)
     assert (
-        sha256(b"\n".join(lines.write(reader.whole_header, found))).hexdigest()
+        sha256(b"\n".join(lines.encode_trace(reader.header, found))).hexdigest()
         == "b07abaca2938159900b21ea08595b5fe553a70cbbb57bb4b4e1d8b6cd0ac92f2"
     )
-    with files.Reader(path) as reader:
-        made = aggregation.summarise(reader.sources, (reader.columns(place) for place in reader.places))
-    assert (made.whole.requests, made.whole.tries, made.whole.served, made.whole.refused) == (266, 289, 292.0, 102)
-    assert made.grounds == {"price": 124}
+    with files.TraceReader(path) as reader:
+        made = aggregation.summarise(reader.sources, (reader.read_block(place) for place in reader.blocks))
+    assert (made.total.requests, made.total.attempts, made.total.served_weight, made.total.rejected) == (
+        266,
+        289,
+        292.0,
+        102,
+    )
+    assert made.rejection_reasons == {"price": 124}
 
 
 def test_a_window_is_read_through_the_index(tmp_path):
-    path = put(tmp_path, files.in_memory(HEADER, blocks(*[50] * 40)))
-    with files.Reader(path) as reader:
+    path = put(tmp_path, files.encode_file(HEADER, blocks(*[50] * 40)))
+    with files.TraceReader(path) as reader:
         before = reader.read_bytes
         assert [s.now for s in reader.steps(510.0, 520.0)] == [float(n) for n in range(510, 520)]
         assert reader.read_bytes - before < reader.size / 20
@@ -172,8 +196,8 @@
 
 def test_a_window_is_found_where_the_clock_stepped_back(tmp_path):
     steps = [Step(float(now)) for now in (100, 200, 50, 60, 150)]
-    path = put(tmp_path, files.in_memory(HEADER, [steps[:3], steps[3:]]))
-    with files.Reader(path) as reader:
+    path = put(tmp_path, files.encode_file(HEADER, [steps[:3], steps[3:]]))
+    with files.TraceReader(path) as reader:
         assert [s.now for s in reader.steps(40.0, 70.0)] == [50, 60]
         assert [s.now for s in reader.steps(190.0, 300.0)] == [200]
 
@@ -188,21 +212,21 @@
         if spoilt == "list"
         else step(1)
     )
-    lying = records.BlockMessage.FromString(b"".join(records.pack([lied])))
+    lying = schema.BlockMessage.FromString(b"".join(encode_block([lied])))
     by_place = {(c.record, c.field): c for c in lying.columns}
     if spoilt == "steps":
-        lying.steps = records.STEPS_MOST + 1
+        lying.steps = schema.MAX_BLOCK_STEPS + 1
     elif spoilt == "shape":
-        by_place[0, records.SHAPE].words[0] = b"\1\0"
+        by_place[0, schema.StepField.SHAPE].words[0] = b"\1\0"
     elif spoilt == "word":
         by_place[22, 2].width, by_place[22, 2].data = 1, b"\x08"
     elif spoilt == "list":
-        by_place[7, 2 + records.LENGTHS].width = 3
-        by_place[7, 2 + records.LENGTHS].data = (2 * records.ITEMS_MOST + 2).to_bytes(3, "little")
+        by_place[7, 2 + schema.LIST_LENGTHS_OFFSET].width = 3
+        by_place[7, 2 + schema.LIST_LENGTHS_OFFSET].data = (2 * schema.MAX_BLOCK_RECORDS + 2).to_bytes(3, "little")
     else:
         by_place[3, 2].width, by_place[3, 2].data = 1, b"\x40"
     with pytest.raises(ValueError, match="is no block"):
-        records.unpack(lying.SerializeToString())
+        decode_block(lying.SerializeToString())
 
 
 def test_what_waits_for_the_writer_follows_the_memory_limit():
@@ -216,25 +240,25 @@
 @given(st.binary(max_size=400), st.integers(0, 5000))
 @settings(max_examples=300, deadline=None)
 def test_no_bytes_break_the_reader(tmp_path_factory, noise, at):
-    data = files.in_memory(HEADER, blocks(3, 3))
+    data = files.encode_file(HEADER, blocks(3, 3))
     path = put(tmp_path_factory.mktemp("fuzz"), data[: at % len(data)] + noise + data[at % len(data) + len(noise) :])
     try:
-        with files.Reader(path) as reader:
-            for place in reader.places:
-                reader.block(place)
+        with files.TraceReader(path) as reader:
+            for place in reader.blocks:
+                reader.read_steps(place)
     except layout.TraceError as err:
         assert str(err).startswith(str(path))
 
 
 def test_lengths_that_lie_are_not_believed(tmp_path):
-    huge = layout.FRAME.pack(layout.MARK, 1, 0xFFFFFFFF, 0xFFFFFFFF, 1, 0.0, 0.0, 0)
-    frame = huge + layout.CHECK.pack(layout.crc32c(huge))
-    data = layout.prelude(HEADER.SerializeToString()) + frame
+    huge = layout.FRAME.pack(layout.FRAME_MARK, 1, 0xFFFFFFFF, 0xFFFFFFFF, 1, 0.0, 0.0, 0)
+    frame = huge + layout.CHECKSUM.pack(layout.crc32c(huge))
+    data = layout.encode_prelude(HEADER.SerializeToString()) + frame
     found, reader = read(put(tmp_path, data))
     assert not found
     assert reader.damage
     with pytest.raises(layout.TraceError, match="4294967295 bytes"):
-        files.Reader(put(tmp_path, layout.PRELUDE.pack(layout.MAGIC, layout.MAJOR, 0, 0xFFFFFFFF, 0)))
+        files.TraceReader(put(tmp_path, layout.PRELUDE.pack(layout.MAGIC, layout.MAJOR_VERSION, 0, 0xFFFFFFFF, 0)))
 
 
 def test_retention_and_rotation():
@@ -315,7 +339,7 @@
     found = [s for path in r.files() for s in read(path)[0]]
     notes = [n for s in found for n in s.notes]
     assert sum(type(n) is Arrival for n in notes) == r.asked
-    assert [(n.what, n.told) for n in notes if type(n) is Happened] == [
+    assert [(n.kind, n.details) for n in notes if type(n) is ExternalEvent] == [
         ("drain-on", ""),
         ("drain-off", ""),
         ("reloaded", "stop_ms"),
@@ -385,9 +409,9 @@
     lost = int(re.search(r"trace-writer-ended lost=(\d+)", r.host.log()).group(1))
     path, then = r.files(".open")
     assert gap.steps >= lost > 0
-    assert read(path)[1].header.sequence == 0
-    assert read(then)[1].header.sequence == 1
-    assert read(path)[1].header.incarnation == read(then)[1].header.incarnation
+    assert read(path)[1].first_source.sequence == 0
+    assert read(then)[1].first_source.sequence == 1
+    assert read(path)[1].first_source.incarnation == read(then)[1].first_source.incarnation
     told = json.loads(tool("replay", r.folder, "--json"))
     assert told["gaps"] == gap.steps
     assert not told["differing"]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -452,7 +452,7 @@
 
 def test_what_an_upgrade_takes_over_is_in_the_trace_and_replays(host, shared_address, tmp_path):
     from lapispick.trace import files
-    from lapispick.trace.record_types import Happened
+    from lapispick.trace.record_types import ExternalEvent
     from lapispick.trace.replaying import replay
 
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
@@ -470,9 +470,9 @@
     new.terminate()
     assert new.process.wait(6) == 0
     (path,) = wait_until(lambda: list((tmp_path / "traces").glob("*.lptrace")), "the closed file")
-    with files.Reader(path) as reader:
-        steps, source = list(reader.steps()), reader.header
-    assert {n.what for s in steps for n in s.notes if type(n) is Happened} == {"adopted"}
+    with files.TraceReader(path) as reader:
+        steps, source = list(reader.steps()), reader.first_source
+    assert {n.kind for s in steps for n in s.notes if type(n) is ExternalEvent} == {"adopted"}
     made = replay(source.settings, source.seed, source.module_now, steps)
     assert made.differing == 0
     assert made.steps > 60
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -51,7 +51,9 @@
 from lapispick.trace import helper as trace_writer
 from lapispick.trace import lines as trace_text
 from lapispick.trace import record_types as trace_kinds
-from lapispick.trace import records as trace_records
+from lapispick.trace import schema as trace_schema
+from lapispick.trace.block_reader import decode_block
+from lapispick.trace.block_writer import encode_block
 from lapispick.trace.text_names import outcome_name
 
 ROOT = Path(__file__).parent.parent
@@ -410,19 +412,19 @@
     found = {}
     for part, kinds in parts.items():
         for kind in kinds:
-            record = kind(*(examples[annotation] for _, annotation in trace_records.FIELDS[kind]))
+            record = kind(*(examples[annotation] for _, annotation in trace_schema.RECORD_FIELDS[kind]))
             step = trace_kinds.Step(1.5, **{part: (record,)})
-            line = trace_text.step_line(step, "n3")
-            assert trace_text.read_step(line, 1) == step
-            assert list(trace_records.unpack(b"".join(trace_records.pack([step])))) == [step]
-            found[str(trace_kinds.NUMBERS[kind])] = [part, *map(list, json.loads(line)[part][0].items())]
+            line = trace_text.encode_step(step, "n3")
+            assert trace_text.decode_step(line, 1) == step
+            assert decode_block(b"".join(encode_block([step]))) == [step]
+            found[str(trace_kinds.RECORD_NUMBERS[kind])] = [part, *map(list, json.loads(line)[part][0].items())]
     return found
 
 
 def trace_messages():
     return {
         name: {field.name: field.number for field in made.DESCRIPTOR.fields}
-        for name, made in trace_records._MADE.items()
+        for name, made in trace_schema.MESSAGE_TYPES.items()
     }
 
 
