--- a/lapispick/cli/trace_compare.py
+++ b/lapispick/cli/trace_compare.py
@@ -230,7 +230,7 @@
     if divergence is None:
         print_line("all steps agree")
     else:
-        print_line(f"first at step {divergence.step}, {divergence.part}: {divergence.left} against {divergence.right}")
+        print_line(f"first at step {divergence.step}, {divergence.field}: {divergence.left} against {divergence.right}")
     _print_decisions(left.decisions, right.decisions, ("left", "right"))
     names = [name for name in sorted(left.records | right.records) if left.records[name] != right.records[name]]
     rows = ((name, left.records[name], right.records[name]) for name in names)
--- a/lapispick/cli/trace_write.py
+++ b/lapispick/cli/trace_write.py
@@ -200,18 +200,18 @@
     allowed = {name.encode() for name in pseudonyms}
     remaining: set[str] = set()
     with files.TraceReader(path) as reader:
-        header_words = {
+        header_texts = {
             text.encode() for source in reader.sources for text in (source.box, source.incarnation, *source.accounts)
         }
         for location in reader.blocks:
             columns = reader.read_block(location).columns.values()
-            block_words = {word for column in columns for word in column.words}
-            all_text = b"\0".join(block_words - allowed)
+            block_texts = {text for column in columns for text in column.words}
+            all_text = b"\0".join(block_texts - allowed)
             remaining |= {
                 name
                 for name, encoded in searched.items()
-                if encoded in header_words
-                or encoded in block_words
+                if encoded in header_texts
+                or encoded in block_texts
                 or (len(encoded) >= MIN_PARTIAL_MATCH_BYTES and encoded in all_text)
             }
     return remaining
--- a/lapispick/trace/aggregation.py
+++ b/lapispick/trace/aggregation.py
@@ -169,7 +169,7 @@
         records = arrivals.records
         if not records.count:
             return
-        names = [word.decode(errors="replace") for word in records.words("account")]
+        names = [name.decode(errors="replace") for name in records.dictionary("account")]
         numbers = [self._accounts.setdefault(name, len(self._accounts)) for name in names]
         accounts = np.array(numbers, np.int64)[records.column("account")]
         request_rows = self._find(arrivals).request_rows
@@ -228,11 +228,11 @@
     def _add_rejections(self, rejections: Records) -> None:
         if not rejections.count:
             return
-        words = rejections.words("reason")
-        counts = np.bincount(rejections.column("reason"), minlength=len(words))
+        dictionary = rejections.dictionary("reason")
+        counts = np.bincount(rejections.column("reason"), minlength=len(dictionary))
         reasons = self._summary.rejection_reasons
-        for word, count in zip(words, counts.tolist(), strict=True):
-            name = word.decode(errors="replace") or UNKNOWN_NAME
+        for reason, count in zip(dictionary, counts.tolist(), strict=True):
+            name = reason.decode(errors="replace") or UNKNOWN_NAME
             reasons[name] = reasons.get(name, 0) + count
 
     def _count_expired(self, now: float) -> None:
--- a/lapispick/trace/block_reader.py
+++ b/lapispick/trace/block_reader.py
@@ -13,16 +13,16 @@
 from lapispick.trace.column_codec import EncodedColumn, decode_column
 from lapispick.trace.record_types import RECORD_NUMBERS, RECORD_TYPES, Step
 from lapispick.trace.schema import (
+    CATEGORY_OF_RECORD,
     LIST_LENGTHS_OFFSET,
     MAX_BLOCK_RECORDS,
     MAX_BLOCK_STEPS,
-    PART_OF_RECORD,
     RECORD_FIELDS,
     SHAPE_SEPARATOR,
     STEP_RECORD,
     BlockMessage,
     FieldType,
-    Part,
+    RecordCategory,
     RecordField,
     StepField,
 )
@@ -30,8 +30,8 @@
 OUTCOMES = {int(outcome): outcome for outcome in admission.Outcome}
 
 
-class PartRecords(NamedTuple):
-    """The records of one part of all steps, in order: the position of each one's step, and its number."""
+class CategoryRecords(NamedTuple):
+    """The records of one category in all steps, in order: the position of each one's step, and its number."""
 
     step_positions: Any
     record_numbers: Any
@@ -50,19 +50,19 @@
         self._columns: dict[str, Any] = {}
 
     def column(self, name: str) -> Any:
-        """Return a field's values: an array of numbers, or of positions in ``words(name)``."""
+        """Return a field's values: an array of numbers, or of indices into ``dictionary(name)``."""
         if name not in self._columns:
             self._columns[name] = self._decode(name)
         return self._columns[name]
 
-    def words(self, name: str) -> list[bytes]:
+    def dictionary(self, name: str) -> list[bytes]:
         """Return the distinct values of a field of strings or bytes; [b''] if the file lacks the field."""
         column = self._block.columns.get((RECORD_NUMBERS[self.record_type], self._field(name)[0]))
-        words = list(column.words) if column is not None else [b""]
-        positions = self.column(name)
-        if self.count and not (int(positions.min()) >= 0 and int(positions.max()) < len(words)):
+        dictionary = list(column.words) if column is not None else [b""]
+        indices = self.column(name)
+        if self.count and not (int(indices.min()) >= 0 and int(indices.max()) < len(dictionary)):
             raise ValueError("is no block: a word that is not there")
-        return words
+        return dictionary
 
     def values(self, name: str) -> list[Any]:
         """Return a field's values as the records hold them."""
@@ -77,11 +77,11 @@
         if field.type is FieldType.BOOL:
             return [bool(value) for value in values]
         if field.type is FieldType.BYTES:
-            words = self.words(name)
-            return [words[position] for position in values]
+            dictionary = self.dictionary(name)
+            return [dictionary[index] for index in values]
         if field.type is FieldType.STR:
-            texts = [word.decode() for word in self.words(name)]
-            return [texts[position] for position in values]
+            texts = [encoded.decode() for encoded in self.dictionary(name)]
+            return [texts[index] for index in values]
         return values
 
     def _field(self, name: str) -> tuple[int, RecordField]:
@@ -128,7 +128,7 @@
             raise ValueError(f"is no block: {self.count} steps; {MAX_BLOCK_STEPS} are the most")
         self.now = self._step_column(StepField.NOW, np.float64)
         self.source_index = self._step_column(StepField.SOURCE_INDEX, np.int64)
-        self._parts: dict[Part, PartRecords] = {}
+        self._categories: dict[RecordCategory, CategoryRecords] = {}
 
     def decode_column(self, record: int, field: int, count: int, step_times: Any = None) -> Any:
         """Return a column's values, None if the block lacks it; ``step_times``: the clock of each value's step."""
@@ -138,22 +138,21 @@
         encoded = EncodedColumn(column.form, column.scale, column.delta, column.width, column.data, column.against)
         return decode_column(encoded, count, step_times)
 
-    def part(self, part: Part) -> PartRecords:
-        """Return the records of one part of all steps."""
-        if part not in self._parts:
-            self._parts[part] = self._decode_part(part)
-        return self._parts[part]
+    def category(self, category: RecordCategory) -> CategoryRecords:
+        """Return the records of one category in all steps."""
+        if category not in self._categories:
+            self._categories[category] = self._decode_category(category)
+        return self._categories[category]
 
     def records(self, record_type: type) -> Records:
         """Return all records of a type, in order."""
-        part = self.part(PART_OF_RECORD[record_type])
-        has_type = part.record_numbers == RECORD_NUMBERS[record_type]
-        return Records(self, record_type, part.step_positions[has_type])
+        step_positions, record_numbers = self.category(CATEGORY_OF_RECORD[record_type])
+        return Records(self, record_type, step_positions[record_numbers == RECORD_NUMBERS[record_type]])
 
     def steps(self) -> list[Step]:
         """Return the steps with their records."""
-        parts = [self._records_by_step(part) for part in Part]
-        columns = (self.now.tolist(), *parts, self.source_index.tolist())
+        records = [self._records_by_step(category) for category in RecordCategory]
+        columns = (self.now.tolist(), *records, self.source_index.tolist())
         return [Step(*values) for values in zip(*columns, strict=True)]
 
     def _step_column(self, field: StepField, dtype: Any) -> Any:
@@ -161,20 +160,20 @@
         return np.zeros(self.count, dtype) if values is None else values
 
     def _shapes(self) -> list[list[bytes]]:
-        """Return the distinct shapes, each split into its parts."""
+        """Return the distinct shapes, each split by category."""
         column = self.columns.get((STEP_RECORD, StepField.SHAPE))
         return [shape.split(SHAPE_SEPARATOR) for shape in column.words] if column is not None else []
 
-    def _decode_part(self, part: Part) -> PartRecords:
+    def _decode_category(self, category: RecordCategory) -> CategoryRecords:
         shapes = self._shapes()
         shape_of_step = self._step_column(StepField.SHAPE, np.int64)
-        if any(len(parts) < len(Part) for parts in shapes) or (
+        if any(len(shape) < len(RecordCategory) for shape in shapes) or (
             self.count and not 0 <= int(shape_of_step.min()) <= int(shape_of_step.max()) < len(shapes)
         ):
             raise ValueError("is no block: a step without a shape")
         # All shapes one after the other; each step takes its slice of them.
-        record_numbers = np.frombuffer(b"".join(parts[part] for parts in shapes), dtype=np.uint8)
-        lengths = np.array([len(parts[part]) for parts in shapes], dtype=np.int64)
+        record_numbers = np.frombuffer(b"".join(shape[category] for shape in shapes), dtype=np.uint8)
+        lengths = np.array([len(shape[category]) for shape in shapes], dtype=np.int64)
         counts = lengths[shape_of_step] if self.count else np.zeros(0, np.int64)
         total = int(counts.sum())
         if total > MAX_BLOCK_RECORDS:
@@ -182,11 +181,11 @@
         slice_starts = (np.cumsum(lengths) - lengths)[shape_of_step] if self.count else counts
         first_records = np.cumsum(counts) - counts
         indices = np.arange(total) + np.repeat(slice_starts - first_records, counts)
-        return PartRecords(np.repeat(np.arange(self.count), counts), record_numbers[indices])
+        return CategoryRecords(np.repeat(np.arange(self.count), counts), record_numbers[indices])
 
-    def _records_by_step(self, part: Part) -> list[tuple[Any, ...]]:
-        """Return the records of one part, step by step, without those of unknown types."""
-        step_positions, record_numbers = self.part(part)
+    def _records_by_step(self, category: RecordCategory) -> list[tuple[Any, ...]]:
+        """Return the records of one category, step by step, without those of unknown types."""
+        step_positions, record_numbers = self.category(category)
         known = {number for number in set(record_numbers.tolist()) if number in RECORD_TYPES}
         remaining = {number: iter(self._decode_records(RECORD_TYPES[number])) for number in known}
         by_step: list[list[Any]] = [[] for _ in range(self.count)]
--- a/lapispick/trace/block_writer.py
+++ b/lapispick/trace/block_writer.py
@@ -8,7 +8,7 @@
 
 import numpy as np
 
-from lapispick.trace.column_codec import EncodedColumn, encode_floats, encode_integers, encode_words
+from lapispick.trace.column_codec import EncodedColumn, encode_dictionary, encode_floats, encode_integers
 from lapispick.trace.record_types import RECORD_NUMBERS, Step
 from lapispick.trace.schema import (
     LIST_LENGTHS_OFFSET,
@@ -32,8 +32,8 @@
     def _add(self, position: int, step: Step) -> bytes:
         """Add a step's records; return its shape."""
         shape = bytearray()
-        for part in (step.events, step.actions, step.notes):
-            for record in part:
+        for records in (step.events, step.actions, step.notes):
+            for record in records:
                 record_type = type(record)
                 shape.append(RECORD_NUMBERS[record_type])
                 self.records.setdefault(record_type, []).append(record)
@@ -49,8 +49,8 @@
     _add_column(block, STEP_RECORD, StepField.NOW, encode_floats(now))
     _add_column(block, STEP_RECORD, StepField.SOURCE_INDEX, encode_integers([step.source_index for step in steps]))
     by_type = _RecordsByType(steps)
-    shapes = encode_words(by_type.shapes)
-    _add_column(block, STEP_RECORD, StepField.SHAPE, shapes.positions, shapes.words)
+    shapes = encode_dictionary(by_type.shapes)
+    _add_column(block, STEP_RECORD, StepField.SHAPE, shapes.indices, shapes.dictionary)
     for record_type, records in by_type.records.items():
         step_times = now[by_type.positions[record_type]]
         values_by_field = zip(*records, strict=True)
@@ -59,7 +59,7 @@
     return _pieces(block)
 
 
-def _add_column(block: Any, record: int, field: int, column: EncodedColumn, words: Iterable[bytes] = ()) -> None:
+def _add_column(block: Any, record: int, field: int, column: EncodedColumn, dictionary: Iterable[bytes] = ()) -> None:
     block.columns.add(
         record=record,
         field=field,
@@ -68,7 +68,7 @@
         delta=column.delta,
         width=column.width,
         against=column.relative_to,
-        words=words,
+        words=dictionary,
         data=column.data,
     )
 
@@ -80,9 +80,9 @@
     if field_type is FieldType.FLOAT:
         _add_column(block, record, field, encode_floats(values, step_times))
     elif field_type in (FieldType.STR, FieldType.BYTES):
-        positions, words = encode_words(values)
-        encoded = [word.encode() if isinstance(word, str) else word for word in words]
-        _add_column(block, record, field, positions, encoded)
+        indices, dictionary = encode_dictionary(values)
+        encoded = [value.encode() if isinstance(value, str) else value for value in dictionary]
+        _add_column(block, record, field, indices, encoded)
     elif field_type is FieldType.FLOATS:
         _add_column(block, record, field, encode_floats(list(chain.from_iterable(values))))
         lengths = encode_integers([len(value) for value in values])
--- a/lapispick/trace/clock_skew.py
+++ b/lapispick/trace/clock_skew.py
@@ -250,16 +250,16 @@
 def _chain_links(reference: str, own_clock: Clock, links: dict[str, dict[str, _Link]]) -> dict[str, Clock]:
     """Return the clocks of all hosts that are linked to the reference, by Dijkstra's algorithm on the errors."""
     clocks: dict[str, Clock] = {}
-    least_errors: dict[str, float] = {}
+    lowest_errors: dict[str, float] = {}
     queue: list[tuple[float, str, Clock]] = [(0.0, reference, own_clock)]
     while queue:
         error, name, clock = heapq.heappop(queue)
-        if error >= least_errors.get(name, inf):
+        if error >= lowest_errors.get(name, inf):
             continue
-        least_errors[name] = error
+        lowest_errors[name] = error
         clocks[name] = clock
         for other, link in links[name].items():
-            if other not in least_errors:
+            if other not in lowest_errors:
                 heapq.heappush(queue, (error + link.error, other, _extend(clock, link)))
     return clocks
 
--- a/lapispick/trace/column_codec.py
+++ b/lapispick/trace/column_codec.py
@@ -18,7 +18,7 @@
 BINARY_SCALES = (12, 13, 14, 16, 20)  # exponents of two that are tried; a clock in ms has steps of 2**-12 until 2039
 MAX_SCALE = 62
 MAX_EXACT_FLOAT = float(1 << 53)  # up to here a float represents every integer
-WORD_BYTES = 8
+INTEGER_BYTES = 8
 TABLE_BITS_PER_BYTE_VALUE = 8  # estimated size of a compressor's table entry
 Array = np.ndarray[Any, Any]
 
@@ -51,11 +51,11 @@
     relative_to: int = RelativeTo.NOTHING
 
 
-class EncodedWords(NamedTuple):
-    """A column of strings or bytes: positions in the list of distinct values."""
+class DictionaryColumn(NamedTuple):
+    """A column of strings or bytes: indices into the dictionary, the list of distinct values."""
 
-    positions: EncodedColumn
-    words: list[Any]
+    indices: EncodedColumn
+    dictionary: list[Any]
 
 
 class _Candidate(NamedTuple):
@@ -71,7 +71,7 @@
 
 def _byte_planes(unsigned: Array) -> Array:
     width = (int(unsigned.max()).bit_length() + 7) // 8 if len(unsigned) else 0
-    return unsigned.astype("<u8").view(np.uint8).reshape(-1, WORD_BYTES)[:, :width].T
+    return unsigned.astype("<u8").view(np.uint8).reshape(-1, INTEGER_BYTES)[:, :width].T
 
 
 def _compressed_bits(planes: Array) -> float:
@@ -138,11 +138,11 @@
     return base - relative if relative_to == RelativeTo.BASE_MINUS_VALUE else relative - base
 
 
-def encode_words(values: Sequence[Any]) -> EncodedWords:
-    """Encode strings or bytes as positions in the list of distinct ones, by first use."""
+def encode_dictionary(values: Sequence[Any]) -> DictionaryColumn:
+    """Encode strings or bytes as indices into the list of distinct ones, by first use."""
     known: dict[Any, int] = {}
-    positions = [known.setdefault(value, len(known)) for value in values]
-    return EncodedWords(encode_integers(positions), list(known))
+    indices = [known.setdefault(value, len(known)) for value in values]
+    return DictionaryColumn(encode_integers(indices), list(known))
 
 
 def decode_column(column: EncodedColumn, count: int, base: Array | None = None) -> Array:
@@ -162,7 +162,7 @@
 
 def _is_consistent(column: EncodedColumn, count: int) -> bool:
     return (
-        0 <= column.width <= WORD_BYTES
+        0 <= column.width <= INTEGER_BYTES
         and len(column.data) == column.width * count
         and column.form <= ColumnForm.BINARY
         and column.scale <= MAX_SCALE
@@ -171,7 +171,7 @@
 
 
 def _decode_integers(column: EncodedColumn, count: int) -> Array:
-    planes = np.zeros((count, WORD_BYTES), dtype=np.uint8)
+    planes = np.zeros((count, INTEGER_BYTES), dtype=np.uint8)
     planes[:, : column.width] = np.frombuffer(column.data, dtype=np.uint8).reshape(column.width, count).T
     unsigned = planes.view("<u8")[:, 0] if count else np.zeros(0, dtype=np.uint64)
     integers = (unsigned >> np.uint64(1)).astype(np.int64) ^ -(unsigned & np.uint64(1)).astype(np.int64)
--- a/lapispick/trace/comparing.py
+++ b/lapispick/trace/comparing.py
@@ -51,7 +51,7 @@
 
     step: int
     now: float
-    part: str  # a field of a step by its name in text, or ``end``
+    field: str = msgspec.field(name="part")  # of a step, by its name in text; ``end`` where one trace is longer
     left: str
     right: str
 
@@ -123,9 +123,9 @@
         left = "ended" if one is None else "goes on"
         right = "ended" if two is None else "goes on"
         return Divergence(number, longer.now, "end", left, right)
-    part = next(name for name in Step._fields if getattr(one, name) != getattr(two, name))
-    left, right = (_format(getattr(step, part)) for step in (one, two))
-    return Divergence(number, one.now, step_field_name(part), left, right)
+    field = next(name for name in Step._fields if getattr(one, name) != getattr(two, name))
+    left, right = (_format(getattr(step, field)) for step in (one, two))
+    return Divergence(number, one.now, step_field_name(field), left, right)
 
 
 def _format(value: Any) -> str:
--- a/lapispick/trace/lines.py
+++ b/lapispick/trace/lines.py
@@ -16,10 +16,14 @@
 
 from lapispick import admission
 from lapispick.trace.record_types import Step
-from lapispick.trace.schema import PART_OF_RECORD, RECORD_FIELDS, FieldType, Header, Part
+from lapispick.trace.schema import CATEGORY_OF_RECORD, RECORD_FIELDS, FieldType, Header, RecordCategory
 from lapispick.trace.text_names import OUTCOMES_BY_NAME, RECORDS_BY_NAME, field_name, outcome_name, record_name
 
-_PART_NAMES: dict[Part, str] = {Part.EVENTS: "events", Part.ACTIONS: "actions", Part.NOTES: "notes"}
+_CATEGORY_NAMES: dict[RecordCategory, str] = {
+    RecordCategory.EVENTS: "events",
+    RecordCategory.ACTIONS: "actions",
+    RecordCategory.NOTES: "notes",
+}
 _JSON_TYPES: dict[FieldType, type] = {
     FieldType.INT: int,
     FieldType.FLOAT: float,
@@ -59,7 +63,7 @@
     line: dict[str, Any] = {"now": step.now, "box": host}
     if step.source_index:
         line["source"] = step.source_index
-    for name in _PART_NAMES.values():
+    for name in _CATEGORY_NAMES.values():
         if records := getattr(step, name):
             line[name] = [_encode_record(record) for record in records]
     return msgspec.json.encode(line)
@@ -87,18 +91,18 @@
     try:
         decoded = msgspec.json.decode(line, type=_Line)
         events, actions, notes = (
-            tuple(_decode_record(fields, part) for fields in getattr(decoded, name))
-            for part, name in _PART_NAMES.items()
+            tuple(_decode_record(fields, category) for fields in getattr(decoded, name))
+            for category, name in _CATEGORY_NAMES.items()
         )
         return Step(decoded.now, events, actions, notes, decoded.source)
     except (msgspec.MsgspecError, ValueError, KeyError, TypeError, binascii.Error) as err:
         raise TraceLineError(f"line {number}: {err}") from None
 
 
-def _decode_record(fields: dict[str, Any], part: Part) -> Any:
+def _decode_record(fields: dict[str, Any], category: RecordCategory) -> Any:
     record_type = RECORDS_BY_NAME.get(fields.get("record", ""))
-    if record_type is None or PART_OF_RECORD[record_type] is not part:
-        raise ValueError(f"no record {fields.get('record')!r} among the {_PART_NAMES[part]}")
+    if record_type is None or CATEGORY_OF_RECORD[record_type] is not category:
+        raise ValueError(f"no record {fields.get('record')!r} among the {_CATEGORY_NAMES[category]}")
     remaining = {name: value for name, value in fields.items() if name != "record"}
     values = {
         field.name: _decode_value(remaining.pop(field_name(record_type, field.name)), field.type)
--- a/lapispick/trace/request_answers.py
+++ b/lapispick/trace/request_answers.py
@@ -27,7 +27,7 @@
 
     Only the first answer of an open attempt counts. ``cancelled`` are the cancelled attempts of the block by source.
     """
-    codes = np.array([ANSWER_CODES.get(word, AnswerCode.NONE) for word in answers.words("kind")], np.uint8)
+    codes = np.array([ANSWER_CODES.get(kind, AnswerCode.NONE) for kind in answers.dictionary("kind")], np.uint8)
     answer = codes[answers.column("kind")]
     counts = np.zeros(answers.count, np.bool_)
     for source, record_rows, attempt_rows in found.by_source:
--- a/lapispick/trace/retry_linking.py
+++ b/lapispick/trace/retry_linking.py
@@ -76,14 +76,14 @@
     none = [b""] * requests.count
     if not arrivals.count:
         return none
-    words = arrivals.words("subject")
-    if not any(words):
+    dictionary = arrivals.dictionary("subject")
+    if not any(dictionary):
         return none
     sources = block.source_index[arrivals.step_positions].tolist()
     ids = arrivals.column("id").tolist()
-    positions = arrivals.column("subject").tolist()
+    indices = arrivals.column("subject").tolist()
     subjects = {
-        (source, number): words[position] for source, number, position in zip(sources, ids, positions, strict=True)
+        (source, number): dictionary[index] for source, number, index in zip(sources, ids, indices, strict=True)
     }
     keys = zip(source_index.tolist(), requests.column("id").tolist(), strict=True)
     return [subjects.get(key, b"") for key in keys]
--- a/lapispick/trace/schema.py
+++ b/lapispick/trace/schema.py
@@ -14,7 +14,7 @@
 from lapispick.trace.record_types import ACTIONS, EVENTS, RECORD_NUMBERS
 
 MAX_BLOCK_STEPS = 1 << 16  # what a reader allocates before it has seen the steps
-MAX_BLOCK_RECORDS = 1 << 20  # of each part: events, actions, notes
+MAX_BLOCK_RECORDS = 1 << 20  # of each category
 STEP_RECORD = 0  # the record number of the step itself
 LIST_LENGTHS_OFFSET = 64  # the lengths of a list field are stored under its field number plus this
 # A step's shape is the numbers of its records, a byte each: events, 0, actions, 0, notes, 0. Few differ in a block.
@@ -29,8 +29,8 @@
     SHAPE = 3
 
 
-class Part(enum.IntEnum):
-    """The parts of a step, in the order of a shape."""
+class RecordCategory(enum.IntEnum):
+    """The categories of a step's records, in the order of a shape."""
 
     EVENTS = 0
     ACTIONS = 1
@@ -135,13 +135,15 @@
     )
 
 
-def _part_of(record_type: type) -> Part:
+def _category_of(record_type: type) -> RecordCategory:
     if record_type in EVENTS:
-        return Part.EVENTS
-    return Part.ACTIONS if record_type in ACTIONS else Part.NOTES
+        return RecordCategory.EVENTS
+    return RecordCategory.ACTIONS if record_type in ACTIONS else RecordCategory.NOTES
 
 
 RECORD_FIELDS: dict[type, tuple[RecordField, ...]] = {
     record_type: _fields_of(record_type) for record_type in RECORD_NUMBERS
 }
-PART_OF_RECORD: dict[type, Part] = {record_type: _part_of(record_type) for record_type in RECORD_NUMBERS}
+CATEGORY_OF_RECORD: dict[type, RecordCategory] = {
+    record_type: _category_of(record_type) for record_type in RECORD_NUMBERS
+}
--- a/lapispick/trace/series.py
+++ b/lapispick/trace/series.py
@@ -68,13 +68,13 @@
         counts = self._by_name.setdefault(name, np.zeros(self._interval_count, np.int64))
         counts += np.bincount(intervals, minlength=self._interval_count)
 
-    def add_by_word(self, records: Records, field: str, intervals: Any) -> None:
+    def add_by_value(self, records: Records, field: str, intervals: Any) -> None:
         """Count records by the value of a field of strings."""
         if not records.count:
             return
-        positions = records.column(field)
-        for position, word in enumerate(records.words(field)):
-            self.add(word.decode(errors="replace") or UNKNOWN_NAME, intervals[positions == position])
+        indices = records.column(field)
+        for index, value in enumerate(records.dictionary(field)):
+            self.add(value.decode(errors="replace") or UNKNOWN_NAME, intervals[indices == index])
 
     def total(self) -> Any:
         """Return the counts of all names together."""
@@ -111,9 +111,9 @@
         cancellations = block.records(admission.ClientCancelled)
         self._cancelled.add("all", of(cancellations))
         answers = block.records(Answered)
-        self._answers.add_by_word(answers, "kind", of(answers))
+        self._answers.add_by_value(answers, "kind", of(answers))
         rejections = block.records(admission.Reject)
-        self._rejection_reasons.add_by_word(rejections, "reason", of(rejections))
+        self._rejection_reasons.add_by_value(rejections, "reason", of(rejections))
         self._add_ages(answers, of(answers))
         self._add_marks(block, times)
 
@@ -133,7 +133,7 @@
         )
 
     def _add_ages(self, answers: Records, intervals: Any) -> None:
-        is_served = np.array([word == b"served" for word in answers.words("kind")], np.bool_)
+        is_served = np.array([kind == b"served" for kind in answers.dictionary("kind")], np.bool_)
         served = is_served[answers.column("kind")]
         served_intervals = intervals[served]
         served_ages = answers.column("age_ms")[served]
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -203,7 +203,7 @@
             side.add(step, step.actions)
 
     found = comparing.first_divergence(STEPS, other, on_pair)
-    assert (found.step, found.part, found.left) == (5, "actions", "(Run(id=2),)")
+    assert (found.step, found.field, found.left) == (5, "actions", "(Run(id=2),)")
     left, right = (side.by_class for side in sides)
     comparing.estimate(left, right, {"track": 2.0, "book": 5.0})
     assert left["book"].runs == 1
@@ -212,7 +212,7 @@
     assert right["track"].priority_weight == 2.0
     assert sides[1].reasons == {"price": 1}
     assert comparing.first_divergence(STEPS, STEPS, on_pair) is None
-    assert comparing.first_divergence(STEPS, STEPS[:-1], on_pair).part == "end"
+    assert comparing.first_divergence(STEPS, STEPS[:-1], on_pair).field == "end"
 
 
 def test_classes_are_remembered_for_so_many_requests_only(monkeypatch):
