--- a/lapispick/host/events.py
+++ b/lapispick/host/events.py
@@ -6,7 +6,9 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Hashable
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, Any
+
+import msgspec
 
 from lapispick.admission import Outcome
 from lapispick.handover.messages import Message
@@ -21,34 +23,34 @@
 # From the fronts and the operators.
 
 
-class RequestArrived(NamedTuple):
+class RequestArrived(msgspec.Struct, frozen=True):
     """A front has read a request."""
 
     request: Request
 
 
-class ClientCancelled(NamedTuple):
+class ClientCancelled(msgspec.Struct, frozen=True):
     """Nobody waits for this request any more."""
 
     request: Request
     before_arrival: bool = False  # it was cancelled before the front posted its ``RequestArrived``
 
 
-class HealthCheckReceived(NamedTuple):
+class HealthCheckReceived(msgspec.Struct, frozen=True):
     """A health check; the reply takes whether the host is healthy, and the backpressure value."""
 
     deep: bool
     reply: Callable[[bool, float | None], None]
 
 
-class ShutdownRequested(NamedTuple):
+class ShutdownRequested(msgspec.Struct, frozen=True):
     """The host shall shut down gracefully and will be stopped after ``stop_ms``."""
 
     stop_ms: float
     handed_over: bool = False  # another process of this worker host continues
 
 
-class DrainChanged(NamedTuple):
+class DrainChanged(msgspec.Struct, frozen=True):
     """Operators drain the host or end a drain; requests that arrive are answered either way."""
 
     draining: bool
@@ -57,14 +59,14 @@
 # From the executor.
 
 
-class ExecutorReady(NamedTuple):
+class ExecutorReady(msgspec.Struct, frozen=True):
     """The executor accepts runs and has been up for ``uptime_ms``."""
 
     cold: bool
     uptime_ms: float
 
 
-class RunCompleted(NamedTuple):
+class RunCompleted(msgspec.Struct, frozen=True):
     """A run has ended."""
 
     request_id: str
@@ -73,19 +75,19 @@
     result: str
 
 
-class RunUnknown(NamedTuple):
+class RunUnknown(msgspec.Struct, frozen=True):
     """The executor does not know this request: it started nothing, and the client's request is invalid."""
 
     request_id: str
 
 
-class RunOutcomeUnknown(NamedTuple):
+class RunOutcomeUnknown(msgspec.Struct, frozen=True):
     """A run's start or the report of its end may be lost, and neither can be requested again."""
 
     request_id: str
 
 
-class CallRequested(NamedTuple):
+class CallRequested(msgspec.Struct, frozen=True):
     """A run waits for a downstream call with this body."""
 
     request_id: str
@@ -93,13 +95,13 @@
     body: str
 
 
-class GaugesReported(NamedTuple):
+class GaugesReported(msgspec.Struct, frozen=True):
     """The executor's gauges, in the order of the settings."""
 
     gauges: tuple[float, ...]
 
 
-class HealthCheckCompleted(NamedTuple):
+class HealthCheckCompleted(msgspec.Struct, frozen=True):
     """A deep health check has ended."""
 
     nonce: str
@@ -109,7 +111,7 @@
 # From the store.
 
 
-class CallCompleted(NamedTuple):
+class CallCompleted(msgspec.Struct, frozen=True):
     """A downstream call has ended; the body is base64."""
 
     ticket: Any
@@ -121,21 +123,21 @@
 # From the link to the other process of this worker host.
 
 
-class PeerConnected(NamedTuple):
+class PeerConnected(msgspec.Struct, frozen=True):
     """Another process of this worker host is connected."""
 
     link: Link
     owns_keys: bool  # the other process decides which keys may run; else this one does
 
 
-class PeerMessage(NamedTuple):
+class PeerMessage(msgspec.Struct, frozen=True):
     """The other process sent a message."""
 
     link: Link
     message: Message
 
 
-class PeerDisconnected(NamedTuple):
+class PeerDisconnected(msgspec.Struct, frozen=True):
     """The link to the other process is closed."""
 
     link: Link | None
@@ -143,7 +145,7 @@
     ended_at_s: float = 0.0  # Unix s; when it ended, for one that ended without a last message
 
 
-class SnapshotDue(NamedTuple):
+class SnapshotDue(msgspec.Struct, frozen=True):
     """The next part of the idempotency snapshot can be sent: these keys remain."""
 
     link: Link
@@ -153,7 +155,7 @@
 # From timers.
 
 
-class TimerDue(NamedTuple):
+class TimerDue(msgspec.Struct, frozen=True):
     """A timer that the decision module set has run out."""
 
     token: int
@@ -162,21 +164,21 @@
 # From the core to itself, for the next batch.
 
 
-class ClaimDecided(NamedTuple):
+class ClaimDecided(msgspec.Struct, frozen=True):
     """It is decided whether an attempt that waited may run its idempotency key here."""
 
     entry: InFlightRequest
     verdict: Verdict
 
 
-class CoalescedRequestCompleted(NamedTuple):
+class CoalescedRequestCompleted(msgspec.Struct, frozen=True):
     """A request that was coalesced, or whose start was withheld, is over."""
 
     entry: InFlightRequest
     outcome: Outcome
 
 
-class OwnerReleased(NamedTuple):
+class OwnerReleased(msgspec.Struct, frozen=True):
     """The attempt that owned an idempotency key is gone, and others wait for its result."""
 
     record: IdempotencyRecord
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -336,7 +336,7 @@
     monkeypatch.setattr(store, "connect", lambda *_, **__: stream)
     client = store.StoreClient(FakeLoop(), ("127.0.0.1", 8080), posted.append, 10)
     client.call("0123456789abcdef", base64.b64encode(b"body").decode(), 250.0, True)
-    assert [(each[1], each[3]) for each in posted] == [(Outcome.FULL, base64.b64encode(b"no").decode())]
+    assert [(each.outcome, each.body) for each in posted] == [(Outcome.FULL, base64.b64encode(b"no").decode())]
     return re.sub(r"(?<=X-Wait-Ms: )\d+", "N", b"".join(stream.written).decode())
 
 
