--- a/benchmarks/inventory.py
+++ b/benchmarks/inventory.py
@@ -271,7 +271,7 @@
     log = setup_logs()
     call = lambda n: log.info("event", tag="abc", n=n, text="two words")
 else:
-    logs.setup()
+    logs.configure_logging()
     call = lambda n: logs.log("x", logging.INFO, "event", tag="abc", n=n, text="two words")
 loaded = mb()
 began = time.perf_counter()
--- a/lapispick/cli/agent.py
+++ b/lapispick/cli/agent.py
@@ -63,7 +63,7 @@
     base = _read_config(Path(str(settings.host_config)))
     try:
         name = platform.load({"LB_CONFIG": str(settings.host_config)}).name
-        logs.setup()
+        logs.configure_logging()
         service = Agent(name, settings, base)
         service.adopt(adopt)
     except (AgentError, OSError, ValueError, platform.ConfigError) as err:
--- a/lapispick/cli/rollout_control.py
+++ b/lapispick/cli/rollout_control.py
@@ -45,7 +45,7 @@
 
 def run_controller(store: RolloutStore, state: RolloutState, fleet: Fleet, default_memory_limit_mb: float) -> None:
     """Control a rollout until it is over, and end the command by how it ended."""
-    logs.setup()
+    logs.configure_logging()
     options = _controller_options(state, fleet, default_memory_limit_mb)
     controller = Controller(store, state, fleet.workers, options, ListReader(fleet).accepted_workers)
     ended = controller.run()
--- a/lapispick/conf/legacy.py
+++ b/lapispick/conf/legacy.py
@@ -9,18 +9,17 @@
 import msgspec
 
 from lapispick.conf.sections import AmqpSettings, Settings
+from lapispick.conf.settings import LEGACY_PATH, LEGACY_PATH_VARIABLE
 from lapispick.file_errors import FaultCollector, InvalidFileError, SourceLocation, suggest_nearest
 
-DEFAULT_PATH = "deploy/amqp.toml"
-PATH_VARIABLE = "LAPISPICK_AMQP"
 KEY_TYPES = {"enabled": bool, "inventory": str, "group": str}
 
 
 def located(environ: Mapping[str, str]) -> Path | None:
     """Return the path of such a file, None where there is none."""
-    if named := environ.get(PATH_VARIABLE):
+    if named := environ.get(LEGACY_PATH_VARIABLE):
         return Path(named)
-    return Path(DEFAULT_PATH) if Path(DEFAULT_PATH).exists() else None
+    return Path(LEGACY_PATH) if Path(LEGACY_PATH).exists() else None
 
 
 def merged(settings: Settings, path: Path) -> Settings:
--- a/lapispick/conf/settings.py
+++ b/lapispick/conf/settings.py
@@ -17,6 +17,8 @@
 
 DEFAULT_PATH = "deploy/lapispick.conf"  # from the root, where the program is started
 PATH_VARIABLE = "LAPISPICK_CONF"
+LEGACY_PATH = "deploy/amqp.toml"  # of the file that ``lapispick.conf.legacy`` reads
+LEGACY_PATH_VARIABLE = "LAPISPICK_AMQP"
 MAX_FILE_BYTES = 1 << 20
 _COMMENT_COLUMN = 44  # of the description behind each directive that is written
 
@@ -72,6 +74,11 @@
     return Path(environ.get(PATH_VARIABLE) or DEFAULT_PATH)
 
 
+def has_legacy_file(environ: Mapping[str, str] = os.environ) -> bool:
+    """Tell whether there is a file of the earlier form for ``lapispick.conf.legacy``, or one is named."""
+    return bool(environ.get(LEGACY_PATH_VARIABLE)) or os.path.exists(LEGACY_PATH)
+
+
 def load(environ: Mapping[str, str] = os.environ) -> Settings:
     """Read the settings file that the environment names; all defaults where there is none by default."""
     path = located(environ)
--- a/lapispick/fakes/program_patches.py
+++ b/lapispick/fakes/program_patches.py
@@ -66,7 +66,7 @@
 IDEMPOTENCY = "host/core/idempotency.py"
 MAIN = "host/__main__.py"
 MAIN_FUNCTION = Place(MAIN, "def main() -> int:")
-LOGS_SET_UP = Place(MAIN, "    setup()\n")
+LOGS_SET_UP = Place(MAIN, "    configure_logging()\n")
 HOUSEKEEPING_IMPORTS = Place(HOUSEKEEPING, "import logging\n")
 ANSWERS_FIRST_CLASS = Place(ANSWERS, "\n\n\nclass ")
 HOUSEKEEPING_STARTS = Place(HOUSEKEEPING, "    def start(self) -> None:")
@@ -102,7 +102,7 @@
 # Hosts that fail.
 
 DOES_NOT_START = (Patch(MAIN_FUNCTION, f"raise SystemExit(3)\n{MAIN_FUNCTION.text}"),)
-HANGS_AT_START = (insert_after(LOGS_SET_UP, "    time.sleep(60)\n"),)
+HANGS_AT_START = (insert_after(LOGS_SET_UP, "    import time\n\n    time.sleep(60)\n"),)
 
 
 def exits_after_a_second(condition="True"):
--- /dev/null
+++ b/lapispick/host/amqp/assembly.py
@@ -0,0 +1,33 @@
+"""Assembles the AMQP front and the inventory that it follows."""
+
+from __future__ import annotations
+
+from lapispick.conf.sections import Settings
+from lapispick.fleet.reconciler import Bounds
+from lapispick.host.amqp import listing
+from lapispick.host.amqp.front import AmqpFront
+from lapispick.host.config import Config
+from lapispick.host.core import Core
+from lapispick.host.dns_resolver import DnsResolver
+from lapispick.host.inventory import Inventory
+from lapispick.host.scheduler import EventLoop
+
+
+def start_amqp_front(loop: EventLoop, config: Config, operator_settings: Settings, core: Core) -> None:
+    """Add the front to the core's, and start it with the inventory of its brokers."""
+    inventory_settings = operator_settings.inventory
+    resolver = DnsResolver(loop, inventory_settings.resolve_timeout_s, inventory_settings.hosts_file)
+    bounds = Bounds(
+        inventory_settings.max_changing_fraction,
+        inventory_settings.min_changing,
+        inventory_settings.change_timeout_s,
+        operator_settings.amqp.drain_timeout_s,
+        config.limits.brokers,
+    )
+    front = AmqpFront(
+        loop, bounds, config.settings, config.start, core.post, resolver, inventory_settings.resolve_interval_s
+    )
+    core.peers.fronts.append(front)
+    inventory = Inventory(loop, inventory_settings, listing.schema(config.settings), front.take)
+    front.start()
+    loop.spawn(inventory.serve)
--- a/lapispick/host/core/answers.py
+++ b/lapispick/host/core/answers.py
@@ -3,12 +3,16 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
+from typing import TYPE_CHECKING
 
 from lapispick import admission
 from lapispick.host.core.clock import Clock
-from lapispick.host.metrics import ExtendedMetrics, Metrics
+from lapispick.host.metrics import Metrics
 from lapispick.host.requests import Answer, AnswerKind, Request
 
+if TYPE_CHECKING:
+    from lapispick.host.extended_metrics import ExtendedMetrics
+
 SLACK_MS = 60.0  # of the rule that each request is answered by its due time
 
 
--- a/lapispick/host/logs.py
+++ b/lapispick/host/logs.py
@@ -65,7 +65,7 @@
     return left_out
 
 
-def setup(level: int = logging.INFO) -> None:
+def configure_logging(level: int = logging.INFO) -> None:
     """Send all records to standard error."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter())
--- /dev/null
+++ b/lapispick/host/reload.py
@@ -0,0 +1,64 @@
+"""Applies a changed configuration to the running process."""
+
+from __future__ import annotations
+
+import logging
+from typing import TYPE_CHECKING
+
+import msgspec
+
+from lapispick.host.config import Config, ConfigError, load
+from lapispick.host.logs import log
+
+if TYPE_CHECKING:
+    from lapispick.host.executor import ExecutorLink
+    from lapispick.host.recorder import Recorder
+    from lapispick.host.registry import RegistryClient
+    from lapispick.host.store import StoreClient
+
+LOG = "host"
+RELOADABLE_KEYS = ("executor", "store", "roster", "stop_ms")  # others are read only at the start
+
+
+class ConfigurationReloader:
+    """Reads the platform's configuration again and moves the peers' clients to their new addresses."""
+
+    def __init__(
+        self,
+        config: Config,
+        executor: ExecutorLink,
+        store: StoreClient,
+        registry: RegistryClient,
+        recorder: Recorder | None,
+    ) -> None:
+        """``config`` is changed in place, so that all who hold it see the new values."""
+        self._config = config
+        self._executor = executor
+        self._store = store
+        self._registry = registry
+        self._recorder = recorder
+
+    def reload(self) -> None:
+        """Apply what can be changed without a restart; an invalid configuration changes nothing."""
+        try:
+            fresh = load()
+        except ConfigError as err:
+            log(LOG, logging.ERROR, "reload-refused", fault=err)
+            return
+        self._apply(fresh)
+        self._executor.move(self._config.address("executor"))
+        self._store.move(self._config.store_address)
+        self._registry.move(self._config.address("roster"))
+
+    def _apply(self, fresh: Config) -> None:
+        """Take over the values of reloadable keys, and log which keys changed."""
+        keys = [field.name for field in msgspec.structs.fields(Config)]
+        changed = [key for key in keys if getattr(fresh, key) != getattr(self._config, key)]
+        applied = [key for key in changed if key in RELOADABLE_KEYS]
+        for key in applied:
+            setattr(self._config, key, getattr(fresh, key))
+        log(LOG, logging.INFO, "reloaded", changed=",".join(applied) or "nothing")
+        if self._recorder is not None:
+            self._recorder.happened("reloaded", ",".join(applied))
+        if left_out := [key for key in changed if key not in RELOADABLE_KEYS]:
+            log(LOG, logging.WARNING, "reload-left-out", needs_restart=",".join(left_out))
--- a/lapispick/rollout/generations.py
+++ b/lapispick/rollout/generations.py
@@ -15,7 +15,7 @@
 from lapispick.rollout.compat import FormatSupport
 
 DIGEST_BYTES = 8
-RELOADABLE_KEYS = ("executor", "store", "roster", "stop_ms")  # as host/__main__.py reloads them
+RELOADABLE_KEYS = ("executor", "store", "roster", "stop_ms")  # as host/reload.py applies them
 HOST_KEYS = ("name", "listen", "ops", "executor", "seed", "limits", "settings")  # a generation must not set these
 
 
--- a/tests/test_module_boundaries.py
+++ b/tests/test_module_boundaries.py
@@ -38,7 +38,7 @@
         ["durable/budget.py", "durable/records.py", "durable/write_admission.py"],
         ["lapispick.idempotency.states"],
     ),
-    "health": (["host/health.py", "host/metrics.py", "host/requests.py"], []),
+    "health": (["host/extended_metrics.py", "host/health.py", "host/metrics.py", "host/requests.py"], []),
     "jitter": (["jitter.py"], []),
 }
 CLOCK_AND_IO = {"open", "print", "input", "eval", "exec", "__import__", "now", "utcnow", "today", "SystemRandom"}
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -30,9 +30,8 @@
 from lapispick.fleet import acceptance, last_good
 from lapispick.fleet import messages as inventory_messages
 from lapispick.handover import messages as handover_messages
-from lapispick.host import __main__ as host_process
+from lapispick.host import assembly, events, executor, extended_metrics, metrics, ops, registry, scheduler, store
 from lapispick.host import config as host_config
-from lapispick.host import events, executor, metrics, ops, registry, scheduler, store
 from lapispick.host.handover import key_lock
 from lapispick.host.handover.handshake import HostIdentity
 from lapispick.host.handover.service import Handover
@@ -361,7 +360,7 @@
 
 def figure_names():
     basic = metrics.Metrics(["book"])
-    extended = metrics.ExtendedMetrics(["book"], [(100.0, 1.0, 0.5)], "0123456789abcdef", lambda: (1, 2))
+    extended = extended_metrics.ExtendedMetrics(["book"], [(100.0, 1.0, 0.5)], "0123456789abcdef", lambda: (1, 2))
 
     def names(lines):
         return [re.sub(r":\d+\|", "|", line) for line in lines]
@@ -482,8 +481,8 @@
     )
     (folder / "list.yml").write_text("hosts:\n  hosts:\n    n3:\n")
     raw = json.loads((SAMPLES / "host-config.json").read_text()) | {"listen": "127.0.0.1:0"}
-    monkeypatch.setattr(host_process, "Operators", FakeOperators)
-    made = host_process.Host(
+    monkeypatch.setattr(assembly, "Operators", FakeOperators)
+    made = assembly.Host(
         host_config.parse(json.dumps(raw).encode()),
         operators_settings.parse(folder / "own.conf"),
         SimpleNamespace(),
