--- a/benchmarks/inventory.py
+++ b/benchmarks/inventory.py
@@ -28,7 +28,7 @@
 from lapispick.fleet.reading import File, Options, Reader
 from lapispick.fleet.reconciler import Bounds
 from lapispick.host.amqp import listing
-from lapispick.platform_settings import Info, settings_from
+from lapispick.platform_settings import StartSettings, admission_settings
 
 SIZES = (14, 500, 5000)
 BEFORE = "8ba3416"  # the last version without inventory files
@@ -148,7 +148,7 @@
     from lapispick.host.inventory import Inventory
     from lapispick.host.scheduler import EventLoop
 
-    info = msgspec.convert(PLATFORM_INFO, Info)
+    info = msgspec.convert(PLATFORM_INFO, StartSettings)
     loop, worst, phase = EventLoop(), {"idle": 0.0, "first": 0.0, "change": 0.0}, ["idle"]
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / f"list.{form}"
@@ -161,7 +161,7 @@
             loop,
             Bounds(max_instances=8),
             info,
-            settings_from(info),
+            admission_settings(info),
             lambda item: None,
             DnsResolver(loop, 1.0, None),
             60.0,
--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -29,7 +29,7 @@
 from lapispick import admission
 from lapispick.admission.controller import Controller
 from lapispick.fakes.start_settings import PLATFORM_INFO, make_platform_info
-from lapispick.platform_settings import Info, settings_from
+from lapispick.platform_settings import StartSettings, admission_settings
 from lapispick.trace import aggregation, files, lines, merging, replaying
 from lapispick.trace import clock_skew as clocking
 from lapispick.trace.anonymising import Anonymiser
@@ -37,7 +37,7 @@
 from lapispick.trace.record_types import Answered, Arrival, Step
 
 SEED, RATE = 7, 130.0  # requests a second
-SETTINGS = settings_from(msgspec.convert(make_platform_info(Cores=3, CallsOut=30.0), Info))
+SETTINGS = admission_settings(msgspec.convert(make_platform_info(Cores=3, CallsOut=30.0), StartSettings))
 NAMES = [s["Name"] for s in PLATFORM_INFO["Services"]]
 
 
--- a/lapispick/cli/inventory.py
+++ b/lapispick/cli/inventory.py
@@ -42,7 +42,7 @@
     from lapispick.host import config as platform
 
     try:
-        return listing.schema(platform.load().settings)
+        return listing.schema(platform.load().start_settings)
     except platform.ConfigError as err:
         print_error(f"{os.environ['LB_CONFIG']}: {err}")
         sys.exit(ExitCode.INVALID)
--- a/lapispick/host/amqp/assembly.py
+++ b/lapispick/host/amqp/assembly.py
@@ -22,12 +22,18 @@
         inventory_settings.min_changing,
         inventory_settings.change_timeout_s,
         operator_settings.amqp.drain_timeout_s,
-        config.limits.brokers,
+        config.limits.max_broker_connections,
     )
     front = AmqpFront(
-        loop, bounds, config.settings, config.start, core.post, resolver, inventory_settings.resolve_interval_s
+        loop,
+        bounds,
+        config.start_settings,
+        config.admission_settings,
+        core.post,
+        resolver,
+        inventory_settings.resolve_interval_s,
     )
     core.peers.fronts.append(front)
-    inventory = Inventory(loop, inventory_settings, listing.schema(config.settings), front.take)
+    inventory = Inventory(loop, inventory_settings, listing.schema(config.start_settings), front.take)
     front.start()
     loop.spawn(inventory.serve)
--- a/lapispick/host/amqp/consumer.py
+++ b/lapispick/host/amqp/consumer.py
@@ -20,7 +20,7 @@
 from lapispick.host.amqp.listing import Queue
 from lapispick.host.logs import log
 from lapispick.host.requests import MAX_BODY_BYTES, MAX_REQUEST_MEMORY_KB, Answer, AnswerKind, Request
-from lapispick.platform_settings import Info
+from lapispick.platform_settings import StartSettings
 
 if TYPE_CHECKING:
     from lapispick.host.amqp.session import Session
@@ -70,9 +70,9 @@
 class Translator:
     """Makes requests of messages."""
 
-    def __init__(self, info: Info, settings: admission.Settings) -> None:
-        self.names = [s.name for s in info.services]
-        self.customers = {p.name for p in info.parties}
+    def __init__(self, info: StartSettings, settings: admission.Settings) -> None:
+        self.names = [s.name for s in info.request_classes]
+        self.customers = {p.name for p in info.tenants}
         self.classes = settings.classes
         by_worth = sorted(range(len(self.names)), key=lambda i: (settings.classes[i].priority_weight, i))
         self.ranks = {class_index: (place + 0.5) / len(by_worth) for place, class_index in enumerate(by_worth)}
--- a/lapispick/host/amqp/front.py
+++ b/lapispick/host/amqp/front.py
@@ -19,7 +19,7 @@
 from lapispick.host.logs import log
 from lapispick.host.scheduler import EventLoop
 from lapispick.host.timers import Timer
-from lapispick.platform_settings import Info
+from lapispick.platform_settings import StartSettings
 
 LOG = "amqp"
 CALLERS_FROM = 1_000_000  # queues count as callers from here on, apart from the gateways' numbers
@@ -54,7 +54,7 @@
         self,
         loop: EventLoop,
         bounds: Bounds,
-        info: Info,
+        info: StartSettings,
         settings: admission.Settings,
         post: Callable[[Any], None],
         names: DnsResolver,
--- a/lapispick/host/amqp/listing.py
+++ b/lapispick/host/amqp/listing.py
@@ -6,7 +6,7 @@
 
 from lapispick.fleet.host_assembly import InventoryHost
 from lapispick.fleet.schema import Schema, Variable, VariableKind
-from lapispick.platform_settings import Info
+from lapispick.platform_settings import StartSettings
 
 VARIABLES = {
     "amqp_host": Variable(VariableKind.HOST, doc="where the broker listens"),
@@ -19,10 +19,10 @@
 }
 
 
-def schema(info: Info | None) -> Schema:
+def schema(info: StartSettings | None) -> Schema:
     """Return what the front reads of a host; without the start settings any class and customer will do."""
-    classes = tuple(s.name for s in info.services) if info else ()
-    customers = tuple(p.name for p in info.parties) if info else ()
+    classes = tuple(s.name for s in info.request_classes) if info else ()
+    customers = tuple(p.name for p in info.tenants) if info else ()
     return Schema(
         prefix="amqp_",
         host_variables=VARIABLES,
--- a/lapispick/host/assembly.py
+++ b/lapispick/host/assembly.py
@@ -43,13 +43,14 @@
         """``config`` is the platform's; ``operator_settings`` are those of ``lapispick.conf``."""
         limits = config.limits
         self._config = config
+        self._admission_settings = config.admission_settings
         self._signals = signals
         self._shutting_down = False
-        self._loop = loop = EventLoop(limits.unsent)
+        self._loop = loop = EventLoop(limits.max_unsent_bytes)
         self.core = core = self._make_core()
-        core.peers.executor = self._executor = ExecutorLink(loop, config.address("executor"), core.post)
-        core.peers.store = self._store = StoreClient(loop, config.store_address, core.post, limits.calls)
-        self._registry = RegistryClient(loop, config.address("roster"), config.name)
+        core.peers.executor = self._executor = ExecutorLink(loop, config.executor_address, core.post)
+        core.peers.store = self._store = StoreClient(loop, config.store_address, core.post, limits.max_calls)
+        self._registry = RegistryClient(loop, config.registry_address, config.name)
         core.health.on_listed = self._registry.set
         self.gateways = self._make_gateways()
         core.peers.fronts.append(self.gateways)
@@ -74,25 +75,34 @@
     def _make_core(self) -> Core:
         config = self._config
         limits = config.limits
-        class_names = [service.name for service in config.settings.services]
-        return Core(self._loop, config.start, int(config.seed, 16), limits.kept, limits.open, class_names)
+        class_names = [request_class.name for request_class in config.start_settings.request_classes]
+        return Core(
+            self._loop,
+            self._admission_settings,
+            config.seed_number,
+            limits.max_result_bytes,
+            limits.max_open_requests,
+            class_names,
+        )
 
     def _make_gateways(self) -> Gateways:
         config = self._config
         answers = self.core.answers
         return Gateways(
             self._loop,
-            config.address("listen"),
-            config.settings,
-            config.start,
-            config.limits.connections,
+            config.listen_address,
+            config.start_settings,
+            self._admission_settings,
+            config.limits.max_connections,
             self.core.post,
             lambda: answers.backpressure,
         )
 
     def _make_operators(self) -> Operators:
         config = self._config
-        return Operators(self._loop, config.address("ops"), config.limits.operators, HostCalls(self.core).by_name())
+        return Operators(
+            self._loop, config.operators_address, config.limits.max_operator_connections, HostCalls(self.core).by_name()
+        )
 
     def _make_members(self, operator_settings: Settings) -> MembersService:
         from lapispick.host.members.assembly import make_members_service
@@ -106,7 +116,7 @@
         """Return the link to another process of this worker host; None where there can't be one."""
         config = self._config
         folder = operator_settings.handover.folder or os.environ.get("TMPDIR")
-        has_fixed_port = config.address("listen")[1] != 0
+        has_fixed_port = config.listen_address[1] != 0
         if not (operator_settings.handover.enabled and folder and has_fixed_port):
             return None
         try:
@@ -114,7 +124,7 @@
                 self._loop,
                 Path(folder),
                 HostIdentity(config.name, config.listen),
-                config.limits.unsent,
+                config.limits.max_unsent_bytes,
                 self.gateways,
                 self.core.post,
                 self._set_peer_connections,
@@ -127,7 +137,9 @@
         from lapispick.host.recorder import Recorder
 
         config = self._config
-        recorder = Recorder(self._loop, operator_settings.trace, config.name, config.settings, config.limits.memory_mb)
+        recorder = Recorder(
+            self._loop, operator_settings.trace, config.name, config.start_settings, config.limits.memory_mb
+        )
         self.core.peers.recorder = recorder
         return recorder
 
@@ -136,8 +148,8 @@
 
         config = self._config
         self.core.answers.extended_metrics = ExtendedMetrics(
-            [service.name for service in config.settings.services],
-            [(c.latency_objective_ms, c.priority_weight, c.late_weight) for c in config.start.classes],
+            [request_class.name for request_class in config.start_settings.request_classes],
+            [(c.latency_objective_ms, c.priority_weight, c.late_weight) for c in self._admission_settings.classes],
             os.environ.get(GENERATION_VARIABLE, ""),
             _read_memory_kb,
         )
--- a/lapispick/host/config.py
+++ b/lapispick/host/config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: the one place where it is read, checked and given defaults.
+"""The platform's configuration: the one place where it is read, validated and given defaults.
 
 The operators' own settings file is read in ``lapispick.conf``.
 """
@@ -7,184 +7,255 @@
 
 import os
 import re
-from collections.abc import Mapping
-from typing import Any
+from collections.abc import Collection, Mapping
 
 import msgspec
 
 from lapispick import admission
 from lapispick.host.addresses import parse_address
+from lapispick.host.errors import HostError
 from lapispick.platform_settings import (
     BACKPRESSURE_SIGNALS,
     CANCEL_MODES,
     IDEMPOTENCY,
     SHARED_DOWNSTREAM,
-    Info,
-    settings_from,
+    HostProperties,
+    StartSettings,
+    admission_settings,
 )
 
 Address = tuple[str, int]
-# descriptors that neither clients, calls nor operators may take: the standard streams, the signals' pair, listeners,
-# the executor's link and its successor, the roster, a file that is read, and an upgrade's folder, locks and sockets
-OWN = 16
-
-
-class ConfigError(Exception):
-    """What was configured cannot be used; the text names the key at fault."""
+CONFIG_PATH_VARIABLE = "LB_CONFIG"
+OPERATORS_ADDRESS_VARIABLE = "LB_OPS"
+# Descriptors that neither clients, calls nor operators may use: the standard streams, the signals' pair, listeners,
+# the executor's link and its successor, the service registry, a file that is read, and an upgrade's folder, locks and
+# sockets
+RESERVED_DESCRIPTORS = 16
+MIN_SOCKETS = 64
+MIN_MEMORY_MB = 24
+MAX_MEMORY_MB = (1 << 20) - 1
+MEMORY_TO_UNSENT_RATIO = 8  # the memory limit over the bytes that may wait for slow readers
+MEMORY_TO_RESULTS_RATIO = 6  # the memory limit over the retained results
+MEMORY_TO_REQUESTS_RATIO = 6  # the memory limit over the open requests
+MAX_REQUEST_BYTES = 8192  # of an open request with all that belongs to it
+MIN_BROKER_CONNECTIONS = 2
+MIN_OPERATOR_CONNECTIONS = 4
+
+
+class ConfigError(HostError):
+    """The configuration is invalid; the text begins with the key at fault."""
 
 
 class Limits(msgspec.Struct):
-    """What the processes of this program may use."""
+    """What the processes of this program may use, and the bounds that derive from it."""
 
     cores: float = 1.0
     memory_mb: float = 192.0
     sockets: int = 1024
 
     @property
-    def connections(self) -> int:
-        """Gateways' connections: they open half of the limit at most; in the rest others are shown out."""
-        return min(self.sockets * 5 // 8, self.sockets - self.calls - self.operators - OWN)
+    def max_connections(self) -> int:
+        """Clients' connections; gateways open half of the limit at most, the rest is for others until they close."""
+        without_others = self.sockets - self.max_calls - self.max_operator_connections - RESERVED_DESCRIPTORS
+        return min(self.sockets * 5 // 8, without_others)
 
     @property
-    def calls(self) -> int:
+    def max_calls(self) -> int:
         """Connections to the store; an eighth is left for listener, links and what the system holds."""
-        return min(self.sockets // 4, self.sockets // 2 - self.operators - OWN)
+        without_others = self.sockets // 2 - self.max_operator_connections - RESERVED_DESCRIPTORS
+        return min(self.sockets // 4, without_others)
 
     @property
-    def brokers(self) -> int:
+    def max_broker_connections(self) -> int:
         """Connections to brokers, old ones that still drain among them: half of what is left for links."""
-        return max(2, self.sockets // 16 - 2)
+        return max(MIN_BROKER_CONNECTIONS, self.sockets // 16 - MIN_BROKER_CONNECTIONS)
 
     @property
-    def operators(self) -> int:
-        """Operators' connections, from the eighth that neither gateways nor calls can take."""
-        return max(4, self.sockets // 32)
+    def max_operator_connections(self) -> int:
+        """Operators' connections, from the eighth that neither gateways nor calls can use."""
+        return max(MIN_OPERATOR_CONNECTIONS, self.sockets // 32)
 
     @property
-    def unsent(self) -> int:
+    def max_unsent_bytes(self) -> int:
         """Bytes that may wait for all slow readers together."""
-        return int(self.memory_mb * (1 << 20)) // 8
+        return self._memory_bytes // MEMORY_TO_UNSENT_RATIO
+
+    @property
+    def max_result_bytes(self) -> int:
+        """Bytes of results that are retained for repeated attempts."""
+        return self._memory_bytes // MEMORY_TO_RESULTS_RATIO
 
     @property
-    def kept(self) -> int:
-        """Bytes of results kept for repeats."""
-        return int(self.memory_mb * (1 << 20)) // 6
+    def max_open_requests(self) -> int:
+        """Requests that may be open at once."""
+        return self._memory_bytes // MEMORY_TO_REQUESTS_RATIO // MAX_REQUEST_BYTES
 
     @property
-    def open(self) -> int:
-        """Requests that may be open at once, at up to 8 KB each with all that belongs to them."""
-        return int(self.memory_mb * (1 << 20)) // 6 // 8192
+    def _memory_bytes(self) -> int:
+        return int(self.memory_mb * (1 << 20))
 
 
 class Config(msgspec.Struct):
-    """All that a worker host is told at its start."""
+    """The configuration that the platform gives a worker host at its start."""
 
     name: str
     listen: str
     executor: str
-    roster: str
+    registry: str = msgspec.field(name="roster")
     seed: str
     stop_ms: float
-    settings: Info
-    store: str = ""  # empty = nothing below that all worker hosts share, and no call is made
+    start_settings: StartSettings = msgspec.field(name="settings")
+    store: str = ""  # empty = there is no dependency that worker hosts share, and no call is made
     ops: str = ""  # where operators call; empty = nowhere
     limits: Limits = msgspec.field(default_factory=Limits)
 
-    def address(self, key: str) -> Address:
-        """Return one of the addresses that must be there."""
-        return parse_address(getattr(self, key), min_port=0)
+    @property
+    def listen_address(self) -> Address:
+        """Where clients connect; port 0 stands for any."""
+        return _socket_address(self.listen)
+
+    @property
+    def executor_address(self) -> Address:
+        """Where the executor listens."""
+        return _socket_address(self.executor)
+
+    @property
+    def registry_address(self) -> Address:
+        """Where load reports go."""
+        return _socket_address(self.registry)
 
     @property
     def store_address(self) -> Address | None:
-        """Return where calls go; None where nothing is called."""
-        return self.address("store") if self.store else None
+        """Where downstream calls go; None where none are made."""
+        return _socket_address(self.store) if self.store else None
 
     @property
-    def start(self) -> admission.Settings:
-        """The module's settings."""
-        return settings_from(self.settings)
+    def operators_address(self) -> Address:
+        """Where operators call; only where ``ops`` is given."""
+        return _socket_address(self.ops)
 
+    @property
+    def seed_number(self) -> int:
+        """The seed of the generators, which the file holds in hexadecimal."""
+        return int(self.seed, 16)
 
-def _key_of(err: msgspec.ValidationError) -> str:
-    """Return ``key: fault`` for msgspec's ``fault - at `$.key```."""
-    text = str(err)
-    at = re.search(r" - at `\$\.?([^`]*)`$", text)
-    missing = re.search(r"missing required field `([^`]*)`", text)
-    path = at.group(1) if at else ""
-    if missing:
-        path = f"{path}.{missing.group(1)}".lstrip(".")
-    return f"{path or 'the whole'}: {text[: at.start()] if at else text}"
+    @property
+    def admission_settings(self) -> admission.Settings:
+        """The decision module's settings."""
+        return admission_settings(self.start_settings)
 
 
-def _check(key: str, good: bool, what: str) -> None:
-    if not good:
-        raise ConfigError(f"{key}: {what}")
+def load(environ: Mapping[str, str] = os.environ) -> Config:
+    """Read the file that ``LB_CONFIG`` names; ``LB_OPS`` takes precedence over its ``ops``. Raises ``ConfigError``."""
+    path = environ.get(CONFIG_PATH_VARIABLE, "")
+    _require(bool(path), CONFIG_PATH_VARIABLE, "must name the configuration file")
+    try:
+        with open(path, "rb") as file:
+            config = parse(file.read())
+    except OSError as err:
+        raise ConfigError(f"{CONFIG_PATH_VARIABLE}: {err}") from None
+    if operators_address := environ.get(OPERATORS_ADDRESS_VARIABLE):  # the file may have been written for another start
+        _require_address(operators_address, OPERATORS_ADDRESS_VARIABLE, min_port=0)
+        config.ops = operators_address
+    return config
 
 
 def parse(raw: bytes) -> Config:
-    """Read and check the configuration; raises ``ConfigError``."""
-    try:
-        config = msgspec.json.decode(raw, type=Config)
-    except msgspec.ValidationError as err:
-        raise ConfigError(_key_of(err)) from None
-    except msgspec.DecodeError as err:
-        raise ConfigError(f"the configuration is not JSON: {err}") from None
-    _check(
+    """Decode and validate the configuration; raises ``ConfigError``."""
+    config = _decode(raw)
+    _require(
+        bool(config.store) or config.start_settings.host.downstream != SHARED_DOWNSTREAM,
         "store",
-        bool(config.store) or config.settings.family_info.downstream != SHARED_DOWNSTREAM,
         "must be there where settings.FamilyInfo.Below is shared",
     )
-    for key in ("listen", "executor", "roster", *(key for key in ("store", "ops") if getattr(config, key))):
-        try:
-            parse_address(getattr(config, key), min_port=0 if key in ("listen", "ops") else 1)
-        except ValueError as err:
-            raise ConfigError(f"{key}: {err}") from None
+    _check_addresses(config)
     try:
         int(config.seed, 16)
     except ValueError:
         raise ConfigError(f"seed: {config.seed!r} is not a hexadecimal number") from None
-    _check("name", bool(re.fullmatch(r"[!-~]+", config.name)), "must be one word")
-    _check("stop_ms", config.stop_ms > 0, "must be over 0")
-    _check("limits.sockets", config.limits.sockets >= 64, "must be at least 64")
-    _check("limits.memory_mb", 24 <= config.limits.memory_mb < 1 << 20, "must be from 24 to 1048575")
-    _check_settings(config.settings)
+    _require(bool(re.fullmatch(r"[!-~]+", config.name)), "name", "must be one word")
+    _require(config.stop_ms > 0, "stop_ms", "must be over 0")
+    _check_limits(config.limits)
+    _check_start_settings(config.start_settings)
     return config
 
 
-def _check_settings(info: Info) -> None:
-    server, where = info.family_info, "settings.FamilyInfo"
-    for i, service in enumerate(info.services):
-        key = f"settings.Services[{i}]"
-        _check(f"{key}.Idempotency", service.idempotency in IDEMPOTENCY, f"must be one of {', '.join(IDEMPOTENCY)}")
-        _check(f"{key}.GiveUp", service.deadline_ms > 0, "must be over 0")
-    names = [s.name for s in info.services]
-    _check("settings.Services", len(set(names)) == len(names) > 0, "must hold classes with different names")
-    _check(f"{where}.ClassSkipWorth", len(server.degraded_weights) == len(names), "must have one value a class")
-    _check(f"{where}.Halt", server.cancel_mode in CANCEL_MODES, f"must be one of {', '.join(CANCEL_MODES)}")
-    _check(
-        f"{where}.Advert",
-        server.backpressure_signal in BACKPRESSURE_SIGNALS,
-        f"must be one of {', '.join(BACKPRESSURE_SIGNALS)}",
+def _socket_address(text: str) -> Address:
+    return parse_address(text, min_port=0)
+
+
+def _decode(raw: bytes) -> Config:
+    try:
+        return msgspec.json.decode(raw, type=Config)
+    except msgspec.ValidationError as err:
+        raise ConfigError(_key_and_fault(err)) from None
+    except msgspec.DecodeError as err:
+        raise ConfigError(f"the configuration is not JSON: {err}") from None
+
+
+def _key_and_fault(err: msgspec.ValidationError) -> str:
+    """Return ``key: fault`` for msgspec's ``fault - at `$.key```."""
+    text = str(err)
+    location = re.search(r" - at `\$\.?([^`]*)`$", text)
+    missing = re.search(r"missing required field `([^`]*)`", text)
+    path = location.group(1) if location else ""
+    if missing:
+        path = f"{path}.{missing.group(1)}".lstrip(".")
+    return f"{path or 'the whole'}: {text[: location.start()] if location else text}"
+
+
+def _require(condition: bool, key: str, requirement: str) -> None:
+    if not condition:
+        raise ConfigError(f"{key}: {requirement}")
+
+
+def _require_one_of(value: str, choices: Collection[str], key: str) -> None:
+    _require(value in choices, key, f"must be one of {', '.join(choices)}")
+
+
+def _require_address(text: str, key: str, min_port: int) -> None:
+    try:
+        parse_address(text, min_port)
+    except ValueError as err:
+        raise ConfigError(f"{key}: {err}") from None
+
+
+def _check_addresses(config: Config) -> None:
+    _require_address(config.listen, "listen", min_port=0)
+    _require_address(config.executor, "executor", min_port=1)
+    _require_address(config.registry, "roster", min_port=1)
+    if config.store:
+        _require_address(config.store, "store", min_port=1)
+    if config.ops:
+        _require_address(config.ops, "ops", min_port=0)
+
+
+def _check_limits(limits: Limits) -> None:
+    _require(limits.sockets >= MIN_SOCKETS, "limits.sockets", f"must be at least {MIN_SOCKETS}")
+    _require(
+        MIN_MEMORY_MB <= limits.memory_mb < MAX_MEMORY_MB + 1,
+        "limits.memory_mb",
+        f"must be from {MIN_MEMORY_MB} to {MAX_MEMORY_MB}",
     )
+
+
+def _check_start_settings(settings: StartSettings) -> None:
+    for i, request_class in enumerate(settings.request_classes):
+        key = f"settings.Services[{i}]"
+        _require_one_of(request_class.idempotency, IDEMPOTENCY, f"{key}.Idempotency")
+        _require(request_class.deadline_ms > 0, f"{key}.GiveUp", "must be over 0")
+    names = [request_class.name for request_class in settings.request_classes]
+    _require(len(set(names)) == len(names) > 0, "settings.Services", "must hold classes with different names")
+    _check_host_properties(settings.host, len(names))
     try:
-        settings_from(info).validate()
+        admission_settings(settings).validate()
     except ValueError as err:
         raise ConfigError(f"settings: {err}") from None
 
 
-def load(environ: Mapping[str, Any] = os.environ) -> Config:
-    """Read the file that ``LB_CONFIG`` names; ``LB_OPS`` goes before its ``ops``. Raises ``ConfigError``."""
-    path = environ.get("LB_CONFIG")
-    _check("LB_CONFIG", bool(path), "must name the configuration file")
-    try:
-        with open(path, "rb") as file:
-            config = parse(file.read())
-    except OSError as err:
-        raise ConfigError(f"LB_CONFIG: {err}") from None
-    if told := environ.get("LB_OPS"):  # of this very start, where a file may have been written for the next one
-        try:
-            parse_address(told, min_port=0)
-        except ValueError as err:
-            raise ConfigError(f"LB_OPS: {err}") from None
-        config.ops = told
-    return config
+def _check_host_properties(host: HostProperties, class_count: int) -> None:
+    key = "settings.FamilyInfo"
+    has_all_classes = len(host.degraded_weights) == class_count
+    _require(has_all_classes, f"{key}.ClassSkipWorth", "must have one value a class")
+    _require_one_of(host.cancel_mode, CANCEL_MODES, f"{key}.Halt")
+    _require_one_of(host.backpressure_signal, BACKPRESSURE_SIGNALS, f"{key}.Advert")
--- a/lapispick/host/jsonrpc/front.py
+++ b/lapispick/host/jsonrpc/front.py
@@ -16,7 +16,7 @@
 from lapispick.host.logs import log
 from lapispick.host.scheduler import READ, EventLoop
 from lapispick.host.streams import Stream, is_readable
-from lapispick.platform_settings import Info
+from lapispick.platform_settings import StartSettings
 
 LOG = "clients"
 MAX_MESSAGE_BYTES = 8 * 1024  # bytes of one message; with a body of 2 KiB it has about 3,200
@@ -39,17 +39,17 @@
         self,
         loop: EventLoop,
         listen: tuple[str, int],
-        info: Info,
+        info: StartSettings,
         settings: admission.Settings,
         most: int,
         post: Callable[[Any], None],
         advice: Callable[[], float | None],
     ) -> None:
         self.loop, self.post, self.advice = loop, post, advice
-        self.classes = {s.name: i for i, s in enumerate(info.services)}
+        self.classes = {s.name: i for i, s in enumerate(info.request_classes)}
         self.settings = settings
-        self.tenants = {party.name for party in info.parties}
-        self.needs_timeout = info.family_info.passes_deadline
+        self.tenants = {party.name for party in info.tenants}
+        self.needs_timeout = info.host.callers_send_deadline
         self.connections: set[Connection] = set()
         self._most, self._idle_s, self._leaving = most, settings.idle_timeout_ms / 1000, False
         self._listen = listen
--- a/lapispick/host/recorder.py
+++ b/lapispick/host/recorder.py
@@ -24,7 +24,7 @@
 from lapispick.host.requests import Request
 from lapispick.host.scheduler import EventLoop
 from lapispick.host.streams import LineTooLongError, Stream, StreamClosedError
-from lapispick.platform_settings import Info
+from lapispick.platform_settings import StartSettings
 from lapispick.trace.messages import Begin
 from lapispick.trace.record_types import NUMBERS, Answered, Arrival, Gap, Happened
 
@@ -49,11 +49,13 @@
 class Recorder:
     """Records the steps of one incarnation of the host."""
 
-    def __init__(self, loop: EventLoop, settings: TraceSettings, name: str, info: Info, memory_mb: float) -> None:
+    def __init__(
+        self, loop: EventLoop, settings: TraceSettings, name: str, start_settings: StartSettings, memory_mb: float
+    ) -> None:
         self._loop = loop
         self._settings = settings
         self._name = name
-        self._info = info
+        self._start_settings = start_settings
         self._buffer_bytes = min(settings.buffer_bytes, int(memory_mb * (1 << 20) / MAX_BUFFER_RATIO))
         # Subjects of one incarnation can be told apart but not guessed; with a shared key, those of all hosts.
         key = settings.subject_key
@@ -86,8 +88,8 @@
                 module_now=now,
                 started_ms=time.time() * 1000,
                 settings=msgspec.json.encode(settings).decode(),
-                classes=[service.name for service in self._info.services],
-                accounts=[party.name for party in self._info.parties],
+                classes=[request_class.name for request_class in self._start_settings.request_classes],
+                accounts=[tenant.name for tenant in self._start_settings.tenants],
             )
         )
         self._start()
@@ -163,7 +165,12 @@
         # Records encode as they are, all their kinds beside them: a tuple made for each would cost as much again.
         numbers = NUMBERS
         kinds = bytes(
-            [numbers[type(record)] for _, events, actions, _ in steps for part in (events, actions) for record in part]
+            [
+                numbers[type(record)]
+                for _, events, actions, _ in steps
+                for records in (events, actions)
+                for record in records
+            ]
         )
         data = self._encode((kinds, steps))
         if stream.closed or stream.unsent_bytes + len(data) > self._buffer_bytes:
--- a/lapispick/host/reload.py
+++ b/lapispick/host/reload.py
@@ -46,17 +46,22 @@
             log(LOG, logging.ERROR, "reload-refused", fault=err)
             return
         self._apply(fresh)
-        self._executor.move(self._config.address("executor"))
+        self._executor.move(self._config.executor_address)
         self._store.move(self._config.store_address)
-        self._registry.move(self._config.address("roster"))
+        self._registry.move(self._config.registry_address)
 
     def _apply(self, fresh: Config) -> None:
         """Take over the values of reloadable keys, and log which keys changed."""
-        keys = [field.name for field in msgspec.structs.fields(Config)]
-        changed = [key for key in keys if getattr(fresh, key) != getattr(self._config, key)]
-        applied = [key for key in changed if key in RELOADABLE_KEYS]
-        for key in applied:
-            setattr(self._config, key, getattr(fresh, key))
+        changed: list[str] = []
+        applied: list[str] = []
+        for field in msgspec.structs.fields(Config):
+            value = getattr(fresh, field.name)
+            if value == getattr(self._config, field.name):
+                continue
+            changed.append(field.encode_name)
+            if field.encode_name in RELOADABLE_KEYS:
+                applied.append(field.encode_name)
+                setattr(self._config, field.name, value)
         log(LOG, logging.INFO, "reloaded", changed=",".join(applied) or "nothing")
         if self._recorder is not None:
             self._recorder.happened("reloaded", ",".join(applied))
--- a/lapispick/host/shutdown.py
+++ b/lapispick/host/shutdown.py
@@ -78,7 +78,7 @@
 
     def _finish_beside_successor(self, handover: Handover) -> None:
         """End once all that was read here is answered; the other process of this worker host continues."""
-        longest_deadline_ms = max(c.deadline_ms for c in self._config.start.classes)
+        longest_deadline_ms = max(c.deadline_ms for c in self._config.admission_settings.classes)
         handover_ms = min(longest_deadline_ms, MAX_HANDOVER_DEADLINE_MS) + HANDOVER_MARGIN_MS
         stop_ms = min(self._config.stop_ms, handover_ms)
         self._core.post(events.ShutdownRequested(stop_ms, handed_over=True))
--- a/lapispick/platform_settings.py
+++ b/lapispick/platform_settings.py
@@ -1,6 +1,6 @@
 """The start settings as the simulator and the platform give them, translated for the decision module.
 
-Classes are named after the keys of the document; fields have the field's terms, with the key beside them. Times are
+Names are those of ``docs/GLOSSARY.md``; each field whose key in the document differs states the key. Times are
 milliseconds.
 """
 
@@ -28,12 +28,12 @@
     "weight": admission.BackpressureSignal.WEIGHT,
 }
 
-SHARED_DOWNSTREAM = "shared"  # a dependency that other servers call too
-VALUE_BY_WORK = "work"
+SHARED_DOWNSTREAM = "shared"  # a dependency that other hosts call too
+WEIGHT_BY_WORK = "work"  # weights count for each unit of work, not for each request
 
 
-class Service(msgspec.Struct, rename="pascal"):
-    """One class of requests."""
+class RequestClass(msgspec.Struct, rename="pascal"):
+    """One class of requests, an element of ``Services``."""
 
     name: str
     latency_objective_ms: float = field(name="Promise")
@@ -45,14 +45,14 @@
     objective_stretch: float = field(name="AimStretch", default=0.0)
 
 
-class Party(msgspec.Struct, rename="pascal"):
-    """One tenant."""
+class Tenant(msgspec.Struct, rename="pascal"):
+    """One tenant, an element of ``Parties``."""
 
     name: str
 
 
-class FamilyInfo(msgspec.Struct, rename="pascal"):
-    """Properties of this server and its site."""
+class HostProperties(msgspec.Struct, rename="pascal"):
+    """Properties of this host and its site: ``FamilyInfo``."""
 
     downstream: str = field(name="Below")
     degraded_weights: list[float] = field(name="ClassSkipWorth")  # by class
@@ -69,18 +69,18 @@
     callers: int = field(name="Upstreams", default=0)
     idle_timeout_ms: float = field(name="Idle", default=0.0)
     readiness: bool = False
-    passes_deadline: bool = False
+    callers_send_deadline: bool = field(name="PassesDeadline", default=False)
 
 
-class Bounds(msgspec.Struct, rename="pascal"):
-    """What the site permits."""
+class RetryAfterSettings(msgspec.Struct, rename="pascal"):
+    """Whether rejections may carry a Retry-After, and up to which value: ``Bounds``."""
 
-    max_retry_after_ms: float = field(name="MaxRetryAfter")
-    retry_after: bool
+    max_ms: float = field(name="MaxRetryAfter")
+    enabled: bool = field(name="RetryAfter")
 
 
-class Guarantees(msgspec.Struct, rename="pascal"):
-    """What the rules on a server state in figures."""
+class PlatformGuarantees(msgspec.Struct, rename="pascal"):
+    """What the platform's rules state in figures: ``Guarantees``."""
 
     cold_speed_fraction: float = field(name="ColdFrom")
     warm_up_ms: float = field(name="WarmUp")
@@ -88,54 +88,55 @@
     drain_grace_ms: float = field(name="DrainGrace")
 
 
-class Info(msgspec.Struct, rename="pascal"):
-    """The whole document; keys that are not used here are skipped."""
+class StartSettings(msgspec.Struct, rename="pascal"):
+    """The whole document; keys that are not used here are ignored."""
 
-    family_info: FamilyInfo
-    bounds: Bounds
-    guarantees: Guarantees
-    services: list[Service]
-    value_by: str
-    layer: int
-    parties: list[Party] = []
+    host: HostProperties = field(name="FamilyInfo")
+    retry_after: RetryAfterSettings = field(name="Bounds")
+    guarantees: PlatformGuarantees
+    request_classes: list[RequestClass] = field(name="Services")
+    weight_by: str = field(name="ValueBy")
+    tier: int = field(name="Layer")
+    tenants: list[Tenant] = field(name="Parties", default_factory=list)
 
 
-def settings_from(info: Info) -> admission.Settings:
-    """Translate the start settings; raises ``KeyError`` for an unknown word and ``ValueError`` for a wrong count."""
-    server = info.family_info
-    guarantees = info.guarantees
+def admission_settings(settings: StartSettings) -> admission.Settings:
+    """Translate the start settings; raises ``KeyError`` for an unknown name and ``ValueError`` for a wrong count."""
+    host = settings.host
+    guarantees = settings.guarantees
+    retry_after = settings.retry_after
     classes = tuple(
         admission.ClassSettings(
-            latency_objective_ms=service.latency_objective_ms,
-            objective_stretch=service.objective_stretch,
-            deadline_ms=service.deadline_ms,
-            idempotency=IDEMPOTENCY[service.idempotency],
-            idempotency_window_ms=service.idempotency_window_ms,
-            priority_weight=service.priority_weight,
-            late_weight=service.late_weight,
+            latency_objective_ms=request_class.latency_objective_ms,
+            objective_stretch=request_class.objective_stretch,
+            deadline_ms=request_class.deadline_ms,
+            idempotency=IDEMPOTENCY[request_class.idempotency],
+            idempotency_window_ms=request_class.idempotency_window_ms,
+            priority_weight=request_class.priority_weight,
+            late_weight=request_class.late_weight,
             degraded_weight=degraded_weight,
         )
-        for service, degraded_weight in zip(info.services, server.degraded_weights, strict=True)
+        for request_class, degraded_weight in zip(settings.request_classes, host.degraded_weights, strict=True)
     )
     return admission.Settings(
         classes=classes,
-        weight_by_work=info.value_by == VALUE_BY_WORK,
-        callers=server.callers,
-        lower_tier=info.layer > 0,
-        cores=server.cores,
-        memory_kb=server.memory_kb,
-        run_memory_factor=server.run_memory_factor,
-        key_memory_kb=server.key_memory_kb,
-        warming_up=server.warming_up,
+        weight_by_work=settings.weight_by == WEIGHT_BY_WORK,
+        callers=host.callers,
+        lower_tier=settings.tier > 0,
+        cores=host.cores,
+        memory_kb=host.memory_kb,
+        run_memory_factor=host.run_memory_factor,
+        key_memory_kb=host.key_memory_kb,
+        warming_up=host.warming_up,
         cold_speed_fraction=guarantees.cold_speed_fraction,
         warm_up_ms=guarantees.warm_up_ms,
         overload_runs_per_core=guarantees.overload_runs_per_core,
         drain_grace_ms=guarantees.drain_grace_ms,
-        cancel_mode=CANCEL_MODES[server.cancel_mode],
-        backpressure_signal=BACKPRESSURE_SIGNALS[server.backpressure_signal],
-        call_quota=server.call_quota if server.downstream == SHARED_DOWNSTREAM else 0.0,
-        call_quota_window_ms=server.call_quota_window_ms,
-        max_retry_after_ms=info.bounds.max_retry_after_ms if info.bounds.retry_after else 0.0,
-        idle_timeout_ms=server.idle_timeout_ms,
-        gauges=tuple(server.gauges),
+        cancel_mode=CANCEL_MODES[host.cancel_mode],
+        backpressure_signal=BACKPRESSURE_SIGNALS[host.backpressure_signal],
+        call_quota=host.call_quota if host.downstream == SHARED_DOWNSTREAM else 0.0,
+        call_quota_window_ms=host.call_quota_window_ms,
+        max_retry_after_ms=retry_after.max_ms if retry_after.enabled else 0.0,
+        idle_timeout_ms=host.idle_timeout_ms,
+        gauges=tuple(host.gauges),
     )
--- a/lapispick/simulator/adapter.py
+++ b/lapispick/simulator/adapter.py
@@ -10,7 +10,7 @@
 
 from lapispick import admission
 from lapispick.admission.controller import Controller
-from lapispick.platform_settings import Info, settings_from
+from lapispick.platform_settings import StartSettings, admission_settings
 from lapispick.simulator import codec
 
 COST_KNOWN_BIT = 1  # of the flags of a request: its cost hint is valid
@@ -140,13 +140,13 @@
     def _start(self, instance: int, seed: int, raw: bytes, clock: float) -> None:
         """Start an instance with its settings, a JSON document. Raises ``WireError``."""
         try:
-            info = msgspec.json.decode(raw, type=Info)
+            info = msgspec.json.decode(raw, type=StartSettings)
         except msgspec.ValidationError as err:
             raise codec.WireError(f"start settings of instance {instance} lack or misuse a key: {err}") from err
         except msgspec.DecodeError as err:
             raise codec.WireError(f"start settings of instance {instance} are not JSON: {err}") from err
         try:
-            settings = settings_from(info)
+            settings = admission_settings(info)
         except KeyError as err:
             raise codec.WireError(f"start settings of instance {instance} lack or misuse {err}") from err
         except (TypeError, ValueError, AttributeError) as err:
--- a/tests/fleet_files.py
+++ b/tests/fleet_files.py
@@ -5,9 +5,9 @@
 from lapispick.fakes.start_settings import PLATFORM_INFO
 from lapispick.fleet.reading import File, Options, Reader
 from lapispick.host.amqp import listing
-from lapispick.platform_settings import Info
+from lapispick.platform_settings import StartSettings
 
-SCHEMA = listing.schema(convert(PLATFORM_INFO, Info))
+SCHEMA = listing.schema(convert(PLATFORM_INFO, StartSettings))
 ENVIRON = {"SHOP_WORD": "secret"}
 
 
--- a/tests/test_connection_overload.py
+++ b/tests/test_connection_overload.py
@@ -21,7 +21,7 @@
 from lapispick.host.connection_eviction import FIRST_S, QUIET_S, Standing
 from lapispick.host.jsonrpc.front import Gateways
 from lapispick.host.scheduler import EventLoop
-from lapispick.platform_settings import Info, settings_from
+from lapispick.platform_settings import StartSettings, admission_settings
 
 NEW = Standing(since=0.0, used_at=0.0, heard_at=0.0, pieces=1, begun_at=0.0, open=False, served=False, at_fault=False)
 
@@ -79,8 +79,8 @@
 @pytest.fixture
 def front():
     """A front that nobody reads for, and a client's connection to it."""
-    info = msgspec.convert(PLATFORM_INFO, Info)
-    made = Gateways(EventLoop(), ("127.0.0.1", 0), info, settings_from(info), 2, lambda item: None, lambda: None)
+    info = msgspec.convert(PLATFORM_INFO, StartSettings)
+    made = Gateways(EventLoop(), ("127.0.0.1", 0), info, admission_settings(info), 2, lambda item: None, lambda: None)
     made.listen()
     name, port = made.address.split(":")
     clients = []
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -13,7 +13,7 @@
 from lapispick.host.scheduler import EventLoop
 from lapispick.idempotency.ownership import Role
 from lapispick.idempotency.table import digest_request
-from lapispick.platform_settings import Info, settings_from
+from lapispick.platform_settings import StartSettings, admission_settings
 
 
 class Recorder:
@@ -47,7 +47,7 @@
 def rig():
     def start(decide):
         loop = EventLoop()
-        host = core.Core(loop, settings_from(msgspec.convert(PLATFORM_INFO, Info)), 1)
+        host = core.Core(loop, admission_settings(msgspec.convert(PLATFORM_INFO, StartSettings)), 1)
         host.peers.executor = host.peers.store = Peers(host)
         host.module.controller = Recorder(decide)
         loop.spawn(host.serve)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,7 +10,7 @@
 import pytest
 
 from lapispick import admission
-from lapispick.platform_settings import Info, settings_from
+from lapispick.platform_settings import StartSettings, admission_settings
 from lapispick.simulator import adapter, codec
 
 BATCH = bytes.fromhex(
@@ -214,7 +214,7 @@
 
 def test_callers_and_idle_timeout_are_optional_settings():
     told = {**INFO, "FamilyInfo": {**INFO["FamilyInfo"], "Upstreams": 230, "Idle": 30000.0}}
-    read = [settings_from(msgspec.convert(info, Info)) for info in (told, INFO)]
+    read = [admission_settings(msgspec.convert(info, StartSettings)) for info in (told, INFO)]
     assert [(s.callers, s.idle_timeout_ms) for s in read] == [(230, 30000.0), (0, 0.0)]
 
 
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -73,12 +73,12 @@
     "executor, notice": executor.Notice,
     "platform's configuration": host_config.Config,
     "platform's configuration, limits": host_config.Limits,
-    "start settings": platform_settings.Info,
-    "start settings, family": platform_settings.FamilyInfo,
-    "start settings, bounds": platform_settings.Bounds,
-    "start settings, guarantees": platform_settings.Guarantees,
-    "start settings, class": platform_settings.Service,
-    "start settings, tenant": platform_settings.Party,
+    "start settings": platform_settings.StartSettings,
+    "start settings, family": platform_settings.HostProperties,
+    "start settings, bounds": platform_settings.RetryAfterSettings,
+    "start settings, guarantees": platform_settings.PlatformGuarantees,
+    "start settings, class": platform_settings.RequestClass,
+    "start settings, tenant": platform_settings.Tenant,
     "module's settings": admission.Settings,
     "module's settings, class": admission.ClassSettings,
     "agent, status": agent_calls.Status,
@@ -234,10 +234,10 @@
 
 def platform_answers():
     """Talk to one connection and return what it writes, by occasion."""
-    info = msgspec.convert(start_settings(), platform_settings.Info)
+    info = msgspec.convert(start_settings(), platform_settings.StartSettings)
     gateways = SimpleNamespace(
         classes={"book": 0},
-        settings=platform_settings.settings_from(info),
+        settings=platform_settings.admission_settings(info),
         tenants={"acme"},
         needs_timeout=True,
         advice=lambda: 2.5,
