--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -30,9 +30,8 @@
 from lapispick.fleet import acceptance, last_good
 from lapispick.fleet import messages as inventory_messages
 from lapispick.handover import messages as handover_messages
-from lapispick.host import __main__ as host_process
+from lapispick.host import assembly, events, executor, extended_metrics, metrics, ops, registry, scheduler, store
 from lapispick.host import config as host_config
-from lapispick.host import events, executor, metrics, ops, registry, scheduler, store
 from lapispick.host.handover import key_lock
 from lapispick.host.handover.handshake import HostIdentity
 from lapispick.host.handover.service import Handover
@@ -76,12 +75,12 @@
     "executor, notice": executor.Notice,
     "platform's configuration": host_config.Config,
     "platform's configuration, limits": host_config.Limits,
-    "start settings": platform_settings.Info,
-    "start settings, family": platform_settings.FamilyInfo,
-    "start settings, bounds": platform_settings.Bounds,
-    "start settings, guarantees": platform_settings.Guarantees,
-    "start settings, class": platform_settings.Service,
-    "start settings, tenant": platform_settings.Party,
+    "start settings": platform_settings.StartSettings,
+    "start settings, family": platform_settings.HostProperties,
+    "start settings, bounds": platform_settings.RetryAfterSettings,
+    "start settings, guarantees": platform_settings.PlatformGuarantees,
+    "start settings, class": platform_settings.RequestClass,
+    "start settings, tenant": platform_settings.Tenant,
     "module's settings": admission.Settings,
     "module's settings, class": admission.ClassSettings,
     "agent, status": agent_calls.Status,
@@ -237,10 +236,10 @@
 
 def platform_answers():
     """Talk to one connection and return what it writes, by occasion."""
-    info = msgspec.convert(start_settings(), platform_settings.Info)
+    info = msgspec.convert(start_settings(), platform_settings.StartSettings)
     gateways = SimpleNamespace(
         classes={"book": 0},
-        settings=platform_settings.settings_from(info),
+        settings=platform_settings.admission_settings(info),
         tenants={"acme"},
         needs_timeout=True,
         advice=lambda: 2.5,
@@ -338,7 +337,7 @@
     monkeypatch.setattr(store, "connect", lambda *_, **__: stream)
     client = store.StoreClient(FakeLoop(), ("127.0.0.1", 8080), posted.append, 10)
     client.call("0123456789abcdef", base64.b64encode(b"body").decode(), 250.0, True)
-    assert [(each[1], each[3]) for each in posted] == [(Outcome.FULL, base64.b64encode(b"no").decode())]
+    assert [(each.outcome, each.body) for each in posted] == [(Outcome.FULL, base64.b64encode(b"no").decode())]
     return re.sub(r"(?<=X-Wait-Ms: )\d+", "N", b"".join(stream.written).decode())
 
 
@@ -363,7 +362,7 @@
 
 def figure_names():
     basic = metrics.Metrics(["book"])
-    extended = metrics.ExtendedMetrics(["book"], [(100.0, 1.0, 0.5)], "0123456789abcdef", lambda: (1, 2))
+    extended = extended_metrics.ExtendedMetrics(["book"], [(100.0, 1.0, 0.5)], "0123456789abcdef", lambda: (1, 2))
 
     def names(lines):
         return [re.sub(r":\d+\|", "|", line) for line in lines]
@@ -484,8 +483,8 @@
     )
     (folder / "list.yml").write_text("hosts:\n  hosts:\n    n3:\n")
     raw = json.loads((SAMPLES / "host-config.json").read_text()) | {"listen": "127.0.0.1:0"}
-    monkeypatch.setattr(host_process, "Operators", FakeOperators)
-    made = host_process.Host(
+    monkeypatch.setattr(assembly, "Operators", FakeOperators)
+    made = assembly.Host(
         host_config.parse(json.dumps(raw).encode()),
         operators_settings.parse(folder / "own.conf"),
         SimpleNamespace(),
