--- a/benchmarks/inventory.py
+++ b/benchmarks/inventory.py
@@ -27,12 +27,12 @@
 from lapispick.fleet.messages import Begin, FromHelper, Poll
 from lapispick.fleet.reading import File, Options, Reader
 from lapispick.fleet.reconciler import Bounds
-from lapispick.host.amqp import listing
+from lapispick.host.amqp import inventory_schema
 from lapispick.platform_settings import Info, settings_from
 
 SIZES = (14, 500, 5000)
 BEFORE = "8ba3416"  # the last version without inventory files
-PLAIN = listing.schema(None)
+PLAIN = inventory_schema.schema(None)
 
 
 def csv_list(count: int, other: int = -1) -> str:
@@ -166,7 +166,7 @@
             DnsResolver(loop, 1.0, None),
             60.0,
         )
-        inventory = Inventory(loop, told, listing.schema(info), front.take)
+        inventory = Inventory(loop, told, inventory_schema.schema(info), front.apply)
 
         def beat() -> None:
             last = time.perf_counter()
--- a/lapispick/cli/inventory.py
+++ b/lapispick/cli/inventory.py
@@ -20,7 +20,7 @@
 from lapispick.fleet.reading import Reader, Reading
 from lapispick.fleet.schema import ANY_HOST, Schema
 from lapispick.fleet.snapshot import Snapshot
-from lapispick.host.amqp import listing
+from lapispick.host.amqp import inventory_schema
 from lapispick.host.inventory import options, policy
 
 JSON = click.option("--json", "json_", is_flag=True, help="For programs.")
@@ -38,11 +38,11 @@
 def _amqp() -> Schema:
     """Return what the AMQP front wants to know; classes and customers are checked where LB_CONFIG names them."""
     if not os.environ.get("LB_CONFIG"):
-        return listing.schema(None)
+        return inventory_schema.schema(None)
     from lapispick.host import config as platform
 
     try:
-        return listing.schema(platform.load().settings)
+        return inventory_schema.schema(platform.load().settings)
     except platform.ConfigError as err:
         print_error(f"{os.environ['LB_CONFIG']}: {err}")
         sys.exit(ExitCode.INVALID)
--- a/lapispick/fakes/broker.py
+++ b/lapispick/fakes/broker.py
@@ -6,8 +6,9 @@
 from typing import Any, NamedTuple
 
 from lapispick.fakes.fake_server import FakeServer
-from lapispick.host.amqp import codec
-from lapispick.host.amqp.codec import Properties
+from lapispick.host.amqp import codec, content, methods
+from lapispick.host.amqp.codec import FrameType
+from lapispick.host.amqp.content import Properties
 
 MAX_FRAME_BYTES = 4096
 MAX_CHANNELS = 100
@@ -38,7 +39,7 @@
         """Return the frames of the content for the present delivery."""
         if self.raw and self.delivery_count == 1:
             return self.raw(channel_number)
-        return codec.encode_content(channel_number, self.properties, self.body, MAX_FRAME_BYTES)
+        return content.encode_content(channel_number, self.properties, self.body, MAX_FRAME_BYTES)
 
 
 class Reply(NamedTuple):
@@ -117,11 +118,14 @@
 
     def reply(self, correlation_id):
         """Return the answer to a request; None where there is none, and a failure where there are several."""
-        found = [reply for reply in list(self.replies) if reply.properties.correlation_id == correlation_id]
+        found = self.answers(correlation_id)
         assert len(found) <= 1, "answered twice"
-        if not found:
-            return None
-        return Answer(found[0].properties.type, found[0].body, found[0].properties.headers)
+        return found[0] if found else None
+
+    def answers(self, correlation_id):
+        """Return all answers to a request; there are several where a message was delivered again."""
+        replies = [reply for reply in list(self.replies) if reply.properties.correlation_id == correlation_id]
+        return [Answer(reply.properties.type, reply.body, reply.properties.headers) for reply in replies]
 
     def consumer_tags(self):
         """Return the tags that consume now, over all connections."""
@@ -132,9 +136,9 @@
                     tags.append(channel.consumer_tag)
         return tags
 
-    def send_method(self, connection, channel_number, name, **args):
+    def send_method(self, connection, channel_number, method):
         """Send a method."""
-        connection.sendall(codec.encode_method(channel_number, name, **args))
+        connection.sendall(methods.encode_method(channel_number, method))
 
     def serve(self, connection):
         file = connection.makefile("rb")
@@ -143,16 +147,17 @@
         self.send_method(
             connection,
             0,
-            "connection.start",
-            major=0,
-            minor=9,
-            server_properties={"product": "fake"},
-            mechanisms=b"PLAIN AMQPLAIN",
-            locales=b"en_US",
+            methods.ConnectionStart(
+                version_major=0,
+                version_minor=9,
+                server_properties={"product": "fake"},
+                mechanisms=b"PLAIN AMQPLAIN",
+                locales=b"en_US",
+            ),
         )
         try:
-            while head := file.read(codec.FRAME_HEAD.size):
-                kind, channel_number, size = codec.FRAME_HEAD.unpack(head)
+            while head := file.read(codec.FRAME_HEADER.size):
+                kind, channel_number, size = codec.FRAME_HEADER.unpack(head)
                 payload = file.read(size)
                 assert file.read(1) == FRAME_END
                 with self.lock:
@@ -166,16 +171,16 @@
 
     def _take_frame(self, connection, kind, channel_number, payload):
         """Handle a frame; False where the connection breaks on it."""
-        if kind == codec.HEARTBEAT:
+        if kind == FrameType.HEARTBEAT:
             self.heartbeat_count += 1
-        elif kind == codec.METHOD:
-            method = codec.decode_method(payload)
+        elif kind == FrameType.METHOD:
+            method = methods.decode_method(payload)
             self.methods.append(method.name)
             if method.name == self.disconnect_on:
                 self.disconnect_on = None
                 return False
             handler = getattr(self, "on_" + method.name.replace(".", "_").replace("-", "_"))
-            handler(connection, channel_number, method.args)
+            handler(connection, channel_number, method)
         else:
             self._take_content(connection, channel_number, kind, payload)
         return True
@@ -206,80 +211,78 @@
         self.send_method(
             connection,
             number,
-            "basic.deliver",
-            tag=channel.consumer_tag,
-            delivery=channel.last_delivery_tag,
-            exchange="",
-            redelivered=message.redelivered,
-            routing_key=channel.queue,
+            methods.BasicDeliver(
+                consumer_tag=channel.consumer_tag,
+                delivery_tag=channel.last_delivery_tag,
+                exchange="",
+                redelivered=message.redelivered,
+                routing_key=channel.queue,
+            ),
         )
         connection.sendall(message.content_frames(number))
 
-    def on_connection_start_ok(self, connection, number, args):
-        if args["response"] != LOGIN:
-            raise ValueError(f"a wrong login: {args['response']!r}")
+    def on_connection_start_ok(self, connection, number, method):
+        if method.response != LOGIN:
+            raise ValueError(f"a wrong login: {method.response!r}")
         self.send_method(
             connection,
             0,
-            "connection.tune",
-            channel_max=MAX_CHANNELS,
-            frame_max=MAX_FRAME_BYTES,
-            heartbeat=self.heartbeat,
+            methods.ConnectionTune(channel_max=MAX_CHANNELS, frame_max=MAX_FRAME_BYTES, heartbeat=self.heartbeat),
         )
 
-    def on_connection_tune_ok(self, connection, number, args):
-        assert args["frame_max"] == MAX_FRAME_BYTES
-        assert args["heartbeat"] <= self.heartbeat
+    def on_connection_tune_ok(self, connection, number, method):
+        assert method.frame_max == MAX_FRAME_BYTES
+        assert method.heartbeat <= self.heartbeat
 
-    def on_connection_open(self, connection, number, args):
-        self.send_method(connection, 0, "connection.open-ok")
+    def on_connection_open(self, connection, number, method):
+        self.send_method(connection, 0, methods.ConnectionOpenOk())
 
-    def on_connection_close(self, connection, number, args):
+    def on_connection_close(self, connection, number, method):
         self.close_count += 1
-        self.send_method(connection, 0, "connection.close-ok")
+        self.send_method(connection, 0, methods.ConnectionCloseOk())
 
-    def on_connection_close_ok(self, connection, number, args):
+    def on_connection_close_ok(self, connection, number, method):
         pass
 
-    def on_channel_open(self, connection, number, args):
+    def on_channel_open(self, connection, number, method):
         self.channels[connection][number] = Channel()
-        self.send_method(connection, number, "channel.open-ok")
+        self.send_method(connection, number, methods.ChannelOpenOk())
 
-    def on_channel_close(self, connection, number, args):
+    def on_channel_close(self, connection, number, method):
         self._return_unacked(self.channels[connection].pop(number))
-        self.send_method(connection, number, "channel.close-ok")
+        self.send_method(connection, number, methods.ChannelCloseOk())
 
-    def on_channel_close_ok(self, connection, number, args):
+    def on_channel_close_ok(self, connection, number, method):
         pass
 
-    def on_confirm_select(self, connection, number, args):
-        self.send_method(connection, number, "confirm.select-ok")
+    def on_confirm_select(self, connection, number, method):
+        self.send_method(connection, number, methods.ConfirmSelectOk())
 
-    def on_basic_qos(self, connection, number, args):
-        self.channels[connection][number].prefetch = args["count"]
-        self.send_method(connection, number, "basic.qos-ok")
+    def on_basic_qos(self, connection, number, method):
+        self.channels[connection][number].prefetch = method.prefetch_count
+        self.send_method(connection, number, methods.BasicQosOk())
 
-    def on_basic_consume(self, connection, number, args):
+    def on_basic_consume(self, connection, number, method):
         channel = self.channels[connection][number]
-        channel.queue = args["queue"]
-        channel.consumer_tag = args["tag"]
-        self.send_method(connection, number, "basic.consume-ok", tag=args["tag"])
+        channel.queue = method.queue
+        channel.consumer_tag = method.consumer_tag
+        self.send_method(connection, number, methods.BasicConsumeOk(consumer_tag=method.consumer_tag))
         self._deliver(connection)
 
-    def on_basic_cancel(self, connection, number, args):
+    def on_basic_cancel(self, connection, number, method):
         self.cancel_count += 1
         channel = self.channels[connection][number]
         if self.message_during_cancel:
             self.put(channel.queue, "crossing", **self.message_during_cancel)
         channel.consumer_tag = None
-        self.send_method(connection, number, "basic.cancel-ok", tag=args["tag"])
+        self.send_method(connection, number, methods.BasicCancelOk(consumer_tag=method.consumer_tag))
 
-    def on_basic_ack(self, connection, number, args):
-        self._settle(connection, number, args["delivery"], Fate.ACKED)
+    def on_basic_ack(self, connection, number, method):
+        self._settle(connection, number, method.delivery_tag, Fate.ACKED)
 
-    def on_basic_reject(self, connection, number, args):
-        fate = Fate.REQUEUED if args["requeue"] else Fate.REJECTED
-        self._settle(connection, number, args["delivery"], fate)
+    def on_basic_reject(self, connection, number, method):
+        fate = Fate.REQUEUED if method.requeue else Fate.REJECTED
+        self._settle(connection, number, method.delivery_tag, fate)
 
     def _settle(self, connection, number, delivery_tag, fate):
         message = self.channels[connection][number].unacked.pop(delivery_tag)
@@ -287,16 +290,16 @@
         message.fate = fate
         self._deliver(connection)
 
-    def on_basic_publish(self, connection, number, args):
-        self.channels[connection][number].publication = Publication(args["routing_key"])
+    def on_basic_publish(self, connection, number, method):
+        self.channels[connection][number].publication = Publication(method.routing_key)
 
     def _take_content(self, connection, number, kind, payload):
         """Take the header or a part of the body of a publication."""
         channel = self.channels[connection][number]
         publication = channel.publication
-        if kind == codec.HEADER:
-            publication.properties = codec.decode_properties(payload)
-            publication.left_bytes = codec.decode_size(payload)
+        if kind == FrameType.HEADER:
+            publication.properties = content.decode_properties(payload)
+            publication.left_bytes = content.decode_body_size(payload)
         else:
             publication.body += payload
             publication.left_bytes -= len(payload)
@@ -308,23 +311,21 @@
         """Keep a publication that is complete and confirm it, or do neither."""
         if self.nacks_left:
             self.nacks_left -= 1
-            self.send_method(connection, number, "basic.nack", delivery=delivery_tag, multiple=False, requeue=False)
+            self.send_method(
+                connection, number, methods.BasicNack(delivery_tag=delivery_tag, multiple=False, requeue=False)
+            )
             return
         if self.returns_unroutable:
             self._return_publication(connection, number, publication)
         else:
             self.replies.append(Reply(publication.queue, publication.properties, publication.body.decode()))
-        self.send_method(connection, number, "basic.ack", delivery=delivery_tag, multiple=False)
+        self.send_method(connection, number, methods.BasicAck(delivery_tag=delivery_tag, multiple=False))
 
     def _return_publication(self, connection, number, publication):
         self.send_method(
             connection,
             number,
-            "basic.return",
-            code=312,
-            text="NO_ROUTE",
-            exchange="",
-            routing_key=publication.queue,
+            methods.BasicReturn(reply_code=312, reply_text="NO_ROUTE", exchange="", routing_key=publication.queue),
         )
-        content = codec.encode_content(number, publication.properties, publication.body, MAX_FRAME_BYTES)
-        connection.sendall(content)
+        frames = content.encode_content(number, publication.properties, publication.body, MAX_FRAME_BYTES)
+        connection.sendall(frames)
--- a/lapispick/fakes/fake_server.py
+++ b/lapispick/fakes/fake_server.py
@@ -4,7 +4,7 @@
 import socket
 import threading
 
-from lapispick.host.amqp import codec
+from lapispick.host.amqp.errors import CodecError
 
 OLD_LISTENER_CLOSES_AFTER_S = 0.3
 OLD_CONNECTIONS_CLOSE_AFTER_S = 1.5
@@ -74,7 +74,7 @@
             self.serve(connection)
         except ConnectionResetError:
             self.reset_count += 1
-        except (OSError, ValueError, codec.CodecError):
+        except (OSError, ValueError, CodecError):
             pass
         finally:
             connection.close()
--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -122,7 +122,7 @@
     def _consume(self, own: Settings) -> None:
         """Let the AMQP front follow the list; what is off is not even imported."""
         from lapispick.fleet.reconciler import Bounds
-        from lapispick.host.amqp import listing
+        from lapispick.host.amqp import inventory_schema
         from lapispick.host.amqp.front import AmqpFront
         from lapispick.host.dns_resolver import DnsResolver
         from lapispick.host.inventory import Inventory
@@ -138,7 +138,7 @@
         )
         front = AmqpFront(self.loop, bounds, config.settings, config.start, core.post, names, told.resolve_interval_s)
         core.peers.fronts.append(front)
-        inventory = Inventory(self.loop, told, listing.schema(config.settings), front.take)
+        inventory = Inventory(self.loop, told, inventory_schema.schema(config.settings), front.apply)
         front.start()
         self.loop.spawn(inventory.serve)
 
--- /dev/null
+++ b/lapispick/host/amqp/deliveries.py
@@ -0,0 +1,100 @@
+"""Messages of a queue: assembled from frames, and kept until they are settled."""
+
+from __future__ import annotations
+
+import logging
+
+from lapispick.host.amqp.codec import Frame, FrameType
+from lapispick.host.amqp.content import Properties, decode_body_size, decode_properties
+from lapispick.host.amqp.errors import CodecError, ConnectionClosedError, ReplyCode
+from lapispick.host.logs import log
+from lapispick.host.requests import MAX_BODY_BYTES, Answer
+
+LOG = "amqp"
+RETURNED_TAG = 0  # of a reply that the broker returned; deliveries are numbered from 1
+
+
+class Delivery:
+    """One message, until it is settled."""
+
+    __slots__ = (
+        "answer",
+        "body",
+        "body_size",
+        "is_unroutable",
+        "properties",
+        "publish_attempts",
+        "redelivered",
+        "tag",
+    )
+
+    def __init__(self, tag: int, redelivered: bool = False) -> None:
+        self.tag = tag
+        self.redelivered = redelivered
+        self.properties: Properties | None = None  # None: they can't be read
+        self.body_size = 0  # as announced; the body of a message that is too long is not kept
+        self.body = bytearray()
+        self.answer: Answer | None = None
+        self.publish_attempts = 0  # of its reply
+        self.is_unroutable = False  # no queue accepts its reply
+
+    @property
+    def is_returned_reply(self) -> bool:
+        """Tell whether the broker returned a reply that it could not route."""
+        return self.tag == RETURNED_TAG
+
+    @property
+    def reply_to(self) -> str:
+        """Return the queue that the requester reads; empty where it expects no reply."""
+        return (self.properties.reply_to or "") if self.properties is not None else ""
+
+
+class ContentAssembler:
+    """Assembles the content header and the body of one message at a time."""
+
+    def __init__(self, queue_name: str) -> None:
+        self._queue_name = queue_name
+        self._delivery: Delivery | None = None
+        self._has_header = False
+        self._bytes_left = 0  # of the body
+
+    @property
+    def is_receiving(self) -> bool:
+        """Tell whether the content of a message is incomplete."""
+        return self._delivery is not None
+
+    def start(self, delivery: Delivery) -> None:
+        """Expect the content of a message."""
+        self._delivery = delivery
+        self._has_header = False
+
+    def add(self, frame: Frame) -> Delivery | None:
+        """Add a content frame; return the message once it is complete. Raises an ``AmqpError`` for invalid frames."""
+        add = self._add_header if frame.type is FrameType.HEADER else self._add_body
+        delivery = add(frame.payload)
+        if self._bytes_left:
+            return None
+        self._delivery = None
+        return delivery
+
+    def _add_header(self, payload: bytes) -> Delivery:
+        delivery = self._delivery
+        if delivery is None or self._has_header:
+            raise ConnectionClosedError("a content header came out of turn", ReplyCode.UNEXPECTED_FRAME)
+        self._bytes_left = delivery.body_size = decode_body_size(payload)
+        self._has_header = True
+        try:
+            delivery.properties = decode_properties(payload)
+        except CodecError as err:  # affects this message only: its size is known
+            log(LOG, logging.WARNING, "properties-malformed", queue=self._queue_name, error=err)
+        return delivery
+
+    def _add_body(self, payload: bytes) -> Delivery:
+        delivery = self._delivery
+        has_room = self._has_header and 0 < len(payload) <= self._bytes_left
+        if delivery is None or not has_room:
+            raise ConnectionClosedError("a body came out of turn", ReplyCode.UNEXPECTED_FRAME)
+        self._bytes_left -= len(payload)
+        if delivery.body_size <= MAX_BODY_BYTES:
+            delivery.body += payload
+        return delivery
--- a/lapispick/host/amqp/front.py
+++ b/lapispick/host/amqp/front.py
@@ -1,4 +1,4 @@
-"""The AMQP 0-9-1 front: connections to the brokers of the accepted list, which follow it in place."""
+"""The AMQP 0-9-1 front: keeps sessions with the brokers of the accepted inventory and follows its changes in place."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 import random
 import time
 from collections.abc import Callable
-from heapq import heappop, heappush
-from typing import Any
+from typing import Any, NamedTuple
 
 from lapispick import admission, jitter
 from lapispick.fleet.reconciler import Bounds, Close, Drain, Open, Reconciler, next_due
 from lapispick.fleet.snapshot import Difference, Snapshot
-from lapispick.host.amqp.consumer import Translator
-from lapispick.host.amqp.listing import Broker, Queue, broker, queues
+from lapispick.host.amqp.caller_numbers import CallerNumbers
+from lapispick.host.amqp.inventory_schema import Broker, Queue, broker_of, queues_of
+from lapispick.host.amqp.request_builder import RequestBuilder
 from lapispick.host.amqp.session import Session
 from lapispick.host.dns_resolver import DnsResolver, NameNotResolvedError
 from lapispick.host.logs import log
@@ -22,33 +22,19 @@
 from lapispick.platform_settings import Info
 
 LOG = "amqp"
-CALLERS_FROM = 1_000_000  # queues count as callers from here on, apart from the gateways' numbers
-SLICE = 100  # hosts that are taken over before others have their turn
-MISSES = 2  # look-ups without the present address before a broker counts as moved
+HOSTS_PER_TURN = 100  # that are read before other greenlets run
+MAX_LOOKUP_MISSES = 2  # look-ups in a row without the present address; then a broker counts as moved
 
 
-class Callers:
-    """Numbers of queues as callers: steady while a queue is there, used again afterwards."""
+class BrokerSpec(NamedTuple):
+    """What the reconciler compares; any difference needs a new session."""
 
-    def __init__(self) -> None:
-        self._numbers: dict[tuple[str, str], int] = {}
-        self._free: list[int] = []
-
-    def number(self, key: str, queue: str) -> int:
-        """Return the number of a queue."""
-        if (known := self._numbers.get((key, queue))) is None:
-            known = heappop(self._free) if self._free else CALLERS_FROM + len(self._numbers)
-            self._numbers[key, queue] = known
-        return known
-
-    def drop(self, key: str) -> None:
-        """Let the numbers of a broker be used again."""
-        for pair in [pair for pair in self._numbers if pair[0] == key]:
-            heappush(self._free, self._numbers.pop(pair))
+    broker: Broker
+    move_count: int  # how often the broker's name has moved to other addresses
 
 
 class AmqpFront:
-    """All brokers of the list."""
+    """The sessions with all brokers of the inventory."""
 
     def __init__(
         self,
@@ -57,139 +43,160 @@
         info: Info,
         settings: admission.Settings,
         post: Callable[[Any], None],
-        names: DnsResolver,
-        names_every: float,
+        resolver: DnsResolver,
+        resolve_interval_s: float,
     ) -> None:
-        self.loop, self.post, self.translator = loop, post, Translator(info, settings)
-        self.leaving = False
-        self._names, self._names_every = names, names_every
+        self.loop = loop
+        self.post = post
+        self.request_builder = RequestBuilder(info, settings)
+        self.is_shutting_down = False
+        self._resolver = resolver
+        self._resolve_interval_s = resolve_interval_s
         self._reconciler = Reconciler(bounds)
-        self._queues: dict[str, dict[str, Queue]] = {}  # of each broker that is wanted
-        self._sessions: dict[int, Session] = {}  # by life
-        self._moves: dict[str, int] = {}  # how often a broker's name has moved
-        self._callers = Callers()
-        self._timer: Timer | None = None
-        self._left_out = 0
+        self._queues: dict[str, dict[str, Queue]] = {}  # by the key of each listed broker
+        self._sessions: dict[int, Session] = {}  # by their number at the reconciler
+        self._move_counts: dict[str, int] = {}
+        self._caller_numbers = CallerNumbers()
+        self._step_timer: Timer | None = None
+        self._logged_left_out = 0
 
     def start(self) -> None:
-        """Look names up again from time to time; the list opens the connections."""
-        self.loop.spawn(self._renew)
+        """Resolve names periodically; sessions begin with the first inventory."""
+        self.loop.spawn(self._resolve_periodically)
 
-    def caller(self, key: str, queue: str) -> int:
-        """Return the number under which a queue counts as a caller."""
-        return self._callers.number(key, queue)
+    # What sessions need.
+
+    def caller_number(self, broker_key: str, queue_name: str) -> int:
+        """Return the number that a queue has as a caller."""
+        return self._caller_numbers.get(broker_key, queue_name)
 
     def lookup(self, name: str) -> list[str]:
-        """Return the addresses of a broker's name; raises ``NameNotResolvedError``, which costs that broker only."""
-        return self._names.lookup(name)
+        """Return the addresses of a broker's name; raises ``NameNotResolvedError``."""
+        return self._resolver.lookup(name)
+
+    def on_session_opened(self, session: Session) -> None:
+        """Take note that a broker is consumed; an older session with it may end."""
+        self._reconciler.opened(time.monotonic(), session.instance)
+        self.loop.call_soon(self._step)
+
+    def on_session_lost(self, session: Session) -> None:
+        """Take note that a connection broke; the session connects again."""
+        self._reconciler.lost(time.monotonic(), session.instance)
+
+    def on_session_ended(self, session: Session) -> None:
+        """Forget a session."""
+        self._sessions.pop(session.instance, None)
+        self._reconciler.ended(session.instance)
+        key = session.broker_key
+        if key not in self._queues and all(other.broker_key != key for other in self._sessions.values()):
+            self._caller_numbers.release(key)
+        log(LOG, logging.INFO, "broker-ended", broker=session.name)
+        self.loop.call_soon(self._step)
 
-    # The list.
+    # The inventory.
 
-    def take(self, snapshot: Snapshot, change: Difference) -> None:
-        """Take over a changed list; called by one greenlet, and others have their turn meanwhile."""
-        for at, key in enumerate((*change.joined, *change.moved, *change.changed), 1):
+    def apply(self, snapshot: Snapshot, difference: Difference) -> None:
+        """Apply a changed inventory; called by one greenlet, and others run meanwhile."""
+        for count, key in enumerate((*difference.joined, *difference.moved, *difference.changed), 1):
             host = snapshot.hosts[key]
-            self._queues[key] = queues(host)
-            self._want(key, broker(host))
-            if not at % SLICE:
+            self._queues[key] = queues_of(host)
+            self._put(key, broker_of(host))
+            if count % HOSTS_PER_TURN == 0:
                 self.loop.yield_control()
-        for key in change.left:
+        for key in difference.left:
             self._reconciler.drop(key)
             self._queues.pop(key, None)
-            self._moves.pop(key, None)
+            self._move_counts.pop(key, None)
         self._step()
         for session in list(self._sessions.values()):
-            if not session.leaving and session.key in self._queues:
-                session.update(self._queues[session.key])
+            if not session.is_draining and session.broker_key in self._queues:
+                session.update(self._queues[session.broker_key])
 
-    def _want(self, key: str, told: Broker) -> None:
-        self._reconciler.put(key, (told, self._moves.get(key, 0)))
+    def _put(self, key: str, broker: Broker) -> None:
+        self._reconciler.put(key, BrokerSpec(broker, self._move_counts.get(key, 0)))
 
     def _step(self) -> None:
-        """Carry out what the reconciler orders now, and come back when time alone changes it."""
-        if self.leaving:
+        """Carry out the reconciler's actions, and step again when time alone changes them."""
+        if self.is_shutting_down:
             return
         now = time.monotonic()
         for action in self._reconciler.step(now):
             if isinstance(action, Open):
-                self._open(action)
+                self._open_session(action)
             elif (session := self._sessions.get(action.instance)) is not None:
-                told = "broker-drains" if isinstance(action, Drain) else "broker-closed-late"
-                log(LOG, logging.INFO, told, broker=session.name)
-                if isinstance(action, Close):
-                    session.close()
-                else:
-                    session.leave()
-        if self._reconciler.left_out != self._left_out:
-            self._left_out = self._reconciler.left_out
-            log(
-                LOG,
-                logging.ERROR,
-                "brokers-left-out",
-                brokers=self._left_out,
-                most=self._reconciler.bounds.max_instances,
-            )
-        if self._timer is not None:
-            self._timer.cancel()
-        self._timer = self.loop.call_later(next_due(self._reconciler, now), self._step)
-
-    def _open(self, action: Open) -> None:
-        told: Broker = action.spec[0]
-        self._sessions[action.instance] = Session(self, action.instance, action.key, told, self._queues[action.key])
-
-    # Word of the sessions.
-
-    def opened(self, session: Session) -> None:
-        """Take note that a broker is consumed from; the old life of it may go."""
-        self._reconciler.opened(time.monotonic(), session.life)
-        self.loop.call_soon(self._step)
+                self._end_session(session, action)
+        self._log_left_out()
+        if self._step_timer is not None:
+            self._step_timer.cancel()
+        self._step_timer = self.loop.call_later(next_due(self._reconciler, now), self._step)
+
+    def _open_session(self, action: Open) -> None:
+        spec: BrokerSpec = action.spec
+        session = Session(self, action.instance, action.key, spec.broker, self._queues[action.key])
+        self._sessions[action.instance] = session
+
+    def _end_session(self, session: Session, action: Drain | Close) -> None:
+        if isinstance(action, Close):
+            log(LOG, logging.INFO, "broker-closed-late", broker=session.name)
+            session.close()
+        else:
+            log(LOG, logging.INFO, "broker-drains", broker=session.name)
+            session.drain()
+
+    def _log_left_out(self) -> None:
+        left_out = self._reconciler.left_out
+        if left_out == self._logged_left_out:
+            return
+        self._logged_left_out = left_out
+        max_brokers = self._reconciler.bounds.max_instances
+        log(LOG, logging.ERROR, "brokers-left-out", brokers=left_out, most=max_brokers)
 
-    def lost(self, session: Session) -> None:
-        """Take note that a connection broke; it is tried again."""
-        self._reconciler.lost(time.monotonic(), session.life)
+    # Names that move.
 
-    def over(self, session: Session) -> None:
-        """Forget a session that has ended."""
-        self._sessions.pop(session.life, None)
-        self._reconciler.ended(session.life)
-        if session.key not in self._queues and all(s.key != session.key for s in self._sessions.values()):
-            self._callers.drop(session.key)
-        log(LOG, logging.INFO, "broker-ended", broker=session.name)
-        self.loop.call_soon(self._step)
-
-    def _renew(self) -> None:
-        """Look the names of connected brokers up again; one that moved for good is opened anew."""
-        misses: dict[int, int] = {}
+    def _resolve_periodically(self) -> None:
+        """Resolve the names of connected brokers again; sessions with moved ones are opened anew."""
+        misses: dict[int, int] = {}  # look-ups in a row without the present address, by session
         while True:
-            self.loop.sleep(jitter.period(self._names_every, random.random()))
-            for life, session in list(self._sessions.items()):
-                if session.leaving or session.address in ("", session.broker.host):
+            self.loop.sleep(jitter.period(self._resolve_interval_s, random.random()))
+            for session in list(self._sessions.values()):
+                if session.is_draining or session.address in ("", session.broker.host):
                     continue
-                try:
-                    found = self._names.lookup(session.broker.host)
-                except NameNotResolvedError as err:  # what is connected stays so
-                    log(LOG, logging.WARNING, "name-lost", broker=session.name, error=err)
+                is_found = self._is_address_found(session)
+                if is_found is None:
                     continue
-                misses[life] = 0 if session.address in found else misses.get(life, 0) + 1
-                if misses[life] >= MISSES and session.key in self._queues and not session.leaving:
-                    log(LOG, logging.INFO, "name-moved", broker=session.name, was=session.address)
-                    misses[life] = 0
-                    self._moves[session.key] = self._moves.get(session.key, 0) + 1
-                    self._want(session.key, session.broker)
-                    self._step()
-            misses = {life: count for life, count in misses.items() if life in self._sessions}
+                count = 0 if is_found else misses.get(session.instance, 0) + 1
+                if count >= MAX_LOOKUP_MISSES and session.broker_key in self._queues and not session.is_draining:
+                    count = 0
+                    self._move(session)
+                misses[session.instance] = count
+            misses = {instance: count for instance, count in misses.items() if instance in self._sessions}
+
+    def _is_address_found(self, session: Session) -> bool | None:
+        """Tell whether a broker's name still has the address in use; None where the name can't be resolved."""
+        try:
+            return session.address in self._resolver.lookup(session.broker.host)
+        except NameNotResolvedError as err:
+            log(LOG, logging.WARNING, "name-lost", broker=session.name, error=err)
+            return None
+
+    def _move(self, session: Session) -> None:
+        log(LOG, logging.INFO, "name-moved", broker=session.name, was=session.address)
+        key = session.broker_key
+        self._move_counts[key] = self._move_counts.get(key, 0) + 1
+        self._put(key, session.broker)
+        self._step()
 
-    # As the core tells every front.
+    # As for every front.
 
     def limit_idle(self, span_ms: float) -> None:
-        """Nothing to do: the connections to brokers are our own."""
+        """Do nothing: this host opens the connections to brokers itself."""
 
     def leave(self) -> None:
-        """Take nothing more."""
-        self.leaving = True
+        """Begin a graceful shutdown: consume nothing more."""
+        self.is_shutting_down = True
         for session in list(self._sessions.values()):
-            session.leave()
+            session.drain()
 
     def flushed(self) -> bool:
-        """Tell whether all that was taken is answered and handed over."""
-        return all(session.flushed() for session in self._sessions.values())
+        """Tell whether all that was accepted is answered and handed to the operating system."""
+        return all(session.is_flushed() for session in self._sessions.values())
--- a/lapispick/host/amqp/listing.py
+++ b/lapispick/host/amqp/inventory_schema.py
@@ -1,7 +1,9 @@
-"""Brokers and queues in the inventory: the schema of their variables, and their records."""
+"""Brokers and queues in the inventory: the schema of their variables, and the structs that the front reads."""
 
 from __future__ import annotations
 
+from typing import Any
+
 import msgspec
 
 from lapispick.fleet.host_assembly import InventoryHost
@@ -20,9 +22,9 @@
 
 
 def schema(info: Info | None) -> Schema:
-    """Return what the front reads of a host; without the start settings any class and customer will do."""
-    classes = tuple(s.name for s in info.services) if info else ()
-    customers = tuple(p.name for p in info.parties) if info else ()
+    """Return the schema of a host; without the start settings any class and tenant is valid."""
+    class_names = tuple(service.name for service in info.services) if info else ()
+    tenants = tuple(party.name for party in info.parties) if info else ()
     return Schema(
         prefix="amqp_",
         host_variables=VARIABLES,
@@ -32,8 +34,8 @@
         item_variables={
             "amqp_queue": Variable(VariableKind.TEXT, None, 1, 255),
             "amqp_prefetch": Variable(VariableKind.INTEGER, 32, 1, 1000, doc="messages in hand"),
-            "amqp_class": Variable(VariableKind.TEXT, "", choices=classes),
-            "amqp_customer": Variable(VariableKind.TEXT, "", choices=customers),
+            "amqp_class": Variable(VariableKind.TEXT, "", choices=class_names),
+            "amqp_customer": Variable(VariableKind.TEXT, "", choices=tenants),
             "amqp_held_kb": Variable(VariableKind.NUMBER, 24.0, 0.1, 1999.0, doc="booked memory"),
         },
         address_variables=("amqp_host", "ansible_host"),
@@ -44,49 +46,54 @@
 
 
 class Queue(msgspec.Struct, frozen=True):
-    """One queue to consume, with what its messages may leave out."""
+    """One queue to consume, with defaults for what its messages may leave out."""
 
     name: str
     prefetch: int
     class_name: str
-    customer: str
+    tenant: str
     request_memory_kb: float
 
 
 class Broker(msgspec.Struct, frozen=True):
-    """One broker and how to log in there; another one of these is another connection."""
+    """One broker and how to log in there; a change of any field needs a new connection."""
 
     host: str  # a name or an address
     port: int
-    vhost: str
+    virtual_host: str
     user: str
     password: str
     heartbeat_s: int
 
     @property
-    def shown(self) -> str:
+    def display_name(self) -> str:
         """Return its name for log lines."""
         return f"{self.host}:{self.port}"
 
 
-def broker(host: InventoryHost) -> Broker:
+def broker_of(host: InventoryHost) -> Broker:
     """Return the broker that a host of the inventory is."""
     values = host.vars
     return Broker(
-        host.address,
-        host.port or values["amqp_port"],
-        values["amqp_vhost"],
-        values["amqp_user"],
-        values["amqp_password"],
-        values["amqp_heartbeat"],
+        host=host.address,
+        port=host.port or values["amqp_port"],
+        virtual_host=values["amqp_vhost"],
+        user=values["amqp_user"],
+        password=values["amqp_password"],
+        heartbeat_s=values["amqp_heartbeat"],
     )
 
 
-def queues(host: InventoryHost) -> dict[str, Queue]:
+def queues_of(host: InventoryHost) -> dict[str, Queue]:
     """Return the queues of a host by name."""
-    return {
-        item["amqp_queue"]: Queue(
-            item["amqp_queue"], item["amqp_prefetch"], item["amqp_class"], item["amqp_customer"], item["amqp_held_kb"]
-        )
-        for item in host.items
-    }
+    return {item["amqp_queue"]: _queue(item) for item in host.items}
+
+
+def _queue(item: dict[str, Any]) -> Queue:
+    return Queue(
+        name=item["amqp_queue"],
+        prefetch=item["amqp_prefetch"],
+        class_name=item["amqp_class"],
+        tenant=item["amqp_customer"],
+        request_memory_kb=item["amqp_held_kb"],
+    )
--- /dev/null
+++ b/lapispick/host/amqp/methods.py
@@ -0,0 +1,337 @@
+"""The methods of AMQP 0-9-1 that a consumer with publisher confirms exchanges with a broker.
+
+Each method is a struct with its arguments in the order of the specification. Reserved arguments are sent empty.
+"""
+
+from __future__ import annotations
+
+import struct
+from collections.abc import Callable
+from typing import Annotated, Any, ClassVar, NamedTuple, TypeVar, get_type_hints
+
+import msgspec
+
+from lapispick.host.amqp.codec import FieldType, FrameType, Reader, encode_field, encode_frame
+from lapispick.host.amqp.errors import CodecError
+
+Bit = Annotated[bool, FieldType.BIT]
+Octet = Annotated[int, FieldType.OCTET]
+Short = Annotated[int, FieldType.SHORT]
+Long = Annotated[int, FieldType.LONG]
+LongLong = Annotated[int, FieldType.LONG_LONG]
+ShortString = Annotated[str, FieldType.SHORT_STRING]
+LongString = Annotated[bytes, FieldType.LONG_STRING]
+Table = Annotated[dict[str, Any], FieldType.TABLE]
+
+BITS_PER_OCTET = 8
+IDS = struct.Struct(">HH")  # of class and method
+
+
+class Method(msgspec.Struct, frozen=True):
+    """The base of all methods."""
+
+    name: ClassVar[str]  # as in the specification
+
+
+M = TypeVar("M", bound=type[Method])
+
+
+class Layout(NamedTuple):
+    """How a method is encoded."""
+
+    class_id: int
+    method_id: int
+    arguments: tuple[tuple[str, FieldType], ...]
+
+
+_LAYOUTS: dict[type[Method], Layout] = {}
+_METHODS: dict[tuple[int, int], type[Method]] = {}
+
+
+def _method(class_id: int, method_id: int, name: str) -> Callable[[M], M]:
+    """Register a method under its ids and its name."""
+
+    def register(method: M) -> M:
+        types = get_type_hints(method, include_extras=True)
+        arguments = tuple((argument, types[argument].__metadata__[0]) for argument in method.__struct_fields__)
+        _LAYOUTS[method] = Layout(class_id, method_id, arguments)
+        _METHODS[class_id, method_id] = method
+        method.name = name
+        return method
+
+    return register
+
+
+@_method(10, 10, "connection.start")
+class ConnectionStart(Method, frozen=True):
+    """The broker starts the negotiation."""
+
+    version_major: Octet
+    version_minor: Octet
+    server_properties: Table
+    mechanisms: LongString
+    locales: LongString
+
+
+@_method(10, 11, "connection.start-ok")
+class ConnectionStartOk(Method, frozen=True):
+    """The client chooses a mechanism and logs in."""
+
+    client_properties: Table
+    mechanism: ShortString
+    response: LongString
+    locale: ShortString
+
+
+@_method(10, 30, "connection.tune")
+class ConnectionTune(Method, frozen=True):
+    """The broker proposes limits; 0 = none."""
+
+    channel_max: Short
+    frame_max: Long  # bytes
+    heartbeat: Short  # s
+
+
+@_method(10, 31, "connection.tune-ok")
+class ConnectionTuneOk(Method, frozen=True):
+    """The client decides on the limits."""
+
+    channel_max: Short
+    frame_max: Long  # bytes
+    heartbeat: Short  # s
+
+
+@_method(10, 40, "connection.open")
+class ConnectionOpen(Method, frozen=True):
+    """The client opens a virtual host."""
+
+    virtual_host: ShortString
+    reserved_1: ShortString = ""
+    reserved_2: Bit = False
+
+
+@_method(10, 41, "connection.open-ok")
+class ConnectionOpenOk(Method, frozen=True):
+    """The connection is open."""
+
+    reserved_1: ShortString = ""
+
+
+@_method(10, 50, "connection.close")
+class ConnectionClose(Method, frozen=True):
+    """Either side closes the connection; the ids name the method at fault, if any."""
+
+    reply_code: Short
+    reply_text: ShortString
+    class_id: Short = 0
+    method_id: Short = 0
+
+
+@_method(10, 51, "connection.close-ok")
+class ConnectionCloseOk(Method, frozen=True):
+    """The other side has closed the connection."""
+
+
+@_method(20, 10, "channel.open")
+class ChannelOpen(Method, frozen=True):
+    """The client opens a channel."""
+
+    reserved_1: ShortString = ""
+
+
+@_method(20, 11, "channel.open-ok")
+class ChannelOpenOk(Method, frozen=True):
+    """The channel is open."""
+
+    reserved_1: LongString = b""
+
+
+@_method(20, 20, "channel.flow")
+class ChannelFlow(Method, frozen=True):
+    """One side asks the other to pause or resume the flow of content."""
+
+    active: Bit
+
+
+@_method(20, 21, "channel.flow-ok")
+class ChannelFlowOk(Method, frozen=True):
+    """The flow is paused or resumed."""
+
+    active: Bit
+
+
+@_method(20, 40, "channel.close")
+class ChannelClose(Method, frozen=True):
+    """Either side closes the channel; the ids name the method at fault, if any."""
+
+    reply_code: Short
+    reply_text: ShortString
+    class_id: Short = 0
+    method_id: Short = 0
+
+
+@_method(20, 41, "channel.close-ok")
+class ChannelCloseOk(Method, frozen=True):
+    """The other side has closed the channel."""
+
+
+@_method(60, 10, "basic.qos")
+class BasicQos(Method, frozen=True):
+    """The client limits the messages that are delivered before they are acknowledged."""
+
+    prefetch_size: Long  # bytes; 0 = no limit
+    prefetch_count: Short
+    is_global: Bit
+
+
+@_method(60, 11, "basic.qos-ok")
+class BasicQosOk(Method, frozen=True):
+    """The limit applies."""
+
+
+@_method(60, 20, "basic.consume")
+class BasicConsume(Method, frozen=True, kw_only=True):
+    """The client consumes a queue."""
+
+    reserved_1: Short = 0
+    queue: ShortString
+    consumer_tag: ShortString
+    no_local: Bit = False
+    no_ack: Bit = False
+    exclusive: Bit = False
+    nowait: Bit = False
+    arguments: Table = {}
+
+
+@_method(60, 21, "basic.consume-ok")
+class BasicConsumeOk(Method, frozen=True):
+    """The consumer is registered."""
+
+    consumer_tag: ShortString
+
+
+@_method(60, 30, "basic.cancel")
+class BasicCancel(Method, frozen=True):
+    """Either side cancels a consumer."""
+
+    consumer_tag: ShortString
+    nowait: Bit = False
+
+
+@_method(60, 31, "basic.cancel-ok")
+class BasicCancelOk(Method, frozen=True):
+    """The consumer is cancelled."""
+
+    consumer_tag: ShortString
+
+
+@_method(60, 40, "basic.publish")
+class BasicPublish(Method, frozen=True, kw_only=True):
+    """The client publishes a message, whose content follows."""
+
+    reserved_1: Short = 0
+    exchange: ShortString = ""
+    routing_key: ShortString
+    mandatory: Bit = False
+    immediate: Bit = False
+
+
+@_method(60, 50, "basic.return")
+class BasicReturn(Method, frozen=True):
+    """The broker returns a message that it could not route; its content follows."""
+
+    reply_code: Short
+    reply_text: ShortString
+    exchange: ShortString
+    routing_key: ShortString
+
+
+@_method(60, 60, "basic.deliver")
+class BasicDeliver(Method, frozen=True):
+    """The broker delivers a message to a consumer; its content follows."""
+
+    consumer_tag: ShortString
+    delivery_tag: LongLong
+    redelivered: Bit
+    exchange: ShortString
+    routing_key: ShortString
+
+
+@_method(60, 80, "basic.ack")
+class BasicAck(Method, frozen=True):
+    """A delivery, or a publication, is acknowledged."""
+
+    delivery_tag: LongLong
+    multiple: Bit = False  # also all before it
+
+
+@_method(60, 90, "basic.reject")
+class BasicReject(Method, frozen=True):
+    """The client rejects a delivery."""
+
+    delivery_tag: LongLong
+    requeue: Bit
+
+
+@_method(60, 120, "basic.nack")
+class BasicNack(Method, frozen=True):
+    """A delivery, or a publication, was not accepted."""
+
+    delivery_tag: LongLong
+    multiple: Bit = False  # also all before it
+    requeue: Bit = False
+
+
+@_method(85, 10, "confirm.select")
+class ConfirmSelect(Method, frozen=True):
+    """The client asks for publisher confirms."""
+
+    nowait: Bit = False
+
+
+@_method(85, 11, "confirm.select-ok")
+class ConfirmSelectOk(Method, frozen=True):
+    """Publications are confirmed from now on."""
+
+
+def _encode_bits(bits: list[bool]) -> bytes:
+    return bytes([sum(bit << place for place, bit in enumerate(bits))]) if bits else b""
+
+
+def encode_method(channel: int, method: Method) -> bytes:
+    """Encode the frame of a method; raises ``CodecError`` for a short string that is too long."""
+    layout = _LAYOUTS[type(method)]
+    payload = bytearray(IDS.pack(layout.class_id, layout.method_id))
+    bits: list[bool] = []  # neighbouring bits share an octet
+    for name, field_type in layout.arguments:
+        value = getattr(method, name)
+        if field_type is FieldType.BIT:
+            bits.append(bool(value))
+            continue
+        payload += _encode_bits(bits)
+        bits.clear()
+        payload += encode_field(field_type, value)
+    payload += _encode_bits(bits)
+    return encode_frame(FrameType.METHOD, channel, bytes(payload))
+
+
+def decode_method(payload: bytes) -> Method:
+    """Decode a method; raises ``CodecError``, also for a method that is not listed here."""
+    reader = Reader(payload)
+    ids = (reader.read_number("H"), reader.read_number("H"))
+    method = _METHODS.get(ids)
+    if method is None:
+        raise CodecError(f"unknown method {ids}")
+    arguments = []
+    octet = 0
+    bit = 0  # place of the next bit in its octet
+    for _, field_type in _LAYOUTS[method].arguments:
+        if field_type is not FieldType.BIT:
+            bit = 0
+            arguments.append(reader.read_field(field_type))
+            continue
+        if bit == 0:
+            octet = reader.read_number("B")
+        arguments.append(bool(octet >> bit & 1))
+        bit = (bit + 1) % BITS_PER_OCTET
+    return method(**dict(zip(method.__struct_fields__, arguments, strict=True)))
--- /dev/null
+++ b/lapispick/host/amqp/request_builder.py
@@ -0,0 +1,103 @@
+"""Builds requests from the messages of a queue."""
+
+from __future__ import annotations
+
+import base64
+import random
+import time
+from collections.abc import Callable
+
+from lapispick import admission
+from lapispick.host.amqp.content import Properties
+from lapispick.host.amqp.deliveries import Delivery
+from lapispick.host.amqp.errors import InvalidMessageError
+from lapispick.host.amqp.inventory_schema import Queue
+from lapispick.host.requests import MAX_BODY_BYTES, MAX_REQUEST_MEMORY_KB, Answer, Request
+from lapispick.platform_settings import Info
+
+MAX_EXPIRATION_DIGITS = 12
+MAX_SHOWN_EXPIRATION = 20  # characters of an invalid one in a log line
+
+
+class RequestBuilder:
+    """Builds requests with the classes and tenants of the settings."""
+
+    def __init__(self, info: Info, settings: admission.Settings) -> None:
+        self._class_names = [service.name for service in info.services]
+        self._tenants = {party.name for party in info.parties}
+        self._classes = settings.classes
+        by_weight = sorted(
+            range(len(self._class_names)), key=lambda index: (settings.classes[index].priority_weight, index)
+        )
+        self._ranks = {class_index: (place + 0.5) / len(by_weight) for place, class_index in enumerate(by_weight)}
+
+    def build(self, delivery: Delivery, queue: Queue, caller: int, reply: Callable[[Answer], None]) -> Request:
+        """Return the request of a message; raises ``InvalidMessageError``."""
+        now_ms = time.time() * 1000
+        properties = delivery.properties
+        if properties is None:
+            raise InvalidMessageError("its properties can't be read")
+        if delivery.body_size > MAX_BODY_BYTES:
+            raise InvalidMessageError(f"its body holds {delivery.body_size} bytes")
+        class_index = self._class_index(properties, queue)
+        class_name = self._class_names[class_index]
+        idempotency = self._classes[class_index].idempotency
+        tenant = self._tenant(properties, queue)
+        is_keyed = idempotency is admission.Idempotency.KEYED
+        if is_keyed and not properties.message_id:
+            raise InvalidMessageError(f"{class_name} needs a message-id, or a second copy could run")
+        created_at_ms = min(now_ms, _created_at_ms(properties) or now_ms)
+        return Request(
+            request_id=f"{random.getrandbits(64):016x}",
+            handler=class_name,
+            class_index=class_index,
+            body=base64.b64encode(delivery.body).decode(),
+            born_at=created_at_ms,
+            deadline_at=self._deadline_at(properties, created_at_ms, class_index),
+            request_memory_kb=_memory_kb(properties, queue),
+            rank=self._ranks[class_index],
+            caller=caller,
+            idempotency_key=("amqp", tenant, class_name, properties.message_id) if is_keyed else None,
+            reply=reply,
+            account=str(tenant or ""),
+            # A redelivered message may have been executed by another process or host.
+            lookup_only=delivery.redelivered and idempotency is not admission.Idempotency.IDEMPOTENT,
+        )
+
+    def _class_index(self, properties: Properties, queue: Queue) -> int:
+        name = properties.headers.get("class") or properties.type or queue.class_name
+        if name not in self._class_names:
+            raise InvalidMessageError(f"there is no class {name!r}")
+        return self._class_names.index(name)
+
+    def _tenant(self, properties: Properties, queue: Queue) -> str:
+        tenant = properties.headers.get("customer") or queue.tenant
+        if self._tenants and tenant not in self._tenants:
+            raise InvalidMessageError(f"there is no customer {tenant!r}")
+        return tenant
+
+    def _deadline_at(self, properties: Properties, created_at_ms: float, class_index: int) -> float:
+        expiration = properties.expiration
+        if expiration is None:
+            return created_at_ms + self._classes[class_index].deadline_ms
+        is_number = expiration.isascii() and expiration.isdecimal()
+        if not is_number or len(expiration) > MAX_EXPIRATION_DIGITS:
+            shown = expiration[:MAX_SHOWN_EXPIRATION]
+            raise InvalidMessageError(f"its expiration {shown!r} is no number of milliseconds")
+        return created_at_ms + float(expiration)
+
+
+def _created_at_ms(properties: Properties) -> float:
+    """Return Unix ms from the header in milliseconds, else from the property in seconds; 0 = unknown."""
+    exact = properties.headers.get("timestamp_in_ms")
+    if isinstance(exact, int) and not isinstance(exact, bool) and exact > 0:
+        return float(exact)
+    return properties.timestamp * 1000.0 if properties.timestamp else 0.0
+
+
+def _memory_kb(properties: Properties, queue: Queue) -> float:
+    size_kb = properties.headers.get("size", queue.request_memory_kb)
+    is_number = isinstance(size_kb, int | float) and not isinstance(size_kb, bool)
+    if not is_number or not 0 < size_kb < MAX_REQUEST_MEMORY_KB:
+        raise InvalidMessageError("its size must be above 0 and under 2,000")
+    return float(size_kb)
--- a/lapispick/host/amqp/session.py
+++ b/lapispick/host/amqp/session.py
@@ -1,311 +1,249 @@
-"""One broker of the AMQP 0-9-1 front: connects, keeps the connection alive and connects again."""
+"""One broker of the AMQP 0-9-1 front: connects, consumes its queues, and connects again when the connection breaks."""
 
 from __future__ import annotations
 
 import logging
 import random
-import time
 from typing import Any, Protocol
 
 from lapispick import jitter
-from lapispick.host.amqp import codec
-from lapispick.host.amqp.codec import CodecError, Method
-from lapispick.host.amqp.consumer import REOPEN_S, BrokerClosedError, Channel, Translator
-from lapispick.host.amqp.listing import Broker, Queue
+from lapispick.host.amqp.channel import REOPEN_S, Channel
+from lapispick.host.amqp.codec import MIN_FRAME_MAX_BYTES
+from lapispick.host.amqp.connection import CONNECTION_CHANNEL, MAX_CHANNELS, BrokerConnection
+from lapispick.host.amqp.errors import CodecError, ConnectionClosedError, ReplyCode
+from lapispick.host.amqp.inventory_schema import Broker, Queue
+from lapispick.host.amqp.request_builder import RequestBuilder
 from lapispick.host.logs import log
 from lapispick.host.scheduler import EventLoop
-from lapispick.host.streams import Stream, StreamClosedError, connect
+from lapispick.host.streams import StreamClosedError, connect
 
 LOG = "amqp"
-CONNECT_S = 3.0  # s; for one try of a connection
-HANDSHAKE_S = 5.0  # s; for each step until a connection is open
-BACKOFF_S = (0.1, 10.0)  # s; first and longest pause before the next try
-FRAME_MOST = 131_072  # bytes; the longest frame we ask for
-CHANNELS_MOST = 255
-CAPABILITIES = {
-    "publisher_confirms": True,
-    "consumer_cancel_notify": True,
-    "basic.nack": True,
-    "authentication_failure_close": True,
-}
-
-
-class Front(Protocol):
-    """What a session asks of the front."""
+CONNECT_S = 3.0  # for one attempt to connect
+MIN_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 10.0
+
+
+class SessionOwner(Protocol):
+    """What a session needs of the front."""
 
     loop: EventLoop
-    translator: Translator
-    leaving: bool
+    request_builder: RequestBuilder
+    is_shutting_down: bool
 
-    def post(self, item: Any) -> None: ...  # noqa: D102
-    def caller(self, key: str, queue: str) -> int: ...  # noqa: D102
+    def post(self, event: Any) -> None: ...  # noqa: D102
+    def caller_number(self, broker_key: str, queue_name: str) -> int: ...  # noqa: D102
     def lookup(self, name: str) -> list[str]: ...  # noqa: D102
-    def opened(self, session: Session) -> None: ...  # noqa: D102
-    def lost(self, session: Session) -> None: ...  # noqa: D102
-    def over(self, session: Session) -> None: ...  # noqa: D102
+    def on_session_opened(self, session: Session) -> None: ...  # noqa: D102
+    def on_session_lost(self, session: Session) -> None: ...  # noqa: D102
+    def on_session_ended(self, session: Session) -> None: ...  # noqa: D102
 
 
 class Session:
-    """One broker: connects, keeps the connection alive and connects again."""
-
-    def __init__(self, front: Front, life: int, key: str, broker: Broker, queues: dict[str, Queue]) -> None:
-        self.front, self.loop, self.life, self.key = front, front.loop, life, key
-        self.broker, self.queues = broker, dict(queues)
-        self.name = broker.shown
-        self.channels: dict[int, Channel] = {}
-        self.frame_max, self.leaving, self.ended = codec.FRAME_MIN, False, False
-        self.address = ""  # where the present or last connection went
-        self.task = self.loop.spawn(self.serve)
-        self._addresses: list[str] = []  # still to be tried
-        self._stream: Stream | None = None
-        self._opened = False  # every queue has been consumed, or the broker has said why not
-        self._sent_at = 0.0
-        self._heartbeat = 0.0
-        self._handshaken = False
-        self._channels_most = CHANNELS_MOST
-
-    def caller(self, channel: Channel) -> int:
-        """Return the number under which a queue counts as a caller."""
-        return self.front.caller(self.key, channel.queue.name)
-
-    def current(self, channel: Channel) -> bool:
-        """Tell whether this channel is still the one that the broker knows."""
-        return self._stream is not None and self.channels.get(channel.number) is channel
+    """One broker: a connection at a time, and a channel for each queue."""
+
+    def __init__(
+        self, owner: SessionOwner, instance: int, broker_key: str, broker: Broker, queues: dict[str, Queue]
+    ) -> None:
+        self.loop = owner.loop
+        self.request_builder = owner.request_builder
+        self.post = owner.post
+        self.instance = instance  # its number at the reconciler
+        self.broker_key = broker_key
+        self.broker = broker
+        self.name = broker.display_name
+        self.address = ""  # of the current or last connection
+        self.is_draining = False
+        self._owner = owner
+        self._queues = dict(queues)
+        self._channels: dict[int, Channel] = {}
+        self._connection: BrokerConnection | None = None
+        self._addresses: list[str] = []  # of the broker's name, not tried so far
+        self._is_reported_open = False  # every queue is consumed, or the broker has said why not
+        self._has_ended = False  # or the close was requested
+        self._greenlet = self.loop.spawn(self._serve)
+
+    # What channels need.
+
+    @property
+    def frame_max_bytes(self) -> int:
+        """Return the longest frame that was negotiated."""
+        return self._connection.frame_max_bytes if self._connection is not None else MIN_FRAME_MAX_BYTES
+
+    @property
+    def host_is_shutting_down(self) -> bool:
+        """Tell whether the host shuts down, and not only this session."""
+        return self._owner.is_shutting_down
+
+    def caller_number(self, channel: Channel) -> int:
+        """Return the number that a queue has as a caller."""
+        return self._owner.caller_number(self.broker_key, channel.queue.name)
+
+    def is_current(self, channel: Channel) -> bool:
+        """Tell whether a channel belongs to the present connection and is not closed."""
+        return self._connection is not None and self._channels.get(channel.number) is channel
 
     def send(self, data: bytes) -> None:
         """Send frames."""
-        if self._stream is not None:
-            self._sent_at = time.monotonic()
-            self._stream.write(data)
+        if self._connection is not None:
+            self._connection.send(data)
+
+    def on_channel_ready(self) -> None:
+        """Report the session as open once every queue is consumed, or the broker has said why not."""
+        if not self._is_reported_open and all(channel.is_ready for channel in self._channels.values()):
+            self._is_reported_open = True
+            self._owner.on_session_opened(self)
+
+    def on_channel_closed(self, channel: Channel) -> None:
+        """Forget a channel that was closed as requested."""
+        if self._channels.get(channel.number) is channel:
+            del self._channels[channel.number]
+        self.close_if_done()
+
+    def on_channel_closed_by_broker(self, channel: Channel) -> None:
+        """Open a channel again a while after the broker closed it."""
+        del self._channels[channel.number]
+        if not channel.is_retired:
+            self.loop.call_later(REOPEN_S, self._reopen, self._connection, channel.queue)
+        self.close_if_done()
+
+    def _reopen(self, connection: BrokerConnection | None, queue: Queue) -> None:
+        if connection is None or self._connection is not connection or self.is_draining:
+            return
+        is_wanted = self._queues.get(queue.name) == queue
+        if is_wanted and not any(c.queue == queue and not c.is_retired for c in self._channels.values()):
+            self._open_channel(queue)
+
+    # The connection.
 
-    def serve(self) -> None:
-        """Hold a connection until told to leave."""
-        pause = BACKOFF_S[0]
+    def _serve(self) -> None:
+        """Keep a connection until the session drains."""
+        backoff_s = MIN_BACKOFF_S
         try:
-            while not self.leaving:
-                if self._hold():
-                    pause = BACKOFF_S[0]
-                if not self.leaving:
-                    self.loop.sleep(jitter.pause(pause, random.random()))
-                    pause = min(BACKOFF_S[1], pause * 2)
+            while not self.is_draining:
+                if self._connect_and_consume():
+                    backoff_s = MIN_BACKOFF_S
+                if not self.is_draining:
+                    self.loop.sleep(jitter.pause(backoff_s, random.random()))
+                    backoff_s = min(MAX_BACKOFF_S, backoff_s * 2)
         finally:
-            self.ended = True
-            self.front.over(self)
+            self._has_ended = True
+            self._owner.on_session_ended(self)
 
-    def _hold(self) -> bool:
+    def _connect_and_consume(self) -> bool:
         """Connect and consume until the connection ends; tell whether it was open."""
-        opened = False
+        was_open = False
         try:
-            if not self._addresses:
-                self._addresses = self.front.lookup(self.broker.host)
-            self.address = self._addresses.pop(0)
-            self._stream = connect(self.loop, (self.address, self.broker.port), CONNECT_S)
-            self._handshake()
-            opened, self._addresses = True, []
-            self._consume()
-        except (OSError, StreamClosedError) as err:  # time-outs among them
-            log(LOG, logging.WARNING, "connection-lost" if opened else "connect-failed", broker=self.name, error=err)
-        except CodecError as err:
-            self._hang_up(codec.SYNTAX_ERROR, str(err))
-        except BrokerClosedError as err:
-            self._hang_up(err.code, str(err))
+            connection = self._connect()
+            was_open = True
+            self._consume(connection)
+        except (OSError, StreamClosedError) as err:  # includes time-outs
+            event = "connection-lost" if was_open else "connect-failed"
+            log(LOG, logging.WARNING, event, broker=self.name, error=err)
+        except (CodecError, ConnectionClosedError) as err:
+            self._abort(str(err), err.reply_code)
         finally:
-            self._drop()
-        return opened
-
-    def close(self) -> None:
-        """End the connection now; what is in hand is given out again by the broker."""
-        self.leaving = True
-        if self._stream is not None:
-            self._stream.close()
-
-    def _drop(self) -> None:
-        if self._stream is not None:  # a close over what the broker still sends would reset our last frames away
-            self.loop.spawn(self._stream.close_gracefully_and_wait)
-        self._stream, self.channels, self._handshaken = None, {}, False
-        if self._opened:
-            self._opened = False
-            self.front.lost(self)
-
-    def _hang_up(self, code: int, text: str) -> None:
+            self._end_connection()
+        return was_open
+
+    def _connect(self) -> BrokerConnection:
+        """Connect to the next address of the broker's name."""
+        if not self._addresses:
+            self._addresses = self._owner.lookup(self.broker.host)
+        self.address = self._addresses.pop(0)
+        stream = connect(self.loop, (self.address, self.broker.port), CONNECT_S)
+        connection = BrokerConnection(self.loop, stream)
+        self._connection = connection
+        connection.open(self.broker)
+        log(LOG, logging.INFO, "connected", broker=self.name, heartbeat_s=int(connection.heartbeat_s))
+        self._addresses = []
+        return connection
+
+    def _abort(self, text: str, reply_code: ReplyCode | None) -> None:
         log(LOG, logging.WARNING, "connection-closed", broker=self.name, error=text)
-        if code:
-            self.send(codec.encode_method(0, "connection.close", code=code, text=text[:200], class_id=0, method_id=0))
-
-    def _read(self, timeout: float | None) -> codec.Frame:
-        stream = self._stream
-        assert stream is not None
-        kind, channel, size = codec.FRAME_HEAD.unpack(stream.read_exactly(codec.FRAME_HEAD.size, timeout))
-        # Guards the memory: no frame is longer than was agreed, whatever it says.
-        if size > self.frame_max - codec.OVERHEAD:
-            raise BrokerClosedError(f"a frame of {size} bytes", codec.FRAME_ERROR)
-        payload = stream.read_exactly(size + 1, timeout)
-        if payload[-1] != codec.FRAME_END or kind not in (codec.METHOD, codec.HEADER, codec.BODY, codec.HEARTBEAT):
-            raise BrokerClosedError("a frame without its end, or of an unknown type", codec.FRAME_ERROR)
-        return codec.Frame(kind, channel, payload[:-1])
-
-    def _expect(self, *names: str) -> Method:
-        """Read the next method of the handshake."""
-        while True:
-            frame = self._read(HANDSHAKE_S)
-            if frame.kind == codec.HEARTBEAT:
-                continue
-            if frame.kind != codec.METHOD or frame.channel:
-                raise BrokerClosedError("no method came within the handshake", codec.UNEXPECTED_FRAME)
-            method = codec.decode_method(frame.payload)
-            if method.name == "connection.close":
-                self._close_ok(method.args)
-            if method.name not in names:
-                raise BrokerClosedError(f"{method.name} came within the handshake", codec.COMMAND_INVALID)
-            return method
-
-    def _close_ok(self, args: dict[str, Any]) -> None:
-        self.send(codec.encode_method(0, "connection.close-ok"))
-        raise BrokerClosedError(f"the broker says {args['code']} {args['text']}")
-
-    def _handshake(self) -> None:
-        broker = self.broker
-        self.frame_max = codec.FRAME_MIN
-        self.send(codec.PROTOCOL_HEADER)
-        start = self._expect("connection.start").args
-        if b"PLAIN" not in start["mechanisms"].split():
-            raise BrokerClosedError("the broker does not take PLAIN")
-        self.send(
-            codec.encode_method(
-                0,
-                "connection.start-ok",
-                mechanism="PLAIN",
-                locale="en_US",
-                client_properties={"product": "lapispick", "capabilities": CAPABILITIES},
-                response=f"\0{broker.user}\0{broker.password}".encode(),
-            )
-        )
-        tune = self._expect("connection.tune").args
-        frame_max = min(FRAME_MOST, tune["frame_max"] or FRAME_MOST)
-        channels = min(CHANNELS_MOST, tune["channel_max"] or CHANNELS_MOST)
-        heartbeat = min(broker.heartbeat_s, tune["heartbeat"]) or broker.heartbeat_s
-        if frame_max < codec.FRAME_MIN:
-            raise BrokerClosedError(f"the broker's longest frame is {frame_max} bytes; the least is {codec.FRAME_MIN}")
-        self.send(
-            codec.encode_method(0, "connection.tune-ok", channel_max=channels, frame_max=frame_max, heartbeat=heartbeat)
-        )
-        self.send(codec.encode_method(0, "connection.open", vhost=broker.vhost))
-        self.frame_max, self._heartbeat = frame_max, float(heartbeat)
-        self._expect("connection.open-ok")
-        self._handshaken, self._channels_most = True, channels
-        log(LOG, logging.INFO, "connected", broker=self.name, heartbeat_s=heartbeat)
-
-    def _consume(self) -> None:
-        self.loop.call_later(self._heartbeat / 2, self._beat, self._stream)
-        for queue in list(self.queues.values()):
+        if reply_code is not None and self._connection is not None:
+            self._connection.request_close(reply_code, text)
+
+    def _end_connection(self) -> None:
+        if self._connection is not None:
+            self._connection.end()
+        self._connection = None
+        self._channels = {}
+        if self._is_reported_open:
+            self._is_reported_open = False
+            self._owner.on_session_lost(self)
+
+    def _consume(self, connection: BrokerConnection) -> None:
+        """Consume all queues until the broker confirms the close."""
+        connection.start_heartbeats()
+        for queue in list(self._queues.values()):
             self._open_channel(queue)
-        if self.leaving:
-            self.leave()
+        if self.is_draining:
+            self.drain()
         while True:
-            frame = self._read(2 * self._heartbeat)  # silence for two beats means that the broker is gone
-            if frame.channel == 0:
-                if self._take(frame):
+            frame = connection.read_frame()
+            if frame.channel == CONNECTION_CHANNEL:
+                if connection.on_frame(frame):
                     return
-            elif (channel := self.channels.get(frame.channel)) is not None:
-                channel.take(frame)
-            elif not 0 < frame.channel <= self._channels_most:  # others may be on their way to a closed one
-                raise BrokerClosedError(f"a frame on channel {frame.channel}", codec.CHANNEL_ERROR)
-
-    def _take(self, frame: codec.Frame) -> bool:
-        """Take a frame on channel 0; True once the connection is closed."""
-        if frame.kind == codec.HEARTBEAT:
-            return False
-        if frame.kind != codec.METHOD:
-            raise BrokerClosedError("content came on channel 0", codec.UNEXPECTED_FRAME)
-        method = codec.decode_method(frame.payload)
-        if method.name == "connection.close":
-            self._close_ok(method.args)
-        if method.name != "connection.close-ok":
-            raise BrokerClosedError(f"{method.name} came on channel 0", codec.COMMAND_INVALID)
-        return True
-
-    def _beat(self, stream: Stream) -> None:
-        if self._stream is stream and not stream.closed:
-            if time.monotonic() - self._sent_at >= self._heartbeat / 2 - 0.05:
-                self.send(codec.encode_frame(codec.HEARTBEAT, 0, b""))
-            self.loop.call_later(self._heartbeat / 2, self._beat, stream)
+            elif (channel := self._channels.get(frame.channel)) is not None:
+                channel.on_frame(frame)
+            elif frame.channel > connection.max_channels:  # others may be late frames of a closed channel
+                raise ConnectionClosedError(f"a frame on channel {frame.channel}", ReplyCode.CHANNEL_ERROR)
 
     def _open_channel(self, queue: Queue) -> None:
-        number = next(n for n in range(1, CHANNELS_MOST + 1) if n not in self.channels)
-        if number > self._channels_most:
-            return log(
-                LOG, logging.ERROR, "queue-left-out", broker=self.name, queue=queue.name, channels=self._channels_most
-            )
-        self.channels[number] = channel = Channel(self, number, queue)
-        channel.cancelled = self.leaving
+        assert self._connection is not None
+        max_channels = self._connection.max_channels
+        number = next(n for n in range(1, MAX_CHANNELS + 1) if n not in self._channels)
+        if number > max_channels:
+            log(LOG, logging.ERROR, "queue-left-out", broker=self.name, queue=queue.name, channels=max_channels)
+            return
+        channel = Channel(self, number, queue)
+        channel.is_cancelled = self.is_draining
+        self._channels[number] = channel
         channel.open()
 
-    def replace(self, channel: Channel) -> None:
-        """Open a channel again, a while after the broker closed it."""
-        del self.channels[channel.number]
-        stream, queue = self._stream, channel.queue
-
-        def again() -> None:
-            if (
-                self._stream is stream
-                and stream is not None
-                and not self.leaving
-                and self.queues.get(queue.name) == queue
-                and not any(c.queue == queue and not c.retired for c in self.channels.values())
-            ):
-                self._open_channel(queue)
-
-        if not channel.retired:
-            self.loop.call_later(REOPEN_S, again)
-        self.check_end()
-
-    def gone(self, channel: Channel) -> None:
-        """Forget a channel that was closed as we asked."""
-        if self.channels.get(channel.number) is channel:
-            del self.channels[channel.number]
-        self.check_end()
+    # Changes of the inventory, and the end.
 
     def update(self, queues: dict[str, Queue]) -> None:
-        """Consume these queues from now on; those that stay as they are notice nothing."""
-        old, self.queues = self.queues, dict(queues)
-        if self._stream is None or self.leaving or not self._handshaken:
-            return  # the next connection opens what is wanted then
-        for channel in list(self.channels.values()):
-            if not channel.retired and queues.get(channel.queue.name) != channel.queue:
+        """Consume these queues from now on; channels of unchanged queues are not touched."""
+        old = self._queues
+        self._queues = dict(queues)
+        if self._connection is None or self.is_draining or not self._connection.is_open:
+            return  # the next connection opens the channels
+        for channel in list(self._channels.values()):
+            if not channel.is_retired and queues.get(channel.queue.name) != channel.queue:
                 channel.retire()
         for name, queue in queues.items():
             if old.get(name) != queue:
                 self._open_channel(queue)
 
-    def reported(self) -> None:
-        """Tell the front once every queue is consumed, or the broker has said why not."""
-        if not self._opened and all(c.reported for c in self.channels.values()):
-            self._opened = True
-            self.front.opened(self)
-
-    def leave(self) -> None:
-        """Take nothing more; the connection is closed once all that was taken is answered."""
-        self.leaving = True
-        if self._stream is None:
-            return self.loop.kill(self.task)  # it connects, looks a name up or waits to try again
-        for channel in self.channels.values():
+    def drain(self) -> None:
+        """Consume nothing more; the connection is closed once all that was accepted is answered."""
+        self.is_draining = True
+        if self._connection is None:
+            self.loop.kill(self._greenlet)  # it connects, looks the name up or waits for its next attempt
+            return
+        for channel in self._channels.values():
             channel.cancel()
-        self.check_end()
-
-    def check_end(self) -> None:
-        """Close the connection where we leave and nothing is in hand."""
-        if self.leaving and not self.ended and self._handshaken and all(c.quiet for c in self.channels.values()):
-            self.ended = True
-            self.send(
-                codec.encode_method(
-                    0, "connection.close", code=codec.REPLY_SUCCESS, text="leaving", class_id=0, method_id=0
-                )
-            )
-        elif self.leaving and not self._handshaken and self._stream is not None:
-            self._stream.close()  # nothing was taken so far
-
-    def flushed(self) -> bool:
-        """Tell whether all that was taken is answered and handed over."""
-        return not any(c.in_hand for c in self.channels.values()) and not (
-            self._stream is not None and self._stream.unsent_bytes
-        )
+        self.close_if_done()
+
+    def close_if_done(self) -> None:
+        """Close the connection of a draining session that has nothing in flight."""
+        if not self.is_draining or self._connection is None:
+            return
+        if not self._connection.is_open:
+            self._connection.close()
+        elif not self._has_ended and all(channel.is_idle for channel in self._channels.values()):
+            self._has_ended = True
+            self._connection.request_close(ReplyCode.SUCCESS, "leaving")
+
+    def close(self) -> None:
+        """End the connection now; the broker redelivers what is in flight."""
+        self.is_draining = True
+        if self._connection is not None:
+            self._connection.close()
+
+    def is_flushed(self) -> bool:
+        """Tell whether all that was accepted is answered and handed to the operating system."""
+        if any(channel.in_flight for channel in self._channels.values()):
+            return False
+        return self._connection is None or not self._connection.stream.unsent_bytes
--- a/tests/fleet_files.py
+++ b/tests/fleet_files.py
@@ -4,10 +4,10 @@
 
 from lapispick.fakes.start_settings import PLATFORM_INFO
 from lapispick.fleet.reading import File, Options, Reader
-from lapispick.host.amqp import listing
+from lapispick.host.amqp import inventory_schema
 from lapispick.platform_settings import Info
 
-SCHEMA = listing.schema(convert(PLATFORM_INFO, Info))
+SCHEMA = inventory_schema.schema(convert(PLATFORM_INFO, Info))
 ENVIRON = {"SHOP_WORD": "secret"}
 
 
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -1,9 +1,10 @@
-"""The AMQP front: the codec against bytes of the specification, and the whole path as a process."""
+"""The AMQP front: the codec against bytes of the specification, and the running program against a fake broker."""
 
 import collections
 import struct
 import threading
 import time
+from typing import get_type_hints
 
 import pytest
 
@@ -11,8 +12,10 @@
 from lapispick.fakes.executor import Executor
 from lapispick.fakes.start_settings import PLATFORM_INFO
 from lapispick.fakes.waiting import wait_until
-from lapispick.host.amqp import codec
-from lapispick.host.amqp.codec import Properties
+from lapispick.host.amqp import codec, content, methods
+from lapispick.host.amqp.codec import FieldType, FrameType
+from lapispick.host.amqp.content import Properties
+from lapispick.host.amqp.errors import CodecError
 
 CONF = """
 section inventory
@@ -29,30 +32,30 @@
 
 
 @pytest.fixture
-def edge(host, tmp_path):
-    """Start a worker host that consumes ``jobs`` from a stand-in broker."""
+def consuming_host(host, tmp_path):
+    """Start a worker host that consumes the queue ``jobs`` of a fake broker."""
 
-    def start(prefetch=32, broker=None, heartbeat=10, **over):
+    def start(prefetch=32, broker=None, heartbeat=10, **overrides):
         broker = broker or Broker()
         name, port = broker.address.split(":")
         (tmp_path / "shops.csv").write_text(
             f"{ROW}a,shops,{name},{port},jobs,{prefetch},shop,{heartbeat}\nb,others,,,,,,\n"
         )
         (tmp_path / "own.conf").write_text(CONF)
-        h = host(environ={"LAPISPICK_CONF": str(tmp_path / "own.conf")}, **over)
-        h.broker = broker
+        started = host(environ={"LAPISPICK_CONF": str(tmp_path / "own.conf")}, **overrides)
+        started.broker = broker
         brokers.append(broker)
-        h.wait_for_log("consuming")
-        return h
+        started.wait_for_log("consuming")
+        return started
 
     brokers = []
     yield start
-    for each in brokers:
-        each.close()
+    for broker in brokers:
+        broker.close()
 
 
-def ask(broker, body, class_name="track", correlation=None, reply_to="answers", **over):
-    """Put a request; return the message and its correlation id."""
+def put_request(broker, body, class_name="track", correlation=None, reply_to="answers", **overrides):
+    """Put a request into ``jobs``; return the message and its correlation id."""
     correlation = correlation or f"c{len(broker.messages)}"
     properties = {
         "type": class_name,
@@ -60,46 +63,66 @@
         "reply_to": reply_to,
         "expiration": "4000",
         "message_id": f"m-{correlation}",
-        **over,
+        **overrides,
     }
     return broker.put("jobs", body, **properties), correlation
 
 
+def wait_for_answer(host, correlation_id):
+    """Wait for the one reply to a request."""
+    return wait_until(lambda: host.broker.reply(correlation_id), f"the reply to {correlation_id}")
+
+
 def test_the_codec_writes_the_bytes_of_the_specification():
-    assert codec.encode_frame(codec.HEARTBEAT, 0, b"") == bytes.fromhex("08 0000 00000000 ce")
-    assert codec.encode_method(1, "basic.ack", delivery=2, multiple=True) == bytes.fromhex(
-        "01 0001 0000000d 003c 0050 0000000000000002 01 ce"
-    )
-    assert codec.encode_method(
-        1, "basic.consume", queue="q", tag="t", no_local=False, no_ack=True, exclusive=False, nowait=True, arguments={}
-    ) == bytes.fromhex("01 0001 0000000f 003c 0014 0000 01 71 01 74 0a 00000000 ce")
-    assert codec.encode_header(1, 3, Properties(content_type="a", message_id="m")) == bytes.fromhex(
-        "02 0001 00000012 003c 0000 0000000000000003 8080 01 61 01 6d ce"
-    )
+    heartbeat = codec.encode_frame(FrameType.HEARTBEAT, 0, b"")
+    assert heartbeat == bytes.fromhex("08 0000 00000000 ce")
+    ack = methods.encode_method(1, methods.BasicAck(delivery_tag=2, multiple=True))
+    assert ack == bytes.fromhex("01 0001 0000000d 003c 0050 0000000000000002 01 ce")
+    consume = methods.encode_method(1, methods.BasicConsume(queue="q", consumer_tag="t", no_ack=True, nowait=True))
+    assert consume == bytes.fromhex("01 0001 0000000f 003c 0014 0000 01 71 01 74 0a 00000000 ce")
+    header = content.encode_header(1, 3, Properties(content_type="a", message_id="m"))
+    assert header == bytes.fromhex("02 0001 00000012 003c 0000 0000000000000003 8080 01 61 01 6d ce")
 
 
-def test_methods_properties_and_tables_come_back_as_written():
-    table = {"t": True, "n": -5, "f": 1.5, "s": "é", "in": {"x": 1}}
-    every = Properties("a", "b", table, 2, 3, "c", "d", "9", "e", 1764576000, "f", "g", "h", "i")
-    frame = codec.encode_header(7, 99, every)
-    assert codec.decode_properties(frame[7:-1]) == every
-    assert codec.decode_size(frame[7:-1]) == 99
-    for name in codec.IDS:
-        args = {
-            key: {"s": "text", "S": b"long", "F": table, "t": True}.get(code, 3)
-            for key, code in codec.SPECS[name]
-            if not key.startswith("*")
-        }
-        method = codec.decode_method(codec.encode_method(1, name, **args)[7:-1])
-        assert method.name == name
-        assert method.args.items() >= args.items()
-    kinds = b"\x01xb\xff\x01yA\x00\x00\x00\x04t\x01t\x00\x01zV\x01dD\x02\x00\x00\x01\x00"
-    assert codec.Reader(struct.pack(">I", len(kinds)) + kinds).table() == {
-        "x": -1,
-        "y": [True, False],
-        "z": None,
-        "d": 2.56,
-    }
+TABLE = {"t": True, "n": -5, "f": 1.5, "s": "é", "in": {"x": 1}}
+ARGUMENTS = {
+    FieldType.SHORT_STRING: "text",
+    FieldType.LONG_STRING: b"long",
+    FieldType.TABLE: TABLE,
+    FieldType.BIT: True,
+}
+
+
+def payload_of(frame):
+    """Return what a frame holds between its header and its end."""
+    return frame[codec.FRAME_HEADER.size : -1]
+
+
+@pytest.mark.parametrize("method_type", methods.Method.__subclasses__(), ids=lambda method_type: method_type.name)
+def test_a_method_is_decoded_as_it_was_encoded(method_type):
+    types = get_type_hints(method_type, include_extras=True)
+    arguments = {name: ARGUMENTS.get(types[name].__metadata__[0], 3) for name in method_type.__struct_fields__}
+    method = method_type(**arguments)
+    assert methods.decode_method(payload_of(methods.encode_method(1, method))) == method
+
+
+def test_each_method_has_its_own_name():
+    names = [method_type.name for method_type in methods.Method.__subclasses__()]
+    assert len(names) == 28
+    assert len(set(names)) == 28
+
+
+def test_properties_are_decoded_as_they_were_encoded():
+    properties = Properties("a", "b", TABLE, 2, 3, "c", "d", "9", "e", 1764576000, "f", "g", "h", "i")
+    payload = payload_of(content.encode_header(7, 99, properties))
+    assert content.decode_properties(payload) == properties
+    assert content.decode_body_size(payload) == 99
+
+
+def test_a_table_may_hold_types_that_are_never_sent():
+    fields = b"\x01xb\xff\x01yA\x00\x00\x00\x04t\x01t\x00\x01zV\x01dD\x02\x00\x00\x01\x00"
+    table = codec.Reader(struct.pack(">I", len(fields)) + fields).read_table()
+    assert table == {"x": -1, "y": [True, False], "z": None, "d": 2.56}
 
 
 @pytest.mark.parametrize(
@@ -114,126 +137,134 @@
     ],
 )
 def test_malformed_methods_are_codec_errors(payload):
-    with pytest.raises(codec.CodecError):
-        codec.decode_method(payload)
-
-
-def test_a_message_is_served_and_the_reply_precedes_the_acknowledgement(edge):
-    h = edge()
-    message, c = ask(h.broker, "hello", headers={"size": 12.5})
-    outcome, body, headers = wait_until(lambda: h.broker.reply(c), "the reply")
-    assert (outcome, body, headers["outcome"]) == ("served", "did hello", "served")
-    assert headers["advice"] >= 0
-    assert h.broker.replies[0].queue == "answers"
+    with pytest.raises(CodecError):
+        methods.decode_method(payload)
+
+
+def test_a_message_is_served_and_the_reply_precedes_the_acknowledgement(consuming_host):
+    host = consuming_host()
+    message, correlation_id = put_request(host.broker, "hello", headers={"size": 12.5})
+    answer = wait_for_answer(host, correlation_id)
+    assert answer.outcome == "served"
+    assert answer.body == "did hello"
+    assert answer.headers["outcome"] == "served"
+    assert answer.headers["advice"] >= 0
+    assert host.broker.replies[0].queue == "answers"
     wait_until(lambda: message.fate == "ack", "the acknowledgement")
-    assert h.broker.methods.index("basic.publish") < h.broker.methods.index("basic.ack")
-    assert h.executor.runs[0][1:] == ("track", "hello")
-
-
-def test_long_results_are_cut_into_frames(edge):
-    h = edge()
-    _, c = ask(h.broker, "hold", class_name="book")
-    wait_until(lambda: h.executor.runs, "the run")
-    h.executor.end_run(h.executor.runs[0].task, result="r" * 10_000)
-    assert wait_until(lambda: h.broker.reply(c), "the reply")[1] == "r" * 10_000
-
-
-def test_deadlines_and_errors_are_mapped(edge):
-    h = edge()
-    _, late = ask(h.broker, "hold", expiration="500")
-    _, old = ask(h.broker, "past", timestamp=int(time.time()) - 9)
-    _, past = ask(h.broker, "past", headers={"timestamp_in_ms": int(time.time() * 1000) - 4500})
-    _, bad = ask(h.broker, "error", class_name="book")
-    assert wait_until(lambda: h.broker.reply(late), "the late one's reply")[0] == "failed"
-    for c in (past, old):
-        outcome, _, headers = wait_until(lambda c=c: h.broker.reply(c), "the refusal")
-        assert outcome == "refused"
-        assert headers["pause"] > 0
-    assert wait_until(lambda: h.broker.reply(bad), "the failure")[0] == "failed"
-    assert not h.executor.runs_of("past")
-
-
-def test_without_reply_to_the_settlement_is_the_answer(edge):
-    h = edge()
-    served, _ = ask(h.broker, "fine", reply_to=None)
-    failed, _ = ask(h.broker, "error", class_name="book", reply_to=None)
+    assert host.broker.methods.index("basic.publish") < host.broker.methods.index("basic.ack")
+    assert host.executor.runs[0][1:] == ("track", "hello")
+
+
+def test_a_long_result_is_split_into_frames(consuming_host):
+    host = consuming_host()
+    _, correlation_id = put_request(host.broker, "hold", class_name="book")
+    wait_until(lambda: host.executor.runs, "the run")
+    host.executor.end_run(host.executor.runs[0].task, result="r" * 10_000)
+    assert wait_for_answer(host, correlation_id).body == "r" * 10_000
+
+
+def test_deadlines_and_errors_are_mapped_to_outcomes(consuming_host):
+    host = consuming_host()
+    _, late = put_request(host.broker, "hold", expiration="500")
+    _, old = put_request(host.broker, "past", timestamp=int(time.time()) - 9)
+    _, past = put_request(host.broker, "past", headers={"timestamp_in_ms": int(time.time() * 1000) - 4500})
+    _, bad = put_request(host.broker, "error", class_name="book")
+    assert wait_for_answer(host, late).outcome == "failed"
+    for correlation_id in (past, old):
+        answer = wait_for_answer(host, correlation_id)
+        assert answer.outcome == "refused"
+        assert answer.headers["pause"] > 0
+    assert wait_for_answer(host, bad).outcome == "failed"
+    assert not host.executor.runs_of("past")
+
+
+def test_without_reply_to_the_settlement_is_the_only_answer(consuming_host):
+    host = consuming_host()
+    served, _ = put_request(host.broker, "fine", reply_to=None)
+    failed, _ = put_request(host.broker, "error", class_name="book", reply_to=None)
     wait_until(lambda: (served.fate, failed.fate) == ("ack", "reject"), "both settlements")
-    assert not h.broker.replies
+    assert not host.broker.replies
 
 
-def test_a_lost_acknowledgement_is_answered_from_the_kept_result(edge):
-    h = edge()
-    h.broker.disconnect_on = "basic.ack"
-    message, c = ask(h.broker, "booking", class_name="book")
+def test_a_message_whose_acknowledgement_was_lost_is_answered_from_the_cached_result(consuming_host):
+    host = consuming_host()
+    host.broker.disconnect_on = "basic.ack"
+    message, correlation_id = put_request(host.broker, "booking", class_name="book")
     wait_until(lambda: message.fate == "ack", "the acknowledgement of the redelivery")
     assert message.delivery_count == 2
-    assert len(h.executor.runs_of("booking")) == 1
-    assert [r.body for r in h.broker.replies if r.properties.correlation_id == c] == ["did booking"] * 2
+    assert len(host.executor.runs_of("booking")) == 1
+    assert [answer.body for answer in host.broker.answers(correlation_id)] == ["did booking"] * 2
 
 
-def test_a_redelivery_while_it_runs_waits_for_that_run(edge):
-    h = edge()
-    message, c = ask(h.broker, "hold", class_name="book")
-    wait_until(lambda: h.executor.runs, "the run")
-    h.broker.disconnect()
+def test_a_redelivery_of_a_running_message_is_coalesced_with_its_run(consuming_host):
+    host = consuming_host()
+    message, correlation_id = put_request(host.broker, "hold", class_name="book")
+    wait_until(lambda: host.executor.runs, "the run")
+    host.broker.disconnect()
     wait_until(lambda: message.delivery_count == 2, "the redelivery")
-    h.executor.end_run(h.executor.runs[0].task, result="booked")
-    assert wait_until(lambda: h.broker.reply(c), "the reply")[:2] == ("served", "booked")
+    host.executor.end_run(host.executor.runs[0].task, result="booked")
+    answer = wait_for_answer(host, correlation_id)
+    assert answer.outcome == "served"
+    assert answer.body == "booked"
     wait_until(lambda: message.fate == "ack", "the acknowledgement")
-    assert len(h.executor.runs) == 1
+    assert len(host.executor.runs) == 1
 
 
-def test_a_redelivered_write_of_another_life_is_failed_and_a_read_runs(edge):
-    h = edge()
-    write, c = ask(h.broker, "elsewhere", class_name="book", redelivered=True)
-    _, read = ask(h.broker, "again", redelivered=True)
-    assert wait_until(lambda: h.broker.reply(read), "the read")[0] == "served"
-    assert wait_until(lambda: h.broker.reply(c), "the write's reply")[0] == "failed"
+def test_a_redelivery_from_another_process_is_executed_only_if_it_is_idempotent(consuming_host):
+    host = consuming_host()
+    write, correlation_id = put_request(host.broker, "elsewhere", class_name="book", redelivered=True)
+    _, read = put_request(host.broker, "again", redelivered=True)
+    assert wait_for_answer(host, read).outcome == "served"
+    assert wait_for_answer(host, correlation_id).outcome == "failed"
     wait_until(lambda: write.fate == "ack", "the acknowledgement")
-    assert not h.executor.runs_of("elsewhere")
+    assert not host.executor.runs_of("elsewhere")
 
 
-def test_a_message_id_with_another_body_is_failed_and_gets_no_result(edge):
-    h = edge()
-    _, first = ask(h.broker, "booking", class_name="book", message_id="m-1")
-    assert wait_until(lambda: h.broker.reply(first), "the reply")[:2] == ("served", "did booking")
-    ask(h.broker, "another", class_name="book", message_id="m-1", correlation="c-other")
-    assert wait_until(lambda: h.broker.reply("c-other"), "the other reply")[:2] == ("failed", "")
-    ask(h.broker, "booking", class_name="book", message_id="m-1", correlation="c-same")
-    assert wait_until(lambda: h.broker.reply("c-same"), "the repeat")[1] == "did booking"
-    assert len(h.executor.runs) == 1
+def test_a_message_id_that_is_used_again_with_another_body_is_failed(consuming_host):
+    host = consuming_host()
+    _, first = put_request(host.broker, "booking", class_name="book", message_id="m-1")
+    answer = wait_for_answer(host, first)
+    assert answer.outcome == "served"
+    assert answer.body == "did booking"
+    put_request(host.broker, "another", class_name="book", message_id="m-1", correlation="c-other")
+    answer = wait_for_answer(host, "c-other")
+    assert answer.outcome == "failed"
+    assert answer.body == ""
+    put_request(host.broker, "booking", class_name="book", message_id="m-1", correlation="c-same")
+    assert wait_for_answer(host, "c-same").body == "did booking"
+    assert len(host.executor.runs) == 1
 
 
 @pytest.mark.parametrize("what", ["unknown", "never", "over"])
-def test_runs_that_bring_no_result_are_failed_and_free_their_slot(edge, what):
-    h = edge()
+def test_runs_without_a_result_are_failed_and_free_their_slot(consuming_host, what):
+    host = consuming_host()
     for _ in range(20):  # more than may ever run at once
-        _, c = ask(h.broker, what)
-        assert wait_until(lambda c=c: h.broker.reply(c), "the reply")[0] == "failed"
-    _, c = ask(h.broker, "next")
-    assert wait_until(lambda: h.broker.reply(c), "the next one")[0] == "served"
+        _, correlation_id = put_request(host.broker, what)
+        assert wait_for_answer(host, correlation_id).outcome == "failed"
+    _, correlation_id = put_request(host.broker, "next")
+    assert wait_for_answer(host, correlation_id).outcome == "served"
 
 
-def test_a_reload_moves_the_peers_of_messages_too(edge):
-    h = edge()
-    for peer in (h.executor, h.store, h.registry):
+def test_messages_are_served_after_a_reload_that_moves_the_peers(consuming_host):
+    host = consuming_host()
+    for peer in (host.executor, host.store, host.registry):
         peer.relocate()
-    h.reload()
-    _, c = ask(h.broker, "call:200")
-    assert wait_until(lambda: h.broker.reply(c), "the reply")[0] == "served"
+    host.reload()
+    _, correlation_id = put_request(host.broker, "call:200")
+    assert wait_for_answer(host, correlation_id).outcome == "served"
 
 
-def test_a_write_without_message_id_never_runs(edge):
-    h = edge()
-    silent, _ = ask(h.broker, "nokey", class_name="book", message_id=None, reply_to=None)
-    _, c = ask(h.broker, "nokey", class_name="book", message_id=None)
+def test_a_keyed_message_without_message_id_is_not_executed(consuming_host):
+    host = consuming_host()
+    silent, _ = put_request(host.broker, "nokey", class_name="book", message_id=None, reply_to=None)
+    _, correlation_id = put_request(host.broker, "nokey", class_name="book", message_id=None)
     wait_until(lambda: silent.fate == "reject", "the rejection")
-    assert wait_until(lambda: h.broker.reply(c), "the reply")[0] == "failed"
-    assert not h.executor.runs
+    assert wait_for_answer(host, correlation_id).outcome == "failed"
+    assert not host.executor.runs
 
 
 @pytest.mark.parametrize(
-    "over",
+    "overrides",
     [
         {"class_name": "nothing"},
         {"headers": {"customer": "nobody"}},
@@ -243,157 +274,170 @@
         {"body": "x" * 5000},
     ],
 )
-def test_a_malformed_message_costs_itself_only(edge, over):
-    h = edge()
-    bad, _ = ask(h.broker, over.pop("body", "bad"), reply_to=None, **over)
-    _, c = ask(h.broker, "good")
-    assert wait_until(lambda: h.broker.reply(c), "the next one")[0] == "served"
+def test_an_invalid_message_affects_no_other(consuming_host, overrides):
+    host = consuming_host()
+    bad, _ = put_request(host.broker, overrides.pop("body", "bad"), reply_to=None, **overrides)
+    _, correlation_id = put_request(host.broker, "good")
+    assert wait_for_answer(host, correlation_id).outcome == "served"
     wait_until(lambda: bad.fate == "reject", "the rejection")
-    assert len(h.executor.runs) == 1
+    assert len(host.executor.runs) == 1
 
 
 @pytest.mark.parametrize(
     "raw",
     [
-        lambda n: codec.encode_frame(codec.BODY, n, b"early"),
-        lambda n: codec.encode_frame(codec.HEADER, n, b"\x00"),
-        lambda n: codec.encode_frame(codec.HEADER, 9000, b"\x00" * 14),
-        lambda n: codec.encode_frame(codec.METHOD, n, b"\xff\xff\xff\xff"),
-        lambda n: codec.encode_frame(codec.HEARTBEAT, 0, b"")[:-1] + b"\x00",
-        lambda n: codec.FRAME_HEAD.pack(codec.METHOD, n, 1 << 31),
+        lambda n: codec.encode_frame(FrameType.BODY, n, b"early"),
+        lambda n: codec.encode_frame(FrameType.HEADER, n, b"\x00"),
+        lambda n: codec.encode_frame(FrameType.HEADER, 9000, b"\x00" * 14),
+        lambda n: codec.encode_frame(FrameType.METHOD, n, b"\xff\xff\xff\xff"),
+        lambda n: codec.encode_frame(FrameType.HEARTBEAT, 0, b"")[:-1] + b"\x00",
+        lambda n: codec.FRAME_HEADER.pack(FrameType.METHOD, n, 1 << 31),
         lambda n: b"\x77" * 50,
     ],
 )
-def test_malformed_frames_cost_the_connection_and_a_new_one_follows(edge, raw):
-    h = edge()
-    h.broker.put("jobs", "broken", raw=raw)
-    wait_until(lambda: "event=connection-closed" in h.log() or "event=connection-lost" in h.log(), "the end of it")
-    _, c = ask(h.broker, "good")
-    assert wait_until(lambda: h.broker.reply(c), "service on a new connection")[0] == "served"
-    assert h.broker.methods.count("connection.open") == 2
-
-
-def test_the_last_word_to_a_broker_is_not_reset_away_by_what_it_still_sends(edge):
-    h = edge()
-    with h.suspended(), h.broker.lock:
-        h.broker.put("jobs", "x", raw=lambda n: codec.encode_frame(codec.BODY, n, b"early") + b"x" * 150_000)
-    wait_until(lambda: "connection.close" in h.broker.methods, "the last word")
-    wait_until(lambda: h.log().count("event=connected") == 2, "a new connection")
-    assert h.broker.reset_count == 0
-
-
-def test_malformed_properties_cost_the_message_only(edge):
-    h = edge()
-    bad = h.broker.put(
+def test_a_malformed_frame_ends_the_connection_and_a_new_one_is_opened(consuming_host, raw):
+    host = consuming_host()
+    host.broker.put("jobs", "broken", raw=raw)
+    wait_until(
+        lambda: "event=connection-closed" in host.log() or "event=connection-lost" in host.log(), "the end of it"
+    )
+    _, correlation_id = put_request(host.broker, "good")
+    assert wait_for_answer(host, correlation_id).outcome == "served"
+    assert host.broker.methods.count("connection.open") == 2
+
+
+def test_the_close_after_an_invalid_frame_reaches_a_broker_that_is_still_sending(consuming_host):
+    host = consuming_host()
+    with host.suspended(), host.broker.lock:
+        host.broker.put("jobs", "x", raw=lambda n: codec.encode_frame(FrameType.BODY, n, b"early") + b"x" * 150_000)
+    wait_until(lambda: "connection.close" in host.broker.methods, "the close")
+    wait_until(lambda: host.log().count("event=connected") == 2, "a new connection")
+    assert host.broker.reset_count == 0
+
+
+def test_malformed_properties_affect_only_their_message(consuming_host):
+    host = consuming_host()
+    bad = host.broker.put(
         "jobs",
         "x",
         raw=lambda n: (
-            codec.encode_frame(codec.HEADER, n, struct.pack(">HHQH", 60, 0, 1, 0x2000) + b"\x00\x00\xff\xff")
-            + codec.encode_frame(codec.BODY, n, b"x")
+            codec.encode_frame(FrameType.HEADER, n, struct.pack(">HHQH", 60, 0, 1, 0x2000) + b"\x00\x00\xff\xff")
+            + codec.encode_frame(FrameType.BODY, n, b"x")
         ),
     )
-    _, c = ask(h.broker, "good")
-    assert wait_until(lambda: h.broker.reply(c), "the next one")[0] == "served"
+    _, correlation_id = put_request(host.broker, "good")
+    assert wait_for_answer(host, correlation_id).outcome == "served"
     assert bad.fate == "reject"
     assert bad.delivery_count == 1
 
 
-def test_a_channel_error_opens_a_new_channel(edge):
-    h = edge()
-    with h.broker.lock:
-        link = next(iter(h.broker.channels))
-        h.broker.channels[link].clear()
-        h.broker.send_method(link, 1, "channel.close", code=404, text="NOT_FOUND", class_id=60, method_id=20)
-    _, c = ask(h.broker, "good")
-    assert wait_until(lambda: h.broker.reply(c), "service on the new channel")[0] == "served"
-    assert "event=channel-closed" in h.log()
+def test_a_channel_that_the_broker_closed_is_opened_again(consuming_host):
+    host = consuming_host()
+    with host.broker.lock:
+        connection = next(iter(host.broker.channels))
+        host.broker.channels[connection].clear()
+        host.broker.send_method(connection, 1, methods.ChannelClose(404, "NOT_FOUND", class_id=60, method_id=20))
+    _, correlation_id = put_request(host.broker, "good")
+    assert wait_for_answer(host, correlation_id).outcome == "served"
+    assert "event=channel-closed" in host.log()
 
 
-def test_refused_confirms_are_tried_again_and_lost_replies_settle(edge):
-    h = edge()
-    h.broker.nacks_left = 2
-    message, c = ask(h.broker, "stubborn")
-    assert wait_until(lambda: h.broker.reply(c), "the third try")[0] == "served"
+def test_a_nacked_reply_is_published_again_and_an_unroutable_one_settles_its_message(consuming_host):
+    host = consuming_host()
+    host.broker.nacks_left = 2
+    message, correlation_id = put_request(host.broker, "stubborn")
+    assert wait_for_answer(host, correlation_id).outcome == "served"
     wait_until(lambda: message.fate == "ack", "the acknowledgement")
-    h.broker.returns_unroutable = True
-    served, _ = ask(h.broker, "nobody asks")
-    failed, _ = ask(h.broker, "error", class_name="book")
+    host.broker.returns_unroutable = True
+    served, _ = put_request(host.broker, "nobody asks")
+    failed, _ = put_request(host.broker, "error", class_name="book")
     wait_until(lambda: (served.fate, failed.fate) == ("ack", "reject"), "both settlements")
 
 
-def test_heartbeats_go_out_and_silence_ends_the_connection(edge):
-    h = edge(broker=Broker(heartbeat=1), heartbeat=1)
-    wait_until(lambda: h.broker.heartbeat_count >= 2, "two heartbeats")
-    wait_until(lambda: h.broker.methods.count("connection.open") >= 2, "a new connection after the silence")
+def test_heartbeats_are_sent_and_a_silent_broker_is_connected_again(consuming_host):
+    host = consuming_host(broker=Broker(heartbeat=1), heartbeat=1)
+    wait_until(lambda: host.broker.heartbeat_count >= 2, "two heartbeats")
+    wait_until(lambda: host.broker.methods.count("connection.open") >= 2, "a new connection after the silence")
 
 
-def test_prefetch_bounds_what_is_held(edge):
-    h = edge(prefetch=3)
+def test_the_prefetch_limits_unacknowledged_messages(consuming_host):
+    host = consuming_host(prefetch=3)
     for _ in range(10):
-        ask(h.broker, "hold")
-    wait_until(lambda: len(h.executor.runs) >= 2, "the runs")
-    assert h.broker.max_unacked == 3
-
-
-def test_the_drain_cancels_and_answers_what_was_taken(edge):
-    h = edge(stop_ms=2500)
-    taken, c = ask(h.broker, "hold", class_name="book")
-    wait_until(lambda: h.executor.runs, "the run")
-    began = time.monotonic()
-    h.broker.message_during_cancel = {"type": "book", "message_id": "x"}
-    h.terminate()
-    wait_until(lambda: h.broker.cancel_count == 1, "the cancel")
-    left, _ = ask(h.broker, "left", class_name="book")
-    h.executor.end_run(h.executor.runs[0].task, result="booked")
-    assert wait_until(lambda: h.broker.reply(c), "the reply")[:2] == ("served", "booked")
-    assert h.process.wait(5) == 0
-    assert time.monotonic() - began < 2.5
-    assert (taken.fate, left.fate, left.delivery_count, h.broker.close_count) == ("ack", None, 0, 1)
-    crossed = next(m for m in h.broker.messages if m.body == b"crossing")
-    assert (crossed.delivery_count, crossed.fate) == (1, "requeue")  # not taken: another box may have it
-    assert not h.executor.runs_of("left")
-    assert not h.executor.runs_of("crossing")
-
-
-def test_a_flood_over_capacity_with_lost_acks_has_no_double_effect(edge):
-    work_s, cores, seconds = 0.02, 2, 3.0
+        put_request(host.broker, "hold")
+    wait_until(lambda: len(host.executor.runs) >= 2, "the runs")
+    assert host.broker.max_unacked == 3
+
+
+def test_a_shutdown_cancels_the_consumer_and_answers_accepted_messages(consuming_host):
+    host = consuming_host(stop_ms=2500)
+    accepted, correlation_id = put_request(host.broker, "hold", class_name="book")
+    wait_until(lambda: host.executor.runs, "the run")
+    started_at = time.monotonic()
+    host.broker.message_during_cancel = {"type": "book", "message_id": "x"}
+    host.terminate()
+    wait_until(lambda: host.broker.cancel_count == 1, "the cancel")
+    left, _ = put_request(host.broker, "left", class_name="book")
+    host.executor.end_run(host.executor.runs[0].task, result="booked")
+    answer = wait_for_answer(host, correlation_id)
+    assert answer.outcome == "served"
+    assert answer.body == "booked"
+    assert host.process.wait(5) == 0
+    assert time.monotonic() - started_at < 2.5
+    assert accepted.fate == "ack"
+    assert left.fate is None
+    assert left.delivery_count == 0
+    assert host.broker.close_count == 1
+    crossed = next(m for m in host.broker.messages if m.body == b"crossing")
+    assert crossed.delivery_count == 1
+    assert crossed.fate == "requeue"  # so that another host may execute it
+    assert not host.executor.runs_of("left")
+    assert not host.executor.runs_of("crossing")
+
+
+def test_overload_with_lost_acknowledgements_executes_no_keyed_message_twice(consuming_host):
+    work_s = 0.02
+    cores = 2
+    seconds = 3.0
     info = {**PLATFORM_INFO, "FamilyInfo": {**PLATFORM_INFO["FamilyInfo"], "CallsOut": 50.0}}
-    h = edge(prefetch=60, executor=Executor(work_s, cores), info=info)
+    host = consuming_host(prefetch=60, executor=Executor(work_s, cores), info=info)
     gap = work_s / cores / 1.1  # 110% of what the cores can do
-    asked = {}
+    requests = {}
 
     def flood():
         for i in range(int(seconds / gap)):
             class_name = "book" if i % 3 == 0 else "track"
-            asked[f"subject-{i}"] = (class_name, *ask(h.broker, f"subject-{i}", class_name, correlation=f"s{i}"))
+            requests[f"subject-{i}"] = (
+                class_name,
+                *put_request(host.broker, f"subject-{i}", class_name, correlation=f"s{i}"),
+            )
             time.sleep(gap)
 
     thread = threading.Thread(target=flood)
     thread.start()
-    for share in (0.3, 0.6):  # two acknowledgements are lost, with all that is unacknowledged redelivered
-        wait_until(lambda share=share: len(asked) >= share * seconds / gap, "part of the flood")
-        h.broker.disconnect_on = "basic.ack"
+    for fraction in (0.3, 0.6):  # two acknowledgements are lost, with all that is unacknowledged redelivered
+        wait_until(lambda fraction=fraction: len(requests) >= fraction * seconds / gap, "part of the flood")
+        host.broker.disconnect_on = "basic.ack"
     thread.join()
-    wait_until(lambda: all(m.fate for _, m, _ in asked.values()), "an end of every message")
-    effects = collections.Counter(body for _, handler, body in h.executor.runs if handler == "book")
+    wait_until(lambda: all(m.fate for _, m, _ in requests.values()), "an end of every message")
+    effects = collections.Counter(body for _, handler, body in host.executor.runs if handler == "book")
     assert max(effects.values()) == 1
-    assert h.broker.methods.count("connection.open") >= 3
+    assert host.broker.methods.count("connection.open") >= 3
     outcomes = collections.Counter()
-    for subject, (class_name, _, c) in asked.items():
-        answers = [r for r in h.broker.replies if r.properties.correlation_id == c]
+    for subject, (class_name, _, correlation_id) in requests.items():
+        answers = host.broker.answers(correlation_id)
         assert answers, subject
-        outcomes[answers[-1][1].type] += 1
-        for _, p, body in answers:
-            assert p.type != "served" or body == f"did {subject}"
-            # What is turned away has never run, not even for the sake of another copy.
-            assert class_name != "book" or p.type != "refused" or not effects[subject]
-    assert outcomes["served"] > 0.5 * len(asked)
+        outcomes[answers[-1].outcome] += 1
+        for answer in answers:
+            assert answer.outcome != "served" or answer.body == f"did {subject}"
+            # A rejected message was not executed, not even for another delivery of it.
+            assert class_name != "book" or answer.outcome != "refused" or not effects[subject]
+    assert outcomes["served"] > 0.5 * len(requests)
 
 
-def test_frames_may_come_byte_by_byte(edge):
+def test_frames_that_arrive_byte_by_byte_are_understood(consuming_host):
     broker = Broker()
     broker.byte_by_byte = True
-    h = edge(broker=broker)
-    messages = [ask(broker, f"x{n}", class_name="book") for n in range(5)]
+    host = consuming_host(broker=broker)
+    messages = [put_request(broker, f"x{n}", class_name="book") for n in range(5)]
     wait_until(lambda: all(m.fate == "ack" for m, _ in messages), "all acknowledged")
-    assert len(h.executor.runs) == 5
+    assert len(host.executor.runs) == 5
