--- a/lapispick/fakes/program_patches.py
+++ b/lapispick/fakes/program_patches.py
@@ -78,7 +78,7 @@
 KEY_RAN_BEFORE = Place(IDEMPOTENCY, "record.executed_attempt not in (0, EXECUTED_BY_PEER)")
 KEY_CLAIMED = Place("host/core/runs.py", "verdict = self._idempotency.claim(")
 JSONRPC_ENCODED = Place(
-    "host/jsonrpc/connection.py", '(messages.encode({"jsonrpc": "2.0", "id": number, member: fields}) + b"\\n")'
+    "host/jsonrpc/messages.py", 'encode({"jsonrpc": "2.0", "id": message_id, "result": result}) + b"\\n"'
 )
 DRAIN_GRACE = Place("platform_settings.py", "drain_grace_ms=")
 HANDOVER_VERSION = Place("handover/messages.py", "\nVERSION = 1 ")
@@ -155,7 +155,7 @@
 _ONE_IN_5 = f"{RANDOM_NUMBER} % 5 == 0"
 RULE_BREAKING_HOSTS = {
     "lost": (Patch(ANSWER_SENT, f"        if not {_ONE_IN_5}:\n    {ANSWER_SENT.text}"),),
-    "doubled": (Patch(JSONRPC_ENCODED, f"(2 * {JSONRPC_ENCODED.text})"),),
+    "doubled": (Patch(JSONRPC_ENCODED, f"2 * ({JSONRPC_ENCODED.text})"),),
     "twice": (
         Patch(KEY_FOUND_ON_ARRIVAL, "record = None"),
         Patch(KEY_FOUND_AMONG_HELD, "held = None"),
--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -23,7 +23,7 @@
 from lapispick.host.executor import ExecutorLink
 from lapispick.host.handover.handshake import HostIdentity
 from lapispick.host.handover.service import Handover
-from lapispick.host.jsonrpc.front import Gateways
+from lapispick.host.jsonrpc.front import JsonRpcFront
 from lapispick.host.logs import log, setup
 from lapispick.host.metrics import ExtendedMetrics
 from lapispick.host.ops import Operators
@@ -77,7 +77,7 @@
         self.store = core.peers.store = StoreClient(loop, config.store_address, core.post, most=limits.calls)
         self.registry = RegistryClient(loop, config.address("roster"), config.name)
         core.health.on_listed = self.registry.set
-        self.gateways = Gateways(
+        self.gateways = JsonRpcFront(
             loop,
             config.address("listen"),
             config.settings,
@@ -201,7 +201,7 @@
 
     def _share(self, others: int | None) -> None:
         """Divide descriptors with another process of this worker host."""
-        self.gateways.others, self.store.shared = others, others is not None
+        self.gateways.peer_connections, self.store.shared = others, others is not None
 
     def _opened(self, listener: socket.socket | None) -> None:
         """Take clients, beside the process that served so far or after it."""
@@ -227,7 +227,7 @@
         """Run until told to leave."""
         for serve in (self.core.serve, self.executor.serve, self._watch):
             self.loop.spawn(serve)
-        if self.gateways.listening:
+        if self.gateways.is_listening:
             for serve in (self.gateways.serve, self.registry.serve):
                 self.loop.spawn(serve)
             if self.handover is not None:
@@ -307,7 +307,7 @@
     def _done(self) -> bool:
         """Tell whether all that came was read and answered, and the answers handed to the system."""
         return (
-            self.core.owed == 0 and self.gateways.quiet() and all(front.flushed() for front in self.core.peers.fronts)
+            self.core.owed == 0 and self.gateways.is_idle() and all(front.flushed() for front in self.core.peers.fronts)
         )
 
     def _hand_over(self, handover: Handover) -> None:
@@ -327,9 +327,9 @@
     def _end(self, end_at: float) -> None:
         # From here on nothing is read that would be lost, nor run behind the last word to the other process; peers
         # still get what is on its way, which a process that ends over unread bytes would reset.
-        self.gateways.finish()
+        self.gateways.close_connections()
         last = min(end_at - LAST_S, time.monotonic() + GRACEFUL_CLOSE_S)
-        while time.monotonic() < last and not self.gateways.gone():
+        while time.monotonic() < last and not self.gateways.all_closed():
             self.loop.sleep(0.005)
         if self.handover is not None:
             self.handover.finish()
--- a/lapispick/host/connection_eviction.py
+++ b/lapispick/host/connection_eviction.py
@@ -1,81 +1,102 @@
-"""Whom a crowd costs its connection. No I/O and no clock: all times are seconds of one clock, told by the caller.
-
-A connection with an open request is never closed for room, nor one whose bytes wait unread in the system; the front
-looks before it closes. Of the others the least loss goes first, the longest quiet of each kind:
-
-1. a peer that was at fault, has had our last word, or stopped reading its answers;
-2. one that never said a thing: a true request is begun at once;
-3. one that stopped in the middle of a message: a slow link still brings a few bytes, who never ends brings none;
-4. one that was served and is idle: its gateway opens another at the price of a handshake;
-5. one that has just begun a message, but did not send it whole at once as most do;
-6. one that has just connected, where a flood leaves no other;
-7. one that was served just now and may have its next request on the way;
-8. one that goes on with its message.
-
-Where there is room, nobody is closed before ``FIRST_S``: some true requests take 2 s to write, and bad clients are owed
-a word within 3 s of connecting.
+"""Decides which client connections are closed when descriptors run short. No I/O, no clock: times are in seconds.
+
+A connection that owes an answer is never evicted. Nor is one with unread input in the kernel's buffer, for which the
+caller checks before it closes one. The others go in the order of their ``EvictionClass``, and within a class the one
+that has been inactive for longest goes first.
+
+While descriptors suffice, no connection is closed for an incomplete message before ``MESSAGE_TIMEOUT_S``: some valid
+requests take 2 s to arrive, and a misbehaving client has to be answered within 3 s of connecting.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from enum import IntEnum
+from operator import itemgetter
 from typing import NamedTuple, TypeVar
 
-FIRST_S = 2.3  # s; from connecting to the end of a first message, or from the first byte of a later one to its end
-YOUNG_S = 0.1  # s; what a connection this new sends may not be read yet
-# s; a message whose last bytes came since is still being written: after its first bytes, and after some more, which
-# most of those who mean to stop in the middle never send
-QUIET_S = (0.25, 0.75)
-JUST_S = 0.3  # s; who was served since may send more at once; at 190 a second these stay a small part of the room
+MESSAGE_TIMEOUT_S = 2.3  # from connecting to the end of the first message, or from the first byte of a later one
+NEW_CONNECTION_S = 0.1  # what a connection sends so soon after it was accepted may not be read yet
+# How long after its last bytes an incomplete message counts as being sent. Most clients that stop within a message do
+# so after its first bytes.
+FIRST_PART_TIMEOUT_S = 0.25
+LATER_PART_TIMEOUT_S = 0.75
+RECENTLY_SERVED_S = 0.3  # the next request of a busy gateway usually arrives within this time
+
+
+class EvictionClass(IntEnum):
+    """The classes of connections that may be evicted, in the order in which they go."""
+
+    AT_FAULT = 1  # sent an invalid message, is being closed, or stopped reading its answers
+    SILENT = 2  # never sent anything
+    STOPPED = 3  # stopped within a message; a slow link still delivers a few bytes
+    IDLE = 4  # was served; its gateway can open another connection for the cost of a handshake
+    STARTED = 5  # has just started a message, though most are sent in one piece
+    NEW = 6  # has just been accepted
+    RECENTLY_SERVED = 7  # its next request may be on the way
+    SENDING = 8  # continues to send a message
 
 
-class Standing(NamedTuple):
-    """What is known of one connection."""
+class ConnectionState(NamedTuple):
+    """What is known of one connection; times are seconds of one clock."""
 
-    since: float  # when it was accepted
-    used_at: float  # when a whole message of it was read or answered last
-    heard_at: float  # when it brought bytes last
-    pieces: int  # how often it has brought some
-    begun_at: float  # when the message began that it is in the middle of; 0 = it is in none
-    open: bool  # an answer is owed on it
-    served: bool  # it has brought a message that could be used
-    at_fault: bool
+    accepted_at: float
+    last_used_at: float  # when a complete message was last read or answered
+    last_received_at: float  # when bytes last arrived
+    receive_count: int  # how often bytes arrived
+    message_started_at: float  # when its incomplete message started; 0 = it has none
+    owes_answer: bool
+    is_proven: bool  # it has sent a valid message
+    is_at_fault: bool
 
 
+# The place of a connection in the order of eviction, the lowest first: its class, and since when it is inactive.
+EvictionRank = tuple[EvictionClass, float]
 C = TypeVar("C")
 
 
-def overdue(c: Standing, now: float) -> bool:
-    """Tell whether a peer has taken too long to bring a whole message."""
-    if c.begun_at:
-        return now - c.begun_at >= FIRST_S
-    return not c.served and now - c.since >= FIRST_S
+def is_overdue(state: ConnectionState, now: float) -> bool:
+    """Tell whether a client has taken too long to send a complete message."""
+    if state.message_started_at:
+        return now - state.message_started_at >= MESSAGE_TIMEOUT_S
+    return not state.is_proven and now - state.accepted_at >= MESSAGE_TIMEOUT_S
 
 
-def rank(c: Standing, now: float) -> tuple[int, float] | None:
-    """Return a connection's place in the order in which they go, lowest first; None where it stays."""
-    if c.open:
+def eviction_rank(state: ConnectionState, now: float) -> EvictionRank | None:
+    """Return the place of a connection in the order of eviction; None where it must stay open."""
+    if state.owes_answer:
         return None
-    if c.at_fault:
-        return 1, c.used_at
-    if c.begun_at:
-        going_on = c.pieces > 1
-        writing = now - c.heard_at < QUIET_S[going_on]
-        return (3 if not writing else 8 if going_on else 5), c.heard_at
-    if c.served:
-        return (7 if now - c.used_at < JUST_S else 4), c.used_at
-    return (6 if now - c.since < YOUNG_S else 2), c.since
-
-
-def order(connections: Iterable[tuple[C, Standing]], now: float) -> list[tuple[C, int]]:
-    """Return those that may go with their kind, whom it costs least first; who writes a message goes last of all."""
-    ranked = [
-        (place, at, c) for at, (c, standing) in enumerate(connections) if (place := rank(standing, now)) is not None
-    ]
-    return [(c, place[0]) for place, _, c in sorted(ranked, key=lambda r: r[:2])]
-
-
-def still(kind: int, c: Standing, now: float) -> bool:
-    """Tell whether a connection may go at no more cost than when it was put in order."""
-    place = rank(c, now)
-    return place is not None and place[0] <= kind
+    if state.is_at_fault:
+        return EvictionClass.AT_FAULT, state.last_used_at
+    if state.message_started_at:
+        return _class_within_message(state, now), state.last_received_at
+    if state.is_proven:
+        is_recent = now - state.last_used_at < RECENTLY_SERVED_S
+        return (EvictionClass.RECENTLY_SERVED if is_recent else EvictionClass.IDLE), state.last_used_at
+    is_new = now - state.accepted_at < NEW_CONNECTION_S
+    return (EvictionClass.NEW if is_new else EvictionClass.SILENT), state.accepted_at
+
+
+def _class_within_message(state: ConnectionState, now: float) -> EvictionClass:
+    has_continued = state.receive_count > 1
+    timeout_s = LATER_PART_TIMEOUT_S if has_continued else FIRST_PART_TIMEOUT_S
+    if now - state.last_received_at >= timeout_s:
+        return EvictionClass.STOPPED
+    return EvictionClass.SENDING if has_continued else EvictionClass.STARTED
+
+
+def eviction_order(connections: Iterable[tuple[C, ConnectionState]], now: float) -> list[tuple[C, EvictionClass]]:
+    """Return the connections that may be evicted, the first to go first, with their classes."""
+    ranked = []
+    for connection, state in connections:
+        rank = eviction_rank(state, now)
+        if rank is not None:
+            ranked.append((rank, connection))
+    ranked.sort(key=itemgetter(0))
+    return [(connection, eviction_class) for (eviction_class, _), connection in ranked]
+
+
+def may_still_be_evicted(eviction_class: EvictionClass, state: ConnectionState, now: float) -> bool:
+    """Tell whether a connection may go and is in no later class than when the order was computed."""
+    rank = eviction_rank(state, now)
+    return rank is not None and rank[0] <= eviction_class
--- a/lapispick/host/handover/peer_link.py
+++ b/lapispick/host/handover/peer_link.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from lapispick.handover import messages
-from lapispick.host.jsonrpc.front import Gateways
+from lapispick.host.jsonrpc.front import JsonRpcFront
 from lapispick.host.streams import Stream
 
 # Called with the number of the other process's connections; None = there is no other process any more.
@@ -16,7 +16,7 @@
     """Sends messages to the other process; implements ``interfaces.Link``."""
 
     def __init__(
-        self, stream: Stream, gateways: Gateways, set_peer_connections: SetPeerConnections, peer_owns_keys: bool
+        self, stream: Stream, gateways: JsonRpcFront, set_peer_connections: SetPeerConnections, peer_owns_keys: bool
     ) -> None:
         self.stream = stream
         self.peer_owns_keys = peer_owns_keys
--- a/lapispick/host/handover/service.py
+++ b/lapispick/host/handover/service.py
@@ -17,7 +17,7 @@
 from lapispick.host.handover.key_lock import KeyLock
 from lapispick.host.handover.peer_link import PeerLink, SetPeerConnections
 from lapispick.host.handover.received_listener import OnOpen, ReceivedListener
-from lapispick.host.jsonrpc.front import Gateways
+from lapispick.host.jsonrpc.front import JsonRpcFront
 from lapispick.host.logs import log
 from lapispick.host.scheduler import READ, EventLoop
 from lapispick.host.streams import Stream
@@ -42,7 +42,7 @@
         folder: Path,
         identity: HostIdentity,
         max_unsent_bytes: int,
-        gateways: Gateways,
+        gateways: JsonRpcFront,
         post: Callable[[Any], None],
         set_peer_connections: SetPeerConnections,
     ) -> None:
@@ -122,7 +122,7 @@
         if not isinstance(hello, messages.Hello):
             return "that is no hello"
         return handshake.rejection_reason(
-            hello, self._identity, linked=self._peer is not None, listening=self._gateways.listening
+            hello, self._identity, linked=self._peer is not None, listening=self._gateways.is_listening
         )
 
     # The established link.
--- a/lapispick/host/jsonrpc/connection.py
+++ b/lapispick/host/jsonrpc/connection.py
@@ -1,293 +1,359 @@
-"""One gateway's connection: reads messages, hands requests to the core and writes their answers. It decides nothing."""
+"""One gateway's connection: reads messages, posts requests to the core and writes their answers. It decides nothing."""
 
 from __future__ import annotations
 
 import logging
 import time
-from typing import TYPE_CHECKING, Any
+from collections.abc import Callable
+from typing import Any
 
 import msgspec
 
-from lapispick.host import connection_eviction, events
+from lapispick import admission
+from lapispick.host import events
+from lapispick.host.connection_eviction import ConnectionState, is_overdue
 from lapispick.host.jsonrpc import messages
 from lapispick.host.jsonrpc.messages import CANCEL_METHOD, HEALTH_CHECK_METHOD, ErrorCode, InvalidMessageError, Message
 from lapispick.host.logs import log
 from lapispick.host.requests import Answer, AnswerKind, Request
+from lapispick.host.scheduler import EventLoop
 from lapispick.host.streams import LineTooLongError, Stream
 
-if TYPE_CHECKING:
-    from lapispick.host.jsonrpc.front import Gateways
-
 LOG = "clients"
 MAX_OPEN_REQUESTS = 32  # on one connection
-MESSAGES_PER_TURN = 16  # of one connection; then the others have their turn
-MAX_FAULTS = 3  # messages that can't be used; then the connection is closed
-STALLED_READER_S = 3.0  # a reader that took nothing for so long may lose its connection where room is needed
+MESSAGES_PER_TURN = 16  # of one connection, before other greenlets run
+MAX_FAULTS = 3  # invalid messages in a row, after which the connection is closed
+STALLED_READER_S = 3.0  # a reader that acknowledged nothing for so long may be evicted
 HALF_CLOSED_TIMEOUT_S = 10.0  # for the answers to a gateway that has ended its side and reads slowly
+MAX_MESSAGE_ID = (1 << 53) - 1  # the largest integer that JSON carries exactly
+
+
+class ConnectionContext(msgspec.Struct, eq=False):
+    """What the connections of a front share."""
+
+    loop: EventLoop
+    post: Callable[[Any], None]  # to the core
+    backpressure: Callable[[], float | None]  # the value that goes out with answers
+    class_indexes: dict[str, int]
+    classes: tuple[admission.ClassSettings, ...]
+    tenants: set[str]
+    needs_timeout: bool
+    on_closed: Callable[[Connection], None]
+
+
+class PeerActivity:
+    """When the peer of a connection sent something, and whether that was valid."""
+
+    __slots__ = (
+        "_is_suspect",
+        "_stream",
+        "accepted_at",
+        "fault_count",
+        "is_proven",
+        "last_used_at",
+        "message_started_at",
+    )
+
+    def __init__(self, stream: Stream) -> None:
+        self.accepted_at = self.last_used_at = time.monotonic()
+        self.message_started_at = 0.0  # of an incomplete message; 0 = there is none
+        self.is_proven = False  # it has sent a valid message
+        self.fault_count = 0  # since the last request that was served
+        self._stream = stream
+        self._is_suspect = False  # it was overdue before
+
+    def state(self, has_requests: bool) -> ConnectionState:
+        """Return what decides on eviction; ``has_requests``: some are not answered."""
+        stream = self._stream
+        has_line = stream.has_line()
+        is_within_message = stream.unread_bytes > 0 and not has_line
+        is_stalled = stream.stalled_s() > STALLED_READER_S
+        message_started_at = 0.0
+        if is_within_message:
+            message_started_at = self.message_started_at or stream.last_received_at
+        return ConnectionState(
+            self.accepted_at,
+            self.last_used_at,
+            stream.last_received_at,
+            stream.receive_count,
+            message_started_at,
+            # A complete message that is not processed yet counts as a request.
+            has_requests or has_line or (stream.unsent_bytes > 0 and not is_stalled),
+            self.is_proven,
+            self.fault_count > 0 or stream.closing or is_stalled,
+        )
+
+    def is_overdue(self, has_requests: bool, now: float) -> bool:
+        """Tell whether the peer has been silent, or within a message, for too long."""
+        stream = self._stream
+        if self.message_started_at and not stream.unread_bytes:
+            self.message_started_at = 0.0
+        elif not self.message_started_at and stream.unread_bytes and not stream.has_line():
+            self.message_started_at = now
+        if self.is_proven and not (self.message_started_at or stream.unsent_bytes):
+            return False
+        if not is_overdue(self.state(has_requests), now):  # the state also samples the progress of a slow reader
+            return False
+        # Input in the kernel's buffer may be unread because this host was delayed: it is given one more round.
+        has_input = not self._is_suspect and stream.has_pending_input()
+        self._is_suspect = True
+        return not has_input
+
+
+class OpenRequests:
+    """The requests of one connection that are not answered, by the ids of their messages."""
+
+    __slots__ = ("_post", "_unposted", "by_id")
+
+    def __init__(self, post: Callable[[Any], None]) -> None:
+        self.by_id: dict[int, Request] = {}
+        self._unposted: dict[int, Request] = {}  # read and not posted to the core
+        self._post = post
+
+    def __bool__(self) -> bool:
+        return bool(self.by_id or self._unposted)
+
+    def add(self, message_id: int, request: Request) -> None:
+        """Add a request, which is posted later."""
+        self.by_id[message_id] = self._unposted[message_id] = request
+
+    def post_new(self) -> None:
+        """Post the requests that were added since the last time."""
+        if self._unposted:
+            requests = self._unposted
+            self._unposted = {}
+            for request in requests.values():
+                self._post(events.RequestArrived(request))
+
+    def find_cancelled(self, message: Message) -> int | None:
+        """Return the id that a cancel message names; it may name the attempt of a request instead."""
+        params = message.params
+        message_id = params.cancelled_id if params.cancelled_id is not None else message.id
+        if message_id in self.by_id or not params.attempt_id:
+            return message_id
+        for open_id, request in self.by_id.items():
+            if request.request_id == params.attempt_id:
+                return open_id
+        return None
+
+    def cancel(self, message_id: int) -> None:
+        """Cancel a request for its gateway."""
+        request = self.by_id.pop(message_id)
+        before_arrival = self._unposted.pop(message_id, None) is not None
+        self._post(events.ClientCancelled(request, before_arrival))
+
+    def abandon(self, message_id: int) -> None:
+        """Forget a request as its connection ends or it is invalid; the core is told where it knows of it."""
+        request = self.by_id.pop(message_id)
+        if self._unposted.pop(message_id, None) is None:
+            self._post(events.ClientCancelled(request))
 
 
 class Connection:
     """One gateway's connection and the requests open on it."""
 
-    def __init__(self, front: Gateways, stream: Stream) -> None:
-        self.front, self.stream = front, stream
-        self.open: dict[int, Request] = {}
-        self.last_id, self.faults = 0, 0
-        self.since = self.used_at = time.monotonic()
-        self.part_since = 0.0  # since when part of a message waits for the rest; 0 = it does not
-        self.proven = self.going = self.ended = self.suspect = False
-        self.shut = False  # nothing more is taken here, and what is open is still answered
-        self._fresh: dict[int, Request] = {}  # read and not yet handed to the core
+    def __init__(self, context: ConnectionContext, stream: Stream) -> None:
+        self.stream = stream
+        self.activity = PeerActivity(stream)
+        self.requests = OpenRequests(context.post)
+        self.input_ended = False  # the peer has ended its side
+        self._context = context
+        self._last_id = 0
+        self._goaway_sent = False
+        self._closes_after_answers = False  # nothing more is read, and open requests are still answered
 
     def serve(self) -> None:
         """Read messages until the gateway closes."""
-        lines = 0
+        activity = self.activity
+        line_count = 0
         try:
             while not self.stream.closed and (line := self.stream.read_line()) is not None:
-                self.used_at, self.part_since = time.monotonic(), 0.0
+                activity.last_used_at = time.monotonic()
+                activity.message_started_at = 0.0
                 if line.strip():
-                    self._take(line)
-                # What stands behind a request may show that its peer is at fault: it is read first.
+                    self._on_line(line)
+                # A line after a request may show that the peer is at fault: it is read before the request is posted.
                 if not self.stream.has_line():
-                    self._hand_over()
-                    lines = 0
-                elif (lines := lines + 1) % MESSAGES_PER_TURN == 0:
-                    self.front.loop.yield_control()
+                    self.requests.post_new()
+                    line_count = 0
+                    continue
+                line_count += 1
+                if line_count % MESSAGES_PER_TURN == 0:
+                    self._context.loop.yield_control()
         except LineTooLongError as err:
-            self._fault(None, ErrorCode.INVALID_REQUEST, "the message is too long", last=True, error=err)
-        except Exception:  # guards the peer against waiting for a connection that nobody reads any more
+            self._on_fault(None, ErrorCode.INVALID_REQUEST, "the message is too long", closes=True, error=err)
+        except Exception:  # or the peer would wait for a connection that nobody reads
             self.close()
             raise
-        self.ended = True
-        self._hand_over()
-        # A gateway that only closed its sending side still waits for what it asked, and for what is on its way.
+        self.input_ended = True
+        self.requests.post_new()
+        # A gateway that only ended its side still waits for its answers.
         if self.stream.failed:
             self.close()
-        elif not self.open:
+        elif not self.requests.by_id:
             self.stream.close_gracefully(HALF_CLOSED_TIMEOUT_S)
 
+    # Closing.
+
     def close(self) -> None:
-        """Close the connection; whoever waited on it has gone."""
+        """Close the connection now; its open requests are cancelled."""
         self.stream.close()
-        for number in list(self.open):
-            self._end(number)
-        self.front.closed(self)
-
-    def finish(self) -> None:
-        """End the connection with all that was written on its way; what is open ends here, and nobody waits for it."""
-        self.shut = True
-        for number in list(self.open):
-            self._end(number)
-            self._error(number, ErrorCode.FAILED, "The connection ends")
-        self.stream.close_gracefully()
+        for message_id in list(self.requests.by_id):
+            self.requests.abandon(message_id)
+        self._context.on_closed(self)
 
-    def _end(self, number: int) -> None:
-        """Note that nobody waits for a request any more; the core is told where it knows of it."""
-        request = self.open.pop(number)
-        if self._fresh.pop(number, None) is None:
-            self.front.post(events.ClientCancelled(request))
+    def close_gracefully(self) -> None:
+        """Fail the open requests, and close the connection once all that was written is sent."""
+        self._closes_after_answers = True
+        for message_id in list(self.requests.by_id):
+            self.requests.abandon(message_id)
+            self._send_error(message_id, ErrorCode.FAILED, "The connection ends")
+        self.stream.close_gracefully()
 
-    def shut_in(self) -> None:
-        """Take nothing more; end the connection as soon as what is open is answered."""
-        self.shut = True
+    def close_after_answers(self) -> None:
+        """Answer an incomplete message with an error, read nothing more, and close once open requests are answered."""
+        self._send_error(None, ErrorCode.INVALID_REQUEST, "the message did not come whole in time")
+        self._closes_after_answers = True
         self.stream.discard_input()
-        self._settled()
+        self._on_request_ended()
 
-    def goaway(self) -> None:
+    def send_goaway(self) -> None:
         """Ask the gateway to send nothing new here and to close."""
-        if not self.going:
-            self.going = True
+        if not self._goaway_sent:
+            self._goaway_sent = True
             self.stream.write(messages.GOAWAY)
 
-    def overdue(self, now: float) -> bool:
-        """Tell whether the peer has been silent, or in the middle of a message, for too long."""
-        if self.part_since and not self.stream.unread_bytes:
-            self.part_since = 0.0
-        elif not self.part_since and self.stream.unread_bytes and not self.stream.has_line():
-            self.part_since = now
-        if self.proven and not (self.part_since or self.stream.unsent_bytes):
-            return False
-        if not connection_eviction.overdue(
-            self.standing(), now
-        ):  # which also looks whether a slow reader has taken anything
-            return False
-        # Guards those whose bytes wait in the system because this host was held up: they have one more look.
-        waits, self.suspect = not self.suspect and self.stream.has_pending_input(), True
-        return not waits
-
-    def standing(self) -> connection_eviction.Standing:
-        """Return what decides whether this connection is kept."""
-        part = self.stream.unread_bytes > 0 and not self.stream.has_line()
-        stopped = self.stream.stalled_s() > STALLED_READER_S
-        # A message that was received whole and has not had its turn yet is as good as open.
-        owed = bool(self.open or self._fresh or self.stream.has_line() or (self.stream.unsent_bytes and not stopped))
-        return connection_eviction.Standing(
-            self.since,
-            self.used_at,
-            self.stream.last_received_at,
-            self.stream.receive_count,
-            (self.part_since or self.stream.last_received_at) if part else 0.0,
-            owed,
-            self.proven,
-            self.faults > 0 or self.stream.closing or stopped,
-        )
+    # The state that decides on closing.
+
+    def is_overdue(self, now: float) -> bool:
+        """Tell whether the peer has been silent, or within a message, for too long."""
+        return self.activity.is_overdue(bool(self.requests), now)
+
+    def eviction_state(self) -> ConnectionState:
+        """Return what decides whether this connection may be evicted."""
+        return self.activity.state(bool(self.requests))
 
-    def _take(self, line: bytes) -> None:
+    # Messages.
+
+    def _on_line(self, line: bytes) -> None:
         try:
             message = messages.decode(line)
         except msgspec.ValidationError as err:
-            return self._invalid(line, err)
+            self._on_invalid_message(line, err)
+            return
         except msgspec.DecodeError as err:
-            return self._fault(None, ErrorCode.PARSE_ERROR, "not JSON", last=True, error=err)
-        if message.method == CANCEL_METHOD:
-            return self._give_up(message)
-        number = message.id
-        if number is None:
-            return self._fault(None, ErrorCode.INVALID_REQUEST, "a request needs an id")
-        if message.method == HEALTH_CHECK_METHOD:
-            self.proven, self.last_id = True, max(self.last_id, number)
-            deep = message.params.is_deep
-            return self.front.post(
-                events.HealthCheckReceived(deep, lambda good, advice: self._health(number, good, advice))
-            )
-        if not self._new_id(number):
+            self._on_fault(None, ErrorCode.PARSE_ERROR, "not JSON", closes=True, error=err)
             return
-        class_index = self.front.classes.get(message.method)
+        if message.method == CANCEL_METHOD:
+            self._on_cancel(message)
+        elif message.id is None:
+            self._on_fault(None, ErrorCode.INVALID_REQUEST, "a request needs an id")
+        elif message.method == HEALTH_CHECK_METHOD:
+            self._on_health_check(message.id, message.params.is_deep)
+        elif self._accept_id(message.id):
+            self._on_request(message.id, message)
+
+    def _accept_id(self, message_id: int) -> bool:
+        """Note an id; one that is not new closes the connection, as answers to it could not be told apart."""
+        if self._last_id < message_id <= MAX_MESSAGE_ID:
+            self._last_id = message_id
+            return True
+        # A request that is not open may have been answered under this id: another answer would be a duplicate.
+        answered_id = message_id if message_id in self.requests.by_id else None
+        text = "the id is not new on this connection"
+        self._on_fault(answered_id, ErrorCode.INVALID_REQUEST, text, closes=True)
+        return False
+
+    def _on_request(self, message_id: int, message: Message) -> None:
+        context = self._context
+        class_index = context.class_indexes.get(message.method)
         if class_index is None:
-            return self._fault(number, ErrorCode.METHOD_NOT_FOUND, "no such class")
+            self._on_fault(message_id, ErrorCode.METHOD_NOT_FOUND, "no such class")
+            return
         try:
-            messages.validate(
-                message.params, self.front.settings.classes[class_index], self.front.tenants, self.front.needs_timeout
-            )
+            messages.validate(message.params, context.classes[class_index], context.tenants, context.needs_timeout)
         except InvalidMessageError as err:
-            return self._fault(number, ErrorCode.INVALID_REQUEST, str(err))
-        if len(self.open) >= MAX_OPEN_REQUESTS:
-            return self._fault(number, ErrorCode.REJECTED, "too many open requests", last=True)
-        self._request(number, class_index, message)
-
-    def _new_id(self, number: int) -> bool:
-        """Note an id; one that was used ends the connection, for no answer to it could be told apart."""
-        if self.last_id < number < 1 << 53:
-            self.last_id = number
-            return True
-        # An answer may have gone out under this id: another would be a duplicate.
-        known = number if number in self.open else None
-        self._fault(known, ErrorCode.INVALID_REQUEST, "the id is not new on this connection", last=True)
-        return False
+            self._on_fault(message_id, ErrorCode.INVALID_REQUEST, str(err))
+            return
+        if len(self.requests.by_id) >= MAX_OPEN_REQUESTS:
+            self._on_fault(message_id, ErrorCode.REJECTED, "too many open requests", closes=True)
+            return
+        self.activity.is_proven = True
+        request = messages.build_request(message, class_index, lambda answer: self._on_answer(message_id, answer))
+        self.requests.add(message_id, request)
 
-    def _request(self, number: int, class_index: int, message: Message) -> None:
-        params = message.params
-        self.proven = True
-        self.open[number] = self._fresh[number] = Request(
-            request_id=params.attempt_id,
-            handler=message.method,
-            class_index=class_index,
-            body=params.body or "",
-            born_at=params.created_at_ms,
-            deadline_at=params.created_at_ms + params.timeout_ms if params.timeout_ms else 0.0,
-            request_memory_kb=params.memory_kb,
-            rank=params.rank,
-            caller=params.gateway,
-            idempotency_key=("nonce", params.idempotency_key) if params.idempotency_key else None,
-            account=params.tenant,
-            is_retry=bool(params.is_retry),
-            reply=lambda answer: self._answer(number, answer),
-        )
+    def _on_cancel(self, message: Message) -> None:
+        message_id = self.requests.find_cancelled(message)
+        if message_id is None or message_id > self._last_id:
+            self._on_fault(None, ErrorCode.INVALID_REQUEST, "no such request")
+        elif message_id in self.requests.by_id:
+            self.requests.cancel(message_id)
+            # Not required by the protocol; it shows a peer that sends and cancels hundreds of requests what was read.
+            self._send_error(message_id, ErrorCode.FAILED, "Given up")
+            self._on_request_ended()
 
-    def _hand_over(self) -> None:
-        if self._fresh:
-            fresh, self._fresh = self._fresh, {}
-            for request in fresh.values():
-                self.front.post(events.RequestArrived(request))
+    def _on_health_check(self, message_id: int, is_deep: bool) -> None:
+        self.activity.is_proven = True
+        self._last_id = max(self._last_id, message_id)
 
-    def _give_up(self, message: Message) -> None:
-        params = message.params
-        number = params.cancelled_id if params.cancelled_id is not None else message.id
-        request = self.open.get(number) if number is not None else None
-        if request is None and params.attempt_id:
-            number, request = next(
-                ((n, r) for n, r in self.open.items() if r.request_id == params.attempt_id), (None, None)
-            )
-        if request is None or number is None:
-            if number is None or number > self.last_id:
-                self._fault(None, ErrorCode.INVALID_REQUEST, "no such request")
-            return
-        del self.open[number]
-        self.front.post(events.ClientCancelled(request, before_arrival=self._fresh.pop(number, None) is not None))
-        # None is owed; it tells a peer that asks and takes back by the hundreds that we have read it.
-        self._error(number, ErrorCode.FAILED, "Given up", self.front.advice())
-        self._settled()
-
-    def word(self, text: str) -> None:
-        """Tell the peer what is wrong with a message that has no number yet."""
-        self._error(None, ErrorCode.INVALID_REQUEST, text)
-
-    def _fault(self, number: int | None, code: ErrorCode, text: str, last: bool = False, **pairs: Any) -> None:
-        """Answer what can't be used; close a connection that can't be understood or has too many faults."""
-        self.faults += 1
-        log(LOG, logging.WARNING, "request-faulty", fault=text, id=number, **pairs)
-        if number is not None and number in self.open:
-            self._end(number)
-        self._error(number, code, text)
-        if last or self.faults >= MAX_FAULTS:
-            self.finish()
-
-    def _invalid(self, line: bytes, err: Exception) -> None:
+        def reply(is_healthy: bool, backpressure: float | None) -> None:
+            self.stream.write(messages.encode_result(message_id, {"healthy": is_healthy}, backpressure))
+
+        self._context.post(events.HealthCheckReceived(is_deep, reply))
+
+    def _on_invalid_message(self, line: bytes, err: Exception) -> None:
         """Answer JSON that is no message, under its id if that can be read and is new."""
         try:
-            number = messages.decode_id(line).id
+            message_id = messages.decode_id(line).id
         except msgspec.DecodeError:
-            number = None
-        if number is None or self._new_id(number):
-            self._fault(number, ErrorCode.INVALID_REQUEST, "not a message of the protocol", error=err)
+            message_id = None
+        if message_id is None or self._accept_id(message_id):
+            self._on_fault(message_id, ErrorCode.INVALID_REQUEST, "not a message of the protocol", error=err)
+
+    def _on_fault(self, message_id: int | None, code: ErrorCode, text: str, closes: bool = False, **pairs: Any) -> None:
+        """Answer an invalid message with an error; close the connection if asked to, or after too many of them."""
+        self.activity.fault_count += 1
+        log(LOG, logging.WARNING, "request-faulty", fault=text, id=message_id, **pairs)
+        if message_id is not None and message_id in self.requests.by_id:
+            self.requests.abandon(message_id)
+        self._send_error(message_id, code, text)
+        if closes or self.activity.fault_count >= MAX_FAULTS:
+            self.close_gracefully()
 
-    def _answer(self, number: int, answer: Answer) -> None:
-        if self.open.pop(number, None) is None:
-            return None  # given up or gone
+    # Answers.
+
+    def _on_answer(self, message_id: int, answer: Answer) -> None:
+        if self.requests.by_id.pop(message_id, None) is None:
+            return  # it was cancelled
         if answer.client_error:
-            self._fault(number, ErrorCode.FAILED, answer.client_error)
-            return self._settled()
-        if answer.kind == AnswerKind.SERVED:
-            self.faults = 0
-            self._send(number, "result", {"doc": answer.result}, answer.backpressure)
+            self._on_fault(message_id, ErrorCode.FAILED, answer.client_error)
+        elif answer.kind == AnswerKind.SERVED:
+            self.activity.fault_count = 0
+            self.stream.write(messages.encode_result(message_id, {"doc": answer.result}, answer.backpressure))
         elif answer.kind == AnswerKind.FAILED:
-            self._error(number, ErrorCode.FAILED, "Failed", answer.backpressure)
+            self._send_error(message_id, ErrorCode.FAILED, "Failed", answer.backpressure)
         else:
-            data: dict[str, Any] = {"pause": round(answer.retry_after_ms, 1)} if answer.retry_after_ms > 0 else {}
-            if answer.no_retry:
-                data["terminal"] = 1
-            self._error(number, ErrorCode.REJECTED, "Busy", answer.backpressure, data)
-        self._settled()
-
-    def _settled(self) -> None:
-        self.used_at = time.monotonic()
+            data = messages.rejection_data(answer)
+            self._send_error(message_id, ErrorCode.REJECTED, "Busy", answer.backpressure, data)
+        self._on_request_ended()
+
+    def _on_request_ended(self) -> None:
+        self.activity.last_used_at = time.monotonic()
         if self.stream.failed:
             self.close()
-        elif not self.open and self.ended:
+        elif not self.requests.by_id and self.input_ended:
             self.stream.close_gracefully(HALF_CLOSED_TIMEOUT_S)
-        elif not self.open and self.shut:
+        elif not self.requests.by_id and self._closes_after_answers:
             self.stream.close_gracefully()
 
-    def _health(self, number: int, good: bool, advice: float | None) -> None:
-        self._send(number, "result", {"healthy": good}, advice)
-
-    def _error(
+    def _send_error(
         self,
-        number: int | None,
+        message_id: int | None,
         code: ErrorCode,
         text: str,
-        advice: float | None = None,
+        backpressure: float | None = None,
         data: dict[str, Any] | None = None,
     ) -> None:
-        data = data or {}
-        if advice is None:
-            advice = self.front.advice()
-        if advice is not None:
-            data["advice"] = advice
-        error = {"code": code, "message": text, "data": data}
-        self.stream.write(messages.encode({"jsonrpc": "2.0", "id": number, "error": error}) + b"\n")
-
-    def _send(self, number: int, member: str, fields: dict[str, Any], advice: float | None) -> None:
-        if advice is not None:
-            fields["advice"] = advice
-        self.stream.write(messages.encode({"jsonrpc": "2.0", "id": number, member: fields}) + b"\n")
+        if backpressure is None:
+            backpressure = self._context.backpressure()
+        self.stream.write(messages.encode_error(message_id, code, text, data or {}, backpressure))
--- a/lapispick/host/jsonrpc/messages.py
+++ b/lapispick/host/jsonrpc/messages.py
@@ -1,6 +1,6 @@
 """The messages of the platform's JSON-RPC 2.0 protocol: their fields, error codes and the bounds of their values.
 
-The names on the wire are the platform's; they are mapped to ours here and nowhere else.
+The names on the wire are the platform's; they are mapped to the terms of the glossary here and nowhere else.
 """
 
 from __future__ import annotations
@@ -9,14 +9,15 @@
 import binascii
 import re
 import time
+from collections.abc import Callable
 from enum import IntEnum
-from typing import Literal
+from typing import Any, Literal
 
 import msgspec
 
 from lapispick import admission
 from lapispick.host.errors import HostError
-from lapispick.host.requests import MAX_BODY_BYTES, MAX_REQUEST_MEMORY_KB
+from lapispick.host.requests import MAX_BODY_BYTES, MAX_REQUEST_MEMORY_KB, Answer, Request
 
 MAX_MESSAGE_AGE_MS = 60_000.0  # since a request reached the machine
 MAX_CLOCK_SKEW_MS = 1000.0
@@ -40,11 +41,11 @@
 
 
 class InvalidMessageError(HostError):
-    """A message has a value outside the protocol's bounds; its text goes out to the peer."""
+    """A message has a value outside the protocol's bounds; the text is sent to the peer."""
 
 
 class Params(msgspec.Struct):
-    """The values used of any message's params."""
+    """The params of all messages; each kind uses some of them."""
 
     attempt_id: str = msgspec.field(default="", name="trace")
     created_at_ms: float = msgspec.field(default=0.0, name="born")  # Unix ms; when the request reached the machine
@@ -70,7 +71,7 @@
 
 
 class MessageId(msgspec.Struct):
-    """What is needed to answer a message that can't be used."""
+    """The id of a message whose other fields are invalid."""
 
     id: int | None = None
 
@@ -81,7 +82,7 @@
 
 
 def validate(params: Params, settings: admission.ClassSettings, tenants: set[str], needs_timeout: bool) -> None:
-    """Raise ``InvalidMessageError`` for values outside the protocol's bounds, which must not reach the decisions."""
+    """Raise ``InvalidMessageError`` for values outside the protocol's bounds; no other code checks them."""
     if not ATTEMPT_ID.fullmatch(params.attempt_id):
         raise InvalidMessageError("trace must be 16 hex digits")
     age_ms = time.time() * 1000 - params.created_at_ms
@@ -113,3 +114,50 @@
         raise InvalidMessageError("doc is not base64") from None
     if body is None or size > MAX_BODY_BYTES:
         raise InvalidMessageError(f"doc holds {size} bytes")
+
+
+def build_request(message: Message, class_index: int, reply: Callable[[Answer], None]) -> Request:
+    """Return the request of a valid message."""
+    params = message.params
+    return Request(
+        request_id=params.attempt_id,
+        handler=message.method,
+        class_index=class_index,
+        body=params.body or "",
+        born_at=params.created_at_ms,
+        deadline_at=params.created_at_ms + params.timeout_ms if params.timeout_ms else 0.0,
+        request_memory_kb=params.memory_kb,
+        rank=params.rank,
+        caller=params.gateway,
+        idempotency_key=("nonce", params.idempotency_key) if params.idempotency_key else None,
+        account=params.tenant,
+        is_retry=bool(params.is_retry),
+        reply=reply,
+    )
+
+
+def rejection_data(answer: Answer) -> dict[str, Any]:
+    """Return the data of a rejection's error."""
+    data: dict[str, Any] = {}
+    if answer.retry_after_ms > 0:
+        data["pause"] = round(answer.retry_after_ms, 1)
+    if answer.no_retry:
+        data["terminal"] = 1
+    return data
+
+
+def encode_result(message_id: int, result: dict[str, Any], backpressure: float | None) -> bytes:
+    """Encode a result line; the backpressure value is added to ``result``."""
+    if backpressure is not None:
+        result["advice"] = backpressure
+    return encode({"jsonrpc": "2.0", "id": message_id, "result": result}) + b"\n"
+
+
+def encode_error(
+    message_id: int | None, code: ErrorCode, text: str, data: dict[str, Any], backpressure: float | None
+) -> bytes:
+    """Encode an error line; the backpressure value is added to ``data``."""
+    if backpressure is not None:
+        data["advice"] = backpressure
+    error = {"code": code, "message": text, "data": data}
+    return encode({"jsonrpc": "2.0", "id": message_id, "error": error}) + b"\n"
--- a/tests/test_connection_overload.py
+++ b/tests/test_connection_overload.py
@@ -1,4 +1,4 @@
-"""Less room: crowds that never finish a request, slow writers, and messages cut at any byte."""
+"""Connections under overload: floods that never finish a request, slow writers, and messages cut at any byte."""
 
 import itertools
 import random
@@ -18,128 +18,146 @@
 from lapispick.fakes.store import Store
 from lapispick.fakes.waiting import wait_until
 from lapispick.host import connection_eviction
-from lapispick.host.connection_eviction import FIRST_S, QUIET_S, Standing
-from lapispick.host.jsonrpc.front import Gateways
+from lapispick.host.connection_eviction import (
+    FIRST_PART_TIMEOUT_S,
+    LATER_PART_TIMEOUT_S,
+    MESSAGE_TIMEOUT_S,
+    ConnectionState,
+)
+from lapispick.host.jsonrpc.front import JsonRpcFront
 from lapispick.host.scheduler import EventLoop
 from lapispick.platform_settings import Info, settings_from
 
-NEW = Standing(since=0.0, used_at=0.0, heard_at=0.0, pieces=1, begun_at=0.0, open=False, served=False, at_fault=False)
+NEW = ConnectionState(
+    accepted_at=0.0,
+    last_used_at=0.0,
+    last_received_at=0.0,
+    receive_count=1,
+    message_started_at=0.0,
+    owes_answer=False,
+    is_proven=False,
+    is_at_fault=False,
+)
 
 
-def test_the_least_loss_goes_first_and_what_is_open_or_young_stays():
+def test_connections_are_evicted_by_class_and_then_by_inactivity():
     now = 100.0
-    kinds = {
-        "fault": NEW._replace(at_fault=True, served=True, used_at=99.0),
-        "silent": NEW._replace(since=99.5),
-        "older silent": NEW._replace(since=98.0),
-        "stalled": NEW._replace(since=99.0, begun_at=99.0, heard_at=99.1),
-        "longer stalled": NEW._replace(since=99.0, begun_at=99.0, heard_at=99.0),
-        "idle": NEW._replace(served=True, used_at=99.0),
-        "begun": NEW._replace(begun_at=99.8, heard_at=99.8),
-        "going on": NEW._replace(begun_at=98.0, heard_at=99.5, pieces=4),
-        "gave up": NEW._replace(begun_at=98.0, heard_at=99.2, pieces=4),
-        "just served": NEW._replace(served=True, used_at=99.8),
-        "young": NEW._replace(since=99.95),
-        "open": NEW._replace(open=True, served=True),
-        "open and at fault": NEW._replace(open=True, at_fault=True),
+    within_message = NEW._replace(accepted_at=99.0, message_started_at=99.0)
+    continued_message = NEW._replace(message_started_at=98.0, receive_count=4)
+    states = {
+        "at fault": NEW._replace(is_at_fault=True, is_proven=True, last_used_at=99.0),
+        "silent": NEW._replace(accepted_at=99.5),
+        "silent for longer": NEW._replace(accepted_at=98.0),
+        "stopped": within_message._replace(last_received_at=99.1),
+        "stopped for longer": within_message._replace(last_received_at=99.0),
+        "idle": NEW._replace(is_proven=True, last_used_at=99.0),
+        "started": NEW._replace(message_started_at=99.8, last_received_at=99.8),
+        "sending": continued_message._replace(last_received_at=99.5),
+        "stopped after several parts": continued_message._replace(last_received_at=99.2),
+        "recently served": NEW._replace(is_proven=True, last_used_at=99.8),
+        "new": NEW._replace(accepted_at=99.95),
+        "owes an answer": NEW._replace(owes_answer=True, is_proven=True),
+        "owes an answer and is at fault": NEW._replace(owes_answer=True, is_at_fault=True),
     }
-    mixed = list(kinds.items())
-    random.Random(1).shuffle(mixed)
-    assert [c for c, _ in connection_eviction.order(mixed, now)] == [
-        "fault",
-        "older silent",
+    shuffled = list(states.items())
+    random.Random(1).shuffle(shuffled)
+    assert [name for name, _ in connection_eviction.eviction_order(shuffled, now)] == [
+        "at fault",
+        "silent for longer",
         "silent",
-        "longer stalled",
-        "stalled",
-        "gave up",
+        "stopped for longer",
+        "stopped",
+        "stopped after several parts",
         "idle",
-        "begun",
-        "young",
-        "just served",
-        "going on",
+        "started",
+        "new",
+        "recently served",
+        "sending",
     ]
 
 
 @pytest.mark.parametrize(
-    ("standing", "late"),
+    ("state", "is_overdue"),
     [
         (NEW, True),
-        (NEW._replace(served=True), False),
-        (NEW._replace(served=True, begun_at=5.0), True),
-        (NEW._replace(since=9.0), False),
-        (NEW._replace(served=True, begun_at=9.0), False),
+        (NEW._replace(is_proven=True), False),
+        (NEW._replace(is_proven=True, message_started_at=5.0), True),
+        (NEW._replace(accepted_at=9.0), False),
+        (NEW._replace(is_proven=True, message_started_at=9.0), False),
     ],
 )
-def test_a_message_has_its_time_from_connecting_or_from_its_first_byte(standing, late):
-    assert connection_eviction.overdue(standing, 5.0 + FIRST_S) is late
-    assert 2.0 < FIRST_S < 3.0 - 0.5
-    assert max(QUIET_S) < FIRST_S
+def test_the_time_for_a_message_counts_from_connecting_or_from_its_first_byte(state, is_overdue):
+    assert connection_eviction.is_overdue(state, 5.0 + MESSAGE_TIMEOUT_S) is is_overdue
+    assert 2.0 < MESSAGE_TIMEOUT_S < 3.0 - 0.5
+    assert max(FIRST_PART_TIMEOUT_S, LATER_PART_TIMEOUT_S) < MESSAGE_TIMEOUT_S
 
 
 @pytest.fixture
 def front():
-    """A front that nobody reads for, and a client's connection to it."""
+    """A front whose connections nobody reads, with ``connect`` to open one."""
     info = msgspec.convert(PLATFORM_INFO, Info)
-    made = Gateways(EventLoop(), ("127.0.0.1", 0), info, settings_from(info), 2, lambda item: None, lambda: None)
-    made.listen()
-    name, port = made.address.split(":")
+    started = JsonRpcFront(EventLoop(), ("127.0.0.1", 0), info, settings_from(info), 2, lambda item: None, lambda: None)
+    started.listen()
+    host, port = started.address.split(":")
     clients = []
 
     def connect():
-        clients.append(socket.create_connection((name, int(port))))
-        select.select([made.fileno()], [], [], 5)
-        made._accept(made._sock)
+        clients.append(socket.create_connection((host, int(port))))
+        select.select([started.fileno()], [], [], 5)
+        started._accept(started._listener)
         return clients[-1]
 
-    made.client = connect
-    yield made
-    for each in clients:
-        each.close()
-
-
-def test_bytes_that_wait_in_the_system_keep_a_connection(front):
-    first = front.client()
-    first.sendall(b"{")
-    (kept,) = front.connections
-    select.select([kept.stream.sock], [], [], 5)
-    front._going = None
-    assert not front._make_room()
-    assert not kept.stream.closed
-    front.client()
-    silent = next(c for c in front.connections if c is not kept)
-    front._going = None
-    assert front._make_room()
+    started.connect = connect
+    yield started
+    for client in clients:
+        client.close()
+
+
+def test_unread_input_in_the_kernel_protects_a_connection_from_eviction(front):
+    front.connect().sendall(b"{")
+    (sending,) = front.connections
+    select.select([sending.stream.sock], [], [], 5)
+    front._evictor._candidates = None
+    assert not front._evictor.evict()
+    assert not sending.stream.closed
+    front.connect()
+    silent = next(connection for connection in front.connections if connection is not sending)
+    front._evictor._candidates = None
+    assert front._evictor.evict()
     assert silent.stream.closed
-    assert not kept.stream.closed
-
-
-def test_a_message_that_was_received_whole_keeps_its_connection_until_it_is_taken(front):
-    front.client().sendall(b'{"jsonrpc":"2.0"}\n')
-    (kept,) = front.connections
-    select.select([kept.stream.sock], [], [], 5)
-    kept.stream.loop.yield_control = lambda: None
-    kept.stream._receive(None)  # in the buffer, and its reader gives way to others before it takes it
-    assert not kept.stream.has_pending_input()
-    assert not front._make_room()
-    assert not kept.stream.closed
-    kept.used_at -= 60
+    assert not sending.stream.closed
+
+
+def test_a_complete_message_that_is_not_processed_keeps_its_connection_open(front):
+    front.connect().sendall(b'{"jsonrpc":"2.0"}\n')
+    (connection,) = front.connections
+    select.select([connection.stream.sock], [], [], 5)
+    connection.stream.loop.yield_control = lambda: None
+    connection.stream._receive(None)  # into the buffer, as before a reader that lets other greenlets run
+    assert not connection.stream.has_pending_input()
+    assert not front._evictor.evict()
+    assert not connection.stream.closed
+    connection.activity.last_used_at -= 60
     front.limit_idle(100.0)
     front._sweep()
-    assert not kept.stream.closing
-    assert not kept.stream.closed
+    assert not connection.stream.closing
+    assert not connection.stream.closed
 
 
-def test_a_listener_that_is_closed_between_its_wake_and_its_turn_is_let_be(front):
-    front.loop.wait_for_io = lambda fd, event: front.close_listener(passed=True) is None
-    front._accept = lambda sock: pytest.fail("a closed listener was asked")
+def test_a_listener_that_is_closed_before_its_greenlet_runs_is_not_accepted_from(front):
+    front.loop.wait_for_io = lambda fd, event: front.close_listener(is_shared=True) is None
+    front._accept = lambda listener: pytest.fail("a closed listener was accepted from")
     front.serve()
-    assert not front.listening
+    assert not front.is_listening
 
 
-PIECES, SPAN = 20, 2.0  # of a message that is written slowly, and the seconds that it takes
-# s; a writer that a busy machine held up for longer than this is none of those that the host must wait for
-PUNCTUAL = (QUIET_S[0] - 0.05, QUIET_S[1] - 0.15, FIRST_S - 0.15)  # after the first piece, after others, in all
-CROWD = """
+PARTS = 20  # of a message that is written slowly
+WRITE_S = 2.0  # the time that it takes
+# The host has to wait for a writer whose delays stay under these; on a busy machine a writer may exceed them itself.
+MAX_FIRST_GAP_S = FIRST_PART_TIMEOUT_S - 0.05
+MAX_LATER_GAP_S = LATER_PART_TIMEOUT_S - 0.15
+MAX_WRITE_S = MESSAGE_TIMEOUT_S - 0.15
+FLOOD = """
 import contextlib, random, socket, sys, time
 rng, mine, end = random.Random(int(sys.argv[3])), [], time.monotonic() + 60
 while time.monotonic() < end:
@@ -152,130 +170,143 @@
 """
 
 
-class Writer:
-    """Writes a request in pieces on a connection of its own."""
+class SlowWriter:
+    """Writes a request in parts on a connection of its own."""
 
-    def __init__(self, h, body):
-        self.gateway = h.gateway()
-        # It comes with its last byte; one that were older than its aim would be worth nothing here.
-        self.line = self.gateway.request_line("track", body, born=(time.time() + SPAN) * 1000) + b"\n"
-        self.at = []
+    def __init__(self, host, body):
+        self.gateway = host.gateway()
+        # Its creation time is that of its last byte: an older request would be past its latency objective.
+        created_at_ms = (time.time() + WRITE_S) * 1000
+        self.line = self.gateway.request_line("track", body, born=created_at_ms) + b"\n"
+        self.written_at = []
 
     def write(self):
-        cuts = [len(self.line) * i // PIECES for i in range(PIECES + 1)]
-        began = time.monotonic()
-        for number, (a, b) in enumerate(itertools.pairwise(cuts)):
-            time.sleep(max(0.0, began + number * SPAN / PIECES - time.monotonic()))
-            self.gateway.sock.sendall(self.line[a:b])
-            self.at.append(time.monotonic())
-
-    def punctual(self):
-        """Tell whether all pieces so far came in their time, the one that may be due now among them."""
-        times = [*self.at, time.monotonic()] if len(self.at) < PIECES else self.at
-        first, *others = (b - a for a, b in itertools.pairwise(times))
-        return first < PUNCTUAL[0] and max(others, default=0) < PUNCTUAL[1] and times[-1] - times[0] < PUNCTUAL[2]
-
-
-def test_true_requests_pass_a_crowd_that_never_finishes_one(host):
-    """Who keeps its time is served. Its own delays on a busy machine do not count against the host: it tries again."""
-    h = host(executor=Executor(work_s=0.001))
-    crowd = [subprocess.Popen([sys.executable, "-c", CROWD, *h.address.split(":"), str(seed)]) for seed in range(2)]
-    got = []
+        cuts = [len(self.line) * part // PARTS for part in range(PARTS + 1)]
+        started_at = time.monotonic()
+        for part, (start, end) in enumerate(itertools.pairwise(cuts)):
+            time.sleep(max(0.0, started_at + part * WRITE_S / PARTS - time.monotonic()))
+            self.gateway.sock.sendall(self.line[start:end])
+            self.written_at.append(time.monotonic())
+
+    def is_punctual(self):
+        """Tell whether all parts so far were written in time, the one that may be due now among them."""
+        times = list(self.written_at)
+        if len(times) < PARTS:
+            times.append(time.monotonic())
+        first_gap, *later_gaps = (end - start for start, end in itertools.pairwise(times))
+        if times[-1] - times[0] >= MAX_WRITE_S:
+            return False
+        return first_gap < MAX_FIRST_GAP_S and max(later_gaps, default=0) < MAX_LATER_GAP_S
+
+
+def test_valid_requests_are_served_during_a_flood_of_connections_that_never_finish_one(host):
+    """A punctual slow writer is served; one that the busy machine delayed counts for nothing and writes again."""
+    started = host(executor=Executor(work_s=0.001))
+    address = started.address.split(":")
+    flood = [subprocess.Popen([sys.executable, "-c", FLOOD, *address, str(seed)]) for seed in range(2)]
+    results = []
 
     def write_slowly():
         for _ in range(10):
-            writer = Writer(h, "slow")
+            writer = SlowWriter(started, "slow")
             try:
                 writer.write()
-                return got.append(writer.gateway.result(1))
+                return results.append(writer.gateway.result(1))
             except (OSError, AssertionError, KeyError) as err:
-                if writer.punctual():
-                    return got.append(f"a punctual writer got {err!r}")
+                if writer.is_punctual():
+                    return results.append(f"a punctual writer got {err!r}")
 
     try:
-        slow = [threading.Thread(target=write_slowly) for _ in range(6)]
-        for each in slow:
-            each.start()
-        for n in range(60):
-            began = time.monotonic()
-            g = h.gateway()
-            assert g.result(g.request("track", f"x{n}")) == f"did x{n}"
-            assert time.monotonic() - began < 2
-            g.sock.close()
-            assert h.call_operators() == ["OK"]
-        for each in slow:
-            each.join()
+        threads = [threading.Thread(target=write_slowly) for _ in range(6)]
+        for thread in threads:
+            thread.start()
+        for number in range(60):
+            started_at = time.monotonic()
+            gateway = started.gateway()
+            assert gateway.result(gateway.request("track", f"x{number}")) == f"did x{number}"
+            assert time.monotonic() - started_at < 2
+            gateway.sock.close()
+            assert started.call_operators() == ["OK"]
+        for thread in threads:
+            thread.join()
     finally:
-        for each in crowd:
-            each.kill()
-            each.wait()
-    assert got == ["did slow"] * 6
-    assert h.peak_memory_mb() < 64
+        for process in flood:
+            process.kill()
+            process.wait()
+    assert results == ["did slow"] * 6
+    assert started.peak_memory_mb() < 64
 
 
 def test_a_request_may_be_cut_at_any_byte(host):
-    h = host()
-    pulse, g = h.gateway(), h.gateway()
-    line = g.request_line("track", "cut", number=1) + b"\n"
-    for at in range(1, len(line)):
-        line = g.request_line("track", f"cut{at}", number=at) + b"\n"
-        g.sock.sendall(line[:at])
-        pulse.answer(pulse.send("probe"))  # the host has had a turn in between
-        g.sock.sendall(line[at:])
-        assert g.result(at) == f"did cut{at}"
-
-
-def test_operators_calls_and_all_peers_may_come_byte_by_byte(host):
-    executor, store = Executor(), Store()
-    executor.byte_by_byte = store.byte_by_byte = True
-    h = host(executor=executor, store=store)
-    g = h.gateway()
-    for n in range(5):
-        assert g.result(g.request("track", "call:200")).startswith("reply")
-        assert g.result(g.request("book", f"x{n}", f"{n:032x}")) == f"did x{n}"
-    for word in ("check", "vars"):
-        with socket.create_connection(h.ops.split(":")) as sock:
-            ByteByByteSocket(sock).sendall(f"{word}\n".encode())
+    started = host()
+    other_gateway = started.gateway()
+    gateway = started.gateway()
+    line = gateway.request_line("track", "cut", number=1) + b"\n"
+    for cut in range(1, len(line)):
+        line = gateway.request_line("track", f"cut{cut}", number=cut) + b"\n"
+        gateway.sock.sendall(line[:cut])
+        other_gateway.answer(other_gateway.send("probe"))  # the host has read the first part when it answers this
+        gateway.sock.sendall(line[cut:])
+        assert gateway.result(cut) == f"did cut{cut}"
+
+
+def test_operators_calls_and_all_peers_may_send_byte_by_byte(host):
+    executor = Executor()
+    executor.byte_by_byte = True
+    store = Store()
+    store.byte_by_byte = True
+    started = host(executor=executor, store=store)
+    gateway = started.gateway()
+    for number in range(5):
+        assert gateway.result(gateway.request("track", "call:200")).startswith("reply")
+        assert gateway.result(gateway.request("book", f"x{number}", f"{number:032x}")) == f"did x{number}"
+    for call in ("check", "vars"):
+        with socket.create_connection(started.ops.split(":")) as sock:
+            ByteByByteSocket(sock).sendall(f"{call}\n".encode())
             assert sock.makefile().read().splitlines()[-1] in ("OK", "END")
 
 
-def test_quiet_connections_stay_and_are_served_when_they_speak_again(host):
-    h = host()
-    quiet = [h.gateway() for _ in range(20)]
-    for g in quiet:
-        assert g.result(g.request("track", "once")) == "did once"
-    began = time.monotonic()
-    wait_until(lambda: time.monotonic() - began > FIRST_S + 0.3, "more than the time for a message")
-    for g in quiet:
-        assert g.result(g.request("track", "again")) == "did again"
-
-
-def test_an_order_that_was_found_before_closes_nobody_who_may_stay_since(front, monkeypatch):
-    """One that was silent then may have said something since; one that was open then may be silent by now."""
-    front._most, found, order = 3, [], connection_eviction.order
-    monkeypatch.setattr(connection_eviction, "order", lambda *told: found.append(1) or order(*told))
+def test_silent_connections_that_were_served_stay_open_and_are_served_again(host):
+    started = host()
+    gateways = [started.gateway() for _ in range(20)]
+    for gateway in gateways:
+        assert gateway.result(gateway.request("track", "once")) == "did once"
+    silent_since = time.monotonic()
+    wait_until(lambda: time.monotonic() - silent_since > MESSAGE_TIMEOUT_S + 0.3, "more than the time for a message")
+    for gateway in gateways:
+        assert gateway.result(gateway.request("track", "again")) == "did again"
+
+
+def test_an_eviction_order_that_was_computed_before_closes_no_connection_that_must_stay_by_now(front, monkeypatch):
+    """A connection that was silent then may owe an answer now, and the other way round."""
+    eviction_order = connection_eviction.eviction_order
+    computed = []
+    monkeypatch.setattr(
+        connection_eviction, "eviction_order", lambda *arguments: computed.append(1) or eviction_order(*arguments)
+    )
+    front._max_connections = 3
     for _ in range(3):
-        front.client()
-    first, second, third = sorted(front.connections, key=lambda c: c.since)
-    for c in front.connections:
-        c.since -= 1.0
-    third.open[1] = None
-    assert front._make_room()
+        front.connect()
+    first, second, third = sorted(front.connections, key=lambda connection: connection.activity.accepted_at)
+    for connection in front.connections:
+        connection.activity.accepted_at -= 1.0
+    third.requests.by_id[1] = None
+    assert front._evictor.evict()
     assert first.stream.closed
-    second.open[1] = None  # its request was read in between
-    assert not front._make_room()
-    assert not (second.stream.closed)
-    assert not (third.stream.closed)
-    third.open.clear()
-    assert front._make_room()
+    second.requests.by_id[1] = None  # its request was read in between
+    assert not front._evictor.evict()
+    assert not second.stream.closed
+    assert not third.stream.closed
+    third.requests.by_id.clear()
+    assert front._evictor.evict()
     assert third.stream.closed
     assert not second.stream.closed
-    before = len(found)
-    front._most = 100
+    computed_before = len(computed)
+    front._max_connections = 100
     for _ in range(12):
-        front.client()
-    for c in front.connections:
-        c.since -= 1.0
-    while sum(not c.stream.closed for c in front.connections) > 2:
-        assert front._make_room()
-    assert len(found) == before + 1  # one order for all that go in one go
+        front.connect()
+    for connection in front.connections:
+        connection.activity.accepted_at -= 1.0
+    while sum(not connection.stream.closed for connection in front.connections) > 2:
+        assert front._evictor.evict()
+    assert len(computed) == computed_before + 1  # one order for all evictions of one burst
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -236,14 +236,15 @@
 def platform_answers():
     """Talk to one connection and return what it writes, by occasion."""
     info = msgspec.convert(start_settings(), platform_settings.Info)
-    gateways = SimpleNamespace(
-        classes={"book": 0},
-        settings=platform_settings.settings_from(info),
+    context = jsonrpc_connection.ConnectionContext(
+        loop=FakeLoop(),
+        post=None,
+        backpressure=lambda: 2.5,
+        class_indexes={"book": 0},
+        classes=platform_settings.settings_from(info).classes,
         tenants={"acme"},
         needs_timeout=True,
-        advice=lambda: 2.5,
-        loop=FakeLoop(),
-        closed=lambda connection: None,
+        on_closed=lambda connection: None,
     )
     found = {}
 
@@ -263,8 +264,8 @@
         }
         line = {"jsonrpc": "2.0", "id": 5, "method": method, "params": params, **message}
         posted, stream = [], FakeStream(json.dumps(line).encode())
-        gateways.post = posted.append
-        connection = jsonrpc_connection.Connection(gateways, stream)
+        context.post = posted.append
+        connection = jsonrpc_connection.Connection(context, stream)
         connection.serve()
         act(connection, posted[0])
         found[occasion] = objects(stream.written)
@@ -277,9 +278,9 @@
     talk("refused", "book", answer(AnswerKind.REJECTED, None, 20.0, True, 1.5))
     talk("fault of the peer", "book", answer(AnswerKind.FAILED, None, 0.0, False, 1.5, "a fault"))
     talk("health", "probe", lambda connection, item: item.reply(True, 1.5), params={"thorough": True})
-    talk("leave", "probe", lambda connection, item: connection.goaway())
+    talk("leave", "probe", lambda connection, item: connection.send_goaway())
     give_up = json.dumps({"jsonrpc": "2.0", "method": "giveUp", "params": {"id": 5}}).encode()
-    talk("given up", "book", lambda connection, item: connection._take(give_up))
+    talk("given up", "book", lambda connection, item: connection._on_line(give_up))
     return found
 
 
