--- a/lapispick/host/jsonrpc/connection.py
+++ b/lapispick/host/jsonrpc/connection.py
@@ -107,12 +107,9 @@
 
     def __init__(self, post: Callable[[Any], None]) -> None:
         self.by_id: dict[int, Request] = {}
-        self._unposted: dict[int, Request] = {}  # read and not posted to the core
+        self._unposted: dict[int, Request] = {}  # those of them that were not posted to the core
         self._post = post
 
-    def __bool__(self) -> bool:
-        return bool(self.by_id or self._unposted)
-
     def add(self, message_id: int, request: Request) -> None:
         """Add a request, which is posted later."""
         self.by_id[message_id] = self._unposted[message_id] = request
@@ -227,11 +224,11 @@
 
     def is_overdue(self, now: float) -> bool:
         """Tell whether the peer has been silent, or within a message, for too long."""
-        return self.activity.is_overdue(bool(self.requests), now)
+        return self.activity.is_overdue(bool(self.requests.by_id), now)
 
     def eviction_state(self) -> ConnectionState:
         """Return what decides whether this connection may be evicted."""
-        return self.activity.state(bool(self.requests))
+        return self.activity.state(bool(self.requests.by_id))
 
     # Messages.
 
