--- a/lapispick/simulator/adapter.py
+++ b/lapispick/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter: runs one controller for each instance and translates; it decides nothing."""
+"""The simulator's adapter: runs one controller for each instance, and translates its events and actions."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
 
 
 class Adapter:
-    """The controllers of this process by instance number; each knows what its own events say."""
+    """Runs the controllers of this process, one for each instance; they share nothing."""
 
     __slots__ = ("controllers",)
 
@@ -94,18 +94,18 @@
         self.controllers: dict[int, Controller] = {}
 
     def answer(self, frame: bytes) -> bytes:
-        """Turn one batch into its reply. Raises ``WireError``."""
+        """Return the reply to one batch. Raises ``WireError``."""
         clock, number, records = codec.decode_batch(frame)
         pending: dict[int, list[admission.Event]] = {}
         for record in records:
-            self._take(record, clock, number, pending)
+            self._add_record(record, clock, number, pending)
         replies: list[bytes] = []
         for instance, events in pending.items():
             self._step(instance, clock, events, replies)
         return codec.encode_reply(number, replies)
 
-    def _take(self, record: Record, clock: float, number: int, pending: dict[int, list[admission.Event]]) -> None:
-        """Start or end an instance, or keep an event for its step."""
+    def _add_record(self, record: Record, clock: float, number: int, pending: dict[int, list[admission.Event]]) -> None:
+        """Start or end an instance, or add an event to those of its next step."""
         code = record[0]
         instance = record[1]
         if code == codec.BORN:
@@ -129,7 +129,7 @@
                 events.append(event)
 
     def _step(self, instance: int, clock: float, events: list[admission.Event], replies: list[bytes]) -> None:
-        """Step one instance; a fault of the decision module is reported and ends no other."""
+        """Step one instance; an exception of its decision module is reported to the simulator and ends no other."""
         try:
             for action in self.controllers[instance].step(clock, events):
                 replies.append(ENCODERS[type(action)](instance, action))
--- a/lapispick/simulator/codec.py
+++ b/lapispick/simulator/codec.py
@@ -16,7 +16,8 @@
 MAX_TEXT_BYTES = 65_535
 GAUGE_BYTES = 4
 
-# Codes of events, with the names of the wire's description.
+# Codes of events. These, and the codes of actions below, have the names of the wire's description; ``adapter.py`` maps
+# them to the events and actions of the decision module.
 RUN_OVER = 1
 BORN = 2
 BLOCKED = 3
@@ -99,14 +100,14 @@
 
 def _read_up_to(stream: BinaryIO, size: int) -> bytes:
     """Read this many bytes, fewer at the end of input."""
-    parts = []
+    chunks = []
     while size:
-        part = stream.read(size)
-        if not part:
+        chunk = stream.read(size)
+        if not chunk:
             break
-        parts.append(part)
-        size -= len(part)
-    return b"".join(parts)
+        chunks.append(chunk)
+        size -= len(chunk)
+    return b"".join(chunks)
 
 
 class Batch(NamedTuple):
@@ -120,26 +121,27 @@
 def decode_batch(frame: bytes) -> Batch:
     """Split a frame into its events. Raises ``WireError``."""
     _, clock, number = BATCH_HEAD.unpack_from(frame)
-    at = BATCH_HEAD.size
+    position = BATCH_HEAD.size
     end = len(frame)
     records: list[tuple[Any, ...]] = []
-    while at < end:
-        code = frame[at]
+    while position < end:
+        code = frame[position]
         layout = EVENTS.get(code)
         if layout is None:
-            raise WireError(f"unknown event code {code} at byte {at} of batch {number}")
-        start = at + 1
-        at = start + layout.size
-        if at > end:
+            raise WireError(f"unknown event code {code} at byte {position} of batch {number}")
+        start = position + 1
+        position = start + layout.size
+        if position > end:
             raise WireError(f"truncated record of event code {code} in batch {number}")
         fields = layout.unpack_from(frame, start)
         if code in (BORN, DEADLINE_HIT):
-            size = fields[-1] * (1 if code == BORN else GAUGE_BYTES)
-            if at + size > end:
+            *fields, count = fields
+            size = count if code == BORN else count * GAUGE_BYTES
+            if position + size > end:
                 raise WireError(f"the counted part of event code {code} passes the end of batch {number}")
-            tail = frame[at : at + size]
-            fields = (*fields[:-1], tail if code == BORN else struct.unpack(f">{fields[-1]}f", tail))
-            at += size
+            tail = frame[position : position + size]
+            fields.append(tail if code == BORN else struct.unpack(f">{count}f", tail))
+            position += size
         records.append((code, *fields))
     return Batch(clock, number, records)
 
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -1,4 +1,4 @@
-"""Clients that keep to no protocol: each gets a word or a close soon, none is served, nobody else pays."""
+"""Clients that break the protocol: each gets an error or a close, none is served, and no other is affected."""
 
 import contextlib
 import socket
@@ -6,16 +6,17 @@
 import time
 import uuid
 
+from lapispick.fakes.gateway import CLOSED
 from lapispick.fakes.messages import encode_base64
 from lapispick.fakes.waiting import wait_until
 
 
-def is_word(got):
-    """Tell whether a bad client got its refusal, error or close, and was not served."""
-    return bool(got) and all(m == "closed" or "error" in m for m in got)
+def is_rejected(messages):
+    """Tell whether a client was answered by errors or closed, and was not served."""
+    return bool(messages) and all(message == CLOSED or "error" in message for message in messages)
 
 
-ODD = [
+INVALID_FIELDS = [
     dict(born="now"),
     dict(born=1),
     dict(born=1e300),
@@ -52,7 +53,7 @@
     dict(method="book"),
     dict(method="book", nonce="abc"),
 ]
-LINES = [
+INVALID_LINES = [
     b"\xff\xfe{",
     b"[]",
     b"7",
@@ -65,132 +66,140 @@
 ]
 
 
-def test_what_is_odd_is_answered_or_closed_and_never_runs(host):
-    h = host()
-    good = h.gateway()
-    bad = []
-    for odd in ODD:
-        bad.append(h.gateway())
-        line = bad[-1].request_line(**{"method": "track", **odd})
-        bad[-1].send_line(line)
-    for line in LINES:
-        bad.append(h.gateway())
+def test_invalid_messages_are_answered_with_errors_or_closed_and_never_executed(host):
+    started = host()
+    valid = started.gateway()
+    invalid = []
+    for fields in INVALID_FIELDS:
+        invalid.append(started.gateway())
+        line = invalid[-1].request_line(**{"method": "track", **fields})
+        invalid[-1].send_line(line)
+    for line in INVALID_LINES:
+        invalid.append(started.gateway())
         with contextlib.suppress(OSError):
-            bad[-1].send_line(line)
-    assert good.result(good.request("track", "fine")) == "did fine"
-    words = [b.read_until_quiet(0.3) for b in bad]
-    assert not [(what, got) for what, got in zip(ODD + LINES, words, strict=True) if not is_word(got)]
-    assert len(h.executor.runs) == 1
-    assert h.process.poll() is None
-    again = h.gateway()
+            invalid[-1].send_line(line)
+    assert valid.result(valid.request("track", "fine")) == "did fine"
+    received = [gateway.read_until_quiet(0.3) for gateway in invalid]
+    pairs = zip(INVALID_FIELDS + INVALID_LINES, received, strict=True)
+    assert not [(sent, messages) for sent, messages in pairs if not is_rejected(messages)]
+    assert len(started.executor.runs) == 1
+    assert started.process.poll() is None
+    repeating = started.gateway()
     with contextlib.suppress(OSError):
         for _ in range(50):
-            again.send_line(b'{"id":1}')
-    assert again.read_until_quiet(3)[-1] == "closed"  # the same again and again
-
-
-def test_two_requests_under_one_number_or_too_many_at_once_are_never_served(host):
-    h = host()
-    good = h.gateway()
-    twice, used, crowd = h.gateway(), h.gateway(), h.gateway()
-    twice.send_line(twice.request_line("track", "one") + b"\n" + twice.request_line("track", "two"))
-    used.send_line(used.request_line("track", "hold"))
-    wait_until(lambda: h.executor.runs_of("hold"), "the run")
-    used.send_line(used.request_line("track", "other"))
+            repeating.send_line(b'{"id":1}')
+    assert repeating.read_until_quiet(3)[-1] == CLOSED
+
+
+def test_requests_under_a_used_id_and_too_many_open_requests_are_never_served(host):
+    started = host()
+    valid = started.gateway()
+    same_id = started.gateway()
+    used_id = started.gateway()
+    too_many = started.gateway()
+    same_id.send_line(same_id.request_line("track", "one") + b"\n" + same_id.request_line("track", "two"))
+    used_id.send_line(used_id.request_line("track", "hold"))
+    wait_until(lambda: started.executor.runs_of("hold"), "the run")
+    used_id.send_line(used_id.request_line("track", "other"))
     with contextlib.suppress(OSError):
-        crowd.send_line(b"\n".join(crowd.request_line("track", "many", number=n) for n in range(1, 300)))
-    words = [b.read_until_quiet(1) for b in (twice, used, crowd)]
-    assert [is_word(got) for got in words] == [True] * 3, words
-    assert good.result(good.request("track", "fine")) == "did fine"
-    assert not (h.executor.runs_of("one"))
-    assert not (h.executor.runs_of("two"))
-    assert not (h.executor.runs_of("other"))
-    assert not h.executor.runs_of("many")
-
-
-def test_a_key_with_another_body_gets_no_result_and_harms_none(host):
-    h = host()
-    g, key = h.gateway(), uuid.uuid4().hex
-    first = g.request("book", "hold", key)
-    wait_until(lambda: h.executor.runs, "the run")
-    thief = h.gateway()
-    thief.send_line(thief.request_line("book", "other", nonce=key))
-    assert is_word(thief.read_until_quiet(0.5))
-    h.executor.end_run(h.executor.runs[0].task, result="booked")
-    assert g.result(first) == "booked"
-    thief = h.gateway()
-    thief.send_line(thief.request_line("book", "other", nonce=key))
-    assert is_word(thief.read_until_quiet(0.5))
-    assert len(h.executor.runs) == 1
-    other = h.gateway()
-    assert other.result(other.request("book", "hold", key, redo=1)) == "booked"
-
-
-def test_requests_taken_back_at_once_get_a_word_and_cost_nobody_an_answer(host):
-    h = host()
-    g, bad, key = h.gateway(), h.gateway(), uuid.uuid4().hex
+        too_many.send_line(b"\n".join(too_many.request_line("track", "many", number=n) for n in range(1, 300)))
+    received = [gateway.read_until_quiet(1) for gateway in (same_id, used_id, too_many)]
+    assert [is_rejected(messages) for messages in received] == [True] * 3, received
+    assert valid.result(valid.request("track", "fine")) == "did fine"
+    assert not started.executor.runs_of("one")
+    assert not started.executor.runs_of("two")
+    assert not started.executor.runs_of("other")
+    assert not started.executor.runs_of("many")
+
+
+def test_an_idempotency_key_with_another_body_gets_no_result_and_does_not_affect_its_owner(host):
+    started = host()
+    owner = started.gateway()
+    key = uuid.uuid4().hex
+    first = owner.request("book", "hold", key)
+    wait_until(lambda: started.executor.runs, "the run")
+    during_the_run = started.gateway()
+    during_the_run.send_line(during_the_run.request_line("book", "other", nonce=key))
+    assert is_rejected(during_the_run.read_until_quiet(0.5))
+    started.executor.end_run(started.executor.runs[0].task, result="booked")
+    assert owner.result(first) == "booked"
+    after_the_run = started.gateway()
+    after_the_run.send_line(after_the_run.request_line("book", "other", nonce=key))
+    assert is_rejected(after_the_run.read_until_quiet(0.5))
+    assert len(started.executor.runs) == 1
+    retry = started.gateway()
+    assert retry.result(retry.request("book", "hold", key, redo=1)) == "booked"
+
+
+def test_requests_that_are_cancelled_at_once_are_answered_and_no_other_loses_its_answer(host):
+    started = host()
+    valid = started.gateway()
+    cancelling = started.gateway()
+    key = uuid.uuid4().hex
     lines = []
-    for n in range(1, 201):
+    for number in range(1, 201):
         lines += [
-            bad.request_line("book", "gone", number=n, nonce=key),
-            b'{"jsonrpc":"2.0","method":"giveUp","params":{"id":%d}}' % n,
+            cancelling.request_line("book", "cancelled", number=number, nonce=key),
+            b'{"jsonrpc":"2.0","method":"giveUp","params":{"id":%d}}' % number,
         ]
     with contextlib.suppress(OSError):
-        bad.send_line(b"\n".join(lines))
-    assert g.result(g.request("book", "gone", key)) == "did gone"
-    assert is_word(bad.read_until_quiet(1))
-    assert "event-handler-failed" not in h.log()
+        cancelling.send_line(b"\n".join(lines))
+    assert valid.result(valid.request("book", "cancelled", key)) == "did cancelled"
+    assert is_rejected(cancelling.read_until_quiet(1))
+    assert "event-handler-failed" not in started.log()
 
 
-def test_requests_that_the_executor_does_not_know_cost_no_slot_and_no_key(host):
-    h = host()
+def test_requests_unknown_to_the_executor_keep_no_slot_and_no_key(host):
+    started = host()
     key = uuid.uuid4().hex
     for _ in range(30):
-        bad = h.gateway()
-        bad.send_line(
-            bad.request_line("book", "unknown", nonce=key) + b"\n" + bad.request_line("track", "unknown", number=2)
-        )
-        assert is_word(bad.read_until_quiet(0.05))
-    g = h.gateway()
-    assert g.result(g.request("book", "known", key)) == "did known"
-    assert g.result(g.request("track", "known")) == "did known"
-
-
-def test_runs_that_end_as_nobody_waits_free_their_slots(host):
-    h = host()
-    g = h.gateway()
-    for n in range(1, 30):  # more than may ever run at once
-        number = g.request("track", "over" if n % 2 else "never")
-        assert g.error_code(number) != -32050
-    assert g.result(g.request("track", "next")) == "did next"
-
-
-def test_who_says_nothing_or_half_of_it_is_shown_out_and_others_get_in(host):
-    h = host()
-    name, port = h.address.split(":")
-    crowd = [socket.create_connection((name, int(port))) for _ in range(256 * 5 // 8 + 40)]
-    half, endless, stayed = h.gateway(), h.gateway(), h.gateway()
-    began = time.monotonic()
-    half.sock.sendall(half.request_line("track")[:50])
-    assert stayed.result(stayed.request("track", "once")) == "did once"
-    g = h.gateway()
-    assert g.result(g.request("track", "still")) == "did still"
-    assert time.monotonic() - began < 1
-
-    def pour():
+        gateway = started.gateway()
+        keyed = gateway.request_line("book", "unknown", nonce=key)
+        idempotent = gateway.request_line("track", "unknown", number=2)
+        gateway.send_line(keyed + b"\n" + idempotent)
+        assert is_rejected(gateway.read_until_quiet(0.05))
+    gateway = started.gateway()
+    assert gateway.result(gateway.request("book", "known", key)) == "did known"
+    assert gateway.result(gateway.request("track", "known")) == "did known"
+
+
+def test_runs_that_the_executor_ends_as_abandoned_free_their_slots(host):
+    started = host()
+    gateway = started.gateway()
+    for number in range(1, 30):  # more than may ever run at once
+        message_id = gateway.request("track", "over" if number % 2 else "never")
+        assert gateway.error_code(message_id) != -32050
+    assert gateway.result(gateway.request("track", "next")) == "did next"
+
+
+def test_silent_and_incomplete_connections_are_closed_and_other_clients_are_accepted(host):
+    started = host()
+    name, port = started.address.split(":")
+    silent = [socket.create_connection((name, int(port))) for _ in range(256 * 5 // 8 + 40)]
+    incomplete = started.gateway()
+    endless = started.gateway()
+    served = started.gateway()
+    started_at = time.monotonic()
+    incomplete.sock.sendall(incomplete.request_line("track")[:50])
+    assert served.result(served.request("track", "once")) == "did once"
+    late = started.gateway()
+    assert late.result(late.request("track", "still")) == "did still"
+    assert time.monotonic() - started_at < 1
+
+    def send_without_end_of_line():
         with contextlib.suppress(OSError):
             for _ in range(60):
                 endless.sock.sendall(b"x" * (1 << 20))
 
-    thread = threading.Thread(target=pour)
+    thread = threading.Thread(target=send_without_end_of_line)
     thread.start()
-    for each in crowd:
-        each.settimeout(3)
+    for sock in silent:
+        sock.settimeout(3)
         with contextlib.suppress(ConnectionError):
-            assert each.recv(10) == b""
-    assert half.read_until_quiet(3) == ["closed"]
-    assert time.monotonic() - began < 3
+            assert sock.recv(10) == b""
+    assert incomplete.read_until_quiet(3) == [CLOSED]
+    assert time.monotonic() - started_at < 3
     thread.join()
-    assert endless.read_until_quiet(3)[-1] == "closed"
-    assert stayed.result(stayed.request("track", "again")) == "did again"  # who asked once may stay
-    assert h.peak_memory_mb() < 64
+    assert endless.read_until_quiet(3)[-1] == CLOSED
+    assert served.result(served.request("track", "again")) == "did again"  # a connection that was served may stay
+    assert started.peak_memory_mb() < 64
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec against the frames of the wire's description, and the adapter against malformed input."""
+"""The simulator's codec against the frames of the wire's description, and its adapter against malformed input."""
 
 import io
 import json
@@ -78,23 +78,28 @@
 }
 
 
-def frame(*records, number=1, clock=1000.0):
+def batch(*records, number=1, clock=1000.0):
+    """Return the frame of a batch."""
     body = b"".join(records)
     return struct.pack(">IdI", 16 + len(body), clock, number) + body
 
 
-def born(info=INFO, inst=3):
+def start(info=INFO, instance=3):
+    """Return the record that starts an instance with its settings."""
     raw = info if isinstance(info, bytes) else json.dumps(info).encode()
-    return struct.pack(">BIQI", codec.BORN, inst, 9, len(raw)) + raw
+    return struct.pack(">BIQI", codec.BORN, instance, 9, len(raw)) + raw
 
 
-def knock(inst=3, rid=5):
-    return struct.pack(">BIQdQfdQBIfdHI", codec.KNOCK, inst, rid, 5000.0, 0, 0.5, 1.0, 0, 1, 0, 20.0, 100.0, 0, 1)
+def request(instance=3, request_id=5):
+    """Return the record of a request that arrives."""
+    fields = (request_id, 5000.0, 0, 0.5, 1.0, 0, 1, 0, 20.0, 100.0, 0, 1)
+    return struct.pack(">BIQdQfdQBIfdHI", codec.KNOCK, instance, *fields)
 
 
 def test_batch_of_the_wire_description_decodes():
     clock, number, records = codec.decode_batch(BATCH)
-    assert (clock, number) == (8412.25, 12)
+    assert clock == 8412.25
+    assert number == 12
     assert records[0] == (
         5,
         3,
@@ -111,8 +116,8 @@
         0,
         17,
     )
-    code, inst, token, gauges = records[1]
-    assert (code, inst, token) == (8, 3, 0x4D)
+    code, instance, token, gauges = records[1]
+    assert (code, instance, token) == (8, 3, 0x4D)
     assert gauges == pytest.approx((0.62, 3.0, 0.41, 120.0), rel=1e-6)
     assert records[2] == (4, 5, 0xF167B0E6F2B19)
 
@@ -142,13 +147,13 @@
     assert codec.encode_reply(1, []).hex() == "0000000c0000000000000001"
 
 
-def test_single_records_of_the_wire_description():
-    assert codec.ACTIONS[codec.SAY_NO].pack(codec.SAY_NO, 3, 0xF167B0E6F2B19, 250.0, 1).hex() == (
-        "0a00000003000f167b0e6f2b19406f40000000000001"
-    )
-    assert codec.ACTIONS[codec.SAY].pack(codec.SAY, 3, 0.25).hex() == "04000000033e800000"
-    over = frame(bytes.fromhex("01000000030008f0695d3a91c4014032800000000000"))
-    assert codec.decode_batch(over)[2] == [(1, 3, 0x8F0695D3A91C4, 1, 18.5)]
+def test_single_records_of_the_wire_description_encode_and_decode():
+    rejection = codec.ACTIONS[codec.SAY_NO].pack(codec.SAY_NO, 3, 0xF167B0E6F2B19, 250.0, 1)
+    assert rejection.hex() == "0a00000003000f167b0e6f2b19406f40000000000001"
+    backpressure = codec.ACTIONS[codec.SAY].pack(codec.SAY, 3, 0.25)
+    assert backpressure.hex() == "04000000033e800000"
+    run_completed = bytes.fromhex("01000000030008f0695d3a91c4014032800000000000")
+    assert codec.decode_batch(batch(run_completed)).records == [(1, 3, 0x8F0695D3A91C4, 1, 18.5)]
 
 
 def run_adapter(data):
@@ -157,69 +162,73 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "says"),
+    ("data", "message"),
     [
         (b"\x00\x00", "truncated frame"),
-        (frame(born())[:-5], "truncated frame"),
+        (batch(start())[:-5], "truncated frame"),
         (b"\x7f\xff\xff\xff", "over-long frame"),
         (b"\x00\x00\x00\x04", "shorter than"),
-        (frame(b"\x63\x00\x00\x00\x03"), "unknown event code 99"),
-        (frame(knock()[:-4]), "truncated record"),
-        (frame(born(b"{nope")), "not JSON"),
-        (frame(born({k: v for k, v in INFO.items() if k != "Services"})), "Services"),
-        (frame(born({**INFO, "Services": []})), "malformed"),
-        (frame(knock(inst=8)), "instance 8, which was never born"),
-        (frame(born(), struct.pack(">BIQBd", codec.RUN_OVER, 3, 5, 77, 1.0)), "unknown outcome"),
+        (batch(b"\x63\x00\x00\x00\x03"), "unknown event code 99"),
+        (batch(request()[:-4]), "truncated record"),
+        (batch(start(b"{nope")), "not JSON"),
+        (batch(start({k: v for k, v in INFO.items() if k != "Services"})), "Services"),
+        (batch(start({**INFO, "Services": []})), "malformed"),
+        (batch(request(instance=8)), "instance 8, which was never born"),
+        (batch(start(), struct.pack(">BIQBd", codec.RUN_OVER, 3, 5, 77, 1.0)), "unknown outcome"),
     ],
 )
-def test_malformed_input_ends_the_adapter_with_a_message(data, says):
+def test_malformed_input_ends_the_adapter_with_a_message(data, message):
     done = run_adapter(data)
     assert done.returncode != 0
-    assert says in done.stderr.decode()
+    assert message in done.stderr.decode()
     assert "Traceback" not in done.stderr.decode()
 
 
 def test_end_of_input_exits_cleanly():
-    done = run_adapter(frame(number=4))
+    done = run_adapter(batch(number=4))
     assert done.returncode == 0
     assert done.stdout == codec.encode_reply(4, [])
     assert done.stderr == b""
 
 
 def test_unknown_settings_keys_and_gauges_are_ignored():
-    out = io.BytesIO()
+    replies = io.BytesIO()
     timer = struct.pack(">BIQBff", codec.DEADLINE_HIT, 3, 0, 2, 0.5, 7.0)
-    adapter.serve(io.BytesIO(frame(born()) + frame(knock(), number=2) + frame(timer, number=3)), out)
-    assert codec.ACTIONS[codec.DISPATCH].pack(codec.DISPATCH, 3, 5) in out.getvalue()
+    adapter.serve(io.BytesIO(batch(start()) + batch(request(), number=2) + batch(timer, number=3)), replies)
+    assert codec.ACTIONS[codec.DISPATCH].pack(codec.DISPATCH, 3, 5) in replies.getvalue()
 
 
-def test_instance_born_again_starts_with_a_new_controller():
+def test_an_instance_that_is_started_again_has_a_new_controller():
     instances = adapter.Adapter()
-    instances.answer(frame(born(), knock(rid=5)))
+    instances.answer(batch(start(), request(request_id=5)))
     kill = struct.pack(">BI", codec.KILL, 3)
-    instances.answer(frame(kill, born({**INFO, "FamilyInfo": {**INFO["FamilyInfo"], "Cold": True}}), number=2))
-    control = instances.controllers[3]
-    assert control.state.settings.warming_up
-    assert not control.state.requests
+    instances.answer(batch(kill, start({**INFO, "FamilyInfo": {**INFO["FamilyInfo"], "Cold": True}}), number=2))
+    controller = instances.controllers[3]
+    assert controller.state.settings.warming_up
+    assert not controller.state.requests
 
 
-def test_exception_in_the_decision_module_is_reported_as_fatal(monkeypatch, capsys):
+def test_an_exception_in_the_decision_module_is_reported_as_fatal(monkeypatch, capsys):
     instances = adapter.Adapter()
-    instances.answer(frame(born()))
+    instances.answer(batch(start()))
     monkeypatch.setattr(adapter.Controller, "step", lambda *a: 1 / 0)
-    reply = instances.answer(frame(knock(), number=2))
+    reply = instances.answer(batch(request(), number=2))
     assert b"ZeroDivisionError" in reply
     assert reply[12] == codec.FATAL
 
 
 def test_callers_and_idle_timeout_are_optional_settings():
-    told = {**INFO, "FamilyInfo": {**INFO["FamilyInfo"], "Upstreams": 230, "Idle": 30000.0}}
-    read = [settings_from(msgspec.convert(info, Info)) for info in (told, INFO)]
-    assert [(s.callers, s.idle_timeout_ms) for s in read] == [(230, 30000.0), (0, 0.0)]
+    stated = {**INFO, "FamilyInfo": {**INFO["FamilyInfo"], "Upstreams": 230, "Idle": 30000.0}}
+    settings, default_settings = [settings_from(msgspec.convert(info, Info)) for info in (stated, INFO)]
+    assert settings.callers == 230
+    assert settings.idle_timeout_ms == 30000.0
+    assert default_settings.callers == 0
+    assert default_settings.idle_timeout_ms == 0.0
 
 
 def test_health_and_idle_timeout_actions_encode():
-    health, idle = adapter.ENCODERS[admission.SetHealth], adapter.ENCODERS[admission.SetIdleTimeout]
-    assert health(3, admission.SetHealth(True, False)) == bytes.fromhex("0d000000030100")
-    assert health(3, admission.SetHealth(False, True)) == bytes.fromhex("0d000000030001")
-    assert idle(3, admission.SetIdleTimeout(500.0)) == bytes.fromhex("0900000003407f400000000000")
+    encode_health = adapter.ENCODERS[admission.SetHealth]
+    assert encode_health(3, admission.SetHealth(True, False)) == bytes.fromhex("0d000000030100")
+    assert encode_health(3, admission.SetHealth(False, True)) == bytes.fromhex("0d000000030001")
+    encode_idle_timeout = adapter.ENCODERS[admission.SetIdleTimeout]
+    assert encode_idle_timeout(3, admission.SetIdleTimeout(500.0)) == bytes.fromhex("0900000003407f400000000000")
