--- a/tests/test_inventory_watch.py
+++ b/tests/test_inventory_watch.py
@@ -1,10 +1,11 @@
-"""A running host follows its list in place: whatever happens to the files, no message is lost or doubled."""
+"""A running host follows its inventory in place: whatever happens to its files, no message is lost or run twice."""
 
 import collections
 import json
 import os
 import re
 import signal
+import socket
 import subprocess
 import sys
 import threading
@@ -14,6 +15,7 @@
 import pytest
 
 from lapispick.fakes.broker import Broker
+from lapispick.fakes.start_settings import PLATFORM_INFO
 from lapispick.fakes.waiting import wait_until
 
 HEAD = "host,amqp_host,amqp_port,amqp_queue,amqp_prefetch,amqp_customer,amqp_password\n"
@@ -33,405 +35,420 @@
 """
 
 
-class Fleet:
-    """A list of stand-in brokers in a file, and the host that follows it."""
+class BrokerFleet:
+    """Fake brokers, the inventory file that lists them, and the host that follows it."""
 
-    def __init__(self, folder, brokers=2):
-        self.folder, self.file = folder, folder / "shops.csv"
-        self.brokers = {f"broker-{name}": Broker() for name in "abcdef"[:brokers]}
+    def __init__(self, folder, count=2):
+        self.folder = folder
+        self.file = folder / "shops.csv"
+        self.brokers = {f"broker-{letter}": Broker() for letter in "abcdef"[:count]}
         self.rows = {
-            name: {"queue": "jobs", "prefetch": "32", "password": "", "host": b.address.split(":")[0]}
-            for name, b in self.brokers.items()
+            name: {"queue": "jobs", "prefetch": "32", "password": "", "host": broker.address.split(":")[0]}
+            for name, broker in self.brokers.items()
         }
         self.write()
 
     def text(self, order=None):
-        def row(name):
-            told, port = self.rows[name], self.brokers[name].address.split(":")[1]
-            return f"{name},{told['host']},{port},{told['queue']},{told['prefetch']},shop,{told['password']}\n"
+        """Return the inventory as CSV, its hosts in this order."""
+        return HEAD + "".join(self._line(name) for name in (order or self.rows))
 
-        return HEAD + "".join(row(n) for n in (order or self.rows))
+    def _line(self, name):
+        row = self.rows[name]
+        port = self.brokers[name].address.split(":")[1]
+        return f"{name},{row['host']},{port},{row['queue']},{row['prefetch']},shop,{row['password']}\n"
 
     def write(self, text=None, order=None):
-        """Replace the file in one step, as good tools do."""
+        """Replace the file atomically, as tools should."""
         spare = self.file.with_suffix(".tmp")
         spare.write_text(self.text(order) if text is None else text)
         spare.replace(self.file)
 
-    def start(self, host, more="", **over):
+    def remove(self, name):
+        """Remove a broker from the inventory and return its row."""
+        row = self.rows.pop(name)
+        self.write()
+        return row
+
+    def start(self, host, more="", **overrides):
+        """Start the host, with more directives of the inventory's section."""
         conf = self.folder / "own.conf"
         conf.write_text(CONF.format(path=self.file.name, more=more))
         self.environ = {"LAPISPICK_CONF": str(conf)}
-        self.host = host(environ=self.environ, **over)
+        self.host = host(environ=self.environ, **overrides)
         return self.host
 
-    def consumed(self, *names):
-        """Wait until these and no other brokers are consumed from."""
-        wait_until(lambda: {n for n, b in self.brokers.items() if consumers(b)} == set(names), f"consumers at {names}")
-
-    def ask(self, name, body, class_name="book", queue="jobs", **over):
-        correlation = over.pop("correlation", body)
-        return self.brokers[name].put(
-            queue,
-            body,
-            type=class_name,
-            correlation_id=correlation,
-            reply_to="answers",
-            expiration="4000",
-            **{"message_id": f"m-{correlation}", **over},
-        )
+    def wait_until_consumed(self, *names):
+        """Wait until these brokers and no others are consumed."""
+
+        def consumed():
+            return {name for name, broker in self.brokers.items() if broker.consumer_tags()}
+
+        wait_until(lambda: consumed() == set(names), f"consumers at {names}")
+
+    def put_request(self, name, body, class_name="book", **overrides):
+        """Put a request into the queue of a broker; its body is its correlation id too."""
+        properties = {
+            "type": class_name,
+            "message_id": f"m-{body}",
+            "correlation_id": body,
+            "reply_to": "answers",
+            "expiration": "4000",
+            **overrides,
+        }
+        return self.brokers[name].put("jobs", body, **properties)
+
+    def wait_for_answer(self, name, correlation_id):
+        """Wait for the one reply to a request."""
+        return wait_until(lambda: self.brokers[name].reply(correlation_id), f"the reply to {correlation_id}")
 
-    def seen(self, event, count=1):
+    def wait_for_event(self, event, count=1):
+        """Wait until the host has logged an event so many times."""
         wait_until(lambda: self.host.log().count(f"event={event}") >= count, f"{count} log lines {event}")
 
-    def tool(self, *words, code=0):
+    def run_command(self, *arguments):
         """Run the command line as an operator would."""
-        made = subprocess.run(
-            [sys.executable, "-m", "lapispick", *words],
+        return subprocess.run(
+            [sys.executable, "-m", "lapispick", *arguments],
             capture_output=True,
             text=True,
             timeout=30,
             env={**os.environ, **self.environ},
         )
-        assert made.returncode == code, (made.stdout, made.stderr)
-        return made.stdout
 
-
-def consumers(broker):
-    """Return the tags that consume now, over all links of a broker."""
-    return broker.consumer_tags()
+    def output_of(self, *arguments, code=0):
+        """Return what a command prints that must end with this code."""
+        process = self.run_command(*arguments)
+        assert process.returncode == code, (process.stdout, process.stderr)
+        return process.stdout
 
 
 @pytest.fixture
-def fleet(tmp_path):
-    made = []
+def start_fleet(tmp_path):
+    started = []
 
-    def start(**over):
-        made.append(Fleet(tmp_path, **over))
-        return made[-1]
+    def start(**options):
+        started.append(BrokerFleet(tmp_path, **options))
+        return started[-1]
 
     yield start
-    for each in made:
-        for broker in each.brokers.values():
+    for fleet in started:
+        for broker in fleet.brokers.values():
             broker.close()
 
 
-class Flow:
-    """Messages that keep coming at all brokers, and the account of them at the end."""
+class MessageFlow:
+    """Messages that keep coming at all brokers, and the check of them at the end."""
 
     def __init__(self, fleet):
-        self.fleet, self.asked, self.going = fleet, {}, True
+        self.fleet = fleet
+        self.messages = {}
+        self.is_running = True
         self.thread = threading.Thread(target=self._send)
         self.thread.start()
 
     def _send(self):
         names = list(self.fleet.brokers)
-        while self.going and len(self.asked) < 5000:
-            n = len(self.asked)
-            class_name = "book" if n % 3 else "track"
-            self.asked[f"s{n}"] = (class_name, self.fleet.ask(names[n % len(names)], f"s{n}", class_name))
+        while self.is_running and len(self.messages) < 5000:
+            number = len(self.messages)
+            class_name = "book" if number % 3 else "track"
+            body = f"s{number}"
+            self.messages[body] = self.fleet.put_request(names[number % len(names)], body, class_name)
             time.sleep(0.01)
 
-    def account(self):
-        """Every message has one final answer, every booking one effect."""
-        wait_until(lambda: len(self.asked) > 50, "enough messages")
-        self.going = False
+    def stop_and_check(self):
+        """Every message has one final answer and was executed once."""
+        wait_until(lambda: len(self.messages) > 50, "enough messages")
+        self.is_running = False
         self.thread.join()
-        self.fleet.consumed(*self.fleet.brokers)
-        wait_until(lambda: all(m.fate for _, m in self.asked.values()), "an end of every message")
-        replies = collections.Counter(
-            r.properties.correlation_id for b in self.fleet.brokers.values() for r in b.replies
-        )
-        assert replies == dict.fromkeys(self.asked, 1)
-        assert {r.properties.type for b in self.fleet.brokers.values() for r in b.replies} == {"served"}
-        ran = collections.Counter(body for _, _, body in self.fleet.host.executor.runs)
-        assert ran == dict.fromkeys(self.asked, 1)
-        assert not any(m.redelivered for _, m in self.asked.values())
-
-
-def test_cut_at_every_byte_doubled_reordered_and_swapped_while_messages_come(fleet, host):
-    f = fleet()
-    f.start(host)
-    f.consumed("broker-a", "broker-b")
-    flow = Flow(f)
-    whole = f.text()
-    for at in range(len(whole)):
-        f.file.write_text(whole[:at])  # in place, as bad tools do
+        self.fleet.wait_until_consumed(*self.fleet.brokers)
+        wait_until(lambda: all(message.fate for message in self.messages.values()), "an end of every message")
+        replies = [reply for broker in self.fleet.brokers.values() for reply in broker.replies]
+        reply_counts = collections.Counter(reply.properties.correlation_id for reply in replies)
+        assert reply_counts == dict.fromkeys(self.messages, 1)
+        assert {reply.properties.type for reply in replies} == {"served"}
+        run_counts = collections.Counter(body for _, _, body in self.fleet.host.executor.runs)
+        assert run_counts == dict.fromkeys(self.messages, 1)
+        assert not any(message.redelivered for message in self.messages.values())
+
+
+def helpers_of(pid):
+    """Return the ids of a process's running inventory helpers."""
+    children = Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
+    commands = {int(child): Path(f"/proc/{child}/cmdline") for child in children}
+    return [child for child, command in commands.items() if command.exists() and b"helper" in command.read_bytes()]
+
+
+def test_no_message_is_lost_while_the_file_is_cut_doubled_reordered_or_replaced(start_fleet, host):
+    fleet = start_fleet()
+    fleet.start(host)
+    fleet.wait_until_consumed("broker-a", "broker-b")
+    flow = MessageFlow(fleet)
+    text = fleet.text()
+    for at in range(len(text)):
+        fleet.file.write_text(text[:at])  # in place, as bad tools do
         time.sleep(0.01)
-    f.file.write_text(whole)
-    f.consumed("broker-a", "broker-b")
-    f.write(whole + f.text().splitlines()[1].replace("broker-a", "BROKER-A.").replace(",32,", ",9,") + "\n")
-    f.seen("inventory-rejected")
-    f.write(order=["broker-b", "broker-a"])
-    other = f.folder / "elsewhere.csv"
-    other.write_text(whole)
-    f.file.unlink()
-    f.file.symlink_to(other)
+    fleet.file.write_text(text)
+    fleet.wait_until_consumed("broker-a", "broker-b")
+    fleet.write(text + fleet.text().splitlines()[1].replace("broker-a", "BROKER-A.").replace(",32,", ",9,") + "\n")
+    fleet.wait_for_event("inventory-rejected")
+    fleet.write(order=["broker-b", "broker-a"])
+    other = fleet.folder / "elsewhere.csv"
+    other.write_text(text)
+    fleet.file.unlink()
+    fleet.file.symlink_to(other)
     time.sleep(0.2)
-    f.file.unlink()
-    f.seen("inventory-rejected", 2)
-    f.file.mkdir()
-    f.seen("inventory-rejected", 3)
-    f.file.rmdir()
-    f.write()
-    flow.account()
-
-
-def test_a_rolling_replacement_with_the_file_rewritten_half_way_loses_nothing(fleet, host):
-    f = fleet(brokers=6)
-    f.start(host)
-    f.consumed(*f.brokers)
-    flow = Flow(f)
-    rows = dict(f.rows)
+    fleet.file.unlink()
+    fleet.wait_for_event("inventory-rejected", 2)
+    fleet.file.mkdir()
+    fleet.wait_for_event("inventory-rejected", 3)
+    fleet.file.rmdir()
+    fleet.write()
+    flow.stop_and_check()
+
+
+def test_a_rolling_replacement_in_a_file_that_is_written_in_two_parts_loses_no_message(start_fleet, host):
+    fleet = start_fleet(count=6)
+    fleet.start(host)
+    fleet.wait_until_consumed(*fleet.brokers)
+    flow = MessageFlow(fleet)
+    rows = dict(fleet.rows)
     for name in list(rows)[:5]:  # 17% of the fleet at a time, 5 of 6 in all
-        gone = {k: v for k, v in rows.items() if k != name}
-        f.rows = gone
-        whole = f.text()
-        f.file.write_text(whole[: len(whole) // 2])
+        remaining = {key: row for key, row in rows.items() if key != name}
+        fleet.rows = remaining
+        text = fleet.text()
+        fleet.file.write_text(text[: len(text) // 2])
         time.sleep(0.05)
-        f.file.write_text(whole)
-        f.consumed(*gone)
-        f.rows = dict(rows)
-        f.write()
-        f.consumed(*rows)
-    assert f.host.log().count("event=host-returned") == 5
-    assert "incarnation=2" in f.host.log()
-    assert "event=inventory-held" not in f.host.log()
-    flow.account()
-
-
-def test_a_removed_broker_is_closed_once_all_it_delivered_is_settled(fleet, host):
-    f = fleet()
-    f.start(host)
-    f.consumed(*f.brokers)
-    message = f.ask("broker-b", "hold")
-    wait_until(lambda: f.host.executor.runs, "the run")
-    broker = f.brokers["broker-b"]
-    row = f.rows.pop("broker-b")
-    f.write()
-    f.consumed("broker-a")
-    f.ask("broker-b", "later")
+        fleet.file.write_text(text)
+        fleet.wait_until_consumed(*remaining)
+        fleet.rows = dict(rows)
+        fleet.write()
+        fleet.wait_until_consumed(*rows)
+    assert fleet.host.log().count("event=host-returned") == 5
+    assert "incarnation=2" in fleet.host.log()
+    assert "event=inventory-held" not in fleet.host.log()
+    flow.stop_and_check()
+
+
+def test_a_removed_broker_is_closed_once_all_that_it_delivered_is_settled(start_fleet, host):
+    fleet = start_fleet()
+    fleet.start(host)
+    fleet.wait_until_consumed(*fleet.brokers)
+    message = fleet.put_request("broker-b", "hold")
+    wait_until(lambda: fleet.host.executor.runs, "the run")
+    broker = fleet.brokers["broker-b"]
+    row = fleet.remove("broker-b")
+    fleet.wait_until_consumed("broker-a")
+    fleet.put_request("broker-b", "later")
     assert not message.fate
     assert not broker.close_count
-    f.host.executor.end_run(f.host.executor.runs[0].task, result="done")
+    fleet.host.executor.end_run(fleet.host.executor.runs[0].task, result="done")
     wait_until(lambda: message.fate == "ack" and broker.close_count == 1, "the acknowledgement, then the close")
-    assert broker.reply("hold")[:2] == ("served", "done")
+    assert broker.reply("hold").outcome == "served"
+    assert broker.reply("hold").body == "done"
     assert not broker.reply("later")
-    f.rows["broker-b"] = row
-    f.write()
-    wait_until(lambda: broker.reply("later"), "the message that waited")
-
-
-def test_a_booking_is_known_whatever_the_list_did_since(fleet, host):
-    f = fleet()
-    f.start(host)
-    f.consumed(*f.brokers)
-    f.ask("broker-a", "job")
-    wait_until(lambda: f.brokers["broker-a"].reply("job"), "the reply")
-    row = f.rows.pop("broker-a")
-    f.write()
-    f.consumed("broker-b")
-    f.brokers["broker-b"].put(
+    fleet.rows["broker-b"] = row
+    fleet.write()
+    fleet.wait_for_answer("broker-b", "later")
+
+
+def test_a_keyed_message_is_recognised_at_another_broker_and_after_its_own_returned(start_fleet, host):
+    fleet = start_fleet()
+    fleet.start(host)
+    fleet.wait_until_consumed(*fleet.brokers)
+    fleet.put_request("broker-a", "job")
+    fleet.wait_for_answer("broker-a", "job")
+    row = fleet.remove("broker-a")
+    fleet.wait_until_consumed("broker-b")
+    fleet.brokers["broker-b"].put(
         "jobs", "job", type="book", message_id="m-job", correlation_id="again", reply_to="answers", redelivered=True
     )
-    assert wait_until(lambda: f.brokers["broker-b"].reply("again"), "the reply")[:2] == ("served", "did job")
-    f.rows["broker-a"] = row
-    f.write()
-    f.consumed(*f.brokers)
-    f.brokers["broker-a"].put(
+    answer = fleet.wait_for_answer("broker-b", "again")
+    assert answer.outcome == "served"
+    assert answer.body == "did job"
+    fleet.rows["broker-a"] = row
+    fleet.write()
+    fleet.wait_until_consumed(*fleet.brokers)
+    fleet.brokers["broker-a"].put(
         "jobs", "job", type="book", message_id="m-job", correlation_id="third", reply_to="answers"
     )
-    assert wait_until(lambda: f.brokers["broker-a"].reply("third"), "the reply")[:2] == ("served", "did job")
-    assert len(f.host.executor.runs_of("job")) == 1
-
-
-def test_a_change_reopens_only_what_it_touches(fleet, host):
-    f = fleet()
-    f.start(host)
-    f.consumed(*f.brokers)
-    a, b = f.brokers["broker-a"], f.brokers["broker-b"]
-    before = len(b.methods)
-    f.rows["broker-a"]["prefetch"] = "7"
-    f.write()
-    wait_until(lambda: a.methods.count("basic.cancel") == 1 and len(consumers(a)) == 1, "the consumer's change")
-    assert a.methods.count("channel.open") == 2
-    assert a.methods.count("connection.open") == 1
-    f.ask("broker-a", "x")
-    wait_until(lambda: a.reply("x"), "the reply")
-    f.rows["broker-a"]["password"] = "wrong"  # the stand-in breaks such a log-in off
-    f.write()
-    f.seen("connect-failed", 2)
-    f.ask("broker-a", "y")
-    wait_until(lambda: a.reply("y"), "the reply over the old connection")
-    assert not a.close_count
-    f.rows["broker-a"]["password"] = "guest"
-    f.write()
-    f.seen("broker-ended")
-    f.ask("broker-a", "z")
-    wait_until(lambda: a.reply("z"), "the reply")
-    assert len(consumers(a)) == 1
-    assert len(b.methods) == before
-
-
-def test_a_name_without_address_costs_its_broker_only_and_a_moved_one_is_followed(fleet, host):
-    f = fleet(brokers=3)
-    names = f.folder / "names"
+    answer = fleet.wait_for_answer("broker-a", "third")
+    assert answer.outcome == "served"
+    assert answer.body == "did job"
+    assert len(fleet.host.executor.runs_of("job")) == 1
+
+
+def test_a_changed_row_reopens_only_its_own_channel_or_connection(start_fleet, host):
+    fleet = start_fleet()
+    fleet.start(host)
+    fleet.wait_until_consumed(*fleet.brokers)
+    changed = fleet.brokers["broker-a"]
+    unchanged = fleet.brokers["broker-b"]
+    methods_before = len(unchanged.methods)
+    fleet.rows["broker-a"]["prefetch"] = "7"
+    fleet.write()
+    wait_until(
+        lambda: changed.methods.count("basic.cancel") == 1 and len(changed.consumer_tags()) == 1,
+        "the consumer's change",
+    )
+    assert changed.methods.count("channel.open") == 2
+    assert changed.methods.count("connection.open") == 1
+    fleet.put_request("broker-a", "x")
+    fleet.wait_for_answer("broker-a", "x")
+    fleet.rows["broker-a"]["password"] = "wrong"  # the fake broker ends the connection
+    fleet.write()
+    fleet.wait_for_event("connect-failed", 2)
+    fleet.put_request("broker-a", "y")
+    fleet.wait_for_answer("broker-a", "y")
+    assert not changed.close_count
+    fleet.rows["broker-a"]["password"] = "guest"
+    fleet.write()
+    fleet.wait_for_event("broker-ended")
+    fleet.put_request("broker-a", "z")
+    fleet.wait_for_answer("broker-a", "z")
+    assert len(changed.consumer_tags()) == 1
+    assert len(unchanged.methods) == methods_before
+
+
+def test_a_name_without_address_affects_only_its_broker_and_a_moved_one_is_followed(start_fleet, host):
+    fleet = start_fleet(count=3)
+    names = fleet.folder / "names"
     names.write_text("# none so far\n")
-    f.rows["broker-b"]["host"] = "shop-b.invalid"
-    third = f.rows.pop("broker-c")  # where the name moves to: at the same port it must be, so at another address
-    f.write()
-    f.start(host, "names-file names")
-    f.consumed("broker-a")
-    wait_until(lambda: re.search(r"event=connect-failed .*shop-b\.invalid", f.host.log()), "the log line")
+    fleet.rows["broker-b"]["host"] = "shop-b.invalid"
+    fleet.rows.pop("broker-c")  # it becomes the target of the name's move, at the same port of another address
+    fleet.write()
+    fleet.start(host, "names-file names")
+    fleet.wait_until_consumed("broker-a")
+    wait_until(lambda: re.search(r"event=connect-failed .*shop-b\.invalid", fleet.host.log()), "the log line")
     names.write_text("127.0.0.1 shop-b.invalid other\n")
-    f.consumed("broker-a", "broker-b")
-    import socket
-
-    moved = f.brokers["broker-c"]
+    fleet.wait_until_consumed("broker-a", "broker-b")
+    moved = fleet.brokers["broker-c"]
     moved.close()
-    moved.sock = socket.create_server(("127.0.0.2", int(f.brokers["broker-b"].address.split(":")[1])))
+    port = int(fleet.brokers["broker-b"].address.split(":")[1])
+    moved.sock = socket.create_server(("127.0.0.2", port))
     moved.start_accepting()
     names.write_text("127.0.0.2 shop-b.invalid\n")
-    f.consumed("broker-a", "broker-c")
-    f.seen("name-moved")
-    wait_until(lambda: f.brokers["broker-b"].close_count == 1 and third, "the close of the old address")
-    f.ask("broker-c", "x")
-    wait_until(lambda: moved.reply("x"), "the reply from the new address")
+    fleet.wait_until_consumed("broker-a", "broker-c")
+    fleet.wait_for_event("name-moved")
+    wait_until(lambda: fleet.brokers["broker-b"].close_count == 1, "the close at the old address")
+    fleet.put_request("broker-c", "x")
+    fleet.wait_for_answer("broker-c", "x")
 
 
-def test_a_list_that_shrinks_is_held_until_the_operator_accepts_it(fleet, host):
-    f = fleet(brokers=5)
-    f.start(host, "state-folder state\n    hold 1h")
-    f.consumed(*f.brokers)
+def test_an_inventory_that_shrinks_is_held_until_an_operator_accepts_it(start_fleet, host):
+    fleet = start_fleet(count=5)
+    fleet.start(host, "state-folder state\n    hold 1h")
+    fleet.wait_until_consumed(*fleet.brokers)
     for name in ("broker-b", "broker-c"):
-        f.rows.pop(name)
-    f.write()
-    f.seen("inventory-held")
-    assert "3 hosts, where there were 5; 20% may go at once" in f.host.log()
-    f.consumed(*f.brokers)
-    assert "held" in f.tool("inventory", "history")
-    found = json.loads(f.tool("inventory", "diff", "--json", code=1))
-    assert found["left"] == ["broker-b", "broker-c"]
-    assert "3 hosts" in found["held"]
-    assert "accepted: 3 hosts" in f.tool("inventory", "accept")
-    f.consumed(*f.rows)
-    told = json.loads(f.tool("inventory", "history", "--json"))
-    assert [e["boxes"] for e in told["history"]] == [5, 3]
-    assert told["status"]["phase"] == "accepted"
-    assert (
-        "nothing is held back"
-        in subprocess.run(
-            [sys.executable, "-m", "lapispick", "inventory", "accept"],
-            capture_output=True,
-            text=True,
-            env={**os.environ, **f.environ},
-        ).stderr
-    )
-    assert not (f.folder / "state/accept").exists()
-
-
-@pytest.mark.parametrize("spoil", ["none", "torn", "flipped"])
-def test_a_host_that_starts_with_a_broken_file_runs_on_the_last_good_list(fleet, host, spoil):
-    f = fleet()
-    f.start(host, "state-folder state")
-    f.consumed(*f.brokers)
-    kept = f.folder / "state/last-good.jsonl"
-    wait_until(kept.exists, "the last good list")
-    assert kept.stat().st_mode & 0o77 == 0
-    f.host.close()
-    f.write("host,amqp_queue\nbroker-a,\n")
-    data = kept.read_bytes()
-    if spoil == "torn":
-        kept.write_bytes(data[:-9])
-    elif spoil == "flipped":
-        kept.write_bytes(data.replace(b'"jobs"', b'"jobz"', 1))
-    f.host = host(environ=f.environ)
-    f.seen("inventory-rejected")
-    assert "shops.csv:2:1: amqp_queue: is not told" in f.host.log()
-    if spoil != "none":
-        assert re.search("event=last-good-unusable .*checksum", f.host.log())
-        return f.consumed()
-    assert re.search(r"event=last-good hosts=2 .*age_s=\d+", f.host.log())
-    f.consumed(*f.brokers)
-    f.ask("broker-a", "x")
-    wait_until(lambda: f.brokers["broker-a"].reply("x"), "the reply")
-
-
-def test_a_helper_that_dies_is_replaced_and_nothing_else_happens(fleet, host):
-    f = fleet()
-    f.start(host)
-    f.consumed(*f.brokers)
-    flow = Flow(f)
+        fleet.rows.pop(name)
+    fleet.write()
+    fleet.wait_for_event("inventory-held")
+    assert "3 hosts, where there were 5; 20% may go at once" in fleet.host.log()
+    fleet.wait_until_consumed(*fleet.brokers)
+    assert "held" in fleet.output_of("inventory", "history")
+    difference = json.loads(fleet.output_of("inventory", "diff", "--json", code=1))
+    assert difference["left"] == ["broker-b", "broker-c"]
+    assert "3 hosts" in difference["held"]
+    assert "accepted: 3 hosts" in fleet.output_of("inventory", "accept")
+    fleet.wait_until_consumed(*fleet.rows)
+    history = json.loads(fleet.output_of("inventory", "history", "--json"))
+    assert [entry["boxes"] for entry in history["history"]] == [5, 3]
+    assert history["status"]["phase"] == "accepted"
+    assert "nothing is held back" in fleet.run_command("inventory", "accept").stderr
+    assert not (fleet.folder / "state/accept").exists()
+
+
+@pytest.mark.parametrize("damage", ["none", "torn", "flipped"])
+def test_a_host_that_starts_with_a_broken_file_uses_the_last_good_inventory(start_fleet, host, damage):
+    fleet = start_fleet()
+    fleet.start(host, "state-folder state")
+    fleet.wait_until_consumed(*fleet.brokers)
+    last_good = fleet.folder / "state/last-good.jsonl"
+    wait_until(last_good.exists, "the last good list")
+    assert last_good.stat().st_mode & 0o77 == 0
+    fleet.host.close()
+    fleet.write("host,amqp_queue\nbroker-a,\n")
+    data = last_good.read_bytes()
+    if damage == "torn":
+        last_good.write_bytes(data[:-9])
+    elif damage == "flipped":
+        last_good.write_bytes(data.replace(b'"jobs"', b'"jobz"', 1))
+    fleet.host = host(environ=fleet.environ)
+    fleet.wait_for_event("inventory-rejected")
+    assert "shops.csv:2:1: amqp_queue: is not told" in fleet.host.log()
+    if damage != "none":
+        assert re.search("event=last-good-unusable .*checksum", fleet.host.log())
+        return fleet.wait_until_consumed()
+    assert re.search(r"event=last-good hosts=2 .*age_s=\d+", fleet.host.log())
+    fleet.wait_until_consumed(*fleet.brokers)
+    fleet.put_request("broker-a", "x")
+    fleet.wait_for_answer("broker-a", "x")
+
+
+def test_a_helper_that_dies_is_replaced_and_connections_stay_open(start_fleet, host):
+    fleet = start_fleet()
+    fleet.start(host)
+    fleet.wait_until_consumed(*fleet.brokers)
+    flow = MessageFlow(fleet)
     for _ in range(2):
-        (child,) = children(f.host.process.pid)
-        os.kill(child, signal.SIGKILL)
-        wait_until(lambda child=child: children(f.host.process.pid) not in ([], [child]), "another helper")
-    f.seen("helper-ended", 2)
-    f.rows["broker-b"]["prefetch"] = "9"
-    f.write()
-    f.seen("inventory-accepted", 2)
-    assert f.host.log().count("event=inventory-accepted") == 2
-    assert not f.brokers["broker-a"].close_count
-    flow.account()
-    f.host.terminate()
-    assert f.host.process.wait(6) == 0
-    assert not Path(f"/proc/{child}").exists()
-
-
-def children(pid):
-    """Return the numbers of a process's children that live."""
-    return [
-        int(p)
-        for p in Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
-        if Path(f"/proc/{p}/cmdline").exists() and b"helper" in Path(f"/proc/{p}/cmdline").read_bytes()
-    ]
-
-
-def test_a_drain_goes_on_while_the_list_changes(fleet, host):
-    f = fleet()
-    f.start(host, stop_ms=4000)
-    f.consumed(*f.brokers)
-    message = f.ask("broker-b", "hold")
-    wait_until(lambda: f.host.executor.runs, "the run")
-    f.host.terminate()
-    wait_until(lambda: not consumers(f.brokers["broker-a"]), "the end of consuming")
-    f.rows.pop("broker-b")
-    f.write()
-    f.host.executor.end_run(f.host.executor.runs[0].task, result="done")
+        (helper,) = helpers_of(fleet.host.process.pid)
+        os.kill(helper, signal.SIGKILL)
+        wait_until(lambda helper=helper: helpers_of(fleet.host.process.pid) not in ([], [helper]), "another helper")
+    fleet.wait_for_event("helper-ended", 2)
+    fleet.rows["broker-b"]["prefetch"] = "9"
+    fleet.write()
+    fleet.wait_for_event("inventory-accepted", 2)
+    assert fleet.host.log().count("event=inventory-accepted") == 2
+    assert not fleet.brokers["broker-a"].close_count
+    flow.stop_and_check()
+    fleet.host.terminate()
+    assert fleet.host.process.wait(6) == 0
+    assert not Path(f"/proc/{helper}").exists()
+
+
+def test_a_shutdown_continues_while_the_inventory_changes(start_fleet, host):
+    fleet = start_fleet()
+    fleet.start(host, stop_ms=4000)
+    fleet.wait_until_consumed(*fleet.brokers)
+    message = fleet.put_request("broker-b", "hold")
+    wait_until(lambda: fleet.host.executor.runs, "the run")
+    fleet.host.terminate()
+    wait_until(lambda: not fleet.brokers["broker-a"].consumer_tags(), "the end of consuming")
+    fleet.remove("broker-b")
+    fleet.host.executor.end_run(fleet.host.executor.runs[0].task, result="done")
     wait_until(lambda: message.fate == "ack", "the acknowledgement")
-    assert f.host.process.wait(6) == 0
-    assert "event=ended unanswered=0" in f.host.log()
+    assert fleet.host.process.wait(6) == 0
+    assert "event=ended unanswered=0" in fleet.host.log()
 
 
-def test_the_old_settings_file_is_read_with_a_warning(fleet, host):
-    f = fleet()
-    old = f.folder / "amqp.toml"
+def test_the_old_settings_file_is_read_with_a_warning(start_fleet, host):
+    fleet = start_fleet()
+    old = fleet.folder / "amqp.toml"
     old.write_text('enabled = true\ninventory = "shops.csv"\ngroup = "shops"\n')
-    f.host = host(environ={"LAPISPICK_AMQP": str(old)})
-    f.consumed(*f.brokers)
-    assert "event=amqp-toml-old" in f.host.log()
+    fleet.host = host(environ={"LAPISPICK_AMQP": str(old)})
+    fleet.wait_until_consumed(*fleet.brokers)
+    assert "event=amqp-toml-old" in fleet.host.log()
 
 
 OFF = re.compile(
-    r"lapispick\.(fleet|cli|fakes|trace|conf\.legacy|host\.(amqp|inventory|names|recorder))"
+    r"lapispick\.(fleet|cli|fakes|trace|conf\.legacy|host\.(amqp|inventory|dns_resolver|names|recorder))"
     r"|immutables|idna|yaml|click|structlog|rich|google|zstandard|google_crc32c|difflib|subprocess|tomllib"
 )
 
 
-def test_a_host_with_all_this_off_imports_nothing_of_it(host):
-    h = host(environ={"PYTHONPROFILEIMPORTTIME": "1"})
-    g = h.gateway()
-    assert g.result(g.request("track", "x")) == "did x"
-    loaded = {line.rpartition("|")[2].strip() for line in h.log().splitlines() if line.startswith("import time:")}
+def test_a_host_without_inventory_imports_nothing_of_it(host):
+    started = host(environ={"PYTHONPROFILEIMPORTTIME": "1"})
+    gateway = started.gateway()
+    assert gateway.result(gateway.request("track", "x")) == "did x"
+    lines = [line for line in started.log().splitlines() if line.startswith("import time:")]
+    loaded = {line.rpartition("|")[2].strip() for line in lines}
     assert "lapispick.conf.settings" in loaded
     assert "lapispick.host.core" in loaded
     assert not [name for name in loaded if OFF.match(name)]
 
 
-def test_a_faulty_settings_file_ends_the_start_with_every_fault(tmp_path):
-    from lapispick.fakes.start_settings import PLATFORM_INFO
-
-    conf, config = tmp_path / "own.conf", tmp_path / "config.json"
+def test_a_faulty_settings_file_ends_the_start_and_every_fault_is_logged(tmp_path):
+    conf = tmp_path / "own.conf"
+    config = tmp_path / "config.json"
     conf.write_text("section amqp\n  enable yes\n  drain 5x\nend\n")
     config.write_text(
         json.dumps(
@@ -447,26 +464,26 @@
             }
         )
     )
-    made = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "lapispick.host"],
         capture_output=True,
         text=True,
         timeout=20,
         env={**os.environ, "LAPISPICK_CONF": str(conf), "LB_CONFIG": str(config)},
     )
-    assert made.returncode == 2
-    assert made.stderr.count("event=config-faulty") == 2
-    assert "own.conf:2: enable: unknown in section amqp; did you mean enabled?" in made.stderr
-    assert "own.conf:3: drain: '5x' is not a span such as 5s; units are ms, s, m, h, d" in made.stderr
+    assert process.returncode == 2
+    assert process.stderr.count("event=config-faulty") == 2
+    assert "own.conf:2: enable: unknown in section amqp; did you mean enabled?" in process.stderr
+    assert "own.conf:3: drain: '5x' is not a span such as 5s; units are ms, s, m, h, d" in process.stderr
 
 
 @pytest.mark.parametrize("options", [[], ["--load", "3", "--seconds", "1.5"]])
-def test_two_commands_of_the_readme_show_something(options):
-    made = subprocess.run(
+def test_the_demo_answers_all_requests_of_both_fronts_and_executes_none_twice(options):
+    process = subprocess.run(
         [sys.executable, "-m", "lapispick", "demo", "--json", *options], capture_output=True, text=True, timeout=60
     )
-    found = json.loads(made.stdout)
-    assert made.returncode == 0
-    assert found["doubles"] == 0
-    assert {r["front"] for r in found["outcomes"]} == {"amqp", "json-rpc"}
-    assert not any(r["unanswered"] for r in found["outcomes"])
+    summary = json.loads(process.stdout)
+    assert process.returncode == 0
+    assert summary["doubles"] == 0
+    assert {outcome["front"] for outcome in summary["outcomes"]} == {"amqp", "json-rpc"}
+    assert not any(outcome["unanswered"] for outcome in summary["outcomes"])
