--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -307,7 +307,9 @@
     def _done(self) -> bool:
         """Tell whether all that came was read and answered, and the answers handed to the system."""
         return (
-            self.core.owed == 0 and self.gateways.is_idle() and all(front.flushed() for front in self.core.peers.fronts)
+            self.core.owed == 0
+            and self.gateways.is_idle()
+            and all(front.is_flushed() for front in self.core.peers.fronts)
         )
 
     def _hand_over(self, handover: Handover) -> None:
--- a/lapispick/host/amqp/front.py
+++ b/lapispick/host/amqp/front.py
@@ -188,15 +188,15 @@
 
     # As for every front.
 
-    def limit_idle(self, span_ms: float) -> None:
+    def set_idle_timeout(self, timeout_ms: float) -> None:
         """Do nothing: this host opens the connections to brokers itself."""
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """Begin a graceful shutdown: consume nothing more."""
         self.is_shutting_down = True
         for session in list(self._sessions.values()):
             session.drain()
 
-    def flushed(self) -> bool:
+    def is_flushed(self) -> bool:
         """Tell whether all that was accepted is answered and handed to the operating system."""
         return all(session.is_flushed() for session in self._sessions.values())
--- a/lapispick/host/core/dispatcher.py
+++ b/lapispick/host/core/dispatcher.py
@@ -139,4 +139,4 @@
 
     def _set_idle_timeout(self, action: admission.SetIdleTimeout) -> None:
         for front in self.peers.fronts:
-            front.limit_idle(action.timeout_ms or self._settings.idle_timeout_ms)
+            front.set_idle_timeout(action.timeout_ms or self._settings.idle_timeout_ms)
--- a/lapispick/host/core/shutdown.py
+++ b/lapispick/host/core/shutdown.py
@@ -57,4 +57,4 @@
         self._peer_sync.announce_shutdown()
         self._health.report()
         for front in self._peers.fronts:
-            front.leave()
+            front.begin_shutdown()
--- a/lapispick/host/interfaces.py
+++ b/lapispick/host/interfaces.py
@@ -91,11 +91,11 @@
 class Front(Protocol):
     """Accepts clients and passes their requests to the core."""
 
-    def limit_idle(self, span_ms: float) -> None:
+    def set_idle_timeout(self, timeout_ms: float) -> None:
         """Close connections that carried nothing for this long."""
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """Begin a graceful shutdown."""
 
-    def flushed(self) -> bool:
+    def is_flushed(self) -> bool:
         """Tell whether all answers were handed to the operating system."""
--- a/lapispick/host/jsonrpc/front.py
+++ b/lapispick/host/jsonrpc/front.py
@@ -191,9 +191,9 @@
 
     # Periodic checks.
 
-    def limit_idle(self, span_ms: float) -> None:
+    def set_idle_timeout(self, timeout_ms: float) -> None:
         """Close connections that carried nothing for this long."""
-        self._idle_timeout_s = span_ms / 1000
+        self._idle_timeout_s = timeout_ms / 1000
 
     def _sweep(self) -> None:
         """Close connections that are over the limit, overdue or idle."""
@@ -234,7 +234,7 @@
 
     # Shutdown.
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """Begin a graceful shutdown: ask all gateways to send nothing new."""
         self._is_shutting_down = True
         for connection in self.connections:
@@ -256,7 +256,7 @@
         """Tell whether all connections are closed."""
         return all(connection.stream.closed for connection in self.connections)
 
-    def flushed(self) -> bool:
+    def is_flushed(self) -> bool:
         """Tell whether all answers were handed to the operating system."""
         return not any(connection.stream.unsent_bytes for connection in self.connections)
 
--- a/lapispick/simulator/codec.py
+++ b/lapispick/simulator/codec.py
@@ -135,12 +135,12 @@
             raise WireError(f"truncated record of event code {code} in batch {number}")
         fields = layout.unpack_from(frame, start)
         if code in (BORN, DEADLINE_HIT):
-            *fields, count = fields
+            *others, count = fields
             size = count if code == BORN else count * GAUGE_BYTES
             if position + size > end:
                 raise WireError(f"the counted part of event code {code} passes the end of batch {number}")
             tail = frame[position : position + size]
-            fields.append(tail if code == BORN else struct.unpack(f">{count}f", tail))
+            fields = (*others, tail if code == BORN else struct.unpack(f">{count}f", tail))
             position += size
         records.append((code, *fields))
     return Batch(clock, number, records)
--- a/tests/test_connection_overload.py
+++ b/tests/test_connection_overload.py
@@ -138,7 +138,7 @@
     assert not front._evictor.evict()
     assert not connection.stream.closed
     connection.activity.last_used_at -= 60
-    front.limit_idle(100.0)
+    front.set_idle_timeout(100.0)
     front._sweep()
     assert not connection.stream.closing
     assert not connection.stream.closed
