--- a/lapispick/host/amqp/codec.py
+++ b/lapispick/host/amqp/codec.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import struct
+from collections.abc import Callable
 from enum import Enum, IntEnum
 from typing import Any, NamedTuple
 
@@ -137,16 +138,6 @@
             items.append(inner.read_table_value(depth + 1))
         return items
 
-    def read_field(self, field_type: FieldType) -> Any:
-        """Return a value of any type but ``BIT``, which shares its byte with its neighbours."""
-        if field_type is FieldType.SHORT_STRING:
-            return self.read_short_string()
-        if field_type is FieldType.LONG_STRING:
-            return self.read_long_string()
-        if field_type is FieldType.TABLE:
-            return self.read_table()
-        return self.read_number(field_type.value)
-
 
 def _decode_text(raw: bytes) -> str:
     try:
@@ -187,15 +178,26 @@
     return b"S" + _encode_long_string(str(value).encode())
 
 
-def encode_field(field_type: FieldType, value: Any) -> bytes:
-    """Encode a value of any type but ``BIT``; raises ``CodecError`` for a short string that is too long."""
+def encoder(field_type: FieldType) -> Callable[[Any], bytes]:
+    """Return what encodes values of any type but ``BIT``; raises ``CodecError`` for too long short strings."""
+    if field_type is FieldType.SHORT_STRING:
+        return _encode_short_string
+    if field_type is FieldType.LONG_STRING:
+        return _encode_long_string
+    if field_type is FieldType.TABLE:
+        return encode_table
+    return NUMBERS[field_type.value].pack
+
+
+def decoder(field_type: FieldType) -> Callable[[Reader], Any]:
+    """Return what reads values of any type but ``BIT``, which shares its byte with its neighbours."""
     if field_type is FieldType.SHORT_STRING:
-        return _encode_short_string(value)
+        return Reader.read_short_string
     if field_type is FieldType.LONG_STRING:
-        return _encode_long_string(value)
+        return Reader.read_long_string
     if field_type is FieldType.TABLE:
-        return encode_table(value)
-    return NUMBERS[field_type.value].pack(value)
+        return Reader.read_table
+    return lambda reader: reader.read_number(field_type.value)
 
 
 def encode_frame(frame_type: FrameType, channel: int, payload: bytes) -> bytes:
--- a/lapispick/host/amqp/connection.py
+++ b/lapispick/host/amqp/connection.py
@@ -121,7 +121,7 @@
             )
         return ConnectionTuneOk(channel_max, frame_max, heartbeat)
 
-    def _expect(self, wanted: type[M]) -> M:
+    def _expect(self, expected: type[M]) -> M:
         """Read the next method of the negotiation."""
         while True:
             frame = self.read_frame(HANDSHAKE_S)
@@ -129,16 +129,18 @@
                 continue
             if frame.type is not FrameType.METHOD or frame.channel != CONNECTION_CHANNEL:
                 raise ConnectionClosedError("no method came within the handshake", ReplyCode.UNEXPECTED_FRAME)
-            method = decode_method(frame.payload)
-            if isinstance(method, ConnectionClose):
-                self._on_closed_by_broker(method)
-            if not isinstance(method, wanted):
+            method = self._decode(frame)
+            if not isinstance(method, expected):
                 raise ConnectionClosedError(f"{method.name} came within the handshake", ReplyCode.COMMAND_INVALID)
             return method
 
-    def _on_closed_by_broker(self, method: ConnectionClose) -> None:
-        self._send_method(ConnectionCloseOk())
-        raise ConnectionClosedError(f"the broker says {method.reply_code} {method.reply_text}")
+    def _decode(self, frame: Frame) -> Method:
+        """Decode a method of the connection; raises ``ConnectionClosedError`` where the broker closes it."""
+        method = decode_method(frame.payload)
+        if isinstance(method, ConnectionClose):
+            self._send_method(ConnectionCloseOk())
+            raise ConnectionClosedError(f"the broker says {method.reply_code} {method.reply_text}")
+        return method
 
     def on_frame(self, frame: Frame) -> bool:
         """Handle a frame of the connection itself; True once the broker has confirmed the close."""
@@ -146,9 +148,7 @@
             return False
         if frame.type is not FrameType.METHOD:
             raise ConnectionClosedError("content came on channel 0", ReplyCode.UNEXPECTED_FRAME)
-        method = decode_method(frame.payload)
-        if isinstance(method, ConnectionClose):
-            self._on_closed_by_broker(method)
+        method = self._decode(frame)
         if not isinstance(method, ConnectionCloseOk):
             raise ConnectionClosedError(f"{method.name} came on channel 0", ReplyCode.COMMAND_INVALID)
         return True
--- a/lapispick/host/amqp/content.py
+++ b/lapispick/host/amqp/content.py
@@ -12,8 +12,9 @@
     FieldType,
     FrameType,
     Reader,
-    encode_field,
+    decoder,
     encode_frame,
+    encoder,
 )
 from lapispick.host.amqp.errors import CodecError
 
@@ -21,7 +22,8 @@
 CONTENT_WEIGHT = 0  # reserved by the specification
 HEADER = struct.Struct(">HHQH")  # class, weight, bytes of the body, flags of the properties that are present
 FLAGS_OFFSET = 12
-FIRST_FLAG = 15  # the bit of the first property; the lowest bit announces more flags
+FIRST_FLAG = 15  # the place of the first property's bit
+MORE_FLAGS = 1  # announces properties that this class does not have
 
 
 class Properties(msgspec.Struct):
@@ -50,18 +52,20 @@
     "timestamp": FieldType.LONG_LONG,
 }
 PROPERTY_TYPES = {name: OTHER_TYPES.get(name, FieldType.SHORT_STRING) for name in Properties.__struct_fields__}
+FLAGS = {name: 1 << (FIRST_FLAG - place) for place, name in enumerate(PROPERTY_TYPES)}
+ENCODERS = [(name, FLAGS[name], encoder(field_type)) for name, field_type in PROPERTY_TYPES.items()]
+DECODERS = [(name, FLAGS[name], decoder(field_type)) for name, field_type in PROPERTY_TYPES.items()]
 
 
 def encode_header(channel: int, body_size: int, properties: Properties) -> bytes:
     """Encode the frame of a content header; ``body_size`` is in bytes."""
     flags = 0
     values = bytearray()
-    for place, (name, field_type) in enumerate(PROPERTY_TYPES.items()):
+    for name, flag, encode in ENCODERS:
         value = getattr(properties, name)
-        if value is None or value == {}:
-            continue
-        flags |= 1 << (FIRST_FLAG - place)
-        values += encode_field(field_type, value)
+        if value is not None and value != {}:
+            flags |= flag
+            values += encode(value)
     header = HEADER.pack(BASIC_CLASS_ID, CONTENT_WEIGHT, body_size, flags)
     return encode_frame(FrameType.HEADER, channel, header + bytes(values))
 
@@ -79,12 +83,12 @@
     reader = Reader(payload)
     reader.read_bytes(FLAGS_OFFSET)
     flags = reader.read_number("H")
-    if flags & 1:
+    if flags & MORE_FLAGS:
         raise CodecError("more property flags than the class has")
     properties = Properties()
-    for place, (name, field_type) in enumerate(PROPERTY_TYPES.items()):
-        if flags >> (FIRST_FLAG - place) & 1:
-            setattr(properties, name, reader.read_field(field_type))
+    for name, flag, decode in DECODERS:
+        if flags & flag:
+            setattr(properties, name, decode(reader))
     return properties
 
 
--- a/lapispick/host/amqp/deliveries.py
+++ b/lapispick/host/amqp/deliveries.py
@@ -91,8 +91,8 @@
 
     def _add_body(self, payload: bytes) -> Delivery:
         delivery = self._delivery
-        has_room = self._has_header and 0 < len(payload) <= self._bytes_left
-        if delivery is None or not has_room:
+        is_expected = self._has_header and 0 < len(payload) <= self._bytes_left
+        if delivery is None or not is_expected:
             raise ConnectionClosedError("a body came out of turn", ReplyCode.UNEXPECTED_FRAME)
         self._bytes_left -= len(payload)
         if delivery.body_size <= MAX_BODY_BYTES:
--- a/lapispick/host/amqp/front.py
+++ b/lapispick/host/amqp/front.py
@@ -22,7 +22,7 @@
 from lapispick.platform_settings import Info
 
 LOG = "amqp"
-HOSTS_PER_TURN = 100  # that are read before other greenlets run
+HOSTS_PER_YIELD = 100  # that are read before other greenlets run
 MAX_LOOKUP_MISSES = 2  # look-ups in a row without the present address; then a broker counts as moved
 
 
@@ -101,7 +101,7 @@
             host = snapshot.hosts[key]
             self._queues[key] = queues_of(host)
             self._put(key, broker_of(host))
-            if count % HOSTS_PER_TURN == 0:
+            if count % HOSTS_PER_YIELD == 0:
                 self.loop.yield_control()
         for key in difference.left:
             self._reconciler.drop(key)
--- a/lapispick/host/amqp/methods.py
+++ b/lapispick/host/amqp/methods.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from lapispick.host.amqp.codec import FieldType, FrameType, Reader, encode_field, encode_frame
+from lapispick.host.amqp.codec import FieldType, FrameType, Reader, decoder, encode_frame, encoder
 from lapispick.host.amqp.errors import CodecError
 
 Bit = Annotated[bool, FieldType.BIT]
@@ -36,24 +36,39 @@
 M = TypeVar("M", bound=type[Method])
 
 
+class Argument(NamedTuple):
+    """How an argument of a method is encoded."""
+
+    name: str
+    is_bit: bool  # neighbouring bits share an octet
+    encode: Callable[[Any], bytes]  # of a bit: its octet
+    decode: Callable[[Reader], Any]
+
+
 class Layout(NamedTuple):
     """How a method is encoded."""
 
     class_id: int
     method_id: int
-    arguments: tuple[tuple[str, FieldType], ...]
+    arguments: tuple[Argument, ...]
 
 
 _LAYOUTS: dict[type[Method], Layout] = {}
 _METHODS: dict[tuple[int, int], type[Method]] = {}
 
 
+def _argument(name: str, field_type: FieldType) -> Argument:
+    is_bit = field_type is FieldType.BIT
+    value_type = FieldType.OCTET if is_bit else field_type
+    return Argument(name, is_bit, encoder(value_type), decoder(value_type))
+
+
 def _method(class_id: int, method_id: int, name: str) -> Callable[[M], M]:
     """Register a method under its ids and its name."""
 
     def register(method: M) -> M:
         types = get_type_hints(method, include_extras=True)
-        arguments = tuple((argument, types[argument].__metadata__[0]) for argument in method.__struct_fields__)
+        arguments = tuple(_argument(argument, types[argument].__metadata__[0]) for argument in method.__struct_fields__)
         _LAYOUTS[method] = Layout(class_id, method_id, arguments)
         _METHODS[class_id, method_id] = method
         method.name = name
@@ -295,23 +310,25 @@
 
 
 def _encode_bits(bits: list[bool]) -> bytes:
-    return bytes([sum(bit << place for place, bit in enumerate(bits))]) if bits else b""
+    return bytes([sum(bit << place for place, bit in enumerate(bits))])
 
 
 def encode_method(channel: int, method: Method) -> bytes:
     """Encode the frame of a method; raises ``CodecError`` for a short string that is too long."""
     layout = _LAYOUTS[type(method)]
     payload = bytearray(IDS.pack(layout.class_id, layout.method_id))
-    bits: list[bool] = []  # neighbouring bits share an octet
-    for name, field_type in layout.arguments:
-        value = getattr(method, name)
-        if field_type is FieldType.BIT:
+    bits: list[bool] = []  # not encoded yet
+    for argument in layout.arguments:
+        value = getattr(method, argument.name)
+        if argument.is_bit:
             bits.append(bool(value))
             continue
+        if bits:
+            payload += _encode_bits(bits)
+            bits.clear()
+        payload += argument.encode(value)
+    if bits:
         payload += _encode_bits(bits)
-        bits.clear()
-        payload += encode_field(field_type, value)
-    payload += _encode_bits(bits)
     return encode_frame(FrameType.METHOD, channel, bytes(payload))
 
 
@@ -322,16 +339,16 @@
     method = _METHODS.get(ids)
     if method is None:
         raise CodecError(f"unknown method {ids}")
-    arguments = []
+    values = {}
     octet = 0
     bit = 0  # place of the next bit in its octet
-    for _, field_type in _LAYOUTS[method].arguments:
-        if field_type is not FieldType.BIT:
+    for argument in _LAYOUTS[method].arguments:
+        if not argument.is_bit:
             bit = 0
-            arguments.append(reader.read_field(field_type))
+            values[argument.name] = argument.decode(reader)
             continue
         if bit == 0:
-            octet = reader.read_number("B")
-        arguments.append(bool(octet >> bit & 1))
+            octet = argument.decode(reader)
+        values[argument.name] = bool(octet >> bit & 1)
         bit = (bit + 1) % BITS_PER_OCTET
-    return method(**dict(zip(method.__struct_fields__, arguments, strict=True)))
+    return method(**values)
--- a/lapispick/host/amqp/session.py
+++ b/lapispick/host/amqp/session.py
@@ -109,8 +109,8 @@
     def _reopen(self, connection: BrokerConnection | None, queue: Queue) -> None:
         if connection is None or self._connection is not connection or self.is_draining:
             return
-        is_wanted = self._queues.get(queue.name) == queue
-        if is_wanted and not any(c.queue == queue and not c.is_retired for c in self._channels.values()):
+        is_listed = self._queues.get(queue.name) == queue
+        if is_listed and not any(c.queue == queue and not c.is_retired for c in self._channels.values()):
             self._open_channel(queue)
 
     # The connection.
--- a/lapispick/host/jsonrpc/connection.py
+++ b/lapispick/host/jsonrpc/connection.py
@@ -21,7 +21,7 @@
 
 LOG = "clients"
 MAX_OPEN_REQUESTS = 32  # on one connection
-MESSAGES_PER_TURN = 16  # of one connection, before other greenlets run
+MESSAGES_PER_YIELD = 16  # of one connection, before other greenlets run
 MAX_FAULTS = 3  # invalid messages in a row, after which the connection is closed
 STALLED_READER_S = 3.0  # a reader that acknowledged nothing for so long may be evicted
 HALF_CLOSED_TIMEOUT_S = 10.0  # for the answers to a gateway that has ended its side and reads slowly
@@ -175,7 +175,7 @@
                     line_count = 0
                     continue
                 line_count += 1
-                if line_count % MESSAGES_PER_TURN == 0:
+                if line_count % MESSAGES_PER_YIELD == 0:
                     self._context.loop.yield_control()
         except LineTooLongError as err:
             self._on_fault(None, ErrorCode.INVALID_REQUEST, "the message is too long", closes=True, error=err)
