--- a/lapispick/host/amqp/front.py
+++ b/lapispick/host/amqp/front.py
@@ -19,7 +19,7 @@
 from lapispick.host.logs import log
 from lapispick.host.scheduler import EventLoop
 from lapispick.host.timers import Timer
-from lapispick.platform_settings import Info
+from lapispick.platform_settings import StartSettings
 
 LOG = "amqp"
 HOSTS_PER_YIELD = 100  # that are read before other greenlets run
@@ -40,7 +40,7 @@
         self,
         loop: EventLoop,
         bounds: Bounds,
-        info: Info,
+        start_settings: StartSettings,
         settings: admission.Settings,
         post: Callable[[Any], None],
         resolver: DnsResolver,
@@ -48,7 +48,7 @@
     ) -> None:
         self.loop = loop
         self.post = post
-        self.request_builder = RequestBuilder(info, settings)
+        self.request_builder = RequestBuilder(start_settings, settings)
         self.is_shutting_down = False
         self._resolver = resolver
         self._resolve_interval_s = resolve_interval_s
--- a/lapispick/host/amqp/inventory_schema.py
+++ b/lapispick/host/amqp/inventory_schema.py
@@ -8,7 +8,7 @@
 
 from lapispick.fleet.host_assembly import InventoryHost
 from lapispick.fleet.schema import Schema, Variable, VariableKind
-from lapispick.platform_settings import Info
+from lapispick.platform_settings import StartSettings
 
 VARIABLES = {
     "amqp_host": Variable(VariableKind.HOST, doc="where the broker listens"),
@@ -21,10 +21,12 @@
 }
 
 
-def schema(info: Info | None) -> Schema:
+def schema(start_settings: StartSettings | None) -> Schema:
     """Return the schema of a host; without the start settings any class and tenant is valid."""
-    class_names = tuple(service.name for service in info.services) if info else ()
-    tenants = tuple(party.name for party in info.parties) if info else ()
+    class_names = (
+        tuple(request_class.name for request_class in start_settings.request_classes) if start_settings else ()
+    )
+    tenants = tuple(tenant.name for tenant in start_settings.tenants) if start_settings else ()
     return Schema(
         prefix="amqp_",
         host_variables=VARIABLES,
--- a/lapispick/host/amqp/request_builder.py
+++ b/lapispick/host/amqp/request_builder.py
@@ -13,7 +13,7 @@
 from lapispick.host.amqp.errors import InvalidMessageError
 from lapispick.host.amqp.inventory_schema import Queue
 from lapispick.host.requests import MAX_BODY_BYTES, MAX_REQUEST_MEMORY_KB, Answer, Request
-from lapispick.platform_settings import Info
+from lapispick.platform_settings import StartSettings
 
 MAX_EXPIRATION_DIGITS = 12
 MAX_SHOWN_EXPIRATION = 20  # characters of an invalid one in a log line
@@ -22,9 +22,9 @@
 class RequestBuilder:
     """Builds requests with the classes and tenants of the settings."""
 
-    def __init__(self, info: Info, settings: admission.Settings) -> None:
-        self._class_names = [service.name for service in info.services]
-        self._tenants = {party.name for party in info.parties}
+    def __init__(self, start_settings: StartSettings, settings: admission.Settings) -> None:
+        self._class_names = [request_class.name for request_class in start_settings.request_classes]
+        self._tenants = {tenant.name for tenant in start_settings.tenants}
         self._classes = settings.classes
         by_weight = sorted(
             range(len(self._class_names)), key=lambda index: (settings.classes[index].priority_weight, index)
--- a/lapispick/host/jsonrpc/front.py
+++ b/lapispick/host/jsonrpc/front.py
@@ -17,7 +17,7 @@
 from lapispick.host.logs import log
 from lapispick.host.scheduler import READ, EventLoop
 from lapispick.host.streams import Stream, is_readable
-from lapispick.platform_settings import Info
+from lapispick.platform_settings import StartSettings
 
 LOG = "clients"
 MAX_MESSAGE_BYTES = 8 * 1024  # one with a body of 2 KiB has about 3,200
@@ -88,7 +88,7 @@
         self,
         loop: EventLoop,
         listen: tuple[str, int],
-        info: Info,
+        start_settings: StartSettings,
         settings: admission.Settings,
         max_connections: int,
         post: Callable[[Any], None],
@@ -102,10 +102,12 @@
             loop=loop,
             post=post,
             backpressure=backpressure,
-            class_indexes={service.name: index for index, service in enumerate(info.services)},
+            class_indexes={
+                request_class.name: index for index, request_class in enumerate(start_settings.request_classes)
+            },
             classes=settings.classes,
-            tenants={party.name for party in info.parties},
-            needs_timeout=info.family_info.passes_deadline,
+            tenants={tenant.name for tenant in start_settings.tenants},
+            needs_timeout=start_settings.host.callers_send_deadline,
             on_closed=self.connections.discard,
         )
         self._max_connections = max_connections
--- a/tests/fleet_files.py
+++ b/tests/fleet_files.py
@@ -5,9 +5,9 @@
 from lapispick.fakes.start_settings import PLATFORM_INFO
 from lapispick.fleet.reading import File, Options, Reader
 from lapispick.host.amqp import inventory_schema
-from lapispick.platform_settings import Info
+from lapispick.platform_settings import StartSettings
 
-SCHEMA = inventory_schema.schema(convert(PLATFORM_INFO, Info))
+SCHEMA = inventory_schema.schema(convert(PLATFORM_INFO, StartSettings))
 ENVIRON = {"SHOP_WORD": "secret"}
 
 
--- a/tests/test_connection_overload.py
+++ b/tests/test_connection_overload.py
@@ -26,7 +26,7 @@
 )
 from lapispick.host.jsonrpc.front import JsonRpcFront
 from lapispick.host.scheduler import EventLoop
-from lapispick.platform_settings import Info, settings_from
+from lapispick.platform_settings import StartSettings, admission_settings
 
 NEW = ConnectionState(
     accepted_at=0.0,
@@ -95,8 +95,10 @@
 @pytest.fixture
 def front():
     """A front whose connections nobody reads, with ``connect`` to open one."""
-    info = msgspec.convert(PLATFORM_INFO, Info)
-    started = JsonRpcFront(EventLoop(), ("127.0.0.1", 0), info, settings_from(info), 2, lambda item: None, lambda: None)
+    info = msgspec.convert(PLATFORM_INFO, StartSettings)
+    started = JsonRpcFront(
+        EventLoop(), ("127.0.0.1", 0), info, admission_settings(info), 2, lambda item: None, lambda: None
+    )
     started.listen()
     host, port = started.address.split(":")
     clients = []
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,7 +10,7 @@
 import pytest
 
 from lapispick import admission
-from lapispick.platform_settings import Info, settings_from
+from lapispick.platform_settings import StartSettings, admission_settings
 from lapispick.simulator import adapter, codec
 
 BATCH = bytes.fromhex(
@@ -219,7 +219,7 @@
 
 def test_callers_and_idle_timeout_are_optional_settings():
     stated = {**INFO, "FamilyInfo": {**INFO["FamilyInfo"], "Upstreams": 230, "Idle": 30000.0}}
-    settings, default_settings = [settings_from(msgspec.convert(info, Info)) for info in (stated, INFO)]
+    settings, default_settings = [admission_settings(msgspec.convert(info, StartSettings)) for info in (stated, INFO)]
     assert settings.callers == 230
     assert settings.idle_timeout_ms == 30000.0
     assert default_settings.callers == 0
