--- a/lapispick/fakes/fake_server.py
+++ b/lapispick/fakes/fake_server.py
@@ -5,7 +5,7 @@
 import threading
 
 from lapispick.fakes.ports import LOOPBACK, bind_in_own_range
-from lapispick.host.amqp import codec
+from lapispick.host.amqp.errors import CodecError
 
 OLD_LISTENER_CLOSES_AFTER_S = 0.3
 OLD_CONNECTIONS_CLOSE_AFTER_S = 1.5
@@ -78,7 +78,7 @@
             self.serve(connection)
         except ConnectionResetError:
             self.reset_count += 1
-        except (OSError, ValueError, codec.CodecError):
+        except (OSError, ValueError, CodecError):
             pass
         finally:
             connection.close()
--- a/lapispick/host/amqp/assembly.py
+++ b/lapispick/host/amqp/assembly.py
@@ -4,7 +4,7 @@
 
 from lapispick.conf.sections import Settings
 from lapispick.fleet.reconciler import Bounds
-from lapispick.host.amqp import listing
+from lapispick.host.amqp import inventory_schema
 from lapispick.host.amqp.front import AmqpFront
 from lapispick.host.config import Config
 from lapispick.host.core import Core
@@ -34,6 +34,6 @@
         inventory_settings.resolve_interval_s,
     )
     core.peers.fronts.append(front)
-    inventory = Inventory(loop, inventory_settings, listing.schema(config.start_settings), front.take)
+    inventory = Inventory(loop, inventory_settings, inventory_schema.schema(config.start_settings), front.apply)
     front.start()
     loop.spawn(inventory.serve)
