--- a/lapispick/host/recorder.py
+++ b/lapispick/host/recorder.py
@@ -24,9 +24,9 @@
 from lapispick.host.requests import Request
 from lapispick.host.scheduler import EventLoop
 from lapispick.host.streams import LineTooLongError, Stream, StreamClosedError
-from lapispick.platform_settings import Info
+from lapispick.platform_settings import StartSettings
 from lapispick.trace.messages import Begin
-from lapispick.trace.record_types import NUMBERS, Answered, Arrival, Gap, Happened
+from lapispick.trace.record_types import RECORD_NUMBERS, Answered, Arrival, ExternalEvent, Gap
 
 LOG = "trace"
 MAX_BATCH_STEPS = 200  # are sent at once
@@ -40,20 +40,22 @@
 LENGTH_BYTES = 4  # in front of each message
 SUBJECT_DIGEST_BYTES = 8
 SALT_BYTES = 16
-ARRIVAL = NUMBERS[Arrival]
-ANSWERED = NUMBERS[Answered]
-GAP = NUMBERS[Gap]
-HAPPENED = NUMBERS[Happened]
+ARRIVAL = RECORD_NUMBERS[Arrival]
+ANSWERED = RECORD_NUMBERS[Answered]
+GAP = RECORD_NUMBERS[Gap]
+HAPPENED = RECORD_NUMBERS[ExternalEvent]
 
 
 class Recorder:
     """Records the steps of one incarnation of the host."""
 
-    def __init__(self, loop: EventLoop, settings: TraceSettings, name: str, info: Info, memory_mb: float) -> None:
+    def __init__(
+        self, loop: EventLoop, settings: TraceSettings, name: str, start_settings: StartSettings, memory_mb: float
+    ) -> None:
         self._loop = loop
         self._settings = settings
         self._name = name
-        self._info = info
+        self._start_settings = start_settings
         self._buffer_bytes = min(settings.buffer_bytes, int(memory_mb * (1 << 20) / MAX_BUFFER_RATIO))
         # Subjects of one incarnation can be told apart but not guessed; with a shared key, those of all hosts.
         key = settings.subject_key
@@ -86,8 +88,8 @@
                 module_now=now,
                 started_ms=time.time() * 1000,
                 settings=msgspec.json.encode(settings).decode(),
-                classes=[service.name for service in self._info.services],
-                accounts=[party.name for party in self._info.parties],
+                classes=[request_class.name for request_class in self._start_settings.request_classes],
+                accounts=[tenant.name for tenant in self._start_settings.tenants],
             )
         )
         self._start()
@@ -161,9 +163,14 @@
         if not steps or stream is None:
             return
         # Records encode as they are, all their kinds beside them: a tuple made for each would cost as much again.
-        numbers = NUMBERS
+        numbers = RECORD_NUMBERS
         kinds = bytes(
-            [numbers[type(record)] for _, events, actions, _ in steps for part in (events, actions) for record in part]
+            [
+                numbers[type(record)]
+                for _, events, actions, _ in steps
+                for records in (events, actions)
+                for record in records
+            ]
         )
         data = self._encode((kinds, steps))
         if stream.closed or stream.unsent_bytes + len(data) > self._buffer_bytes:
