--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -24,7 +24,7 @@
 
 import msgspec
 
-from benchmarks import plainfold
+from benchmarks import reference_aggregation
 from benchmarks.common import cpu_s, show
 from lapispick import admission
 from lapispick.admission.controller import Controller
@@ -156,7 +156,7 @@
     """Sum up JSON lines, as a short script would."""
     with gzip.open(path, "rb") as file:
         header = lines.decode_header(file.readline())
-        return plainfold.fold(
+        return reference_aggregation.aggregate(
             [aggregation.source_info(s) for s in header.sources], (lines.decode_step(line, 0) for line in file)
         )
 
@@ -224,7 +224,7 @@
                 ("summarise, s", f"{ours:.2f}"),
                 ("summarise the JSON lines, s", f"{theirs:.1f}, {theirs / ours:.1f} times ours"),
                 ("only decode the JSON lines, s", f"{only:.1f}, {only / ours:.1f} times ours"),
-                ("both summaries agree", plain["whole"] == before.total and plain["accounts"] == before.accounts),
+                ("both summaries agree", plain.total == before.total and plain.accounts == before.accounts),
                 ("a minute's cut", f"{cutting:.2f} s, reads {share:.2%}"),
                 ("cut in two and merged: the same summary", merged),
                 ("anonymised: the same summary", hidden),
--- /dev/null
+++ b/tests/test_trace_recorder.py
@@ -0,0 +1,273 @@
+"""The recorder in a running worker host, and the process that writes its traces."""
+
+import json
+import os
+import re
+import resource
+import signal
+import socket
+import subprocess
+import sys
+import time
+import uuid
+from pathlib import Path
+
+from lapispick import admission
+from lapispick.conf.sections import TraceSettings
+from lapispick.fakes.waiting import wait_until
+from lapispick.host.recorder import Recorder
+from lapispick.trace import layout
+from lapispick.trace.helper import messages
+from lapispick.trace.record_types import Answered, Arrival, ExternalEvent, Gap
+from tests.test_trace_files import read
+
+CONF = "section trace\n enabled yes\n folder traces\n flush 50ms\n {more}\nend\n"
+REQUESTS = 60  # in one round
+REQUESTS_AT_ONCE = 8
+
+
+class RecordedHost:
+    """A worker host with a recorder, and requests to it."""
+
+    def __init__(self, folder, host, more="", **over):
+        self.folder = folder / "traces"
+        (folder / "own.conf").write_text(CONF.format(more=more))
+        self.host = host(environ={"LAPISPICK_CONF": str(folder / "own.conf")}, **over)
+        self.gateway = self.host.gateway()
+        self.request_count = 0
+
+    def answers(self, count=REQUESTS):
+        """Send requests, every third one keyed and every second one with a call, and return their answers."""
+        numbers = []
+        for _ in range(count):
+            numbers.append(self._send())
+            if len(numbers) % REQUESTS_AT_ONCE == 0:
+                for number in numbers[-REQUESTS_AT_ONCE:]:
+                    self.gateway.answer(number)
+        return [self.gateway.answer(number) for number in numbers]
+
+    def _send(self):
+        keyed = self.request_count % 3 == 0
+        body = "call:200" if self.request_count % 2 else "x"
+        self.request_count += 1
+        return self.gateway.request("book" if keyed else "track", body, uuid.uuid4().hex if keyed else None)
+
+    def files(self, suffix=".lptrace"):
+        return sorted(self.folder.glob(f"*{suffix}")) if self.folder.exists() else []
+
+    def open_files(self):
+        return self.files(".open")
+
+    def wait_for_block(self):
+        return wait_until(
+            lambda: self.open_files() and self.open_files()[0].stat().st_size > 2000, "a block on the disk"
+        )
+
+    def writer_pid(self):
+        pid = self.host.process.pid
+        children = Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
+        return next(int(child) for child in children if b"trace.helper" in Path(f"/proc/{child}/cmdline").read_bytes())
+
+    def lost_steps(self, count):
+        """Send requests, and return how many steps the gaps in the open files stand for."""
+        self.answers(count)
+        return sum(note.steps for path in self.open_files() for note in notes_of(read(path)[0]) if type(note) is Gap)
+
+    def replay(self):
+        return replay(self.folder)
+
+
+def trace_process(*arguments):
+    return subprocess.run(
+        [sys.executable, "-m", "lapispick", "trace", *map(str, arguments)], capture_output=True, text=True, timeout=60
+    )
+
+
+def trace_output(*arguments, exit_code=0):
+    result = trace_process(*arguments)
+    assert result.returncode == exit_code, (result.stdout, result.stderr)
+    return result.stdout
+
+
+def replay(path):
+    return json.loads(trace_output("replay", path, "--json"))
+
+
+def notes_of(steps):
+    return [note for step in steps for note in step.notes]
+
+
+def count_runs(path):
+    """Return how many runs are in the complete blocks of a file."""
+    try:
+        return sum(type(action) is admission.StartRun for step in read(path)[0] for action in step.actions)
+    except layout.TraceError:  # it was created this moment
+        return 0
+
+
+def test_the_buffer_for_the_writer_is_bounded_by_the_memory_limit():
+    assert Recorder(None, TraceSettings(), "n3", None, 32)._buffer_bytes == 512 << 10
+    assert Recorder(None, TraceSettings(buffer_bytes=64 << 10), "n3", None, 192)._buffer_bytes == 64 << 10
+
+
+def test_a_recorded_trace_replays_exactly_and_the_commands_agree(tmp_path, host):
+    recorded = RecordedHost(tmp_path, host, "rotate-age 1s", stop_ms=2000)
+    end = time.monotonic() + 20
+    recorded.host.call_operators(b"drain-on")
+    while len(recorded.files()) < 2 and time.monotonic() < end:  # over more than one file
+        assert len(recorded.answers()) == REQUESTS
+    recorded.host.call_operators(b"drain-off")
+    recorded.host.reload(stop_ms=1900)
+    recorded.host.terminate()
+    assert recorded.host.process.wait(6) == 0
+    wait_until(lambda: not recorded.open_files(), "the last file closed")
+    replayed = recorded.replay()
+    assert replayed["same_module"]
+    assert replayed["differing"] == replayed["gaps"] == 0
+    assert replayed["steps"] > recorded.request_count / 20
+    assert recorded.request_count / 2 < replayed["recorded"]["Run"] <= recorded.request_count
+    steps = [step for path in recorded.files() for step in read(path)[0]]
+    check_notes(steps, recorded.request_count)
+    check_commands(recorded, steps, tmp_path / "cut.lptrace")
+
+
+def check_notes(steps, request_count):
+    """Compare the notes with what was sent to the host and done to it."""
+    notes = notes_of(steps)
+    arrivals = [note for note in notes if type(note) is Arrival]
+    answers = [note for note in notes if type(note) is Answered]
+    actions = [action for step in steps for action in step.actions]
+    rejection_reasons = [action.reason for action in actions if type(action) is admission.Reject]
+    keyed_count = sum(1 for number in range(request_count) if number % 3 == 0)
+    assert [(note.kind, note.details) for note in notes if type(note) is ExternalEvent] == [
+        ("drain-on", ""),
+        ("drain-off", ""),
+        ("reloaded", "stop_ms"),
+    ]
+    assert all(rejection_reasons)
+    assert bool(rejection_reasons) == ("refused" in {answer.kind for answer in answers})
+    assert len({answer.id for answer in answers}) == len(answers) == request_count
+    assert "served" in {answer.kind for answer in answers}
+    assert len(arrivals) == request_count
+    assert {arrival.account for arrival in arrivals} == {"shop"}
+    assert len({arrival.subject for arrival in arrivals}) == 1 + keyed_count
+
+
+def check_commands(recorded, steps, out):
+    """Compare what the commands say of the host's files with their steps."""
+    trace_output("verify", recorded.folder)
+    infos = json.loads(trace_output("info", recorded.folder, "--json"))
+    assert sum(info["steps"] for info in infos) == len(steps)
+    first, last = steps[0].now, steps[-1].now
+    trace_output("cut", recorded.files()[0], out, "--since", first, "--until", (first + last) / 2)
+    assert 0 < len(read(out)[0]) < len(steps)
+    assert len(trace_output("cat", out).splitlines()) == len(read(out)[0])
+    assert "needs all files" in trace_process("replay", recorded.files()[1]).stderr
+
+
+def test_a_host_killed_under_load_leaves_a_complete_file(tmp_path, host):
+    recorded = RecordedHost(tmp_path, host)
+    recorded.answers()
+    seen = wait_until(lambda: recorded.open_files() and count_runs(recorded.open_files()[0]), "runs on the disk")
+    recorded.answers()
+    recorded.host.process.kill()
+    wait_until(recorded.files, "the file, closed by the writer")
+    trace_output("verify", recorded.folder)
+    replayed = recorded.replay()
+    assert seen <= replayed["recorded"]["Run"] <= recorded.request_count
+    assert not replayed["differing"]
+
+
+def test_a_writer_killed_under_load_leaves_every_complete_block_and_costs_no_answer(tmp_path, host):
+    recorded = RecordedHost(tmp_path, host)
+    recorded.answers()
+    recorded.wait_for_block()
+    writer, stopped_at = recorded.writer_pid(), time.monotonic()
+    os.kill(writer, signal.SIGSTOP)  # what is sent to it from here on is never written
+    recorded.answers(20)
+    wait_until(lambda: recorded.answers(20) and time.monotonic() - stopped_at > 0.3, "some batches, 50 ms apart")
+    os.kill(writer, signal.SIGKILL)
+    assert len(recorded.answers()) == REQUESTS
+    recorded.host.wait_for_log("trace-writer-ended")
+
+    def steps_of_next_writer():
+        recorded.answers(4)
+        return len(recorded.open_files()) == 2 and read(recorded.open_files()[1])[0]
+
+    first_step = wait_until(steps_of_next_writer, "the next writer's first block")[0]
+    (gap,) = (note for note in first_step.notes if type(note) is Gap)
+    lost = int(re.search(r"trace-writer-ended lost=(\d+)", recorded.host.log()).group(1))
+    path, next_path = recorded.open_files()
+    source, next_source = (read(each)[1].first_source for each in (path, next_path))
+    assert gap.steps >= lost > 0
+    assert source.sequence == 0
+    assert next_source.sequence == 1
+    assert source.incarnation == next_source.incarnation
+    replayed = recorded.replay()
+    assert replayed["gaps"] == gap.steps
+    assert not replayed["differing"]
+    assert replayed["steps"] > 0
+    check_repair(path, tmp_path / "repaired.lptrace")
+
+
+def check_repair(path, repaired):
+    """Append half a block to a file, repair it and replay the result."""
+    path.write_bytes(path.read_bytes() + b"LPB\xa7 half a block")
+    assert "no index" in trace_output("verify", path, exit_code=1)
+    trace_output("repair", path, repaired)
+    trace_output("verify", repaired)
+    replayed = replay(repaired)
+    assert replayed["steps"] > 0
+    assert replayed["differing"] == 0
+
+
+def test_a_disk_that_hangs_delays_nothing_and_leaves_a_gap(tmp_path, host):
+    recorded = RecordedHost(tmp_path, host, "buffer 64KB")
+    recorded.answers()
+    os.kill(recorded.writer_pid(), signal.SIGSTOP)
+    end = time.monotonic() + 30
+    while "event=trace-gap" not in recorded.host.log() and time.monotonic() < end:
+        began = time.monotonic()
+        assert len(recorded.answers(100)) == 100
+        assert time.monotonic() - began < 5
+    os.kill(recorded.writer_pid(), signal.SIGCONT)
+    recorded.host.wait_for_log("trace-gap")
+    assert wait_until(lambda: recorded.lost_steps(8), "the gap in the file") > 0
+    recorded.host.terminate()
+    recorded.host.process.wait(6)
+    wait_until(recorded.files, "the closed file")
+    replayed = recorded.replay()
+    assert replayed["gaps"]
+    assert not replayed["differing"]
+
+
+def test_a_full_disk_costs_its_steps_and_no_answer(tmp_path, host):
+    recorded = RecordedHost(tmp_path, host)
+    recorded.answers()
+    recorded.wait_for_block()
+    resource.prlimit(recorded.writer_pid(), resource.RLIMIT_FSIZE, (4096, resource.RLIM_INFINITY))
+    end = time.monotonic() + 20
+    while "event=trace-failed" not in recorded.host.log() and time.monotonic() < end:
+        assert len(recorded.answers()) == REQUESTS
+    recorded.host.wait_for_log("trace-failed")
+    resource.prlimit(recorded.writer_pid(), resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY, resource.RLIM_INFINITY))
+    assert wait_until(lambda: recorded.lost_steps(4), "the gap in the next file") > 0
+    assert not recorded.replay()["differing"]
+
+
+def test_a_folder_that_cannot_be_written_is_logged_and_costs_no_answer(tmp_path, host):
+    (tmp_path / "traces").write_text("a file")
+    recorded = RecordedHost(tmp_path, host)
+    recorded.answers()
+    recorded.host.wait_for_log("trace-failed")
+    assert len(recorded.answers()) == REQUESTS
+
+
+def test_the_writer_gets_the_last_messages_of_a_host_that_left_its_reports_unread():
+    ours, theirs = socket.socketpair()
+    with theirs:
+        theirs.send(b"wrote 1\n")  # nobody reads it any more, so the writer's socket ends with a reset
+        for data in (b"one", b"two"):
+            ours.send(len(data).to_bytes(4, "little") + data)
+        ours.close()
+        assert list(messages(theirs)) == [b"one", b"two"]
--- /dev/null
+++ b/tests/trace_support.py
@@ -0,0 +1,56 @@
+"""Steps, headers and commands that several tests of traces share."""
+
+import msgspec
+from click.testing import CliRunner
+
+from lapispick import admission
+from lapispick.cli.main import cli
+from lapispick.trace import files
+from lapispick.trace.record_types import Answered, Arrival, Step
+from tests.controller_harness import make_settings
+
+CLASS_NAMES = ["track", "book", "job", "quote"]  # of ``make_settings``
+
+
+def class_name(source_index, class_index):
+    return CLASS_NAMES[class_index]
+
+
+def make_header(host="a", incarnation="1", **over):
+    fields = dict(
+        box=host,
+        incarnation=incarnation,
+        classes=CLASS_NAMES,
+        accounts=["shop", "bar"],
+        settings=msgspec.json.encode(make_settings()),
+    )
+    return files.make_header(**{**fields, **over})
+
+
+def make_request(number, class_index=0, retry_of=0, age=0.0):
+    return admission.RequestReceived(number, 0.0, 0.5, age, retry_of, 0.0, 10.0, class_index, 1)
+
+
+def request_step(now, number, class_index=0, retry_of=0, account="shop", age=0.0, subject=b"", source_index=0):
+    request = make_request(number, class_index, retry_of, age)
+    return Step(now, (request,), (), (Arrival(number, account, subject, now - age),), source_index)
+
+
+def answer_step(now, number, kind="served", source_index=0):
+    return Step(now, (), (), (Answered(number, kind, 0.0),), source_index)
+
+
+def start_step(number, now, source_index=0):
+    return Step(now, (), (admission.StartRun(number),), (), source_index)
+
+
+def read_steps(path):
+    with files.TraceReader(path) as reader:
+        return list(reader.steps())
+
+
+def run_trace_command(*arguments, exit_code=0):
+    """Return what a command prints."""
+    result = CliRunner().invoke(cli, ["trace", *map(str, arguments)])
+    assert result.exit_code == exit_code, result.output
+    return result.stdout + result.stderr
