--- a/tests/test_trace_files.py
+++ b/tests/test_trace_files.py
@@ -196,48 +196,33 @@
         assert [step.now for step in reader.steps(190.0, 300.0)] == [200]
 
 
-def with_too_many_steps():
-    message = block_message(Step(0.0))
-    message.steps = schema.MAX_BLOCK_STEPS + 1
-    return message
-
-
-def with_incomplete_shape():
-    return with_column(make_step(1), STEP_SHAPE, words=[b"\1\0"])
-
-
-def with_unknown_word():
-    return with_column(make_step(1), ARRIVAL_ACCOUNT, width=1, data=b"\x08")
-
-
-def with_endless_list():
-    length = (2 * schema.MAX_BLOCK_RECORDS + 2).to_bytes(3, "little")
-    return with_column(Step(0.0, (admission.TimerFired(0, (0.0,)),)), TIMER_GAUGE_LENGTHS, width=3, data=length)
-
-
-def with_unknown_outcome():
-    return with_column(make_step(1), RUN_OUTCOME, width=1, data=b"\x40")
-
-
-def with_column(step, key, words=None, **fields):
-    """Return a block with one step and another content of one column."""
-    message = block_message(step)
-    (column,) = (column for column in message.columns if (column.record, column.field) == key)
-    for name, value in fields.items():
-        setattr(column, name, value)
-    if words is not None:
-        column.words[0] = words[0]
-    return message
-
-
 @pytest.mark.parametrize(
-    "make_message",
-    [with_too_many_steps, with_incomplete_shape, with_unknown_word, with_endless_list, with_unknown_outcome],
+    ("step", "key", "changes"),
+    [
+        (Step(0.0), None, dict(steps=schema.MAX_BLOCK_STEPS + 1)),
+        (make_step(1), STEP_SHAPE, dict(words=b"\1\0")),
+        (make_step(1), ARRIVAL_ACCOUNT, dict(width=1, data=b"\x08")),
+        (
+            Step(0.0, (admission.TimerFired(0, (0.0,)),)),
+            TIMER_GAUGE_LENGTHS,
+            dict(width=3, data=(2 * schema.MAX_BLOCK_RECORDS + 2).to_bytes(3, "little")),
+        ),
+        (make_step(1), RUN_OUTCOME, dict(width=1, data=b"\x40")),
+    ],
+    ids=["steps", "shape", "word", "list", "outcome"],
 )
-def test_an_inconsistent_block_is_rejected_before_memory_is_allocated(make_message):
+def test_an_inconsistent_block_is_rejected_before_memory_is_allocated(step, key, changes):
     # Zeros take no bytes, so only the bounds limit what is allocated for a length.
+    message = schema.BlockMessage.FromString(b"".join(encode_block([step])))
+    by_key = {(column.record, column.field): column for column in message.columns}
+    changed = message if key is None else by_key[key]
+    for name, value in changes.items():
+        if name == "words":
+            changed.words[0] = value
+        else:
+            setattr(changed, name, value)
     with pytest.raises(ValueError, match="is no block"):
-        decode_block(make_message().SerializeToString())
+        decode_block(message.SerializeToString())
 
 
 @given(st.binary(max_size=400), st.integers(0, 5000))
--- a/tests/test_trace_recorder.py
+++ b/tests/test_trace_recorder.py
@@ -127,18 +127,10 @@
     assert replayed["steps"] > recorded.request_count / 20
     assert recorded.request_count / 2 < replayed["recorded"]["Run"] <= recorded.request_count
     steps = [step for path in recorded.files() for step in read(path)[0]]
-    check_notes(steps, recorded.request_count)
-    check_commands(recorded, steps, tmp_path / "cut.lptrace")
-
-
-def check_notes(steps, request_count):
-    """Compare the notes with what was sent to the host and done to it."""
     notes = notes_of(steps)
-    arrivals = [note for note in notes if type(note) is Arrival]
     answers = [note for note in notes if type(note) is Answered]
     actions = [action for step in steps for action in step.actions]
     rejection_reasons = [action.reason for action in actions if type(action) is admission.Reject]
-    keyed_count = sum(1 for number in range(request_count) if number % 3 == 0)
     assert [(note.kind, note.details) for note in notes if type(note) is ExternalEvent] == [
         ("drain-on", ""),
         ("drain-off", ""),
@@ -146,25 +138,29 @@
     ]
     assert all(rejection_reasons)
     assert bool(rejection_reasons) == ("refused" in {answer.kind for answer in answers})
-    assert len({answer.id for answer in answers}) == len(answers) == request_count
+    assert len({answer.id for answer in answers}) == len(answers) == recorded.request_count
     assert "served" in {answer.kind for answer in answers}
-    assert len(arrivals) == request_count
-    assert {arrival.account for arrival in arrivals} == {"shop"}
-    assert len({arrival.subject for arrival in arrivals}) == 1 + keyed_count
-
-
-def check_commands(recorded, steps, out):
-    """Compare what the commands say of the host's files with their steps."""
+    check_arrivals(notes, recorded.request_count)
     trace_output("verify", recorded.folder)
     infos = json.loads(trace_output("info", recorded.folder, "--json"))
     assert sum(info["steps"] for info in infos) == len(steps)
     first, last = steps[0].now, steps[-1].now
+    out = tmp_path / "cut.lptrace"
     trace_output("cut", recorded.files()[0], out, "--since", first, "--until", (first + last) / 2)
     assert 0 < len(read(out)[0]) < len(steps)
     assert len(trace_output("cat", out).splitlines()) == len(read(out)[0])
     assert "needs all files" in trace_process("replay", recorded.files()[1]).stderr
 
 
+def check_arrivals(notes, request_count):
+    """Compare the noted arrivals with the requests that were sent; every third one was keyed."""
+    arrivals = [note for note in notes if type(note) is Arrival]
+    keyed_count = sum(1 for number in range(request_count) if number % 3 == 0)
+    assert len(arrivals) == request_count
+    assert {arrival.account for arrival in arrivals} == {"shop"}
+    assert len({arrival.subject for arrival in arrivals}) == 1 + keyed_count
+
+
 def test_a_host_killed_under_load_leaves_a_complete_file(tmp_path, host):
     recorded = RecordedHost(tmp_path, host)
     recorded.answers()
