--- /dev/null
+++ b/benchmarks/trace_workload.py
@@ -0,0 +1,181 @@
+"""A trace of the real decision module under seeded arrivals, an executor that takes its time, and retries.
+
+Values have the precision with which the platform's protocol and executor write them: ``born`` and ``patience`` in whole
+ms, four decimals of a rank, one of a size, runs to the us; the clock has steps of 2**-12 ms, as the system's has. Keyed
+requests have a subject, and one rejected or failed request in five is retried.
+"""
+
+from __future__ import annotations
+
+import enum
+import random
+from collections.abc import Iterator
+from heapq import heappop, heappush
+from typing import Any, NamedTuple
+
+import msgspec
+
+from lapispick import admission
+from lapispick.admission.controller import Controller
+from lapispick.fakes.start_settings import PLATFORM_INFO, make_platform_info
+from lapispick.platform_settings import Info, settings_from
+from lapispick.trace.record_types import Answered, Arrival, Step
+
+SEED = 7
+START_MS = 1_764_576_000_000.0  # Unix time
+REQUESTS_PER_S = 130.0
+KEYED_FRACTION = 0.2
+RETRIED_FRACTION = 0.2
+MEAN_RETRY_PAUSE_MS = 200
+MEAN_RUN_PART_MS = 30.0  # before a call, and after it
+CALL_MS = (3, 40)
+RUN_MS = (20, 90)
+PATIENCES_MS = (2900, 3000, 4000)
+ACCOUNTS = 6
+CALLERS = 4
+CLOCK_STEPS_PER_MS = 4096
+TIMERS_AFTER_END_MS = 10_000  # until the last requests have ended
+SETTINGS = settings_from(msgspec.convert(make_platform_info(Cores=3, CallsOut=30.0), Info))
+CLASS_NAMES = [service["Name"] for service in PLATFORM_INFO["Services"]]
+ACCOUNT_NAMES = [f"account-{number}" for number in range(ACCOUNTS)]
+
+
+class _Attempt(NamedTuple):
+    """One attempt of a made-up request."""
+
+    class_index: int
+    subject: bytes
+    born_at: int
+    retry_of: int
+    account: int
+
+
+class _Kind(enum.StrEnum):
+    """What is due."""
+
+    ARRIVAL = "arrive"
+    RETRY = "again"
+    TIMER = "timer"
+    CALL_REQUEST = "call"
+    CALL_REPLY = "called"
+    RUN_END = "end"
+
+
+class _Due(NamedTuple):
+    """Something that happens at a time; ``order`` decides between equal times."""
+
+    at: float
+    order: int
+    kind: _Kind
+    detail: Any  # the attempt of a retry, the token of a timer, else the request; nothing for an arrival
+
+
+class _Workload:
+    """Drives a controller on a clock of its own."""
+
+    def __init__(self, minutes: float, source_index: int) -> None:
+        self._random = random.Random(SEED + source_index)
+        self._controller = Controller(SETTINGS, SEED, START_MS)
+        self._end = START_MS + minutes * 60_000
+        self._queue = [_Due(START_MS + 1, 0, _Kind.ARRIVAL, None)]
+        self._last_request = 0
+        self._action_count = 0
+        self._open: dict[int, _Attempt] = {}  # by request
+        self._now = START_MS
+
+    def steps(self) -> Iterator[Step]:
+        """Yield all steps."""
+        yield Step(START_MS, (), tuple(self._controller.step(START_MS, [])))
+        heappush(self._queue, _Due(START_MS, -1, _Kind.TIMER, 0))
+        while self._queue:
+            due = heappop(self._queue)
+            self._now = round(due.at * CLOCK_STEPS_PER_MS) / CLOCK_STEPS_PER_MS
+            notes: list[Any] = []
+            event = self._event(due, notes)
+            if event is None:
+                continue
+            actions = self._controller.step(self._now, [event])
+            for action in actions:
+                self._action_count += 1
+                self._carry_out(action, notes)
+            yield Step(self._now, (event,), tuple(actions), tuple(notes))
+
+    def _push(self, at: float, kind: _Kind, detail: Any) -> None:
+        heappush(self._queue, _Due(at, self._action_count, kind, detail))
+
+    def _event(self, due: _Due, notes: list[Any]) -> Any:
+        """Return the event for the controller, None if there is none any more; adds its notes."""
+        rng = self._random
+        if due.kind in (_Kind.ARRIVAL, _Kind.RETRY):
+            return self._request(due.detail, notes) if self._now <= self._end else None
+        if due.kind is _Kind.TIMER:
+            gauges = (round(rng.uniform(0.2, 1), 3), float(rng.randrange(30)), 0.1, 3.0)
+            return admission.TimerFired(due.detail, gauges)
+        if due.detail not in self._open:
+            return None
+        if due.kind is _Kind.CALL_REQUEST:
+            return admission.CallRequested(due.detail)
+        if due.kind is _Kind.CALL_REPLY:
+            reply = admission.CallCompleted(due.detail, admission.Outcome.OK, round(rng.uniform(*CALL_MS), 3))
+            self._push(self._now + rng.expovariate(1 / MEAN_RUN_PART_MS), _Kind.RUN_END, due.detail)
+            return reply
+        run = admission.RunCompleted(due.detail, admission.Outcome.OK, round(rng.uniform(*RUN_MS), 3))
+        notes.append(Answered(due.detail, "served", self._now - self._open.pop(due.detail).born_at))
+        return run
+
+    def _request(self, retried: _Attempt | None, notes: list[Any]) -> admission.RequestReceived:
+        """Return the event of a new request, or of a retry."""
+        rng = self._random
+        self._last_request += 1
+        number = self._last_request
+        attempt = self._new_attempt() if retried is None else retried
+        self._open[number] = attempt
+        deadline_at = attempt.born_at + rng.choice(PATIENCES_MS)
+        event = admission.RequestReceived(
+            id=number,
+            deadline_at=float(deadline_at),
+            rank=rng.randrange(10_000) / 10_000,
+            age_ms=self._now - attempt.born_at,
+            retry_of=attempt.retry_of,
+            cost=0.0,
+            request_memory_kb=rng.randrange(100, 560) / 10,
+            class_index=attempt.class_index,
+            caller=rng.randrange(CALLERS),
+        )
+        notes.append(Arrival(number, ACCOUNT_NAMES[attempt.account], attempt.subject, float(attempt.born_at)))
+        return event
+
+    def _new_attempt(self) -> _Attempt:
+        """Return the attempt of a new request, and plan the next one."""
+        rng = self._random
+        class_index = int(rng.random() < KEYED_FRACTION)
+        subject = rng.randbytes(8) if class_index else b""
+        born_at = int(self._now - rng.uniform(0, 3))
+        attempt = _Attempt(class_index, subject, born_at, 0, rng.randrange(ACCOUNTS))
+        self._push(self._now + rng.expovariate(REQUESTS_PER_S) * 1000, _Kind.ARRIVAL, None)
+        return attempt
+
+    def _carry_out(self, action: Any, notes: list[Any]) -> None:
+        """Plan what follows from an action; adds the note of an answer."""
+        rng = self._random
+        kind = type(action)
+        if kind is admission.StartRun:
+            self._push(self._now + rng.expovariate(1 / MEAN_RUN_PART_MS), _Kind.CALL_REQUEST, action.id)
+        elif kind is admission.StartCall:
+            self._push(self._now + rng.uniform(*CALL_MS), _Kind.CALL_REPLY, action.id)
+        elif kind is admission.SkipCall:
+            self._push(self._now + rng.uniform(*CALL_MS), _Kind.RUN_END, action.id)
+        elif kind is admission.SetTimer and self._now < self._end + TIMERS_AFTER_END_MS:
+            self._push(self._now + action.delay_ms, _Kind.TIMER, action.token)
+        elif kind in (admission.Reject, admission.Fail) and action.id in self._open:
+            attempt = self._open.pop(action.id)
+            answer = "refused" if kind is admission.Reject else "failed"
+            notes.append(Answered(action.id, answer, self._now - attempt.born_at))
+            if rng.random() < RETRIED_FRACTION:
+                retry = attempt._replace(retry_of=action.id, born_at=int(self._now))
+                self._push(self._now + rng.expovariate(1 / MEAN_RETRY_PAUSE_MS), _Kind.RETRY, retry)
+
+
+def record_steps(minutes: float, source_index: int = 0) -> Iterator[Step]:
+    """Yield the steps of so many minutes."""
+    return _Workload(minutes, source_index).steps()
--- a/tests/test_trace_files.py
+++ b/tests/test_trace_files.py
@@ -163,7 +163,7 @@
 
 
 def test_the_sample_of_version_1_is_read_as_it_always_was():
-    # Made by benchmarks.trace.drive; neither the file nor what it says ever changes.
+    # Made by benchmarks.trace_workload; neither the file nor what it says ever changes.
     steps, reader = read(SAMPLE)
     assert (
         sha256(b"\n".join(lines.encode_trace(reader.header, steps))).hexdigest()
