--- a/lapispick/host/recorder.py
+++ b/lapispick/host/recorder.py
@@ -43,7 +43,7 @@
 ARRIVAL = RECORD_NUMBERS[Arrival]
 ANSWERED = RECORD_NUMBERS[Answered]
 GAP = RECORD_NUMBERS[Gap]
-HAPPENED = RECORD_NUMBERS[ExternalEvent]
+EXTERNAL_EVENT = RECORD_NUMBERS[ExternalEvent]
 
 
 class Recorder:
@@ -115,7 +115,7 @@
 
     def happened(self, what: str, details: str = "") -> None:
         """Record what operators did."""
-        self._notes.append((HAPPENED, what, details))
+        self._notes.append((EXTERNAL_EVENT, what, details))
 
     def close(self, seconds: float) -> None:
         """Send the last steps; the writer closes its file once the socket ends."""
