--- a/benchmarks/reference_aggregation.py
+++ b/benchmarks/reference_aggregation.py
@@ -12,7 +12,7 @@
 
 from lapispick import admission
 from lapispick.trace.aggregation import RETRY_MARGIN_MS, SourceInfo
-from lapispick.trace.record_types import Answered, Arrival, Gap, Step
+from lapispick.trace.record_types import FAILED, REJECTED, SERVED, Answered, Arrival, Gap, Step
 from lapispick.trace.summary import UNKNOWN_NAME, WINDOW_MS, RequestTotals
 
 AttemptId = tuple[int, int]  # index of the source, and number of the request
@@ -135,7 +135,7 @@
         if request is None or attempt not in self._open:
             return
         self._open.discard(attempt)
-        if request.answer != "served" and answer in ("served", "refused", "failed"):
+        if request.answer != SERVED and answer in (SERVED, REJECTED, FAILED):
             request.answer = answer
             request.age_ms = self._now - request.born_at
 
@@ -166,7 +166,7 @@
 
 def _add_request(totals: RequestTotals, request: _Request) -> None:
     settings = request.settings
-    served = request.answer == "served"
+    served = request.answer == SERVED
     within_objective = served and request.age_ms <= settings.latency_objective_ms
     totals.requests += 1
     totals.attempts += request.attempts
@@ -178,6 +178,6 @@
     totals.within_objective += within_objective
     totals.late += served and not within_objective
     totals.degraded += served and request.degraded
-    totals.rejected += request.answer == "refused"
-    totals.failed += request.answer == "failed"
+    totals.rejected += request.answer == REJECTED
+    totals.failed += request.answer == FAILED
     totals.unanswered += not request.answer
--- a/benchmarks/trace_workload.py
+++ b/benchmarks/trace_workload.py
@@ -19,7 +19,7 @@
 from lapispick.admission.controller import Controller
 from lapispick.fakes.start_settings import PLATFORM_INFO, make_platform_info
 from lapispick.platform_settings import Info, settings_from
-from lapispick.trace.record_types import Answered, Arrival, Step
+from lapispick.trace.record_types import FAILED, REJECTED, SERVED, Answered, Arrival, Step
 
 SEED = 7
 START_MS = 1_764_576_000_000.0  # Unix time
@@ -120,7 +120,7 @@
             self._push(self._now + rng.expovariate(1 / MEAN_RUN_PART_MS), _Kind.RUN_END, due.detail)
             return reply
         run = admission.RunCompleted(due.detail, admission.Outcome.OK, round(rng.uniform(*RUN_MS), 3))
-        notes.append(Answered(due.detail, "served", self._now - self._open.pop(due.detail).born_at))
+        notes.append(Answered(due.detail, SERVED, self._now - self._open.pop(due.detail).born_at))
         return run
 
     def _request(self, retried: _Attempt | None, notes: list[Any]) -> admission.RequestReceived:
@@ -169,7 +169,7 @@
             self._push(self._now + action.delay_ms, _Kind.TIMER, action.token)
         elif kind in (admission.Reject, admission.Fail) and action.id in self._open:
             attempt = self._open.pop(action.id)
-            answer = "refused" if kind is admission.Reject else "failed"
+            answer = REJECTED if kind is admission.Reject else FAILED
             notes.append(Answered(action.id, answer, self._now - attempt.born_at))
             if rng.random() < RETRIED_FRACTION:
                 retry = attempt._replace(retry_of=action.id, born_at=int(self._now))
--- a/lapispick/cli/trace.py
+++ b/lapispick/cli/trace.py
@@ -35,7 +35,7 @@
 
 @click.group()
 def trace() -> None:
-    """Look into recorded requests and decisions, cut, merge, compare and replay them."""
+    """Inspect, cut, merge, compare and replay recorded requests and decisions."""
 
 
 for command in (repair, cut, merge, anonymise, convert, replay, diff, plot):
@@ -68,7 +68,7 @@
 @PATHS
 @JSON
 def info(paths: tuple[Path, ...], json_: bool) -> None:
-    """Say what the files hold."""
+    """Print what the files contain."""
     rows = [_info(reader) for reader in open_traces(paths)]
     if json_:
         print_json(rows)
@@ -80,7 +80,7 @@
 @PATHS
 @JSON
 def verify(paths: tuple[Path, ...], json_: bool) -> None:
-    """Read every block; name what is spoilt or missing. Ends with 1 where anything is."""
+    """Read every block and print what is corrupt or missing; exits with 1 if anything is."""
     readers = open_traces(paths)
     with progress_bar("verify", readers) as report:
         faults_by_file = {str(reader.path): list(_faults(reader, report)) for reader in readers}
@@ -113,7 +113,7 @@
 @SINCE
 @UNTIL
 def cat(paths: tuple[Path, ...], since: float, until: float) -> None:
-    """Print the steps as JSON, one a line."""
+    """Print the steps as JSON, one on each line."""
     for reader in open_traces(paths):
         hosts = [source.box for source in reader.sources]
         for step in reader.steps(since, until):
--- a/lapispick/cli/trace_common.py
+++ b/lapispick/cli/trace_common.py
@@ -55,9 +55,11 @@
 
 
 SINCE = click.option(
-    "--since", type=Moment(), default=float("-inf"), help="The first that is kept; Unix ms or ISO 8601."
+    "--since", type=Moment(), default=float("-inf"), help="The begin of the window; Unix ms or ISO 8601."
+)
+UNTIL = click.option(
+    "--until", type=Moment(), default=float("inf"), help="The end of the window, which is not part of it."
 )
-UNTIL = click.option("--until", type=Moment(), default=float("inf"), help="The first that is not.")
 
 
 def fail(text: str) -> Any:
--- a/lapispick/cli/trace_compare.py
+++ b/lapispick/cli/trace_compare.py
@@ -80,9 +80,9 @@
 @PATHS
 @JSON
 def replay(paths: tuple[Path, ...], json_: bool) -> None:
-    """Feed one life of a box, from its first file on, to the present module; ends with 1 where they differ.
+    """Feed one incarnation of a host, from its first file on, to the present module; exits with 1 if actions differ.
 
-    This is open-loop: what the module orders now does not change what came next.
+    The replay is open-loop: what the module orders now does not change the recorded events.
     """
     readers = open_traces(paths)
     if not is_complete_incarnation(readers):
@@ -179,7 +179,7 @@
 @click.argument("other", type=click.Path(path_type=Path))
 @JSON
 def diff(path: Path, other: Path, json_: bool) -> None:
-    """Hold two traces against each other, step by step and by what was decided; ends with 1 where they differ."""
+    """Compare two traces step by step, and their decisions; exits with 1 if they differ."""
     (left_reader,) = open_traces((path,))
     (right_reader,) = open_traces((other,))
     left = _Side(left_reader)
--- a/lapispick/cli/trace_page.py
+++ b/lapispick/cli/trace_page.py
@@ -10,10 +10,11 @@
 
 from lapispick.cli.trace_common import format_time
 from lapispick.cli.trace_tables import PERCENTILE_COLUMNS, TOTALS_COLUMNS, percentile_rows, totals_rows
+from lapispick.trace.record_types import FAILED, REJECTED, SERVED
 from lapispick.trace.series import Series
 from lapispick.trace.summary import WINDOW_MS, RequestTotals, Summary
 
-COLOURS = {"served": "#2a7f62", "refused": "#c9822b", "failed": "#b23a48"}
+COLOURS = {SERVED: "#2a7f62", REJECTED: "#c9822b", FAILED: "#b23a48"}
 GREY = "#9aa0a6"
 MARK_COLOUR = "#555555"
 LIMIT_COLOUR = "#3b5b92"
@@ -37,7 +38,7 @@
     _draw_weights(weights, summary, series)
     _draw_answers(answers, series)
     _draw_reasons(reasons, series)
-    _draw_line(waits, series, series.served_ages, label="age of what is served, median, ms", color=COLOURS["served"])
+    _draw_line(waits, series, series.served_ages, label="age of what is served, median, ms", color=COLOURS[SERVED])
     waits.set_ylabel("ms")
     _draw_limit(limit, series)
     for axes in rows:
@@ -69,7 +70,7 @@
     served = [summary.windows[key].served_weight for key in keys]
     layout = {"width": WINDOW_MS / 1000, "align": "edge"}
     axes.bar(seconds, offered, label="asked", color=GREY, alpha=0.5, **layout)
-    axes.bar(seconds, served, label="served", color=COLOURS["served"], alpha=0.9, **layout)
+    axes.bar(seconds, served, label="served", color=COLOURS[SERVED], alpha=0.9, **layout)
     axes.set_ylabel("worth, by 10 s of birth")
 
 
@@ -94,7 +95,7 @@
     axes.set_ylabel("tries")
     if any(series.occupancy_price):
         other = axes.twinx()
-        _draw_line(other, series, series.occupancy_price, label="price of hold", color=COLOURS["refused"])
+        _draw_line(other, series, series.occupancy_price, label="price of hold", color=COLOURS[REJECTED])
         other.set_ylabel("worth a slot and ms")
         other.legend(loc="upper right", fontsize=8)
 
--- a/lapispick/cli/trace_plot.py
+++ b/lapispick/cli/trace_plot.py
@@ -23,19 +23,20 @@
 )
 from lapispick.cli.trace_compare import is_complete_incarnation
 from lapispick.trace import aggregation, replaying
-from lapispick.trace.files import TraceReader, step_times
+from lapispick.trace.files import TraceReader
 from lapispick.trace.record_types import Step
 from lapispick.trace.series import Sample, Series, build_series, resample
+from lapispick.trace.step_times import step_times
 
 
 @click.command()
 @PATHS
 @click.option(
-    "--out", required=True, type=click.Path(path_type=Path), help="A .png, or a .html that needs nothing else."
+    "--out", required=True, type=click.Path(path_type=Path), help="A .png, or a .html that needs no other file."
 )
 @JSON
 def plot(paths: tuple[Path, ...], out: Path, json_: bool) -> None:
-    """Draw worth over time, answers, refusals by ground, waits, and the module's limit and price."""
+    """Draw priority weight, answers, rejections by reason, ages, concurrency limit and price over time."""
     if out.suffix not in (".png", ".html"):
         fail(f"{out}: must end in .png or .html")
     readers = open_traces(paths)
--- a/lapispick/cli/trace_summary.py
+++ b/lapispick/cli/trace_summary.py
@@ -42,9 +42,9 @@
 @PATHS
 @JSON
 def clocks(paths: tuple[Path, ...], json_: bool) -> None:
-    """Tell how far the boxes' clocks are apart, from subjects that were tried at several.
+    """Estimate how far the hosts' clocks are apart, from subjects that were attempted at several.
 
-    The boxes need one `subject-key`. Ends with 1 where something cannot be told.
+    The hosts need the same `subject-key`. Exits with 1 if a clock is unknown.
     """
     estimates = estimate_from(open_traces(paths))
     if json_:
@@ -74,10 +74,10 @@
 @PATHS
 @JSON
 def summarise(paths: tuple[Path, ...], json_: bool) -> None:
-    """Say what became of the requests of one life of a box, or of a merged file.
+    """Summarise the requests of one incarnation of a host, or of a merged file.
 
-    Worth by class, account and 10 s, refusals by ground, waits and runs. A repeat counts for its first try; what a
-    write tried at several boxes counts once in a merged file.
+    Prints priority weight (worth) by class, account and window of 10 s, rejections by reason, queue times and run
+    durations. Retries count for the request that they repeat, in a merged file over all hosts.
     """
     readers = open_traces(paths)
     if len(group_by_incarnation(readers)) != 1:
--- a/lapispick/cli/trace_write.py
+++ b/lapispick/cli/trace_write.py
@@ -32,7 +32,8 @@
 from lapispick.trace.anonymising import Anonymiser, PseudonymConflictError
 from lapispick.trace.record_types import Step
 from lapispick.trace.schema import Header
-from lapispick.trace.selecting import COMPLETE, DROP, MARK, Selection, Selector
+from lapispick.trace.selecting import EdgePolicy, Selection, Selector
+from lapispick.trace.step_times import step_time
 
 MIN_PARTIAL_MATCH_BYTES = 4  # of a name; shorter ones are part of other words by chance
 DEFAULT_DEADLINE_MS = 10_000.0  # if no header has the settings of the classes
@@ -56,7 +57,7 @@
 @OUT
 @JSON
 def repair(path: Path, out: Path, json_: bool) -> None:
-    """Write every whole block of a file to OUT, with a new index."""
+    """Write every valid block of a file to OUT, with a new index."""
     (reader,) = open_traces((path,))
     with progress_bar("repair", (reader,)) as report:
         count = files.write_trace(out, reader.header, read_steps(reader, report))
@@ -68,15 +69,15 @@
 @OUT
 @SINCE
 @UNTIL
-@click.option("--class", "classes", multiple=True, help="Requests of this class only; may be given again.")
+@click.option("--class", "classes", multiple=True, help="Requests of this class only; may be repeated.")
 @click.option("--account", "accounts", multiple=True, help="Requests of this account only.")
 @click.option("--outcome", "outcomes", multiple=True, type=click.Choice(["served", "refused", "failed", "gone"]))
 @click.option(
     "--edges",
-    type=click.Choice([MARK, COMPLETE, DROP]),
-    default=MARK,
+    type=click.Choice([policy.value for policy in EdgePolicy]),
+    default=EdgePolicy.MARK.value,
     show_default=True,
-    help="What becomes of requests that an edge of the window cuts through.",
+    help="Mark, complete or leave out requests across an edge of the window.",
 )
 @JSON
 def cut(
@@ -90,17 +91,17 @@
     edges: str,
     json_: bool,
 ) -> None:
-    """Write a part of a file to OUT: a time window, or some requests; only the blocks around the window are read."""
+    """Write a time window, or selected requests, of a file to OUT; reads only the blocks around the window."""
     (reader,) = open_traces((path,))
     known = {name for source in reader.sources for name in source.classes}
     if unknown := set(classes) - known:
         fail(f"--class: the trace knows {', '.join(sorted(known))}, not {', '.join(sorted(unknown))}")
-    selection = Selection(since, until, frozenset(classes), frozenset(accounts), frozenset(outcomes), edges)
+    selection = Selection(since, until, frozenset(classes), frozenset(accounts), frozenset(outcomes), EdgePolicy(edges))
     selector = Selector(
         selection,
         class_names(reader.sources),
         _longest_deadline_ms(reader.sources),
-        lambda step: files.step_time(reader.sources, step),
+        lambda step: step_time(reader.sources, step),
     )
     header = _copy_header(reader)
     header.made.append(_cut_note(selection))
@@ -118,19 +119,19 @@
 
 def _cut_note(selection: Selection) -> str:
     """Return the header's note on how the file was made."""
-    edges = f" to {selection.edges}" if selection.edges != MARK else ""
+    edges = f" to {selection.edges}" if selection.edges is not EdgePolicy.MARK else ""
     return "cut" + edges + (" by request" if selection.by_request else "")
 
 
 @click.command()
 @OUT
 @click.argument("paths", nargs=-1, required=True, type=click.Path(path_type=Path))
-@click.option("--correct-clocks", is_flag=True, help="Order by clocks as far apart as retries tell them to be.")
+@click.option("--correct-clocks", is_flag=True, help="Order by clocks as retries show them.")
 @JSON
 def merge(out: Path, paths: tuple[Path, ...], correct_clocks: bool, json_: bool) -> None:
-    """Write the traces of several boxes to OUT, in the order of time; never reorders within a box.
+    """Write the traces of several hosts to OUT, ordered by time; never reorders within an incarnation.
 
-    Each step keeps its box's own time. Ends with 1 where a clock was to be corrected and cannot be told.
+    Each step keeps the time of its own host's clock. Exits with 1 if a clock that is to be corrected is unknown.
     """
     readers = open_traces(paths)
     if out.resolve() in {reader.path.resolve() for reader in readers}:
@@ -141,7 +142,7 @@
     header = Header(sources=sources, made=["merged by corrected clocks" if correct_clocks else "merged"])
     with progress_bar("merge", readers) as report:
         streams = [_merged_steps(group, positions_by_path, report) for group in group_by_incarnation(readers)]
-        steps = merging.merge(streams, lambda step: files.step_time(sources, step))
+        steps = merging.merge(streams, lambda step: step_time(sources, step))
         count = files.write_trace(out, header, steps)
     for reason in uncorrected:
         print_error(f"not corrected: {reason}")
@@ -168,12 +169,12 @@
     "--key",
     required=True,
     type=click.Path(path_type=Path, exists=True, dir_okay=False),
-    help="A file of 16 to 64 bytes; the same key gives the same stand-ins.",
+    help="A file of 16 to 64 bytes; the same key gives the same pseudonyms.",
 )
-@click.option("--boxes", "hosts", is_flag=True, help="Replace the boxes' names too.")
+@click.option("--boxes", "hosts", is_flag=True, help="Replace the names of hosts too.")
 @JSON
 def anonymise(path: Path, out: Path, key: Path, hosts: bool, json_: bool) -> None:
-    """Write a file to OUT with stand-ins for subjects, accounts and callers; then look that no name is left."""
+    """Write a file to OUT with pseudonyms for subjects, accounts and callers; then check that no name is left."""
     (reader,) = open_traces((path,))
     try:
         anonymiser = Anonymiser(key.read_bytes(), hosts)
@@ -244,7 +245,7 @@
 @OUT
 @JSON
 def convert(path: Path, out: Path, json_: bool) -> None:
-    """Write a trace as JSON lines (.jsonl, .jsonl.gz), or such lines as a trace."""
+    """Convert a trace to JSON lines (.jsonl, .jsonl.gz), or such lines to a trace."""
     if LINES_SUFFIX in path.suffixes:
         try:
             count = _convert_from_lines(path, out)
--- a/lapispick/trace/aggregation.py
+++ b/lapispick/trace/aggregation.py
@@ -21,6 +21,7 @@
 from lapispick.trace.request_table import FoundAttempts, RequestTable
 from lapispick.trace.request_totals import TotalsCounter
 from lapispick.trace.retry_linking import ReceivedAttempt, RetryLinker, subjects_of
+from lapispick.trace.step_times import step_times
 from lapispick.trace.summary import UNKNOWN_NAME, RequestTotals, Summary
 
 RETRY_MARGIN_MS = 30_000.0  # how long a request is remembered for retries beyond its idempotency window or deadline
@@ -81,9 +82,7 @@
 
     def __init__(self, sources: Sequence[SourceInfo]) -> None:
         self._classes = _Classes(sources)
-        self._clock_offset = np.array([source.offset for source in sources])
-        self._clock_drift = np.array([source.drift for source in sources])
-        self._clock_at = np.array([source.at for source in sources])
+        self._sources = sources
         self._table = RequestTable(len(sources), self._classes.retention_ms())
         self._linker = RetryLinker(self._table)
         self._totals = TotalsCounter(self._classes.names, self._classes.settings)
@@ -100,7 +99,7 @@
         if not block.count:
             return
         source_index = block.source_index
-        if int(source_index.min()) < 0 or int(source_index.max()) >= len(self._clock_offset):
+        if int(source_index.min()) < 0 or int(source_index.max()) >= len(self._sources):
             raise ValueError("holds a step of a box that its header does not name")
         self._block_times = self._corrected_times(block)
         self._add_requests(block)
@@ -135,11 +134,7 @@
 
     def _corrected_times(self, block: Block) -> Any:
         """Return the times of a block's steps by the reference clock; never earlier than those before."""
-        source_index = block.source_index
-        offset = self._clock_offset[source_index]
-        drift = self._clock_drift[source_index]
-        at = self._clock_at[source_index]
-        times = np.maximum.accumulate(block.now - offset - drift * (block.now - at) / 1000)
+        times = np.maximum.accumulate(step_times(self._sources, block))
         return np.maximum(times, self._now)
 
     def _records(self, block: Block, record_type: type) -> _TimedRecords:
--- a/lapispick/trace/anonymising.py
+++ b/lapispick/trace/anonymising.py
@@ -12,14 +12,13 @@
 from typing import Any
 
 from lapispick import admission
-from lapispick.trace.record_types import Arrival, ExternalEvent, Step
+from lapispick.trace.record_types import ADOPTED, Arrival, ExternalEvent, Step
 
 MIN_KEY_BYTES = 16
 MAX_KEY_BYTES = 64
 DIGEST_BYTES = 8
 DIGEST_CHARACTERS = 10  # of a name's pseudonym
 CALLER_BYTES = 4  # callers are numbers of 31 bits elsewhere
-ADOPTED = "adopted"  # the only external event whose details a replay needs; those of others may name addresses
 MADE_NOTE = "anonymised"
 
 
@@ -85,6 +84,7 @@
         if type(note) is Arrival:
             account = self._pseudonym(NameKind.ACCOUNT, note.account) if note.account else ""
             return note._replace(account=account, subject=self._subject(note.subject))
+        # Details may name addresses; those of ``ADOPTED`` don't, and a replay needs them.
         if type(note) is ExternalEvent and note.kind != ADOPTED:
             return note._replace(details="")
         return note
--- a/lapispick/trace/attempt_matching.py
+++ b/lapispick/trace/attempt_matching.py
@@ -10,7 +10,7 @@
 
 from lapispick import admission
 from lapispick.trace.clock_skew import Attempt
-from lapispick.trace.record_types import Answered, Arrival, Step
+from lapispick.trace.record_types import SERVED, Answered, Arrival, Step
 
 MAX_ATTEMPTS = 200_000  # that are used for an estimate; a thousand determine a clock to the ms
 SUBJECT_RANK_BYTES = 8
@@ -35,7 +35,7 @@
 
 def _attempt(host: str, arrival: Arrival, answer: Answered) -> Attempt:
     ended_at = arrival.born_at + answer.age_ms
-    return Attempt(arrival.subject, host, arrival.born_at, ended_at, served=answer.kind == "served")
+    return Attempt(arrival.subject, host, arrival.born_at, ended_at, served=answer.kind == SERVED)
 
 
 def sample_subjects(traces: Iterable[Iterable[Attempt]], max_attempts: int = MAX_ATTEMPTS) -> list[Attempt]:
--- a/lapispick/trace/files.py
+++ b/lapispick/trace/files.py
@@ -3,19 +3,18 @@
 from __future__ import annotations
 
 import os
-from collections.abc import Iterable, Iterator, Sequence
+from collections.abc import Iterable, Iterator
 from io import BytesIO
 from pathlib import Path
 from typing import Any, BinaryIO, NamedTuple
 
-import numpy as np
-
 from lapispick.trace import layout
 from lapispick.trace.block_reader import Block
 from lapispick.trace.block_writer import encode_block
 from lapispick.trace.layout import FRAME_HEADER_BYTES, FrameKind, TraceError
 from lapispick.trace.record_types import Step
 from lapispick.trace.schema import Header, Index, Source
+from lapispick.trace.step_times import step_time
 
 STEPS_PER_BLOCK = 4000  # fewer where a block would be larger than a frame may be
 SEARCH_CHUNK_BYTES = 1 << 20  # read at once by the search for the next frame
@@ -45,23 +44,6 @@
     body: bytes
 
 
-def step_time(sources: Sequence[Any], step: Step) -> float:
-    """Return the time of a step by the reference clock of the file's sources, ms."""
-    if step.source_index >= len(sources):
-        return step.now
-    source = sources[step.source_index]
-    return step.now - source.offset - source.drift * (step.now - source.at) / 1000
-
-
-def step_times(sources: Sequence[Any], block: Block) -> Any:
-    """Return ``step_time`` of all steps of a block, as an array."""
-    offset, drift, at = (
-        np.array([getattr(source, name) for source in sources])[block.source_index]
-        for name in ("offset", "drift", "at")
-    )
-    return block.now - offset - drift * (block.now - at) / 1000
-
-
 class TraceWriter:
     """Writes one file; the blocks already written survive a kill, and ``close`` adds the index."""
 
--- a/lapispick/trace/record_types.py
+++ b/lapispick/trace/record_types.py
@@ -10,6 +10,13 @@
 
 from lapispick import admission
 
+# The values of ``Answered.kind``.
+SERVED = "served"
+REJECTED = "refused"
+FAILED = "failed"
+# A value of ``ExternalEvent.kind``: the module took over the estimates of the process before it, in an upgrade.
+ADOPTED = "adopted"
+
 EVENTS: tuple[type, ...] = (
     admission.RequestReceived,
     admission.ClientCancelled,
@@ -50,7 +57,7 @@
     """The final answer of a request."""
 
     id: int
-    kind: str  # served, refused or failed
+    kind: str  # ``SERVED``, ``REJECTED`` or ``FAILED``
     age_ms: float  # since ``Arrival.born_at``
 
 
@@ -63,7 +70,7 @@
 class ExternalEvent(NamedTuple):
     """A drain, a reload or an upgrade: what the host reports beside the decision module's events."""
 
-    kind: str  # drain-on, drain-off, reloaded; adopted: the module took over the estimates of another process
+    kind: str  # drain-on, drain-off, reloaded or ``ADOPTED``
     details: str  # reloaded: the changed keys; adopted: the estimates as JSON; else empty
 
 
--- a/lapispick/trace/replaying.py
+++ b/lapispick/trace/replaying.py
@@ -15,10 +15,9 @@
 
 from lapispick import admission
 from lapispick.admission.controller import Controller
-from lapispick.trace.record_types import ExternalEvent, Gap, Step
+from lapispick.trace.record_types import ADOPTED, ExternalEvent, Gap, Step
 from lapispick.trace.text_names import record_name
 
-ADOPTED = "adopted"  # the external event of taking over the estimates of the process before, in an upgrade
 StepObserver = Callable[[Step, tuple[Any, ...], Controller], None]
 
 
--- a/lapispick/trace/request_answers.py
+++ b/lapispick/trace/request_answers.py
@@ -7,10 +7,15 @@
 import numpy as np
 
 from lapispick.trace.block_reader import Records
+from lapispick.trace.record_types import FAILED, REJECTED, SERVED
 from lapispick.trace.request_table import AnswerCode, FoundAttempts, RequestTable
 
 NEVER = np.iinfo(np.int64).max
-ANSWER_CODES = {b"refused": AnswerCode.REJECTED, b"failed": AnswerCode.FAILED, b"served": AnswerCode.SERVED}
+ANSWER_CODES = {
+    SERVED.encode(): AnswerCode.SERVED,
+    REJECTED.encode(): AnswerCode.REJECTED,
+    FAILED.encode(): AnswerCode.FAILED,
+}
 
 
 class CancelledAttempts(NamedTuple):
--- a/lapispick/trace/selecting.py
+++ b/lapispick/trace/selecting.py
@@ -7,6 +7,7 @@
 
 from __future__ import annotations
 
+import enum
 from collections import deque
 from collections.abc import Callable, Iterable, Iterator
 from typing import Any, NamedTuple
@@ -14,15 +15,19 @@
 from lapispick import admission
 from lapispick.trace.record_types import Answered, Arrival, SpansBoundary, Step
 
-# What becomes of attempts that span an edge of the window; options of ``trace cut``.
-MARK = "mark"
-COMPLETE = "whole"
-DROP = "drop"
 LATE_ANSWER_MS = 1000.0  # beyond the longest deadline: an answer may be late, and its note comes a step later
 NO_ANSWER = "gone"  # the outcome of an attempt without an answer
 MEMORY_HORIZONS = 2  # an attempt is forgotten after so many horizons
 
 
+class EdgePolicy(enum.StrEnum):
+    """What becomes of attempts that span an edge of the window; the values are options of ``trace cut``."""
+
+    MARK = "mark"
+    COMPLETE = "whole"  # select all their records
+    DROP = "drop"
+
+
 class Selection(NamedTuple):
     """What a cut selects; an empty set stands for all."""
 
@@ -31,7 +36,7 @@
     classes: frozenset[str] = frozenset()
     accounts: frozenset[str] = frozenset()
     outcomes: frozenset[str] = frozenset()
-    edges: str = MARK
+    edges: EdgePolicy = EdgePolicy.MARK
 
     @property
     def by_request(self) -> bool:
@@ -105,7 +110,7 @@
     def margin(self) -> float:
         """Return how far beyond the window steps are needed, ms."""
         selection = self._selection
-        return self._horizon_ms if selection.edges == COMPLETE or selection.by_request else 0.0
+        return self._horizon_ms if selection.edges is EdgePolicy.COMPLETE or selection.by_request else 0.0
 
     def run(self, steps: Iterable[Step]) -> Iterator[Step]:
         """Yield the steps that are selected, with the selected records of them."""
@@ -173,9 +178,9 @@
         attempt = self._attempts.get(attempt_id)
         if not self._matches(attempt):
             return False
-        if attempt is None or selection.edges == MARK:
+        if attempt is None or selection.edges is EdgePolicy.MARK:
             return inside
-        if selection.edges == COMPLETE:
+        if selection.edges is EdgePolicy.COMPLETE:
             return attempt.inside
         return inside and not any(self._edges(attempt))
 
@@ -186,7 +191,7 @@
             tuple(record for record in records if self._is_selected(_attempt_id(step, record), inside))
             for records in (step.events, step.actions, step.notes)
         )
-        marks_edges = inside and self._selection.edges == MARK
+        marks_edges = inside and self._selection.edges is EdgePolicy.MARK
         if marks_edges:
             notes += self._edge_marks(pending.attempts)
         keeps_empty = marks_edges and not self._selection.by_request
--- a/lapispick/trace/series.py
+++ b/lapispick/trace/series.py
@@ -13,7 +13,7 @@
 
 from lapispick import admission
 from lapispick.trace.block_reader import Block, Records
-from lapispick.trace.record_types import Answered, Arrival, ExternalEvent
+from lapispick.trace.record_types import SERVED, Answered, Arrival, ExternalEvent
 from lapispick.trace.summary import UNKNOWN_NAME
 
 MAX_POINTS = 1200  # intervals of one plot; more can't be told apart
@@ -133,7 +133,7 @@
         )
 
     def _add_ages(self, answers: Records, intervals: Any) -> None:
-        is_served = np.array([kind == b"served" for kind in answers.dictionary("kind")], np.bool_)
+        is_served = np.array([kind == SERVED.encode() for kind in answers.dictionary("kind")], np.bool_)
         served = is_served[answers.column("kind")]
         served_intervals = intervals[served]
         served_ages = answers.column("age_ms")[served]
--- /dev/null
+++ b/lapispick/trace/step_times.py
@@ -0,0 +1,43 @@
+"""The times of steps by the reference clock of a file: a source's clock less its correction. No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import Any, Protocol
+
+import numpy as np
+
+from lapispick.trace.block_reader import Block
+from lapispick.trace.record_types import Step
+
+
+class CorrectedSource(Protocol):
+    """A source with the correction of its clock, as the header of a file has it."""
+
+    @property
+    def offset(self) -> float:
+        """Return how far the clock is ahead at ``at``, ms."""
+
+    @property
+    def drift(self) -> float:
+        """Return how much it gains, ms per second."""
+
+    @property
+    def at(self) -> float:
+        """Return the time of the offset by the source's own clock, ms."""
+
+
+def step_time(sources: Sequence[CorrectedSource], step: Step) -> float:
+    """Return the time of a step, ms; by its own clock if its source is unknown."""
+    if step.source_index >= len(sources):
+        return step.now
+    source = sources[step.source_index]
+    return step.now - source.offset - source.drift * (step.now - source.at) / 1000
+
+
+def step_times(sources: Sequence[CorrectedSource], block: Block) -> Any:
+    """Return the times of all steps of a block, as an array."""
+    offset = np.array([source.offset for source in sources])[block.source_index]
+    drift = np.array([source.drift for source in sources])[block.source_index]
+    at = np.array([source.at for source in sources])[block.source_index]
+    return block.now - offset - drift * (block.now - at) / 1000
--- a/tests/test_trace_commands.py
+++ b/tests/test_trace_commands.py
@@ -8,7 +8,8 @@
 from lapispick import admission
 from lapispick.trace import files
 from lapispick.trace.record_types import Answered, Arrival, SpansBoundary, Step
-from lapispick.trace.selecting import COMPLETE
+from lapispick.trace.selecting import EdgePolicy
+from lapispick.trace.step_times import step_time
 from tests.test_trace_anonymising import KEY
 from tests.trace_support import answer_step, make_header, read_steps, request_step, run_trace_command
 
@@ -72,7 +73,7 @@
         for step in reader.steps():
             for note in step.notes:
                 if type(note) is Arrival:
-                    times.setdefault(note.subject, []).append(files.step_time(reader.sources, step))
+                    times.setdefault(note.subject, []).append(step_time(reader.sources, step))
     transits = sorted(last - first for first, last in times.values())
     assert transits[0] > 0
     assert transits[len(transits) // 2] < 60
@@ -109,7 +110,7 @@
     assert "neither Unix ms nor a time" in output
     output = run_trace_command("cut", path, out, "--class", "x", exit_code=2)
     assert "knows book, job, quote, track, not x" in output
-    run_trace_command("cut", path, out, "--outcome", "refused", "--edges", COMPLETE)
+    run_trace_command("cut", path, out, "--outcome", "refused", "--edges", EdgePolicy.COMPLETE)
     total = summarise(out)["whole"]
     assert total["refused"] == total["requests"] > 0
     assert "none that was cut" in run_trace_command("replay", out, exit_code=2)
--- a/tests/test_trace_merging.py
+++ b/tests/test_trace_merging.py
@@ -4,9 +4,10 @@
 
 import pytest
 
-from lapispick.trace import attempt_matching, files, merging
+from lapispick.trace import attempt_matching, merging
 from lapispick.trace.clock_skew import Clock, UnknownClock
 from lapispick.trace.record_types import Step
+from lapispick.trace.step_times import step_time
 from tests.trace_support import answer_step, make_header, request_step
 
 
@@ -44,8 +45,8 @@
     clocks = {"a": Clock(0.0, 0.0, 0.0, 0.0, 9, True), "b": UnknownClock("cannot tell: no")}
     assert merging.apply_clocks(sources, clocks) == ["b: cannot tell: no"]
     merging.apply_clocks(sources, {"b": Clock(1000.0, 2.0, 50_000.0, 3.0, 9, True)})
-    assert files.step_time(sources, Step(51_000.0, source_index=1)) == 50_000.0
-    assert files.step_time(sources, Step(61_000.0, source_index=1)) == pytest.approx(59_980.0)
+    assert step_time(sources, Step(51_000.0, source_index=1)) == 50_000.0
+    assert step_time(sources, Step(61_000.0, source_index=1)) == pytest.approx(59_980.0)
 
 
 def steps_of(subjects):
--- a/tests/test_trace_selecting.py
+++ b/tests/test_trace_selecting.py
@@ -4,7 +4,7 @@
 
 from lapispick import admission
 from lapispick.trace.record_types import SpansBoundary, Step
-from lapispick.trace.selecting import COMPLETE, DROP, Selection, Selector
+from lapispick.trace.selecting import EdgePolicy, Selection, Selector
 from tests.trace_support import answer_step, class_name, request_step, start_step
 
 LONGEST_DEADLINE_MS = 4000.0
@@ -55,7 +55,7 @@
 
 
 def test_requests_across_the_edges_are_selected_completely_or_left_out_on_demand():
-    complete = cut(since=120.0, until=350.0, edges=COMPLETE)
+    complete = cut(since=120.0, until=350.0, edges=EdgePolicy.COMPLETE)
     assert ids_by_step(complete) == [
         (0, 1, 1),
         (10, 1),
@@ -68,7 +68,7 @@
         (400, 2),
     ]
     assert not marks(complete)
-    assert ids_by_step(cut(since=120.0, until=350.0, edges=DROP)) == [(300, 3, 3), (310,), (320, 3)]
+    assert ids_by_step(cut(since=120.0, until=350.0, edges=EdgePolicy.DROP)) == [(300, 3, 3), (310,), (320, 3)]
     assert cut(since=7000.0, until=8000.0) == []
 
 
