--- a/benchmarks/trace_workload.py
+++ b/benchmarks/trace_workload.py
@@ -18,7 +18,7 @@
 from lapispick import admission
 from lapispick.admission.controller import Controller
 from lapispick.fakes.start_settings import PLATFORM_INFO, make_platform_info
-from lapispick.platform_settings import Info, settings_from
+from lapispick.platform_settings import StartSettings, admission_settings
 from lapispick.trace.record_types import FAILED, REJECTED, SERVED, Answered, Arrival, Step
 
 SEED = 7
@@ -35,7 +35,7 @@
 CALLERS = 4
 CLOCK_STEPS_PER_MS = 4096
 TIMERS_AFTER_END_MS = 10_000  # until the last requests have ended
-SETTINGS = settings_from(msgspec.convert(make_platform_info(Cores=3, CallsOut=30.0), Info))
+SETTINGS = admission_settings(msgspec.convert(make_platform_info(Cores=3, CallsOut=30.0), StartSettings))
 CLASS_NAMES = [service["Name"] for service in PLATFORM_INFO["Services"]]
 ACCOUNT_NAMES = [f"account-{number}" for number in range(ACCOUNTS)]
 
