--- a/benchmarks/trace_recorder.py
+++ b/benchmarks/trace_recorder.py
@@ -12,9 +12,9 @@
 from benchmarks.common import cpu_s, show
 from lapispick.fakes.host_process import HostProcess
 
-TURNS = 300
-WARM_UP_TURNS = 20
-REQUESTS_PER_TURN = 30  # at once, on one connection
+ROUNDS = 300
+WARM_UP_ROUNDS = 20
+REQUESTS_PER_ROUND = 30  # at once, on one connection
 OFF = "off"
 ON = "on"
 
@@ -37,16 +37,16 @@
         return int(Path(f"/proc/{self.pid}/task/{self.pid}/children").read_text())
 
     def cpu_us_per_request(self) -> float:
-        """Send one turn's requests; return the CPU of the host's own process for each."""
+        """Send one round's requests; return the CPU of the host's own process for each."""
         began = cpu_s(self.pid)
-        numbers = [self._gateway.request("track", "call:200") for _ in range(REQUESTS_PER_TURN)]
+        numbers = [self._gateway.request("track", "call:200") for _ in range(REQUESTS_PER_ROUND)]
         for number in numbers:
             self._gateway.answer(number)
-        return (cpu_s(self.pid) - began) / REQUESTS_PER_TURN * 1e6
+        return (cpu_s(self.pid) - began) / REQUESTS_PER_ROUND * 1e6
 
 
-def measure_recorder(turns: int = TURNS) -> None:
-    """Compare two hosts in turns of some milliseconds on one core, so that other load meets both alike."""
+def measure_recorder(rounds: int = ROUNDS) -> None:
+    """Compare two hosts in rounds of some milliseconds on one core, so that other load meets both alike."""
     core = min(os.sched_getaffinity(0))
     other_cores = os.sched_getaffinity(0) - {core}
     measured: dict[str, list[float]] = {OFF: [], ON: []}
@@ -55,12 +55,12 @@
         writer = hosts[ON].writer_pid()
         os.sched_setaffinity(0, other_cores)
         os.sched_setaffinity(writer, other_cores)
-        for turn in range(turns + WARM_UP_TURNS):
-            for name in (OFF, ON) if turn % 2 else (ON, OFF):
+        for round_number in range(rounds + WARM_UP_ROUNDS):
+            for name in (OFF, ON) if round_number % 2 else (ON, OFF):
                 cost = hosts[name].cpu_us_per_request()
-                if turn >= WARM_UP_TURNS:
+                if round_number >= WARM_UP_ROUNDS:
                     measured[name].append(cost)
-        writer_cost = cpu_s(writer) / REQUESTS_PER_TURN / (turns + WARM_UP_TURNS) * 1e6
+        writer_cost = cpu_s(writer) / REQUESTS_PER_ROUND / (rounds + WARM_UP_ROUNDS) * 1e6
         for each in hosts.values():
             each.host.close()
     show("CPU of the host for a request, us", ("", OFF, ON, "ratio"), _rows(measured, writer_cost))
@@ -72,7 +72,7 @@
     low, high = ratios[len(ratios) // 4], ratios[3 * len(ratios) // 4]
     means = (statistics.mean(off), statistics.mean(on))
     medians = (statistics.median(off), statistics.median(on))
-    spread = f"{statistics.median(ratios):.3f} (half of the turns: {low:.3f} to {high:.3f})"
+    spread = f"{statistics.median(ratios):.3f} (half of the rounds: {low:.3f} to {high:.3f})"
     return [
         ("mean", f"{means[0]:.1f}", f"{means[1]:.1f}", f"{means[1] / means[0]:.3f}"),
         ("median", f"{medians[0]:.1f}", f"{medians[1]:.1f}", spread),
--- a/benchmarks/trace_workload.py
+++ b/benchmarks/trace_workload.py
@@ -27,7 +27,7 @@
 KEYED_FRACTION = 0.2
 RETRIED_FRACTION = 0.2
 MEAN_RETRY_PAUSE_MS = 200
-MEAN_RUN_PART_MS = 30.0  # before a call, and after it
+MEAN_RUN_PHASE_MS = 30.0  # before a call, and after it
 CALL_MS = (3, 40)
 RUN_MS = (20, 90)
 PATIENCES_MS = (2900, 3000, 4000)
@@ -117,7 +117,7 @@
             return admission.CallRequested(due.detail)
         if due.kind is _Kind.CALL_REPLY:
             reply = admission.CallCompleted(due.detail, admission.Outcome.OK, round(rng.uniform(*CALL_MS), 3))
-            self._push(self._now + rng.expovariate(1 / MEAN_RUN_PART_MS), _Kind.RUN_END, due.detail)
+            self._push(self._now + rng.expovariate(1 / MEAN_RUN_PHASE_MS), _Kind.RUN_END, due.detail)
             return reply
         run = admission.RunCompleted(due.detail, admission.Outcome.OK, round(rng.uniform(*RUN_MS), 3))
         notes.append(Answered(due.detail, SERVED, self._now - self._open.pop(due.detail).born_at))
@@ -160,7 +160,7 @@
         rng = self._random
         kind = type(action)
         if kind is admission.StartRun:
-            self._push(self._now + rng.expovariate(1 / MEAN_RUN_PART_MS), _Kind.CALL_REQUEST, action.id)
+            self._push(self._now + rng.expovariate(1 / MEAN_RUN_PHASE_MS), _Kind.CALL_REQUEST, action.id)
         elif kind is admission.StartCall:
             self._push(self._now + rng.uniform(*CALL_MS), _Kind.CALL_REPLY, action.id)
         elif kind is admission.SkipCall:
--- a/lapispick/cli/trace.py
+++ b/lapispick/cli/trace.py
@@ -27,8 +27,8 @@
 from lapispick.cli.trace_write import anonymise, convert, cut, merge, repair
 from lapispick.trace import lines
 from lapispick.trace.files import TraceReader
-from lapispick.trace.helper import module_digest
 from lapispick.trace.layout import MAJOR_VERSION, TraceError
+from lapispick.trace.module_digest import module_digest
 
 INFO_COLUMNS = ("file", "box", "sequence", "made", "bytes", "blocks", "steps", "first", "last", "indexed", "module")
 
--- a/lapispick/cli/trace_common.py
+++ b/lapispick/cli/trace_common.py
@@ -17,9 +17,9 @@
 from lapispick.cli.output import ExitCode, print_error
 from lapispick.trace.block_reader import Block
 from lapispick.trace.files import TraceReader
-from lapispick.trace.helper import OPEN_SUFFIX, SUFFIX
 from lapispick.trace.layout import TraceError
 from lapispick.trace.record_types import Step
+from lapispick.trace.recording import OPEN_SUFFIX, SUFFIX
 
 JSON = click.option("--json", "json_", is_flag=True, help="For programs.")
 PATHS = click.argument("paths", nargs=-1, required=True, type=click.Path(path_type=Path))
--- a/lapispick/cli/trace_compare.py
+++ b/lapispick/cli/trace_compare.py
@@ -26,7 +26,7 @@
 )
 from lapispick.trace import aggregation, comparing, replaying
 from lapispick.trace.files import TraceReader
-from lapispick.trace.helper import module_digest
+from lapispick.trace.module_digest import module_digest
 from lapispick.trace.record_types import Step
 from lapispick.trace.text_names import format_record, format_records, record_name
 
--- a/lapispick/trace/text_names.py
+++ b/lapispick/trace/text_names.py
@@ -92,7 +92,7 @@
 
 
 def format_records(records: Sequence[Any]) -> str:
-    """Return the records of a step's part as the text of a tuple."""
+    """Return the records of one category of a step as the text of a tuple."""
     texts = [format_record(record) for record in records]
     return f"({texts[0]},)" if len(texts) == 1 else f"({', '.join(texts)})"
 
--- a/tests/test_clock_skew.py
+++ b/tests/test_clock_skew.py
@@ -49,9 +49,9 @@
         in_order = rng.random() >= wrong_fraction
         first, last = (retried.first_host, retried.last_host)[:: 1 if in_order else -1]
         first_clock, last_clock = clocks[first], clocks[last]
-        begun_at, ended_at = first_clock(retried.ended_at - 20), first_clock(retried.ended_at)
+        began_at, ended_at = first_clock(retried.ended_at - 20), first_clock(retried.ended_at)
         arrived_at, answered_at = last_clock(retried.arrived_at), last_clock(retried.arrived_at + 30)
-        attempts.append(Attempt(retried.subject, first, begun_at, ended_at, served=not in_order))
+        attempts.append(Attempt(retried.subject, first, began_at, ended_at, served=not in_order))
         attempts.append(Attempt(retried.subject, last, arrived_at, answered_at, served=in_order))
     rng.shuffle(attempts)
     return attempts
--- a/tests/test_trace_anonymising.py
+++ b/tests/test_trace_anonymising.py
@@ -4,12 +4,10 @@
 
 from lapispick.trace.anonymising import Anonymiser, NameKind, PseudonymConflictError
 from lapispick.trace.record_types import Arrival, ExternalEvent, Step
-from tests.trace_support import make_header, request_step
+from tests.trace_support import PSEUDONYM_KEY, make_header, request_step
 
-KEY = bytes(range(20))
 
-
-def anonymise(steps, key=KEY):
+def anonymise(steps, key=PSEUDONYM_KEY):
     return list(Anonymiser(key).replace_steps(steps))
 
 
@@ -26,23 +24,23 @@
     assert pseudonyms[0] == pseudonyms[2] != pseudonyms[1]
     assert not {"shop", "bar"} & set(pseudonyms)
     assert anonymise(steps) == anonymous
-    assert anonymise(steps, KEY + b"x") != anonymous
+    assert anonymise(steps, PSEUDONYM_KEY + b"x") != anonymous
     assert anonymous[0].events[0].caller != steps[0].events[0].caller
     assert anonymous[3].notes[0].details == ""
     assert len({arrival.subject for arrival in arrivals}) == 2
     header = make_header()
-    anonymiser = Anonymiser(KEY, hosts=True)
+    anonymiser = Anonymiser(PSEUDONYM_KEY, hosts=True)
     anonymiser.replace_header(header)
     assert list(header.sources[0].accounts) == pseudonyms[:2]
     assert header.sources[0].box.startswith("box-")
     assert anonymiser.originals() == {"a", "shop", "bar"}
-    assert KEY not in header.SerializeToString()
+    assert PSEUDONYM_KEY not in header.SerializeToString()
     with pytest.raises(ValueError, match="16 to 64 bytes, not 3"):
         Anonymiser(b"key")
 
 
 def test_two_names_with_the_same_pseudonym_are_an_error():
-    anonymiser = Anonymiser(KEY)
+    anonymiser = Anonymiser(PSEUDONYM_KEY)
     pseudonym = anonymiser._pseudonym(NameKind.ACCOUNT, "shop")
     anonymiser._originals[NameKind.ACCOUNT, pseudonym] = "another"
     del anonymiser._pseudonyms[NameKind.ACCOUNT, "shop"]
--- a/tests/test_trace_commands.py
+++ b/tests/test_trace_commands.py
@@ -10,8 +10,7 @@
 from lapispick.trace.record_types import Answered, Arrival, SpansBoundary, Step
 from lapispick.trace.selecting import EdgePolicy
 from lapispick.trace.step_times import step_time
-from tests.test_trace_anonymising import KEY
-from tests.trace_support import answer_step, make_header, read_steps, request_step, run_trace_command
+from tests.trace_support import PSEUDONYM_KEY, answer_step, make_header, read_steps, request_step, run_trace_command
 
 START = 1e12  # Unix ms
 
@@ -123,10 +122,10 @@
 def test_an_anonymised_trace_has_no_name_left_and_the_same_summary(tmp_path):
     path, _ = write_fleet(tmp_path)
     key, out = tmp_path / "key", tmp_path / "o.lptrace"
-    key.write_bytes(KEY)
+    key.write_bytes(PSEUDONYM_KEY)
     assert "none left" in run_trace_command("anonymise", path, out, "--key", key, "--boxes")
     assert b"shop" not in out.read_bytes()
-    assert KEY not in out.read_bytes()
+    assert PSEUDONYM_KEY not in out.read_bytes()
     before, after = summarise(path), summarise(out)
     assert list(after["accounts"].values()) == list(before["accounts"].values())
     assert after["accounts"] != before["accounts"]
@@ -137,7 +136,7 @@
 
 def test_a_name_in_another_place_fails_the_anonymisation(tmp_path):
     path, out, key = tmp_path / "x.lptrace", tmp_path / "o.lptrace", tmp_path / "key"
-    key.write_bytes(KEY)
+    key.write_bytes(PSEUDONYM_KEY)
     log = Step(1.0, (), (admission.Log("a line that names shop"),))
     files.write_trace(path, make_header(), [request_step(0, 1), log])
     assert "shop: still stands" in run_trace_command("anonymise", path, out, "--key", key, exit_code=2)
--- a/tests/test_trace_comparing.py
+++ b/tests/test_trace_comparing.py
@@ -2,8 +2,9 @@
 
 from lapispick import admission
 from lapispick.trace import comparing
-from tests.test_trace_selecting import STEPS
-from tests.trace_support import class_name, request_step
+from tests.trace_support import class_name, mixed_steps, request_step
+
+STEPS = mixed_steps()
 
 
 def test_the_first_divergence_and_the_decisions_of_both_sides_are_found():
--- a/tests/test_trace_files.py
+++ b/tests/test_trace_files.py
@@ -13,6 +13,7 @@
 from lapispick.trace.block_writer import encode_block
 from lapispick.trace.record_types import ACTIONS, EVENTS, NOTES, RECORD_TYPES, Answered, Arrival, Step
 from lapispick.trace.retention import TraceFile, expired, rotate
+from tests.trace_support import read_blocks
 
 HEADER = files.make_header(box="n3", incarnation="a-1", seed=5, classes=["track"], accounts=["shop"])
 SAMPLE = Path(__file__).parent / "data" / "v1.lptrace"
@@ -52,12 +53,6 @@
     return path
 
 
-def read(path):
-    """Return the steps of all blocks, and the closed reader."""
-    with files.TraceReader(path) as reader:
-        return [step for location in reader.blocks for step in reader.read_steps(location)], reader
-
-
 def block_message(step):
     return schema.BlockMessage.FromString(b"".join(encode_block([step])))
 
@@ -67,11 +62,11 @@
     blocks = make_blocks(*sizes)
     data = files.encode_file(HEADER, blocks)
     written = [step for block in blocks for step in block]
-    steps, reader = read(write_bytes(tmp_path, data))
+    steps, reader = read_blocks(write_bytes(tmp_path, data))
     assert steps == written
     assert reader.indexed
     assert reader.first_source.box == "n3"
-    steps, reader = read(write_bytes(tmp_path, data[: -layout.TRAILER.size]))
+    steps, reader = read_blocks(write_bytes(tmp_path, data[: -layout.TRAILER.size]))
     assert steps == written
     assert not reader.indexed
 
@@ -97,10 +92,10 @@
 def test_a_truncated_file_yields_every_complete_block(tmp_path):
     blocks = make_blocks(3, 4, 5)
     data = files.encode_file(HEADER, blocks)
-    offsets = [location.offset for location in read(write_bytes(tmp_path, data))[1].blocks]
+    offsets = [location.offset for location in read_blocks(write_bytes(tmp_path, data))[1].blocks]
     index_offset = layout.TRAILER.unpack(data[-layout.TRAILER.size :])[0]
     for length in range(offsets[1], len(data)):  # every byte of the last two blocks
-        steps, reader = read(write_bytes(tmp_path, data[:length]))
+        steps, reader = read_blocks(write_bytes(tmp_path, data[:length]))
         complete = 1 + (length >= offsets[2]) + (length >= index_offset)
         assert steps == [step for block in blocks[:complete] for step in block], length
         assert not reader.indexed
@@ -140,7 +135,7 @@
 def test_newer_minor_versions_are_read_and_other_major_ones_rejected(tmp_path):
     data = files.encode_file(HEADER, make_blocks(2))
     newer_minor = data[:10] + b"\x07\0" + data[12:]
-    assert read(write_bytes(tmp_path, newer_minor))[0] == make_blocks(2)[0]
+    assert read_blocks(write_bytes(tmp_path, newer_minor))[0] == make_blocks(2)[0]
     with pytest.raises(layout.TraceError, match=r"version 2\.0; this program reads versions 1\.x"):
         files.TraceReader(write_bytes(tmp_path, data[:8] + b"\x02\0" + data[10:]))
     newer = block_message(make_step(1))
@@ -164,7 +159,7 @@
 
 def test_the_sample_of_version_1_is_read_as_it_always_was():
     # Made by benchmarks.trace_workload; neither the file nor what it says ever changes.
-    steps, reader = read(SAMPLE)
+    steps, reader = read_blocks(SAMPLE)
     assert (
         sha256(b"\n".join(lines.encode_trace(reader.header, steps))).hexdigest()
         == "b07abaca2938159900b21ea08595b5fe553a70cbbb57bb4b4e1d8b6cd0ac92f2"
@@ -242,7 +237,7 @@
 def test_lengths_beyond_the_bounds_are_rejected(tmp_path):
     huge = layout.FRAME.pack(layout.FRAME_MARK, 1, 0xFFFFFFFF, 0xFFFFFFFF, 1, 0.0, 0.0, 0)
     frame = huge + layout.CHECKSUM.pack(layout.crc32c(huge))
-    steps, reader = read(write_bytes(tmp_path, layout.encode_prelude(HEADER.SerializeToString()) + frame))
+    steps, reader = read_blocks(write_bytes(tmp_path, layout.encode_prelude(HEADER.SerializeToString()) + frame))
     assert not steps
     assert reader.damage
     with pytest.raises(layout.TraceError, match="4294967295 bytes"):
--- a/tests/test_trace_recorder.py
+++ b/tests/test_trace_recorder.py
@@ -19,7 +19,7 @@
 from lapispick.trace import layout
 from lapispick.trace.helper import messages
 from lapispick.trace.record_types import Answered, Arrival, ExternalEvent, Gap
-from tests.test_trace_files import read
+from tests.trace_support import read_blocks
 
 CONF = "section trace\n enabled yes\n folder traces\n flush 50ms\n {more}\nend\n"
 REQUESTS = 60  # in one round
@@ -71,7 +71,8 @@
     def lost_steps(self, count):
         """Send requests, and return how many steps the gaps in the open files stand for."""
         self.answers(count)
-        return sum(note.steps for path in self.open_files() for note in notes_of(read(path)[0]) if type(note) is Gap)
+        notes = [note for path in self.open_files() for note in notes_of(read_blocks(path)[0])]
+        return sum(note.steps for note in notes if type(note) is Gap)
 
     def replay(self):
         return replay(self.folder)
@@ -100,7 +101,7 @@
 def count_runs(path):
     """Return how many runs are in the complete blocks of a file."""
     try:
-        return sum(type(action) is admission.StartRun for step in read(path)[0] for action in step.actions)
+        return sum(type(action) is admission.StartRun for step in read_blocks(path)[0] for action in step.actions)
     except layout.TraceError:  # it was created this moment
         return 0
 
@@ -126,7 +127,7 @@
     assert replayed["differing"] == replayed["gaps"] == 0
     assert replayed["steps"] > recorded.request_count / 20
     assert recorded.request_count / 2 < replayed["recorded"]["Run"] <= recorded.request_count
-    steps = [step for path in recorded.files() for step in read(path)[0]]
+    steps = [step for path in recorded.files() for step in read_blocks(path)[0]]
     notes = notes_of(steps)
     answers = [note for note in notes if type(note) is Answered]
     actions = [action for step in steps for action in step.actions]
@@ -147,8 +148,8 @@
     first, last = steps[0].now, steps[-1].now
     out = tmp_path / "cut.lptrace"
     trace_output("cut", recorded.files()[0], out, "--since", first, "--until", (first + last) / 2)
-    assert 0 < len(read(out)[0]) < len(steps)
-    assert len(trace_output("cat", out).splitlines()) == len(read(out)[0])
+    assert 0 < len(read_blocks(out)[0]) < len(steps)
+    assert len(trace_output("cat", out).splitlines()) == len(read_blocks(out)[0])
     assert "needs all files" in trace_process("replay", recorded.files()[1]).stderr
 
 
@@ -188,13 +189,13 @@
 
     def steps_of_next_writer():
         recorded.answers(4)
-        return len(recorded.open_files()) == 2 and read(recorded.open_files()[1])[0]
+        return len(recorded.open_files()) == 2 and read_blocks(recorded.open_files()[1])[0]
 
     first_step = wait_until(steps_of_next_writer, "the next writer's first block")[0]
     (gap,) = (note for note in first_step.notes if type(note) is Gap)
     lost = int(re.search(r"trace-writer-ended lost=(\d+)", recorded.host.log()).group(1))
     path, next_path = recorded.open_files()
-    source, next_source = (read(each)[1].first_source for each in (path, next_path))
+    source, next_source = (read_blocks(each)[1].first_source for each in (path, next_path))
     assert gap.steps >= lost > 0
     assert source.sequence == 0
     assert next_source.sequence == 1
--- a/tests/test_trace_selecting.py
+++ b/tests/test_trace_selecting.py
@@ -3,23 +3,12 @@
 import pytest
 
 from lapispick import admission
-from lapispick.trace.record_types import SpansBoundary, Step
+from lapispick.trace.record_types import SpansBoundary
 from lapispick.trace.selecting import EdgePolicy, Selection, Selector
-from tests.trace_support import answer_step, class_name, request_step, start_step
+from tests.trace_support import answer_step, class_name, mixed_steps, request_step
 
 LONGEST_DEADLINE_MS = 4000.0
-STEPS = [
-    request_step(0, 1),
-    start_step(1, 10),
-    request_step(100, 2, 1, account="bar"),
-    answer_step(150, 1),
-    start_step(2, 200),
-    request_step(300, 3),
-    Step(310, (), (admission.Advertise(0.5),)),
-    answer_step(320, 3, "refused"),
-    answer_step(400, 2),
-    request_step(500, 4),
-]
+STEPS = mixed_steps()
 
 
 def make_selector(selection):
--- a/tests/trace_support.py
+++ b/tests/trace_support.py
@@ -9,6 +9,7 @@
 from lapispick.trace.record_types import Answered, Arrival, Step
 from tests.controller_harness import make_settings
 
+PSEUDONYM_KEY = bytes(range(20))
 CLASS_NAMES = ["track", "book", "job", "quote"]  # of ``make_settings``
 
 
@@ -44,6 +45,28 @@
     return Step(now, (), (admission.StartRun(number),), (), source_index)
 
 
+def mixed_steps():
+    """Return steps of four requests: two served, one rejected, one still open."""
+    return [
+        request_step(0, 1),
+        start_step(1, 10),
+        request_step(100, 2, 1, account="bar"),
+        answer_step(150, 1),
+        start_step(2, 200),
+        request_step(300, 3),
+        Step(310, (), (admission.Advertise(0.5),)),
+        answer_step(320, 3, "refused"),
+        answer_step(400, 2),
+        request_step(500, 4),
+    ]
+
+
+def read_blocks(path):
+    """Return the steps of all blocks, and the closed reader."""
+    with files.TraceReader(path) as reader:
+        return [step for location in reader.blocks for step in reader.read_steps(location)], reader
+
+
 def read_steps(path):
     with files.TraceReader(path) as reader:
         return list(reader.steps())
