--- a/lapispick/host/assembly.py
+++ b/lapispick/host/assembly.py
@@ -16,7 +16,7 @@
 from lapispick.host.executor import ExecutorLink
 from lapispick.host.handover.handshake import HostIdentity
 from lapispick.host.handover.service import Handover
-from lapispick.host.jsonrpc.front import Gateways
+from lapispick.host.jsonrpc.front import JsonRpcFront
 from lapispick.host.logs import log
 from lapispick.host.operator_calls import HostCalls
 from lapispick.host.ops import Operators
@@ -85,10 +85,10 @@
             class_names,
         )
 
-    def _make_gateways(self) -> Gateways:
+    def _make_gateways(self) -> JsonRpcFront:
         config = self._config
         answers = self.core.answers
-        return Gateways(
+        return JsonRpcFront(
             self._loop,
             config.listen_address,
             config.start_settings,
@@ -170,7 +170,7 @@
 
     def _set_peer_connections(self, count: int | None) -> None:
         """Divide descriptors with another process that has so many connections; None: there is none."""
-        self.gateways.others = count
+        self.gateways.peer_connections = count
         self._store.shared = count is not None
 
     def _open(self, listener: socket.socket | None) -> None:
@@ -186,7 +186,7 @@
         """Run until a signal has ended the process."""
         for serve in (self.core.serve, self._executor.serve, self._watch_signals):
             self._loop.spawn(serve)
-        if self.gateways.listening:
+        if self.gateways.is_listening:
             self._serve_clients()
             if self._handover is not None:
                 self._loop.spawn(self._handover.serve)
