--- a/lapispick/trace/aggregation.py
+++ b/lapispick/trace/aggregation.py
@@ -14,6 +14,7 @@
 import numpy as np
 
 from lapispick import admission
+from lapispick.trace.arrays import Array
 from lapispick.trace.block_reader import Block, Records
 from lapispick.trace.duration_histograms import DurationHistograms
 from lapispick.trace.record_types import Answered, Arrival, Gap
@@ -51,13 +52,13 @@
         self.names = [name for name, _ in positions]
         self.settings = [settings for _, settings in positions]
 
-    def retention_ms(self) -> Any:
+    def retention_ms(self) -> Array:
         """Return for each class how long after its birth a request is remembered for retries."""
         return np.array(
             [max(each.idempotency_window_ms, each.deadline_ms) + RETRY_MARGIN_MS for each in self.settings], np.float64
         )
 
-    def positions(self, source_index: Any, class_index: Any) -> Any:
+    def positions(self, source_index: Array, class_index: Array) -> Array:
         """Return the positions of classes that are given by source and number; raises ``ValueError``."""
         positions = np.zeros(len(class_index), np.int64)
         for source, known in enumerate(self._by_source):
@@ -73,8 +74,8 @@
     """Records of one type in a block, with their sources and times."""
 
     records: Records
-    source_index: Any
-    times: Any
+    source_index: Array
+    times: Array
 
 
 class Aggregator:
@@ -90,7 +91,7 @@
         self._queue_times = DurationHistograms()
         self._run_durations = DurationHistograms()
         self._now = -np.inf
-        self._block_times: Any = None  # of the present block's steps
+        self._block_times: Array = np.zeros(0)  # of the present block's steps
         by_class = {name: RequestTotals() for name in self._classes.names}
         self._summary = Summary(RequestTotals(), by_class, {}, {}, [], {}, {}, {})
 
@@ -132,7 +133,7 @@
         summary.run_durations = {name: self._run_durations.pop(name) for name in summary.classes}
         return summary
 
-    def _corrected_times(self, block: Block) -> Any:
+    def _corrected_times(self, block: Block) -> Array:
         """Return the times of a block's steps by the reference clock; never earlier than those before."""
         times = np.maximum.accumulate(step_times(self._sources, block))
         return np.maximum(times, self._now)
@@ -196,7 +197,7 @@
         durations = runs.records.column("duration_ms")[finished]
         self._add_durations(self._run_durations, request_rows[finished], durations)
 
-    def _add_durations(self, histograms: DurationHistograms, request_rows: Any, durations: Any) -> None:
+    def _add_durations(self, histograms: DurationHistograms, request_rows: Array, durations: Array) -> None:
         class_index = self._table.requests["class_index"][request_rows]
         for each in np.unique(class_index).tolist():
             histograms.add(self._classes.names[each], durations[class_index == each])
--- a/lapispick/trace/block_reader.py
+++ b/lapispick/trace/block_reader.py
@@ -10,6 +10,7 @@
 import numpy as np
 
 from lapispick import admission
+from lapispick.trace.arrays import Array
 from lapispick.trace.column_codec import EncodedColumn, decode_column
 from lapispick.trace.record_types import RECORD_NUMBERS, RECORD_TYPES, Step
 from lapispick.trace.schema import (
@@ -33,8 +34,8 @@
 class CategoryRecords(NamedTuple):
     """The records of one category in all steps, in order: the position of each one's step, and its number."""
 
-    step_positions: Any
-    record_numbers: Any
+    step_positions: Array
+    record_numbers: Array
 
 
 class Records:
@@ -42,14 +43,14 @@
 
     __slots__ = ("_block", "_columns", "count", "record_type", "step_positions")
 
-    def __init__(self, block: Block, record_type: type, step_positions: Any) -> None:
+    def __init__(self, block: Block, record_type: type, step_positions: Array) -> None:
         self._block = block
         self.record_type = record_type
         self.step_positions = step_positions
         self.count = len(step_positions)
-        self._columns: dict[str, Any] = {}
+        self._columns: dict[str, Array] = {}
 
-    def column(self, name: str) -> Any:
+    def column(self, name: str) -> Array:
         """Return a field's values: an array of numbers, or of indices into ``dictionary(name)``."""
         if name not in self._columns:
             self._columns[name] = self._decode(name)
@@ -91,7 +92,7 @@
                 return number, field
         raise KeyError(name)
 
-    def _decode(self, name: str) -> Any:
+    def _decode(self, name: str) -> Array:
         number, field = self._field(name)
         step_times = self._block.now[self.step_positions]
         values = self._block.decode_column(RECORD_NUMBERS[self.record_type], number, self.count, step_times)
@@ -130,7 +131,7 @@
         self.source_index = self._step_column(StepField.SOURCE_INDEX, np.int64)
         self._categories: dict[RecordCategory, CategoryRecords] = {}
 
-    def decode_column(self, record: int, field: int, count: int, step_times: Any = None) -> Any:
+    def decode_column(self, record: int, field: int, count: int, step_times: Array | None = None) -> Array | None:
         """Return a column's values, None if the block lacks it; ``step_times``: the clock of each value's step."""
         column = self.columns.get((record, field))
         if column is None:
@@ -155,7 +156,7 @@
         columns = (self.now.tolist(), *records, self.source_index.tolist())
         return [Step(*values) for values in zip(*columns, strict=True)]
 
-    def _step_column(self, field: StepField, dtype: Any) -> Any:
+    def _step_column(self, field: StepField, dtype: Any) -> Array:
         values = self.decode_column(STEP_RECORD, field, self.count)
         return np.zeros(self.count, dtype) if values is None else values
 
--- a/lapispick/trace/block_writer.py
+++ b/lapispick/trace/block_writer.py
@@ -8,6 +8,7 @@
 
 import numpy as np
 
+from lapispick.trace.arrays import Array
 from lapispick.trace.column_codec import EncodedColumn, encode_dictionary, encode_floats, encode_integers
 from lapispick.trace.record_types import RECORD_NUMBERS, Step
 from lapispick.trace.schema import (
@@ -74,7 +75,7 @@
 
 
 def _add_field(
-    block: Any, record: int, field: int, field_type: FieldType, values: Sequence[Any], step_times: Any
+    block: Any, record: int, field: int, field_type: FieldType, values: Sequence[Any], step_times: Array
 ) -> None:
     """Add the columns of one field of all records of a type."""
     if field_type is FieldType.FLOAT:
--- a/lapispick/trace/column_codec.py
+++ b/lapispick/trace/column_codec.py
@@ -14,13 +14,14 @@
 
 import numpy as np
 
+from lapispick.trace.arrays import Array
+
 DECIMAL_SCALES = range(7)  # exponents of ten that are tried; ms with up to six decimals
 BINARY_SCALES = (12, 13, 14, 16, 20)  # exponents of two that are tried; a clock in ms has steps of 2**-12 until 2039
 MAX_SCALE = 62
 MAX_EXACT_FLOAT = float(1 << 53)  # up to here a float represents every integer
 INTEGER_BYTES = 8
 TABLE_BITS_PER_BYTE_VALUE = 8  # estimated size of a compressor's table entry
-Array = np.ndarray[Any, Any]
 
 
 class ColumnForm(enum.IntEnum):
--- a/lapispick/trace/duration_histograms.py
+++ b/lapispick/trace/duration_histograms.py
@@ -2,11 +2,10 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
+from lapispick.trace.arrays import Array
 from lapispick.trace.summary import Percentiles
 
 MAX_DURATION_MS = 3_600_000  # longer ones count as this
@@ -19,10 +18,10 @@
     """The distribution of durations for each name."""
 
     def __init__(self) -> None:
-        self._counts: dict[str, Any] = {}  # by ms, below ``EXACT_BELOW_MS``
+        self._counts: dict[str, Array] = {}  # by ms, below ``EXACT_BELOW_MS``
         self._histograms: dict[str, HdrHistogram] = {}
 
-    def add(self, name: str, durations: Any) -> None:
+    def add(self, name: str, durations: Array) -> None:
         """Count an array of durations, ms."""
         rounded = np.clip(np.rint(durations), 1, MAX_DURATION_MS).astype(np.int64)
         counts = self._counts.setdefault(name, np.zeros(EXACT_BELOW_MS, np.int64))
--- a/lapispick/trace/growing_table.py
+++ b/lapispick/trace/growing_table.py
@@ -6,6 +6,8 @@
 
 import numpy as np
 
+from lapispick.trace.arrays import Array
+
 INITIAL_ROWS = 1024
 
 
@@ -20,7 +22,7 @@
         self.size = 0
         self._columns = {name: np.zeros(INITIAL_ROWS, dtype) for name, dtype in dtypes.items()}
 
-    def __getitem__(self, name: str) -> Any:
+    def __getitem__(self, name: str) -> Array:
         return self._columns[name][: self.size]
 
     def append(self, count: int, **values: Any) -> int:
--- a/lapispick/trace/request_answers.py
+++ b/lapispick/trace/request_answers.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import numpy as np
 
+from lapispick.trace.arrays import Array
 from lapispick.trace.block_reader import Records
 from lapispick.trace.record_types import FAILED, REJECTED, SERVED
 from lapispick.trace.request_table import AnswerCode, FoundAttempts, RequestTable
@@ -21,12 +22,12 @@
 class CancelledAttempts(NamedTuple):
     """Attempts of one source that clients cancelled in a block, and in which of its steps."""
 
-    attempt_rows: Any
-    step_positions: Any
+    attempt_rows: Array
+    step_positions: Array
 
 
 def add_answers(
-    table: RequestTable, answers: Records, times: Any, found: FoundAttempts, cancelled: dict[int, CancelledAttempts]
+    table: RequestTable, answers: Records, times: Array, found: FoundAttempts, cancelled: dict[int, CancelledAttempts]
 ) -> None:
     """Store answers, given as ``Answered`` records, in the requests that they belong to.
 
@@ -50,7 +51,7 @@
     _store_served(table, found.request_rows, times, counts & (answer == AnswerCode.SERVED))
 
 
-def _store_unserved(table: RequestTable, request_rows: Any, answer: Any, counts: Any) -> None:
+def _store_unserved(table: RequestTable, request_rows: Array, answer: Array, counts: Array) -> None:
     """Store rejections and failures, the last of each request, unless the request was served."""
     stored_answer = table.requests["answer"]
     unserved = counts & (answer != AnswerCode.SERVED)
@@ -58,7 +59,7 @@
     stored_answer[request_rows[unserved]] = answer[unserved]
 
 
-def _store_served(table: RequestTable, request_rows: Any, times: Any, served: Any) -> None:
+def _store_served(table: RequestTable, request_rows: Array, times: Array, served: Array) -> None:
     """Store the first served answer of each request with its age."""
     requests = table.requests
     stored_answer = requests["answer"]
--- a/lapispick/trace/request_table.py
+++ b/lapispick/trace/request_table.py
@@ -7,6 +7,7 @@
 
 import numpy as np
 
+from lapispick.trace.arrays import Array
 from lapispick.trace.growing_table import GrowingTable
 
 
@@ -23,14 +24,14 @@
     """Attempts of one source that records refer to."""
 
     source_index: int
-    record_rows: Any  # the records, by their position in the array that was looked up
-    attempt_rows: Any  # their attempts, by their rows in the table of the source
+    record_rows: Array  # the records, by their position in the array that was looked up
+    attempt_rows: Array  # their attempts, by their rows in the table of the source
 
 
 class FoundAttempts(NamedTuple):
     """The attempts that records refer to."""
 
-    request_rows: Any  # for each record; -1 where its request is unknown or can't be retried any more
+    request_rows: Array  # for each record; -1 where its request is unknown or can't be retried any more
     by_source: list[AttemptRows]
 
 
@@ -41,7 +42,7 @@
     divided into blocks.
     """
 
-    def __init__(self, source_count: int, retention_ms: Any) -> None:
+    def __init__(self, source_count: int, retention_ms: Array) -> None:
         """``retention_ms``: by class, how long after its birth a request is remembered for retries."""
         self._retention_ms = retention_ms
         self.requests = GrowingTable(
@@ -59,7 +60,7 @@
             for _ in range(source_count)
         ]
 
-    def add(self, ids: Any, source_index: Any, received_at: Any, ages_ms: Any, class_index: Any) -> int:
+    def add(self, ids: Array, source_index: Array, received_at: Array, ages_ms: Array, class_index: Array) -> int:
         """Add an attempt with a request of its own for each id; return the index of the first request.
 
         Raises ``ValueError`` if the ids of a source don't rise.
@@ -75,7 +76,7 @@
             )
         return first
 
-    def find_attempts(self, ids: Any, source_index: Any, times: Any) -> FoundAttempts:
+    def find_attempts(self, ids: Array, source_index: Array, times: Array) -> FoundAttempts:
         """Look up the attempts with these ids, as of these times."""
         request_rows = np.full(len(ids), -1, np.int64)
         by_source: list[AttemptRows] = []
--- a/lapispick/trace/request_totals.py
+++ b/lapispick/trace/request_totals.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
-from typing import Any
 
 import numpy as np
 
 from lapispick import admission
+from lapispick.trace.arrays import Array
 from lapispick.trace.growing_table import GrowingTable
 from lapispick.trace.request_table import AnswerCode
 from lapispick.trace.summary import WINDOW_MS, RequestTotals, Summary
@@ -43,7 +43,7 @@
         _add_by_group(columns, requests["account"][rows], account_totals)
         _add_by_group(columns, windows, window_totals)
 
-    def _totals_by_request(self, requests: GrowingTable, rows: Any) -> dict[str, Any]:
+    def _totals_by_request(self, requests: GrowingTable, rows: Array) -> dict[str, Array]:
         """Return what each request adds to each field of ``RequestTotals``."""
         class_index = requests["class_index"][rows]
         answer = requests["answer"][rows]
@@ -67,11 +67,11 @@
         }
 
 
-def _column(classes: Sequence[admission.ClassSettings], name: str) -> Any:
+def _column(classes: Sequence[admission.ClassSettings], name: str) -> Array:
     return np.array([getattr(settings, name) for settings in classes], np.float64)
 
 
-def _add_by_group(columns: dict[str, Any], groups: Any, totals_of: Callable[[int], RequestTotals]) -> None:
+def _add_by_group(columns: dict[str, Array], groups: Array, totals_of: Callable[[int], RequestTotals]) -> None:
     """Add the sums of columns over each group to the totals of the group."""
     distinct, positions = np.unique(groups, return_inverse=True)
     sums = {
--- a/lapispick/trace/retry_linking.py
+++ b/lapispick/trace/retry_linking.py
@@ -6,8 +6,9 @@
 
 from __future__ import annotations
 
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
+from lapispick.trace.arrays import Array
 from lapispick.trace.block_reader import Block, Records
 from lapispick.trace.record_types import Arrival
 from lapispick.trace.request_table import RequestTable
@@ -70,7 +71,7 @@
         return request if table.can_be_retried(request, attempt.received_at) else None
 
 
-def subjects_of(block: Block, requests: Records, source_index: Any) -> list[bytes]:
+def subjects_of(block: Block, requests: Records, source_index: Array) -> list[bytes]:
     """Return the subject of each request, from its ``Arrival`` in the same block; b'' where it has none."""
     arrivals = block.records(Arrival)
     none = [b""] * requests.count
--- a/lapispick/trace/series.py
+++ b/lapispick/trace/series.py
@@ -6,12 +6,13 @@
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import msgspec
 import numpy as np
 
 from lapispick import admission
+from lapispick.trace.arrays import Array
 from lapispick.trace.block_reader import Block, Records
 from lapispick.trace.record_types import SERVED, Answered, Arrival, ExternalEvent
 from lapispick.trace.summary import UNKNOWN_NAME
@@ -61,14 +62,14 @@
 
     def __init__(self, interval_count: int) -> None:
         self._interval_count = interval_count
-        self._by_name: dict[str, Any] = {}
+        self._by_name: dict[str, Array] = {}
 
-    def add(self, name: str, intervals: Any) -> None:
+    def add(self, name: str, intervals: Array) -> None:
         """Count one for each of these intervals."""
         counts = self._by_name.setdefault(name, np.zeros(self._interval_count, np.int64))
         counts += np.bincount(intervals, minlength=self._interval_count)
 
-    def add_by_value(self, records: Records, field: str, intervals: Any) -> None:
+    def add_by_value(self, records: Records, field: str, intervals: Array) -> None:
         """Count records by the value of a field of strings."""
         if not records.count:
             return
@@ -76,7 +77,7 @@
         for index, value in enumerate(records.dictionary(field)):
             self.add(value.decode(errors="replace") or UNKNOWN_NAME, intervals[indices == index])
 
-    def total(self) -> Any:
+    def total(self) -> Array:
         """Return the counts of all names together."""
         return sum(self._by_name.values(), np.zeros(self._interval_count, np.int64))
 
@@ -99,11 +100,11 @@
         self._ages: list[list[float]] = [[] for _ in range(self._interval_count)]
         self._marks: list[Mark] = []
 
-    def add(self, block: Block, times: Any) -> None:
+    def add(self, block: Block, times: Array) -> None:
         """Add a block; ``times`` are those of its steps."""
         intervals = np.clip((times - self._first) // self._interval_ms, 0, self._interval_count - 1).astype(np.int64)
 
-        def of(records: Records) -> Any:
+        def of(records: Records) -> Array:
             return intervals[records.step_positions]
 
         arrivals = block.records(Arrival)
@@ -132,7 +133,7 @@
             marks=self._marks,
         )
 
-    def _add_ages(self, answers: Records, intervals: Any) -> None:
+    def _add_ages(self, answers: Records, intervals: Array) -> None:
         is_served = np.array([kind == SERVED.encode() for kind in answers.dictionary("kind")], np.bool_)
         served = is_served[answers.column("kind")]
         served_intervals = intervals[served]
@@ -142,7 +143,7 @@
             remaining = max(0, MAX_AGES - len(ages))
             ages += served_ages[served_intervals == interval][:remaining].tolist()
 
-    def _add_marks(self, block: Block, times: Any) -> None:
+    def _add_marks(self, block: Block, times: Array) -> None:
         events = block.records(ExternalEvent)
         event_times = times[events.step_positions].tolist()
         self._marks += map(Mark, event_times, events.values("kind"))
@@ -150,7 +151,7 @@
         self._marks += [Mark(time, SHUTDOWN_MARK) for time in times[shutdowns.step_positions].tolist()]
 
 
-def build_series(blocks: Iterable[tuple[Block, Any]], first: float, last: float) -> Series:
+def build_series(blocks: Iterable[tuple[Block, Array]], first: float, last: float) -> Series:
     """Return the series of blocks, each with the times of its steps (ms), from the first to the last time."""
     builder = _SeriesBuilder(first, last)
     for block, times in blocks:
--- a/lapispick/trace/step_times.py
+++ b/lapispick/trace/step_times.py
@@ -3,10 +3,11 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from typing import Any, Protocol
+from typing import Protocol
 
 import numpy as np
 
+from lapispick.trace.arrays import Array
 from lapispick.trace.block_reader import Block
 from lapispick.trace.record_types import Step
 
@@ -35,7 +36,7 @@
     return step.now - source.offset - source.drift * (step.now - source.at) / 1000
 
 
-def step_times(sources: Sequence[CorrectedSource], block: Block) -> Any:
+def step_times(sources: Sequence[CorrectedSource], block: Block) -> Array:
     """Return the times of all steps of a block, as an array."""
     offset = np.array([source.offset for source in sources])[block.source_index]
     drift = np.array([source.drift for source in sources])[block.source_index]
