--- a/lapispick/host/core/decision_module.py
+++ b/lapispick/host/core/decision_module.py
@@ -51,14 +51,14 @@
         if self.controller is not None or self._health.shutting_down:
             return
         gauges = (*admission.PEER_GAUGES, *self._settings.gauges)
-        settings = msgspec.structs.replace(self._settings, warming_up=event.cold, gauges=gauges)
+        settings = msgspec.structs.replace(self._settings, warming_up=event.warming_up, gauges=gauges)
         started_at = self._clock.now - event.uptime_ms
         self.controller = Controller(settings, self._seed, started_at)
         if self._peers.recorder is not None:
             self._peers.recorder.begin(settings, self._seed, started_at)
         self._adopt()
         self._health.ready = True
-        log(LOG, logging.INFO, "ready", cold=event.cold, uptime_ms=event.uptime_ms)
+        log(LOG, logging.INFO, "ready", cold=event.warming_up, uptime_ms=event.uptime_ms)
         self.step([])
 
     def step(self, module_events: list[admission.Event]) -> None:
--- a/lapispick/host/events.py
+++ b/lapispick/host/events.py
@@ -63,7 +63,7 @@
 class ExecutorReady(msgspec.Struct, frozen=True):
     """The executor accepts runs and has been up for ``uptime_ms``."""
 
-    cold: bool
+    warming_up: bool
     uptime_ms: float
 
 
--- a/lapispick/host/executor.py
+++ b/lapispick/host/executor.py
@@ -25,7 +25,7 @@
 DRAIN_TIMEOUT_S = 0.3  # for the last answer on a link that is replaced by one to a new address
 MAX_NOTICE_BYTES = 1 << 20  # results hold up to 4 KiB
 MAX_UNSENT_BYTES = 4 << 20  # of commands for an executor that does not read
-COLD_START = "chilly"  # outcome of a WELCOME
+WARMING_UP = "chilly"  # outcome of a WELCOME
 COMPLETED = "complete"  # outcome of a run or a health check
 RUN_OUTCOMES = {
     COMPLETED: Outcome.OK,
@@ -209,7 +209,7 @@
         """Send commands on this connection from now on."""
         self._stream = stream
 
-    def hold_back(self) -> Stream | None:
+    def detach_link(self) -> Stream | None:
         """Keep further commands for the next link; return the connection of the present one."""
         stream, self._stream = self._stream, None
         return stream
@@ -311,7 +311,7 @@
         self._backoff_s = MIN_BACKOFF_S
         if self._backoff_waiter is not None:
             self._backoff_waiter.wake()
-        stream = self.commands.hold_back()
+        stream = self.commands.detach_link()
         if stream is not None:
             _send(stream, Command("METER", nonce=DRAIN_NONCE))
             self._loop.call_later(DRAIN_TIMEOUT_S, stream.close)
@@ -348,7 +348,7 @@
     def _on_welcome(self, stream: Stream, notice: Notice) -> None:
         uptime_ms = notice.duration_ms
         log(LOG, logging.INFO, "link-up", outcome=notice.outcome, spent_ms=uptime_ms, index=self._last_index)
-        self._post(events.ExecutorReady(notice.outcome == COLD_START, uptime_ms))
+        self._post(events.ExecutorReady(notice.outcome == WARMING_UP, uptime_ms))
         _send(stream, Command("METER", nonce=FENCE_NONCE))
         self.commands.on_link_up(stream)
         self._backoff_s = MIN_BACKOFF_S
--- a/lapispick/host/streams.py
+++ b/lapispick/host/streams.py
@@ -67,8 +67,8 @@
         self._loop.unsent_bytes += len(data)
         return False
 
-    def send_kept(self) -> None:
-        """Send what the socket takes of the bytes that were kept; raises ``OSError``."""
+    def flush(self) -> None:
+        """Send what the socket takes of the kept bytes; raises ``OSError``."""
         sent = self._sock.send(self._data)
         del self._data[:sent]
         self._loop.unsent_bytes -= sent
@@ -248,7 +248,7 @@
     def _flush(self) -> None:
         while self._output and not self.closed and self.loop.wait_for_io(self.sock.fileno(), WRITE):
             try:
-                self._output.send_kept()
+                self._output.flush()
             except BlockingIOError:
                 continue
             except OSError:
