--- a/lapispick/trace/block_reader.py
+++ b/lapispick/trace/block_reader.py
@@ -111,7 +111,10 @@
         total = int(ends[-1]) if self.count else 0
         if self.count and (int(lengths.min()) < 0 or max(int(lengths.max()), total) > MAX_BLOCK_RECORDS):
             raise ValueError("is no block: a list without bounds")
-        items = self._block.decode_column(record, number, total).tolist()
+        column = self._block.decode_column(record, number, total)
+        if column is None:
+            raise ValueError("is no block: a list without values")
+        items = column.tolist()
         return [tuple(items[end - length : end]) for length, end in zip(lengths.tolist(), ends.tolist(), strict=True)]
 
 
--- a/lapispick/trace/column_codec.py
+++ b/lapispick/trace/column_codec.py
@@ -114,8 +114,11 @@
     ):
         for scale in scales:
             multiples = np.rint(values * radix**scale)
-            if (np.abs(multiples) < MAX_EXACT_FLOAT).all() and _same_bits(multiples / radix**scale, values):
-                yield _candidate(multiples.astype(np.int64), form, scale, relative_to)
+            if not (np.abs(multiples) < MAX_EXACT_FLOAT).all():
+                continue
+            integers = multiples.astype(np.int64)
+            if _same_bits(integers / radix**scale, values):  # not so for minus zero, which integers do not have
+                yield _candidate(integers, form, scale, relative_to)
                 break
 
 
--- a/tests/test_column_codec.py
+++ b/tests/test_column_codec.py
@@ -4,7 +4,7 @@
 
 import numpy as np
 import pytest
-from hypothesis import given, settings
+from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
 from lapispick.trace.column_codec import (
@@ -27,6 +27,8 @@
 
 
 @given(MIXED | st.lists(CLOCK, max_size=40) | st.lists(DECIMAL, max_size=40))
+@example([-0.0])
+@example([-0.0, 1.5])
 @settings(max_examples=300, deadline=None)
 def test_floats_are_decoded_to_the_same_bits(values):
     times = np.array([1.7e12 + number / 4096 for number in range(len(values))])
--- a/tests/test_trace_files.py
+++ b/tests/test_trace_files.py
@@ -220,6 +220,15 @@
         decode_block(message.SerializeToString())
 
 
+def test_a_list_field_with_lengths_but_no_values_is_rejected():
+    message = schema.BlockMessage.FromString(b"".join(encode_block([make_step(1)])))
+    columns = [column for column in message.columns if (column.record, column.field) != TIMER_GAUGES]
+    del message.columns[:]
+    message.columns.extend(columns)
+    with pytest.raises(ValueError, match="a list without values"):
+        decode_block(message.SerializeToString())
+
+
 @given(st.binary(max_size=400), st.integers(0, 5000))
 @settings(max_examples=300, deadline=None)
 def test_arbitrary_bytes_raise_nothing_but_trace_errors(tmp_path_factory, noise, position):
