--- a/lapispick/host/store.py
+++ b/lapispick/host/store.py
@@ -35,7 +35,7 @@
 MAX_INTERIM_REPLIES = 16  # 1xx heads before a reply
 RECEIVE_BYTES = 16 * 1024
 HEADER_NAME = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
-CHUNK_SIZE = re.compile(rb"[0-9a-fA-F]{1,8}")
+CHUNK_SIZE = rb"[0-9a-fA-F]{1,8}"  # compiled when first used, as few stores send chunks
 
 Headers = dict[bytes, bytes]  # by name in lower case
 
@@ -114,7 +114,7 @@
         body = bytearray()
         while True:
             size = self._read_line().partition(b";")[0].strip()
-            if not CHUNK_SIZE.fullmatch(size):
+            if not re.fullmatch(CHUNK_SIZE, size):
                 raise MalformedReplyError("bad chunk size")
             count = int(size, 16)
             if len(body) + count > MAX_BODY_BYTES:
