--- a/benchmarks/members_mutants.py
+++ b/benchmarks/members_mutants.py
@@ -288,7 +288,7 @@
     Mutant(
         "two owners propose one slot",
         "lease_manager.py",
-        "elif request.proposer.fencing_token or self._may_propose(now, request):",
+        "elif request.proposer.fencing_token or self._requests.may_propose(now, request):",
         "else:",
         "owners_share_no_slot",
     ),
--- a/lapispick/members/membership_view.py
+++ b/lapispick/members/membership_view.py
@@ -24,8 +24,8 @@
 from lapispick.members.member_state import (
     STATE_NAMES,
     STATES_BY_NAME,
-    UNKNOWN_MEMBER,
     MemberRecord,
+    MemberRecords,
     MemberState,
     StateChange,
 )
@@ -63,13 +63,10 @@
         self.incarnation = 0
         self.health = LocalHealth(settings.max_health_multiplier)
         self.names: frozenset[str] = frozenset()
-        self.records: dict[str, MemberRecord] = {}
+        self.records = MemberRecords(settings.return_window_s)
         self.gossip = GossipQueue(settings.retransmit_factor)
         self.replaced = False
-        self._not_alive: set[str] = set()
-        self._suspects: set[str] = set()
         self._started_at = now
-        self._changes: list[StateChange] = []
         self.set_configuration(names, digest)
 
     # The configuration.
@@ -79,19 +76,14 @@
         members = frozenset(names)  # keeps a set that is shared by thousands of simulated members
         self.configuration_digest = digest
         for name in sorted(self.names - members - {self.name}):
-            self._forget(name)
-            self._changes.append(StateChange(name, MemberState.LEFT, cause="the list names it no more"))
+            self.records.discard(name)
+            self.gossip.discard(name)
+            self.records.add_change(StateChange(name, MemberState.LEFT, cause="the list names it no more"))
         if self.names:
             for name in sorted(members - self.names - {self.name}):
-                self._changes.append(StateChange(name, MemberState.ALIVE, cause="the list names it"))
+                self.records.add_change(StateChange(name, MemberState.ALIVE, cause="the list names it"))
         self.names = members
 
-    def _forget(self, name: str) -> None:
-        self.records.pop(name, None)
-        self.gossip.discard(name)
-        self._not_alive.discard(name)
-        self._suspects.discard(name)
-
     # Queries.
 
     def size(self) -> int:
@@ -100,7 +92,7 @@
 
     def live_count(self) -> int:
         """Return how many members are believed alive or suspect, this one included."""
-        return self.size() - sum(self.records[name].state > MemberState.SUSPECT for name in self._not_alive)
+        return self.size() - self.records.unavailable_count()
 
     def has_quorum(self) -> bool:
         """Tell whether more than half of the configuration, not of the view, is believed alive."""
@@ -118,17 +110,15 @@
 
     def record(self, name: str) -> MemberRecord:
         """Return what is believed of another member of the configuration."""
-        return self.records.get(name, UNKNOWN_MEMBER)
+        return self.records.get(name)
 
     def alive_peers(self) -> list[str]:
         """Return the other members that are alive, by name."""
-        return sorted(self.names - self._not_alive - {self.name})
+        return sorted(self.names - self.records.not_alive - {self.name})
 
     def take_changes(self) -> list[StateChange]:
         """Return the state changes since the last call."""
-        changes = self._changes
-        self._changes = []
-        return changes
+        return self.records.take_changes()
 
     def self_update(self, state: MemberState = MemberState.ALIVE) -> GossipUpdate:
         """Return the report of this member's own state."""
@@ -136,7 +126,7 @@
 
     def all_updates(self) -> list[GossipUpdate]:
         """Return reports of all known states, for anti-entropy."""
-        return [self.self_update(), *(record.as_update(name) for name, record in self.records.items())]
+        return [self.self_update(), *(record.as_update(name) for name, record in self.records)]
 
     def reject_reason(self, message: Message) -> RejectReason | None:
         """Return why a message must be ignored; None for one that counts."""
@@ -183,9 +173,7 @@
         """Record a report about another member if it supersedes what is believed, and pass it on."""
         if not self.is_peer(update.name):
             return
-        record = self.records.get(update.name)
-        if record is None:
-            record = self.records[update.name] = MemberRecord(MemberState.ALIVE, 0, 0, now)
+        record = self.records.get_or_add(now, update.name)
         state = STATES_BY_NAME[update.state]
         version = (update.process_epoch, update.incarnation, state)
         if version <= record.version:
@@ -197,7 +185,7 @@
         record.process_epoch = update.process_epoch
         record.incarnation = update.incarnation
         if state is not previous_state:
-            self._change_state(now, update.name, record, state, cause)
+            self.records.change_state(now, update.name, state, cause)
         is_witnessed = state is MemberState.SUSPECT and bool(update.witness)
         record.witnesses = frozenset({update.witness}) if is_witnessed else frozenset()
         if state is not previous_state or not is_first_report:  # unknown members count as alive anyway
@@ -210,23 +198,6 @@
             record.witnesses |= {update.witness}
             self.announce(update)
 
-    def _change_state(self, now: float, name: str, record: MemberRecord, state: MemberState, cause: str) -> None:
-        came_back = state is MemberState.ALIVE and record.state in (MemberState.DEAD, MemberState.LEFT)
-        record.state = state
-        record.since = now
-        if state is MemberState.DEAD:
-            record.died_at = now
-        if state is MemberState.ALIVE:
-            self._not_alive.discard(name)
-        else:
-            self._not_alive.add(name)
-        if state is MemberState.SUSPECT:
-            self._suspects.add(name)
-        else:
-            self._suspects.discard(name)
-        returned = came_back and now - record.died_at <= self.settings.return_window_s
-        self._changes.append(StateChange(name, state, returned, cause))
-
     def announce(self, update: GossipUpdate) -> None:
         """Queue a report for gossip."""
         self.gossip.put(update, self.size())
@@ -242,8 +213,8 @@
 
     def expire_suspicions(self, now: float) -> None:
         """Declare dead whoever did not refute its suspicion in time."""
-        for name in sorted(self._suspects):
-            record = self.records[name]
+        for name in sorted(self.records.suspects):
+            record = self.record(name)
             age = now - record.since
             timeout = suspicion_timeout(self.settings, self.size(), len(record.witnesses), self.health)
             if age >= timeout:
@@ -253,5 +224,4 @@
 
     def extend_suspicions(self, pause_s: float) -> None:
         """Do not count a pause of this process as silence of others."""
-        for name in self._not_alive:
-            self.records[name].since += pause_s
+        self.records.extend_suspicions(pause_s)
