--- a/lapispick/agent/service.py
+++ b/lapispick/agent/service.py
@@ -19,6 +19,7 @@
 import msgspec
 
 from lapispick.agent import processes
+from lapispick.agent.action_runner import LOG, ActionRunner
 from lapispick.agent.errors import UnknownGenerationError
 from lapispick.agent.generation_store import GenerationStore
 from lapispick.agent.host_client import HealthChecks, HostClient
@@ -34,10 +35,8 @@
 from lapispick.host.worker_threads import WorkerThreads
 from lapispick.rollout import host_calls, host_state, host_step, messages
 from lapispick.rollout.generations import Generation
-from lapispick.rollout.host_actions import Action, Kill, Reload, Start, Terminate
-from lapispick.rollout.host_state import HostPhase, HostProcess, HostState, Observation, Role, Timeouts
+from lapispick.rollout.host_state import HostPhase, HostState, Observation, Role, Timeouts
 
-LOG = "agent"
 MAX_CALLERS = 16
 FORWARDED_CALLS = ("check", "vars", "drain-on", "drain-off")  # that the host itself answers
 NO_HOST = "ERR no host serves here"
@@ -60,6 +59,7 @@
         self.loop = EventLoop()
         self.work = WorkerThreads(self.loop)
         self._launcher = HostLauncher(settings, base, self.processes, self.store, python)
+        self._runner = ActionRunner(self.processes, self._launcher, self.work, self.point)
         self._memory_limit_mb = float(base.get("limits", {}).get("memory_mb", 0.0))
         lease_wait_s = settings.rollback_lease_wait_s if settings.rollback_lease else 0.0
         self._timeouts = Timeouts(settings.start_timeout_s, settings.stop_timeout_s, rollback_lease_wait_s=lease_wait_s)
@@ -119,8 +119,7 @@
         for process in self.state.processes:
             is_reloadable = process.role == Role.SERVING and process.has_accepted and process.number in alive
             if is_reloadable and process.generation in self._generations:
-                self._write_config(process)
-                self.processes.signal(process.number, signal.SIGHUP)
+                self._runner.send_config(process, self._generations)
 
     def _log_disk_error(self, err: OSError) -> None:
         if time.monotonic() - self._disk_error_logged_at > _DISK_ERROR_LOG_INTERVAL_S:
@@ -148,7 +147,7 @@
             decision = host_step.decide(self.state, time.monotonic(), self._observation(), self._timeouts)
             self._save(decision.state)
             for action in decision.actions:
-                self._act(action)
+                self._runner.run(action, self.state, self._generations)
 
     def _rolls_back_unconfirmed(self) -> bool:
         is_unconfirmed = self.state.fault == host_state.NOT_CONFIRMED_IN_TIME
@@ -194,41 +193,6 @@
             fault=state.fault or "none",
         )
 
-    # Actions.
-
-    def _act(self, action: Action) -> None:
-        if isinstance(action, Start):
-            self._start(action.process)
-        elif isinstance(action, Reload):
-            self._reload(action.process)
-        elif isinstance(action, Terminate):
-            self.point("terminating")
-            self.processes.signal(action.number, signal.SIGTERM)
-            self.point("terminated")
-        elif isinstance(action, Kill):
-            self.point("killing")
-            self.processes.kill(action.number)
-            log(LOG, logging.WARNING, "host-killed", process=action.number)
-
-    def _start(self, process: HostProcess) -> None:
-        if process.number in self.processes.alive():
-            return
-        self.point("starting")
-        self._write_config(process)
-        self.work.run(self._launcher.start, process, host_state.needed_generations(self.state))
-        log(LOG, logging.INFO, "host-started", process=process.number, generation=process.generation)
-        self.point("started")
-
-    def _reload(self, process: HostProcess) -> None:
-        self.point("reloading")
-        self._write_config(process)
-        self.processes.signal(process.number, signal.SIGHUP)
-        log(LOG, logging.INFO, "host-reloaded", process=process.number, generation=process.generation)
-        self.point("reloaded")
-
-    def _write_config(self, process: HostProcess) -> None:
-        self.work.run(self._launcher.write_config, process, self._generations[process.generation])
-
     # Calls.
 
     def _forward(self, line: str) -> list[str]:
