--- a/lapispick/agent/controller.py
+++ b/lapispick/agent/controller.py
@@ -183,7 +183,7 @@
         if now - self._slice_at < slice_duration_s(self.state.plan):
             return
         self._slice_at = now
-        slices = {name: part for name, host in self.hosts.items() if (part := host.take_slice()) is not None}
+        slices = {name: slice_ for name, host in self.hosts.items() if (slice_ := host.take_slice()) is not None}
         explanation = self._analysis.add(self.state, self._reports(), slices)
         if explanation is not None:
             self._store_explanation(explanation)
--- a/lapispick/agent/host_launcher.py
+++ b/lapispick/agent/host_launcher.py
@@ -24,7 +24,7 @@
 PROCESS_FOLDER = "lives"
 SHARED_FOLDER = "tmp"
 GENERATION_VARIABLE = "LAPISPICK_GENERATION"
-MAX_KEPT_PROCESSES = 10  # whose configuration and log stay
+MAX_RETAINED_PROCESSES = 10  # whose configuration and log stay
 MAX_LOG_BYTES = 8 << 20  # of one process; as many again are kept of what came before
 _PRIVATE_VARIABLES = ("LB_", "LAPISPICK_")  # prefixes that are not passed on from the agent
 
@@ -88,7 +88,7 @@
 
     def _remove_old_files(self, newest: int) -> None:
         for path in self._folder.glob(f"{PROCESS_FOLDER}/*.*"):
-            if path.stem.isdecimal() and int(path.stem) <= newest - MAX_KEPT_PROCESSES:
+            if path.stem.isdecimal() and int(path.stem) <= newest - MAX_RETAINED_PROCESSES:
                 path.unlink(missing_ok=True)
 
     def rotate_logs(self) -> None:
--- a/lapispick/agent/line_client.py
+++ b/lapispick/agent/line_client.py
@@ -17,8 +17,8 @@
     lines = []
     try:
         stream.write(line.encode() + b"\n")
-        while (part := stream.read_line(max(_MIN_TIMEOUT_S, deadline - time.monotonic()))) is not None:
-            lines.append(part.decode("utf-8", "replace"))
+        while (line := stream.read_line(max(_MIN_TIMEOUT_S, deadline - time.monotonic()))) is not None:
+            lines.append(line.decode("utf-8", "replace"))
     except (LineTooLongError, StreamClosedError) as err:
         raise OSError(str(err)) from None
     finally:
--- a/lapispick/agent/managed_host.py
+++ b/lapispick/agent/managed_host.py
@@ -35,9 +35,9 @@
         self.memory_kb = sample.memory_kb
         self.broken_rules = sample.broken_rules
         if self._sample is not None:
-            part = metrics.slice_between(self.worker.name, self._sample, sample)
-            if part is not None:
-                self._slices.append(part)
+            slice_ = metrics.slice_between(self.worker.name, self._sample, sample)
+            if slice_ is not None:
+                self._slices.append(slice_)
         self._sample = sample
 
     def take_slice(self) -> Slice | None:
--- a/lapispick/agent/processes.py
+++ b/lapispick/agent/processes.py
@@ -72,7 +72,7 @@
             return None
         prefix = f"{MARK_VARIABLE}={self._mark}#".encode()
         with open(f"/proc/{entry}/environ", "rb") as file:
-            marks = [part for part in file.read().split(b"\0") if part.startswith(prefix)]
+            marks = [variable for variable in file.read().split(b"\0") if variable.startswith(prefix)]
         with open(f"/proc/{entry}/cmdline", "rb") as file:
             is_host = HOST_MODULE.encode() in file.read().split(b"\0")
         if not marks or not is_host:
--- a/lapispick/agent/stage_analysis.py
+++ b/lapispick/agent/stage_analysis.py
@@ -40,7 +40,7 @@
             self._analysis.add_canary(groups.changed, groups.unchanged, slices)
         self.verdict = self._analysis.verdict()
         touched = state.touched_hosts
-        self._keep_for_baseline({name: part for name, part in slices.items() if name not in touched})
+        self._keep_for_baseline({name: slice_ for name, slice_ in slices.items() if name not in touched})
         return explain(state.stage + 1, self.verdict, groups)
 
     def _begin_stage(self, state: RolloutState) -> None:
--- a/lapispick/cli/agent.py
+++ b/lapispick/cli/agent.py
@@ -106,10 +106,10 @@
     print_line(generation.digest)
 
 
-@agent.command()
+@agent.command("shelf")
 @FILE
 @JSON
-def shelf(file: Path | None, json_: bool) -> None:
+def list_generations(file: Path | None, json_: bool) -> None:
     """List the generations stored on this host, and whether their files are what the digests say."""
     store = _generation_store(file)
     found = [(generation, store.verify(generation.digest)) for generation in store.all().values()]
--- a/lapispick/cli/inventory.py
+++ b/lapispick/cli/inventory.py
@@ -17,6 +17,7 @@
 from lapispick.fleet import files, hosts, last_good, snapshot
 from lapispick.fleet.acceptance import MIN_ACCEPT_DIGITS, Acceptance, Observation, Phase, Verdict
 from lapispick.fleet.errors import StateFolderError
+from lapispick.fleet.host_assembly import InventoryHost
 from lapispick.fleet.reading import Reader, Reading
 from lapispick.fleet.schema import ANY_HOST, Schema
 from lapispick.fleet.snapshot import Snapshot
@@ -25,6 +26,7 @@
 
 JSON = click.option("--json", "json_", is_flag=True, help="For programs.")
 PATH = click.option("--path", type=click.Path(path_type=Path), help="Another file or folder than the settings'.")
+ACCEPTED = "accepted"  # names the list that the host accepted last, in place of a file
 GROUP = click.option("--group", help="Another group than the settings'.")
 
 
@@ -50,16 +52,17 @@
 
 def source(conf: Path | None, path: Path | None, group: str | None) -> Source:
     """Return the list that is meant: the AMQP front's group is asked for queues, the fleet's for hosts, none else."""
-    own = load(conf)
-    told, fleet = own.inventory, own.fleet
-    group = group or (told.group if own.amqp.enabled or not fleet.group else fleet.group)
-    made = msgspec.structs.replace(told, path=path or told.path, group=group)
-    if made.path is None:
+    loaded = load(conf)
+    inventory_settings = loaded.inventory
+    fleet = loaded.fleet
+    group = group or (inventory_settings.group if loaded.amqp.enabled or not fleet.group else fleet.group)
+    settings = msgspec.structs.replace(inventory_settings, path=path or inventory_settings.path, group=group)
+    if settings.path is None:
         print_error("no path: name one by --path, or in section inventory of the settings")
         sys.exit(ExitCode.INVALID)
     if fleet.group and group == fleet.group:
-        return Source(msgspec.structs.replace(made, state_folder=fleet.state_folder), hosts.SCHEMA)
-    return Source(made, _amqp() if group == told.group else ANY_HOST)
+        return Source(msgspec.structs.replace(settings, state_folder=fleet.state_folder), hosts.SCHEMA)
+    return Source(settings, _amqp() if group == inventory_settings.group else ANY_HOST)
 
 
 class Files:
@@ -112,6 +115,15 @@
     return found.snapshot if found else None
 
 
+def _require_accepted(settings: InventorySettings) -> Snapshot:
+    """Return the last good list of the host, or end where there is none."""
+    found = _accepted(settings)
+    if found is None:
+        print_error("nothing has been accepted so far")
+        sys.exit(ExitCode.NO_STATE)
+    return found
+
+
 def _when(at: float) -> str:
     return time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(at))
 
@@ -172,62 +184,53 @@
 def list_(file: Path | None, path: Path | None, group: str | None, json_: bool, accepted: bool) -> None:
     """List the hosts with what is read of them; secrets are hidden."""
     where = source(file, path, group)
-    settings, schema = where
     if accepted:
-        _folder(settings)
-    made = _accepted(settings) if accepted else _snapshot(where)
-    if made is None:
-        print_error("nothing has been accepted so far")
-        sys.exit(ExitCode.NO_STATE)
-    listed = [made.hosts[name] for name in sorted(made.hosts)]
+        _folder(where.settings)
+    listed = _require_accepted(where.settings) if accepted else _snapshot(where)
+    listed_hosts = [listed.hosts[name] for name in sorted(listed.hosts)]
     if json_:
-        print_json(
-            [
-                {
-                    "name": host.name,
-                    "host": host.address,
-                    "port": host.port,
-                    "vars": host.shown(schema),
-                    "items": host.items,
-                    "spellings": host.spellings,
-                    "places": [str(p) for p in host.locations],
-                }
-                for host in listed
-            ]
-        )
-    else:
-        print_table(
-            f"{len(listed)} hosts, digest {made.digest}",
-            ("name", "at", "variables", "queues", "place"),
-            (
-                (
-                    host.name,
-                    f"{host.address}:{host.port}",
-                    format_pairs({k: v for k, v in host.shown(schema).items() if v != ""}),
-                    ", ".join(str(item.get(schema.item_name, "")) for item in host.items),
-                    host.locations[0] if host.locations else "",
-                )
-                for host in listed
-            ),
-        )
+        return print_json([_as_json(host, where.schema) for host in listed_hosts])
+    return print_table(
+        f"{len(listed_hosts)} hosts, digest {listed.digest}",
+        ("name", "at", "variables", "queues", "place"),
+        (_as_row(host, where.schema) for host in listed_hosts),
+    )
+
+
+def _as_json(host: InventoryHost, schema: Schema) -> dict[str, Any]:
+    return {
+        "name": host.name,
+        "host": host.address,
+        "port": host.port,
+        "vars": host.shown(schema),
+        "items": host.items,
+        "spellings": host.spellings,
+        "places": [str(location) for location in host.locations],
+    }
+
+
+def _as_row(host: InventoryHost, schema: Schema) -> tuple[object, ...]:
+    return (
+        host.name,
+        f"{host.address}:{host.port}",
+        format_pairs({key: value for key, value in host.shown(schema).items() if value != ""}),
+        ", ".join(str(item.get(schema.item_name, "")) for item in host.items),
+        host.locations[0] if host.locations else "",
+    )
 
 
-def _named(word: str, where: Source) -> Snapshot:
-    if word != "accepted":
-        return _snapshot(where._replace(settings=msgspec.structs.replace(where.settings, path=Path(word))))
+def _named(name: str, where: Source) -> Snapshot:
+    if name != ACCEPTED:
+        return _snapshot(where._replace(settings=msgspec.structs.replace(where.settings, path=Path(name))))
     _folder(where.settings)
-    found = _accepted(where.settings)
-    if found is None:
-        print_error("nothing has been accepted so far")
-        sys.exit(ExitCode.NO_STATE)
-    return found
+    return _require_accepted(where.settings)
 
 
 @inventory.command()
 @FILE
 @GROUP
 @JSON
-@click.argument("old", default="accepted")
+@click.argument("old", default=ACCEPTED)
 @click.argument("new", required=False)
 def diff(file: Path | None, group: str | None, json_: bool, old: str, new: str | None) -> None:
     """Show what makes the list NEW of the list OLD.
@@ -235,7 +238,7 @@
     Each is a file or folder, or the word `accepted` for what the host accepted last; NEW is by default what
     the settings name. Ends with 1 where they differ.
     """
-    where = source(file, Path(old) if old != "accepted" and new is not None else None, group)
+    where = source(file, Path(old) if old != ACCEPTED and new is not None else None, group)
     one = _named(old, where)
     two = _named(new, where) if new is not None else _snapshot(where)
     found = snapshot.difference(one, two)
@@ -350,16 +353,16 @@
     if not digest and status["phase"] != Phase.HELD.value:
         print_error(f"nothing is held back: the list is {status['phase']} ({status['ground']})")
         sys.exit(ExitCode.DIFFERENCES)
-    wanted = (digest or status["candidate"]).lower()
-    if len(wanted) < MIN_ACCEPT_DIGITS or any(c not in "0123456789abcdef" for c in wanted):
+    requested_digest = (digest or status["candidate"]).lower()
+    if len(requested_digest) < MIN_ACCEPT_DIGITS or any(c not in "0123456789abcdef" for c in requested_digest):
         print_error(f"a digest has at least {MIN_ACCEPT_DIGITS} hex digits")
         sys.exit(ExitCode.INVALID)
-    last_good.save_operator_digest(folder, wanted[:32])
-    print_line(f"told the host to accept {wanted}")
+    last_good.save_operator_digest(folder, requested_digest[:32])
+    print_line(f"told the host to accept {requested_digest}")
     end = time.monotonic() + wait
     while wait and time.monotonic() < end:
         status = last_good.load_status(folder) or status
-        if str(status["accepted"]).startswith(wanted):
+        if str(status["accepted"]).startswith(requested_digest):
             return print_line(f"accepted: {status['boxes']} hosts")
         time.sleep(0.05)
     if wait:
--- a/lapispick/cli/leases.py
+++ b/lapispick/cli/leases.py
@@ -160,11 +160,11 @@
         except NoAnswerError as err:
             self._last_failure = str(err)
             return None
-        status, *words = line.split()
+        status, *fields = line.split()
         if status == "ERR":
-            return " ".join(words)
-        if status == "OK" and words[:1] == ["held"]:
-            _, _, token, remaining_s = words
+            return " ".join(fields)
+        if status == "OK" and fields[:1] == ["held"]:
+            _, _, token, remaining_s = fields
             self._expires_at = requested_at + float(remaining_s)  # never later than the host's own
             if self._child is None:
                 self._child = subprocess.Popen(self._command, env={**os.environ, FENCING_TOKEN_VARIABLE: token})
--- a/lapispick/cli/rollout_control.py
+++ b/lapispick/cli/rollout_control.py
@@ -34,9 +34,9 @@
     def accepted_workers(self) -> list[Worker] | None:
         """Return the hosts of a list that was accepted just now; a broken or shrunken list changes nothing."""
         reading = self._files.read()
-        whole = None if reading.faults else snapshot.snapshot_of(reading.hosts)
+        snapshot_read = None if reading.faults else snapshot.snapshot_of(reading.hosts)
         verdict = self._acceptance.observe(
-            time.monotonic(), Observation(whole, reading.faults, reading.incomplete_reason)
+            time.monotonic(), Observation(snapshot_read, reading.faults, reading.incomplete_reason)
         )
         if verdict.accepted is None:
             return None
--- a/lapispick/conf/parser.py
+++ b/lapispick/conf/parser.py
@@ -24,11 +24,11 @@
 
 
 class Line(msgspec.Struct, frozen=True):
-    """One directive: its name, its words and where it is written."""
+    """One directive: its name, its arguments and where it is written."""
 
     location: SourceLocation
     name: str
-    words: tuple[str, ...]
+    arguments: tuple[str, ...]
 
 
 class Section(msgspec.Struct):
@@ -91,42 +91,42 @@
 
     def _parse_line(self, location: SourceLocation, raw: str) -> None:
         try:
-            words = shlex.split(raw, comments=True)
+            tokens = shlex.split(raw, comments=True)
         except ValueError as err:
             return self.faults.add(location, raw.split(maxsplit=1)[0], f"can't be split into words: {err}")
-        if not words:
+        if not tokens:
             return
-        name = words[0]
-        rest = tuple(words[1:])
+        name = tokens[0]
+        arguments = tuple(tokens[1:])
         if name == "include":
-            self._include(location, rest)
+            self._include(location, arguments)
         elif name == "section":
-            self._begin_section(location, rest)
+            self._begin_section(location, arguments)
         elif name == "end":
-            self._end_section(location, rest)
+            self._end_section(location, arguments)
         elif self._open_section is None:
             self.faults.add(location, name, "stands outside of a section")
         else:
-            self._open_section.lines.append(Line(location, name, rest))
+            self._open_section.lines.append(Line(location, name, arguments))
 
-    def _include(self, location: SourceLocation, words: tuple[str, ...]) -> None:
-        if len(words) != 1:
+    def _include(self, location: SourceLocation, arguments: tuple[str, ...]) -> None:
+        if len(arguments) != 1:
             return self.faults.add(location, "include", "takes one path or pattern")
         if self._open_section is not None:
             return self.faults.add(location, "include", f"stands within section {self._open_section.name}")
-        self.file(self._open_files[-1].parent / words[0], location)
+        self.file(self._open_files[-1].parent / arguments[0], location)
 
-    def _begin_section(self, location: SourceLocation, words: tuple[str, ...]) -> None:
-        if len(words) != 1:
+    def _begin_section(self, location: SourceLocation, arguments: tuple[str, ...]) -> None:
+        if len(arguments) != 1:
             return self.faults.add(location, "section", "takes one name")
         if self._open_section is not None:
             self.faults.add(location, "section", f"{self._open_section.name} has no end before this")
-        self._open_section = Section(location, words[0])
+        self._open_section = Section(location, arguments[0])
         self.sections.append(self._open_section)
 
-    def _end_section(self, location: SourceLocation, words: tuple[str, ...]) -> None:
-        if words:
-            self.faults.add(location, "end", f"takes nothing, not {words[0]!r}")
+    def _end_section(self, location: SourceLocation, arguments: tuple[str, ...]) -> None:
+        if arguments:
+            self.faults.add(location, "end", f"takes nothing, not {arguments[0]!r}")
         if self._open_section is None:
             self.faults.add(location, "end", "there is no section to end")
         self._open_section = None
--- a/lapispick/conf/settings.py
+++ b/lapispick/conf/settings.py
@@ -134,10 +134,10 @@
     if line.name in first and not directive.repeatable:
         return faults.add(line.location, line.name, f"stands twice, first at {first[line.name]}")
     first.setdefault(line.name, line.location)
-    if not line.words or (len(line.words) > 1 and not directive.repeatable):
-        return faults.add(line.location, line.name, f"takes one value, not {len(line.words)}")
+    if not line.arguments or (len(line.arguments) > 1 and not directive.repeatable):
+        return faults.add(line.location, line.name, f"takes one value, not {len(line.arguments)}")
     try:
-        parsed = [directive.value(word) for word in line.words]
+        parsed = [directive.value(raw) for raw in line.arguments]
     except ValueError as err:
         return faults.add(line.location, line.name, str(err))
     if directive.parse is value_types.path:
--- a/lapispick/conf/value_types.py
+++ b/lapispick/conf/value_types.py
@@ -1,6 +1,6 @@
 """The types of values that directives take, with their units. No I/O.
 
-Each type parses a word of a line into a value, or raises ``ValueError`` with what is expected.
+Each type parses an argument of a directive into a value, or raises ``ValueError`` with what is expected.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
 DURATION_UNITS_S = {"ms": 0.001, "s": 1.0, "m": 60.0, "h": 3600.0, "d": 86_400.0}
 SIZE_UNITS_BYTES = {"B": 1, "KB": 1 << 10, "MB": 1 << 20, "GB": 1 << 30}
-TRUE_WORDS = ("yes", "on", "true")
-FALSE_WORDS = ("no", "off", "false")
+TRUE_VALUES = ("yes", "on", "true")
+FALSE_VALUES = ("no", "off", "false")
 _FIRST_PRINTABLE = 32  # code point
 
 
@@ -27,55 +27,55 @@
     return float(match.group(1)) * units[match.group(2) or default_unit]
 
 
-def text(word: str) -> str:
+def text(raw: str) -> str:
     """Take any text."""
-    if any(ord(character) < _FIRST_PRINTABLE for character in word):
-        raise ValueError(f"{word!r} holds a control character")
-    return word
+    if any(ord(character) < _FIRST_PRINTABLE for character in raw):
+        raise ValueError(f"{raw!r} holds a control character")
+    return raw
 
 
-def boolean(word: str) -> bool:
+def boolean(raw: str) -> bool:
     """Take ``yes`` or ``no``."""
-    if word.lower() in TRUE_WORDS:
+    if raw.lower() in TRUE_VALUES:
         return True
-    if word.lower() in FALSE_WORDS:
+    if raw.lower() in FALSE_VALUES:
         return False
-    raise ValueError(f"{word!r} is neither yes nor no")
+    raise ValueError(f"{raw!r} is neither yes nor no")
 
 
-def count(word: str) -> int:
+def count(raw: str) -> int:
     """Take a whole number."""
-    if not re.fullmatch(r"\d{1,12}", word):
-        raise ValueError(f"{word!r} is not a whole number such as 20")
-    return int(word)
+    if not re.fullmatch(r"\d{1,12}", raw):
+        raise ValueError(f"{raw!r} is not a whole number such as 20")
+    return int(raw)
 
 
-def duration(word: str) -> float:
+def duration(raw: str) -> float:
     """Take a duration such as ``5s`` or ``200ms``; returns seconds. A bare number is seconds."""
-    return _quantity(word, DURATION_UNITS_S, "s", "a span such as 5s")
+    return _quantity(raw, DURATION_UNITS_S, "s", "a span such as 5s")
 
 
-def byte_size(word: str) -> int:
+def byte_size(raw: str) -> int:
     """Take a size such as ``32MB``; returns bytes. A bare number is bytes."""
-    return int(_quantity(word, SIZE_UNITS_BYTES, "B", "a size such as 32MB"))
+    return int(_quantity(raw, SIZE_UNITS_BYTES, "B", "a size such as 32MB"))
 
 
-def fraction(word: str) -> float:
+def fraction(raw: str) -> float:
     """Take a fraction such as ``17%`` or ``0.17``; returns a number from 0 to 1."""
     try:
-        value = float(word[:-1]) / 100 if word.endswith("%") else float(word)
+        value = float(raw[:-1]) / 100 if raw.endswith("%") else float(raw)
     except ValueError:
         value = float("nan")
     if not isfinite(value) or not 0 <= value <= 1:
-        raise ValueError(f"{word!r} is not a share such as 17% (0% to 100%)")
+        raise ValueError(f"{raw!r} is not a share such as 17% (0% to 100%)")
     return value
 
 
-def path(word: str) -> PurePath:
+def path(raw: str) -> PurePath:
     """Take a path; a relative one counts from the file that names it."""
-    if not word or "\0" in word:
+    if not raw or "\0" in raw:
         raise ValueError("must name a file or folder")
-    return PurePath(word)
+    return PurePath(raw)
 
 
 def shown(value: Any) -> str:
@@ -99,18 +99,18 @@
     minimum: float | None = None
     maximum: float | None = None
     choices: tuple[str, ...] = ()
-    repeatable: bool = False  # takes several words, and may stand on several lines
+    repeatable: bool = False  # takes several arguments, and may stand on several lines
     secret: bool = False
 
-    def value(self, word: str) -> Any:
-        """Read one word; raises ``ValueError``."""
-        value = self.parse(word)
+    def value(self, raw: str) -> Any:
+        """Read one argument; raises ``ValueError``."""
+        value = self.parse(raw)
         if self.choices and value not in self.choices:
-            raise ValueError(f"{word!r} is none of {', '.join(self.choices)}")
+            raise ValueError(f"{raw!r} is none of {', '.join(self.choices)}")
         minimum = self.minimum
         maximum = self.maximum
         if (minimum is not None and value < minimum) or (maximum is not None and value > maximum):
             if minimum is None or maximum is None:
-                raise ValueError(f"{word!r} is out of bounds")
-            raise ValueError(f"{word!r} is outside of {shown(minimum)} to {shown(maximum)}")
+                raise ValueError(f"{raw!r} is out of bounds")
+            raise ValueError(f"{raw!r} is outside of {shown(minimum)} to {shown(maximum)}")
         return value
--- a/lapispick/fleet/entry_parser.py
+++ b/lapispick/fleet/entry_parser.py
@@ -6,10 +6,11 @@
 from typing import Any, NamedTuple
 
 from lapispick.file_errors import FaultCollector, SourceLocation
-from lapispick.fleet import identity, schema
+from lapispick.fleet import identity
+from lapispick.fleet import schema as schemas
 from lapispick.fleet.entries import Entry, Var
 from lapispick.fleet.errors import HostNameError
-from lapispick.fleet.schema import Schema
+from lapispick.fleet.schema import Schema, Variable
 from lapispick.fleet.yaml_values import Map
 
 MAX_ITEMS = 1000  # of one host
@@ -54,8 +55,8 @@
 class EntryParser:
     """Parses entries by one schema."""
 
-    def __init__(self, wanted: Schema, domain: str, environ: Mapping[str, str]) -> None:
-        self._schema = wanted
+    def __init__(self, schema: Schema, domain: str, environ: Mapping[str, str]) -> None:
+        self._schema = schema
         self._domain = domain
         self._environ = environ
 
@@ -92,15 +93,15 @@
 
     def _parse_variables(self, parsed: ParsedEntry) -> dict[str, Any]:
         """Parse the host's variables; return those of items, which hold for each item of the entry."""
-        wanted = self._schema
+        schema = self._schema
         item_defaults: dict[str, Any] = {}
         for key, var in parsed.entry.vars.items():
-            if problem := wanted.unknown(key):
+            if problem := schema.unknown(key):
                 parsed.faults.add(var.location, key, problem)
-            elif key in wanted.host_variables and key not in wanted.address_variables:
+            elif key in schema.host_variables and key not in schema.address_variables:
                 self._parse_host_variable(parsed, key, var)
-            elif key in wanted.item_variables:
-                self._read_into(item_defaults, parsed, wanted.item_variables[key], key, var)
+            elif key in schema.item_variables:
+                self._read_into(item_defaults, parsed, schema.item_variables[key], key, var)
         return item_defaults
 
     def _parse_host_variable(self, parsed: ParsedEntry, key: str, var: Var) -> None:
@@ -116,12 +117,10 @@
             return parsed.faults.add(var.location, key, f"{value} is not set in the environment")
         parsed.values[target] = Var(self._environ[value], var.location)
 
-    def _read_into(
-        self, values: dict[str, Any], parsed: ParsedEntry, variable: schema.Variable, key: str, var: Var
-    ) -> bool:
+    def _read_into(self, values: dict[str, Any], parsed: ParsedEntry, variable: Variable, key: str, var: Var) -> bool:
         """Add a value in its type, or a fault; tell whether it was added."""
         try:
-            values[key] = schema.read(variable, var.value, self._domain)
+            values[key] = schemas.read(variable, var.value, self._domain)
         except (ValueError, OverflowError) as err:
             parsed.faults.add(var.location, key, str(err))
             return False
@@ -129,45 +128,45 @@
 
     def _set_keys(self, parsed: ParsedEntry) -> None:
         """Set the port, and what identifies the host."""
-        wanted = self._schema
-        port_variable = wanted.port_variable
+        schema = self._schema
+        port_variable = schema.port_variable
         if port_variable and (given := parsed.values.get(port_variable)) is not None:
             if parsed.port is not None and parsed.port != given.value:
                 parsed.faults.add(given.location, port_variable, f"{given.value} here, but {parsed.port} in the name")
             parsed.port = given.value
         elif port_variable and parsed.port is None:
-            parsed.port = wanted.host_variables[port_variable].default
+            parsed.port = schema.host_variables[port_variable].default
         parsed.distinguishing = tuple(
-            parsed.values[key].value if key in parsed.values else wanted.host_variables[key].default
-            for key in wanted.distinguishing_variables
+            parsed.values[key].value if key in parsed.values else schema.host_variables[key].default
+            for key in schema.distinguishing_variables
         )
         parsed.name_key = (parsed.name, parsed.distinguishing)
         parsed.address_key = (parsed.address, parsed.port, parsed.distinguishing)
 
     def _parse_items(self, parsed: ParsedEntry, item_defaults: dict[str, Any]) -> None:
-        wanted = self._schema
+        schema = self._schema
         entry_vars = parsed.entry.vars
-        item_list = entry_vars.get(wanted.items_variable) if wanted.items_variable else None
+        item_list = entry_vars.get(schema.items_variable) if schema.items_variable else None
         if item_list is not None:
             self._parse_item_list(parsed, item_defaults, item_list)
-        elif wanted.item_name in item_defaults:
-            parsed.items.append(ParsedItem(item_defaults, entry_vars[wanted.item_name].location))
-        if not parsed.items and not parsed.faults and wanted.item_required:
-            parsed.faults.add(parsed.entry.location, wanted.item_name, "is not told, and a host needs one")
+        elif schema.item_name in item_defaults:
+            parsed.items.append(ParsedItem(item_defaults, entry_vars[schema.item_name].location))
+        if not parsed.items and not parsed.faults and schema.item_required:
+            parsed.faults.add(parsed.entry.location, schema.item_name, "is not told, and a host needs one")
 
     def _parse_item_list(self, parsed: ParsedEntry, item_defaults: dict[str, Any], item_list: Var) -> None:
-        wanted = self._schema
+        schema = self._schema
         location = item_list.location
-        key = wanted.items_variable
-        if not isinstance(item_list.value, list) or wanted.item_name in item_defaults:
-            return parsed.faults.add(location, key, f"must be a list, and then there is no {wanted.item_name}")
+        key = schema.items_variable
+        if not isinstance(item_list.value, list) or schema.item_name in item_defaults:
+            return parsed.faults.add(location, key, f"must be a list, and then there is no {schema.item_name}")
         if len(item_list.value) > MAX_ITEMS:
             return parsed.faults.add(location, key, f"holds more than {MAX_ITEMS}")
         for element in item_list.value:
             if isinstance(element, Map):
                 parsed.items.append(ParsedItem(self._parse_item(parsed, item_defaults, element), element.location))
             elif isinstance(element, str):
-                named = {wanted.item_name: Var(element, location)}
+                named = {schema.item_name: Var(element, location)}
                 parsed.items.append(ParsedItem(self._parse_item(parsed, item_defaults, named), location))
             else:
                 parsed.faults.add(location, key, "holds what is neither a name nor a mapping")
@@ -183,6 +182,6 @@
             else:
                 known = ", ".join(variables)
                 parsed.faults.add(
-                    var.location, key, f"unknown here{schema.suggest_nearest(key, variables)}; there are {known}"
+                    var.location, key, f"unknown here{schemas.suggest_nearest(key, variables)}; there are {known}"
                 )
         return item
--- a/lapispick/fleet/groups.py
+++ b/lapispick/fleet/groups.py
@@ -164,22 +164,22 @@
         self._rows: dict[int, _ResolvedEntry] = {}
         self._inherited: dict[tuple[str, ...], dict[str, Var]] = {}
 
-    def entries(self, tree: GroupTree, wanted: str, domain: str, faults: FaultCollector) -> list[Entry]:
+    def entries(self, tree: GroupTree, group: str, domain: str, faults: FaultCollector) -> list[Entry]:
         """Return the hosts of a group and all below it, in the order of the files."""
-        if not _check_groups(tree, wanted, faults):
+        if not _check_groups(tree, group, faults):
             return []
-        selected = descendants_of(tree.groups, wanted)
+        selected = descendants_of(tree.groups, group)
         inheritance = _Inheritance(tree, domain, self._inherited)
         entries: list[Entry] = []
         hosts: dict[str, _ResolvedEntry] = {}
         for name, direct in _groups_of_hosts(tree.groups).items():
-            if wanted == ALL or selected.intersection(direct):
+            if group == ALL or selected.intersection(direct):
                 hosts[name] = self._resolve_host(tree, name, tuple(direct), inheritance, faults)
                 entries.append(hosts[name].entry)
         rows: dict[int, _ResolvedEntry] = {}
         for group_name, row in tree.rows:
-            if not group_name or wanted == ALL or group_name in selected:
-                entries.append(self._resolve_row(row, group_name or wanted, inheritance, rows))
+            if not group_name or group == ALL or group_name in selected:
+                entries.append(self._resolve_row(row, group_name or group, inheritance, rows))
         # Only what this list uses is retained: groups that are renamed over and over must not add up.
         self._hosts = hosts
         self._rows = rows
@@ -221,13 +221,13 @@
         return resolved.entry
 
 
-def _check_groups(tree: GroupTree, wanted: str, faults: FaultCollector) -> bool:
-    """Tell whether the wanted group exists and no group contains itself; else there is a fault."""
-    is_known = wanted in tree.groups or wanted == ALL or not all(name for name, _ in tree.rows)
+def _check_groups(tree: GroupTree, group: str, faults: FaultCollector) -> bool:
+    """Tell whether the group exists and no group contains itself; else there is a fault."""
+    is_known = group in tree.groups or group == ALL or not all(name for name, _ in tree.rows)
     if not is_known and (tree.groups or tree.rows):
         known = ", ".join(sorted(tree.groups)) or "none"
         problem = f"there is no such group; there are {known[:_MAX_SHOWN_CHARACTERS]}"
-        faults.add(SourceLocation("inventory"), wanted, problem)
+        faults.add(SourceLocation("inventory"), group, problem)
         return False
     if cycle := find_cycle(tree.groups):
         location = tree.groups[cycle[0]].children[cycle[1]]
--- a/lapispick/fleet/host_assembly.py
+++ b/lapispick/fleet/host_assembly.py
@@ -34,22 +34,22 @@
     spellings: tuple[str, ...] = ()  # as the files write it
     locations: tuple[SourceLocation, ...] = msgspec.field(default=(), name="places")
 
-    def shown(self, wanted: Schema) -> dict[str, Any]:
+    def shown(self, schema: Schema) -> dict[str, Any]:
         """Return the variables with secrets hidden."""
-        return {key: _HIDDEN if value and _is_secret(wanted, key) else value for key, value in self.vars.items()}
+        return {key: _HIDDEN if value and _is_secret(schema, key) else value for key, value in self.vars.items()}
 
 
-def _is_secret(wanted: Schema, key: str) -> bool:
-    variable = wanted.host_variables.get(key)
+def _is_secret(schema: Schema, key: str) -> bool:
+    variable = schema.host_variables.get(key)
     return variable is not None and variable.secret
 
 
 class Assembler:
     """Assembles the hosts of one schema; what did not change since the last call is reused."""
 
-    def __init__(self, wanted: Schema, domain: str, environ: Mapping[str, str]) -> None:
-        self._schema = wanted
-        self._parser = EntryParser(wanted, domain, environ)
+    def __init__(self, schema: Schema, domain: str, environ: Mapping[str, str]) -> None:
+        self._schema = schema
+        self._parser = EntryParser(schema, domain, environ)
         self._parsed: dict[int, ParsedEntry] = {}  # by the identity of their entries
         self._hosts: dict[tuple[int, ...], tuple[list[ParsedEntry], InventoryHost]] = {}
 
@@ -141,19 +141,19 @@
 
     def _merge_items(self, group: list[ParsedEntry], faults: FaultCollector) -> tuple[dict[str, Any], ...]:
         """Return the items of all entries in the order of their names."""
-        wanted = self._schema
+        schema = self._schema
         defaults = {
-            key: variable.default for key, variable in wanted.item_variables.items() if variable.default is not None
+            key: variable.default for key, variable in schema.item_variables.items() if variable.default is not None
         }
         items: dict[str, ParsedItem] = {}
         for parsed in group:
             for values, location in parsed.items:
                 item = defaults | values
-                name = item.get(wanted.item_name)
+                name = item.get(schema.item_name)
                 if not name:
-                    faults.add(location, wanted.item_name, "is empty")
+                    faults.add(location, schema.item_name, "is empty")
                 elif name in items:
-                    faults.add(location, wanted.item_name, f"{name!r} stands twice, first at {items[name].location}")
+                    faults.add(location, schema.item_name, f"{name!r} stands twice, first at {items[name].location}")
                 else:
                     items[name] = ParsedItem(item, location)
         return tuple(items[name].values for name in sorted(items))
--- a/lapispick/fleet/schema.py
+++ b/lapispick/fleet/schema.py
@@ -19,8 +19,8 @@
 MAX_TEXT_BYTES = 4096
 _MAX_SHOWN_CHARACTERS = 60  # of a value in a message
 _UNBOUNDED = 1e300
-_TRUE_WORDS = ("true", "yes", "on")
-_FALSE_WORDS = ("false", "no", "off")
+_TRUE_VALUES = ("true", "yes", "on")
+_FALSE_VALUES = ("false", "no", "off")
 
 
 class VariableKind(enum.Enum):
@@ -121,9 +121,9 @@
 def _flag(value: Any, error: ValueError) -> bool:
     if isinstance(value, bool):
         return value
-    if isinstance(value, str) and value.lower() in _TRUE_WORDS:
+    if isinstance(value, str) and value.lower() in _TRUE_VALUES:
         return True
-    if isinstance(value, str) and value.lower() in _FALSE_WORDS:
+    if isinstance(value, str) and value.lower() in _FALSE_VALUES:
         return False
     raise error
 
--- a/lapispick/model/fault_script.py
+++ b/lapispick/model/fault_script.py
@@ -22,7 +22,7 @@
 ALL_HOSTS = "all"
 DEFAULT_SPAN_S = 1.0
 SYNTAX = "AT KIND HOSTS [for SPAN] [VALUE]"
-REQUIRED_WORDS = 3
+MIN_TOKENS = 3
 SPAN_KEYWORD = "for"
 
 
@@ -71,20 +71,20 @@
     """Parse a script; raises ``FaultScriptError``."""
     steps = []
     for number, line in enumerate(text.splitlines(), 1):
-        words = line.partition("#")[0].split()
-        if not words:
+        tokens = line.partition("#")[0].split()
+        if not tokens:
             continue
         try:
-            steps.append(_parse_step(words))
+            steps.append(_parse_step(tokens))
         except ValueError as err:
             raise FaultScriptError(number, str(err)) from None
     return sorted(steps)
 
 
-def _parse_step(words: list[str]) -> FaultStep:
-    if len(words) < REQUIRED_WORDS or words[-1] == SPAN_KEYWORD:
-        raise ValueError(f"{' '.join(words)!r} is not complete")
-    at, kind, hosts, *rest = words
+def _parse_step(tokens: list[str]) -> FaultStep:
+    if len(tokens) < MIN_TOKENS or tokens[-1] == SPAN_KEYWORD:
+        raise ValueError(f"{' '.join(tokens)!r} is not complete")
+    at, kind, hosts, *rest = tokens
     if kind not in tuple(FaultKind):
         raise ValueError(f"{kind} is none of {', '.join(FaultKind)}")
     span = DEFAULT_SPAN_S
--- a/lapispick/model/properties/base.py
+++ b/lapispick/model/properties/base.py
@@ -24,11 +24,11 @@
         raise PropertyError(observed)
 
 
-def require_agreement(cluster: SimulatedCluster, alive: set[str], gone: set[str]) -> None:
+def require_agreement(cluster: SimulatedCluster, alive: set[str], absent: set[str]) -> None:
     """Require that all live members believe each other alive, and the others dead or left."""
     for observer in sorted(alive):
         view = cluster.members[observer].view
-        for name in sorted(alive | gone):
+        for name in sorted(alive | absent):
             expected = (MemberState.ALIVE,) if name in alive else (MemberState.DEAD, MemberState.LEFT)
             if name != observer and view.state_of(name) not in expected:
                 raise PropertyError(f"{observer} believes {name} to be {view.state_of(name)!r} at {cluster.now:.0f}")
--- a/lapispick/rollout/canary_analysis.py
+++ b/lapispick/rollout/canary_analysis.py
@@ -108,8 +108,8 @@
 
     def add_baseline(self, changed: Iterable[str], unchanged: Iterable[str], slices: Mapping[str, Slice]) -> None:
         """Add a slice from before the change: what tells the two groups apart by themselves."""
-        for part in slices.values():
-            for name, counts in part.classes.items():
+        for slice_ in slices.values():
+            for name, counts in slice_.classes.items():
                 times = self._response_times.setdefault(name, {})
                 for bound, count in counts.times.items():
                     times[bound] = times.get(bound, 0) + count
@@ -120,8 +120,8 @@
         """Add a slice with the change; only warm hosts may be in either group."""
         unchanged = list(unchanged)
         if not self._references:
-            for part in (slices[name] for name in unchanged if name in slices):
-                for name, counts in part.classes.items():
+            for slice_ in (slices[name] for name in unchanged if name in slices):
+                for name, counts in slice_.classes.items():
                     self._response_times.setdefault(name, {}).update(counts.times)
             self._update_references()
         self._add(list(changed), unchanged, slices, is_baseline=False)
@@ -157,7 +157,7 @@
         """Compare two halves of the unchanged hosts, always the same ones, to see how groups drift apart."""
         if len(unchanged) < 2:
             return
-        ordered = sorted(unchanged, key=lambda part: part.host)
+        ordered = sorted(unchanged, key=lambda slice_: slice_.host)
         key = _ComparisonKey(kind, is_between_peers=True, is_baseline=is_baseline)
         for metric, values in self._compare(key, ordered[::2], ordered[1::2]).items():
             difference = self._difference(metric)
--- a/lapispick/rollout/group_metrics.py
+++ b/lapispick/rollout/group_metrics.py
@@ -101,6 +101,6 @@
     if served >= MIN_REQUESTS:  # per served request, as a host that rejects less runs more
         values["runs"] = merged.runs / served
     if merged.memory_kb:
-        mean_kb = sum(part.memory_kb for part in group) / len(group)
+        mean_kb = sum(slice_.memory_kb for slice_ in group) / len(group)
         values["memory"] = mean_kb / memory_limit_kb
     return values
--- a/lapispick/rollout/host_calls.py
+++ b/lapispick/rollout/host_calls.py
@@ -47,7 +47,7 @@
 
 
 def _begin_change(state: HostState, call: Change, observation: Observation) -> str:
-    refusal = _change_answered(state, call) or _change_refused(state, call, observation)
+    refusal = _change_answered(state, call) or _change_rejected(state, call, observation)
     if refusal:
         return refusal
     state.target = call.generation
@@ -75,7 +75,7 @@
     return f"ERR undone: {state.fault}" if was_rolled_back else ""
 
 
-def _change_refused(state: HostState, call: Change, observation: Observation) -> str:
+def _change_rejected(state: HostState, call: Change, observation: Observation) -> str:
     """Return why a new change can't begin; empty where it can."""
     serving = _accepting_process(state, observation)
     if serving is None:  # SIGHUP would end a process that is only starting
--- a/lapispick/rollout/messages.py
+++ b/lapispick/rollout/messages.py
@@ -87,7 +87,7 @@
 
 Call = Change | Confirm | RollBack | TakeControl
 
-_WORDS_AFTER_NAME = {
+_ARGUMENT_COUNTS = {
     CallName.TAKE_CONTROL: 1,
     CallName.CONFIRM: 2,
     CallName.ROLL_BACK: 2,
@@ -110,12 +110,12 @@
 
 def decode_call(line: str) -> Call:
     """Read a call; raises ``ValueError`` that says what is wrong."""
-    word, *arguments = line.split()
-    if word not in _WORDS_AFTER_NAME:
-        raise ValueError(f"unknown call {word!r}")
-    name = CallName(word)
-    if len(arguments) != _WORDS_AFTER_NAME[name]:
-        raise ValueError(f"{word} takes {_WORDS_AFTER_NAME[name]} words, not {len(arguments)}")
+    name_text, *arguments = line.split()
+    if name_text not in _ARGUMENT_COUNTS:
+        raise ValueError(f"unknown call {name_text!r}")
+    name = CallName(name_text)
+    if len(arguments) != _ARGUMENT_COUNTS[name]:
+        raise ValueError(f"{name} takes {_ARGUMENT_COUNTS[name]} words, not {len(arguments)}")
     fence = parse_fence(arguments[0])
     if name is CallName.TAKE_CONTROL:
         return TakeControl(fence)
--- a/lapispick/rollout/metrics.py
+++ b/lapispick/rollout/metrics.py
@@ -102,35 +102,37 @@
     return times
 
 
-def add_counts(parts: Sequence[ClassCounts]) -> ClassCounts:
+def add_counts(counts: Sequence[ClassCounts]) -> ClassCounts:
     """Return several counts of a class as one."""
     times: dict[float, int] = {}
-    for part in parts:
-        for bound, count in part.times.items():
+    for each in counts:
+        for bound, count in each.times.items():
             times[bound] = times.get(bound, 0) + count
     return ClassCounts(
-        requests=sum(part.requests for part in parts),
-        rejected=sum(part.rejected for part in parts),
-        failed=sum(part.failed for part in parts),
-        late=sum(part.late for part in parts),
-        weight=sum(part.weight for part in parts),
+        requests=sum(each.requests for each in counts),
+        rejected=sum(each.rejected for each in counts),
+        failed=sum(each.failed for each in counts),
+        late=sum(each.late for each in counts),
+        weight=sum(each.weight for each in counts),
         times=times,
     )
 
 
 def merge_slices(slices: Iterable[Slice], host: str = "") -> Slice | None:
     """Return several slices as one, as if one host had done it all; memory is the largest. None for none."""
-    parts = list(slices)
-    if not parts:
+    merged = list(slices)
+    if not merged:
         return None
-    names = {name for part in parts for name in part.classes}
-    classes = {name: add_counts([part.classes[name] for part in parts if name in part.classes]) for name in names}
+    names = {name for slice_ in merged for name in slice_.classes}
+    classes = {
+        name: add_counts([slice_.classes[name] for slice_ in merged if name in slice_.classes]) for name in names
+    }
     return Slice(
         host,
-        sum(part.duration_s for part in parts) / len(parts),
+        sum(slice_.duration_s for slice_ in merged) / len(merged),
         classes,
-        sum(part.runs for part in parts),
-        max(part.memory_kb for part in parts),
+        sum(slice_.runs for slice_ in merged),
+        max(slice_.memory_kb for slice_ in merged),
     )
 
 
