--- a/tests/fleet_files.py
+++ b/tests/fleet_files.py
@@ -1,4 +1,4 @@
-"""Host lists as configuration tools write them, and short ways to read them."""
+"""Inventories as configuration tools write them, and short ways to read them."""
 
 from msgspec import convert
 
@@ -12,27 +12,31 @@
 
 
 def reader(**over):
+    """Return a reader of the group ``shops``, with other options."""
     return Reader(Options(**{"group": "shops", "schema": SCHEMA, **over}), ENVIRON)
 
 
 def files(text, name="f.yml"):
     """Return files: a text under one name, or several by name."""
-    held = text if isinstance(text, dict) else {name: text}
-    return [File(n, t if isinstance(t, bytes) else t.encode()) for n, t in held.items()]
+    texts = text if isinstance(text, dict) else {name: text}
+    return [File(name, data if isinstance(data, bytes) else data.encode()) for name, data in texts.items()]
 
 
 def read(text, name="f.yml", **over):
+    """Read a text, or several by name."""
     return reader(**over).read(files(text, name))
 
 
 def hosts(text, name="f.yml", **over):
+    """Return the hosts of a text without faults."""
     found = read(text, name, **over)
-    assert not found.faults, [str(f) for f in found.faults]
+    assert not found.faults, [str(fault) for fault in found.faults]
     return found.hosts
 
 
 def faults(text, name="f.yml", **over):
-    return [str(f) for f in read(text, name, **over).faults]
+    """Return the faults of a text as operators see them."""
+    return [str(fault) for fault in read(text, name, **over).faults]
 
 
 def yaml_list(ports):
@@ -44,4 +48,5 @@
 
 
 def csv_list(ports):
-    return "host,amqp_port,amqp_queue\n" + "".join(f"{n},{p},jobs\n" for n, p in ports.items())
+    """Return a CSV list of hosts with these names and ports."""
+    return "host,amqp_port,amqp_queue\n" + "".join(f"{name},{port},jobs\n" for name, port in ports.items())
--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -5,78 +5,93 @@
 import msgspec
 import pytest
 
-from lapispick.rollout import (
-    evidence,
-    metrics,
-)
+from lapispick.rollout import evidence, metrics
 from lapispick.rollout.canary_analysis import Bounds, CanaryAnalysis, Outcome
 from lapispick.rollout.evidence import Series
 
+LOG_20 = 2.9957
+
 
-def test_evidence_rarely_passes_without_a_difference_and_grows_with_one():
-    rng, passed = random.Random(1), 0
+def test_evidence_is_rare_without_a_difference_and_grows_with_one():
+    rng = random.Random(1)
+    false_alarms = 0
     for _ in range(400):
-        run, ever = Series(), False
+        series = Series()
+        is_alarm = False
         for _ in range(100):
-            run.add(rng.gauss(0, 1))
-            ever |= evidence.log_evidence(run.total, run.count, 1.0) >= 2.9957  # log 20
-        passed += ever
-    assert passed / 400 < 0.05
-    run = Series()
+            series.add(rng.gauss(0, 1))
+            is_alarm |= evidence.log_evidence(series.total, series.count, 1.0) >= LOG_20
+        false_alarms += is_alarm
+    assert false_alarms / 400 < 0.05
+    series = Series()
     for _ in range(100):
-        run.add(rng.gauss(0.8, 1))
-    assert evidence.log_evidence(run.total, run.count, 1.0) > 10
-    assert evidence.log_evidence(-run.total, run.count, 1.0) < 0
-    assert abs(run.mean - 0.8) < evidence.confidence_radius(run.count, run.count, 1.0, 0.05)
+        series.add(rng.gauss(0.8, 1))
+    assert evidence.log_evidence(series.total, series.count, 1.0) > 10
+    assert evidence.log_evidence(-series.total, series.count, 1.0) < 0
+    assert abs(series.mean - 0.8) < evidence.confidence_radius(series.count, series.count, 1.0, 0.05)
 
 
-def slices(rng, worse, names, n=40):
-    made = {}
+def draw_slices(rng, extra_rejections, names, count=40):
+    """Return a slice of each host; so many more of its ``count`` requests are rejected, as a fraction."""
+    drawn = {}
     for name in names:
-        refused = sum(rng.random() < 0.05 + worse.get(name, 0.0) for _ in range(n))
-        book = metrics.ClassCounts(n, refused, 0, 0, float(n - refused), {16.0: n})
-        made[name] = metrics.Slice(name, 1.0, {"book": book}, n - refused, 30_000)
-    return made
+        rejected = sum(rng.random() < 0.05 + extra_rejections.get(name, 0.0) for _ in range(count))
+        served = count - rejected
+        book = metrics.ClassCounts(count, rejected, 0, 0, float(served), {16.0: count})
+        drawn[name] = metrics.Slice(name, 1.0, {"book": book}, served, 30_000)
+    return drawn
 
 
 @pytest.mark.parametrize(
-    ("worse", "outcome"), [({"a": 0.0}, Outcome.GOOD), ({"a": 0.3}, Outcome.WORSE), ({"b": 0.3}, None)]
+    ("extra_rejections", "outcomes"),
+    [
+        ({"a": 0.0}, {Outcome.GOOD}),
+        ({"a": 0.3}, {Outcome.WORSE}),
+        ({"b": 0.3}, set(Outcome) - {Outcome.WORSE}),
+    ],
 )
-def test_only_changed_hosts_that_do_worse_are_worse(worse, outcome):
-    rng, analysis = random.Random(2), CanaryAnalysis(Bounds(), {"a": 1, "b": 1, "c": 2})
+def test_only_changed_hosts_that_do_worse_are_worse(extra_rejections, outcomes):
+    rng = random.Random(2)
+    analysis = CanaryAnalysis(Bounds(), {"a": 1, "b": 1, "c": 2})
     for _ in range(60):
-        analysis.add_baseline(["a"], ["b"], slices(rng, {}, "ab"))
+        analysis.add_baseline(["a"], ["b"], draw_slices(rng, {}, "ab"))
     assert analysis.verdict().outcome is Outcome.UNSURE
     for _ in range(100):
-        analysis.add_canary(["a"], ["b"], slices(rng, worse, "ab"))
-    found = analysis.verdict()
-    assert found.outcome is outcome if outcome else found.outcome is not Outcome.WORSE
-    assert found.results
-    assert all(row.low <= row.mean <= row.high for row in found.results)
+        analysis.add_canary(["a"], ["b"], draw_slices(rng, extra_rejections, "ab"))
+    verdict = analysis.verdict()
+    assert verdict.outcome in outcomes
+    assert verdict.results
+    for row in verdict.results:
+        assert row.low <= row.mean <= row.high
 
 
 def test_all_requests_of_a_class_with_few_requests_count():
-    rng, analysis = random.Random(9), CanaryAnalysis(Bounds(), {"a": 1, "b": 1})
+    rng = random.Random(9)
+    analysis = CanaryAnalysis(Bounds(), {"a": 1, "b": 1})
     for n in range(400):
-        (analysis.add_baseline if n < 100 else analysis.add_canary)(
-            ["a"], ["b"], slices(rng, {"a": 0.4} if n >= 100 else {}, "ab", n=2)
-        )
-    found = analysis.verdict()
-    assert found.outcome is Outcome.WORSE
-    assert {row.slices for row in found.results if "book" in row.metric} == {100}
+        if n < 100:
+            analysis.add_baseline(["a"], ["b"], draw_slices(rng, {}, "ab", count=2))
+        else:
+            analysis.add_canary(["a"], ["b"], draw_slices(rng, {"a": 0.4}, "ab", count=2))
+    verdict = analysis.verdict()
+    assert verdict.outcome is Outcome.WORSE
+    assert {row.slices for row in verdict.results if "book" in row.metric} == {100}
 
 
 def test_a_difference_from_before_the_change_does_not_count():
-    rng, analysis = random.Random(6), CanaryAnalysis(Bounds(), {"a": 1, "b": 1})
+    rng = random.Random(6)
+    analysis = CanaryAnalysis(Bounds(), {"a": 1, "b": 1})
     for n in range(160):
-        (analysis.add_baseline if n < 60 else analysis.add_canary)(["a"], ["b"], slices(rng, {"a": 0.2}, "ab"))
+        add = analysis.add_baseline if n < 60 else analysis.add_canary
+        add(["a"], ["b"], draw_slices(rng, {"a": 0.2}, "ab"))
     assert analysis.verdict().outcome is not Outcome.WORSE
 
 
 def test_hosts_of_different_kinds_are_never_compared():
-    rng, analysis = random.Random(2), CanaryAnalysis(Bounds(), {"a": 1, "c": 2})
+    rng = random.Random(2)
+    analysis = CanaryAnalysis(Bounds(), {"a": 1, "c": 2})
     for _ in range(50):
-        analysis.add_canary(["a"], ["c"], slices(rng, {"a": 0.5}, "ac"))
+        analysis.add_canary(["a"], ["c"], draw_slices(rng, {"a": 0.5}, "ac"))
     assert analysis.verdict() == (Outcome.UNSURE, "there is nothing to compare with", ())
 
 
@@ -89,37 +104,39 @@
         "app.generation.ab:1|g",
         "END",
     ]
-    was = metrics.decode_sample(lines, 1.0)
-    now = metrics.decode_sample([lines[0].replace(":5", ":9"), *lines[1:]], 2.0)
-    assert metrics.slice_between("x", was, now).classes["book"][:2] == (4, 0)
-    assert was.generation == "ab"
-    again = msgspec.structs.replace(was, at=3.0)
-    assert metrics.slice_between("x", now, was) is None
-    assert metrics.slice_between("x", now, again) is None
+    earlier = metrics.decode_sample(lines, 1.0)
+    later = metrics.decode_sample([lines[0].replace(":5", ":9"), *lines[1:]], 2.0)
+    assert metrics.slice_between("x", earlier, later).classes["book"][:2] == (4, 0)
+    assert earlier.generation == "ab"
+    restarted = msgspec.structs.replace(earlier, at=3.0)
+    assert metrics.slice_between("x", later, earlier) is None
+    assert metrics.slice_between("x", later, restarted) is None
     for bad in (["x"], ["app.a:1|c"], ["app.a:-1|c", "END"]):
         with pytest.raises(ValueError):
             metrics.decode_sample(bad, 1.0)
 
 
 def test_memory_that_grows_slowly_is_worse_far_below_its_limit():
-    rng, analysis = random.Random(3), CanaryAnalysis(Bounds(), {"a": 1, "b": 1})
+    rng = random.Random(3)
+    analysis = CanaryAnalysis(Bounds(), {"a": 1, "b": 1})
     for n in range(160):
-        now = slices(rng, {}, "ab")
+        now = draw_slices(rng, {}, "ab")
         if n < 60:
             analysis.add_baseline(["a"], ["b"], now)
             continue
         leak = (n - 60) * 400  # kB; a fifth of the limit in 100 slices
         analysis.add_canary(["a"], ["b"], {**now, "a": now["a"]._replace(memory_kb=30_000 + leak + rng.randrange(500))})
-    found = analysis.verdict()
-    assert found.outcome is Outcome.WORSE
-    assert found.reason.startswith("memory")
+    verdict = analysis.verdict()
+    assert verdict.outcome is Outcome.WORSE
+    assert verdict.reason.startswith("memory")
 
 
-def test_unchanged_hosts_that_get_worse_prevent_good_and_stop_nothing():
-    rng, analysis = random.Random(4), CanaryAnalysis(Bounds(), {"a": 1, "b": 1})
+def test_unchanged_hosts_that_get_worse_make_the_verdict_unsure():
+    rng = random.Random(4)
+    analysis = CanaryAnalysis(Bounds(), {"a": 1, "b": 1})
     for n in range(160):
         both = {"a": 0.15, "b": 0.15} if n >= 60 else {}
-        (analysis.add_baseline if n < 60 else analysis.add_canary)(["a"], ["b"], slices(rng, both, "ab"))
-    found = analysis.verdict()
-    assert found.outcome is Outcome.UNSURE
-    assert "that stay as they are got worse" in found.reason
+        (analysis.add_baseline if n < 60 else analysis.add_canary)(["a"], ["b"], draw_slices(rng, both, "ab"))
+    verdict = analysis.verdict()
+    assert verdict.outcome is Outcome.UNSURE
+    assert "that stay as they are got worse" in verdict.reason
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The core by itself, with a recorder in the Controller's place and stand-ins for executor and store."""
+"""The core by itself, with a recorder in place of the controller and fakes of executor and store."""
 
 import gc
 
@@ -16,22 +16,24 @@
 from lapispick.platform_settings import Info, settings_from
 
 
-class Recorder:
-    """Takes the Controller's place: notes the events and answers with the actions that a test gives."""
+class RecordingController:
+    """Records the events, and returns the actions that ``decide`` gives for each."""
 
     def __init__(self, decide):
-        self.seen, self.decide = [], decide
+        self.events = []
+        self.decide = decide
 
     def step(self, now, events):
-        self.seen += events
+        self.events += events
         return [action for event in events for action in self.decide(event)]
 
 
-class Peers:
+class FakePeer:
     """Executor and store in one."""
 
     def __init__(self, host):
-        self.host, self.runs = host, []
+        self.host = host
+        self.runs = []
 
     def meter(self):
         self.host.post(events.GaugesReported((0.5, 2.0)))
@@ -40,26 +42,43 @@
         self.runs.append(tag)
 
     def forget(self, tag):
-        self.forgot = tag
+        pass
+
+
+class FakeLink:
+    """The link to the other process, as far as the core sees it."""
+
+    def __init__(self):
+        self.sent = []
+        self.send = self.sent.append
+
+    def has_unsent(self):
+        return False
+
+    def connections(self):
+        return 0
 
 
 @pytest.fixture
-def rig():
-    def start(decide):
+def make_core():
+    """Return a function that makes an event loop, which stops by itself, and a core that decides as told."""
+
+    def make(decide):
         loop = EventLoop()
         host = core.Core(loop, settings_from(msgspec.convert(PLATFORM_INFO, Info)), 1)
-        host.peers.executor = host.peers.store = Peers(host)
-        host.module.controller = Recorder(decide)
+        host.peers.executor = host.peers.store = FakePeer(host)
+        host.module.controller = RecordingController(decide)
         loop.spawn(host.serve)
         # In two steps: after a stall all timers are due at once, and the core must still have its turn.
         loop.call_later(0.1, loop.call_later, 0.02, loop.stop)
         return loop, host
 
-    return start
+    return make
 
 
-def request(tag, answers, class_index=0, key=None, **over):
-    told = dict(
+def make_request(tag, answers, class_index=0, key=None):
+    """Return a request that adds its tag and the kind of each answer to ``answers``."""
+    return Request(
         request_id=tag,
         handler="any",
         class_index=class_index,
@@ -72,123 +91,123 @@
         idempotency_key=key,
         reply=lambda answer: answers.append((tag, answer.kind)),
     )
-    return Request(**{**told, **over})
 
 
-def test_a_timer_carries_the_gauges_requested_at_the_previous_one(rig):
+def start_keyed(event):
+    """Decide to retain the key of each request and to start its run."""
+    if type(event) is not admission.RequestReceived:
+        return []
+    return [admission.RetainKey(event.id, 5000.0), admission.StartRun(event.id)]
+
+
+def start_or_coalesce(event):
+    """Decide to coalesce retries, and to start the run of each other request."""
+    if type(event) is admission.RequestReceived and event.retry_of:
+        return [admission.Coalesce(event.id)]
+    return start_keyed(event)
+
+
+def start_and_reject(event):
+    """Decide to start the run of each request and to reject it at once."""
+    actions = start_keyed(event)
+    return [*actions, admission.Reject(event.id, 10.0, True)] if actions else []
+
+
+def fail_and_reject(event):
+    """Decide to answer each request twice."""
+    if type(event) is not admission.RequestReceived:
+        return []
+    return [admission.Fail(event.id), admission.Reject(event.id, 0.0, False)]
+
+
+def fail_cancelled(event):
+    """Decide to fail a request once its client has cancelled it."""
+    return [admission.Fail(event.id)] if type(event) is admission.ClientCancelled else []
+
+
+def test_a_timer_carries_the_gauges_requested_at_the_previous_one(make_core):
     def decide(event):
         return [admission.SetTimer(5.0, event.token + 1)] if event.token < 2 else []
 
-    loop, host = rig(decide)
+    loop, host = make_core(decide)
     host.timers.set_timer(admission.SetTimer(1.0, 1))
     loop.run()
-    assert host.module.controller.seen == [
+    assert host.module.controller.events == [
         admission.TimerFired(1, (0, 0.0, 0)),
         admission.TimerFired(2, (0, 0.0, 0, 0.5, 2.0)),
     ]
 
 
-def test_an_exception_of_the_decision_module_fails_the_requests_of_its_batch(rig):
-    loop, host = rig(lambda event: 1 / 0)
+def test_an_exception_of_the_decision_module_fails_the_requests_of_its_batch(make_core):
+    loop, host = make_core(lambda event: 1 / 0)
     answers = []
-    host.post(events.RequestArrived(request("a", answers)))
+    host.post(events.RequestArrived(make_request("a", answers)))
     loop.run()
     assert answers == [("a", AnswerKind.FAILED)]
     assert host.owed == 0
 
 
-def test_a_second_run_of_a_key_is_never_started_whatever_the_module_orders(rig):
-    def decide(event):
-        if type(event) is admission.RequestReceived:
-            return [admission.RetainKey(event.id, 5000.0), admission.StartRun(event.id)]
-        return []
-
-    loop, host = rig(decide)
+def test_a_second_run_of_a_key_is_never_started_whatever_is_decided(make_core):
+    loop, host = make_core(start_keyed)
     answers = []
     for tag in ("a", "b"):
-        host.post(events.RequestArrived(request(tag, answers, class_index=1, key="k")))
+        host.post(events.RequestArrived(make_request(tag, answers, class_index=1, key="k")))
     loop.run()
     assert host.peers.executor.runs == ["a"]
     assert answers == [("b", AnswerKind.FAILED)]
 
 
-def test_an_attempt_that_was_executed_is_never_rejected(rig):
-    def decide(event):
-        if type(event) is admission.RequestReceived:
-            return [
-                admission.RetainKey(event.id, 5000.0),
-                admission.StartRun(event.id),
-                admission.Reject(event.id, 10.0, True),
-            ]
-        return []
-
-    loop, host = rig(decide)
+def test_an_attempt_that_was_executed_is_never_rejected(make_core):
+    loop, host = make_core(start_and_reject)
     answers = []
-    host.post(events.RequestArrived(request("a", answers, class_index=1, key="k")))
+    host.post(events.RequestArrived(make_request("a", answers, class_index=1, key="k")))
     loop.run()
     assert answers == [("a", AnswerKind.FAILED)]
 
 
-def test_each_request_gets_one_answer_and_none_after_its_client_cancelled(rig):
-    def decide(event):
-        return (
-            [admission.Fail(event.id), admission.Reject(event.id, 0.0, False)]
-            if type(event) is admission.RequestReceived
-            else []
-        )
-
-    loop, host = rig(decide)
+def test_each_request_gets_one_answer_and_none_after_its_client_cancelled(make_core):
+    loop, host = make_core(fail_and_reject)
     answers = []
-    host.post(events.RequestArrived(request("a", answers)))
+    host.post(events.RequestArrived(make_request("a", answers)))
     loop.run()
     assert answers == [("a", AnswerKind.FAILED)]
-    quiet, host = rig(lambda event: [admission.Fail(event.id)] if type(event) is admission.ClientCancelled else [])
-    gone = request("b", answers)
-    host.post(events.RequestArrived(gone))
-    host.post(events.ClientCancelled(gone))
-    quiet.run()
+    loop, host = make_core(fail_cancelled)
+    cancelled = make_request("b", answers)
+    host.post(events.RequestArrived(cancelled))
+    host.post(events.ClientCancelled(cancelled))
+    loop.run()
     assert answers == [("a", AnswerKind.FAILED)]
     assert host.owed == 0
 
 
-def test_a_retained_record_holds_nothing_but_its_result(rig):
-    def decide(event):
-        if type(event) is admission.RequestReceived:
-            return [admission.RetainKey(event.id, 5000.0), admission.StartRun(event.id)]
-        return []
-
-    loop, host = rig(decide)
+def test_a_retained_record_holds_nothing_but_its_result(make_core):
+    loop, host = make_core(start_keyed)
     answers = []
-    gc.disable()  # a cycle would hold the request until the collector runs, minutes later
+    gc.disable()  # or a reference cycle would be collected before it is found
     try:
         for n in range(3):
-            host.post(events.RequestArrived(request(f"kept{n}", answers, class_index=1, key=n)))
-            loop.call_later(0.02, host.post, events.RunCompleted(f"kept{n}", admission.Outcome.OK, 1.0, "r"))
+            host.post(events.RequestArrived(make_request(f"retained{n}", answers, class_index=1, key=n)))
+            loop.call_later(0.02, host.post, events.RunCompleted(f"retained{n}", admission.Outcome.OK, 1.0, "r"))
         loop.run()
-        assert len(answers) == len(host.idempotency.table) == 3
+        assert len(answers) == 3
+        assert len(host.idempotency.table) == 3
         assert host.idempotency.table.result_bytes == 3
-        assert not [o for o in gc.get_objects() if type(o) is Request and "kept" in o.request_id]
+        requests = [each for each in gc.get_objects() if type(each) is Request]
+        assert not [request for request in requests if "retained" in request.request_id]
     finally:
         gc.enable()
 
 
-def test_results_over_the_bound_are_evicted_and_their_records_stay(rig):
-    def decide(event):
-        if type(event) is not admission.RequestReceived:
-            return []
-        return (
-            [admission.Coalesce(event.id)]
-            if event.retry_of
-            else [admission.RetainKey(event.id, 5000.0), admission.StartRun(event.id)]
-        )
-
-    loop, host = rig(decide)
+def test_results_over_the_bound_are_evicted_and_their_records_stay(make_core):
+    loop, host = make_core(start_or_coalesce)
     host.idempotency.table.max_result_bytes = 250
     answers = []
     for n in range(5):
-        host.post(events.RequestArrived(request(f"t{n}", answers, class_index=1, key=n)))
+        host.post(events.RequestArrived(make_request(f"t{n}", answers, class_index=1, key=n)))
         loop.call_later(0.02, host.post, events.RunCompleted(f"t{n}", admission.Outcome.OK, 1.0, "r" * 100))
-        loop.call_later(0.04, host.post, events.RequestArrived(request(f"again{n}", answers, class_index=1, key=n)))
+        loop.call_later(
+            0.04, host.post, events.RequestArrived(make_request(f"again{n}", answers, class_index=1, key=n))
+        )
     loop.run()
     assert dict(answers) == {
         **{f"t{n}": AnswerKind.SERVED for n in range(5)},
@@ -200,56 +219,36 @@
     assert host.idempotency.table.result_bytes == 200
 
 
-class Link:
-    """The other process, as far as the core sees it."""
-
-    def __init__(self):
-        self.sent = []
-        self.send = self.sent.append
-
-    def has_unsent(self):
-        return False
-
-    def connections(self):
-        return 0
-
-
-def keyed(event):
-    return (
-        [admission.RetainKey(event.id, 5000.0), admission.StartRun(event.id)]
-        if type(event) is admission.RequestReceived
-        else []
-    )
-
-
-def test_an_attempt_cancelled_while_its_claim_waits_is_not_started_and_releases_its_key(rig):
-    loop, host = rig(keyed)
-    answers, link = [], Link()
-    asked = request("a", answers, class_index=1, key=("k",))
+def test_an_attempt_cancelled_while_its_claim_waits_is_not_started_and_releases_its_key(make_core):
+    loop, host = make_core(start_keyed)
+    answers = []
+    link = FakeLink()
+    cancelled = make_request("a", answers, class_index=1, key=("k",))
     host.post(events.PeerConnected(link, owns_keys=True))
-    host.post(events.RequestArrived(asked))
-    loop.call_later(0.02, host.post, events.ClientCancelled(asked))
+    host.post(events.RequestArrived(cancelled))
+    loop.call_later(0.02, host.post, events.ClientCancelled(cancelled))
     loop.call_later(
         0.04,
         lambda: host.post(events.PeerMessage(link, messages.ClaimGranted(1, ("k",), link.sent[0].expires_at_ms))),
     )
     loop.run()
-    assert [type(m) for m in link.sent] == [messages.ClaimRequest, messages.KeyReleased]
+    assert [type(message) for message in link.sent] == [messages.ClaimRequest, messages.KeyReleased]
     assert not host.peers.executor.runs
     assert not answers
     assert not len(host.idempotency.table)
     assert not len(host.requests)
-    assert host.module.controller.seen[-2:] == [
+    assert host.module.controller.events[-2:] == [
         admission.ClientCancelled(1),
         admission.RunCompleted(1, admission.Outcome.CANCELLED, 0.0),
     ]
 
 
-def test_an_attempt_denied_by_the_other_process_gets_its_result_and_teaches_no_run_time(rig):
-    loop, host = rig(keyed)
-    answers, link = [], Link()
+def test_an_attempt_denied_by_the_other_process_gets_its_result_and_no_run_time_is_learned(make_core):
+    loop, host = make_core(start_keyed)
+    answers = []
+    link = FakeLink()
     host.post(events.PeerConnected(link, owns_keys=True))
-    host.post(events.RequestArrived(request("a", answers, class_index=1, key=("k",))))
+    host.post(events.RequestArrived(make_request("a", answers, class_index=1, key=("k",))))
     for after, message in (
         (0.02, messages.KeyClaimed(("k",), 6000.0, digest_request("any", ""))),
         (0.03, messages.ClaimDenied(1, ("k",))),
@@ -260,18 +259,20 @@
     assert answers == [("a", AnswerKind.SERVED)]
     assert not host.peers.executor.runs
     assert not len(host.requests)
-    assert host.module.controller.seen[-2:] == [
+    assert host.module.controller.events[-2:] == [
         admission.ClientCancelled(1),
         admission.RunCompleted(1, admission.Outcome.CANCELLED, 0.0),
     ]
 
 
-def test_messages_of_a_link_that_has_ended_are_ignored(rig):
-    loop, host = rig(keyed)
-    answers, link, next_link = [], Link(), Link()
+def test_messages_of_a_link_that_has_ended_are_ignored(make_core):
+    loop, host = make_core(start_keyed)
+    answers = []
+    link = FakeLink()
+    next_link = FakeLink()
     host.post(events.PeerConnected(link, owns_keys=True))
     host.post(events.PeerConnected(next_link, owns_keys=True))
-    host.post(events.RequestArrived(request("a", answers, class_index=1, key=("k",))))
+    host.post(events.RequestArrived(make_request("a", answers, class_index=1, key=("k",))))
     loop.call_later(0.02, host.post, events.PeerMessage(link, messages.ClaimGranted(1, ("k",), 1e13)))
     loop.call_later(0.03, host.post, events.PeerDisconnected(link, True))
     loop.run()
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -32,7 +32,7 @@
     assert len(harness.actions_of(StartRun)) == 5
 
 
-def test_concurrency_limit_grows_while_cores_are_idle_and_falls_when_they_are_crowded(make_harness):
+def test_concurrency_limit_grows_while_cores_are_idle_and_falls_under_contention(make_harness):
     harness = make_harness(cores=4)
     for _ in range(30):
         harness.step(*[harness.request(deadline_at=harness.now + 3000) for _ in range(3)])
@@ -49,7 +49,7 @@
         harness.step(harness.request(deadline_at=i * 100.0 + 25), at=i * 100.0)
         harness.tick(40, gauges=(0.1, 0.0))
     assert harness.actions_of(Reject)
-    assert all(a.value < 0.02 for a in harness.actions_of(Advertise))
+    assert all(action.value < 0.02 for action in harness.actions_of(Advertise))
 
 
 def test_shedding_raises_the_backpressure_level_and_idle_time_lowers_it(make_harness):
@@ -57,7 +57,7 @@
     for i in range(60):
         harness.step(*[harness.request(deadline_at=harness.now + 1000, rank=(i * 7 % 10) / 10) for _ in range(3)])
         harness.tick(120)
-    peak = max(a.value for a in harness.actions_of(Advertise))
+    peak = max(action.value for action in harness.actions_of(Advertise))
     assert peak > 0.2
     harness.tick(20_000)
     assert harness.actions_of(Advertise)[-1].value < 1e-9
@@ -65,22 +65,23 @@
 
 def test_late_reading_raises_the_backpressure_level(make_harness):
     harness = make_harness(cores=4)
-    for i in range(40):  # one at a time: the hold stays empty, but reading is behind
+    for i in range(40):  # one at a time: the queue stays empty, but reading is late
         request = harness.request(deadline_at=harness.now + 3000, age_ms=600, rank=(i * 7 % 10) / 10)
         harness.step(request)
         harness.step(RunCompleted(request.id, Outcome.OK, 20), at=harness.now + 20)
         harness.tick(100)
-    assert max(a.value for a in harness.actions_of(Advertise)) > 0.2
+    assert max(action.value for action in harness.actions_of(Advertise)) > 0.2
 
 
 def test_request_of_higher_priority_weight_starts_first(make_harness):
     harness = make_harness(cores=1)
     harness.tick(40)
     harness.step(harness.request(AT_MOST_ONCE, deadline_at=3900))
-    cheap, dear = harness.request(IDEMPOTENT, deadline_at=3900), harness.request(AT_MOST_ONCE, deadline_at=3900)
-    harness.step(cheap, dear)
+    light = harness.request(IDEMPOTENT, deadline_at=3900)
+    heavy = harness.request(AT_MOST_ONCE, deadline_at=3900)
+    harness.step(light, heavy)
     harness.step(RunCompleted(1, Outcome.OK, 100), at=100)
-    assert harness.actions_of(StartRun)[1].id == dear.id
+    assert harness.actions_of(StartRun)[1].id == heavy.id
 
 
 def test_credit_falls_under_overload_and_stays_positive(make_harness):
@@ -88,7 +89,7 @@
     for _ in range(80):
         harness.step(*[harness.request(deadline_at=harness.now + 1000) for _ in range(3)])
         harness.tick(120)
-    values = [a.value for a in harness.actions_of(Advertise)]
+    values = [action.value for action in harness.actions_of(Advertise)]
     assert 0 < min(values) < 2
 
 
@@ -107,37 +108,37 @@
     harness = make_harness(cores=1)
     harness.step(*[harness.request(deadline_at=3000) for _ in range(40)])
     assert harness.actions_of(Reject)
-    assert all(120 <= a.retry_after_ms <= 180 for a in harness.actions_of(Reject))
+    assert all(120 <= action.retry_after_ms <= 180 for action in harness.actions_of(Reject))
 
 
 def test_slow_calls_lower_the_downstream_limit(make_harness):
     harness = make_harness(call_quota=5, cores=10)
     now = 0.0
-    for took in [50] * 20 + [600] * 30:
+    for duration_ms in [50] * 20 + [600] * 30:
         request = harness.request(AT_MOST_ONCE, deadline_at=now + 3900)
         harness.step(request, at=now)
         harness.step(CallRequested(request.id), at=now + 5)
-        now = now + 5 + took
+        now = now + 5 + duration_ms
         if harness.actions_of(StartCall, request.id):
-            harness.step(CallCompleted(request.id, Outcome.OK, took), at=now)
-        harness.step(RunCompleted(request.id, Outcome.OK, took + 10), at=now + 5)
+            harness.step(CallCompleted(request.id, Outcome.OK, duration_ms), at=now)
+        harness.step(RunCompleted(request.id, Outcome.OK, duration_ms + 10), at=now + 5)
         now += 1000
     assert harness.state.downstream.limit == pytest.approx(1.0)
 
 
 def make_calls(harness, ends, class_index):
     """Let one request at a time make a call that ends so; return the actions for the last one."""
-    for took, outcome in ends:
+    for duration_ms, outcome in ends:
         request = harness.request(class_index, deadline_at=harness.now + 3900)
         harness.step(request)
         harness.step(CallRequested(request.id), at=harness.now + 5)
-        last = len(harness.actions)
+        action_count = len(harness.actions)
         if harness.actions_of(StartCall, request.id):
-            harness.step(CallCompleted(request.id, outcome, took), at=harness.now + took)
-        last = harness.actions[last:]
-        harness.step(RunCompleted(request.id, Outcome.OK, took + 10), at=harness.now + 5)
+            harness.step(CallCompleted(request.id, outcome, duration_ms), at=harness.now + duration_ms)
+        last_actions = harness.actions[action_count:]
+        harness.step(RunCompleted(request.id, Outcome.OK, duration_ms + 10), at=harness.now + 5)
         harness.tick(400)
-    return last
+    return last_actions
 
 
 def test_many_lost_replies_lower_the_downstream_limit_and_single_ones_do_not(make_harness):
@@ -156,13 +157,13 @@
 def test_skippable_call_with_a_lost_reply_is_retried_once_with_a_short_timeout(make_harness):
     harness = make_harness(call_quota=5, cores=10)
     last = make_calls(harness, [(50, Outcome.OK)] * 9 + [(60, Outcome.ERROR)], SKIPPABLE)
-    assert [type(a) for a in last] == [StartCall]
+    assert [type(action) for action in last] == [StartCall]
     assert last[0].timeout_ms == pytest.approx(400)
     harness.step(*[harness.request(SKIPPABLE, deadline_at=harness.now + 3900)])
     harness.step(CallRequested(harness.next_id), at=harness.now + 5)
     for expected in (StartCall, SkipCall):
         got = harness.step(CallCompleted(harness.next_id, Outcome.RESET, 10), at=harness.now + 10)
-        assert [type(a) for a in got] == [expected]
+        assert [type(action) for action in got] == [expected]
 
 
 def test_scarce_calls_reject_only_requests_that_need_one(make_harness):
@@ -174,28 +175,26 @@
         harness.step(request)
     harness.step(*[CallRequested(request.id) for request in many], at=harness.now + 5)
     assert len(harness.state.downstream.waiting) > 20
-    writes, read = (
-        harness.request(AT_MOST_ONCE, deadline_at=harness.now + 3900),
-        harness.request(SKIPPABLE, deadline_at=harness.now + 3900),
-    )
-    harness.step(writes)
-    harness.step(read)
-    assert harness.actions_of(Reject, writes.id)
-    assert harness.actions_of(StartRun, read.id)
-    assert not harness.actions_of(Reject, read.id)
+    needs_call = harness.request(AT_MOST_ONCE, deadline_at=harness.now + 3900)
+    skippable = harness.request(SKIPPABLE, deadline_at=harness.now + 3900)
+    harness.step(needs_call)
+    harness.step(skippable)
+    assert harness.actions_of(Reject, needs_call.id)
+    assert harness.actions_of(StartRun, skippable.id)
+    assert not harness.actions_of(Reject, skippable.id)
 
 
 def test_draining_server_admits_within_the_grace_and_then_keeps_clients_away(make_harness):
     harness = make_harness(cores=1)
     harness.step(harness.request(deadline_at=3900), harness.request(deadline_at=3900))
     harness.step(admission.ShutdownRequested(4000), at=10)
-    waits = harness.request(deadline_at=4000)  # there is work ahead of it, and most of the grace of 1 s is left
-    harness.step(waits)
+    queued = harness.request(deadline_at=4000)  # there is work ahead of it, and most of the grace of 1 s is left
+    harness.step(queued)
     harness.tick(400)
-    assert not harness.actions_of(Reject, waits.id)
-    assert not [a for a in harness.actions_of(Advertise) if a.value == 1]
-    for rid in (1, 2, waits.id):
-        harness.step(RunCompleted(rid, Outcome.OK, 100))
+    assert not harness.actions_of(Reject, queued.id)
+    assert not [action for action in harness.actions_of(Advertise) if action.value == 1]
+    for request_id in (1, 2, queued.id):
+        harness.step(RunCompleted(request_id, Outcome.OK, 100))
     harness.tick(400)
     in_grace = harness.request(deadline_at=4800)
     harness.step(in_grace)
@@ -219,9 +218,9 @@
         {"classes": (make_class(latency_objective_ms=5000),)},
         {"classes": (make_class(idempotency=admission.Idempotency.KEYED, idempotency_window_ms=0),)},
     ]
-    for over in bad:
+    for changes in bad:
         with pytest.raises(ValueError):
-            Controller(msgspec.structs.replace(good, **over), 1, 0)
+            Controller(msgspec.structs.replace(good, **changes), 1, 0)
     Controller(good, 1, 0)
 
 
@@ -245,20 +244,17 @@
 
 def test_retry_of_an_unknown_caller_is_recognised_by_its_time_left(make_harness):
     harness = make_harness()
-    for i in range(40):  # first tries of forty callers come with the whole deadline
+    for i in range(40):  # first attempts of forty callers come with the full deadline
         request = harness.request(deadline_at=harness.now + 4000, caller=i)
         harness.step(request)
         harness.step(RunCompleted(request.id, Outcome.OK, 5), at=harness.now + 5)
         harness.tick(90)
-    first, further = (
-        harness.request(deadline_at=harness.now + 4000, caller=98),
-        harness.request(deadline_at=harness.now + 2500, caller=99),
-    )
-    harness.step(first, further)
+    first = harness.request(deadline_at=harness.now + 4000, caller=98)
+    retry = harness.request(deadline_at=harness.now + 2500, caller=99)
+    harness.step(first, retry)
     assert harness.state.requests[first.id].objective_at == harness.now + 1000
-    assert (
-        further.id not in harness.state.requests or harness.state.requests[further.id].objective_at == harness.now - 500
-    )
+    if retry.id in harness.state.requests:
+        assert harness.state.requests[retry.id].objective_at == harness.now - 500
 
 
 def test_first_attempts_of_callers_with_two_timeouts_are_both_recognised(make_harness):
@@ -268,9 +264,9 @@
         harness.step(request)
         harness.step(RunCompleted(request.id, Outcome.OK, 5), at=harness.now + 5)
         harness.tick(90)
-    hasty = harness.request(deadline_at=harness.now + 900, caller=99)
-    harness.step(hasty)
-    assert harness.state.requests[hasty.id].objective_at == harness.now + 1000
+    short = harness.request(deadline_at=harness.now + 900, caller=99)
+    harness.step(short)
+    assert harness.state.requests[short.id].objective_at == harness.now + 1000
 
 
 def test_deadline_of_a_call_is_the_objective_of_a_lower_tier(make_harness):
@@ -286,10 +282,11 @@
     assert harness.actions_of(Reject)
     harness.tick(500)
     assert harness.actions_of(Advertise)
-    assert all(a.value > 0 for a in harness.actions_of(Advertise))
+    assert all(action.value > 0 for action in harness.actions_of(Advertise))
 
 
 def serve_each(harness, callers, count=120):
+    """Serve one request after the other, from so many callers in turn."""
     for i in range(count):
         request = harness.request(deadline_at=harness.now + 3000, caller=i % callers)
         harness.step(request)
@@ -321,10 +318,10 @@
     assert not harness.actions_of(SetIdleTimeout)
 
 
-def test_single_crowded_gauge_readings_do_not_lower_the_concurrency_limit(make_harness):
+def test_single_gauge_readings_of_contention_do_not_lower_the_concurrency_limit(make_harness):
     harness = make_harness(cores=2)
     harness.state.concurrency_limit.value = 4.0
-    for _ in range(60):  # reading makes every other look at the cores a crowd; their mean is not
+    for _ in range(60):  # every other reading shows contention; their mean does not
         harness.step(admission.TimerFired(0, (0.9, 5.0)), at=harness.now + 40)
         harness.step(admission.TimerFired(0, (0.9, 0.0)), at=harness.now + 40)
     assert harness.state.concurrency_limit.value == 4.0
@@ -351,32 +348,51 @@
     assert len(harness.actions_of(StartCall)) == 40
 
 
+class HangingCalls:
+    """A dependency whose calls hang until they time out, one after the other; ``in_flight`` has a row for each tick."""
+
+    def __init__(self, harness):
+        self.harness = harness
+        self.in_flight = []
+        self.started_count = 0
+        self._call = None  # the action, when it started and when it times out
+
+    def step(self):
+        """Time the present call out if it is due, and take the one that was started meanwhile."""
+        harness = self.harness
+        if self._call is not None:
+            action, started_at, ends_at = self._call
+            if harness.now >= ends_at:
+                harness.step(CallCompleted(action.id, Outcome.TIMEOUT, ends_at - started_at))
+                self._call = None
+        for action in harness.actions_of(StartCall)[self.started_count :]:
+            self._call = (action, harness.now, harness.now + action.timeout_ms)
+            self.started_count += 1
+        self.in_flight.append(self._call is not None)
+
+
 def test_hanging_calls_stay_within_a_quota_under_one_call(make_harness):
     harness = make_harness(call_quota=0.43, cores=4)
     harness.step(*[harness.request(AT_MOST_ONCE, deadline_at=3900) for _ in range(4)])
     harness.step(*[CallRequested(number) for number in range(1, 5)], at=5.0)
-    out, held, began = None, [], 0
-    while harness.now < 12_000:  # each call hangs until it is given up
+    calls = HangingCalls(harness)
+    while harness.now < 12_000:
         harness.tick(40)
-        if out and harness.now >= out[1]:
-            harness.step(CallCompleted(out[0], Outcome.TIMEOUT, out[1] - out[2]))
-            out = None
-        for a in harness.actions_of(StartCall)[began:]:
-            out = (a.id, harness.now + a.timeout_ms, harness.now)
-            began += 1
-        held.append(out is not None)
-        if len(held) % 10 == 0:
+        calls.step()
+        if len(calls.in_flight) % 10 == 0:
             request = harness.request(AT_MOST_ONCE, deadline_at=harness.now + 3900)
             harness.step(request)
             if harness.actions_of(StartRun, request.id):
                 harness.step(CallRequested(request.id))
-    assert began >= 2
-    windows = [sum(held[i : i + 125]) / 125 for i in range(len(held) - 125)]  # 125 ticks are 5 s
-    assert max(windows) < 0.43
+    assert calls.started_count >= 2
+    window = 125  # ticks of 40 ms, 5 s
+    in_flight = calls.in_flight
+    means = [sum(in_flight[i : i + window]) / window for i in range(len(in_flight) - window)]
+    assert max(means) < 0.43
 
 
 def test_one_slow_run_does_not_reject_its_class_for_good(make_harness):
-    """The first run of a class took twice its aim; those that come after it are tried, and set the estimate right."""
+    """The first run of a class duration_ms twice its objective; later ones are admitted, and correct the estimate."""
     harness = make_harness()
     harness.step(first := harness.request())
     harness.step(RunCompleted(first.id, Outcome.OK, 2000.0), at=2000.0)
@@ -387,16 +403,16 @@
     assert harness.state.run_estimates.core_ms[0] < 200.0
 
 
-@pytest.mark.parametrize(("left", "runs"), [(750.0, True), (650.0, False)])
-def test_queued_request_starts_while_seven_tenths_of_its_objective_are_left(make_harness, left, runs):
+@pytest.mark.parametrize(("time_left_ms", "is_started"), [(750.0, True), (650.0, False)])
+def test_queued_request_starts_while_seven_tenths_of_its_objective_are_left(make_harness, time_left_ms, is_started):
     harness = make_harness(cores=1)
     harness.step(first := harness.request())
     harness.step(RunCompleted(first.id, Outcome.OK, 2000.0), at=2000.0)
     harness.step(running := harness.request())
-    harness.step(held := harness.request())
+    harness.step(queued := harness.request())
     assert harness.actions_of(StartRun, running.id)
-    assert not harness.actions_of(StartRun, held.id)
-    assert not harness.final_answers(held.id)
-    harness.step(RunCompleted(running.id, Outcome.OK, 2000.0), at=3000.0 - left)
-    assert bool(harness.actions_of(StartRun, held.id)) is runs
-    assert len(harness.final_answers(held.id)) == (not runs)
+    assert not harness.actions_of(StartRun, queued.id)
+    assert not harness.final_answers(queued.id)
+    harness.step(RunCompleted(running.id, Outcome.OK, 2000.0), at=3000.0 - time_left_ms)
+    assert bool(harness.actions_of(StartRun, queued.id)) is is_started
+    assert len(harness.final_answers(queued.id)) == (not is_started)
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -21,8 +21,9 @@
 
 
 def stored(state=KeyState.COMPLETED, incarnation=1, created_at_ms=0.0, expires_at_ms=WINDOW, result=b"r"):
-    kept = result if state is KeyState.COMPLETED else None
-    return DurableRecord(state, incarnation, created_at_ms, expires_at_ms, b"body", kept)
+    """Return a record as it is stored; only a completed one has a result."""
+    stored_result = result if state is KeyState.COMPLETED else None
+    return DurableRecord(state, incarnation, created_at_ms, expires_at_ms, b"body", stored_result)
 
 
 @pytest.mark.parametrize(
@@ -47,12 +48,12 @@
     assert records.decide(stored(result=None), b"body", 5.0) is Verdict.FAIL
 
 
-def test_a_window_counts_from_creation_and_no_clock_ahead_extends_it():
+def test_a_window_counts_from_creation_and_is_not_extended_by_a_clock_ahead():
     assert records.intend(None, 1, b"", 100.0, WINDOW, 300.0).expires_at_ms == 100.0 + WINDOW
     assert records.intend(None, 1, b"", 1e9, WINDOW, 300.0).expires_at_ms == 300.0 + WINDOW
 
 
-def test_steps_out_of_order_are_faults_of_the_program():
+def test_transitions_out_of_order_are_errors():
     for step in (
         lambda: records.complete(stored(KeyState.INTENDED), b""),
         lambda: records.fail(stored(KeyState.OUTCOME_UNKNOWN)),
@@ -67,7 +68,7 @@
         records.recover(stored(KeyState.STARTED, incarnation=3), 3, 5.0)
 
 
-def test_a_new_incarnation_doubts_what_is_unknown_and_drops_what_has_expired():
+def test_a_new_incarnation_marks_outcomes_unknown_and_drops_expired_records():
     for state in (KeyState.INTENDED, KeyState.STARTED):
         unknown = records.recover(stored(state), 2, 5.0)
         assert unknown.state is KeyState.OUTCOME_UNKNOWN
@@ -81,10 +82,16 @@
     """A host that may crash between any two of its steps; ``disk`` survives, ``executions`` is the executor's log."""
 
     def __init__(self, seed):
-        self.rng, self.now, self.incarnation = random.Random(seed), 0.0, 1
-        self.disk, self.memory, self.executions, self.answered = {}, {}, {}, {}
+        self.rng = random.Random(seed)
+        self.now = 0.0
+        self.incarnation = 1
+        self.disk = {}  # key -> record
+        self.memory = {}  # key -> record
+        self.executions = {}  # key -> when the window of each execution ends
+        self.answered = {}  # key -> the result that was answered
 
     def crashes(self):
+        """Tell whether the host crashes here; it has recovered then."""
         if self.rng.random() >= 0.1:
             return False
         self.incarnation += 1
@@ -94,6 +101,7 @@
         return True
 
     def attempt(self, key):
+        """Take an attempt of a key, and carry it through unless the host crashes."""
         verdict = records.decide(self.memory.get(key), b"body", self.now)
         if verdict is Verdict.REPLAY:
             assert self.memory[key].result == self.answered.get(key, self.memory[key].result)
@@ -110,9 +118,11 @@
             return
         if self.rng.random() < 0.1:  # its deadline passed first
             records.withdraw(record)
-            del self.memory[key], self.disk[key]
+            del self.memory[key]
+            del self.disk[key]
             return
-        self.memory[key] = record = records.start(record)
+        record = records.start(record)
+        self.memory[key] = record
         executions = self.executions.setdefault(key, [])
         assert not any(self.now < expires_at_ms for expires_at_ms in executions), "executed twice within the window"
         executions.append(record.expires_at_ms)
@@ -120,6 +130,7 @@
             self.finish(key, record)
 
     def finish(self, key, record):
+        """End an execution with a result or a failure."""
         if self.rng.random() < 0.8:
             record = records.complete(record, b"%d" % self.rng.getrandbits(32))
         else:
@@ -135,7 +146,7 @@
 
 
 @pytest.mark.parametrize("seeds", [range(at, at + 250) for at in range(0, 1000, 250)])
-def test_a_host_that_crashes_anywhere_executes_no_key_twice_and_contradicts_no_answer(seeds):
+def test_a_host_that_crashes_anywhere_executes_no_key_twice_and_repeats_its_answers(seeds):
     incarnations = 0
     for seed in seeds:
         host = CrashingHost(seed)
@@ -151,7 +162,7 @@
     assert incarnations > 1000  # there were crashes
 
 
-def test_results_are_evicted_for_capacity_and_records_never():
+def test_results_are_evicted_for_capacity_and_records_are_not():
     budget = StorageBudget(max_bytes=100 * RECORD_BYTES)
     for n in range(80):
         budget.add_record()
@@ -172,7 +183,8 @@
 
 
 def test_a_write_is_admitted_only_where_its_syncs_fit():
-    admission, now = WriteAdmission(allow_unguarded=False), 1000.0
+    admission = WriteAdmission(allow_unguarded=False)
+    now = 1000.0
     for _ in range(60):
         admission.on_sync_started(now)
         admission.on_sync_completed(now + 4.0)
@@ -189,8 +201,10 @@
 @pytest.mark.parametrize(
     ("allow_unguarded", "expected"), [(False, WriteDecision.REJECT), (True, WriteDecision.UNGUARDED)]
 )
-def test_a_disk_that_fails_is_tried_again_with_a_growing_backoff(allow_unguarded, expected):
-    admission, now, backoffs = WriteAdmission(allow_unguarded), 0.0, []
+def test_a_failing_disk_is_retried_with_a_growing_backoff(allow_unguarded, expected):
+    admission = WriteAdmission(allow_unguarded)
+    now = 0.0
+    backoffs = []
     for _ in range(9):
         admission.on_sync_started(now)
         admission.on_sync_failed(now, unavailable=True)
@@ -207,16 +221,16 @@
     assert admission.failures == 0
 
 
-def test_the_store_loads_what_was_written_and_deletes_what_has_expired(tmp_path):
+def test_the_store_loads_written_records_and_deletes_expired_ones(tmp_path):
     store = Database(tmp_path / "x.db", "n3")
-    made = {b"%d" % n: stored(list(KeyState)[n % 5], expires_at_ms=100.0 * n) for n in range(50)}
-    store.write(made.items())
+    written = {b"%d" % n: stored(list(KeyState)[n % 5], expires_at_ms=100.0 * n) for n in range(50)}
+    store.write(written.items())
     store.write([(b"7", None), (b"8", stored())])
-    del made[b"7"]
-    made[b"8"] = stored()
+    del written[b"7"]
+    written[b"8"] = stored()
     store.close()
     again = Database(tmp_path / "x.db", "n3")
-    assert dict(again.load()) == made
+    assert dict(again.load()) == written
     assert again.incarnation == 2
     assert again.check() == []
     assert again.expire(1000.0, 4) == 4
@@ -236,7 +250,7 @@
     new.write([(b"a", stored())])
 
 
-def test_files_that_are_not_ours_are_refused_with_the_reason(tmp_path):
+def test_files_of_another_host_version_or_format_are_rejected_with_the_reason(tmp_path):
     Database(tmp_path / "x.db", "n3").close()
     with pytest.raises(StoreUnusableError, match="belongs to the host n3, not n4"):
         Database(tmp_path / "x.db", "n4")
@@ -249,7 +263,7 @@
         Database(tmp_path / "y.db", "n3")
 
 
-def test_a_disk_that_fills_up_fails_the_write_and_keeps_what_was_there(tmp_path):
+def test_a_full_disk_fails_the_write_and_keeps_earlier_records(tmp_path):
     store = Database(tmp_path / "x.db", "n3")
     store.write([(b"a", stored())])
     limits = resource.getrlimit(resource.RLIMIT_FSIZE)
@@ -266,7 +280,7 @@
     assert store.check() == []
 
 
-def test_a_batch_that_fails_in_the_middle_is_not_there_and_stops_nothing(tmp_path):
+def test_a_batch_that_fails_in_the_middle_is_rolled_back_and_later_ones_are_written(tmp_path):
     store = Database(tmp_path / "x.db", "n3")
     with pytest.raises(StoreWriteError):
         store.write([(b"a", stored()), (b"b", stored(result=object()))])
@@ -289,20 +303,21 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_what_was_written_outlives_a_kill_and_no_batch_is_half_there(tmp_path, seed):
+def test_written_batches_survive_a_kill_completely(tmp_path, seed):
     print("seed", seed)
-    wanted = random.Random(seed).randrange(1, 120)
+    kill_after = random.Random(seed).randrange(1, 120)
     process = subprocess.Popen([sys.executable, "-c", WRITER, str(tmp_path / "x.db")], stdout=subprocess.PIPE)
-    told = -1
-    while told < wanted:
-        told = int(process.stdout.readline())
+    last_reported = -1
+    while last_reported < kill_after:
+        last_reported = int(process.stdout.readline())
     os.kill(process.pid, signal.SIGKILL)
-    told = max([told, *map(int, process.stdout.read().split(b"\n")[:-1])])
+    last_reported = max([last_reported, *map(int, process.stdout.read().split(b"\n")[:-1])])
     process.wait()
     store = Database(tmp_path / "x.db", "n3")
     found = dict(store.load())
-    for n in range(told + 1):
+    for n in range(last_reported + 1):
         assert {b"%d.%d" % (n, k) for k in range(3)} <= set(found)
-    assert len(found) in (3 * (told + 1), 3 * (told + 2))
+    assert len(found) in (3 * (last_reported + 1), 3 * (last_reported + 2))
     assert store.check() == []
-    assert all(records.recover(one, store.incarnation, 5.0).state is KeyState.OUTCOME_UNKNOWN for one in found.values())
+    recovered = [records.recover(record, store.incarnation, 5.0) for record in found.values()]
+    assert {record.state for record in recovered} == {KeyState.OUTCOME_UNKNOWN}
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -1,4 +1,6 @@
-"""One box under its spellings; ranges of names."""
+"""Spellings of one host, and ranges of names."""
+
+import re
 
 import pytest
 from hypothesis import given
@@ -30,7 +32,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "what"),
+    ("text", "reason"),
     [
         ("", "empty"),
         (".", "empty"),
@@ -43,8 +45,8 @@
         ("a." * 127 + "toolong", "253"),
     ],
 )
-def test_what_is_no_name_says_why(text, what):
-    with pytest.raises(HostNameError, match=what):
+def test_an_invalid_name_is_rejected_with_the_reason(text, reason):
+    with pytest.raises(HostNameError, match=reason):
         identity.name(text)
 
 
@@ -67,8 +69,11 @@
         ("b.example", "b.example", None),
     ],
 )
-def test_ports_behind_names(text, host, port):
+def test_a_port_behind_a_name_is_split_off(text, host, port):
     assert identity.endpoint(text) == (host, port)
+
+
+def test_a_port_out_of_range_is_rejected():
     with pytest.raises(HostNameError, match="port from 1"):
         identity.endpoint("b:0")
 
@@ -84,12 +89,12 @@
         ("plain", ["plain"]),
     ],
 )
-def test_ranges_are_written_out(text, names):
+def test_ranges_are_expanded(text, names):
     assert ranges.expand(text, 100) == names
 
 
 @pytest.mark.parametrize(
-    ("text", "what"),
+    ("text", "reason"),
     [
         ("d[3:1]", "upwards"),
         ("d[01:100]", "widths"),
@@ -101,8 +106,8 @@
         ("d[0:99999999999]", "too long"),
     ],
 )
-def test_ranges_that_cannot_be_written_out(text, what):
-    with pytest.raises(HostRangeError, match=what):
+def test_ranges_that_cannot_be_expanded_are_rejected_with_the_reason(text, reason):
+    with pytest.raises(HostRangeError, match=reason):
         ranges.expand(text, 100)
 
 
@@ -112,8 +117,10 @@
         "disp-07.pipera.example.org:5672,shops,::ffff:10.0.0.7,,q3,\n10.0.0.7,shops,,,q4,\n"
     )
     (host,) = hosts(text, "f.csv", domain="pipera.example.org").values()
-    assert (host.name, host.address, host.port) == ("disp-07.pipera.example.org", "10.0.0.7", 5672)
-    assert [q["amqp_queue"] for q in host.items] == ["q1", "q2", "q3", "q4"]
+    assert host.name == "disp-07.pipera.example.org"
+    assert host.address == "10.0.0.7"
+    assert host.port == 5672
+    assert [item["amqp_queue"] for item in host.items] == ["q1", "q2", "q3", "q4"]
     assert len(host.spellings) == 4
 
 
@@ -127,12 +134,10 @@
     ],
 )
 def test_spellings_that_contradict_each_other_name_both_places(row, fault):
-    import re
-
     found = faults(HEAD + "b1,shops,10.0.0.1,,q1,me\n" + row + "\n", "f.csv")
-    assert any(re.search(fault, f) for f in found), found
+    assert any(re.search(fault, each) for each in found), found
 
 
-def test_one_address_with_other_vhosts_is_several_brokers():
+def test_one_address_with_several_vhosts_is_several_hosts():
     text = "host,amqp_host,amqp_vhost,amqp_queue\na,10.0.0.1,/,q\nb,10.0.0.1,/other,q\n"
     assert set(hosts(text, "f.csv")) == {"a", "b"}
--- a/tests/test_inventory_files.py
+++ b/tests/test_inventory_files.py
@@ -14,7 +14,7 @@
 MAX_BYTES = 1 << 20
 
 
-def test_a_folder_is_read_in_the_order_of_names_without_what_tools_leave_there(tmp_path):
+def test_a_folder_is_read_in_the_order_of_names_without_temporary_files(tmp_path):
     for name in (
         "20.yml",
         "10.csv",
@@ -29,7 +29,7 @@
         (tmp_path / name).parent.mkdir(parents=True, exist_ok=True)
         (tmp_path / name).write_text(f"# {name}\n")
     found = files.read(tmp_path, MAX_BYTES)
-    assert [f.name for f in found.files] == [
+    assert [file.name for file in found.files] == [
         "10.csv",
         "20.yml",
         "group_vars/all.yml",
@@ -49,7 +49,7 @@
         (lambda p: p.symlink_to("/dev/zero"), "no regular file"),
     ],
 )
-def test_what_cannot_be_read_is_a_fault_and_blocks_nothing(tmp_path, make, fault):
+def test_an_unreadable_path_is_a_fault_and_does_not_block(tmp_path, make, fault):
     path = tmp_path / "list.csv"
     make(path)
     (found,) = files.read(path, MAX_BYTES).faults
@@ -57,44 +57,47 @@
     assert str(found).startswith("list.csv: can't be read")
 
 
-def test_a_change_within_the_clocks_grain_is_seen(tmp_path):
+def test_a_change_within_the_resolution_of_the_clock_is_detected(tmp_path):
     path = tmp_path / "list.csv"
     path.write_text("a")
     assert files.signature(path) is None  # just written: only its contents can tell
     os.utime(path, (1, 1))
-    assert files.signature(path) == files.signature(path) is not None
+    assert files.signature(path) is not None
+    assert files.signature(path) == files.signature(path)
 
 
-def kept(folder):
+def load_last_good(folder):
+    """Return the stored list of ``source`` with its head."""
     return last_good.load(folder, "source")
 
 
-def test_the_last_good_list_is_the_old_or_the_new_one_at_any_cut(tmp_path):
-    one, two = (snapshot.snapshot_of(hosts(csv_list({"a": n, "b": 1}), "f.csv")) for n in (1, 2))
-    assert kept(tmp_path) is None
-    last_good.save(tmp_path, "source", one, 5.0, "settled")
-    head, found = kept(tmp_path)
-    assert found.digest == one.digest
-    assert (head.at, head.host_count) == (5.0, 2)
+def test_a_cut_or_corrupt_last_good_list_is_rejected(tmp_path):
+    old, new = (snapshot.snapshot_of(hosts(csv_list({"a": n, "b": 1}), "f.csv")) for n in (1, 2))
+    assert load_last_good(tmp_path) is None
+    last_good.save(tmp_path, "source", old, 5.0, "settled")
+    head, found = load_last_good(tmp_path)
+    assert found.digest == old.digest
+    assert head.at == 5.0
+    assert head.host_count == 2
     path = tmp_path / last_good.LAST_GOOD_FILE
-    last_good.save(tmp_path, "source", two, 6.0, "settled")
-    whole = path.read_bytes()
-    for at in range(len(whole)):
-        path.write_bytes(whole[:at])
+    last_good.save(tmp_path, "source", new, 6.0, "settled")
+    contents = path.read_bytes()
+    for at in range(len(contents)):
+        path.write_bytes(contents[:at])
         with pytest.raises(StateFolderError):
-            kept(tmp_path)
-    for at in range(0, len(whole), 7):
-        path.write_bytes(whole[:at] + bytes([whole[at] ^ 1]) + whole[at + 1 :])
+            load_last_good(tmp_path)
+    for at in range(0, len(contents), 7):
+        path.write_bytes(contents[:at] + bytes([contents[at] ^ 1]) + contents[at + 1 :])
         with pytest.raises(StateFolderError):
-            kept(tmp_path)
-    path.write_bytes(whole)
+            load_last_good(tmp_path)
+    path.write_bytes(contents)
     with pytest.raises(StateFolderError, match="is the list of source"):
         last_good.load(tmp_path, "another")
 
 
-def test_a_crash_within_writing_leaves_the_old_list(tmp_path, monkeypatch):
-    one, two = (snapshot.snapshot_of(hosts(csv_list({"a": n}), "f.csv")) for n in (1, 2))
-    last_good.save(tmp_path, "source", one, 5.0, "")
+def test_a_failed_write_keeps_the_old_list(tmp_path, monkeypatch):
+    old, new = (snapshot.snapshot_of(hosts(csv_list({"a": n}), "f.csv")) for n in (1, 2))
+    last_good.save(tmp_path, "source", old, 5.0, "")
     for step in ("fsync", "replace"):
 
         def fail(*_):
@@ -103,60 +106,62 @@
         with monkeypatch.context() as patch:
             patch.setattr(os, step, fail)
             with pytest.raises(OSError, match="no space"):
-                last_good.save(tmp_path, "source", two, 6.0, "")
-        assert kept(tmp_path)[1].digest == one.digest
+                last_good.save(tmp_path, "source", new, 6.0, "")
+        assert load_last_good(tmp_path)[1].digest == old.digest
         assert os.listdir(tmp_path) == [last_good.LAST_GOOD_FILE]
 
 
-def test_the_history_is_bounded_and_survives_a_torn_line(tmp_path):
+def test_the_history_is_bounded_and_is_read_without_a_cut_line(tmp_path):
     for n in range(5):
         last_good.append_history(tmp_path, last_good.HistoryEntry(n, f"{n:032x}", "settled", n), 3)
     path = tmp_path / last_good.HISTORY_FILE
     path.write_bytes(path.read_bytes()[:-20])
-    assert [e.at for e in last_good.load_history(tmp_path)] == [2, 3]
+    assert [entry.at for entry in last_good.load_history(tmp_path)] == [2, 3]
 
 
-def helper(path, **over):
+def make_helper(path, **over):
+    """Return the inventory helper for the list at a path."""
     return Helper(Begin(str(path), MAX_BYTES, Options("shops", SCHEMA), **over))
 
 
-def test_the_helper_sends_what_changed_only(tmp_path):
+def test_the_helper_sends_only_what_changed(tmp_path):
     path = tmp_path / "list.csv"
     ports = {f"b{n}": 1 for n in range(100)}
     path.write_text(csv_list(ports))
-    h = helper(path)
-    first, *parts = h.poll()
-    assert first.chunk_count == len(parts) == 4
-    assert sum(len(p.updated) for p in parts) == 100
+    helper = make_helper(path)
+    first, *chunks = helper.poll()
+    assert first.chunk_count == 4
+    assert len(chunks) == 4
+    assert sum(len(chunk.updated) for chunk in chunks) == 100
     ports["b7"] = 2
     del ports["b9"]
     path.write_text(csv_list(ports))
-    second, *parts = h.poll()
-    assert [[b.name for b in p.updated] or p.removed for p in parts] == [["b7"], ["b9"]]
+    second, *chunks = helper.poll()
+    assert [[host.name for host in chunk.updated] or chunk.removed for chunk in chunks] == [["b7"], ["b9"]]
     path.write_text(csv_list(ports)[:-3] + "x,\n")
-    third, *parts = h.poll()
+    third, *chunks = helper.poll()
     assert third.faults
-    assert not parts
+    assert not chunks
     assert not third.digest
     path.write_text(csv_list(ports))
-    fourth, *parts = h.poll()
+    fourth, *chunks = helper.poll()
     assert fourth.digest == second.digest
-    assert not parts
+    assert not chunks
 
 
-def test_a_list_that_breaks_a_parser_is_a_faulty_list(tmp_path, monkeypatch):
+def test_an_exception_of_the_reader_is_a_fault_of_the_list(tmp_path, monkeypatch):
     (tmp_path / "list.csv").write_text(csv_list({"a": 1}))
-    h = helper(tmp_path / "list.csv")
-    monkeypatch.setattr(h._reader, "read", lambda _: 1 / 0)
-    (listed,) = answer(h, Poll())
+    helper = make_helper(tmp_path / "list.csv")
+    monkeypatch.setattr(helper._reader, "read", lambda _: 1 / 0)
+    (listed,) = answer(helper, Poll())
     assert "breaks the reader: ZeroDivisionError" in str(listed.faults[0])
-    assert answer(h, Poll())[0].digest
+    assert answer(helper, Poll())[0].digest
 
 
-def test_a_state_folder_that_cannot_be_written_is_told(tmp_path):
+def test_a_state_folder_that_cannot_be_written_is_reported(tmp_path):
     (tmp_path / "list.csv").write_text(csv_list({"a": 1}))
     (tmp_path / "state").write_text("a file")
-    h = helper(tmp_path / "list.csv", state_folder=str(tmp_path / "state"))
-    digest = h.poll()[0].digest
-    (trouble,) = answer(h, SaveAccepted(digest, 1.0, "", {}, {}))
-    assert "state" in trouble.text
+    helper = make_helper(tmp_path / "list.csv", state_folder=str(tmp_path / "state"))
+    digest = helper.poll()[0].digest
+    (failure,) = answer(helper, SaveAccepted(digest, 1.0, "", {}, {}))
+    assert "state" in failure.text
--- a/tests/test_inventory_reading.py
+++ b/tests/test_inventory_reading.py
@@ -1,4 +1,4 @@
-"""Reading lists in both forms, and the plain words for what is wrong with them."""
+"""Reading inventories in both formats, and the messages about their faults."""
 
 import re
 
@@ -8,7 +8,8 @@
 
 from lapispick.file_errors import FaultCollector
 from lapispick.fleet import snapshot
-from lapispick.fleet.reading import Reader
+from lapispick.fleet.reading import Options, Reader
+from lapispick.fleet.schema import ANY_HOST
 from lapispick.fleet.yaml_reader import Document
 from tests.fleet_files import csv_list, faults, files, hosts, read, reader, yaml_list
 
@@ -32,24 +33,23 @@
 """
 
 
-def test_yaml_groups_pass_their_variables_down_and_hosts_have_the_last_word():
+def test_yaml_hosts_inherit_the_variables_of_their_groups_and_override_them():
     found = hosts(YAML)
     assert set(found) == {"b1", "b2"}
-    one, two = found["b1"], found["b2"]
-    assert (one.address, one.port, one.vars["amqp_user"], one.vars["amqp_password"]) == (
-        "127.0.0.1",
-        5672,
-        "shop",
-        "secret",
-    )
-    assert [(q["amqp_queue"], q["amqp_prefetch"], q["amqp_class"]) for q in one.items] == [
-        ("books", 9, "book"),
-        ("jobs", 5, ""),
-    ]
-    assert (two.address, two.port, two.vars["amqp_user"]) == ("127.0.0.2", 5673, "other")
-
-
-def test_several_files_and_folders_of_variables_are_merged_in_their_order():
+    inheriting = found["b1"]
+    assert inheriting.address == "127.0.0.1"
+    assert inheriting.port == 5672
+    assert inheriting.vars["amqp_user"] == "shop"
+    assert inheriting.vars["amqp_password"] == "secret"
+    queues = [(item["amqp_queue"], item["amqp_prefetch"], item["amqp_class"]) for item in inheriting.items]
+    assert queues == [("books", 9, "book"), ("jobs", 5, "")]
+    overriding = found["b2"]
+    assert overriding.address == "127.0.0.2"
+    assert overriding.port == 5673
+    assert overriding.vars["amqp_user"] == "other"
+
+
+def test_files_and_folders_of_variables_are_merged_in_their_order():
     found = hosts(
         {
             "10-base.yml": "shops: {hosts: {'b[1:2]': {amqp_queue: q}}, vars: {amqp_user: base, amqp_port: 1}}\n",
@@ -60,7 +60,8 @@
             "host_vars/B2.yml": "amqp_port: 9\n",
         }
     )
-    assert {n: (b.port, b.vars["amqp_user"], b.vars["amqp_vhost"]) for n, b in found.items()} == {
+    merged = {name: (host.port, host.vars["amqp_user"], host.vars["amqp_vhost"]) for name, host in found.items()}
+    assert merged == {
         "b1": (1, "site", "/shops"),
         "b2": (9, "site", "/shops"),
         "b3": (1, "site", "/shops"),
@@ -80,28 +81,28 @@
         b"# made by a tool\n\n" + csv_list({"a": 1}).encode(),
     ],
 )
-def test_csv_in_its_dialects(data):
+def test_csv_dialects_and_encodings_are_detected(data):
     assert hosts(data, "f.csv")["a"].port == 1
 
 
-H = "host,amqp_queue,amqp_port\n"
+CSV_HEADER = "host,amqp_queue,amqp_port\n"
 
 
 @pytest.mark.parametrize(
-    ("name", "text", "where"),
+    ("name", "text", "message"),
     [
-        ("i.csv", H + "b,q,x\n", r"i\.csv:2:3: amqp_port: 'x' is not a whole number from 1 to 65535"),
-        ("i.csv", H + "b,q,1\nc,,2\n", r"i\.csv:3:1: amqp_queue: is not told"),
+        ("i.csv", CSV_HEADER + "b,q,x\n", r"i\.csv:2:3: amqp_port: 'x' is not a whole number from 1 to 65535"),
+        ("i.csv", CSV_HEADER + "b,q,1\nc,,2\n", r"i\.csv:3:1: amqp_queue: is not told"),
         ("i.csv", "host,amqp_host,amqp_queue\nb,no host,q\n", r"i\.csv:2:2: amqp_host: 'no host' is no host name"),
-        ("i.csv", H + ",q,1\n", r"i\.csv:2: host: is empty"),
-        ("i.csv", H + "b,q\n", r"i\.csv:2: amqp_port: 2 cells under 3 columns"),
+        ("i.csv", CSV_HEADER + ",q,1\n", r"i\.csv:2: host: is empty"),
+        ("i.csv", CSV_HEADER + "b,q\n", r"i\.csv:2: amqp_port: 2 cells under 3 columns"),
         ("i.csv", "name,x\n", r"i\.csv:1: host: the header has no such column, only name, x"),
         ("i.csv", "host,host\n", r"i\.csv:1:2: host: the header has this column twice, first as column 1"),
         ("i.csv", 'host,amqp_queue\n"b,q\n', r"i\.csv:1: can't be read as CSV behind this line: unexpected end"),
         ("i.csv", "", r"i\.csv:1: host: there is no header"),
-        ("i.csv", H, r"inventory: shops: no host is in this group; the list is empty|there is no such group"),
-        ("i.csv", H + "b,q,1\nc\0,q,1\n", r"i\.csv:3: a NUL byte"),
-        ("i.csv", H + "d-[1:x],q,1\n", r"i\.csv:2:1: host: \[1:x\] is no range"),
+        ("i.csv", CSV_HEADER, r"inventory: shops: no host is in this group; the list is empty|there is no such group"),
+        ("i.csv", CSV_HEADER + "b,q,1\nc\0,q,1\n", r"i\.csv:3: a NUL byte"),
+        ("i.csv", CSV_HEADER + "d-[1:x],q,1\n", r"i\.csv:2:1: host: \[1:x\] is no range"),
         (
             "i.csv",
             "host,amqp_queue,amqp_prefech\nb,q,3\n",
@@ -140,31 +141,33 @@
         ),
     ],
 )
-def test_faults_name_file_line_key_value_and_what_is_wanted(name, text, where):
+def test_faults_name_file_line_key_value_and_what_is_expected(name, text, message):
     found = faults(text, name)
-    assert any(re.search(where, f) for f in found), found
+    assert any(re.search(message, fault) for fault in found), found
 
 
-def test_all_faults_are_listed_up_to_a_bound():
-    assert len(faults(H + "b1,q,x\nb2,q,y\n,q,3\n", "f.csv")) >= 2
-    found = read(H + "b,q,x\n" * 300, "f.csv")
+def test_faults_are_listed_up_to_a_limit():
+    assert len(faults(CSV_HEADER + "b1,q,x\nb2,q,y\n,q,3\n", "f.csv")) >= 2
+    found = read(CSV_HEADER + "b,q,x\n" * 300, "f.csv")
     assert len(found.faults) == 50
     assert found.omitted_faults == 250
 
 
 def test_merge_keys_and_anchors_are_read():
     text = "x: {vars: &v {amqp_port: 7, amqp_user: me}}\nshops: {hosts: {a: {<<: *v, amqp_port: 8, amqp_queue: q}}}\n"
-    assert (hosts(text)["a"].port, hosts(text)["a"].vars["amqp_user"]) == (8, "me")
+    host = hosts(text)["a"]
+    assert host.port == 8
+    assert host.vars["amqp_user"] == "me"
 
 
 @pytest.mark.parametrize(
-    ("over", "whole"),
+    ("options", "is_complete"),
     [({"final_newline": True}, False), ({"final_newline": False}, True), ({"end_marker": "# end"}, False)],
 )
-def test_a_text_that_may_be_cut_is_told(over, whole):
+def test_a_text_that_may_be_cut_is_reported_as_incomplete(options, is_complete):
     text = csv_list({"a": 1, "b": 2})
-    assert bool(read(text[:-1], "f.csv", **over).incomplete_reason) != whole
-    assert not read(text + "# end\n", "f.csv", **over).incomplete_reason
+    assert bool(read(text[:-1], "f.csv", **options).incomplete_reason) != is_complete
+    assert not read(text + "# end\n", "f.csv", **options).incomplete_reason
 
 
 names = st.sampled_from([f"b{n}" for n in range(40)])
@@ -173,32 +176,34 @@
 
 @given(lists, st.randoms())
 @settings(max_examples=60, deadline=None)
-def test_any_order_and_either_form_give_one_digest(ports, random):
+def test_any_order_of_hosts_gives_the_same_digest(ports, random):
     mixed = list(ports.items())
     random.shuffle(mixed)
-    lists_ = [hosts(csv_list(ports), "f.csv"), hosts(csv_list(dict(mixed)), "f.csv")]
-    assert len({snapshot.snapshot_of(found).digest for found in lists_}) == 1
-    tuples = [snapshot.snapshot_of(hosts(yaml_list(p))).digest for p in (ports, dict(mixed))]
-    assert tuples[0] == tuples[1]
+    for make_list, name in ((csv_list, "f.csv"), (yaml_list, "f.yml")):
+        in_order = snapshot.snapshot_of(hosts(make_list(ports), name))
+        shuffled = snapshot.snapshot_of(hosts(make_list(dict(mixed)), name))
+        assert in_order.digest == shuffled.digest
 
 
 @given(lists, lists)
 @settings(max_examples=60, deadline=None)
-def test_a_difference_applied_gives_the_new_list(old, new):
-    one, two = (snapshot.snapshot_of(hosts(csv_list(p), "f.csv")) for p in (old, new))
-    diff = snapshot.difference(one, two)
-    made = one.with_changes([two.hosts[n] for n in (*diff.joined, *diff.moved, *diff.changed)], diff.left)
-    assert made.digest == two.digest
-    assert set(made.hosts) == set(two.hosts)
-    assert bool(diff) == (one.digest != two.digest)
-    assert not snapshot.difference(made, two)
+def test_a_difference_applied_gives_the_new_list(old_ports, new_ports):
+    old = snapshot.snapshot_of(hosts(csv_list(old_ports), "f.csv"))
+    new = snapshot.snapshot_of(hosts(csv_list(new_ports), "f.csv"))
+    difference = snapshot.difference(old, new)
+    updated = [new.hosts[name] for name in (*difference.joined, *difference.moved, *difference.changed)]
+    applied = old.with_changes(updated, difference.left)
+    assert applied.digest == new.digest
+    assert set(applied.hosts) == set(new.hosts)
+    assert bool(difference) == (old.digest != new.digest)
+    assert not snapshot.difference(applied, new)
 
 
 def plain(value):
     """Return what a YAML value says, without its places."""
     if isinstance(value, dict):
-        return {k: plain(v.value) for k, v in value.items()}
-    return [plain(v) for v in value] if isinstance(value, list) else value
+        return {key: plain(var.value) for key, var in value.items()}
+    return [plain(element) for element in value] if isinstance(value, list) else value
 
 
 edits = st.lists(
@@ -239,25 +244,25 @@
 
 @given(st.integers(4, 24), edits)
 @settings(max_examples=400, deadline=None)
-def test_a_change_read_in_small_is_the_same_as_the_whole_read_anew(count, changes):
+def test_an_incremental_update_reads_the_same_as_a_full_read(count, changes):
     lines = yaml_list({f"b{n}": n + 1 for n in range(count)}).splitlines()
     document = Document("f.yml", "\n".join(lines) + "\n", FaultCollector())
     for at, drop, line in changes:
         at %= len(lines) + 1
         lines[at : at + drop] = [line]
         text = "\n".join(lines) + "\n"
-        found = FaultCollector()
-        whole = Document("f.yml", text, found)
+        faults_found = FaultCollector()
+        reread = Document("f.yml", text, faults_found)
         if not document.update(text):
-            document = whole
-            if found:
+            document = reread
+            if faults_found:
                 return
         else:
-            assert not found, [str(f) for f in found.collected]
-            assert plain(document.top) == plain(whole.top)
+            assert not faults_found, [str(fault) for fault in faults_found.collected]
+            assert plain(document.top) == plain(reread.top)
 
 
-def test_a_change_of_one_host_is_read_in_small():
+def test_a_change_of_one_host_is_read_incrementally():
     ports = {f"b{n}": n + 1 for n in range(30)}
     document = Document("f.yml", yaml_list(ports), FaultCollector())
     for change in ({"b7": 99}, {"new": 5}, {"b29": 3}):
@@ -268,41 +273,39 @@
     assert plain(document.top) == plain(Document("f.yml", yaml_list(ports), FaultCollector()).top)
 
 
+def digests(reading):
+    """Return the digests of the hosts that were read."""
+    return {name: host.digest for name, host in reading.hosts.items()}
+
+
 @given(lists, lists)
 @settings(max_examples=60, deadline=None)
-def test_a_reader_that_remembers_reads_what_a_fresh_one_reads(old, new):
-    for form, name in ((csv_list, "f.csv"), (yaml_list, "f.yml")):
-        warm = reader()
+def test_a_reader_with_a_cache_reads_the_same_as_a_new_one(old, new):
+    for make_list, name in ((csv_list, "f.csv"), (yaml_list, "f.yml")):
+        cached = reader()
         for ports in (old, new, old):
-            found = warm.read(files(form(ports), name))
-            fresh = read(form(ports), name)
-            assert {n: b.digest for n, b in found.hosts.items()} == {n: b.digest for n, b in fresh.hosts.items()}
+            found = cached.read(files(make_list(ports), name))
+            fresh = read(make_list(ports), name)
+            assert digests(found) == digests(fresh)
 
 
-def test_places_are_right_after_a_change_that_moved_lines():
-    warm = reader()
+def test_fault_locations_are_right_after_a_change_that_moved_lines():
+    cached = reader()
     ports = {f"b{n}": n + 1 for n in range(30)}
-    warm.read(files(csv_list(ports), "f.csv"))
+    cached.read(files(csv_list(ports), "f.csv"))
     text = csv_list(ports).replace("b0,", "new,7,jobs\nb0,") + "b29,30,jobs\n"
-    (fault,) = warm.read(files(text, "f.csv")).faults
+    (fault,) = cached.read(files(text, "f.csv")).faults
     assert str(fault) == "f.csv:33:3: amqp_queue: 'jobs' stands twice, first at f.csv:32:3"
 
 
 @given(st.binary(max_size=300))
 @settings(max_examples=200, deadline=None)
-def test_no_bytes_break_the_reader(data):
+def test_any_bytes_give_faults_or_hosts(data):
     for name in ("f.csv", "f.yml"):
         found = read(data, name)
         assert found.faults or found.hosts
 
 
-def test_no_word_of_a_file_without_this_user_is_checked():
-    from lapispick.fleet.schema import ANY_HOST
-
-    assert set(Reader(read_options(ANY_HOST), {}).read(files("host,amqp_port,x\na,none,\n", "f.csv")).hosts) == {"a"}
-
-
-def read_options(schema):
-    from lapispick.fleet.reading import Options
-
-    return Options("all", schema)
+def test_variables_are_not_checked_by_a_schema_without_any():
+    any_host_reader = Reader(Options("all", ANY_HOST), {})
+    assert set(any_host_reader.read(files("host,amqp_port,x\na,none,\n", "f.csv")).hosts) == {"a"}
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -34,6 +34,7 @@
 
 
 def seed_ranges():
+    """Yield each property with ranges of seeds."""
     for name in PROPERTIES:
         count = SEEDS.get(name, DEFAULT_SEEDS)
         for first in range(0, count, SEEDS_PER_TEST):
@@ -45,7 +46,7 @@
 
 
 @pytest.mark.parametrize(("name", "seeds"), list(seed_ranges()))
-def test_property_holds(name, seeds):
+def test_a_property_holds_for_these_seeds(name, seeds):
     assert check([name], seeds) == []
 
 
@@ -55,17 +56,17 @@
 
 
 def test_a_simulation_repeats_message_by_message():
-    found = []
+    outcomes = []
     for _ in range(2):
         script = fault_script.parse("5s kill 20% for 20s\n8s part disp-0001,disp-0002 for 10s")
         cluster = SimulatedCluster(7, 20, member_factory(host_names(20)), script, loss=0.1)
         cluster.run(40.0)
-        found.append((cluster.sent_messages, cluster.sent_bytes, cluster.changes))
-    assert found[0] == found[1]
-    assert found[0][2]
+        outcomes.append((cluster.sent_messages, cluster.sent_bytes, cluster.changes))
+    assert outcomes[0] == outcomes[1]
+    assert cluster.changes
 
 
-def test_a_member_that_leaves_is_left_and_not_dead():
+def test_a_member_that_leaves_has_left_and_is_not_dead():
     names = ["a", "b", "c"]
     members = {name: make_member(name, names) for name in names}
     for outgoing in members["a"].leave():
@@ -76,7 +77,7 @@
     assert members["b"].take_changes()[-1].cause == "a says so"
 
 
-def test_a_state_sync_tells_a_new_member_everything():
+def test_a_state_sync_gives_a_new_member_all_states_and_facts():
     names = [f"m{n}" for n in range(30)]
     old = make_member("m0", names)
     new = make_member("m29", names)
@@ -132,11 +133,11 @@
     assert runner.invoke(cli, ["model", "run", "--script", str(script)]).exit_code == 2
 
 
-def test_what_is_kept_of_a_member_is_dropped_when_the_list_names_it_no_more():
+def test_records_of_a_member_are_dropped_with_its_entry_in_the_list():
     settings = MembersSettings(listen="127.0.0.1:9300")
     service = MembersService(EventLoop(), settings, InventorySettings(), "a", 1, lambda: (), 1 << 16)
-    service.transport.limiter.allows("gone", 1.0)
-    service.local.changes["gone"] = deque([LoggedChange(1.0, "left", "")])
+    service.transport.limiter.allows("removed", 1.0)
+    service.local.changes["removed"] = deque([LoggedChange(1.0, "left", "")])
     service.directory.accept(EMPTY, Difference())
     assert len(service.transport.limiter) == 0
     assert not service.local.changes
--- a/tests/test_prices.py
+++ b/tests/test_prices.py
@@ -18,7 +18,7 @@
 
 
 def test_occupancy_budget_is_priced_at_the_marginal_type():
-    # 1 of (value 10, occupancy 10) fits whole; (4, 10) fits half, so a unit of occupancy is worth 4/10.
+    # 1 of (value 10, occupancy 10) fits completely; (4, 10) fits half, so a unit of occupancy is worth 4/10.
     prices = solve([(1, 10, 10, 1), (1, 4, 10, 1)], 15, 1e9)
     assert prices.occupancy == pytest.approx(0.4)
     assert prices.cost == 0
@@ -49,27 +49,35 @@
 @settings(derandomize=True, max_examples=200)
 @given(st.lists(request_types, min_size=1, max_size=5), st.floats(0.5, 500), st.floats(0.5, 500))
 def test_prices_are_a_minimum_of_the_dual_and_admit_all_within_budget(types, occupancy_budget, cost_budget):
-    a, c = solve_prices(types, occupancy_budget, cost_budget)
-    assert a >= 0
-    assert c >= 0
-    assert any(t.value >= (a * t.occupancy_ms + c * t.cost) * (1 - 1e-6) for t in types)
-    needed_occupancy = sum(t.weight * t.occupancy_ms for t in types)
-    needed_cost = sum(t.weight * t.cost for t in types)
+    occupancy_price, cost_price = solve_prices(types, occupancy_budget, cost_budget)
+    assert occupancy_price >= 0
+    assert cost_price >= 0
+    assert any(
+        each.value >= (occupancy_price * each.occupancy_ms + cost_price * each.cost) * (1 - 1e-6) for each in types
+    )
+    needed_occupancy = sum(each.weight * each.occupancy_ms for each in types)
+    needed_cost = sum(each.weight * each.cost for each in types)
     if needed_occupancy <= occupancy_budget and needed_cost <= cost_budget:
-        assert all(t.value >= a * t.occupancy_ms + c * t.cost - 1e-6 for t in types)
+        assert all(each.value >= occupancy_price * each.occupancy_ms + cost_price * each.cost - 1e-6 for each in types)
 
-    def dual(occupancy_price, cost_price):
-        surplus = (t.value - occupancy_price * t.occupancy_ms - cost_price * t.cost for t in types)
-        admitted = sum(t.weight * max(0, over) for t, over in zip(types, surplus, strict=True))
-        return occupancy_price * occupancy_budget + cost_price * cost_budget + admitted
+    def dual(price_of_occupancy, price_of_cost):
+        surplus = (each.value - price_of_occupancy * each.occupancy_ms - price_of_cost * each.cost for each in types)
+        admitted = sum(each.weight * max(0, excess) for each, excess in zip(types, surplus, strict=True))
+        return price_of_occupancy * occupancy_budget + price_of_cost * cost_budget + admitted
 
     # No other pair of prices gives a lower dual value.
-    for other in [(0, 0), (a * 1.1 + 0.01, c), (a, c * 1.1 + 0.01), (a * 0.9, c), (a, c * 0.9)]:
-        assert dual(a, c) <= dual(*other) * (1 + 1e-6) + 1e-6
+    for other in [
+        (0, 0),
+        (occupancy_price * 1.1 + 0.01, cost_price),
+        (occupancy_price, cost_price * 1.1 + 0.01),
+        (occupancy_price * 0.9, cost_price),
+        (occupancy_price, cost_price * 0.9),
+    ]:
+        assert dual(occupancy_price, cost_price) <= dual(*other) * (1 + 1e-6) + 1e-6
 
 
 def fill(prices, spec, interval_ms=10):
-    """Give the prices a whole sample of requests, in turn of the (class, value, occupancy_ms) of ``spec``."""
+    """Give the prices a complete sample of requests, in turn of the (class, value, occupancy_ms) of ``spec``."""
     for i in range(SAMPLE_SIZE):
         class_index, value, occupancy_ms = spec[i % len(spec)]
         prices.observe(i * interval_ms, 0, SampledRequest(class_index, value, occupancy_ms, 0))
@@ -80,10 +88,10 @@
     fill(prices, [(0, 1, 100), (1, 10, 100)])  # 100 a second ask for 10 slots, 4 are there
     assert "adopted" in prices.learn(4)
     assert 0.01 < prices.occupancy_price <= 0.1 + 1e-9
-    before = prices.occupancy_price
+    adopted_price = prices.occupancy_price
     fill(prices, [(0, 9, 10)])
     assert prices.learn(1) is None
-    assert prices.occupancy_price == before
+    assert prices.occupancy_price == adopted_price
 
 
 def test_learned_prices_that_admit_no_more_value_are_not_adopted():
--- a/tests/test_rollout_compat.py
+++ b/tests/test_rollout_compat.py
@@ -7,14 +7,11 @@
 from lapispick import versions
 from lapispick.durable import database
 from lapispick.handover import messages as handover_messages
-from lapispick.rollout import (
-    compat,
-    generations,
-    messages,
-)
+from lapispick.rollout import compat, generations, messages
 
 
 def formats(writes, oldest, newest):
+    """Return the formats of a generation that writes and reads these versions of the handover."""
     return {"handover": compat.FormatSupport(writes, oldest, newest)}
 
 
@@ -31,8 +28,10 @@
 def test_a_step_is_allowed_where_each_reads_what_the_other_writes(old, new, expected):
     found = compat.objections(formats(*old), formats(*new))
     assert len(found) == len(expected)
-    assert all(w in f for w, f in zip(expected, found, strict=True))
-    ours, theirs = formats(*old)["handover"], formats(*new)["handover"]
+    for text, objection in zip(expected, found, strict=True):
+        assert text in objection
+    ours = formats(*old)["handover"]
+    theirs = formats(*new)["handover"]
     assert (compat.common_version(ours, theirs) is not None) or found
 
 
@@ -47,16 +46,14 @@
 
 
 def test_a_generation_is_its_files_and_settings_and_reloads_only_where_sighup_applies_all():
-    one = generations.files_digest([("a", b"x"), ("b", b"y")])
-    assert (
-        one
-        == generations.files_digest([("b", b"y"), ("a", b"x")])
-        != generations.files_digest([("a", b"xb"), ("", b"y")])
-    )
-    old, stop = GENERATIONS[OLD], msgspec.structs.replace(GENERATIONS[OLD], config={"stop_ms": 9})
-    assert generations.can_reload(old, stop)
+    digest = generations.files_digest([("a", b"x"), ("b", b"y")])
+    assert generations.files_digest([("b", b"y"), ("a", b"x")]) == digest
+    assert generations.files_digest([("a", b"xb"), ("", b"y")]) != digest
+    old = GENERATIONS[OLD]
+    other_stop_time = msgspec.structs.replace(old, config={"stop_ms": 9})
+    assert generations.can_reload(old, other_stop_time)
     assert not generations.can_reload(old, old)
-    assert not generations.can_reload(old, msgspec.structs.replace(stop, settings="z"))
+    assert not generations.can_reload(old, msgspec.structs.replace(other_stop_time, settings="z"))
     assert not generations.can_reload(old, msgspec.structs.replace(old, config={"stop_ms": 9, "later": 1}))
     assert generations.config_faults({"listen": "x", "stop_ms": 1}) == [
         "listen: is the box's own, no generation sets it"
--- a/tests/test_rollout_host.py
+++ b/tests/test_rollout_host.py
@@ -8,30 +8,16 @@
 from hypothesis import strategies as st
 
 from benchmarks.rollout_model import GENERATIONS, NEW, OLD, SimulatedHost
-from lapispick.rollout import (
-    host_calls,
-    host_state,
-    host_step,
-    messages,
-)
+from lapispick.rollout import host_calls, host_state, host_step, messages
 from lapispick.rollout.host_actions import Kill, Reload, Start, Terminate
 from lapispick.rollout.host_state import HostPhase, HostProcess, HostState, Observation, Role, Timeouts
 from lapispick.rollout.messages import Change, Confirm, Fence, RollBack
 
 
-def unconfirmed_host(rollout="r1"):
-    """Return a host that serves a change which nobody has confirmed."""
-    host = SimulatedHost("x", random.Random(1))
-    for n in range(6):
-        host.step(float(n))
-    host.state, answer = host_calls.handle_call(
-        host.state, Change(Fence(1, "a"), rollout, NEW, 10.0), 6.0, host.observe(6.0)
-    )
-    assert answer == "OK"
-    for n in range(6, 12):
-        host.step(float(n))
-    assert host.state.phase == HostPhase.UNCONFIRMED
-    return host
+def play(host, begin, end):
+    """Let the agent decide once a second, from ``begin`` to before ``end``."""
+    for second in range(begin, end):
+        host.step(float(second))
 
 
 def call_agent(host, call, now):
@@ -40,12 +26,21 @@
     return answer
 
 
+def unconfirmed_host(rollout="r1"):
+    """Return a host that serves a change which nobody has confirmed."""
+    host = SimulatedHost("x", random.Random(1))
+    play(host, 0, 6)
+    assert call_agent(host, Change(Fence(1, "a"), rollout, NEW, 10.0), 6.0) == "OK"
+    play(host, 6, 12)
+    assert host.state.phase == HostPhase.UNCONFIRMED
+    return host
+
+
 def test_a_rolled_back_rollout_is_rejected_for_good_and_another_one_is_not():
     host = unconfirmed_host()
     fence = Fence(1, "a")
     assert call_agent(host, RollBack(fence, "r1"), 12.0) == "OK"
-    for n in range(12, 20):
-        host.step(float(n))
+    play(host, 12, 20)
     assert host.state.phase == HostPhase.STEADY
     assert host.serving(20.0)[0] == OLD
     assert call_agent(host, Change(fence, "r1", NEW, 9.0), 20.0) == "ERR undone: called back"
@@ -70,8 +65,7 @@
 
 def test_an_agent_that_died_between_its_decision_and_the_start_repeats_the_start():
     host = SimulatedHost("x", random.Random(1))
-    for n in range(6):
-        host.step(float(n))
+    play(host, 0, 6)
     assert call_agent(host, Change(Fence(1, "a"), "r1", NEW, 9.0), 6.0) == "OK"
     state, actions = host_step.decide(host.state, 6.0, host.observe(6.0), Timeouts())
     (start,) = actions
@@ -109,48 +103,74 @@
         assert expected in host_step.decide(host.state, now, host.observe(now), Timeouts())[1]
 
 
+class RandomHost:
+    """A host under random calls, whose agent and processes die at random; it notes what was requested and confirmed."""
+
+    def __init__(self, seed):
+        self.rng = random.Random(seed)
+        self.now = 0.0
+        self.host = SimulatedHost("x", random.Random(seed))
+        self.requested = {OLD}
+        self.confirmed = {OLD}
+
+    def decide(self):
+        """Store a decision and return its actions."""
+        host = self.host
+        host.state, actions = host_step.decide(host.state, self.now, host.observe(self.now), Timeouts())
+        return actions
+
+    def step(self, makes_calls):
+        """Let some time pass; the agent may die after any action, and a process may be killed."""
+        host = self.host
+        self.now += self.rng.choice((0.1, 0.1, 0.5, 3.0))
+        actions = self.decide()
+        for action in actions[: self.rng.choice((0, 1, 9, 9, 9))]:
+            host.act(action, self.now)
+        if self.rng.random() < 0.03 and host.processes:
+            host.processes.pop(self.rng.choice(list(host.processes)))
+        if self.rng.random() < 0.1 and makes_calls:
+            self._call()
+
+    def _call(self):
+        rng = self.rng
+        fence = Fence(rng.randrange(3), rng.choice("ab"))
+        name = f"r{rng.randrange(3)}"
+        change = Change(fence, name, rng.choice((OLD, NEW)), 5.0, rng.random() < 0.3)
+        call = rng.choice((change, Confirm(fence, name), RollBack(fence, name)))
+        state_before = self.host.state
+        answer = call_agent(self.host, call, self.now)
+        assert messages.decode_call(messages.encode_call(call)) == call
+        if answer.startswith("ERR fenced"):
+            assert self.host.state == state_before
+        elif isinstance(call, Change) and answer == "OK":
+            self.requested.add(call.generation)
+        elif isinstance(call, Confirm) and answer == "OK":
+            self.confirmed.add(self.host.state.good)
+
+    def settle(self):
+        """Let 50 s pass without calls or deaths."""
+        for _ in range(100):
+            self.now += 0.5
+            for action in self.decide():
+                self.host.act(action, self.now)
+
+
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.integers(0, 10**9))
 def test_a_host_settles_on_one_requested_generation_whatever_dies_when(seed):
-    rng = random.Random(seed)
-    now = 0.0
-    host = SimulatedHost("x", random.Random(seed))
-    requested = {OLD}
-    confirmed = {OLD}
-    for turn in range(300):
-        now += rng.choice((0.1, 0.1, 0.5, 3.0))
-        state, actions = host_step.decide(host.state, now, host.observe(now), Timeouts())
-        host.state = state  # stored; the agent may die after any action
-        for action in actions[: rng.choice((0, 1, 9, 9, 9))]:
-            host.act(action, now)
-        if rng.random() < 0.03 and host.processes:
-            host.processes.pop(rng.choice(list(host.processes)))  # a process is killed
-        if rng.random() < 0.1 and turn < 200:
-            fence, name = Fence(rng.randrange(3), rng.choice("ab")), f"r{rng.randrange(3)}"
-            change = Change(fence, name, rng.choice((OLD, NEW)), 5.0, rng.random() < 0.3)
-            call = rng.choice((change, Confirm(fence, name), RollBack(fence, name)))
-            before = host.state
-            host.state, answer = host_calls.handle_call(before, call, now, host.observe(now))
-            assert messages.decode_call(messages.encode_call(call)) == call
-            if answer.startswith("ERR fenced"):
-                assert host.state == before
-            elif isinstance(call, Change) and answer == "OK":
-                requested.add(call.generation)
-            elif isinstance(call, Confirm) and answer == "OK":
-                confirmed.add(host.state.good)
+    random_host = RandomHost(seed)
+    host = random_host.host
+    for number in range(300):
+        random_host.step(makes_calls=number < 200)
         assert host.state.fence.epoch >= 0
         assert len(host.state.processes) <= host_state.SLOTS
         running = {each.number for each in host.state.processes if each.role != Role.DRAINING}
         assert len(running) <= 2
         assert len({each.slot for each in host.state.processes}) == len(host.state.processes)
-    for _ in range(100):  # left alone, it comes to rest: one process, of a generation that was asked for and confirmed
-        now += 0.5
-        host.state, actions = host_step.decide(host.state, now, host.observe(now), Timeouts())
-        for action in actions:
-            host.act(action, now)
+    random_host.settle()
     assert host.state.phase == HostPhase.STEADY, (seed, host.state)
-    assert [g for g, _ in host.processes.values()] == [host.state.good]
-    assert host.state.good in requested & confirmed
+    assert [generation for generation, _ in host.processes.values()] == [host.state.good]
+    assert host.state.good in random_host.requested & random_host.confirmed
     assert msgspec.json.decode(msgspec.json.encode(host.state), type=HostState) == host.state
 
 
@@ -162,8 +182,7 @@
     host.step(12.2)
     assert host.state.phase == HostPhase.ROLLING_BACK
     assert host.serving(12.2)[0] == NEW
-    for n in range(13, 30):
-        host.step(float(n))
+    play(host, 13, 30)
     assert host.state.phase == HostPhase.STEADY
     assert host.serving(30.0)[0] == OLD
     host = unconfirmed_host()
@@ -180,14 +199,9 @@
 
 def test_a_reboot_before_the_confirmation_rolls_back():
     host = SimulatedHost("x", random.Random(1))
-    for n in range(10):
-        host.step(float(n))
-    host.state, answer = host_calls.handle_call(
-        host.state, Change(Fence(1, "a"), "r1", NEW, 100.0), 10.0, host.observe(10.0)
-    )
-    for n in range(10, 20):
-        host.step(float(n))
-    assert answer == "OK"
+    play(host, 0, 10)
+    assert call_agent(host, Change(Fence(1, "a"), "r1", NEW, 100.0), 10.0) == "OK"
+    play(host, 10, 20)
     assert host.state.phase == HostPhase.UNCONFIRMED
     assert host.serving(20.0)[0] == NEW
     host.processes.clear()
--- a/tests/test_rollout_stages.py
+++ b/tests/test_rollout_stages.py
@@ -8,10 +8,7 @@
 from hypothesis import strategies as st
 
 from lapispick.fleet.hosts import Worker
-from lapispick.rollout import (
-    pacing,
-    stages,
-)
+from lapispick.rollout import pacing, stages
 from lapispick.rollout.pacing import Candidate
 from lapispick.rollout.stages import parse_size
 
@@ -38,16 +35,15 @@
 def test_every_host_has_one_stage_and_none_takes_all_of_a_zone(zone_sizes, stage_sizes, max_zone_fraction, name):
     hosts = workers(*zone_sizes)
     limits = stages.Limits(max_zone_fraction)
-    made = stages.assign(hosts, [parse_size(size) for size in stage_sizes], name, limits)
-    assert sorted(n for stage in made for n in stage) == sorted(b.name for b in hosts)
-    for stage in made:
+    sizes = [parse_size(size) for size in stage_sizes]
+    assigned = stages.assign(hosts, sizes, name, limits)
+    assert sorted(host for stage in assigned for host in stage) == sorted(host.name for host in hosts)
+    for stage in assigned:
         for z, size in enumerate(zone_sizes):
-            assert sum(n.startswith(f"z{z}-") for n in stage) < max(2, size)
+            assert sum(host.startswith(f"z{z}-") for host in stage) < max(2, size)
     shuffled = hosts[:]
     random.Random(1).shuffle(shuffled)
-    assert (
-        stages.assign(shuffled, [parse_size(size) for size in stage_sizes], name, limits) == made
-    )  # any order of the list
+    assert stages.assign(shuffled, sizes, name, limits) == assigned  # any order of the list
 
 
 @pytest.mark.parametrize("text", ["0", "x", "120%", "0%", "box:", "-1", "1.5"])
@@ -58,11 +54,11 @@
 
 def test_named_hosts_are_in_their_stage_and_an_unknown_name_gets_the_nearest_one():
     hosts = workers(4, 4)
-    made = stages.assign(hosts, [parse_size("box:z0-1,z1-2"), parse_size("100%")], "r", stages.Limits())
-    assert made[0] == ["z0-1", "z1-2"]
+    assigned = stages.assign(hosts, [parse_size("box:z0-1,z1-2"), parse_size("100%")], "r", stages.Limits())
+    assert assigned[0] == ["z0-1", "z1-2"]
     with pytest.raises(ValueError, match="did you mean z0-1"):
         stages.assign(hosts, [parse_size("box:z0-11")], "r", stages.Limits())
-    assert any("stay as they are" in r for r in stages.remarks(hosts, made[:1], stages.Limits()))
+    assert any("stay as they are" in r for r in stages.remarks(hosts, assigned[:1], stages.Limits()))
 
 
 @DETERMINISTIC
@@ -71,15 +67,20 @@
     st.integers(1, 9),
     st.floats(0, 1),
 )
-def test_pacing_never_admits_too_many_nor_leaves_too_few_serving(rows, max_changing, min_serving):
+def test_pacing_never_admits_too_many_hosts_and_keeps_enough_serving(rows, max_changing, min_serving):
     candidates = [Candidate(str(n), *row) for n, row in enumerate(rows)]
     admitted, reason = pacing.next_hosts(candidates, pacing.Limits(max_changing, min_serving))
-    changing = sum(p.is_changing for p in candidates)
+    changing = sum(candidate.is_changing for candidate in candidates)
     assert not admitted or changing + len(admitted) <= max_changing
-    by_name = {p.name: p for p in candidates}
-    left = sum(p.is_serving and not p.is_changing and p.name not in admitted for p in candidates)
-    assert not any(by_name[n].is_serving for n in admitted) or left >= min_serving * len(candidates) - 1e-6
-    assert reason or sum(p.is_waiting and not p.is_changing for p in candidates) == len(admitted)
+    by_name = {candidate.name: candidate for candidate in candidates}
+    still_serving = sum(
+        candidate.is_serving and not candidate.is_changing and candidate.name not in admitted
+        for candidate in candidates
+    )
+    assert not any(by_name[n].is_serving for n in admitted) or still_serving >= min_serving * len(candidates) - 1e-6
+    assert reason or sum(candidate.is_waiting and not candidate.is_changing for candidate in candidates) == len(
+        admitted
+    )
 
 
 @pytest.mark.parametrize(
@@ -94,7 +95,7 @@
         ("2026-12-06 12:00", "22:00-04:00", (), False),
     ],
 )
-def test_nothing_begins_outside_of_the_hours_or_on_excluded_days(at, hours, excluded_days, is_open):
+def test_no_stage_starts_outside_of_the_hours_or_on_excluded_days(at, hours, excluded_days, is_open):
     now = datetime.datetime.fromisoformat(at)
     reason = pacing.closed_reason(now, pacing.parse_hours(hours), excluded_days)
     assert (not reason) is is_open
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -34,7 +34,7 @@
     harness.tick(2960)
     assert not harness.final_answers(request.id)
     harness.tick(60)
-    assert [type(a) for a in harness.final_answers(request.id)] == [Fail]
+    assert [type(action) for action in harness.final_answers(request.id)] == [Fail]
     assert harness.actions_of(CancelRun, request.id)
     harness.step(RunCompleted(request.id, Outcome.CANCELLED, 3000))
     harness.tick(3000)
@@ -53,10 +53,10 @@
 
 def test_queued_requests_are_answered_in_time_and_once(make_harness):
     harness = make_harness()
-    many = [harness.request(deadline_at=1200) for _ in range(30)]
-    harness.step(*many)
+    requests = [harness.request(deadline_at=1200) for _ in range(30)]
+    harness.step(*requests)
     harness.tick(3000)
-    for request in many:
+    for request in requests:
         ran = bool(harness.actions_of(StartRun, request.id))
         assert len(harness.final_answers(request.id)) == 1
         assert isinstance(harness.final_answers(request.id)[0], Fail if ran else Reject)
@@ -108,7 +108,7 @@
     assert late == []
 
 
-# Effects never twice.
+# No effect twice.
 
 
 def test_idempotency_key_is_retained_before_the_run_starts(make_harness):
@@ -135,7 +135,7 @@
     first = harness.request(KEYED)
     harness.step(first)
     harness.step(RunCompleted(first.id, Outcome.OK, 50), at=50)
-    harness.step(ShutdownRequested(9000), at=60)  # even while leaving
+    harness.step(ShutdownRequested(9000), at=60)  # also while shutting down
     again = harness.request(KEYED, retry_of=first.id, deadline_at=4000)
     third = harness.request(KEYED, retry_of=again.id, deadline_at=4000)
     assert Coalesce(again.id) in harness.step(again, at=2000)
@@ -148,8 +148,9 @@
 
 def test_two_attempts_of_one_key_in_one_step_run_once(make_harness):
     harness = make_harness()
-    a, b = harness.request(KEYED), harness.request(KEYED)
-    harness.step(a._replace(retry_of=b.id), b._replace(retry_of=a.id))
+    one = harness.request(KEYED)
+    other = harness.request(KEYED)
+    harness.step(one._replace(retry_of=other.id), other._replace(retry_of=one.id))
     harness.tick(400)
     assert len(harness.actions_of(StartRun)) == 1
 
@@ -190,7 +191,7 @@
 
 
 @pytest.mark.parametrize(
-    ("outcome", "repeats"),
+    ("outcome", "is_retried"),
     [
         (Outcome.FULL, True),
         (Outcome.CONNECT_FAILED, True),
@@ -201,15 +202,15 @@
         (Outcome.CANCELLED, False),
     ],
 )
-def test_call_with_an_effect_is_retried_only_if_it_never_ran(make_harness, outcome, repeats):
+def test_call_with_an_effect_is_retried_only_if_it_never_ran(make_harness, outcome, is_retried):
     harness = make_harness()
     request = harness.request(AT_MOST_ONCE)
     harness.step(request)
     harness.step(CallRequested(request.id), at=50)
     harness.step(CallCompleted(request.id, outcome, 20), at=70)
     harness.tick(300)
-    assert len(harness.actions_of(StartCall, request.id)) == (2 if repeats else 1)
-    assert bool(harness.actions_of(Fail, request.id)) is not repeats
+    assert len(harness.actions_of(StartCall, request.id)) == (2 if is_retried else 1)
+    assert bool(harness.actions_of(Fail, request.id)) is not is_retried
     assert not harness.actions_of(Reject, request.id)
 
 
@@ -235,12 +236,12 @@
 
 def test_all_requests_are_answered_before_the_stop(make_harness):
     harness = make_harness()
-    held = [harness.request(AT_MOST_ONCE, deadline_at=9000) for _ in range(8)]
-    harness.step(*held)
+    requests = [harness.request(AT_MOST_ONCE, deadline_at=9000) for _ in range(8)]
+    harness.step(*requests)
     harness.step(CallRequested(1), at=50)
     harness.step(ShutdownRequested(1000), at=100)
     harness.tick(850)
-    assert all(len(harness.final_answers(request.id)) == 1 for request in held)
+    assert [len(harness.final_answers(request.id)) for request in requests] == [1] * len(requests)
     late = harness.request(deadline_at=9000)
     harness.step(late)
     assert harness.final_answers(late.id)
@@ -255,33 +256,32 @@
     assert harness.actions_of(Reject, request.id)[0].no_retry is False
 
 
-# No falling over.
+# Bounds under overload.
 
 
 def test_memory_stays_within_its_limit(make_harness):
     limit = 1000
     harness = make_harness(memory_kb=limit, cores=8)
-    many = [harness.request(deadline_at=3900) for _ in range(60)]
-    harness.step(*many)
+    requests = [harness.request(deadline_at=3900) for _ in range(60)]
+    harness.step(*requests)
     for _ in range(80):
         harness.tick(40)
-        running = len(harness.actions_of(StartRun)) - len({a.id for a in harness.actions_of(Fail)})
-        held = sum(
-            1
-            for request in many
-            if not harness.final_answers(request.id) and not harness.actions_of(StartRun, request.id)
+        running = len(harness.actions_of(StartRun)) - len({action.id for action in harness.actions_of(Fail)})
+        queued = sum(
+            not harness.final_answers(request.id) and not harness.actions_of(StartRun, request.id)
+            for request in requests
         )
-        assert 80 * running + 10 * held <= limit
+        assert 80 * running + 10 * queued <= limit
 
 
-@pytest.mark.parametrize("cold", [False, True])
-def test_running_requests_stay_under_the_overload_bound(make_harness, cold):
-    harness = make_harness(warming_up=cold, cores=4)
+@pytest.mark.parametrize("warming_up", [False, True])
+def test_running_requests_stay_under_the_overload_bound(make_harness, warming_up):
+    harness = make_harness(warming_up=warming_up, cores=4)
     for i in range(50):
         harness.step(*[harness.request(deadline_at=harness.now + 3000) for _ in range(5)])
         harness.tick(40, gauges=(0.1, 1.0))
-        share = 0.25 + 0.75 * min(1.0, i * 40 / 10_000) if cold else 1.0
-        assert harness.state.running <= 4 * (1 + 7 * share)
+        speed_fraction = 0.25 + 0.75 * min(1.0, i * 40 / 10_000) if warming_up else 1.0
+        assert harness.state.running <= 4 * (1 + 7 * speed_fraction)
 
 
 def test_calls_in_flight_stay_within_the_quota(make_harness):
@@ -290,8 +290,8 @@
     harness.step(*requests)
     harness.step(*[CallRequested(request.id) for request in requests], at=10)
     harness.tick(400)
-    out = len(harness.actions_of(StartCall))
-    assert 1 <= out <= 5
+    in_flight = len(harness.actions_of(StartCall))
+    assert 1 <= in_flight <= 5
 
 
 # All together.
@@ -309,11 +309,12 @@
         self.runs = {}  # id -> "run" or "call": what a run does
         self.calls = {}  # id -> whether its call is in flight
         self.keys = set()  # keyed requests that were started
-        self.owed = []  # events that follow from the actions of the last step
+        self.next_events = []  # that follow from the actions of the last step
 
     def step(self):
         self.harness.now += self.rng.choice([2, 4, 11])
-        events, self.owed = self.owed, []
+        events = self.next_events
+        self.next_events = []
         events += self.call_events()
         events += self.run_events()
         events += self.client_events()
@@ -378,7 +379,7 @@
                 self.check_final_answer(action, request_id)
             case CancelRun(request_id):
                 if self.runs.pop(request_id, None):
-                    self.owed.append(RunCompleted(request_id, Outcome.CANCELLED, 50.0))
+                    self.next_events.append(RunCompleted(request_id, Outcome.CANCELLED, 50.0))
 
     def check_start(self, request_id):
         assert request_id not in self.answered
@@ -398,7 +399,7 @@
         elif self.runs.get(request_id) == "call":
             del self.runs[request_id]
             self.calls.pop(request_id, None)
-            self.owed.append(RunCompleted(request_id, Outcome.CANCELLED, 50.0))
+            self.next_events.append(RunCompleted(request_id, Outcome.CANCELLED, 50.0))
 
     def check_deadlines(self):
         for request_id, request in self.requests.items():
--- a/tests/test_shared_budget.py
+++ b/tests/test_shared_budget.py
@@ -5,7 +5,7 @@
 GAUGES = (*admission.PEER_GAUGES, "core_use", "on_cores")
 
 
-def started(harness, count, **peer_gauges):
+def start_requests(harness, count, **peer_gauges):
     """Send requests to a harness whose other process uses so much; return how many were started."""
     peer = [peer_gauges.get(name, 0.0) for name in admission.PEER_GAUGES]
     harness.step(admission.TimerFired(0, (*peer, 0.1, 1.0)))
@@ -14,24 +14,24 @@
 
 
 def test_peer_runs_reduce_the_slots_to_no_less_than_half(make_harness):
-    slots = started(make_harness(gauges=GAUGES, cores=8), 30)
+    slots = start_requests(make_harness(gauges=GAUGES, cores=8), 30)
     assert slots == 12
-    assert started(make_harness(gauges=GAUGES, cores=8), 30, other_runs=4.0) == 8
-    assert started(make_harness(gauges=GAUGES, cores=8), 30, other_runs=40.0) == 6
+    assert start_requests(make_harness(gauges=GAUGES, cores=8), 30, other_runs=4.0) == 8
+    assert start_requests(make_harness(gauges=GAUGES, cores=8), 30, other_runs=40.0) == 6
 
 
 def test_peer_memory_counts_in_full(make_harness):
     full = make_harness(gauges=GAUGES, memory_kb=1000)
-    assert started(full, 2, other_kb=900.0) == 0
+    assert start_requests(full, 2, other_kb=900.0) == 0
     assert full.actions_of(admission.Reject)[0].retry_after_ms > 0  # the second does not fit
-    assert started(make_harness(gauges=GAUGES, memory_kb=1000), 2) == 2
+    assert start_requests(make_harness(gauges=GAUGES, memory_kb=1000), 2) == 2
 
 
 def test_peer_calls_reduce_the_downstream_limit_to_no_less_than_half(make_harness):
     def calls(**others):
         harness = make_harness(gauges=GAUGES, cores=20, call_quota=20.0)
-        n = started(harness, 20, **others)
-        harness.step(*(admission.CallRequested(i) for i in range(1, n + 1)))
+        run_count = start_requests(harness, 20, **others)
+        harness.step(*(admission.CallRequested(number) for number in range(1, run_count + 1)))
         return len(harness.actions_of(admission.StartCall))
 
     assert calls() == 12
@@ -45,20 +45,20 @@
         request = old.request()
         old.step(request)
         old.step(admission.RunCompleted(request.id, admission.Outcome.OK, 77.0), at=old.now + 77)
-    known = old.controller.learned()
+    learned = old.controller.learned()
     new = make_harness()
-    new.controller.adopt(known)
+    new.controller.adopt(learned)
     assert abs(new.state.run_estimates.core_ms[0] - 77.0) < 1
-    assert new.controller.learned() == known
-    seen = make_harness()
-    request = seen.request()
-    seen.step(request)
-    seen.step(admission.RunCompleted(request.id, admission.Outcome.OK, 5.0), at=5.0)
-    seen.controller.adopt(known)
-    assert seen.state.run_estimates.core_ms[0] == 5.0  # what was seen here goes before it
-    other = make_harness(classes=make_harness().settings.classes[:2])
-    other.controller.adopt(known)
-    assert not any(other.state.run_estimates.runs)  # other classes: nothing of it fits
+    assert new.controller.learned() == learned
+    experienced = make_harness()
+    request = experienced.request()
+    experienced.step(request)
+    experienced.step(admission.RunCompleted(request.id, admission.Outcome.OK, 5.0), at=5.0)
+    experienced.controller.adopt(learned)
+    assert experienced.state.run_estimates.core_ms[0] == 5.0  # its own estimate is kept
+    fewer_classes = make_harness(classes=make_harness().settings.classes[:2])
+    fewer_classes.controller.adopt(learned)
+    assert not any(fewer_classes.state.run_estimates.runs)  # estimates of other classes are ignored
 
 
 def test_shutdown_with_hand_over_rejects_nothing_and_answers_all_in_time(make_harness):
@@ -68,14 +68,14 @@
     late = harness.request()
     harness.step(late)
     assert harness.actions_of(admission.StartRun, late.id)
-    assert not [a for a in harness.actions_of(admission.SetHealth) if not a.healthy]
+    assert not [action for action in harness.actions_of(admission.SetHealth) if not action.healthy]
     harness.tick(1990)
     assert harness.final_answers(late.id)
-    assert not [a for a in harness.actions_of(admission.Advertise) if a.value >= 1]
-    left = make_harness(drain_grace_ms=500)
-    left.step(admission.ShutdownRequested(3000.0))
-    left.tick(1000)
-    late = left.request()
-    left.step(late)
-    assert left.actions_of(admission.Reject, late.id)
-    assert [a for a in left.actions_of(admission.SetHealth) if not a.healthy]
+    assert not [action for action in harness.actions_of(admission.Advertise) if action.value >= 1]
+    alone = make_harness(drain_grace_ms=500)
+    alone.step(admission.ShutdownRequested(3000.0))
+    alone.tick(1000)
+    late = alone.request()
+    alone.step(late)
+    assert alone.actions_of(admission.Reject, late.id)
+    assert [action for action in alone.actions_of(admission.SetHealth) if not action.healthy]
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -29,11 +29,16 @@
     """One process: what it runs, rejects and answers."""
 
     def __init__(self, executions, role=Role.STANDALONE):
-        self.executions, self.alive, self.other, self.linked = executions, True, None, False
+        self.executions = executions
+        self.alive = True
+        self.other = None
         self.table = IdempotencyTable()
         self.ownership = KeyOwnership(self.table, WINDOW, role)
-        self.inbox, self.buffer, self.blocked = [], [], False  # buffer: not yet sent
-        self.running, self.records = {}, {}  # attempt -> its record
+        self.inbox = []
+        self.buffer = []  # not sent yet
+        self.blocked = False
+        self.running = {}  # attempt -> its record
+        self.records = {}  # attempt -> its record
         self.answers = {}
         self.states = {}  # id of a record -> its state when last seen, and the record
         self.ownership.send = self._send
@@ -47,20 +52,24 @@
         self.flush()
 
     def flush(self):
+        """Send what waits, unless the link is blocked."""
         if not self.blocked and self.other is not None:
             self.other.inbox += self.buffer
             self.buffer = []
 
     def link(self, other):
-        """Become the owner of a link, with a whole snapshot."""
-        self.other, other.other, other.inbox, self.inbox = other, self, [], []
-        self.linked = other.linked = True
+        """Become the owner of a link, with a complete snapshot."""
+        self.other = other
+        other.other = self
+        self.inbox = []
+        other.inbox = []
         self.ownership.on_peer_connected(Role.OWNER)
         other.ownership.on_peer_connected(Role.FOLLOWER)
         for message in self.ownership.snapshot([record.key for record in self.table]):
             self._send(message)
 
     def request(self, key, now):
+        """Take an attempt of a key."""
         is_retry = now - self.executions.last_attempt_at.get(key, -1e9) <= WINDOW
         self.executions.last_attempt_at[key] = now
         self.executions.last_attempt += 1
@@ -96,6 +105,7 @@
         self.answers[attempt] = answer
 
     def end(self, attempt, result):
+        """Let the run of an attempt end; it failed where the result is None."""
         self.ownership.complete(self.running.pop(attempt), result)
         self.answer(attempt, result or "failed")
 
@@ -109,6 +119,7 @@
             self.states[id(record)] = record.state, record  # kept, so that no other record gets its id
 
     def take(self):
+        """Receive the next message, if there is one."""
         if self.inbox:
             self.ownership.receive(self.inbox.pop(0))
 
@@ -117,7 +128,8 @@
     """What all processes executed together, on one clock."""
 
     def __init__(self):
-        self.last_attempt, self.now = 0, 1000.0
+        self.last_attempt = 0
+        self.now = 1000.0
         self.created_at = {}  # attempt -> when it was created
         self.last_attempt_at = {}  # key -> when its last attempt was made
         self.by_key = {}  # key -> when the attempts that were executed were created
@@ -130,18 +142,21 @@
 
 
 def pair():
+    """Return what two processes execute, the older one and the newer one; they are not linked."""
     executions = Executions()
-    old, new = Process(executions), Process(executions, Role.SUSPENDED)
+    old = Process(executions)
+    new = Process(executions, Role.SUSPENDED)
     return executions, old, new
 
 
 def pump(*processes):
+    """Let the processes receive all messages."""
     while any(process.inbox for process in processes):
         for process in processes:
             process.take()
 
 
-def test_what_was_executed_before_the_link_is_known_after_it_with_its_result():
+def test_results_from_before_the_link_are_known_at_the_newer_process():
     executions, old, new = pair()
     for key in KEYS[:2]:
         old.request(key, executions.now)
@@ -157,7 +172,7 @@
     assert len(executions.by_key) == 2
 
 
-def test_the_newer_process_asks_and_its_results_are_passed_on():
+def test_the_newer_process_claims_a_key_and_its_result_is_known_at_the_owner():
     executions, old, new = pair()
     old.link(new)
     new.request(KEYS[0], executions.now)
@@ -170,7 +185,7 @@
     assert old.table.get(KEYS[0]).executed_attempt == EXECUTED_BY_PEER
 
 
-def test_two_claims_that_cross_run_once_and_both_have_the_result():
+def test_two_claims_that_cross_run_once_and_both_processes_have_the_result():
     executions, old, new = pair()
     old.link(new)
     new.request(KEYS[0], executions.now)
@@ -182,7 +197,7 @@
     assert new.answers == {1: "r"}
 
 
-def test_a_wait_for_a_process_that_does_not_reply_ends_with_a_rejection():
+def test_a_claim_without_a_reply_is_rejected_after_its_timeout():
     executions, old, new = pair()
     old.link(new)
     new.request(KEYS[0], executions.now)
@@ -196,7 +211,7 @@
     assert old.table.get(KEYS[0]).executed_attempt == 2
 
 
-def test_the_owner_runs_nothing_whose_announcement_has_not_left_it():
+def test_the_owner_runs_no_key_before_its_announcement_is_sent():
     executions, old, new = pair()
     old.link(new)
     old.blocked = True
@@ -215,7 +230,7 @@
     assert KEYS[1] in executions.by_key
 
 
-def test_what_a_dead_process_left_open_fails_as_its_outcome_is_unknown():
+def test_attempts_that_a_killed_process_left_open_fail_as_their_outcome_is_unknown():
     executions, old, new = pair()
     old.link(new)
     old.request(KEYS[0], executions.now)
@@ -245,7 +260,8 @@
         pump(old, new)
         process.end(n, f"r{n}")
         pump(old, new)
-        assert old.table.get(KEYS[0]).result == new.table.get(KEYS[0]).result == f"r{n}"
+        assert old.table.get(KEYS[0]).result == f"r{n}"
+        assert new.table.get(KEYS[0]).result == f"r{n}"
 
 
 def test_outcomes_are_unknown_for_one_window():
@@ -270,67 +286,91 @@
     assert executions.by_key
 
 
-def play(seed):
-    """Play random events of two or three processes; raises where a key runs twice."""
-    rng, executions = random.Random(seed), Executions()
-    processes = [Process(executions)]
-    for _ in range(rng.randrange(20, 120)):
-        owner = next(process for process in processes if process.alive)
-        live = [process for process in processes if process.alive]
-        act = rng.random()
+class RandomUpgrade:
+    """Random events of two or three processes; raises where a key runs twice."""
+
+    def __init__(self, seed):
+        self.rng = random.Random(seed)
+        self.executions = Executions()
+        self.processes = [Process(self.executions)]
+
+    def play(self):
+        """Play some events; returns how many runs there were."""
+        for _ in range(self.rng.randrange(20, 120)):
+            self._play_event()
+            for process in self.processes:
+                process.check_states()
+        return sum(len(times) for times in self.executions.by_key.values())
+
+    def _play_event(self):
+        rng = self.rng
+        live = [process for process in self.processes if process.alive]
+        owner = live[0]
+        draw = rng.random()
         process = rng.choice(live)
-        if act < 0.35:
+        if draw < 0.35:
             if process.ownership.role is not Role.SUSPENDED or rng.random() < 0.3:
-                process.request(rng.choice(KEYS), executions.now)
-        elif act < 0.6:
+                process.request(rng.choice(KEYS), self.executions.now)
+        elif draw < 0.6:
             process.take()
-        elif act < 0.75 and process.running:
+        elif draw < 0.75 and process.running:
             process.end(rng.choice(sorted(process.running)), rng.choice(["r", None]))
-        elif act < 0.8 and len(live) == 1:
-            processes.append(Process(executions, Role.SUSPENDED))
-            owner.link(processes[-1])
-        elif act < 0.85:
-            process.blocked = not process.blocked
-            process.flush()
-            if not process.buffer:
-                process.ownership.on_flushed()
-        elif act < 0.93:
-            executions.now += rng.choice([1.0, 100.0, 400.0, 3000.0])
-            for each in live:
-                if each.ownership.expire_claims(executions.now) and each.other is not None:
-                    cut(each, each.other, dead=False)
-        elif act < 0.96 and len(live) == 2 and rng.random() < 0.5:  # one is killed: what it has sent still arrives
-            dead, other = rng.sample(live, 2)
-            dead.alive = False
-            while other.inbox:
-                other.take()
-            other.ownership.on_peer_lost(True, 0.0 if other.ownership.role is Role.OWNER else executions.now)
-            other.other, other.inbox, other.buffer = None, [], []
+        elif draw < 0.8 and len(live) == 1:
+            self.processes.append(Process(self.executions, Role.SUSPENDED))
+            owner.link(self.processes[-1])
+        elif draw < 0.85:
+            self._toggle_blocked(process)
+        elif draw < 0.93:
+            self._let_time_pass(live)
+        elif draw < 0.96 and len(live) == 2 and rng.random() < 0.5:
+            self._kill_one_of(live)
         elif len(live) == 2 and rng.random() < 0.3:  # the link alone is cut, and made again
-            cut(owner, live[1], dead=False)
+            cut_link(owner, live[1])
             if rng.random() < 0.7:
                 owner.link(live[1])
-        for each in processes:
-            each.check_states()
-    return sum(len(t) for t in executions.by_key.values())
-
 
-def cut(a, b, dead):
-    for process in (a, b):
-        process.inbox, process.buffer = [], []
-        process.ownership.on_peer_lost(peer_ended=dead)
+    def _toggle_blocked(self, process):
+        process.blocked = not process.blocked
+        process.flush()
+        if not process.buffer:
+            process.ownership.on_flushed()
+
+    def _let_time_pass(self, live):
+        self.executions.now += self.rng.choice([1.0, 100.0, 400.0, 3000.0])
+        for process in live:
+            if process.ownership.expire_claims(self.executions.now) and process.other is not None:
+                cut_link(process, process.other)
+
+    def _kill_one_of(self, live):
+        """Kill a process; what it has sent still arrives."""
+        dead, other = self.rng.sample(live, 2)
+        dead.alive = False
+        while other.inbox:
+            other.take()
+        other.ownership.on_peer_lost(True, 0.0 if other.ownership.role is Role.OWNER else self.executions.now)
+        other.other = None
+        other.inbox = []
+        other.buffer = []
+
+
+def cut_link(one, other):
+    """Cut the link between two processes that both live."""
+    for process in (one, other):
+        process.inbox = []
+        process.buffer = []
+        process.ownership.on_peer_lost(peer_ended=False)
         process.other = None
-    a.ownership.on_peer_lost(peer_ended=a.ownership.role is Role.STANDALONE)
+    one.ownership.on_peer_lost(peer_ended=one.ownership.role is Role.STANDALONE)
 
 
 @pytest.mark.parametrize("block", range(4))
-def test_no_key_runs_twice_in_its_window_whatever_is_killed_cut_or_late(block):
+def test_no_key_runs_twice_in_its_window_whatever_is_killed_cut_or_delayed(block):
     seeds = range(block * 500, block * 500 + 500)
     print("seeds", seeds)
     runs = 0
     for seed in seeds:
         try:
-            runs += play(seed)
+            runs += RandomUpgrade(seed).play()
         except AssertionError as err:
             raise AssertionError(f"seed {seed}: {err}") from err
     assert runs > 500
@@ -359,7 +399,7 @@
     assert not executions.by_key
 
 
-def test_a_late_snapshot_reverts_nothing_that_was_announced_since():
+def test_a_late_snapshot_reverts_no_later_announcement():
     executions, old, new = pair()
     old.link(new)
     old.request(KEYS[0], executions.now)
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -42,7 +42,7 @@
 @given(
     ZONES_AND_WEIGHTS, st.lists(WEIGHTS, min_size=1, max_size=12), st.integers(1, 5), st.randoms(use_true_random=False)
 )
-def test_no_backend_is_short_no_host_over_its_capacity_and_the_order_is_no_matter(
+def test_backends_have_enough_hosts_within_their_capacity_in_any_order_of_the_lists(
     zones_and_weights, weights, min_hosts, rng
 ):
     hosts = make_hosts(zones_and_weights)
@@ -53,7 +53,8 @@
     capacities = host_capacities(hosts, sum(required.values()), len(backends))
     total_capacity = sum(min(capacities[host.name], len(backends)) for host in hosts)
     if total_capacity >= 2 * sum(required.values()) + len(backends):
-        assert all(len(assignment[host.name]) <= capacities[host.name] for host in hosts)
+        for host in hosts:
+            assert len(assignment[host.name]) <= capacities[host.name]
     shuffled = list(hosts), list(backends)
     for each in shuffled:
         rng.shuffle(each)
@@ -61,15 +62,17 @@
     assignment = assign_backends(hosts, backends, min_hosts)
     assert assign_backends(*shuffled, min_hosts) == assignment
     assert all(assignment.values())
-    assert all(len(hosts_of(assignment, backend.name)) >= required[backend.name] for backend in backends)
-    fractions = load_fractions(hosts, backends, assignment)
-    assert all(abs(sum(row.values()) - 1) < 1e-9 for row in fractions.values() if row)
+    for backend in backends:
+        assert len(hosts_of(assignment, backend.name)) >= required[backend.name]
+    for row in load_fractions(hosts, backends, assignment).values():
+        if row:
+            assert sum(row.values()) == pytest.approx(1, abs=1e-9, rel=0)
 
 
 @pytest.mark.parametrize(
     ("host_count", "backend_count", "min_hosts"), [(12, 6, 3), (200, 40, 10), (50, 10, 5), (14, 14, 4)]
 )
-def test_loads_are_even_and_a_backends_hosts_stand_in_several_zones(host_count, backend_count, min_hosts):
+def test_loads_are_even_and_hosts_of_a_backend_are_in_several_zones(host_count, backend_count, min_hosts):
     hosts = make_hosts([(ZONES[n % 3], 1.0) for n in range(host_count)])
     backends = make_backends([1.0] * backend_count)
     assignment = assign_backends(hosts, backends, min_hosts)
@@ -83,7 +86,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_host_or_backend_that_is_removed_moves_little_more_than_it_must(seed):
+def test_a_removed_host_or_backend_moves_few_more_pairs_than_needed(seed):
     rng = random.Random(seed)
     hosts = make_hosts([(rng.choice(("a", "b", "c")), 1.0) for _ in range(60)])
     backends = make_backends([1.0] * 20)
@@ -99,7 +102,7 @@
         assert len(change.added) <= 12 < len(hosts_of(before, removed.name)) * 3
 
 
-def test_two_lists_at_once_leave_no_backend_without_and_none_with_twice_its_hosts():
+def test_two_lists_at_once_leave_each_backend_between_one_and_twice_its_hosts():
     hosts = make_hosts([("a", 1.0)] * 12)
     backends = make_backends([1.0] * 8)
     old = assign_backends(hosts[:10], backends, 3)
@@ -123,7 +126,7 @@
     conf.write_text(f"section inventory\n path {tmp_path / 'boxes.csv'}\nend\nsection fleet\n group all\nend\n")
     options = ["--conf", str(conf), "--backends", str(tmp_path / "brokers.csv"), "--least", "3"]
     runner = CliRunner()
-    return lambda *words: runner.invoke(cli, ["shares", *words, *options])
+    return lambda *arguments: runner.invoke(cli, ["shares", *arguments, *options])
 
 
 def test_the_commands_show_a_subset_and_what_a_change_would_move(invoke):
