--- a/benchmarks/decision_parity.py
+++ b/benchmarks/decision_parity.py
@@ -105,9 +105,9 @@
 @parity.output_options
 def main(checkout: Path, events: int, seed: int, json_file: Path | None, compare_file: Path | None) -> None:
     """Hash the replies of a checkout's simulator adapter to a fixed closed-loop load."""
-    share = -(-events // len(SCENARIOS))
+    events_per_scenario = -(-events // len(SCENARIOS))
     try:
-        results = [play(checkout.resolve(), scenario, seed, share) for scenario in SCENARIOS]
+        results = [play(checkout.resolve(), scenario, seed, events_per_scenario) for scenario in SCENARIOS]
     except (AdapterError, parity_wire.ReplyError) as err:
         raise click.ClickException(str(err)) from err
     result = parity.combine("decision_parity", seed, results)
--- a/benchmarks/inventory.py
+++ b/benchmarks/inventory.py
@@ -28,11 +28,18 @@
 from lapispick.fleet.reading import File, Options, Reader
 from lapispick.fleet.reconciler import Bounds
 from lapispick.host.amqp import listing
+from lapispick.host.amqp.front import AmqpFront
+from lapispick.host.dns_resolver import DnsResolver
+from lapispick.host.inventory import Inventory
+from lapispick.host.scheduler import EventLoop
 from lapispick.platform_settings import Info, settings_from
 
 SIZES = (14, 500, 5000)
 BEFORE = "8ba3416"  # the last version without inventory files
 PLAIN = listing.schema(None)
+MIN_TURN_S = 0.0002  # a shorter turn is followed by a sleep, or the loop would never idle
+IDLE_SLEEP_S = 0.0005
+MAX_DURATION_S = 60.0
 
 
 def csv_list(count: int, other: int = -1) -> str:
@@ -59,7 +66,7 @@
     return "".join(made)
 
 
-FORMS = {"csv": csv_list, "yml": yaml_list}
+FORMATS = {"csv": csv_list, "yml": yaml_list}
 
 
 def _timed(reader: Reader, base: snapshot.Snapshot, form: str, text: str) -> tuple[float, snapshot.Snapshot]:
@@ -80,14 +87,14 @@
 def read(rounds: int = 5) -> None:
     """Read a list first, then with one host changed; medians."""
     rows = []
-    for form, make in FORMS.items():
+    for form, make in FORMATS.items():
         for size in SIZES:
             first, change = [], []
-            for turn in range(rounds):
+            for number in range(rounds):
                 reader = Reader(Options("shops", PLAIN), {})
                 took, base = _timed(reader, snapshot.EMPTY, form, make(size))
                 first.append(took)
-                took, _ = _timed(reader, base, form, make(size, 1 + (size * turn) // rounds))
+                took, _ = _timed(reader, base, form, make(size, 1 + (size * number) // rounds))
                 change.append(took)
             one, two = statistics.median(first), statistics.median(change)
             rows.append((form, size, f"{one:.1f}", f"{two:.2f}", f"{two / one:.3f}"))
@@ -97,7 +104,7 @@
 def helper(rounds: int = 5) -> None:
     """Let a real helper process read a list first, from its start on, and then with one host changed."""
     rows = []
-    for form, make in FORMS.items():
+    for form, make in FORMATS.items():
         for size in SIZES:
             first, change = [], []
             for _ in range(rounds):
@@ -122,18 +129,18 @@
         theirs.close()
         lines = ours.makefile("rb")
 
-        def ask(message: msgspec.Struct) -> None:
+        def request(message: msgspec.Struct) -> None:
             ours.sendall(msgspec.json.encode(message) + b"\n")
             head = decode(lines.readline())
             for _ in range(head.chunk_count):  # type: ignore[union-attr]
                 decode(lines.readline())
 
-        ask(Begin(str(path), 64 << 20, Options("shops", PLAIN)))
-        ask(Poll())
+        request(Begin(str(path), 64 << 20, Options("shops", PLAIN)))
+        request(Poll())
         first = time.perf_counter() - began
         path.write_text(new)
         began = time.perf_counter()
-        ask(Poll())
+        request(Poll())
         took = time.perf_counter() - began
         lines.close()
         ours.close()
@@ -141,85 +148,90 @@
     return first * 1000, took * 1000
 
 
+class _GapMeter:
+    """The longest gap between two turns of a loop, in s, by the phase of the measurement."""
+
+    def __init__(self, loop: EventLoop) -> None:
+        self.phase = "idle"
+        self.longest_s = {"idle": 0.0, "first": 0.0, "change": 0.0}
+        self._loop = loop
+
+    def run(self) -> None:
+        """Yield to the loop again and again, and take the time."""
+        last = time.perf_counter()
+        while True:
+            self._loop.yield_control()
+            now = time.perf_counter()
+            self.longest_s[self.phase] = max(self.longest_s[self.phase], now - last)
+            last = now
+            if time.perf_counter() - now < MIN_TURN_S:
+                self._loop.sleep(IDLE_SLEEP_S)
+                last = time.perf_counter()
+
+
+def _load_and_change(loop: EventLoop, meter: _GapMeter, inventory: Inventory, path: Path, lists: list[Path]) -> None:
+    """Let the inventory load its list, then replace it by each of ``lists``; ends the loop."""
+    loop.sleep(0.5)
+    meter.phase = "first"
+    loop.spawn(inventory.serve)
+    while inventory.acceptance.accepted is None:
+        loop.sleep(0.01)
+    loop.sleep(0.3)
+    meter.phase = "change"
+    for each in lists:
+        known = inventory.acceptance.accepted
+        each.replace(path)
+        while inventory.acceptance.accepted is known:
+            loop.sleep(0.01)
+    loop.sleep(0.2)
+    loop.stop()
+
+
+def _amqp_front(loop: EventLoop, info: Info) -> AmqpFront:
+    resolver = DnsResolver(loop, 1.0, None)
+    bounds = Bounds(max_instances=8)
+    return AmqpFront(loop, bounds, info, settings_from(info), lambda item: None, resolver, 60.0)
+
+
 def _stalls(size: int, form: str, rounds: int) -> tuple[float, float, float, float, float]:
     """Return (idle, first load, change) longest gaps between turns in ms, helper's and own memory in MB."""
-    from lapispick.host.amqp.front import AmqpFront
-    from lapispick.host.dns_resolver import DnsResolver
-    from lapispick.host.inventory import Inventory
-    from lapispick.host.scheduler import EventLoop
-
     info = msgspec.convert(PLATFORM_INFO, Info)
-    loop, worst, phase = EventLoop(), {"idle": 0.0, "first": 0.0, "change": 0.0}, ["idle"]
+    loop = EventLoop()
+    meter = _GapMeter(loop)
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / f"list.{form}"
-        path.write_text(FORMS[form](size))
-        spares = [path.with_name(f"spare{turn}") for turn in range(rounds)]  # written ahead, not by the loop
-        for turn, spare in enumerate(spares):
-            spare.write_text(FORMS[form](size, 1 + turn * size // rounds))
-        told = InventorySettings(path=path, group="shops", poll_interval_s=0.05, settle_s=0.1, max_settle_s=1.0)
-        front = AmqpFront(
-            loop,
-            Bounds(max_instances=8),
-            info,
-            settings_from(info),
-            lambda item: None,
-            DnsResolver(loop, 1.0, None),
-            60.0,
-        )
-        inventory = Inventory(loop, told, listing.schema(info), front.take)
-
-        def beat() -> None:
-            last = time.perf_counter()
-            while True:
-                loop.yield_control()
-                now = time.perf_counter()
-                worst[phase[0]] = max(worst[phase[0]], now - last)
-                last = now
-                if time.perf_counter() - now < 0.0002:
-                    loop.sleep(0.0005)
-                    last = time.perf_counter()
-
-        def script() -> None:
-            loop.sleep(0.5)
-            phase[0] = "first"
-            loop.spawn(inventory.serve)
-            while inventory.acceptance.accepted is None:
-                loop.sleep(0.01)
-            loop.sleep(0.3)
-            phase[0] = "change"
-            for spare in spares:
-                known = inventory.acceptance.accepted
-                spare.replace(path)
-                while inventory.acceptance.accepted is known:
-                    loop.sleep(0.01)
-            loop.sleep(0.2)
-            loop.stop()
-
-        loop.spawn(beat)
-        loop.spawn(script)
-        loop.call_later(60.0, loop.stop)  # a list that is never accepted must not keep this running
+        path.write_text(FORMATS[form](size))
+        lists = [path.with_name(f"spare{number}") for number in range(rounds)]  # written ahead, not by the loop
+        for number, each in enumerate(lists):
+            each.write_text(FORMATS[form](size, 1 + number * size // rounds))
+        settings = InventorySettings(path=path, group="shops", poll_interval_s=0.05, settle_s=0.1, max_settle_s=1.0)
+        inventory = Inventory(loop, settings, listing.schema(info), _amqp_front(loop, info).take)
+        loop.spawn(meter.run)
+        loop.spawn(_load_and_change, loop, meter, inventory, path, lists)
+        loop.call_later(MAX_DURATION_S, loop.stop)  # a list that is never accepted must not keep this running
         loop.run()
         assert inventory.helper.process is not None, "the list was not accepted"
-        assert phase[0] == "change", "the list was not accepted"
-        helper = memory_mb(inventory.helper.process.pid)
+        assert meter.phase == "change", "the list was not accepted"
+        helper_mb = memory_mb(inventory.helper.process.pid)
         inventory.helper.process.kill()
         inventory.helper.process.wait()
-    return worst["idle"] * 1000, worst["first"] * 1000, worst["change"] * 1000, helper, memory_mb(os.getpid())
+    gaps_ms = [meter.longest_s[phase] * 1000 for phase in ("idle", "first", "change")]
+    return gaps_ms[0], gaps_ms[1], gaps_ms[2], helper_mb, memory_mb(os.getpid())
 
 
 def loop(rounds: int = 5) -> None:
     """Follow a list on a real loop with a real helper, and measure the longest gap between turns."""
     rows: list[tuple[Any, ...]] = []
-    for form in FORMS:
+    for form in FORMATS:
         for size in SIZES:
-            told = subprocess.run(
+            done = subprocess.run(
                 [sys.executable, "-m", "benchmarks.inventory", "stalls", form, str(size), str(rounds)],
                 capture_output=True,
                 text=True,
                 check=True,
                 timeout=90,
             )
-            rows.append((form, size, *told.stdout.split()))
+            rows.append((form, size, *done.stdout.split()))
     show(
         "longest gap between two turns of the loop, ms; memory at the peak, MB",
         ("form", "hosts", "idle", "first load", "one host changed", "helper", "host and front"),
@@ -233,9 +245,9 @@
 
     found: dict[str, list[tuple[float, float]]] = {"before": [], "now": []}
     with against(BEFORE) as old, tempfile.TemporaryDirectory() as folder:
-        for turn in range(rounds):
+        for number in range(rounds):
             order = [("before", old), ("now", Path.cwd())]
-            for name, tree in order if turn % 2 else order[::-1]:
+            for name, tree in order if number % 2 else order[::-1]:
                 host = HostProcess(Path(folder), cwd=tree)
                 memory, gateway = host.peak_memory_mb(), host.gateway()
                 began = cpu_s(host.process.pid)
@@ -300,13 +312,13 @@
 
 def main() -> None:
     """Run the parts that are named, by default all."""
-    words = sys.argv[1:]
-    if words[:1] == ["stalls"]:
-        print(*(f"{value:.2f}" for value in _stalls(int(words[2]), words[1], int(words[3]))))
+    arguments = sys.argv[1:]
+    if arguments[:1] == ["stalls"]:
+        print(*(f"{value:.2f}" for value in _stalls(int(arguments[2]), arguments[1], int(arguments[3]))))
         return
-    for name, part in (("read", read), ("helper", helper), ("loop", loop), ("off", off), ("log", log)):
-        if not words or name in words:
-            part()
+    for name, measure in (("read", read), ("helper", helper), ("loop", loop), ("off", off), ("log", log)):
+        if not arguments or name in arguments:
+            measure()
 
 
 if __name__ == "__main__":
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -198,11 +198,11 @@
     parser.add_argument("--plot", metavar="FILE", help="plot the sizes")
     options = parser.parse_args()
     with ProcessPoolExecutor(options.jobs) as pool:
-        for part in options.parts or PARTS:
-            rows = PARTS[part](pool, options.plays)
+        for name in options.parts or PARTS:
+            rows = PARTS[name](pool, options.plays)
             for row in rows:
-                print(part, msgspec.json.encode(row).decode(), flush=True)
-            if part == "sizes" and options.plot:
+                print(name, msgspec.json.encode(row).decode(), flush=True)
+            if name == "sizes" and options.plot:
                 runs.plot([msgspec.convert(row, runs.RunMetrics) for row in rows], options.plot)
 
 
--- a/benchmarks/parity_adapters.py
+++ b/benchmarks/parity_adapters.py
@@ -78,7 +78,7 @@
         """Let a member do at once what is due."""
         self.tick_now(name)
 
-    def want(self, name: str, lease: str, owner: str, priority: int) -> int:
+    def request_lease(self, name: str, lease: str, owner: str, priority: int) -> int:
         """Let an owner request a lease; return its fencing token, 0 while it waits."""
         status = self.members[name].leases.request(self.clock(name), lease, owner, priority)
         return 0 if status is None else status.fencing_token
@@ -87,7 +87,7 @@
         """Let an owner release its lease."""
         self.send(name, self.members[name].leases.release(self.clock(name), lease, owner))
 
-    def say(self, name: str, kind: str, subject: str, value: float, count: int) -> None:
+    def publish_fact(self, name: str, kind: str, subject: str, value: float, count: int) -> None:
         """Let a member publish a fact."""
         self.members[name].publish_fact(self.clock(name), kind, subject, value, count, "text")
 
@@ -122,7 +122,7 @@
 
 OLD_GENERATION, NEW_GENERATION = rollout_model.OLD, rollout_model.NEW
 GENERATIONS = rollout_model.GENERATIONS
-TURN_WAIT_S = 20.0
+LEASE_WAIT_S = 20.0
 AGENT_ACTIONS = {
     host_actions.Start: "start",
     host_actions.Reload: "reload",
@@ -133,17 +133,17 @@
 
 
 class AgentView(NamedTuple):
-    """What an agent sees beside its processes: the machine's boot, whether a process is silent, a turn to change."""
+    """What an agent sees beside its processes: the machine's boot, whether a process is silent, a lease to change."""
 
     boot: str = "1"
     silent: bool = False
-    turn: bool = False
+    has_lease: bool = False
 
 
 class RolloutConditions(Protocol):
     """What the scenario adds to the rollout model."""
 
-    def figures(self, name: str) -> tuple[int, int]:
+    def memory_and_broken_rules(self, name: str) -> tuple[int, int]:
         """Return the memory in KB and the broken rules of a host."""
 
     def may_begin(self, now: float) -> str:
@@ -171,7 +171,7 @@
         return self.rollout.is_over
 
     @property
-    def asks_a_person(self) -> bool:
+    def awaits_operator(self) -> bool:
         """Tell whether an operator has to decide."""
         return self.rollout.phase in (Phase.AWAITING_DECISION, Phase.HELD)
 
@@ -233,7 +233,7 @@
 
     def agent_step(state: HostState, now: float, observation: Observation, timeouts: Timeouts) -> Any:
         observation = _observed(observation, conditions.agent_view(state.host))
-        decision = decide_host(state, now, observation, Timeouts(rollback_lease_wait_s=TURN_WAIT_S))
+        decision = decide_host(state, now, observation, Timeouts(rollback_lease_wait_s=LEASE_WAIT_S))
         record(f"agent {decision.state.phase}", encode_json([now, decision.state]))
         for action in decision.actions:
             record(f"agent orders {AGENT_ACTIONS[type(action)]}", encode_json(action))
@@ -250,7 +250,8 @@
     def controller_step(state: RolloutState, fence: Any, observations: Observations) -> Any:
         now = observations.now
         reports = {
-            name: _with_figures(report, *conditions.figures(name)) for name, report in observations.reports.items()
+            name: _with_metrics(report, *conditions.memory_and_broken_rules(name))
+            for name, report in observations.reports.items()
         }
         closed_reason = conditions.may_begin(now)
         decision = decide_rollout(state, fence, observations._replace(reports=reports, closed_reason=closed_reason))
@@ -275,10 +276,10 @@
 
 def _observed(observation: Observation, view: AgentView) -> Observation:
     unresponsive = observation.accepting if view.silent else frozenset()
-    return observation._replace(boot_id=view.boot, unresponsive=unresponsive, has_lease=view.turn)
+    return observation._replace(boot_id=view.boot, unresponsive=unresponsive, has_lease=view.has_lease)
 
 
-def _with_figures(report: HostReport, memory_kb: int, broken: int) -> HostReport:
+def _with_metrics(report: HostReport, memory_kb: int, broken: int) -> HostReport:
     return report._replace(memory_kb=memory_kb, broken_rules=broken)
 
 
@@ -299,18 +300,18 @@
 class KeyProcess:
     """One of two processes that share keys; its messages go to ``outbox`` as encoded lines."""
 
-    def __init__(self, name: str, window_ms: float, kept_most: int, record: Record) -> None:
+    def __init__(self, name: str, window_ms: float, max_result_bytes: int, record: Record) -> None:
         self.name, self._record = name, record
         self.outbox: list[bytes] = []
         self.is_behind = False
         self.running: list[tuple[int, tuple[str, ...]]] = []  # tries that run here, with their keys
-        self._table = IdempotencyTable(kept_most)
+        self._table = IdempotencyTable(max_result_bytes)
         self._ownership = KeyOwnership(self._table, window_ms)
         self._ownership.send = self._send
         self._ownership.has_unsent = lambda: self.is_behind
         self._ownership.on_verdict = self._settle
         self._ownership.on_completed = self._ended
-        self._tries: dict[int, tuple[str, ...]] = {}
+        self._attempts: dict[int, tuple[str, ...]] = {}
 
     def _note(self, what: str, *values: object) -> None:
         self._record(what, encode_json([self.name, *values]))
@@ -328,7 +329,7 @@
         self._note("joined ended", waiter, result)
 
     def _follow(self, number: int, verdict: Verdict) -> None:
-        name = self._tries[number]
+        name = self._attempts[number]
         if verdict is Verdict.RUN:
             self.running.append((number, name))
         elif verdict is Verdict.COALESCE:
@@ -342,14 +343,14 @@
             key.waiters.append(number)
 
     def arrive(
-        self, number: int, name: tuple[str, ...], born: float, until: float, what: int, redo: bool, now: float
+        self, number: int, name: tuple[str, ...], born: float, until: float, what: int, is_retry: bool, now: float
     ) -> None:
         """Take one try of a key, as the host does when the decision module wants to run it."""
-        self._tries[number] = name
+        self._attempts[number] = name
         key = self._table.find(name, born)
         if key is None or not key.executed_attempt:
             key = self._table.retain(name, number, born, until, what)
-        verdict = self._ownership.claim(number, key, born, until, redo, now)
+        verdict = self._ownership.claim(number, key, born, until, is_retry, now)
         self._note(f"verdict {VERDICTS[verdict]}", number)
         self._follow(number, verdict)
 
@@ -389,9 +390,9 @@
         """Go on without the other process."""
         self._ownership.on_peer_lost(alone, ended)
 
-    def limit_results(self, most: int) -> None:
+    def limit_results(self, max_result_bytes: int) -> None:
         """Set how many bytes of results are kept."""
-        self._table.max_result_bytes = most
+        self._table.max_result_bytes = max_result_bytes
         self._table.trim()
 
     def record_table(self) -> None:
@@ -423,7 +424,7 @@
     def __init__(self, record: Record) -> None:
         self._record = record
         self._known: dict[str, durable.DurableRecord] = {}
-        self.life = 1
+        self.incarnation = 1
 
     @property
     def names(self) -> list[str]:
@@ -436,7 +437,7 @@
         verdict = durable.decide(known, body, now)
         self._record(f"durable {VERDICTS[verdict]}", name.encode())
         if verdict is Verdict.RUN:
-            self._store(name, lambda: durable.intend(known, self.life, body, born, window, now))
+            self._store(name, lambda: durable.intend(known, self.incarnation, body, born, window, now))
 
     def step(self, name: str, action: str, result: bytes) -> None:
         """Take one step with a stored key; one that its state does not allow is recorded as an error."""
@@ -453,10 +454,10 @@
         self._store(name, steps[action])
 
     def restart(self, now: float) -> None:
-        """Let another life find what is stored."""
-        self.life += 1
+        """Recover what is stored, as a later incarnation does."""
+        self.incarnation += 1
         for name, known in list(self._known.items()):
-            self._store(name, lambda known=known: durable.recover(known, self.life, now))  # type: ignore[misc]
+            self._store(name, lambda known=known: durable.recover(known, self.incarnation, now))  # type: ignore[misc]
 
     def _store(self, name: str, step: Callable[[], durable.DurableRecord | None]) -> None:
         try:
--- a/benchmarks/parity_scenarios.py
+++ b/benchmarks/parity_scenarios.py
@@ -20,17 +20,17 @@
     """One class of requests; times in ms. ``calls`` is the mean number of downstream calls of one run."""
 
     name: str
-    share: float
+    request_fraction: float
     work_ms: float
-    promise: float
-    give_up: float
-    worth: float
+    latency_objective_ms: float
+    deadline_ms: float
+    priority_weight: float
     idempotency: str = IDEMPOTENT
-    late_worth: float = 0.0
+    late_weight: float = 0.0
     window: float = 5000.0
-    skip_worth: float = 0.0
+    degraded_weight: float = 0.0
     calls: float = 1.0
-    aim_stretch: float = 0.0
+    objective_stretch: float = 0.0
     write: bool = False
 
 
@@ -40,28 +40,28 @@
 
     name: str
     classes: tuple[ServiceClass, ...]
-    halt: str = "drop"
-    advert: str = "level"
+    cancel_mode: str = "drop"
+    backpressure_signal: str = "level"
     value_by: str = "request"
     below: str = "shared"
-    calls_out: float = 5.0
-    dependency_window: float = 5000.0
-    cold: bool = False
+    call_quota: float = 5.0
+    call_quota_window_ms: float = 5000.0
+    warming_up: bool = False
     upstreams: int = 3
     retry_after: bool = True
     max_retry_after: float = 1000.0
-    passes_deadline: bool = True
-    hangup_seen: bool = True
+    sends_deadline: bool = True
+    reports_cancels: bool = True
     readiness: bool = True
     cores: int = 6
     memory_runs: float = 15.0  # mean runs that fit into the memory
     run_factor: float = 8.0
-    held_kb: tuple[float, float] = (10.0, 56.0)
+    request_kb: tuple[float, float] = (10.0, 56.0)
     key_kb: float = 60.0
     fresh: float = 0.0
     idle: float = 30000.0
     layer: int = 0
-    cold_from: float = 0.3
+    cold_speed_fraction: float = 0.3
     warm_up: float = 12000.0
     fall_multiple: float = 8.0
     drain_grace: float = 1800.0
@@ -75,31 +75,31 @@
     swing_ms: float = 9000.0
     hints: bool = False  # requests bring an expected cost
     callers: int = 4
-    retry_part: float = 0.4  # of the refused and failed requests that come again
+    retry_fraction: float = 0.4  # of the rejected and failed requests that are retried
     unread_ms: float = 15.0  # mean time that a request lay unread, without overload
     call_ms: float = 35.0
-    call_trouble: float = 0.15  # part of the time in which the dependency is in trouble
-    life_ms: float = 25000.0  # mean time until an instance is replaced
+    call_fault_fraction: float = 0.15  # of the time in which the dependency has a fault
+    mean_lifetime_ms: float = 25000.0  # mean time until an instance is replaced
 
     @property
-    def mean_held_kb(self) -> float:
-        """Return the mean memory of a held request."""
-        return sum(self.held_kb) / 2
+    def mean_request_kb(self) -> float:
+        """Return the mean memory of a queued request."""
+        return sum(self.request_kb) / 2
 
     @property
     def memory_kb(self) -> float:
         """Return the memory of an instance."""
-        return self.memory_runs * self.run_factor * self.mean_held_kb
+        return self.memory_runs * self.run_factor * self.mean_request_kb
 
 
-def start_settings(scenario: Scenario, number: int, cold: bool) -> bytes:
+def start_settings(scenario: Scenario, number: int, warming_up: bool) -> bytes:
     """Return the settings object of one instance as JSON."""
     return msgspec.json.encode(
         {
             "Bounds": _bounds(scenario),
             "Callers": {"MarksRetry": True},
             "FailureDomains": ["zone-a", "zone-b", "zone-c"],
-            "FamilyInfo": _family_info(scenario, cold),
+            "FamilyInfo": _family_info(scenario, warming_up),
             "Guarantees": _guarantees(scenario),
             "KindOfService": "server",
             "Layer": scenario.layer,
@@ -128,26 +128,26 @@
     }
 
 
-def _family_info(scenario: Scenario, cold: bool) -> dict[str, Any]:
+def _family_info(scenario: Scenario, warming_up: bool) -> dict[str, Any]:
     return {
-        "Advert": scenario.advert,
+        "Advert": scenario.backpressure_signal,
         "Below": scenario.below,
         "CallsByClass": [each.calls > 0 for each in scenario.classes],
-        "CallsOut": scenario.calls_out,
-        "ClassSkipWorth": [each.skip_worth for each in scenario.classes],
-        "Cold": cold,
+        "CallsOut": scenario.call_quota,
+        "ClassSkipWorth": [each.degraded_weight for each in scenario.classes],
+        "Cold": warming_up,
         "Cores": scenario.cores,
-        "DepWindow": scenario.dependency_window,
+        "DepWindow": scenario.call_quota_window_ms,
         "Fresh": scenario.fresh,
         "FullChecks": True,
         "Gauges": list(scenario.gauges),
-        "Halt": scenario.halt,
-        "HangupSeen": scenario.hangup_seen,
+        "Halt": scenario.cancel_mode,
+        "HangupSeen": scenario.reports_cancels,
         "Idle": scenario.idle,
         "KbPerKey": scenario.key_kb,
         "Linger": 200.0,
         "MemoryKb": scenario.memory_kb,
-        "PassesDeadline": scenario.passes_deadline,
+        "PassesDeadline": scenario.sends_deadline,
         "Readiness": scenario.readiness,
         "RunMemFactor": scenario.run_factor,
         "SaidFor": 1000.0,
@@ -158,7 +158,7 @@
 def _guarantees(scenario: Scenario) -> dict[str, Any]:
     return {
         "AnswerSlack": 60.0,
-        "ColdFrom": scenario.cold_from,
+        "ColdFrom": scenario.cold_speed_fraction,
         "DrainGrace": scenario.drain_grace,
         "Fall": 1500.0,
         "FallMultiple": scenario.fall_multiple,
@@ -172,23 +172,23 @@
 
 def _service(each: ServiceClass) -> dict[str, Any]:
     service: dict[str, Any] = {
-        "GiveUp": each.give_up,
+        "GiveUp": each.deadline_ms,
         "Idempotency": each.idempotency,
-        "LateWorth": each.late_worth,
+        "LateWorth": each.late_weight,
         "Name": each.name,
-        "Promise": each.promise,
+        "Promise": each.latency_objective_ms,
         "Window": each.window,
-        "Worth": each.worth,
+        "Worth": each.priority_weight,
     }
-    if each.aim_stretch:
-        service["AimStretch"] = each.aim_stretch
+    if each.objective_stretch:
+        service["AimStretch"] = each.objective_stretch
     return service
 
 
 DISPATCH_CLASSES = (
-    ServiceClass("track", 0.33, 326, 2000, 4800, 1.0, skip_worth=0.3),
-    ServiceClass("quote", 0.32, 326, 2000, 4800, 2.0, skip_worth=0.3),
-    ServiceClass("rider-ping", 0.21, 199, 1200, 3000, 2.0, skip_worth=0.6),
+    ServiceClass("track", 0.33, 326, 2000, 4800, 1.0, degraded_weight=0.3),
+    ServiceClass("quote", 0.32, 326, 2000, 4800, 2.0, degraded_weight=0.3),
+    ServiceClass("rider-ping", 0.21, 199, 1200, 3000, 2.0, degraded_weight=0.6),
     ServiceClass("book", 0.15, 326, 2000, 4800, 5.0, DEDUPLICATED, 0.2, 14286.0, write=True),
 )
 ORDER_CLASSES = (
@@ -198,27 +198,33 @@
     ServiceClass("place-order", 0.08, 211, 1300, 3100, 5.0, DEDUPLICATED, 0.2, 9195.0, write=True),
 )
 MIXED_CLASSES = (
-    ServiceClass("search", 0.4, 60, 500, 1500, 1.0, skip_worth=0.5),
+    ServiceClass("search", 0.4, 60, 500, 1500, 1.0, degraded_weight=0.5),
     ServiceClass("reserve", 0.3, 90, 800, 2500, 4.0, DEDUPLICATED, 0.3, 6000.0, write=True),
     ServiceClass("notify", 0.3, 45, 600, 1800, 2.0, AT_MOST_ONCE, 0.1, write=True),
 )
-NO_SKIP_CLASSES = tuple(replace(each, skip_worth=0.0) for each in MIXED_CLASSES)
-STRETCHED_CLASSES = tuple(replace(each, aim_stretch=2.0) for each in MIXED_CLASSES)
+NO_SKIP_CLASSES = tuple(replace(each, degraded_weight=0.0) for each in MIXED_CLASSES)
+STRETCHED_CLASSES = tuple(replace(each, objective_stretch=2.0) for each in MIXED_CLASSES)
 MANY_CLASSES = (
     *MIXED_CLASSES,
-    ServiceClass("report", 0.1, 250, 1500, 4000, 3.0, late_worth=0.5, calls=2.0),
+    ServiceClass("report", 0.1, 250, 1500, 4000, 3.0, late_weight=0.5, calls=2.0),
     ServiceClass("charge", 0.1, 120, 900, 3000, 6.0, DEDUPLICATED, 0.0, 9000.0, 0.2, write=True),
 )
 
 DISPATCH_SITE = Scenario(
-    "dispatch-bucuresti", DISPATCH_CLASSES, resolution=2.0, load=0.75, tenants=6, unread_ms=40.0, call_trouble=0.2
+    "dispatch-bucuresti",
+    DISPATCH_CLASSES,
+    resolution=2.0,
+    load=0.75,
+    tenants=6,
+    unread_ms=40.0,
+    call_fault_fraction=0.2,
 )
 ORDER_SITE = Scenario(
     "dar-main",
     ORDER_CLASSES,
-    halt="pause",
-    advert="off",
-    passes_deadline=False,
+    cancel_mode="pause",
+    backpressure_signal="off",
+    sends_deadline=False,
     drain_grace=2000.0,
     memory_runs=18.0,
     load=0.85,
@@ -226,16 +232,30 @@
 )
 SCENARIOS = (
     DISPATCH_SITE,
-    replace(DISPATCH_SITE, name="dispatch-overload", load=1.25, swing=0.4, tenants=6, call_trouble=0.3),
+    replace(DISPATCH_SITE, name="dispatch-overload", load=1.25, swing=0.4, tenants=6, call_fault_fraction=0.3),
     ORDER_SITE,
     replace(ORDER_SITE, name="orders-overload", load=1.4, call_ms=90.0),
-    Scenario("light", MIXED_CLASSES, load=0.25, swing=0.1, call_trouble=0.0, advert="credit"),
-    Scenario("mixed-pause-credit", MIXED_CLASSES, halt="pause", advert="credit", load=1.2),
-    Scenario("mixed-drop-weight", MIXED_CLASSES, advert="weight", load=1.2, retry_after=False, fresh=800.0),
-    Scenario("mixed-off-level", MIXED_CLASSES, halt="off", load=1.1, hints=True, value_by="work"),
-    Scenario("no-skip-pause", NO_SKIP_CLASSES, halt="pause", advert="weight", load=1.0, calls_out=2.0, cold=True),
-    Scenario("no-dependency", NO_SKIP_CLASSES, below="off", calls_out=0.0, advert="off", load=1.3, hints=True),
-    Scenario("lower-tier", STRETCHED_CLASSES, below="tier", layer=1, upstreams=11, callers=11, load=1.0, halt="off"),
+    Scenario("light", MIXED_CLASSES, load=0.25, swing=0.1, call_fault_fraction=0.0, backpressure_signal="credit"),
+    Scenario("mixed-pause-credit", MIXED_CLASSES, cancel_mode="pause", backpressure_signal="credit", load=1.2),
+    Scenario(
+        "mixed-drop-weight", MIXED_CLASSES, backpressure_signal="weight", load=1.2, retry_after=False, fresh=800.0
+    ),
+    Scenario("mixed-off-level", MIXED_CLASSES, cancel_mode="off", load=1.1, hints=True, value_by="work"),
+    Scenario(
+        "no-skip-pause",
+        NO_SKIP_CLASSES,
+        cancel_mode="pause",
+        backpressure_signal="weight",
+        load=1.0,
+        call_quota=2.0,
+        warming_up=True,
+    ),
+    Scenario(
+        "no-dependency", NO_SKIP_CLASSES, below="off", call_quota=0.0, backpressure_signal="off", load=1.3, hints=True
+    ),
+    Scenario(
+        "lower-tier", STRETCHED_CLASSES, below="tier", layer=1, upstreams=11, callers=11, load=1.0, cancel_mode="off"
+    ),
     Scenario("memory-pressure", MANY_CLASSES, memory_runs=5.0, load=0.9, key_kb=12.0, hints=True, upstreams=0),
     Scenario(
         "memory-pause",
@@ -243,13 +263,33 @@
         memory_runs=7.0,
         load=1.2,
         key_kb=15.0,
-        halt="pause",
-        advert="credit",
+        cancel_mode="pause",
+        backpressure_signal="credit",
         value_by="work",
     ),
-    Scenario("small-call-share", MANY_CLASSES, calls_out=0.6, call_trouble=0.4, load=0.8, cold=True, idle=0.0),
-    Scenario("no-hangups", MANY_CLASSES, hangup_seen=False, readiness=False, passes_deadline=False, load=1.1, cores=2),
-    Scenario("slow-dependency", MANY_CLASSES, call_ms=250.0, calls_out=9.0, call_trouble=0.5, load=0.9, halt="pause"),
+    Scenario(
+        "small-call-share", MANY_CLASSES, call_quota=0.6, call_fault_fraction=0.4, load=0.8, warming_up=True, idle=0.0
+    ),
+    Scenario(
+        "no-hangups", MANY_CLASSES, reports_cancels=False, readiness=False, sends_deadline=False, load=1.1, cores=2
+    ),
+    Scenario(
+        "slow-dependency",
+        MANY_CLASSES,
+        call_ms=250.0,
+        call_quota=9.0,
+        call_fault_fraction=0.5,
+        load=0.9,
+        cancel_mode="pause",
+    ),
     Scenario("unread", MIXED_CLASSES, unread_ms=250.0, load=1.1, callers=80, upstreams=80, idle=5000.0, tenants=3),
-    Scenario("short-lives", MANY_CLASSES, life_ms=3500.0, load=0.8, cold=True, warm_up=2500.0, advert="credit"),
+    Scenario(
+        "short-lives",
+        MANY_CLASSES,
+        mean_lifetime_ms=3500.0,
+        load=0.8,
+        warming_up=True,
+        warm_up=2500.0,
+        backpressure_signal="credit",
+    ),
 )
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -90,15 +90,15 @@
     fleet.now += 1.0
     fleet.common_wave = max(0.0, 0.9 * fleet.common_wave + fleet.rng.gauss(0, 0.02))
     drawn = {name: fleet.draw_slice(host, 0.0) for name, host in fleet.hosts.items()}
-    return {name: part for name, part in drawn.items() if part is not None}
+    return {name: slice_ for name, slice_ in drawn.items() if slice_ is not None}
 
 
-def _worsen(part: Slice, by: float, rng: random.Random) -> Slice:
-    counts = part.classes[WORSE_CLASS]
+def _worsen(slice_: Slice, by: float, rng: random.Random) -> Slice:
+    counts = slice_.classes[WORSE_CLASS]
     served = counts.requests - counts.rejected - counts.failed
     more = sum(rng.random() < by for _ in range(served))
     worse = counts._replace(failed=counts.failed + more, weight=counts.weight - more)
-    return part._replace(classes={**part.classes, WORSE_CLASS: worse})
+    return slice_._replace(classes={**slice_.classes, WORSE_CLASS: worse})
 
 
 def _unserved_fraction(slices: dict[str, Slice], names: list[str]) -> float:
@@ -177,7 +177,7 @@
     }
 
 
-def _measure_whole(pool: ProcessPoolExecutor, plays: int) -> dict[str, int]:
+def _measure_rollouts(pool: ProcessPoolExecutor, plays: int) -> dict[str, int]:
     phases = list(pool.map(play_rollout, range(1, plays + 1), chunksize=2))
     return {phase: phases.count(phase) for phase in sorted(set(phases))}
 
@@ -220,15 +220,15 @@
     options = parser.parse_args()
     with ProcessPoolExecutor(options.jobs) as pool:
         parts = {
-            "whole": lambda: _measure_whole(pool, options.plays),
+            "whole": lambda: _measure_rollouts(pool, options.plays),
             "stages": lambda: _measure_stages(pool, options.plays),
             "lost": lambda: _measure_lost(pool, 8),
             "large": lambda: list(pool.map(play_large, (200, 1000))),
         }
-        for part in options.parts or parts:
-            found = parts[part]()
-            print(part, msgspec.json.encode(found).decode(), flush=True)
-            if part == "stages" and options.plot:
+        for name in options.parts or parts:
+            found = parts[name]()
+            print(name, msgspec.json.encode(found).decode(), flush=True)
+            if name == "stages" and options.plot:
                 plot(found, options.plot)
 
 
--- a/benchmarks/rollout_model.py
+++ b/benchmarks/rollout_model.py
@@ -29,7 +29,7 @@
 OLD = "a" * 16
 NEW = "b" * 16
 GENERATIONS = {name: Generation(name, name, "", {}, FORMATS) for name in (OLD, NEW)}
-CLASS_SHARES = {"track": 0.33, "quote": 0.32, "ping": 0.2, "book": 0.15}
+CLASS_FRACTIONS = {"track": 0.33, "quote": 0.32, "ping": 0.2, "book": 0.15}
 STAGE_SIZES = ("1", "10%", "50%", "100%")
 BOOT_ID = "1"
 WARM_S = 10.0
@@ -172,8 +172,8 @@
         host.unserved_fraction = max(0.0, host.unserved_fraction + self.rng.gauss(0, self.drift))
         usual = host.unserved_fraction + self.common_wave + self.store_collapse + harmed + 0.1 * (1 - warm)
         classes = {}
-        for name, share in CLASS_SHARES.items():
-            counts = self._draw_class(name, share, generation, usual, warm)
+        for name, request_fraction in CLASS_FRACTIONS.items():
+            counts = self._draw_class(name, request_fraction, generation, usual, warm)
             if counts is not None:
                 classes[name] = counts
         if not generation:
@@ -181,8 +181,10 @@
         runs = sum(counts.requests - counts.rejected for counts in classes.values())
         return Slice(host.name, 1.0, classes, runs, int(30_000 + self.rng.gauss(0, 200)))
 
-    def _draw_class(self, name: str, share: float, generation: str, usual: float, warm: float) -> ClassCounts | None:
-        requests = max(0, round(self.rng.gauss(self.rate * share, math.sqrt(self.rate * share))))
+    def _draw_class(
+        self, name: str, request_fraction: float, generation: str, usual: float, warm: float
+    ) -> ClassCounts | None:
+        requests = max(0, round(self.rng.gauss(self.rate * request_fraction, math.sqrt(self.rate * request_fraction))))
         worse = self.effect(name, warm) if self.effect is not None and generation == NEW else 0.0
         self.requests += requests
         self.served_without_change += requests * (1 - min(1.0, usual))
@@ -228,9 +230,9 @@
         harmed = self.harm * changed / len(self.hosts)
         slices = {}
         for name, host in self.hosts.items():
-            part = self.draw_slice(host, harmed if host.serving(self.now)[0] == OLD else 0.0)
-            if part is not None:
-                slices[name] = part
+            slice_ = self.draw_slice(host, harmed if host.serving(self.now)[0] == OLD else 0.0)
+            if slice_ is not None:
+                slices[name] = slice_
         return slices
 
     def _analyse(self, slices: dict[str, Slice]) -> None:
@@ -248,7 +250,7 @@
             if int(self.now) % VERDICT_EVERY_S == 0:
                 self.verdict = self.analysis.verdict()
         if not rollout.is_over:
-            untouched = {name: part for name, part in slices.items() if name not in rollout.touched_hosts}
+            untouched = {name: slice_ for name, slice_ in slices.items() if name not in rollout.touched_hosts}
             self.baseline = [*self.baseline, untouched][-BASELINE_SLICES:]
 
     def _new_analysis(self) -> CanaryAnalysis:
--- a/benchmarks/state_parity.py
+++ b/benchmarks/state_parity.py
@@ -6,7 +6,7 @@
 and the messages that would be sent and the records that would be stored are hashed as they are encoded. All project
 names stand in ``benchmarks/parity_adapters.py``.
 
-The rollout judge sums differences over a set of kinds of boxes, so the last bits of its rows depend on Python's hash
+The canary analysis sums differences over a set of kinds of hosts, so the last bits of its rows depend on Python's hash
 seed. To compare them exactly, the tool runs itself with PYTHONHASHSEED=0 unless that variable is set.
 """
 
@@ -32,11 +32,11 @@
 
 MEMBER_SEEDS = 20
 MEMBER_SECONDS = 60.0
-TURNS = {"job": 1, "pool": 3}
+LEASES = {"job": 1, "pool": 3}
 LOSSES = (0.0, 0.05, 0.2)
 ROLLOUT_SEEDS = 16
 ROLLOUT_SECONDS = 900
-PERSONS = ("go", "back", "go", "hold")
+OPERATOR_ORDERS = ("go", "back", "go", "hold")
 KEY_SEEDS = 12
 KEY_STEPS = 4000
 KEY_NAMES = 24
@@ -73,41 +73,41 @@
 
 
 class LeaseOwners:
-    """Owners at every member: they ask for turns, keep them for a while, say facts and exchange views."""
+    """Owners at every member: they request leases, hold them for a while, publish facts and exchange views."""
 
     def __init__(self, fleet: MemberFleet, rng: random.Random) -> None:
         self._fleet, self._rng = fleet, rng
         self._held_since: dict[tuple[str, str], float] = {}
         for name in fleet.names:
-            fleet.at(rng.random(), lambda name=name: self._look(name))  # type: ignore[misc]
+            fleet.at(rng.random(), lambda name=name: self._step_owner(name))  # type: ignore[misc]
 
-    def _look(self, name: str) -> None:
+    def _step_owner(self, name: str) -> None:
         fleet = self._fleet
-        fleet.at(fleet.now + 0.25, lambda: self._look(name))
+        fleet.at(fleet.now + 0.25, lambda: self._step_owner(name))
         if not fleet.awake(name):
             return
-        for turn in TURNS:
-            self._use(name, turn)
+        for lease in LEASES:
+            self._use(name, lease)
         if self._rng.random() < 0.1:
-            fleet.say(name, "store", f"store-{self._rng.randrange(3)}", self._rng.uniform(0.5, 5.0), 7)
+            fleet.publish_fact(name, "store", f"store-{self._rng.randrange(3)}", self._rng.uniform(0.5, 5.0), 7)
         if self._rng.random() < 0.01:
             other = self._rng.choice(fleet.names)
             if other != name and fleet.awake(other):
                 fleet.exchange_views(name, other)
         fleet.poke(name)
 
-    def _use(self, name: str, turn: str) -> None:
-        fleet, held = self._fleet, (name, turn)
+    def _use(self, name: str, lease: str) -> None:
+        fleet, holding = self._fleet, (name, lease)
         if self._rng.random() < 0.05:
             return
-        fence = fleet.want(name, turn, "owner", len(name) % 2)
+        fence = fleet.request_lease(name, lease, "owner", len(name) % 2)
         if not fence:
-            self._held_since.pop(held, None)
-        elif held not in self._held_since:
-            self._held_since[held] = fleet.now
-        elif fleet.now - self._held_since[held] > 3.0:
-            del self._held_since[held]
-            fleet.give_back(name, turn, "owner")
+            self._held_since.pop(holding, None)
+        elif holding not in self._held_since:
+            self._held_since[holding] = fleet.now
+        elif fleet.now - self._held_since[holding] > 3.0:
+            del self._held_since[holding]
+            fleet.give_back(name, lease, "owner")
 
 
 def change_lists(fleet: MemberFleet) -> None:
@@ -125,7 +125,7 @@
     size = 3 + number % 6
     names = [f"disp-{count:04}" for count in range(1, size + 1)]
     loss = LOSSES[number % len(LOSSES)]
-    fleet = MemberFleet(rng.getrandbits(32), size, fault_script(rng, names), loss, TURNS, recording(recorder))
+    fleet = MemberFleet(rng.getrandbits(32), size, fault_script(rng, names), loss, LEASES, recording(recorder))
     LeaseOwners(fleet, rng)
     if number % 4 == 3:
         change_lists(fleet)
@@ -138,7 +138,7 @@
 
 
 class RolloutFaults:
-    """Draws faults of boxes, agents and figures, and a person's orders."""
+    """Draws faults of hosts, agents and metrics, and an operator's orders."""
 
     def __init__(self, fleet: RolloutFleet, rng: random.Random, often: float) -> None:
         self._fleet, self._rng, self._often = fleet, rng, often
@@ -148,7 +148,7 @@
         self._views: dict[str, AgentView] = {}
         self._boots = 1
 
-    def figures(self, name: str) -> tuple[int, int]:
+    def memory_and_broken_rules(self, name: str) -> tuple[int, int]:
         """Return memory in KB and broken rules of a box."""
         return (10_000_000 if name in self._heavy else 30_000), int(name in self._breaking)
 
@@ -193,15 +193,15 @@
                 fleet.set_agent(name, False)
                 self._later(lambda: fleet.set_agent(name, True))
             case 4 if len(fleet.names) > 4:
-                gone = fleet.strike_off(name)
-                self._later(lambda: fleet.put_back(name, gone))
+                unlisted = fleet.strike_off(name)
+                self._later(lambda: fleet.put_back(name, unlisted))
             case 5:
                 self._reboot(name)
             case 6:
                 self._set_view(name, silent=True)
                 self._later(lambda: self._set_view(name, silent=False))
             case 7:
-                self._set_view(name, turn=True)
+                self._set_view(name, has_lease=True)
 
     def _reboot(self, name: str) -> None:
         self._boots += 1
@@ -230,12 +230,12 @@
     effect = generation_effect(number)
     fleet = RolloutFleet(rng.getrandbits(32), 8 + 2 * (number % 8), plan, effect=effect, harm=0.3 * (number % 7 == 6))
     faults = RolloutFaults(fleet, rng, 0.01 * (number % 4))
-    person, after = PERSONS[number % len(PERSONS)], 0
+    person, after = OPERATOR_ORDERS[number % len(OPERATOR_ORDERS)], 0
     with recorded_rollout(recording(recorder), faults):
         if number % 4 == 1:
             fleet.differ_in_place()
         while fleet.now < ROLLOUT_SECONDS and after < 20:
-            if fleet.asks_a_person and rng.random() < 0.2:
+            if fleet.awaits_operator and rng.random() < 0.2:
                 fleet.order("go" if person == "hold" else person)
             if person == "hold" and rng.random() < 0.01:
                 fleet.order("hold")
@@ -285,9 +285,9 @@
 
     def _deliver(self) -> None:
         index = self._rng.randrange(2)
-        sender, taker = self._processes[index], self._processes[1 - index]
+        sender, receiver = self._processes[index], self._processes[1 - index]
         if sender.outbox:
-            taker.take(sender.outbox.pop(0))
+            receiver.take(sender.outbox.pop(0))
         elif not sender.is_behind:
             sender.flushed()
 
@@ -329,11 +329,11 @@
     return recorder.result()
 
 
-# Keys on disk.
+# Durable keys.
 
 
 def play_durable(seed: int, number: int) -> parity.ScenarioResult:
-    """Play the durable record of keys over several lives."""
+    """Play the durable records of keys over several incarnations."""
     recorder = parity.Recorder(f"durable-keys-{number}")
     rng = seeded(seed, "durable", number)
     keys, now = DurableKeys(recording(recorder)), 1_000_000.0
