--- a/lapispick/fakes/agents.py
+++ b/lapispick/fakes/agents.py
@@ -7,11 +7,11 @@
 import signal
 import subprocess
 import sys
-import time
 
 from lapispick.agent.generation_store import GenerationStore
 from lapispick.agent.processes import ProcessTable
-from lapispick.fakes.fleet import ROOT, STEER
+from lapispick.fakes.commands import run_lapispick
+from lapispick.fakes.fleet import CONTROLLERS, ROOT
 from lapispick.fakes.ports import call_operators, free_port
 from lapispick.fakes.program_patches import program
 from lapispick.fakes.waiting import wait_until
@@ -35,6 +35,8 @@
 DYING_CONTROLLER = DYING_SCRIPT.format(module="lapispick.agent.controller", name="Controller")
 CALL_TIMEOUT_S = 5.0
 STAGE_TIMEOUT_S = 90.0  # on a busy machine
+NOTE_PAUSE_S = 0.05
+MAX_SHOWN_LOG = 800  # characters
 STATUS_PAUSE_S = 0.4  # each status is a process of its own, beside those that are tested
 METRICS_SETTINGS = "section figures\n enabled yes\nend\n"
 LOG_WARNINGS_SETTINGS = "section log\n level warning\nend\n"
@@ -55,7 +57,7 @@
 class HostAgent:
     """One host's agent; the host is started by it."""
 
-    def __init__(self, host, start=6.0, stop=4.0, look=0.05):
+    def __init__(self, host, start_timeout_s=6.0, stop_timeout_s=4.0, poll_interval_s=0.05):
         self.host = host
         self.folder = host.folder / "agent"
         self.folder.mkdir(exist_ok=True)
@@ -67,17 +69,17 @@
         config = self.folder / "platform.json"
         config.write_bytes(json.dumps(host.config(executor=slots[0]["executor"])).encode())
         self.address = f"127.0.0.1:{free_port()}"
-        self.controller_address = host.fleet.net.tcp(STEER, host.name, self.address)  # as controllers reach it
+        self.controller_address = host.fleet.net.tcp(CONTROLLERS, host.name, self.address)  # as controllers reach it
         self.settings_file = self.folder / "agent.conf"
         self.settings_file.write_text(
             f"section agent\n folder {self.folder}\n config {config}\n listen {self.address}\n"
             f" slot-ops {' '.join(self.operator_addresses)}\n"
             f" slot-executors {' '.join(slot['executor'] for slot in slots)}\n"
-            f" look {look}s\n start {start}s\n stop {stop}s\nend\n"
+            f" look {poll_interval_s}s\n start {start_timeout_s}s\n stop {stop_timeout_s}s\nend\n"
         )
         host.agent = self
 
-    def add(self, folder=None, settings=METRICS_SETTINGS, config=None, label=""):
+    def add_generation(self, folder=None, settings=METRICS_SETTINGS, config=None, label=""):
         """Store a generation, by default this very program; returns its digest."""
         path = self.folder / "own.conf"
         path.write_text(settings)
@@ -101,9 +103,11 @@
         return self
 
     def wait_started(self):
+        """Wait until the agent is at work, or has ended."""
         wait_until(lambda: AGENT_STARTED in self.log() or self.process.poll() is not None, "the agent's start")
 
     def log(self):
+        """Return what the present process of the agent logged so far."""
         return self.log_path.read_text()
 
     def wait_ended(self):
@@ -175,6 +179,7 @@
             self.process.wait()
 
     def close(self):
+        """Kill the agent and its host."""
         self.kill()
         for pid in self.pids():
             with contextlib.suppress(ProcessLookupError):
@@ -192,13 +197,13 @@
 
     def __init__(self, fleet, rollout_settings, listed=None):
         self.fleet = fleet
-        self.folder = fleet.folder / "steering"
+        self.folder = fleet.folder / "rollout"
         self.folder.mkdir()
         self.agents = {host.name: HostAgent(host) for host in fleet.hosts}
-        self.good = {agent.add(label="good") for agent in self.agents.values()}.pop()
+        self.good = {agent.add_generation(label="good") for agent in self.agents.values()}.pop()
         self.list_file = self.folder / "boxes.csv"
         self.write_list(listed or [host.name for host in fleet.hosts])
-        self.settings_file = self.folder / "steering.conf"
+        self.settings_file = self.folder / "rollout.conf"
         self.settings_file.write_text(
             f"section inventory\n path {self.list_file}\n settle 0s\n look 100ms\n loss 100%\nend\n"
             "section fleet\n group all\nend\n"
@@ -231,7 +236,7 @@
 
     def add_generation(self, folder=None, settings=METRICS_SETTINGS, config=None, label="new"):
         """Store a generation on all hosts; returns its digest and the options of ``start`` that name it."""
-        digest = {agent.add(folder, settings, config, label) for agent in self.agents.values()}.pop()
+        digest = {agent.add_generation(folder, settings, config, label) for agent in self.agents.values()}.pop()
         settings_file = self.folder / f"{digest}.conf"
         settings_file.write_text(settings)
         config_file = self.folder / f"{digest}.json"
@@ -247,8 +252,7 @@
 
     def run_command(self, command, *options):
         """Run a command of ``lapispick rollout``; returns its result."""
-        arguments = [sys.executable, "-m", "lapispick", *self._arguments(command, *options)]
-        return subprocess.run(arguments, capture_output=True, text=True, timeout=60, cwd=ROOT)
+        return run_lapispick(*self._arguments(command, *options))
 
     def start_controller(self, command, *options, dies_at="", times=1):
         """Start a controller as a process; with ``dies_at`` it kills itself at that point."""
@@ -272,12 +276,17 @@
 
     def wait_for_phase(self, *phases, within=STAGE_TIMEOUT_S):
         """Wait until the newest rollout is in one of these phases; returns its status."""
-        end = time.monotonic() + within
-        while (status := self.status()) is None or status["phase"] not in phases:
-            logs = "".join(controller.log()[-800:] for controller in self.controllers[-1:])
-            assert time.monotonic() < end, f"not {phases}: {status and (status['phase'], status['reason'])} {logs}"
-            time.sleep(STATUS_PAUSE_S)
-        return status
+
+        def reached():
+            status = self.status()
+            return status if status is not None and status["phase"] in phases else None
+
+        def description():
+            status = self.status()
+            state = status and (status["phase"], status["reason"])
+            return f"one of {phases}, instead of {state} {self._last_log()},"
+
+        return wait_until(reached, description, within, STATUS_PAUSE_S)
 
     def wait_for_bake(self):
         """Wait until the newest controller notes a bake, which may be over before ``status`` has answered."""
@@ -285,11 +294,11 @@
 
     def resume(self, dying=None):
         """Say go, and wait until the rollout goes on, asks again, or a controller that is to die ends."""
-        asked = self._times_asked()
+        questions_before = self._question_count()
         self.run_command("go")
 
         def goes_on():
-            if self._times_asked() > asked or self.status()["phase"] != "asking":
+            if self._question_count() > questions_before or self.status()["phase"] != "asking":
                 return True
             return dying is not None and dying.poll() is not None
 
@@ -301,20 +310,22 @@
             assert self.status()["reason"]
             self.resume()
 
-    def _times_asked(self):
+    def _question_count(self):
         return sum(controller.log().count(_ASKING_NOTE) for controller in self.controllers)
 
     def _wait_noted(self, condition, what):
-        end = time.monotonic() + STAGE_TIMEOUT_S
-        while not condition():
-            assert time.monotonic() < end, f"{what} did not happen: {self.controllers[-1].log()[-800:]}"
-            time.sleep(0.05)
+        wait_until(condition, lambda: f"{what}: {self._last_log()}", STAGE_TIMEOUT_S, NOTE_PAUSE_S)
+
+    def _last_log(self):
+        """Return the end of the newest controller's log."""
+        return "".join(controller.log()[-MAX_SHOWN_LOG:] for controller in self.controllers[-1:])
 
     def serving(self):
         """Return what each host serves, by its agent."""
         return {name: status.serving for name, agent in self.agents.items() if (status := agent.status()) is not None}
 
     def close(self):
+        """Kill all controllers."""
         for controller in self.controllers:
             if controller.poll() is None:
                 controller.kill()
--- a/lapispick/fakes/broker.py
+++ b/lapispick/fakes/broker.py
@@ -1,27 +1,14 @@
 """A fake AMQP 0-9-1 broker: queues, prefetch, redelivery, confirms, and what became of each message."""
 
 import contextlib
-import enum
 from collections import deque
 from typing import Any, NamedTuple
 
+from lapispick.fakes.broker_connection import MAX_FRAME_BYTES, BrokerConnection
 from lapispick.fakes.fake_server import FakeServer
 from lapispick.host.amqp import codec
 from lapispick.host.amqp.codec import Properties
 
-MAX_FRAME_BYTES = 4096
-MAX_CHANNELS = 100
-FRAME_END = b"\xce"
-LOGIN = b"\0guest\0guest"
-
-
-class Fate(enum.StrEnum):
-    """How a consumer settled a message; one that was requeued is delivered again."""
-
-    ACKED = "ack"
-    REJECTED = "reject"
-    REQUEUED = "requeue"
-
 
 class Message:
     """One message; ``fate`` is None until it is settled, ``raw`` makes the frames of its first delivery's content."""
@@ -41,14 +28,6 @@
         return codec.encode_content(channel_number, self.properties, self.body, MAX_FRAME_BYTES)
 
 
-class Reply(NamedTuple):
-    """A message that was published to the broker."""
-
-    queue: str
-    properties: Properties
-    body: str
-
-
 class Answer(NamedTuple):
     """What a requester reads from the reply to its request."""
 
@@ -57,29 +36,6 @@
     headers: dict[str, Any]
 
 
-class Publication:
-    """A message that is being published; ``left_bytes`` of its body are not received yet."""
-
-    def __init__(self, queue):
-        self.queue = queue
-        self.properties = None
-        self.body = b""
-        self.left_bytes = 0
-
-
-class Channel:
-    """One channel of a connection."""
-
-    def __init__(self):
-        self.unacked = {}  # delivery tag -> message
-        self.last_delivery_tag = 0
-        self.publish_count = 0
-        self.publication = None
-        self.queue = ""
-        self.consumer_tag = None
-        self.prefetch = 0
-
-
 class Broker(FakeServer):
     """Serves consumers of queues.
 
@@ -89,8 +45,7 @@
 
     def __init__(self, heartbeat=10):
         self.heartbeat = heartbeat  # s
-        self.queues = {}
-        self.channels = {}  # connection -> number -> channel
+        self.links = []  # a ``BrokerConnection`` for each connection that is served
         self.messages = []
         self.replies = []
         self.methods = []
@@ -102,17 +57,22 @@
         self.cancel_count = 0
         self.close_count = 0
         self.heartbeat_count = 0
+        self._queues = {}
         super().__init__()
 
+    def queue(self, name):
+        """Return the waiting messages of a queue, which exists from then on."""
+        return self._queues.setdefault(name, deque())
+
     def put(self, queue, body, raw=None, redelivered=False, **properties):
         """Put a message into a queue."""
         with self.lock:
             message = Message(Properties(**properties), body.encode(), raw, redelivered)
             self.messages.append(message)
-            self._queue(queue).append(message)
-            for connection in list(self.connections):
+            self.queue(queue).append(message)
+            for link in self._open_links():
                 with contextlib.suppress(OSError):  # a connection that is just ending returns all
-                    self._deliver(connection)
+                    link.deliver()
         return message
 
     def reply(self, correlation_id):
@@ -125,206 +85,13 @@
 
     def consumer_tags(self):
         """Return the tags that consume now, over all connections."""
-        tags = []
-        for connection in list(self.connections):
-            for channel in list(self.channels.get(connection, {}).values()):
-                if channel.consumer_tag:
-                    tags.append(channel.consumer_tag)
-        return tags
+        channels = [channel for link in self._open_links() for channel in list(link.channels.values())]
+        return [channel.consumer_tag for channel in channels if channel.consumer_tag]
 
-    def send_method(self, connection, channel_number, name, **args):
-        """Send a method."""
-        connection.sendall(codec.encode_method(channel_number, name, **args))
+    def _open_links(self):
+        return [link for link in list(self.links) if link.sock in self.connections]
 
     def serve(self, connection):
-        file = connection.makefile("rb")
-        assert file.read(8) == codec.PROTOCOL_HEADER
-        channels = self.channels[connection] = {}
-        self.send_method(
-            connection,
-            0,
-            "connection.start",
-            major=0,
-            minor=9,
-            server_properties={"product": "fake"},
-            mechanisms=b"PLAIN AMQPLAIN",
-            locales=b"en_US",
-        )
-        try:
-            while head := file.read(codec.FRAME_HEAD.size):
-                kind, channel_number, size = codec.FRAME_HEAD.unpack(head)
-                payload = file.read(size)
-                assert file.read(1) == FRAME_END
-                with self.lock:
-                    if not self._take_frame(connection, kind, channel_number, payload):
-                        return
-        finally:
-            with self.lock:
-                self.channels.pop(connection)
-                for channel in channels.values():
-                    self._return_unacked(channel)
-
-    def _take_frame(self, connection, kind, channel_number, payload):
-        """Handle a frame; False where the connection breaks on it."""
-        if kind == codec.HEARTBEAT:
-            self.heartbeat_count += 1
-        elif kind == codec.METHOD:
-            method = codec.decode_method(payload)
-            self.methods.append(method.name)
-            if method.name == self.disconnect_on:
-                self.disconnect_on = None
-                return False
-            handler = getattr(self, "on_" + method.name.replace(".", "_").replace("-", "_"))
-            handler(connection, channel_number, method.args)
-        else:
-            self._take_content(connection, channel_number, kind, payload)
-        return True
-
-    def _queue(self, name):
-        return self.queues.setdefault(name, deque())
-
-    def _return_unacked(self, channel):
-        """Put what a channel did not settle in front of its queue again."""
-        for message in reversed(channel.unacked.values()):
-            message.redelivered = True
-            self._queue(channel.queue).appendleft(message)
-
-    def _deliver(self, connection):
-        """Deliver to consumers of a connection as much as the prefetch allows."""
-        for number, channel in self.channels.get(connection, {}).items():
-            if not channel.consumer_tag:
-                continue
-            queue = self._queue(channel.queue)
-            while queue and len(channel.unacked) < channel.prefetch:
-                self._deliver_message(connection, number, channel, queue.popleft())
-
-    def _deliver_message(self, connection, number, channel, message):
-        channel.last_delivery_tag += 1
-        channel.unacked[channel.last_delivery_tag] = message
-        message.delivery_count += 1
-        self.max_unacked = max(self.max_unacked, len(channel.unacked))
-        self.send_method(
-            connection,
-            number,
-            "basic.deliver",
-            tag=channel.consumer_tag,
-            delivery=channel.last_delivery_tag,
-            exchange="",
-            redelivered=message.redelivered,
-            routing_key=channel.queue,
-        )
-        connection.sendall(message.content_frames(number))
-
-    def on_connection_start_ok(self, connection, number, args):
-        if args["response"] != LOGIN:
-            raise ValueError(f"a wrong login: {args['response']!r}")
-        self.send_method(
-            connection,
-            0,
-            "connection.tune",
-            channel_max=MAX_CHANNELS,
-            frame_max=MAX_FRAME_BYTES,
-            heartbeat=self.heartbeat,
-        )
-
-    def on_connection_tune_ok(self, connection, number, args):
-        assert args["frame_max"] == MAX_FRAME_BYTES
-        assert args["heartbeat"] <= self.heartbeat
-
-    def on_connection_open(self, connection, number, args):
-        self.send_method(connection, 0, "connection.open-ok")
-
-    def on_connection_close(self, connection, number, args):
-        self.close_count += 1
-        self.send_method(connection, 0, "connection.close-ok")
-
-    def on_connection_close_ok(self, connection, number, args):
-        pass
-
-    def on_channel_open(self, connection, number, args):
-        self.channels[connection][number] = Channel()
-        self.send_method(connection, number, "channel.open-ok")
-
-    def on_channel_close(self, connection, number, args):
-        self._return_unacked(self.channels[connection].pop(number))
-        self.send_method(connection, number, "channel.close-ok")
-
-    def on_channel_close_ok(self, connection, number, args):
-        pass
-
-    def on_confirm_select(self, connection, number, args):
-        self.send_method(connection, number, "confirm.select-ok")
-
-    def on_basic_qos(self, connection, number, args):
-        self.channels[connection][number].prefetch = args["count"]
-        self.send_method(connection, number, "basic.qos-ok")
-
-    def on_basic_consume(self, connection, number, args):
-        channel = self.channels[connection][number]
-        channel.queue = args["queue"]
-        channel.consumer_tag = args["tag"]
-        self.send_method(connection, number, "basic.consume-ok", tag=args["tag"])
-        self._deliver(connection)
-
-    def on_basic_cancel(self, connection, number, args):
-        self.cancel_count += 1
-        channel = self.channels[connection][number]
-        if self.message_during_cancel:
-            self.put(channel.queue, "crossing", **self.message_during_cancel)
-        channel.consumer_tag = None
-        self.send_method(connection, number, "basic.cancel-ok", tag=args["tag"])
-
-    def on_basic_ack(self, connection, number, args):
-        self._settle(connection, number, args["delivery"], Fate.ACKED)
-
-    def on_basic_reject(self, connection, number, args):
-        fate = Fate.REQUEUED if args["requeue"] else Fate.REJECTED
-        self._settle(connection, number, args["delivery"], fate)
-
-    def _settle(self, connection, number, delivery_tag, fate):
-        message = self.channels[connection][number].unacked.pop(delivery_tag)
-        assert message.fate is None
-        message.fate = fate
-        self._deliver(connection)
-
-    def on_basic_publish(self, connection, number, args):
-        self.channels[connection][number].publication = Publication(args["routing_key"])
-
-    def _take_content(self, connection, number, kind, payload):
-        """Take the header or a part of the body of a publication."""
-        channel = self.channels[connection][number]
-        publication = channel.publication
-        if kind == codec.HEADER:
-            publication.properties = codec.decode_properties(payload)
-            publication.left_bytes = codec.decode_size(payload)
-        else:
-            publication.body += payload
-            publication.left_bytes -= len(payload)
-        if not publication.left_bytes:
-            channel.publish_count += 1
-            self._confirm(connection, number, publication, channel.publish_count)
-
-    def _confirm(self, connection, number, publication, delivery_tag):
-        """Keep a publication that is complete and confirm it, or do neither."""
-        if self.nacks_left:
-            self.nacks_left -= 1
-            self.send_method(connection, number, "basic.nack", delivery=delivery_tag, multiple=False, requeue=False)
-            return
-        if self.returns_unroutable:
-            self._return_publication(connection, number, publication)
-        else:
-            self.replies.append(Reply(publication.queue, publication.properties, publication.body.decode()))
-        self.send_method(connection, number, "basic.ack", delivery=delivery_tag, multiple=False)
-
-    def _return_publication(self, connection, number, publication):
-        self.send_method(
-            connection,
-            number,
-            "basic.return",
-            code=312,
-            text="NO_ROUTE",
-            exchange="",
-            routing_key=publication.queue,
-        )
-        content = codec.encode_content(number, publication.properties, publication.body, MAX_FRAME_BYTES)
-        connection.sendall(content)
+        link = BrokerConnection(self, connection)
+        self.links.append(link)
+        link.serve()
--- a/lapispick/fakes/executor.py
+++ b/lapispick/fakes/executor.py
@@ -9,6 +9,7 @@
 
 from lapispick.fakes.fake_server import FakeServer
 from lapispick.fakes.messages import encode_base64
+from lapispick.fakes.waiting import wait_until
 
 MAX_RESENT_NOTICES = 4000
 RUN_SPENT_MS = 20.0
@@ -84,6 +85,14 @@
         """Return the runs with a body."""
         return [run for run in self.runs if run.body == body]
 
+    def wait_for_run(self, body):
+        """Wait until a run with a body was started; returns it."""
+        return wait_until(lambda: self.runs_of(body), f"a run of {body}")[0]
+
+    def end_run_of(self, body, result):
+        """End the first run with a body."""
+        self.end_run(self.runs_of(body)[0].task, result=result)
+
     def on_join(self, connection, command):
         self.connection = connection
         if not self.is_up:
--- a/lapispick/fakes/fault_proxy.py
+++ b/lapispick/fakes/fault_proxy.py
@@ -265,11 +265,11 @@
                         setattr(direction, name, value)
         self._mover.wake()
 
-    def reset(self, ones, others, refuse=False):
+    def reset(self, ones, others, refuse_connections=False):
         """Reset all connections between two groups, and perhaps refuse new ones."""
         with self._mover.lock:
             for link, _, _ in self._between(ones, others):
-                link.refuses_connections = refuse
+                link.refuses_connections = refuse_connections
                 for flow in list(link.flows):
                     self._mover.reset(flow)
         self._mover.wake()
--- a/lapispick/fakes/fault_script.py
+++ b/lapispick/fakes/fault_script.py
@@ -12,7 +12,7 @@
 import time
 from collections.abc import Callable
 
-from lapispick.fakes.fleet import ROSTER, STORE
+from lapispick.fakes.fleet import REGISTRY, STORE
 from lapispick.fakes.waiting import wait_until
 
 MIN_STEP_S = 0.2
@@ -94,7 +94,7 @@
         fleet.net.reset(others, [host.name])
         fleet.record.end_fault(fault)
     elif step.kind == FaultKind.SLOW:
-        peers = [STORE, ROSTER, *(gateway.name for gateway in fleet.gateways)]
+        peers = [STORE, REGISTRY, *(gateway.name for gateway in fleet.gateways)]
         fleet.net.impair(peers, [host.name], delay_s=IMPAIRED_DELAY_S, jitter_s=IMPAIRED_JITTER_S)
         time.sleep(step.duration_s)
         fleet.net.heal()
--- a/lapispick/fakes/fleet.py
+++ b/lapispick/fakes/fleet.py
@@ -1,12 +1,11 @@
-"""A fleet in one test: real worker hosts with their executors, one store and roster, gateways, and faults between them.
+"""A fleet in one test: worker hosts with their executors, one store and registry, gateways, and faults between them.
 
-Every link goes through a proxy (``fault_proxy.py``), every party records what it saw (``rule_checker.py``), and one
-seed draws all that is random. Endpoints are named: gateways ``g0``.., hosts by their names, ``store``, ``roster``, and
-``steer`` (controllers).
+Every link goes through a proxy (``fault_proxy.py``), every peer records what it saw (``rule_checker.py``), and one
+seed draws all that is random. Endpoints are named: gateways ``g0``.., hosts by their names, ``store``,
+``registry``, and ``controllers``.
 """
 
 import contextlib
-import json
 import os
 import random
 import signal
@@ -15,24 +14,23 @@
 
 from lapispick.fakes.fault_proxy import FaultProxy
 from lapispick.fakes.fleet_gateway import Gateway
-from lapispick.fakes.fleet_host import ROOT, ROSTER, FleetHost
+from lapispick.fakes.fleet_host import REGISTRY, ROOT, FleetHost
 from lapispick.fakes.fleet_peers import STORE, SharedStore
 from lapispick.fakes.host_pauses import PauseMonitor
 from lapispick.fakes.registry import ServiceRegistry
 from lapispick.fakes.rule_checker import FleetRecord, check
-from lapispick.fakes.start_settings import PLATFORM_INFO
+from lapispick.fakes.start_settings import make_platform_info
 from lapispick.fakes.waiting import wait_until
 
-__all__ = ["PLATFORM_INFO", "ROOT", "ROSTER", "STEER", "STORE", "Fleet"]
+__all__ = ["CONTROLLERS", "FLEET_PLATFORM_INFO", "REGISTRY", "ROOT", "STORE", "Fleet"]
 
-STEER = "steer"
-LISTED_S = 3.0  # an entry of the roster lapses so long after its last report
+CONTROLLERS = "controllers"
+LISTED_S = 3.0  # an entry of the registry expires so long after its last report
 MAX_READ_REPORTS = 200  # per host
 IDEMPOTENCY_WINDOW_MS = 14_286.0
 SETTLE_SLACK_S = 1
-PLATFORM_INFO = json.loads(json.dumps(PLATFORM_INFO))
-PLATFORM_INFO["Services"][1]["Window"] = IDEMPOTENCY_WINDOW_MS
-PLATFORM_INFO["FamilyInfo"]["CallsOut"] = 50.0
+CALLS_OUT = 50.0
+FLEET_PLATFORM_INFO = make_platform_info(({}, {"Window": IDEMPOTENCY_WINDOW_MS}), CallsOut=CALLS_OUT)
 
 
 class Fleet:
@@ -47,7 +45,7 @@
         gateways=2,
         rate=20.0,
         calls=0.2,
-        info=PLATFORM_INFO,
+        info=FLEET_PLATFORM_INFO,
         executor_options=None,
         stop_ms=2500,
         memory_limit_mb=192,
@@ -67,7 +65,7 @@
         self.slowdowns = slowdowns or {}
         self.net = FaultProxy(seed)
         self.store = SharedStore(self.record)
-        self.roster = ServiceRegistry()
+        self.registry = ServiceRegistry()
         self.hosts = [FleetHost(self, f"disp-{n + 1:02}", zones[n % len(zones)]) for n in range(hosts)]
         self._pauses = PauseMonitor(self.hosts)
         self.record.paused_s = self._pauses.paused_s
@@ -96,7 +94,7 @@
         """Return the hosts that report in time, as all gateways learn them."""
         earliest = time.monotonic() - LISTED_S
         last_reports = {}
-        for at, report in self.roster.reports[-MAX_READ_REPORTS * len(self.hosts) :]:
+        for at, report in self.registry.reports[-MAX_READ_REPORTS * len(self.hosts) :]:
             last_reports[report.split()[1]] = (at, report.endswith(" on"))
         listed = []
         for host in self.hosts:
@@ -116,6 +114,7 @@
             thread.join()
 
     def start_load(self):
+        """Let all gateways send requests from now on."""
         for gateway in self.gateways:
             gateway.start()
 
@@ -162,7 +161,7 @@
     def endpoints(self):
         """Return the names of all endpoints."""
         gateways = [gateway.name for gateway in self.gateways]
-        return [*gateways, *(host.name for host in self.hosts), STORE, ROSTER, STEER]
+        return [*gateways, *(host.name for host in self.hosts), STORE, REGISTRY, CONTROLLERS]
 
     def partition(self, ones, others, one_way=False):
         """Let nothing pass between two groups of endpoints; returns what ends it."""
@@ -191,6 +190,7 @@
         return resume
 
     def close(self):
+        """End the load, all processes and all peers."""
         self._pauses.stop()
         for gateway in self.gateways:
             gateway.stop()
@@ -203,4 +203,4 @@
                 pool.close()
         self.net.close()
         self.store.close()
-        self.roster.close()
+        self.registry.close()
--- a/lapispick/fakes/fleet_gateway.py
+++ b/lapispick/fakes/fleet_gateway.py
@@ -33,6 +33,7 @@
 
     @property
     def weight(self):
+        """Return the priority weight."""
         return KEYED_WEIGHT if self.class_name == KEYED_CLASS else OTHER_WEIGHT
 
 
@@ -53,7 +54,7 @@
 
 
 class Gateway(threading.Thread):
-    """Sends requests to hosts that the roster lists; ``calls`` is the fraction with a call of the store."""
+    """Sends requests to hosts that the registry lists; ``calls`` is the fraction with a call of the store."""
 
     def __init__(self, fleet, number, rate, calls):
         super().__init__(daemon=True)
@@ -89,7 +90,7 @@
         return Request(class_name, body, key, now, now + self.fleet.patience_s)
 
     def send(self, request, host=None, is_retry=False):
-        """Send an attempt of a request to a host, by default one that the roster lists."""
+        """Send an attempt of a request to a host, by default one that the registry lists."""
         host = host or self._choose_host()
         if host is None:
             self._finish(request, is_served=False)
@@ -165,4 +166,5 @@
         self.results.append(Result(request, is_served, time.time() - request.began_at))
 
     def stop(self):
+        """Send no more requests."""
         self._stopped.set()
--- a/lapispick/fakes/fleet_host.py
+++ b/lapispick/fakes/fleet_host.py
@@ -9,14 +9,13 @@
 import socket
 import subprocess
 import sys
-from pathlib import Path
 
+from lapispick.fakes.commands import ROOT
 from lapispick.fakes.fleet_peers import STORE, RecordingExecutor
 from lapispick.fakes.ports import call_operators, free_port
 from lapispick.fakes.waiting import wait_until
 
-ROOT = Path(__file__).resolve().parents[2]
-ROSTER = "roster"
+REGISTRY = "registry"
 
 
 class FleetHost:
@@ -34,7 +33,7 @@
         self._port_holder.bind(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self._port_holder.getsockname()[1]}"
         self.store_address = fleet.net.tcp(name, STORE, fleet.store.address)
-        self.roster_address = fleet.net.udp(name, ROSTER, fleet.roster.address)
+        self.registry_address = fleet.net.udp(name, REGISTRY, fleet.registry.address)
         self.executors = []
         self.processes = []
         self._starts = 0
@@ -56,7 +55,7 @@
             "name": self.name,
             "listen": self.address,
             "executor": "",
-            "roster": self.roster_address,
+            "roster": self.registry_address,
             "store": self.store_address,
             "seed": f"{self.fleet.random.getrandbits(64):016x}",
             "stop_ms": self.fleet.stop_ms,
@@ -140,6 +139,7 @@
         return wait_until(measured, f"the memory of all processes of {self.name}")[0]
 
     def close(self):
+        """Kill all processes and close their executors."""
         self._kill_processes()
         for executor in self.executors:
             executor.close()
--- a/lapispick/fakes/fleet_peers.py
+++ b/lapispick/fakes/fleet_peers.py
@@ -41,7 +41,7 @@
 
 
 class SharedStore(Store):
-    """The shared store: ``slots`` calls at once, each ``work_s`` long, slower where it is crowded."""
+    """The shared store: ``slots`` calls at once, each ``work_s`` long, slower where it is overloaded."""
 
     def __init__(self, record, work_s=0.002, slots=16):
         self.record = record
@@ -57,8 +57,8 @@
             self.record.add_execution("", "", headers["X-For-Request"], body, STORE)
             with self._count_lock:
                 self._concurrent_calls += 1
-                crowd = max(1.0, self._concurrent_calls / self.slots)
-            time.sleep(self.work_s * crowd * self.slowdown)
+                overload_factor = max(1.0, self._concurrent_calls / self.slots)
+            time.sleep(self.work_s * overload_factor * self.slowdown)
             with self._count_lock:
                 self._concurrent_calls -= 1
             reply = f"called {body}"
--- a/lapispick/fakes/gateway.py
+++ b/lapispick/fakes/gateway.py
@@ -81,6 +81,10 @@
         """Wait for the error code of a request that was rejected or failed."""
         return self.answer(number)["error"]["code"]
 
+    def is_healthy(self):
+        """Ask for the health of the host, and return it."""
+        return self.answer(self.send("probe"))["result"]["healthy"]
+
     def read_until_quiet(self, within_s):
         """Return the messages until none comes for a while, and ``CLOSED`` after them; the first is waited for."""
         messages = []
--- a/lapispick/fakes/host_process.py
+++ b/lapispick/fakes/host_process.py
@@ -59,18 +59,17 @@
         )
         self.config = {key: value for key, value in settings.items() if key not in omit}
         self.path = folder / f"config{len(list(folder.glob('config*.json'))) or ''}.json"
-        self.path.write_text(json.dumps(self.config))
         self.log_path = self.path.with_suffix(".log")
-        self.process = subprocess.Popen(
-            command,
-            stderr=self.log_path.open("w"),
-            cwd=cwd,
-            env={**os.environ, "LB_CONFIG": str(self.path), **(environ or {})},
-        )
         self.address = listen
+        self._start(command, cwd, environ or {})
         if wait_for_start:
             self._wait_for_start(wait_for_ready)
 
+    def _start(self, command, cwd, environ):
+        self.path.write_text(json.dumps(self.config))
+        environment = {**os.environ, "LB_CONFIG": str(self.path), **environ}
+        self.process = subprocess.Popen(command, stderr=self.log_path.open("w"), cwd=cwd, env=environment)
+
     def _peer_addresses(self):
         """Return the addresses of the peers, by their start settings."""
         return {
@@ -155,9 +154,11 @@
     def suspended(self):
         """Stop the process for a while: what is sent meanwhile is there at once when it goes on."""
         self.process.send_signal(signal.SIGSTOP)
-        wait_until(self.is_suspended, "the stop")
-        yield
-        self.process.send_signal(signal.SIGCONT)
+        try:
+            wait_until(self.is_suspended, "the stop")
+            yield
+        finally:
+            self.process.send_signal(signal.SIGCONT)
 
     def is_suspended(self):
         """Tell whether the process is stopped, or has ended."""
--- a/lapispick/fakes/member_cluster.py
+++ b/lapispick/fakes/member_cluster.py
@@ -12,6 +12,7 @@
 from typing import NamedTuple
 
 from lapispick.fakes.ports import call_operators, free_port
+from lapispick.fakes.waiting import wait_until
 
 LIST_HEADER = "host,lapispick_port,lapispick_members,ansible_host\n"
 FAST_SETTINGS = """ period 200ms
@@ -41,8 +42,8 @@
 
 CALL_TIMEOUT_S = 1.0
 RENEW_INTERVAL_S = 0.03
-POLL_INTERVAL_S = 0.05
-GONE_STATES = ("dead", "left")
+POLL_INTERVAL_S = 0.02
+ABSENT_STATES = ("dead", "left")
 
 
 class Action(NamedTuple):
@@ -64,6 +65,7 @@
         self._lock = threading.Lock()
 
     def act(self, slot, fencing_token, host):
+        """Accept or reject an action of a host."""
         with self._lock:
             action = Action(time.monotonic(), slot, fencing_token, host)
             if fencing_token < self._highest.get(slot, 0):
@@ -78,20 +80,22 @@
             return {(action.slot, action.fencing_token) for action in self.accepted}
 
     def last_holder(self):
+        """Return the host whose action was accepted last."""
         return self.accepted[-1].host
 
 
 @dataclass
-class HeldLease:
-    """A lease as its owner was told of it, by the owner's clock."""
+class OwnedLease:
+    """A lease as its owner knows it, by the owner's clock."""
 
     slot: str
     fencing_token: int
-    held_from: float
-    held_until: float
+    valid_from: float
+    valid_until: float
 
     def end(self, at):
-        self.held_until = min(self.held_until, at)
+        """Note that the owner acts no more from a time on."""
+        self.valid_until = min(self.valid_until, at)
 
 
 class LeaseOwner(threading.Thread):
@@ -104,7 +108,7 @@
         self.lease = lease
         self.hold_s = hold_s
         self.rest_s = rest_s
-        self.held = []
+        self.leases = []
         self._stopped = threading.Event()
 
     def run(self):
@@ -113,6 +117,7 @@
                 self._stopped.wait(self.rest_s)
 
     def stop(self):
+        """Release the lease and request it no more."""
         self._stopped.set()
 
     def _hold_once(self):
@@ -122,19 +127,19 @@
         while not self._stopped.is_set():
             requested_at = time.monotonic()
             lines = call_operators(self._ops(), f"want {self.lease} worker", CALL_TIMEOUT_S)
-            words = lines[0].split() if lines else []
-            if words[:2] == ["OK", "held"]:
-                slot, token = words[2], int(words[3])
+            fields = lines[0].split() if lines else []
+            if fields[:2] == ["OK", "held"]:
+                slot, token = fields[2], int(fields[3])
                 if lease is None or (lease.slot, lease.fencing_token) != (slot, token):
-                    lease = HeldLease(slot, token, requested_at, requested_at)
+                    lease = OwnedLease(slot, token, requested_at, requested_at)
                     release_at = time.monotonic() + self.hold_s
-                    self.held.append(lease)
-                lease.held_until = max(lease.held_until, requested_at + float(words[4]))
-                if time.monotonic() < lease.held_until:
+                    self.leases.append(lease)
+                lease.valid_until = max(lease.valid_until, requested_at + float(fields[4]))
+                if time.monotonic() < lease.valid_until:
                     self.cluster.resource.act(slot, token, self.host.name)
             elif lease is not None and lines:  # the lease was lost, or the host leaves
                 return self._release(lease)
-            if lease is not None and time.monotonic() >= min(release_at, lease.held_until):
+            if lease is not None and time.monotonic() >= min(release_at, lease.valid_until):
                 return self._release(lease)
             self._stopped.wait(RENEW_INTERVAL_S)
         if lease is not None:
@@ -185,6 +190,7 @@
         )
 
     def names(self):
+        """Return the names of all hosts."""
         return [host.name for host in self.fleet.hosts]
 
     def set_list(self, names, at=None):
@@ -231,20 +237,23 @@
         view = self.view(observer)
         return {each["name"]: each["state"] for each in view["members"]} if view else {}
 
-    def believes(self, observer, alive, gone=()):
+    def believes(self, observer, alive, absent=()):
         """Tell whether a host believes some members alive and some dead or left."""
         states = self.states(observer)
         if any(states.get(name) != "alive" for name in alive if name != observer):
             return False
-        return all(states.get(name) in GONE_STATES for name in gone)
-
-    def wait_for_agreement(self, names, gone=(), within=25.0):
-        """Wait until these hosts believe each other alive and the others gone; returns the time that it took, s."""
-        started = time.monotonic()
-        while not all(self.believes(observer, names, gone) for observer in names):
-            assert time.monotonic() - started < within, {name: self.states(name) for name in names}
-            time.sleep(POLL_INTERVAL_S)
-        return time.monotonic() - started
+        return all(states.get(name) in ABSENT_STATES for name in absent)
+
+    def wait_for_agreement(self, names, absent=(), within=25.0):
+        """Wait until these hosts believe each other alive and some dead or left; returns the time that it took, s."""
+        started_at = time.monotonic()
+        wait_until(
+            lambda: all(self.believes(observer, names, absent) for observer in names),
+            lambda: f"an agreement of { ({name: self.states(name) for name in names}) }",
+            within,
+            POLL_INTERVAL_S,
+        )
+        return time.monotonic() - started_at
 
     def deaths(self):
         """Return who declared whom dead, from the logs."""
@@ -271,19 +280,24 @@
     def wait_for_holds(self, count, within=30.0):
         """Wait until leases were held so many more times; returns the time that it took, s."""
         goal = len(self.resource.holds()) + count
-        started = time.monotonic()
-        while (missing := goal - len(self.resource.holds())) > 0:
-            assert time.monotonic() - started < within, f"{missing} holds of a lease are missing"
-            time.sleep(0.02)
-        return time.monotonic() - started
+        started_at = time.monotonic()
+        wait_until(
+            lambda: len(self.resource.holds()) >= goal,
+            lambda: f"{goal - len(self.resource.holds())} more holds of a lease",
+            within,
+            POLL_INTERVAL_S,
+        )
+        return time.monotonic() - started_at
 
     def overlaps(self):
         """Return pairs of leases whose owners believed to hold one slot at one instant."""
-        leases = sorted((lease for owner in self.owners for lease in owner.held), key=lambda lease: lease.held_from)
+        leases = sorted((lease for owner in self.owners for lease in owner.leases), key=lambda lease: lease.valid_from)
         return [
             (one, other)
             for one, other in itertools.combinations(leases, 2)
-            if other.slot == one.slot and other.held_from < one.held_until and other.fencing_token != one.fencing_token
+            if other.slot == one.slot
+            and other.valid_from < one.valid_until
+            and other.fencing_token != one.fencing_token
         ]
 
     def check_invariants(self):
@@ -296,6 +310,7 @@
             assert holder == action.host, f"two hosts have token {action.fencing_token} of {action.slot}"
 
     def close(self):
+        """Stop all owners."""
         for owner in self.owners:
             owner.stop()
         for owner in self.owners:
--- a/lapispick/fakes/messages.py
+++ b/lapispick/fakes/messages.py
@@ -4,6 +4,8 @@
 import random
 import time
 
+REJECTED_CODE = -32050  # of a JSON-RPC error: the request was not executed
+
 
 def encode_base64(body):
     """Return text or bytes in base64, as text."""
--- a/lapispick/fakes/program_patches.py
+++ b/lapispick/fakes/program_patches.py
@@ -52,10 +52,12 @@
 
 
 def insert_before(place, code):
+    """Return a patch that adds code before a place."""
     return Patch(place, code + place.text)
 
 
 def insert_after(place, code):
+    """Return a patch that adds code after a place."""
     return Patch(place, place.text + code)
 
 
@@ -74,7 +76,7 @@
 ANSWER_SENT = Place(ANSWERS, "        request.reply(self._with_backpressure(answer))")
 ANSWERED_LATE = Place(ANSWERS, "request.read_at <= deadline_at < self._clock.now - SLACK_MS")
 KEY_FOUND_ON_ARRIVAL = Place(IDEMPOTENCY, "record = self.table.find(request.idempotency_key, request.born_at)")
-KEY_FOUND_AMONG_HELD = Place(IDEMPOTENCY, "held = self.table.get(request.idempotency_key)")
+KEY_FOUND_IN_TABLE = Place(IDEMPOTENCY, "held = self.table.get(request.idempotency_key)")
 KEY_RAN_BEFORE = Place(IDEMPOTENCY, "record.executed_attempt not in (0, EXECUTED_BY_PEER)")
 KEY_CLAIMED = Place("host/core/runs.py", "verdict = self._idempotency.claim(")
 JSONRPC_ENCODED = Place(
@@ -91,7 +93,7 @@
 RANDOM_NUMBER = "int(request.request_id, 16)"  # drawn by the gateway for each attempt
 FAILED_ANSWER = "Answer(AnswerKind.FAILED)"
 REJECTED_ANSWER = "Answer(AnswerKind.REJECTED)"
-LEAVE_AFTER_A_SECOND = "self._loop.call_later(1.0, os._exit, 9)"
+EXIT_AFTER_A_SECOND = "self._loop.call_later(1.0, os._exit, 9)"
 
 
 def module_code(code):
@@ -108,7 +110,7 @@
 def exits_after_a_second(condition="True"):
     """Let a host end a second after it began to serve, where a condition holds."""
     code = (
-        f"\n        if {condition}:\n            {LEAVE_AFTER_A_SECOND}\n"
+        f"\n        if {condition}:\n            {EXIT_AFTER_A_SECOND}\n"
         "        return self.start_unpatched()\n\n    def start_unpatched(self) -> None:"
     )
     return (insert_after(HOUSEKEEPING_STARTS, code), insert_after(HOUSEKEEPING_IMPORTS, "import os\n"))
@@ -130,6 +132,7 @@
 
 
 def fails_keyed_requests_when_warm(tenths, after_s):
+    """Fail so many tenths of the keyed requests from a time after the start."""
     return (
         *fails_keyed_requests(tenths, f"time.monotonic() - STARTED_AT > {after_s}"),
         module_code("import time\n\nSTARTED_AT = time.monotonic()"),
@@ -142,6 +145,7 @@
 
 
 def leaks_memory(bytes_an_answer):
+    """Keep so many bytes for each answer."""
     return (
         insert_before(ANSWER_SENT, f"        LEAKED.append(bytearray(b'x') * {bytes_an_answer})\n"),
         module_code("LEAKED = []"),
@@ -158,7 +162,7 @@
     "doubled": (Patch(JSONRPC_ENCODED, f"(2 * {JSONRPC_ENCODED.text})"),),
     "twice": (
         Patch(KEY_FOUND_ON_ARRIVAL, "record = None"),
-        Patch(KEY_FOUND_AMONG_HELD, "held = None"),
+        Patch(KEY_FOUND_IN_TABLE, "held = None"),
         Patch(KEY_RAN_BEFORE, "record.executed_attempt == -9"),
         Patch(KEY_CLAIMED, "verdict = Verdict.RUN if True else ("),
     ),
--- a/lapispick/fakes/registry.py
+++ b/lapispick/fakes/registry.py
@@ -39,4 +39,5 @@
                 self.reports.append(LoadReport(time.monotonic(), text))
 
     def close(self):
+        """Stop receiving."""
         self.sock.close()
--- a/lapispick/fakes/rule_checker.py
+++ b/lapispick/fakes/rule_checker.py
@@ -1,4 +1,4 @@
-"""What all parties of an emulated fleet saw, and the one checker of the rules that reads it.
+"""What all peers of an emulated fleet saw, and the one checker of the rules that reads it.
 
 Gateways record what they sent and were answered, executors and the store what ran, the test which faults it caused.
 Times are Unix seconds. A request that a fault hit is excused by the record of that fault only, and an answer is late
@@ -10,9 +10,10 @@
 import threading
 import time
 
+from lapispick.fakes.messages import REJECTED_CODE
+
 LATE_SLACK_S = 0.11  # the rule's 60 ms and 50 ms of sockets
 SOCKET_SLACK_S = 0.05  # of each time limit, for the way
-REJECTED_CODE = -32050
 SERVED = "served"
 REJECTED = "refused"
 FAILED = "failed"
@@ -60,12 +61,12 @@
 
 @dataclasses.dataclass
 class Fault:
-    """A fault and the parties that it touches; it is open while ``ended_at`` is 0."""
+    """A fault and the endpoints that it touches; it is open while ``ended_at`` is 0."""
 
     began_at: float
     ended_at: float
     kind: str
-    parties: frozenset
+    endpoints: frozenset
 
 
 @dataclasses.dataclass
@@ -99,9 +100,9 @@
 
 
 class FleetRecord:
-    """What all parties saw. ``paused_s`` tells what the machine took of a span, where that is measured."""
+    """What all peers saw. ``paused_s`` tells what the machine took of a span, where that is measured."""
 
-    _PARTS = ("executions", "shutdowns", "memory", "faults", "unexpected_answers")
+    _LISTS = ("executions", "shutdowns", "memory", "faults", "unexpected_answers")
 
     def __init__(self):
         self._lock = threading.Lock()
@@ -119,11 +120,12 @@
         with self._lock:
             copied.attempts = dict(self.attempts)
             copied.paused_s = self.paused_s
-            for part in self._PARTS:
-                setattr(copied, part, list(getattr(self, part)))
+            for name in self._LISTS:
+                setattr(copied, name, list(getattr(self, name)))
         return copied
 
     def add_attempt(self, attempt):
+        """Record an attempt that a gateway is about to send."""
         with self._lock:
             self.attempts[attempt.trace] = attempt
 
@@ -143,6 +145,7 @@
                 self.attempts[trace].answers.append(Answer(time.time(), answer_kind(message), result))
 
     def add_execution(self, host, process, trace, body, where=AT_EXECUTOR):
+        """Record a run at an executor, or a call at the store."""
         with self._lock:
             self.executions.append(Execution(time.time(), host, process, trace, body, where))
 
@@ -152,21 +155,24 @@
             self.shutdowns.append(Shutdown(time.time(), host, process))
 
     def add_memory(self, host, used_mb, limit_mb):
+        """Record the peak memory of a process of a host."""
         with self._lock:
             self.memory.append(MemoryUse(host, used_mb, limit_mb))
 
-    def begin_fault(self, kind, parties):
+    def begin_fault(self, kind, endpoints):
         """Record a fault from now on; returns it, for ``end_fault``."""
-        fault = Fault(time.time(), 0.0, kind, frozenset(parties))
+        fault = Fault(time.time(), 0.0, kind, frozenset(endpoints))
         with self._lock:
             self.faults.append(fault)
         return fault
 
     def end_fault(self, fault):
+        """Record that a fault is over; one that ended before stays as it is."""
         with self._lock:
             fault.ended_at = fault.ended_at or time.time()
 
     def end_all_faults(self):
+        """Record that no fault is left."""
         for fault in list(self.faults):
             self.end_fault(fault)
 
@@ -175,7 +181,7 @@
         return any(
             fault.began_at <= attempt.due + LATE_SLACK_S
             and (fault.ended_at or time.time()) >= attempt.sent_at - LATE_SLACK_S
-            and fault.parties & {attempt.host, attempt.gateway}
+            and fault.endpoints & {attempt.host, attempt.gateway}
             for fault in self.faults
         )
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def host(tmp_path, monkeypatch):
-    """Start worker hosts that are ended with the test; as the ``successor_of`` an earlier one, or by themselves."""
+    """Return a function that starts a worker host, as ``successor_of`` an earlier one or alone, until the test ends."""
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     started = []
 
@@ -27,13 +27,13 @@
         return process
 
     yield start
-    for each in started:
-        each.close()
-        each.check_log()
+    for process in started:
+        process.close()
+        process.check_log()
 
 
 @pytest.fixture
 def shared_address():
-    """Return what reserves a port for processes that share it, as an address of the start settings."""
+    """Return a function that reserves a port for processes that share it, and returns it as an address."""
     with contextlib.ExitStack() as stack:
         yield lambda: stack.enter_context(reserved_address())
--- a/tests/controller_harness.py
+++ b/tests/controller_harness.py
@@ -10,6 +10,7 @@
 
 
 def make_class(**over):
+    """Return the settings of a class of idempotent requests, with changes."""
     base = dict(
         latency_objective_ms=1000,
         objective_stretch=0,
@@ -24,6 +25,7 @@
 
 
 def make_settings(**over):
+    """Return the settings of a decision module with four classes, with changes."""
     base = dict(
         classes=(
             make_class(),
@@ -69,20 +71,21 @@
         """Step the controller at the present time, or at the time given; return its actions."""
         if at is not None:
             self.now = at
-        got = self.controller.step(self.now, list(events))
-        self.actions += got
-        return got
+        actions = self.controller.step(self.now, list(events))
+        self.actions += actions
+        return actions
 
     def tick(self, ms, gauges=(1.0, 2.0), every=40):
         """Let time pass with the module's timer firing."""
-        got = []
+        actions = []
         end = self.now + ms
         while self.now < end:
             self.now = min(end, self.now + every)
-            got += self.step(admission.TimerFired(0, gauges))
-        return got
+            actions += self.step(admission.TimerFired(0, gauges))
+        return actions
 
     def request(self, class_index=0, **over):
+        """Return the event of a new request, with changes."""
         self.next_id += 1
         base = dict(
             id=self.next_id,
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""A box's agent on the running program: changes, undoing, and the agent killed at every point that it names."""
+"""A host's agent on the running program: changes, rollbacks, and the agent killed at every point that it names."""
 
 import datetime
 import itertools
@@ -20,99 +20,108 @@
     exits_after_a_second,
     program,
 )
-from lapispick.fakes.waiting import wait_until
+from lapispick.fakes.waiting import let_time_pass, wait_until
 
 
-class Made:
-    """A fleet of one box with an agent, a load, and two generations."""
+class AgentScenario:
+    """A fleet of one host with an agent, a load, and two generations; bounds are options of ``HostAgent``."""
 
     def __init__(self, fleet, **bounds):
-        self.fleet, self.host = fleet, fleet.hosts[0]
+        self.fleet = fleet
+        self.host = fleet.hosts[0]
         self.agent = HostAgent(self.host, **bounds)
-        self.good = self.agent.add(label="good")
-        self.new = self.agent.add(settings=METRICS_SETTINGS + LOG_DEBUG_SETTINGS, label="new")
+        self.good = self.agent.add_generation(label="good")
+        self.new = self.agent.add_generation(settings=METRICS_SETTINGS + LOG_DEBUG_SETTINGS, label="new")
 
-    def up(self, **more):
-        self.agent.start(adopt=self.good, **more)
-        if not more:
-            self.agent.wait_serving(self.good)
-        return self
+    def start(self):
+        """Start the agent, and wait until the host serves."""
+        self.agent.start(adopt=self.good)
+        self.agent.wait_serving(self.good)
 
-    def loaded(self):
+    def start_load(self):
+        """Let gateways send requests, and wait until some are answered."""
         self.fleet.start_load()
         self.fleet.wait_for_results(20)
-        return self
 
-    def kept(self):
+    def start_under_load(self):
+        """Start the agent and the load."""
+        self.start()
+        self.start_load()
+
+    def check_rules(self):
+        """Fail if a rule was broken or a key executed twice."""
         assert self.fleet.broken_rules() == []
         assert max(self.fleet.record.executions_by_key().values(), default=0) <= 1
 
 
 @pytest.fixture
-def made(tmp_path):
+def scenario(tmp_path):
+    """A host with an agent that is not started yet."""
     with Fleet(tmp_path, seed=5, hosts=1, gateways=2, rate=25) as fleet:
-        yield Made(fleet)
+        yield AgentScenario(fleet)
 
 
-def test_a_change_serves_and_stays_once_confirmed(made):
-    made.up().loaded()
-    agent = made.agent
-    assert agent.call(f"change 1.a r1 {made.new} 60")[0] == "OK"
-    agent.wait_for_phase("proving", serving=made.new)
+def test_a_change_serves_and_stays_once_confirmed(scenario):
+    scenario.start_under_load()
+    agent = scenario.agent
+    assert agent.call(f"change 1.a r1 {scenario.new} 60")[0] == "OK"
+    agent.wait_for_phase("proving", serving=scenario.new)
     assert agent.call("confirm 1.a r1")[0] == "OK"
     assert agent.call("confirm 1.a r1")[0] == "OK done"
-    assert agent.wait_for_phase("steady", good=made.new, serving=made.new).rolled_back_rollout == ""
-    wait_until(lambda: agent.running_generations() == [made.new], "the end of the old process")
+    assert agent.wait_for_phase("steady", good=scenario.new, serving=scenario.new).rolled_back_rollout == ""
+    wait_until(lambda: agent.running_generations() == [scenario.new], "the end of the old process")
     assert agent.call("back 1.a r1")[0] == "OK"  # a stage that went wrong later on
-    agent.wait_for_phase("steady", good=made.good, serving=made.good, rolled_back_rollout="r1")
-    made.kept()
+    agent.wait_for_phase("steady", good=scenario.good, serving=scenario.good, rolled_back_rollout="r1")
+    scenario.check_rules()
 
 
-def test_what_is_not_confirmed_in_time_is_undone_with_nobody_to_ask(made):
-    made.up().loaded()
-    agent = made.agent
-    agent.call(f"change 1.a r1 {made.new} 1.0")
+def test_a_change_that_is_not_confirmed_in_time_is_rolled_back_without_a_controller(scenario):
+    scenario.start_under_load()
+    agent = scenario.agent
+    agent.call(f"change 1.a r1 {scenario.new} 1.0")
     agent.wait_for_phase("proving")
-    agent.wait_for_phase("steady", serving=made.good, rolled_back_rollout="r1", fault="was not confirmed in time")
+    agent.wait_for_phase("steady", serving=scenario.good, rolled_back_rollout="r1", fault="was not confirmed in time")
     assert agent.call("confirm 1.a r1")[0].startswith("ERR undone")
-    assert agent.call(f"change 1.a r1 {made.new} 9")[0].startswith("ERR undone")  # a controller that wakes up late
-    made.kept()
+    assert agent.call(f"change 1.a r1 {scenario.new} 9")[0].startswith("ERR undone")  # a controller that wakes up late
+    scenario.check_rules()
 
 
-def test_a_lower_fence_and_another_of_the_same_are_told_no(made):
-    made.up()
-    agent = made.agent
+def test_a_lower_fence_and_another_controller_of_the_same_epoch_are_rejected(scenario):
+    scenario.start()
+    agent = scenario.agent
     assert agent.call("steer 7.b")[0] == "OK"
-    change = f"r1 {made.new} 9"
-    for word in (f"change 6.a {change}", f"change 7.a {change}", "confirm 6.a r1", "back 1.z r1", "steer 7.a"):
-        assert agent.call(word)[0] == f"ERR fenced: 7.b steers, not {word.split()[1]}"
+    change = f"r1 {scenario.new} 9"
+    for call in (f"change 6.a {change}", f"change 7.a {change}", "confirm 6.a r1", "back 1.z r1", "steer 7.a"):
+        assert agent.call(call)[0] == f"ERR fenced: 7.b steers, not {call.split()[1]}"
     assert agent.call("steer 8.a")[0] == "OK"
     assert agent.call("steer 7.b")[0].startswith("ERR fenced")
-    for word in (
+    for call in (
         "change 8.a r1 nowhere 9",
         "change 8.a r1",
         "jump 8.a",
         "steer x",
-        f"change 8.a r/1 {made.new} 9",
-        f"change 8.a r1 {made.new} nan",
+        f"change 8.a r/1 {scenario.new} 9",
+        f"change 8.a r1 {scenario.new} nan",
     ):
-        assert agent.call(word)[0].startswith("ERR")
+        assert agent.call(call)[0].startswith("ERR")
     assert agent.status().phase == "steady"
 
 
-def test_settings_that_sighup_takes_are_changed_in_place_and_back(made):
-    other = made.agent.add(config={"stop_ms": 2200})
-    made.up().loaded()
-    agent, (before,) = made.agent, made.agent.pids()
+def test_settings_that_sighup_applies_are_changed_and_rolled_back_in_place(scenario):
+    other = scenario.agent.add_generation(config={"stop_ms": 2200})
+    scenario.start_under_load()
+    agent = scenario.agent
+    pids_before = agent.pids()
+    assert len(pids_before) == 1
     assert agent.call_until_serving(f"change 1.a r1 {other} 60")[0] == "OK"
     agent.wait_for_phase("proving", serving=other)
     log = next(agent.folder.glob("lives/1.log"))
     wait_until(lambda: "event=reloaded changed=stop_ms" in log.read_text(), "the reload")
     agent.call("back 1.a r1")
-    agent.wait_for_phase("steady", serving=made.good)
+    agent.wait_for_phase("steady", serving=scenario.good)
     wait_until(lambda: log.read_text().count("event=reloaded changed=stop_ms") == 2, "the reload back")
-    assert agent.pids() == [before]
-    made.kept()
+    assert agent.pids() == pids_before
+    scenario.check_rules()
 
 
 FAULTY_PROGRAMS = {
@@ -123,43 +132,44 @@
 
 
 @pytest.mark.parametrize("fault", FAULTY_PROGRAMS)
-def test_a_generation_that_fails_is_undone_by_itself(made, fault, tmp_path):
-    bad = made.agent.add(program(tmp_path / "bad", FAULTY_PROGRAMS[fault]))
-    made.up().loaded()
-    agent = made.agent
+def test_a_generation_that_fails_is_rolled_back_without_a_call(scenario, fault, tmp_path):
+    bad = scenario.agent.add_generation(program(tmp_path / "bad", FAULTY_PROGRAMS[fault]))
+    scenario.start_under_load()
+    agent = scenario.agent
     agent.call(f"change 1.a r1 {bad} 60")
     if fault == "dies a second after":
         agent.wait_for_phase("proving")
-        number = made.fleet.record.begin_fault("killed", [made.host.name])
-    found = agent.wait_for_phase("steady", rolled_back_rollout="r1", serving=made.good)
-    assert bad in found.fault
-    assert found.good == made.good
-    wait_until(lambda: agent.running_generations() == [made.good], "only the good one")
+        open_fault = scenario.fleet.record.begin_fault("killed", [scenario.host.name])
+    status = agent.wait_for_phase("steady", rolled_back_rollout="r1", serving=scenario.good)
+    assert bad in status.fault
+    assert status.good == scenario.good
+    wait_until(lambda: agent.running_generations() == [scenario.good], "only the good one")
     if fault == "dies a second after":
-        made.fleet.record.end_fault(number)
-    made.fleet.wait_for_results(20)
-    made.kept()
-
-
-def test_the_last_good_generation_deleted_stops_a_change_before_it_begins(made):
-    made.up()
-    agent = made.agent
-    os.rename(agent.store.folder / made.good, agent.store.folder / ".away")
-    wait_until(lambda: made.good not in agent.status().generations, "that the agent sees it")
-    assert "not on the shelf" in agent.call(f"change 1.a r1 {made.new} 9")[0]
-    os.rename(agent.store.folder / ".away", agent.store.folder / made.good)
-    wait_until(lambda: made.good in agent.status().generations, "that the agent sees it")
-    agent.call(f"change 1.a r1 {made.new} 1.0")
+        scenario.fleet.record.end_fault(open_fault)
+    scenario.fleet.wait_for_results(20)
+    scenario.check_rules()
+
+
+def test_no_change_starts_while_the_good_generation_is_missing(scenario):
+    scenario.start()
+    agent = scenario.agent
+    os.rename(agent.store.folder / scenario.good, agent.store.folder / ".away")
+    wait_until(lambda: scenario.good not in agent.status().generations, "that the agent sees it")
+    assert "not on the shelf" in agent.call(f"change 1.a r1 {scenario.new} 9")[0]
+    os.rename(agent.store.folder / ".away", agent.store.folder / scenario.good)
+    wait_until(lambda: scenario.good in agent.status().generations, "that the agent sees it")
+    agent.call(f"change 1.a r1 {scenario.new} 1.0")
     agent.wait_for_phase("proving")
-    os.rename(agent.store.folder / made.good, agent.store.folder / ".away")
-    found = agent.wait_for_phase("stuck", serving=made.new)  # it must go back and can't: what serves goes on serving
-    assert "gone from the shelf" in found.fault
-    assert call_operators(agent.operator_addresses[agent_slot(agent)], "check") == ["OK"]
+    os.rename(agent.store.folder / scenario.good, agent.store.folder / ".away")
+    status = agent.wait_for_phase("stuck", serving=scenario.new)  # it can't roll back, and goes on serving
+    assert "gone from the shelf" in status.fault
+    assert call_operators(agent.operator_addresses[serving_slot(agent)], "check") == ["OK"]
 
 
-def agent_slot(agent):
+def serving_slot(agent):
+    """Return the slot of the serving process, from the agent's stored state."""
     state = json.loads((agent.folder / "state.json").read_text())
-    return next(life["slot"] for life in state["lives"] if life["role"] == "serving")
+    return next(process["slot"] for process in state["lives"] if process["role"] == "serving")
 
 
 # (point, times it is passed before the agent dies there)
@@ -178,178 +188,178 @@
 
 
 @pytest.mark.parametrize(("point", "times"), POINTS)
-def test_an_agent_killed_at_any_point_of_a_change_leaves_a_box_that_serves(made, point, times):
-    """The next agent goes on: the box ends in the new generation, asked for, or in the good one; with one process."""
-    made.up()
-    agent = made.agent
+def test_an_agent_killed_at_any_point_of_a_change_leaves_a_host_that_serves(scenario, point, times):
+    """The next agent goes on: the host ends in the requested generation, with one process."""
+    scenario.start()
+    agent = scenario.agent
     agent.kill()
     agent.start(dies_at=point, times=times)
     wait_until(
-        lambda: agent.process.poll() is not None or getattr(agent.status(), "serving", "") == made.good,
+        lambda: agent.process.poll() is not None or getattr(agent.status(), "serving", "") == scenario.good,
         "the agent at work",
     )
-    made.loaded()
-    agent.call(f"change 1.a r1 {made.new} 60")
+    scenario.start_load()
+    agent.call(f"change 1.a r1 {scenario.new} 60")
     agent.wait_ended()
-    made.fleet.wait_for_results(20)  # with no agent at all
+    scenario.fleet.wait_for_results(20)  # with no agent at all
     agent.start()
     if agent.status().rollout != "r1":  # it died before the change was on disk: the controller asks again
-        agent.wait_serving(made.good)  # once this agent has looked at the process for the first time
-        assert agent.call(f"change 1.a r1 {made.new} 60")[0] == "OK"
-    agent.wait_for_phase("proving", serving=made.new)
+        agent.wait_serving(scenario.good)  # once this agent has looked at the process for the first time
+        assert agent.call(f"change 1.a r1 {scenario.new} 60")[0] == "OK"
+    agent.wait_for_phase("proving", serving=scenario.new)
     assert agent.call("confirm 1.a r1")[0].startswith("OK")
-    agent.wait_for_phase("steady", serving=made.new, good=made.new)
-    wait_until(lambda: agent.running_generations() == [made.new], "one process of the new generation")
-    made.fleet.wait_for_results(20)
-    made.kept()
+    agent.wait_for_phase("steady", serving=scenario.new, good=scenario.new)
+    wait_until(lambda: agent.running_generations() == [scenario.new], "one process of the new generation")
+    scenario.fleet.wait_for_results(20)
+    scenario.check_rules()
 
 
 @pytest.mark.parametrize(
     ("point", "times"), [("starting", 1), ("started", 1), ("terminating", 1), ("terminated", 1), ("stored", 2)]
 )
-def test_an_agent_killed_while_it_undoes_a_change_goes_on_undoing_it(made, point, times):
-    made.up().loaded()
-    agent = made.agent
-    agent.call(f"change 1.a r1 {made.new} 60")
-    agent.wait_for_phase("proving", serving=made.new)
-    wait_until(lambda: agent.running_generations() == [made.new], "the end of the old process")
+def test_an_agent_killed_during_a_rollback_continues_it(scenario, point, times):
+    scenario.start_under_load()
+    agent = scenario.agent
+    agent.call(f"change 1.a r1 {scenario.new} 60")
+    agent.wait_for_phase("proving", serving=scenario.new)
+    wait_until(lambda: agent.running_generations() == [scenario.new], "the end of the old process")
     agent.kill()
     agent.start(dies_at=point, times=times)
     agent.call("back 1.a r1")
     agent.wait_ended()
     agent.start()
-    agent.wait_for_phase("steady", serving=made.good, rolled_back_rollout="r1")
-    wait_until(lambda: agent.running_generations() == [made.good], "one process of the good generation")
-    made.kept()
+    agent.wait_for_phase("steady", serving=scenario.good, rolled_back_rollout="r1")
+    wait_until(lambda: agent.running_generations() == [scenario.good], "one process of the good generation")
+    scenario.check_rules()
 
 
-def test_an_agent_that_sleeps_past_the_confirm_time_undoes_the_change_and_takes_no_late_word(made):
-    made.up().loaded()
-    agent = made.agent
-    agent.call(f"change 1.a r1 {made.new} 1.5")
-    agent.wait_for_phase("proving", serving=made.new)
-    began = time.monotonic()
+def test_an_agent_suspended_past_the_confirm_time_rolls_back_and_rejects_a_late_confirmation(scenario):
+    scenario.start_under_load()
+    agent = scenario.agent
+    agent.call(f"change 1.a r1 {scenario.new} 1.5")
+    agent.wait_for_phase("proving", serving=scenario.new)
     agent.process.send_signal(signal.SIGSTOP)
-    wait_until(lambda: time.monotonic() - began > 2.0, "the end of the confirm time")
+    let_time_pass(2.0)  # past the confirm time
     agent.process.send_signal(signal.SIGCONT)
     assert agent.call("confirm 1.a r1")[0].startswith("ERR")
-    agent.wait_for_phase("steady", serving=made.good, rolled_back_rollout="r1")
-    made.kept()
+    agent.wait_for_phase("steady", serving=scenario.good, rolled_back_rollout="r1")
+    scenario.check_rules()
 
 
-def test_a_host_that_is_killed_is_started_again_in_the_good_generation(made):
-    made.up().loaded()
-    agent, (pid,) = made.agent, made.agent.pids()
-    number = made.fleet.record.begin_fault("killed", [made.host.name])
+def test_a_killed_host_is_restarted_in_the_good_generation(scenario):
+    scenario.start_under_load()
+    agent = scenario.agent
+    (pid,) = agent.pids()
+    open_fault = scenario.fleet.record.begin_fault("killed", [scenario.host.name])
     os.kill(pid, signal.SIGKILL)
     wait_until(lambda: agent.pids() not in ([], [pid]), "another process")
-    found = agent.wait_serving(made.good)
-    made.fleet.record.end_fault(number)
-    assert found.crashes == 1
-    assert found.phase == "steady"
-    made.fleet.wait_for_results(20)
-    made.kept()
+    status = agent.wait_serving(scenario.good)
+    scenario.fleet.record.end_fault(open_fault)
+    assert status.crashes == 1
+    assert status.phase == "steady"
+    scenario.fleet.wait_for_results(20)
+    scenario.check_rules()
 
 
-def test_a_host_that_hangs_long_after_its_start_is_started_anew_and_one_stopped_for_a_moment_is_not(tmp_path):
+def test_a_host_that_hangs_is_restarted_and_one_suspended_for_a_moment_is_not(tmp_path):
     with Fleet(tmp_path, seed=5, hosts=1, gateways=2, rate=25) as fleet:
-        made = Made(fleet, start=1.0)
-        made.up().loaded()
-        (pid,) = made.agent.pids()
-        number = made.fleet.record.begin_fault("stopped", [made.host.name])
+        scenario = AgentScenario(fleet, start_timeout_s=1.0)
+        scenario.start_under_load()
+        (pid,) = scenario.agent.pids()
+        open_fault = scenario.fleet.record.begin_fault("stopped", [scenario.host.name])
         os.kill(pid, signal.SIGSTOP)
-        began = time.monotonic()
-        wait_until(lambda: made.agent.status().serving == "", "that the agent sees it")
-        wait_until(lambda: time.monotonic() - began > 2.0, "two seconds")
+        started_at = time.monotonic()
+        wait_until(lambda: scenario.agent.status().serving == "", "that the agent sees it")
+        wait_until(lambda: time.monotonic() - started_at > 2.0, "two seconds")
         os.kill(pid, signal.SIGCONT)
-        assert made.agent.wait_serving(made.good).crashes == 0
-        assert made.agent.pids() == [pid]
+        assert scenario.agent.wait_serving(scenario.good).crashes == 0
+        assert scenario.agent.pids() == [pid]
         os.kill(pid, signal.SIGSTOP)
-        wait_until(lambda: made.agent.pids() not in ([], [pid]), "another process")
-        assert made.agent.wait_serving(made.good).crashes == 1
-        made.fleet.record.end_fault(number)
-        made.fleet.wait_for_results(20)
-        made.kept()
+        wait_until(lambda: scenario.agent.pids() not in ([], [pid]), "another process")
+        assert scenario.agent.wait_serving(scenario.good).crashes == 1
+        scenario.fleet.record.end_fault(open_fault)
+        scenario.fleet.wait_for_results(20)
+        scenario.check_rules()
 
 
-def test_settings_that_read_well_and_kill_the_host_a_second_after_its_start_are_undone(made, tmp_path):
+def test_valid_settings_that_end_the_host_after_a_second_are_rolled_back(scenario, tmp_path):
     """Both generations are one program: what differs is a line of the settings that it does not survive."""
     one = program(tmp_path / "one", exits_after_a_second(LOGS_DEBUG_LINES))
-    made.good = made.agent.add(one, label="good")
-    bad = made.agent.add(one, settings=METRICS_SETTINGS + LOG_DEBUG_SETTINGS)
-    made.up().loaded()
-    number = made.fleet.record.begin_fault("killed", [made.host.name])
-    assert made.agent.call(f"change 1.a r1 {bad} 60")[0] == "OK"
-    found = made.agent.wait_for_phase("steady", rolled_back_rollout="r1", serving=made.good)
-    assert bad in found.fault
-    assert found.good == made.good
-    assert found.crashes == 1
-    made.fleet.record.end_fault(number)
-    made.fleet.wait_for_results(20)
-    made.kept()
-
-
-def test_a_log_that_grew_too_long_gives_way_to_what_comes_next(made):
-    made.up()
-    log = made.agent.folder / "lives" / "1.log"
+    scenario.good = scenario.agent.add_generation(one, label="good")
+    bad = scenario.agent.add_generation(one, settings=METRICS_SETTINGS + LOG_DEBUG_SETTINGS)
+    scenario.start_under_load()
+    open_fault = scenario.fleet.record.begin_fault("killed", [scenario.host.name])
+    assert scenario.agent.call(f"change 1.a r1 {bad} 60")[0] == "OK"
+    status = scenario.agent.wait_for_phase("steady", rolled_back_rollout="r1", serving=scenario.good)
+    assert bad in status.fault
+    assert status.good == scenario.good
+    assert status.crashes == 1
+    scenario.fleet.record.end_fault(open_fault)
+    scenario.fleet.wait_for_results(20)
+    scenario.check_rules()
+
+
+def test_a_log_that_grew_too_long_is_rotated(scenario):
+    scenario.start()
+    log = scenario.agent.folder / "lives" / "1.log"
     with log.open("ab") as file:
         file.truncate(9 << 20)
     wait_until(lambda: log.stat().st_size < 1 << 20, "a short log")
     assert (log.with_suffix(".old")).stat().st_size >= 9 << 20
-    (pid,) = made.agent.pids()
+    (pid,) = scenario.agent.pids()
     os.kill(pid, signal.SIGTERM)  # what the process writes from now on is at the beginning
     wait_until(lambda: b"event=shutdown-started" in log.read_bytes(), "what it wrote since")
 
 
-def test_one_agent_for_a_box_and_an_unreadable_state_is_refused_plainly(made):
-    made.up()
+def test_a_second_agent_and_an_unreadable_state_are_rejected(scenario):
+    scenario.start()
     second = HostAgent.__new__(HostAgent)
-    second.__dict__ = dict(made.agent.__dict__)
+    second.__dict__ = dict(scenario.agent.__dict__)
     second.start(wait=False)
     assert second.wait_ended() == 2
     assert "another agent runs here" in second.log()
-    made.agent.kill()
-    (made.agent.folder / "state.json").write_text("{")
-    made.agent.start(wait=False)
-    assert made.agent.wait_ended() == 2
-    assert "can't be read" in made.agent.log()
+    scenario.agent.kill()
+    (scenario.agent.folder / "state.json").write_text("{")
+    scenario.agent.start(wait=False)
+    assert scenario.agent.wait_ended() == 2
+    assert "can't be read" in scenario.agent.log()
+
+
+def host_starts(agent):
+    """Return when an agent started processes of its host, by its log."""
+    lines = [line for line in agent.log().splitlines() if HOST_STARTED in line]
+    return [datetime.datetime.fromisoformat(line.split()[0].removeprefix("ts=")) for line in lines]
 
 
-def test_boxes_that_nobody_confirmed_go_back_one_after_the_other_by_a_turn(tmp_path):
-    """Cut off from a controller all their times are over at once; each waits for its turn, and serves meanwhile."""
+def test_unconfirmed_hosts_roll_back_one_after_the_other_by_a_lease(tmp_path):
+    """Cut off from a controller all their times are over at once; each waits for the lease, and serves meanwhile."""
     with Fleet(tmp_path, seed=5, hosts=3, gateways=2, rate=25) as fleet:
         cluster = MemberCluster(fleet)
-        made = {}
-        for box in fleet.hosts:
-            agent = HostAgent(box)
-            agent.settings_file.write_text(
-                agent.settings_file.read_text().replace("end\n", " turn job\n turn-wait 30s\nend\n")
-            )
-            own = cluster.config_files[box.name].read_text() + METRICS_SETTINGS
-            made[box.name] = (
-                agent,
-                agent.add(settings=own, label="good"),
-                agent.add(settings=own + "section log\nend\n"),
-            )
-        for agent, good, _ in made.values():
-            agent.start(adopt=good)
-        for agent, good, _ in made.values():
-            agent.wait_serving(good)
+        agents = []
+        good_generations = {}
+        new_generations = {}
+        for host in fleet.hosts:
+            agent = HostAgent(host)
+            settings = agent.settings_file.read_text()
+            agent.settings_file.write_text(settings.replace("end\n", " turn job\n turn-wait 30s\nend\n"))
+            own = cluster.config_files[host.name].read_text() + METRICS_SETTINGS
+            good_generations[agent] = agent.add_generation(settings=own, label="good")
+            new_generations[agent] = agent.add_generation(settings=own + "section log\nend\n")
+            agents.append(agent)
+        for agent in agents:
+            agent.start(adopt=good_generations[agent])
+        for agent in agents:
+            agent.wait_serving(good_generations[agent])
         fleet.start_load()
-        for agent, _, new in made.values():
-            assert agent.call(f"change 1.a r1 {new} 6")[0] == "OK"
-        for agent, _, _ in made.values():
+        for agent in agents:
+            assert agent.call(f"change 1.a r1 {new_generations[agent]} 6")[0] == "OK"
+        for agent in agents:
             agent.wait_for_phase("returning", "steady", rolled_back_rollout="r1")
-        for agent, good, _ in made.values():
-            agent.wait_for_phase("steady", serving=good, rolled_back_rollout="r1")
+        for agent in agents:
+            agent.wait_for_phase("steady", serving=good_generations[agent], rolled_back_rollout="r1")
         fleet.wait_for_results(20)
         assert fleet.broken_rules() == []
-        begun = []
-        for agent, _, _ in made.values():
-            log = agent.log()
-            told = [line for line in log.splitlines() if HOST_STARTED in line]
-            begun.append((datetime.datetime.fromisoformat(told[-1].split()[0][3:]), len(told)))
-        assert [many for _, many in begun] == [3, 3, 3]
-        starts = sorted(at for at, _ in begun)
-        spans = [(b - a).total_seconds() for a, b in itertools.pairwise(starts)]
-        assert min(spans) > 1.0, spans  # the lease that the one before leaves to run out
+        assert [len(host_starts(agent)) for agent in agents] == [3, 3, 3]
+        last_starts = sorted(host_starts(agent)[-1] for agent in agents)
+        intervals_s = [(later - earlier).total_seconds() for earlier, later in itertools.pairwise(last_starts)]
+        assert min(intervals_s) > 1.0, intervals_s  # the lease of the one before expires first
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -301,9 +301,9 @@
 def test_a_channel_error_opens_a_new_channel(edge):
     h = edge()
     with h.broker.lock:
-        link = next(iter(h.broker.channels))
-        h.broker.channels[link].clear()
-        h.broker.send_method(link, 1, "channel.close", code=404, text="NOT_FOUND", class_id=60, method_id=20)
+        link = h.broker.links[0]
+        link.channels.clear()
+        link.send_method(1, "channel.close", code=404, text="NOT_FOUND", class_id=60, method_id=20)
     _, c = ask(h.broker, "good")
     assert wait_until(lambda: h.broker.reply(c), "service on the new channel")[0] == "served"
     assert "event=channel-closed" in h.log()
--- a/tests/test_member_cluster.py
+++ b/tests/test_member_cluster.py
@@ -6,21 +6,15 @@
 import signal
 import socket
 import subprocess
-import sys
 import time
 
 import pytest
 
-from lapispick.fakes.fleet import ROOT, Fleet
+from lapispick.fakes.busy_processes import busy_processes
+from lapispick.fakes.commands import run_lapispick, start_lapispick
+from lapispick.fakes.fleet import Fleet
 from lapispick.fakes.member_cluster import FAST_SETTINGS, SERVICE_SETTINGS, SLOW_SETTINGS, MemberCluster
-from lapispick.fakes.waiting import wait_until
-
-
-def wait(seconds):
-    """Let time pass in which something must not happen."""
-    end = time.monotonic() + seconds
-    while time.monotonic() < end:
-        time.sleep(0.02)
+from lapispick.fakes.waiting import let_time_pass, wait_until
 
 
 @pytest.fixture
@@ -40,6 +34,18 @@
         each.close()
 
 
+@pytest.fixture
+def start_cluster(make_cluster):
+    """Return a function that starts a cluster of hosts and waits until all are members."""
+
+    def start(*args, **options):
+        cluster = make_cluster(*args, **options).start()
+        cluster.wait_for_agreement(cluster.names())
+        return cluster
+
+    return start
+
+
 def partition(cluster, *groups):
     """Cut the links between groups of hosts; returns what heals them."""
     heal_functions = [cluster.fleet.partition(one, other) for n, one in enumerate(groups) for other in groups[n + 1 :]]
@@ -62,7 +68,7 @@
     cluster.wait_for_holds(10)
     cluster.fleet.wait_for_results(20)
     stop_owners_and_check(cluster)
-    assert sum(bool(owner.held) for owner in owners) >= 4  # no host is overtaken all the time
+    assert sum(bool(owner.leases) for owner in owners) >= 4  # no host is overtaken all the time
     assert cluster.deaths() == []
     assert cluster.fleet.broken_rules() == []
 
@@ -77,8 +83,8 @@
     cluster.request_leases(hold_s=0.1)
     cluster.wait_for_holds(3)
     heal = partition(cluster, minority, majority)
-    cluster.wait_for_agreement(majority, gone=minority)
-    cluster.wait_for_agreement(minority, gone=majority)
+    cluster.wait_for_agreement(majority, absent=minority)
+    cluster.wait_for_agreement(minority, absent=majority)
     assert cluster.view(minority[0])["majority"] is False
     assert cluster.view(majority[0])["majority"] is True
     tokens_before = {token for _, token in cluster.resource.holds()}
@@ -93,26 +99,23 @@
     assert cluster.fleet.broken_rules() == []
 
 
-def test_three_partitions_without_a_majority_grant_no_lease_until_they_heal(make_cluster):
-    cluster = make_cluster(6).start()
+def test_three_partitions_without_a_majority_grant_no_lease_until_they_heal(start_cluster):
+    cluster = start_cluster(6)
     hosts = cluster.names()
-    cluster.wait_for_agreement(hosts)
     cluster.request_leases(hold_s=0.1)
     cluster.wait_for_holds(2)
     heal = partition(cluster, hosts[:2], hosts[2:4], hosts[4:])
-    wait(2.0)  # longer than the lease that was running
+    let_time_pass(2.0)  # longer than the lease that was running
     before = cluster.resource.holds()
-    wait(2.0)
+    let_time_pass(2.0)
     assert cluster.resource.holds() == before
     heal()
     cluster.wait_for_holds(4)
     stop_owners_and_check(cluster)
 
 
-def test_a_holder_that_is_paused_past_its_lease_holds_nothing_when_it_resumes(make_cluster):
-    cluster = make_cluster().start()
-    hosts = cluster.names()
-    cluster.wait_for_agreement(hosts)
+def test_a_holder_that_is_paused_past_its_lease_holds_nothing_when_it_resumes(start_cluster):
+    cluster = start_cluster()
     owners = {owner.host.name: owner for owner in cluster.request_leases(hold_s=20.0)}  # each would keep it for long
     cluster.wait_for_holds(1)
     holder = cluster.resource.last_holder()
@@ -120,52 +123,49 @@
     cluster.wait_for_holds(1)  # its lease expires at the others, and one of them obtains it
     assert cluster.resource.last_holder() != holder
     resume()
-    wait(1.0)
-    assert owners[holder].held[-1].held_until < cluster.resource.accepted[-1].at
+    let_time_pass(1.0)
+    assert owners[holder].leases[-1].valid_until < cluster.resource.accepted[-1].at
     stop_owners_and_check(cluster)
     log = next(iter(cluster.fleet[holder].folder.glob("config-1.log"))).read_text()
     assert "event=lease-lost" in log or "event=lease-abandoned" in log
 
 
-def test_a_dead_holder_is_replaced_and_returns_in_a_later_epoch_without_its_disk(make_cluster):
-    cluster = make_cluster().start()
+def test_a_dead_holder_is_replaced_and_returns_in_a_later_epoch_without_its_disk(start_cluster):
+    cluster = start_cluster()
     hosts = cluster.names()
-    cluster.wait_for_agreement(hosts)
     cluster.request_leases(hold_s=20.0)
     cluster.wait_for_holds(1)
-    gone = cluster.resource.last_holder()
-    rest = [name for name in hosts if name != gone]
-    epoch = cluster.process_epoch(rest[0], gone)
-    cluster.fleet[gone].kill()
+    killed = cluster.resource.last_holder()
+    rest = [name for name in hosts if name != killed]
+    epoch = cluster.process_epoch(rest[0], killed)
+    cluster.fleet[killed].kill()
     cluster.wait_for_holds(1)
-    cluster.wait_for_agreement(rest, gone=[gone])
-    for path in (cluster.fleet[gone].folder / "members").iterdir():
+    cluster.wait_for_agreement(rest, absent=[killed])
+    for path in (cluster.fleet[killed].folder / "members").iterdir():
         path.unlink()
-    cluster.fleet[gone].start(conf=cluster.config_files[gone], skew=-3600.0)  # its clock was set back too
+    cluster.fleet[killed].start(conf=cluster.config_files[killed], skew=-3600.0)  # its clock was set back too
     cluster.wait_for_agreement(hosts)
-    assert cluster.view(gone)["life"] > epoch
+    assert cluster.view(killed)["life"] > epoch
     for name in rest:
-        assert cluster.process_epoch(name, gone) > epoch
+        assert cluster.process_epoch(name, killed) > epoch
     stop_owners_and_check(cluster)
 
 
-def test_partial_link_failures_make_no_member_dead(make_cluster):
-    cluster = make_cluster(settings=SLOW_SETTINGS).start()
+def test_partial_link_failures_make_no_member_dead(start_cluster):
+    cluster = start_cluster(settings=SLOW_SETTINGS)
     hosts = cluster.names()
-    cluster.wait_for_agreement(hosts)
     cluster.request_leases(hold_s=0.1)
     cluster.fleet.net.partition([hosts[0]], [hosts[1]])
     cluster.fleet.net.partition([hosts[2]], [hosts[3]], one_way=True)
     cluster.wait_for_holds(12)
-    wait(6.0)  # each is probed twice, and a suspicion that begins at once has timed out
+    let_time_pass(6.0)  # each is probed twice, and a suspicion that begins at once has timed out
     assert cluster.deaths() == []
     stop_owners_and_check(cluster)
 
 
-def test_a_member_that_one_other_cannot_reach_stays_alive_for_all(make_cluster):
-    cluster = make_cluster(settings=SLOW_SETTINGS).start()
+def test_a_member_that_one_other_cannot_reach_stays_alive_for_all(start_cluster):
+    cluster = start_cluster(settings=SLOW_SETTINGS)
     hosts = cluster.names()
-    cluster.wait_for_agreement(hosts)
     cluster.fleet.net.partition([hosts[0]], [hosts[4]])
     began = time.monotonic()
     while time.monotonic() - began < 10.0:  # more than twice a suspicion
@@ -174,29 +174,27 @@
     assert cluster.deaths() == []
 
 
-def test_a_member_that_is_paused_for_two_seconds_is_not_dead_with_service_settings(make_cluster):
-    cluster = make_cluster(settings=SERVICE_SETTINGS).start()
+def test_a_member_that_is_paused_for_two_seconds_is_not_dead_with_service_settings(start_cluster):
+    cluster = start_cluster(settings=SERVICE_SETTINGS)
     hosts = cluster.names()
-    cluster.wait_for_agreement(hosts)
     for name in hosts[:3]:
         resume = cluster.fleet.suspend(cluster.fleet[name])
-        wait(2.0)
+        let_time_pass(2.0)
         resume()
     cluster.wait_for_agreement(hosts)
     assert cluster.deaths() == []
 
 
 @pytest.mark.parametrize("loss", [0.05, 0.2, 0.5])
-def test_lost_duplicated_late_and_reordered_messages_give_no_two_holders(make_cluster, loss):
-    cluster = make_cluster(settings=SLOW_SETTINGS if loss < 0.3 else FAST_SETTINGS).start()
+def test_lost_duplicated_late_and_reordered_messages_give_no_two_holders(start_cluster, loss):
+    cluster = start_cluster(settings=SLOW_SETTINGS if loss < 0.3 else FAST_SETTINGS)
     hosts = cluster.names()
-    cluster.wait_for_agreement(hosts)
     cluster.fleet.net.impair(hosts, hosts, loss=loss, duplicate=0.2, reorder=0.2, jitter_s=0.02)
     cluster.request_leases(hold_s=0.1)
     if loss < 0.5:
         cluster.wait_for_holds(4, within=60.0)
     else:
-        wait(6.0)  # whether a proposal succeeds is chance then; that no two hold the lease is not
+        let_time_pass(6.0)  # whether a proposal succeeds is chance then; that no two hold the lease is not
     if loss < 0.3:
         assert cluster.deaths() == []
     cluster.fleet.net.heal()
@@ -205,38 +203,36 @@
     stop_owners_and_check(cluster)
 
 
-def test_a_partition_that_flaps_every_second_gives_no_two_holders(make_cluster):
-    cluster = make_cluster().start()
+def test_a_partition_that_flaps_every_second_gives_no_two_holders(start_cluster):
+    cluster = start_cluster()
     hosts = cluster.names()
-    cluster.wait_for_agreement(hosts)
     cluster.request_leases(hold_s=0.2)
     for n in range(8):
         side = hosts[:2] if n % 2 else hosts[3:]
         cluster.fleet.net.partition(side, [name for name in hosts if name not in side], one_way=n % 3 == 2)
-        wait(1.0)
+        let_time_pass(1.0)
         cluster.fleet.net.heal()
     cluster.wait_for_agreement(hosts)
     cluster.wait_for_holds(5)
     stop_owners_and_check(cluster)
 
 
-def test_a_fifth_killed_at_once_is_detected_and_a_single_survivor_has_no_quorum(make_cluster):
-    cluster = make_cluster(10).start()
+def test_a_fifth_killed_at_once_is_detected_and_a_single_survivor_has_no_quorum(start_cluster):
+    cluster = start_cluster(10)
     hosts = cluster.names()
-    cluster.wait_for_agreement(hosts)
-    gone = hosts[:2]
-    for name in gone:
+    killed = hosts[:2]
+    for name in killed:
         cluster.fleet[name].kill()
-    detection_s = cluster.wait_for_agreement(hosts[2:], gone=gone)
+    detection_s = cluster.wait_for_agreement(hosts[2:], absent=killed)
     print(f"detected in {detection_s:.1f} s")
     last = hosts[-1]
     for name in hosts[2:-1]:
         cluster.fleet[name].kill()
-    cluster.wait_for_agreement([last], gone=hosts[:-1], within=60.0)
+    cluster.wait_for_agreement([last], absent=hosts[:-1], within=60.0)
     assert cluster.view(last)["seen"] == 1
     assert cluster.view(last)["majority"] is False
     cluster.request_leases(names=[last])
-    wait(3.0)
+    let_time_pass(3.0)
     assert cluster.resource.accepted == []
     cluster.start(hosts[:-1])
     cluster.wait_for_agreement(hosts)
@@ -244,7 +240,7 @@
     stop_owners_and_check(cluster)
 
 
-def test_a_list_that_replaces_most_members_and_arrives_late_at_some_gives_no_two_holders(make_cluster):
+def test_a_list_that_replaces_many_members_and_arrives_late_at_some_gives_no_two_holders(make_cluster):
     cluster = make_cluster(10)
     hosts = cluster.names()
     old = hosts[:7]
@@ -257,7 +253,7 @@
     heal = partition(cluster, hosts[:2], hosts[2:])  # which heals while the list changes
     for name in hosts:
         cluster.set_list(new, [name])
-        wait(0.5)
+        let_time_pass(0.5)
         if name == hosts[4]:
             heal()
     cluster.wait_for_agreement(new, within=30.0)
@@ -273,7 +269,7 @@
     cluster.set_list(hosts, hosts[3:])
     cluster.start()
     cluster.request_leases(hold_s=0.15)
-    wait(4.0)  # 5 in the one list, 3 of which hold it; 6 in the other, 3 of which hold it
+    let_time_pass(4.0)  # 5 in the one list, 3 of which hold it; 6 in the other, 3 of which hold it
     assert cluster.overlaps() == []
     cluster.set_list(hosts)
     cluster.wait_for_agreement(hosts)
@@ -292,19 +288,17 @@
     assert cluster.deaths() == []
 
 
-def test_a_lease_with_two_slots_uses_both_and_has_two_holders_at_most(make_cluster):
-    cluster = make_cluster().start()
-    cluster.wait_for_agreement(cluster.names())
+def test_a_lease_with_two_slots_uses_both_and_has_two_holders_at_most(start_cluster):
+    cluster = start_cluster()
     cluster.request_leases("pair", hold_s=0.3)
     cluster.wait_for_holds(12)
     stop_owners_and_check(cluster)
     assert {slot for slot, _ in cluster.resource.holds()} == {"pair/0", "pair/1"}
 
 
-def test_unknown_senders_invalid_messages_and_floods_affect_only_themselves(make_cluster):
-    cluster = make_cluster(3, settings=SLOW_SETTINGS).start()
+def test_unknown_senders_invalid_messages_and_floods_affect_only_themselves(start_cluster):
+    cluster = start_cluster(3, settings=SLOW_SETTINGS)
     hosts = cluster.names()
-    cluster.wait_for_agreement(hosts)
     host, port = cluster.addresses[hosts[0]].split(":")
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger, socket.socket() as stream:
         forged = (
@@ -328,10 +322,9 @@
     assert cluster.deaths() == []
 
 
-def test_a_host_that_shuts_down_leaves_and_its_lease_is_passed_on(make_cluster):
-    cluster = make_cluster(4).start()
+def test_a_host_that_shuts_down_has_left_and_its_lease_is_granted_to_another(start_cluster):
+    cluster = start_cluster(4)
     hosts = cluster.names()
-    cluster.wait_for_agreement(hosts)
     cluster.request_leases(hold_s=20.0)
     cluster.wait_for_holds(1)
     holder = cluster.resource.last_holder()
@@ -340,72 +333,68 @@
     cluster.wait_for_holds(1)
     print(f"the next holder obtained it after {time.monotonic() - started:.2f} s")
     rest = [name for name in hosts if name != holder]
-    cluster.wait_for_agreement(rest, gone=[holder])
+    cluster.wait_for_agreement(rest, absent=[holder])
     wait_until(lambda: all(cluster.states(name)[holder] == "left" for name in rest), "that all know that it left")
     stop_owners_and_check(cluster)
 
 
-def lapispick(*arguments):
-    command = [sys.executable, "-m", "lapispick", *arguments]
-    return subprocess.run(command, capture_output=True, text=True, timeout=60, cwd=ROOT)
-
-
-def start_lapispick(*arguments, **options):
-    return subprocess.Popen([sys.executable, "-m", "lapispick", *arguments], cwd=ROOT, **options)
-
-
-def test_the_commands_show_the_view_and_hold_a_lease_for_a_command(make_cluster, tmp_path):
-    cluster = make_cluster(3).start()
+def test_the_commands_show_the_view_and_why_a_member_is_dead(start_cluster):
+    cluster = start_cluster(3)
     hosts = cluster.names()
-    cluster.wait_for_agreement(hosts)
     ops = [cluster.fleet[name].processes[-1].ops for name in hosts]
-    shown = lapispick("members", "show", "--at", ops[0])
+    shown = run_lapispick("members", "show", "--at", ops[0])
     assert shown.returncode == 0
     assert "sees 3 of 3" in shown.stdout
     assert hosts[2] in shown.stdout
-    wait_until(
-        lambda: [
-            f
-            for f in json.loads(lapispick("members", "show", "--json", "--at", ops[0]).stdout)["facts"]
-            if (f[0], f[3]) == (hosts[1], "load")
-        ],
-        "a fact that another host published",
-    )
+
+    def published_facts():
+        """Return the authors and kinds of the facts that the first host knows."""
+        facts = json.loads(run_lapispick("members", "show", "--json", "--at", ops[0]).stdout)["facts"]
+        return {(author, kind) for author, _, _, kind, *_ in facts}
+
+    wait_until(lambda: (hosts[1], "load") in published_facts(), "a fact that another host published")
     cluster.fleet[hosts[2]].kill()
-    cluster.wait_for_agreement(hosts[:2], gone=[hosts[2]])
-    why = lapispick("members", "why", hosts[2], "--at", ops[0])
+    cluster.wait_for_agreement(hosts[:2], absent=[hosts[2]])
+    why = run_lapispick("members", "why", hosts[2], "--at", ops[0])
     assert "is dead" in why.stdout
     assert "no answer" in why.stdout or "says so" in why.stdout
-    assert lapispick("members", "why", "nobody", "--at", ops[0]).returncode == 1
+    assert run_lapispick("members", "why", "nobody", "--at", ops[0]).returncode == 1
+
+
+def test_a_lease_is_held_while_a_command_runs_and_passed_on_in_turn(start_cluster, tmp_path):
+    cluster = start_cluster(3)
+    hosts = cluster.names()
+    ops = [cluster.fleet[name].processes[-1].ops for name in hosts]
+    cluster.fleet[hosts[2]].kill()
+    cluster.wait_for_agreement(hosts[:2], absent=[hosts[2]])
     out = tmp_path / "out"
     script = f"echo $LAPISPICK_FENCE begins >> {out}; sleep 0.4; echo $LAPISPICK_FENCE ends >> {out}; exit 7"
-    held = [
+    commands = [
         start_lapispick("leases", "hold", "--at", address, "job", "--", "sh", "-c", script) for address in ops[:2] * 2
     ]
-    assert [each.wait(60) for each in held] == [7] * 4
+    assert [command.wait(60) for command in commands] == [7] * 4
     lines = [line.split() for line in out.read_text().splitlines()]
-    assert [word for _, word in lines] == ["begins", "ends"] * 4  # one after the other
+    assert [what for _, what in lines] == ["begins", "ends"] * 4  # one after the other
     tokens = [int(token) for token, _ in lines]
     assert tokens == sorted(tokens)
     assert len(set(tokens)) == 4
-    assert lapispick("leases", "list", "--at", ops[0]).returncode == 0
-    assert lapispick("turns", "list", "--at", ops[0]).returncode == 0  # the command's former name
-    assert lapispick("leases", "hold", "--at", ops[0], "nothing", "--", "true").returncode == 2
+    assert run_lapispick("leases", "list", "--at", ops[0]).returncode == 0
+    assert run_lapispick("turns", "list", "--at", ops[0]).returncode == 0  # the command's former name
+    assert run_lapispick("leases", "hold", "--at", ops[0], "nothing", "--", "true").returncode == 2
 
 
-def test_a_command_is_ended_before_its_lease_expires(make_cluster, tmp_path):
-    cluster = make_cluster(3).start()
+def test_a_command_is_ended_before_its_lease_expires(start_cluster, tmp_path):
+    cluster = start_cluster(3)
     hosts = cluster.names()
-    cluster.wait_for_agreement(hosts)
     out = tmp_path / "out"
     ops = cluster.fleet[hosts[0]].processes[-1].ops
     script = f"echo $LAPISPICK_FENCE > {out}; exec sleep 60"
-    held = start_lapispick("leases", "hold", "--at", ops, "job", "--", "sh", "-c", script, stderr=subprocess.PIPE)
+    command = start_lapispick("leases", "hold", "--at", ops, "job", "--", "sh", "-c", script, stderr=subprocess.PIPE)
     wait_until(lambda: out.exists() and out.read_text().strip(), "the command's start")
     cluster.fleet.partition([hosts[0]], hosts[1:])  # the holder is cut off from the majority
     started = time.monotonic()
-    assert held.wait(30) == 1
-    assert b"was lost while the command ran" in held.stderr.read()
+    assert command.wait(30) == 1
+    assert b"was lost while the command ran" in command.stderr.read()
     assert time.monotonic() - started < 1.5 + 0.5  # the lease
     cluster.request_leases(names=hosts[1:])
     cluster.wait_for_holds(1)
@@ -413,10 +402,9 @@
     stop_owners_and_check(cluster)
 
 
-def test_a_slow_store_is_reported_to_all_members(make_cluster):
-    cluster = make_cluster(3, rate=40.0).start()
+def test_a_slow_store_is_reported_to_all_members(start_cluster):
+    cluster = start_cluster(3, rate=40.0)
     hosts = cluster.names()
-    cluster.wait_for_agreement(hosts)
     cluster.fleet.start_load()
     cluster.fleet.wait_for_results(150)  # some seconds of the usual latency
 
@@ -433,33 +421,13 @@
     assert cluster.fleet.broken_rules() == []
 
 
-def test_members_on_one_busy_core_are_not_dead_with_service_settings(make_cluster):
-    cluster = make_cluster(
-        3,
-        settings=SERVICE_SETTINGS,
-    ).start()
+def test_members_on_one_busy_core_are_not_dead_with_service_settings(start_cluster):
+    cluster = start_cluster(3, settings=SERVICE_SETTINGS)
     hosts = cluster.names()
-    cluster.wait_for_agreement(hosts)
     core = min(os.sched_getaffinity(0))
     for name in hosts[:2]:
         os.sched_setaffinity(cluster.fleet[name].processes[-1].pid, {core})
-    busy_processes = [
-        subprocess.Popen(
-            [
-                sys.executable,
-                "-c",
-                f"import os, time\nos.sched_setaffinity(0, {{{core}}})\n"
-                "end = time.monotonic() + 10\nwhile time.monotonic() < end: pass",
-            ]
-        )
-        for _ in range(3)
-    ]
-    try:
-        for each in busy_processes:
-            each.wait(30)
-        cluster.wait_for_agreement(hosts)
-        assert cluster.deaths() == []
-    finally:
-        for each in busy_processes:
-            each.kill()
-            each.wait()
+    with busy_processes(3, cores=[core]):
+        let_time_pass(10.0)
+    cluster.wait_for_agreement(hosts)
+    assert cluster.deaths() == []
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -1,4 +1,4 @@
-"""The fleet rig itself: honest hosts pass its checker under faults, and a host that breaks a rule on purpose fails."""
+"""The emulated fleet itself: correct hosts pass its rule checker under faults, and rule-breaking hosts are detected."""
 
 import contextlib
 import os
@@ -23,116 +23,150 @@
 from lapispick.fakes.waiting import wait_until
 
 
-def rules(found):
-    return {rule for rule, _ in found}
+def rules(broken):
+    """Return the names of the rules that were broken."""
+    return {rule for rule, _ in broken}
 
 
-def test_a_fleet_under_load_keeps_all_rules(tmp_path):
-    with Fleet(tmp_path, seed=1, hosts=3, rate=40) as fleet:
-        fleet.start()
+@contextlib.contextmanager
+def loaded_fleet(folder, seed, answered=60, program_folder=None, **options):
+    """Start a fleet and its load, and wait for some answers."""
+    with Fleet(folder, seed, **options) as fleet:
+        fleet.start(program=program_folder)
         fleet.start_load()
-        fleet.wait_for_results(300)
+        fleet.wait_for_results(answered)
+        yield fleet
+
+
+def shut_down(fleet, host):
+    """Ask a host to shut down, and record it."""
+    (process,) = host.processes
+    fleet.record.add_shutdown(host.name, process.name)
+    process.terminate()
+    return process
+
+
+def test_a_fleet_under_load_keeps_all_rules(tmp_path):
+    with loaded_fleet(tmp_path, seed=1, hosts=3, rate=40, answered=300) as fleet:
         assert fleet.broken_rules() == []
         assert fleet.served_weight_fraction() > 0.98
         assert len(fleet.record.executions_by_key()) > 50
 
 
-@pytest.mark.parametrize("rule", RULE_BREAKING_HOSTS)
-def test_a_host_that_breaks_a_rule_is_caught(tmp_path, rule):
-    made = program(tmp_path / "rule_breaking_host", RULE_BREAKING_HOSTS[rule])
-    with Fleet(tmp_path, seed=2, hosts=1, gateways=2, rate=40, stop_ms=6000, patience_s=1.5) as fleet:
-        box = fleet.hosts[0]
-        fleet.start(program=made)
-        fleet.start_load()
-        fleet.wait_for_results(60)
-        if rule == "twice":
-            key = uuid.uuid4().hex
+def repeat_one_key(fleet, host):
+    """Send attempts of one key until it ran twice; a host that is overloaded may reject some."""
+    key = uuid.uuid4().hex
+
+    def ran_twice():
+        now = time.time()
+        request = Request("book", "again", key, now, now + 1.5, attempts_left=1)
+        fleet.gateways[0].send(request, host, is_retry=True)
+        fleet.wait_for_results(5)
+        return fleet.record.executions_by_key()[key] > 1
+
+    wait_until(ran_twice, "two runs of one key")
 
-            def again():  # a busy host may turn some of these away unrun
-                now = time.time()
-                request = Request("book", "again", key, now, now + 1.5, attempts_left=1)
-                fleet.gateways[0].send(request, box, is_retry=True)
-                fleet.wait_for_results(5)
-                return fleet.record.executions_by_key()[key] > 1
 
-            wait_until(again, "two runs of one key")
+def shut_down_under_load(fleet, host):
+    """Let a host shut down while gateways go on sending to it."""
+    process = shut_down(fleet, host)
+    fleet.listed_hosts = lambda _: fleet.hosts  # as for gateways that learn of it late, or never
+    wait_until(lambda: rules(check(fleet.record)) == {"drain"} or process.poll() is not None, "a late run")
+
+
+@pytest.mark.parametrize("rule", RULE_BREAKING_HOSTS)
+def test_a_host_that_breaks_a_rule_is_detected(tmp_path, rule):
+    folder = program(tmp_path / "rule_breaking_host", RULE_BREAKING_HOSTS[rule])
+    options = {"hosts": 1, "gateways": 2, "rate": 40, "stop_ms": 6000, "patience_s": 1.5}
+    with loaded_fleet(tmp_path, seed=2, program_folder=folder, **options) as fleet:
+        if rule == "twice":
+            repeat_one_key(fleet, fleet.hosts[0])
         if rule == "drain":
-            fleet.record.add_shutdown(box.name, box.processes[0].name)
-            box.processes[0].terminate()
-            fleet.listed_hosts = lambda _: fleet.hosts  # gateways that hear late, or never
-            wait_until(
-                lambda: rules(check(fleet.record)) == {"drain"} or box.processes[0].poll() is not None, "a late run"
-            )
+            shut_down_under_load(fleet, fleet.hosts[0])
         assert rules(fleet.broken_rules()) == {rule}
 
 
-def test_an_honest_host_that_leaves_and_gateways_that_hear_late_break_no_rule(tmp_path):
-    with Fleet(tmp_path, seed=3, hosts=2, rate=40) as fleet:
-        fleet.start()
-        fleet.start_load()
-        fleet.wait_for_results(60)
-        box = fleet.hosts[0]
-        fleet.record.add_shutdown(box.name, box.processes[0].name)
-        box.processes[0].terminate()
-        assert box.processes[0].wait(5) == 0
+def test_a_host_that_shuts_down_breaks_no_rule_while_gateways_learn_of_it(tmp_path):
+    with loaded_fleet(tmp_path, seed=3, hosts=2, rate=40) as fleet:
+        process = shut_down(fleet, fleet.hosts[0])
+        assert process.wait(5) == 0
         fleet.wait_for_results(100)
         assert fleet.broken_rules() == []
 
 
-@pytest.mark.parametrize("fault", ["killed", "stopped", "parted", "one way", "reset", "slow"])
+def kill_and_restart(fleet, host, gateways):
+    host.kill()
+    fleet.wait_for_results(60)
+    host.start()
+    fleet.record.end_all_faults()
+
+
+def suspend_and_resume(fleet, host, gateways):
+    resume = fleet.suspend(host)
+    fleet.wait_for_results(60)
+    resume()
+
+
+def partition_and_heal(fleet, host, gateways, one_way=False):
+    heal = fleet.partition(gateways, [host.name], one_way=one_way)
+    fleet.wait_for_results(60)
+    heal()
+
+
+def partition_one_way_and_heal(fleet, host, gateways):
+    partition_and_heal(fleet, host, gateways, one_way=True)
+
+
+def reset_connections(fleet, host, gateways):
+    fault = fleet.record.begin_fault("reset", [host.name])
+    for _ in range(5):
+        fleet.net.reset(gateways, [host.name])
+        fleet.wait_for_results(12)
+    fleet.record.end_fault(fault)
+
+
+def slow_links(fleet, host, gateways):
+    fleet.net.impair(gateways, [host.name], delay_s=0.02, jitter_s=0.05, bytes_per_s=20_000)
+    fleet.wait_for_results(60)
+    fleet.net.heal()
+
+
+FAULTS = {
+    "killed": kill_and_restart,
+    "stopped": suspend_and_resume,
+    "partition": partition_and_heal,
+    "one way": partition_one_way_and_heal,
+    "reset": reset_connections,
+    "slow": slow_links,
+}
+
+
+@pytest.mark.parametrize("fault", FAULTS)
 def test_a_fleet_under_a_fault_keeps_all_rules_and_serves_again(tmp_path, fault):
-    with Fleet(tmp_path, seed=4, hosts=3, rate=30) as fleet:
-        fleet.start()
-        fleet.start_load()
-        fleet.wait_for_results(60)
-        box = fleet.hosts[0]
-        gateways = [g.name for g in fleet.gateways]
-        if fault == "killed":
-            box.kill()
-            fleet.wait_for_results(60)
-            box.start()
-            fleet.record.end_all_faults()
-        elif fault == "stopped":
-            wake = fleet.suspend(box)
-            fleet.wait_for_results(60)
-            wake()
-        elif fault in ("parted", "one way"):
-            heal = fleet.partition(gateways, [box.name], one_way=fault == "one way")
-            fleet.wait_for_results(60)
-            heal()
-        elif fault == "reset":
-            number = fleet.record.begin_fault("reset", [box.name])
-            for _ in range(5):
-                fleet.net.reset(gateways, [box.name])
-                fleet.wait_for_results(12)
-            fleet.record.end_fault(number)
-        else:
-            fleet.net.impair(gateways, [box.name], delay_s=0.02, jitter_s=0.05, bytes_per_s=20_000)
-            fleet.wait_for_results(60)
-            fleet.net.heal()
-        count = sum(t.host == box.name and bool(t.answers) for t in fleet.record.attempts.values())
-        wait_until(
-            lambda: (
-                sum(t.host == box.name and bool(t.answers) for t in list(fleet.record.attempts.values())) > count + 20
-            ),
-            "service by the box again",
-        )
+    with loaded_fleet(tmp_path, seed=4, hosts=3, rate=30) as fleet:
+        host = fleet.hosts[0]
+        FAULTS[fault](fleet, host, [gateway.name for gateway in fleet.gateways])
+
+        def answered_count():
+            attempts = list(fleet.record.attempts.values())
+            return sum(attempt.host == host.name and bool(attempt.answers) for attempt in attempts)
+
+        count = answered_count()
+        wait_until(lambda: answered_count() > count + 20, "service by the host again")
         assert fleet.broken_rules() == []
         assert max(fleet.record.executions_by_key().values()) == 1
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_fleet_keeps_all_rules_through_a_drawn_script_of_faults(tmp_path, seed):
-    with Fleet(tmp_path, seed, hosts=4, zones=("pipera", "militari"), rate=25) as fleet:
-        fleet.start()
-        fleet.start_load()
-        fleet.wait_for_results(40)
+def test_a_fleet_keeps_all_rules_through_a_random_script_of_faults(tmp_path, seed):
+    options = {"hosts": 4, "zones": ("pipera", "militari"), "rate": 25}
+    with loaded_fleet(tmp_path, seed, answered=40, **options) as fleet:
         fault_script.play(fleet, fault_script.draw(random.Random(seed), fleet, 5, 4.0))
         fleet.wait_for_results(60)
         assert fleet.broken_rules() == []
 
 
-def test_a_script_may_wait_for_a_point(tmp_path):
+def test_a_fault_script_can_wait_for_a_condition(tmp_path):
     with Fleet(tmp_path, seed=9, hosts=2, rate=25) as fleet:
         fleet.start()
         fleet.start_load()
@@ -142,7 +176,7 @@
         assert fleet.broken_rules() == []
 
 
-def test_a_host_whose_clock_is_off_a_little_serves_and_breaks_no_rule(tmp_path):
+def test_a_host_with_a_skewed_clock_serves_and_breaks_no_rule(tmp_path):
     with Fleet(tmp_path, seed=10, hosts=2, rate=20) as fleet:
         fleet.hosts[0].start(skew=0.0)
         fleet.hosts[1].start(skew=-0.4)
@@ -152,18 +186,18 @@
         assert fleet.record.answer_counts(hosts={"disp-02"})["served"] > 20
 
 
-def test_excuses_are_for_those_a_fault_touched_while_it_lasted():
+def test_only_attempts_that_a_fault_touched_while_it_lasted_are_excused():
     record = FleetRecord()
     now = time.time()
-    for trace, box, at in (("a", "x", now - 5), ("b", "y", now - 5), ("c", "x", now - 50)):
-        record.add_attempt(Attempt(trace, "g0", box, "track", "b", "", at, at + 1))
+    for trace, host, at in (("a", "x", now - 5), ("b", "y", now - 5), ("c", "x", now - 50)):
+        record.add_attempt(Attempt(trace, "g0", host, "track", "b", "", at, at + 1))
     record.faults.append(Fault(now - 5.5, now - 4.5, "killed", frozenset(["x"])))
     assert sorted(text.split()[0] for rule, text in check(record)) == ["b", "c"]
 
 
-def test_an_answer_is_late_by_what_the_machine_did_not_take():
-    """It is 300 ms late: what the machine did not take of it has to be within the slack."""
-    for spans, late in (
+@pytest.mark.parametrize(
+    ("spans", "is_late"),
+    [
         ([], True),
         ([("x", 0.0, 0.25)], False),
         ([("", 0.0, 0.25)], False),
@@ -171,18 +205,23 @@
         ([("y", 0.0, 0.25)], True),
         ([("x", -9.0, 0.25)], True),
         ([("", 0.0, 0.1), ("x", 0.1, 0.15)], False),
-    ):
-        record, pauses = FleetRecord(), PauseMonitor([])
-        record.paused_s, now = pauses.paused_s, time.time()
-        made = Attempt("a", "g0", "x", "track", "b", "", now - 1.3, now - 0.3)
-        record.add_attempt(made)
-        made.answers.append(Answer(now, "served", "did b"))
-        for whom, at, held in spans:
-            pauses.add_pause(now - 1 + at, now - 0.9 + at, whom, held)
-        assert [rule for rule, _ in check(record)] == ["lost"] * late, spans
-
-
-def test_a_process_that_finds_no_core_is_seen_to_be_held_up(tmp_path):
+    ],
+)
+def test_pauses_of_the_machine_are_subtracted_from_the_lateness_of_an_answer(spans, is_late):
+    """It is 300 ms late: what the machine did not take of it has to be within the slack."""
+    record = FleetRecord()
+    pauses = PauseMonitor([])
+    record.paused_s = pauses.paused_s
+    now = time.time()
+    attempt = Attempt("a", "g0", "x", "track", "b", "", now - 1.3, now - 0.3)
+    record.add_attempt(attempt)
+    attempt.answers.append(Answer(now, "served", "did b"))
+    for host, at, paused_s in spans:
+        pauses.add_pause(now - 1 + at, now - 0.9 + at, host, paused_s)
+    assert [rule for rule, _ in check(record)] == ["lost"] * is_late
+
+
+def test_time_that_a_process_waits_for_a_core_counts_as_a_pause(tmp_path):
     """Three that want one core: each waits for the others two thirds of the time."""
     core = min(os.sched_getaffinity(0))
     with busy_processes(3, cores=[core]) as processes:
@@ -191,13 +230,15 @@
         pauses.start()
         since = time.time()
         try:
-            wait_until(lambda: pauses.paused_s("x", since, time.time()) > 0.5, "that it is held up")
+            wait_until(lambda: pauses.paused_s("x", since, time.time()) > 0.5, "that it waits")
         finally:
             pauses.stop()
     assert pauses.paused_s("y", since, time.time()) < pauses.paused_s("x", since, time.time())
 
 
-class Echo(FakeServer):
+class EchoServer(FakeServer):
+    """Sends back what it receives."""
+
     def serve(self, connection):
         while data := connection.recv(1000):
             connection.sendall(data)
@@ -205,23 +246,24 @@
 
 @pytest.fixture
 def net():
-    made = FaultProxy(1)
-    yield made
-    made.close()
+    """Links with faults, without any link so far."""
+    proxy = FaultProxy(1)
+    yield proxy
+    proxy.close()
 
 
-def test_a_link_is_held_one_way_cut_and_refused(net):
-    echo = Echo()
-    at = net.tcp("a", "b", echo.address).split(":")
+def test_a_link_can_be_partitioned_one_way_reset_and_refused(net):
+    echo = EchoServer()
+    address = net.tcp("a", "b", echo.address).split(":")
 
-    def joined():
-        sock = socket.create_connection(at, timeout=5)
+    def connect():
+        sock = socket.create_connection(address, timeout=5)
         sock.sendall(b"hello")
         assert sock.recv(10) == b"hello"
         return sock
 
-    sock = joined()
-    net.partition(["b"], ["a"], one_way=True)  # what b says is held; nothing is lost
+    sock = connect()
+    net.partition(["b"], ["a"], one_way=True)  # what b sends is delayed; nothing is lost
     sock.sendall(b"again")
     sock.settimeout(0.2)
     with pytest.raises(TimeoutError):
@@ -230,38 +272,38 @@
     sock.settimeout(5)
     assert sock.recv(10) == b"again"
     net.impair(["a"], ["b"], reset_after_bytes=8)
-    fresh = socket.create_connection(at, timeout=5)
+    fresh = socket.create_connection(address, timeout=5)
     fresh.sendall(b"0123456789")
     with pytest.raises(ConnectionError):
         while fresh.recv(10):
             pass
         raise ConnectionError
     net.heal()
-    net.reset(["a"], ["b"], refuse=True)
+    net.reset(["a"], ["b"], refuse_connections=True)
     with pytest.raises(ConnectionError):
         sock.sendall(b"x")
         if not sock.recv(10):
             raise ConnectionError
     with pytest.raises(ConnectionError):
-        if not socket.create_connection(at, timeout=5).recv(10):
+        if not socket.create_connection(address, timeout=5).recv(10):
             raise ConnectionError
     echo.close()
 
 
-def test_datagrams_are_lost_doubled_and_late_by_the_seed(net):
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as here:
-        here.bind(("127.0.0.1", 0))
-        here.settimeout(0.5)
-        host, port = net.udp("a", "b", "{}:{}".format(*here.getsockname())).split(":")
+def test_datagrams_are_lost_duplicated_and_reordered(net):
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as receiver:
+        receiver.bind(("127.0.0.1", 0))
+        receiver.settimeout(0.5)
+        host, port = net.udp("a", "b", "{}:{}".format(*receiver.getsockname())).split(":")
         net.impair(["a"], ["b"], loss=0.3, duplicate=0.3, reorder=0.3)
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as there:
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
             for n in range(200):
-                there.sendto(str(n).encode(), (host, int(port)))
+                sender.sendto(str(n).encode(), (host, int(port)))
                 time.sleep(0.0005)
-        got = []
+        received = []
         with contextlib.suppress(TimeoutError):
             while True:
-                got.append(int(here.recv(100)))
-    assert 100 < len(set(got)) < 180
-    assert len(got) > len(set(got))
-    assert got != sorted(got)
+                received.append(int(receiver.recv(100)))
+    assert 100 < len(set(received)) < 180
+    assert len(received) > len(set(received))
+    assert received != sorted(received)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,14 +1,14 @@
 """Rollouts on a fleet of running hosts with agents: good and bad changes, dead controllers, partitions, other lists."""
 
+import contextlib
 import json
 import signal
 import threading
-import time
 
 import pytest
 
 from lapispick.fakes.agents import CONTROL_TAKEN, LOG_WARNINGS_SETTINGS, METRICS_SETTINGS, RolloutFleet
-from lapispick.fakes.fleet import STEER, Fleet
+from lapispick.fakes.fleet import CONTROLLERS, Fleet
 from lapispick.fakes.program_patches import (
     COUNTS_ONE_IN_40_AS_LATE,
     DOES_NOT_START,
@@ -19,46 +19,83 @@
     leaks_memory,
     program,
 )
-from lapispick.fakes.waiting import wait_until
-
-QUICK = """ stages 1 100%
- warm-up 0.5s
- bake 2s
- bake-most 6s
- confirm 60s
- change-most 2
- back-most 2
- serving-least 50%
- zone-most 100%
- look 200ms
- unreached 2s
- worse 8%
-"""
+from lapispick.fakes.waiting import let_time_pass, wait_until
+
+PLAN = {
+    "stages": "1 100%",
+    "warm-up": "0.5s",
+    "bake": "2s",
+    "bake-most": "6s",
+    "confirm": "60s",
+    "change-most": "2",
+    "back-most": "2",
+    "serving-least": "50%",
+    "zone-most": "100%",
+    "look": "200ms",
+    "unreached": "2s",
+    "worse": "8%",
+}
+
+
+def plan(**changes):
+    """Return the directives of a quick rollout, with changes; ``_`` in a name stands for ``-``."""
+    directives = {**PLAN, **{name.replace("_", "-"): value for name, value in changes.items()}}
+    return "".join(f" {name} {value}\n" for name, value in directives.items())
+
+
+QUICK = plan()
 
 
 @pytest.fixture
 def made(tmp_path):
-    """Make a fleet with agents; told what the plan says and how many boxes there are."""
-    open_ = []
+    """Make a fleet with agents, by the directives of the plan and the number of hosts."""
+    opened = []
 
     def make(rollout_settings=QUICK, hosts=3, listed=None, rate=30.0, **over):
         fleet = Fleet(tmp_path, seed=6, hosts=hosts, gateways=2, rate=rate, **over)
-        open_.append(fleet)
+        opened.append(fleet)
         rollout_fleet = RolloutFleet(fleet, rollout_settings, listed)
-        open_.append(rollout_fleet)
+        opened.append(rollout_fleet)
         return rollout_fleet
 
     yield make
-    for each in reversed(open_):
+    for each in reversed(opened):
         each.close()
 
 
+@contextlib.contextmanager
+def repeated(function):
+    """Call a function ten times a second in a thread."""
+    over = threading.Event()
+
+    def run():
+        while not over.wait(0.1):
+            function()
+
+    thread = threading.Thread(target=run)
+    thread.start()
+    try:
+        yield
+    finally:
+        over.set()
+        thread.join()
+
+
 def assert_rules_kept(rollout_fleet):
+    """Fail if a rule was broken or a key executed twice."""
     assert rollout_fleet.fleet.broken_rules() == []
     assert max(rollout_fleet.fleet.record.executions_by_key().values(), default=0) <= 1
 
 
-def test_a_good_change_goes_through_the_whole_fleet(made):
+def assert_rolled_back(rollout_fleet, options, reason):
+    """Roll a generation out, and fail unless it is rolled back for this reason without an operator."""
+    rollout_fleet.start_controller("start", *options)
+    status = rollout_fleet.wait_for_phase("undone", "asking", "done")
+    assert status["phase"] == "undone", status
+    assert reason in status["reason"], status
+
+
+def test_a_good_change_reaches_all_hosts(made):
     s = made().start()
     new, options = s.add_generation(settings=METRICS_SETTINGS + LOG_WARNINGS_SETTINGS)
     s.start_controller("start", *options)
@@ -70,50 +107,36 @@
     assert_rules_kept(s)
 
 
-def test_a_change_that_is_worse_for_one_class_is_stopped_and_goes_back(made, tmp_path):
-    s = made(QUICK.replace("bake 2s", "bake 8s").replace("bake-most 6s", "bake-most 30s"), rate=60).start()
+def test_a_change_that_is_worse_for_one_class_is_rolled_back(made, tmp_path):
+    s = made(plan(bake="8s", bake_most="30s"), rate=60).start()
     _, options = s.add_generation(program(tmp_path / "bad", fails_keyed_requests(4)))
-    s.start_controller("start", *options)
-    found = s.wait_for_phase("undone", "asking", "done")
-    assert found["phase"] == "undone", found
-    assert "book" in found["reason"], found
+    assert_rolled_back(s, options, reason="book")
     assert set(s.serving().values()) == {s.good}
-    assert (
-        sum(1 for a in s.agents.values() if a.status().rolled_back_rollout == "r1") == 1
-    )  # it got no further than its first stage
-    told = json.loads(s.run_command("explain", "--json").stdout)
-    assert told["outcome"] == "worse"
-    assert any("book" in row["figure"] for row in told["rows"])
+    rolled_back = [agent for agent in s.agents.values() if agent.status().rolled_back_rollout == "r1"]
+    assert len(rolled_back) == 1  # it got no further than its first stage
+    explanation = json.loads(s.run_command("explain", "--json").stdout)
+    assert explanation["outcome"] == "worse"
+    assert any("book" in row["figure"] for row in explanation["rows"])
     assert_rules_kept(s)
 
 
-def test_a_change_that_is_bad_only_beside_old_hosts_is_stopped_all_the_same(made, tmp_path):
-    s = made(QUICK.replace("bake 2s", "bake 8s").replace("bake-most 6s", "bake-most 30s"), rate=60).start()
+def test_a_change_that_is_bad_only_beside_old_hosts_is_rolled_back(made, tmp_path):
+    s = made(plan(bake="8s", bake_most="30s"), rate=60).start()
     beside = tmp_path / "old-hosts-serve"
     beside.touch()
     new, options = s.add_generation(program(tmp_path / "bad", fails_keyed_requests(4, file_exists(beside))))
-    over = threading.Event()
 
-    def look():
-        while not over.wait(0.1):
-            if all(g == new for g in s.serving().values()):
-                beside.unlink(missing_ok=True)
+    def remove_file_without_old_hosts():
+        if all(generation == new for generation in s.serving().values()):
+            beside.unlink(missing_ok=True)
 
-    thread = threading.Thread(target=look)
-    thread.start()
-    try:
-        s.start_controller("start", *options)
-        found = s.wait_for_phase("undone", "asking", "done")
-    finally:
-        over.set()
-        thread.join()
-    assert found["phase"] == "undone", found
-    assert "book" in found["reason"], found
+    with repeated(remove_file_without_old_hosts):
+        assert_rolled_back(s, options, reason="book")
     assert set(s.serving().values()) == {s.good}
     assert_rules_kept(s)
 
 
-def test_a_program_that_does_not_start_stops_at_once(made, tmp_path):
+def test_a_program_that_does_not_start_stops_the_rollout_at_once(made, tmp_path):
     s = made().start()
     _, options = s.add_generation(program(tmp_path / "bad", DOES_NOT_START))
     controller = s.start_controller("start", *options)
@@ -138,11 +161,11 @@
 
 
 @pytest.mark.parametrize(("point", "times"), POINTS)
-def test_a_controller_killed_at_any_point_is_followed_by_one_that_goes_on(made, point, times):
-    s = made(QUICK.replace("bake 2s", "bake 0.6s").replace("bake-most 6s", "bake-most 1.2s")).start()
+def test_a_controller_killed_at_any_point_is_resumed_by_another_one(made, point, times):
+    s = made(plan(bake="0.6s", bake_most="1.2s")).start()
     new, options = s.add_generation(config={"stop_ms": 2400})
     first = s.start_controller("start", *options, dies_at=point, times=times)
-    if (point, times) in (("took-over", 1), ("decided", 1)):  # nothing is in the ledger: it never began
+    if (point, times) in (("took-over", 1), ("decided", 1)):  # nothing is stored: it never began
         assert first.wait(30) == -signal.SIGKILL
         s.start_controller("start", *options)
     else:
@@ -155,8 +178,8 @@
     assert_rules_kept(s)
 
 
-def test_a_controller_that_wakes_up_late_is_told_no(made):
-    s = made(QUICK.replace("bake 2s", "bake 4s").replace("bake-most 6s", "bake-most 20s")).start()
+def test_a_controller_that_was_suspended_is_fenced_off(made):
+    s = made(plan(bake="4s", bake_most="20s")).start()
     new, options = s.add_generation(config={"stop_ms": 2400})
     first = s.start_controller("start", *options)
     s.wait_for_bake()
@@ -173,23 +196,18 @@
     assert_rules_kept(s)
 
 
-def test_a_partition_from_half_of_the_boxes_past_the_confirm_time_undoes_what_nobody_confirmed(made):
+def test_hosts_that_are_partitioned_past_the_confirm_time_roll_back(made):
     s = made(
-        QUICK.replace("confirm 60s", "confirm 4s")
-        .replace("stages 1 100%", "stages 100%")
-        .replace("bake 2s", "bake 2.5s")
-        .replace("bake-most 6s", "bake-most 3s"),
+        plan(confirm="4s", stages="100%", bake="2.5s", bake_most="3s"),
         hosts=4,
     ).start()
     _, options = s.add_generation(config={"stop_ms": 2400})
     s.start_controller("start", *options)
     s.wait_for_bake()
-    cut = [box.name for box in s.fleet.hosts[:2]]
-    heal = s.fleet.partition([STEER], cut)
+    cut = [host.name for host in s.fleet.hosts[:2]]
+    heal = s.fleet.partition([CONTROLLERS], cut)
     for name in cut:
-        s.agents[name].wait_for_phase(
-            "steady", serving=s.good, fault="was not confirmed in time"
-        )  # alone, nobody to ask
+        s.agents[name].wait_for_phase("steady", serving=s.good, fault="was not confirmed in time")
     heal()
     found = s.wait_for_phase("asking")
     s.run_command("back")
@@ -198,7 +216,7 @@
     assert_rules_kept(s)
 
 
-def test_a_box_that_joins_and_one_that_leaves_in_mid_rollout(made):
+def test_a_host_that_joins_and_one_that_is_unlisted_during_a_rollout(made):
     s = made(hosts=4, listed=["disp-01", "disp-02", "disp-03"]).start()
     new, options = s.add_generation(config={"stop_ms": 2400})
     s.start_controller("start", *options)
@@ -210,7 +228,7 @@
     assert_rules_kept(s)
 
 
-def test_a_second_rollout_is_refused_while_one_goes_on_or_back(made):
+def test_a_second_rollout_is_rejected_while_one_is_running_or_rolling_back(made):
     s = made().start()
     _, options = s.add_generation(config={"stop_ms": 2400})
     s.start_controller("start", *options)
@@ -219,7 +237,7 @@
     assert done.returncode == 1
     assert "rollout r1 is not over" in done.stderr
     s.wait_for_bake()
-    s.fleet.net.partition([STEER], list(s.agents))  # going back can't end while its boxes are out of reach
+    s.fleet.net.partition([CONTROLLERS], list(s.agents))  # going back can't end while its hosts are out of reach
     s.run_command("back")
     s.wait_for_phase("returning", "burning")
     again = s.run_command("start", *options)
@@ -231,7 +249,7 @@
     assert_rules_kept(s)
 
 
-def test_a_rollout_that_skips_a_step_is_refused_before_the_first_box_is_touched(made, tmp_path):
+def test_a_rollout_that_skips_a_format_version_is_rejected_before_any_change(made, tmp_path):
     s = made().start()
     later = program(tmp_path / "later", SKIPS_A_HANDOVER_VERSION)
     new, options = s.add_generation(later)
@@ -245,10 +263,8 @@
     assert "take a step between" in done.stderr
 
 
-def test_a_memory_that_grows_past_its_bound_stops_at_once(made, tmp_path):
-    s = made(
-        QUICK.replace("bake 2s", "bake 20s").replace("bake-most 6s", "bake-most 40s") + " memory-most 30%\n"
-    ).start()
+def test_memory_past_its_limit_stops_the_rollout_at_once(made, tmp_path):
+    s = made(plan(bake="20s", bake_most="40s", memory_most="30%")).start()
     _, options = s.add_generation(program(tmp_path / "leak", leaks_memory(1 << 20)))
     s.start_controller("start", *options)
     found = s.wait_for_phase("undone")
@@ -257,8 +273,8 @@
     assert_rules_kept(s)
 
 
-def test_a_change_that_breaks_a_rule_stops_at_once(made, tmp_path):
-    s = made(QUICK.replace("bake 2s", "bake 20s").replace("bake-most 6s", "bake-most 40s")).start()
+def test_a_broken_rule_stops_the_rollout_at_once(made, tmp_path):
+    s = made(plan(bake="20s", bake_most="40s")).start()
     _, options = s.add_generation(program(tmp_path / "late", COUNTS_ONE_IN_40_AS_LATE))
     s.start_controller("start", *options)
     found = s.wait_for_phase("undone")
@@ -267,8 +283,8 @@
     assert_rules_kept(s)
 
 
-def test_the_dead_box_comes_back_in_the_old_generation_and_is_changed_in_the_end(made):
-    s = made(QUICK.replace("stages 1 100%", "stages box:disp-02 100%"), hosts=4).start()
+def test_a_dead_host_returns_in_the_old_generation_and_is_changed_last(made):
+    s = made(plan(stages="box:disp-02 100%"), hosts=4).start()
     new, options = s.add_generation(config={"stop_ms": 2400})
     dead = s.fleet["disp-03"]
     dead.kill()
@@ -300,70 +316,55 @@
     assert_rules_kept(s)
 
 
-def test_an_agent_that_sleeps_through_a_stage_is_passed_over_and_goes_back_alone(made):
-    s = made(QUICK.replace("confirm 60s", "confirm 6s").replace("stages 1 100%", "stages 100%")).start()
+def test_an_agent_suspended_through_a_stage_is_skipped_and_rolls_back_alone(made):
+    s = made(plan(confirm="6s", stages="100%")).start()
     _, options = s.add_generation(settings=METRICS_SETTINGS + LOG_WARNINGS_SETTINGS)
     s.start_controller("start", *options)
     s.wait_for_bake()
     agent = s.agents["disp-01"]
     agent.process.send_signal(signal.SIGSTOP)
     s.wait_for_phase("asking", "confirming", "waiting", "changing")
-    began = time.monotonic()
-    wait_until(lambda: time.monotonic() - began > 6.5, "the end of the confirm time")
+    let_time_pass(6.5)  # past the confirm time
     agent.process.send_signal(signal.SIGCONT)
-    agent.wait_for_phase("steady", serving=s.good, fault="was not confirmed in time")  # whoever steers, it was too late
+    agent.wait_for_phase("steady", serving=s.good, fault="was not confirmed in time")
     s.run_command("back")
     s.wait_for_phase("undone")
     assert set(s.serving().values()) == {s.good}
     assert_rules_kept(s)
 
 
-def test_a_change_that_takes_from_the_shared_store_is_not_good_because_it_does_as_well_as_the_rest(made):
+def test_a_change_that_slows_the_shared_store_for_all_is_not_judged_good(made):
     s = made(
-        QUICK.replace("stages 1 100%", "stages 2 100%")
-        .replace("bake 2s", "bake 6s")
-        .replace("bake-most 6s", "bake-most 12s"),
+        plan(stages="2 100%", bake="6s", bake_most="12s"),
         calls=0.9,
         rate=60,
     ).start()
     new, options = s.add_generation(config={"stop_ms": 2400})
-    over = threading.Event()
 
-    def crowd():  # what the changed boxes take from the store is missing to all
-        while not over.wait(0.1):
-            s.fleet.store.slowdown = 1.0 + 100.0 * sum(g == new for g in s.serving().values())
+    def slow_store_by_changed_hosts():  # what the changed hosts take from the store is missing to all
+        s.fleet.store.slowdown = 1.0 + 100.0 * sum(generation == new for generation in s.serving().values())
 
-    thread = threading.Thread(target=crowd)
-    thread.start()
-    try:
+    with repeated(slow_store_by_changed_hosts):
         s.start_controller("start", *options)
         found = s.wait_for_phase("asking", "undone", "confirming", "waiting")
         assert found["phase"] == "asking", found
         s.run_command("back")
         s.wait_for_phase("undone")
-    finally:
-        over.set()
-        thread.join()
     assert_rules_kept(s)
 
 
-def test_a_change_that_is_fine_cold_and_bad_warm_is_stopped(made, tmp_path):
+def test_a_change_that_is_bad_only_after_warming_up_is_rolled_back(made, tmp_path):
     s = made(
-        QUICK.replace("warm-up 0.5s", "warm-up 3s")
-        .replace("bake 2s", "bake 8s")
-        .replace("bake-most 6s", "bake-most 30s"),
+        plan(warm_up="3s", bake="8s", bake_most="30s"),
         rate=60,
     ).start()
     _, options = s.add_generation(program(tmp_path / "bad", fails_keyed_requests_when_warm(4, after_s=3)))
-    s.start_controller("start", *options)
-    found = s.wait_for_phase("undone", "asking", "done")
-    assert found["phase"] == "undone", found
-    assert "book" in found["reason"], found
+    assert_rolled_back(s, options, reason="book")
     assert_rules_kept(s)
 
 
-def test_memory_that_grows_slowly_is_stopped_long_before_its_bound(made, tmp_path):
-    s = made(QUICK.replace("bake 2s", "bake 20s").replace("bake-most 6s", "bake-most 60s"), rate=60).start()
+def test_memory_that_grows_slowly_stops_the_rollout_before_its_limit(made, tmp_path):
+    s = made(plan(bake="20s", bake_most="60s"), rate=60).start()
     _, options = s.add_generation(program(tmp_path / "leak", leaks_memory(40_000)))
     s.start_controller("start", *options)
     found = s.wait_for_phase("undone", "asking", "done")
@@ -372,13 +373,9 @@
     assert_rules_kept(s)
 
 
-def test_a_change_that_is_worse_by_a_tenth_for_one_class_is_stopped(made, tmp_path):
+def test_a_change_that_is_worse_by_a_tenth_for_one_class_is_rolled_back(made, tmp_path):
     s = made(
-        QUICK.replace("stages 1 100%", "stages 2 100%")
-        .replace("worse 8%", "worse 2%")
-        .replace("bake 2s", "bake 50s")
-        .replace("bake-most 6s", "bake-most 120s")
-        .replace("confirm 60s", "confirm 200s"),
+        plan(stages="2 100%", worse="2%", bake="50s", bake_most="120s", confirm="200s"),
         hosts=4,
         rate=110,
     ).start()
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -140,8 +140,8 @@
     """Two versions whose messages differ by one, forth and back, with 200 keyed bookings repeated throughout."""
     with Fleet(tmp_path, seed=7, hosts=1, gateways=2, rate=20) as fleet:
         agent = HostAgent(fleet.hosts[0])
-        old = agent.add(label="old")
-        new = agent.add(program(tmp_path / "later", NEXT_HANDOVER_VERSION), label="later")
+        old = agent.add_generation(label="old")
+        new = agent.add_generation(program(tmp_path / "later", NEXT_HANDOVER_VERSION), label="later")
         agent.start(adopt=old)
         agent.wait_serving(old)
         fleet.start_load()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -4,7 +4,6 @@
 import contextlib
 import os
 import random
-import signal
 import socket
 import threading
 import time
@@ -13,14 +12,14 @@
 
 from lapispick.fakes.executor import Executor
 from lapispick.fakes.gateway import GatewayConnection
-from lapispick.fakes.messages import make_idempotency_key
-from lapispick.fakes.start_settings import PLATFORM_INFO
+from lapispick.fakes.messages import REJECTED_CODE, make_idempotency_key
+from lapispick.fakes.rule_checker import FAILED, SERVED, answer_kind
+from lapispick.fakes.start_settings import LIMITS, PLATFORM_INFO
 from lapispick.fakes.waiting import wait_until
 from tests.upgrade_support import (
     LONG_WINDOW_INFO,
-    REJECTED,
     connection_to,
-    executions_of,
+    execution_count,
     lock_path,
     logged_at,
     operators_address,
@@ -29,66 +28,85 @@
 
 
 class LoadClient(threading.Thread):
-    """A gateway that asks without a pause and obeys goaway; each request on a new connection, or on one."""
+    """A gateway that sends one request after the other and obeys goaway.
 
-    def __init__(self, at, seed, stop, keep):
+    ``reuses_connection``: it sends on one connection as long as it can, and on a new one for each request otherwise.
+    """
+
+    def __init__(self, address, seed, stop, reuses_connection):
         super().__init__(daemon=True)
-        self.at, self.rng, self.stop, self.keep = at, random.Random(seed), stop, keep
-        self.requested, self.answered, self.errors, self.outcomes = 0, 0, [], {"served": 0, "refused": 0, "failed": 0}
-        self.keys, self.results = [], {}
+        self.address = address
+        self.rng = random.Random(seed)
+        self.stop = stop
+        self.reuses_connection = reuses_connection
+        self.requested = 0
+        self.answered = 0
+        self.errors = []
+        self.outcomes = collections.Counter()
+        self.keys = []
+        self.results = {}
 
     def run(self):
-        g = None
+        connection = None
         while not self.stop.is_set():
             try:
-                if g is None or g.goaway_received or not self.keep:
-                    if g is not None:
-                        g.sock.close()
-                    g = GatewayConnection.connect(self.at)
-                self.one(g)
+                if connection is None or connection.goaway_received or not self.reuses_connection:
+                    if connection is not None:
+                        connection.sock.close()
+                    connection = GatewayConnection.connect(self.address)
+                self.send_request(connection)
             except (OSError, AssertionError) as err:
                 self.errors.append(repr(err))
-                g = None
+                connection = None
 
-    def one(self, g):
-        redo, key = 0, ""
+    def send_request(self, connection):
+        """Send a request, perhaps keyed and perhaps as a retry, and read its answer."""
+        key = ""
         if self.rng.random() < 0.5:
             if self.keys and self.rng.random() < 0.5:
-                key, redo = self.rng.choice(self.keys[-5:]), 1
+                key = self.rng.choice(self.keys[-5:])
+                retry_mark = {"redo": 1}
             else:
                 key = make_idempotency_key(self.rng)
                 self.keys.append(key)
-            n = g.request("book", f"call:200#{key}", key, **({"redo": 1} if redo else {}))
+                retry_mark = {}
+            number = connection.request("book", f"call:200#{key}", key, **retry_mark)
         else:
-            n = g.request("track", "read")
+            number = connection.request("track", "read")
         self.requested += 1
-        answer = g.answer(n)
+        message = connection.answer(number)
         self.answered += 1
-        kind = "served" if "result" in answer else "refused" if answer["error"]["code"] == REJECTED else "failed"
+        kind = answer_kind(message)
         self.outcomes[kind] += 1
-        if key and kind == "served":  # the very result of the run
-            assert self.results.setdefault(key, g.result(n)) == g.result(n)
+        if key and kind == SERVED:  # the very result of the run
+            assert self.results.setdefault(key, connection.result(number)) == connection.result(number)
 
 
 @contextlib.contextmanager
-def load(at, seed, clients=6):
+def load(address, seed, clients=6):
+    """Send requests by several clients for a while."""
     print("seed", seed)
     stop = threading.Event()
-    made = [LoadClient(at, seed * 100 + i, stop, keep=i % 2 == 0) for i in range(clients)]
-    for client in made:
+    started = [LoadClient(address, seed * 100 + i, stop, reuses_connection=i % 2 == 0) for i in range(clients)]
+    for client in started:
         client.start()
     try:
-        yield made
+        yield started
     finally:
         stop.set()
-        for client in made:
+        for client in started:
             client.join()
 
 
+def answered_count(clients):
+    """Return how many requests these clients got an answer to."""
+    return sum(client.answered for client in clients)
+
+
 def check_executions(clients, *hosts):
-    """No key ran twice at the executors, nor had two effects at the store that all share."""
-    runs = collections.Counter(body for h in hosts for _, _, body in list(h.executor.runs) if "#" in body)
-    effects = collections.Counter(body for _, _, body, _ in hosts[0].store.calls if "#" in body)
+    """Check that no key ran twice at the executors, nor had two effects at the store that all share."""
+    runs = collections.Counter(run.body for host in hosts for run in list(host.executor.runs) if "#" in run.body)
+    effects = collections.Counter(call.body for call in hosts[0].store.calls if "#" in call.body)
     assert not [each for each in (runs + effects) if runs[each] > 1 or effects[each] > 1]
     assert len(effects) > 20
     assert sum(len(client.keys) for client in clients) >= len(effects)
@@ -99,8 +117,9 @@
     hosts = [old]
     with load(old.address, 1) as clients:
         for _ in range(3):
-            wait_until(lambda: sum(client.answered for client in clients) > 100 * len(hosts), "some load")
-            old, new = hosts[-1], host(successor_of=hosts[-1], executor=Executor(work_s=0.003))
+            wait_until(lambda: answered_count(clients) > 100 * len(hosts), "some load")
+            old = hosts[-1]
+            new = host(successor_of=old, executor=Executor(work_s=0.003))
             hosts.append(new)
             wait_until_ready(new)
             old.terminate()
@@ -108,224 +127,221 @@
             assert "event=ended unanswered=0" in old.log()
             assert new.wait_for_log("owns-keys")
     assert not [error for client in clients for error in client.errors]
-    assert all(client.requested == client.answered for client in clients)
+    assert [client.answered for client in clients] == [client.requested for client in clients]
     check_executions(clients, *hosts)
-    assert sum(client.outcomes["failed"] for client in clients) == 0
+    assert sum(client.outcomes[FAILED] for client in clients) == 0
     assert not [report for _, report in old.registry.reports if report.endswith("off")]
 
 
 def test_results_and_runs_are_found_at_either_process(host, shared_address):
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
-    g, done, early, late = old.gateway(), make_idempotency_key(), make_idempotency_key(), make_idempotency_key()
-    assert g.result(g.request("book", "done", done)) == "did done"
-    first = g.request("book", "hold", early)
-    wait_until(lambda: old.executor.runs_of("hold"), "the run")
+    gateway = old.gateway()
+    done, early, late = (make_idempotency_key() for _ in range(3))
+    assert gateway.result(gateway.request("book", "done", done)) == "did done"
+    first = gateway.request("book", "hold", early)
+    old.executor.wait_for_run("hold")
     new = host(successor_of=old)
     wait_until_ready(new)
-    h = connection_to(new, old)
-    assert h.result(h.request("book", "done", done, redo=1)) == "did done"  # of the snapshot
-    again = h.request("book", "hold", early, redo=1)
-    old.executor.end_run(old.executor.runs_of("hold")[0].task, result="booked")
-    assert g.result(first) == "booked"
-    assert h.result(again) == "booked"  # of what came after it
-    mine = h.request("book", "hold", late)
-    wait_until(lambda: new.executor.runs_of("hold"), "the run of the new process")
-    theirs = g.request("book", "hold", late, redo=1)
-    new.executor.end_run(new.executor.runs_of("hold")[0].task, result="also")
-    assert h.result(mine) == "also"
-    assert g.result(theirs) == "also"
+    other_gateway = connection_to(new, old)
+    assert other_gateway.result(other_gateway.request("book", "done", done, redo=1)) == "did done"  # of the snapshot
+    again = other_gateway.request("book", "hold", early, redo=1)
+    old.executor.end_run_of("hold", "booked")
+    assert gateway.result(first) == "booked"
+    assert other_gateway.result(again) == "booked"  # of what came after it
+    mine = other_gateway.request("book", "hold", late)
+    new.executor.wait_for_run("hold")
+    theirs = gateway.request("book", "hold", late, redo=1)
+    new.executor.end_run_of("hold", "also")
+    assert other_gateway.result(mine) == "also"
+    assert gateway.result(theirs) == "also"
     other = connection_to(new, old)
-    thief = other.request("book", "another body", done)
-    assert "result" not in other.answer(thief)  # a key is its body in both
-    assert executions_of("hold", old, new) == 2
-    assert executions_of("done", old, new) == 1
+    conflicting = other.request("book", "another body", done)
+    assert "result" not in other.answer(conflicting)  # at both processes a key belongs to one body
+    assert execution_count("hold", old, new) == 2
+    assert execution_count("done", old, new) == 1
 
 
-def test_a_drain_holds_for_both_processes_and_through_the_upgrade(host, shared_address):
+def test_a_drain_applies_to_both_processes_and_through_the_upgrade(host, shared_address):
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
     old.call_operators(b"drain-on")
     new = host(successor_of=old)
     wait_until_ready(new)
-    g = connection_to(new, old)
-    assert g.answer(g.send("probe"))["result"]["healthy"] is False
+    gateway = connection_to(new, old)
+    assert gateway.is_healthy() is False
     new.call_operators(b"drain-off")
-    g = connection_to(old, new)
-    wait_until(lambda: g.answer(g.send("probe"))["result"]["healthy"], "good health at the old process")
+    gateway = connection_to(old, new)
+    wait_until(lambda: gateway.is_healthy(), "good health at the old process")
     old.terminate()
     assert old.process.wait(4) == 0
-    h = new.gateway()
-    assert h.answer(h.send("probe"))["result"]["healthy"] is True
+    other_gateway = new.gateway()
+    assert other_gateway.is_healthy() is True
 
 
-def test_a_new_process_that_dies_costs_what_it_had_taken_and_nothing_else(host, shared_address):
+def test_a_new_process_that_is_killed_fails_only_what_it_had_taken_over(host, shared_address):
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
     new = host(successor_of=old, executor=Executor(is_up=False), wait_for_ready=False)  # up, and never says yes
-    wait_until(lambda: "event=linked" in new.log(), "the link")
+    new.wait_for_log("linked")
     assert new.call_operators()[0].startswith("ERR")
     new.process.kill()
-    wait_until(lambda: "event=link-ended" in old.log(), "the end of the link")
-    g = old.gateway()
-    assert g.result(g.request("book", "after", make_idempotency_key())) == "did after"
+    old.wait_for_log("link-ended")
+    gateway = old.gateway()
+    assert gateway.result(gateway.request("book", "after", make_idempotency_key())) == "did after"
     new = host(successor_of=old)
     wait_until_ready(new)
-    h, key = connection_to(new, old), make_idempotency_key()
-    h.request("book", "hold", key)
-    wait_until(lambda: new.executor.runs_of("hold"), "the run")
-    joined = g.request("book", "hold", key, redo=1)
+    other_gateway = connection_to(new, old)
+    key = make_idempotency_key()
+    other_gateway.request("book", "hold", key)
+    new.executor.wait_for_run("hold")
+    joined = gateway.request("book", "hold", key, redo=1)
     new.process.kill()
-    assert g.error_code(joined) != REJECTED  # outcome unknown: failed, never run
-    assert g.error_code(g.request("book", "hold", key, redo=1)) != REJECTED
-    assert executions_of("hold", old) == 0
-    assert g.result(g.request("book", "more", make_idempotency_key())) == "did more"
+    assert gateway.error_code(joined) != REJECTED_CODE  # outcome unknown: failed, never run
+    assert gateway.error_code(gateway.request("book", "hold", key, redo=1)) != REJECTED_CODE
+    assert execution_count("hold", old) == 0
+    assert gateway.result(gateway.request("book", "more", make_idempotency_key())) == "did more"
     assert wait_until_ready(host(successor_of=old))
 
 
-def test_an_old_process_that_is_killed_leaves_its_keys_behind(host, shared_address):
+def test_an_old_process_that_is_killed_hands_its_keys_to_the_new_one(host, shared_address):
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
-    g, done, held = old.gateway(), make_idempotency_key(), make_idempotency_key()
-    assert g.result(g.request("book", "done", done)) == "did done"
-    g.request("book", "hold", held)
-    wait_until(lambda: old.executor.runs_of("hold"), "the run")
+    gateway = old.gateway()
+    done = make_idempotency_key()
+    running = make_idempotency_key()
+    assert gateway.result(gateway.request("book", "done", done)) == "did done"
+    gateway.request("book", "hold", running)
+    old.executor.wait_for_run("hold")
     new = host(successor_of=old)
     wait_until_ready(new)
-    h = connection_to(new, old)
-    joined = h.request("book", "hold", held, redo=1)
+    other_gateway = connection_to(new, old)
+    joined = other_gateway.request("book", "hold", running, redo=1)
     old.process.kill()
-    assert h.error_code(joined) != REJECTED
-    wait_until(lambda: "event=owns-keys" in new.log(), "the keys")
-    assert h.result(h.request("book", "done", done, redo=1)) == "did done"
-    assert h.error_code(h.request("book", "hold", held, redo=1)) != REJECTED
-    assert (
-        h.error_code(h.request("book", "never seen", make_idempotency_key(), redo=1)) != REJECTED
-    )  # the old one may have run it
-    assert h.result(h.request("book", "first", make_idempotency_key())) == "did first"
-    assert executions_of("hold", old, new) == 1
+    assert other_gateway.error_code(joined) != REJECTED_CODE
+    new.wait_for_log("owns-keys")
+    assert other_gateway.result(other_gateway.request("book", "done", done, redo=1)) == "did done"
+    assert other_gateway.error_code(other_gateway.request("book", "hold", running, redo=1)) != REJECTED_CODE
+    unknown = other_gateway.request("book", "never seen", make_idempotency_key(), redo=1)
+    assert other_gateway.error_code(unknown) != REJECTED_CODE  # the old process may have run it
+    assert other_gateway.result(other_gateway.request("book", "first", make_idempotency_key())) == "did first"
+    assert execution_count("hold", old, new) == 1
     assert not new.executor.runs_of("never seen")
     assert new.gateway()
     assert wait_until_ready(host(successor_of=new))
 
 
-def test_an_old_process_that_hangs_makes_nobody_wait_beyond_the_deadline(host, shared_address):
+def test_an_old_process_that_hangs_delays_no_answer_beyond_its_deadline(host, shared_address):
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
     new = host(successor_of=old)
     wait_until_ready(new)
-    g = connection_to(new, old)
-    old.process.send_signal(signal.SIGSTOP)
-    try:
+    gateway = connection_to(new, old)
+    with old.suspended():
         began = time.monotonic()
-        n = g.request("book", "mine", make_idempotency_key())
-        assert g.result(g.request("track", "read")) == "did read"
-        assert g.error_code(n) == REJECTED
-        assert g.answer(n)["error"]["data"]["pause"] > 0
+        n = gateway.request("book", "mine", make_idempotency_key())
+        assert gateway.result(gateway.request("track", "read")) == "did read"
+        assert gateway.error_code(n) == REJECTED_CODE
+        assert gateway.answer(n)["error"]["data"]["pause"] > 0
         assert time.monotonic() - began < 1.5
         assert not new.executor.runs_of("mine")
-    finally:
-        old.process.send_signal(signal.SIGCONT)
     assert wait_until(
-        lambda: g.answer(g.request("book", "mine", make_idempotency_key())).get("result"), "service again"
+        lambda: gateway.answer(gateway.request("book", "mine", make_idempotency_key())).get("result"), "service again"
     )
 
 
-def test_a_new_process_that_hangs_holds_nothing_up(host, shared_address):
+def test_a_new_process_that_hangs_delays_no_request_of_the_old_one(host, shared_address):
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
     new = host(successor_of=old)
     wait_until_ready(new)
-    g = connection_to(old, new)
-    new.process.send_signal(signal.SIGSTOP)
-    try:
+    gateway = connection_to(old, new)
+    with new.suspended():
         for _ in range(20):
-            assert g.result(g.request("book", "x", make_idempotency_key())) == "did x"
-    finally:
-        new.process.send_signal(signal.SIGCONT)
+            assert gateway.result(gateway.request("book", "x", make_idempotency_key())) == "did x"
 
 
-def test_stale_files_of_a_dead_process_do_no_harm_and_outcomes_of_its_keys_are_unknown(host, shared_address, tmp_path):
+def test_stale_files_of_a_killed_process_are_replaced_and_its_outcomes_are_unknown(host, shared_address, tmp_path):
     old = host(listen=shared_address())
-    g, key = old.gateway(), make_idempotency_key()
-    assert g.result(g.request("book", "ran", key)) == "did ran"
+    gateway = old.gateway()
+    key = make_idempotency_key()
+    assert gateway.result(gateway.request("book", "ran", key)) == "did ran"
     old.process.kill()
     old.process.wait()
     assert list(tmp_path.glob("lapispick-*.sock"))  # stale
     new = host(successor_of=old)
-    g = new.gateway()
-    assert g.error_code(g.request("book", "ran", key, redo=1)) != REJECTED
+    gateway = new.gateway()
+    assert gateway.error_code(gateway.request("book", "ran", key, redo=1)) != REJECTED_CODE
     assert not new.executor.runs_of("ran")
-    assert g.result(g.request("book", "first", make_idempotency_key())) == "did first"
+    assert gateway.result(gateway.request("book", "first", make_idempotency_key())) == "did first"
     window = PLATFORM_INFO["Services"][1]["Window"] / 1000
     wait_until(lambda: time.time() - lock_path(tmp_path).stat().st_mtime > window + 0.2, "the end of the window")
-    assert g.result(g.request("book", "later", make_idempotency_key(), redo=1)) == "did later"
+    assert gateway.result(gateway.request("book", "later", make_idempotency_key(), redo=1)) == "did later"
 
 
 def test_outcomes_of_a_process_that_ended_in_order_are_unknown_for_a_window(host, shared_address):
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
-    g, key = old.gateway(), make_idempotency_key()
-    assert g.result(g.request("book", "ran", key)) == "did ran"
+    gateway = old.gateway()
+    key = make_idempotency_key()
+    assert gateway.result(gateway.request("book", "ran", key)) == "did ran"
     old.terminate()
     assert old.process.wait(5) == 0
     new = host(successor_of=old)
-    g = new.gateway()
-    assert g.error_code(g.request("book", "ran", key, redo=1)) != REJECTED
+    gateway = new.gateway()
+    assert gateway.error_code(gateway.request("book", "ran", key, redo=1)) != REJECTED_CODE
     assert not new.executor.runs_of("ran")
-    assert g.result(g.request("book", "first", make_idempotency_key())) == "did first"
+    assert gateway.result(gateway.request("book", "first", make_idempotency_key())) == "did first"
 
 
 def test_a_third_process_waits_for_the_second_to_own_the_keys(host, shared_address):
     one = host(listen=shared_address(), info=LONG_WINDOW_INFO, stop_ms=4000)
-    g, key = one.gateway(), make_idempotency_key()
-    held = g.request("book", "hold", key, patience=9000)
+    gateway = one.gateway()
+    key = make_idempotency_key()
+    running = gateway.request("book", "hold", key, patience=9000)
     wait_until(lambda: one.executor.runs, "the run")
     two = host(successor_of=one)
     wait_until_ready(two)
-    three = host(
-        successor_of=two, wait_for_ready=False
-    )  # before the first leaves: a start may take longer than a leave lasts
-    wait_until(lambda: "event=link-waiting" in three.log(), "the third one's first look")
+    # Started before the first shuts down: a start may take longer than a shutdown.
+    three = host(successor_of=two, wait_for_ready=False)
+    three.wait_for_log("link-waiting")
     one.terminate()
-    wait_until(lambda: "event=shutdown-started" in one.log(), "the leave")
+    one.wait_for_log("shutdown-started")
     one.executor.end_run(one.executor.runs[0].task, result="booked")
-    assert g.result(held) == "booked"
+    assert gateway.result(running) == "booked"
     assert one.process.wait(5) == 0
-    wait_until(lambda: "event=linked role=follower" in three.log(), "the link to the second")
+    three.wait_for_log("linked role=follower")
     two.terminate()
     assert two.process.wait(4) == 0
     wait_until_ready(three)
-    h = three.gateway()
-    assert h.result(h.request("book", "hold", key, redo=1)) == "booked"
+    other_gateway = three.gateway()
+    assert other_gateway.result(other_gateway.request("book", "hold", key, redo=1)) == "booked"
 
 
-def test_no_third_process_takes_the_keys_past_the_second_however_slow_that_is(host, shared_address):
+def test_a_third_process_never_takes_the_keys_past_a_suspended_second(host, shared_address):
     one = host(listen=shared_address(), info=LONG_WINDOW_INFO, stop_ms=2500)
-    g, key = one.gateway(), make_idempotency_key()
-    assert g.result(g.request("book", "mine", key)) == "did mine"
+    gateway = one.gateway()
+    key = make_idempotency_key()
+    assert gateway.result(gateway.request("book", "mine", key)) == "did mine"
     two = host(successor_of=one)
     wait_until_ready(two)
     three = host(successor_of=two, wait_for_ready=False)
-    wait_until(lambda: "event=link-waiting" in three.log(), "the third one's first look")
-    two.process.send_signal(signal.SIGSTOP)
-    try:
+    three.wait_for_log("link-waiting")
+    with two.suspended():
         one.terminate()
         assert one.process.wait(5) == 0
-        wait_until(lambda: "event=open" in three.log(), "that the third one takes clients")
+        three.wait_for_log("open")
         assert "event=owns-keys" not in three.log()
-    finally:
-        two.process.send_signal(signal.SIGCONT)
     two.wait_for_log("owns-keys")
-    wait_until(lambda: "event=linked role=follower" in three.log(), "the link to the second")
+    three.wait_for_log("linked role=follower")
     two.terminate()
     assert two.process.wait(5) == 0
-    h = three.gateway()
-    assert h.result(h.request("book", "mine", key, redo=1)) == "did mine"
-    assert executions_of("mine", one, two, three) == 1
+    other_gateway = three.gateway()
+    assert other_gateway.result(other_gateway.request("book", "mine", key, redo=1)) == "did mine"
+    assert execution_count("mine", one, two, three) == 1
 
 
 def test_a_shutdown_without_a_successor_is_an_ordinary_one(host, shared_address):
-    h = host(listen=shared_address(), info=LONG_WINDOW_INFO, stop_ms=2000)
-    g = h.gateway()
-    h.terminate()
-    wait_until(lambda: g.read() and g.goaway_received, "goaway")
-    assert g.answer(g.send("probe"))["result"]["healthy"] is False
-    assert h.process.wait(4) == 0
-    assert h.registry.reports[-1].text == "HERE n3 off"
+    process = host(listen=shared_address(), info=LONG_WINDOW_INFO, stop_ms=2000)
+    gateway = process.gateway()
+    process.terminate()
+    wait_until(lambda: gateway.read() and gateway.goaway_received, "goaway")
+    assert gateway.is_healthy() is False
+    assert process.process.wait(4) == 0
+    assert process.registry.reports[-1].text == "HERE n3 off"
 
 
 POINTS = ["started", "link-up", "linked", "open", "successor-serving", "shutdown-started", "link-ended"]
@@ -338,7 +354,7 @@
     print("seed", seed, "kills the", victim, "one at", point)
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO, executor=Executor(work_s=0.003), stop_ms=2500)
     with load(old.address, seed, clients=4) as clients:
-        wait_until(lambda: sum(client.answered for client in clients) > 60, "some load")
+        wait_until(lambda: answered_count(clients) > 60, "some load")
         new = host(successor_of=old, executor=Executor(work_s=0.003), wait_for_start=False)
         either = {"old": old, "new": new}
         wait_until(
@@ -352,20 +368,20 @@
         if rng.random() < 0.5:
             time.sleep(rng.random() * 0.05)
         either[victim].process.kill()
-        left = new if victim == "old" else old
-        if victim == "new" and getattr(old, "shut_down", False):  # it was told to go: it ends, and owes nothing
+        survivor = new if victim == "old" else old
+        if victim == "new" and getattr(old, "shut_down", False):  # it ends, and leaves nothing unanswered
             assert old.process.wait(4) == 0
             assert "unanswered=0" in old.log()
             return check_executions(clients, old, new)
-        left.ops = wait_until(lambda: operators_address(left), "the start")
-        wait_until_ready(left)
-        count = sum(client.answered for client in clients)
-        wait_until(lambda: sum(client.answered for client in clients) > count + 60, "service by the one that is left")
+        survivor.ops = wait_until(lambda: operators_address(survivor), "the start")
+        wait_until_ready(survivor)
+        count = answered_count(clients)
+        wait_until(lambda: answered_count(clients) > count + 60, "service by the one that is left")
     check_executions(clients, old, new)
 
 
 def shut_down_once_ready(new, old):
-    """Go on as the platform does: once the new process takes clients, the old one is told to leave."""
+    """Go on as the platform does: once the new process takes clients, the old one is asked to shut down."""
     if (at := operators_address(new)) is None:
         return False
     new.ops = at
@@ -376,75 +392,78 @@
     return False
 
 
-def test_an_upgrade_that_is_given_up_hands_back_all_that_the_new_process_had(host, shared_address):
+def test_an_aborted_upgrade_hands_back_what_the_new_process_had_taken_over(host, shared_address):
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
     new = host(successor_of=old)
     wait_until_ready(new)
-    g, key = connection_to(new, old), make_idempotency_key()
-    n = g.request("book", "hold", key)
-    wait_until(lambda: new.executor.runs_of("hold"), "the run")
+    gateway = connection_to(new, old)
+    key = make_idempotency_key()
+    n = gateway.request("book", "hold", key)
+    new.executor.wait_for_run("hold")
     new.terminate()
-    wait_until(lambda: g.read() and g.goaway_received, "goaway")
-    h = old.gateway()
-    again = h.request("book", "hold", key, redo=1)
-    new.executor.end_run(new.executor.runs_of("hold")[0].task, result="booked")
-    assert g.result(n) == "booked"
-    assert h.result(again) == "booked"
+    wait_until(lambda: gateway.read() and gateway.goaway_received, "goaway")
+    other_gateway = old.gateway()
+    again = other_gateway.request("book", "hold", key, redo=1)
+    new.executor.end_run_of("hold", "booked")
+    assert gateway.result(n) == "booked"
+    assert other_gateway.result(again) == "booked"
     assert new.process.wait(4) == 0
     assert "event=ended unanswered=0" in new.log()
-    assert h.result(h.request("book", "hold", key, redo=1)) == "booked"
-    assert executions_of("hold", old, new) == 1
-    assert h.answer(h.send("probe"))["result"]["healthy"] is True
+    assert other_gateway.result(other_gateway.request("book", "hold", key, redo=1)) == "booked"
+    assert execution_count("hold", old, new) == 1
+    assert other_gateway.is_healthy() is True
     assert not [report for _, report in old.registry.reports if report.endswith("off")]
 
 
-def test_both_processes_together_hold_no_more_connections_than_one_may(host, shared_address):
+def open_descriptor_count(*processes):
+    """Return how many descriptors the processes have open."""
+    return sum(len(os.listdir(f"/proc/{process.process.pid}/fd")) for process in processes)
+
+
+def test_two_processes_together_have_no_more_descriptors_than_one_may(host, shared_address):
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
-    most = 256 * 5 // 8
-    crowd = []
-    for _ in range(most):
-        crowd.append(old.gateway())
-        crowd[-1].result(crowd[-1].request("track", "x"))
+    max_sockets = LIMITS["sockets"]
+    max_connections = max_sockets * 5 // 8
+    gateways = []
+    for _ in range(max_connections):
+        gateways.append(old.gateway())
+        gateways[-1].result(gateways[-1].request("track", "x"))
     new = host(successor_of=old)
     wait_until_ready(new)
-    wait_until(lambda: len(os.listdir(f"/proc/{old.process.pid}/fd")) < most, "the old one gives a part of its room")
+    wait_until(lambda: open_descriptor_count(old) < max_connections, "the old process gives up a part of its quota")
     name, port = old.address.split(":")
-    crowd += [socket.create_connection((name, int(port))) for _ in range(most)]
-
-    def held():
-        return sum(len(os.listdir(f"/proc/{h.process.pid}/fd")) for h in (old, new))
-
-    wait_until(lambda: held() < 256, "both within the descriptors of one")
-    g = new.gateway()
-    assert g.result(g.request("track", "room")) == "did room"
-    assert held() < 256
+    sockets = [socket.create_connection((name, int(port))) for _ in range(max_connections)]
+    wait_until(lambda: open_descriptor_count(old, new) < max_sockets, "both within the descriptors of one")
+    gateway = new.gateway()
+    assert gateway.result(gateway.request("track", "room")) == "did room"
+    assert open_descriptor_count(old, new) < max_sockets
     new.process.kill()
-    wait_until(lambda: "event=link-ended" in old.log(), "the end of the link")
-    late = [old.gateway() for _ in range(most)]
-    wait_until(
-        lambda: len(os.listdir(f"/proc/{old.process.pid}/fd")) > most, "all of the room for the one that is left"
-    )
+    old.wait_for_log("link-ended")
+    late = [old.gateway() for _ in range(max_connections)]
+    wait_until(lambda: open_descriptor_count(old) > max_connections, "the whole quota for the one that is left")
     assert late[-1].result(late[-1].request("track", "last")) == "did last"
+    for sock in sockets:
+        sock.close()
 
 
-def test_the_old_process_accepts_nobody_any_more_once_it_hands_over(host, shared_address):
+def test_the_old_process_accepts_no_connection_after_its_hand_over(host, shared_address):
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO, stop_ms=9000)
-    g = old.gateway()
-    held = g.request("track", "hold", patience=9000)
-    wait_until(lambda: old.executor.runs_of("hold"), "the run")
+    gateway = old.gateway()
+    running = gateway.request("track", "hold", patience=9000)
+    old.executor.wait_for_run("hold")
     new = host(successor_of=old)
     wait_until_ready(new)
     old.terminate()
-    wait_until(lambda: "event=shutdown-started" in old.log(), "the leave")
-    wait_until(lambda: g.read() and g.goaway_received, "goaway")
+    old.wait_for_log("shutdown-started")
+    wait_until(lambda: gateway.read() and gateway.goaway_received, "goaway")
     for n in range(40):
         late = new.gateway()
         assert late.result(late.request("track", f"late{n}")) == f"did late{n}"
         assert not late.goaway_received
-    assert len([run for run in new.executor.runs if run[2].startswith("late")]) == 40
+    assert len([run for run in new.executor.runs if run.body.startswith("late")]) == 40
     # Nothing ends the run: it is failed, and the process ends before it would be killed. By its own log, as on a busy
-    # machine this test may be held up, and so may the system's end of a process.
-    assert g.error_code(held) != REJECTED
+    # machine this test may be running up, and so may the system's end of a process.
+    assert gateway.error_code(running) != REJECTED_CODE
     assert old.process.wait(8) == 0
     assert logged_at(old, "ended") - logged_at(old, "shutdown-started") < 3.7
     assert "unanswered=0" in old.log()
@@ -456,25 +475,27 @@
     from lapispick.trace.replaying import replay
 
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
-    g = old.gateway()
+    gateway = old.gateway()
     for _ in range(30):  # what can be learned of runs
-        g.result(g.request("track", "call:200"))
+        gateway.result(gateway.request("track", "call:200"))
     (tmp_path / "own.conf").write_text("section trace\n enabled yes\n folder traces\n flush 50ms\nend\n")
     new = host(successor_of=old, environ={"LAPISPICK_CONF": str(tmp_path / "own.conf")})
     assert wait_until_ready(new)
     old.terminate()
     assert old.process.wait(6) == 0
-    g = new.gateway()
+    gateway = new.gateway()
     for n in range(30):
-        g.result(g.request("track" if n % 2 else "book", "call:200", None if n % 2 else make_idempotency_key()))
+        class_name, key = ("track", None) if n % 2 else ("book", make_idempotency_key())
+        gateway.result(gateway.request(class_name, "call:200", key))
     new.terminate()
     assert new.process.wait(6) == 0
     (path,) = wait_until(lambda: list((tmp_path / "traces").glob("*.lptrace")), "the closed file")
     with files.Reader(path) as reader:
-        steps, source = list(reader.steps()), reader.header
-    assert {n.what for s in steps for n in s.notes if type(n) is Happened} == {"adopted"}
-    made = replay(source.settings, source.seed, source.module_now, steps)
-    assert made.differing == 0
-    assert made.steps > 60
-    bare = [s._replace(notes=()) for s in steps]  # without the word of it the module waits and prices otherwise
+        steps = list(reader.steps())
+        source = reader.header
+    assert {note.what for step in steps for note in step.notes if type(note) is Happened} == {"adopted"}
+    replayed = replay(source.settings, source.seed, source.module_now, steps)
+    assert replayed.differing == 0
+    assert replayed.steps > 60
+    bare = [step._replace(notes=()) for step in steps]  # without the note of it the module decides otherwise
     assert replay(source.settings, source.seed, source.module_now, bare).differing > 0
--- a/tests/upgrade_support.py
+++ b/tests/upgrade_support.py
@@ -1,47 +1,58 @@
 """Helpers for tests of two processes of one worker host."""
 
 import datetime
-import json
 
-from lapispick.fakes.start_settings import PLATFORM_INFO
+from lapispick.fakes.start_settings import make_platform_info
 from lapispick.fakes.waiting import wait_until
 
-REJECTED = -32050
-LONG_WINDOW_INFO = json.loads(json.dumps(PLATFORM_INFO))
-LONG_WINDOW_INFO["Services"][1]["Window"] = 60_000.0  # so that no key's window ends during a test on a slow machine
+# So that no key's window ends during a test on a slow machine.
+LONG_WINDOW_INFO = make_platform_info(({}, {"Window": 60_000.0}))
 
 
-def served(h):
-    return sum(n for name, n in h.metrics().items() if name.startswith("success"))
+def served_count(process):
+    """Return how many requests a process served, by its metrics."""
+    return sum(count for name, count in process.metrics().items() if name.startswith("success"))
 
 
-def connection_to(h, other):
-    """Return a connection that this process reads, by whose figures it moved."""
+def connection_to(process, other):
+    """Return a connection that this process reads and not the other one, by whose metrics it moved."""
     while True:
-        g, before = h.gateway(), served(h)
-        g.result(g.request("track", "whose"))
-        if wait_until(lambda: (served(h), True), "the figures")[0] > before:
-            return g
+        connection = process.gateway()
+        served_before = served_count(process)
+        connection.result(connection.request("track", "whose"))
+        if wait_until(lambda: (served_count(process), True), "the metrics")[0] > served_before:
+            return connection
 
 
-def wait_until_ready(new):
-    return wait_until(lambda: new.call_operators() == ["OK"], "yes from the new process")
+def wait_until_ready(process):
+    """Wait until a process takes clients."""
+    return wait_until(lambda: process.call_operators() == ["OK"], "yes from the new process")
 
 
-def executions_of(body, *hosts):
-    return sum(len(h.executor.runs_of(body)) for h in hosts)
+def execution_count(body, *processes):
+    """Return how many runs with a body the executors of these processes started."""
+    return sum(len(process.executor.runs_of(body)) for process in processes)
 
 
 def lock_path(folder):
+    """Return the lock file of the worker host whose processes share a folder."""
     (path,) = folder.glob("lapispick-*.lock")
     return path
 
 
-def operators_address(h):
-    found = [line for line in h.log().splitlines() if "event=started" in line]
-    return found[0].split("ops=")[1].split()[0] if found else None
+def socket_path(folder):
+    """Return the path of the socket at which a process of the worker host links."""
+    (path,) = folder.glob("lapispick-*.sock")
+    return str(path)
 
 
-def logged_at(h, event):
-    line = next(line for line in h.log().splitlines() if f"event={event}" in line)
+def operators_address(process):
+    """Return the operators' address that a process logged; None before its start."""
+    started = [line for line in process.log().splitlines() if "event=started" in line]
+    return started[0].split("ops=")[1].split()[0] if started else None
+
+
+def logged_at(process, event):
+    """Return when a process logged an event, in Unix seconds."""
+    line = next(line for line in process.log().splitlines() if f"event={event}" in line)
     return datetime.datetime.fromisoformat(line.split()[0].removeprefix("ts=")).timestamp()
