--- a/benchmarks/inventory.py
+++ b/benchmarks/inventory.py
@@ -27,16 +27,16 @@
 from lapispick.fleet.messages import Begin, FromHelper, Poll
 from lapispick.fleet.reading import File, Options, Reader
 from lapispick.fleet.reconciler import Bounds
-from lapispick.host.amqp import listing
+from lapispick.host.amqp import inventory_schema
 from lapispick.host.amqp.front import AmqpFront
 from lapispick.host.dns_resolver import DnsResolver
 from lapispick.host.inventory import Inventory
 from lapispick.host.scheduler import EventLoop
-from lapispick.platform_settings import Info, settings_from
+from lapispick.platform_settings import StartSettings, admission_settings
 
 SIZES = (14, 500, 5000)
 BEFORE = "8ba3416"  # the last version without inventory files
-PLAIN = listing.schema(None)
+PLAIN = inventory_schema.schema(None)
 MIN_TURN_S = 0.0002  # a shorter turn is followed by a sleep, or the loop would never idle
 IDLE_SLEEP_S = 0.0005
 MAX_DURATION_S = 60.0
@@ -187,15 +187,15 @@
     loop.stop()
 
 
-def _amqp_front(loop: EventLoop, info: Info) -> AmqpFront:
+def _amqp_front(loop: EventLoop, info: StartSettings) -> AmqpFront:
     resolver = DnsResolver(loop, 1.0, None)
     bounds = Bounds(max_instances=8)
-    return AmqpFront(loop, bounds, info, settings_from(info), lambda item: None, resolver, 60.0)
+    return AmqpFront(loop, bounds, info, admission_settings(info), lambda item: None, resolver, 60.0)
 
 
 def _stalls(size: int, form: str, rounds: int) -> tuple[float, float, float, float, float]:
     """Return (idle, first load, change) longest gaps between turns in ms, helper's and own memory in MB."""
-    info = msgspec.convert(PLATFORM_INFO, Info)
+    info = msgspec.convert(PLATFORM_INFO, StartSettings)
     loop = EventLoop()
     meter = _GapMeter(loop)
     with tempfile.TemporaryDirectory() as folder:
@@ -205,7 +205,7 @@
         for number, each in enumerate(lists):
             each.write_text(FORMATS[form](size, 1 + number * size // rounds))
         settings = InventorySettings(path=path, group="shops", poll_interval_s=0.05, settle_s=0.1, max_settle_s=1.0)
-        inventory = Inventory(loop, settings, listing.schema(info), _amqp_front(loop, info).take)
+        inventory = Inventory(loop, settings, inventory_schema.schema(info), _amqp_front(loop, info).apply)
         loop.spawn(meter.run)
         loop.spawn(_load_and_change, loop, meter, inventory, path, lists)
         loop.call_later(MAX_DURATION_S, loop.stop)  # a list that is never accepted must not keep this running
@@ -283,7 +283,7 @@
     log = setup_logs()
     call = lambda n: log.info("event", tag="abc", n=n, text="two words")
 else:
-    logs.setup()
+    logs.configure_logging()
     call = lambda n: logs.log("x", logging.INFO, "event", tag="abc", n=n, text="two words")
 loaded = mb()
 began = time.perf_counter()
--- a/lapispick/fakes/broker.py
+++ b/lapispick/fakes/broker.py
@@ -6,8 +6,8 @@
 
 from lapispick.fakes.broker_connection import MAX_FRAME_BYTES, BrokerConnection
 from lapispick.fakes.fake_server import FakeServer
-from lapispick.host.amqp import codec
-from lapispick.host.amqp.codec import Properties
+from lapispick.host.amqp import content
+from lapispick.host.amqp.content import Properties
 
 
 class Message:
@@ -25,7 +25,7 @@
         """Return the frames of the content for the present delivery."""
         if self.raw and self.delivery_count == 1:
             return self.raw(channel_number)
-        return codec.encode_content(channel_number, self.properties, self.body, MAX_FRAME_BYTES)
+        return content.encode_content(channel_number, self.properties, self.body, MAX_FRAME_BYTES)
 
 
 class Answer(NamedTuple):
@@ -77,11 +77,14 @@
 
     def reply(self, correlation_id):
         """Return the answer to a request; None where there is none, and a failure where there are several."""
-        found = [reply for reply in list(self.replies) if reply.properties.correlation_id == correlation_id]
+        found = self.answers(correlation_id)
         assert len(found) <= 1, "answered twice"
-        if not found:
-            return None
-        return Answer(found[0].properties.type, found[0].body, found[0].properties.headers)
+        return found[0] if found else None
+
+    def answers(self, correlation_id):
+        """Return all answers to a request; there are several where a message was delivered again."""
+        replies = [reply for reply in list(self.replies) if reply.properties.correlation_id == correlation_id]
+        return [Answer(reply.properties.type, reply.body, reply.properties.headers) for reply in replies]
 
     def consumer_tags(self):
         """Return the tags that consume now, over all connections."""
--- a/lapispick/fakes/broker_connection.py
+++ b/lapispick/fakes/broker_connection.py
@@ -3,8 +3,9 @@
 import enum
 from typing import NamedTuple
 
-from lapispick.host.amqp import codec
-from lapispick.host.amqp.codec import Properties
+from lapispick.host.amqp import codec, content, methods
+from lapispick.host.amqp.codec import FrameType
+from lapispick.host.amqp.content import Properties
 
 MAX_FRAME_BYTES = 4096
 MAX_CHANNELS = 100
@@ -60,9 +61,9 @@
         self.channels = {}  # by number
         self._broker = broker
 
-    def send_method(self, channel_number, name, **args):
+    def send_method(self, channel_number, method):
         """Send a method."""
-        self.sock.sendall(codec.encode_method(channel_number, name, **args))
+        self.sock.sendall(methods.encode_method(channel_number, method))
 
     def serve(self):
         """Serve the connection until it ends; what it did not settle is returned to the queues."""
@@ -70,16 +71,17 @@
         assert file.read(8) == codec.PROTOCOL_HEADER
         self.send_method(
             0,
-            "connection.start",
-            major=0,
-            minor=9,
-            server_properties={"product": "fake"},
-            mechanisms=b"PLAIN AMQPLAIN",
-            locales=b"en_US",
+            methods.ConnectionStart(
+                version_major=0,
+                version_minor=9,
+                server_properties={"product": "fake"},
+                mechanisms=b"PLAIN AMQPLAIN",
+                locales=b"en_US",
+            ),
         )
         try:
-            while head := file.read(codec.FRAME_HEAD.size):
-                kind, channel_number, size = codec.FRAME_HEAD.unpack(head)
+            while head := file.read(codec.FRAME_HEADER.size):
+                kind, channel_number, size = codec.FRAME_HEADER.unpack(head)
                 payload = file.read(size)
                 assert file.read(1) == FRAME_END
                 with self._broker.lock:
@@ -93,85 +95,84 @@
 
     def _take_frame(self, kind, channel_number, payload):
         """Handle a frame; False where the connection breaks on it."""
-        if kind == codec.HEARTBEAT:
+        if kind == FrameType.HEARTBEAT:
             self._broker.heartbeat_count += 1
-        elif kind == codec.METHOD:
-            method = codec.decode_method(payload)
+        elif kind == FrameType.METHOD:
+            method = methods.decode_method(payload)
             self._broker.methods.append(method.name)
             if method.name == self._broker.disconnect_on:
                 self._broker.disconnect_on = None
                 return False
             handler = getattr(self, "on_" + method.name.replace(".", "_").replace("-", "_"))
-            handler(channel_number, method.args)
+            handler(channel_number, method)
         else:
             self._take_content(channel_number, kind, payload)
         return True
 
     # The connection and its channels.
 
-    def on_connection_start_ok(self, number, args):
-        if args["response"] != LOGIN:
-            raise ValueError(f"a wrong login: {args['response']!r}")
+    def on_connection_start_ok(self, number, method):
+        if method.response != LOGIN:
+            raise ValueError(f"a wrong login: {method.response!r}")
         self.send_method(
             0,
-            "connection.tune",
-            channel_max=MAX_CHANNELS,
-            frame_max=MAX_FRAME_BYTES,
-            heartbeat=self._broker.heartbeat,
+            methods.ConnectionTune(
+                channel_max=MAX_CHANNELS, frame_max=MAX_FRAME_BYTES, heartbeat=self._broker.heartbeat
+            ),
         )
 
-    def on_connection_tune_ok(self, number, args):
-        assert args["frame_max"] == MAX_FRAME_BYTES
-        assert args["heartbeat"] <= self._broker.heartbeat
+    def on_connection_tune_ok(self, number, method):
+        assert method.frame_max == MAX_FRAME_BYTES
+        assert method.heartbeat <= self._broker.heartbeat
 
-    def on_connection_open(self, number, args):
-        self.send_method(0, "connection.open-ok")
+    def on_connection_open(self, number, method):
+        self.send_method(0, methods.ConnectionOpenOk())
 
-    def on_connection_close(self, number, args):
+    def on_connection_close(self, number, method):
         self._broker.close_count += 1
-        self.send_method(0, "connection.close-ok")
+        self.send_method(0, methods.ConnectionCloseOk())
 
-    def on_connection_close_ok(self, number, args):
+    def on_connection_close_ok(self, number, method):
         pass
 
-    def on_channel_open(self, number, args):
+    def on_channel_open(self, number, method):
         self.channels[number] = Channel()
-        self.send_method(number, "channel.open-ok")
+        self.send_method(number, methods.ChannelOpenOk())
 
-    def on_channel_close(self, number, args):
+    def on_channel_close(self, number, method):
         self._return_unacked(self.channels.pop(number))
-        self.send_method(number, "channel.close-ok")
+        self.send_method(number, methods.ChannelCloseOk())
 
-    def on_channel_close_ok(self, number, args):
+    def on_channel_close_ok(self, number, method):
         pass
 
     # Consumers and deliveries.
 
-    def on_basic_qos(self, number, args):
-        self.channels[number].prefetch = args["count"]
-        self.send_method(number, "basic.qos-ok")
+    def on_basic_qos(self, number, method):
+        self.channels[number].prefetch = method.prefetch_count
+        self.send_method(number, methods.BasicQosOk())
 
-    def on_basic_consume(self, number, args):
+    def on_basic_consume(self, number, method):
         channel = self.channels[number]
-        channel.queue = args["queue"]
-        channel.consumer_tag = args["tag"]
-        self.send_method(number, "basic.consume-ok", tag=args["tag"])
+        channel.queue = method.queue
+        channel.consumer_tag = method.consumer_tag
+        self.send_method(number, methods.BasicConsumeOk(consumer_tag=method.consumer_tag))
         self.deliver()
 
-    def on_basic_cancel(self, number, args):
+    def on_basic_cancel(self, number, method):
         self._broker.cancel_count += 1
         channel = self.channels[number]
         if self._broker.message_during_cancel:
             self._broker.put(channel.queue, "crossing", **self._broker.message_during_cancel)
         channel.consumer_tag = None
-        self.send_method(number, "basic.cancel-ok", tag=args["tag"])
+        self.send_method(number, methods.BasicCancelOk(consumer_tag=method.consumer_tag))
 
-    def on_basic_ack(self, number, args):
-        self._settle(number, args["delivery"], Fate.ACKED)
+    def on_basic_ack(self, number, method):
+        self._settle(number, method.delivery_tag, Fate.ACKED)
 
-    def on_basic_reject(self, number, args):
-        fate = Fate.REQUEUED if args["requeue"] else Fate.REJECTED
-        self._settle(number, args["delivery"], fate)
+    def on_basic_reject(self, number, method):
+        fate = Fate.REQUEUED if method.requeue else Fate.REJECTED
+        self._settle(number, method.delivery_tag, fate)
 
     def _settle(self, number, delivery_tag, fate):
         message = self.channels[number].unacked.pop(delivery_tag)
@@ -201,30 +202,31 @@
         self._broker.max_unacked = max(self._broker.max_unacked, len(channel.unacked))
         self.send_method(
             number,
-            "basic.deliver",
-            tag=channel.consumer_tag,
-            delivery=channel.last_delivery_tag,
-            exchange="",
-            redelivered=message.redelivered,
-            routing_key=channel.queue,
+            methods.BasicDeliver(
+                consumer_tag=channel.consumer_tag,
+                delivery_tag=channel.last_delivery_tag,
+                exchange="",
+                redelivered=message.redelivered,
+                routing_key=channel.queue,
+            ),
         )
         self.sock.sendall(message.content_frames(number))
 
     # Publications.
 
-    def on_confirm_select(self, number, args):
-        self.send_method(number, "confirm.select-ok")
+    def on_confirm_select(self, number, method):
+        self.send_method(number, methods.ConfirmSelectOk())
 
-    def on_basic_publish(self, number, args):
-        self.channels[number].publication = Publication(args["routing_key"])
+    def on_basic_publish(self, number, method):
+        self.channels[number].publication = Publication(method.routing_key)
 
     def _take_content(self, number, kind, payload):
         """Take the header or a part of the body of a publication."""
         channel = self.channels[number]
         publication = channel.publication
-        if kind == codec.HEADER:
-            publication.properties = codec.decode_properties(payload)
-            publication.left_bytes = codec.decode_size(payload)
+        if kind == FrameType.HEADER:
+            publication.properties = content.decode_properties(payload)
+            publication.left_bytes = content.decode_body_size(payload)
         else:
             publication.body += payload
             publication.left_bytes -= len(payload)
@@ -236,23 +238,20 @@
         """Keep a publication that is complete and confirm it, or do neither."""
         if self._broker.nacks_left:
             self._broker.nacks_left -= 1
-            self.send_method(number, "basic.nack", delivery=delivery_tag, multiple=False, requeue=False)
+            self.send_method(number, methods.BasicNack(delivery_tag=delivery_tag, multiple=False, requeue=False))
             return
         if self._broker.returns_unroutable:
             self._return_publication(number, publication)
         else:
             reply = Reply(publication.queue, publication.properties, publication.body.decode())
             self._broker.replies.append(reply)
-        self.send_method(number, "basic.ack", delivery=delivery_tag, multiple=False)
+        self.send_method(number, methods.BasicAck(delivery_tag=delivery_tag, multiple=False))
 
     def _return_publication(self, number, publication):
         self.send_method(
             number,
-            "basic.return",
-            code=NO_ROUTE_CODE,
-            text="NO_ROUTE",
-            exchange="",
-            routing_key=publication.queue,
+            methods.BasicReturn(
+                reply_code=NO_ROUTE_CODE, reply_text="NO_ROUTE", exchange="", routing_key=publication.queue
+            ),
         )
-        content = codec.encode_content(number, publication.properties, publication.body, MAX_FRAME_BYTES)
-        self.sock.sendall(content)
+        self.sock.sendall(content.encode_content(number, publication.properties, publication.body, MAX_FRAME_BYTES))
--- a/lapispick/simulator/adapter.py
+++ b/lapispick/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter: runs one controller for each instance and translates; it decides nothing."""
+"""The simulator's adapter: runs one controller for each instance, and translates its events and actions."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from lapispick import admission
 from lapispick.admission.controller import Controller
-from lapispick.platform_settings import Info, settings_from
+from lapispick.platform_settings import StartSettings, admission_settings
 from lapispick.simulator import codec
 
 COST_KNOWN_BIT = 1  # of the flags of a request: its cost hint is valid
@@ -86,7 +86,7 @@
 
 
 class Adapter:
-    """The controllers of this process by instance number; each knows what its own events say."""
+    """Runs the controllers of this process, one for each instance; they share nothing."""
 
     __slots__ = ("controllers",)
 
@@ -94,18 +94,18 @@
         self.controllers: dict[int, Controller] = {}
 
     def answer(self, frame: bytes) -> bytes:
-        """Turn one batch into its reply. Raises ``WireError``."""
+        """Return the reply to one batch. Raises ``WireError``."""
         clock, number, records = codec.decode_batch(frame)
         pending: dict[int, list[admission.Event]] = {}
         for record in records:
-            self._take(record, clock, number, pending)
+            self._add_record(record, clock, number, pending)
         replies: list[bytes] = []
         for instance, events in pending.items():
             self._step(instance, clock, events, replies)
         return codec.encode_reply(number, replies)
 
-    def _take(self, record: Record, clock: float, number: int, pending: dict[int, list[admission.Event]]) -> None:
-        """Start or end an instance, or keep an event for its step."""
+    def _add_record(self, record: Record, clock: float, number: int, pending: dict[int, list[admission.Event]]) -> None:
+        """Start or end an instance, or add an event to those of its next step."""
         code = record[0]
         instance = record[1]
         if code == codec.BORN:
@@ -129,7 +129,7 @@
                 events.append(event)
 
     def _step(self, instance: int, clock: float, events: list[admission.Event], replies: list[bytes]) -> None:
-        """Step one instance; a fault of the decision module is reported and ends no other."""
+        """Step one instance; an exception of its decision module is reported to the simulator and ends no other."""
         try:
             for action in self.controllers[instance].step(clock, events):
                 replies.append(ENCODERS[type(action)](instance, action))
@@ -140,13 +140,13 @@
     def _start(self, instance: int, seed: int, raw: bytes, clock: float) -> None:
         """Start an instance with its settings, a JSON document. Raises ``WireError``."""
         try:
-            info = msgspec.json.decode(raw, type=Info)
+            info = msgspec.json.decode(raw, type=StartSettings)
         except msgspec.ValidationError as err:
             raise codec.WireError(f"start settings of instance {instance} lack or misuse a key: {err}") from err
         except msgspec.DecodeError as err:
             raise codec.WireError(f"start settings of instance {instance} are not JSON: {err}") from err
         try:
-            settings = settings_from(info)
+            settings = admission_settings(info)
         except KeyError as err:
             raise codec.WireError(f"start settings of instance {instance} lack or misuse {err}") from err
         except (TypeError, ValueError, AttributeError) as err:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -13,7 +13,7 @@
 from lapispick.host.scheduler import EventLoop
 from lapispick.idempotency.ownership import Role
 from lapispick.idempotency.table import digest_request
-from lapispick.platform_settings import Info, settings_from
+from lapispick.platform_settings import StartSettings, admission_settings
 
 
 class RecordingController:
@@ -65,7 +65,7 @@
 
     def make(decide):
         loop = EventLoop()
-        host = core.Core(loop, settings_from(msgspec.convert(PLATFORM_INFO, Info)), 1)
+        host = core.Core(loop, admission_settings(msgspec.convert(PLATFORM_INFO, StartSettings)), 1)
         host.peers.executor = host.peers.store = FakePeer(host)
         host.module.controller = RecordingController(decide)
         loop.spawn(host.serve)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -471,7 +471,7 @@
 
 def test_what_an_upgrade_takes_over_is_in_the_trace_and_replays(host, shared_address, tmp_path):
     from lapispick.trace import files
-    from lapispick.trace.record_types import Happened
+    from lapispick.trace.record_types import ExternalEvent
     from lapispick.trace.replaying import replay
 
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
@@ -490,10 +490,10 @@
     new.terminate()
     assert new.process.wait(6) == 0
     (path,) = wait_until(lambda: list((tmp_path / "traces").glob("*.lptrace")), "the closed file")
-    with files.Reader(path) as reader:
+    with files.TraceReader(path) as reader:
         steps = list(reader.steps())
-        source = reader.header
-    assert {note.what for step in steps for note in step.notes if type(note) is Happened} == {"adopted"}
+        source = reader.first_source
+    assert {note.kind for step in steps for note in step.notes if type(note) is ExternalEvent} == {"adopted"}
     replayed = replay(source.settings, source.seed, source.module_now, steps)
     assert replayed.differing == 0
     assert replayed.steps > 60
