--- a/tests/test_reconciler.py
+++ b/tests/test_reconciler.py
@@ -96,14 +96,13 @@
 )
 
 
-class ReconcilerRun:
-    """A reconciler under moves of a list and its peers; checks its bounds at each step."""
+class CheckedReconciler(Reconciler):
+    """A reconciler that changes at most ``max_changing`` units at once, and checks its bounds at each step."""
 
     def __init__(self, max_changing, max_instances):
         self.max_changing = max_changing
         self.max_instances = max_instances
-        self.now = 0.0
-        self.reconciler = Reconciler(
+        super().__init__(
             Bounds(
                 max_changing_fraction=0.0,
                 min_changing=max_changing,
@@ -113,62 +112,47 @@
             )
         )
 
-    def move(self, move):
-        """Let the list change, time pass, or an instance open, be lost or end."""
-        reconciler = self.reconciler
-        if isinstance(move, dict):
-            reconciler.set_desired(move)
-            return
-        kind, number = move
-        instances = sorted(reconciler.instances)
-        if kind == "wait":
-            self.now += number
-        elif instances:
-            instance = instances[number % len(instances)]
-            if kind == "open":
-                reconciler.opened(self.now, instance)
-            elif kind == "lose":
-                reconciler.lost(self.now, instance)
-            elif reconciler.instances[instance].state is State.DRAINING:
-                reconciler.ended(instance)
-
-    def step(self):
-        """Step the reconciler and check how much it changes at once."""
-        reconciler = self.reconciler
-        max_started = max(0, self.max_changing - reconciler.changing(self.now))
+    def checked_step(self, now):
+        """Step, and check how much is changed at once."""
+        max_started = max(0, self.max_changing - self.changing(now))
         started = 0
-        served = {number for number, instance in reconciler.instances.items() if instance.served}
-        for action in reconciler.step(self.now):
+        served = {number for number, instance in self.instances.items() if instance.served}
+        for action in self.step(now):
             if isinstance(action, Close):
-                assert action.instance not in reconciler.instances
+                assert action.instance not in self.instances
             else:  # the old instance of a unit whose new one is open goes with it
-                is_removal = action.instance in served and action.key not in reconciler.desired
-                started += isinstance(action, Open) or is_removal
+                started += isinstance(action, Open) or (action.instance in served and action.key not in self.desired)
         assert started <= max_started
-        assert len(reconciler.instances) <= self.max_instances
-
-    def finish(self):
-        """Let all opens and drains succeed for a minute."""
-        reconciler = self.reconciler
-        for _ in range(60):
-            for instance in list(reconciler.instances.values()):
-                if instance.state is State.OPENING:
-                    reconciler.opened(self.now, instance.number)
-                elif instance.state is State.DRAINING:
-                    reconciler.ended(instance.number)
-            self.now += 1
-            self.step()
+        assert len(self.instances) <= self.max_instances
 
 
 @given(moves, st.integers(1, 3), st.integers(2, 6))
 @settings(max_examples=400, deadline=None)
 def test_bounds_are_kept_and_the_desired_units_are_reached_whatever_happens(steps, max_changing, max_instances):
-    run = ReconcilerRun(max_changing, max_instances)
+    reconciler = CheckedReconciler(max_changing, max_instances)
+    now = 0.0
     for move in steps:
-        run.move(move)
-        run.step()
-    run.finish()
-    reconciler = run.reconciler
+        if isinstance(move, dict):
+            reconciler.set_desired(move)
+        elif move[0] == "wait":
+            now += move[1]
+        elif instances := sorted(reconciler.instances):
+            instance = instances[move[1] % len(instances)]
+            if move[0] == "open":
+                reconciler.opened(now, instance)
+            elif move[0] == "lose":
+                reconciler.lost(now, instance)
+            elif reconciler.instances[instance].state is State.DRAINING:
+                reconciler.ended(instance)
+        reconciler.checked_step(now)
+    for _ in range(60):  # from here on all opens and drains succeed
+        for instance in list(reconciler.instances.values()):
+            if instance.state is State.OPENING:
+                reconciler.opened(now, instance.number)
+            elif instance.state is State.DRAINING:
+                reconciler.ended(instance.number)
+        now += 1
+        reconciler.checked_step(now)
     alive = {instance.key: instance.spec for instance in reconciler.instances.values()}
     assert alive.items() <= reconciler.desired.items()
     assert len(alive) == min(max_instances, len(reconciler.desired))
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -373,7 +373,7 @@
     assert_rules_kept(s)
 
 
-def test_a_change_that_is_worse_by_a_tenth_for_one_class_is_rolled_back(made, tmp_path):
+def test_a_change_that_is_worse_by_a_tenth_for_one_class_is_stopped(made, tmp_path):
     s = made(
         plan(stages="2 100%", worse="2%", bake="50s", bake_most="120s", confirm="200s"),
         hosts=4,
