--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -326,9 +326,9 @@
 def test_a_channel_that_the_broker_closed_is_opened_again(consuming_host):
     host = consuming_host()
     with host.broker.lock:
-        connection = next(iter(host.broker.channels))
-        host.broker.channels[connection].clear()
-        host.broker.send_method(connection, 1, methods.ChannelClose(404, "NOT_FOUND", class_id=60, method_id=20))
+        connection = host.broker.links[0]
+        connection.channels.clear()
+        connection.send_method(1, methods.ChannelClose(404, "NOT_FOUND", class_id=60, method_id=20))
     _, correlation_id = put_request(host.broker, "good")
     assert wait_for_answer(host, correlation_id).outcome == "served"
     assert "event=channel-closed" in host.log()
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -139,8 +139,8 @@
     """Upgrade and roll back between adjacent versions, while 200 keyed requests are retried throughout."""
     with Fleet(tmp_path, seed=7, hosts=1, gateways=2, rate=20) as fleet:
         agent = HostAgent(fleet.hosts[0])
-        old = agent.add(label="old")
-        new = agent.add(program(tmp_path / "later", NEXT_HANDOVER_VERSION), label="later")
+        old = agent.add_generation(label="old")
+        new = agent.add_generation(program(tmp_path / "later", NEXT_HANDOVER_VERSION), label="later")
         agent.start(adopt=old)
         agent.wait_serving(old)
         fleet.start_load()
