--- a/lapispick/host/core/dispatcher.py
+++ b/lapispick/host/core/dispatcher.py
@@ -85,7 +85,7 @@
             admission.SetIdleTimeout: self._set_idle_timeout,
             admission.Advertise: self.answers.advertise,
             admission.SetTimer: self.timers.set_timer,
-            admission.Log: lambda action: log("module", logging.INFO, "module", text=action.text),
+            admission.Log: lambda action: log("admission", logging.INFO, "admission-state", text=action.text),
         }
 
     def _build_event_handlers(self) -> dict[type, EventHandler]:
