--- a/benchmarks/inventory.py
+++ b/benchmarks/inventory.py
@@ -265,7 +265,7 @@
 sys.stderr = open("/dev/null", "w")
 before = mb()
 from lapispick.host import logs
-logs.MOST_A_SECOND = 1 << 30
+logs.MAX_LINES_PER_SECOND = 1 << 30
 if {tool}:
     from lapispick.cli.output import setup_logs
     log = setup_logs()
--- a/lapispick/agent/service.py
+++ b/lapispick/agent/service.py
@@ -29,7 +29,7 @@
 from lapispick.conf.sections import AgentSettings
 from lapispick.host.addresses import parse_address
 from lapispick.host.logs import log
-from lapispick.host.ops import Operators
+from lapispick.host.ops import OperatorServer
 from lapispick.host.scheduler import EventLoop
 from lapispick.host.worker_threads import WorkerThreads
 from lapispick.rollout import host_calls, host_state, host_step, messages
@@ -72,7 +72,9 @@
         calls: dict[str, Callable[[], list[str]]] = {"status": self._status}
         for name_of_call in FORWARDED_CALLS:
             calls[name_of_call] = functools.partial(self._forward, name_of_call)
-        self.operators = Operators(self.loop, parse_address(settings.listen, 0), MAX_CALLERS, calls, self._handle_call)
+        self.operators = OperatorServer(
+            self.loop, parse_address(settings.listen, 0), MAX_CALLERS, calls, self._handle_call
+        )
 
     def point(self, name: str) -> None:
         """Mark a named point; tests end the process at each of them."""
--- a/lapispick/cli/inventory.py
+++ b/lapispick/cli/inventory.py
@@ -21,7 +21,7 @@
 from lapispick.fleet.schema import ANY_HOST, Schema
 from lapispick.fleet.snapshot import Snapshot
 from lapispick.host.amqp import listing
-from lapispick.host.inventory import options, policy
+from lapispick.host.inventory import acceptance_policy, reading_options
 
 JSON = click.option("--json", "json_", is_flag=True, help="For programs.")
 PATH = click.option("--path", type=click.Path(path_type=Path), help="Another file or folder than the settings'.")
@@ -70,7 +70,7 @@
         self._schema = where.schema
         self._path = Path(str(settings.path))
         self._max_bytes = settings.max_bytes
-        self._reader = Reader(options(settings, self._schema), os.environ)
+        self._reader = Reader(reading_options(settings, self._schema), os.environ)
 
     def read(self) -> Reading:
         """Return what the files say now."""
@@ -134,7 +134,7 @@
     remarks = [reading.incomplete_reason] if reading.incomplete_reason else []
     accepted = _accepted(settings)
     if not reading.faults and accepted is not None:
-        objection = Acceptance(policy(settings), accepted).objection(0.0, made)
+        objection = Acceptance(acceptance_policy(settings), accepted).objection(0.0, made)
         remarks += [f"a host holds it back: {objection}"] if objection else []
     remarks += [
         f"one host under several spellings: {', '.join(host.spellings)}"
@@ -239,7 +239,7 @@
     one = _named(old, where)
     two = _named(new, where) if new is not None else _snapshot(where)
     found = snapshot.difference(one, two)
-    objection = Acceptance(policy(where.settings), one).objection(0.0, two)
+    objection = Acceptance(acceptance_policy(where.settings), one).objection(0.0, two)
     if json_:
         print_json({"old": one.digest, "new": two.digest, **found._asdict(), "held": objection})
     else:
@@ -311,7 +311,7 @@
     """Follow the files and say, a log line an event, what a host would make of each change."""
     where = source(file, path, group)
     settings, log = where.settings, setup_logs()
-    reader, judge = Files(where), Acceptance(policy(settings), _accepted(settings))
+    reader, judge = Files(where), Acceptance(acceptance_policy(settings), _accepted(settings))
     end = time.monotonic() + seconds if seconds else float("inf")
     while time.monotonic() < end:
         reading = reader.read()
--- a/lapispick/cli/output.py
+++ b/lapispick/cli/output.py
@@ -29,7 +29,7 @@
 
 def _limit_rate(logger: Any, method: str, pairs: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
     """Drop a line of an event that is logged too often; a structlog processor."""
-    left_out = logs.may_write(str(pairs.get("event", "")))
+    left_out = logs.count_line(str(pairs.get("event", "")))
     if left_out is None:
         raise structlog.DropEvent
     if left_out:
--- a/lapispick/cli/rollout_control.py
+++ b/lapispick/cli/rollout_control.py
@@ -16,7 +16,7 @@
 from lapispick.fleet.acceptance import Acceptance, Observation
 from lapispick.fleet.hosts import Worker
 from lapispick.host import logs
-from lapispick.host.inventory import policy
+from lapispick.host.inventory import acceptance_policy
 from lapispick.rollout import pacing
 from lapispick.rollout.canary_analysis import Bounds
 from lapispick.rollout.rollout_state import Phase, RolloutState
@@ -29,7 +29,7 @@
 
     def __init__(self, fleet: Fleet) -> None:
         self._files = Files(fleet.source)
-        self._acceptance = Acceptance(policy(fleet.source.settings))
+        self._acceptance = Acceptance(acceptance_policy(fleet.source.settings))
 
     def accepted_workers(self) -> list[Worker] | None:
         """Return the hosts of a list that was accepted just now; a broken or shrunken list changes nothing."""
--- a/lapispick/host/assembly.py
+++ b/lapispick/host/assembly.py
@@ -19,7 +19,7 @@
 from lapispick.host.jsonrpc.front import Gateways
 from lapispick.host.logs import log
 from lapispick.host.operator_calls import HostCalls
-from lapispick.host.ops import Operators
+from lapispick.host.ops import OperatorServer
 from lapispick.host.registry import RegistryClient
 from lapispick.host.reload import ConfigurationReloader
 from lapispick.host.scheduler import READ, EventLoop
@@ -98,9 +98,9 @@
             lambda: answers.backpressure,
         )
 
-    def _make_operators(self) -> Operators:
+    def _make_operators(self) -> OperatorServer:
         config = self._config
-        return Operators(
+        return OperatorServer(
             self._loop, config.operators_address, config.limits.max_operator_connections, HostCalls(self.core).by_name()
         )
 
@@ -109,7 +109,7 @@
 
         members = make_members_service(self._loop, self._config, operator_settings, self.core, self._store)
         if self._operators is not None:
-            self._operators.answers(members.calls.without_arguments(), members.calls.with_arguments)
+            self._operators.add_calls(members.calls.without_arguments(), members.calls.with_arguments)
         return members
 
     def _make_handover(self, operator_settings: Settings) -> Handover | None:
--- a/lapispick/host/core/arrivals.py
+++ b/lapispick/host/core/arrivals.py
@@ -74,7 +74,7 @@
             return self._answers.send(request, Answer(AnswerKind.FAILED, client_error="the key of another request"))
         entry = self._requests.add(request, record)
         if self._peers.recorder is not None:
-            self._peers.recorder.arrival(entry.id, request)
+            self._peers.recorder.record_arrival(entry.id, request)
         module_events.append(self._received(entry.id, request, retry_of))
 
     def _refusal(self, request: Request) -> Answer | None:
--- a/lapispick/host/core/decision_module.py
+++ b/lapispick/host/core/decision_module.py
@@ -71,7 +71,7 @@
             logging.getLogger(LOG).exception("decision-module-failed")
             return self._fail_batch(module_events)
         if self._peers.recorder is not None:
-            self._peers.recorder.step(now, module_events, actions)
+            self._peers.recorder.record_step(now, module_events, actions)
         handlers = self._action_handlers
         for action in actions:
             handlers[type(action)](action)
@@ -98,5 +98,5 @@
             return
         self.controller.adopt(self._adoptable)
         if self._peers.recorder is not None:  # or its trace would not replay
-            self._peers.recorder.happened("adopted", msgspec.json.encode(self._adoptable).decode())
+            self._peers.recorder.record_occurrence("adopted", msgspec.json.encode(self._adoptable).decode())
         self._adoptable = None
--- a/lapispick/host/core/health_checks.py
+++ b/lapispick/host/core/health_checks.py
@@ -44,7 +44,7 @@
         self.state.draining = draining
         name = "drain-on" if draining else "drain-off"
         if self._peers.recorder is not None:
-            self._peers.recorder.happened(name)
+            self._peers.recorder.record_occurrence(name)
         log(LOG, logging.INFO, name, unanswered=self._answers.owed)
         self.report()
 
--- a/lapispick/host/health.py
+++ b/lapispick/host/health.py
@@ -1,19 +1,19 @@
-"""What this host reports of itself: to health checks, the service registry and the operators. No I/O and no clock.
+"""What this host reports of itself to health checks, the service registry and the operators. No I/O and no clock.
 
-Six facts decide it, and every way between them is one row of ``HealthState``'s properties:
+It follows from six facts:
 
 | fact | set by | cleared by |
 | --- | --- | --- |
 | ready | the executor has come up | never |
-| module_healthy | the module | the module |
+| module_healthy | the decision module | the decision module |
 | draining | ``drain-on`` | ``drain-off`` |
 | listening | the start, or in an upgrade the end of the snapshot | never |
 | shutting_down | SIGTERM | never |
 | handed_over | SIGTERM while another process of this worker host takes clients | never |
 
-A shutdown that is handed over is none for the host as a whole: health and the service registry stay as they were.
-A drain by call is no shutdown: what arrives is answered as always. A shutdown ends the process, and a drain call in it
-changes no answer. A call before the executor is up holds from then on.
+A shutdown that is handed over does not change the health of the host as a whole, nor what the service registry hears.
+A drain is no shutdown: requests are answered as always. During a shutdown a drain call changes nothing; before the
+executor is up it takes effect once the executor is.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class HealthState(msgspec.Struct):
-    """The facts, and what follows from them."""
+    """The six facts, and what follows from them."""
 
     ready: bool = False
     module_healthy: bool = True
@@ -38,12 +38,12 @@
 
     @property
     def listed(self) -> bool:
-        """What the roster is told; it lists a host by itself only once the executor is up."""
+        """The load report, on or off; the service registry lists no host before its executor is up."""
         return self.module_healthy and not self.draining and (self.handed_over or not self.shutting_down)
 
     @property
     def not_accepting_reason(self) -> str:
-        """Why this process accepts no clients; empty where it does. One that drains still accepts them."""
+        """Why this process accepts no clients; empty where it accepts them, as it does while it drains."""
         if self.shutting_down:
             return "leaving"
         if not self.ready:
--- a/lapispick/host/interfaces.py
+++ b/lapispick/host/interfaces.py
@@ -75,17 +75,17 @@
     def begin(self, settings: admission.Settings, seed: int, now: float) -> None:
         """Start recording with the module's settings, seed and clock (ms)."""
 
-    def step(self, now: float, events: list[admission.Event], actions: list[admission.Action]) -> None:
+    def record_step(self, now: float, events: list[admission.Event], actions: list[admission.Action]) -> None:
         """Record one step."""
 
-    def arrival(self, number: int, request: Request) -> None:
+    def record_arrival(self, number: int, request: Request) -> None:
         """Record a request's attributes that the module does not see."""
 
-    def answered(self, number: int, kind: str, age: float) -> None:
+    def record_answer(self, number: int, kind: str, age: float) -> None:
         """Record a final answer, ``age`` ms after the request reached the machine."""
 
-    def happened(self, what: str, told: str = "") -> None:
-        """Record an operator's action."""
+    def record_occurrence(self, what: str, details: str = "") -> None:
+        """Record an operator's action, or what the module took over."""
 
 
 class Front(Protocol):
--- a/lapispick/host/inventory.py
+++ b/lapispick/host/inventory.py
@@ -1,4 +1,4 @@
-"""Follows the inventory: polls the helper process, judges what it found and passes on the lists that are accepted.
+"""Follows the inventory: polls the helper process, decides on what it found and passes on the lists accepted.
 
 The event loop itself touches no disk and parses no file; it applies changes in chunks and yields between them.
 """
@@ -52,7 +52,7 @@
 AcceptedHandler = Callable[[Snapshot, Difference], None]
 
 
-def options(settings: InventorySettings, schema: Schema) -> Options:
+def reading_options(settings: InventorySettings, schema: Schema) -> Options:
     """Return how the files are read."""
     return Options(
         group=settings.group,
@@ -65,7 +65,7 @@
     )
 
 
-def policy(settings: InventorySettings) -> Policy:
+def acceptance_policy(settings: InventorySettings) -> Policy:
     """Return when a list is accepted."""
     return Policy(
         settle_s=settings.settle_s,
@@ -143,7 +143,7 @@
         self._settings = settings
         self._schema = schema
         self._on_accepted = on_accepted
-        self.acceptance = Acceptance(policy(settings))
+        self.acceptance = Acceptance(acceptance_policy(settings))
         self.history = History(settings.max_history)
         self.presence = PresenceTracker(settings.return_window_s, settings.max_hosts)
         self.helper = HelperConnection(loop)
@@ -174,7 +174,7 @@
             if not isinstance(polled, Polled):
                 raise HelperProtocolError(f"{type(polled).__name__} came in place of a list")
             self._apply_chunks(polled)
-            self._judge(polled)
+            self._evaluate(polled)
             self._loop.sleep(self._settings.poll_interval_s)
 
     def _begin(self) -> None:
@@ -184,7 +184,7 @@
             Begin(
                 path=str(settings.path),
                 max_bytes=settings.max_bytes,
-                options=options(settings, self._schema),
+                options=reading_options(settings, self._schema),
                 state_folder=str(settings.state_folder or ""),
                 max_history=settings.max_history,
             )
@@ -226,8 +226,8 @@
         self.presence.apply(time.monotonic(), changes.joined, ())
         self._on_accepted(self._received, changes)
 
-    def _judge(self, polled: Polled) -> None:
-        """Judge what a poll found, and report it where anything is new."""
+    def _evaluate(self, polled: Polled) -> None:
+        """Decide on what a poll found, and report it where anything is new."""
         observation = Observation(
             snapshot=None if polled.faults else self._received,
             faults=polled.faults,
--- a/lapispick/host/logs.py
+++ b/lapispick/host/logs.py
@@ -1,4 +1,4 @@
-"""Log lines of ``key=value`` pairs on standard error."""
+"""Log lines of ``key=value`` pairs on standard error, with a rate limit for each event."""
 
 from __future__ import annotations
 
@@ -8,9 +8,11 @@
 from collections.abc import Mapping
 from typing import Any
 
+import msgspec
+
 
 class KeyValueFormatter(logging.Formatter):
-    """One line a record: time, level, event, then the record's own pairs."""
+    """Formats a record as one line: time, level, event, then the record's own pairs."""
 
     def format(self, record: logging.LogRecord) -> str:
         """Write a record as pairs; values with spaces or quotes are quoted."""
@@ -27,7 +29,7 @@
 
 
 def render(pairs: Mapping[str, Any]) -> str:
-    """Write pairs as ``key=value``, in their order; the tools' logger writes its lines with this too."""
+    """Write pairs as ``key=value``, in their order; the command line's logger uses this too."""
     return " ".join(f"{key}={_quoted(value)}" for key, value in pairs.items())
 
 
@@ -38,30 +40,42 @@
     return text if plain else f'"{escaped}"'
 
 
-MOST_A_SECOND = 10  # lines of one event; a peer at fault must not fill the log, nor take the time for it
-_seen: dict[str, list[int]] = {}  # event -> this second, its lines, and how many were left out
+MAX_LINES_PER_SECOND = 10  # of one event, so that a misbehaving peer neither fills the log nor costs much CPU
+
+
+class _EventRate(msgspec.Struct):
+    """How often an event was logged."""
+
+    second: int  # of the monotonic clock, that ``lines`` counts
+    lines: int = 0
+    left_out: int = 0  # since the last line that was written
+
+
+_rates: dict[str, _EventRate] = {}  # by event
 
 
 def log(name: str, level: int, event: str, /, **pairs: Any) -> None:
-    """Log one event with its pairs; of too many in a second the next one tells the number, ``left_out``."""
-    if (left_out := may_write(event)) is None:
+    """Log one event with its pairs, and with ``left_out`` where earlier lines exceeded the rate limit."""
+    if (left_out := count_line(event)) is None:
         return
     if left_out:
         pairs["left_out"] = left_out
     logging.getLogger(name).log(level, event, extra={"pairs": pairs})
 
 
-def may_write(event: str) -> int | None:
+def count_line(event: str) -> int | None:
     """Return how many lines of an event were left out before this one; None where this one is left out too."""
     second = int(time.monotonic())
-    seen = _seen.setdefault(event, [second, 0, 0])
-    if seen[0] != second:
-        seen[0], seen[1] = second, 0
-    seen[1] += 1
-    if seen[1] > MOST_A_SECOND:
-        seen[2] += 1
+    rate = _rates.setdefault(event, _EventRate(second))
+    if rate.second != second:
+        rate.second = second
+        rate.lines = 0
+    rate.lines += 1
+    if rate.lines > MAX_LINES_PER_SECOND:
+        rate.left_out += 1
         return None
-    left_out, seen[2] = seen[2], 0
+    left_out = rate.left_out
+    rate.left_out = 0
     return left_out
 
 
--- a/lapispick/host/operator_calls.py
+++ b/lapispick/host/operator_calls.py
@@ -4,7 +4,7 @@
 
 from lapispick.host import events
 from lapispick.host.core import Core
-from lapispick.host.ops import Call
+from lapispick.host.ops import CallHandler
 
 
 class HostCalls:
@@ -13,7 +13,7 @@
     def __init__(self, core: Core) -> None:
         self._core = core
 
-    def by_name(self) -> dict[str, Call]:
+    def by_name(self) -> dict[str, CallHandler]:
         """Return the calls by the names that operators send."""
         return {
             "check": self._check,
--- a/lapispick/host/ops.py
+++ b/lapispick/host/ops.py
@@ -1,7 +1,8 @@
-"""The operators' address: one line in, one answer out, and a close. It decides nothing.
+"""Listens at the operators' address: a caller sends one line, gets one answer, and the connection is closed.
 
-Its sockets go first in every round of the loop, so an answer waits for the turn that is under way and no more.
-Callers that say nothing cost a descriptor for a short while; past the bound the longest silent one makes room.
+Its sockets go first in every round of the event loop, so that an answer waits for the present callback and no more.
+Callers that send nothing hold a descriptor only for a short time; beyond the limit the one that has been silent for
+longest is closed.
 """
 
 from __future__ import annotations
@@ -16,34 +17,47 @@
 from lapispick.host.streams import LineTooLongError, Stream
 
 LOG = "ops"
-LONGEST = 128  # bytes of one call
-CALL_S = 2.0  # s; for a whole call to come and for its answer to be read
-OUT_MOST = 64 * 1024  # bytes of one answer
-BACKLOG = 64
+MAX_CALL_BYTES = 128
+MAX_ANSWER_BYTES = 64 * 1024
+CALL_TIMEOUT_S = 2.0  # to receive a complete call, and again until its answer is read
+ACCEPT_RETRY_S = 0.05
+LISTEN_BACKLOG = 64
+MAX_LOGGED_CHARACTERS = 40  # of an unknown call
+ANSWERED = 0.0  # in place of the time when a caller connected
 
-Call = Callable[[], list[str]]
-Worded = Callable[[str], list[str]]  # takes the whole line of a call that has words behind it
+CallHandler = Callable[[], list[str]]
+LineHandler = Callable[[str], list[str]]  # takes the whole line of a call that has arguments
 
 
-class Operators:
-    """Listens for operators and answers each call from the table that it is given."""
+class OperatorServer:
+    """Listens for operators and answers each call by its handler."""
 
     def __init__(
-        self, loop: EventLoop, listen: tuple[str, int], most: int, calls: dict[str, Call], worded: Worded | None = None
+        self,
+        loop: EventLoop,
+        listen: tuple[str, int],
+        max_connections: int,
+        calls: dict[str, CallHandler],
+        handle_line: LineHandler | None = None,
     ) -> None:
-        self._loop, self._most, self._calls, self._worded = loop, most, calls, worded
-        self._open: dict[Stream, float] = {}  # with the time when each came; 0 = it has its answer
+        """``handle_line`` answers all lines that are not in ``calls``. Raises ``OSError``."""
+        self._loop = loop
+        self._max_connections = max_connections
+        self._calls = calls
+        self._handle_line = handle_line
+        self._connected_at: dict[Stream, float] = {}
         family = socket.AF_INET6 if ":" in listen[0] else socket.AF_INET
         self._sock = socket.socket(family, socket.SOCK_STREAM)
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._sock.setblocking(False)
         self._sock.bind(listen)
-        self._sock.listen(BACKLOG)
+        self._sock.listen(LISTEN_BACKLOG)
         self.address = "{}:{}".format(*self._sock.getsockname()[:2])
 
-    def answers(self, calls: dict[str, Call], worded: Worded) -> None:
+    def add_calls(self, calls: dict[str, CallHandler], handle_line: LineHandler) -> None:
         """Answer further calls."""
-        self._calls, self._worded = {**self._calls, **calls}, worded
+        self._calls = {**self._calls, **calls}
+        self._handle_line = handle_line
 
     def serve(self) -> None:
         """Accept callers for ever."""
@@ -54,51 +68,51 @@
                 sock, _ = self._sock.accept()
             except BlockingIOError:
                 continue
-            except OSError as err:  # out of descriptors, say
+            except OSError as err:  # such as no free descriptor
                 log(LOG, logging.ERROR, "ops-accept-failed", error=err)
-                if not self._make_room():
-                    self._loop.sleep(0.05)
+                if not self._close_oldest():
+                    self._loop.sleep(ACCEPT_RETRY_S)
                 continue
-            if len(self._open) >= self._most:
-                self._make_room()
-            stream = Stream(self._loop, sock, LONGEST, OUT_MOST, LONGEST * 2, urgent=True)
-            self._open[stream] = time.monotonic()
-            self._loop.spawn(self._talk, stream, urgent=True)
+            if len(self._connected_at) >= self._max_connections:
+                self._close_oldest()
+            stream = Stream(self._loop, sock, MAX_CALL_BYTES, MAX_ANSWER_BYTES, MAX_CALL_BYTES * 2, urgent=True)
+            self._connected_at[stream] = time.monotonic()
+            self._loop.spawn(self._serve_caller, stream, urgent=True)
 
-    def _make_room(self) -> bool:
-        """Close whoever has had an answer, or has been silent for longest."""
-        if not self._open:
+    def _close_oldest(self) -> bool:
+        """Close a caller that has its answer, else the one that has been silent for longest; False without any."""
+        if not self._connected_at:
             return False
-        oldest = min(self._open, key=self._open.__getitem__)
-        self._open.pop(oldest)
+        oldest = min(self._connected_at, key=self._connected_at.__getitem__)
+        self._connected_at.pop(oldest)
         oldest.close()
         return True
 
-    def _talk(self, stream: Stream) -> None:
-        watch = self._loop.call_later(CALL_S, stream.close)
+    def _serve_caller(self, stream: Stream) -> None:
+        timer = self._loop.call_later(CALL_TIMEOUT_S, stream.close)
         try:
             line = stream.read_line()
             if stream.closed:
                 return
             stream.write("\n".join([*self._answer(line), ""]).encode())
         except LineTooLongError:
-            stream.write(f"ERR a call has at most {LONGEST} bytes\n".encode())
+            stream.write(f"ERR a call has at most {MAX_CALL_BYTES} bytes\n".encode())
         finally:
-            watch.cancel()
-            self._open[stream] = 0.0  # it has its answer, and makes room before all who have none
-            stream.close_gracefully_and_wait(CALL_S)
-            self._open.pop(stream, None)
+            timer.cancel()
+            self._connected_at[stream] = ANSWERED
+            stream.close_gracefully_and_wait(CALL_TIMEOUT_S)
+            self._connected_at.pop(stream, None)
 
     def _answer(self, line: bytes | None) -> list[str]:
         if line is None:
             return ["ERR the call has no end of line"]
         try:
-            word = line.decode("ascii").strip()
+            call = line.decode("ascii").strip()
         except UnicodeDecodeError:
             return ["ERR the call is not text"]
-        if (call := self._calls.get(word)) is None and self._worded is not None:
-            return self._worded(word)
-        if call is None:
-            log(LOG, logging.WARNING, "ops-unknown", call=word[:40])
-            return [f"ERR unknown call; there are {', '.join(self._calls)}"]
-        return call()
+        if (handler := self._calls.get(call)) is not None:
+            return handler()
+        if self._handle_line is not None:
+            return self._handle_line(call)
+        log(LOG, logging.WARNING, "ops-unknown", call=call[:MAX_LOGGED_CHARACTERS])
+        return [f"ERR unknown call; there are {', '.join(self._calls)}"]
--- a/lapispick/host/recorder.py
+++ b/lapispick/host/recorder.py
@@ -95,7 +95,7 @@
         self._start()
         self._loop.call_later(section.flush_interval_s, self._flush_periodically)
 
-    def step(self, now: float, events: list[admission.Event], actions: list[admission.Action]) -> None:
+    def record_step(self, now: float, events: list[admission.Event], actions: list[admission.Action]) -> None:
         """Record one step of the module."""
         # References only: encoding step by step costs three times as much as encoding many at once.
         self._pending.append((now, events, actions, self._notes))
@@ -103,7 +103,7 @@
         if len(self._pending) >= MAX_BATCH_STEPS:
             self._flush()
 
-    def arrival(self, number: int, request: Request) -> None:
+    def record_arrival(self, number: int, request: Request) -> None:
         """Record what a request says beside the module's event; its subject only as a digest."""
         subject = b""
         if request.idempotency_key is not None:
@@ -111,24 +111,24 @@
             subject = blake2b(encoded, digest_size=SUBJECT_DIGEST_BYTES, key=self._salt).digest()
         self._notes.append((ARRIVAL, number, request.account, subject, request.born_at))
 
-    def answered(self, number: int, kind: str, age: float) -> None:
+    def record_answer(self, number: int, kind: str, age: float) -> None:
         """Record the final answer of a request."""
         self._notes.append((ANSWERED, number, kind, age))
 
-    def happened(self, what: str, details: str = "") -> None:
-        """Record what operators did."""
+    def record_occurrence(self, what: str, details: str = "") -> None:
+        """Record an operator's action, or what the module took over."""
         self._notes.append((HAPPENED, what, details))
 
-    def close(self, seconds: float) -> None:
+    def close(self, timeout_s: float) -> None:
         """Send the last steps; the writer closes its file once the socket ends."""
         self._closing = True
         if self._stream is None:
             return
         if self._notes:
-            self.step(time.time() * 1000, [], [])
+            self.record_step(time.time() * 1000, [], [])
         self._flush()
-        end = time.monotonic() + max(0.0, seconds - CLOSE_S / 2)
-        while self._stream.unsent_bytes and time.monotonic() < end:
+        deadline = time.monotonic() + max(0.0, timeout_s - CLOSE_S / 2)
+        while self._stream.unsent_bytes and time.monotonic() < deadline:
             self._loop.sleep(CLOSE_POLL_S)
 
     def _start(self) -> None:
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -390,7 +390,7 @@
 
 def operators_answers():
     """Return how an answer begins: to a known call, an unknown one, one without an end, one that is no text."""
-    made = ops.Operators(scheduler.EventLoop(), ("127.0.0.1", 0), 4, {"check": lambda: ["OK"]})
+    made = ops.OperatorServer(scheduler.EventLoop(), ("127.0.0.1", 0), 4, {"check": lambda: ["OK"]})
     return [made._answer(line)[0].split()[0] for line in (b"check", b"other", None, b"\xff")]
 
 
@@ -464,16 +464,16 @@
     """Return the calls that a worker host answers, with and without words behind them."""
     found = {}
 
-    class FakeOperators:
-        def __init__(self, loop, listen, most, calls):
+    class FakeOperatorServer:
+        def __init__(self, loop, listen, max_connections, calls):
             found["host"] = sorted(calls)
             found["check while it starts"] = calls["check"]()[0].split()[0]
             found["last line of vars"] = calls["vars"]()[-1]
 
-        def answers(self, calls, worded):
+        def add_calls(self, calls, handle_line):
             found["members"] = sorted(calls)
             for call in ("why disp-01", "want restart owner 7", "done restart owner", "other"):
-                found[call] = "unknown" if worded(call)[0].startswith("ERR unknown call") else "known"
+                found[call] = "unknown" if handle_line(call)[0].startswith("ERR unknown call") else "known"
 
     (folder / "own.conf").write_text(
         "section handover\n enabled no\nend\nsection fleet\n group hosts\nend\n"
@@ -481,7 +481,7 @@
     )
     (folder / "list.yml").write_text("hosts:\n  hosts:\n    n3:\n")
     raw = json.loads((SAMPLES / "host-config.json").read_text()) | {"listen": "127.0.0.1:0"}
-    monkeypatch.setattr(assembly, "Operators", FakeOperators)
+    monkeypatch.setattr(assembly, "OperatorServer", FakeOperatorServer)
     made = assembly.Host(
         host_config.parse(json.dumps(raw).encode()),
         operators_settings.parse(folder / "own.conf"),
