--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -1,4 +1,4 @@
-"""The settings file: its syntax, its kinds of values, and a plain word for every fault."""
+"""The settings file: its syntax, its types of values, and the text of every fault."""
 
 import json
 import os
@@ -20,7 +20,7 @@
     return folder / "a.conf"
 
 
-def test_sections_units_quotes_and_includes(tmp_path):
+def test_sections_units_quotes_and_includes_are_read(tmp_path):
     path = write(
         tmp_path,
         a='include more/*.conf\nsection inventory # here\n path "my list.yml"\n settle 200ms\n'
@@ -28,11 +28,14 @@
     )
     (tmp_path / "more").mkdir()
     (tmp_path / "more/x.conf").write_text("section amqp\n enabled yes\n drain 1m\nend\n")
-    made = settings.parse(path)
-    kept = made.inventory
-    assert kept.path == tmp_path / "my list.yml"
-    assert made.amqp == AmqpSettings(True, 60.0)
-    assert (kept.settle_s, kept.max_loss_fraction, kept.max_bytes, kept.end_marker) == (0.2, 0.17, 2 << 20, "# end")
+    parsed = settings.parse(path)
+    inventory = parsed.inventory
+    assert inventory.path == tmp_path / "my list.yml"
+    assert parsed.amqp == AmqpSettings(True, 60.0)
+    assert inventory.settle_s == 0.2
+    assert inventory.max_loss_fraction == 0.17
+    assert inventory.max_bytes == 2 << 20
+    assert inventory.end_marker == "# end"
 
 
 @pytest.mark.parametrize(
@@ -66,23 +69,23 @@
     assert any(f"{tmp_path}/{fault}" in str(f) for f in caught.value.faults), caught.value.faults
 
 
-def test_all_faults_are_told_at_once(tmp_path):
+def test_all_faults_are_reported_at_once(tmp_path):
     with pytest.raises(InvalidFileError) as caught:
         settings.parse(write(tmp_path, a="section amqp\nx 1\ndrain y\nend\nsection log\nlevel loud\nend\n"))
     assert len(caught.value.faults) == 3
 
 
-def test_includes_are_bounded(tmp_path):
+def test_the_depth_of_includes_is_limited(tmp_path):
     for n in range(12):
         write(tmp_path, **{f"f{n}": f"include f{n + 1}.conf\n"})
     with pytest.raises(InvalidFileError, match="more than 8 deep"):
         settings.parse(tmp_path / "f0.conf")
 
 
-def test_what_is_shown_reads_back_the_same(tmp_path):
-    made = settings.parse(write(tmp_path, a='section inventory\npath "it\'s here.yml"\nlook 70ms\nend\n'))
-    again = write(tmp_path, a="\n".join(settings.lines(made)) + "\n")
-    assert settings.parse(again) == made
+def test_settings_that_are_written_read_back_the_same(tmp_path):
+    parsed = settings.parse(write(tmp_path, a='section inventory\npath "it\'s here.yml"\nlook 70ms\nend\n'))
+    written = write(tmp_path, a="\n".join(settings.lines(parsed)) + "\n")
+    assert settings.parse(written) == parsed
     assert settings.parse(settings.located({})) == settings.load({})  # the repository's own is in order
     assert not settings.load({}).amqp.enabled
 
@@ -95,8 +98,8 @@
 
 
 @given(st.text(max_size=12))
-def test_no_word_breaks_a_kind(word):
-    for kind in (
+def test_no_value_breaks_a_value_type(value):
+    for parse_value in (
         value_types.duration,
         value_types.byte_size,
         value_types.fraction,
@@ -106,14 +109,14 @@
         value_types.path,
     ):
         try:
-            kind(word)
+            parse_value(value)
         except ValueError as err:
             assert str(err)
 
 
-def tool(*words, **environ):
+def run_lapispick(*arguments, **environ):
     return subprocess.run(
-        [sys.executable, "-m", "lapispick", *words],
+        [sys.executable, "-m", "lapispick", *arguments],
         capture_output=True,
         text=True,
         timeout=30,
@@ -121,41 +124,44 @@
     )
 
 
-def test_the_command_checks_and_shows(tmp_path):
+def test_the_config_command_checks_and_shows_settings(tmp_path):
     path = write(tmp_path, a="section amqp\ndrain 5s\nend\n")
-    assert tool("config", "check", "--conf", str(path)).returncode == 0
-    assert json.loads(tool("config", "show", "--json", LAPISPICK_CONF=str(path)).stdout)["amqp"]["drain"] == 5
-    made = tool("config", "check", "--conf", str(write(tmp_path, a="x\n")), "--json")
-    assert made.returncode == 2
-    assert "outside of a section" in json.loads(made.stdout)["faults"][0]
-    assert "_LAPISPICK_COMPLETE" in tool("completion", "bash").stdout
-    assert tool("config", "shw").returncode == 2
+    assert run_lapispick("config", "check", "--conf", str(path)).returncode == 0
+    assert json.loads(run_lapispick("config", "show", "--json", LAPISPICK_CONF=str(path)).stdout)["amqp"]["drain"] == 5
+    result = run_lapispick("config", "check", "--conf", str(write(tmp_path, a="x\n")), "--json")
+    assert result.returncode == 2
+    assert "outside of a section" in json.loads(result.stdout)["faults"][0]
+    assert "_LAPISPICK_COMPLETE" in run_lapispick("completion", "bash").stdout
+    assert run_lapispick("config", "shw").returncode == 2
 
 
-def test_the_command_lists_checks_and_compares_lists(tmp_path):
+def test_the_inventory_command_lists_checks_and_compares(tmp_path):
     one, two = tmp_path / "1.csv", tmp_path / "2.csv"
     head = "host,amqp_queue,amqp_port,amqp_password\n"
     one.write_text(head + "a,q,1,geheim\nA.,r,1,geheim\nb,q,2,x\n")
     two.write_text(head + "a,q,1,geheim\nb,q,3,x\nc,q,2,x\n")
-    own = write(tmp_path, a="section inventory\npath 1.csv\ngroup shops\nend\n")
-    options = ("--conf", str(own))
-    made = tool("inventory", "list", "--path", str(one), "--json", *options)
-    found = json.loads(made.stdout)
+    conf = write(tmp_path, a="section inventory\npath 1.csv\ngroup shops\nend\n")
+    options = ("--conf", str(conf))
+    result = run_lapispick("inventory", "list", "--path", str(one), "--json", *options)
+    found = json.loads(result.stdout)
     assert [b["name"] for b in found] == ["a", "b"]
-    assert "geheim" not in made.stdout
+    assert "geheim" not in result.stdout
     assert found[0]["spellings"] == ["A.", "a"]
-    assert "one host under several spellings: A., a" in tool("inventory", "check", "--path", str(one), *options).stdout
-    made = tool("inventory", "diff", str(one), str(two), *options)
-    assert made.returncode == 1
-    assert "joined   c" in made.stdout
-    assert "moved    b (b:2 -> b:3)" in made.stdout
-    assert "queue r left" in made.stdout
-    assert tool("inventory", "diff", str(one), str(one), *options).returncode == 0
+    assert (
+        "one host under several spellings: A., a"
+        in run_lapispick("inventory", "check", "--path", str(one), *options).stdout
+    )
+    result = run_lapispick("inventory", "diff", str(one), str(two), *options)
+    assert result.returncode == 1
+    assert "joined   c" in result.stdout
+    assert "moved    b (b:2 -> b:3)" in result.stdout
+    assert "queue r left" in result.stdout
+    assert run_lapispick("inventory", "diff", str(one), str(one), *options).returncode == 0
     one.write_text(head + "a,,x,\n")
-    made = tool("inventory", "check", "--path", str(one), *options)
-    assert made.returncode == 1
-    assert "1.csv:2:3: amqp_port: 'x' is not a whole number" in made.stderr
-    made = tool("inventory", "watch", "--path", str(two), "--seconds", "2.2", *options)
-    assert "level=info event=inventory-accepted" in made.stderr
-    assert "hosts=3" in made.stderr
-    assert tool("inventory", "history").returncode == 3
+    result = run_lapispick("inventory", "check", "--path", str(one), *options)
+    assert result.returncode == 1
+    assert "1.csv:2:3: amqp_port: 'x' is not a whole number" in result.stderr
+    result = run_lapispick("inventory", "watch", "--path", str(two), "--seconds", "2.2", *options)
+    assert "level=info event=inventory-accepted" in result.stderr
+    assert "hosts=3" in result.stderr
+    assert run_lapispick("inventory", "history").returncode == 3
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -1,4 +1,4 @@
-"""The list of worker hosts: its schema, its faults, and the commands on a list that brokers share."""
+"""The inventory of worker hosts: its schema, its faults, and the commands on a list that also holds brokers."""
 
 import json
 
@@ -31,13 +31,13 @@
 """
 
 
-def made(text, **over):
-    return hosts.workers(inventory_hosts(text, group="dispatch", schema=SCHEMA, **over).values())
+def read_workers(text, **options):
+    return hosts.workers(inventory_hosts(text, group="dispatch", schema=SCHEMA, **options).values())
 
 
-def test_a_host_is_read_with_its_addresses_place_and_weight():
-    found, wrong = made(LIST)
-    assert not wrong
+def test_a_host_is_read_with_its_addresses_failure_domain_and_weight():
+    found, found_faults = read_workers(LIST)
+    assert not found_faults
     assert len(found) == 3
     assert found[0] == Worker(
         "disp-01.berceni.example.org", "10.0.0.4:8444", "10.1.0.4:9101", "10.0.0.4:9200", "berceni", "", "", 2.0
@@ -48,13 +48,13 @@
     assert found[1].failure_domain == ("pipera", "rack-2")
 
 
-def test_one_worker_host_under_two_spellings_is_one():
+def test_two_spellings_of_a_worker_host_are_one_host():
     twice = LIST.replace(
         "hosts:\n        disp-[06:07].pipera.example.org:",
         "hosts:\n        DISP-06.Pipera.example.org.: {}\n        disp-[06:07].pipera.example.org:",
     )
-    found, wrong = made(twice)
-    assert not wrong
+    found, found_faults = read_workers(twice)
+    assert not found_faults
     assert len(found) == 3
 
 
@@ -67,13 +67,13 @@
         ("a: {amqp_port: none of ours}", ""),
     ],
 )
-def test_faults_name_the_variable_and_what_is_wanted(row, fault):
+def test_faults_name_the_variable_and_its_valid_values(row, fault):
     found = faults("dispatch:\n  hosts:\n    " + row, group="dispatch", schema=SCHEMA)
     assert (fault in found[0]) if fault else found == []
 
 
 @pytest.mark.parametrize(
-    ("told", "fault"),
+    ("variables", "fault"),
     [
         ("{lapispick_ops: nowhere}", "'nowhere' is neither PORT nor HOST:PORT"),
         ("{lapispick_ops: 8443}", "a:8443 stands twice, first for a"),
@@ -81,49 +81,52 @@
         ("{lapispick_agent: 'b:8443'}", "b:8443 stands twice, first for a"),
     ],
 )
-def test_addresses_that_are_none_or_stand_twice_are_faults(told, fault):
-    _, wrong = made(f"dispatch:\n  hosts:\n    a: {told}\n    b: {{}}")
-    assert [f for f in map(str, wrong) if fault in f]
-    assert str(wrong[0]).startswith("f.yml:")
+def test_invalid_and_duplicate_addresses_are_faults(variables, fault):
+    _, found_faults = read_workers(f"dispatch:\n  hosts:\n    a: {variables}\n    b: {{}}")
+    assert [f for f in map(str, found_faults) if fault in f]
+    assert str(found_faults[0]).startswith("f.yml:")
 
 
 @pytest.fixture
-def at(tmp_path):
+def inventory_folder(tmp_path):
     (tmp_path / "list.yml").write_text(LIST)
     return tmp_path
 
 
-def run(*words):
-    done = CliRunner().invoke(cli, ["inventory", *map(str, words)])
-    return done.exit_code, done.output
+def run_inventory(*arguments):
+    result = CliRunner().invoke(cli, ["inventory", *map(str, arguments)])
+    return result.exit_code, result.output
 
 
-def test_the_commands_ask_each_group_for_its_own(at):
-    (at / "own.conf").write_text(
+def test_the_commands_check_each_group_against_its_own_schema(inventory_folder):
+    (inventory_folder / "own.conf").write_text(
         "section inventory\n path list.yml\n group shops\nend\nsection fleet\n"
         " group dispatch\nend\nsection amqp\n enabled yes\nend\n"
     )
-    conf_at = ("--conf", at / "own.conf")
-    assert run("check", *conf_at)[0] == 0  # the brokers' group, as the AMQP front is on
-    code, told = run("list", *conf_at, "--group", "dispatch", "--json")
+    conf_options = ("--conf", inventory_folder / "own.conf")
+    assert run_inventory("check", *conf_options)[0] == 0  # the brokers' group, as the AMQP front is on
+    code, output = run_inventory("list", *conf_options, "--group", "dispatch", "--json")
     assert code == 0
-    assert {b["vars"]["lapispick_zone"] for b in json.loads(told)} == {"pipera", "berceni"}
-    assert run("check", *conf_at, "--group", "pipera")[0] == 0  # nobody's: nothing is asked of its boxes
-    (at / "list.yml").write_text(LIST.replace("lapispick_weight: 2", "lapispick_weight: heavy"))
-    assert run("check", *conf_at)[0] == 0
-    assert run("check", *conf_at, "--group", "dispatch")[0] == 1
+    assert {entry["vars"]["lapispick_zone"] for entry in json.loads(output)} == {"pipera", "berceni"}
+    # No part of the program uses this group, so any variables are valid.
+    assert run_inventory("check", *conf_options, "--group", "pipera")[0] == 0
+    (inventory_folder / "list.yml").write_text(LIST.replace("lapispick_weight: 2", "lapispick_weight: heavy"))
+    assert run_inventory("check", *conf_options)[0] == 0
+    assert run_inventory("check", *conf_options, "--group", "dispatch")[0] == 1
 
 
-def test_a_list_of_worker_hosts_needs_no_queues(at):
-    assert run("check", "--path", at / "list.yml", "--group", "dispatch")[0] == 0
-    code, told = run("list", "--path", at / "list.yml", "--group", "dispatch")
+def test_a_list_of_worker_hosts_needs_no_queues(inventory_folder):
+    assert run_inventory("check", "--path", inventory_folder / "list.yml", "--group", "dispatch")[0] == 0
+    code, output = run_inventory("list", "--path", inventory_folder / "list.yml", "--group", "dispatch")
     assert code == 0
-    assert "disp-07.pipera.example.org" in told
-    (at / "own.conf").write_text("section inventory\n path list.yml\nend\nsection fleet\n group dispatch\nend\n")
-    (at / "list.yml").write_text(LIST.replace("lapispick_ops: 9100", "lapispick_ops: 8443"))
-    code, told = run("check", "--conf", at / "own.conf")  # the fleet's, as no front is on
+    assert "disp-07.pipera.example.org" in output
+    (inventory_folder / "own.conf").write_text(
+        "section inventory\n path list.yml\nend\nsection fleet\n group dispatch\nend\n"
+    )
+    (inventory_folder / "list.yml").write_text(LIST.replace("lapispick_ops: 9100", "lapispick_ops: 8443"))
+    code, output = run_inventory("check", "--conf", inventory_folder / "own.conf")  # the fleet's, as no front is on
     assert code == 1
-    assert "stands twice" in told
+    assert "stands twice" in output
 
 
 @pytest.mark.parametrize(
@@ -137,7 +140,7 @@
         ),
     ],
 )
-def test_the_section_is_checked_with_the_others(tmp_path, text, fault):
+def test_the_fleet_section_is_checked_against_the_others(tmp_path, text, fault):
     (tmp_path / "own.conf").write_text(text)
     with pytest.raises(InvalidFileError, match=fault):
         conf.parse(tmp_path / "own.conf")
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""What is off costs nothing: the platform's host does not import it, whatever it is asked."""
+"""The platform's host does not import what is off, whatever requests and calls it answers."""
 
 import os
 import re
@@ -12,9 +12,10 @@
 
 from lapispick.fakes.fleet import ROOT
 
-OFF = (
+OFF_BY_DEFAULT = (
     "lapispick.trace",
     "lapispick.host.recorder",
+    "lapispick.host.extended_metrics",
     "lapispick.fleet",
     "lapispick.host.amqp",
     "lapispick.host.inventory",
@@ -45,12 +46,13 @@
 )
 
 
-def imported(h):
+def imported_modules(h):
     return set(re.findall(r"^import time:[\s\d|]*?([\w.]+)$", h.log(), re.MULTILINE))
 
 
-def off(names):
-    return sorted(name for name in names for part in OFF if name == part or name.startswith(part + "."))
+def modules_that_are_off(names):
+    prefixes = tuple(f"{module}." for module in OFF_BY_DEFAULT)
+    return sorted(name for name in names if name in OFF_BY_DEFAULT or name.startswith(prefixes))
 
 
 def test_run_imports_nothing_that_is_off(host):
@@ -63,42 +65,46 @@
     h.reload()
     h.terminate()
     assert h.process.wait(6) == 0
-    names = imported(h)
+    names = imported_modules(h)
     assert {"lapispick.host.core", "lapispick.admission.controller", "greenlet"} <= names
-    assert off(names) == []
+    assert modules_that_are_off(names) == []
 
 
 @pytest.mark.parametrize(
-    ("conf", "wanted"), [("section trace\n enabled yes\n folder t\nend\n", "lapispick.host.recorder")]
+    ("conf", "module"),
+    [
+        ("section trace\n enabled yes\n folder t\nend\n", "lapispick.host.recorder"),
+        ("section figures\n enabled yes\nend\n", "lapispick.host.extended_metrics"),
+    ],
 )
-def test_what_is_on_is_seen_to_be_imported(host, tmp_path, conf, wanted):
+def test_the_check_sees_the_import_of_what_is_on(host, tmp_path, conf, module):
     (tmp_path / "own.conf").write_text(conf)
     h = host(environ={"PYTHONPROFILEIMPORTTIME": "1", "LAPISPICK_CONF": str(tmp_path / "own.conf")})
-    names = imported(h)
-    assert wanted in off(names)
-    # The host's own process needs the kinds of records only; all else of a trace is the writer's.
+    names = imported_modules(h)
+    assert module in modules_that_are_off(names)
+    # The host's process needs only the types of trace records; the rest belongs to the writer's process.
     assert not {"numpy", "google.protobuf", "zstandard"} & names
 
 
-IMPORT_MOST = 2.2  # times bare Python's memory: hosts get 32 MB and more, part of it for results and unread bytes
-RESIDENT = "print(int(open('/proc/self/statm').read().split()[1]))"
+MAX_IMPORT_MEMORY_RATIO = 2.2  # to bare Python's; hosts get 32 MB and more, part of it for results and unread bytes
+PRINT_RESIDENT_PAGES = "print(int(open('/proc/self/statm').read().split()[1]))"
 
 
-def test_the_hosts_import_stays_small_beside_bare_python(tmp_path):
-    """A ratio in one run: what a page of the system holds, and how Python was built, is in both.
+def test_the_hosts_import_memory_is_limited_relative_to_bare_python(tmp_path):
+    """A ratio within one run, since the page size and the build of Python affect both processes.
 
-    Neither process reads the environment's own start files (-S): an editable install leaves one that makes Python
-    itself a quarter larger, and the ratio smaller by as much.
+    Neither process reads the environment's site files (-S): an editable install leaves one that makes bare Python a
+    quarter larger, and the ratio smaller by as much.
     """
     path = os.pathsep.join([sysconfig.get_path("purelib"), sysconfig.get_path("platlib"), str(ROOT)])
     environ = {**os.environ, "PYTHONPYCACHEPREFIX": str(tmp_path), "PYTHONDONTWRITEBYTECODE": "", "PYTHONPATH": path}
 
-    def pages(text):
-        command = [sys.executable, "-S", "-c", f"{text}\n{RESIDENT}"]
+    def resident_pages(code):
+        command = [sys.executable, "-S", "-c", f"{code}\n{PRINT_RESIDENT_PAGES}"]
         return int(subprocess.run(command, env=environ, capture_output=True, check=True).stdout)
 
-    pages("import lapispick.host.__main__")  # the first one compiles and leaves the bytecode for the next
-    bare = statistics.median(pages("") for _ in range(5))
-    host = statistics.median(pages("import lapispick.host.__main__") for _ in range(5))
+    resident_pages("import lapispick.host.__main__")  # the first one compiles and leaves the bytecode for the next
+    bare = statistics.median(resident_pages("") for _ in range(5))
+    host = statistics.median(resident_pages("import lapispick.host.__main__") for _ in range(5))
     print(f"{host / bare:.2f} times bare Python")
-    assert host < IMPORT_MOST * bare
+    assert host < MAX_IMPORT_MEMORY_RATIO * bare
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -1,4 +1,4 @@
-"""The operators' address, the figures and the drain by call."""
+"""The operators' address, the metrics and the drain by call."""
 
 import contextlib
 import itertools
@@ -21,17 +21,17 @@
 from lapispick.host import config
 from lapispick.host.health import HealthState
 
-REFUSED = -32050
+REJECTED_CODE = -32050
 
 
 def test_each_call_is_answered_and_anything_else_is_an_error(host):
     h = host()
     assert h.call_operators(b"check") == ["OK"]
     assert h.call_operators(b"check\r") == ["OK"]
-    for odd in (b"", b"CHECK", b"vars all", b"\xff\xfe", b"x" * 5000):
-        (answer,) = h.call_operators(odd)
-        assert answer.startswith("ERR "), odd
-        assert len(answer) > 10, odd
+    for invalid_call in (b"", b"CHECK", b"vars all", b"\xff\xfe", b"x" * 5000):
+        (answer,) = h.call_operators(invalid_call)
+        assert answer.startswith("ERR "), invalid_call
+        assert len(answer) > 10, invalid_call
     with socket.create_connection(h.ops.split(":"), timeout=5) as sock:
         sock.sendall(b"che")
         sock.shutdown(socket.SHUT_WR)
@@ -59,24 +59,24 @@
     h = host()
     name, port = h.ops.split(":")
     began = time.monotonic()
-    crowd = [socket.create_connection((name, int(port))) for _ in range(40)]
-    for each in crowd[::2]:
+    callers = [socket.create_connection((name, int(port))) for _ in range(40)]
+    for caller in callers[::2]:
         with contextlib.suppress(OSError):
-            each.sendall(b"va")
+            caller.sendall(b"va")
     assert h.call_operators() == ["OK"]
     assert h.metrics()["inflight"] == 0
     assert time.monotonic() - began < 1
     assert len(os.listdir(f"/proc/{h.process.pid}/fd")) < 30  # 8 of them at most, of 256 descriptors
-    for each in crowd:
-        each.settimeout(3.5)
+    for caller in callers:
+        caller.settimeout(3.5)
         with contextlib.suppress(ConnectionError):
-            assert not each.recv(10)
+            assert not caller.recv(10)
     assert time.monotonic() - began < 4
 
 
 def test_calls_are_answered_within_a_second_under_a_flood(host):
     h = host(executor=Executor(work_s=0.004))
-    stop, floods = threading.Event(), []
+    stop = threading.Event()
 
     def flood():
         g = h.gateway()
@@ -87,8 +87,8 @@
                 g = h.gateway()
 
     floods = [threading.Thread(target=flood) for _ in range(8)]
-    for each in floods:
-        each.start()
+    for thread in floods:
+        thread.start()
     try:
         worst = 0.0
         for _ in range(40):
@@ -99,17 +99,21 @@
         assert worst < 1
     finally:
         stop.set()
-        for each in floods:
-            each.join()
+        for thread in floods:
+            thread.join()
 
 
 def test_metrics_agree_with_the_fake_peers_through_a_seeded_mix(host):
     seed = 20261201
     print("seed", seed)
-    rng, h = random.Random(seed), host(executor=Executor(work_s=0.002))
+    rng = random.Random(seed)
+    h = host(executor=Executor(work_s=0.002))
     assert set(h.metrics().values()) == {0}
-    g, keys, sent, gone = h.gateway(), [uuid.UUID(int=i).hex for i in range(6)], {}, set()
-    for turn in range(300):
+    g = h.gateway()
+    keys = [uuid.UUID(int=i).hex for i in range(6)]
+    sent = {}
+    cancelled = set()
+    for step in range(300):
         class_name = rng.choice(["track", "book"])
         key = rng.choice(keys) if class_name == "book" else None
         body = f"keyed {key}" if key else rng.choice(["x", "error", "call:200", "call:500", "late"])
@@ -118,32 +122,32 @@
             g.request(class_name, body, key, born=time.time() * 1000 - (5 if body == "late" else 0), patience=patience)
         ] = class_name
         if rng.random() < 0.05:
-            gone.add(g.last_id)
+            cancelled.add(g.last_id)
             g.cancel(g.last_id)
-        if turn % 100 == 50:
+        if step % 100 == 50:
             h.executor.disconnect()
-        elif turn % 100 == 70:
+        elif step % 100 == 70:
             h.call_operators(rng.choice([b"drain-on", b"drain-off"]))
-        elif turn % 100 == 80:
+        elif step % 100 == 80:
             for peer in (h.executor, h.store, h.registry):
                 peer.relocate()
             h.reload()
-        if turn % 30 == 29:  # under the 32 that may be open
+        if step % 30 == 29:  # under the 32 that may be open
             for n in sent:
                 g.answer(n)
     counts = dict.fromkeys(itertools.product(("success", "busy", "failure"), ("track", "book")), 0)
     for n, class_name in sent.items():
         answer = g.answer(n)
-        kind = "success" if "result" in answer else "busy" if answer["error"]["code"] == REFUSED else "failure"
-        counts[kind, class_name] += n not in gone or kind == "failure"  # given up: an answer says so, and is counted
-    figures = h.metrics()
+        kind = "success" if "result" in answer else "busy" if answer["error"]["code"] == REJECTED_CODE else "failure"
+        counts[kind, class_name] += n not in cancelled or kind == "failure"  # an answer that says so is counted
+    metrics = h.metrics()
     for (kind, class_name), count in counts.items():
-        assert 0 <= figures[f"{kind}.{class_name}"] - count <= len(gone) * (kind != "failure"), (kind, class_name)
+        assert 0 <= metrics[f"{kind}.{class_name}"] - count <= len(cancelled) * (kind != "failure"), (kind, class_name)
     assert counts["success", "track"] > 50
     assert counts["failure", "track"] > 10
     # Starts that were lost with a link are sent again: the host handed over each run once.
-    assert figures["backend_calls"] == len({c["task"] for c in h.executor.commands if c["verb"] == "EXEC"})
-    assert figures["inflight"] == 0
+    assert metrics["backend_calls"] == len({c["task"] for c in h.executor.commands if c["verb"] == "EXEC"})
+    assert metrics["inflight"] == 0
 
 
 def test_inflight_counts_requests_received_and_not_answered(host):
@@ -163,9 +167,9 @@
     h = host()
     g = h.gateway()
     for _ in range(3):
-        for word, good in ((b"drain-on", False), (b"drain-on", False), (b"drain-off", True), (b"drain-off", True)):
-            assert h.call_operators(word) == ["OK"]
-            assert g.answer(g.send("probe"))["result"]["healthy"] is good
+        for call, healthy in ((b"drain-on", False), (b"drain-on", False), (b"drain-off", True), (b"drain-off", True)):
+            assert h.call_operators(call) == ["OK"]
+            assert g.answer(g.send("probe"))["result"]["healthy"] is healthy
             assert g.result(g.request("track", "still")) == "did still"
             assert h.call_operators() == ["OK"]
     h.call_operators(b"drain-on")
@@ -179,7 +183,7 @@
 def test_sigterm_while_draining_is_an_ordinary_shutdown(host):
     h = host(stop_ms=2500)
     g = h.gateway()
-    held = g.request("track", "hold", patience=9000)
+    running = g.request("track", "hold", patience=9000)
     wait_until(lambda: h.executor.runs, "the run")
     h.call_operators(b"drain-on")
     h.terminate()
@@ -188,7 +192,7 @@
     assert h.call_operators(b"drain-off") == ["OK"]
     assert g.answer(g.send("probe"))["result"]["healthy"] is False
     h.executor.end_run(h.executor.runs[0].task)
-    assert g.result(held) == "done"
+    assert g.result(running) == "done"
     assert h.process.wait(5) == 0
 
 
@@ -206,25 +210,26 @@
     base = make_start_settings(listen="127.0.0.1:1")
     path = tmp_path / "config.json"
     path.write_text(json.dumps(base))
-    told = {"LB_CONFIG": str(path)}
-    assert config.load(told).ops == ""
-    assert config.load({**told, "LB_OPS": "127.0.0.1:9"}).ops == "127.0.0.1:9"
+    environ = {"LB_CONFIG": str(path)}
+    assert config.load(environ).ops == ""
+    assert config.load({**environ, "LB_OPS": "127.0.0.1:9"}).ops == "127.0.0.1:9"
     path.write_text(json.dumps({**base, "ops": "127.0.0.1:8"}))
-    assert config.load(told).ops == "127.0.0.1:8"
-    assert config.load({**told, "LB_OPS": "127.0.0.1:9"}).ops == "127.0.0.1:9"
+    assert config.load(environ).ops == "127.0.0.1:8"
+    assert config.load({**environ, "LB_OPS": "127.0.0.1:9"}).ops == "127.0.0.1:9"
     with pytest.raises(config.ConfigError, match=r"^LB_OPS"):
-        config.load({**told, "LB_OPS": "here"})
+        config.load({**environ, "LB_OPS": "here"})
     path.write_text(json.dumps({**base, "ops": "here"}))
     with pytest.raises(config.ConfigError, match=r"^ops"):
-        config.load(told)
+        config.load(environ)
 
 
 def test_the_command_line_calls_a_host_and_reports_the_outcome(host, tmp_path, monkeypatch):
-    runner, h = CliRunner(), host()
+    runner = CliRunner()
+    h = host()
 
-    def lapispick(*words):
-        done = runner.invoke(cli, ["ops", *words])
-        return done.exit_code, done.output
+    def lapispick(*arguments):
+        result = runner.invoke(cli, ["ops", *arguments])
+        return result.exit_code, result.output
 
     assert lapispick("check", "--at", h.ops) == (0, "OK\n")
     monkeypatch.setenv("LB_OPS", h.ops)
@@ -270,35 +275,35 @@
     assert found["generation.abc"] == 1
 
 
-def wide(tmp_path):
-    """Return the environment of a host with the further figures."""
+def extended_metrics_environ(tmp_path):
+    """Return the environment of a host with extended metrics."""
     (tmp_path / "own.conf").write_text("section figures\n enabled yes\nend\n")
     return {"LAPISPICK_CONF": str(tmp_path / "own.conf")}
 
 
 def test_a_request_that_arrived_after_its_deadline_counts_as_no_broken_rule(host, tmp_path):
-    """Senders may be held up between a request's ``born`` and its last byte; a rollout must not go back for that."""
-    h = host(environ=wide(tmp_path))
+    """Senders may be delayed between ``born`` and a request's last byte; a rollout must not undo a change for that."""
+    h = host(environ=extended_metrics_environ(tmp_path))
     g = h.gateway()
-    for class_name, told in (("track", {"patience": 500}), ("book", {"nonce": uuid.uuid4().hex})):
-        number = g.request(class_name, "late", born=time.time() * 1000 - 900, **{"patience": 300, **told})
-        assert g.error_code(number) == REFUSED
+    for class_name, params in (("track", {"patience": 500}), ("book", {"nonce": uuid.uuid4().hex})):
+        number = g.request(class_name, "late", born=time.time() * 1000 - 900, **{"patience": 300, **params})
+        assert g.error_code(number) == REJECTED_CODE
     assert h.metrics()["broken"] == 0
     assert not h.executor.runs_of("late")
 
 
-@pytest.mark.parametrize("told", [True, False])
-def test_a_late_answer_to_a_request_read_in_time_counts_as_a_broken_rule(host, tmp_path, told):
-    """The due time is the caller's where it is told, else the class's."""
+@pytest.mark.parametrize("sends_deadline", [True, False])
+def test_a_late_answer_to_a_request_read_in_time_counts_as_a_broken_rule(host, tmp_path, sends_deadline):
+    """The deadline is the caller's where it sends one, else that of the class."""
     info = json.loads(json.dumps(PLATFORM_INFO))
-    info["FamilyInfo"]["PassesDeadline"] = told
-    info["Services"][0].update(GiveUp=4800.0 if told else 300.0, Promise=250.0)
-    h = host(environ=wide(tmp_path), info=info)
+    info["FamilyInfo"]["PassesDeadline"] = sends_deadline
+    info["Services"][0].update(GiveUp=4800.0 if sends_deadline else 300.0, Promise=250.0)
+    h = host(environ=extended_metrics_environ(tmp_path), info=info)
     g = h.gateway()
-    number = g.request("track", "hold", patience=300 if told else None)
+    number = g.request("track", "hold", patience=300 if sends_deadline else None)
     wait_until(lambda: h.executor.runs_of("hold"), "the run")
     with h.suspended():
         late = time.monotonic() + 0.5
-        wait_until(lambda: time.monotonic() > late, "its due time and the slack")
-    assert g.answer(number)["error"]["code"] != REFUSED
+        wait_until(lambda: time.monotonic() > late, "its deadline and the slack")
+    assert g.answer(number)["error"]["code"] != REJECTED_CODE
     assert h.metrics()["broken"] == 1
--- a/tests/test_paused_runs.py
+++ b/tests/test_paused_runs.py
@@ -1,4 +1,4 @@
-"""Runs that are paused where they crowd the cores as they come back from calls, and taken up again (``WAKE``)."""
+"""Runs that overload the cores when they return from calls are paused, and resumed later (``WAKE``)."""
 
 import json
 import threading
@@ -22,23 +22,26 @@
 from lapispick.fakes.waiting import wait_until
 
 FAILED = -32000
-COUNT = 12  # runs that come back at once, on two cores with two slots
+RUN_COUNT = 12  # of runs that return at once, on two cores with two slots
 TRACK, BOOK = "track", "book"
 
 
-def settings():
+def pause_settings():
     info = json.loads(json.dumps(PLATFORM_INFO))
     info["FamilyInfo"].update(Halt="pause", CallsOut=50.0, ClassSkipWorth=[0.0, 0.0])
-    info["Guarantees"]["FallMultiple"] = 2.0  # the slots stay two
+    info["Guarantees"]["FallMultiple"] = 2.0  # there are two slots all the time
     info["Services"][0].update(Promise=4700.0)
     return info
 
 
-class Pausing(Executor):
-    """Keeps a run that is stopped on its cores until it is woken; knows which are at a call, on a core and paused."""
+class PausingExecutor(Executor):
+    """Pauses runs that are cancelled on a core; knows which are at a call, on a core and paused."""
 
     def __init__(self):
-        self.at_call, self.on_core, self.paused, self.ends = set(), set(), set(), False
+        self.at_call = set()
+        self.on_core = set()
+        self.paused = set()
+        self.completes_on_cancel = False
         super().__init__()
 
     def on_exec(self, connection, command):
@@ -53,8 +56,8 @@
         task = command["task"]
         if task not in self.on_core:
             return None
-        if self.ends:
-            return self.done(task)
+        if self.completes_on_cancel:
+            return self.complete(task)
         self.on_core.remove(task)
         self.paused.add(task)
         return self.send_notice(verb="EXIT", task=task, outcome="cancelled", spent=5.0, bytes="")
@@ -65,17 +68,17 @@
         self.paused.remove(command["task"])
         return self.on_core.add(command["task"])
 
-    def done(self, task):
+    def complete(self, task):
         with self.lock:
             self.on_core.remove(task)
             self.end_run(task)
 
-    def orders(self, verb):
+    def commanded_tasks(self, verb):
         return [c["task"] for c in list(self.commands) if c["verb"] == verb]
 
 
-class Gated(Store):
-    """Answers no call before its gate is open."""
+class GatedStore(Store):
+    """Replies to calls only once its gate is open."""
 
     def __init__(self):
         self.gate = threading.Event()
@@ -88,163 +91,165 @@
 
 
 @pytest.fixture
-def crowd(host):
-    """Return a host whose runs have all come back from their calls at once, and the requests; of one class."""
+def start_overload(host):
+    """Return a function that makes all runs of a host return from their calls at once, for requests of one class."""
 
-    def made(class_name=TRACK, ends=False, stop_ms=6000, **over):
-        h = host(executor=Pausing(), store=Gated(), info=settings(), stop_ms=stop_ms)
-        h.executor.ends = ends
+    def start(class_name=TRACK, completes_on_cancel=False, stop_ms=6000, **params):
+        h = host(executor=PausingExecutor(), store=GatedStore(), info=pause_settings(), stop_ms=stop_ms)
+        h.executor.completes_on_cancel = completes_on_cancel
         g = h.gateway()
         numbers = []
-        for n in range(COUNT):
-            numbers.append(g.request(class_name, "stay:x", f"{n:032x}" if class_name == BOOK else None, **over))
-            wait_until(lambda n=n: len(h.executor.at_call) > n, "that it is at its call")
-        with h.suspended():  # all replies are there when it goes on
+        for n in range(RUN_COUNT):
+            numbers.append(g.request(class_name, "stay:x", f"{n:032x}" if class_name == BOOK else None, **params))
+            wait_until(lambda n=n: len(h.executor.at_call) > n, "its call")
+        with h.suspended():  # all replies have arrived when it continues
             h.store.gate.set()
         return h, g, numbers
 
-    return made
+    return start
 
 
-def settled(h):
-    """Wait until all runs are back and as many are paused as is meant to be."""
-    wait_until(lambda: not h.executor.at_call and len(h.executor.on_core) == 2, "that the others are paused")
-    assert len(h.executor.paused) == COUNT - 2
+def wait_until_paused(h):
+    """Wait until all runs have returned and all but two are paused."""
+    wait_until(lambda: not h.executor.at_call and len(h.executor.on_core) == 2, "the pause of the others")
+    assert len(h.executor.paused) == RUN_COUNT - 2
 
 
-def test_runs_that_overload_the_cores_are_paused_and_resumed_one_by_one(crowd):
-    h, g, numbers = crowd()
-    settled(h)
-    waits = g.request(TRACK, "plain")  # it was not begun before: those that were go on first
-    for _ in range(COUNT):
+def test_runs_that_overload_the_cores_are_paused_and_resumed_one_by_one(start_overload):
+    h, g, numbers = start_overload()
+    wait_until_paused(h)
+    queued = g.request(TRACK, "plain")  # runs that were started before are resumed first
+    for _ in range(RUN_COUNT):
         wait_until(lambda: h.executor.on_core, "a run on a core")
-        h.executor.done(min(h.executor.on_core))
-    assert [g.result(n) for n in numbers] == ["done"] * COUNT
-    wait_until(lambda: h.executor.runs_of("plain"), "the one that waited")
+        h.executor.complete(min(h.executor.on_core))
+    assert [g.result(n) for n in numbers] == ["done"] * RUN_COUNT
+    wait_until(lambda: h.executor.runs_of("plain"), "the run of the queued request")
     assert g.answer(g.send("probe"))["result"]["healthy"]
     assert not h.executor.paused
-    woken, begun = h.executor.orders("WAKE"), h.executor.orders("EXEC")
-    assert len(set(woken)) == COUNT - 2
-    assert len(begun) == len(set(begun)) == COUNT + 1
-    assert waits not in g.answers or "result" in g.answers[waits]
+    resumed, started = h.executor.commanded_tasks("WAKE"), h.executor.commanded_tasks("EXEC")
+    assert len(set(resumed)) == RUN_COUNT - 2
+    assert len(started) == len(set(started)) == RUN_COUNT + 1
+    assert queued not in g.answers or "result" in g.answers[queued]
 
 
-def test_a_pause_that_races_with_the_end_gives_the_result_and_resumes_nothing(crowd):
-    h, g, numbers = crowd(ends=True)  # each run that is told to pause ends in that instant
-    wait_until(lambda: not h.executor.at_call and len(h.executor.on_core) <= 2, "the ends")
+def test_a_pause_that_races_with_the_end_gives_the_result_and_resumes_nothing(start_overload):
+    h, g, numbers = start_overload(completes_on_cancel=True)
+    wait_until(lambda: not h.executor.at_call and len(h.executor.on_core) <= 2, "the end of the others")
     for task in list(h.executor.on_core):
-        h.executor.done(task)
-    assert [g.result(n) for n in numbers] == ["done"] * COUNT
-    assert h.executor.orders("KILL")
-    assert not h.executor.orders("WAKE")
+        h.executor.complete(task)
+    assert [g.result(n) for n in numbers] == ["done"] * RUN_COUNT
+    assert h.executor.commanded_tasks("KILL")
+    assert not h.executor.commanded_tasks("WAKE")
 
 
-def test_a_paused_run_that_is_cancelled_or_due_is_answered_and_never_resumed(crowd):
-    h, g, numbers = crowd()
-    settled(h)
-    with h.suspended():  # all are given up in one instant
+def test_a_paused_run_whose_request_is_cancelled_or_past_its_deadline_is_never_resumed(start_overload):
+    h, g, numbers = start_overload()
+    wait_until_paused(h)
+    with h.suspended():  # all cancellations arrive at once
         for number in numbers:
             g.cancel(number)
     assert {g.error_code(n) for n in numbers} == {FAILED}
-    wait_until(lambda: not h.executor.on_core, "that the two on the cores are stopped")
-    late = [g.request(TRACK, "stay:x", patience=1500) for _ in range(3)]  # their slots are free again
-    wait_until(lambda: len(h.executor.on_core) == 2 and len(h.executor.paused) > COUNT, "that one of three is paused")
-    assert {g.error_code(n) for n in late} == {FAILED}  # by their due time
-    wait_until(lambda: h.metrics()["inflight"] == 0, "that nothing is owed")
-    tallies = h.log().count("event=request-totals")
-    wait_until(lambda: h.log().count("event=request-totals") > tallies, "the next tally")
-    assert "in_flight=0" in h.log().split("event=request-totals")[-1]  # nothing is kept of them
-    assert not h.executor.orders("WAKE")
-
-
-def test_a_shutdown_answers_paused_runs_before_the_stop(crowd):
-    h, g, numbers = crowd(stop_ms=2500)
-    settled(h)
+    wait_until(lambda: not h.executor.on_core, "the end of the two on the cores")
+    late = [g.request(TRACK, "stay:x", patience=1500) for _ in range(3)]  # the slots are free again
+    wait_until(
+        lambda: len(h.executor.on_core) == 2 and len(h.executor.paused) > RUN_COUNT, "the pause of one of the three"
+    )
+    assert {g.error_code(n) for n in late} == {FAILED}  # at their deadline
+    wait_until(lambda: h.metrics()["inflight"] == 0, "the last answer")
+    line_count = h.log().count("event=request-totals")
+    wait_until(lambda: h.log().count("event=request-totals") > line_count, "the next totals")
+    assert "in_flight=0" in h.log().split("event=request-totals")[-1]  # none of them is retained
+    assert not h.executor.commanded_tasks("WAKE")
+
+
+def test_a_shutdown_answers_paused_runs_before_the_stop(start_overload):
+    h, g, numbers = start_overload(stop_ms=2500)
+    wait_until_paused(h)
     began = time.monotonic()
     h.terminate()
     for _ in range(4):
         wait_until(lambda: h.executor.on_core, "a run on a core")
-        h.executor.done(min(h.executor.on_core))
+        h.executor.complete(min(h.executor.on_core))
     answers = [g.answer(n) for n in numbers]
     assert sum("result" in a for a in answers) == 4
-    assert all(a["error"]["code"] == FAILED for a in answers if "error" in a)  # they ran: none is refused
+    assert all(a["error"]["code"] == FAILED for a in answers if "error" in a)  # they were executed, so none is rejected
     assert h.process.wait(5) == 0
     assert time.monotonic() - began < 5
 
 
-def test_a_resume_lost_with_a_link_is_sent_again(crowd):
-    h, g, numbers = crowd()
-    settled(h)
+def test_a_resume_lost_with_a_link_is_sent_again(start_overload):
+    h, g, numbers = start_overload()
+    wait_until_paused(h)
     with h.executor.lock:
         ended = min(h.executor.on_core)
-        h.executor.done(ended)
-        h.executor.ignores_commands = True  # what it is told from now on goes with the link
-    wait_until(lambda: "WAKE" in h.executor.received_verbs, "the order to go on")
+        h.executor.complete(ended)
+        h.executor.ignores_commands = True  # commands are lost from here on
+    wait_until(lambda: "WAKE" in h.executor.received_verbs, "the command to resume")
     with h.executor.lock:
         h.executor.disconnect()
         h.executor.ignores_commands = False
-    wait_until(lambda: len(h.executor.on_core) == 2, "that it goes on")
-    for _ in range(COUNT - 1):
+    wait_until(lambda: len(h.executor.on_core) == 2, "the resumed run")
+    for _ in range(RUN_COUNT - 1):
         wait_until(lambda: h.executor.on_core, "a run on a core")
-        h.executor.done(min(h.executor.on_core))
-    assert [g.result(n) for n in numbers] == ["done"] * COUNT
-    assert len(h.executor.orders("EXEC")) == COUNT  # none is begun again
+        h.executor.complete(min(h.executor.on_core))
+    assert [g.result(n) for n in numbers] == ["done"] * RUN_COUNT
+    assert len(h.executor.commanded_tasks("EXEC")) == RUN_COUNT  # none is started again
 
 
-def test_a_run_that_is_not_idempotent_is_never_paused(crowd):
-    h, g, numbers = crowd(class_name=BOOK)
-    wait_until(lambda: len(h.executor.on_core) == COUNT, "all are back")
+def test_a_run_that_is_not_idempotent_is_never_paused(start_overload):
+    h, g, numbers = start_overload(class_name=BOOK)
+    wait_until(lambda: len(h.executor.on_core) == RUN_COUNT, "the return of all runs")
     for task in list(h.executor.on_core):
-        h.executor.done(task)
-    assert [g.result(n) for n in numbers] == ["done"] * COUNT
-    assert not h.executor.orders("KILL")
+        h.executor.complete(task)
+    assert [g.result(n) for n in numbers] == ["done"] * RUN_COUNT
+    assert not h.executor.commanded_tasks("KILL")
 
 
 def test_paused_run_keeps_its_memory_and_frees_its_slot(make_harness):
     harness = make_harness(cancel_mode=CancelMode.PAUSE, overload_runs_per_core=2, call_quota=50)
-    harness.tick(1000)  # the limit comes down to its ceiling
+    harness.tick(1000)  # the limit falls to its maximum
     ids = []
     for _ in range(6):
         harness.step(request := harness.request())
         ids.append(request.id)
         harness.step(CallRequested(request.id))
-    held = harness.state.memory.used_kb
+    used_kb = harness.state.memory.used_kb
     harness.step(*(CallCompleted(i, Outcome.OK, 20.0) for i in ids))
-    told = [a.id for a in harness.actions_of(CancelRun)]
-    assert len(told) == 4
+    paused = [a.id for a in harness.actions_of(CancelRun)]
+    assert len(paused) == 4
     assert harness.state.running == 6
-    harness.step(*(RunCompleted(i, Outcome.CANCELLED, 5.0) for i in told))
+    harness.step(*(RunCompleted(i, Outcome.CANCELLED, 5.0) for i in paused))
     assert harness.state.running == 2
-    assert harness.state.memory.used_kb == held
-    harness.step(ClientCancelled(told[0]))
-    assert harness.state.memory.used_kb == held * 5 / 6
-    assert not [a for a in harness.actions_of(StartRun, told[0])][1:]
-    rest = [i for i in ids if i not in told]
-    harness.step(RunCompleted(rest[0], Outcome.OK, 30.0))
-    woken = [i for i in told if len(harness.actions_of(StartRun, i)) == 2]
-    assert len(woken) == 1
+    assert harness.state.memory.used_kb == used_kb
+    harness.step(ClientCancelled(paused[0]))
+    assert harness.state.memory.used_kb == used_kb * 5 / 6
+    assert not [a for a in harness.actions_of(StartRun, paused[0])][1:]
+    others = [i for i in ids if i not in paused]
+    harness.step(RunCompleted(others[0], Outcome.OK, 30.0))
+    resumed = [i for i in paused if len(harness.actions_of(StartRun, i)) == 2]
+    assert len(resumed) == 1
     assert harness.state.running == 2
-    harness.step(CallRequested(woken[0]))  # it goes on as any other
+    harness.step(CallRequested(resumed[0]))  # it continues like any other
     assert harness.state.running == 2
-    assert sum(len(harness.actions_of(StartRun, i)) == 2 for i in told) == 2
+    assert sum(len(harness.actions_of(StartRun, i)) == 2 for i in paused) == 2
 
 
-def test_a_resume_that_the_executor_rejects_fails_its_request_and_frees_its_slot(crowd):
-    h, g, numbers = crowd()
-    settled(h)
+def test_a_resume_that_the_executor_rejects_fails_its_request_and_frees_its_slot(start_overload):
+    h, g, numbers = start_overload()
+    wait_until_paused(h)
     with h.executor.lock:
-        h.executor.paused.clear()  # it knows of none of them any more
+        h.executor.paused.clear()  # it does not know the paused runs any more
         for task in list(h.executor.on_core):
-            h.executor.done(task)
-    answers = [g.answer(n) for n in numbers]  # long before they are due: each is woken in its turn
+            h.executor.complete(task)
+    answers = [g.answer(n) for n in numbers]  # long before their deadline: each is resumed when its slot is free
     assert sum("result" in a for a in answers) == 2
     assert {a["error"]["code"] for a in answers if "error" in a} == {FAILED}
     assert h.metrics()["inflight"] == 0
-    assert h.log().count("command=WAKE") == COUNT - 2
+    assert h.log().count("command=WAKE") == RUN_COUNT - 2
 
 
-def test_late_reading_pauses_no_run(make_harness):
-    """One core, and a request that lay unread: it halves what is begun until the next one, which may never come."""
+def test_a_request_that_is_read_late_pauses_no_run(make_harness):
+    """A request that was unread for long halves the runs that may start until the next one, which may never come."""
     harness = make_harness(cancel_mode=CancelMode.PAUSE, cores=1)
     harness.step(request := harness.request())
     harness.tick(2000)
