--- a/lapispick/conf/checks.py
+++ b/lapispick/conf/checks.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Iterator, Mapping
 from pathlib import Path
-from typing import NamedTuple
+
+import msgspec
 
 from lapispick.conf.sections import AgentSettings, Settings
 from lapispick.file_errors import FaultCollector, SourceLocation
@@ -15,7 +16,7 @@
 AGENT_SLOTS = 2  # a process and the next one
 
 
-class _Problem(NamedTuple):
+class _Problem(msgspec.Struct, frozen=True):
     """What is wrong with a directive."""
 
     directive: str
--- a/lapispick/conf/settings.py
+++ b/lapispick/conf/settings.py
@@ -5,7 +5,7 @@
 import os
 from collections.abc import Mapping
 from pathlib import Path, PurePath
-from typing import Any, NamedTuple, get_type_hints
+from typing import Any, get_type_hints
 
 import msgspec
 
@@ -23,7 +23,7 @@
 _COMMENT_COLUMN = 44  # of the description behind each directive that is written
 
 
-class DirectiveField(NamedTuple):
+class DirectiveField(msgspec.Struct, frozen=True):
     """The field that holds a directive's value, and what the directive takes."""
 
     name: str
