--- a/lapispick/host/shutdown.py
+++ b/lapispick/host/shutdown.py
@@ -14,7 +14,7 @@
     from lapispick.host.config import Config
     from lapispick.host.core import Core
     from lapispick.host.handover.service import Handover
-    from lapispick.host.jsonrpc.front import Gateways
+    from lapispick.host.jsonrpc.front import JsonRpcFront
     from lapispick.host.members.service import MembersService
     from lapispick.host.recorder import Recorder
     from lapispick.host.scheduler import EventLoop
@@ -40,7 +40,7 @@
         loop: EventLoop,
         config: Config,
         core: Core,
-        gateways: Gateways,
+        gateways: JsonRpcFront,
         members: MembersService | None,
         handover: Handover | None,
         recorder: Recorder | None,
@@ -95,17 +95,17 @@
         """Tell whether all that was received is read and answered, and the answers handed to the operating system."""
         return (
             self._core.owed == 0
-            and self._gateways.quiet()
-            and all(front.flushed() for front in self._core.peers.fronts)
+            and self._gateways.is_idle()
+            and all(front.is_flushed() for front in self._core.peers.fronts)
         )
 
     def _end(self, stop_at: float) -> None:
         """Close connections, the link to the other process and the trace, in this order, and stop the loop."""
         # Nothing is read from here on: it would be lost, or run after the last message to the other process. Clients
         # still receive what is on its way, which a process that ends with unread bytes would reset.
-        self._gateways.finish()
+        self._gateways.close_connections()
         close_by = min(stop_at - CLIENT_CLOSE_MARGIN_S, time.monotonic() + GRACEFUL_CLOSE_S)
-        while time.monotonic() < close_by and not self._gateways.gone():
+        while time.monotonic() < close_by and not self._gateways.all_closed():
             self._loop.sleep(CLIENT_CLOSE_POLL_S)
         if self._handover is not None:
             self._handover.finish()
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -50,7 +50,9 @@
 from lapispick.trace import helper as trace_writer
 from lapispick.trace import lines as trace_text
 from lapispick.trace import record_types as trace_kinds
-from lapispick.trace import records as trace_records
+from lapispick.trace import schema as trace_schema
+from lapispick.trace.block_reader import decode_block
+from lapispick.trace.block_writer import encode_block
 from lapispick.trace.text_names import outcome_name
 
 ROOT = Path(__file__).parent.parent
@@ -235,14 +237,15 @@
 def platform_answers():
     """Talk to one connection and return what it writes, by occasion."""
     info = msgspec.convert(start_settings(), platform_settings.StartSettings)
-    gateways = SimpleNamespace(
-        classes={"book": 0},
-        settings=platform_settings.admission_settings(info),
+    context = jsonrpc_connection.ConnectionContext(
+        loop=FakeLoop(),
+        post=None,
+        backpressure=lambda: 2.5,
+        class_indexes={"book": 0},
+        classes=platform_settings.admission_settings(info).classes,
         tenants={"acme"},
         needs_timeout=True,
-        advice=lambda: 2.5,
-        loop=FakeLoop(),
-        closed=lambda connection: None,
+        on_closed=lambda connection: None,
     )
     found = {}
 
@@ -262,8 +265,8 @@
         }
         line = {"jsonrpc": "2.0", "id": 5, "method": method, "params": params, **message}
         posted, stream = [], FakeStream(json.dumps(line).encode())
-        gateways.post = posted.append
-        connection = jsonrpc_connection.Connection(gateways, stream)
+        context.post = posted.append
+        connection = jsonrpc_connection.Connection(context, stream)
         connection.serve()
         act(connection, posted[0])
         found[occasion] = objects(stream.written)
@@ -276,9 +279,9 @@
     talk("refused", "book", answer(AnswerKind.REJECTED, None, 20.0, True, 1.5))
     talk("fault of the peer", "book", answer(AnswerKind.FAILED, None, 0.0, False, 1.5, "a fault"))
     talk("health", "probe", lambda connection, item: item.reply(True, 1.5), params={"thorough": True})
-    talk("leave", "probe", lambda connection, item: connection.goaway())
+    talk("leave", "probe", lambda connection, item: connection.send_goaway())
     give_up = json.dumps({"jsonrpc": "2.0", "method": "giveUp", "params": {"id": 5}}).encode()
-    talk("given up", "book", lambda connection, item: connection._take(give_up))
+    talk("given up", "book", lambda connection, item: connection._on_line(give_up))
     return found
 
 
@@ -409,19 +412,19 @@
     found = {}
     for part, kinds in parts.items():
         for kind in kinds:
-            record = kind(*(examples[annotation] for _, annotation in trace_records.FIELDS[kind]))
+            record = kind(*(examples[annotation] for _, annotation in trace_schema.RECORD_FIELDS[kind]))
             step = trace_kinds.Step(1.5, **{part: (record,)})
-            line = trace_text.step_line(step, "n3")
-            assert trace_text.read_step(line, 1) == step
-            assert list(trace_records.unpack(b"".join(trace_records.pack([step])))) == [step]
-            found[str(trace_kinds.NUMBERS[kind])] = [part, *map(list, json.loads(line)[part][0].items())]
+            line = trace_text.encode_step(step, "n3")
+            assert trace_text.decode_step(line, 1) == step
+            assert decode_block(b"".join(encode_block([step]))) == [step]
+            found[str(trace_kinds.RECORD_NUMBERS[kind])] = [part, *map(list, json.loads(line)[part][0].items())]
     return found
 
 
 def trace_messages():
     return {
         name: {field.name: field.number for field in made.DESCRIPTOR.fields}
-        for name, made in trace_records._MADE.items()
+        for name, made in trace_schema.MESSAGE_TYPES.items()
     }
 
 
