--- a/lapispick/host/handover/handshake.py
+++ b/lapispick/host/handover/handshake.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import socket
-from typing import NamedTuple
 
 import msgspec
 
@@ -16,14 +15,14 @@
 LINK_ERRORS = (OSError, LineTooLongError, msgspec.DecodeError)  # what a faulty peer causes; TimeoutError is an OSError
 
 
-class HostIdentity(NamedTuple):
+class HostIdentity(msgspec.Struct, frozen=True):
     """What both processes of one worker host have in common."""
 
     name: str
     listen: str
 
 
-class LinkReply(NamedTuple):
+class LinkReply(msgspec.Struct, frozen=True):
     """What the older process replied: the descriptor of its listening socket, and a line to be decoded."""
 
     listener: int
@@ -44,7 +43,7 @@
     """Return why a link is rejected; empty where it is accepted."""
     if messages.negotiate_version(hello) is None:
         return f"version {hello.version} is not {messages.VERSION}"
-    if (hello.name, hello.listen) != identity:
+    if HostIdentity(hello.name, hello.listen) != identity:
         return "another worker host"
     if linked:
         return "linked already"
--- a/lapispick/host/handover/service.py
+++ b/lapispick/host/handover/service.py
@@ -204,10 +204,16 @@
         """Request a link from the owner of the keys; None where it does not answer or rejects it."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         stream = self._stream(sock)
-        name, listen = self._identity
+        identity = self._identity
         try:
             sock.connect(self.address.path)
-            hello = messages.Hello(messages.VERSION, name, listen, self._listener.accepting_on, messages.MIN_VERSION)
+            hello = messages.Hello(
+                messages.VERSION,
+                identity.name,
+                identity.listen,
+                self._listener.accepting_on,
+                messages.MIN_VERSION,
+            )
             reply = handshake.request_link(self._loop, stream, hello)
             self._listener.receive(reply.listener)
             messages.decode(reply.line)
--- a/lapispick/idempotency/ownership.py
+++ b/lapispick/idempotency/ownership.py
@@ -20,7 +20,9 @@
 
 from collections.abc import Callable, Hashable, Iterable
 from enum import Enum
-from typing import Any, NamedTuple, cast
+from typing import Any, cast
+
+import msgspec
 
 from lapispick.handover import messages
 from lapispick.idempotency.states import Verdict
@@ -39,7 +41,7 @@
     SUSPENDED = "suspended"
 
 
-class PendingClaim(NamedTuple):
+class PendingClaim(msgspec.Struct, frozen=True):
     """An attempt that waits for the other process."""
 
     attempt: int
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("loss_fraction", [0.75])
-def test_load_reports_are_frequent_enough_for_a_registry_that_loses_most(host, loss_fraction):
+def test_load_reports_are_frequent_enough_for_a_registry_that_loses_three_of_four(host, loss_fraction):
     h = host()
     wait_until(lambda: len(h.registry.reports) > 8, "some reports")
     times = [t for t, _ in h.registry.reports][2:]
