--- a/lapispick/admission/controller.py
+++ b/lapispick/admission/controller.py
@@ -117,8 +117,7 @@
         estimates.call_ms = list(learned.call_ms)
         estimates.runs = list(learned.runs)
         state.concurrency_limit.value = max(float(state.settings.cores), learned.concurrency_limit)
-        state.downstream.usual_ms, state.downstream.recent_ms = learned.call_times
-        state.downstream.limit = learned.call_limit
+        state.downstream.adopt(learned.call_times, learned.call_limit)
         state.shadow_prices.occupancy_price, state.shadow_prices.cost_price = learned.prices
         state.shadow_prices.frozen = learned.prices_frozen
 
--- a/lapispick/admission/downstream_calls.py
+++ b/lapispick/admission/downstream_calls.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from heapq import heappop, heappush
-
 from lapispick.admission.actions import SkipCall, StartCall
 from lapispick.admission.events import CallCompleted, CallRequested, Outcome
 from lapispick.admission.request_lifecycle import RequestLifecycle
@@ -52,8 +50,7 @@
         request = state.requests.get(event.id)
         if request is None or request.state is not CALLING:
             return
-        state.downstream.in_flight -= 1
-        single_loss = state.downstream.record_call(event.duration_ms, event.outcome, state.generator)
+        single_loss = state.downstream.finish_call(event.duration_ms, event.outcome, state.generator)
         request.call_ms += state.now - request.call_started_at
         if event.outcome is Outcome.OK:
             self._resume(request)
@@ -64,20 +61,12 @@
 
     def retry_waiting(self) -> None:
         """Make the calls that wait while there is capacity; those that can't be skipped go first."""
-        state = self._state
-        downstream = state.downstream
-        waiting = downstream.waiting
-        while waiting and waiting[0][0] <= state.now:
-            request = waiting[0][2]
-            if request.state is WAITING_FOR_CALL and not request.answered and not downstream.has_capacity():
-                break
-            heappop(waiting)
+        now = self._state.now
+        downstream = self._state.downstream
+        while (request := downstream.pop_waiting(now)) is not None:
+            self._proceed(request)
+        while (request := downstream.pop_degradable(now)) is not None:
             self._proceed(request)
-        degradable = downstream.degradable_waiting
-        while degradable and (
-            downstream.has_capacity() or not downstream.worth_waiting(degradable[0].call_needed_at, state.now)
-        ):
-            self._proceed(degradable.popleft())
 
     def _proceed(self, request: TrackedRequest) -> None:
         """Make the call of a request, skip it, or let it wait for capacity."""
@@ -91,7 +80,7 @@
             self._start_call(request, request.deadline_at - state.now)
         else:
             self._lifecycle.log_bound(BOUND_NAME)
-            heappush(state.downstream.waiting, (state.now, request.id, request))
+            state.downstream.wait(request, state.now)
 
     def _call_or_skip(self, request: TrackedRequest) -> None:
         """Make a call that can be skipped if it comes back in time."""
@@ -121,7 +110,7 @@
         request.state = CALLING
         request.call_started_at = state.now
         request.call_attempts += 1
-        downstream.in_flight += 1
+        downstream.start_call()
         timeout_ms = round(min(timeout_ms, downstream.max_call_ms()), 1) or MIN_CALL_TIMEOUT_MS
         state.actions.append(StartCall(request.id, timeout_ms))
 
@@ -147,6 +136,6 @@
         elif settings.degraded_weight > 0 and not (retries and outcome is Outcome.CONNECT_FAILED):
             self._skip(request)
         elif retries:
-            heappush(state.downstream.waiting, (state.now + CALL_RETRY_DELAY_MS, request.id, request))
+            state.downstream.wait(request, state.now + CALL_RETRY_DELAY_MS)
         else:
             self._lifecycle.fail(request)
--- a/lapispick/admission/downstream_limit.py
+++ b/lapispick/admission/downstream_limit.py
@@ -4,11 +4,12 @@
 
 import random
 from collections import deque
+from heapq import heappop, heappush
 from math import exp, inf
 
 from lapispick.admission.concurrency_limit import MIN_OWN_QUOTA_FRACTION
 from lapispick.admission.events import CallTimes, Outcome
-from lapispick.admission.request_state import TrackedRequest
+from lapispick.admission.request_state import WAITING_FOR_CALL, TrackedRequest
 from lapispick.admission.settings import Settings
 
 MAX_LIMIT_FRACTION = 0.6  # of the quota; the rest is for calls that hang
@@ -44,12 +45,12 @@
         "_mean_window_ms",
         "_settings",
         "_updated_at",
+        "_usual_ms",
         "degradable_waiting",
         "in_flight",
         "limit",
         "peer_calls",
         "recent_ms",
-        "usual_ms",
         "waiting",
     )
 
@@ -64,14 +65,14 @@
         self.in_flight = 0
         self.peer_calls = 0.0  # of another process of this server
         self.recent_ms = 0.0  # time of a call
-        self.usual_ms = 0.0
+        self._usual_ms = 0.0  # the same over many more calls
         self.waiting: list[tuple[float, int, TrackedRequest]] = []  # heap of not before, id: those that need a call
         self.degradable_waiting: deque[TrackedRequest] = deque()  # those that can go on without one
 
     @property
     def call_times(self) -> CallTimes:
         """Return the usual and the recent time of a call."""
-        return CallTimes(self.usual_ms, self.recent_ms)
+        return CallTimes(self._usual_ms, self.recent_ms)
 
     def advance(self, now: float) -> None:
         """Carry the mean of calls in flight forward."""
@@ -79,8 +80,45 @@
         self._mean_in_flight += (self.in_flight - self._mean_in_flight) * (1 - remaining)
         self._updated_at = now
 
-    def record_call(self, duration_ms: float, outcome: Outcome, generator: random.Random) -> bool:
-        """Learn from a call; True where a single reply was lost, which is no sign of an overloaded dependency."""
+    def adopt(self, call_times: CallTimes, limit: float) -> None:
+        """Begin with the call times and the limit that another process learned."""
+        self._usual_ms, self.recent_ms = call_times
+        self.limit = limit
+
+    def wait(self, request: TrackedRequest, not_before: float) -> None:
+        """Let a request that needs a call wait for capacity, and at least until ``not_before``."""
+        heappush(self.waiting, (not_before, request.id, request))
+
+    def pop_waiting(self, now: float) -> TrackedRequest | None:
+        """Return the next request that stops waiting, to make its call or because it needs none any more."""
+        if not self.waiting or self.waiting[0][0] > now:
+            return None
+        request = self.waiting[0][2]
+        if request.state is WAITING_FOR_CALL and not request.answered and not self.has_capacity():
+            return None
+        return heappop(self.waiting)[2]
+
+    def pop_degradable(self, now: float) -> TrackedRequest | None:
+        """Return the next request that makes its call now, or goes on without one as it has waited for too long."""
+        waiting = self.degradable_waiting
+        if waiting and (self.has_capacity() or not self.worth_waiting(waiting[0].call_needed_at, now)):
+            return waiting.popleft()
+        return None
+
+    def start_call(self) -> None:
+        """Count a call as in flight."""
+        self.in_flight += 1
+
+    def abandon_call(self) -> None:
+        """Stop counting a call whose reply nobody waits for."""
+        self.in_flight -= 1
+
+    def finish_call(self, duration_ms: float, outcome: Outcome, generator: random.Random) -> bool:
+        """Stop counting a call and learn from it.
+
+        Returns True where a single reply was lost, which is no sign of an overloaded dependency.
+        """
+        self.in_flight -= 1
         quota = self._settings.call_quota
         if outcome is Outcome.CONNECT_FAILED and 0 < quota < 1:
             self._delay_next_call(generator)
@@ -89,11 +127,11 @@
         self._lost_fraction += (lost - self._lost_fraction) * LOST_SMOOTHING_FRACTION
         if lost and self._lost_fraction < MAX_SINGLE_LOST_FRACTION and quota >= 1:
             return True
-        self.recent_ms += (duration_ms - self.recent_ms) * (RECENT_SMOOTHING_FRACTION if self.usual_ms else 1.0)
-        self.usual_ms += (duration_ms - self.usual_ms) * (USUAL_SMOOTHING_FRACTION if self.usual_ms else 1.0)
+        self.recent_ms += (duration_ms - self.recent_ms) * (RECENT_SMOOTHING_FRACTION if self._usual_ms else 1.0)
+        self._usual_ms += (duration_ms - self._usual_ms) * (USUAL_SMOOTHING_FRACTION if self._usual_ms else 1.0)
         if duration_ms >= self.max_call_ms():
             self.limit = 0.0  # down to the minimum
-        elif outcome is not Outcome.OK or self.recent_ms > MAX_LATENCY_RATIO * self.usual_ms:
+        elif outcome is not Outcome.OK or self.recent_ms > MAX_LATENCY_RATIO * self._usual_ms:
             self.limit *= BACKOFF_RATIO
         elif self.waiting:
             self.limit += GROWTH_CALLS
@@ -112,7 +150,7 @@
     def skippable_call_timeout_ms(self) -> float:
         """Return how long a call that can be skipped is waited for: a reply that was lost never comes."""
         if self._lost_fraction > MIN_LOST_FRACTION:
-            return max(MIN_CALL_TIMEOUT_MS, CALL_TIMEOUT_RATIO * max(self.usual_ms, self.recent_ms))
+            return max(MIN_CALL_TIMEOUT_MS, CALL_TIMEOUT_RATIO * max(self._usual_ms, self.recent_ms))
         return inf
 
     def worth_waiting(self, since: float, now: float) -> bool:
@@ -121,8 +159,8 @@
         Where calls are slower than usual the dependency is overloaded, and waiting only delays.
         """
         return (
-            self.recent_ms <= MAX_BURST_LATENCY_RATIO * self.usual_ms
-            and now - since < MAX_CAPACITY_WAIT_RATIO * self.usual_ms
+            self.recent_ms <= MAX_BURST_LATENCY_RATIO * self._usual_ms
+            and now - since < MAX_CAPACITY_WAIT_RATIO * self._usual_ms
         )
 
     def max_call_ms(self) -> float:
--- a/lapispick/admission/request_lifecycle.py
+++ b/lapispick/admission/request_lifecycle.py
@@ -131,7 +131,7 @@
         if request.state is RUNNING:
             state.running -= 1
         elif request.state is CALLING:
-            state.downstream.in_flight -= 1
+            state.downstream.abandon_call()
         elif request.state is QUEUED and state.idempotency.release(request.id):
             state.actions.append(ReleaseKey(request.id))
         state.queue.remove(request)
