--- a/lapispick/admission/concurrency_limit.py
+++ b/lapispick/admission/concurrency_limit.py
@@ -14,38 +14,71 @@
 MAX_CORE_USE_FRACTION = 0.95  # with cores this busy one more run adds no throughput
 OVERLOAD_FRACTION = 0.5  # of the runs that a server survives
 ON_CORE_SMOOTHING_FRACTION = 0.1  # weight of one reading
+LATE_READING_FRACTION = 0.5  # of the limit; what runs while reading is late
 MIN_OWN_QUOTA_FRACTION = 0.5  # of a limit that two processes of one server share; this much is left to each
 
 
 class ConcurrencyLimit:
     """The limit L of running requests: from the number of cores to a fraction of what the server survives.
 
-    Additive increase, multiplicative decrease, once a control window.
+    Additive increase, multiplicative decrease, once a control window. A slot is taken while a request runs, and free
+    while it waits for a call or is paused.
     """
 
     __slots__ = (
+        "_failed",
         "_latency_ratio_sum",
         "_lowest_latency_ratio",
         "_on_cores",
         "_runs",
         "_settings",
-        "failed",
         "peer_runs",
         "reached",
+        "running",
         "value",
     )
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
         self.value = INITIAL_LIMIT_RATIO * settings.cores
+        self.running = 0  # requests that take a slot
         self.reached = False  # in this window queued requests had to wait for it
-        self.failed = False  # in this window a run failed or lost its client late
         self.peer_runs = 0.0  # of another process of this server
+        self._failed = False  # in this window a run failed or lost its client late
         self._lowest_latency_ratio = inf
         self._latency_ratio_sum = 0.0
         self._runs = 0
         self._on_cores = 0.0
 
+    def occupy_slot(self) -> None:
+        """Count a request that runs from now on."""
+        self.running += 1
+
+    def free_slot(self) -> None:
+        """Stop counting a request that is over, paused or waits for its call."""
+        self.running -= 1
+
+    def slots(self, reading_late: bool) -> int:
+        """Return how many may run now; another process of this server takes a part of them."""
+        slots = int(self.value * (LATE_READING_FRACTION if reading_late else 1.0))
+        return max(int(MIN_OWN_QUOTA_FRACTION * slots), slots - int(self.peer_runs))
+
+    def slots_beside_peer(self) -> int:
+        """Return how many may run while another process of this server keeps all of its runs; at least one."""
+        return max(1, int(self.value) - int(self.peer_runs))
+
+    def record_reached(self) -> None:
+        """Note that a queued request waits for a slot."""
+        self.reached = True
+
+    def record_failure(self) -> None:
+        """Note that a run failed, or lost its client late."""
+        self._failed = True
+
+    def adopt(self, value: float) -> None:
+        """Begin with the limit that another process learned."""
+        self.value = max(float(self._settings.cores), value)
+
     def record_run(self, latency_ratio: float) -> None:
         """Note a run's time over the time that was expected."""
         self._latency_ratio_sum += latency_ratio
@@ -64,14 +97,14 @@
         survived_ratio = OVERLOAD_FRACTION * (1 + (settings.overload_runs_per_core - 1) * speed)
         ceiling = settings.cores * max(1.0, survived_ratio)
         fast = self._runs_are_fast()
-        if self.failed:
+        if self._failed:
             self.value *= BACKOFF_RATIO
         elif self._on_cores > MAX_ON_CORE_RATIO * settings.cores:
             self.value -= 1
         elif self.reached and fast and core_use < MAX_CORE_USE_FRACTION:
             self.value += 1
         self.value = min(ceiling, max(float(settings.cores), self.value))
-        self.failed = False
+        self._failed = False
         self.reached = False
 
     def _runs_are_fast(self) -> bool:
--- a/lapispick/admission/controller.py
+++ b/lapispick/admission/controller.py
@@ -86,7 +86,7 @@
     def usage(self) -> RequestUsage:
         """Return what is in hand here, for another process of this server."""
         state = self.state
-        return RequestUsage(state.running, state.memory.used_kb, state.downstream.in_flight)
+        return RequestUsage(state.concurrency_limit.running, state.memory.used_kb, state.downstream.in_flight)
 
     def learned(self) -> LearnedEstimates:
         """Return what a process that takes this one's place should know; see ``adopt``."""
@@ -116,7 +116,7 @@
         estimates.blocked_ms = list(learned.blocked_ms)
         estimates.call_ms = list(learned.call_ms)
         estimates.runs = list(learned.runs)
-        state.concurrency_limit.value = max(float(state.settings.cores), learned.concurrency_limit)
+        state.concurrency_limit.adopt(learned.concurrency_limit)
         state.downstream.adopt(learned.call_times, learned.call_limit)
         state.shadow_prices.occupancy_price, state.shadow_prices.cost_price = learned.prices
         state.shadow_prices.frozen = learned.prices_frozen
--- a/lapispick/admission/downstream_calls.py
+++ b/lapispick/admission/downstream_calls.py
@@ -37,7 +37,7 @@
         request = state.requests.get(event.id)
         if request is None or request.state is not RUNNING:
             return
-        state.running -= 1
+        state.concurrency_limit.free_slot()
         self._pauser.discard(request)
         request.state = WAITING_FOR_CALL
         request.call_attempts = 0
@@ -63,9 +63,7 @@
         """Make the calls that wait while there is capacity; those that can't be skipped go first."""
         now = self._state.now
         downstream = self._state.downstream
-        while (request := downstream.pop_waiting(now)) is not None:
-            self._proceed(request)
-        while (request := downstream.pop_degradable(now)) is not None:
+        while (request := downstream.pop_ready(now)) is not None:
             self._proceed(request)
 
     def _proceed(self, request: TrackedRequest) -> None:
@@ -123,7 +121,7 @@
         state = self._state
         request.blocked_ms = request.blocked_ms + state.now - request.call_needed_at
         request.state = RUNNING
-        state.running += 1
+        state.concurrency_limit.occupy_slot()
 
     def _recover(self, request: TrackedRequest, outcome: Outcome, single_loss: bool) -> None:
         """Repeat a failed call, skip it or fail its request: no call with an effect is made twice."""
--- a/lapispick/admission/downstream_limit.py
+++ b/lapispick/admission/downstream_limit.py
@@ -41,9 +41,12 @@
 
     __slots__ = (
         "_lost_fraction",
+        "_max_limit",
+        "_max_total_call_ms",
         "_mean_in_flight",
         "_mean_window_ms",
-        "_settings",
+        "_min_limit",
+        "_quota",
         "_updated_at",
         "_usual_ms",
         "degradable_waiting",
@@ -55,13 +58,17 @@
     )
 
     def __init__(self, settings: Settings, now: float) -> None:
-        self._settings = settings
+        quota = settings.call_quota
+        self._quota = quota
+        self._max_limit = quota * MAX_LIMIT_FRACTION
+        self._min_limit = quota * MIN_LIMIT_FRACTION
+        self._max_total_call_ms = MAX_CALL_FRACTION * quota * settings.call_quota_window_ms  # of all calls in flight
         self._updated_at = now
         self._mean_in_flight = 0.0
-        window_fraction = MEAN_WINDOW_FRACTION / min(1.0, settings.call_quota or 1.0)  # longer where one call is a lot
+        window_fraction = MEAN_WINDOW_FRACTION / min(1.0, quota or 1.0)  # longer where one call is a lot
         self._mean_window_ms = max(1.0, settings.call_quota_window_ms * window_fraction)
         self._lost_fraction = 0.0
-        self.limit = settings.call_quota * MAX_LIMIT_FRACTION
+        self.limit = self._max_limit
         self.in_flight = 0
         self.peer_calls = 0.0  # of another process of this server
         self.recent_ms = 0.0  # time of a call
@@ -89,20 +96,19 @@
         """Let a request that needs a call wait for capacity, and at least until ``not_before``."""
         heappush(self.waiting, (not_before, request.id, request))
 
-    def pop_waiting(self, now: float) -> TrackedRequest | None:
-        """Return the next request that stops waiting, to make its call or because it needs none any more."""
-        if not self.waiting or self.waiting[0][0] > now:
-            return None
-        request = self.waiting[0][2]
-        if request.state is WAITING_FOR_CALL and not request.answered and not self.has_capacity():
-            return None
-        return heappop(self.waiting)[2]
-
-    def pop_degradable(self, now: float) -> TrackedRequest | None:
-        """Return the next request that makes its call now, or goes on without one as it has waited for too long."""
-        waiting = self.degradable_waiting
-        if waiting and (self.has_capacity() or not self.worth_waiting(waiting[0].call_needed_at, now)):
-            return waiting.popleft()
+    def pop_ready(self, now: float) -> TrackedRequest | None:
+        """Return the next request whose wait is over, those that can't go on without a call first.
+
+        There is capacity for its call, it needs none any more, or it has waited for as long as it may.
+        """
+        waiting = self.waiting
+        if waiting and waiting[0][0] <= now:
+            request = waiting[0][2]
+            if request.state is not WAITING_FOR_CALL or request.answered or self.has_capacity():
+                return heappop(waiting)[2]
+        degradable = self.degradable_waiting
+        if degradable and (self.has_capacity() or not self.worth_waiting(degradable[0].call_needed_at, now)):
+            return degradable.popleft()
         return None
 
     def start_call(self) -> None:
@@ -119,7 +125,7 @@
         Returns True where a single reply was lost, which is no sign of an overloaded dependency.
         """
         self.in_flight -= 1
-        quota = self._settings.call_quota
+        quota = self._quota
         if outcome is Outcome.CONNECT_FAILED and 0 < quota < 1:
             self._delay_next_call(generator)
             return False
@@ -135,7 +141,7 @@
             self.limit *= BACKOFF_RATIO
         elif self.waiting:
             self.limit += GROWTH_CALLS
-        self.limit = min(quota * MAX_LIMIT_FRACTION, max(quota * MIN_LIMIT_FRACTION, self.limit))
+        self.limit = min(self._max_limit, max(self._min_limit, self.limit))
         return False
 
     def _delay_next_call(self, generator: random.Random) -> None:
@@ -144,7 +150,7 @@
         With a quota under one call each, they must not all call in the instant of its return, so each counts its
         quota as used. The limit stays: what it would regain at the first replies, all would use at one time.
         """
-        spread = self._settings.call_quota * MAX_CALL_FRACTION / (MAX_LIMIT_FRACTION * MEAN_WINDOW_FRACTION)
+        spread = self._quota * MAX_CALL_FRACTION / (MAX_LIMIT_FRACTION * MEAN_WINDOW_FRACTION)
         self._mean_in_flight = max(self._mean_in_flight, self.limit * exp(generator.random() * spread))
 
     def skippable_call_timeout_ms(self) -> float:
@@ -165,13 +171,11 @@
 
     def max_call_ms(self) -> float:
         """Return how long a call may last: one that hangs would go far past a quota under one call."""
-        settings = self._settings
-        budget = MAX_CALL_FRACTION * settings.call_quota * settings.call_quota_window_ms
-        return budget / max(1, self.in_flight) or inf
+        return self._max_total_call_ms / max(1, self.in_flight) or inf
 
     def has_capacity(self) -> bool:
         """Tell whether one more call stays within the limit; a fraction of a call is kept in the mean."""
-        if self._settings.call_quota <= 0:
+        if self._quota <= 0:
             return True
         limit = max(MIN_OWN_QUOTA_FRACTION * self.limit, self.limit - self.peer_calls)
         return self.in_flight < limit and self._mean_in_flight <= self.limit
--- a/lapispick/admission/memory_budget.py
+++ b/lapispick/admission/memory_budget.py
@@ -27,9 +27,17 @@
         requests_kb = self.used_kb + self.peer_kb + more_kb
         return (requests_kb + self._key_kb * self._keys.retained) / self._available_kb <= 1
 
-    def run_kb(self, request: TrackedRequest) -> float:
-        """Return what a queued request takes in addition once it runs."""
-        return request.memory_kb * (self._run_factor - 1)
+    def reserve(self, request: TrackedRequest) -> None:
+        """Count what a request takes that was read just now."""
+        self.used_kb += request.memory_kb
+
+    def reserve_run(self, request: TrackedRequest) -> bool:
+        """Count what a queued request takes in addition once it runs; False where that does not fit."""
+        run_kb = request.memory_kb * (self._run_factor - 1)
+        if not self.fits(run_kb):
+            return False
+        self.used_kb += run_kb
+        return True
 
     def release(self, request: TrackedRequest) -> None:
         """Give back what a request takes in its present state."""
--- a/lapispick/admission/request_admission.py
+++ b/lapispick/admission/request_admission.py
@@ -50,7 +50,7 @@
         request.objective_at = self._objective_at(event, request, settings, due_at)
         request.deadline_at = min(due_at - ANSWER_MARGIN_MS, state.drain.stop_at)
         state.requests[request.id] = request
-        state.memory.used_kb += request.memory_kb
+        state.memory.reserve(request)
         self.read_delay = event.age_ms / settings.latency_objective_ms
         state.backpressure.record_received(request.rank, request.caller, self.read_delay)
         state.idle_timeout.record_request(state.now, request.caller)
--- a/lapispick/admission/request_lifecycle.py
+++ b/lapispick/admission/request_lifecycle.py
@@ -59,8 +59,8 @@
         state = self._state
         if state.now - self._logged_at.get(bound, -inf) > MIN_LOG_INTERVAL_MS:
             self._logged_at[bound] = state.now
-            limit = state.concurrency_limit.value
-            state.actions.append(Log(f"{bound} binds: limit {limit:.0f}, running {state.running}"))
+            limit = state.concurrency_limit
+            state.actions.append(Log(f"{bound} binds: limit {limit.value:.0f}, running {limit.running}"))
 
     def on_client_cancelled(self, event: ClientCancelled) -> None:
         """Drop what waits and stop what runs; no answer is owed any more."""
@@ -73,7 +73,7 @@
             self._complete(request)
         else:
             if state.now > request.objective_at:
-                state.concurrency_limit.failed = True
+                state.concurrency_limit.record_failure()
             self._cancel_run(request)
 
     def on_run_completed(self, event: RunCompleted) -> None:
@@ -90,7 +90,7 @@
         if outcome is Outcome.OK and request.state is not COALESCED and not request.pause_requested:
             limit.record_run(self._state.run_estimates.learn(request, event.duration_ms))
         elif outcome is Outcome.ERROR:
-            limit.failed = True
+            limit.record_failure()
         if not request.answered:
             self._mark_answered(request, shed=False)
         self._complete(request)
@@ -129,12 +129,13 @@
         """Forget a request and give back what it holds; a key that never ran is free again."""
         state = self._state
         if request.state is RUNNING:
-            state.running -= 1
+            state.concurrency_limit.free_slot()
         elif request.state is CALLING:
             state.downstream.abandon_call()
-        elif request.state is QUEUED and state.idempotency.release(request.id):
-            state.actions.append(ReleaseKey(request.id))
-        state.queue.remove(request)
+        elif request.state is QUEUED:
+            state.queue.remove(request)
+            if state.idempotency.release(request.id):
+                state.actions.append(ReleaseKey(request.id))
         state.memory.release(request)
         self._pauser.discard(request)
         request.state = COMPLETED
--- a/lapispick/admission/request_queue.py
+++ b/lapispick/admission/request_queue.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from heapq import heappush
+from heapq import heappop, heappush
 
-from lapispick.admission.request_state import NOT_QUEUED, TrackedRequest
+from lapispick.admission.request_state import NOT_QUEUED, QUEUED, TrackedRequest
 from lapispick.admission.run_estimates import RunEstimates
 from lapispick.admission.settings import Settings
 
@@ -41,6 +41,16 @@
         """Return the queue that a request belongs to."""
         return request.class_index + (self.late_offset if now >= request.objective_at else 0)
 
+    def first(self, queue: int) -> TrackedRequest | None:
+        """Return the request of a queue that is served next; those that left the queue are dropped here."""
+        heap = self.heaps[queue]
+        while heap:
+            request = heap[0][2]
+            if request.state is QUEUED and request.queue == queue:
+                return request
+            heappop(heap)
+        return None
+
     def remove(self, request: TrackedRequest) -> None:
         """Take a request's work off its queue; its place in the heap is skipped later."""
         if request.queue != NOT_QUEUED:
--- a/lapispick/admission/run_pauser.py
+++ b/lapispick/admission/run_pauser.py
@@ -22,14 +22,15 @@
     def balance(self, slots: int) -> None:
         """Resume paused runs while slots are free, and pause those with the latest objective over the bound."""
         state = self._state
+        limit = state.concurrency_limit
         paused = [request for request in self._requests if request.state is PAUSED]
         pausing = len(self._requests) - len(paused)
-        for request in paused[: max(0, slots - state.running)]:
+        for request in paused[: max(0, slots - limit.running)]:
             self._requests.remove(request)
             request.state = RUNNING
-            state.running += 1
+            limit.occupy_slot()
             state.actions.append(StartRun(request.id))
-        excess = state.running - pausing - int(MAX_RUNNING_RATIO * slots)
+        excess = limit.running - pausing - int(MAX_RUNNING_RATIO * slots)
         if excess > 0:
             self._pause(excess)
 
@@ -54,7 +55,7 @@
         """Take in that a run was cancelled: if it was to pause, it is off the cores now."""
         if request in self._requests and request.state is RUNNING:
             request.state = PAUSED
-            self._state.running -= 1
+            self._state.concurrency_limit.free_slot()
 
     def discard(self, request: TrackedRequest) -> None:
         """Forget a run that ended or came to its call."""
--- a/lapispick/admission/run_scheduler.py
+++ b/lapispick/admission/run_scheduler.py
@@ -2,19 +2,14 @@
 
 from __future__ import annotations
 
-from heapq import heappop
-
 from lapispick.admission.actions import RejectReason, StartRun
 from lapispick.admission.backpressure import MAX_READ_DELAY_FRACTION
-from lapispick.admission.concurrency_limit import MIN_OWN_QUOTA_FRACTION
 from lapispick.admission.request_lifecycle import RequestLifecycle
-from lapispick.admission.request_state import QUEUED, RUNNING, TrackedRequest
+from lapispick.admission.request_state import RUNNING, TrackedRequest
 from lapispick.admission.run_pauser import RunPauser
 from lapispick.admission.server_state import ServerState
 from lapispick.admission.settings import CancelMode
 
-LATE_READING_FRACTION = 0.5  # of the limit; what runs while reading is late
-
 
 class RunScheduler:
     """Starts the most valuable queue first, in each the earliest objective first."""
@@ -31,43 +26,29 @@
         """Start what fits; ``read_delay`` is that of the last request, a fraction of its latency objective."""
         state = self._state
         if self._can_pause:  # late reading starts less, and pauses nothing
-            limit = state.concurrency_limit
-            self._pauser.balance(max(1, int(limit.value) - int(limit.peer_runs)))
+            self._pauser.balance(state.concurrency_limit.slots_beside_peer())
         heaps = state.queue.heaps
         if not any(heaps):
             return
-        slots = self._slots(read_delay)
+        slots = state.concurrency_limit.slots(read_delay > MAX_READ_DELAY_FRACTION)
         for queue in state.queue.order:
             if heaps[queue] and not self._start_from(queue, slots):
                 return
 
-    def _slots(self, read_delay: float) -> int:
-        """Return how many may run now; another process of this server takes a part of them."""
-        limit = self._state.concurrency_limit
-        slots = int(limit.value * (LATE_READING_FRACTION if read_delay > MAX_READ_DELAY_FRACTION else 1.0))
-        return max(int(MIN_OWN_QUOTA_FRACTION * slots), slots - int(limit.peer_runs))
-
     def _start_from(self, queue: int, slots: int) -> bool:
         """Start what is in one queue; False where slots or memory are used up."""
         state = self._state
-        heap = state.queue.heaps[queue]
-        while heap:
-            request = heap[0][2]
-            if request.state is not QUEUED or request.queue != queue:
-                heappop(heap)
-                continue
-            if state.running >= slots:
-                state.concurrency_limit.reached = True
+        limit = state.concurrency_limit
+        while (request := state.queue.first(queue)) is not None:
+            if limit.running >= slots:
+                limit.record_reached()
                 return False
             if queue < state.queue.late_offset and self._will_be_late(request):
-                heappop(heap)
                 self._demote(request)
-                continue
-            run_kb = state.memory.run_kb(request)
-            if not state.memory.fits(run_kb):
+            elif state.memory.reserve_run(request):
+                self._start(request)
+            else:
                 return False
-            heappop(heap)
-            self._start(request, run_kb)
         return True
 
     def _will_be_late(self, request: TrackedRequest) -> bool:
@@ -83,11 +64,10 @@
         else:
             self._lifecycle.reject(request, RejectReason.LATE)
 
-    def _start(self, request: TrackedRequest, run_kb: float) -> None:
+    def _start(self, request: TrackedRequest) -> None:
         state = self._state
         state.queue.remove(request)
         request.state = RUNNING
-        state.memory.used_kb += run_kb
-        state.running += 1
+        state.concurrency_limit.occupy_slot()
         state.idempotency.mark_executed(request.id)
         state.actions.append(StartRun(request.id))
--- a/lapispick/admission/server_state.py
+++ b/lapispick/admission/server_state.py
@@ -43,7 +43,6 @@
         "queue",
         "requests",
         "run_estimates",
-        "running",
         "settings",
         "shadow_prices",
         "slow_start",
@@ -56,7 +55,6 @@
         self.events: Sequence[Event] = ()  # of this step
         self.actions: list[Action] = []  # of this step
         self.requests: dict[int, TrackedRequest] = {}  # by id, until they are completed
-        self.running = 0  # requests in the state RUNNING
         self.run_estimates = RunEstimates(settings.classes)
         self.shadow_prices = ShadowPrices()
         self.concurrency_limit = ConcurrencyLimit(settings)
--- a/tests/test_paused_runs.py
+++ b/tests/test_paused_runs.py
@@ -212,9 +212,9 @@
     harness.step(*(CallCompleted(i, Outcome.OK, 20.0) for i in ids))
     told = [a.id for a in harness.actions_of(CancelRun)]
     assert len(told) == 4
-    assert harness.state.running == 6
+    assert harness.state.concurrency_limit.running == 6
     harness.step(*(RunCompleted(i, Outcome.CANCELLED, 5.0) for i in told))
-    assert harness.state.running == 2
+    assert harness.state.concurrency_limit.running == 2
     assert harness.state.memory.used_kb == held
     harness.step(ClientCancelled(told[0]))
     assert harness.state.memory.used_kb == held * 5 / 6
@@ -223,9 +223,9 @@
     harness.step(RunCompleted(rest[0], Outcome.OK, 30.0))
     woken = [i for i in told if len(harness.actions_of(StartRun, i)) == 2]
     assert len(woken) == 1
-    assert harness.state.running == 2
+    assert harness.state.concurrency_limit.running == 2
     harness.step(CallRequested(woken[0]))  # it goes on as any other
-    assert harness.state.running == 2
+    assert harness.state.concurrency_limit.running == 2
     assert sum(len(harness.actions_of(StartRun, i)) == 2 for i in told) == 2
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -281,7 +281,7 @@
         harness.step(*[harness.request(deadline_at=harness.now + 3000) for _ in range(5)])
         harness.tick(40, gauges=(0.1, 1.0))
         share = 0.25 + 0.75 * min(1.0, i * 40 / 10_000) if cold else 1.0
-        assert harness.state.running <= 4 * (1 + 7 * share)
+        assert harness.state.concurrency_limit.running <= 4 * (1 + 7 * share)
 
 
 def test_calls_in_flight_stay_within_the_quota(make_harness):
