--- a/lapispick/admission/backpressure.py
+++ b/lapispick/admission/backpressure.py
@@ -24,12 +24,12 @@
     __slots__ = (
         "_advertised",
         "_credit",
+        "_in_flight",
         "_level",
         "_ranks",
         "_received",
         "_settings",
-        "in_flight",
-        "shed",
+        "_shed",
         "shed_fraction",
     )
 
@@ -40,29 +40,31 @@
         self._advertised = -1.0
         self._received = 0.0
         self._ranks: deque[float] = deque(maxlen=MAX_RANKS)
-        self.shed = 0.0
+        self._shed = 0.0  # of the requests received, both decay
         self.shed_fraction = 0.0  # of the last window
-        self.in_flight: dict[int, int] = {}  # by caller, only those with a request in flight
+        self._in_flight: dict[int, int] = {}  # by caller, only those with a request in flight
 
     def record_received(self, rank: float, caller: int, read_delay: float) -> None:
         """Count a request that was read after it lay unread for ``read_delay``, a fraction of its objective."""
         self._received += 1
         self._ranks.append(rank)
-        self.in_flight[caller] = self.in_flight.get(caller, 0) + 1
+        self._in_flight[caller] = self._in_flight.get(caller, 0) + 1
         if read_delay > MAX_READ_DELAY_FRACTION:  # reading is late, though the queue may be empty
-            self.shed += min(1.0, read_delay / SHED_READ_DELAY_FRACTION)
+            self._shed += min(1.0, read_delay / SHED_READ_DELAY_FRACTION)
 
-    def record_answered(self, caller: int) -> None:
-        """Count an answer to this caller, or its cancellation."""
-        left = self.in_flight.pop(caller) - 1
+    def record_answered(self, caller: int, overload: bool) -> None:
+        """Count an answer to this caller, or its cancellation; with ``overload`` as a request that was shed."""
+        left = self._in_flight.pop(caller) - 1
         if left > 0:
-            self.in_flight[caller] = left
+            self._in_flight[caller] = left
+        if overload:
+            self._shed += 1
 
     def close_window(self, draining: bool) -> float | None:
         """Return the next value to advertise, or None where it stays; a server that is ``draining`` accepts nothing."""
-        self.shed_fraction = min(1.0, self.shed / self._received) if self._received >= 1 else 0.0
+        self.shed_fraction = min(1.0, self._shed / self._received) if self._received >= 1 else 0.0
         self._received *= DECAY_RATIO
-        self.shed *= DECAY_RATIO
+        self._shed *= DECAY_RATIO
         if self.shed_fraction > MAX_SHED_FRACTION:
             self._tighten()
         else:
@@ -79,7 +81,7 @@
         passing = sorted(rank for rank in self._ranks if rank >= self._level)
         if passing:
             self._level = max(self._level, passing[int(len(passing) * self.shed_fraction * GAIN_FRACTION)])
-        max_in_flight = min(self._credit, max(1.0, *self.in_flight.values(), 0.0))
+        max_in_flight = min(self._credit, max(1.0, *self._in_flight.values(), 0.0))
         min_credit = self._settings.cores / max(1, self._settings.callers)  # with less the cores would idle
         self._credit = max(min_credit, max_in_flight * (1 - GAIN_FRACTION * self.shed_fraction))
 
--- a/lapispick/admission/controller.py
+++ b/lapispick/admission/controller.py
@@ -25,7 +25,6 @@
 from lapispick.admission.run_scheduler import RunScheduler
 from lapispick.admission.server_state import ServerState
 from lapispick.admission.settings import Settings
-from lapispick.admission.shadow_prices import Prices
 
 TIMER_INTERVAL_MS = 40.0  # below the margin that answers keep before their deadline
 CONTROL_WINDOW_MS = 240.0  # one step of the concurrency limit, the backpressure value and the idle timeout
@@ -90,36 +89,29 @@
 
     def learned(self) -> LearnedEstimates:
         """Return what a process that takes this one's place should know; see ``adopt``."""
-        estimates = self.state.run_estimates
-        prices = self.state.shadow_prices
+        state = self.state
+        estimates = state.run_estimates
         return LearnedEstimates(
             core_ms=tuple(estimates.core_ms),
             run_ms=tuple(estimates.run_ms),
             blocked_ms=tuple(estimates.blocked_ms),
             call_ms=tuple(estimates.call_ms),
             runs=tuple(estimates.runs),
-            concurrency_limit=self.state.concurrency_limit.value,
-            call_times=self.state.downstream.call_times,
-            call_limit=self.state.downstream.limit,
-            prices=Prices(prices.occupancy_price, prices.cost_price),
-            prices_frozen=prices.frozen,
+            concurrency_limit=state.concurrency_limit.value,
+            call_times=state.downstream.call_times,
+            call_limit=state.downstream.limit,
+            prices=state.shadow_prices.current,
+            prices_frozen=state.shadow_prices.frozen,
         )
 
     def adopt(self, learned: LearnedEstimates) -> None:
         """Begin with what another process learned on these cores; what was learned here has priority."""
         state = self.state
-        estimates = state.run_estimates
-        if any(estimates.runs) or len(learned.runs) != len(estimates.runs):
+        if not state.run_estimates.adopt(learned):
             return
-        estimates.core_ms = list(learned.core_ms)
-        estimates.run_ms = list(learned.run_ms)
-        estimates.blocked_ms = list(learned.blocked_ms)
-        estimates.call_ms = list(learned.call_ms)
-        estimates.runs = list(learned.runs)
         state.concurrency_limit.adopt(learned.concurrency_limit)
         state.downstream.adopt(learned.call_times, learned.call_limit)
-        state.shadow_prices.occupancy_price, state.shadow_prices.cost_price = learned.prices
-        state.shadow_prices.frozen = learned.prices_frozen
+        state.shadow_prices.adopt(learned.prices, learned.prices_frozen)
 
     def _on_shutdown_requested(self, event: ShutdownRequested) -> None:
         """Begin to drain: all that was read is answered before the stop."""
--- a/lapispick/admission/drain.py
+++ b/lapispick/admission/drain.py
@@ -15,23 +15,25 @@
 class Drain:
     """The times of a graceful shutdown; infinite while there is none."""
 
-    __slots__ = ("_grace_ms", "_started_at", "stop_at")
+    __slots__ = ("_advertise_at", "_grace_ends_at", "_grace_ms", "stop_at")
 
     def __init__(self, settings: Settings) -> None:
         self._grace_ms = settings.drain_grace_ms
-        self._started_at = inf
+        self._advertise_at = inf
+        self._grace_ends_at = inf
         self.stop_at = inf  # the last time for an answer
 
     def begin(self, event: ShutdownRequested, now: float) -> None:
         """Begin to drain; where another process of this server goes on, new requests are taken until the stop."""
         self.stop_at = event.stop_at - STOP_MARGIN_MS
         if not event.handed_over:
-            self._started_at = now
+            self._advertise_at = now + ADVERTISE_FRACTION * self._grace_ms
+            self._grace_ends_at = now + GRACE_FRACTION * self._grace_ms
 
     def rejects(self, arrived_at: float) -> bool:
         """Tell whether a request came too late."""
-        return arrived_at > self._started_at + GRACE_FRACTION * self._grace_ms
+        return arrived_at > self._grace_ends_at
 
     def keeps_clients_away(self, now: float) -> bool:
         """Tell whether clients are to send their requests elsewhere."""
-        return now > self._started_at + ADVERTISE_FRACTION * self._grace_ms
+        return now > self._advertise_at
--- a/lapispick/admission/request_admission.py
+++ b/lapispick/admission/request_admission.py
@@ -52,7 +52,7 @@
         state.requests[request.id] = request
         state.memory.reserve(request)
         self.read_delay = event.age_ms / settings.latency_objective_ms
-        state.backpressure.record_received(request.rank, request.caller, self.read_delay)
+        state.backpressure.record_received(event.rank, request.caller, self.read_delay)
         state.idle_timeout.record_request(state.now, request.caller)
         state.deadlines.schedule(request)
         return request
--- a/lapispick/admission/request_lifecycle.py
+++ b/lapispick/admission/request_lifecycle.py
@@ -111,10 +111,9 @@
     def _mark_answered(self, request: TrackedRequest, shed: bool) -> None:
         request.answered = True
         state = self._state
-        state.backpressure.record_answered(request.caller)
         # Late retries at an idle server must not keep callers away.
-        if shed and (state.concurrency_limit.reached or state.downstream.waiting):
-            state.backpressure.shed += 1
+        overload = shed and (state.concurrency_limit.reached or len(state.downstream.waiting) > 0)
+        state.backpressure.record_answered(request.caller, overload)
 
     def _cancel_run(self, request: TrackedRequest) -> None:
         """Stop a run that nobody waits for; a keyed one goes on, as a repeat can still take its result."""
--- a/lapispick/admission/request_state.py
+++ b/lapispick/admission/request_state.py
@@ -52,7 +52,6 @@
         "pause_requested",
         "queue",
         "queued_work_ms",
-        "rank",
         "state",
         "value",
     )
@@ -63,7 +62,6 @@
         self.caller = event.caller
         self.memory_kb = event.request_memory_kb
         self.cost = event.cost
-        self.rank = event.rank
         self.arrived_at = now - event.age_ms
         self.deadline_at = 0.0
         self.objective_at = 0.0
--- a/lapispick/admission/run_estimates.py
+++ b/lapispick/admission/run_estimates.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Sequence
 
+from lapispick.admission.events import LearnedEstimates
 from lapispick.admission.request_state import TrackedRequest
 from lapispick.admission.settings import ClassSettings
 
@@ -36,6 +37,17 @@
         class_index = request.class_index
         return min(self.core_time_ms(request) + self.blocked_ms[class_index], self._max_expected_ms[class_index])
 
+    def adopt(self, learned: LearnedEstimates) -> bool:
+        """Begin with the means of another process; False where runs were seen here, or its classes are others."""
+        if any(self.runs) or len(learned.runs) != len(self.runs):
+            return False
+        self.core_ms = list(learned.core_ms)
+        self.run_ms = list(learned.run_ms)
+        self.blocked_ms = list(learned.blocked_ms)
+        self.call_ms = list(learned.call_ms)
+        self.runs = list(learned.runs)
+        return True
+
     def learn(self, request: TrackedRequest, duration_ms: float) -> float:
         """Take in a finished run; return its time on the cores over what was expected."""
         class_index = request.class_index
--- a/lapispick/admission/run_scheduler.py
+++ b/lapispick/admission/run_scheduler.py
@@ -39,11 +39,13 @@
         """Start what is in one queue; False where slots or memory are used up."""
         state = self._state
         limit = state.concurrency_limit
-        while (request := state.queue.first(queue)) is not None:
+        requests = state.queue
+        in_time = queue < requests.late_offset
+        while (request := requests.first(queue)) is not None:
             if limit.running >= slots:
                 limit.record_reached()
                 return False
-            if queue < state.queue.late_offset and self._will_be_late(request):
+            if in_time and self._will_be_late(request):
                 self._demote(request)
             elif state.memory.reserve_run(request):
                 self._start(request)
--- a/lapispick/admission/shadow_prices.py
+++ b/lapispick/admission/shadow_prices.py
@@ -99,6 +99,16 @@
         self._total_wait_ms = 0.0
         self._pressure_seen_at: float | None = None  # the last request under the present pressure
 
+    @property
+    def current(self) -> Prices:
+        """Return the prices that requests are put to now."""
+        return Prices(self.occupancy_price, self.cost_price)
+
+    def adopt(self, prices: Prices, frozen: bool) -> None:
+        """Begin with the prices of another process; ``frozen`` if they were learned."""
+        self.occupancy_price, self.cost_price = prices
+        self.frozen = frozen
+
     def end_pressure(self) -> None:
         """Note that no work waits: the time until the next pressure is no part of the sample."""
         self._pressure_seen_at = None
@@ -123,7 +133,7 @@
         slots *= max(MIN_FREE_SLOTS_FRACTION, 1 - mean_wait_ms / BUDGET_PERIOD_MS)
         cost_budget = self.admitted_cost / periods
         learned = solve_prices(self._request_types(periods), slots * BUDGET_PERIOD_MS, cost_budget)
-        old = Prices(self.occupancy_price, self.cost_price)
+        old = self.current
         gain = self._replay(learned, slots, cost_budget) - self._replay(old, slots, cost_budget)
         self.frozen = True
         self.sample = []
