--- a/lapispick/admission/attempt_history.py
+++ b/lapispick/admission/attempt_history.py
@@ -23,12 +23,12 @@
 
     def time_since_first_attempt(self, left_ms: float, deadline_ms: float) -> float:
         """Note the time left that an attempt came with; return the ms since the client's first one, 0 if it is this."""
-        place = min(BINS, max(1, round(left_ms / deadline_ms * BINS)))
-        self._counts[place] += 1
+        bin_index = min(BINS, max(1, round(left_ms / deadline_ms * BINS)))
+        self._counts[bin_index] += 1
         self._total += 1
         if self._total >= MAX_ATTEMPTS:
             self._counts = [count / 2 for count in self._counts]
             self._total /= 2
-        if sum(self._counts[place - 1 : place + 2]) >= MIN_FIRST_ATTEMPT_FRACTION * self._total:
+        if sum(self._counts[bin_index - 1 : bin_index + 2]) >= MIN_FIRST_ATTEMPT_FRACTION * self._total:
             return 0.0
         return max(0.0, deadline_ms - left_ms)
--- a/lapispick/admission/controller.py
+++ b/lapispick/admission/controller.py
@@ -1,4 +1,4 @@
-"""The controller of one server: hands each event to the part that decides on it. Every decision starts here."""
+"""The controller of one server: dispatches each event to its handler, and closes control windows."""
 
 from __future__ import annotations
 
@@ -9,6 +9,11 @@
 from lapispick.admission.actions import Action, Advertise, Log, SetHealth, SetIdleTimeout, SetTimer
 from lapispick.admission.downstream_calls import DownstreamCalls
 from lapispick.admission.events import (
+    CORE_USE_GAUGE,
+    ON_CORES_GAUGE,
+    PEER_CALLS_GAUGE,
+    PEER_MEMORY_GAUGE,
+    PEER_RUNS_GAUGE,
     CallCompleted,
     CallRequested,
     ClientCancelled,
@@ -83,7 +88,7 @@
         return state.actions
 
     def usage(self) -> RequestUsage:
-        """Return what is in hand here, for another process of this server."""
+        """Return what this process uses, for another process of this server."""
         state = self.state
         return RequestUsage(state.concurrency_limit.running, state.memory.used_kb, state.downstream.in_flight)
 
@@ -132,13 +137,13 @@
         state = self.state
         state.actions.append(SetTimer(TIMER_INTERVAL_MS, TIMER_TOKEN))
         gauges = dict(zip(state.settings.gauges, event.gauges, strict=False))
-        state.concurrency_limit.peer_runs = gauges.get("other_runs", 0.0)
-        state.memory.peer_kb = gauges.get("other_kb", 0.0)
-        state.downstream.peer_calls = gauges.get("other_calls", 0.0)
-        state.concurrency_limit.observe_on_cores(gauges.get("on_cores", 0.0))
+        state.concurrency_limit.peer_runs = gauges.get(PEER_RUNS_GAUGE, 0.0)
+        state.memory.peer_kb = gauges.get(PEER_MEMORY_GAUGE, 0.0)
+        state.downstream.peer_calls = gauges.get(PEER_CALLS_GAUGE, 0.0)
+        state.concurrency_limit.observe_on_cores(gauges.get(ON_CORES_GAUGE, 0.0))
         if state.now >= self._next_window_at:
             self._next_window_at = state.now + CONTROL_WINDOW_MS
-            self._close_window(gauges.get("core_use", 0.0))
+            self._close_window(gauges.get(CORE_USE_GAUGE, 0.0))
 
     def _close_window(self, core_use: float) -> None:
         """Adapt what is adapted once a window."""
--- a/lapispick/admission/downstream_calls.py
+++ b/lapispick/admission/downstream_calls.py
@@ -90,7 +90,7 @@
         elif downstream.has_capacity():
             self._start_call(request, min(spare_ms, downstream.skippable_call_timeout_ms()))
         elif downstream.worth_waiting(request.call_needed_at, state.now):
-            downstream.degradable_waiting.append(request)
+            downstream.wait_degradable(request)
         else:
             self._skip(request)
 
@@ -101,6 +101,7 @@
         return last_at - state.now - REMAINING_RUN_FRACTION * state.run_estimates.core_time_ms(request)
 
     def _start_call(self, request: TrackedRequest, timeout_ms: float) -> None:
+        """Make the call of a request; it lasts no longer than any call may."""
         if timeout_ms <= 0:
             return  # its deadline has come
         state = self._state
@@ -113,6 +114,7 @@
         state.actions.append(StartCall(request.id, timeout_ms))
 
     def _skip(self, request: TrackedRequest) -> None:
+        """Let a request go on without its call."""
         self._state.actions.append(SkipCall(request.id))
         self._resume(request)
 
--- a/lapispick/admission/downstream_limit.py
+++ b/lapispick/admission/downstream_limit.py
@@ -96,6 +96,10 @@
         """Let a request that needs a call wait for capacity, and at least until ``not_before``."""
         heappush(self.waiting, (not_before, request.id, request))
 
+    def wait_degradable(self, request: TrackedRequest) -> None:
+        """Let a request that can go on without its call wait for capacity, as long as that is worth it."""
+        self.degradable_waiting.append(request)
+
     def pop_ready(self, now: float) -> TrackedRequest | None:
         """Return the next request whose wait is over, those that can't go on without a call first.
 
--- a/lapispick/admission/events.py
+++ b/lapispick/admission/events.py
@@ -46,7 +46,13 @@
     prices_frozen: bool  # they were learned
 
 
-PEER_GAUGES = ("other_runs", "other_kb", "other_calls")  # gauges: what another process of this server uses
+# Names in ``Settings.gauges``.
+CORE_USE_GAUGE = "core_use"  # fraction of the cores that is busy
+ON_CORES_GAUGE = "on_cores"  # threads on the cores now
+PEER_RUNS_GAUGE = "other_runs"  # running requests of another process of this server
+PEER_MEMORY_GAUGE = "other_kb"  # its memory in KB
+PEER_CALLS_GAUGE = "other_calls"  # its downstream calls in flight
+PEER_GAUGES = (PEER_RUNS_GAUGE, PEER_MEMORY_GAUGE, PEER_CALLS_GAUGE)
 
 
 class RequestReceived(NamedTuple):
--- a/lapispick/admission/price_test.py
+++ b/lapispick/admission/price_test.py
@@ -6,6 +6,7 @@
 
 from lapispick.admission.actions import Log
 from lapispick.admission.request_state import TrackedRequest
+from lapispick.admission.run_estimates import MIN_CORE_TIME_MS
 from lapispick.admission.server_state import ServerState
 from lapispick.admission.shadow_prices import SampledRequest
 
@@ -70,7 +71,9 @@
                 work_ms += work
                 if needs_call[number]:
                     class_index = number % late_offset
-                    call_work_ms += work * estimates.call_ms[class_index] / max(1.0, estimates.core_ms[class_index])
+                    call_work_ms += (
+                        work * estimates.call_ms[class_index] / max(MIN_CORE_TIME_MS, estimates.core_ms[class_index])
+                    )
             if number == queue:
                 break
         wait_ms = work_ms / state.concurrency_limit.value
--- a/lapispick/admission/request_lifecycle.py
+++ b/lapispick/admission/request_lifecycle.py
@@ -109,6 +109,7 @@
                 state.deadlines.schedule(request)
 
     def _mark_answered(self, request: TrackedRequest, shed: bool) -> None:
+        """Note that no answer is owed any more; ``shed`` if that is a sign of overload where requests wait."""
         request.answered = True
         state = self._state
         # Late retries at an idle server must not keep callers away.
--- a/lapispick/admission/request_queue.py
+++ b/lapispick/admission/request_queue.py
@@ -5,7 +5,7 @@
 from heapq import heappop, heappush
 
 from lapispick.admission.request_state import NOT_QUEUED, QUEUED, TrackedRequest
-from lapispick.admission.run_estimates import RunEstimates
+from lapispick.admission.run_estimates import MIN_CORE_TIME_MS, RunEstimates
 from lapispick.admission.settings import Settings
 
 
@@ -52,7 +52,7 @@
         return None
 
     def remove(self, request: TrackedRequest) -> None:
-        """Take a request's work off its queue; its place in the heap is skipped later."""
+        """Take a request's work off its queue; ``first`` drops its entry later."""
         if request.queue != NOT_QUEUED:
             self.work_ms[request.queue] -= request.queued_work_ms
             request.queue = NOT_QUEUED
@@ -62,7 +62,12 @@
         self.order.sort(key=lambda queue: (-self._value_density(queue), queue))
 
     def _value_density(self, queue: int) -> float:
+        """Return the value of a unit of work in a queue."""
         class_index = queue % self.late_offset
         settings = self._settings.classes[class_index]
         value = settings.priority_weight * (settings.late_weight if queue >= self.late_offset else 1.0)
-        return value if self._settings.weight_by_work else value / max(1.0, self._estimates.core_ms[class_index])
+        return (
+            value
+            if self._settings.weight_by_work
+            else value / max(MIN_CORE_TIME_MS, self._estimates.core_ms[class_index])
+        )
--- a/lapispick/admission/run_estimates.py
+++ b/lapispick/admission/run_estimates.py
@@ -1,4 +1,4 @@
-"""Learned run times of each class."""
+"""The learned run times of each class."""
 
 from __future__ import annotations
 
@@ -9,6 +9,8 @@
 from lapispick.admission.settings import ClassSettings
 
 MAX_AVERAGED_RUNS = 30  # the span of the moving average of a class
+MAX_AVERAGED_COST_RUNS = 60  # the span of the moving average of the time by unit of cost, over all classes
+MIN_CORE_TIME_MS = 1.0  # as a divisor; shorter times on the cores count as this
 INITIAL_RUN_FRACTION = 0.15  # of the latency objective; a class's run time until one was seen
 MAX_EXPECTED_FRACTION = 0.7  # of the latency objective; a request with more left is tried, however slow the last were
 
@@ -52,7 +54,7 @@
         """Take in a finished run; return its time on the cores over what was expected."""
         class_index = request.class_index
         core_ms = max(0.0, duration_ms - request.blocked_ms)
-        latency_ratio = core_ms / max(1.0, self.core_time_ms(request))
+        latency_ratio = core_ms / max(MIN_CORE_TIME_MS, self.core_time_ms(request))
         runs = min(MAX_AVERAGED_RUNS, self.runs[class_index] + 1)
         self.runs[class_index] = runs
         self.core_ms[class_index] += (core_ms - self.core_ms[class_index]) / runs
@@ -60,6 +62,6 @@
         self.blocked_ms[class_index] += (request.blocked_ms - self.blocked_ms[class_index]) / runs
         self.call_ms[class_index] += (request.call_ms - self.call_ms[class_index]) / runs
         if request.cost > 0:
-            self._cost_runs = min(2 * MAX_AVERAGED_RUNS, self._cost_runs + 1)
+            self._cost_runs = min(MAX_AVERAGED_COST_RUNS, self._cost_runs + 1)
             self._cost_ratio += (core_ms / request.cost - self._cost_ratio) / self._cost_runs
         return latency_ratio
--- a/lapispick/admission/run_scheduler.py
+++ b/lapispick/admission/run_scheduler.py
@@ -54,6 +54,7 @@
         return True
 
     def _will_be_late(self, request: TrackedRequest) -> bool:
+        """Tell whether a run that starts now is expected to miss the latency objective."""
         return self._state.now + self._state.run_estimates.expected_run_ms(request) > request.objective_at
 
     def _demote(self, request: TrackedRequest) -> None:
@@ -67,6 +68,7 @@
             self._lifecycle.reject(request, RejectReason.LATE)
 
     def _start(self, request: TrackedRequest) -> None:
+        """Start a request whose memory is reserved."""
         state = self._state
         state.queue.remove(request)
         request.state = RUNNING
--- a/lapispick/admission/settings.py
+++ b/lapispick/admission/settings.py
@@ -1,6 +1,6 @@
 """The settings of the decision module.
 
-All times are milliseconds, all memory is in kilobytes. Classes are numbered from 0. No default here decides anything.
+All times are milliseconds, all memory is in kilobytes. Classes are numbered from 0. No setting has a default.
 """
 
 from __future__ import annotations
--- a/lapispick/admission/shadow_prices.py
+++ b/lapispick/admission/shadow_prices.py
@@ -47,7 +47,8 @@
     """Find the duals of: maximise sum w*v*x, sum w*h*x <= occupancy_budget, sum w*c*x <= cost_budget, 0 <= x <= 1.
 
     The dual is piecewise linear and convex in the prices, so its least value lies where two of the lines
-    v = p_h*h + p_c*c, p_h = 0 and p_c = 0 meet; all such points are tried.
+    v = p_h*h + p_c*c, p_h = 0 and p_c = 0 meet; all such points are tried. The letters w, v, h and c stand for the
+    weight, value, occupancy and cost of a ``RequestType``, and x for the fraction of it that is admitted.
     """
     lines = [(occupancy, cost, value) for _, value, occupancy, cost in types] + [(1.0, 0.0, 0.0), (0.0, 1.0, 0.0)]
     best = inf
