--- a/lapispick/admission/shadow_prices.py
+++ b/lapispick/admission/shadow_prices.py
@@ -95,7 +95,7 @@
         self.cost_price = 0.0
         self.frozen = False
         self.sample: list[SampledRequest] = []
-        self.admitted_cost = 0.0
+        self.admitted_cost = 0.0  # under pressure; the price test adds to it
         self._sample_ms = 0.0  # the time under pressure that the sample covers
         self._total_wait_ms = 0.0
         self._pressure_seen_at: float | None = None  # the last request under the present pressure
