--- a/lapispick/trace/aggregation.py
+++ b/lapispick/trace/aggregation.py
@@ -14,6 +14,7 @@
 import numpy as np
 
 from lapispick import admission
+from lapispick.trace.arrays import Array
 from lapispick.trace.block_reader import Block, Records
 from lapispick.trace.duration_histograms import DurationHistograms
 from lapispick.trace.record_types import Answered, Arrival, Gap
@@ -21,6 +22,7 @@
 from lapispick.trace.request_table import FoundAttempts, RequestTable
 from lapispick.trace.request_totals import TotalsCounter
 from lapispick.trace.retry_linking import ReceivedAttempt, RetryLinker, subjects_of
+from lapispick.trace.step_times import step_times
 from lapispick.trace.summary import UNKNOWN_NAME, RequestTotals, Summary
 
 RETRY_MARGIN_MS = 30_000.0  # how long a request is remembered for retries beyond its idempotency window or deadline
@@ -50,13 +52,13 @@
         self.names = [name for name, _ in positions]
         self.settings = [settings for _, settings in positions]
 
-    def retention_ms(self) -> Any:
+    def retention_ms(self) -> Array:
         """Return for each class how long after its birth a request is remembered for retries."""
         return np.array(
             [max(each.idempotency_window_ms, each.deadline_ms) + RETRY_MARGIN_MS for each in self.settings], np.float64
         )
 
-    def positions(self, source_index: Any, class_index: Any) -> Any:
+    def positions(self, source_index: Array, class_index: Array) -> Array:
         """Return the positions of classes that are given by source and number; raises ``ValueError``."""
         positions = np.zeros(len(class_index), np.int64)
         for source, known in enumerate(self._by_source):
@@ -72,8 +74,8 @@
     """Records of one type in a block, with their sources and times."""
 
     records: Records
-    source_index: Any
-    times: Any
+    source_index: Array
+    times: Array
 
 
 class Aggregator:
@@ -81,9 +83,7 @@
 
     def __init__(self, sources: Sequence[SourceInfo]) -> None:
         self._classes = _Classes(sources)
-        self._clock_offset = np.array([source.offset for source in sources])
-        self._clock_drift = np.array([source.drift for source in sources])
-        self._clock_at = np.array([source.at for source in sources])
+        self._sources = sources
         self._table = RequestTable(len(sources), self._classes.retention_ms())
         self._linker = RetryLinker(self._table)
         self._totals = TotalsCounter(self._classes.names, self._classes.settings)
@@ -91,7 +91,7 @@
         self._queue_times = DurationHistograms()
         self._run_durations = DurationHistograms()
         self._now = -np.inf
-        self._block_times: Any = None  # of the present block's steps
+        self._block_times: Array = np.zeros(0)  # of the present block's steps
         by_class = {name: RequestTotals() for name in self._classes.names}
         self._summary = Summary(RequestTotals(), by_class, {}, {}, [], {}, {}, {})
 
@@ -100,7 +100,7 @@
         if not block.count:
             return
         source_index = block.source_index
-        if int(source_index.min()) < 0 or int(source_index.max()) >= len(self._clock_offset):
+        if int(source_index.min()) < 0 or int(source_index.max()) >= len(self._sources):
             raise ValueError("holds a step of a box that its header does not name")
         self._block_times = self._corrected_times(block)
         self._add_requests(block)
@@ -133,13 +133,9 @@
         summary.run_durations = {name: self._run_durations.pop(name) for name in summary.classes}
         return summary
 
-    def _corrected_times(self, block: Block) -> Any:
+    def _corrected_times(self, block: Block) -> Array:
         """Return the times of a block's steps by the reference clock; never earlier than those before."""
-        source_index = block.source_index
-        offset = self._clock_offset[source_index]
-        drift = self._clock_drift[source_index]
-        at = self._clock_at[source_index]
-        times = np.maximum.accumulate(block.now - offset - drift * (block.now - at) / 1000)
+        times = np.maximum.accumulate(step_times(self._sources, block))
         return np.maximum(times, self._now)
 
     def _records(self, block: Block, record_type: type) -> _TimedRecords:
@@ -201,7 +197,7 @@
         durations = runs.records.column("duration_ms")[finished]
         self._add_durations(self._run_durations, request_rows[finished], durations)
 
-    def _add_durations(self, histograms: DurationHistograms, request_rows: Any, durations: Any) -> None:
+    def _add_durations(self, histograms: DurationHistograms, request_rows: Array, durations: Array) -> None:
         class_index = self._table.requests["class_index"][request_rows]
         for each in np.unique(class_index).tolist():
             histograms.add(self._classes.names[each], durations[class_index == each])
