--- a/lapispick/admission/run_estimates.py
+++ b/lapispick/admission/run_estimates.py
@@ -1,13 +1,16 @@
-"""Learned run times of each class."""
+"""The learned run times of each class."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
+from lapispick.admission.events import LearnedEstimates
 from lapispick.admission.request_state import TrackedRequest
 from lapispick.admission.settings import ClassSettings
 
 MAX_AVERAGED_RUNS = 30  # the span of the moving average of a class
+MAX_AVERAGED_COST_RUNS = 60  # the span of the moving average of the time by unit of cost, over all classes
+MIN_CORE_TIME_MS = 1.0  # as a divisor; shorter times on the cores count as this
 INITIAL_RUN_FRACTION = 0.15  # of the latency objective; a class's run time until one was seen
 MAX_EXPECTED_FRACTION = 0.7  # of the latency objective; a request with more left is tried, however slow the last were
 
@@ -36,11 +39,22 @@
         class_index = request.class_index
         return min(self.core_time_ms(request) + self.blocked_ms[class_index], self._max_expected_ms[class_index])
 
+    def adopt(self, learned: LearnedEstimates) -> bool:
+        """Begin with the means of another process; False where runs were seen here, or its classes are others."""
+        if any(self.runs) or len(learned.runs) != len(self.runs):
+            return False
+        self.core_ms = list(learned.core_ms)
+        self.run_ms = list(learned.run_ms)
+        self.blocked_ms = list(learned.blocked_ms)
+        self.call_ms = list(learned.call_ms)
+        self.runs = list(learned.runs)
+        return True
+
     def learn(self, request: TrackedRequest, duration_ms: float) -> float:
         """Take in a finished run; return its time on the cores over what was expected."""
         class_index = request.class_index
         core_ms = max(0.0, duration_ms - request.blocked_ms)
-        latency_ratio = core_ms / max(1.0, self.core_time_ms(request))
+        latency_ratio = core_ms / max(MIN_CORE_TIME_MS, self.core_time_ms(request))
         runs = min(MAX_AVERAGED_RUNS, self.runs[class_index] + 1)
         self.runs[class_index] = runs
         self.core_ms[class_index] += (core_ms - self.core_ms[class_index]) / runs
@@ -48,6 +62,6 @@
         self.blocked_ms[class_index] += (request.blocked_ms - self.blocked_ms[class_index]) / runs
         self.call_ms[class_index] += (request.call_ms - self.call_ms[class_index]) / runs
         if request.cost > 0:
-            self._cost_runs = min(2 * MAX_AVERAGED_RUNS, self._cost_runs + 1)
+            self._cost_runs = min(MAX_AVERAGED_COST_RUNS, self._cost_runs + 1)
             self._cost_ratio += (core_ms / request.cost - self._cost_ratio) / self._cost_runs
         return latency_ratio
--- a/tests/test_paused_runs.py
+++ b/tests/test_paused_runs.py
@@ -217,9 +217,9 @@
     harness.step(*(CallCompleted(i, Outcome.OK, 20.0) for i in ids))
     paused = [a.id for a in harness.actions_of(CancelRun)]
     assert len(paused) == 4
-    assert harness.state.running == 6
+    assert harness.state.concurrency_limit.running == 6
     harness.step(*(RunCompleted(i, Outcome.CANCELLED, 5.0) for i in paused))
-    assert harness.state.running == 2
+    assert harness.state.concurrency_limit.running == 2
     assert harness.state.memory.used_kb == used_kb
     harness.step(ClientCancelled(paused[0]))
     assert harness.state.memory.used_kb == used_kb * 5 / 6
@@ -228,9 +228,9 @@
     harness.step(RunCompleted(others[0], Outcome.OK, 30.0))
     resumed = [i for i in paused if len(harness.actions_of(StartRun, i)) == 2]
     assert len(resumed) == 1
-    assert harness.state.running == 2
+    assert harness.state.concurrency_limit.running == 2
     harness.step(CallRequested(resumed[0]))  # it continues like any other
-    assert harness.state.running == 2
+    assert harness.state.concurrency_limit.running == 2
     assert sum(len(harness.actions_of(StartRun, i)) == 2 for i in paused) == 2
 
 
