--- a/lapispick/admission/controller.py
+++ b/lapispick/admission/controller.py
@@ -1,4 +1,4 @@
-"""The controller of one server: hands each event to the part that decides on it. Every decision starts here."""
+"""The controller of one server: dispatches each event to its handler, and closes control windows."""
 
 from __future__ import annotations
 
@@ -9,6 +9,11 @@
 from lapispick.admission.actions import Action, Advertise, Log, SetHealth, SetIdleTimeout, SetTimer
 from lapispick.admission.downstream_calls import DownstreamCalls
 from lapispick.admission.events import (
+    CORE_USE_GAUGE,
+    ON_CORES_GAUGE,
+    PEER_CALLS_GAUGE,
+    PEER_MEMORY_GAUGE,
+    PEER_RUNS_GAUGE,
     CallCompleted,
     CallRequested,
     ClientCancelled,
@@ -25,7 +30,6 @@
 from lapispick.admission.run_scheduler import RunScheduler
 from lapispick.admission.server_state import ServerState
 from lapispick.admission.settings import Settings
-from lapispick.admission.shadow_prices import Prices
 
 TIMER_INTERVAL_MS = 40.0  # below the margin that answers keep before their deadline
 CONTROL_WINDOW_MS = 240.0  # one step of the concurrency limit, the backpressure value and the idle timeout
@@ -84,43 +88,35 @@
         return state.actions
 
     def usage(self) -> RequestUsage:
-        """Return what is in hand here, for another process of this server."""
+        """Return what this process uses, for another process of this server."""
         state = self.state
-        return RequestUsage(state.running, state.memory.used_kb, state.downstream.in_flight)
+        return RequestUsage(state.concurrency_limit.running, state.memory.used_kb, state.downstream.in_flight)
 
     def learned(self) -> LearnedEstimates:
         """Return what a process that takes this one's place should know; see ``adopt``."""
-        estimates = self.state.run_estimates
-        prices = self.state.shadow_prices
+        state = self.state
+        estimates = state.run_estimates
         return LearnedEstimates(
             core_ms=tuple(estimates.core_ms),
             run_ms=tuple(estimates.run_ms),
             blocked_ms=tuple(estimates.blocked_ms),
             call_ms=tuple(estimates.call_ms),
             runs=tuple(estimates.runs),
-            concurrency_limit=self.state.concurrency_limit.value,
-            call_times=self.state.downstream.call_times,
-            call_limit=self.state.downstream.limit,
-            prices=Prices(prices.occupancy_price, prices.cost_price),
-            prices_frozen=prices.frozen,
+            concurrency_limit=state.concurrency_limit.value,
+            call_times=state.downstream.call_times,
+            call_limit=state.downstream.limit,
+            prices=state.shadow_prices.current,
+            prices_frozen=state.shadow_prices.frozen,
         )
 
     def adopt(self, learned: LearnedEstimates) -> None:
         """Begin with what another process learned on these cores; what was learned here has priority."""
         state = self.state
-        estimates = state.run_estimates
-        if any(estimates.runs) or len(learned.runs) != len(estimates.runs):
+        if not state.run_estimates.adopt(learned):
             return
-        estimates.core_ms = list(learned.core_ms)
-        estimates.run_ms = list(learned.run_ms)
-        estimates.blocked_ms = list(learned.blocked_ms)
-        estimates.call_ms = list(learned.call_ms)
-        estimates.runs = list(learned.runs)
-        state.concurrency_limit.value = max(float(state.settings.cores), learned.concurrency_limit)
-        state.downstream.usual_ms, state.downstream.recent_ms = learned.call_times
-        state.downstream.limit = learned.call_limit
-        state.shadow_prices.occupancy_price, state.shadow_prices.cost_price = learned.prices
-        state.shadow_prices.frozen = learned.prices_frozen
+        state.concurrency_limit.adopt(learned.concurrency_limit)
+        state.downstream.adopt(learned.call_times, learned.call_limit)
+        state.shadow_prices.adopt(learned.prices, learned.prices_frozen)
 
     def _on_shutdown_requested(self, event: ShutdownRequested) -> None:
         """Begin to drain: all that was read is answered before the stop."""
@@ -141,13 +137,13 @@
         state = self.state
         state.actions.append(SetTimer(TIMER_INTERVAL_MS, TIMER_TOKEN))
         gauges = dict(zip(state.settings.gauges, event.gauges, strict=False))
-        state.concurrency_limit.peer_runs = gauges.get("other_runs", 0.0)
-        state.memory.peer_kb = gauges.get("other_kb", 0.0)
-        state.downstream.peer_calls = gauges.get("other_calls", 0.0)
-        state.concurrency_limit.observe_on_cores(gauges.get("on_cores", 0.0))
+        state.concurrency_limit.peer_runs = gauges.get(PEER_RUNS_GAUGE, 0.0)
+        state.memory.peer_kb = gauges.get(PEER_MEMORY_GAUGE, 0.0)
+        state.downstream.peer_calls = gauges.get(PEER_CALLS_GAUGE, 0.0)
+        state.concurrency_limit.observe_on_cores(gauges.get(ON_CORES_GAUGE, 0.0))
         if state.now >= self._next_window_at:
             self._next_window_at = state.now + CONTROL_WINDOW_MS
-            self._close_window(gauges.get("core_use", 0.0))
+            self._close_window(gauges.get(CORE_USE_GAUGE, 0.0))
 
     def _close_window(self, core_use: float) -> None:
         """Adapt what is adapted once a window."""
--- a/lapispick/admission/downstream_calls.py
+++ b/lapispick/admission/downstream_calls.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from heapq import heappop, heappush
-
 from lapispick.admission.actions import SkipCall, StartCall
 from lapispick.admission.events import CallCompleted, CallRequested, Outcome
 from lapispick.admission.request_lifecycle import RequestLifecycle
@@ -39,7 +37,7 @@
         request = state.requests.get(event.id)
         if request is None or request.state is not RUNNING:
             return
-        state.running -= 1
+        state.concurrency_limit.free_slot()
         self._pauser.discard(request)
         request.state = WAITING_FOR_CALL
         request.call_attempts = 0
@@ -52,8 +50,7 @@
         request = state.requests.get(event.id)
         if request is None or request.state is not CALLING:
             return
-        state.downstream.in_flight -= 1
-        single_loss = state.downstream.record_call(event.duration_ms, event.outcome, state.generator)
+        single_loss = state.downstream.finish_call(event.duration_ms, event.outcome, state.generator)
         request.call_ms += state.now - request.call_started_at
         if event.outcome is Outcome.OK:
             self._resume(request)
@@ -64,20 +61,10 @@
 
     def retry_waiting(self) -> None:
         """Make the calls that wait while there is capacity; those that can't be skipped go first."""
-        state = self._state
-        downstream = state.downstream
-        waiting = downstream.waiting
-        while waiting and waiting[0][0] <= state.now:
-            request = waiting[0][2]
-            if request.state is WAITING_FOR_CALL and not request.answered and not downstream.has_capacity():
-                break
-            heappop(waiting)
+        now = self._state.now
+        downstream = self._state.downstream
+        while (request := downstream.pop_ready(now)) is not None:
             self._proceed(request)
-        degradable = downstream.degradable_waiting
-        while degradable and (
-            downstream.has_capacity() or not downstream.worth_waiting(degradable[0].call_needed_at, state.now)
-        ):
-            self._proceed(degradable.popleft())
 
     def _proceed(self, request: TrackedRequest) -> None:
         """Make the call of a request, skip it, or let it wait for capacity."""
@@ -91,7 +78,7 @@
             self._start_call(request, request.deadline_at - state.now)
         else:
             self._lifecycle.log_bound(BOUND_NAME)
-            heappush(state.downstream.waiting, (state.now, request.id, request))
+            state.downstream.wait(request, state.now)
 
     def _call_or_skip(self, request: TrackedRequest) -> None:
         """Make a call that can be skipped if it comes back in time."""
@@ -103,7 +90,7 @@
         elif downstream.has_capacity():
             self._start_call(request, min(spare_ms, downstream.skippable_call_timeout_ms()))
         elif downstream.worth_waiting(request.call_needed_at, state.now):
-            downstream.degradable_waiting.append(request)
+            downstream.wait_degradable(request)
         else:
             self._skip(request)
 
@@ -114,6 +101,7 @@
         return last_at - state.now - REMAINING_RUN_FRACTION * state.run_estimates.core_time_ms(request)
 
     def _start_call(self, request: TrackedRequest, timeout_ms: float) -> None:
+        """Make the call of a request; it lasts no longer than any call may."""
         if timeout_ms <= 0:
             return  # its deadline has come
         state = self._state
@@ -121,11 +109,12 @@
         request.state = CALLING
         request.call_started_at = state.now
         request.call_attempts += 1
-        downstream.in_flight += 1
+        downstream.start_call()
         timeout_ms = round(min(timeout_ms, downstream.max_call_ms()), 1) or MIN_CALL_TIMEOUT_MS
         state.actions.append(StartCall(request.id, timeout_ms))
 
     def _skip(self, request: TrackedRequest) -> None:
+        """Let a request go on without its call."""
         self._state.actions.append(SkipCall(request.id))
         self._resume(request)
 
@@ -134,7 +123,7 @@
         state = self._state
         request.blocked_ms = request.blocked_ms + state.now - request.call_needed_at
         request.state = RUNNING
-        state.running += 1
+        state.concurrency_limit.occupy_slot()
 
     def _recover(self, request: TrackedRequest, outcome: Outcome, single_loss: bool) -> None:
         """Repeat a failed call, skip it or fail its request: no call with an effect is made twice."""
@@ -147,6 +136,6 @@
         elif settings.degraded_weight > 0 and not (retries and outcome is Outcome.CONNECT_FAILED):
             self._skip(request)
         elif retries:
-            heappush(state.downstream.waiting, (state.now + CALL_RETRY_DELAY_MS, request.id, request))
+            state.downstream.wait(request, state.now + CALL_RETRY_DELAY_MS)
         else:
             self._lifecycle.fail(request)
--- a/lapispick/admission/request_queue.py
+++ b/lapispick/admission/request_queue.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from heapq import heappush
+from heapq import heappop, heappush
 
-from lapispick.admission.request_state import NOT_QUEUED, TrackedRequest
-from lapispick.admission.run_estimates import RunEstimates
+from lapispick.admission.request_state import NOT_QUEUED, QUEUED, TrackedRequest
+from lapispick.admission.run_estimates import MIN_CORE_TIME_MS, RunEstimates
 from lapispick.admission.settings import Settings
 
 
@@ -41,8 +41,18 @@
         """Return the queue that a request belongs to."""
         return request.class_index + (self.late_offset if now >= request.objective_at else 0)
 
+    def first(self, queue: int) -> TrackedRequest | None:
+        """Return the request of a queue that is served next; those that left the queue are dropped here."""
+        heap = self.heaps[queue]
+        while heap:
+            request = heap[0][2]
+            if request.state is QUEUED and request.queue == queue:
+                return request
+            heappop(heap)
+        return None
+
     def remove(self, request: TrackedRequest) -> None:
-        """Take a request's work off its queue; its place in the heap is skipped later."""
+        """Take a request's work off its queue; ``first`` drops its entry later."""
         if request.queue != NOT_QUEUED:
             self.work_ms[request.queue] -= request.queued_work_ms
             request.queue = NOT_QUEUED
@@ -52,7 +62,12 @@
         self.order.sort(key=lambda queue: (-self._value_density(queue), queue))
 
     def _value_density(self, queue: int) -> float:
+        """Return the value of a unit of work in a queue."""
         class_index = queue % self.late_offset
         settings = self._settings.classes[class_index]
         value = settings.priority_weight * (settings.late_weight if queue >= self.late_offset else 1.0)
-        return value if self._settings.weight_by_work else value / max(1.0, self._estimates.core_ms[class_index])
+        return (
+            value
+            if self._settings.weight_by_work
+            else value / max(MIN_CORE_TIME_MS, self._estimates.core_ms[class_index])
+        )
--- a/lapispick/admission/shadow_prices.py
+++ b/lapispick/admission/shadow_prices.py
@@ -47,7 +47,8 @@
     """Find the duals of: maximise sum w*v*x, sum w*h*x <= occupancy_budget, sum w*c*x <= cost_budget, 0 <= x <= 1.
 
     The dual is piecewise linear and convex in the prices, so its least value lies where two of the lines
-    v = p_h*h + p_c*c, p_h = 0 and p_c = 0 meet; all such points are tried.
+    v = p_h*h + p_c*c, p_h = 0 and p_c = 0 meet; all such points are tried. The letters w, v, h and c stand for the
+    weight, value, occupancy and cost of a ``RequestType``, and x for the fraction of it that is admitted.
     """
     lines = [(occupancy, cost, value) for _, value, occupancy, cost in types] + [(1.0, 0.0, 0.0), (0.0, 1.0, 0.0)]
     best = inf
@@ -94,11 +95,21 @@
         self.cost_price = 0.0
         self.frozen = False
         self.sample: list[SampledRequest] = []
-        self.admitted_cost = 0.0
+        self.admitted_cost = 0.0  # under pressure; the price test adds to it
         self._sample_ms = 0.0  # the time under pressure that the sample covers
         self._total_wait_ms = 0.0
         self._pressure_seen_at: float | None = None  # the last request under the present pressure
 
+    @property
+    def current(self) -> Prices:
+        """Return the prices that requests are put to now."""
+        return Prices(self.occupancy_price, self.cost_price)
+
+    def adopt(self, prices: Prices, frozen: bool) -> None:
+        """Begin with the prices of another process; ``frozen`` if they were learned."""
+        self.occupancy_price, self.cost_price = prices
+        self.frozen = frozen
+
     def end_pressure(self) -> None:
         """Note that no work waits: the time until the next pressure is no part of the sample."""
         self._pressure_seen_at = None
@@ -123,7 +134,7 @@
         slots *= max(MIN_FREE_SLOTS_FRACTION, 1 - mean_wait_ms / BUDGET_PERIOD_MS)
         cost_budget = self.admitted_cost / periods
         learned = solve_prices(self._request_types(periods), slots * BUDGET_PERIOD_MS, cost_budget)
-        old = Prices(self.occupancy_price, self.cost_price)
+        old = self.current
         gain = self._replay(learned, slots, cost_budget) - self._replay(old, slots, cost_budget)
         self.frozen = True
         self.sample = []
