--- a/lapispick/fakes/ports.py
+++ b/lapispick/fakes/ports.py
@@ -1,16 +1,17 @@
 """Ports for processes that a test starts, and calls to operators' addresses."""
 
 import contextlib
+import functools
 import itertools
 import os
 import socket
-import zlib
 
 LOOPBACK = "127.0.0.1"
-FIRST_PORT = 10_000  # below those that the system gives to whoever asks for any
-PORTS_PER_WORKER = 500
-MAX_WORKERS = 40
+FIRST_PORT = 10_000  # all ranges lie below the ports that the system gives to whoever asks for any
+PORTS_PER_RANGE = 500
+MAX_RANGES = 40
 _port_numbers = itertools.count()
+_claims = []  # sockets that are bound as long as this process lives
 
 
 def free_port():
@@ -20,27 +21,35 @@
 
 
 def bind_in_own_range(sock):
-    """Bind a socket to a loopback port that no other worker of a test run uses, and return the port.
+    """Bind a socket to a loopback port that no other process of the tests uses, and return the port.
 
     A port that the system chooses may have been another test's a moment before, and a client that has not noticed the
-    end of its server would connect to this one. Each worker therefore has a range of its own and goes through it in
-    turn; runs side by side begin at different ranges.
+    end of its server would connect to this one. Each process that runs tests therefore has a range of its own and goes
+    through it in turn.
     """
-    first = FIRST_PORT + PORTS_PER_WORKER * (_worker_number() % MAX_WORKERS)
-    for _ in range(PORTS_PER_WORKER):
-        port = first + next(_port_numbers) % PORTS_PER_WORKER
+    first = _claimed_range()
+    for _ in range(PORTS_PER_RANGE):
+        port = first + next(_port_numbers) % PORTS_PER_RANGE
         with contextlib.suppress(OSError):
             sock.bind((LOOPBACK, port))
             return port
     raise AssertionError("no port is free")
 
 
-def _worker_number():
-    worker = os.environ.get("PYTEST_XDIST_WORKER", "")[2:]
-    if not worker.isdecimal():
-        return os.getpid()
-    run = os.environ.get("PYTEST_XDIST_TESTRUNUID", "")
-    return int(worker) + zlib.crc32(run.encode())
+@functools.cache
+def _claimed_range():
+    """Claim a range for this process by binding its first port, and return that port."""
+    for number in range(MAX_RANGES):
+        first = FIRST_PORT + PORTS_PER_RANGE * ((os.getpid() + number) % MAX_RANGES)
+        claim = socket.socket()
+        try:
+            claim.bind((LOOPBACK, first))
+        except OSError:
+            claim.close()
+        else:
+            _claims.append(claim)
+            return first
+    raise AssertionError("no range of ports is free")
 
 
 @contextlib.contextmanager
