--- a/lapispick/host/jsonrpc/messages.py
+++ b/lapispick/host/jsonrpc/messages.py
@@ -5,7 +5,6 @@
 
 from __future__ import annotations
 
-import base64
 import binascii
 import re
 import time
@@ -109,7 +108,7 @@
 
 def _validate_body(body: str | None) -> None:
     try:
-        size = len(base64.b64decode(body or "", validate=True))
+        size = len(binascii.a2b_base64(body or "", strict_mode=True))
     except (binascii.Error, ValueError):
         raise InvalidMessageError("doc is not base64") from None
     if body is None or size > MAX_BODY_BYTES:
--- a/lapispick/host/store.py
+++ b/lapispick/host/store.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import base64
 import binascii
 import logging
 import re
@@ -301,12 +300,13 @@
         if call.stream is not None and result.connection_reusable:
             self._keep(call.stream, call.address)
         duration_ms = round((time.monotonic() - call.started_at) * 1000, 3)  # to the us; more is noise
-        self.post(events.CallCompleted(call, result.outcome, duration_ms, base64.b64encode(result.body).decode()))
+        body = binascii.b2a_base64(result.body, newline=False).decode()
+        self.post(events.CallCompleted(call, result.outcome, duration_ms, body))
 
     def _exchange(self, call: StoreCall, new_connection: bool = False) -> CallResult:
         deadline = call.started_at + call.timeout_s
         try:
-            body = base64.b64decode(call.body, validate=True)
+            body = binascii.a2b_base64(call.body, strict_mode=True)
         except binascii.Error:
             return CallResult(Outcome.ERROR)
         try:
