--- a/lapispick/host/handover/peer_link.py
+++ b/lapispick/host/handover/peer_link.py
@@ -43,8 +43,9 @@
         return len(self._gateways.connections)
 
     def on_peer_usage(self, usage: messages.ResourceUsage) -> None:
-        """Leave the other process its descriptors."""
-        self._set_peer_connections(usage.connections)
+        """Leave the other process its descriptors, unless the link has ended since the report was read."""
+        if not self.stream.closed:
+            self._set_peer_connections(usage.connections)
 
     def on_snapshot_complete(self) -> None:
         """Note that the snapshot is complete."""
--- a/tests/test_handover_link.py
+++ b/tests/test_handover_link.py
@@ -13,6 +13,7 @@
 from lapispick.fakes.gateway import GatewayConnection
 from lapispick.fakes.messages import REJECTED_CODE, encode_base64, make_idempotency_key
 from lapispick.fakes.rule_checker import REJECTED, SERVED, answer_kind
+from lapispick.fakes.start_settings import LIMITS
 from lapispick.fakes.waiting import wait_until
 from lapispick.handover import budget, messages
 from lapispick.idempotency.table import digest_request
@@ -221,6 +222,27 @@
         assert hello.listener == "own"
 
 
+def test_a_last_usage_report_does_not_outlive_its_link(host, shared_address, tmp_path):
+    """The report of a process that is killed is read together with the end of its link; the quota must come back."""
+    max_connections = LIMITS["sockets"] * 5 // 8
+    reserved_connections = budget.max_connections(max_connections, max_connections)
+    old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
+    with socket.socket(socket.AF_UNIX) as sock:
+        sock.connect(socket_path(tmp_path))
+        sock.sendall(messages.encode(messages.Hello(messages.VERSION, "n3", old.config["listen"], "own")))
+        _, passed_listeners, _, _ = socket.recv_fds(sock, 1, 1)
+        os.close(passed_listeners[0])
+        old.wait_for_log("linked")
+        with old.suspended():
+            sock.sendall(messages.encode(messages.ResourceUsage(0, 0.0, 0, max_connections)))
+            sock.close()
+    old.wait_for_log("link-ended")
+    gateways = [old.gateway() for _ in range(2 * reserved_connections)]
+    for _ in range(2):  # an idle connection that is over the quota would be closed before its second request
+        for gateway in gateways:
+            assert gateway.result(gateway.request("track", "x")) == "did x"
+
+
 @pytest.mark.parametrize("listens", ["own", "passed", ""])
 def test_an_old_process_leaves_its_listening_socket_to_a_successor_that_has_it(host, shared_address, tmp_path, listens):
     """What waits for the listening socket at the notice is read here, but for a successor that has that very socket."""
