--- a/lapispick/admission/concurrency_limit.py
+++ b/lapispick/admission/concurrency_limit.py
@@ -133,4 +133,4 @@
         if not settings.warming_up or settings.warm_up_ms <= 0:
             return 1.0
         elapsed = (now - self._started_at) / settings.warm_up_ms
-        return min(1.0, settings.cold_speed_fraction + (1 - settings.cold_speed_fraction) * elapsed)
+        return min(1.0, settings.initial_speed_fraction + (1 - settings.initial_speed_fraction) * elapsed)
--- a/lapispick/admission/settings.py
+++ b/lapispick/admission/settings.py
@@ -70,7 +70,7 @@
     run_memory_factor: float = field(name="run_factor")  # memory of a running request over that of a queued one
     key_memory_kb: float = field(name="key_kb")  # memory of one retained idempotency key
     warming_up: bool = field(name="cold")  # started just now, not yet at full speed
-    cold_speed_fraction: float = field(name="cold_from")  # least fraction of the full speed right after a start
+    initial_speed_fraction: float = field(name="cold_from")  # least fraction of the full speed right after a start
     warm_up_ms: float  # at full speed after this at the latest
     overload_runs_per_core: float = field(name="fall_multiple")  # running requests for each core that a host survives
     drain_grace_ms: float
@@ -88,8 +88,8 @@
         _require(self.cores >= 1, "cores", self.cores, "must be at least 1")
         _require(self.memory_kb > 0, "memory_kb", self.memory_kb, "must be positive")
         _require(self.callers >= 0, "callers", self.callers, "must not be negative")
-        speed = self.cold_speed_fraction
-        _require(0 < speed <= 1, "cold_speed_fraction", speed, "must be over 0 and at most 1")
+        speed = self.initial_speed_fraction
+        _require(0 < speed <= 1, "initial_speed_fraction", speed, "must be over 0 and at most 1")
         for number, settings in enumerate(self.classes):
             where = f"classes[{number}]"
             objective_ms = settings.latency_objective_ms
--- a/lapispick/platform_settings.py
+++ b/lapispick/platform_settings.py
@@ -82,7 +82,7 @@
 class PlatformGuarantees(msgspec.Struct, rename="pascal"):
     """What the platform's rules state in figures: ``Guarantees``."""
 
-    cold_speed_fraction: float = field(name="ColdFrom")
+    initial_speed_fraction: float = field(name="ColdFrom")
     warm_up_ms: float = field(name="WarmUp")
     overload_runs_per_core: float = field(name="FallMultiple")
     drain_grace_ms: float = field(name="DrainGrace")
@@ -128,7 +128,7 @@
         run_memory_factor=host.run_memory_factor,
         key_memory_kb=host.key_memory_kb,
         warming_up=host.warming_up,
-        cold_speed_fraction=guarantees.cold_speed_fraction,
+        initial_speed_fraction=guarantees.initial_speed_fraction,
         warm_up_ms=guarantees.warm_up_ms,
         overload_runs_per_core=guarantees.overload_runs_per_core,
         drain_grace_ms=guarantees.drain_grace_ms,
--- a/tests/controller_harness.py
+++ b/tests/controller_harness.py
@@ -41,7 +41,7 @@
         run_memory_factor=8,
         key_memory_kb=10,
         warming_up=False,
-        cold_speed_fraction=0.25,
+        initial_speed_fraction=0.25,
         warm_up_ms=10_000,
         overload_runs_per_core=8,
         drain_grace_ms=1000,
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -214,7 +214,7 @@
         {"cores": 0},
         {"memory_kb": 0},
         {"callers": -1},
-        {"cold_speed_fraction": 0},
+        {"initial_speed_fraction": 0},
         {"classes": (make_class(latency_objective_ms=5000),)},
         {"classes": (make_class(idempotency=admission.Idempotency.KEYED, idempotency_window_ms=0),)},
     ]
