--- a/tests/test_prices.py
+++ b/tests/test_prices.py
@@ -6,6 +6,7 @@
 
 from lapispick.admission import Outcome, RunCompleted
 from lapispick.admission.shadow_prices import SAMPLE_SIZE, RequestType, SampledRequest, ShadowPrices, solve_prices
+from tests.property_support import cpu_time_bounded
 
 
 def solve(types, occupancy_budget, cost_budget):
@@ -46,8 +47,9 @@
 request_types = st.builds(RequestType, *[st.floats(0.1, 50) for _ in range(4)])
 
 
-@settings(derandomize=True, max_examples=200)
+@settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(request_types, min_size=1, max_size=5), st.floats(0.5, 500), st.floats(0.5, 500))
+@cpu_time_bounded
 def test_prices_are_a_minimum_of_the_dual_and_admit_all_within_budget(types, occupancy_budget, cost_budget):
     occupancy_price, cost_price = solve_prices(types, occupancy_budget, cost_budget)
     assert occupancy_price >= 0
--- a/tests/test_rollout_stages.py
+++ b/tests/test_rollout_stages.py
@@ -11,6 +11,7 @@
 from lapispick.rollout import pacing, stages
 from lapispick.rollout.pacing import Candidate
 from lapispick.rollout.stages import parse_size
+from tests.property_support import cpu_time_bounded
 
 
 def workers(*sizes):
@@ -21,7 +22,7 @@
     ]
 
 
-DETERMINISTIC = settings(derandomize=True)  # the same verdict every time
+DETERMINISTIC = settings(derandomize=True, deadline=None)  # the same verdict every time
 SIZES = [("1", "10%", "100%"), ("100%",), ("2", "5", "50%", "100%")]
 
 
@@ -32,6 +33,7 @@
     st.floats(0.1, 1.0),
     st.text(min_size=1, max_size=8),
 )
+@cpu_time_bounded
 def test_every_host_has_one_stage_and_none_takes_all_of_a_zone(zone_sizes, stage_sizes, max_zone_fraction, name):
     hosts = workers(*zone_sizes)
     limits = stages.Limits(max_zone_fraction)
@@ -67,6 +69,7 @@
     st.integers(1, 9),
     st.floats(0, 1),
 )
+@cpu_time_bounded
 def test_pacing_never_admits_too_many_hosts_and_keeps_enough_serving(rows, max_changing, min_serving):
     candidates = [Candidate(str(n), *row) for n, row in enumerate(rows)]
     admitted, reason = pacing.next_hosts(candidates, pacing.Limits(max_changing, min_serving))
