--- a/lapispick/host/amqp/channel.py
+++ b/lapispick/host/amqp/channel.py
@@ -41,7 +41,7 @@
     @property
     def host_is_shutting_down(self) -> bool: ...  # noqa: D102
     def send(self, data: bytes) -> None: ...  # noqa: D102
-    def post(self, event: Any) -> None: ...  # noqa: D102
+    def post(self, event: events.Event) -> None: ...  # noqa: D102
     def caller_number(self, channel: Channel) -> int: ...  # noqa: D102
     def is_current(self, channel: Channel) -> bool: ...  # noqa: D102
     def on_channel_ready(self) -> None: ...  # noqa: D102
@@ -126,7 +126,7 @@
         self.is_ready = True
         self.owner.on_channel_ready()
 
-    def _log(self, level: int, event: str, **pairs: Any) -> None:
+    def _log(self, level: int, event: str, **pairs: object) -> None:
         log(LOG, level, event, broker=self.owner.name, queue=self.queue.name, **pairs)
 
     # Closing.
@@ -249,6 +249,7 @@
         self.close_if_done()
 
 
+# Each handler takes the method type that it is registered for, which a table can't express.
 HANDLERS: dict[type[Method], Callable[[Channel, Any], None]] = {
     methods.ChannelOpenOk: Channel._on_open_ok,
     methods.ConfirmSelectOk: Channel._on_select_ok,
--- a/lapispick/host/amqp/front.py
+++ b/lapispick/host/amqp/front.py
@@ -6,11 +6,12 @@
 import random
 import time
 from collections.abc import Callable
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from lapispick import admission, jitter
 from lapispick.fleet.reconciler import Bounds, Close, Drain, Open, Reconciler, next_due
 from lapispick.fleet.snapshot import Difference, Snapshot
+from lapispick.host import events
 from lapispick.host.amqp.caller_numbers import CallerNumbers
 from lapispick.host.amqp.inventory_schema import Broker, Queue, broker_of, queues_of
 from lapispick.host.amqp.request_builder import RequestBuilder
@@ -42,7 +43,7 @@
         bounds: Bounds,
         start_settings: StartSettings,
         settings: admission.Settings,
-        post: Callable[[Any], None],
+        post: Callable[[events.Event], None],
         resolver: DnsResolver,
         resolve_interval_s: float,
     ) -> None:
--- a/lapispick/host/amqp/session.py
+++ b/lapispick/host/amqp/session.py
@@ -4,9 +4,10 @@
 
 import logging
 import random
-from typing import Any, Protocol
+from typing import Protocol
 
 from lapispick import jitter
+from lapispick.host import events
 from lapispick.host.amqp.channel import REOPEN_S, Channel
 from lapispick.host.amqp.codec import MIN_FRAME_MAX_BYTES
 from lapispick.host.amqp.connection import CONNECTION_CHANNEL, MAX_CHANNELS, BrokerConnection
@@ -30,7 +31,7 @@
     request_builder: RequestBuilder
     is_shutting_down: bool
 
-    def post(self, event: Any) -> None: ...  # noqa: D102
+    def post(self, event: events.Event) -> None: ...  # noqa: D102
     def caller_number(self, broker_key: str, queue_name: str) -> int: ...  # noqa: D102
     def lookup(self, name: str) -> list[str]: ...  # noqa: D102
     def on_session_opened(self, session: Session) -> None: ...  # noqa: D102
--- a/lapispick/host/core/completion.py
+++ b/lapispick/host/core/completion.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
 
 from lapispick import admission
 from lapispick.admission import Outcome
@@ -20,7 +19,12 @@
     """Answers a request once, and forgets it when neither the client nor the executor needs it."""
 
     def __init__(
-        self, clock: Clock, table: RequestTable, answers: AnswerSender, peers: Peers, post: Callable[[Any], None]
+        self,
+        clock: Clock,
+        table: RequestTable,
+        answers: AnswerSender,
+        peers: Peers,
+        post: Callable[[events.Event], None],
     ) -> None:
         self._clock = clock
         self._table = table
--- a/lapispick/host/core/decision_module.py
+++ b/lapispick/host/core/decision_module.py
@@ -20,6 +20,7 @@
 LOG = "core"
 TIMER_RETRY_MS = 100.0  # until a timer goes off again that the module failed to handle
 
+# Each handler takes the action type that it is registered for, which a table can't express.
 ActionHandlers = dict[type, Callable[[Any], None]]
 
 
--- a/lapispick/host/core/dispatcher.py
+++ b/lapispick/host/core/dispatcher.py
@@ -28,6 +28,7 @@
 
 LOG = "core"
 
+# Each handler takes the event type that it is registered for, which a table can't express.
 EventHandler = Callable[[Any, list[admission.Event]], None]
 
 
@@ -44,7 +45,7 @@
         names: Sequence[str] = (),
     ) -> None:
         self._settings = settings
-        self._queue = Queue(loop)
+        self._queue: Queue[events.Event] = Queue(loop)
         self._clock = clock = Clock()
         self.peers = peers = Peers()
         post = self.post
@@ -118,8 +119,8 @@
         """How many requests still wait for their answer."""
         return self.answers.owed
 
-    def post(self, event: Any) -> None:
-        """Report an event of ``lapispick.host.events``."""
+    def post(self, event: events.Event) -> None:
+        """Report an event."""
         self._queue.put(event)
 
     def serve(self) -> None:
--- a/lapispick/host/core/idempotency.py
+++ b/lapispick/host/core/idempotency.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
 
 from lapispick import admission
 from lapispick.admission import Outcome
@@ -33,7 +32,7 @@
         settings: admission.Settings,
         requests: RequestTable,
         completion: RequestCompletion,
-        post: Callable[[Any], None],
+        post: Callable[[events.Event], None],
         max_result_bytes: int,
     ) -> None:
         self._clock = clock
--- a/lapispick/host/core/peer_sync.py
+++ b/lapispick/host/core/peer_sync.py
@@ -4,7 +4,7 @@
 
 import logging
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from lapispick import admission
 from lapispick.handover import messages
@@ -39,7 +39,7 @@
         arrivals: ArrivalHandler,
         idempotency: IdempotencyCoordinator,
         health: HealthReporter,
-        post: Callable[[Any], None],
+        post: Callable[[events.Event], None],
     ) -> None:
         self._loop = loop
         self._clock = clock
--- a/lapispick/host/core/runs.py
+++ b/lapispick/host/core/runs.py
@@ -4,7 +4,6 @@
 
 import logging
 from collections.abc import Callable
-from typing import Any
 
 from lapispick import admission
 from lapispick.admission import Outcome
@@ -34,7 +33,7 @@
         completion: RequestCompletion,
         idempotency: IdempotencyCoordinator,
         peers: Peers,
-        post: Callable[[Any], None],
+        post: Callable[[events.Event], None],
     ) -> None:
         self._settings = settings
         self._requests = requests
--- a/lapispick/host/core/timers.py
+++ b/lapispick/host/core/timers.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
 
 from lapispick import admission
 from lapispick.host import events
@@ -15,7 +14,7 @@
 class ModuleTimers:
     """Sets the timers that the module orders."""
 
-    def __init__(self, loop: EventLoop, post: Callable[[Any], None]) -> None:
+    def __init__(self, loop: EventLoop, post: Callable[[events.Event], None]) -> None:
         self._loop = loop
         self._post = post
 
--- a/lapispick/host/events.py
+++ b/lapispick/host/events.py
@@ -109,17 +109,6 @@
     healthy: bool
 
 
-ExecutorEvent = (
-    ExecutorReady
-    | RunCompleted
-    | RunUnknown
-    | RunOutcomeUnknown
-    | CallRequested
-    | GaugesReported
-    | HealthCheckCompleted
-)
-
-
 # From the store.
 
 
@@ -195,3 +184,33 @@
 
     record: IdempotencyRecord
     owner_id: int
+
+
+# For annotations only: nothing reads the unions at run time.
+if TYPE_CHECKING:
+    ExecutorEvent = (
+        ExecutorReady
+        | RunCompleted
+        | RunUnknown
+        | RunOutcomeUnknown
+        | CallRequested
+        | GaugesReported
+        | HealthCheckCompleted
+    )
+    Event = (
+        ExecutorEvent
+        | RequestArrived
+        | ClientCancelled
+        | HealthCheckReceived
+        | ShutdownRequested
+        | DrainChanged
+        | CallCompleted
+        | PeerConnected
+        | PeerMessage
+        | PeerDisconnected
+        | SnapshotDue
+        | TimerDue
+        | ClaimDecided
+        | CoalescedRequestCompleted
+        | OwnerReleased
+    )
--- a/lapispick/host/jsonrpc/connection.py
+++ b/lapispick/host/jsonrpc/connection.py
@@ -5,7 +5,6 @@
 import logging
 import time
 from collections.abc import Callable
-from typing import Any
 
 import msgspec
 
@@ -32,7 +31,7 @@
     """What the connections of a front share."""
 
     loop: EventLoop
-    post: Callable[[Any], None]  # to the core
+    post: Callable[[events.Event], None]  # to the core
     backpressure: Callable[[], float | None]  # the value that goes out with answers
     class_indexes: dict[str, int]
     classes: tuple[admission.ClassSettings, ...]
@@ -105,7 +104,7 @@
 
     __slots__ = ("_post", "_unposted", "by_id")
 
-    def __init__(self, post: Callable[[Any], None]) -> None:
+    def __init__(self, post: Callable[[events.Event], None]) -> None:
         self.by_id: dict[int, Request] = {}
         self._unposted: dict[int, Request] = {}  # those of them that were not posted to the core
         self._post = post
@@ -307,7 +306,9 @@
         if message_id is None or self._accept_id(message_id):
             self._on_fault(message_id, ErrorCode.INVALID_REQUEST, "not a message of the protocol", error=err)
 
-    def _on_fault(self, message_id: int | None, code: ErrorCode, text: str, closes: bool = False, **pairs: Any) -> None:
+    def _on_fault(
+        self, message_id: int | None, code: ErrorCode, text: str, closes: bool = False, **pairs: object
+    ) -> None:
         """Answer an invalid message with an error; close the connection if asked to, or after too many of them."""
         self.activity.fault_count += 1
         log(LOG, logging.WARNING, "request-faulty", fault=text, id=message_id, **pairs)
@@ -349,7 +350,7 @@
         code: ErrorCode,
         text: str,
         backpressure: float | None = None,
-        data: dict[str, Any] | None = None,
+        data: messages.Fields | None = None,
     ) -> None:
         if backpressure is None:
             backpressure = self._context.backpressure()
--- a/lapispick/host/jsonrpc/front.py
+++ b/lapispick/host/jsonrpc/front.py
@@ -7,11 +7,10 @@
 import socket
 import time
 from collections.abc import Callable, Iterator
-from typing import Any
 
 from lapispick import admission
 from lapispick.handover import budget
-from lapispick.host import connection_eviction
+from lapispick.host import connection_eviction, events
 from lapispick.host.connection_eviction import EvictionClass
 from lapispick.host.jsonrpc.connection import Connection, ConnectionContext
 from lapispick.host.logs import log
@@ -91,7 +90,7 @@
         start_settings: StartSettings,
         settings: admission.Settings,
         max_connections: int,
-        post: Callable[[Any], None],
+        post: Callable[[events.Event], None],
         backpressure: Callable[[], float | None],
     ) -> None:
         self.loop = loop
--- a/lapispick/host/jsonrpc/messages.py
+++ b/lapispick/host/jsonrpc/messages.py
@@ -10,7 +10,7 @@
 import time
 from collections.abc import Callable
 from enum import IntEnum
-from typing import Any, Literal
+from typing import TYPE_CHECKING, Literal
 
 import msgspec
 
@@ -18,6 +18,9 @@
 from lapispick.host.errors import HostError
 from lapispick.host.requests import MAX_BODY_BYTES, MAX_REQUEST_MEMORY_KB, Answer, Request
 
+if TYPE_CHECKING:
+    Fields = dict[str, str | float | bool | None]  # of a result, or of an error's data
+
 MAX_MESSAGE_AGE_MS = 60_000.0  # since a request reached the machine
 MAX_CLOCK_SKEW_MS = 1000.0
 MAX_TIMEOUT_DEADLINE_RATIO = 10.0  # times the deadline of a class; no gateway waits longer
@@ -135,9 +138,9 @@
     )
 
 
-def rejection_data(answer: Answer) -> dict[str, Any]:
+def rejection_data(answer: Answer) -> Fields:
     """Return the data of a rejection's error."""
-    data: dict[str, Any] = {}
+    data: Fields = {}
     if answer.retry_after_ms > 0:
         data["pause"] = round(answer.retry_after_ms, 1)
     if answer.no_retry:
@@ -145,16 +148,14 @@
     return data
 
 
-def encode_result(message_id: int, result: dict[str, Any], backpressure: float | None) -> bytes:
+def encode_result(message_id: int, result: Fields, backpressure: float | None) -> bytes:
     """Encode a result line; the backpressure value is added to ``result``."""
     if backpressure is not None:
         result["advice"] = backpressure
     return encode({"jsonrpc": "2.0", "id": message_id, "result": result}) + b"\n"
 
 
-def encode_error(
-    message_id: int | None, code: ErrorCode, text: str, data: dict[str, Any], backpressure: float | None
-) -> bytes:
+def encode_error(message_id: int | None, code: ErrorCode, text: str, data: Fields, backpressure: float | None) -> bytes:
     """Encode an error line; the backpressure value is added to ``data``."""
     if backpressure is not None:
         data["advice"] = backpressure
--- a/lapispick/host/logs.py
+++ b/lapispick/host/logs.py
@@ -6,7 +6,6 @@
 import sys
 import time
 from collections.abc import Mapping
-from typing import Any
 
 import msgspec
 
@@ -28,12 +27,12 @@
         return render(pairs)
 
 
-def render(pairs: Mapping[str, Any]) -> str:
+def render(pairs: Mapping[str, object]) -> str:
     """Write pairs as ``key=value``, in their order; the command line's logger uses this too."""
     return " ".join(f"{key}={_quoted(value)}" for key, value in pairs.items())
 
 
-def _quoted(value: Any) -> str:
+def _quoted(value: object) -> str:
     text = f"{value:.6g}" if isinstance(value, float) else str(value)
     plain = text and text.isprintable() and not any(c in ' "=' for c in text)
     escaped = text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n").replace("\r", "\\r")
@@ -54,7 +53,7 @@
 _rates: dict[str, _EventRate] = {}  # by event
 
 
-def log(name: str, level: int, event: str, /, **pairs: Any) -> None:
+def log(name: str, level: int, event: str, /, **pairs: object) -> None:
     """Log one event with its pairs, and with ``left_out`` where earlier lines exceeded the rate limit."""
     if (left_out := count_line(event)) is None:
         return
--- a/lapispick/host/recorder.py
+++ b/lapispick/host/recorder.py
@@ -13,7 +13,7 @@
 import sys
 import time
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING
 
 import msgspec
 
@@ -28,6 +28,10 @@
 from lapispick.trace.messages import Begin
 from lapispick.trace.record_types import RECORD_NUMBERS, Answered, Arrival, ExternalEvent, Gap
 
+if TYPE_CHECKING:
+    Note = tuple[int | float | str | bytes, ...]  # the number of its type, then its fields
+    PendingStep = tuple[float, list[admission.Event], list[admission.Action], list[Note]]
+
 LOG = "trace"
 MAX_BATCH_STEPS = 200  # are sent at once
 MAX_BUFFER_RATIO = 64  # the memory limit over the buffer for the writer
@@ -61,8 +65,8 @@
         key = settings.subject_key
         self._salt = os.urandom(SALT_BYTES) if key is None else Path(key).read_bytes()
         self._encode = msgspec.msgpack.Encoder().encode
-        self._pending: list[tuple[Any, ...]] = []
-        self._notes: list[tuple[Any, ...]] = []
+        self._pending: list[PendingStep] = []
+        self._notes: list[Note] = []
         self._lost = 0
         self._begin = b""
         self._sent_steps = 0  # to the present writer
--- a/lapispick/host/scheduler.py
+++ b/lapispick/host/scheduler.py
@@ -8,7 +8,7 @@
 from collections import deque
 from collections.abc import Callable
 from math import ceil
-from typing import Any
+from typing import TYPE_CHECKING, Generic, TypeVar
 
 from greenlet import GreenletExit, getcurrent, greenlet
 
@@ -20,7 +20,13 @@
 MAX_ROUND_S = 0.02  # after this the hub polls again, so that urgent sockets wait for one call at most
 DEFAULT_MAX_UNSENT_BYTES = 4 << 20  # for all slow readers together
 
-Call = tuple[Callable[..., Any], tuple[Any, ...]]  # a function and its arguments
+if TYPE_CHECKING:
+    from typing import TypeVarTuple
+
+    Arguments = TypeVarTuple("Arguments")
+    Call = tuple[Callable[..., object], tuple[object, ...]]  # a function and its arguments
+
+Item = TypeVar("Item")
 
 
 class Waiter:
@@ -34,7 +40,7 @@
         self.done = False
         self.urgent = urgent
 
-    def wake(self, value: Any = None) -> None:
+    def wake(self, value: object = None) -> None:
         """Resume the greenlet with this value in the next round."""
         if not self.done:
             self.done = True
@@ -55,16 +61,16 @@
         self._stopped = False
         self.unsent_bytes = 0  # of all streams together
 
-    def call_soon(self, callback: Callable[..., Any], *args: Any, urgent: bool = False) -> None:
+    def call_soon(self, callback: Callable[[*Arguments], object], *args: *Arguments, urgent: bool = False) -> None:
         """Call a function from the hub in the next round; urgent ones come before all others in it."""
         calls = self._urgent if urgent else self._ready
         calls.append((callback, args))
 
-    def call_later(self, seconds: float, callback: Callable[..., Any], *args: Any) -> Timer:
+    def call_later(self, seconds: float, callback: Callable[[*Arguments], object], *args: *Arguments) -> Timer:
         """Call a function from the hub after a time (s)."""
         return self._timers.add(time.monotonic() + seconds, callback, args)
 
-    def spawn(self, callback: Callable[..., Any], *args: Any, urgent: bool = False) -> greenlet:
+    def spawn(self, callback: Callable[[*Arguments], object], *args: *Arguments, urgent: bool = False) -> greenlet:
         """Run a function in a greenlet of its own."""
         task = greenlet(self._guarded, self._hub)
         self.call_soon(task.switch, callback, *args, urgent=urgent)
@@ -74,7 +80,7 @@
         """Raise ``GreenletExit`` in a greenlet where it waits."""
         self.call_soon(lambda: task.dead or task.throw(GreenletExit))
 
-    def _guarded(self, callback: Callable[..., Any], *args: Any) -> None:
+    def _guarded(self, callback: Callable[[*Arguments], object], *args: *Arguments) -> None:
         # An exception that is not caught here would end the hub, and with it all other greenlets.
         try:
             callback(*args)
@@ -93,7 +99,7 @@
         waiter.wake()
         self.suspend(waiter)
 
-    def suspend(self, waiter: Waiter, timeout: float | None = None) -> Any:
+    def suspend(self, waiter: Waiter, timeout: float | None = None) -> object:
         """Wait until the waiter is woken and return its value; None after the timeout (s)."""
         timer = None if timeout is None else self.call_later(timeout, waiter.wake)
         try:
@@ -151,7 +157,7 @@
             while (timer := self._timers.pop_due(now)) is not None:
                 self._call(timer.callback, timer.args)
 
-    def _call(self, callback: Callable[..., Any], args: tuple[Any, ...]) -> None:
+    def _call(self, callback: Callable[..., object], args: tuple[object, ...]) -> None:
         try:
             callback(*args)
         except Exception:  # one that is not caught here would end all greenlets
@@ -167,23 +173,23 @@
         return max(0, ceil((due_at - time.monotonic()) * 1000))
 
 
-class Queue:
+class Queue(Generic[Item]):
     """An unbounded queue for one consumer greenlet, which takes all waiting items at once."""
 
     __slots__ = ("_items", "_loop", "_waiter")
 
     def __init__(self, loop: EventLoop) -> None:
         self._loop = loop
-        self._items: list[Any] = []
+        self._items: list[Item] = []
         self._waiter: Waiter | None = None
 
-    def put(self, item: Any) -> None:
+    def put(self, item: Item) -> None:
         """Add an item; it never blocks."""
         self._items.append(item)
         if self._waiter is not None:
             self._waiter.wake()
 
-    def take_all(self) -> list[Any]:
+    def take_all(self) -> list[Item]:
         """Wait for items and return them in order."""
         if not self._items:
             self._waiter = Waiter(self._loop)
--- a/lapispick/host/timers.py
+++ b/lapispick/host/timers.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Callable
 from heapq import heappop, heappush
-from typing import Any
 
 
 class Timer:
@@ -12,8 +11,8 @@
 
     __slots__ = ("args", "callback")
 
-    def __init__(self, callback: Callable[..., Any], args: tuple[Any, ...]) -> None:
-        self.callback: Callable[..., Any] | None = callback
+    def __init__(self, callback: Callable[..., object], args: tuple[object, ...]) -> None:
+        self.callback: Callable[..., object] | None = callback
         self.args = args
 
     def cancel(self) -> None:
@@ -30,7 +29,7 @@
         self._heap: list[tuple[float, int, Timer]] = []
         self._sequence = 0
 
-    def add(self, due_at: float, callback: Callable[..., Any], args: tuple[Any, ...]) -> Timer:
+    def add(self, due_at: float, callback: Callable[..., object], args: tuple[object, ...]) -> Timer:
         """Add a call at a time of the monotonic clock (s)."""
         timer = Timer(callback, args)
         self._sequence += 1
--- a/lapispick/host/worker_threads.py
+++ b/lapispick/host/worker_threads.py
@@ -10,13 +10,17 @@
 import threading
 from collections import deque
 from collections.abc import Callable
-from typing import Any, TypeVar
+from typing import TYPE_CHECKING, TypeVar, cast
 
 from lapispick.host.errors import HostError
 from lapispick.host.scheduler import READ, EventLoop, Waiter
 
 MAX_WAITING_JOBS = 64
 T = TypeVar("T")
+if TYPE_CHECKING:
+    from typing import TypeVarTuple
+
+    Arguments = TypeVarTuple("Arguments")
 
 
 class TooManyJobsError(HostError):
@@ -29,8 +33,8 @@
     def __init__(self, loop: EventLoop, threads: int = 1, max_waiting: int = MAX_WAITING_JOBS) -> None:
         self._loop = loop
         self._last_job = 0
-        self._jobs: queue.Queue[tuple[int, Callable[[], Any]]] = queue.Queue(max_waiting)
-        self._done: deque[tuple[int, Any, BaseException | None]] = deque()
+        self._jobs: queue.Queue[tuple[int, Callable[[], object]]] = queue.Queue(max_waiting)
+        self._done: deque[tuple[int, object, BaseException | None]] = deque()
         self._waiters: dict[int, Waiter] = {}
         self._wake_receiver, self._wake_sender = socket.socketpair()
         for end in (self._wake_receiver, self._wake_sender):
@@ -39,7 +43,7 @@
             threading.Thread(target=self._work, daemon=True).start()
         loop.spawn(self._serve)
 
-    def run(self, job: Callable[..., T], *args: Any, timeout: float | None = None) -> T:
+    def run(self, job: Callable[[*Arguments], T], *args: *Arguments, timeout: float | None = None) -> T:
         """Run a job and return its result, or raise its exception; other greenlets run meanwhile.
 
         Raises ``TooManyJobsError`` if too many wait, and ``TimeoutError`` after a timeout (s), which does not end the
@@ -53,7 +57,7 @@
             raise TooManyJobsError(f"{self._jobs.maxsize} others wait") from None
         waiter = self._waiters[number] = Waiter(self._loop)
         try:
-            outcome = self._loop.suspend(waiter, timeout)
+            outcome = cast("tuple[T, BaseException | None] | None", self._loop.suspend(waiter, timeout))
         finally:
             del self._waiters[number]
         if outcome is None:
