--- a/lapispick/host/amqp/codec.py
+++ b/lapispick/host/amqp/codec.py
@@ -50,19 +50,19 @@
 
 NUMBERS = {code: struct.Struct(">" + code) for code in "BHIQbhiqfd"}
 
-# The ``struct`` code of each type of number in a field table.
+# The layout of each type of number in a field table.
 TABLE_NUMBERS = {
-    "b": "b",
-    "B": "B",
-    "s": "h",
-    "u": "H",
-    "I": "i",
-    "i": "I",
-    "l": "q",
-    "L": "Q",
-    "f": "f",
-    "d": "d",
-    "T": "Q",
+    "b": NUMBERS["b"],
+    "B": NUMBERS["B"],
+    "s": NUMBERS["h"],
+    "u": NUMBERS["H"],
+    "I": NUMBERS["i"],
+    "i": NUMBERS["I"],
+    "l": NUMBERS["q"],
+    "L": NUMBERS["Q"],
+    "f": NUMBERS["f"],
+    "d": NUMBERS["d"],
+    "T": NUMBERS["Q"],
 }
 
 
@@ -85,44 +85,45 @@
         self._position += size
         return self._data[self._position - size : self._position]
 
-    def read_number(self, code: str) -> Any:
-        """Return a number of this ``struct`` code."""
+    def read_integer(self, code: str) -> int:
+        """Return an integer of this ``struct`` code."""
         layout = NUMBERS[code]
         return layout.unpack(self.read_bytes(layout.size))[0]
 
     def read_short_string(self) -> str:
         """Return a string with one byte of length."""
-        return _decode_text(self.read_bytes(self.read_number("B")))
+        return _decode_text(self.read_bytes(self.read_integer("B")))
 
     def read_long_string(self) -> bytes:
         """Return the bytes of a string with four bytes of length."""
-        return self.read_bytes(self.read_number("I"))
+        return self.read_bytes(self.read_integer("I"))
 
-    def read_table(self, depth: int = 0) -> dict[str, Any]:
+    def read_table(self, depth: int = 0) -> dict[str, object]:
         """Return a field table."""
         inner = Reader(self.read_long_string())
-        table = {}
+        table: dict[str, object] = {}
         while inner.has_more():
             name = inner.read_short_string()
             table[name] = inner.read_table_value(depth)
         return table
 
-    def read_table_value(self, depth: int) -> Any:
+    def read_table_value(self, depth: int) -> object:
         """Return a value of a table, which begins with its type."""
         if depth > MAX_TABLE_DEPTH:
             raise CodecError("tables are nested too deep")
         kind = chr(self.read_bytes(1)[0])
         if kind in TABLE_NUMBERS:
-            return self.read_number(TABLE_NUMBERS[kind])
+            layout = TABLE_NUMBERS[kind]
+            return layout.unpack(self.read_bytes(layout.size))[0]
         if kind == "t":
-            return self.read_number("B") != 0
+            return self.read_integer("B") != 0
         if kind == "S":
             return _decode_text(self.read_long_string())
         if kind == "x":
             return self.read_long_string()
         if kind == "D":
-            scale = self.read_number("B")
-            return self.read_number("i") / 10**scale
+            scale = self.read_integer("B")
+            return self.read_integer("i") / 10**scale
         if kind == "F":
             return self.read_table(depth + 1)
         if kind == "A":
@@ -131,9 +132,9 @@
             return None
         raise CodecError(f"unknown field type {kind!r}")
 
-    def _read_array(self, depth: int) -> list[Any]:
+    def _read_array(self, depth: int) -> list[object]:
         inner = Reader(self.read_long_string())
-        items = []
+        items: list[object] = []
         while inner.has_more():
             items.append(inner.read_table_value(depth + 1))
         return items
@@ -157,7 +158,7 @@
     return NUMBERS["I"].pack(len(raw)) + raw
 
 
-def encode_table(table: dict[str, Any]) -> bytes:
+def encode_table(table: dict[str, object]) -> bytes:
     """Encode a field table of booleans, integers, floats, strings and tables."""
     encoded = bytearray()
     for name, value in table.items():
@@ -166,7 +167,7 @@
     return _encode_long_string(bytes(encoded))
 
 
-def _encode_table_value(value: Any) -> bytes:
+def _encode_table_value(value: object) -> bytes:
     if isinstance(value, bool):
         return b"t" + bytes([value])
     if isinstance(value, int):
@@ -179,7 +180,10 @@
 
 
 def encoder(field_type: FieldType) -> Callable[[Any], bytes]:
-    """Return what encodes values of any type but ``BIT``; raises ``CodecError`` for too long short strings."""
+    """Return what encodes values of any type but ``BIT``; raises ``CodecError`` for too long short strings.
+
+    The type of the value depends on the field type, which the signature can't express.
+    """
     if field_type is FieldType.SHORT_STRING:
         return _encode_short_string
     if field_type is FieldType.LONG_STRING:
@@ -189,7 +193,7 @@
     return NUMBERS[field_type.value].pack
 
 
-def decoder(field_type: FieldType) -> Callable[[Reader], Any]:
+def decoder(field_type: FieldType) -> Callable[[Reader], object]:
     """Return what reads values of any type but ``BIT``, which shares its byte with its neighbours."""
     if field_type is FieldType.SHORT_STRING:
         return Reader.read_short_string
@@ -197,7 +201,7 @@
         return Reader.read_long_string
     if field_type is FieldType.TABLE:
         return Reader.read_table
-    return lambda reader: reader.read_number(field_type.value)
+    return lambda reader: reader.read_integer(field_type.value)
 
 
 def encode_frame(frame_type: FrameType, channel: int, payload: bytes) -> bytes:
--- a/lapispick/host/amqp/connection.py
+++ b/lapispick/host/amqp/connection.py
@@ -43,7 +43,7 @@
 FRAME_TYPES = frozenset(FrameType)
 CONNECTION_CHANNEL = 0  # carries the methods of the connection itself
 MECHANISM = "PLAIN"
-CLIENT_PROPERTIES = {
+CLIENT_PROPERTIES: dict[str, object] = {
     "product": "lapispick",
     "capabilities": {
         "publisher_confirms": True,
--- a/lapispick/host/amqp/content.py
+++ b/lapispick/host/amqp/content.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import struct
-from typing import Any
 
 import msgspec
 
@@ -31,7 +30,7 @@
 
     content_type: str | None = None
     content_encoding: str | None = None
-    headers: dict[str, Any] = {}
+    headers: dict[str, object] = {}
     delivery_mode: int | None = None
     priority: int | None = None
     correlation_id: str | None = None
@@ -73,16 +72,16 @@
 def decode_body_size(payload: bytes) -> int:
     """Return the bytes of the body that a content header announces; raises ``CodecError``."""
     reader = Reader(payload)
-    if reader.read_number("H") != BASIC_CLASS_ID or reader.read_number("H") != CONTENT_WEIGHT:
+    if reader.read_integer("H") != BASIC_CLASS_ID or reader.read_integer("H") != CONTENT_WEIGHT:
         raise CodecError("a content header of another class")
-    return reader.read_number("Q")
+    return reader.read_integer("Q")
 
 
 def decode_properties(payload: bytes) -> Properties:
     """Return the properties of a content header; raises ``CodecError``."""
     reader = Reader(payload)
     reader.read_bytes(FLAGS_OFFSET)
-    flags = reader.read_number("H")
+    flags = reader.read_integer("H")
     if flags & MORE_FLAGS:
         raise CodecError("more property flags than the class has")
     properties = Properties()
--- a/lapispick/host/amqp/methods.py
+++ b/lapispick/host/amqp/methods.py
@@ -21,7 +21,7 @@
 LongLong = Annotated[int, FieldType.LONG_LONG]
 ShortString = Annotated[str, FieldType.SHORT_STRING]
 LongString = Annotated[bytes, FieldType.LONG_STRING]
-Table = Annotated[dict[str, Any], FieldType.TABLE]
+Table = Annotated[dict[str, object], FieldType.TABLE]
 
 BITS_PER_OCTET = 8
 IDS = struct.Struct(">HH")  # of class and method
@@ -42,7 +42,7 @@
     name: str
     is_bit: bool  # neighbouring bits share an octet
     encode: Callable[[Any], bytes]  # of a bit: its octet
-    decode: Callable[[Reader], Any]
+    decode: Callable[[Reader], object]
 
 
 class Layout(NamedTuple):
@@ -335,11 +335,11 @@
 def decode_method(payload: bytes) -> Method:
     """Decode a method; raises ``CodecError``, also for a method that is not listed here."""
     reader = Reader(payload)
-    ids = (reader.read_number("H"), reader.read_number("H"))
+    ids = (reader.read_integer("H"), reader.read_integer("H"))
     method = _METHODS.get(ids)
     if method is None:
         raise CodecError(f"unknown method {ids}")
-    values = {}
+    values: dict[str, object] = {}
     octet = 0
     bit = 0  # place of the next bit in its octet
     for argument in _LAYOUTS[method].arguments:
@@ -348,7 +348,7 @@
             values[argument.name] = argument.decode(reader)
             continue
         if bit == 0:
-            octet = argument.decode(reader)
+            octet = reader.read_integer(FieldType.OCTET.value)
         values[argument.name] = bool(octet >> bit & 1)
         bit = (bit + 1) % BITS_PER_OCTET
     return method(**values)
--- a/lapispick/host/amqp/replies.py
+++ b/lapispick/host/amqp/replies.py
@@ -5,7 +5,6 @@
 import base64
 import time
 from collections.abc import Callable
-from typing import Any
 
 from lapispick.host.amqp.content import Properties, encode_content
 from lapispick.host.amqp.deliveries import Delivery
@@ -69,8 +68,8 @@
         return [self._unconfirmed.pop(number) for number in numbers]
 
 
-def _headers(answer: Answer) -> dict[str, Any]:
-    headers: dict[str, Any] = {"outcome": answer.kind.value}
+def _headers(answer: Answer) -> dict[str, object]:
+    headers: dict[str, object] = {"outcome": answer.kind.value}
     if answer.kind == AnswerKind.REJECTED and answer.retry_after_ms > 0:
         headers["pause"] = answer.retry_after_ms
     if answer.kind == AnswerKind.REJECTED and answer.no_retry:
--- a/lapispick/host/amqp/request_builder.py
+++ b/lapispick/host/amqp/request_builder.py
@@ -70,7 +70,8 @@
             raise InvalidMessageError(f"there is no class {name!r}")
         return self._class_names.index(name)
 
-    def _tenant(self, properties: Properties, queue: Queue) -> str:
+    def _tenant(self, properties: Properties, queue: Queue) -> object:
+        """Return the tenant as the header gives it: where no tenants are configured, a value of any type."""
         tenant = properties.headers.get("customer") or queue.tenant
         if self._tenants and tenant not in self._tenants:
             raise InvalidMessageError(f"there is no customer {tenant!r}")
@@ -97,7 +98,6 @@
 
 def _memory_kb(properties: Properties, queue: Queue) -> float:
     size_kb = properties.headers.get("size", queue.request_memory_kb)
-    is_number = isinstance(size_kb, int | float) and not isinstance(size_kb, bool)
-    if not is_number or not 0 < size_kb < MAX_REQUEST_MEMORY_KB:
+    if isinstance(size_kb, bool) or not isinstance(size_kb, int | float) or not 0 < size_kb < MAX_REQUEST_MEMORY_KB:
         raise InvalidMessageError("its size must be above 0 and under 2,000")
     return float(size_kb)
