--- a/lapispick/trace/aggregation.py
+++ b/lapispick/trace/aggregation.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 import msgspec
 import numpy as np
@@ -25,6 +25,9 @@
 from lapispick.trace.step_times import step_times
 from lapispick.trace.summary import UNKNOWN_NAME, RequestTotals, Summary
 
+if TYPE_CHECKING:
+    from lapispick.trace import message_types
+
 RETRY_MARGIN_MS = 30_000.0  # how long a request is remembered for retries beyond its idempotency window or deadline
 DROP_DIVISOR = 4  # requests are dropped once a quarter has expired, as the others are moved
 WORST_WINDOWS = 5
@@ -242,7 +245,7 @@
         self._linker.forget_before(requests.first_index)
 
 
-def source_info(source: Any) -> SourceInfo:
+def source_info(source: message_types.Source) -> SourceInfo:
     """Return the description of a source in a file's header; raises ``ValueError`` if its settings are invalid."""
     try:
         classes = msgspec.json.decode(source.settings, type=admission.Settings).classes
@@ -252,7 +255,7 @@
     return SourceInfo(tuple(zip(names, classes, strict=False)), source.offset, source.drift, source.at)
 
 
-def summarise(sources: Iterable[Any], blocks: Iterable[Block]) -> Summary:
+def summarise(sources: Iterable[message_types.Source], blocks: Iterable[Block]) -> Summary:
     """Return the summary of the blocks of a file, or of the files of one incarnation in their order."""
     aggregator = Aggregator([source_info(source) for source in sources])
     for block in blocks:
--- a/lapispick/trace/anonymising.py
+++ b/lapispick/trace/anonymising.py
@@ -7,13 +7,17 @@
 from __future__ import annotations
 
 import enum
-from collections.abc import Iterable, Iterator
+from collections.abc import Callable, Iterable, Iterator
 from hashlib import blake2b
-from typing import Any
+from typing import TYPE_CHECKING, Generic, TypeVar
 
 from lapispick import admission
 from lapispick.trace.record_types import ADOPTED, Arrival, ExternalEvent, Step
 
+if TYPE_CHECKING:
+    from lapispick.trace import message_types
+    from lapispick.trace.record_types import Note
+
 MIN_KEY_BYTES = 16
 MAX_KEY_BYTES = 64
 DIGEST_BYTES = 8
@@ -35,8 +39,32 @@
     """Two names have the same pseudonym; another key is needed."""
 
 
+Name = TypeVar("Name", bound=str | int)
+
+
+class _Pseudonyms(Generic[Name]):
+    """Remembers names of one type with their pseudonyms, to see that no two names have the same one."""
+
+    def __init__(self, derive: Callable[[NameKind, Name], Name]) -> None:
+        """``derive`` returns the pseudonym of a name."""
+        self._derive = derive
+        self.by_original: dict[tuple[NameKind, Name], Name] = {}
+        self._originals: dict[tuple[NameKind, Name], Name] = {}  # by pseudonym
+
+    def get(self, kind: NameKind, original: Name) -> Name:
+        """Return the pseudonym of a name; raises ``PseudonymConflictError``."""
+        known = self.by_original.get((kind, original))
+        if known is not None:
+            return known
+        pseudonym = self._derive(kind, original)
+        if self._originals.setdefault((kind, pseudonym), original) != original:
+            raise PseudonymConflictError(f"two {kind}s have one stand-in with this key; take another key")
+        self.by_original[kind, original] = pseudonym
+        return pseudonym
+
+
 class Anonymiser:
-    """Replaces names, and remembers them all to see that no two have the same pseudonym."""
+    """Replaces names by pseudonyms."""
 
     def __init__(self, key: bytes, hosts: bool = False) -> None:
         """``hosts``: replace the names of hosts too. Raises ``ValueError`` for a key of the wrong length."""
@@ -44,25 +72,25 @@
             raise ValueError(f"the key must hold {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes, not {len(key)}")
         self._key = key
         self._replaces_hosts = hosts
-        self._pseudonyms: dict[tuple[NameKind, Any], Any] = {}
-        self._originals: dict[tuple[NameKind, Any], Any] = {}  # by pseudonym
+        self._names = _Pseudonyms(self._derive_name)
+        self._callers = _Pseudonyms(self._derive_caller)
 
     def originals(self) -> set[str]:
         """Return the names that were replaced."""
-        return {original for kind, original in self._pseudonyms if kind is not NameKind.CALLER and original}
+        return {original for _, original in self._names.by_original if original}
 
     def pseudonyms(self) -> set[str]:
         """Return the names that stand for others."""
-        return {pseudonym for (kind, _), pseudonym in self._pseudonyms.items() if kind is not NameKind.CALLER}
+        return set(self._names.by_original.values())
 
-    def replace_header(self, header: Any) -> None:
+    def replace_header(self, header: message_types.Header) -> None:
         """Replace the names in a header."""
         for source in header.sources:
-            accounts = [self._pseudonym(NameKind.ACCOUNT, name) for name in source.accounts]
+            accounts = [self._names.get(NameKind.ACCOUNT, name) for name in source.accounts]
             del source.accounts[:]
             source.accounts.extend(accounts)
             if self._replaces_hosts:
-                source.box = self._pseudonym(NameKind.HOST, source.box)
+                source.box = self._names.get(NameKind.HOST, source.box)
         # How the file was made may name hosts and folders.
         del header.made[:]
         header.made.append(MADE_NOTE)
@@ -75,14 +103,14 @@
                 notes=tuple(self._replace_note(note) for note in step.notes),
             )
 
-    def _replace_event(self, event: Any) -> Any:
+    def _replace_event(self, event: admission.Event) -> admission.Event:
         if type(event) is admission.RequestReceived:
-            return event._replace(caller=self._pseudonym(NameKind.CALLER, event.caller))
+            return event._replace(caller=self._callers.get(NameKind.CALLER, event.caller))
         return event
 
-    def _replace_note(self, note: Any) -> Any:
+    def _replace_note(self, note: Note) -> Note:
         if type(note) is Arrival:
-            account = self._pseudonym(NameKind.ACCOUNT, note.account) if note.account else ""
+            account = self._names.get(NameKind.ACCOUNT, note.account) if note.account else ""
             return note._replace(account=account, subject=self._subject(note.subject))
         # Details may name addresses; those of ``ADOPTED`` don't, and a replay needs them.
         if type(note) is ExternalEvent and note.kind != ADOPTED:
@@ -92,21 +120,11 @@
     def _subject(self, original: bytes) -> bytes:
         return self._digest(NameKind.SUBJECT, original) if original else b""
 
-    def _pseudonym(self, kind: NameKind, original: Any) -> Any:
-        known = self._pseudonyms.get((kind, original))
-        if known is not None:
-            return known
-        pseudonym = self._caller(original) if kind is NameKind.CALLER else self._name(kind, original)
-        if self._originals.setdefault((kind, pseudonym), original) != original:
-            raise PseudonymConflictError(f"two {kind}s have one stand-in with this key; take another key")
-        self._pseudonyms[kind, original] = pseudonym
-        return pseudonym
-
-    def _caller(self, original: int) -> int:
-        digest = self._digest(NameKind.CALLER, b"%d" % original)
+    def _derive_caller(self, kind: NameKind, original: int) -> int:
+        digest = self._digest(kind, b"%d" % original)
         return int.from_bytes(digest[:CALLER_BYTES], "little") >> 1
 
-    def _name(self, kind: NameKind, original: str) -> str:
+    def _derive_name(self, kind: NameKind, original: str) -> str:
         return f"{kind}-{self._digest(kind, original.encode()).hex()[:DIGEST_CHARACTERS]}"
 
     def _digest(self, kind: NameKind, original: bytes) -> bytes:
--- a/lapispick/trace/attempt_matching.py
+++ b/lapispick/trace/attempt_matching.py
@@ -6,18 +6,21 @@
 from __future__ import annotations
 
 from collections.abc import Iterable, Iterator, Sequence
-from typing import Any
+from typing import TYPE_CHECKING
 
 from lapispick import admission
 from lapispick.trace.clock_skew import Attempt
 from lapispick.trace.record_types import SERVED, Answered, Arrival, Step
 
+if TYPE_CHECKING:
+    from lapispick.trace import message_types
+
 MAX_ATTEMPTS = 200_000  # that are used for an estimate; a thousand determine a clock to the ms
 SUBJECT_RANK_BYTES = 8
 MAX_SUBJECT_RANK = 1 << (8 * SUBJECT_RANK_BYTES)
 
 
-def answered_attempts(sources: Sequence[Any], steps: Iterable[Step]) -> Iterator[Attempt]:
+def answered_attempts(sources: Sequence[message_types.Source], steps: Iterable[Step]) -> Iterator[Attempt]:
     """Yield the answered attempts that name a subject, with the times of each host's own clock."""
     open_arrivals: dict[tuple[int, int], Arrival] = {}  # by source and request
     for step in steps:
--- a/lapispick/trace/block_reader.py
+++ b/lapispick/trace/block_reader.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import numpy as np
 
@@ -28,6 +28,11 @@
     StepField,
 )
 
+if TYPE_CHECKING:
+    from numpy.typing import DTypeLike
+
+    from lapispick.trace.record_types import Record
+
 OUTCOMES = {int(outcome): outcome for outcome in admission.Outcome}
 
 
@@ -159,7 +164,7 @@
         columns = (self.now.tolist(), *records, self.source_index.tolist())
         return [Step(*values) for values in zip(*columns, strict=True)]
 
-    def _step_column(self, field: StepField, dtype: Any) -> Array:
+    def _step_column(self, field: StepField, dtype: DTypeLike) -> Array:
         values = self.decode_column(STEP_RECORD, field, self.count)
         return np.zeros(self.count, dtype) if values is None else values
 
@@ -187,18 +192,18 @@
         indices = np.arange(total) + np.repeat(slice_starts - first_records, counts)
         return CategoryRecords(np.repeat(np.arange(self.count), counts), record_numbers[indices])
 
-    def _records_by_step(self, category: RecordCategory) -> list[tuple[Any, ...]]:
+    def _records_by_step(self, category: RecordCategory) -> list[tuple[Record, ...]]:
         """Return the records of one category, step by step, without those of unknown types."""
         step_positions, record_numbers = self.category(category)
         known = {number for number in set(record_numbers.tolist()) if number in RECORD_TYPES}
         remaining = {number: iter(self._decode_records(RECORD_TYPES[number])) for number in known}
-        by_step: list[list[Any]] = [[] for _ in range(self.count)]
+        by_step: list[list[Record]] = [[] for _ in range(self.count)]
         for position, number in zip(step_positions.tolist(), record_numbers.tolist(), strict=True):
             if number in remaining:
                 by_step[position].append(next(remaining[number]))
         return [tuple(records) for records in by_step]
 
-    def _decode_records(self, record_type: type) -> list[Any]:
+    def _decode_records(self, record_type: type) -> list[Record]:
         records = self.records(record_type)
         columns = (records.values(field.name) for field in RECORD_FIELDS[record_type])
         return [record_type(*values) for values in zip(*columns, strict=True)]
--- a/lapispick/trace/block_writer.py
+++ b/lapispick/trace/block_writer.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable, Sequence
 from itertools import chain
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import numpy as np
 
@@ -21,12 +21,16 @@
     StepField,
 )
 
+if TYPE_CHECKING:
+    from lapispick.trace import message_types
+    from lapispick.trace.record_types import Record
+
 
 class _RecordsByType:
     """The records of a block by their type, each with the position of its step."""
 
     def __init__(self, steps: Sequence[Step]) -> None:
-        self.records: dict[type, list[Any]] = {}
+        self.records: dict[type, list[Record]] = {}
         self.positions: dict[type, list[int]] = {}
         self.shapes = [self._add(position, step) for position, step in enumerate(steps)]
 
@@ -60,7 +64,9 @@
     return _pieces(block)
 
 
-def _add_column(block: Any, record: int, field: int, column: EncodedColumn, dictionary: Iterable[bytes] = ()) -> None:
+def _add_column(
+    block: message_types.Block, record: int, field: int, column: EncodedColumn, dictionary: Iterable[bytes] = ()
+) -> None:
     block.columns.add(
         record=record,
         field=field,
@@ -75,14 +81,14 @@
 
 
 def _add_field(
-    block: Any, record: int, field: int, field_type: FieldType, values: Sequence[Any], step_times: Array
+    block: message_types.Block, record: int, field: int, field_type: FieldType, values: Sequence[Any], step_times: Array
 ) -> None:
     """Add the columns of one field of all records of a type."""
     if field_type is FieldType.FLOAT:
         _add_column(block, record, field, encode_floats(values, step_times))
     elif field_type in (FieldType.STR, FieldType.BYTES):
         indices, dictionary = encode_dictionary(values)
-        encoded = [value.encode() if isinstance(value, str) else value for value in dictionary]
+        encoded: list[bytes] = [value.encode() if isinstance(value, str) else value for value in dictionary]
         _add_column(block, record, field, indices, encoded)
     elif field_type is FieldType.FLOATS:
         _add_column(block, record, field, encode_floats(list(chain.from_iterable(values))))
@@ -92,7 +98,7 @@
         _add_column(block, record, field, encode_integers(values))
 
 
-def _pieces(block: Any) -> list[bytes]:
+def _pieces(block: message_types.Block) -> list[bytes]:
     """Return the bytes of a block in pieces that compress best one by one: each byte plane is a piece.
 
     A protobuf message may be concatenated from parts that repeat its fields, and ``data`` is the last field of a
--- a/lapispick/trace/column_codec.py
+++ b/lapispick/trace/column_codec.py
@@ -10,7 +10,7 @@
 
 import enum
 from collections.abc import Iterator, Sequence
-from typing import Any, NamedTuple
+from typing import Generic, NamedTuple, TypeVar
 
 import numpy as np
 
@@ -52,11 +52,14 @@
     relative_to: int = RelativeTo.NOTHING
 
 
-class DictionaryColumn(NamedTuple):
+Word = TypeVar("Word", str, bytes)
+
+
+class DictionaryColumn(NamedTuple, Generic[Word]):
     """A column of strings or bytes: indices into the dictionary, the list of distinct values."""
 
     indices: EncodedColumn
-    dictionary: list[Any]
+    dictionary: list[Word]
 
 
 class _Candidate(NamedTuple):
@@ -142,9 +145,9 @@
     return base - relative if relative_to == RelativeTo.BASE_MINUS_VALUE else relative - base
 
 
-def encode_dictionary(values: Sequence[Any]) -> DictionaryColumn:
+def encode_dictionary(values: Sequence[Word]) -> DictionaryColumn[Word]:
     """Encode strings or bytes as indices into the list of distinct ones, by first use."""
-    known: dict[Any, int] = {}
+    known: dict[Word, int] = {}
     indices = [known.setdefault(value, len(known)) for value in values]
     return DictionaryColumn(encode_integers(indices), list(known))
 
--- a/lapispick/trace/comparing.py
+++ b/lapispick/trace/comparing.py
@@ -9,7 +9,6 @@
 from collections import Counter
 from collections.abc import Callable, Iterable
 from itertools import zip_longest
-from typing import Any
 
 import msgspec
 
@@ -19,6 +18,8 @@
 from lapispick.trace.text_names import format_records, step_field_name
 
 MAX_KNOWN_REQUESTS = 200_000  # whose class is stored; far more than are ever open
+Decision = admission.StartRun | admission.Reject | admission.Fail | admission.SkipCall
+_FINAL = (admission.Reject, admission.Fail)
 
 
 class ClassDecisions(msgspec.Struct):
@@ -30,22 +31,18 @@
     degraded: int = msgspec.field(default=0, name="poorer")
     priority_weight: float = msgspec.field(default=0.0, name="worth")
 
-    def count(self, action: type) -> None:
-        """Count an action, which is one of ``DECISIONS``."""
-        if action is admission.StartRun:
+    def count(self, decision: Decision) -> None:
+        """Count a decision."""
+        if isinstance(decision, admission.StartRun):
             self.runs += 1
-        elif action is admission.Reject:
+        elif isinstance(decision, admission.Reject):
             self.rejected += 1
-        elif action is admission.Fail:
+        elif isinstance(decision, admission.Fail):
             self.failed += 1
         else:
             self.degraded += 1
 
 
-DECISIONS = frozenset((admission.StartRun, admission.Reject, admission.Fail, admission.SkipCall))
-_FINAL = (admission.Reject, admission.Fail)
-
-
 class Divergence(msgspec.Struct):
     """The first step in which two sides differ, from 1, and what each has there."""
 
@@ -66,26 +63,26 @@
         self.by_class: dict[str, ClassDecisions] = {}
         self.reasons: Counter[str] = Counter()
 
-    def add(self, step: Step, actions: Iterable[Any]) -> None:
+    def add(self, step: Step, actions: Iterable[admission.Action]) -> None:
         """Add a step's requests and what one side ordered in it."""
         for event in step.events:
             if type(event) is admission.RequestReceived:
                 self._classes[step.source_index, event.id] = self._class_name(step.source_index, event.class_index)
         for action in actions:
-            if type(action) in DECISIONS:
+            if isinstance(action, Decision):
                 self._count(step.source_index, action)
         if len(self._classes) > MAX_KNOWN_REQUESTS:
             for key in list(self._classes)[: MAX_KNOWN_REQUESTS // 2]:
                 del self._classes[key]
 
-    def _count(self, source_index: int, action: Any) -> None:
+    def _count(self, source_index: int, action: Decision) -> None:
         name = self._classes.get((source_index, action.id))
         if name is None:
             return
-        self.by_class.setdefault(name, ClassDecisions()).count(type(action))
-        if type(action) is admission.Reject:
+        self.by_class.setdefault(name, ClassDecisions()).count(action)
+        if isinstance(action, admission.Reject):
             self.reasons[action.reason or UNKNOWN_NAME] += 1
-        if type(action) in _FINAL:
+        if isinstance(action, _FINAL):
             del self._classes[source_index, action.id]
 
 
@@ -128,5 +125,5 @@
     return Divergence(number, one.now, step_field_name(field), left, right)
 
 
-def _format(value: Any) -> str:
+def _format(value: object) -> str:
     return format_records(value) if isinstance(value, tuple) else repr(value)
--- a/lapispick/trace/files.py
+++ b/lapispick/trace/files.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Iterator
 from io import BytesIO
 from pathlib import Path
-from typing import Any, BinaryIO, NamedTuple
+from typing import TYPE_CHECKING, BinaryIO, NamedTuple
 
 from lapispick.trace import layout
 from lapispick.trace.block_reader import Block
@@ -16,6 +16,9 @@
 from lapispick.trace.schema import Header, Index, Source
 from lapispick.trace.step_times import step_time
 
+if TYPE_CHECKING:
+    from lapispick.trace import message_types
+
 STEPS_PER_BLOCK = 4000  # fewer where a block would be larger than a frame may be
 SEARCH_CHUNK_BYTES = 1 << 20  # read at once by the search for the next frame
 
@@ -47,9 +50,9 @@
 class TraceWriter:
     """Writes one file; the blocks already written survive a kill, and ``close`` adds the index."""
 
-    def __init__(self, file: BinaryIO, header: Any) -> None:
+    def __init__(self, file: BinaryIO, header: message_types.Header) -> None:
         self._file = file
-        self._sources = header.sources
+        self._sources = list(header.sources)
         self.size = file.write(layout.encode_prelude(header.SerializeToString()))
         self._locations: list[BlockLocation] = []
 
@@ -227,7 +230,7 @@
         return self.size
 
 
-def write_trace(path: Path, header: Any, steps: Iterable[Step], sync: bool = False) -> int:
+def write_trace(path: Path, header: message_types.Header, steps: Iterable[Step], sync: bool = False) -> int:
     """Write a file under a temporary name and rename it; return its number of steps."""
     temporary = path.with_name(f".{path.name}.part")
     count = 0
@@ -248,12 +251,12 @@
     return count
 
 
-def make_header(**source_fields: Any) -> Any:
+def make_header(**source_fields: object) -> message_types.Header:
     """Return the header of a file with one source."""
     return Header(sources=[Source(**source_fields)])
 
 
-def encode_file(header: Any, blocks: list[list[Step]]) -> bytes:
+def encode_file(header: message_types.Header, blocks: list[list[Step]]) -> bytes:
     """Return the bytes of a file, for tests and tools."""
     buffer = BytesIO()
     buffer.close = lambda: None  # type: ignore[method-assign]
--- a/lapispick/trace/growing_table.py
+++ b/lapispick/trace/growing_table.py
@@ -2,12 +2,15 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TYPE_CHECKING
 
 import numpy as np
 
 from lapispick.trace.arrays import Array
 
+if TYPE_CHECKING:
+    from numpy.typing import ArrayLike, DTypeLike
+
 INITIAL_ROWS = 1024
 
 
@@ -17,7 +20,7 @@
     A *row* counts from the first one that is still there, an *index* from the first one that ever was.
     """
 
-    def __init__(self, **dtypes: Any) -> None:
+    def __init__(self, **dtypes: DTypeLike) -> None:
         self.first_index = 0
         self.size = 0
         self._columns = {name: np.zeros(INITIAL_ROWS, dtype) for name, dtype in dtypes.items()}
@@ -25,7 +28,7 @@
     def __getitem__(self, name: str) -> Array:
         return self._columns[name][: self.size]
 
-    def append(self, count: int, **values: Any) -> int:
+    def append(self, count: int, **values: ArrayLike) -> int:
         """Append rows, zero where no values are given; return the index of the first."""
         self._reserve(self.size + count)
         for name, column in self._columns.items():
--- a/lapispick/trace/helper.py
+++ b/lapispick/trace/helper.py
@@ -46,6 +46,7 @@
 
 
 def _decode_record(number: int, values: list[Any]) -> Any:
+    """Return a record; its type follows from the number."""
     record_type = RECORD_TYPES[number]
     if record_type in (admission.RunCompleted, admission.CallCompleted):
         values[1] = admission.Outcome(values[1])
--- a/lapispick/trace/lines.py
+++ b/lapispick/trace/lines.py
@@ -9,7 +9,7 @@
 import base64
 import binascii
 from collections.abc import Iterable, Iterator
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 from google.protobuf import json_format
@@ -19,6 +19,10 @@
 from lapispick.trace.schema import CATEGORY_OF_RECORD, RECORD_FIELDS, FieldType, Header, RecordCategory
 from lapispick.trace.text_names import OUTCOMES_BY_NAME, RECORDS_BY_NAME, field_name, outcome_name, record_name
 
+if TYPE_CHECKING:
+    from lapispick.trace import message_types
+    from lapispick.trace.record_types import Record
+
 _CATEGORY_NAMES: dict[RecordCategory, str] = {
     RecordCategory.EVENTS: "events",
     RecordCategory.ACTIONS: "actions",
@@ -46,13 +50,13 @@
     source: int = 0
 
 
-def _encode_value(value: Any) -> Any:
+def _encode_value(value: object) -> object:
     if isinstance(value, bytes):
         return base64.b64encode(value).decode()
     return outcome_name(value) if isinstance(value, admission.Outcome) else value
 
 
-def _encode_record(record: Any) -> dict[str, Any]:
+def _encode_record(record: Record) -> dict[str, object]:
     record_type = type(record)
     fields = {field_name(record_type, name): _encode_value(value) for name, value in record._asdict().items()}
     return {"record": record_name(record_type), **fields}
@@ -60,7 +64,7 @@
 
 def encode_step(step: Step, host: str) -> bytes:
     """Return a step as one line of JSON, without the newline."""
-    line: dict[str, Any] = {"now": step.now, "box": host}
+    line: dict[str, object] = {"now": step.now, "box": host}
     if step.source_index:
         line["source"] = step.source_index
     for name in _CATEGORY_NAMES.values():
@@ -69,7 +73,7 @@
     return msgspec.json.encode(line)
 
 
-def encode_trace(header: Any, steps: Iterable[Step]) -> Iterator[bytes]:
+def encode_trace(header: message_types.Header, steps: Iterable[Step]) -> Iterator[bytes]:
     """Yield the lines of a trace."""
     yield msgspec.json.encode({"header": json_format.MessageToDict(header, preserving_proto_field_name=True)})
     hosts = [source.box for source in header.sources]
@@ -77,7 +81,7 @@
         yield encode_step(step, hosts[step.source_index] if step.source_index < len(hosts) else "")
 
 
-def decode_header(line: bytes) -> Any:
+def decode_header(line: bytes) -> message_types.Header:
     """Return the header in the first line; raises ``TraceLineError``."""
     try:
         document = msgspec.json.decode(line, type=dict[str, Any])
@@ -100,6 +104,7 @@
 
 
 def _decode_record(fields: dict[str, Any], category: RecordCategory) -> Any:
+    """Return a record of this category; its type follows from the name in ``fields``."""
     record_type = RECORDS_BY_NAME.get(fields.get("record", ""))
     if record_type is None or CATEGORY_OF_RECORD[record_type] is not category:
         raise ValueError(f"no record {fields.get('record')!r} among the {_CATEGORY_NAMES[category]}")
@@ -113,7 +118,7 @@
     return record_type(**values)
 
 
-def _decode_value(value: Any, field_type: FieldType) -> Any:
+def _decode_value(value: Any, field_type: FieldType) -> object:
     if field_type is FieldType.BYTES:
         return base64.b64decode(value, validate=True)
     if field_type is FieldType.OUTCOME:
--- a/lapispick/trace/merging.py
+++ b/lapispick/trace/merging.py
@@ -7,11 +7,14 @@
 
 import heapq
 from collections.abc import Callable, Iterable, Iterator, Sequence
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from lapispick.trace.clock_skew import Clock, UnknownClock
 from lapispick.trace.record_types import Step
 
+if TYPE_CHECKING:
+    from lapispick.trace import message_types
+
 
 class Incarnation(NamedTuple):
     """One incarnation of a host; its files differ in their sequence only."""
@@ -23,19 +26,19 @@
 class MergedSources(NamedTuple):
     """The distinct sources of files, in order of their first file, and where those of each file are among them."""
 
-    sources: list[Any]
+    sources: list[message_types.Source]
     positions: list[list[int]]
 
 
-def incarnation_of(source: Any) -> Incarnation:
+def incarnation_of(source: message_types.Source) -> Incarnation:
     """Return which incarnation of which host a source stands for."""
     return Incarnation(source.box, source.incarnation)
 
 
-def merge_sources(files: Iterable[Sequence[Any]]) -> MergedSources:
+def merge_sources(files: Iterable[Sequence[message_types.Source]]) -> MergedSources:
     """Return the distinct sources in the headers of files."""
     known: dict[Incarnation, int] = {}
-    distinct: list[Any] = []
+    distinct: list[message_types.Source] = []
     positions: list[list[int]] = []
     for sources in files:
         for source in sources:
@@ -46,7 +49,7 @@
     return MergedSources(distinct, positions)
 
 
-def apply_clocks(sources: Sequence[Any], clocks: dict[str, Clock | UnknownClock]) -> list[str]:
+def apply_clocks(sources: Sequence[message_types.Source], clocks: dict[str, Clock | UnknownClock]) -> list[str]:
     """Write the clocks of hosts into their sources; return the reasons for those that are not corrected."""
     reasons: list[str] = []
     for source in sources:
--- a/lapispick/trace/record_types.py
+++ b/lapispick/trace/record_types.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from lapispick import admission
 
@@ -88,12 +88,17 @@
 }
 RECORD_TYPES: dict[int, type] = {number: record_type for record_type, number in RECORD_NUMBERS.items()}
 
+# For annotations only: nothing reads the unions at run time.
+if TYPE_CHECKING:
+    Note = Arrival | Answered | Gap | ExternalEvent | SpansBoundary
+    Record = admission.Event | admission.Action | Note
+
 
 class Step(NamedTuple):
     """One step of the decision module: its clock (ms), its input, its output, and notes of the host."""
 
     now: float
-    events: tuple[Any, ...] = ()
-    actions: tuple[Any, ...] = ()
-    notes: tuple[Any, ...] = ()
+    events: tuple[admission.Event, ...] = ()
+    actions: tuple[admission.Action, ...] = ()
+    notes: tuple[Note, ...] = ()
     source_index: int = 0  # of the incarnation of a host that it comes from, in the file's header
--- a/lapispick/trace/recording.py
+++ b/lapispick/trace/recording.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
-from typing import Any
+from typing import BinaryIO
 
 from lapispick.trace.files import STEPS_PER_BLOCK, TraceWriter, make_header
 from lapispick.trace.messages import Begin
@@ -50,7 +50,7 @@
         self._sequence = _next_sequence(self._folder, f"{begin.host}-{begin.incarnation}-")
         self._writer: TraceWriter | None = None
         self._path = self._folder
-        self._file: Any = None
+        self._file: BinaryIO | None = None
         self._opened_at = 0.0
         self._retry_at = 0.0
         self._steps: list[Step] = []
@@ -103,6 +103,7 @@
         if self._lost:
             steps.insert(0, Step(steps[0].now, notes=(Gap(self._lost),)))
         writer.write_block(steps)
+        assert self._file is not None
         self._file.flush()
         if self._begin.sync == "block":
             os.fsync(self._file.fileno())
--- a/lapispick/trace/replaying.py
+++ b/lapispick/trace/replaying.py
@@ -9,7 +9,7 @@
 import dataclasses
 from collections import Counter
 from collections.abc import Callable, Iterable
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 import msgspec
 
@@ -18,7 +18,7 @@
 from lapispick.trace.record_types import ADOPTED, ExternalEvent, Gap, Step
 from lapispick.trace.text_names import record_name
 
-StepObserver = Callable[[Step, tuple[Any, ...], Controller], None]
+StepObserver = Callable[[Step, tuple[admission.Action, ...], Controller], None]
 
 
 class Difference(NamedTuple):
@@ -26,8 +26,8 @@
 
     number: int
     now: float
-    recorded: tuple[Any, ...]
-    replayed: tuple[Any, ...]
+    recorded: tuple[admission.Action, ...]
+    replayed: tuple[admission.Action, ...]
 
 
 @dataclasses.dataclass
@@ -41,7 +41,7 @@
     recorded: Counter[str] = dataclasses.field(default_factory=Counter)
     replayed: Counter[str] = dataclasses.field(default_factory=Counter)
 
-    def add(self, step: Step, replayed: tuple[Any, ...]) -> None:
+    def add(self, step: Step, replayed: tuple[admission.Action, ...]) -> None:
         """Compare the actions of a step."""
         self.steps += 1
         self.recorded.update(record_name(type(action)) for action in step.actions)
--- a/lapispick/trace/schema.py
+++ b/lapispick/trace/schema.py
@@ -7,12 +7,15 @@
 from __future__ import annotations
 
 import enum
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
 
 from lapispick.trace.record_types import ACTIONS, EVENTS, RECORD_NUMBERS
 
+if TYPE_CHECKING:
+    from lapispick.trace import message_types
+
 MAX_BLOCK_STEPS = 1 << 16  # what a reader allocates before it has seen the steps
 MAX_BLOCK_RECORDS = 1 << 20  # of each category
 STEP_RECORD = 0  # the record number of the step itself
@@ -93,7 +96,7 @@
 }
 
 
-def _add_field(message: Any, name: str, number: int, declared_type: str) -> None:
+def _add_field(message: descriptor_pb2.DescriptorProto, name: str, number: int, declared_type: str) -> None:
     scalar_or_message = declared_type.lstrip("*")
     types = descriptor_pb2.FieldDescriptorProto
     is_message = scalar_or_message in _MESSAGE_FIELDS
@@ -121,10 +124,10 @@
 
 
 MESSAGE_TYPES = _build_messages()
-Header = MESSAGE_TYPES["Header"]
-Source = MESSAGE_TYPES["Source"]
-BlockMessage = MESSAGE_TYPES["Block"]
-Index = MESSAGE_TYPES["Index"]
+Header: message_types.MessageType[message_types.Header] = MESSAGE_TYPES["Header"]
+Source: message_types.MessageType[message_types.Source] = MESSAGE_TYPES["Source"]
+BlockMessage: message_types.MessageType[message_types.Block] = MESSAGE_TYPES["Block"]
+Index: message_types.MessageType[message_types.Index] = MESSAGE_TYPES["Index"]
 
 
 def _fields_of(record_type: type) -> tuple[RecordField, ...]:
--- a/lapispick/trace/selecting.py
+++ b/lapispick/trace/selecting.py
@@ -10,14 +10,20 @@
 import enum
 from collections import deque
 from collections.abc import Callable, Iterable, Iterator
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, NamedTuple, TypeVar
 
 from lapispick import admission
 from lapispick.trace.record_types import Answered, Arrival, SpansBoundary, Step
 
+if TYPE_CHECKING:
+    from lapispick.trace.record_types import Note, Record
+
+    R = TypeVar("R", bound=Record)
+
 LATE_ANSWER_MS = 1000.0  # beyond the longest deadline: an answer may be late, and its note comes a step later
 NO_ANSWER = "gone"  # the outcome of an attempt without an answer
 MEMORY_HORIZONS = 2  # an attempt is forgotten after so many horizons
+_ENDS = (Answered, admission.ClientCancelled)  # the records that end an attempt
 
 
 class EdgePolicy(enum.StrEnum):
@@ -81,7 +87,7 @@
     ends_after: bool
 
 
-def _attempt_id(step: Step, record: Any) -> AttemptId | None:
+def _attempt_id(step: Step, record: Record) -> AttemptId | None:
     """Return the attempt that a record belongs to."""
     number = getattr(record, "id", None)
     return None if number is None else (step.source_index, number)
@@ -134,18 +140,17 @@
                     self._note(now, step, record, attempt_id, inside)
         self._pending.append(_PendingStep(now, step, attempts))
 
-    def _note(self, now: float, step: Step, record: Any, attempt_id: AttemptId, inside: bool) -> None:
-        kind = type(record)
+    def _note(self, now: float, step: Step, record: Record, attempt_id: AttemptId, inside: bool) -> None:
         attempt = self._attempts.get(attempt_id)
         if attempt is None:
-            attempt = self._attempts[attempt_id] = _Attempt(now, kind is admission.RequestReceived)
+            attempt = self._attempts[attempt_id] = _Attempt(now, isinstance(record, admission.RequestReceived))
         attempt.inside |= inside
-        if kind is admission.RequestReceived:
+        if isinstance(record, admission.RequestReceived):
             attempt.class_name = self._class_name(step.source_index, record.class_index)
-        elif kind is Arrival:
+        elif isinstance(record, Arrival):
             attempt.account = record.account
-        elif kind in (Answered, admission.ClientCancelled) and not attempt.outcome:
-            attempt.outcome = record.kind if kind is Answered else NO_ANSWER
+        elif isinstance(record, _ENDS) and not attempt.outcome:
+            attempt.outcome = record.kind if isinstance(record, Answered) else NO_ANSWER
             attempt.ended_inside = inside
 
     def _is_decidable(self, now: float) -> bool:
@@ -187,10 +192,9 @@
     def _select(self, pending: _PendingStep) -> Iterator[Step]:
         step = pending.step
         inside = self._selection.includes(pending.now)
-        events, actions, notes = (
-            tuple(record for record in records if self._is_selected(_attempt_id(step, record), inside))
-            for records in (step.events, step.actions, step.notes)
-        )
+        events = self._selected(step, step.events, inside)
+        actions = self._selected(step, step.actions, inside)
+        notes: tuple[Note, ...] = self._selected(step, step.notes, inside)
         marks_edges = inside and self._selection.edges is EdgePolicy.MARK
         if marks_edges:
             notes += self._edge_marks(pending.attempts)
@@ -199,6 +203,10 @@
             yield step._replace(events=events, actions=actions, notes=notes)
         self._forget(pending.now)
 
+    def _selected(self, step: Step, records: tuple[R, ...], inside: bool) -> tuple[R, ...]:
+        """Return the records of a step that are selected."""
+        return tuple(record for record in records if self._is_selected(_attempt_id(step, record), inside))
+
     def _edge_marks(self, attempts: list[AttemptId]) -> tuple[SpansBoundary, ...]:
         """Return a note for each attempt that spans an edge and has none yet."""
         marks: list[SpansBoundary] = []
--- a/lapispick/trace/text_names.py
+++ b/lapispick/trace/text_names.py
@@ -6,11 +6,14 @@
 from __future__ import annotations
 
 from collections.abc import Sequence
-from typing import Any
+from typing import TYPE_CHECKING
 
 from lapispick import admission
 from lapispick.trace.record_types import RECORD_TYPES, Answered, Arrival, ExternalEvent, SpansBoundary
 
+if TYPE_CHECKING:
+    from lapispick.trace.record_types import Record
+
 _RECORD_NAMES: dict[type, str] = {
     admission.RequestReceived: "Request",
     admission.ClientCancelled: "Gone",
@@ -78,20 +81,20 @@
     return _OUTCOME_NAMES.get(outcome, outcome.name)
 
 
-def format_record(record: Any) -> str:
+def format_record(record: Record) -> str:
     """Return one record as a line of text, such as ``Run(id=2)``."""
     record_type = type(record)
     fields = (f"{field_name(record_type, name)}={_format_value(value)}" for name, value in record._asdict().items())
     return f"{record_name(record_type)}({', '.join(fields)})"
 
 
-def _format_value(value: Any) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, admission.Outcome):
         return f"<Outcome.{outcome_name(value)}: {value.value}>"
     return repr(value)
 
 
-def format_records(records: Sequence[Any]) -> str:
+def format_records(records: Sequence[Record]) -> str:
     """Return the records of one category of a step as the text of a tuple."""
     texts = [format_record(record) for record in records]
     return f"({texts[0]},)" if len(texts) == 1 else f"({', '.join(texts)})"
--- a/tests/test_trace_anonymising.py
+++ b/tests/test_trace_anonymising.py
@@ -41,8 +41,8 @@
 
 def test_two_names_with_the_same_pseudonym_are_an_error():
     anonymiser = Anonymiser(PSEUDONYM_KEY)
-    pseudonym = anonymiser._pseudonym(NameKind.ACCOUNT, "shop")
-    anonymiser._originals[NameKind.ACCOUNT, pseudonym] = "another"
-    del anonymiser._pseudonyms[NameKind.ACCOUNT, "shop"]
+    pseudonym = anonymiser._names.get(NameKind.ACCOUNT, "shop")
+    anonymiser._names._originals[NameKind.ACCOUNT, pseudonym] = "another"
+    del anonymiser._names.by_original[NameKind.ACCOUNT, "shop"]
     with pytest.raises(PseudonymConflictError, match="another key"):
         list(anonymiser.replace_steps([request_step(0, 1)]))
--- a/tests/test_trace_files.py
+++ b/tests/test_trace_files.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from lapispick import admission
-from lapispick.trace import aggregation, files, layout, lines, schema
+from lapispick.trace import aggregation, files, layout, lines, message_types, schema
 from lapispick.trace.block_reader import decode_block
 from lapispick.trace.block_writer import encode_block
 from lapispick.trace.record_types import ACTIONS, EVENTS, NOTES, RECORD_TYPES, Answered, Arrival, Step
@@ -57,6 +57,12 @@
     return schema.BlockMessage.FromString(b"".join(encode_block([step])))
 
 
+@pytest.mark.parametrize("name", schema.MESSAGE_TYPES)
+def test_the_types_for_annotations_have_the_fields_of_the_messages(name):
+    fields = [field.name for field in schema.MESSAGE_TYPES[name].DESCRIPTOR.fields]
+    assert list(getattr(message_types, name).__annotations__) == fields
+
+
 @pytest.mark.parametrize("sizes", [(), (1,), (3, 4, 5)])
 def test_steps_are_read_as_written_with_and_without_the_index(tmp_path, sizes):
     blocks = make_blocks(*sizes)
