--- a/lapispick/host/inventory.py
+++ b/lapispick/host/inventory.py
@@ -35,6 +35,7 @@
 from lapispick.fleet.reading import Options
 from lapispick.fleet.schema import Schema
 from lapispick.fleet.snapshot import EMPTY, Difference, History, Snapshot, Version
+from lapispick.host.inventory_status import InventoryStatus
 from lapispick.host.logs import log
 from lapispick.host.scheduler import EventLoop
 from lapispick.host.streams import LineTooLongError, Stream, StreamClosedError
@@ -278,18 +279,15 @@
             )
 
     def _save_status(self, verdict: Verdict, polled: Polled) -> None:
-        """Write ``status.json``; its keys are read by other versions of the commands."""
+        """Write ``status.json``."""
         accepted = self.acceptance.accepted
-        self.helper.send(
-            SaveStatus(
-                {
-                    "at": time.time(),
-                    "phase": verdict.phase.value,
-                    "ground": verdict.reason,
-                    "accepted": accepted.digest if accepted else "",
-                    "boxes": len(accepted.hosts) if accepted else 0,
-                    "candidate": polled.digest,
-                    "faults": [str(fault) for fault in polled.faults],
-                }
-            )
+        status = InventoryStatus(
+            at=time.time(),
+            phase=verdict.phase,
+            reason=verdict.reason,
+            accepted_digest=accepted.digest if accepted else "",
+            accepted_hosts=len(accepted.hosts) if accepted else 0,
+            candidate_digest=polled.digest,
+            faults=[str(fault) for fault in polled.faults],
         )
+        self.helper.send(SaveStatus(msgspec.to_builtins(status)))
--- a/tests/test_stored_samples.py
+++ b/tests/test_stored_samples.py
@@ -16,12 +16,16 @@
 
 from lapispick.admission import CallTimes, LearnedEstimates, Prices
 from lapispick.agent import generation_store, rollout_records, rollout_store, state_file
+from lapispick.conf.sections import InventorySettings
 from lapispick.durable import database
 from lapispick.file_errors import FileFault, SourceLocation
-from lapispick.fleet import last_good
+from lapispick.fleet import acceptance, last_good
 from lapispick.fleet import messages as inventory_messages
+from lapispick.fleet.schema import ANY_HOST
 from lapispick.handover import messages as handover_messages
 from lapispick.host import config as host_config
+from lapispick.host import inventory as host_inventory
+from lapispick.host.inventory_status import InventoryStatus
 from lapispick.host.members import reports as member_reports
 from lapispick.members import leases
 from lapispick.members import messages as member_messages
@@ -78,6 +82,7 @@
     "inventory-to-helper.jsonl": json_codec(inventory_messages.ToHelper),
     "inventory-from-helper.jsonl": json_codec(inventory_messages.FromHelper),
     "inventory-state/history.jsonl": json_codec(last_good.HistoryEntry),
+    "inventory-state/status.json": json_codec(InventoryStatus),
     "agent-calls.txt": (
         lambda line: agent_calls.decode_call(line.decode()),
         lambda call: agent_calls.encode_call(call).encode(),
@@ -321,6 +326,21 @@
     assert [p for value in (head, *snapshot.hosts.values()) for p in unpopulated(value)] == []
 
 
+def test_a_host_sends_the_status_of_its_inventory_as_stored(monkeypatch):
+    stored = next(line for line in lines("inventory-to-helper.jsonl") if b'"type":"status"' in line)
+    helper_line = msgspec.json.encode(msgspec.json.decode(stored)["told"])
+    assert helper_line == lines("inventory-state/status.json")[0]
+    sent = []
+    inventory = host_inventory.Inventory(None, InventorySettings(), ANY_HOST, on_accepted=None)
+    inventory.helper = SimpleNamespace(send=sent.append)
+    inventory.acceptance.accepted = FILES.kept_list(STORED / "inventory-state", SOURCE)[1]
+    fault = FileFault(SourceLocation("hosts.yml", 12, 5), "amqp_port", "must be a number")
+    verdict = acceptance.Verdict(acceptance.Phase.HELD, "too many left", is_new=True)
+    monkeypatch.setattr(host_inventory.time, "time", lambda: 1764576000.5)
+    inventory._save_status(verdict, inventory_messages.Polled(digest="ab" * 16, faults=(fault,)))
+    assert [msgspec.json.encode(message) for message in sent] == [stored]
+
+
 def test_an_agent_finds_its_stored_state_and_writes_it_again(tmp_path):
     shutil.copy(STORED / "agent-state.json", tmp_path / "state.json")
     store = FILES.open_agent_state(tmp_path, "disp-01")
