--- a/lapispick/host/amqp/session.py
+++ b/lapispick/host/amqp/session.py
@@ -9,8 +9,9 @@
 from lapispick import jitter
 from lapispick.host import events
 from lapispick.host.amqp.channel import REOPEN_S, Channel
+from lapispick.host.amqp.channel_table import ChannelTable
 from lapispick.host.amqp.codec import MIN_FRAME_MAX_BYTES
-from lapispick.host.amqp.connection import CONNECTION_CHANNEL, MAX_CHANNELS, BrokerConnection
+from lapispick.host.amqp.connection import CONNECTION_CHANNEL, BrokerConnection
 from lapispick.host.amqp.errors import CodecError, ConnectionClosedError, ReplyCode
 from lapispick.host.amqp.inventory_schema import Broker, Queue
 from lapispick.host.amqp.request_builder import RequestBuilder
@@ -56,7 +57,7 @@
         self.is_draining = False
         self._owner = owner
         self._queues = dict(queues)
-        self._channels: dict[int, Channel] = {}
+        self._channels = ChannelTable(self)  # of the present connection
         self._connection: BrokerConnection | None = None
         self._addresses: list[str] = []  # of the broker's name, not tried so far
         self._is_reported_open = False  # every queue is consumed, or the broker has said why not
@@ -81,7 +82,7 @@
 
     def is_current(self, channel: Channel) -> bool:
         """Tell whether a channel belongs to the present connection and is not closed."""
-        return self._connection is not None and self._channels.get(channel.number) is channel
+        return self._connection is not None and channel in self._channels
 
     def send(self, data: bytes) -> None:
         """Send frames."""
@@ -90,19 +91,18 @@
 
     def on_channel_ready(self) -> None:
         """Report the session as open once every queue is consumed, or the broker has said why not."""
-        if not self._is_reported_open and all(channel.is_ready for channel in self._channels.values()):
+        if not self._is_reported_open and self._channels.are_ready():
             self._is_reported_open = True
             self._owner.on_session_opened(self)
 
     def on_channel_closed(self, channel: Channel) -> None:
         """Forget a channel that was closed as requested."""
-        if self._channels.get(channel.number) is channel:
-            del self._channels[channel.number]
+        self._channels.remove(channel)
         self.close_if_done()
 
     def on_channel_closed_by_broker(self, channel: Channel) -> None:
         """Open a channel again a while after the broker closed it."""
-        del self._channels[channel.number]
+        self._channels.remove(channel)
         if not channel.is_retired:
             self.loop.call_later(REOPEN_S, self._reopen, self._connection, channel.queue)
         self.close_if_done()
@@ -111,7 +111,7 @@
         if connection is None or self._connection is not connection or self.is_draining:
             return
         is_listed = self._queues.get(queue.name) == queue
-        if is_listed and not any(c.queue == queue and not c.is_retired for c in self._channels.values()):
+        if is_listed and not self._channels.consumes(queue):
             self._open_channel(queue)
 
     # The connection.
@@ -168,7 +168,7 @@
         if self._connection is not None:
             self._connection.end()
         self._connection = None
-        self._channels = {}
+        self._channels = ChannelTable(self)
         if self._is_reported_open:
             self._is_reported_open = False
             self._owner.on_session_lost(self)
@@ -192,15 +192,7 @@
 
     def _open_channel(self, queue: Queue) -> None:
         assert self._connection is not None
-        max_channels = self._connection.max_channels
-        number = next(n for n in range(1, MAX_CHANNELS + 1) if n not in self._channels)
-        if number > max_channels:
-            log(LOG, logging.ERROR, "queue-left-out", broker=self.name, queue=queue.name, channels=max_channels)
-            return
-        channel = Channel(self, number, queue)
-        channel.is_cancelled = self.is_draining
-        self._channels[number] = channel
-        channel.open()
+        self._channels.open(queue, self._connection.max_channels, is_cancelled=self.is_draining)
 
     # Changes of the inventory, and the end.
 
@@ -210,9 +202,7 @@
         self._queues = dict(queues)
         if self._connection is None or self.is_draining or not self._connection.is_open:
             return  # the next connection opens the channels
-        for channel in list(self._channels.values()):
-            if not channel.is_retired and queues.get(channel.queue.name) != channel.queue:
-                channel.retire()
+        self._channels.retire_changed(queues)
         for name, queue in queues.items():
             if old.get(name) != queue:
                 self._open_channel(queue)
@@ -223,8 +213,7 @@
         if self._connection is None:
             self.loop.kill(self._greenlet)  # it connects, looks the name up or waits for its next attempt
             return
-        for channel in self._channels.values():
-            channel.cancel()
+        self._channels.cancel_all()
         self.close_if_done()
 
     def close_if_done(self) -> None:
@@ -233,7 +222,7 @@
             return
         if not self._connection.is_open:
             self._connection.close()
-        elif not self._has_ended and all(channel.is_idle for channel in self._channels.values()):
+        elif not self._has_ended and self._channels.are_idle():
             self._has_ended = True
             self._connection.request_close(ReplyCode.SUCCESS, "leaving")
 
@@ -245,6 +234,6 @@
 
     def is_flushed(self) -> bool:
         """Tell whether all that was accepted is answered and handed to the operating system."""
-        if any(channel.in_flight for channel in self._channels.values()):
+        if self._channels.have_in_flight():
             return False
         return self._connection is None or not self._connection.stream.unsent_bytes
