--- a/lapispick/host/amqp/codec.py
+++ b/lapispick/host/amqp/codec.py
@@ -19,7 +19,7 @@
 
 
 class FrameType(IntEnum):
-    """What the payload of a frame holds."""
+    """What the payload of a frame contains."""
 
     METHOD = 1
     HEADER = 2
--- a/lapispick/host/amqp/deliveries.py
+++ b/lapispick/host/amqp/deliveries.py
@@ -1,4 +1,4 @@
-"""Messages of a queue: assembled from frames, and kept until they are settled."""
+"""Messages of a queue: assembled from frames, and in flight until they are settled."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         self.tag = tag
         self.redelivered = redelivered
         self.properties: Properties | None = None  # None: they can't be read
-        self.body_size = 0  # as announced; the body of a message that is too long is not kept
+        self.body_size = 0  # as announced; the body of a message that is too long is dropped
         self.body = bytearray()
         self.answer: Answer | None = None
         self.publish_attempts = 0  # of its reply
--- a/lapispick/host/core/arrivals.py
+++ b/lapispick/host/core/arrivals.py
@@ -49,7 +49,7 @@
         self._open_limit = float(max_open)
 
     def use_share(self, share: float) -> None:
-        """Hold at most this share of the requests that may be open."""
+        """Limit the open requests to this fraction of the maximum."""
         self._open_limit = self._max_open * share
 
     def on_request_arrived(self, event: events.RequestArrived, module_events: list[admission.Event]) -> None:
--- a/lapispick/host/core/completion.py
+++ b/lapispick/host/core/completion.py
@@ -61,7 +61,7 @@
         entry = self._table.get(action.id)
         if entry is None:
             return
-        never_ran = not entry.held and (entry.record is None or entry.record.executed_attempt != entry.id)
+        never_ran = not entry.awaits_end and (entry.record is None or entry.record.executed_attempt != entry.id)
         kind = AnswerKind.REJECTED if never_ran else AnswerKind.FAILED
         self.answer(entry, Answer(kind, None, action.retry_after_ms, action.no_retry))
 
@@ -84,7 +84,7 @@
 
     def release(self, entry: InFlightRequest) -> None:
         """Forget a request that is answered and of which no report is awaited."""
-        if not entry.answered or entry.held or not self._table.remove(entry):
+        if not entry.answered or entry.awaits_end or not self._table.remove(entry):
             return
         record = entry.record
         if record is None or not record.waiters:
@@ -92,5 +92,5 @@
         if entry in record.waiters:
             record.waiters.remove(entry)
         elif record.owner_attempt == entry.id and not record.executed_attempt:
-            # The module let the key go, as its window was shorter than the attempt was held.
+            # The module released the key, as its window was shorter than the attempt was queued.
             self._post(events.OwnerReleased(record, entry.id))
--- a/lapispick/host/core/decision_module.py
+++ b/lapispick/host/core/decision_module.py
@@ -48,7 +48,7 @@
         self._adoptable: admission.LearnedEstimates | None = None
 
     def on_executor_ready(self, event: events.ExecutorReady, module_events: list[admission.Event]) -> None:
-        """Start the module; a host that was told to shut down before that never takes anything."""
+        """Start the module; a host that was asked to shut down before that never accepts a request."""
         if self.controller is not None or self._health.shutting_down:
             return
         gauges = (*admission.PEER_GAUGES, *self._settings.gauges)
@@ -78,7 +78,7 @@
             handlers[type(action)](action)
 
     def _fail_batch(self, module_events: list[admission.Event]) -> None:
-        """Answer the requests that the module was just told of, and keep its timer going."""
+        """Fail the requests of a batch that the module failed to handle, and set its timer again."""
         for event in module_events:
             if type(event) is admission.RequestReceived and event.id in self._requests:
                 self._action_handlers[admission.Fail](admission.Fail(event.id))
--- a/lapispick/host/core/health_checks.py
+++ b/lapispick/host/core/health_checks.py
@@ -25,7 +25,8 @@
         self._open_checks: dict[str, events.HealthCheckReceived] = {}
         self._answer_from_state = True  # no work for each check
         self.state = HealthState()
-        self.on_listed: Callable[[bool], None] = lambda listed: None  # told what the service registry should list
+        # Is notified of whether the service registry should list this host.
+        self.on_listed: Callable[[bool], None] = lambda listed: None
 
     def report(self) -> None:
         """Report to the service registry."""
@@ -49,7 +50,7 @@
         self.report()
 
     def on_health_check_received(self, event: events.HealthCheckReceived, module_events: list[admission.Event]) -> None:
-        """Answer a health check, a deep one by the executor's word where the module orders so."""
+        """Answer a health check, a deep one by the executor's result where the module orders so."""
         healthy = self.state.healthy and len(self._open_checks) < MAX_OPEN_CHECKS
         if event.deep and not self._answer_from_state and healthy:
             self._open_checks[self._peers.executor.start_health_check()] = event
--- a/lapispick/host/core/housekeeping.py
+++ b/lapispick/host/core/housekeeping.py
@@ -15,14 +15,14 @@
 from lapispick.host.scheduler import EventLoop
 
 LOG = "core"
-RECORD_GRACE_MS = 30_000.0  # an expired record is kept this much longer for repeats that are read late
+RECORD_GRACE_MS = 30_000.0  # an expired record is retained this much longer for retries that are read late
 SWEEP_INTERVAL_S = 1.0
 LOST_RUN_MS = 15_000.0  # a run whose request is answered and that has not ended after this was lost
 TOTALS_INTERVAL_S = 10.0  # between two log lines with what was answered
 
 
 class Housekeeper:
-    """Keeps what is held bounded over time."""
+    """Bounds the stored records and the requests in flight over time."""
 
     def __init__(
         self,
@@ -53,7 +53,7 @@
             table.remove(record)
         for entry in self._requests.answered_before(self._clock.now - LOST_RUN_MS):
             log(LOG, logging.WARNING, "run-lost", request_id=entry.request.request_id)
-            self._completion.expect_no_end(entry)  # or it would keep its slot for good
+            self._completion.expect_no_end(entry)  # or it would occupy its slot forever
 
     def _log_totals(self) -> None:
         self._loop.call_later(TOTALS_INTERVAL_S, self._log_totals)
--- a/lapispick/host/core/idempotency.py
+++ b/lapispick/host/core/idempotency.py
@@ -47,7 +47,7 @@
         self.ownership.on_completed = self._result_ready
 
     def use_share(self, share: float) -> None:
-        """Keep results within this share of their memory."""
+        """Limit results to this fraction of their memory."""
         self.table.max_result_bytes = int(self._max_result_bytes * share)
         self.table.trim()
 
@@ -62,10 +62,11 @@
             record.completed or record.executed_attempt or record.owner_attempt in self._requests
         ):
             return record
-        # An attempt that is still held is repeated however short the window: it may run at any moment, and its window,
-        # which goes back to when it arrived, would then hold what was taken for another request.
-        held = self.table.get(request.idempotency_key)
-        return held if held is not None and not held.executed_attempt and held.owner_attempt in self._requests else None
+        # An attempt that is still in flight is found however short the window: it may run at any moment, and its
+        # window, which begins when it arrived, would then cover what was taken for another request.
+        record = self.table.get(request.idempotency_key)
+        is_in_flight = record is not None and not record.executed_attempt and record.owner_attempt in self._requests
+        return record if is_in_flight else None
 
     def find_in_batch(self, request: Request, module_events: list[admission.Event]) -> InFlightRequest | None:
         """Return the latest attempt of the same key in this batch, which the module has not retained so far.
@@ -119,7 +120,7 @@
             self.ownership.release(record)
 
     def free(self, entry: InFlightRequest) -> None:
-        """Free the key of an attempt that got the word to run and is not started."""
+        """Free the key of an attempt that may run and is not started."""
         if entry.record is not None:
             self.ownership.release(entry.record)
 
--- a/lapispick/host/core/in_flight.py
+++ b/lapispick/host/core/in_flight.py
@@ -2,12 +2,12 @@
 
 | state | meaning |
 | --- | --- |
-| QUEUED | the decision module holds it |
+| QUEUED | the decision module has queued it |
 | CLAIMING | its idempotency key waits for the decision which process may run it |
 | COALESCED | it waits for the result of an earlier attempt |
 | RUNNING | the executor has it |
-| PAUSING | the executor was told to pause it; it may end or request a call before that |
-| PAUSED | the executor keeps it where it is until it is resumed |
+| PAUSING | a pause was requested from the executor; it may end or request a call before that |
+| PAUSED | the executor has suspended it until it is resumed |
 | ENDED | it ended, or will never be started here |
 
 | from | event | to |
@@ -54,7 +54,7 @@
 
 
 IN_EXECUTOR = (RunState.RUNNING, RunState.PAUSING, RunState.PAUSED)
-HOLDING = (*IN_EXECUTOR, RunState.CLAIMING)  # the core waits for a report, even after the final answer
+AWAITING_END = (*IN_EXECUTOR, RunState.CLAIMING)  # the core waits for a report, even after the final answer
 
 
 class InFlightRequest(msgspec.Struct, eq=False):
@@ -67,7 +67,7 @@
     answered: bool = False  # no answer is owed any more
     answered_at: float = 0.0  # Unix ms
     outcome_unknown: bool = False  # its start or the report of its end may be lost
-    start_withheld: bool = False  # the module started it, and the executor was never told
+    start_withheld: bool = False  # the module started it, and the executor was never notified
     call_notice: int = 0  # the executor's notice that requested its call
     call_body: str = ""
     store_call: StoreCall | None = None  # the call under way
@@ -78,12 +78,12 @@
         return self.state in IN_EXECUTOR
 
     @property
-    def held(self) -> bool:
+    def awaits_end(self) -> bool:
         """Tell whether a report is awaited that ends it."""
-        return self.state in HOLDING
+        return self.state in AWAITING_END
 
     def cancel_ordered(self, pause: bool) -> None:
-        """Note that the executor was told to cancel it, or to pause it."""
+        """Note that a cancellation or a pause was requested from the executor."""
         if self.state is not RunState.PAUSED:
             self.state = RunState.PAUSING if pause else RunState.RUNNING
 
--- a/lapispick/host/core/peer_sync.py
+++ b/lapispick/host/core/peer_sync.py
@@ -53,7 +53,7 @@
         self.peer_usage = NO_USAGE  # what the other process has in hand
 
     def _use_share(self, share: float) -> None:
-        """Take this share of the memory that is bounded here."""
+        """Limit the bounded memory to this fraction of it."""
         self._arrivals.use_share(share)
         self._idempotency.use_share(share)
 
--- a/lapispick/host/core/runs.py
+++ b/lapispick/host/core/runs.py
@@ -46,7 +46,7 @@
     # The module's orders.
 
     def start(self, action: admission.StartRun) -> None:
-        """Start a held request, or resume a paused run."""
+        """Start a queued request, or resume a paused run."""
         entry = self._requests.get(action.id)
         if entry is None or entry.answered:
             return
@@ -174,7 +174,7 @@
         """End a run that was cancelled, or never began."""
         if not entry.answered:
             # The executor ends or starts nothing for a request that is over: its client has gone, and its front may
-            # never say so. Guards the module's slots and calls, which it holds until told of an end.
+            # never say so. Guards the module's slots and calls, which it reserves until it is notified of an end.
             module_events.append(admission.ClientCancelled(entry.id))
             self._completion.answer(entry, Answer(AnswerKind.FAILED, client_error=client_error))
         if ran:
--- a/lapispick/host/core/timers.py
+++ b/lapispick/host/core/timers.py
@@ -32,7 +32,7 @@
         self._gauges: tuple[float, ...] = ()
 
     def on_gauges_reported(self, event: events.GaugesReported, module_events: list[admission.Event]) -> None:
-        """Keep the gauges for the next timer."""
+        """Store the gauges for the next timer."""
         self._gauges = event.gauges
 
     def on_timer_due(self, event: events.TimerDue, module_events: list[admission.Event]) -> None:
--- a/lapispick/host/executor.py
+++ b/lapispick/host/executor.py
@@ -23,7 +23,7 @@
 # 50 ms, and the rest is the time that a busy host takes to notice the break.
 MAX_LOST_COMMAND_AGE_S = 0.5
 DRAIN_TIMEOUT_S = 0.3  # for the last answer on a link that is replaced by one to a new address
-MAX_NOTICE_BYTES = 1 << 20  # results hold up to 4 KiB
+MAX_NOTICE_BYTES = 1 << 20  # results have up to 4 KiB
 MAX_UNSENT_BYTES = 4 << 20  # of commands for an executor that does not read
 WARMING_UP = "chilly"  # outcome of a WELCOME
 COMPLETED = "complete"  # outcome of a run or a health check
@@ -210,7 +210,7 @@
         self._stream = stream
 
     def detach_link(self) -> Stream | None:
-        """Keep further commands for the next link; return the connection of the present one."""
+        """Queue further commands for the next link; return the connection of the present one."""
         stream, self._stream = self._stream, None
         return stream
 
--- a/lapispick/host/extended_metrics.py
+++ b/lapispick/host/extended_metrics.py
@@ -69,7 +69,7 @@
         self._objectives = tuple(objectives)
         self._generation = generation
         self._memory = memory
-        self.broken_rules = 0  # rules that this process broke, or that its last guard kept
+        self.broken_rules = 0  # rules that this process broke, or that only its last check prevented it from breaking
         self._weight_served = [0] * len(names)
         self._late = [0] * len(names)
         self._durations = [[0] * (len(DURATION_BUCKETS_MS) + 1) for _ in names]
--- a/lapispick/host/health.py
+++ b/lapispick/host/health.py
@@ -11,7 +11,7 @@
 | shutting_down | SIGTERM | never |
 | handed_over | SIGTERM while another process of this worker host takes clients | never |
 
-A shutdown that is handed over does not change the health of the host as a whole, nor what the service registry hears.
+A shutdown that is handed over changes neither the health of the host nor what the service registry is notified of.
 A drain is no shutdown: requests are answered as always. During a shutdown a drain call changes nothing; before the
 executor is up it takes effect once the executor is.
 """
--- a/lapispick/host/jsonrpc/connection.py
+++ b/lapispick/host/jsonrpc/connection.py
@@ -139,7 +139,7 @@
         self._post(events.ClientCancelled(request, before_arrival))
 
     def abandon(self, message_id: int) -> None:
-        """Forget a request as its connection ends or it is invalid; the core is told where it knows of it."""
+        """Forget a request as its connection ends or it is invalid; the core is notified where it knows of it."""
         request = self.by_id.pop(message_id)
         if self._unposted.pop(message_id, None) is None:
             self._post(events.ClientCancelled(request))
--- a/lapispick/host/jsonrpc/front.py
+++ b/lapispick/host/jsonrpc/front.py
@@ -68,7 +68,7 @@
         return iter(order[: MAX_ACCEPTS_PER_ROUND + MAX_EVICTION_CHECKS])
 
     def _close_candidate(self, connection: Connection, eviction_class: EvictionClass, now: float) -> bool:
-        """Close a connection, unless what arrived since the order was computed is a reason to keep it."""
+        """Close a connection, unless what arrived since the order was computed is a reason not to evict it."""
         stream = connection.stream
         if stream.closed:
             return False
--- a/lapispick/host/members/assembly.py
+++ b/lapispick/host/members/assembly.py
@@ -18,7 +18,7 @@
 
 
 class HostFacts:
-    """What the other members are told of this worker host."""
+    """What the other members are notified of about this worker host."""
 
     def __init__(self, config: Config, core: Core, store_watch: StoreWatch) -> None:
         self._config = config
--- a/lapispick/host/members/local_member.py
+++ b/lapispick/host/members/local_member.py
@@ -67,7 +67,7 @@
             self.member.set_configuration(accepted.names, accepted.digest, time.monotonic())
 
     def forget_unlisted(self) -> None:
-        """Drop what is kept of hosts that the list names no more."""
+        """Drop what is stored of hosts that the list does not name any more."""
         for name in self.changes.keys() - self.directory.workers.keys():
             del self.changes[name]
 
--- a/lapispick/host/members/process_epoch.py
+++ b/lapispick/host/members/process_epoch.py
@@ -12,7 +12,7 @@
 
 LOG = "members"
 FILE_NAME = "life"
-MAX_START_EPOCH = MAX_EPOCH >> 1  # leaves room for later epochs
+MAX_START_EPOCH = MAX_EPOCH >> 1  # leaves half of the range for later epochs
 
 
 def next_process_epoch(folder: PurePath | None) -> int:
--- a/lapispick/host/members/reports.py
+++ b/lapispick/host/members/reports.py
@@ -1,4 +1,4 @@
-"""What operators are told of members and leases, as JSON. The names in the JSON are fixed; programs read them."""
+"""The reports to operators on members and leases, as JSON. The names in the JSON are fixed; programs read them."""
 
 from __future__ import annotations
 
--- a/lapispick/host/ops.py
+++ b/lapispick/host/ops.py
@@ -26,7 +26,7 @@
 ANSWERED = 0.0  # in place of the time when a caller connected
 
 CallHandler = Callable[[], list[str]]
-LineHandler = Callable[[str], list[str]]  # takes the whole line of a call that has arguments
+LineHandler = Callable[[str], list[str]]  # takes the complete line of a call that has arguments
 
 
 class OperatorServer:
--- a/lapispick/host/recorder.py
+++ b/lapispick/host/recorder.py
@@ -1,7 +1,7 @@
 """Records what the decision module receives and orders: encodes it and sends it to a process that writes files.
 
-Nothing here waits for the disk. Steps for which a slow or full disk leaves no room in the buffer are dropped, and the
-next record that is written says how many.
+Nothing here waits for the disk. Steps that exceed the buffer's capacity, as the disk is slow or full, are dropped, and
+the next record that is written says how many.
 """
 
 from __future__ import annotations
--- a/lapispick/host/requests.py
+++ b/lapispick/host/requests.py
@@ -9,7 +9,7 @@
 import msgspec
 
 MAX_BODY_BYTES = 2048  # of a request's body before its base64 encoding, from any front
-MAX_REQUEST_MEMORY_KB = 2000.0  # the memory booked for a held request stays under this
+MAX_REQUEST_MEMORY_KB = 2000.0  # the memory reserved for a request stays under this
 
 
 class AnswerKind(StrEnum):
--- a/lapispick/host/shutdown.py
+++ b/lapispick/host/shutdown.py
@@ -20,7 +20,7 @@
     from lapispick.host.scheduler import EventLoop
 
 LOG = "host"
-LISTENER_CLOSE_MARGIN_S = 0.4  # before the stop; until then connections are accepted, to be told of the shutdown
+LISTENER_CLOSE_MARGIN_S = 0.4  # before the stop; until then connections are accepted, to be notified of the shutdown
 ANSWER_MARGIN_S = 0.05  # before the stop; by then all is answered and handed over
 CLIENT_CLOSE_MARGIN_S = 0.12  # before the stop; until then clients may close their side of a connection
 ANSWER_POLL_S = 0.01
@@ -54,7 +54,7 @@
         self._recorder = recorder
 
     def run(self) -> None:
-        """Shut down; returns when the event loop has been told to stop."""
+        """Shut down; returns once the event loop was stopped."""
         if self._members is not None:
             self._members.leave()
         if self._handover is not None and self._handover.peer_serves:
--- a/lapispick/host/streams.py
+++ b/lapispick/host/streams.py
@@ -30,7 +30,7 @@
 
 
 class LineTooLongError(StreamError):
-    """A peer sent more without an end of line than is kept for it."""
+    """A peer sent more without an end of line than is buffered for it."""
 
 
 class StreamClosedError(StreamError):
@@ -53,7 +53,7 @@
         return len(self._data)
 
     def send(self, data: bytes) -> bool:
-        """Send what the socket takes now and keep the rest; False where something is kept. Raises ``OSError``."""
+        """Send what the socket takes now and buffer the rest; False where some is buffered. Raises ``OSError``."""
         if not self._data:
             self._on_progress()
             try:
@@ -68,18 +68,18 @@
         return False
 
     def flush(self) -> None:
-        """Send what the socket takes of the kept bytes; raises ``OSError``."""
+        """Send what the socket takes of the buffered bytes; raises ``OSError``."""
         sent = self._sock.send(self._data)
         del self._data[:sent]
         self._loop.unsent_bytes -= sent
         self._on_progress()
 
     def exceeds(self, max_bytes: int) -> bool:
-        """Tell whether more is kept than this, or more than the loop allows for all slow readers together."""
+        """Tell whether more is buffered than this, or more than the loop allows for all slow readers together."""
         return len(self._data) > max_bytes or self._loop.unsent_bytes > self._loop.max_unsent_bytes
 
     def clear(self) -> None:
-        """Drop the bytes that were kept."""
+        """Drop the buffered bytes."""
         self._loop.unsent_bytes -= len(self._data)
         self._data.clear()
 
@@ -88,7 +88,7 @@
         self._unacknowledged_bytes = 0
 
     def stalled_s(self) -> float:
-        """Return the seconds since the last sign of progress; 0 where nothing is kept.
+        """Return the seconds since the last sign of progress; 0 where nothing is buffered.
 
         Acknowledged bytes count as progress too: the kernel takes bytes by the megabyte and then none for many
         seconds, while the peer may be reading all the time.
@@ -231,7 +231,7 @@
         return peek(self.sock) is None and not self._input
 
     def write(self, data: bytes) -> None:
-        """Send now what the socket takes and keep the rest for later; never waits."""
+        """Send now what the socket takes and buffer the rest; never waits."""
         if self.closed or self.closing:
             return
         try:
--- a/lapispick/trace/anonymising.py
+++ b/lapispick/trace/anonymising.py
@@ -1,7 +1,7 @@
 """Replaces subjects, accounts, callers and hosts by pseudonyms: keyed, stable and one to one. No I/O.
 
 Equal names have equal pseudonyms and different names different ones, so a replay orders the same. Pseudonyms can't be
-reversed without the key, which no file holds. Times, sizes and classes stay as they are.
+reversed without the key, which no file contains. Times, sizes and classes stay as they are.
 """
 
 from __future__ import annotations
--- a/lapispick/trace/block_reader.py
+++ b/lapispick/trace/block_reader.py
@@ -1,4 +1,4 @@
-"""Decodes the blocks of a trace: column by column on demand, or whole steps. No I/O.
+"""Decodes the blocks of a trace: column by column on demand, or complete steps. No I/O.
 
 Readers skip records and fields that they don't know, and read zeros or empty values for fields that a file lacks.
 """
--- a/lapispick/trace/column_codec.py
+++ b/lapispick/trace/column_codec.py
@@ -1,6 +1,6 @@
 """Encodes columns of numbers and strings as bytes, and decodes them. No I/O.
 
-A column holds one field of many records. Floats that are multiples of a power of ten or two are stored as these
+A column contains one field of many records. Floats that are multiples of a power of ten or two are stored as these
 integers, others as their 64 bits; either the values or their differences, whichever compresses better. Integers are
 mapped to unsigned ones (zigzag) and stored byte plane by byte plane, lowest first, without the planes that are all
 zero, which suits a general compressor. Every column decodes to the same bits.
--- a/lapispick/trace/layout.py
+++ b/lapispick/trace/layout.py
@@ -39,7 +39,7 @@
 
 
 class FrameKind(enum.IntEnum):
-    """What the body of a frame holds; readers skip other kinds."""
+    """What the body of a frame contains; readers skip other kinds."""
 
     BLOCK = 1
     INDEX = 2
--- a/lapispick/trace/series.py
+++ b/lapispick/trace/series.py
@@ -17,7 +17,7 @@
 from lapispick.trace.record_types import SERVED, Answered, Arrival, ExternalEvent
 from lapispick.trace.summary import UNKNOWN_NAME
 
-MAX_POINTS = 1200  # intervals of one plot; more can't be told apart
+MAX_POINTS = 1200  # intervals of one plot; more can't be distinguished
 MIN_INTERVAL_MS = 250.0
 MAX_AGES = 1000  # of which the median of an interval is taken
 SHUTDOWN_MARK = "leave"
