--- a/lapispick/host/core/peer_sync.py
+++ b/lapispick/host/core/peer_sync.py
@@ -4,7 +4,7 @@
 
 import logging
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from lapispick import admission
 from lapispick.handover import messages
@@ -39,7 +39,7 @@
         arrivals: ArrivalHandler,
         idempotency: IdempotencyCoordinator,
         health: HealthReporter,
-        post: Callable[[Any], None],
+        post: Callable[[events.Event], None],
     ) -> None:
         self._loop = loop
         self._clock = clock
@@ -53,7 +53,7 @@
         self.peer_usage = NO_USAGE  # what the other process has in hand
 
     def _use_share(self, share: float) -> None:
-        """Take this share of the memory that is bounded here."""
+        """Limit the bounded memory to this fraction of it."""
         self._arrivals.use_share(share)
         self._idempotency.use_share(share)
 
--- a/lapispick/host/jsonrpc/front.py
+++ b/lapispick/host/jsonrpc/front.py
@@ -7,11 +7,10 @@
 import socket
 import time
 from collections.abc import Callable, Iterator
-from typing import Any
 
 from lapispick import admission
 from lapispick.handover import budget
-from lapispick.host import connection_eviction
+from lapispick.host import connection_eviction, events
 from lapispick.host.connection_eviction import EvictionClass
 from lapispick.host.jsonrpc.connection import Connection, ConnectionContext
 from lapispick.host.logs import log
@@ -69,7 +68,7 @@
         return iter(order[: MAX_ACCEPTS_PER_ROUND + MAX_EVICTION_CHECKS])
 
     def _close_candidate(self, connection: Connection, eviction_class: EvictionClass, now: float) -> bool:
-        """Close a connection, unless what arrived since the order was computed is a reason to keep it."""
+        """Close a connection, unless what arrived since the order was computed is a reason not to evict it."""
         stream = connection.stream
         if stream.closed:
             return False
@@ -91,7 +90,7 @@
         start_settings: StartSettings,
         settings: admission.Settings,
         max_connections: int,
-        post: Callable[[Any], None],
+        post: Callable[[events.Event], None],
         backpressure: Callable[[], float | None],
     ) -> None:
         self.loop = loop
