--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -46,8 +46,8 @@
 )
 
 
-def imported_modules(h):
-    return set(re.findall(r"^import time:[\s\d|]*?([\w.]+)$", h.log(), re.MULTILINE))
+def imported_modules(worker):
+    return set(re.findall(r"^import time:[\s\d|]*?([\w.]+)$", worker.log(), re.MULTILINE))
 
 
 def modules_that_are_off(names):
@@ -56,16 +56,16 @@
 
 
 def test_run_imports_nothing_that_is_off(host):
-    h = host(environ={"PYTHONPROFILEIMPORTTIME": "1"})
-    g = h.gateway()
-    assert g.result(g.request("track", "call:200")) == "reply 1"
-    assert g.result(g.request("book", "x", uuid.uuid4().hex)) == "did x"
+    worker = host(environ={"PYTHONPROFILEIMPORTTIME": "1"})
+    gateway = worker.gateway()
+    assert gateway.result(gateway.request("track", "call:200")) == "reply 1"
+    assert gateway.result(gateway.request("book", "x", uuid.uuid4().hex)) == "did x"
     for line in (b"check", b"vars", b"drain-on", b"drain-off"):
-        h.call_operators(line)
-    h.reload()
-    h.terminate()
-    assert h.process.wait(6) == 0
-    names = imported_modules(h)
+        worker.call_operators(line)
+    worker.reload()
+    worker.terminate()
+    assert worker.process.wait(6) == 0
+    names = imported_modules(worker)
     assert {"lapispick.host.core", "lapispick.admission.controller", "greenlet"} <= names
     assert modules_that_are_off(names) == []
 
@@ -79,8 +79,8 @@
 )
 def test_the_check_sees_the_import_of_what_is_on(host, tmp_path, conf, module):
     (tmp_path / "own.conf").write_text(conf)
-    h = host(environ={"PYTHONPROFILEIMPORTTIME": "1", "LAPISPICK_CONF": str(tmp_path / "own.conf")})
-    names = imported_modules(h)
+    worker = host(environ={"PYTHONPROFILEIMPORTTIME": "1", "LAPISPICK_CONF": str(tmp_path / "own.conf")})
+    names = imported_modules(worker)
     assert module in modules_that_are_off(names)
     # The host's process needs only the types of trace records; the rest belongs to the writer's process.
     assert not {"numpy", "google.protobuf", "zstandard"} & names
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -25,48 +25,48 @@
 
 
 def test_each_call_is_answered_and_anything_else_is_an_error(host):
-    h = host()
-    assert h.call_operators(b"check") == ["OK"]
-    assert h.call_operators(b"check\r") == ["OK"]
+    worker = host()
+    assert worker.call_operators(b"check") == ["OK"]
+    assert worker.call_operators(b"check\r") == ["OK"]
     for invalid_call in (b"", b"CHECK", b"vars all", b"\xff\xfe", b"x" * 5000):
-        (answer,) = h.call_operators(invalid_call)
+        (answer,) = worker.call_operators(invalid_call)
         assert answer.startswith("ERR "), invalid_call
         assert len(answer) > 10, invalid_call
-    with socket.create_connection(h.ops.split(":"), timeout=5) as sock:
+    with socket.create_connection(worker.ops.split(":"), timeout=5) as sock:
         sock.sendall(b"che")
         sock.shutdown(socket.SHUT_WR)
         assert sock.makefile().read().startswith("ERR ")
-    assert h.call_operators(b"check") == ["OK"]
+    assert worker.call_operators(b"check") == ["OK"]
 
 
 def test_check_succeeds_only_while_clients_are_accepted(host):
     late = Executor(is_up=False)
-    h = host(executor=late, wait_for_ready=False)
-    (answer,) = h.call_operators()
+    worker = host(executor=late, wait_for_ready=False)
+    (answer,) = worker.call_operators()
     assert answer.startswith("ERR ")
-    h.call_operators(b"drain-on")  # a drain call before the executor is up holds from then on
+    worker.call_operators(b"drain-on")  # a drain call before the executor is up holds from then on
     wait_until(lambda: late.commands, "the first message")
     late.become_ready()
-    h.wait_for_log("ready")
-    assert h.call_operators() == ["OK"]
-    g = h.gateway()
-    assert g.answer(g.send("probe"))["result"]["healthy"] is False
-    h.call_operators(b"drain-off")
-    assert g.answer(g.send("probe"))["result"]["healthy"] is True
+    worker.wait_for_log("ready")
+    assert worker.call_operators() == ["OK"]
+    gateway = worker.gateway()
+    assert gateway.answer(gateway.send("probe"))["result"]["healthy"] is False
+    worker.call_operators(b"drain-off")
+    assert gateway.answer(gateway.send("probe"))["result"]["healthy"] is True
 
 
 def test_silent_callers_affect_only_themselves(host):
-    h = host()
-    name, port = h.ops.split(":")
+    worker = host()
+    name, port = worker.ops.split(":")
     began = time.monotonic()
     callers = [socket.create_connection((name, int(port))) for _ in range(40)]
     for caller in callers[::2]:
         with contextlib.suppress(OSError):
             caller.sendall(b"va")
-    assert h.call_operators() == ["OK"]
-    assert h.metrics()["inflight"] == 0
+    assert worker.call_operators() == ["OK"]
+    assert worker.metrics()["inflight"] == 0
     assert time.monotonic() - began < 1
-    assert len(os.listdir(f"/proc/{h.process.pid}/fd")) < 30  # 8 of them at most, of 256 descriptors
+    assert len(os.listdir(f"/proc/{worker.process.pid}/fd")) < 30  # 8 of them at most, of 256 descriptors
     for caller in callers:
         caller.settimeout(3.5)
         with contextlib.suppress(ConnectionError):
@@ -75,16 +75,16 @@
 
 
 def test_calls_are_answered_within_a_second_under_a_flood(host):
-    h = host(executor=Executor(work_s=0.004))
+    worker = host(executor=Executor(work_s=0.004))
     stop = threading.Event()
 
     def flood():
-        g = h.gateway()
-        line = g.request_line("track", "x") + b"\n"
+        gateway = worker.gateway()
+        line = gateway.request_line("track", "x") + b"\n"
         with contextlib.suppress(OSError):
             while not stop.is_set():
-                g.sock.sendall(line * 200)  # ids that are not new: each costs a look and an answer
-                g = h.gateway()
+                gateway.sock.sendall(line * 200)  # ids that are not new: each costs a look and an answer
+                gateway = worker.gateway()
 
     floods = [threading.Thread(target=flood) for _ in range(8)]
     for thread in floods:
@@ -93,8 +93,8 @@
         worst = 0.0
         for _ in range(40):
             began = time.monotonic()
-            assert h.call_operators() == ["OK"]
-            assert h.call_operators(b"vars")[-1] == "END"
+            assert worker.call_operators() == ["OK"]
+            assert worker.call_operators(b"vars")[-1] == "END"
             worst = max(worst, time.monotonic() - began)
         assert worst < 1
     finally:
@@ -107,9 +107,9 @@
     seed = 20261201
     print("seed", seed)
     rng = random.Random(seed)
-    h = host(executor=Executor(work_s=0.002))
-    assert set(h.metrics().values()) == {0}
-    g = h.gateway()
+    worker = host(executor=Executor(work_s=0.002))
+    assert set(worker.metrics().values()) == {0}
+    gateway = worker.gateway()
     keys = [uuid.UUID(int=i).hex for i in range(6)]
     sent = {}
     cancelled = set()
@@ -119,82 +119,84 @@
         body = f"keyed {key}" if key else rng.choice(["x", "error", "call:200", "call:500", "late"])
         patience = 1 if body == "late" else 4000
         sent[
-            g.request(class_name, body, key, born=time.time() * 1000 - (5 if body == "late" else 0), patience=patience)
+            gateway.request(
+                class_name, body, key, born=time.time() * 1000 - (5 if body == "late" else 0), patience=patience
+            )
         ] = class_name
         if rng.random() < 0.05:
-            cancelled.add(g.last_id)
-            g.cancel(g.last_id)
+            cancelled.add(gateway.last_id)
+            gateway.cancel(gateway.last_id)
         if step % 100 == 50:
-            h.executor.disconnect()
+            worker.executor.disconnect()
         elif step % 100 == 70:
-            h.call_operators(rng.choice([b"drain-on", b"drain-off"]))
+            worker.call_operators(rng.choice([b"drain-on", b"drain-off"]))
         elif step % 100 == 80:
-            for peer in (h.executor, h.store, h.registry):
+            for peer in (worker.executor, worker.store, worker.registry):
                 peer.relocate()
-            h.reload()
+            worker.reload()
         if step % 30 == 29:  # under the 32 that may be open
             for n in sent:
-                g.answer(n)
+                gateway.answer(n)
     counts = dict.fromkeys(itertools.product(("success", "busy", "failure"), ("track", "book")), 0)
     for n, class_name in sent.items():
-        answer = g.answer(n)
+        answer = gateway.answer(n)
         kind = "success" if "result" in answer else "busy" if answer["error"]["code"] == REJECTED_CODE else "failure"
         counts[kind, class_name] += n not in cancelled or kind == "failure"  # an answer that says so is counted
-    metrics = h.metrics()
+    metrics = worker.metrics()
     for (kind, class_name), count in counts.items():
         assert 0 <= metrics[f"{kind}.{class_name}"] - count <= len(cancelled) * (kind != "failure"), (kind, class_name)
     assert counts["success", "track"] > 50
     assert counts["failure", "track"] > 10
     # Starts that were lost with a link are sent again: the host handed over each run once.
-    assert metrics["backend_calls"] == len({c["task"] for c in h.executor.commands if c["verb"] == "EXEC"})
+    assert metrics["backend_calls"] == len({c["task"] for c in worker.executor.commands if c["verb"] == "EXEC"})
     assert metrics["inflight"] == 0
 
 
 def test_inflight_counts_requests_received_and_not_answered(host):
-    h = host()
-    g = h.gateway()
-    held = [g.request("track", "hold") for _ in range(3)]
-    wait_until(lambda: h.metrics()["inflight"] == 3, "three in flight")
-    wait_until(lambda: len(h.executor.runs) == 3, "three runs at the executor")
-    for task, _, _ in list(h.executor.runs):
-        h.executor.end_run(task)
+    worker = host()
+    gateway = worker.gateway()
+    held = [gateway.request("track", "hold") for _ in range(3)]
+    wait_until(lambda: worker.metrics()["inflight"] == 3, "three in flight")
+    wait_until(lambda: len(worker.executor.runs) == 3, "three runs at the executor")
+    for task, _, _ in list(worker.executor.runs):
+        worker.executor.end_run(task)
     for n in held:
-        g.answer(n)
-    assert h.metrics()["inflight"] == 0
-    assert h.metrics()["success.track"] == 3
+        gateway.answer(n)
+    assert worker.metrics()["inflight"] == 0
+    assert worker.metrics()["success.track"] == 3
 
 
 def test_a_drain_by_call_fails_health_checks_and_answers_all_requests(host):
-    h = host()
-    g = h.gateway()
+    worker = host()
+    gateway = worker.gateway()
     for _ in range(3):
         for call, healthy in ((b"drain-on", False), (b"drain-on", False), (b"drain-off", True), (b"drain-off", True)):
-            assert h.call_operators(call) == ["OK"]
-            assert g.answer(g.send("probe"))["result"]["healthy"] is healthy
-            assert g.result(g.request("track", "still")) == "did still"
-            assert h.call_operators() == ["OK"]
-    h.call_operators(b"drain-on")
-    wait_until(lambda: h.registry.reports[-1].text == "HERE n3 off", "off")
-    h.reload()
-    assert g.answer(g.send("probe"))["result"]["healthy"] is False  # SIGHUP in a drain changes nothing
-    h.call_operators(b"drain-off")
-    wait_until(lambda: h.registry.reports[-1].text == "HERE n3 on", "on")
+            assert worker.call_operators(call) == ["OK"]
+            assert gateway.answer(gateway.send("probe"))["result"]["healthy"] is healthy
+            assert gateway.result(gateway.request("track", "still")) == "did still"
+            assert worker.call_operators() == ["OK"]
+    worker.call_operators(b"drain-on")
+    wait_until(lambda: worker.registry.reports[-1].text == "HERE n3 off", "off")
+    worker.reload()
+    assert gateway.answer(gateway.send("probe"))["result"]["healthy"] is False  # SIGHUP in a drain changes nothing
+    worker.call_operators(b"drain-off")
+    wait_until(lambda: worker.registry.reports[-1].text == "HERE n3 on", "on")
 
 
 def test_sigterm_while_draining_is_an_ordinary_shutdown(host):
-    h = host(stop_ms=2500)
-    g = h.gateway()
-    running = g.request("track", "hold", patience=9000)
-    wait_until(lambda: h.executor.runs, "the run")
-    h.call_operators(b"drain-on")
-    h.terminate()
-    wait_until(lambda: g.read() and g.goaway_received, "goaway")
-    assert h.call_operators()[0].startswith("ERR")
-    assert h.call_operators(b"drain-off") == ["OK"]
-    assert g.answer(g.send("probe"))["result"]["healthy"] is False
-    h.executor.end_run(h.executor.runs[0].task)
-    assert g.result(running) == "done"
-    assert h.process.wait(5) == 0
+    worker = host(stop_ms=2500)
+    gateway = worker.gateway()
+    running = gateway.request("track", "hold", patience=9000)
+    wait_until(lambda: worker.executor.runs, "the run")
+    worker.call_operators(b"drain-on")
+    worker.terminate()
+    wait_until(lambda: gateway.read() and gateway.goaway_received, "goaway")
+    assert worker.call_operators()[0].startswith("ERR")
+    assert worker.call_operators(b"drain-off") == ["OK"]
+    assert gateway.answer(gateway.send("probe"))["result"]["healthy"] is False
+    worker.executor.end_run(worker.executor.runs[0].task)
+    assert gateway.result(running) == "done"
+    assert worker.process.wait(5) == 0
 
 
 @pytest.mark.parametrize(
@@ -226,25 +228,25 @@
 
 def test_the_command_line_calls_a_host_and_reports_the_outcome(host, tmp_path, monkeypatch):
     runner = CliRunner()
-    h = host()
+    worker = host()
 
     def lapispick(*arguments):
         result = runner.invoke(cli, ["ops", *arguments])
         return result.exit_code, result.output
 
-    assert lapispick("check", "--at", h.ops) == (0, "OK\n")
-    monkeypatch.setenv("LB_OPS", h.ops)
+    assert lapispick("check", "--at", worker.ops) == (0, "OK\n")
+    monkeypatch.setenv("LB_OPS", worker.ops)
     assert lapispick("drain-on") == (0, "OK\n")
     assert lapispick("drain-off") == (0, "OK\n")
     assert json.loads(lapispick("vars", "--json")[1])["inflight"] == 0
     assert "backend_calls" in lapispick("vars")[1]
     assert "yes after" in lapispick("wait")[1]
     monkeypatch.delenv("LB_OPS")
-    monkeypatch.setenv("LB_CONFIG", str(h.path))
-    h.path.write_text(json.dumps({**h.config, "ops": h.ops}))
+    monkeypatch.setenv("LB_CONFIG", str(worker.path))
+    worker.path.write_text(json.dumps({**worker.config, "ops": worker.ops}))
     assert lapispick("check")[0] == 0
-    h.process.kill()
-    h.process.wait()
+    worker.process.kill()
+    worker.process.wait()
     assert lapispick("check")[0] == 3
     assert lapispick("wait", "--seconds", "0.2")[0] == 1
     assert lapispick("check", "--at", "here")[0] == 2
@@ -258,16 +260,16 @@
 
 def test_extended_metrics_are_shown_only_where_the_settings_enable_them(host, tmp_path):
     plain = host()
-    g = plain.gateway()
-    g.result(g.request("track", "x"))
+    gateway = plain.gateway()
+    gateway.result(gateway.request("track", "x"))
     assert not [name for name in plain.metrics() if name.startswith(("worth", "took", "late", "memory", "generation"))]
     (tmp_path / "own.conf").write_text("section figures\n enabled yes\nend\n")
-    h = host(environ={"LAPISPICK_CONF": str(tmp_path / "own.conf"), "LAPISPICK_GENERATION": "abc"})
-    g = h.gateway()
+    worker = host(environ={"LAPISPICK_CONF": str(tmp_path / "own.conf"), "LAPISPICK_GENERATION": "abc"})
+    gateway = worker.gateway()
     for n in range(20):
-        g.result(g.request("track", f"x{n}"))
-    g.result(g.request("book", "x", f"{1:032x}"))
-    found = h.metrics()
+        gateway.result(gateway.request("track", f"x{n}"))
+    gateway.result(gateway.request("book", "x", f"{1:032x}"))
+    found = worker.metrics()
     assert found["worth.track"] == 20_000
     assert found["worth.book"] == 5000
     assert found["late.track"] == 0
@@ -284,13 +286,13 @@
 
 def test_a_request_that_arrived_after_its_deadline_counts_as_no_broken_rule(host, tmp_path):
     """Senders may be delayed between ``born`` and a request's last byte; a rollout must not undo a change for that."""
-    h = host(environ=extended_metrics_environ(tmp_path))
-    g = h.gateway()
+    worker = host(environ=extended_metrics_environ(tmp_path))
+    gateway = worker.gateway()
     for class_name, params in (("track", {"patience": 500}), ("book", {"nonce": uuid.uuid4().hex})):
-        number = g.request(class_name, "late", born=time.time() * 1000 - 900, **{"patience": 300, **params})
-        assert g.error_code(number) == REJECTED_CODE
-    assert h.metrics()["broken"] == 0
-    assert not h.executor.runs_of("late")
+        number = gateway.request(class_name, "late", born=time.time() * 1000 - 900, **{"patience": 300, **params})
+        assert gateway.error_code(number) == REJECTED_CODE
+    assert worker.metrics()["broken"] == 0
+    assert not worker.executor.runs_of("late")
 
 
 @pytest.mark.parametrize("sends_deadline", [True, False])
@@ -299,12 +301,12 @@
     info = json.loads(json.dumps(PLATFORM_INFO))
     info["FamilyInfo"]["PassesDeadline"] = sends_deadline
     info["Services"][0].update(GiveUp=4800.0 if sends_deadline else 300.0, Promise=250.0)
-    h = host(environ=extended_metrics_environ(tmp_path), info=info)
-    g = h.gateway()
-    number = g.request("track", "hold", patience=300 if sends_deadline else None)
-    wait_until(lambda: h.executor.runs_of("hold"), "the run")
-    with h.suspended():
+    worker = host(environ=extended_metrics_environ(tmp_path), info=info)
+    gateway = worker.gateway()
+    number = gateway.request("track", "hold", patience=300 if sends_deadline else None)
+    wait_until(lambda: worker.executor.runs_of("hold"), "the run")
+    with worker.suspended():
         late = time.monotonic() + 0.5
         wait_until(lambda: time.monotonic() > late, "its deadline and the slack")
-    assert g.answer(number)["error"]["code"] != REJECTED_CODE
-    assert h.metrics()["broken"] == 1
+    assert gateway.answer(number)["error"]["code"] != REJECTED_CODE
+    assert worker.metrics()["broken"] == 1
--- a/tests/test_paused_runs.py
+++ b/tests/test_paused_runs.py
@@ -95,126 +95,127 @@
     """Return a function that makes all runs of a host return from their calls at once, for requests of one class."""
 
     def start(class_name=TRACK, completes_on_cancel=False, stop_ms=6000, **params):
-        h = host(executor=PausingExecutor(), store=GatedStore(), info=pause_settings(), stop_ms=stop_ms)
-        h.executor.completes_on_cancel = completes_on_cancel
-        g = h.gateway()
+        worker = host(executor=PausingExecutor(), store=GatedStore(), info=pause_settings(), stop_ms=stop_ms)
+        worker.executor.completes_on_cancel = completes_on_cancel
+        gateway = worker.gateway()
         numbers = []
         for n in range(RUN_COUNT):
-            numbers.append(g.request(class_name, "stay:x", f"{n:032x}" if class_name == BOOK else None, **params))
-            wait_until(lambda n=n: len(h.executor.at_call) > n, "its call")
-        with h.suspended():  # all replies have arrived when it continues
-            h.store.gate.set()
-        return h, g, numbers
+            numbers.append(gateway.request(class_name, "stay:x", f"{n:032x}" if class_name == BOOK else None, **params))
+            wait_until(lambda n=n: len(worker.executor.at_call) > n, "its call")
+        with worker.suspended():  # all replies have arrived when it continues
+            worker.store.gate.set()
+        return worker, gateway, numbers
 
     return start
 
 
-def wait_until_paused(h):
+def wait_until_paused(worker):
     """Wait until all runs have returned and all but two are paused."""
-    wait_until(lambda: not h.executor.at_call and len(h.executor.on_core) == 2, "the pause of the others")
-    assert len(h.executor.paused) == RUN_COUNT - 2
+    wait_until(lambda: not worker.executor.at_call and len(worker.executor.on_core) == 2, "the pause of the others")
+    assert len(worker.executor.paused) == RUN_COUNT - 2
 
 
 def test_runs_that_overload_the_cores_are_paused_and_resumed_one_by_one(start_overload):
-    h, g, numbers = start_overload()
-    wait_until_paused(h)
-    queued = g.request(TRACK, "plain")  # runs that were started before are resumed first
+    worker, gateway, numbers = start_overload()
+    wait_until_paused(worker)
+    queued = gateway.request(TRACK, "plain")  # runs that were started before are resumed first
     for _ in range(RUN_COUNT):
-        wait_until(lambda: h.executor.on_core, "a run on a core")
-        h.executor.complete(min(h.executor.on_core))
-    assert [g.result(n) for n in numbers] == ["done"] * RUN_COUNT
-    wait_until(lambda: h.executor.runs_of("plain"), "the run of the queued request")
-    assert g.answer(g.send("probe"))["result"]["healthy"]
-    assert not h.executor.paused
-    resumed, started = h.executor.commanded_tasks("WAKE"), h.executor.commanded_tasks("EXEC")
+        wait_until(lambda: worker.executor.on_core, "a run on a core")
+        worker.executor.complete(min(worker.executor.on_core))
+    assert [gateway.result(n) for n in numbers] == ["done"] * RUN_COUNT
+    wait_until(lambda: worker.executor.runs_of("plain"), "the run of the queued request")
+    assert gateway.answer(gateway.send("probe"))["result"]["healthy"]
+    assert not worker.executor.paused
+    resumed, started = worker.executor.commanded_tasks("WAKE"), worker.executor.commanded_tasks("EXEC")
     assert len(set(resumed)) == RUN_COUNT - 2
     assert len(started) == len(set(started)) == RUN_COUNT + 1
-    assert queued not in g.answers or "result" in g.answers[queued]
+    assert queued not in gateway.answers or "result" in gateway.answers[queued]
 
 
 def test_a_pause_that_races_with_the_end_gives_the_result_and_resumes_nothing(start_overload):
-    h, g, numbers = start_overload(completes_on_cancel=True)
-    wait_until(lambda: not h.executor.at_call and len(h.executor.on_core) <= 2, "the end of the others")
-    for task in list(h.executor.on_core):
-        h.executor.complete(task)
-    assert [g.result(n) for n in numbers] == ["done"] * RUN_COUNT
-    assert h.executor.commanded_tasks("KILL")
-    assert not h.executor.commanded_tasks("WAKE")
+    worker, gateway, numbers = start_overload(completes_on_cancel=True)
+    wait_until(lambda: not worker.executor.at_call and len(worker.executor.on_core) <= 2, "the end of the others")
+    for task in list(worker.executor.on_core):
+        worker.executor.complete(task)
+    assert [gateway.result(n) for n in numbers] == ["done"] * RUN_COUNT
+    assert worker.executor.commanded_tasks("KILL")
+    assert not worker.executor.commanded_tasks("WAKE")
 
 
 def test_a_paused_run_whose_request_is_cancelled_or_past_its_deadline_is_never_resumed(start_overload):
-    h, g, numbers = start_overload()
-    wait_until_paused(h)
-    with h.suspended():  # all cancellations arrive at once
+    worker, gateway, numbers = start_overload()
+    wait_until_paused(worker)
+    with worker.suspended():  # all cancellations arrive at once
         for number in numbers:
-            g.cancel(number)
-    assert {g.error_code(n) for n in numbers} == {FAILED}
-    wait_until(lambda: not h.executor.on_core, "the end of the two on the cores")
-    late = [g.request(TRACK, "stay:x", patience=1500) for _ in range(3)]  # the slots are free again
+            gateway.cancel(number)
+    assert {gateway.error_code(n) for n in numbers} == {FAILED}
+    wait_until(lambda: not worker.executor.on_core, "the end of the two on the cores")
+    late = [gateway.request(TRACK, "stay:x", patience=1500) for _ in range(3)]  # the slots are free again
     wait_until(
-        lambda: len(h.executor.on_core) == 2 and len(h.executor.paused) > RUN_COUNT, "the pause of one of the three"
+        lambda: len(worker.executor.on_core) == 2 and len(worker.executor.paused) > RUN_COUNT,
+        "the pause of one of the three",
     )
-    assert {g.error_code(n) for n in late} == {FAILED}  # at their deadline
-    wait_until(lambda: h.metrics()["inflight"] == 0, "the last answer")
-    line_count = h.log().count("event=request-totals")
-    wait_until(lambda: h.log().count("event=request-totals") > line_count, "the next totals")
-    assert "in_flight=0" in h.log().split("event=request-totals")[-1]  # none of them is retained
-    assert not h.executor.commanded_tasks("WAKE")
+    assert {gateway.error_code(n) for n in late} == {FAILED}  # at their deadline
+    wait_until(lambda: worker.metrics()["inflight"] == 0, "the last answer")
+    line_count = worker.log().count("event=request-totals")
+    wait_until(lambda: worker.log().count("event=request-totals") > line_count, "the next totals")
+    assert "in_flight=0" in worker.log().split("event=request-totals")[-1]  # none of them is retained
+    assert not worker.executor.commanded_tasks("WAKE")
 
 
 def test_a_shutdown_answers_paused_runs_before_the_stop(start_overload):
-    h, g, numbers = start_overload(stop_ms=2500)
-    wait_until_paused(h)
+    worker, gateway, numbers = start_overload(stop_ms=2500)
+    wait_until_paused(worker)
     began = time.monotonic()
-    h.terminate()
+    worker.terminate()
     for _ in range(4):
-        wait_until(lambda: h.executor.on_core, "a run on a core")
-        h.executor.complete(min(h.executor.on_core))
-    answers = [g.answer(n) for n in numbers]
+        wait_until(lambda: worker.executor.on_core, "a run on a core")
+        worker.executor.complete(min(worker.executor.on_core))
+    answers = [gateway.answer(n) for n in numbers]
     assert sum("result" in a for a in answers) == 4
     assert all(a["error"]["code"] == FAILED for a in answers if "error" in a)  # they were executed, so none is rejected
-    assert h.process.wait(5) == 0
+    assert worker.process.wait(5) == 0
     assert time.monotonic() - began < 5
 
 
 def test_a_resume_lost_with_a_link_is_sent_again(start_overload):
-    h, g, numbers = start_overload()
-    wait_until_paused(h)
-    with h.executor.lock:
-        ended = min(h.executor.on_core)
-        h.executor.complete(ended)
-        h.executor.ignores_commands = True  # commands are lost from here on
-    wait_until(lambda: "WAKE" in h.executor.received_verbs, "the command to resume")
-    with h.executor.lock:
-        h.executor.disconnect()
-        h.executor.ignores_commands = False
-    wait_until(lambda: len(h.executor.on_core) == 2, "the resumed run")
+    worker, gateway, numbers = start_overload()
+    wait_until_paused(worker)
+    with worker.executor.lock:
+        ended = min(worker.executor.on_core)
+        worker.executor.complete(ended)
+        worker.executor.ignores_commands = True  # commands are lost from here on
+    wait_until(lambda: "WAKE" in worker.executor.received_verbs, "the command to resume")
+    with worker.executor.lock:
+        worker.executor.disconnect()
+        worker.executor.ignores_commands = False
+    wait_until(lambda: len(worker.executor.on_core) == 2, "the resumed run")
     for _ in range(RUN_COUNT - 1):
-        wait_until(lambda: h.executor.on_core, "a run on a core")
-        h.executor.complete(min(h.executor.on_core))
-    assert [g.result(n) for n in numbers] == ["done"] * RUN_COUNT
-    assert len(h.executor.commanded_tasks("EXEC")) == RUN_COUNT  # none is started again
+        wait_until(lambda: worker.executor.on_core, "a run on a core")
+        worker.executor.complete(min(worker.executor.on_core))
+    assert [gateway.result(n) for n in numbers] == ["done"] * RUN_COUNT
+    assert len(worker.executor.commanded_tasks("EXEC")) == RUN_COUNT  # none is started again
 
 
 def test_a_run_that_is_not_idempotent_is_never_paused(start_overload):
-    h, g, numbers = start_overload(class_name=BOOK)
-    wait_until(lambda: len(h.executor.on_core) == RUN_COUNT, "the return of all runs")
-    for task in list(h.executor.on_core):
-        h.executor.complete(task)
-    assert [g.result(n) for n in numbers] == ["done"] * RUN_COUNT
-    assert not h.executor.commanded_tasks("KILL")
+    worker, gateway, numbers = start_overload(class_name=BOOK)
+    wait_until(lambda: len(worker.executor.on_core) == RUN_COUNT, "the return of all runs")
+    for task in list(worker.executor.on_core):
+        worker.executor.complete(task)
+    assert [gateway.result(n) for n in numbers] == ["done"] * RUN_COUNT
+    assert not worker.executor.commanded_tasks("KILL")
 
 
 def test_paused_run_keeps_its_memory_and_frees_its_slot(make_harness):
     harness = make_harness(cancel_mode=CancelMode.PAUSE, overload_runs_per_core=2, call_quota=50)
     harness.tick(1000)  # the limit falls to its maximum
-    ids = []
+    request_ids = []
     for _ in range(6):
         harness.step(request := harness.request())
-        ids.append(request.id)
+        request_ids.append(request.id)
         harness.step(CallRequested(request.id))
     used_kb = harness.state.memory.used_kb
-    harness.step(*(CallCompleted(i, Outcome.OK, 20.0) for i in ids))
+    harness.step(*(CallCompleted(i, Outcome.OK, 20.0) for i in request_ids))
     paused = [a.id for a in harness.actions_of(CancelRun)]
     assert len(paused) == 4
     assert harness.state.concurrency_limit.running == 6
@@ -224,7 +225,7 @@
     harness.step(ClientCancelled(paused[0]))
     assert harness.state.memory.used_kb == used_kb * 5 / 6
     assert not [a for a in harness.actions_of(StartRun, paused[0])][1:]
-    others = [i for i in ids if i not in paused]
+    others = [i for i in request_ids if i not in paused]
     harness.step(RunCompleted(others[0], Outcome.OK, 30.0))
     resumed = [i for i in paused if len(harness.actions_of(StartRun, i)) == 2]
     assert len(resumed) == 1
@@ -235,17 +236,17 @@
 
 
 def test_a_resume_that_the_executor_rejects_fails_its_request_and_frees_its_slot(start_overload):
-    h, g, numbers = start_overload()
-    wait_until_paused(h)
-    with h.executor.lock:
-        h.executor.paused.clear()  # it does not know the paused runs any more
-        for task in list(h.executor.on_core):
-            h.executor.complete(task)
-    answers = [g.answer(n) for n in numbers]  # long before their deadline: each is resumed when its slot is free
+    worker, gateway, numbers = start_overload()
+    wait_until_paused(worker)
+    with worker.executor.lock:
+        worker.executor.paused.clear()  # it does not know the paused runs any more
+        for task in list(worker.executor.on_core):
+            worker.executor.complete(task)
+    answers = [gateway.answer(n) for n in numbers]  # long before their deadline: each is resumed when its slot is free
     assert sum("result" in a for a in answers) == 2
     assert {a["error"]["code"] for a in answers if "error" in a} == {FAILED}
-    assert h.metrics()["inflight"] == 0
-    assert h.log().count("command=WAKE") == RUN_COUNT - 2
+    assert worker.metrics()["inflight"] == 0
+    assert worker.log().count("command=WAKE") == RUN_COUNT - 2
 
 
 def test_a_request_that_is_read_late_pauses_no_run(make_harness):
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -16,14 +16,16 @@
 
 @pytest.mark.parametrize("downstream", ["off", "tier"])
 def test_a_host_without_a_store_serves_degraded_answers(host, downstream):
-    h = host(info=make_platform_info(Below=downstream, CallsOut=0.0), omit=("store",))
-    g = h.gateway()
-    assert g.result(g.request("track", "plain")) == "did plain"
-    assert g.result(g.request("track", "call:200")) == "poorer"
-    assert g.error_code(g.request("book", "call:200", f"{7:032x}")) == -32000  # it ran, and its call can't be skipped
-    h.reload(omit=("store",))
-    assert g.result(g.request("track", "again")) == "did again"
-    assert not h.store.calls
+    worker = host(info=make_platform_info(Below=downstream, CallsOut=0.0), omit=("store",))
+    gateway = worker.gateway()
+    assert gateway.result(gateway.request("track", "plain")) == "did plain"
+    assert gateway.result(gateway.request("track", "call:200")) == "poorer"
+    assert (
+        gateway.error_code(gateway.request("book", "call:200", f"{7:032x}")) == -32000
+    )  # it ran, and its call can't be skipped
+    worker.reload(omit=("store",))
+    assert gateway.result(gateway.request("track", "again")) == "did again"
+    assert not worker.store.calls
 
 
 def test_a_store_address_is_required_only_for_a_shared_dependency(host):
@@ -57,37 +59,39 @@
 def test_a_request_without_a_deadline_is_answered_by_that_of_its_class(host):
     info = make_platform_info(PassesDeadline=False)
     info["Services"][0].update(GiveUp=1500.0, Promise=900.0)
-    h = host(info=info)
-    g = h.gateway()
-    with measure_pauses(h) as paused_s:
+    worker = host(info=info)
+    gateway = worker.gateway()
+    with measure_pauses(worker) as paused_s:
         born = time.time() * 1000
-        number = g.send("track", **{k: v for k, v in request_params("hold", born=born).items() if k != "patience"})
-        assert g.error_code(number) == -32000
+        number = gateway.send(
+            "track", **{k: v for k, v in request_params("hold", born=born).items() if k != "patience"}
+        )
+        assert gateway.error_code(number) == -32000
         assert 1300 < time.time() * 1000 - born < 1560 + 1000 * paused_s()
-    assert h.executor.runs_of("hold")
+    assert worker.executor.runs_of("hold")
 
 
 def test_a_request_without_a_deadline_is_invalid_where_callers_send_them(host):
-    h = host(info=make_platform_info(PassesDeadline=True))
-    g = h.gateway()
-    number = g.send("track", **{k: v for k, v in request_params("x").items() if k != "patience"})
-    assert g.error_code(number) == -32600
-    assert not h.executor.runs
+    worker = host(info=make_platform_info(PassesDeadline=True))
+    gateway = worker.gateway()
+    number = gateway.send("track", **{k: v for k, v in request_params("x").items() if k != "patience"})
+    assert gateway.error_code(number) == -32600
+    assert not worker.executor.runs
 
 
 def test_retries_that_are_not_marked_execute_a_key_once_and_reads_each_time(host):
-    h = host(info=make_platform_info(PassesDeadline=False, Advert="off"))
-    g = h.gateway()
-    other = h.gateway()
+    worker = host(info=make_platform_info(PassesDeadline=False, Advert="off"))
+    gateway = worker.gateway()
+    other = worker.gateway()
     key = f"{7:032x}"
-    first = g.request("book", "hold", key)
-    wait_until(lambda: h.executor.runs, "the run")
+    first = gateway.request("book", "hold", key)
+    wait_until(lambda: worker.executor.runs, "the run")
     copies = [other.request("book", "hold", key) for _ in range(3)]
     reads = [other.request("track", "copy") for _ in range(2)]
     assert [other.result(n) for n in reads] == ["did copy"] * 2
-    h.executor.end_run(h.executor.runs[0].task, result="placed")
-    assert [g.result(first), *(other.result(n) for n in copies)] == ["placed"] * 4
-    assert len(h.executor.runs_of("hold")) == 1
+    worker.executor.end_run(worker.executor.runs[0].task, result="placed")
+    assert [gateway.result(first), *(other.result(n) for n in copies)] == ["placed"] * 4
+    assert len(worker.executor.runs_of("hold")) == 1
 
 
 @pytest.mark.parametrize(("grace", "window"), [(500.0, 9195.0), (2000.0, 1000.0)])
@@ -95,55 +99,55 @@
     info = make_platform_info()
     info["Guarantees"]["DrainGrace"] = grace
     info["Services"][1]["Window"] = window
-    h = host(info=info, stop_ms=4000)
-    g = h.gateway()
+    worker = host(info=info, stop_ms=4000)
+    gateway = worker.gateway()
     key = f"{3:032x}"
     born = time.time() * 1000
-    assert g.result(g.request("book", "placed", key, born=born)) == "did placed"
+    assert gateway.result(gateway.request("book", "placed", key, born=born)) == "did placed"
     wait_until(lambda: time.time() * 1000 > born + 1500, "the end of the short window")
-    retry = g.request("book", "placed", key)
-    assert g.result(retry) == "did placed"
-    assert len(h.executor.runs_of("placed")) == (1 if window > 1500 else 2)
-    h.terminate()
-    h.wait_for_log("shutdown-started")
+    retry = gateway.request("book", "placed", key)
+    assert gateway.result(retry) == "did placed"
+    assert len(worker.executor.runs_of("placed")) == (1 if window > 1500 else 2)
+    worker.terminate()
+    worker.wait_for_log("shutdown-started")
     drain_began = time.time() * 1000
     wait_until(lambda: time.time() * 1000 > drain_began + 1000, "a second of the drain")
-    late = g.request("track", "late")
-    answer = g.answer(late)
+    late = gateway.request("track", "late")
+    answer = gateway.answer(late)
     assert ("result" in answer) == (grace > 1000)
 
 
 def test_a_run_of_a_cancelled_request_is_stopped_also_where_runs_can_be_paused(host):
-    h = host(info=make_platform_info(Halt="pause"))
-    g = h.gateway()
-    number = g.request("track", "hold")
-    wait_until(lambda: h.executor.runs, "the run")
-    g.cancel(number)
-    wait_until(lambda: any(c["verb"] == "KILL" for c in h.executor.commands), "the stop")
-    assert g.result(g.request("track", "next")) == "did next"
+    worker = host(info=make_platform_info(Halt="pause"))
+    gateway = worker.gateway()
+    number = gateway.request("track", "hold")
+    wait_until(lambda: worker.executor.runs, "the run")
+    gateway.cancel(number)
+    wait_until(lambda: any(c["verb"] == "KILL" for c in worker.executor.commands), "the stop")
+    assert gateway.result(gateway.request("track", "next")) == "did next"
 
 
 def test_runs_that_an_executor_never_ends_fail_at_their_deadline(host):
-    h = host(info=make_platform_info(PassesDeadline=False))
-    g = h.gateway()
-    h.executor.ignores_commands = True
-    numbers = [g.request("track", "lost", patience=900) for _ in range(4)]
-    probe = g.send("probe")
-    assert "result" in g.answer(probe)
-    assert all(g.error_code(n) in (-32000, -32050) for n in numbers)
-    h.executor.ignores_commands = False
-    h.executor.disconnect()
-    assert g.result(g.request("track", "back")) == "did back"
+    worker = host(info=make_platform_info(PassesDeadline=False))
+    gateway = worker.gateway()
+    worker.executor.ignores_commands = True
+    numbers = [gateway.request("track", "lost", patience=900) for _ in range(4)]
+    probe = gateway.send("probe")
+    assert "result" in gateway.answer(probe)
+    assert all(gateway.error_code(n) in (-32000, -32050) for n in numbers)
+    worker.executor.ignores_commands = False
+    worker.executor.disconnect()
+    assert gateway.result(gateway.request("track", "back")) == "did back"
 
 
 @pytest.mark.parametrize("returning", [False, True])
 def test_idle_connections_of_one_time_callers_are_closed_before_the_idle_timeout(host, returning):
     """Where a connection table is full of them, idle connections cost the work that others need."""
-    h = host(info=make_platform_info(Idle=4000.0))
-    callers = [h.gateway() for _ in range(60)]
+    worker = host(info=make_platform_info(Idle=4000.0))
+    callers = [worker.gateway() for _ in range(60)]
     began = time.monotonic()
-    for n, g in enumerate(callers):
-        assert g.result(g.request("track", "once", client=1 + (0 if returning else n))) == "did once"
+    for n, gateway in enumerate(callers):
+        assert gateway.result(gateway.request("track", "once", client=1 + (0 if returning else n))) == "did once"
     callers[0].file.peek(1)  # the goaway
     goaway_after_s = time.monotonic() - began
     callers[0].read()
@@ -154,17 +158,19 @@
 def test_a_few_requests_with_far_more_work_fail_alone(host):
     info = make_platform_info(PassesDeadline=False, Halt="pause")
     info["Services"][0].update(GiveUp=2500.0, Promise=1000.0)
-    h = host(info=info)
-    g = h.gateway()
+    worker = host(info=info)
+    gateway = worker.gateway()
     heavy = []
     light = []
     for n in range(200):
-        (heavy if n % 50 == 20 else light).append(number := g.request("track", "hold" if n % 50 == 20 else f"x{n}"))
+        (heavy if n % 50 == 20 else light).append(
+            number := gateway.request("track", "hold" if n % 50 == 20 else f"x{n}")
+        )
         if number in light:
-            assert g.result(number) == f"did x{n}"
-    assert {g.error_code(n) for n in heavy} == {-32000}
-    wait_until(lambda: len([c for c in h.executor.commands if c["verb"] == "KILL"]) == len(heavy), "their stops")
-    assert g.result(g.request("track", "after")) == "did after"
+            assert gateway.result(number) == f"did x{n}"
+    assert {gateway.error_code(n) for n in heavy} == {-32000}
+    wait_until(lambda: len([c for c in worker.executor.commands if c["verb"] == "KILL"]) == len(heavy), "their stops")
+    assert gateway.result(gateway.request("track", "after")) == "did after"
 
 
 class LoadedStore(Store):
@@ -191,18 +197,18 @@
 def test_calls_to_a_slow_store_stay_within_the_quota_and_all_requests_are_answered(host):
     info = make_platform_info(PassesDeadline=False, CallsOut=3.0, ClassSkipWorth=[0.0, 0.0], DepWindow=1000.0)
     info["Services"][0].update(GiveUp=2000.0, Promise=1000.0)
-    h = host(info=info, store=LoadedStore())
-    g = h.gateway()
+    worker = host(info=info, store=LoadedStore())
+    gateway = worker.gateway()
     numbers = []
     served_counts = []
     for step in range(60):
-        h.store.slowdown = 20.0 if 15 <= step < 40 else 1.0
-        batch = [g.request("track", f"call:{step}-{n}") for n in range(4)]
-        answers = [g.answer(n) for n in batch]
+        worker.store.slowdown = 20.0 if 15 <= step < 40 else 1.0
+        batch = [gateway.request("track", f"call:{step}-{n}") for n in range(4)]
+        answers = [gateway.answer(n) for n in batch]
         served_counts.append(sum("result" in a for a in answers))
         numbers += batch
-    assert len(g.answers) >= len(numbers)
-    assert h.store.max_concurrent <= 3
+    assert len(gateway.answers) >= len(numbers)
+    assert worker.store.max_concurrent <= 3
     assert sum(served_counts[:15]) >= 40
     assert sum(served_counts[-10:]) >= 30
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -55,31 +55,31 @@
 
 
 def test_a_forgotten_connection_costs_no_call(host):
-    h = host()
-    g = h.gateway()
-    assert g.result(g.request("track", "call:200")) == "reply 1"
+    worker = host()
+    gateway = worker.gateway()
+    assert gateway.result(gateway.request("track", "call:200")) == "reply 1"
 
     def again():
-        assert g.result(g.request("track", "call:forget")).startswith("reply")
-        return len(h.store.calls) > len(h.executor.runs)  # one was reset and made again
+        assert gateway.result(gateway.request("track", "call:forget")).startswith("reply")
+        return len(worker.store.calls) > len(worker.executor.runs)  # one was reset and made again
 
     wait_until(again, "the reset of a connection that was idle")
-    assert [line for line in h.log().splitlines() if "level=warning" in line] == []
-    assert g.result(g.request("book", "call:200", uuid.uuid4().hex)).startswith("reply")
-    links = [call.connection for call in h.store.calls]
+    assert [line for line in worker.log().splitlines() if "level=warning" in line] == []
+    assert gateway.result(gateway.request("book", "call:200", uuid.uuid4().hex)).startswith("reply")
+    links = [call.connection for call in worker.store.calls]
     assert links.count(links[-1]) == 1  # a write's call has a connection of its own
 
 
 def test_as_many_connections_lie_idle_as_half_of_those_for_calls(host):
     info = json.loads(json.dumps(PLATFORM_INFO))
     info["FamilyInfo"].update(Cores=40, CallsOut=200.0)
-    h = host(info=info)
+    worker = host(info=info)
     wave = 28  # over the 16 that were kept once, under half of a quarter of 256
     for _ in range(3):
-        g = h.gateway()
-        numbers = [g.request("track", "call:late") for _ in range(wave)]
-        assert all(g.result(n).startswith("reply") for n in numbers)
+        gateway = worker.gateway()
+        numbers = [gateway.request("track", "call:late") for _ in range(wave)]
+        assert all(gateway.result(n).startswith("reply") for n in numbers)
         answered = time.monotonic()  # a connection went idle before its answer came, and settles for SETTLE_S
         wait_until(lambda answered=answered: time.monotonic() - answered > SETTLE_S, "the end of the settling")
-    assert len(h.store.calls) == 3 * wave
-    assert 16 < len({call.connection for call in h.store.calls}) <= wave
+    assert len(worker.store.calls) == 3 * wave
+    assert 16 < len({call.connection for call in worker.store.calls}) <= wave
