--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -165,10 +165,10 @@
 
 @given(st.integers(5, 40), st.integers(0, 10_000), st.booleans())
 @settings(max_examples=150, deadline=None)
-def test_truncated_list_is_never_accepted_below_the_guard(count, at, newline):
+def test_truncated_list_is_never_accepted_below_the_guard(count, cut_at, newline):
     ports = dict.fromkeys(names(count), 1)
     text = csv_list(ports)
-    truncated = text[: at % len(text)]
+    truncated = text[: cut_at % len(text)]
     harness = AcceptanceHarness(fleet(names(count)))
     found = read(truncated, "f.csv", final_newline=newline)
     listed = snapshot.snapshot_of(found.hosts) if not found.faults else None
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -115,11 +115,11 @@
     assert len(pids_before) == 1
     assert agent.call_until_serving(f"change 1.a r1 {other} 60")[0] == "OK"
     agent.wait_for_phase("proving", serving=other)
-    log = next(agent.folder.glob("lives/1.log"))
-    wait_until(lambda: "event=reloaded changed=stop_ms" in log.read_text(), "the reload")
+    log_file = next(agent.folder.glob("lives/1.log"))
+    wait_until(lambda: "event=reloaded changed=stop_ms" in log_file.read_text(), "the reload")
     agent.call("back 1.a r1")
     agent.wait_for_phase("steady", serving=scenario.good)
-    wait_until(lambda: log.read_text().count("event=reloaded changed=stop_ms") == 2, "the reload back")
+    wait_until(lambda: log_file.read_text().count("event=reloaded changed=stop_ms") == 2, "the reload back")
     assert agent.pids() == pids_before
     scenario.check_rules()
 
@@ -133,15 +133,15 @@
 
 @pytest.mark.parametrize("fault", FAULTY_PROGRAMS)
 def test_a_generation_that_fails_is_rolled_back_without_a_call(scenario, fault, tmp_path):
-    bad = scenario.agent.add_generation(program(tmp_path / "bad", FAULTY_PROGRAMS[fault]))
+    faulty_generation = scenario.agent.add_generation(program(tmp_path / "bad", FAULTY_PROGRAMS[fault]))
     scenario.start_under_load()
     agent = scenario.agent
-    agent.call(f"change 1.a r1 {bad} 60")
+    agent.call(f"change 1.a r1 {faulty_generation} 60")
     if fault == "dies a second after":
         agent.wait_for_phase("proving")
         open_fault = scenario.fleet.record.begin_fault("killed", [scenario.host.name])
     status = agent.wait_for_phase("steady", rolled_back_rollout="r1", serving=scenario.good)
-    assert bad in status.fault
+    assert faulty_generation in status.fault
     assert status.good == scenario.good
     wait_until(lambda: agent.running_generations() == [scenario.good], "only the good one")
     if fault == "dies a second after":
@@ -284,14 +284,14 @@
 
 def test_valid_settings_that_end_the_host_after_a_second_are_rolled_back(scenario, tmp_path):
     """Both generations are one program: what differs is a line of the settings that it does not survive."""
-    one = program(tmp_path / "one", exits_after_a_second(LOGS_DEBUG_LINES))
-    scenario.good = scenario.agent.add_generation(one, label="good")
-    bad = scenario.agent.add_generation(one, settings=METRICS_SETTINGS + LOG_DEBUG_SETTINGS)
+    crashing_program = program(tmp_path / "one", exits_after_a_second(LOGS_DEBUG_LINES))
+    scenario.good = scenario.agent.add_generation(crashing_program, label="good")
+    faulty_generation = scenario.agent.add_generation(crashing_program, settings=METRICS_SETTINGS + LOG_DEBUG_SETTINGS)
     scenario.start_under_load()
     open_fault = scenario.fleet.record.begin_fault("killed", [scenario.host.name])
-    assert scenario.agent.call(f"change 1.a r1 {bad} 60")[0] == "OK"
+    assert scenario.agent.call(f"change 1.a r1 {faulty_generation} 60")[0] == "OK"
     status = scenario.agent.wait_for_phase("steady", rolled_back_rollout="r1", serving=scenario.good)
-    assert bad in status.fault
+    assert faulty_generation in status.fault
     assert status.good == scenario.good
     assert status.crashes == 1
     scenario.fleet.record.end_fault(open_fault)
@@ -301,14 +301,14 @@
 
 def test_a_log_that_grew_too_long_is_rotated(scenario):
     scenario.start()
-    log = scenario.agent.folder / "lives" / "1.log"
-    with log.open("ab") as file:
+    log_file = scenario.agent.folder / "lives" / "1.log"
+    with log_file.open("ab") as file:
         file.truncate(9 << 20)
-    wait_until(lambda: log.stat().st_size < 1 << 20, "a short log")
-    assert (log.with_suffix(".old")).stat().st_size >= 9 << 20
+    wait_until(lambda: log_file.stat().st_size < 1 << 20, "a short log")
+    assert (log_file.with_suffix(".old")).stat().st_size >= 9 << 20
     (pid,) = scenario.agent.pids()
     os.kill(pid, signal.SIGTERM)  # what the process writes from now on is at the beginning
-    wait_until(lambda: b"event=shutdown-started" in log.read_bytes(), "what it wrote since")
+    wait_until(lambda: b"event=shutdown-started" in log_file.read_bytes(), "what it wrote since")
 
 
 def test_a_second_agent_and_an_unreadable_state_are_rejected(scenario):
@@ -340,11 +340,11 @@
         new_generations = {}
         for host in fleet.hosts:
             agent = HostAgent(host)
-            settings = agent.settings_file.read_text()
-            agent.settings_file.write_text(settings.replace("end\n", " turn job\n turn-wait 30s\nend\n"))
-            own = cluster.config_files[host.name].read_text() + METRICS_SETTINGS
-            good_generations[agent] = agent.add_generation(settings=own, label="good")
-            new_generations[agent] = agent.add_generation(settings=own + "section log\nend\n")
+            host_settings = agent.settings_file.read_text()
+            agent.settings_file.write_text(host_settings.replace("end\n", " turn job\n turn-wait 30s\nend\n"))
+            host_settings = cluster.config_files[host.name].read_text() + METRICS_SETTINGS
+            good_generations[agent] = agent.add_generation(settings=host_settings, label="good")
+            new_generations[agent] = agent.add_generation(settings=host_settings + "section log\nend\n")
             agents.append(agent)
         for agent in agents:
             agent.start(adopt=good_generations[agent])
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -28,7 +28,7 @@
     enabled yes
 end
 """
-ROW = "host,group,amqp_host,amqp_port,amqp_queue,amqp_prefetch,amqp_customer,amqp_heartbeat\n"
+CSV_HEADER = "host,group,amqp_host,amqp_port,amqp_queue,amqp_prefetch,amqp_customer,amqp_heartbeat\n"
 
 
 @pytest.fixture
@@ -39,7 +39,7 @@
         broker = broker or Broker()
         name, port = broker.address.split(":")
         (tmp_path / "shops.csv").write_text(
-            f"{ROW}a,shops,{name},{port},jobs,{prefetch},shop,{heartbeat}\nb,others,,,,,,\n"
+            f"{CSV_HEADER}a,shops,{name},{port},jobs,{prefetch},shop,{heartbeat}\nb,others,,,,,,\n"
         )
         (tmp_path / "own.conf").write_text(CONF)
         started = host(environ={"LAPISPICK_CONF": str(tmp_path / "own.conf")}, **overrides)
@@ -160,13 +160,13 @@
     _, late = put_request(host.broker, "hold", expiration="500")
     _, old = put_request(host.broker, "past", timestamp=int(time.time()) - 9)
     _, past = put_request(host.broker, "past", headers={"timestamp_in_ms": int(time.time() * 1000) - 4500})
-    _, bad = put_request(host.broker, "error", class_name="book")
+    _, failing = put_request(host.broker, "error", class_name="book")
     assert wait_for_answer(host, late).outcome == "failed"
     for correlation_id in (past, old):
         answer = wait_for_answer(host, correlation_id)
         assert answer.outcome == "refused"
         assert answer.headers["pause"] > 0
-    assert wait_for_answer(host, bad).outcome == "failed"
+    assert wait_for_answer(host, failing).outcome == "failed"
     assert not host.executor.runs_of("past")
 
 
@@ -268,15 +268,15 @@
 )
 def test_an_invalid_message_affects_no_other(consuming_host, overrides):
     host = consuming_host()
-    bad, _ = put_request(host.broker, overrides.pop("body", "bad"), reply_to=None, **overrides)
+    invalid, _ = put_request(host.broker, overrides.pop("body", "bad"), reply_to=None, **overrides)
     _, correlation_id = put_request(host.broker, "good")
     assert wait_for_answer(host, correlation_id).outcome == "served"
-    wait_until(lambda: bad.fate == "reject", "the rejection")
+    wait_until(lambda: invalid.fate == "reject", "the rejection")
     assert len(host.executor.runs) == 1
 
 
 @pytest.mark.parametrize(
-    "raw",
+    "malformed_frame",
     [
         lambda n: codec.encode_frame(FrameType.BODY, n, b"early"),
         lambda n: codec.encode_frame(FrameType.HEADER, n, b"\x00"),
@@ -287,9 +287,9 @@
         lambda n: b"\x77" * 50,
     ],
 )
-def test_a_malformed_frame_ends_the_connection_and_a_new_one_is_opened(consuming_host, raw):
+def test_a_malformed_frame_ends_the_connection_and_a_new_one_is_opened(consuming_host, malformed_frame):
     host = consuming_host()
-    host.broker.put("jobs", "broken", raw=raw)
+    host.broker.put("jobs", "broken", raw=malformed_frame)
     wait_until(
         lambda: "event=connection-closed" in host.log() or "event=connection-lost" in host.log(), "the end of it"
     )
@@ -309,7 +309,7 @@
 
 def test_malformed_properties_affect_only_their_message(consuming_host):
     host = consuming_host()
-    bad = host.broker.put(
+    malformed = host.broker.put(
         "jobs",
         "x",
         raw=lambda n: (
@@ -319,8 +319,8 @@
     )
     _, correlation_id = put_request(host.broker, "good")
     assert wait_for_answer(host, correlation_id).outcome == "served"
-    assert bad.fate == "reject"
-    assert bad.delivery_count == 1
+    assert malformed.fate == "reject"
+    assert malformed.delivery_count == 1
 
 
 def test_a_channel_that_the_broker_closed_is_opened_again(consuming_host):
@@ -392,22 +392,22 @@
     seconds = 3.0
     info = {**PLATFORM_INFO, "FamilyInfo": {**PLATFORM_INFO["FamilyInfo"], "CallsOut": 50.0}}
     host = consuming_host(prefetch=60, executor=Executor(work_s, cores), info=info)
-    gap = work_s / cores / 1.1  # 110% of what the cores can do
+    interval_s = work_s / cores / 1.1  # 110% of what the cores can do
     requests = {}
 
     def flood():
-        for i in range(int(seconds / gap)):
+        for i in range(int(seconds / interval_s)):
             class_name = "book" if i % 3 == 0 else "track"
             requests[f"subject-{i}"] = (
                 class_name,
                 *put_request(host.broker, f"subject-{i}", class_name, correlation=f"s{i}"),
             )
-            time.sleep(gap)
+            time.sleep(interval_s)
 
     thread = threading.Thread(target=flood)
     thread.start()
     for fraction in (0.3, 0.6):  # two acknowledgements are lost, with all that is unacknowledged redelivered
-        wait_until(lambda fraction=fraction: len(requests) >= fraction * seconds / gap, "part of the flood")
+        wait_until(lambda fraction=fraction: len(requests) >= fraction * seconds / interval_s, "part of the flood")
         host.broker.disconnect_on = "basic.ack"
     thread.join()
     wait_until(lambda: all(m.fate for _, m, _ in requests.values()), "an end of every message")
--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -61,8 +61,8 @@
     verdict = analysis.verdict()
     assert verdict.outcome in outcomes
     assert verdict.results
-    for row in verdict.results:
-        assert row.low <= row.mean <= row.high
+    for result in verdict.results:
+        assert result.low <= result.mean <= result.high
 
 
 def test_all_requests_of_a_class_with_few_requests_count():
@@ -75,15 +75,15 @@
             analysis.add_canary(["a"], ["b"], draw_slices(rng, {"a": 0.4}, "ab", count=2))
     verdict = analysis.verdict()
     assert verdict.outcome is Outcome.WORSE
-    assert {row.slices for row in verdict.results if "book" in row.metric} == {100}
+    assert {result.slices for result in verdict.results if "book" in result.metric} == {100}
 
 
 def test_a_difference_from_before_the_change_does_not_count():
     rng = random.Random(6)
     analysis = CanaryAnalysis(Bounds(), {"a": 1, "b": 1})
     for n in range(160):
-        add = analysis.add_baseline if n < 60 else analysis.add_canary
-        add(["a"], ["b"], draw_slices(rng, {"a": 0.2}, "ab"))
+        add_slices = analysis.add_baseline if n < 60 else analysis.add_canary
+        add_slices(["a"], ["b"], draw_slices(rng, {"a": 0.2}, "ab"))
     assert analysis.verdict().outcome is not Outcome.WORSE
 
 
@@ -111,9 +111,9 @@
     restarted = msgspec.structs.replace(earlier, at=3.0)
     assert metrics.slice_between("x", later, earlier) is None
     assert metrics.slice_between("x", later, restarted) is None
-    for bad in (["x"], ["app.a:1|c"], ["app.a:-1|c", "END"]):
+    for malformed_lines in (["x"], ["app.a:1|c"], ["app.a:-1|c", "END"]):
         with pytest.raises(ValueError):
-            metrics.decode_sample(bad, 1.0)
+            metrics.decode_sample(malformed_lines, 1.0)
 
 
 def test_memory_that_grows_slowly_is_worse_far_below_its_limit():
--- a/tests/test_clock_skew.py
+++ b/tests/test_clock_skew.py
@@ -32,6 +32,11 @@
     arrived_at: float
 
 
+def clock_ahead_by(offset_ms):
+    """Return a clock that maps true ms to ms that are ahead by an offset."""
+    return lambda true_ms: true_ms + offset_ms
+
+
 def retried_subjects(rng, hosts, count):
     for number in range(count):
         first, last = rng.sample(sorted(hosts), 2)
@@ -61,28 +66,30 @@
     return [clock for clock in estimates.clocks.values() if isinstance(clock, UnknownClock)]
 
 
-def errors_ms(estimates, clocks, at):
+def errors_ms(estimates, clocks, true_ms):
     """Return how far each estimate is off at a true time."""
-    reference = clocks[estimates.reference](at)
-    return [abs(clock.ahead(reference) - (clocks[host](at) - reference)) for host, clock in estimates.clocks.items()]
+    reference = clocks[estimates.reference](true_ms)
+    return [
+        abs(clock.ahead(reference) - (clocks[host](true_ms) - reference)) for host, clock in estimates.clocks.items()
+    ]
 
 
-def all_right(estimates, clocks, at):
-    return not unknown_clocks(estimates) and max(errors_ms(estimates, clocks, at)) <= MAX_ERROR_MS
+def all_right(estimates, clocks, true_ms):
+    return not unknown_clocks(estimates) and max(errors_ms(estimates, clocks, true_ms)) <= MAX_ERROR_MS
 
 
 @pytest.mark.parametrize("seed", range(20))
 @pytest.mark.parametrize("offset", [-1000.0, 0.0, 1000.0])
 def test_fifty_retries_give_an_offset_within_20_ms(seed, offset):
     rng = random.Random(seed)
-    clocks = {"a": lambda t: t, "b": lambda t: t + offset}
+    clocks = {"a": clock_ahead_by(0.0), "b": clock_ahead_by(offset)}
     assert all_right(estimate_clocks(make_attempts(rng, clocks, 50), clocks), clocks, HOUR / 2)
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_a_drift_is_estimated_and_right_at_both_ends(seed):
     rng = random.Random(seed)
-    clocks = {"a": lambda t: t, "b": lambda t: t * (1 + 100e-6) + 1000.0}  # 360 ms in the hour
+    clocks = {"a": clock_ahead_by(0.0), "b": lambda true_ms: true_ms * (1 + 100e-6) + 1000.0}  # 360 ms in the hour
     estimates = estimate_clocks(make_attempts(rng, clocks, 400), clocks)
     (other,) = (clock for host, clock in estimates.clocks.items() if host != estimates.reference)
     assert other.drift_known
@@ -94,7 +101,7 @@
 @pytest.mark.parametrize("seed", range(10))
 def test_the_stated_error_holds_and_is_small(seed):
     rng = random.Random(seed)
-    clocks = {"a": lambda t: t, "b": lambda t: t - 700.0, "c": lambda t: t + 250.0}
+    clocks = {"a": clock_ahead_by(0.0), "b": clock_ahead_by(-700.0), "c": clock_ahead_by(250.0)}
     estimates = estimate_clocks(make_attempts(rng, clocks, 300), clocks)
     errors = errors_ms(estimates, clocks, HOUR / 2)
     for clock, error in zip(estimates.clocks.values(), errors, strict=True):
@@ -105,14 +112,14 @@
 @pytest.mark.parametrize("seed", range(10))
 def test_a_few_pairs_in_the_wrong_order_do_no_harm(seed):
     rng = random.Random(seed)
-    clocks = {"a": lambda t: t, "b": lambda t: t + 1000.0}
+    clocks = {"a": clock_ahead_by(0.0), "b": clock_ahead_by(1000.0)}
     attempts = make_attempts(rng, clocks, 200, wrong_fraction=0.02)
     assert all_right(estimate_clocks(attempts, clocks), clocks, HOUR / 2)
 
 
 def test_a_clock_is_unknown_without_shared_subjects_or_with_one_direction_only():
     rng = random.Random(1)
-    clocks = {"a": lambda t: t, "b": lambda t: t + 1000.0}
+    clocks = {"a": clock_ahead_by(0.0), "b": clock_ahead_by(1000.0)}
     attempts = make_attempts(rng, clocks, 60)
     nothing = UnknownClock("cannot tell: no subject was tried at both")
     assert estimate_clocks([], ["a", "b"]).clocks["b"] == nothing
@@ -123,13 +130,13 @@
     one_way = [attempt for attempt in attempts if attempt.subject in served_at_b]
     reasons = [clock.reason for clock in unknown_clocks(estimate_clocks(one_way, clocks))]
     assert any("one way" in reason for reason in reasons)
-    few = [attempt for attempt in attempts if attempt.subject in sorted(served_at_b)[:3]]
-    assert unknown_clocks(estimate_clocks(few, clocks))
+    three_subjects_only = [attempt for attempt in attempts if attempt.subject in sorted(served_at_b)[:3]]
+    assert unknown_clocks(estimate_clocks(three_subjects_only, clocks))
 
 
 def test_a_host_without_subjects_shared_with_the_reference_is_compared_by_way_of_others():
     rng = random.Random(2)
-    clocks = {"a": lambda t: t, "b": lambda t: t + 1000.0, "c": lambda t: t - 500.0}
+    clocks = {"a": clock_ahead_by(0.0), "b": clock_ahead_by(1000.0), "c": clock_ahead_by(-500.0)}
     of_a_and_b = make_attempts(rng, {host: clocks[host] for host in "ab"}, 100)
     of_b_and_c = make_attempts(rng, {host: clocks[host] for host in "bc"}, 100)
     renamed = [attempt._replace(subject=b"x" + attempt.subject) for attempt in of_b_and_c]
@@ -141,7 +148,7 @@
 
 def test_a_clock_that_was_set_in_between_is_no_drift():
     rng = random.Random(3)
-    clocks = {"a": lambda t: t, "b": lambda t: t + (1000.0 if t < HOUR / 2 else -500.0)}
+    clocks = {"a": clock_ahead_by(0.0), "b": lambda true_ms: true_ms + (1000.0 if true_ms < HOUR / 2 else -500.0)}
     estimates = estimate_clocks(make_attempts(rng, clocks, 400), clocks)
     assert any("was set" in clock.reason for clock in unknown_clocks(estimates))
 
@@ -173,7 +180,7 @@
 
 def test_the_command_prints_the_clocks_and_which_are_unknown(tmp_path):
     rng = random.Random(4)
-    clocks = {"a": lambda t: t, "b": lambda t: t + 1000.0}
+    clocks = {"a": clock_ahead_by(0.0), "b": clock_ahead_by(1000.0)}
     attempts = make_attempts(rng, clocks, 100)
     paths = [write_trace(tmp_path, host, attempts) for host in clocks]
     result = CliRunner().invoke(cli, ["trace", "clocks", "--json", *paths])
--- a/tests/test_column_codec.py
+++ b/tests/test_column_codec.py
@@ -44,10 +44,10 @@
 
 
 def test_regular_columns_are_small():
-    ids = encode_integers(range(10**6, 10**6 + 1000))
-    assert ids.delta
-    assert ids.width == 3
-    assert len(set(ids.data)) < 9
+    identifiers = encode_integers(range(10**6, 10**6 + 1000))
+    assert identifiers.delta
+    assert identifiers.width == 3
+    assert len(set(identifiers.data)) < 9
     ranks = encode_floats([number * 7919 % 9973 / 10_000 for number in range(1000)])
     assert ranks.form == ColumnForm.DECIMAL
     assert ranks.scale == 4
--- a/tests/test_connection_overload.py
+++ b/tests/test_connection_overload.py
@@ -28,7 +28,7 @@
 from lapispick.host.scheduler import EventLoop
 from lapispick.platform_settings import StartSettings, admission_settings
 
-NEW = ConnectionState(
+NEW_CONNECTION = ConnectionState(
     accepted_at=0.0,
     last_used_at=0.0,
     last_received_at=0.0,
@@ -42,22 +42,22 @@
 
 def test_connections_are_evicted_by_class_and_then_by_inactivity():
     now = 100.0
-    within_message = NEW._replace(accepted_at=99.0, message_started_at=99.0)
-    continued_message = NEW._replace(message_started_at=98.0, receive_count=4)
+    within_message = NEW_CONNECTION._replace(accepted_at=99.0, message_started_at=99.0)
+    continued_message = NEW_CONNECTION._replace(message_started_at=98.0, receive_count=4)
     states = {
-        "at fault": NEW._replace(is_at_fault=True, is_proven=True, last_used_at=99.0),
-        "silent": NEW._replace(accepted_at=99.5),
-        "silent for longer": NEW._replace(accepted_at=98.0),
+        "at fault": NEW_CONNECTION._replace(is_at_fault=True, is_proven=True, last_used_at=99.0),
+        "silent": NEW_CONNECTION._replace(accepted_at=99.5),
+        "silent for longer": NEW_CONNECTION._replace(accepted_at=98.0),
         "stopped": within_message._replace(last_received_at=99.1),
         "stopped for longer": within_message._replace(last_received_at=99.0),
-        "idle": NEW._replace(is_proven=True, last_used_at=99.0),
-        "started": NEW._replace(message_started_at=99.8, last_received_at=99.8),
+        "idle": NEW_CONNECTION._replace(is_proven=True, last_used_at=99.0),
+        "started": NEW_CONNECTION._replace(message_started_at=99.8, last_received_at=99.8),
         "sending": continued_message._replace(last_received_at=99.5),
         "stopped after several parts": continued_message._replace(last_received_at=99.2),
-        "recently served": NEW._replace(is_proven=True, last_used_at=99.8),
-        "new": NEW._replace(accepted_at=99.95),
-        "owes an answer": NEW._replace(owes_answer=True, is_proven=True),
-        "owes an answer and is at fault": NEW._replace(owes_answer=True, is_at_fault=True),
+        "recently served": NEW_CONNECTION._replace(is_proven=True, last_used_at=99.8),
+        "new": NEW_CONNECTION._replace(accepted_at=99.95),
+        "owes an answer": NEW_CONNECTION._replace(owes_answer=True, is_proven=True),
+        "owes an answer and is at fault": NEW_CONNECTION._replace(owes_answer=True, is_at_fault=True),
     }
     shuffled = list(states.items())
     random.Random(1).shuffle(shuffled)
@@ -79,11 +79,11 @@
 @pytest.mark.parametrize(
     ("state", "is_overdue"),
     [
-        (NEW, True),
-        (NEW._replace(is_proven=True), False),
-        (NEW._replace(is_proven=True, message_started_at=5.0), True),
-        (NEW._replace(accepted_at=9.0), False),
-        (NEW._replace(is_proven=True, message_started_at=9.0), False),
+        (NEW_CONNECTION, True),
+        (NEW_CONNECTION._replace(is_proven=True), False),
+        (NEW_CONNECTION._replace(is_proven=True, message_started_at=5.0), True),
+        (NEW_CONNECTION._replace(accepted_at=9.0), False),
+        (NEW_CONNECTION._replace(is_proven=True, message_started_at=9.0), False),
     ],
 )
 def test_the_time_for_a_message_counts_from_connecting_or_from_its_first_byte(state, is_overdue):
@@ -244,12 +244,12 @@
     other_gateway = started.gateway()
     gateway = started.gateway()
     line = gateway.request_line("track", "cut", number=1) + b"\n"
-    for cut in range(1, len(line)):
-        line = gateway.request_line("track", f"cut{cut}", number=cut) + b"\n"
-        gateway.sock.sendall(line[:cut])
+    for cut_at in range(1, len(line)):
+        line = gateway.request_line("track", f"cut{cut_at}", number=cut_at) + b"\n"
+        gateway.sock.sendall(line[:cut_at])
         other_gateway.answer(other_gateway.send("probe"))  # the host has read the first part when it answers this
-        gateway.sock.sendall(line[cut:])
-        assert gateway.result(cut) == f"did cut{cut}"
+        gateway.sock.sendall(line[cut_at:])
+        assert gateway.result(cut_at) == f"did cut{cut_at}"
 
 
 def test_operators_calls_and_all_peers_may_send_byte_by_byte(host):
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -76,10 +76,10 @@
     return make
 
 
-def make_request(tag, answers, class_index=0, key=None):
+def make_request(request_id, answers, class_index=0, key=None):
     """Return a request that adds its tag and the kind of each answer to ``answers``."""
     return Request(
-        request_id=tag,
+        request_id=request_id,
         class_name="any",
         class_index=class_index,
         body="",
@@ -89,7 +89,7 @@
         rank=0.5,
         caller=1,
         idempotency_key=key,
-        reply=lambda answer: answers.append((tag, answer.kind)),
+        reply=lambda answer: answers.append((request_id, answer.kind)),
     )
 
 
@@ -150,8 +150,8 @@
 def test_a_second_run_of_a_key_is_never_started_whatever_is_decided(make_core):
     loop, host = make_core(start_keyed)
     answers = []
-    for tag in ("a", "b"):
-        host.post(events.RequestArrived(make_request(tag, answers, class_index=1, key="k")))
+    for request_id in ("a", "b"):
+        host.post(events.RequestArrived(make_request(request_id, answers, class_index=1, key="k")))
     loop.run()
     assert host.peers.executor.runs == ["a"]
     assert answers == [("b", AnswerKind.FAILED)]
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -162,18 +162,18 @@
     harness.step(*[harness.request(SKIPPABLE, deadline_at=harness.now + 3900)])
     harness.step(CallRequested(harness.next_id), at=harness.now + 5)
     for expected in (StartCall, SkipCall):
-        got = harness.step(CallCompleted(harness.next_id, Outcome.RESET, 10), at=harness.now + 10)
-        assert [type(action) for action in got] == [expected]
+        actions = harness.step(CallCompleted(harness.next_id, Outcome.RESET, 10), at=harness.now + 10)
+        assert [type(action) for action in actions] == [expected]
 
 
 def test_scarce_calls_reject_only_requests_that_need_one(make_harness):
     harness = make_harness(call_quota=1, cores=40)
     make_calls(harness, [(50, Outcome.OK)] * 9, SKIPPABLE)
     make_calls(harness, [(50, Outcome.OK)] * 9, AT_MOST_ONCE)
-    many = [harness.request(AT_MOST_ONCE, deadline_at=harness.now + 3900) for _ in range(30)]
-    for request in many:
+    many_callers = [harness.request(AT_MOST_ONCE, deadline_at=harness.now + 3900) for _ in range(30)]
+    for request in many_callers:
         harness.step(request)
-    harness.step(*[CallRequested(request.id) for request in many], at=harness.now + 5)
+    harness.step(*[CallRequested(request.id) for request in many_callers], at=harness.now + 5)
     assert len(harness.state.downstream.waiting) > 20
     needs_call = harness.request(AT_MOST_ONCE, deadline_at=harness.now + 3900)
     skippable = harness.request(SKIPPABLE, deadline_at=harness.now + 3900)
@@ -208,8 +208,8 @@
 
 
 def test_invalid_settings_are_rejected():
-    good = make_settings()
-    bad = [
+    valid_settings = make_settings()
+    invalid_changes = [
         {"classes": ()},
         {"cores": 0},
         {"memory_kb": 0},
@@ -218,10 +218,10 @@
         {"classes": (make_class(latency_objective_ms=5000),)},
         {"classes": (make_class(idempotency=admission.Idempotency.KEYED, idempotency_window_ms=0),)},
     ]
-    for changes in bad:
+    for changes in invalid_changes:
         with pytest.raises(ValueError):
-            Controller(msgspec.structs.replace(good, **changes), 1, 0)
-    Controller(good, 1, 0)
+            Controller(msgspec.structs.replace(valid_settings, **changes), 1, 0)
+    Controller(valid_settings, 1, 0)
 
 
 def test_same_events_give_the_same_actions(make_harness):
@@ -295,13 +295,15 @@
 
 
 def test_idle_timeout_is_long_where_callers_return_and_short_where_they_do_not(make_harness):
-    few = make_harness()
-    serve_each(few, callers=5)
-    assert few.actions_of(SetIdleTimeout)[-1].timeout_ms == few.settings.idle_timeout_ms
-    many = make_harness()
-    serve_each(many, callers=120)
-    assert many.actions_of(SetIdleTimeout)[-1].timeout_ms < 0.1 * many.settings.idle_timeout_ms
-    assert len(many.state.idle_timeout.last_seen) < 40  # callers of the last six seconds, however many there are
+    few_callers = make_harness()
+    serve_each(few_callers, callers=5)
+    assert few_callers.actions_of(SetIdleTimeout)[-1].timeout_ms == few_callers.settings.idle_timeout_ms
+    many_callers = make_harness()
+    serve_each(many_callers, callers=120)
+    assert many_callers.actions_of(SetIdleTimeout)[-1].timeout_ms < 0.1 * many_callers.settings.idle_timeout_ms
+    assert (
+        len(many_callers.state.idle_timeout.last_seen) < 40
+    )  # callers of the last six seconds, however many there are
 
 
 def test_overloaded_server_keeps_its_idle_connections(make_harness):
--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -21,15 +21,15 @@
         super().__init__()
 
     def send(self, connection, **message):
-        raw = json.dumps(message).encode() + b"\n"
+        line = json.dumps(message).encode() + b"\n"
         if "index" not in message:
             return super().send(connection, **message)
         if next(self.sent) % 5 == 0:
-            connection.sendall(raw[: len(raw) // 2])
+            connection.sendall(line[: len(line) // 2])
             self.disconnect()
             return None
         remark = b'{"verb":"LOG","index":%d,"outcome":"hm"}\n' % (message["index"] - 1)
-        for piece in (remark, raw[:7], raw[7:], raw):
+        for piece in (remark, line[:7], line[7:], line):
             connection.sendall(piece)
         return None
 
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize(
-    ("row", "fault"),
+    ("host_line", "fault"),
     [
         ("a: {lapispick_opps: 9}", "unknown variable; did you mean lapispick_ops?"),
         ("a: {lapispick_weight: 0}", "lapispick_weight: 0 is not a number from 0.001 to 1000"),
@@ -67,8 +67,8 @@
         ("a: {amqp_port: none of ours}", ""),
     ],
 )
-def test_faults_name_the_variable_and_its_valid_values(row, fault):
-    found = faults("dispatch:\n  hosts:\n    " + row, group="dispatch", schema=SCHEMA)
+def test_faults_name_the_variable_and_its_valid_values(host_line, fault):
+    found = faults("dispatch:\n  hosts:\n    " + host_line, group="dispatch", schema=SCHEMA)
     assert (fault in found[0]) if fault else found == []
 
 
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize(
-    ("row", "fault"),
+    ("csv_row", "fault"),
     [
         ("B1.,shops,,5673,q2,", r"f\.csv:3:1: amqp_port: b1 has port 5673 here, but 5672 at f\.csv:2:1"),
         ("b1,shops,10.0.0.2,,q2,", r"f\.csv:3:1: host: b1 is at 10\.0\.0\.2 here, but at 10\.0\.0\.1 at f\.csv:2"),
@@ -133,8 +133,8 @@
         ("b1,shops,10.0.0.1,,q1,me", r"f\.csv:3:5: amqp_queue: 'q1' stands twice, first at f\.csv:2:5"),
     ],
 )
-def test_spellings_that_contradict_each_other_name_both_places(row, fault):
-    found = faults(HEAD + "b1,shops,10.0.0.1,,q1,me\n" + row + "\n", "f.csv")
+def test_spellings_that_contradict_each_other_name_both_places(csv_row, fault):
+    found = faults(HEAD + "b1,shops,10.0.0.1,,q1,me\n" + csv_row + "\n", "f.csv")
     assert any(re.search(fault, each) for each in found), found
 
 
--- a/tests/test_inventory_files.py
+++ b/tests/test_inventory_files.py
@@ -42,11 +42,11 @@
 @pytest.mark.parametrize(
     ("make", "fault"),
     [
-        (lambda p: None, "No such file"),
-        (lambda p: os.mkfifo(p), "no regular file"),
-        (lambda p: p.symlink_to(p), "Too many levels"),
-        (lambda p: p.write_bytes(b"x" * (MAX_BYTES + 1)), "over 1048576"),
-        (lambda p: p.symlink_to("/dev/zero"), "no regular file"),
+        (lambda path: None, "No such file"),
+        (lambda path: os.mkfifo(path), "no regular file"),
+        (lambda path: path.symlink_to(path), "Too many levels"),
+        (lambda path: path.write_bytes(b"x" * (MAX_BYTES + 1)), "over 1048576"),
+        (lambda path: path.symlink_to("/dev/zero"), "no regular file"),
     ],
 )
 def test_an_unreadable_path_is_a_fault_and_does_not_block(tmp_path, make, fault):
@@ -82,12 +82,12 @@
     path = tmp_path / last_good.LAST_GOOD_FILE
     last_good.save(tmp_path, "source", new, 6.0, "settled")
     contents = path.read_bytes()
-    for at in range(len(contents)):
-        path.write_bytes(contents[:at])
+    for size in range(len(contents)):
+        path.write_bytes(contents[:size])
         with pytest.raises(StateFolderError):
             load_last_good(tmp_path)
-    for at in range(0, len(contents), 7):
-        path.write_bytes(contents[:at] + bytes([contents[at] ^ 1]) + contents[at + 1 :])
+    for size in range(0, len(contents), 7):
+        path.write_bytes(contents[:size] + bytes([contents[size] ^ 1]) + contents[size + 1 :])
         with pytest.raises(StateFolderError):
             load_last_good(tmp_path)
     path.write_bytes(contents)
--- a/tests/test_inventory_reading.py
+++ b/tests/test_inventory_reading.py
@@ -247,9 +247,9 @@
 def test_an_incremental_update_reads_the_same_as_a_full_read(count, changes):
     lines = yaml_list({f"b{n}": n + 1 for n in range(count)}).splitlines()
     document = Document("f.yml", "\n".join(lines) + "\n", FaultCollector())
-    for at, drop, line in changes:
-        at %= len(lines) + 1
-        lines[at : at + drop] = [line]
+    for line_index, drop, line in changes:
+        line_index %= len(lines) + 1
+        lines[line_index : line_index + drop] = [line]
         text = "\n".join(lines) + "\n"
         faults_found = FaultCollector()
         reread = Document("f.yml", text, faults_found)
--- a/tests/test_inventory_watch.py
+++ b/tests/test_inventory_watch.py
@@ -184,8 +184,8 @@
     fleet.wait_until_consumed("broker-a", "broker-b")
     flow = MessageFlow(fleet)
     text = fleet.text()
-    for at in range(len(text)):
-        fleet.file.write_text(text[:at])  # in place, as bad tools do
+    for size in range(len(text)):
+        fleet.file.write_text(text[:size])  # in place, as bad tools do
         time.sleep(0.01)
     fleet.file.write_text(text)
     fleet.wait_until_consumed("broker-a", "broker-b")
@@ -429,7 +429,7 @@
     assert "event=amqp-toml-old" in fleet.host.log()
 
 
-OFF = re.compile(
+NOT_IMPORTED_MODULES = re.compile(
     r"lapispick\.(fleet|cli|fakes|trace|conf\.legacy|host\.(amqp|inventory|dns_resolver|names|recorder))"
     r"|immutables|idna|yaml|click|structlog|rich|google|zstandard|google_crc32c|difflib|subprocess|tomllib"
 )
@@ -443,7 +443,7 @@
     loaded = {line.rpartition("|")[2].strip() for line in lines}
     assert "lapispick.conf.settings" in loaded
     assert "lapispick.host.core" in loaded
-    assert not [name for name in loaded if OFF.match(name)]
+    assert not [name for name in loaded if NOT_IMPORTED_MODULES.match(name)]
 
 
 def test_a_faulty_settings_file_ends_the_start_and_every_fault_is_logged(tmp_path):
--- a/tests/test_member_cluster.py
+++ b/tests/test_member_cluster.py
@@ -126,8 +126,8 @@
     let_time_pass(1.0)
     assert owners[holder].leases[-1].valid_until < cluster.resource.accepted[-1].at
     stop_owners_and_check(cluster)
-    log = next(iter(cluster.fleet[holder].folder.glob("config-1.log"))).read_text()
-    assert "event=lease-lost" in log or "event=lease-abandoned" in log
+    holder_log = next(iter(cluster.fleet[holder].folder.glob("config-1.log"))).read_text()
+    assert "event=lease-lost" in holder_log or "event=lease-abandoned" in holder_log
 
 
 def test_a_dead_holder_is_replaced_and_returns_in_a_later_epoch_without_its_disk(start_cluster):
@@ -341,56 +341,61 @@
 def test_the_commands_show_the_view_and_why_a_member_is_dead(start_cluster):
     cluster = start_cluster(3)
     hosts = cluster.names()
-    ops = [cluster.fleet[name].processes[-1].ops for name in hosts]
-    shown = run_lapispick("members", "show", "--at", ops[0])
+    operators_addresses = [cluster.fleet[name].processes[-1].ops for name in hosts]
+    shown = run_lapispick("members", "show", "--at", operators_addresses[0])
     assert shown.returncode == 0
     assert "sees 3 of 3" in shown.stdout
     assert hosts[2] in shown.stdout
 
     def published_facts():
         """Return the authors and kinds of the facts that the first host knows."""
-        facts = json.loads(run_lapispick("members", "show", "--json", "--at", ops[0]).stdout)["facts"]
+        facts = json.loads(run_lapispick("members", "show", "--json", "--at", operators_addresses[0]).stdout)["facts"]
         return {(author, kind) for author, _, _, kind, *_ in facts}
 
     wait_until(lambda: (hosts[1], "load") in published_facts(), "a fact that another host published")
     cluster.fleet[hosts[2]].kill()
     cluster.wait_for_agreement(hosts[:2], absent=[hosts[2]])
-    why = run_lapispick("members", "why", hosts[2], "--at", ops[0])
-    assert "is dead" in why.stdout
-    assert "no answer" in why.stdout or "says so" in why.stdout
-    assert run_lapispick("members", "why", "nobody", "--at", ops[0]).returncode == 1
+    explained = run_lapispick("members", "why", hosts[2], "--at", operators_addresses[0])
+    assert "is dead" in explained.stdout
+    assert "no answer" in explained.stdout or "says so" in explained.stdout
+    assert run_lapispick("members", "why", "nobody", "--at", operators_addresses[0]).returncode == 1
 
 
 def test_a_lease_is_held_while_a_command_runs_and_passed_on_in_turn(start_cluster, tmp_path):
     cluster = start_cluster(3)
     hosts = cluster.names()
-    ops = [cluster.fleet[name].processes[-1].ops for name in hosts]
+    operators_addresses = [cluster.fleet[name].processes[-1].ops for name in hosts]
     cluster.fleet[hosts[2]].kill()
     cluster.wait_for_agreement(hosts[:2], absent=[hosts[2]])
-    out = tmp_path / "out"
-    script = f"echo $LAPISPICK_FENCE begins >> {out}; sleep 0.4; echo $LAPISPICK_FENCE ends >> {out}; exit 7"
+    output_file = tmp_path / "out"
+    script = (
+        f"echo $LAPISPICK_FENCE begins >> {output_file}; sleep 0.4; echo $LAPISPICK_FENCE ends >> {output_file}; exit 7"
+    )
     commands = [
-        start_lapispick("leases", "hold", "--at", address, "job", "--", "sh", "-c", script) for address in ops[:2] * 2
+        start_lapispick("leases", "hold", "--at", address, "job", "--", "sh", "-c", script)
+        for address in operators_addresses[:2] * 2
     ]
     assert [command.wait(60) for command in commands] == [7] * 4
-    lines = [line.split() for line in out.read_text().splitlines()]
+    lines = [line.split() for line in output_file.read_text().splitlines()]
     assert [what for _, what in lines] == ["begins", "ends"] * 4  # one after the other
     tokens = [int(token) for token, _ in lines]
     assert tokens == sorted(tokens)
     assert len(set(tokens)) == 4
-    assert run_lapispick("leases", "list", "--at", ops[0]).returncode == 0
-    assert run_lapispick("turns", "list", "--at", ops[0]).returncode == 0  # the command's former name
-    assert run_lapispick("leases", "hold", "--at", ops[0], "nothing", "--", "true").returncode == 2
+    assert run_lapispick("leases", "list", "--at", operators_addresses[0]).returncode == 0
+    assert run_lapispick("turns", "list", "--at", operators_addresses[0]).returncode == 0  # the command's former name
+    assert run_lapispick("leases", "hold", "--at", operators_addresses[0], "nothing", "--", "true").returncode == 2
 
 
 def test_a_command_is_ended_before_its_lease_expires(start_cluster, tmp_path):
     cluster = start_cluster(3)
     hosts = cluster.names()
-    out = tmp_path / "out"
-    ops = cluster.fleet[hosts[0]].processes[-1].ops
-    script = f"echo $LAPISPICK_FENCE > {out}; exec sleep 60"
-    command = start_lapispick("leases", "hold", "--at", ops, "job", "--", "sh", "-c", script, stderr=subprocess.PIPE)
-    wait_until(lambda: out.exists() and out.read_text().strip(), "the command's start")
+    output_file = tmp_path / "out"
+    operators_address = cluster.fleet[hosts[0]].processes[-1].ops
+    script = f"echo $LAPISPICK_FENCE > {output_file}; exec sleep 60"
+    command = start_lapispick(
+        "leases", "hold", "--at", operators_address, "job", "--", "sh", "-c", script, stderr=subprocess.PIPE
+    )
+    wait_until(lambda: output_file.exists() and output_file.read_text().strip(), "the command's start")
     cluster.fleet.partition([hosts[0]], hosts[1:])  # the holder is cut off from the majority
     started = time.monotonic()
     assert command.wait(30) == 1
@@ -398,7 +403,7 @@
     assert time.monotonic() - started < 1.5 + 0.5  # the lease
     cluster.request_leases(names=hosts[1:])
     cluster.wait_for_holds(1)
-    assert cluster.resource.accepted[0].fencing_token > int(out.read_text())
+    assert cluster.resource.accepted[0].fencing_token > int(output_file.read_text())
     stop_owners_and_check(cluster)
 
 
--- a/tests/test_module_boundaries.py
+++ b/tests/test_module_boundaries.py
@@ -68,9 +68,9 @@
 
 
 def _allowed(name, group):
-    own = {_module_name(path) for owner, path in DECISION_MODULES if owner == group}
-    packages = {module.rpartition(".")[0] for module in own}
-    return name in STANDARD_LIBRARY | PROJECT | own | packages | set(GROUPS[group][1])
+    own_modules = {_module_name(path) for owner, path in DECISION_MODULES if owner == group}
+    packages = {module.rpartition(".")[0] for module in own_modules}
+    return name in STANDARD_LIBRARY | PROJECT | own_modules | packages | set(GROUPS[group][1])
 
 
 def _parse(path):
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -245,16 +245,16 @@
 
 
 @pytest.fixture
-def net():
+def fault_proxy():
     """Links with faults, without any link so far."""
     proxy = FaultProxy(1)
     yield proxy
     proxy.close()
 
 
-def test_a_link_can_be_partitioned_one_way_reset_and_refused(net):
+def test_a_link_can_be_partitioned_one_way_reset_and_refused(fault_proxy):
     echo = EchoServer()
-    address = net.tcp("a", "b", echo.address).split(":")
+    address = fault_proxy.tcp("a", "b", echo.address).split(":")
 
     def connect():
         sock = socket.create_connection(address, timeout=5)
@@ -263,23 +263,23 @@
         return sock
 
     sock = connect()
-    net.partition(["b"], ["a"], one_way=True)  # what b sends is delayed; nothing is lost
+    fault_proxy.partition(["b"], ["a"], one_way=True)  # what b sends is delayed; nothing is lost
     sock.sendall(b"again")
     sock.settimeout(0.2)
     with pytest.raises(TimeoutError):
         sock.recv(10)
-    net.heal()
+    fault_proxy.heal()
     sock.settimeout(5)
     assert sock.recv(10) == b"again"
-    net.impair(["a"], ["b"], reset_after_bytes=8)
+    fault_proxy.impair(["a"], ["b"], reset_after_bytes=8)
     fresh = socket.create_connection(address, timeout=5)
     fresh.sendall(b"0123456789")
     with pytest.raises(ConnectionError):
         while fresh.recv(10):
             pass
         raise ConnectionError
-    net.heal()
-    net.reset(["a"], ["b"], refuse_connections=True)
+    fault_proxy.heal()
+    fault_proxy.reset(["a"], ["b"], refuse_connections=True)
     with pytest.raises(ConnectionError):
         sock.sendall(b"x")
         if not sock.recv(10):
@@ -290,12 +290,12 @@
     echo.close()
 
 
-def test_datagrams_are_lost_duplicated_and_reordered(net):
+def test_datagrams_are_lost_duplicated_and_reordered(fault_proxy):
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as receiver:
         receiver.bind(("127.0.0.1", 0))
         receiver.settimeout(0.5)
-        host, port = net.udp("a", "b", "{}:{}".format(*receiver.getsockname())).split(":")
-        net.impair(["a"], ["b"], loss=0.3, duplicate=0.3, reorder=0.3)
+        host, port = fault_proxy.udp("a", "b", "{}:{}".format(*receiver.getsockname())).split(":")
+        fault_proxy.impair(["a"], ["b"], loss=0.3, duplicate=0.3, reorder=0.3)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
             for n in range(200):
                 sender.sendto(str(n).encode(), (host, int(port)))
--- a/tests/test_rollout_compat.py
+++ b/tests/test_rollout_compat.py
@@ -40,9 +40,9 @@
     assert reported["handover"].writes == handover_messages.VERSION
     assert reported["durable"].writes == database.VERSION
     assert reported["agent"].writes == messages.VERSION
-    for bad in ({"x": (2, 1, 1)}, {"x": "1"}, {"x": (1, 1)}):
+    for invalid_formats in ({"x": (2, 1, 1)}, {"x": "1"}, {"x": (1, 1)}):
         with pytest.raises(ValueError):
-            compat.parse_formats(bad)
+            compat.parse_formats(invalid_formats)
 
 
 def test_a_generation_is_its_files_and_settings_and_reloads_only_where_sighup_applies_all():
--- a/tests/test_rollout_stages.py
+++ b/tests/test_rollout_stages.py
@@ -15,8 +15,8 @@
 
 def workers(*sizes):
     return [
-        Worker(f"z{z}-{n}", f"z{z}-{n}:1", agent="x:1", zone=f"z{z}", domain=f"r{n % 2}", machine=f"m{n % 2}")
-        for z, size in enumerate(sizes)
+        Worker(f"z{zone}-{n}", f"z{zone}-{n}:1", agent="x:1", zone=f"z{zone}", domain=f"r{n % 2}", machine=f"m{n % 2}")
+        for zone, size in enumerate(sizes)
         for n in range(size)
     ]
 
@@ -39,8 +39,8 @@
     assigned = stages.assign(hosts, sizes, name, limits)
     assert sorted(host for stage in assigned for host in stage) == sorted(host.name for host in hosts)
     for stage in assigned:
-        for z, size in enumerate(zone_sizes):
-            assert sum(host.startswith(f"z{z}-") for host in stage) < max(2, size)
+        for zone, size in enumerate(zone_sizes):
+            assert sum(host.startswith(f"z{zone}-") for host in stage) < max(2, size)
     shuffled = hosts[:]
     random.Random(1).shuffle(shuffled)
     assert stages.assign(shuffled, sizes, name, limits) == assigned  # any order of the list
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -57,9 +57,9 @@
     harness.step(*requests)
     harness.tick(3000)
     for request in requests:
-        ran = bool(harness.actions_of(StartRun, request.id))
+        was_started = bool(harness.actions_of(StartRun, request.id))
         assert len(harness.final_answers(request.id)) == 1
-        assert isinstance(harness.final_answers(request.id)[0], Fail if ran else Reject)
+        assert isinstance(harness.final_answers(request.id)[0], Fail if was_started else Reject)
 
 
 def test_no_answer_follows_a_run_that_completes_before_the_deadline(make_harness):
@@ -115,8 +115,8 @@
     harness = make_harness()
     harness.step()
     request = harness.request(KEYED)
-    got = harness.step(request)
-    assert got.index(RetainKey(request.id, 5000)) < got.index(StartRun(request.id))
+    actions = harness.step(request)
+    assert actions.index(RetainKey(request.id, 5000)) < actions.index(StartRun(request.id))
 
 
 def test_retry_of_a_running_key_is_coalesced_and_never_runs(make_harness):
@@ -148,9 +148,9 @@
 
 def test_two_attempts_of_one_key_in_one_step_run_once(make_harness):
     harness = make_harness()
-    one = harness.request(KEYED)
-    other = harness.request(KEYED)
-    harness.step(one._replace(retry_of=other.id), other._replace(retry_of=one.id))
+    first = harness.request(KEYED)
+    second = harness.request(KEYED)
+    harness.step(first._replace(retry_of=second.id), second._replace(retry_of=first.id))
     harness.tick(400)
     assert len(harness.actions_of(StartRun)) == 1
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -353,14 +353,14 @@
         other.buffer = []
 
 
-def cut_link(one, other):
+def cut_link(first, second):
     """Cut the link between two processes that both live."""
-    for process in (one, other):
+    for process in (first, second):
         process.inbox = []
         process.buffer = []
         process.ownership.on_peer_lost(peer_ended=False)
         process.other = None
-    one.ownership.on_peer_lost(peer_ended=one.ownership.role is Role.STANDALONE)
+    first.ownership.on_peer_lost(peer_ended=first.ownership.role is Role.STANDALONE)
 
 
 @pytest.mark.parametrize("block", range(4))
--- a/tests/test_trace_commands.py
+++ b/tests/test_trace_commands.py
@@ -19,12 +19,12 @@
     """Write the traces of two hosts: keyed requests are rejected at the one and served at the other."""
     rng, attempts = random.Random(1), {"a": [], "b": []}
     for number in range(count):
-        at, subject = START + number * 1000.0 + rng.uniform(0, 500), rng.randbytes(8)
+        attempted_at, subject = START + number * 1000.0 + rng.uniform(0, 500), rng.randbytes(8)
         pause = 2 + rng.expovariate(0.2)
         first, last = rng.sample("ab", 2)
-        shown_ahead = {"a": 0, "b": clock_difference + drift * (at - START)}
-        attempts[first].append((at + shown_ahead[first], subject, "refused"))
-        attempts[last].append((at + 20 + pause + shown_ahead[last], subject, "served"))
+        shown_ahead = {"a": 0, "b": clock_difference + drift * (attempted_at - START)}
+        attempts[first].append((attempted_at + shown_ahead[first], subject, "refused"))
+        attempts[last].append((attempted_at + 20 + pause + shown_ahead[last], subject, "served"))
     for host, of_host in attempts.items():
         steps = []
         for number, (now, subject, kind) in enumerate(sorted(of_host), 1):
@@ -97,22 +97,22 @@
 
 def test_a_file_cut_in_two_and_merged_is_the_same_file(tmp_path):
     path, _ = write_fleet(tmp_path)
-    first, second, out = (tmp_path / f"{number}.lptrace" for number in "123")
+    first, second, merged = (tmp_path / f"{number}.lptrace" for number in "123")
     run_trace_command("cut", path, first, "--until", "2001-09-09T01:48:00Z")
     run_trace_command("cut", path, second, "--since", "2001-09-09T01:48:00")
     assert read_steps(first)
     assert read_steps(second)
-    run_trace_command("merge", out, second, first)
-    assert [without_marks(step) for step in read_steps(out)] == read_steps(path)
-    assert summarise(out) == summarise(path)
-    output = run_trace_command("cut", path, out, "--since", "noon", exit_code=2)
+    run_trace_command("merge", merged, second, first)
+    assert [without_marks(step) for step in read_steps(merged)] == read_steps(path)
+    assert summarise(merged) == summarise(path)
+    output = run_trace_command("cut", path, merged, "--since", "noon", exit_code=2)
     assert "neither Unix ms nor a time" in output
-    output = run_trace_command("cut", path, out, "--class", "x", exit_code=2)
+    output = run_trace_command("cut", path, merged, "--class", "x", exit_code=2)
     assert "knows book, job, quote, track, not x" in output
-    run_trace_command("cut", path, out, "--outcome", "refused", "--edges", EdgePolicy.COMPLETE)
-    total = summarise(out)["whole"]
+    run_trace_command("cut", path, merged, "--outcome", "refused", "--edges", EdgePolicy.COMPLETE)
+    total = summarise(merged)["whole"]
     assert total["refused"] == total["requests"] > 0
-    assert "none that was cut" in run_trace_command("replay", out, exit_code=2)
+    assert "none that was cut" in run_trace_command("replay", merged, exit_code=2)
 
 
 def without_marks(step):
@@ -121,26 +121,26 @@
 
 def test_an_anonymised_trace_has_no_name_left_and_the_same_summary(tmp_path):
     path, _ = write_fleet(tmp_path)
-    key, out = tmp_path / "key", tmp_path / "o.lptrace"
+    key, output = tmp_path / "key", tmp_path / "o.lptrace"
     key.write_bytes(PSEUDONYM_KEY)
-    assert "none left" in run_trace_command("anonymise", path, out, "--key", key, "--boxes")
-    assert b"shop" not in out.read_bytes()
-    assert PSEUDONYM_KEY not in out.read_bytes()
-    before, after = summarise(path), summarise(out)
+    assert "none left" in run_trace_command("anonymise", path, output, "--key", key, "--boxes")
+    assert b"shop" not in output.read_bytes()
+    assert PSEUDONYM_KEY not in output.read_bytes()
+    before, after = summarise(path), summarise(output)
     assert list(after["accounts"].values()) == list(before["accounts"].values())
     assert after["accounts"] != before["accounts"]
     assert {**before, "accounts": 0} == {**after, "accounts": 0}
     key.write_bytes(b"short")
-    assert "16 to 64 bytes" in run_trace_command("anonymise", path, out, "--key", key, exit_code=2)
+    assert "16 to 64 bytes" in run_trace_command("anonymise", path, output, "--key", key, exit_code=2)
 
 
 def test_a_name_in_another_place_fails_the_anonymisation(tmp_path):
-    path, out, key = tmp_path / "x.lptrace", tmp_path / "o.lptrace", tmp_path / "key"
+    path, output, key = tmp_path / "x.lptrace", tmp_path / "o.lptrace", tmp_path / "key"
     key.write_bytes(PSEUDONYM_KEY)
-    log = Step(1.0, (), (admission.Log("a line that names shop"),))
-    files.write_trace(path, make_header(), [request_step(0, 1), log])
-    assert "shop: still stands" in run_trace_command("anonymise", path, out, "--key", key, exit_code=2)
-    assert not out.exists()
+    log_step = Step(1.0, (), (admission.Log("a line that names shop"),))
+    files.write_trace(path, make_header(), [request_step(0, 1), log_step])
+    assert "shop: still stands" in run_trace_command("anonymise", path, output, "--key", key, exit_code=2)
+    assert not output.exists()
 
 
 def test_json_lines_convert_back_to_the_same_trace(tmp_path):
--- a/tests/test_trace_recorder.py
+++ b/tests/test_trace_recorder.py
@@ -146,10 +146,10 @@
     infos = json.loads(trace_output("info", recorded.folder, "--json"))
     assert sum(info["steps"] for info in infos) == len(steps)
     first, last = steps[0].now, steps[-1].now
-    out = tmp_path / "cut.lptrace"
-    trace_output("cut", recorded.files()[0], out, "--since", first, "--until", (first + last) / 2)
-    assert 0 < len(read_blocks(out)[0]) < len(steps)
-    assert len(trace_output("cat", out).splitlines()) == len(read_blocks(out)[0])
+    output = tmp_path / "cut.lptrace"
+    trace_output("cut", recorded.files()[0], output, "--since", first, "--until", (first + last) / 2)
+    assert 0 < len(read_blocks(output)[0]) < len(steps)
+    assert len(trace_output("cat", output).splitlines()) == len(read_blocks(output)[0])
     assert "needs all files" in trace_process("replay", recorded.files()[1]).stderr
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -86,8 +86,8 @@
 
 def start(info=INFO, instance=3):
     """Return the record that starts an instance with its settings."""
-    raw = info if isinstance(info, bytes) else json.dumps(info).encode()
-    return struct.pack(">BIQI", codec.BORN, instance, 9, len(raw)) + raw
+    encoded = info if isinstance(info, bytes) else json.dumps(info).encode()
+    return struct.pack(">BIQI", codec.BORN, instance, 9, len(encoded)) + encoded
 
 
 def request(instance=3, request_id=5):
@@ -211,7 +211,7 @@
 def test_an_exception_in_the_decision_module_is_reported_as_fatal(monkeypatch, capsys):
     instances = adapter.Adapter()
     instances.answer(batch(start()))
-    monkeypatch.setattr(adapter.Controller, "step", lambda *a: 1 / 0)
+    monkeypatch.setattr(adapter.Controller, "step", lambda *_: 1 / 0)
     reply = instances.answer(batch(request(), number=2))
     assert b"ZeroDivisionError" in reply
     assert reply[12] == codec.FATAL
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -249,7 +249,7 @@
     )
     found = {}
 
-    def talk(occasion, method, act=None, **message):
+    def talk(occasion, method, respond=None, **message):
         params = {
             "trace": "0123456789abcdef",
             "born": time.time() * 1000,
@@ -268,7 +268,7 @@
         context.post = posted.append
         connection = jsonrpc_connection.Connection(context, stream)
         connection.serve()
-        act(connection, posted[0])
+        respond(connection, posted[0])
         found[occasion] = objects(stream.written)
 
     def answer(*values):
@@ -483,10 +483,10 @@
         "section inventory\n path list.yml\nend\nsection members\n enabled yes\n listen 127.0.0.1:7946\nend\n"
     )
     (folder / "list.yml").write_text("hosts:\n  hosts:\n    n3:\n")
-    raw = json.loads((SAMPLES / "host-config.json").read_text()) | {"listen": "127.0.0.1:0"}
+    config = json.loads((SAMPLES / "host-config.json").read_text()) | {"listen": "127.0.0.1:0"}
     monkeypatch.setattr(assembly, "OperatorServer", FakeOperatorServer)
     made = assembly.Host(
-        host_config.parse(json.dumps(raw).encode()),
+        host_config.parse(json.dumps(config).encode()),
         operators_settings.parse(folder / "own.conf"),
         SimpleNamespace(),
     )
