--- a/tests/test_clock_skew.py
+++ b/tests/test_clock_skew.py
@@ -74,8 +74,10 @@
     ]
 
 
-def all_right(estimates, clocks, true_ms):
-    return not unknown_clocks(estimates) and max(errors_ms(estimates, clocks, true_ms)) <= MAX_ERROR_MS
+def assert_all_right(estimates, clocks, true_ms):
+    """Check that all clocks are known and right at a true time."""
+    assert not unknown_clocks(estimates)
+    assert max(errors_ms(estimates, clocks, true_ms)) <= MAX_ERROR_MS
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -83,7 +85,7 @@
 def test_fifty_retries_give_an_offset_within_20_ms(seed, offset):
     rng = random.Random(seed)
     clocks = {"a": clock_ahead_by(0.0), "b": clock_ahead_by(offset)}
-    assert all_right(estimate_clocks(make_attempts(rng, clocks, 50), clocks), clocks, HOUR / 2)
+    assert_all_right(estimate_clocks(make_attempts(rng, clocks, 50), clocks), clocks, HOUR / 2)
 
 
 @pytest.mark.parametrize("seed", range(10))
@@ -94,8 +96,8 @@
     (other,) = (clock for host, clock in estimates.clocks.items() if host != estimates.reference)
     assert other.drift_known
     assert abs(abs(other.drift) - 0.1) < 0.01
-    assert all_right(estimates, clocks, 0.0)
-    assert all_right(estimates, clocks, HOUR)
+    assert_all_right(estimates, clocks, 0.0)
+    assert_all_right(estimates, clocks, HOUR)
 
 
 @pytest.mark.parametrize("seed", range(10))
@@ -114,7 +116,7 @@
     rng = random.Random(seed)
     clocks = {"a": clock_ahead_by(0.0), "b": clock_ahead_by(1000.0)}
     attempts = make_attempts(rng, clocks, 200, wrong_fraction=0.02)
-    assert all_right(estimate_clocks(attempts, clocks), clocks, HOUR / 2)
+    assert_all_right(estimate_clocks(attempts, clocks), clocks, HOUR / 2)
 
 
 def test_a_clock_is_unknown_without_shared_subjects_or_with_one_direction_only():
@@ -142,7 +144,7 @@
     renamed = [attempt._replace(subject=b"x" + attempt.subject) for attempt in of_b_and_c]
     estimates = estimate_clocks(of_a_and_b + renamed, clocks)
     assert estimates.reference == "b"
-    assert all_right(estimates, clocks, HOUR / 2)
+    assert_all_right(estimates, clocks, HOUR / 2)
     assert isinstance(estimate_clocks(of_a_and_b, clocks).clocks["c"], UnknownClock)
 
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -301,9 +301,8 @@
     many_callers = make_harness()
     serve_each(many_callers, callers=120)
     assert many_callers.actions_of(SetIdleTimeout)[-1].timeout_ms < 0.1 * many_callers.settings.idle_timeout_ms
-    assert (
-        len(many_callers.state.idle_timeout.last_seen) < 40
-    )  # callers of the last six seconds, however many there are
+    # Callers of the last six seconds, however many there are.
+    assert len(many_callers.state.idle_timeout.last_seen) < 40
 
 
 def test_overloaded_server_keeps_its_idle_connections(make_harness):
