--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -2,16 +2,14 @@
 
 import itertools
 import json
-import uuid
 
 from lapispick.fakes.executor import Executor
+from lapispick.fakes.messages import REJECTED_CODE, make_idempotency_key
 from lapispick.fakes.waiting import wait_until
 from lapispick.host.events import HealthCheckCompleted
 from lapispick.host.executor import ExecutorLink
 from lapispick.host.scheduler import EventLoop
 
-REJECTED = -32050
-
 
 class UnreliableExecutor(Executor):
     """Sends each notice in pieces and twice, with a remark before; breaks the link within some."""
@@ -38,7 +36,7 @@
     worker = host(executor=UnreliableExecutor())
     gateway = worker.gateway()
     for number in range(20):
-        class_name, key = ("book", uuid.uuid4().hex) if number % 2 else ("track", None)
+        class_name, key = ("book", make_idempotency_key()) if number % 2 else ("track", None)
         request_id = gateway.request(class_name, f"call:200 {number}", key)
         assert gateway.result(request_id).startswith("reply")
     assert len(worker.store.calls) == 20
@@ -63,10 +61,10 @@
 
 def test_keyed_request_that_never_ran_releases_its_key(host):
     worker = host()
-    gateway, key = worker.gateway(), uuid.uuid4().hex
-    assert gateway.error_code(gateway.request("book", "never", key)) != REJECTED
+    gateway, key = worker.gateway(), make_idempotency_key()
+    assert gateway.error_code(gateway.request("book", "never", key)) != REJECTED_CODE
     # The retry is an attempt of its own, and not answered with the first one's outcome.
-    assert gateway.error_code(gateway.request("book", "never", key, redo=1)) != REJECTED
+    assert gateway.error_code(gateway.request("book", "never", key, redo=1)) != REJECTED_CODE
     assert sum(command["verb"] == "EXEC" for command in worker.executor.commands) == 2
 
 
--- /dev/null
+++ b/tests/test_executor_races.py
@@ -0,0 +1,180 @@
+"""Races on the link to the executor; `docs/CROSSINGS.md` lists them.
+
+The process is stopped while bytes are written to it, or an emulated peer withholds a reply; nothing is left to chance.
+"""
+
+import time
+
+import pytest
+
+from lapispick.fakes.executor import Executor
+from lapispick.fakes.messages import REJECTED_CODE, make_idempotency_key
+from lapispick.fakes.start_settings import make_platform_info
+from lapispick.fakes.waiting import wait_until
+from tests.host_support import FAILED_CODE, fill_all_slots, send_with_lost_starts
+
+
+class UncooperativeExecutor(Executor):
+    """Cancels nothing: it replies that there is no such run, or does not reply."""
+
+    replies = True
+
+    def on_kill(self, connection, command):
+        if self.replies:
+            self.send(connection, verb="BAD", outcome="KILL", task=command["task"])
+
+
+@pytest.mark.parametrize("replies", [True, False])
+def test_runs_that_ignore_cancellation_release_their_slots_in_time(host, replies):
+    executor = UncooperativeExecutor()
+    executor.replies = replies
+    info = make_platform_info([{"GiveUp": 48_000.0, "Promise": 47_000.0}])
+    info["Guarantees"]["FallMultiple"] = 2.0  # keeps the number of slots small
+    worker = host(executor=executor, info=info)
+    gateway = worker.gateway()
+    lost = [gateway.request("track", "hold", patience=600) for _ in range(12)]  # as many as may run at once, and more
+    assert all(gateway.error_code(n) in (FAILED_CODE, REJECTED_CODE) for n in lost)
+    assert len(worker.executor.runs) > 1
+    began = time.monotonic()
+    gateway.sock.settimeout(40)
+    assert gateway.result(gateway.request("track", "next", patience=40_000)) == "did next"  # it waits for a slot
+    assert replies or "event=run-lost" in worker.log()
+    assert (time.monotonic() - began < 10) is replies
+
+
+@pytest.mark.parametrize("effect", ["deduplicated", "at_most_once"])
+def test_start_that_is_not_idempotent_is_never_resent(host, effect):
+    worker = host(info=make_platform_info([{}, {"Idempotency": effect}]))
+    gateway = worker.gateway()
+    read, write = send_with_lost_starts(worker, gateway)
+    worker.executor.ignores_commands = False
+    worker.executor.disconnect()
+    assert gateway.result(read) == "did again"
+    assert gateway.error_code(write) != REJECTED_CODE
+    assert not worker.executor.runs_of("once")
+
+
+def test_missed_notices_occupy_no_slot_for_good(host):
+    worker = host()
+    gateway = worker.gateway()
+    lost = fill_all_slots(
+        lambda: gateway.request("book", "hold", make_idempotency_key(), patience=1500),
+        start_count=lambda: len(worker.executor.runs),
+    )
+    worker.executor.max_resent_notices = 4
+    with worker.executor.lock:
+        worker.executor.disconnect()
+        for task, _, _ in worker.executor.runs:
+            worker.executor.end_run(task)
+        for _ in range(4):
+            worker.executor.send_notice(verb="LOG", outcome="later")
+    assert all(gateway.error_code(n) == FAILED_CODE for n in lost)
+    began = time.monotonic()
+    assert gateway.result(gateway.request("track", "next")) == "did next"
+    assert time.monotonic() - began < 5
+    assert "event=notices-missed" in worker.log()
+
+
+def test_cancel_that_crosses_the_end_of_its_run_occupies_no_slot(host):
+    worker = host()
+    gateway = worker.gateway()
+    with worker.suspended():
+        pass
+    for _ in range(12):  # more than may run at once: none keeps its slot
+        number = gateway.request("track", "hold", patience=2000)
+        worker.executor.wait_for_run("hold")
+        with worker.suspended():
+            worker.executor.end_run(worker.executor.runs[-1].task, result="in time")
+            gateway.cancel(number)
+        gateway.answer(number)
+        worker.executor.runs.clear()
+    assert gateway.result(gateway.request("track", "next")) == "did next"
+
+
+def test_commands_wait_for_the_welcome_of_a_new_link(host):
+    worker = host()
+    gateway = worker.gateway()
+    with worker.executor.lock:
+        worker.executor.is_up = False
+        worker.executor.disconnect()
+    wait_until(lambda: worker.executor.received_verbs.count("JOIN") == 2, "the new link")
+    numbers = [gateway.request("track", f"early{i}") for i in range(3)]
+    assert gateway.answer(gateway.send("probe"))["result"]["healthy"]
+    assert not worker.executor.runs
+    worker.executor.become_ready()
+    assert [gateway.result(n) for n in numbers] == [f"did early{i}" for i in range(3)]
+
+
+@pytest.mark.parametrize("relinked", [False, True])
+def test_start_sent_before_the_fence_is_answered_has_a_known_outcome(host, relinked):
+    worker = host(wait_for_ready=False, executor=(executor := Executor(is_up=False)))
+    executor.withheld_fences = []
+    wait_until(lambda: executor.connection, "the first link")
+    executor.become_ready()
+    worker.wait_for_log("ready")
+    if relinked:
+        executor.disconnect()
+    wait_until(lambda: len(executor.withheld_fences) == 1 + relinked, "the link")
+    gateway, key = worker.gateway(), make_idempotency_key()
+    first = gateway.request("book", "hold", key)
+    wait_until(lambda: executor.runs, "the run")
+    withheld, executor.withheld_fences = executor.withheld_fences, None
+    executor.on_meter(*withheld[-1])
+    gateway.cancel(first)
+    retry = gateway.request("book", "hold", key, redo=1)
+    gateway.answer(gateway.send("probe"))  # then all of this was read
+    executor.end_run(executor.runs[0].task, result="booked")
+    assert gateway.result(retry) == "booked"
+    assert len(executor.runs) == 1
+
+
+def test_link_lost_twice_before_its_fence_is_answered_loses_no_start(host):
+    worker = host()
+    gateway = worker.gateway()
+    read, write = send_with_lost_starts(worker, gateway, patience=3000)
+    sent = time.monotonic()
+    worker.executor.ignores_commands, worker.executor.withheld_fences = False, []
+    worker.executor.disconnect()
+    wait_until(lambda: worker.executor.withheld_fences, "the second link")
+    wait_until(lambda: time.monotonic() > sent + 0.8, "the time after which a start counts as read")
+    worker.executor.withheld_fences = None
+    worker.executor.disconnect()
+    assert gateway.result(read) == "did again"
+    assert gateway.error_code(write) == FAILED_CODE
+    assert not worker.executor.runs_of("once")
+
+
+FAULTY_NOTICES = [  # with the log event for each, if there is one
+    (b"not JSON", "notice-malformed"),
+    (b"[1]", "notice-malformed"),
+    (b'{"verb":7}', "notice-malformed"),
+    (b'{"verb":"EXIT","index":"x"}', "notice-malformed"),
+    (b'{"verb":"METERS","readings":["a"]}', "notice-malformed"),
+    (b'{"verb":"SING"}', "notice-unknown"),
+    (b'{"verb":"BAD","outcome":"EXEC","task":"none"}', "command-refused"),
+    (b'{"verb":"EXIT","task":"none","outcome":"complete"}', ""),
+    (b'{"verb":"CALLOUT","task":"none"}', ""),
+    (b'{"verb":"METERS","nonce":"tick","readings":[]}', ""),
+    (b'{"verb":"DIAGNOSED","nonce":"none"}', ""),
+    (b'{"verb":"WELCOME","outcome":"chilly","spent":5}', "link-up"),
+    (b"\xff\xfe", "notice-malformed"),
+    (b"", ""),
+]
+
+
+def test_faulty_notices_do_not_affect_other_requests(host):
+    worker = host()
+    gateway = worker.gateway()
+    request_id = gateway.request("book", "hold", make_idempotency_key())
+    wait_until(lambda: worker.executor.runs, "the run")
+    for line, event in FAULTY_NOTICES:
+        before = worker.log().count(f"event={event}")
+        worker.executor.connection.sendall(line + b"\n")
+        if event:
+            wait_until(
+                lambda event=event, count=before: worker.log().count(f"event={event}") > count, f"{event} for {line!r}"
+            )
+        assert gateway.result(gateway.request("track", "unaffected")) == "did unaffected"
+    worker.executor.end_run(worker.executor.runs[0].task, result="booked")
+    assert gateway.result(request_id) == "booked"
+    assert worker.log().count("event=ready") == 1
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -10,11 +10,10 @@
 
 from lapispick.fakes.executor import Executor
 from lapispick.fakes.host_pauses import measure_pauses
-from lapispick.fakes.messages import encode_base64, make_idempotency_key
+from lapispick.fakes.messages import REJECTED_CODE, encode_base64, make_idempotency_key
 from lapispick.fakes.start_settings import PLATFORM_INFO, make_start_settings
 from lapispick.fakes.waiting import wait_until
-
-REJECTED = -32050
+from tests.host_support import fill_all_slots, send_with_lost_starts
 
 
 def test_request_is_served_with_the_executors_bytes_and_backpressure(host):
@@ -49,8 +48,8 @@
     gateway = worker.gateway()
     not_called = gateway.request("book", "call:503 n", make_idempotency_key())
     perhaps_called = gateway.request("book", "call:500", make_idempotency_key())
-    assert gateway.error_code(not_called) != REJECTED  # it ran, so it is failed and not rejected
-    assert gateway.error_code(perhaps_called) != REJECTED
+    assert gateway.error_code(not_called) != REJECTED_CODE  # it ran, so it is failed and not rejected
+    assert gateway.error_code(perhaps_called) != REJECTED_CODE
     assert sum(call.body == "503 n" for call in worker.store.calls) > 1
     assert sum(call.body == "500" for call in worker.store.calls) == 1
 
@@ -111,7 +110,7 @@
     send_line(b"\n".join(lines))
     answers = [gateway.answer(request_id) for request_id in request_ids]
     assert len(worker.executor.runs_of("once")) == 1
-    assert all(answer.get("result") or answer["error"]["code"] == REJECTED for answer in answers)
+    assert all(answer.get("result") or answer["error"]["code"] == REJECTED_CODE for answer in answers)
     assert any("result" in answer for answer in answers)
 
 
@@ -134,8 +133,8 @@
 def test_failed_keyed_request_and_its_retries_fail(host):
     worker = host()
     gateway, key = worker.gateway(), make_idempotency_key()
-    assert gateway.error_code(gateway.request("book", "error", key)) != REJECTED
-    assert gateway.error_code(gateway.request("book", "error", key, redo=1)) != REJECTED
+    assert gateway.error_code(gateway.request("book", "error", key)) != REJECTED_CODE
+    assert gateway.error_code(gateway.request("book", "error", key, redo=1)) != REJECTED_CODE
     assert len(worker.executor.runs) == 1
 
 
@@ -145,7 +144,7 @@
     sent_at = time.monotonic()
     request_id = gateway.request("track", "late", born=time.time() * 1000 - 4500, patience=4520)
     data = gateway.answer(request_id)["error"]["data"]
-    assert gateway.error_code(request_id) == REJECTED
+    assert gateway.error_code(request_id) == REJECTED_CODE
     assert data["pause"] > 0
     assert data["terminal"] == 1
     assert "advice" in data
@@ -159,7 +158,7 @@
     with measure_pauses(worker) as paused_s:
         born = time.time() * 1000
         request_id = gateway.request("track", "hold", born=born, patience=600)
-        assert gateway.error_code(request_id) != REJECTED
+        assert gateway.error_code(request_id) != REJECTED_CODE
         assert time.time() * 1000 <= born + 660 + 1000 * paused_s()
     wait_until(lambda: any(command["verb"] == "KILL" for command in worker.executor.commands), "the cancellation")
 
@@ -220,7 +219,7 @@
     worker = host(executor=executor, wait_for_ready=False)
     gateway = worker.gateway()
     assert gateway.answer(gateway.send("probe"))["result"]["healthy"] is False
-    assert gateway.error_code(gateway.request("track", "early")) == REJECTED
+    assert gateway.error_code(gateway.request("track", "early")) == REJECTED_CODE
     wait_until(lambda: executor.commands, "the first message")
     executor.become_ready()
     worker.wait_for_log("ready")
@@ -248,16 +247,11 @@
 def test_start_lost_with_a_link_is_resent_for_idempotent_requests_only(host):
     worker = host()
     gateway = worker.gateway()
-    worker.executor.ignores_commands = True
-    read, write = (
-        gateway.request("track", "again"),
-        gateway.request("book", "once", make_idempotency_key(), patience=1500),
-    )
-    wait_until(lambda: worker.executor.received_verbs.count("EXEC") == 2, "both were written")
+    read, write = send_with_lost_starts(worker, gateway)
     worker.executor.ignores_commands = False
     worker.executor.disconnect()
     assert gateway.result(read) == "did again"
-    assert gateway.error_code(write) != REJECTED  # it may have run: failed, not rejected
+    assert gateway.error_code(write) != REJECTED_CODE  # it may have run: failed, not rejected
     assert not worker.executor.runs_of("once")
 
 
@@ -265,13 +259,13 @@
     worker = host()
     gateway = worker.gateway()
     worker.executor.ignores_commands = True
-    lost = []
-    for i in range(1, 9):  # as many as may ever run; one at a time, so that none is queued and rejected
-        lost.append(gateway.request("book", "never", make_idempotency_key(), patience=4500))
-        wait_until(lambda i=i: worker.executor.received_verbs.count("EXEC") == i, "the start was written")
+    lost = fill_all_slots(
+        lambda: gateway.request("book", "never", make_idempotency_key(), patience=4500),
+        start_count=lambda: worker.executor.received_verbs.count("EXEC"),
+    )
     worker.executor.ignores_commands = False
     worker.executor.disconnect()
-    assert all(gateway.error_code(n) != REJECTED for n in lost)
+    assert all(gateway.error_code(n) != REJECTED_CODE for n in lost)
     assert gateway.result(gateway.request("track", "next")) == "did next"
 
 
@@ -319,9 +313,9 @@
     assert gateway.result(done) == "booked"
     wait_until(lambda: time.monotonic() - began > 1.9, "the end of the grace")
     late = new_gateway.request("track", "late")
-    assert new_gateway.error_code(late) == REJECTED
+    assert new_gateway.error_code(late) == REJECTED_CODE
     assert not worker.executor.runs_of("late")
-    assert gateway.error_code(running) != REJECTED
+    assert gateway.error_code(running) != REJECTED_CODE
     assert worker.process.wait(5) == 0
     assert time.monotonic() - began < 3
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -16,13 +16,12 @@
 from lapispick.cli.main import cli
 from lapispick.cli.ops import NoAnswerError, parse_metrics
 from lapispick.fakes.executor import Executor
+from lapispick.fakes.messages import REJECTED_CODE, make_idempotency_key
 from lapispick.fakes.start_settings import PLATFORM_INFO, make_start_settings
 from lapispick.fakes.waiting import wait_until
 from lapispick.host import config
 from lapispick.host.health import HealthState
 
-REJECTED_CODE = -32050
-
 
 def test_each_call_is_answered_and_anything_else_is_an_error(host):
     worker = host()
@@ -288,7 +287,7 @@
     """Senders may be delayed between ``born`` and a request's last byte; a rollout must not undo a change for that."""
     worker = host(environ=extended_metrics_environ(tmp_path))
     gateway = worker.gateway()
-    for class_name, params in (("track", {"patience": 500}), ("book", {"nonce": uuid.uuid4().hex})):
+    for class_name, params in (("track", {"patience": 500}), ("book", {"nonce": make_idempotency_key()})):
         number = gateway.request(class_name, "late", born=time.time() * 1000 - 900, **{"patience": 300, **params})
         assert gateway.error_code(number) == REJECTED_CODE
     assert worker.metrics()["broken"] == 0
@@ -304,9 +303,27 @@
     worker = host(environ=extended_metrics_environ(tmp_path), info=info)
     gateway = worker.gateway()
     number = gateway.request("track", "hold", patience=300 if sends_deadline else None)
-    wait_until(lambda: worker.executor.runs_of("hold"), "the run")
+    worker.executor.wait_for_run("hold")
     with worker.suspended():
         late = time.monotonic() + 0.5
         wait_until(lambda: time.monotonic() > late, "its deadline and the slack")
     assert gateway.answer(number)["error"]["code"] != REJECTED_CODE
     assert worker.metrics()["broken"] == 1
+
+
+def test_registry_learns_the_last_state_after_a_drain_that_ends_at_once(host):
+    worker = host()
+    wait_until(lambda: worker.registry.reports, "the first report")
+    with worker.suspended():
+        calls = []
+        for command in (b"drain-on\n", b"drain-off\n"):
+            name, port = worker.ops.split(":")
+            calls.append(socket.create_connection((name, int(port)), timeout=15))
+            calls[-1].sendall(command)
+    for call in calls:
+        assert call.makefile("rb").read() == b"OK\n"
+        call.close()
+    report_count = len(worker.registry.reports)
+    wait_until(lambda: len(worker.registry.reports) > report_count + 12, "reports of three periods")
+    assert {text for _, text in worker.registry.reports[-3:]} == {"HERE n3 on"}
+    assert "event=drain-off" in worker.log()
