--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -219,6 +219,16 @@
     assert host.idempotency.table.result_bytes == 200
 
 
+def assert_ended_without_a_run(host):
+    """Check that a request left nothing behind, and that the decision module learned no run time from it."""
+    assert not host.peers.executor.runs
+    assert not len(host.requests)
+    assert host.module.controller.events[-2:] == [
+        admission.ClientCancelled(1),
+        admission.RunCompleted(1, admission.Outcome.CANCELLED, 0.0),
+    ]
+
+
 def test_an_attempt_cancelled_while_its_claim_waits_is_not_started_and_releases_its_key(make_core):
     loop, host = make_core(start_keyed)
     answers = []
@@ -233,14 +243,9 @@
     )
     loop.run()
     assert [type(message) for message in link.sent] == [messages.ClaimRequest, messages.KeyReleased]
-    assert not host.peers.executor.runs
     assert not answers
     assert not len(host.idempotency.table)
-    assert not len(host.requests)
-    assert host.module.controller.events[-2:] == [
-        admission.ClientCancelled(1),
-        admission.RunCompleted(1, admission.Outcome.CANCELLED, 0.0),
-    ]
+    assert_ended_without_a_run(host)
 
 
 def test_an_attempt_denied_by_the_other_process_gets_its_result_and_no_run_time_is_learned(make_core):
@@ -257,12 +262,7 @@
         loop.call_later(after, host.post, events.PeerMessage(link, message))
     loop.run()
     assert answers == [("a", AnswerKind.SERVED)]
-    assert not host.peers.executor.runs
-    assert not len(host.requests)
-    assert host.module.controller.events[-2:] == [
-        admission.ClientCancelled(1),
-        admission.RunCompleted(1, admission.Outcome.CANCELLED, 0.0),
-    ]
+    assert_ended_without_a_run(host)
 
 
 def test_messages_of_a_link_that_has_ended_are_ignored(make_core):
