--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -11,6 +11,7 @@
 
 from lapispick.conf import parser, settings, value_types
 from lapispick.conf.sections import AmqpSettings
+from lapispick.fakes.start_settings import PLATFORM_INFO
 from lapispick.file_errors import InvalidFileError
 
 
@@ -165,3 +166,34 @@
     assert "level=info event=inventory-accepted" in result.stderr
     assert "hosts=3" in result.stderr
     assert run_lapispick("inventory", "history").returncode == 3
+
+
+def test_a_faulty_settings_file_ends_the_start_and_every_fault_is_logged(tmp_path):
+    conf = tmp_path / "own.conf"
+    config = tmp_path / "config.json"
+    conf.write_text("section amqp\n  enable yes\n  drain 5x\nend\n")
+    config.write_text(
+        json.dumps(
+            {
+                "name": "n",
+                "listen": "127.0.0.1:0",
+                "executor": "127.0.0.1:1",
+                "roster": "127.0.0.1:1",
+                "store": "127.0.0.1:1",
+                "seed": "1",
+                "stop_ms": 9,
+                "settings": PLATFORM_INFO,
+            }
+        )
+    )
+    process = subprocess.run(
+        [sys.executable, "-m", "lapispick.host"],
+        capture_output=True,
+        text=True,
+        timeout=20,
+        env={**os.environ, "LAPISPICK_CONF": str(conf), "LB_CONFIG": str(config)},
+    )
+    assert process.returncode == 2
+    assert process.stderr.count("event=config-faulty") == 2
+    assert "own.conf:2: enable: unknown in section amqp; did you mean enabled?" in process.stderr
+    assert "own.conf:3: drain: '5x' is not a span such as 5s; units are ms, s, m, h, d" in process.stderr
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -86,6 +86,22 @@
     assert not {"numpy", "google.protobuf", "zstandard"} & names
 
 
+OFF_WITHOUT_INVENTORY = re.compile(
+    r"lapispick\.(fleet|cli|fakes|trace|conf\.legacy|host\.(amqp|inventory|dns_resolver|names|recorder))"
+    r"|immutables|idna|yaml|click|structlog|rich|google|zstandard|google_crc32c|difflib|subprocess|tomllib"
+)
+
+
+def test_a_host_without_inventory_imports_nothing_of_it(host):
+    worker = host(environ={"PYTHONPROFILEIMPORTTIME": "1"})
+    gateway = worker.gateway()
+    assert gateway.result(gateway.request("track", "x")) == "did x"
+    names = imported_modules(worker)
+    assert "lapispick.conf.settings" in names
+    assert "lapispick.host.core" in names
+    assert not [name for name in names if OFF_WITHOUT_INVENTORY.match(name)]
+
+
 MAX_IMPORT_MEMORY_RATIO = 2.2  # to bare Python's; hosts get 32 MB and more, part of it for results and unread bytes
 PRINT_RESIDENT_PAGES = "print(int(open('/proc/self/statm').read().split()[1]))"
 
