--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -76,10 +76,10 @@
     return make
 
 
-def make_request(tag, answers, class_index=0, key=None):
+def make_request(request_id, answers, class_index=0, key=None):
     """Return a request that adds its tag and the kind of each answer to ``answers``."""
     return Request(
-        request_id=tag,
+        request_id=request_id,
         class_name="any",
         class_index=class_index,
         body="",
@@ -89,7 +89,7 @@
         rank=0.5,
         caller=1,
         idempotency_key=key,
-        reply=lambda answer: answers.append((tag, answer.kind)),
+        reply=lambda answer: answers.append((request_id, answer.kind)),
     )
 
 
@@ -150,8 +150,8 @@
 def test_a_second_run_of_a_key_is_never_started_whatever_is_decided(make_core):
     loop, host = make_core(start_keyed)
     answers = []
-    for tag in ("a", "b"):
-        host.post(events.RequestArrived(make_request(tag, answers, class_index=1, key="k")))
+    for request_id in ("a", "b"):
+        host.post(events.RequestArrived(make_request(request_id, answers, class_index=1, key="k")))
     loop.run()
     assert host.peers.executor.runs == ["a"]
     assert answers == [("b", AnswerKind.FAILED)]
@@ -219,6 +219,16 @@
     assert host.idempotency.table.result_bytes == 200
 
 
+def assert_ended_without_a_run(host):
+    """Check that a request left nothing behind, and that the decision module learned no run time from it."""
+    assert not host.peers.executor.runs
+    assert not len(host.requests)
+    assert host.module.controller.events[-2:] == [
+        admission.ClientCancelled(1),
+        admission.RunCompleted(1, admission.Outcome.CANCELLED, 0.0),
+    ]
+
+
 def test_an_attempt_cancelled_while_its_claim_waits_is_not_started_and_releases_its_key(make_core):
     loop, host = make_core(start_keyed)
     answers = []
@@ -233,14 +243,9 @@
     )
     loop.run()
     assert [type(message) for message in link.sent] == [messages.ClaimRequest, messages.KeyReleased]
-    assert not host.peers.executor.runs
     assert not answers
     assert not len(host.idempotency.table)
-    assert not len(host.requests)
-    assert host.module.controller.events[-2:] == [
-        admission.ClientCancelled(1),
-        admission.RunCompleted(1, admission.Outcome.CANCELLED, 0.0),
-    ]
+    assert_ended_without_a_run(host)
 
 
 def test_an_attempt_denied_by_the_other_process_gets_its_result_and_no_run_time_is_learned(make_core):
@@ -257,12 +262,7 @@
         loop.call_later(after, host.post, events.PeerMessage(link, message))
     loop.run()
     assert answers == [("a", AnswerKind.SERVED)]
-    assert not host.peers.executor.runs
-    assert not len(host.requests)
-    assert host.module.controller.events[-2:] == [
-        admission.ClientCancelled(1),
-        admission.RunCompleted(1, admission.Outcome.CANCELLED, 0.0),
-    ]
+    assert_ended_without_a_run(host)
 
 
 def test_messages_of_a_link_that_has_ended_are_ignored(make_core):
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -6,11 +6,11 @@
 import subprocess
 import sys
 import sysconfig
-import uuid
 
 import pytest
 
 from lapispick.fakes.fleet import ROOT
+from lapispick.fakes.messages import make_idempotency_key
 
 OFF_BY_DEFAULT = (
     "lapispick.trace",
@@ -46,8 +46,8 @@
 )
 
 
-def imported_modules(h):
-    return set(re.findall(r"^import time:[\s\d|]*?([\w.]+)$", h.log(), re.MULTILINE))
+def imported_modules(worker):
+    return set(re.findall(r"^import time:[\s\d|]*?([\w.]+)$", worker.log(), re.MULTILINE))
 
 
 def modules_that_are_off(names):
@@ -56,16 +56,16 @@
 
 
 def test_run_imports_nothing_that_is_off(host):
-    h = host(environ={"PYTHONPROFILEIMPORTTIME": "1"})
-    g = h.gateway()
-    assert g.result(g.request("track", "call:200")) == "reply 1"
-    assert g.result(g.request("book", "x", uuid.uuid4().hex)) == "did x"
+    worker = host(environ={"PYTHONPROFILEIMPORTTIME": "1"})
+    gateway = worker.gateway()
+    assert gateway.result(gateway.request("track", "call:200")) == "reply 1"
+    assert gateway.result(gateway.request("book", "x", make_idempotency_key())) == "did x"
     for line in (b"check", b"vars", b"drain-on", b"drain-off"):
-        h.call_operators(line)
-    h.reload()
-    h.terminate()
-    assert h.process.wait(6) == 0
-    names = imported_modules(h)
+        worker.call_operators(line)
+    worker.reload()
+    worker.terminate()
+    assert worker.process.wait(6) == 0
+    names = imported_modules(worker)
     assert {"lapispick.host.core", "lapispick.admission.controller", "greenlet"} <= names
     assert modules_that_are_off(names) == []
 
@@ -79,13 +79,29 @@
 )
 def test_the_check_sees_the_import_of_what_is_on(host, tmp_path, conf, module):
     (tmp_path / "own.conf").write_text(conf)
-    h = host(environ={"PYTHONPROFILEIMPORTTIME": "1", "LAPISPICK_CONF": str(tmp_path / "own.conf")})
-    names = imported_modules(h)
+    worker = host(environ={"PYTHONPROFILEIMPORTTIME": "1", "LAPISPICK_CONF": str(tmp_path / "own.conf")})
+    names = imported_modules(worker)
     assert module in modules_that_are_off(names)
     # The host's process needs only the types of trace records; the rest belongs to the writer's process.
     assert not {"numpy", "google.protobuf", "zstandard"} & names
 
 
+OFF_WITHOUT_INVENTORY = re.compile(
+    r"lapispick\.(fleet|cli|fakes|trace|conf\.legacy|host\.(amqp|inventory|dns_resolver|names|recorder))"
+    r"|immutables|idna|yaml|click|structlog|rich|google|zstandard|google_crc32c|difflib|subprocess|tomllib"
+)
+
+
+def test_a_host_without_inventory_imports_nothing_of_it(host):
+    worker = host(environ={"PYTHONPROFILEIMPORTTIME": "1"})
+    gateway = worker.gateway()
+    assert gateway.result(gateway.request("track", "x")) == "did x"
+    names = imported_modules(worker)
+    assert "lapispick.conf.settings" in names
+    assert "lapispick.host.core" in names
+    assert not [name for name in names if OFF_WITHOUT_INVENTORY.match(name)]
+
+
 MAX_IMPORT_MEMORY_RATIO = 2.2  # to bare Python's; hosts get 32 MB and more, part of it for results and unread bytes
 PRINT_RESIDENT_PAGES = "print(int(open('/proc/self/statm').read().split()[1]))"
 
--- a/tests/test_trace_recorder.py
+++ b/tests/test_trace_recorder.py
@@ -9,11 +9,11 @@
 import subprocess
 import sys
 import time
-import uuid
 from pathlib import Path
 
 from lapispick import admission
 from lapispick.conf.sections import TraceSettings
+from lapispick.fakes.messages import make_idempotency_key
 from lapispick.fakes.waiting import wait_until
 from lapispick.host.recorder import Recorder
 from lapispick.trace import layout
@@ -50,7 +50,7 @@
         keyed = self.request_count % 3 == 0
         body = "call:200" if self.request_count % 2 else "x"
         self.request_count += 1
-        return self.gateway.request("book" if keyed else "track", body, uuid.uuid4().hex if keyed else None)
+        return self.gateway.request("book" if keyed else "track", body, make_idempotency_key() if keyed else None)
 
     def files(self, suffix=".lptrace"):
         return sorted(self.folder.glob(f"*{suffix}")) if self.folder.exists() else []
@@ -146,10 +146,10 @@
     infos = json.loads(trace_output("info", recorded.folder, "--json"))
     assert sum(info["steps"] for info in infos) == len(steps)
     first, last = steps[0].now, steps[-1].now
-    out = tmp_path / "cut.lptrace"
-    trace_output("cut", recorded.files()[0], out, "--since", first, "--until", (first + last) / 2)
-    assert 0 < len(read_blocks(out)[0]) < len(steps)
-    assert len(trace_output("cat", out).splitlines()) == len(read_blocks(out)[0])
+    output = tmp_path / "cut.lptrace"
+    trace_output("cut", recorded.files()[0], output, "--since", first, "--until", (first + last) / 2)
+    assert 0 < len(read_blocks(output)[0]) < len(steps)
+    assert len(trace_output("cat", output).splitlines()) == len(read_blocks(output)[0])
     assert "needs all files" in trace_process("replay", recorded.files()[1]).stderr
 
 
