--- a/benchmarks/parity_adapters.py
+++ b/benchmarks/parity_adapters.py
@@ -223,53 +223,66 @@
         self.hosts[name] = host
 
 
-@contextmanager
-def recorded_rollout(record: Record, conditions: RolloutConditions) -> Iterator[None]:
-    """Record the decisions of agents, controller and analysis while this is open; generations are restored after."""
-    decide_host = host_step.decide
-    handle_call = host_calls.handle_call
-    decide_rollout = rollout_step.decide
-    decide_verdict = CanaryAnalysis.verdict
-
-    def agent_step(state: HostState, now: float, observation: Observation, timeouts: Timeouts) -> Any:
-        observation = _observed(observation, conditions.agent_view(state.host))
-        decision = decide_host(state, now, observation, Timeouts(rollback_lease_wait_s=LEASE_WAIT_S))
-        record(f"agent {decision.state.phase}", encode_json([now, decision.state]))
+class RolloutDecisions:
+    """The decisions of agents, controller and analysis, each recorded as it is made."""
+
+    def __init__(self, record: Record, conditions: RolloutConditions) -> None:
+        self._record = record
+        self._conditions = conditions
+        self._decide_host = host_step.decide
+        self._handle_call = host_calls.handle_call
+        self._decide_rollout = rollout_step.decide
+        self._decide_verdict = CanaryAnalysis.verdict
+
+    def step_agent(self, state: HostState, now: float, observation: Observation, timeouts: Timeouts) -> Any:
+        """Let an agent decide under the scenario's conditions."""
+        observation = _observed(observation, self._conditions.agent_view(state.host))
+        decision = self._decide_host(state, now, observation, Timeouts(rollback_lease_wait_s=LEASE_WAIT_S))
+        self._record(f"agent {decision.state.phase}", encode_json([now, decision.state]))
         for action in decision.actions:
-            record(f"agent orders {AGENT_ACTIONS[type(action)]}", encode_json(action))
+            self._record(f"agent orders {AGENT_ACTIONS[type(action)]}", encode_json(action))
         return decision
 
-    def agent_call(state: HostState, call: rollout_messages.Call, now: float, observation: Observation) -> Any:
+    def call_agent(self, state: HostState, call: rollout_messages.Call, now: float, observation: Observation) -> Any:
+        """Let an agent handle a call as it arrives on the wire, and report its status."""
         line = rollout_messages.encode_call(call)
-        result = handle_call(state, rollout_messages.decode_call(line), now, observation)
-        record("call", encode_json([now, line, [result.answer], result.state]))
-        for each in rollout_messages.encode_status(host_calls.status_of(result.state, now, observation)):
-            record("status", each.encode())
+        result = self._handle_call(state, rollout_messages.decode_call(line), now, observation)
+        self._record("call", encode_json([now, line, [result.answer], result.state]))
+        for status_line in rollout_messages.encode_status(host_calls.status_of(result.state, now, observation)):
+            self._record("status", status_line.encode())
         return result
 
-    def controller_step(state: RolloutState, fence: Any, observations: Observations) -> Any:
+    def step_controller(self, state: RolloutState, fence: Any, observations: Observations) -> Any:
+        """Let the controller decide under the scenario's conditions."""
         now = observations.now
         reports = {
-            name: _with_metrics(report, *conditions.memory_and_broken_rules(name))
+            name: _with_metrics(report, *self._conditions.memory_and_broken_rules(name))
             for name, report in observations.reports.items()
         }
-        closed_reason = conditions.may_begin(now)
-        decision = decide_rollout(state, fence, observations._replace(reports=reports, closed_reason=closed_reason))
-        record(f"course {decision.state.phase}", encode_json([now, decision.state]))
-        record("deviations", encode_json(deviations(decision.state, reports)))
+        closed_reason = self._conditions.may_begin(now)
+        observations = observations._replace(reports=reports, closed_reason=closed_reason)
+        decision = self._decide_rollout(state, fence, observations)
+        self._record(f"course {decision.state.phase}", encode_json([now, decision.state]))
+        self._record("deviations", encode_json(deviations(decision.state, reports)))
         return decision
 
-    def verdict(analysis: CanaryAnalysis) -> CanaryVerdict:
-        found = decide_verdict(analysis)
-        record(f"verdict {found.outcome.value}", encode_json([found.outcome.value, found.reason, found.results]))
+    def find_verdict(self, analysis: CanaryAnalysis) -> CanaryVerdict:
+        """Let the analysis decide."""
+        found = self._decide_verdict(analysis)
+        self._record(f"verdict {found.outcome.value}", encode_json([found.outcome.value, found.reason, found.results]))
         return found
 
+
+@contextmanager
+def recorded_rollout(record: Record, conditions: RolloutConditions) -> Iterator[None]:
+    """Record the decisions of agents, controller and analysis while this is open; generations are restored after."""
+    decisions = RolloutDecisions(record, conditions)
     with (
         mock.patch.dict(GENERATIONS),
-        mock.patch.object(host_step, "decide", agent_step),
-        mock.patch.object(host_calls, "handle_call", agent_call),
-        mock.patch.object(rollout_step, "decide", controller_step),
-        mock.patch.object(CanaryAnalysis, "verdict", verdict),
+        mock.patch.object(host_step, "decide", decisions.step_agent),
+        mock.patch.object(host_calls, "handle_call", decisions.call_agent),
+        mock.patch.object(rollout_step, "decide", decisions.step_controller),
+        mock.patch.object(CanaryAnalysis, "verdict", lambda analysis: decisions.find_verdict(analysis)),
     ):
         yield
 
