--- a/benchmarks/parity_adapters.py
+++ b/benchmarks/parity_adapters.py
@@ -1,7 +1,8 @@
 """The adapters between ``benchmarks/state_parity.py`` and the project: all uses of project names stand in this file.
 
 A change of the project's names is followed here and nowhere else in the parity tools. What the adapters hand out is
-stable: encoded messages and records as bytes, times as floats, verdicts and states by their values.
+stable: encoded messages and records as bytes, times as floats, verdicts and states by their values. The kinds of frames
+are hashed too, so they keep the names that they had at first.
 """
 
 from __future__ import annotations
@@ -70,20 +71,12 @@
         for at, observer, change in self.changes[recorded:]:
             self._record("membership", encode_json([at, observer, *change]))
 
-    def awake(self, name: str) -> bool:
-        """Tell whether a member is neither dead nor paused."""
-        return self.is_running(name)
-
-    def poke(self, name: str) -> None:
-        """Let a member do at once what is due."""
-        self.tick_now(name)
-
     def request_lease(self, name: str, lease: str, owner: str, priority: int) -> int:
         """Let an owner request a lease; return its fencing token, 0 while it waits."""
         status = self.members[name].leases.request(self.clock(name), lease, owner, priority)
         return 0 if status is None else status.fencing_token
 
-    def give_back(self, name: str, lease: str, owner: str) -> None:
+    def release_lease(self, name: str, lease: str, owner: str) -> None:
         """Let an owner release its lease."""
         self.send(name, self.members[name].leases.release(self.clock(name), lease, owner))
 
@@ -91,21 +84,21 @@
         """Let a member publish a fact."""
         self.members[name].publish_fact(self.clock(name), kind, subject, value, count, "text")
 
-    def change_list(self, name: str, names: list[str], digest: str) -> None:
+    def change_configuration(self, name: str, names: list[str], digest: str) -> None:
         """Let a member accept another list of members."""
         self.members[name].set_configuration(names, digest, self.clock(name))
 
-    def exchange_views(self, one: str, other: str) -> None:
+    def exchange_states(self, first: str, second: str) -> None:
         """Let two members exchange their complete states, as over a stream."""
-        self._send_state(one, other, is_reply=False)
-        self._send_state(other, one, is_reply=True)
+        self._send_state(first, second, is_reply=False)
+        self._send_state(second, first, is_reply=True)
 
     def _send_state(self, sender: str, receiver: str, is_reply: bool) -> None:
         line = member_messages.encode(self.members[sender].state_sync(self.clock(sender), is_reply))
         self._record("view", line)
         self.members[receiver].merge_state(self.clock(receiver), member_messages.decode(line))
 
-    def record_views(self) -> None:
+    def record_states(self) -> None:
         """Record the complete state and the leases of every member."""
         for name in self.names:
             now = self.clock(name)
@@ -129,14 +122,13 @@
     host_actions.Terminate: "term",
     host_actions.Kill: "kill",
 }
-PLAN_NAMES = {"hold": "hold_after_stages", "controls": "use_controls"}
 
 
 class AgentView(NamedTuple):
-    """What an agent sees beside its processes: the machine's boot, whether a process is silent, a lease to change."""
+    """What an agent observes: the machine's boot, whether its processes respond, and if it has a lease to change."""
 
-    boot: str = "1"
-    silent: bool = False
+    boot_id: str = "1"
+    unresponsive: bool = False
     has_lease: bool = False
 
 
@@ -146,20 +138,16 @@
     def memory_and_broken_rules(self, name: str) -> tuple[int, int]:
         """Return the memory in KB and the broken rules of a host."""
 
-    def may_begin(self, now: float) -> str:
+    def closed_reason(self, now: float) -> str:
         """Return why no stage may begin at a time; empty where one may."""
 
     def agent_view(self, name: str) -> AgentView:
-        """Return what the agent of a host sees."""
+        """Return what the agent of a host observes."""
 
 
 class RolloutFleet(rollout_model.SimulatedFleet):
     """A fleet in simulated time, of which faults can be ordered by stable names."""
 
-    def __init__(self, seed: int, size: int, plan: dict[str, Any], **options: Any) -> None:
-        plan = {PLAN_NAMES.get(name, name): value for name, value in plan.items()}
-        super().__init__(seed, size, plan, **options)
-
     @property
     def names(self) -> list[str]:
         """Return the hosts on the list."""
@@ -176,11 +164,11 @@
         return self.rollout.phase in (Phase.AWAITING_DECISION, Phase.HELD)
 
     @property
-    def is_returning(self) -> bool:
+    def is_rolling_back(self) -> bool:
         """Tell whether the rollout is being rolled back."""
         return self.rollout.phase == Phase.ROLLING_BACK
 
-    def order(self, text: str) -> None:
+    def give_order(self, text: str) -> None:
         """Give an operator's order: ``go``, ``hold`` or ``back``."""
         self.rollout.order = text
 
@@ -193,7 +181,7 @@
         formats = rollout_model.FORMATS
         GENERATIONS[OLD_GENERATION] = Generation(OLD_GENERATION, OLD_GENERATION, "", {}, formats)
 
-    def differ_in_place(self) -> None:
+    def make_change_reloadable(self) -> None:
         """Let the new generation differ from the old one only in what a reload applies."""
         formats = rollout_model.FORMATS
         GENERATIONS[NEW_GENERATION] = Generation(NEW_GENERATION, OLD_GENERATION, "", {"stop_ms": 5000}, formats)
@@ -202,23 +190,23 @@
         """Let all processes of a host end."""
         self.hosts[name].processes.clear()
 
-    def never_serves(self, name: str) -> None:
+    def fail_new_generation(self, name: str) -> None:
         """Let the new generation never accept clients at a host."""
         self.hosts[name].failing_generations.add(NEW_GENERATION)
 
-    def set_reached(self, name: str, reached: bool) -> None:
+    def set_reachable(self, name: str, reachable: bool) -> None:
         """Let a host's agent be reachable or not."""
-        self.hosts[name].reachable = reached
+        self.hosts[name].reachable = reachable
 
-    def set_agent(self, name: str, running: bool) -> None:
+    def set_agent_running(self, name: str, running: bool) -> None:
         """Let a host's agent run or not."""
         self.hosts[name].agent_up = running
 
-    def strike_off(self, name: str) -> Any:
-        """Take a host off the list; return it, for ``put_back``."""
+    def remove_host(self, name: str) -> Any:
+        """Remove a host from the list; return it, for ``restore_host``."""
         return self.hosts.pop(name)
 
-    def put_back(self, name: str, host: Any) -> None:
+    def restore_host(self, name: str, host: Any) -> None:
         """Put a host on the list again."""
         self.hosts[name] = host
 
@@ -259,7 +247,7 @@
             name: _with_metrics(report, *self._conditions.memory_and_broken_rules(name))
             for name, report in observations.reports.items()
         }
-        closed_reason = self._conditions.may_begin(now)
+        closed_reason = self._conditions.closed_reason(now)
         observations = observations._replace(reports=reports, closed_reason=closed_reason)
         decision = self._decide_rollout(state, fence, observations)
         self._record(f"course {decision.state.phase}", encode_json([now, decision.state]))
@@ -288,8 +276,8 @@
 
 
 def _observed(observation: Observation, view: AgentView) -> Observation:
-    unresponsive = observation.accepting if view.silent else frozenset()
-    return observation._replace(boot_id=view.boot, unresponsive=unresponsive, has_lease=view.has_lease)
+    unresponsive = observation.accepting if view.unresponsive else frozenset()
+    return observation._replace(boot_id=view.boot_id, unresponsive=unresponsive, has_lease=view.has_lease)
 
 
 def _with_metrics(report: HostReport, memory_kb: int, broken: int) -> HostReport:
@@ -317,55 +305,62 @@
         self.name, self._record = name, record
         self.outbox: list[bytes] = []
         self.is_behind = False
-        self.running: list[tuple[int, tuple[str, ...]]] = []  # tries that run here, with their keys
+        self.running: list[tuple[int, tuple[str, ...]]] = []  # attempts that run here, with their keys
         self._table = IdempotencyTable(max_result_bytes)
         self._ownership = KeyOwnership(self._table, window_ms)
         self._ownership.send = self._send
         self._ownership.has_unsent = lambda: self.is_behind
-        self._ownership.on_verdict = self._settle
-        self._ownership.on_completed = self._ended
+        self._ownership.on_verdict = self._on_verdict
+        self._ownership.on_completed = self._on_completed
         self._attempts: dict[int, tuple[str, ...]] = {}
 
-    def _note(self, what: str, *values: object) -> None:
-        self._record(what, encode_json([self.name, *values]))
+    def _record_values(self, kind: str, *values: object) -> None:
+        self._record(kind, encode_json([self.name, *values]))
 
     def _send(self, message: messages.Message) -> None:
         line = messages.encode(message)
         self._record(f"message {message_kind(line)}", self.name.encode() + b" " + line)
         self.outbox.append(line)
 
-    def _settle(self, number: int, verdict: Verdict) -> None:
-        self._note(f"settled {VERDICTS[verdict]}", number)
-        self._follow(number, verdict)
+    def _on_verdict(self, number: int, verdict: Verdict) -> None:
+        self._record_values(f"settled {VERDICTS[verdict]}", number)
+        self._carry_out(number, verdict)
 
-    def _ended(self, waiter: int, result: str | None) -> None:
-        self._note("joined ended", waiter, result)
+    def _on_completed(self, waiter: int, result: str | None) -> None:
+        self._record_values("joined ended", waiter, result)
 
-    def _follow(self, number: int, verdict: Verdict) -> None:
+    def _carry_out(self, number: int, verdict: Verdict) -> None:
         name = self._attempts[number]
         if verdict is Verdict.RUN:
             self.running.append((number, name))
         elif verdict is Verdict.COALESCE:
-            self._join(number, name)
+            self._coalesce(number, name)
 
-    def _join(self, number: int, name: tuple[str, ...]) -> None:
+    def _coalesce(self, number: int, name: tuple[str, ...]) -> None:
         key = self._table.get(name)
         if key is None or key.completed:
-            self._note("result", number, None if key is None else key.result)
+            self._record_values("result", number, None if key is None else key.result)
         else:
             key.waiters.append(number)
 
     def arrive(
-        self, number: int, name: tuple[str, ...], born: float, until: float, what: int, is_retry: bool, now: float
+        self,
+        number: int,
+        name: tuple[str, ...],
+        born_at: float,
+        expires_at: float,
+        digest: int,
+        is_retry: bool,
+        now: float,
     ) -> None:
-        """Take one try of a key, as the host does when the decision module wants to run it."""
+        """Take one attempt of a key, as the host does when the decision module wants to run it."""
         self._attempts[number] = name
-        key = self._table.find(name, born)
+        key = self._table.find(name, born_at)
         if key is None or not key.executed_attempt:
-            key = self._table.retain(name, number, born, until, what)
-        verdict = self._ownership.claim(number, key, born, until, is_retry, now)
-        self._note(f"verdict {VERDICTS[verdict]}", number)
-        self._follow(number, verdict)
+            key = self._table.retain(name, number, born_at, expires_at, digest)
+        verdict = self._ownership.claim(number, key, born_at, expires_at, is_retry, now)
+        self._record_values(f"verdict {VERDICTS[verdict]}", number)
+        self._carry_out(number, verdict)
 
     def end_run(self, index: int, result: str | None, ran: bool) -> None:
         """End a run with its result, or take it back where it did not run."""
@@ -378,53 +373,56 @@
         else:
             self._ownership.release(key)
 
-    def take(self, line: bytes) -> None:
-        """Take a message of the other process."""
+    def receive(self, line: bytes) -> None:
+        """Take in a message of the other process."""
         self._ownership.receive(messages.decode(line))
 
-    def flushed(self) -> None:
-        """Note that all messages have left."""
+    def on_flushed(self) -> None:
+        """Take note that all messages were sent."""
         self._ownership.on_flushed()
 
     def expire(self, now: float) -> None:
-        """End waits and keys that lasted too long."""
-        self._note("expired", self._ownership.expire_claims(now))
+        """End claims and records that lasted too long."""
+        self._record_values("expired", self._ownership.expire_claims(now))
         for key in self._table.expired(now):
             self._table.remove(key)
 
-    def link(self, owner: bool) -> None:
-        """Begin to share; the owner tells what it knows."""
+    def connect(self, owner: bool) -> None:
+        """Begin to share keys; the owner sends a snapshot of its own."""
         self._ownership.on_peer_connected(Role.OWNER if owner else Role.FOLLOWER)
         if owner:
             for message in self._ownership.snapshot([key.key for key in self._table]):
                 self._send(message)
 
-    def lose_link(self, alone: bool, ended: float) -> None:
+    def disconnect(self, peer_ended: bool, ended_at: float) -> None:
         """Go on without the other process."""
-        self._ownership.on_peer_lost(alone, ended)
+        self._ownership.on_peer_lost(peer_ended, ended_at)
 
     def limit_results(self, max_result_bytes: int) -> None:
-        """Set how many bytes of results are kept."""
+        """Set how many bytes of results are retained."""
         self._table.max_result_bytes = max_result_bytes
         self._table.trim()
 
     def record_table(self) -> None:
-        """Record all that is known of the keys."""
-        self._note(
-            "table", ROLES[self._ownership.role], self._table.result_bytes, [_key_row(key) for key in self._table]
+        """Record the role and all idempotency records."""
+        self._record_values(
+            "table",
+            ROLES[self._ownership.role],
+            self._table.result_bytes,
+            [_table_row(record) for record in self._table],
         )
 
 
-def _key_row(key: IdempotencyRecord) -> list[object]:
+def _table_row(record: IdempotencyRecord) -> list[object]:
     return [
-        key.key,
-        key.owner_attempt,
-        key.expires_at_ms,
-        key.request_digest,
-        key.executed_attempt,
-        key.completed,
-        key.result,
-        key.waiters,
+        record.key,
+        record.owner_attempt,
+        record.expires_at_ms,
+        record.request_digest,
+        record.executed_attempt,
+        record.completed,
+        record.result,
+        record.waiters,
     ]
 
 
@@ -445,7 +443,7 @@
         return list(self._known)
 
     def arrive(self, name: str, body: bytes, born: float, window: float, now: float) -> None:
-        """Take one try: its verdict, and the intent where it may run."""
+        """Take one attempt: record its verdict, and store the intent where it may run."""
         known = self._known.get(name)
         verdict = durable.decide(known, body, now)
         self._record(f"durable {VERDICTS[verdict]}", name.encode())
--- a/benchmarks/state_parity.py
+++ b/benchmarks/state_parity.py
@@ -15,7 +15,7 @@
 import random
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import click
 
@@ -36,6 +36,7 @@
 LOSSES = (0.0, 0.05, 0.2)
 ROLLOUT_SEEDS = 16
 ROLLOUT_SECONDS = 900
+SECONDS_AFTER_END = 20  # that a rollout is still played
 OPERATOR_ORDERS = ("go", "back", "go", "hold")
 KEY_SEEDS = 12
 KEY_STEPS = 4000
@@ -73,7 +74,7 @@
 
 
 class LeaseOwners:
-    """Owners at every member: they request leases, hold them for a while, publish facts and exchange views."""
+    """Owners at every member: they request leases, hold them for a while, publish facts and exchange states."""
 
     def __init__(self, fleet: MemberFleet, rng: random.Random) -> None:
         self._fleet, self._rng = fleet, rng
@@ -84,7 +85,7 @@
     def _step_owner(self, name: str) -> None:
         fleet = self._fleet
         fleet.at(fleet.now + 0.25, lambda: self._step_owner(name))
-        if not fleet.awake(name):
+        if not fleet.is_running(name):
             return
         for lease in LEASES:
             self._use(name, lease)
@@ -92,9 +93,9 @@
             fleet.publish_fact(name, "store", f"store-{self._rng.randrange(3)}", self._rng.uniform(0.5, 5.0), 7)
         if self._rng.random() < 0.01:
             other = self._rng.choice(fleet.names)
-            if other != name and fleet.awake(other):
-                fleet.exchange_views(name, other)
-        fleet.poke(name)
+            if other != name and fleet.is_running(other):
+                fleet.exchange_states(name, other)
+        fleet.tick_now(name)
 
     def _use(self, name: str, lease: str) -> None:
         fleet, holding = self._fleet, (name, lease)
@@ -107,14 +108,14 @@
             self._held_since[holding] = fleet.now
         elif fleet.now - self._held_since[holding] > 3.0:
             del self._held_since[holding]
-            fleet.give_back(name, lease, "owner")
+            fleet.release_lease(name, lease, "owner")
 
 
-def change_lists(fleet: MemberFleet) -> None:
-    """Let the members accept a list without the last one, each at its own time."""
+def change_configurations(fleet: MemberFleet) -> None:
+    """Let the members accept a list without the last member, each at its own time."""
     fewer = fleet.names[:-1]
     for number, name in enumerate(fleet.names):
-        change = lambda name=name: fleet.change_list(name, fewer, "second")  # noqa: E731
+        change = lambda name=name: fleet.change_configuration(name, fewer, "second")  # noqa: E731
         fleet.at(MEMBER_SECONDS / 2 + 0.3 * number, change)
 
 
@@ -128,56 +129,63 @@
     fleet = MemberFleet(rng.getrandbits(32), size, fault_script(rng, names), loss, LEASES, recording(recorder))
     LeaseOwners(fleet, rng)
     if number % 4 == 3:
-        change_lists(fleet)
+        change_configurations(fleet)
     fleet.run(MEMBER_SECONDS)
-    fleet.record_views()
+    fleet.record_states()
     return recorder.result()
 
 
 # Rollouts.
 
 
+class PendingEnd(NamedTuple):
+    """A fault that ends at a time, by a call."""
+
+    at: float
+    end: Callable[[], None]
+
+
 class RolloutFaults:
     """Draws faults of hosts, agents and metrics, and an operator's orders."""
 
-    def __init__(self, fleet: RolloutFleet, rng: random.Random, often: float) -> None:
-        self._fleet, self._rng, self._often = fleet, rng, often
-        self._away: list[tuple[float, Callable[[], None]]] = []
-        self._heavy: set[str] = set()
-        self._breaking: set[str] = set()
+    def __init__(self, fleet: RolloutFleet, rng: random.Random, rate_per_s: float) -> None:
+        self._fleet, self._rng, self._rate_per_s = fleet, rng, rate_per_s
+        self._pending_ends: list[PendingEnd] = []
+        self._heavy_hosts: set[str] = set()
+        self._rule_breaking_hosts: set[str] = set()
         self._views: dict[str, AgentView] = {}
         self._boots = 1
 
     def memory_and_broken_rules(self, name: str) -> tuple[int, int]:
-        """Return memory in KB and broken rules of a box."""
-        return (10_000_000 if name in self._heavy else 30_000), int(name in self._breaking)
+        """Return memory in KB and broken rules of a host."""
+        return (10_000_000 if name in self._heavy_hosts else 30_000), int(name in self._rule_breaking_hosts)
 
-    def may_begin(self, now: float) -> str:
-        """Return why no stage may begin at a time."""
+    def closed_reason(self, now: float) -> str:
+        """Return why no stage may begin at a time; empty where one may."""
         return "outside of the hours" if now % 300 > 250 else ""
 
     def agent_view(self, name: str) -> AgentView:
-        """Return what the agent of a box sees."""
+        """Return what the agent of a host observes."""
         return self._views.get(name, AgentView())
 
-    def strike(self) -> None:
+    def draw_second(self) -> None:
         """Draw the faults of one second, and end those that are over."""
         fleet, rng = self._fleet, self._rng
-        for each in [each for each in self._away if each[0] <= fleet.now]:
-            self._away.remove(each)
-            each[1]()
-        if rng.random() < self._often:
+        for pending in [pending for pending in self._pending_ends if pending.at <= fleet.now]:
+            self._pending_ends.remove(pending)
+            pending.end()
+        if rng.random() < self._rate_per_s:
             self._fault(rng.choice(fleet.names))
-        if rng.random() < self._often / 30:
-            self._heavy.add(rng.choice(fleet.names))
-        if rng.random() < self._often / 30:
-            self._breaking.add(rng.choice(fleet.names))
-        if fleet.is_returning and rng.random() < self._often * 10:
+        if rng.random() < self._rate_per_s / 30:
+            self._heavy_hosts.add(rng.choice(fleet.names))
+        if rng.random() < self._rate_per_s / 30:
+            self._rule_breaking_hosts.add(rng.choice(fleet.names))
+        if fleet.is_rolling_back and rng.random() < self._rate_per_s * 10:
             for name in fleet.names[::2]:
                 fleet.kill_processes(name)
-        if rng.random() < self._often / 5:
+        if rng.random() < self._rate_per_s / 5:
             fleet.lose_old_generation()
-            self._later(fleet.restore_old_generation)
+            self._end_later(fleet.restore_old_generation)
 
     def _fault(self, name: str) -> None:
         fleet = self._fleet
@@ -185,34 +193,34 @@
             case 0:
                 fleet.kill_processes(name)
             case 1:
-                fleet.never_serves(name)
+                fleet.fail_new_generation(name)
             case 2:
-                fleet.set_reached(name, False)
-                self._later(lambda: fleet.set_reached(name, True))
+                fleet.set_reachable(name, False)
+                self._end_later(lambda: fleet.set_reachable(name, True))
             case 3:
-                fleet.set_agent(name, False)
-                self._later(lambda: fleet.set_agent(name, True))
+                fleet.set_agent_running(name, False)
+                self._end_later(lambda: fleet.set_agent_running(name, True))
             case 4 if len(fleet.names) > 4:
-                unlisted = fleet.strike_off(name)
-                self._later(lambda: fleet.put_back(name, unlisted))
+                unlisted = fleet.remove_host(name)
+                self._end_later(lambda: fleet.restore_host(name, unlisted))
             case 5:
                 self._reboot(name)
             case 6:
-                self._set_view(name, silent=True)
-                self._later(lambda: self._set_view(name, silent=False))
+                self._set_view(name, unresponsive=True)
+                self._end_later(lambda: self._set_view(name, unresponsive=False))
             case 7:
                 self._set_view(name, has_lease=True)
 
     def _reboot(self, name: str) -> None:
         self._boots += 1
         self._fleet.kill_processes(name)
-        self._set_view(name, boot=str(self._boots))
+        self._set_view(name, boot_id=str(self._boots))
 
     def _set_view(self, name: str, **changes: Any) -> None:
         self._views[name] = self.agent_view(name)._replace(**changes)
 
-    def _later(self, call: Callable[[], None]) -> None:
-        self._away.append((self._fleet.now + self._rng.uniform(5.0, 60.0), call))
+    def _end_later(self, end: Callable[[], None]) -> None:
+        self._pending_ends.append(PendingEnd(self._fleet.now + self._rng.uniform(5.0, 60.0), end))
 
 
 def generation_effect(number: int) -> Callable[[str, float], float] | None:
@@ -225,23 +233,24 @@
     """Play one rollout with faults, until some time after its end."""
     recorder = parity.Recorder(f"rollout-{number}")
     rng = seeded(seed, "rollout", number)
-    plan: dict[str, Any] = {"hold": (1,)} if number % 5 == 2 else {}
-    plan["controls"] = number % 3 != 1
+    plan: dict[str, Any] = {"hold_after_stages": (1,)} if number % 5 == 2 else {}
+    plan["use_controls"] = number % 3 != 1
     effect = generation_effect(number)
     fleet = RolloutFleet(rng.getrandbits(32), 8 + 2 * (number % 8), plan, effect=effect, harm=0.3 * (number % 7 == 6))
     faults = RolloutFaults(fleet, rng, 0.01 * (number % 4))
-    person, after = OPERATOR_ORDERS[number % len(OPERATOR_ORDERS)], 0
+    operator_order = OPERATOR_ORDERS[number % len(OPERATOR_ORDERS)]
+    seconds_after_end = 0
     with recorded_rollout(recording(recorder), faults):
         if number % 4 == 1:
-            fleet.differ_in_place()
-        while fleet.now < ROLLOUT_SECONDS and after < 20:
+            fleet.make_change_reloadable()
+        while fleet.now < ROLLOUT_SECONDS and seconds_after_end < SECONDS_AFTER_END:
             if fleet.awaits_operator and rng.random() < 0.2:
-                fleet.order("go" if person == "hold" else person)
-            if person == "hold" and rng.random() < 0.01:
-                fleet.order("hold")
-            faults.strike()
+                fleet.give_order("go" if operator_order == "hold" else operator_order)
+            if operator_order == "hold" and rng.random() < 0.01:
+                fleet.give_order("hold")
+            faults.draw_second()
             fleet.second()
-            after += fleet.is_over
+            seconds_after_end += fleet.is_over
     return recorder.result()
 
 
@@ -249,7 +258,7 @@
 
 
 class SharedKeys:
-    """Two processes joined by queues, under random tries, ends, losses of the link and stalls."""
+    """Two processes joined by queues, under random attempts, ends, losses of the link and stalls."""
 
     def __init__(self, rng: random.Random, recorder: parity.Recorder) -> None:
         self._rng, self._now, self._number = rng, 1_000_000.0, 0
@@ -259,14 +268,22 @@
 
     def play(self) -> None:
         """Play all steps."""
-        actions = (self._arrive, self._end, self._deliver, self._expire, self._stall, self._link, self._table)
+        actions = (
+            self._arrive,
+            self._end,
+            self._deliver,
+            self._expire,
+            self._toggle_stall,
+            self._toggle_link,
+            self._record_tables,
+        )
         weights = (30, 25, 45, 3, 4, 1, 1)
         for _ in range(KEY_STEPS):
             self._now += self._rng.expovariate(1 / 8.0)
             self._rng.choices(actions, weights)[0]()
-        self._table()
+        self._record_tables()
 
-    def _one(self) -> KeyProcess:
+    def _draw_process(self) -> KeyProcess:
         return self._rng.choice(self._processes)
 
     def _arrive(self) -> None:
@@ -275,10 +292,10 @@
         born = self._now - rng.expovariate(1 / 200.0)
         name = ("account", f"key-{rng.randrange(KEY_NAMES)}")
         body = rng.randrange(2)
-        self._one().arrive(self._number, name, born, born + WINDOW_MS, body, rng.random() < 0.3, self._now)
+        self._draw_process().arrive(self._number, name, born, born + WINDOW_MS, body, rng.random() < 0.3, self._now)
 
     def _end(self) -> None:
-        process, rng = self._one(), self._rng
+        process, rng = self._draw_process(), self._rng
         if process.running:
             result = None if rng.random() < 0.2 else "r" * rng.randrange(1, 60)
             process.end_run(rng.randrange(len(process.running)), result, rng.random() < 0.85)
@@ -287,37 +304,37 @@
         index = self._rng.randrange(2)
         sender, receiver = self._processes[index], self._processes[1 - index]
         if sender.outbox:
-            receiver.take(sender.outbox.pop(0))
+            receiver.receive(sender.outbox.pop(0))
         elif not sender.is_behind:
-            sender.flushed()
+            sender.on_flushed()
 
     def _expire(self) -> None:
-        self._one().expire(self._now)
+        self._draw_process().expire(self._now)
 
-    def _stall(self) -> None:
-        process = self._one()
+    def _toggle_stall(self) -> None:
+        process = self._draw_process()
         process.is_behind = not process.is_behind
         if self._rng.random() < 0.2:
             process.limit_results(self._rng.randrange(100, 800))
 
-    def _link(self) -> None:
+    def _toggle_link(self) -> None:
         if self._linked:
-            self._lose()
+            self._disconnect()
         else:
             owner = self._rng.randrange(2)
             for process in self._processes:
                 process.outbox.clear()
-            self._processes[owner].link(owner=True)
-            self._processes[1 - owner].link(owner=False)
+            self._processes[owner].connect(owner=True)
+            self._processes[1 - owner].connect(owner=False)
         self._linked = not self._linked
 
-    def _lose(self) -> None:
+    def _disconnect(self) -> None:
         rng = self._rng
         for process in self._processes:
-            ended = self._now if rng.random() < 0.3 else 0.0
-            process.lose_link(alone=rng.random() < 0.6, ended=ended)
+            ended_at = self._now if rng.random() < 0.3 else 0.0
+            process.disconnect(peer_ended=rng.random() < 0.6, ended_at=ended_at)
 
-    def _table(self) -> None:
+    def _record_tables(self) -> None:
         for process in self._processes:
             process.record_table()
 
