--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -1,7 +1,8 @@
-"""What measurements share: an earlier version beside this one, and what the system says of a process."""
+"""What measurements share: an earlier version beside this one, and what the system reports of a process."""
 
 from __future__ import annotations
 
+import os
 import re
 import statistics
 import subprocess
@@ -13,6 +14,10 @@
 
 from lapispick.cli.output import print_table
 
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+MEBIBYTE = 1 << 20
+
 
 @contextmanager
 def against(revision: str) -> Iterator[Path]:
@@ -26,12 +31,24 @@
             subprocess.run(["git", "worktree", "remove", "--force", str(tree)], check=True)
 
 
-def cpu_s(pid: int) -> float:
-    """Return the CPU time that a process has taken, in seconds."""
+def main_thread_cpu_s(pid: int) -> float:
+    """Return the CPU time of a process's main thread, exactly; a host's event loop runs in it."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
 
 
-def memory_mb(pid: int) -> float:
+def process_cpu_s(pid: int) -> float:
+    """Return the CPU time of all threads of a process, in whole clock ticks."""
+    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+    user_ticks, system_ticks = int(fields[11]), int(fields[12])
+    return (user_ticks + system_ticks) / CLOCK_TICKS_PER_S
+
+
+def resident_mb(pid: int) -> float:
+    """Return the memory that a process holds now."""
+    return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_BYTES / MEBIBYTE
+
+
+def peak_memory_mb(pid: int) -> float:
     """Return the most memory that a process has held."""
     return int(re.search(r"VmHWM:\s+(\d+)", Path(f"/proc/{pid}/status").read_text()).group(1)) / 1024
 
--- a/benchmarks/inventory.py
+++ b/benchmarks/inventory.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from benchmarks.common import against, cpu_s, memory_mb, ratio, show
+from benchmarks.common import against, main_thread_cpu_s, peak_memory_mb, ratio, show
 from lapispick.conf.sections import InventorySettings
 from lapispick.fakes.start_settings import PLATFORM_INFO
 from lapispick.fleet import snapshot
@@ -212,11 +212,11 @@
         loop.run()
         assert inventory.helper.process is not None, "the list was not accepted"
         assert meter.phase == "change", "the list was not accepted"
-        helper_mb = memory_mb(inventory.helper.process.pid)
+        helper_mb = peak_memory_mb(inventory.helper.process.pid)
         inventory.helper.process.kill()
         inventory.helper.process.wait()
     gaps_ms = [meter.longest_s[phase] * 1000 for phase in ("idle", "first", "change")]
-    return gaps_ms[0], gaps_ms[1], gaps_ms[2], helper_mb, memory_mb(os.getpid())
+    return gaps_ms[0], gaps_ms[1], gaps_ms[2], helper_mb, peak_memory_mb(os.getpid())
 
 
 def loop(rounds: int = 5) -> None:
@@ -250,12 +250,12 @@
             for name, tree in order if number % 2 else order[::-1]:
                 host = HostProcess(Path(folder), cwd=tree)
                 memory, gateway = host.peak_memory_mb(), host.gateway()
-                began = cpu_s(host.process.pid)
+                began = main_thread_cpu_s(host.process.pid)
                 for _ in range(requests // 10):
                     numbers = [gateway.request("track", "x") for _ in range(10)]
                     for number in numbers:
                         gateway.answer(number)
-                found[name].append((memory, (cpu_s(host.process.pid) - began) / requests * 1e6))
+                found[name].append((memory, (main_thread_cpu_s(host.process.pid) - began) / requests * 1e6))
                 host.close()
     rows = []
     for at, what in enumerate(("memory at start, MB", "CPU for a request, us")):
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -168,8 +168,8 @@
             rows.append(
                 {
                     "fault": fault,
-                    "want": requesters,
-                    "turns": leases,
+                    "requesters": requesters,
+                    "leases": leases,
                     "wait_s": round(total_wait_s / max(1, leases), 2),
                     "overlaps": sum(each.overlaps for each in metrics),
                 }
--- a/benchmarks/members_host.py
+++ b/benchmarks/members_host.py
@@ -1,4 +1,4 @@
-"""Measures what membership costs running hosts: ``python -m benchmarks.members_host [--boxes N] [--seconds S]``.
+"""Measures what membership costs running hosts: ``python -m benchmarks.members_host [--hosts N] [--seconds S]``.
 
 Hosts with and without ``section members``, in one run, at rest: CPU of the host's process as the system counts it,
 memory, messages as the hosts count them, and the time until all see all after a start at one instant.
@@ -7,34 +7,18 @@
 from __future__ import annotations
 
 import argparse
-import os
 import tempfile
 import time
 from pathlib import Path
 
+from benchmarks.common import process_cpu_s, resident_mb
 from lapispick.fakes.fleet import Fleet
 from lapispick.fakes.member_cluster import MemberCluster
 
-CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
-PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-MEBIBYTE = 1 << 20
 DEFAULT_SETTINGS = ""  # of section members
 SEED = 3
 
 
-def _cpu_s(pid: int) -> float:
-    with open(f"/proc/{pid}/stat") as file:
-        fields = file.read().rpartition(")")[2].split()
-    user_ticks = int(fields[11])
-    system_ticks = int(fields[12])
-    return (user_ticks + system_ticks) / CLOCK_TICKS_PER_S
-
-
-def _resident_mb(pid: int) -> float:
-    with open(f"/proc/{pid}/statm") as file:
-        return int(file.read().split()[1]) * PAGE_BYTES / MEBIBYTE
-
-
 def _sent_messages(cluster: MemberCluster | None) -> int:
     if cluster is None:
         return 0
@@ -54,23 +38,23 @@
         if cluster is not None:
             result["agree_s"] = cluster.wait_for_agreement(cluster.names(), within=60.0)
         pids = [host.processes[-1].pid for host in fleet.hosts]
-        cpu_before = sum(map(_cpu_s, pids))
+        cpu_before = sum(map(process_cpu_s, pids))
         sent_before = _sent_messages(cluster)
         time.sleep(seconds)
-        result["cpu_of_a_core"] = (sum(map(_cpu_s, pids)) - cpu_before) / hosts / seconds
-        result["words"] = (_sent_messages(cluster) - sent_before) / hosts / seconds
-        result["rss_mb"] = sum(map(_resident_mb, pids)) / hosts
+        result["cpu_of_a_core"] = (sum(map(process_cpu_s, pids)) - cpu_before) / hosts / seconds
+        result["messages_per_s"] = (_sent_messages(cluster) - sent_before) / hosts / seconds
+        result["rss_mb"] = sum(map(resident_mb, pids)) / hosts
         return result
 
 
 def main() -> None:
-    """Measure both twice, in turn, and print the results."""
+    """Measure both twice, alternately, and print the results."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("--boxes", type=int, default=14, help="number of hosts")
+    parser.add_argument("--hosts", "--boxes", type=int, default=14)
     parser.add_argument("--seconds", type=float, default=30.0)
     options = parser.parse_args()
     for enabled in (False, True, False, True):
-        result = measure(options.boxes, options.seconds, enabled)
+        result = measure(options.hosts, options.seconds, enabled)
         label = "on " if enabled else "off"
         print(label, {name: round(value, 4) for name, value in result.items()}, flush=True)
 
--- a/benchmarks/trace_recorder.py
+++ b/benchmarks/trace_recorder.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.common import cpu_s, show
+from benchmarks.common import main_thread_cpu_s, show
 from lapispick.fakes.host_process import HostProcess
 
 ROUNDS = 300
@@ -38,11 +38,11 @@
 
     def cpu_us_per_request(self) -> float:
         """Send one round's requests; return the CPU of the host's own process for each."""
-        began = cpu_s(self.pid)
+        began = main_thread_cpu_s(self.pid)
         numbers = [self._gateway.request("track", "call:200") for _ in range(REQUESTS_PER_ROUND)]
         for number in numbers:
             self._gateway.answer(number)
-        return (cpu_s(self.pid) - began) / REQUESTS_PER_ROUND * 1e6
+        return (main_thread_cpu_s(self.pid) - began) / REQUESTS_PER_ROUND * 1e6
 
 
 def measure_recorder(rounds: int = ROUNDS) -> None:
@@ -60,7 +60,7 @@
                 cost = hosts[name].cpu_us_per_request()
                 if round_number >= WARM_UP_ROUNDS:
                     measured[name].append(cost)
-        writer_cost = cpu_s(writer) / REQUESTS_PER_ROUND / (rounds + WARM_UP_ROUNDS) * 1e6
+        writer_cost = main_thread_cpu_s(writer) / REQUESTS_PER_ROUND / (rounds + WARM_UP_ROUNDS) * 1e6
         for each in hosts.values():
             each.host.close()
     show("CPU of the host for a request, us", ("", OFF, ON, "ratio"), _rows(measured, writer_cost))
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from benchmarks.common import cpu_s, memory_mb, ratio, show
+from benchmarks.common import main_thread_cpu_s, peak_memory_mb, ratio, show
 from lapispick.fakes.executor import Executor
 from lapispick.fakes.gateway import GatewayConnection
 from lapispick.fakes.host_process import HostProcess
@@ -196,7 +196,7 @@
         load = Load(address, seed)
         load.start()
         began = time.monotonic()
-        cpu_before_s = cpu_s(host.process.pid)
+        cpu_before_s = main_thread_cpu_s(host.process.pid)
         served_before = load.served
         script = READER if reading else SLEEPER
         command = [sys.executable, "-c", script, host.ops, str(2 * LOAD_S)]
@@ -205,7 +205,7 @@
         result = CallLoad(
             [float(line) for line in output.split()],
             served / (time.monotonic() - began),
-            (cpu_s(host.process.pid) - cpu_before_s) / served * 1e6,
+            (main_thread_cpu_s(host.process.pid) - cpu_before_s) / served * 1e6,
         )
         load.stop()
         host.close()
@@ -266,7 +266,7 @@
         new = old.start_successor(environ=environ)
         wait_until(lambda: new.call_operators() == ["OK"])
         duration_s = time.monotonic() - began
-        peak_mb = memory_mb(old.process.pid) + memory_mb(new.process.pid)
+        peak_mb = peak_memory_mb(old.process.pid) + peak_memory_mb(new.process.pid)
         new.close()
         old.close()
     return Takeover(duration_s, peak_mb)
