--- a/benchmarks/inventory.py
+++ b/benchmarks/inventory.py
@@ -15,8 +15,9 @@
 import sys
 import tempfile
 import time
+from collections.abc import Callable, Iterator
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
@@ -37,39 +38,59 @@
 SIZES = (14, 500, 5000)
 BEFORE = "8ba3416"  # the last version without inventory files
 PLAIN = inventory_schema.schema(None)
-MIN_TURN_S = 0.0002  # a shorter turn is followed by a sleep, or the loop would never idle
+MIN_ROUND_S = 0.0002  # a shorter round is followed by a sleep, or the loop would never idle
 IDLE_SLEEP_S = 0.0005
 MAX_DURATION_S = 60.0
+REQUESTS_PER_BATCH = 10
 
 
-def csv_list(count: int, other: int = -1) -> str:
-    """Return a list in CSV; the host with the number ``other`` has another port."""
+def csv_list(count: int, changed: int = -1) -> str:
+    """Return a list in CSV; the host with the number ``changed`` has another port."""
     rows = [
-        f"disp-{n:04d}.pipera.example.org,shops,127.{n // 62500}.{n // 250 % 250}.{n % 250 + 1},"
-        f"{5 if n == other else 4},bookings,book,pipera\n"
-        for n in range(1, count + 1)
+        f"{_host_name(number)},shops,{_address(number)},{_port(number, changed)},bookings,book,pipera\n"
+        for number in range(1, count + 1)
     ]
     return "host,group,ansible_host,amqp_port,amqp_queue,amqp_class,site\n" + "".join(rows)
 
 
-def yaml_list(count: int, other: int = -1) -> str:
+def yaml_list(count: int, changed: int = -1) -> str:
     """Return the same list in YAML."""
-    made = ["all:\n  children:\n    shops:\n      vars: {amqp_user: shop}\n      hosts:\n"]
-    for n in range(1, count + 1):
-        made.append(
-            f"        disp-{n:04d}.pipera.example.org:\n"
-            f"          ansible_host: 127.{n // 62500}.{n // 250 % 250}.{n % 250 + 1}\n"
-            f"          amqp_port: {5 if n == other else 4}\n"
+    entries = ["all:\n  children:\n    shops:\n      vars: {amqp_user: shop}\n      hosts:\n"]
+    for number in range(1, count + 1):
+        entries.append(
+            f"        {_host_name(number)}:\n"
+            f"          ansible_host: {_address(number)}\n"
+            f"          amqp_port: {_port(number, changed)}\n"
             f"          amqp_queues:\n            - amqp_queue: bookings\n"
             f"              amqp_class: book\n          site: pipera\n"
         )
-    return "".join(made)
+    return "".join(entries)
+
+
+def _host_name(number: int) -> str:
+    return f"disp-{number:04d}.pipera.example.org"
+
+
+def _address(number: int) -> str:
+    return f"127.{number // 62500}.{number // 250 % 250}.{number % 250 + 1}"
+
+
+def _port(number: int, changed: int) -> int:
+    return 5 if number == changed else 4
 
 
 FORMATS = {"csv": csv_list, "yml": yaml_list}
 
 
-def _timed(reader: Reader, base: snapshot.Snapshot, form: str, text: str) -> tuple[float, snapshot.Snapshot]:
+class LoadTimes(NamedTuple):
+    """How long the first load of a list took, and the load after a change of one host."""
+
+    first_ms: float
+    change_ms: float
+
+
+def _read_list(reader: Reader, base: snapshot.Snapshot, form: str, text: str) -> tuple[float, snapshot.Snapshot]:
+    """Read a list and apply what differs from ``base``; return the time that it took in ms, and the result."""
     files = [File(f"list.{form}", text.encode())]
     gc.collect()
     gc.disable()
@@ -77,48 +98,54 @@
     hosts = reader.read(files).hosts
     known = base.hosts
     updated = [host for name, host in hosts.items() if known.get(name) is not host]
-    made = base.with_changes(updated, [name for name in known if name not in hosts])
-    snapshot.difference(base, made)
-    took = time.perf_counter() - began
+    applied = base.with_changes(updated, [name for name in known if name not in hosts])
+    snapshot.difference(base, applied)
+    duration_s = time.perf_counter() - began
     gc.enable()
-    return took * 1000, made
+    return duration_s * 1000, applied
 
 
-def read(rounds: int = 5) -> None:
-    """Read a list first, then with one host changed; medians."""
-    rows = []
+LoadList = Callable[[str, str, str], LoadTimes]  # from the form, a list, and the same list with one host changed
+
+
+def _load_in_process(form: str, old: str, new: str) -> LoadTimes:
+    reader = Reader(Options("shops", PLAIN), {})
+    first_ms, base = _read_list(reader, snapshot.EMPTY, form, old)
+    change_ms, _ = _read_list(reader, base, form, new)
+    return LoadTimes(first_ms, change_ms)
+
+
+def _load_rows(load: LoadList, rounds: int) -> Iterator[tuple[str, int, LoadTimes]]:
+    """Yield the form, the size and the median times of each list."""
     for form, make in FORMATS.items():
         for size in SIZES:
-            first, change = [], []
-            for number in range(rounds):
-                reader = Reader(Options("shops", PLAIN), {})
-                took, base = _timed(reader, snapshot.EMPTY, form, make(size))
-                first.append(took)
-                took, _ = _timed(reader, base, form, make(size, 1 + (size * number) // rounds))
-                change.append(took)
-            one, two = statistics.median(first), statistics.median(change)
-            rows.append((form, size, f"{one:.1f}", f"{two:.2f}", f"{two / one:.3f}"))
+            times = [load(form, make(size), make(size, 1 + (size * number) // rounds)) for number in range(rounds)]
+            first_ms = statistics.median(each.first_ms for each in times)
+            change_ms = statistics.median(each.change_ms for each in times)
+            yield form, size, LoadTimes(first_ms, change_ms)
+
+
+def read(rounds: int = 5) -> None:
+    """Read a list first, then with one host changed; medians."""
+    rows = [
+        (form, size, f"{times.first_ms:.1f}", f"{times.change_ms:.2f}", f"{times.change_ms / times.first_ms:.3f}")
+        for form, size, times in _load_rows(_load_in_process, rounds)
+    ]
     show("reading and applying, ms (medians)", ("form", "hosts", "first load", "one host changed", "ratio"), rows)
 
 
 def helper(rounds: int = 5) -> None:
     """Let a real helper process read a list first, from its start on, and then with one host changed."""
-    rows = []
-    for form, make in FORMATS.items():
-        for size in SIZES:
-            first, change = [], []
-            for _ in range(rounds):
-                one, two = _helper(form, make(size), make(size, 1 + size // 2))
-                first.append(one)
-                change.append(two)
-            one, two = statistics.median(first), statistics.median(change)
-            rows.append((form, size, f"{one:.0f}", f"{two:.2f}", f"{two / one:.3f}"))
+    rows = [
+        (form, size, f"{times.first_ms:.0f}", f"{times.change_ms:.2f}", f"{times.change_ms / times.first_ms:.3f}")
+        for form, size, times in _load_rows(_load_in_helper, rounds)
+    ]
     show(
         "the helper process, ms (medians)", ("form", "hosts", "start and first load", "one host changed", "ratio"), rows
     )
 
 
-def _helper(form: str, old: str, new: str) -> tuple[float, float]:
+def _load_in_helper(form: str, old: str, new: str) -> LoadTimes:
     decode = msgspec.json.Decoder(FromHelper).decode
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / f"list.{form}"
@@ -137,19 +164,19 @@
 
         request(Begin(str(path), 64 << 20, Options("shops", PLAIN)))
         request(Poll())
-        first = time.perf_counter() - began
+        first_s = time.perf_counter() - began
         path.write_text(new)
         began = time.perf_counter()
         request(Poll())
-        took = time.perf_counter() - began
+        change_s = time.perf_counter() - began
         lines.close()
         ours.close()
         process.wait()
-    return first * 1000, took * 1000
+    return LoadTimes(first_s * 1000, change_s * 1000)
 
 
 class _GapMeter:
-    """The longest gap between two turns of a loop, in s, by the phase of the measurement."""
+    """The longest gap between two rounds of a loop, in s, by the phase of the measurement."""
 
     def __init__(self, loop: EventLoop) -> None:
         self.phase = "idle"
@@ -164,7 +191,7 @@
             now = time.perf_counter()
             self.longest_s[self.phase] = max(self.longest_s[self.phase], now - last)
             last = now
-            if time.perf_counter() - now < MIN_TURN_S:
+            if time.perf_counter() - now < MIN_ROUND_S:
                 self._loop.sleep(IDLE_SLEEP_S)
                 last = time.perf_counter()
 
@@ -178,9 +205,9 @@
         loop.sleep(0.01)
     loop.sleep(0.3)
     meter.phase = "change"
-    for each in lists:
+    for replacement in lists:
         known = inventory.acceptance.accepted
-        each.replace(path)
+        replacement.replace(path)
         while inventory.acceptance.accepted is known:
             loop.sleep(0.01)
     loop.sleep(0.2)
@@ -193,8 +220,18 @@
     return AmqpFront(loop, bounds, info, admission_settings(info), lambda item: None, resolver, 60.0)
 
 
-def _stalls(size: int, form: str, rounds: int) -> tuple[float, float, float, float, float]:
-    """Return (idle, first load, change) longest gaps between turns in ms, helper's and own memory in MB."""
+class Stalls(NamedTuple):
+    """The longest gaps between two rounds of a loop, and the peak memory of both processes."""
+
+    idle_ms: float
+    first_load_ms: float
+    change_ms: float
+    helper_mb: float
+    own_mb: float
+
+
+def _measure_stalls(size: int, form: str, rounds: int) -> Stalls:
+    """Follow a list on a real loop with a real helper, and replace it this often."""
     info = msgspec.convert(PLATFORM_INFO, StartSettings)
     loop = EventLoop()
     meter = _GapMeter(loop)
@@ -202,8 +239,8 @@
         path = Path(folder) / f"list.{form}"
         path.write_text(FORMATS[form](size))
         lists = [path.with_name(f"spare{number}") for number in range(rounds)]  # written ahead, not by the loop
-        for number, each in enumerate(lists):
-            each.write_text(FORMATS[form](size, 1 + number * size // rounds))
+        for number, spare in enumerate(lists):
+            spare.write_text(FORMATS[form](size, 1 + number * size // rounds))
         settings = InventorySettings(path=path, group="shops", poll_interval_s=0.05, settle_s=0.1, max_settle_s=1.0)
         inventory = Inventory(loop, settings, inventory_schema.schema(info), _amqp_front(loop, info).apply)
         loop.spawn(meter.run)
@@ -216,11 +253,11 @@
         inventory.helper.process.kill()
         inventory.helper.process.wait()
     gaps_ms = [meter.longest_s[phase] * 1000 for phase in ("idle", "first", "change")]
-    return gaps_ms[0], gaps_ms[1], gaps_ms[2], helper_mb, peak_memory_mb(os.getpid())
+    return Stalls(*gaps_ms, helper_mb, peak_memory_mb(os.getpid()))
 
 
 def loop(rounds: int = 5) -> None:
-    """Follow a list on a real loop with a real helper, and measure the longest gap between turns."""
+    """Follow a list on a real loop with a real helper, and measure the longest gap between rounds."""
     rows: list[tuple[Any, ...]] = []
     for form in FORMATS:
         for size in SIZES:
@@ -233,38 +270,59 @@
             )
             rows.append((form, size, *done.stdout.split()))
     show(
-        "longest gap between two turns of the loop, ms; memory at the peak, MB",
+        "longest gap between two rounds of the loop, ms; memory at the peak, MB",
         ("form", "hosts", "idle", "first load", "one host changed", "helper", "host and front"),
         rows,
     )
 
 
-def off(rounds: int = 5, requests: int = 1200) -> None:
-    """Compare a host that has all of it off with an earlier version: memory at start, CPU for a request."""
+class HostCost(NamedTuple):
+    """What one run of a host cost."""
+
+    memory_mb: float  # at start
+    cpu_us_per_request: float
+
+
+def _measure_host(folder: Path, tree: Path, requests: int) -> HostCost:
+    """Run the host of a checkout, and send it requests in batches."""
     from lapispick.fakes.host_process import HostProcess
 
-    found: dict[str, list[tuple[float, float]]] = {"before": [], "now": []}
+    host = HostProcess(folder, cwd=tree)
+    peak_mb, gateway = host.peak_memory_mb(), host.gateway()
+    cpu_before_s = main_thread_cpu_s(host.process.pid)
+    for _ in range(requests // REQUESTS_PER_BATCH):
+        numbers = [gateway.request("track", "x") for _ in range(REQUESTS_PER_BATCH)]
+        for number in numbers:
+            gateway.answer(number)
+    cost = HostCost(peak_mb, (main_thread_cpu_s(host.process.pid) - cpu_before_s) / requests * 1e6)
+    host.close()
+    return cost
+
+
+def _cost_row(name: str, before: list[float], now: list[float]) -> tuple[str, ...]:
+    return name, f"{statistics.median(before):.2f}", f"{statistics.median(now):.2f}", ratio(before, now)
+
+
+def off(rounds: int = 5, requests: int = 1200) -> None:
+    """Compare a host that has all of it off with an earlier version: memory at start, CPU for a request."""
+    costs: dict[str, list[HostCost]] = {"before": [], "now": []}
     with against(BEFORE) as old, tempfile.TemporaryDirectory() as folder:
-        for number in range(rounds):
+        for round_number in range(rounds):
             order = [("before", old), ("now", Path.cwd())]
-            for name, tree in order if number % 2 else order[::-1]:
-                host = HostProcess(Path(folder), cwd=tree)
-                memory, gateway = host.peak_memory_mb(), host.gateway()
-                began = main_thread_cpu_s(host.process.pid)
-                for _ in range(requests // 10):
-                    numbers = [gateway.request("track", "x") for _ in range(10)]
-                    for number in numbers:
-                        gateway.answer(number)
-                found[name].append((memory, (main_thread_cpu_s(host.process.pid) - began) / requests * 1e6))
-                host.close()
-    rows = []
-    for at, what in enumerate(("memory at start, MB", "CPU for a request, us")):
-        before, now = ([values[at] for values in found[name]] for name in ("before", "now"))
-        rows.append((what, f"{statistics.median(before):.2f}", f"{statistics.median(now):.2f}", ratio(before, now)))
+            for name, tree in order if round_number % 2 else order[::-1]:
+                costs[name].append(_measure_host(Path(folder), tree, requests))
+    before, now = costs["before"], costs["now"]
     show(
         f"a host with all of it off against {BEFORE} (medians of {rounds} runs each)",
         ("", "before", "now", "ratio"),
-        rows,
+        [
+            _cost_row("memory at start, MB", [cost.memory_mb for cost in before], [cost.memory_mb for cost in now]),
+            _cost_row(
+                "CPU for a request, us",
+                [cost.cpu_us_per_request for cost in before],
+                [cost.cpu_us_per_request for cost in now],
+            ),
+        ],
     )
 
 
@@ -297,7 +355,7 @@
     """Compare the host's formatter with structlog: memory of the import, cost of a line."""
     rows = []
     for name, tool in (("the host's formatter", False), ("structlog, as the tools use it", True)):
-        made = [
+        outputs = [
             subprocess.run(
                 [sys.executable, "-c", LOG_SCRIPT.replace("{tool}", str(tool))],
                 capture_output=True,
@@ -306,7 +364,8 @@
             ).stdout.split()
             for _ in range(rounds)
         ]
-        rows.append((name, *(f"{statistics.median(float(m[at]) for m in made):.1f}" for at in (0, 1))))
+        medians = (statistics.median(float(values[index]) for values in outputs) for index in (0, 1))
+        rows.append((name, *(f"{median:.1f}" for median in medians)))
     show("log lines (medians)", ("", "memory of the import, MB", "a line, us"), rows)
 
 
@@ -314,7 +373,7 @@
     """Run the parts that are named, by default all."""
     arguments = sys.argv[1:]
     if arguments[:1] == ["stalls"]:
-        print(*(f"{value:.2f}" for value in _stalls(int(arguments[2]), arguments[1], int(arguments[3]))))
+        print(*(f"{value:.2f}" for value in _measure_stalls(int(arguments[2]), arguments[1], int(arguments[3]))))
         return
     for name, measure in (("read", read), ("helper", helper), ("loop", loop), ("off", off), ("log", log)):
         if not arguments or name in arguments:
