--- a/benchmarks/members_herd.py
+++ b/benchmarks/members_herd.py
@@ -2,8 +2,9 @@
 
 from __future__ import annotations
 
+import itertools
 import random
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from functools import partial
 from typing import NamedTuple
 
@@ -19,6 +20,8 @@
 BUSY_RATIO = 1.5  # of the mean of an instant
 MAX_PLAYS = 5
 OUTAGE_S = 30.0
+MIN_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 10.0
 LOOKUP_INTERVAL_S = 30.0
 HOUR_S = 3600.0
 PROBES_SPAN_S = 20.0
@@ -65,28 +68,33 @@
 
 def _reconnect_times(spread: Spread, seed: int) -> list[float]:
     """Return when hosts reconnect to a broker that is away for 30 s; all lost it at 0."""
+    return _repeated_times(spread, _backoffs, OUTAGE_S, seed)
+
+
+def _backoffs() -> Iterator[float]:
+    backoff_s = MIN_BACKOFF_S
+    while True:
+        yield backoff_s
+        backoff_s = min(MAX_BACKOFF_S, backoff_s * 2)
+
+
+def _repeated_times(spread: Spread, intervals: Callable[[], Iterator[float]], span_s: float, seed: int) -> list[float]:
+    """Return when hosts that begin at 0 do something after each interval, until the first time past the span."""
     rng = random.Random(seed)
     times = []
     for _ in range(HOSTS):
         at = 0.0
-        backoff_s = 0.1
-        while at < OUTAGE_S:
-            at += spread(backoff_s, rng.random())
-            backoff_s = min(10.0, backoff_s * 2)
+        host_intervals = intervals()
+        while at < span_s:
+            at += spread(next(host_intervals), rng.random())
             times.append(at)
     return times
 
 
 def _lookup_times(spread: Spread, seed: int) -> list[float]:
     """Return when hosts that start at 0 resolve names each 30 s, in the second hour."""
-    rng = random.Random(seed)
-    times = []
-    for _ in range(HOSTS):
-        at = 0.0
-        while at < 2 * HOUR_S:
-            at += spread(LOOKUP_INTERVAL_S, rng.random())
-            times.append(at - HOUR_S)
-    return times
+    intervals = partial(itertools.repeat, LOOKUP_INTERVAL_S)
+    return [at - HOUR_S for at in _repeated_times(spread, intervals, 2 * HOUR_S, seed)]
 
 
 def _probe_times(first_probe_is_drawn: bool, seed: int) -> list[float]:
