--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -133,6 +133,21 @@
     assert runner.invoke(cli, ["model", "run", "--script", str(script)]).exit_code == 2
 
 
+@pytest.mark.parametrize("slot_count", [1, 2])
+def test_owners_at_one_member_hold_different_slots(slot_count):
+    member = make_member("a", ["a"], {"job": slot_count})
+    max_held = 0
+    for tick in range(1, 300):
+        now = tick * 0.1
+        for owner in ("one", "two", "three"):
+            member.leases.request(now, "job", owner)
+        member.tick(now)
+        held = [status.slot for status in member.leases.statuses(now) if status.fencing_token]
+        assert len(held) == len(set(held))
+        max_held = max(max_held, len(held))
+    assert max_held == slot_count
+
+
 def test_records_of_a_member_are_dropped_with_its_entry_in_the_list():
     settings = MembersSettings(listen="127.0.0.1:9300")
     service = MembersService(EventLoop(), settings, InventorySettings(), "a", 1, lambda: (), 1 << 16)
