--- a/benchmarks/members_mutants.py
+++ b/benchmarks/members_mutants.py
@@ -40,20 +40,17 @@
     replacement: str
     property_name: str
 
-    def apply(self, root: Path) -> None:
-        """Change the copy of the package below ``root``; raises ``MutantPlaceError``."""
-        path = root / PACKAGE / self.file
-        text = path.read_text()
+    def mutated(self, root: Path) -> str:
+        """Return the changed text of the file below ``root``; raises ``MutantPlaceError``."""
+        text = (root / PACKAGE / self.file).read_text()
         count = text.count(self.original)
         if count != 1:
             raise MutantPlaceError(self, count)
-        path.write_text(text.replace(self.original, self.replacement))
+        return text.replace(self.original, self.replacement)
 
-    def check_place(self) -> None:
-        """Raise ``MutantPlaceError`` unless the text to change occurs exactly once."""
-        count = (ROOT / PACKAGE / self.file).read_text().count(self.original)
-        if count != 1:
-            raise MutantPlaceError(self, count)
+    def apply(self, root: Path) -> None:
+        """Change the copy of the package below ``root``; raises ``MutantPlaceError``."""
+        (root / PACKAGE / self.file).write_text(self.mutated(root))
 
 
 class Result(NamedTuple):
@@ -86,7 +83,7 @@
         "convergence_after_partition",
     ),
     Mutant(
-        "a member that is believed dead is not told",
+        "a member that is believed dead is not notified",
         "failure_detector.py",
         "if include_record or record.state is not MemberState.ALIVE:",
         "if include_record:",
@@ -405,7 +402,7 @@
     options = parser.parse_args()
     selected = [mutant for mutant in MUTANTS if not options.names or mutant.name in options.names]
     for mutant in selected:
-        mutant.check_place()
+        mutant.mutated(ROOT)
     if options.places:
         print(f"the texts of {len(selected)} mutants occur once each")
         return 0
--- a/benchmarks/parity_wire.py
+++ b/benchmarks/parity_wire.py
@@ -1,6 +1,7 @@
 """The simulator's wire from the simulator's side: encodes batches of events, decodes replies.
 
-It has struct tables of its own, as it must keep working whatever the project's modules are called.
+It has struct tables of its own, as it must keep working whatever the project's modules are called. Codes have the names
+of the wire's description.
 """
 
 from __future__ import annotations
