--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -59,6 +59,14 @@
     return f"{statistics.median(now) / statistics.median(before):.3f} ({min(pairs):.3f} to {max(pairs):.3f})"
 
 
+def comparison_row(
+    name: str, before: Sequence[float], now: Sequence[float], decimal_places: int
+) -> tuple[str, str, str, str]:
+    """Return a row of a table: a name, both medians and their ratio."""
+    medians = [f"{statistics.median(values):.{decimal_places}f}" for values in (before, now)]
+    return name, medians[0], medians[1], ratio(before, now)
+
+
 def show(title: str, columns: Iterable[str], rows: Iterable[Iterable[Any]]) -> None:
     """Print a table."""
     print_table(title, columns, rows)
--- a/benchmarks/inventory.py
+++ b/benchmarks/inventory.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from benchmarks.common import against, main_thread_cpu_s, peak_memory_mb, ratio, show
+from benchmarks.common import against, comparison_row, main_thread_cpu_s, peak_memory_mb, show
 from lapispick.conf.sections import InventorySettings
 from lapispick.fakes.start_settings import PLATFORM_INFO
 from lapispick.fleet import snapshot
@@ -299,10 +299,6 @@
     return cost
 
 
-def _cost_row(name: str, before: list[float], now: list[float]) -> tuple[str, ...]:
-    return name, f"{statistics.median(before):.2f}", f"{statistics.median(now):.2f}", ratio(before, now)
-
-
 def off(rounds: int = 5, requests: int = 1200) -> None:
     """Compare a host that has all of it off with an earlier version: memory at start, CPU for a request."""
     costs: dict[str, list[HostCost]] = {"before": [], "now": []}
@@ -316,11 +312,14 @@
         f"a host with all of it off against {BEFORE} (medians of {rounds} runs each)",
         ("", "before", "now", "ratio"),
         [
-            _cost_row("memory at start, MB", [cost.memory_mb for cost in before], [cost.memory_mb for cost in now]),
-            _cost_row(
+            comparison_row(
+                "memory at start, MB", [cost.memory_mb for cost in before], [cost.memory_mb for cost in now], 2
+            ),
+            comparison_row(
                 "CPU for a request, us",
                 [cost.cpu_us_per_request for cost in before],
                 [cost.cpu_us_per_request for cost in now],
+                2,
             ),
         ],
     )
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -83,7 +83,7 @@
 
 
 def assign_ring(hosts: list[Host], backends: list[Backend], min_hosts: int) -> Assignment:
-    """Give each host the backends that its stretch of the ring covers; here with whole pairs."""
+    """Give each host the backends that its stretch of the ring covers, here none in part."""
     names = sorted(backend.name for backend in backends)
     width = max(min_hosts / len(hosts), 1 / len(hosts))
     assignment = {}
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -21,7 +21,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from benchmarks.common import main_thread_cpu_s, peak_memory_mb, ratio, show
+from benchmarks.common import comparison_row, main_thread_cpu_s, peak_memory_mb, show
 from lapispick.fakes.executor import Executor
 from lapispick.fakes.gateway import GatewayConnection
 from lapispick.fakes.host_process import HostProcess
@@ -212,11 +212,6 @@
     return result
 
 
-def _comparison(name: str, without: list[float], with_reading: list[float]) -> tuple[str, ...]:
-    medians = (f"{statistics.median(values):.0f}" for values in (without, with_reading))
-    return name, *medians, ratio(without, with_reading)
-
-
 def calls(rounds: int) -> None:
     """Measure the slowest call under load, and the cost of reading the metrics ten times a second."""
     idle: list[CallLoad] = []
@@ -230,11 +225,14 @@
         f"{max(durations_ms):.0f} ms, median {statistics.median(durations_ms):.1f} ms",
         ("", "not read", "read", "ratio"),
         [
-            _comparison("served a second", [each.served_per_s for each in idle], [each.served_per_s for each in read]),
-            _comparison(
+            comparison_row(
+                "served a second", [each.served_per_s for each in idle], [each.served_per_s for each in read], 0
+            ),
+            comparison_row(
                 "CPU for a request, us",
                 [each.cpu_us_per_request for each in idle],
                 [each.cpu_us_per_request for each in read],
+                0,
             ),
         ],
     )
