--- a/lapispick/admission/actions.py
+++ b/lapispick/admission/actions.py
@@ -38,11 +38,11 @@
     id: int
     retry_after_ms: float
     no_retry: bool
-    reason: str = ""  # a ``RejectReason``, for logs and traces; clients are not told
+    reason: str = ""  # a ``RejectReason``, for logs and traces; it is not sent to clients
 
 
 class Fail(NamedTuple):
-    """Final answer: failed; promises nothing."""
+    """Final answer: failed; it may have been executed or not."""
 
     id: int
 
@@ -55,7 +55,7 @@
 
 
 class SkipCall(NamedTuple):
-    """Let a request go on without its downstream call."""
+    """Let a run continue without its downstream call."""
 
     id: int
 
@@ -87,26 +87,26 @@
 
 
 class SetIdleTimeout(NamedTuple):
-    """Close connections that carried nothing for this long; 0 = as late as can be."""
+    """Close connections that carried nothing for this long; 0 = the idle timeout of the settings."""
 
     timeout_ms: float
 
 
 class Advertise(NamedTuple):
-    """The value that goes out with every answer from now on."""
+    """Send this backpressure value with every answer from now on."""
 
     value: float
 
 
 class SetTimer(NamedTuple):
-    """Ask for a ``TimerFired`` after a delay."""
+    """Request a ``TimerFired`` after a delay."""
 
     delay_ms: float
     token: int
 
 
 class Log(NamedTuple):
-    """A line for those on call."""
+    """Write a log line for on-call staff."""
 
     text: str
 
--- a/lapispick/admission/attempt_history.py
+++ b/lapispick/admission/attempt_history.py
@@ -1,4 +1,4 @@
-"""The times that attempts come with, to tell a client's first attempt from a retry."""
+"""The time that attempts have left when they arrive, to distinguish a client's first attempt from a retry."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class AttemptHistory:
-    """Which times left first attempts come with, as fractions of the deadline: clients of one kind give the same.
+    """The times left of first attempts, as fractions of the deadline: clients of one kind state the same ones.
 
-    Any other time is what an earlier attempt has left over, so the client's first attempt was made when the whole
-    deadline was left. It pools all callers and classes, as a pair may be seen once only. Clients that give times
-    which vary by themselves would seem to be older than they are.
+    Any other time is what is left after an earlier attempt, so the client's first attempt was made when all of the
+    deadline was left. All callers and classes are counted together, as a pair of them may occur once only. Requests of
+    clients that state varying times are taken for retries, and so for older than they are.
     """
 
     __slots__ = ("_counts", "_total")
--- a/lapispick/admission/backpressure.py
+++ b/lapispick/admission/backpressure.py
@@ -1,4 +1,4 @@
-"""The backpressure value that goes out with every answer: a level, a credit or a weight."""
+"""The backpressure value that is sent with every answer: a level, a credit or a weight."""
 
 from __future__ import annotations
 
--- a/lapispick/admission/concurrency_limit.py
+++ b/lapispick/admission/concurrency_limit.py
@@ -89,7 +89,7 @@
         self._on_cores += (on_cores - self._on_cores) * ON_CORE_SMOOTHING_FRACTION
 
     def close_window(self, speed: float, core_use: float) -> None:
-        """Take one step: +1 while runs are fast and cores idle, less on errors, cancellations and crowding.
+        """Take one step: +1 while runs are fast and cores idle, less on errors, cancellations and contention.
 
         ``speed`` is the fraction of its full speed that the server has; ``core_use`` is that of the cores.
         """
@@ -119,7 +119,7 @@
 
 
 class SlowStart:
-    """How fast a server is that was started just now."""
+    """The speed of a server that warms up, as a fraction of its full speed."""
 
     __slots__ = ("_settings", "_started_at")
 
--- a/lapispick/admission/controller.py
+++ b/lapispick/admission/controller.py
@@ -146,7 +146,7 @@
             self._close_window(gauges.get(CORE_USE_GAUGE, 0.0))
 
     def _close_window(self, core_use: float) -> None:
-        """Adapt what is adapted once a window."""
+        """Expire keys, and adapt the limit, the order of the queues, the backpressure value and the idle timeout."""
         state = self.state
         now = state.now
         state.idempotency.expire(now)
--- a/lapispick/admission/downstream_calls.py
+++ b/lapispick/admission/downstream_calls.py
@@ -45,7 +45,7 @@
         self._proceed(request)
 
     def on_call_completed(self, event: CallCompleted) -> None:
-        """Let a request go on with its reply, or decide what follows a failed call."""
+        """Let a run continue with its reply, or decide what follows a failed call."""
         state = self._state
         request = state.requests.get(event.id)
         if request is None or request.state is not CALLING:
@@ -114,7 +114,7 @@
         state.actions.append(StartCall(request.id, timeout_ms))
 
     def _skip(self, request: TrackedRequest) -> None:
-        """Let a request go on without its call."""
+        """Let a run continue without its call."""
         self._state.actions.append(SkipCall(request.id))
         self._resume(request)
 
--- a/lapispick/admission/events.py
+++ b/lapispick/admission/events.py
@@ -84,7 +84,7 @@
 
 
 class CallRequested(NamedTuple):
-    """A running request cannot go on without a downstream call."""
+    """A running request waits for a downstream call."""
 
     id: int
 
@@ -101,7 +101,7 @@
     """The server is to drain and is stopped at the given time."""
 
     stop_at: float
-    handed_over: bool = False  # another process of this server goes on: nothing is rejected for the shutdown
+    handed_over: bool = False  # another process of this server continues: nothing is rejected for the shutdown
 
 
 class TimerFired(NamedTuple):
--- a/lapispick/admission/idle_timeout.py
+++ b/lapispick/admission/idle_timeout.py
@@ -1,4 +1,4 @@
-"""How long idle connections are kept."""
+"""The idle timeout of clients' connections."""
 
 from __future__ import annotations
 
@@ -17,10 +17,11 @@
 
 
 class IdleTimeout:
-    """The idle timeout: as long as can be where callers return before that costs as much as a new connection.
+    """The idle timeout: the maximum where callers return before an idle connection costs as much as a new one.
 
-    Elsewhere it adapts to overload: a full connection table keeps callers away unread, and lets in its size over the
-    timeout. A connection keeps the timeout that it went idle with, so the steps are small.
+    Elsewhere it adapts to overload: a full connection table rejects callers without reading their requests, and accepts
+    as many connections per timeout as it has places. A connection has the timeout of the moment when it became idle, so
+    the steps are small.
     """
 
     __slots__ = ("_longest_ms", "_ordered_ms", "_returning", "last_seen", "value_ms")
--- a/lapispick/admission/memory_budget.py
+++ b/lapispick/admission/memory_budget.py
@@ -28,11 +28,11 @@
         return (requests_kb + self._key_kb * self._keys.retained) / self._available_kb <= 1
 
     def reserve(self, request: TrackedRequest) -> None:
-        """Count what a request takes that was read just now."""
+        """Reserve the memory of a request that was read, also beyond the budget."""
         self.used_kb += request.memory_kb
 
     def reserve_run(self, request: TrackedRequest) -> bool:
-        """Count what a queued request takes in addition once it runs; False where that does not fit."""
+        """Reserve what a queued request takes in addition once it runs; False where that does not fit."""
         run_kb = request.memory_kb * (self._run_factor - 1)
         if not self.fits(run_kb):
             return False
--- a/lapispick/admission/price_test.py
+++ b/lapispick/admission/price_test.py
@@ -14,7 +14,7 @@
 
 
 class PriceTest:
-    """Admits under pressure what is worth its price; without work that waits it admits everything."""
+    """Admits everything while no work waits, and under pressure the requests whose value covers their price."""
 
     __slots__ = ("_needs_call", "_state")
 
@@ -24,7 +24,7 @@
         self._needs_call = [settings.degraded_weight <= 0 for settings in state.settings.classes] * 2
 
     def admits(self, request: TrackedRequest) -> bool:
-        """Tell whether a request is worth its price; this counts as much as the expected wait presses."""
+        """Tell whether a request's value covers its price; the price counts in proportion to the pressure."""
         state = self._state
         now = state.now
         prices = state.shadow_prices
@@ -58,7 +58,7 @@
             state.actions.append(Log(text))
 
     def _expected_wait_ms(self, queue: int) -> float:
-        """Return how long the work before a newcomer to this queue takes the slots, or the calls if it needs one."""
+        """Return how long a request that joins this queue would wait for a slot, or for a call if it needs one."""
         state = self._state
         estimates = state.run_estimates
         needs_call = self._needs_call
--- a/lapispick/admission/request_lifecycle.py
+++ b/lapispick/admission/request_lifecycle.py
@@ -55,7 +55,7 @@
             self._cancel_run(request)
 
     def log_bound(self, bound: str) -> None:
-        """Log which bound a request met, seldom."""
+        """Log which bound a request met, at most once in ``MIN_LOG_INTERVAL_MS`` for each bound."""
         state = self._state
         if state.now - self._logged_at.get(bound, -inf) > MIN_LOG_INTERVAL_MS:
             self._logged_at[bound] = state.now
@@ -117,7 +117,7 @@
         state.backpressure.record_answered(request.caller, overload)
 
     def _cancel_run(self, request: TrackedRequest) -> None:
-        """Stop a run that nobody waits for; a keyed one goes on, as a repeat can still take its result."""
+        """Stop a run that nobody waits for; a keyed one continues, as a retry can still get its result."""
         settings = self._state.settings
         if (
             settings.cancel_mode is not CancelMode.NONE
--- a/lapispick/admission/request_state.py
+++ b/lapispick/admission/request_state.py
@@ -13,7 +13,7 @@
     QUEUED = 0
     RUNNING = 1  # on the cores or at a disk
     CALLING = 2  # its downstream call is in flight
-    WAITING_FOR_CALL = 3  # it can't go on without a call that is not made yet
+    WAITING_FOR_CALL = 3  # for capacity; its call is not made yet
     PAUSED = 4  # taken off the cores; the work done is kept
     COALESCED = 5  # waits for the result of another attempt of the same request
     COMPLETED = 6
@@ -75,4 +75,4 @@
         self.state = QUEUED
         self.call_attempts = 0
         self.answered = False
-        self.pause_requested = False  # the time of its run says nothing any more
+        self.pause_requested = False  # its run time would include the pause, so it is not learned
--- a/lapispick/admission/run_estimates.py
+++ b/lapispick/admission/run_estimates.py
@@ -12,7 +12,7 @@
 MAX_AVERAGED_COST_RUNS = 60  # the span of the moving average of the time by unit of cost, over all classes
 MIN_CORE_TIME_MS = 1.0  # as a divisor; shorter times on the cores count as this
 INITIAL_RUN_FRACTION = 0.15  # of the latency objective; a class's run time until one was seen
-MAX_EXPECTED_FRACTION = 0.7  # of the latency objective; a request with more left is tried, however slow the last were
+MAX_EXPECTED_FRACTION = 0.7  # of the latency objective; a higher estimate would reject a class for good
 
 
 class RunEstimates:
--- a/lapispick/admission/run_pauser.py
+++ b/lapispick/admission/run_pauser.py
@@ -1,4 +1,4 @@
-"""Pauses runs that crowd the cores as they come back from their calls, and resumes them."""
+"""Pauses runs that exceed the slots as they return from their calls, and resumes them."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
             self._pause(excess)
 
     def _pause(self, count: int) -> None:
-        """Ask for this many runs to be paused, those with the latest objective first."""
+        """Order this many runs to be paused, those with the latest objective first."""
         candidates = [request for request in self._state.requests.values() if self._can_pause(request)]
         candidates.sort(key=lambda request: -request.objective_at)
         for request in candidates[:count]:
--- a/lapispick/admission/settings.py
+++ b/lapispick/admission/settings.py
@@ -64,12 +64,12 @@
     classes: tuple[ClassSettings, ...]
     weight_by_work: bool = field(name="worth_by_work")  # weights count for each unit of work, not for each request
     callers: int  # callers of this tier at the start; 0 = unknown
-    lower_tier: bool  # requests come from a tier of our own that already worked on them
+    lower_tier: bool  # requests come from another tier of worker hosts, which already worked on them
     cores: int
     memory_kb: float
     run_memory_factor: float = field(name="run_factor")  # memory of a running request over that of a queued one
     key_memory_kb: float = field(name="key_kb")  # memory of one retained idempotency key
-    warming_up: bool = field(name="cold")  # started just now, not yet at full speed
+    warming_up: bool = field(name="cold")  # it was just started and is not at full speed yet
     cold_speed_fraction: float = field(name="cold_from")  # least fraction of the full speed right after a start
     warm_up_ms: float  # at full speed after this at the latest
     overload_runs_per_core: float = field(name="fall_multiple")  # running requests for each core that a host survives
--- a/lapispick/agent/controller.py
+++ b/lapispick/agent/controller.py
@@ -1,7 +1,7 @@
 """The controller of a rollout: polls the agents, stores the state, and makes the calls that are decided.
 
-The state is on disk before any call that follows from it. A controller may end at any instant; another one goes on
-from the store, with a higher epoch, and the agents accept nothing from the one before any more.
+The state is on disk before any call that follows from it. A controller may end at any instant; another one continues
+from the store, with a higher epoch, and the agents reject the calls of the one before.
 """
 
 from __future__ import annotations
--- a/lapispick/agent/generation_store.py
+++ b/lapispick/agent/generation_store.py
@@ -122,7 +122,7 @@
         atomic_files.sync_directory(self.folder)
 
     def get(self, name: str) -> Generation | None:
-        """Return a generation; None where it is not there, incomplete or not what its name says."""
+        """Return a generation; None where it is missing or incomplete, or its digest is not its name."""
         folder = self.folder / name
         try:
             generation = _decode_generation((folder / RECORD_FILE).read_bytes())
--- a/lapispick/agent/rollout_store.py
+++ b/lapispick/agent/rollout_store.py
@@ -150,7 +150,7 @@
                 self._db.execute("delete from orders where rollout = ?", (rollout,))
         return [order for (order,) in found]
 
-    # For anybody, at any time.
+    # For all controllers and commands, at any time.
 
     def add_order(self, rollout: str, order: str) -> None:
         """Leave an order for the controller."""
--- a/lapispick/agent/service.py
+++ b/lapispick/agent/service.py
@@ -1,7 +1,7 @@
 """The agent of one host: stores its state, observes the host's processes, and does what ``host_step.py`` decides.
 
-The state is on disk before anything that follows from it is done. The agent may end at any instant; the host goes on,
-and the host's next agent finds it.
+The state is on disk before anything that follows from it is done. The agent may end at any instant; the host continues
+to serve, and its next agent finds it.
 """
 
 from __future__ import annotations
@@ -88,7 +88,7 @@
         self.state = msgspec.structs.replace(host_state.copy_of(self.state), good=generation, target=generation)
 
     def run(self) -> None:
-        """Run until told to end; the host goes on."""
+        """Run until SIGTERM or SIGINT; the host continues to serve."""
         self.processes.find()
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda *_: self.loop.stop())
@@ -111,7 +111,7 @@
         while True:
             try:
                 self._step()
-            except OSError as err:  # nothing is done that is not stored, and what runs goes on
+            except OSError as err:  # nothing is done that is not stored; running processes continue
                 self._log_disk_error(err)
             self.loop.sleep(self.settings.poll_interval_s)
 
--- a/lapispick/cli/agent.py
+++ b/lapispick/cli/agent.py
@@ -51,7 +51,7 @@
 @FILE
 @click.option("--adopt", metavar="GENERATION", default="", help="The good generation, where the host has none yet.")
 def run(file: Path | None, adopt: str) -> None:
-    """Run the agent of this host until it is told to end; the host goes on without it."""
+    """Run the agent of this host until SIGTERM or SIGINT; the host continues to serve without it."""
     from lapispick.agent.service import Agent
     from lapispick.host import config as platform
     from lapispick.host import logs
--- a/lapispick/cli/config.py
+++ b/lapispick/cli/config.py
@@ -1,4 +1,4 @@
-"""``lapispick config``: look at the settings file and the platform's configuration."""
+"""``lapispick config``: checks and shows the settings file and the platform's configuration."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 
 @click.group()
 def config() -> None:
-    """Look at the settings."""
+    """Check and show the settings."""
 
 
 @config.command()
 @FILE
 @click.option("--json", "json_", is_flag=True, help="For programs.")
 def check(file: Path | None, json_: bool) -> None:
-    """Name every fault of the settings file and of LB_CONFIG, if it is set."""
+    """List every fault of the settings file and of LB_CONFIG, if it is set."""
     faults: list[str] = []
     try:
         conf.parse(file) if file is not None else conf.load()
--- a/lapispick/cli/demo.py
+++ b/lapispick/cli/demo.py
@@ -95,7 +95,7 @@
 
 
 def _outcome(answer: Any) -> str:
-    """Return the outcome that a JSON-RPC answer tells."""
+    """Return the outcome of a JSON-RPC answer."""
     if answer is None:
         return "unanswered"
     if "result" in answer:
@@ -239,7 +239,7 @@
 @click.option("--seed", default=7, show_default=True)
 @click.option("--json", "json_", is_flag=True, help="For programs.")
 def demo(seconds: float, load: float, seed: int, json_: bool) -> None:
-    """Try it: one worker host on loopback among fake peers, more requests than it can do, over both fronts."""
+    """Run one worker host with fake peers on loopback, send it more than it can serve, and print the outcomes."""
     if not json_:
         print_line(
             f"seed {seed}: a worker host with {CORES} cores in its fake executor, {load:g} times what they can do, "
--- a/lapispick/cli/inventory.py
+++ b/lapispick/cli/inventory.py
@@ -1,4 +1,4 @@
-"""``lapispick inventory``: look at the host list as a worker host would, and at what a host made of it."""
+"""``lapispick inventory``: shows the host list as a worker host reads it, and what a host accepted."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def _amqp() -> Schema:
-    """Return what the AMQP front wants to know; classes and customers are checked where LB_CONFIG names them."""
+    """Return the schema of the AMQP front; classes and customers are checked where LB_CONFIG names them."""
     if not os.environ.get("LB_CONFIG"):
         return inventory_schema.schema(None)
     from lapispick.host import config as platform
@@ -51,7 +51,7 @@
 
 
 def source(conf: Path | None, path: Path | None, group: str | None) -> Source:
-    """Return the list that is meant: the AMQP front's group is asked for queues, the fleet's for hosts, none else."""
+    """Return the list of a group: that of the AMQP front has queues, that of the fleet worker hosts, others neither."""
     loaded = load(conf)
     inventory_settings = loaded.inventory
     fleet = loaded.fleet
@@ -76,7 +76,7 @@
         self._reader = Reader(reading_options(settings, self._schema), os.environ)
 
     def read(self) -> Reading:
-        """Return what the files say now."""
+        """Read the files again."""
         found = files.read(self._path, self._max_bytes)
         if found.faults:
             return Reading({}, found.faults, "")
@@ -130,7 +130,7 @@
 
 @click.group()
 def inventory() -> None:
-    """Look at the host list."""
+    """Check, show, compare and accept the host list."""
 
 
 @inventory.command()
@@ -139,7 +139,7 @@
 @GROUP
 @JSON
 def check(file: Path | None, path: Path | None, group: str | None, json_: bool) -> None:
-    """Name every fault of the list's files, and what else a host would say of them."""
+    """List every fault of the list's files, and say whether a host would hold the list."""
     where = source(file, path, group)
     settings, reading = where.settings, Files(where).read()
     made = snapshot.snapshot_of(reading.hosts)
@@ -277,7 +277,7 @@
 @FILE
 @JSON
 def history(file: Path | None, json_: bool) -> None:
-    """Show the lists that the host accepted, the newest last, and where it stands now."""
+    """Show the lists that the host accepted, the newest last, and its present state."""
     folder = _folder(load(file).inventory)
     entries, status = last_good.load_history(folder), last_good.load_status(folder)
     if json_:
@@ -311,7 +311,7 @@
 @GROUP
 @click.option("--seconds", type=float, default=0.0, help="End after this long; 0: go on until interrupted.")
 def watch(file: Path | None, path: Path | None, group: str | None, seconds: float) -> None:
-    """Follow the files and say, a log line an event, what a host would make of each change."""
+    """Follow the files and log what a host would do at each change."""
     where = source(file, path, group)
     settings, log = where.settings, setup_logs()
     reader, judge = Files(where), Acceptance(acceptance_policy(settings), _accepted(settings))
@@ -343,7 +343,7 @@
 @click.argument("digest", default="")
 @click.option("--wait", type=float, default=10.0, help="Seconds to wait for the host's word; 0: do not wait.")
 def accept(file: Path | None, digest: str, wait: float) -> None:
-    """Let the host accept a list that it holds back: the present one, or the one with this DIGEST."""
+    """Have the host accept a list that is held: the present one, or the one with this DIGEST."""
     settings = load(file).inventory
     folder = _folder(settings)
     status = last_good.load_status(folder)
--- a/lapispick/cli/leases.py
+++ b/lapispick/cli/leases.py
@@ -58,7 +58,7 @@
 @ADDRESS_OPTION
 @LEASE_ARGUMENT
 def show(at: str | None, turn: str) -> None:
-    """Show who holds a lease, as far as a host's vote tells. Ends with 1 where nobody does."""
+    """Show who holds a lease, as far as a host voted for it. Ends with 1 where nobody holds it."""
     found = [
         each
         for each in fetch(resolve_address(at), "turns", list[LeaseInfo])
--- a/lapispick/cli/main.py
+++ b/lapispick/cli/main.py
@@ -66,10 +66,10 @@
 @click.group(cls=_LazyGroup, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110})
 @click.version_option(_version(), prog_name="lapispick")
 def cli() -> None:
-    """Overload control for dispatch servers: tools for operators.
+    """Overload control for worker hosts: the operators' commands.
 
-    A worker host itself is started by `python -m lapispick.host`. Exit codes: 0 all is well, 1 there are
-    differences or faults in a list, 2 the call or the settings are faulty, 3 there is no state to look at.
+    A worker host itself is started by `python -m lapispick.host`. Exit codes: 0 success, 1 differences or
+    faults were found, 2 the call or the settings are invalid, 3 there is no state to read or no answer.
     """
 
 
--- a/lapispick/cli/model.py
+++ b/lapispick/cli/model.py
@@ -13,7 +13,7 @@
 
 @click.group()
 def model() -> None:
-    """Simulate membership and leases at sizes that sockets do not reach: the same code on one simulated clock."""
+    """Simulate membership and leases of large clusters: the same code on one simulated clock."""
 
 
 OPTIONS = (
--- a/lapispick/cli/ops.py
+++ b/lapispick/cli/ops.py
@@ -24,7 +24,7 @@
 
 
 class NoAnswerError(Exception):
-    """Nobody answered at the operators' address, or what came is no answer."""
+    """Nobody answered at the operators' address, or the answer is invalid."""
 
 
 def call(at: tuple[str, int], line: str, timeout: float = CALL_TIMEOUT_S) -> list[str]:
@@ -132,7 +132,7 @@
 @ADDRESS_OPTION
 @click.option("--json", "json_", is_flag=True, help="For programs.")
 def print_metrics(at: str | None, json_: bool) -> None:
-    """Print the figures."""
+    """Print the metrics."""
     try:
         metrics = parse_metrics(call(resolve_address(at), "vars"))
     except NoAnswerError as err:
@@ -150,7 +150,7 @@
 @ADDRESS_OPTION
 @click.option("--seconds", default=6.0, show_default=True, help="How long to wait at most.")
 def wait(at: str | None, seconds: float) -> None:
-    """Wait until a process that was started takes clients, as an upgrade does before the old one is told to leave."""
+    """Wait until a started process accepts clients, as an upgrade must before SIGTERM is sent to the old one."""
     host_address = resolve_address(at)
     started_at = time.monotonic()
     last_answer = "nobody answered"
--- a/lapispick/cli/rollout.py
+++ b/lapispick/cli/rollout.py
@@ -44,7 +44,7 @@
 
 @click.group()
 def rollout() -> None:
-    """Take a change of the program or its settings through the fleet in stages."""
+    """Roll out a change of the program or its settings to the fleet in stages."""
 
 
 for _command in (rollout_show.status, rollout_show.watch, rollout_show.history, rollout_show.explain):
@@ -124,7 +124,7 @@
 def start(
     file: Path | None, program: Path, settings: Path | None, config: Path | None, name: str, memory_mb: float
 ) -> None:
-    """Begin a rollout and control it until it is over; `resume` goes on where a controller ended."""
+    """Begin a rollout and control it until it is over; `resume` continues where a controller ended."""
     from lapispick.cli.rollout_control import run_controller
 
     store = open_store(file)
--- a/lapispick/cli/rollout_common.py
+++ b/lapispick/cli/rollout_common.py
@@ -16,7 +16,7 @@
 
 JSON_OPTION = click.option("--json", "json_", is_flag=True, help="For programs.")
 NAME_ARGUMENT = click.argument("name", default="")
-CONTROLLER_TIMEOUT_S = 10.0  # without a heartbeat for longer, a controller is taken for gone
+CONTROLLER_TIMEOUT_S = 10.0  # without a heartbeat for longer, a controller counts as ended
 
 
 def fail(code: int, *messages: str) -> NoReturn:
--- a/lapispick/cli/rollout_control.py
+++ b/lapispick/cli/rollout_control.py
@@ -32,7 +32,7 @@
         self._acceptance = Acceptance(acceptance_policy(fleet.source.settings))
 
     def accepted_workers(self) -> list[Worker] | None:
-        """Return the hosts of a list that was accepted just now; a broken or shrunken list changes nothing."""
+        """Return the hosts of a list that this call accepted, None where it accepted none."""
         reading = self._files.read()
         snapshot_read = None if reading.faults else snapshot.snapshot_of(reading.hosts)
         verdict = self._acceptance.observe(
--- a/lapispick/cli/shares.py
+++ b/lapispick/cli/shares.py
@@ -22,7 +22,7 @@
 
 @click.group()
 def shares() -> None:
-    """Choices of many worker hosts that add up: which backends each of them uses, by the lists alone."""
+    """Show which backends each worker host would use, computed from the inventories alone."""
 
 
 PATH = click.Path(exists=True, path_type=Path)
@@ -145,7 +145,7 @@
     min_hosts: int,
     json_: bool,
 ) -> None:
-    """Say before a change of the fleet what would move: which hosts would let go of backends, and which take them."""
+    """Show what a change of the fleet would move: which hosts would release backends, and which would take them."""
     if sum((bool(without), host_count is not None, other_list is not None)) != 1:
         print_error("name one of --without, --boxes, --list")
         sys.exit(ExitCode.INVALID)
--- a/lapispick/cli/trace.py
+++ b/lapispick/cli/trace.py
@@ -43,7 +43,7 @@
 
 
 def _info(reader: TraceReader) -> dict[str, Any]:
-    """Return what ``trace info`` says of a file."""
+    """Return what ``trace info`` prints of a file."""
     source = reader.first_source
     blocks = reader.blocks
     return {
--- a/lapispick/conf/legacy.py
+++ b/lapispick/conf/legacy.py
@@ -23,7 +23,7 @@
 
 
 def merged(settings: Settings, path: Path) -> Settings:
-    """Return the settings with what the old file says; raises ``InvalidFileError``."""
+    """Return the settings with those of the old file; raises ``InvalidFileError``."""
     faults = FaultCollector()
     location = SourceLocation(str(path))
     try:
--- a/lapispick/conf/settings.py
+++ b/lapispick/conf/settings.py
@@ -31,12 +31,12 @@
 
 
 def section_types() -> dict[str, type[msgspec.Struct]]:
-    """Return the types of the sections by the names that people write."""
+    """Return the types of the sections by their names in the file."""
     return {field.encode_name: field.type for field in msgspec.structs.fields(Settings)}
 
 
 def directives(section: type[msgspec.Struct]) -> dict[str, DirectiveField]:
-    """Return the directives of a section by the names that people write."""
+    """Return the directives of a section by their names in the file."""
     hints = get_type_hints(section, include_extras=True)
     return {
         field.encode_name.replace("_", "-"): DirectiveField(field.name, hints[field.name].__metadata__[0])
--- a/lapispick/digests.py
+++ b/lapispick/digests.py
@@ -1,6 +1,6 @@
 """BLAKE2b without loading OpenSSL: the same digests as ``hashlib.blake2b``.
 
-``hashlib`` loads OpenSSL, which takes 3.5 MB and is not needed otherwise. CPython has BLAKE2 in an extension module of
+``hashlib`` loads OpenSSL, which takes memory and is not needed otherwise. CPython has BLAKE2 in an extension module of
 its own, which ``hashlib`` itself uses; where an interpreter lacks it, ``hashlib`` is the fallback.
 """
 
--- a/lapispick/durable/write_admission.py
+++ b/lapispick/durable/write_admission.py
@@ -23,7 +23,7 @@
 
     HEALTHY = "healthy"
     FAILED = "failed"  # the last sync failed, so what it wrote is unknown
-    UNAVAILABLE = "unavailable"  # full, read-only or of another host: only tried again after a backoff
+    UNAVAILABLE = "unavailable"  # full, read-only or of another host: retried only after a backoff
 
 
 class WriteDecision(Enum):
--- a/lapispick/fakes/executor.py
+++ b/lapispick/fakes/executor.py
@@ -28,7 +28,7 @@
 
 
 class Executor(FakeServer):
-    """Executes requests by what their body says.
+    """Executes requests as their body orders.
 
     ``hold`` waits for ``end_run``, ``call:X`` requests a call of the store with body X, ``stay:X`` does so and then
     waits for ``end_run``, ``error`` and ``unknown`` fail. Others end at once, or after ``work_s`` on one of the cores.
--- a/lapispick/fakes/program_patches.py
+++ b/lapispick/fakes/program_patches.py
@@ -1,7 +1,7 @@
 """Changed copies of this very program: hosts that fail, break a rule, or speak another version.
 
 This file alone knows the program text that is changed: the places and the code that is put there. A place that is not
-found raises ``PatchError``, so that a change of the program can't turn a faulty host into an honest one unnoticed.
+found raises ``PatchError``, so that a change of the program can't turn a faulty host into a correct one unnoticed.
 """
 
 import shutil
--- a/lapispick/fleet/acceptance.py
+++ b/lapispick/fleet/acceptance.py
@@ -6,9 +6,9 @@
       rejected <- settling -> held -> accepted (unchanged for long, or by an operator)
 
 What one poll of the files finds is a candidate: a list, its faults, or nothing at all. It settles first, since tools
-write files in pieces; one that keeps changing is judged after ``max_settle_s`` as it stands. A list with faults, a
+write files in pieces; one that keeps changing is evaluated after ``max_settle_s`` as it is then. A list with faults, a
 missing file and an incomplete file are rejected, and the last accepted list stays in force. A list is compared with
-the accepted one, and held back where too many hosts would go at once. Two fractions are bounded, since a truncated
+the accepted one, and held where too many hosts would go at once. Two fractions are bounded, since a truncated
 file only loses hosts, while a rolling deployment replaces them:
 
 - loss: how much smaller the list becomes against the largest of the last ``loss_window_s``;
@@ -79,7 +79,7 @@
 
 
 class Acceptance:
-    """Judges the candidates of successive observations."""
+    """Evaluates the candidates of successive observations."""
 
     def __init__(self, policy: Policy, accepted: Snapshot | None = None) -> None:
         self.policy = policy
@@ -93,7 +93,7 @@
         self._peaks: list[_Peak] = []
 
     def observe(self, now: float, observation: Observation) -> Verdict:
-        """Judge what a poll found; ``now`` is any monotonic clock in seconds."""
+        """Evaluate what a poll found; ``now`` is any monotonic clock in seconds."""
         before = (self.phase, self.reason, self._candidate_identity)
         self._note_candidate(now, observation)
         accepted = self._judge(now, observation)
@@ -169,7 +169,7 @@
         return self._judge_settled(now, snapshot, settled)
 
     def _judge_settled(self, now: float, snapshot: Snapshot, settled: bool) -> Snapshot | None:
-        """Accept a complete list, or hold it back."""
+        """Accept a complete list, or hold it."""
         policy = self.policy
         objection = self.objection(now, snapshot)
         if not objection:
--- a/lapispick/fleet/group_graph.py
+++ b/lapispick/fleet/group_graph.py
@@ -1,4 +1,4 @@
-"""The graph of groups and their children: loops, depths, descendants, and what a group inherits. No I/O."""
+"""The graph of groups and their children: cycles, depths, descendants, and what a group inherits. No I/O."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def find_cycle(groups: dict[str, Group]) -> list[str]:
-    """Return the groups of a loop, the first one again as the last; none where there is no loop."""
+    """Return the groups of a cycle, the first one again as the last; none where there is no cycle."""
     done: set[str] = set()
     for start in sorted(groups):
         path: list[str] = []
@@ -53,7 +53,7 @@
 
 
 def depths_of(groups: dict[str, Group]) -> dict[str, int]:
-    """Return the longest path from the top to each group; the groups must have no loop."""
+    """Return the longest path from the top to each group; the groups must have no cycle."""
     depths = {name: 0 if name == ALL else 1 for name in groups}
     changed = True
     while changed:
--- a/lapispick/fleet/groups.py
+++ b/lapispick/fleet/groups.py
@@ -1,7 +1,7 @@
 """Groups of hosts: members, children and variables, and what each host inherits. No I/O.
 
 Variables override each other in this order, the last one counts: ``all``, then groups from the top down (those of one
-depth by name), what ``group_vars`` says of each of them, the host itself, what ``host_vars`` says of it. Several files
+depth by name), the ``group_vars`` of each of them, the host itself, its ``host_vars``. Several files
 are read in the order of their names; a later one overrides an earlier one, key by key.
 """
 
@@ -146,13 +146,13 @@
         return known
 
     def host_vars(self, name: str) -> Map | None:
-        """Return what ``host_vars`` says of a host, under its name as written or its canonical name."""
+        """Return the ``host_vars`` of a host, under its name as written or its canonical name."""
         if not self._host_vars:
             return None
         return self._host_vars.get(name) or self._host_vars.get(_canonical(name, self._domain))
 
     def row_vars(self, name: str) -> Map | None:
-        """Return what ``host_vars`` says of the host of a CSV row, under its canonical name."""
+        """Return the ``host_vars`` of the host of a CSV row, under its canonical name."""
         return self._host_vars.get(_canonical(name, self._domain)) if self._host_vars else None
 
 
--- a/lapispick/fleet/helper.py
+++ b/lapispick/fleet/helper.py
@@ -1,7 +1,7 @@
 """The helper process: reads and parses the files, and writes the state folder, away from the host's event loop.
 
 The host starts it with a socket as its standard input. It answers one message after the other and ends with the
-socket. A file that breaks a parser breaks it here.
+socket. Input that crashes a parser ends this process and not the host.
 """
 
 from __future__ import annotations
@@ -102,7 +102,7 @@
         return []
 
     def save_status(self, message: SaveStatus) -> list[FromHelper]:
-        """Write what operators see."""
+        """Write the status that the commands show."""
         if self._folder is None:
             return []
         try:
--- a/lapispick/fleet/reading.py
+++ b/lapispick/fleet/reading.py
@@ -63,7 +63,7 @@
 
 
 def belongs_to_list(name: str) -> bool:
-    """Tell whether a file belongs to a list: not what editors and tools leave beside it."""
+    """Tell whether a file belongs to a list; hidden files and those with another ending do not."""
     path = PurePosixPath(name)
     return path.suffix in CSV_SUFFIXES + YAML_SUFFIXES and not path.name.startswith((".", "#", "~"))
 
--- a/lapispick/fleet/yaml_reader.py
+++ b/lapispick/fleet/yaml_reader.py
@@ -1,7 +1,7 @@
 """YAML files that are read incrementally: a change of a few lines costs about what changed. No I/O.
 
-A file of thousands of hosts takes most of a second to parse, and one host of it changes: ``Document.update`` parses
-again only the entries that the changed lines belong to. It does so where the lines around them show that the rest
+A file of thousands of hosts takes long to parse, and usually few of them change: ``Document.update`` parses again only
+the entries that the changed lines belong to. It does so where the lines around them show that the rest
 reads as before, and reports otherwise that the whole file must be read again. Places in the parts that were not read
 again may then be off by the lines that were inserted or removed: whoever reports a fault reads the whole file first.
 """
--- a/lapispick/members/failure_detector.py
+++ b/lapispick/members/failure_detector.py
@@ -26,7 +26,7 @@
 
 PAUSE_RATIO = 1.5  # probe intervals between two ticks that mean the process was paused
 INDIRECT_TIMEOUT_RATIO = 0.9  # of the interval, so that a probe ends before the next one
-LEAVE_FANOUT = 3  # members that are told directly of a leave
+LEAVE_FANOUT = 3  # members to which a leave is announced directly
 
 MessageT = TypeVar("MessageT", bound=Message)
 
@@ -114,7 +114,7 @@
         return outgoing
 
     def _check_for_pause(self, now: float) -> None:
-        """Detect that this process was paused: silence meanwhile says nothing of the others."""
+        """Detect that this process was paused: silence of the others in that time is no sign of a failure."""
         elapsed = now - self._last_tick
         self._last_tick = now
         if elapsed > PAUSE_RATIO * self.settings.probe_interval_s:
@@ -232,7 +232,7 @@
     ) -> MessageT:
         """Return a message for a member, with the gossip that it carries.
 
-        A member that is believed suspect or dead is told so in each message, so that it can refute it.
+        Each message to a member that is believed suspect or dead says so, so that it can refute it.
         """
         view = self.view
         record = view.record(to)
--- a/lapispick/members/lease_manager.py
+++ b/lapispick/members/lease_manager.py
@@ -107,7 +107,7 @@
         return min((request.proposer.next_tick_at() for request in self._requests), default=float("inf"))
 
     def tick(self, now: float) -> list[Outgoing]:
-        """Propose, renew and give up what is due."""
+        """Propose and renew what is due, and drop the requests of silent owners."""
         outgoing = []
         for request in list(self._requests):
             if now - request.last_requested >= self._owner_timeout_s:
--- a/lapispick/model/properties/membership_runs.py
+++ b/lapispick/model/properties/membership_runs.py
@@ -15,8 +15,7 @@
 def no_false_deaths(seed: int) -> None:
     """With a loss of 5 % no member that answers is declared dead; with 20 % seldom, and not for long.
 
-    The stated rate is at most one member of twelve in two minutes, alive for all again by their end. Measured at 20 %:
-    3 in 40 runs, one in five hours of a member.
+    The stated rate is at most one member of twelve in two minutes, alive for all again by their end.
     """
     names = host_names(12)
     for loss, max_false_deaths in LOSS_AND_MAX_FALSE_DEATHS:
--- a/lapispick/rollout/canary_analysis.py
+++ b/lapispick/rollout/canary_analysis.py
@@ -7,7 +7,7 @@
 - worse: the evidence of some metric is over ``metrics * stages / alarm``. It is corrected for their number, so that
   all metrics of all stages together stop a good change with a chance of at most ``alarm``.
 - good: every metric has evidence that it is worse by less than twice its margin, and the unchanged hosts did not get
-  worse meanwhile. Where they did, the change may take from what all share, and look better side by side.
+  worse meanwhile. Where they did, the change may use more of a shared resource, and look better side by side.
 - can't tell: everything else, also for want of data.
 
 Only a difference counts, and only upwards: a store that collapses for all, a surge and cold caches decide nothing, and
@@ -60,7 +60,7 @@
 
 
 class MetricResult(NamedTuple):
-    """What one metric says."""
+    """The result of the test of one metric."""
 
     metric: str
     slices: int
@@ -184,7 +184,7 @@
     # The verdict.
 
     def results(self) -> tuple[MetricResult, ...]:
-        """Return what each metric says so far."""
+        """Return the result of each metric so far."""
         return tuple(
             self._result(metric, difference)
             for metric, difference in sorted(self._differences.items())
--- a/lapispick/rollout/host_calls.py
+++ b/lapispick/rollout/host_calls.py
@@ -130,7 +130,7 @@
 
 
 def status_of(state: HostState, now: float, observation: Observation, memory_limit_mb: float = 0.0) -> Status:
-    """Return what controllers are told of the host."""
+    """Return the status that controllers get."""
     serving = state.process(Role.SERVING)
     accepting = _accepting_process(state, observation)
     is_unconfirmed = state.phase == HostPhase.UNCONFIRMED
--- a/lapispick/rollout/host_step.py
+++ b/lapispick/rollout/host_step.py
@@ -1,7 +1,7 @@
 """Decides one host: which process is started, drained or killed, and when a change is rolled back. No I/O.
 
 The state is stored before anything that follows from it is done, and each step is decided from the state and from what
-is observed of the processes. So an agent that dies at any instant goes on from there; an action may come twice.
+is observed of the processes. So an agent that restarts at any instant continues from there; an action may be repeated.
 
 | phase (stored as) | what serves | what ends it |
 | --- | --- | --- |
--- a/lapispick/rollout/rollback.py
+++ b/lapispick/rollout/rollback.py
@@ -12,7 +12,7 @@
 
 
 def roll_back_hosts(step: StepContext) -> None:
-    """Tell the rollout's hosts to go back, a few at once, until all have."""
+    """Order the rollout's hosts to roll back, a few at once, until all have."""
     state = step.state
     involved = {*state.touched_hosts, *state.deferred_hosts}
     remaining = sorted(name for name in involved if name in step.reports and not _is_rolled_back(step, name))
@@ -41,13 +41,13 @@
 
 def _is_rolled_back(step: StepContext, name: str) -> bool:
     status = step.status(name)
-    if status is None:  # an unconfirmed change is rolled back by the agent itself; a confirmed one has to be told
+    if status is None:  # an unconfirmed change is rolled back by the agent itself; a confirmed one has to be ordered
         return False
     runs_change = status.rollout == step.state.name and status.rolled_back_rollout != step.state.name
     return not runs_change and status.phase in _AT_REST
 
 
 def resume_rollback(step: StepContext) -> None:
-    """Go on rolling back once half of the hosts that may be down serve again."""
+    """Continue to roll back once at most half of ``max_down_fraction`` of the hosts are down."""
     if step.down_count() <= step.state.plan.max_down_fraction * len(step.reports) / 2:
         step.enter(Phase.ROLLING_BACK, step.state.rollback_cause)
--- a/lapispick/rollout/rollout_step.py
+++ b/lapispick/rollout/rollout_step.py
@@ -1,14 +1,14 @@
 """Decides a rollout over the whole fleet: which agent is called, when a stage ends, when to roll back. No I/O.
 
 Each step is decided from the rollout's state and from what the agents last reported. So a controller that takes over
-goes on from there, and a call that was made may be made again.
+continues from there, and a call that was made may be made again.
 
-| phase (stored as) | what goes on | what ends it |
+| phase (stored as) | what happens | what ends it |
 | --- | --- | --- |
 | BASELINE (watching) | nothing changes; the hosts are compared as they are | enough time: CHANGING |
 | CHANGING | hosts of the stage, and as many controls, change as pacing admits | all reachable ones did: BAKING |
 | BAKING | the stage is watched, from its last warm host on | good: CONFIRMING; worse: ROLLING_BACK; else a decision |
-| CONFIRMING | the agents of the stage are told to keep the change | all did: the next stage, HELD or DONE |
+| CONFIRMING | the agents of the stage are called to keep the change | all did: the next stage, HELD or DONE |
 | WAITING | nothing begins outside of the hours | the hours: CHANGING |
 | HELD (holding) | nothing begins | an operator resumes it or rolls it back |
 | AWAITING_DECISION (asking) | the analysis can't tell | an operator resumes it (as if good) or rolls it back |
--- a/lapispick/rollout/stage_changes.py
+++ b/lapispick/rollout/stage_changes.py
@@ -64,7 +64,7 @@
 
 
 def change_hosts(step: StepContext) -> None:
-    """Tell hosts and controls of the stage to begin, as many at once as pacing admits."""
+    """Order hosts and controls of the stage to begin, as many at once as pacing admits."""
     state = step.state
     timed_out = next((name for name in state.stage_hosts if _confirm_timed_out(step, name)), None)
     if timed_out is not None:
--- a/lapispick/rollout/stage_completion.py
+++ b/lapispick/rollout/stage_completion.py
@@ -10,7 +10,7 @@
 
 
 def confirm_hosts(step: StepContext) -> None:
-    """Tell the hosts of the stage to keep the change until all reachable ones do."""
+    """Order the hosts of the stage to keep the change, until all reachable ones do."""
     state = step.state
     rolled_back = next((name for name in state.stage_hosts if _has_rolled_back(step, name)), None)
     if rolled_back is not None:
@@ -35,13 +35,13 @@
 
 
 def confirm_controls(step: StepContext) -> None:
-    """Tell restarted controls to keep what they run, which is what they ran before."""
+    """Order restarted controls to keep the generation that they run, which is the one of before."""
     for name in step.unconfirmed_controls():
         step.send(name, Confirm(step.fence, control_rollout_name(step.state)))
 
 
 def finish_stage(step: StepContext) -> None:
-    """Count the stage's hosts as confirmed, and go on to the next stage or to the end."""
+    """Count the stage's hosts as confirmed, and continue with the next stage or end the rollout."""
     state = step.state
     state.confirmed_hosts += state.stage_hosts
     state.stage_hosts = []
--- a/lapispick/rollout/stop_conditions.py
+++ b/lapispick/rollout/stop_conditions.py
@@ -29,7 +29,7 @@
     if status is None:
         return ""
     if status.rolled_back_rollout == state.name and status.fault != CALLED_BACK:
-        # A host whose confirmation got lost says nothing against the change.
+        # A lost confirmation is no evidence against the change.
         return "" if status.fault == NOT_CONFIRMED_IN_TIME else status.fault
     if status.serving != state.plan.generation:
         return ""
--- a/lapispick/shares/__init__.py
+++ b/lapispick/shares/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions that hosts make on their own and that add up: which backends each of them uses."""
+"""Decisions that each host makes alone from the same lists: which backends each of them uses."""
--- a/lapispick/trace/selecting.py
+++ b/lapispick/trace/selecting.py
@@ -2,7 +2,7 @@
 
 A step waits until the outcomes of all its attempts are known, which the longest deadline bounds; so memory follows
 what is open and not the length of the trace. An attempt that spans an edge of the window is marked, selected with all
-its records or left out, as the selection says.
+its records or left out, by the ``EdgePolicy``.
 """
 
 from __future__ import annotations
