--- a/lapispick/admission/concurrency_limit.py
+++ b/lapispick/admission/concurrency_limit.py
@@ -91,7 +91,7 @@
     def close_window(self, speed: float, core_use: float) -> None:
         """Take one step: +1 while runs are fast and cores idle, less on errors, cancellations and contention.
 
-        ``speed`` is the fraction of its full speed that the server has; ``core_use`` is that of the cores.
+        ``speed`` is the fraction of its full speed that the server has, ``core_use`` the fraction of the cores in use.
         """
         settings = self._settings
         survived_ratio = OVERLOAD_FRACTION * (1 + (settings.overload_runs_per_core - 1) * speed)
--- a/lapispick/admission/run_estimates.py
+++ b/lapispick/admission/run_estimates.py
@@ -51,7 +51,7 @@
         return True
 
     def learn(self, request: TrackedRequest, duration_ms: float) -> float:
-        """Take in a finished run; return its time on the cores over what was expected."""
+        """Learn from a finished run; return the ratio of its time on the cores to the expected one."""
         class_index = request.class_index
         core_ms = max(0.0, duration_ms - request.blocked_ms)
         latency_ratio = core_ms / max(MIN_CORE_TIME_MS, self.core_time_ms(request))
--- a/lapispick/conf/value_types.py
+++ b/lapispick/conf/value_types.py
@@ -35,7 +35,7 @@
 
 
 def boolean(raw: str) -> bool:
-    """Take ``yes`` or ``no``."""
+    """Take ``yes`` or ``no``, or another word of ``TRUE_VALUES`` and ``FALSE_VALUES``."""
     if raw.lower() in TRUE_VALUES:
         return True
     if raw.lower() in FALSE_VALUES:
@@ -44,7 +44,7 @@
 
 
 def count(raw: str) -> int:
-    """Take a whole number."""
+    """Take a whole number of at most 12 digits, without a sign."""
     if not re.fullmatch(r"\d{1,12}", raw):
         raise ValueError(f"{raw!r} is not a whole number such as 20")
     return int(raw)
--- a/lapispick/durable/budget.py
+++ b/lapispick/durable/budget.py
@@ -32,7 +32,10 @@
         return self._evict()
 
     def add_result(self, key: bytes, size: int) -> list[bytes] | None:
-        """Account for a result; return the keys whose results are evicted for it, None where it is too large itself."""
+        """Account for a result of ``size`` bytes; return the keys whose results are evicted for it.
+
+        None: the result is too large itself and is not accounted for.
+        """
         if size > self.max_bytes * MAX_RESULTS_FRACTION:
             return None
         self.result_bytes += size - self.result_sizes.pop(key, 0)
--- a/lapispick/durable/records.py
+++ b/lapispick/durable/records.py
@@ -63,7 +63,7 @@
     """Return the record to be stored before the command leaves, where the verdict was ``RUN``.
 
     A ``created_at_ms`` in the future counts as now: a client's clock that is an hour ahead would otherwise hold the key
-    for an hour.
+    for an hour. Raises ``InvalidTransitionError`` where there is a record whose window has not ended.
     """
     if record is not None and now_ms < record.expires_at_ms:
         raise InvalidTransitionError(record.state, KeyEvent.INTEND)
@@ -100,7 +100,8 @@
     """Return what a new incarnation makes of a stored record; None where its window has ended.
 
     A stored intent may have been sent, so its outcome is unknown. The result may still become known from a notice that
-    was not read; until then its attempts fail.
+    was not read; until then its attempts fail. Raises ``IncarnationError`` for an unfinished record of this incarnation
+    or a later one.
     """
     if now_ms >= record.expires_at_ms:
         return None
--- a/lapispick/fleet/hosts.py
+++ b/lapispick/fleet/hosts.py
@@ -57,12 +57,12 @@
 
     @property
     def failure_domain(self) -> tuple[str, str]:
-        """Return what fails together; domains of the same name in two zones are two."""
+        """Return (zone, domain): domains of the same name in two zones are two."""
         return self.zone, self.domain
 
     @property
     def kind(self) -> tuple[str, str]:
-        """Return what it may be compared with: hosts of the same zone and machine."""
+        """Return (zone, machine): only hosts of one kind are compared with each other."""
         return self.zone, self.machine
 
 
--- a/lapispick/jitter.py
+++ b/lapispick/jitter.py
@@ -10,10 +10,10 @@
 
 
 def period(interval_s: float, draw: float) -> float:
-    """Return the time to the next run of a periodic job, within 20 % of ``interval_s``."""
+    """Return the time (s) to the next run of a periodic job, within 20 % of ``interval_s``."""
     return interval_s * (1 + PERIOD_JITTER_FRACTION * (draw - 0.5))
 
 
 def pause(backoff_s: float, draw: float) -> float:
-    """Return a backoff with the mean ``backoff_s``, from a tenth of it to nearly twice."""
+    """Return a backoff (s) with the mean ``backoff_s``, from a tenth of it to nearly twice."""
     return backoff_s * (MIN_BACKOFF_FRACTION + 2 * (1 - MIN_BACKOFF_FRACTION) * draw)
--- a/lapispick/members/failure_detector.py
+++ b/lapispick/members/failure_detector.py
@@ -96,7 +96,7 @@
     # Time.
 
     def next_tick_at(self) -> float:
-        """Return when the next call of ``tick`` has something to do."""
+        """Return when the next call of ``tick`` has something to do, monotonic s."""
         if self._outstanding is None:
             return self._next_probe_at
         return min(self._next_probe_at, self._outstanding.sent_at + self._probe_timeout())
--- a/lapispick/members/gossip_facts.py
+++ b/lapispick/members/gossip_facts.py
@@ -68,7 +68,7 @@
     observed_at: float  # by this member's clock
 
     def order(self) -> tuple[int, int, float]:
-        """Return what orders facts of one author, kind and subject; the greatest is kept."""
+        """Return (process epoch, sequence, age): of one author, kind and subject the greatest is stored."""
         return self.fact.process_epoch, self.fact.sequence, -self.observed_at
 
     def with_age(self, now: float) -> Fact:
--- a/lapispick/members/lease_manager.py
+++ b/lapispick/members/lease_manager.py
@@ -103,7 +103,7 @@
     # Time.
 
     def next_tick_at(self) -> float:
-        """Return when the next call of ``tick`` has something to do."""
+        """Return when the next call of ``tick`` has something to do, monotonic s."""
         return min((request.proposer.next_tick_at() for request in self._requests), default=float("inf"))
 
     def tick(self, now: float) -> list[Outgoing]:
--- a/lapispick/members/lease_proposer.py
+++ b/lapispick/members/lease_proposer.py
@@ -45,7 +45,7 @@
         self._waiting_since = since
 
     def next_tick_at(self) -> float:
-        """Return when the next call of ``tick`` has something to do."""
+        """Return when the next call of ``tick`` has something to do, monotonic s."""
         times = [self._next_proposal_at]
         if self.fencing_token:
             times.append(self.expires_at)
--- a/lapispick/members/member.py
+++ b/lapispick/members/member.py
@@ -88,7 +88,7 @@
     # Time and messages.
 
     def next_tick_at(self) -> float:
-        """Return when the next call of ``tick`` has something to do."""
+        """Return when the next call of ``tick`` has something to do, monotonic s."""
         return min(self.detector.next_tick_at(), self.leases.next_tick_at())
 
     def tick(self, now: float) -> list[Outgoing]:
--- a/lapispick/members/member_state.py
+++ b/lapispick/members/member_state.py
@@ -45,7 +45,7 @@
 
     @property
     def version(self) -> tuple[int, int, MemberState]:
-        """Return what orders reports: the higher one supersedes the lower."""
+        """Return (process epoch, incarnation, state): the higher report supersedes the lower."""
         return self.process_epoch, self.incarnation, self.state
 
     def as_update(self, name: str) -> GossipUpdate:
--- a/lapispick/model/properties/base.py
+++ b/lapispick/model/properties/base.py
@@ -25,7 +25,7 @@
 
 
 def require_agreement(cluster: SimulatedCluster, alive: set[str], absent: set[str]) -> None:
-    """Require that all live members believe each other alive, and the others dead or left."""
+    """Raise ``PropertyError`` unless all live members believe each other alive, and the others dead or left."""
     for observer in sorted(alive):
         view = cluster.members[observer].view
         for name in sorted(alive | absent):
--- a/lapispick/rollout/canary_analysis.py
+++ b/lapispick/rollout/canary_analysis.py
@@ -54,7 +54,7 @@
     memory_limit_kb: float = 192 * 1024.0
 
     def margin(self, metric: str) -> float:
-        """Return the margin of a metric by its name."""
+        """Return the margin of a metric by its name, in the metric's own unit."""
         by_kind = {"slow": self.slower, "memory": self.memory, "runs": self.runs}
         return by_kind.get(metric.partition(" ")[0], self.worse)
 
--- a/lapispick/rollout/difference.py
+++ b/lapispick/rollout/difference.py
@@ -30,7 +30,7 @@
 
     @property
     def variance(self) -> float:
-        """Return the variance of one difference; equal values all the time are no proof of none."""
+        """Return the variance of one difference; a floor applies, as equal values do not prove that there is none."""
         return pooled_variance(self.baseline, self.canary, floor=self._variance_floor)
 
     @property
@@ -52,7 +52,7 @@
 
     @property
     def total(self) -> float:
-        """Return the sum of the differences less what told the groups apart before the change."""
+        """Return the sum of the differences, less the groups' mean difference before the change for each slice."""
         return self.canary.total - self.canary.count * self.baseline.mean
 
     @property
--- a/lapispick/rollout/evidence.py
+++ b/lapispick/rollout/evidence.py
@@ -8,7 +8,7 @@
 estimated spread it holds in the limit (Waudby-Smith, Arbour, Sinha, Kennedy, Ramdas, Annals of Statistics 52, 2024);
 the rate that it errs at here is measured.
 
-A difference is of two groups at the same time, so what strikes both alike cancels. What told the groups apart before
+A difference is of two groups at the same time, so what strikes both alike cancels. The groups' difference before
 the change is subtracted; that offset is known from n0 earlier slices only, so after n slices V is taken as V * (1 + n
 / n0).
 """
--- a/lapispick/rollout/metrics.py
+++ b/lapispick/rollout/metrics.py
@@ -137,7 +137,10 @@
 
 
 def quantile(times: Mapping[float, int], fraction: float) -> float:
-    """Return the bound of the bucket that holds this quantile of the answers; 0 for none."""
+    """Return the upper bound, ms, of the bucket that holds this quantile of the answers; 0 for none.
+
+    ``times`` has the number of answers by the upper bound of their bucket, ms; ``fraction`` is from 0 to 1.
+    """
     total = sum(times.values())
     passed = 0
     for bound in sorted(times):
--- a/lapispick/trace/aggregation.py
+++ b/lapispick/trace/aggregation.py
@@ -53,13 +53,16 @@
         self.settings = [settings for _, settings in positions]
 
     def retention_ms(self) -> Array:
-        """Return for each class how long after its birth a request is remembered for retries."""
+        """Return how long after its birth a request is remembered for retries, ms: shape (classes,)."""
         return np.array(
             [max(each.idempotency_window_ms, each.deadline_ms) + RETRY_MARGIN_MS for each in self.settings], np.float64
         )
 
     def positions(self, source_index: Array, class_index: Array) -> Array:
-        """Return the positions of classes that are given by source and number; raises ``ValueError``."""
+        """Return the positions in ``names`` of classes that are given by source and number.
+
+        All arrays have shape (records,). Raises ``ValueError`` for a number that the header does not name.
+        """
         positions = np.zeros(len(class_index), np.int64)
         for source, known in enumerate(self._by_source):
             in_source = source_index == source
--- a/lapispick/trace/block_reader.py
+++ b/lapispick/trace/block_reader.py
@@ -51,13 +51,16 @@
         self._columns: dict[str, Array] = {}
 
     def column(self, name: str) -> Array:
-        """Return a field's values: an array of numbers, or of indices into ``dictionary(name)``."""
+        """Return a field's values, an array of shape (count,): numbers, or indices into ``dictionary(name)``."""
         if name not in self._columns:
             self._columns[name] = self._decode(name)
         return self._columns[name]
 
     def dictionary(self, name: str) -> list[bytes]:
-        """Return the distinct values of a field of strings or bytes; [b''] if the file lacks the field."""
+        """Return the distinct values of a field of strings or bytes; [b''] if the file lacks the field.
+
+        Raises ``ValueError`` where an index is outside of them.
+        """
         column = self._block.columns.get((RECORD_NUMBERS[self.record_type], self._field(name)[0]))
         dictionary = list(column.words) if column is not None else [b""]
         indices = self.column(name)
@@ -66,7 +69,7 @@
         return dictionary
 
     def values(self, name: str) -> list[Any]:
-        """Return a field's values as the records hold them."""
+        """Return a field's values as the records hold them; raises ``ValueError`` for an unknown outcome."""
         _, field = self._field(name)
         if field.type is FieldType.FLOATS:
             return self._lists(name)
@@ -135,7 +138,10 @@
         self._categories: dict[RecordCategory, CategoryRecords] = {}
 
     def decode_column(self, record: int, field: int, count: int, step_times: Array | None = None) -> Array | None:
-        """Return a column's values, None if the block lacks it; ``step_times``: the clock of each value's step."""
+        """Return a column's values, an array of shape (count,); None if the block lacks it.
+
+        ``step_times`` has the clock of each value's step, ms. Raises ``ValueError`` for an inconsistent column.
+        """
         column = self.columns.get((record, field))
         if column is None:
             return None
--- a/lapispick/trace/column_codec.py
+++ b/lapispick/trace/column_codec.py
@@ -150,7 +150,11 @@
 
 
 def decode_column(column: EncodedColumn, count: int, base: Array | None = None) -> Array:
-    """Return ``count`` values as an array; raises ``ValueError`` if the column is inconsistent with that."""
+    """Return the values, an array of shape (count,) of int64 or float64.
+
+    ``base`` has the base time of each value, for columns that are relative to it. Raises ``ValueError`` if the column
+    is inconsistent with ``count``.
+    """
     if not _is_consistent(column, count):
         raise ValueError("is no block: a column that contradicts itself")
     integers = _decode_integers(column, count)
--- a/lapispick/trace/retention.py
+++ b/lapispick/trace/retention.py
@@ -30,5 +30,5 @@
 
 
 def rotate(size: int, opened_at: float, now: float, max_file_bytes: int, max_file_age_s: float) -> bool:
-    """Tell whether a file is closed and the next one begun."""
+    """Tell whether a file of ``size`` bytes is to be closed and the next one begun; times are seconds of one clock."""
     return size >= max_file_bytes or now - opened_at >= max_file_age_s
--- a/lapispick/trace/series.py
+++ b/lapispick/trace/series.py
@@ -78,7 +78,7 @@
             self.add(value.decode(errors="replace") or UNKNOWN_NAME, intervals[indices == index])
 
     def total(self) -> Array:
-        """Return the counts of all names together."""
+        """Return the counts of all names together: shape (intervals,)."""
         return sum(self._by_name.values(), np.zeros(self._interval_count, np.int64))
 
     def lists(self) -> dict[str, list[int]]:
--- a/lapispick/trace/step_times.py
+++ b/lapispick/trace/step_times.py
@@ -37,7 +37,7 @@
 
 
 def step_times(sources: Sequence[CorrectedSource], block: Block) -> Array:
-    """Return the times of all steps of a block, as an array."""
+    """Return the times of all steps of a block, ms: shape (steps,)."""
     offset = np.array([source.offset for source in sources])[block.source_index]
     drift = np.array([source.drift for source in sources])[block.source_index]
     at = np.array([source.at for source in sources])[block.source_index]
