--- a/lapispick/members/lease_manager.py
+++ b/lapispick/members/lease_manager.py
@@ -103,11 +103,11 @@
     # Time.
 
     def next_tick_at(self) -> float:
-        """Return when the next call of ``tick`` has something to do."""
+        """Return when the next call of ``tick`` has something to do, monotonic s."""
         return min((request.proposer.next_tick_at() for request in self._requests), default=float("inf"))
 
     def tick(self, now: float) -> list[Outgoing]:
-        """Propose, renew and give up what is due."""
+        """Propose and renew what is due, and drop the requests of silent owners."""
         outgoing = []
         for request in list(self._requests):
             if now - request.last_requested >= self._owner_timeout_s:
