--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -77,7 +77,7 @@
 
 
 def make_request(request_id, answers, class_index=0, key=None):
-    """Return a request that adds its tag and the kind of each answer to ``answers``."""
+    """Return a request that adds its id and the kind of each answer to ``answers``."""
     return Request(
         request_id=request_id,
         class_name="any",
