--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -50,7 +50,9 @@
 
 def peak_memory_mb(pid: int) -> float:
     """Return the most memory that a process has held."""
-    return int(re.search(r"VmHWM:\s+(\d+)", Path(f"/proc/{pid}/status").read_text()).group(1)) / 1024
+    peak = re.search(r"VmHWM:\s+(\d+)", Path(f"/proc/{pid}/status").read_text())
+    assert peak is not None, f"process {pid} has no memory of its own"
+    return int(peak.group(1)) / 1024
 
 
 def ratio(before: Sequence[float], now: Sequence[float]) -> str:
--- a/benchmarks/inventory.py
+++ b/benchmarks/inventory.py
@@ -252,8 +252,8 @@
         helper_mb = peak_memory_mb(inventory.helper.process.pid)
         inventory.helper.process.kill()
         inventory.helper.process.wait()
-    gaps_ms = [meter.longest_s[phase] * 1000 for phase in ("idle", "first", "change")]
-    return Stalls(*gaps_ms, helper_mb, peak_memory_mb(os.getpid()))
+    idle_ms, first_load_ms, change_ms = (meter.longest_s[phase] * 1000 for phase in ("idle", "first", "change"))
+    return Stalls(idle_ms, first_load_ms, change_ms, helper_mb, peak_memory_mb(os.getpid()))
 
 
 def loop(rounds: int = 5) -> None:
--- a/benchmarks/parity_wire.py
+++ b/benchmarks/parity_wire.py
@@ -9,7 +9,7 @@
 import struct
 from collections.abc import Sequence
 from enum import IntEnum
-from typing import BinaryIO, NamedTuple
+from typing import IO, NamedTuple
 
 BATCH_HEADER = struct.Struct(">IdI")
 REPLY_HEADER = struct.Struct(">III")
@@ -196,7 +196,7 @@
     return BATCH_HEADER.pack(BATCH_HEADER.size + len(body), clock, number) + body
 
 
-def read_reply(stream: BinaryIO) -> bytes:
+def read_reply(stream: IO[bytes]) -> bytes:
     """Read one reply frame; raises ``ReplyError`` where the output ends."""
     head = stream.read(LENGTH_BYTES)
     if len(head) < LENGTH_BYTES:
