--- a/tests/test_executor_races.py
+++ b/tests/test_executor_races.py
@@ -10,7 +10,7 @@
 from lapispick.fakes.executor import Executor
 from lapispick.fakes.messages import REJECTED_CODE, make_idempotency_key
 from lapispick.fakes.start_settings import make_platform_info
-from lapispick.fakes.waiting import wait_until
+from lapispick.fakes.waiting import let_time_pass, wait_until
 from tests.host_support import FAILED_CODE, fill_all_slots, send_with_lost_starts
 
 
@@ -58,9 +58,10 @@
     worker = host()
     gateway = worker.gateway()
     lost = fill_all_slots(
-        lambda: gateway.request("book", "hold", make_idempotency_key(), patience=1500),
+        lambda: gateway.request("book", "hold", make_idempotency_key(), patience=2500),
         start_count=lambda: len(worker.executor.runs),
     )
+    let_time_pass(0.6)  # a start of this age counts as carried out when the link is lost
     worker.executor.max_resent_notices = 4
     with worker.executor.lock:
         worker.executor.disconnect()
@@ -103,6 +104,9 @@
     assert not worker.executor.runs
     worker.executor.become_ready()
     assert [gateway.result(n) for n in numbers] == [f"did early{i}" for i in range(3)]
+    sent = [command.get("nonce", command["verb"]) for command in worker.executor.commands]
+    last_join = len(sent) - 1 - sent[::-1].index("JOIN")
+    assert sent.index("fence", last_join) < sent.index("EXEC", last_join)
 
 
 @pytest.mark.parametrize("relinked", [False, True])
