--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -96,55 +96,55 @@
 
 
 def test_a_good_change_reaches_all_hosts(made):
-    s = made().start()
-    new, options = s.add_generation(settings=METRICS_SETTINGS + LOG_WARNINGS_SETTINGS)
-    s.start_controller("start", *options)
-    s.wait_for_phase("done", "asking", "undone")
-    s.resume_until_done()
-    assert set(s.serving().values()) == {new}
-    assert s.run_command("history", "r1").stdout.count("stage") >= 2
-    assert s.run_command("explain").returncode == 0
-    assert_rules_kept(s)
+    rollout_fleet = made().start()
+    new, options = rollout_fleet.add_generation(settings=METRICS_SETTINGS + LOG_WARNINGS_SETTINGS)
+    rollout_fleet.start_controller("start", *options)
+    rollout_fleet.wait_for_phase("done", "asking", "undone")
+    rollout_fleet.resume_until_done()
+    assert set(rollout_fleet.serving().values()) == {new}
+    assert rollout_fleet.run_command("history", "r1").stdout.count("stage") >= 2
+    assert rollout_fleet.run_command("explain").returncode == 0
+    assert_rules_kept(rollout_fleet)
 
 
 def test_a_change_that_is_worse_for_one_class_is_rolled_back(made, tmp_path):
-    s = made(plan(bake="8s", bake_most="30s"), rate=60).start()
-    _, options = s.add_generation(program(tmp_path / "bad", fails_keyed_requests(4)))
-    assert_rolled_back(s, options, reason="book")
-    assert set(s.serving().values()) == {s.good}
-    rolled_back = [agent for agent in s.agents.values() if agent.status().rolled_back_rollout == "r1"]
+    rollout_fleet = made(plan(bake="8s", bake_most="30s"), rate=60).start()
+    _, options = rollout_fleet.add_generation(program(tmp_path / "bad", fails_keyed_requests(4)))
+    assert_rolled_back(rollout_fleet, options, reason="book")
+    assert set(rollout_fleet.serving().values()) == {rollout_fleet.good}
+    rolled_back = [agent for agent in rollout_fleet.agents.values() if agent.status().rolled_back_rollout == "r1"]
     assert len(rolled_back) == 1  # it got no further than its first stage
-    explanation = json.loads(s.run_command("explain", "--json").stdout)
+    explanation = json.loads(rollout_fleet.run_command("explain", "--json").stdout)
     assert explanation["outcome"] == "worse"
     assert any("book" in row["figure"] for row in explanation["rows"])
-    assert_rules_kept(s)
+    assert_rules_kept(rollout_fleet)
 
 
 def test_a_change_that_is_bad_only_beside_old_hosts_is_rolled_back(made, tmp_path):
-    s = made(plan(bake="8s", bake_most="30s"), rate=60).start()
+    rollout_fleet = made(plan(bake="8s", bake_most="30s"), rate=60).start()
     beside = tmp_path / "old-hosts-serve"
     beside.touch()
-    new, options = s.add_generation(program(tmp_path / "bad", fails_keyed_requests(4, file_exists(beside))))
+    new, options = rollout_fleet.add_generation(program(tmp_path / "bad", fails_keyed_requests(4, file_exists(beside))))
 
     def remove_file_without_old_hosts():
-        if all(generation == new for generation in s.serving().values()):
+        if all(generation == new for generation in rollout_fleet.serving().values()):
             beside.unlink(missing_ok=True)
 
     with repeated(remove_file_without_old_hosts):
-        assert_rolled_back(s, options, reason="book")
-    assert set(s.serving().values()) == {s.good}
-    assert_rules_kept(s)
+        assert_rolled_back(rollout_fleet, options, reason="book")
+    assert set(rollout_fleet.serving().values()) == {rollout_fleet.good}
+    assert_rules_kept(rollout_fleet)
 
 
 def test_a_program_that_does_not_start_stops_the_rollout_at_once(made, tmp_path):
-    s = made().start()
-    _, options = s.add_generation(program(tmp_path / "bad", DOES_NOT_START))
-    controller = s.start_controller("start", *options)
-    found = s.wait_for_phase("undone")
+    rollout_fleet = made().start()
+    _, options = rollout_fleet.add_generation(program(tmp_path / "bad", DOES_NOT_START))
+    controller = rollout_fleet.start_controller("start", *options)
+    found = rollout_fleet.wait_for_phase("undone")
     assert "ended before it took clients" in found["reason"]
     assert controller.wait(20) == 1
-    assert set(s.serving().values()) == {s.good}
-    assert_rules_kept(s)
+    assert set(rollout_fleet.serving().values()) == {rollout_fleet.good}
+    assert_rules_kept(rollout_fleet)
 
 
 # (point, how often it is passed before the controller dies there)
@@ -162,226 +162,234 @@
 
 @pytest.mark.parametrize(("point", "times"), POINTS)
 def test_a_controller_killed_at_any_point_is_resumed_by_another_one(made, point, times):
-    s = made(plan(bake="0.6s", bake_most="1.2s")).start()
-    new, options = s.add_generation(config={"stop_ms": 2400})
-    first = s.start_controller("start", *options, dies_at=point, times=times)
+    rollout_fleet = made(plan(bake="0.6s", bake_most="1.2s")).start()
+    new, options = rollout_fleet.add_generation(config={"stop_ms": 2400})
+    first = rollout_fleet.start_controller("start", *options, dies_at=point, times=times)
     if (point, times) in (("took-over", 1), ("decided", 1)):  # nothing is stored: it never began
         assert first.wait(30) == -signal.SIGKILL
-        s.start_controller("start", *options)
+        rollout_fleet.start_controller("start", *options)
     else:
         while first.poll() is None:
-            if (s.status() or {}).get("phase") == "asking":
-                s.resume(first)
-        s.start_controller("resume")
-    s.resume_until_done()
-    assert set(s.serving().values()) == {new}
-    assert_rules_kept(s)
+            if (rollout_fleet.status() or {}).get("phase") == "asking":
+                rollout_fleet.resume(first)
+        rollout_fleet.start_controller("resume")
+    rollout_fleet.resume_until_done()
+    assert set(rollout_fleet.serving().values()) == {new}
+    assert_rules_kept(rollout_fleet)
 
 
 def test_a_controller_that_was_suspended_is_fenced_off(made):
-    s = made(plan(bake="4s", bake_most="20s")).start()
-    new, options = s.add_generation(config={"stop_ms": 2400})
-    first = s.start_controller("start", *options)
-    s.wait_for_bake()
+    rollout_fleet = made(plan(bake="4s", bake_most="20s")).start()
+    new, options = rollout_fleet.add_generation(config={"stop_ms": 2400})
+    first = rollout_fleet.start_controller("start", *options)
+    rollout_fleet.wait_for_bake()
     first.send_signal(signal.SIGSTOP)
-    second = s.start_controller("resume")
+    second = rollout_fleet.start_controller("resume")
     wait_until(lambda: CONTROL_TAKEN in second.log(), "the second controller")
     first.send_signal(signal.SIGCONT)
     assert first.wait(30) == 3
     fenced_by = ("has taken over", "ERR fenced")  # by the store, or by an agent
     assert any(reason in first.log() for reason in fenced_by)
     assert second.poll() is None
-    s.resume_until_done()
-    assert set(s.serving().values()) == {new}
-    assert_rules_kept(s)
+    rollout_fleet.resume_until_done()
+    assert set(rollout_fleet.serving().values()) == {new}
+    assert_rules_kept(rollout_fleet)
 
 
 def test_hosts_that_are_partitioned_past_the_confirm_time_roll_back(made):
-    s = made(
+    rollout_fleet = made(
         plan(confirm="4s", stages="100%", bake="2.5s", bake_most="3s"),
         hosts=4,
     ).start()
-    _, options = s.add_generation(config={"stop_ms": 2400})
-    s.start_controller("start", *options)
-    s.wait_for_bake()
-    cut = [host.name for host in s.fleet.hosts[:2]]
-    heal = s.fleet.partition([CONTROLLERS], cut)
+    _, options = rollout_fleet.add_generation(config={"stop_ms": 2400})
+    rollout_fleet.start_controller("start", *options)
+    rollout_fleet.wait_for_bake()
+    cut = [host.name for host in rollout_fleet.fleet.hosts[:2]]
+    heal = rollout_fleet.fleet.partition([CONTROLLERS], cut)
     for name in cut:
-        s.agents[name].wait_for_phase("steady", serving=s.good, fault="was not confirmed in time")
+        rollout_fleet.agents[name].wait_for_phase(
+            "steady", serving=rollout_fleet.good, fault="was not confirmed in time"
+        )
     heal()
-    found = s.wait_for_phase("asking")
-    s.run_command("back")
-    s.wait_for_phase("undone")
-    assert set(s.serving().values()) == {s.good}, found
-    assert_rules_kept(s)
+    found = rollout_fleet.wait_for_phase("asking")
+    rollout_fleet.run_command("back")
+    rollout_fleet.wait_for_phase("undone")
+    assert set(rollout_fleet.serving().values()) == {rollout_fleet.good}, found
+    assert_rules_kept(rollout_fleet)
 
 
 def test_a_host_that_joins_and_one_that_is_unlisted_during_a_rollout(made):
-    s = made(hosts=4, listed=["disp-01", "disp-02", "disp-03"]).start()
-    new, options = s.add_generation(config={"stop_ms": 2400})
-    s.start_controller("start", *options)
-    s.wait_for_phase("changing", "baking")
-    s.write_list(["disp-01", "disp-02", "disp-04"])
-    s.resume_until_done()
-    serving = s.serving()
-    assert {serving[n] for n in ("disp-01", "disp-02", "disp-04")} == {new}
-    assert_rules_kept(s)
+    rollout_fleet = made(hosts=4, listed=["disp-01", "disp-02", "disp-03"]).start()
+    new, options = rollout_fleet.add_generation(config={"stop_ms": 2400})
+    rollout_fleet.start_controller("start", *options)
+    rollout_fleet.wait_for_phase("changing", "baking")
+    rollout_fleet.write_list(["disp-01", "disp-02", "disp-04"])
+    rollout_fleet.resume_until_done()
+    serving = rollout_fleet.serving()
+    assert {serving[name] for name in ("disp-01", "disp-02", "disp-04")} == {new}
+    assert_rules_kept(rollout_fleet)
 
 
 def test_a_second_rollout_is_rejected_while_one_is_running_or_rolling_back(made):
-    s = made().start()
-    _, options = s.add_generation(config={"stop_ms": 2400})
-    s.start_controller("start", *options)
-    s.wait_for_phase("changing", "baking")
-    done = s.run_command("start", *options)
+    rollout_fleet = made().start()
+    _, options = rollout_fleet.add_generation(config={"stop_ms": 2400})
+    rollout_fleet.start_controller("start", *options)
+    rollout_fleet.wait_for_phase("changing", "baking")
+    done = rollout_fleet.run_command("start", *options)
     assert done.returncode == 1
     assert "rollout r1 is not over" in done.stderr
-    s.wait_for_bake()
-    s.fleet.net.partition([CONTROLLERS], list(s.agents))  # going back can't end while its hosts are out of reach
-    s.run_command("back")
-    s.wait_for_phase("returning", "burning")
-    again = s.run_command("start", *options)
+    rollout_fleet.wait_for_bake()
+    rollout_fleet.fleet.net.partition(
+        [CONTROLLERS], list(rollout_fleet.agents)
+    )  # going back can't end while its hosts are out of reach
+    rollout_fleet.run_command("back")
+    rollout_fleet.wait_for_phase("returning", "burning")
+    again = rollout_fleet.run_command("start", *options)
     assert again.returncode == 1
     assert "rollout r1 is not over" in again.stderr
-    s.fleet.net.heal()
-    s.wait_for_phase("undone")
-    assert set(s.serving().values()) == {s.good}
-    assert_rules_kept(s)
+    rollout_fleet.fleet.net.heal()
+    rollout_fleet.wait_for_phase("undone")
+    assert set(rollout_fleet.serving().values()) == {rollout_fleet.good}
+    assert_rules_kept(rollout_fleet)
 
 
 def test_a_rollout_that_skips_a_format_version_is_rejected_before_any_change(made, tmp_path):
-    s = made().start()
+    rollout_fleet = made().start()
     later = program(tmp_path / "later", SKIPS_A_HANDOVER_VERSION)
-    new, options = s.add_generation(later)
-    done = s.run_command("start", *options)
+    new, options = rollout_fleet.add_generation(later)
+    done = rollout_fleet.run_command("start", *options)
     assert done.returncode == 2
     assert "handover: the new one reads 2 to 3, the old one writes 1" in done.stderr
-    assert {a.status().started_processes for a in s.agents.values()} == {1}
-    assert s.agents["disp-01"].call(f"change 1.x r9 {new} 60")[0].startswith("ERR skips a step")
-    done = s.run_command("check", *options, "--old", str(s.fleet.folder / "program"))
+    assert {agent.status().started_processes for agent in rollout_fleet.agents.values()} == {1}
+    assert rollout_fleet.agents["disp-01"].call(f"change 1.x r9 {new} 60")[0].startswith("ERR skips a step")
+    done = rollout_fleet.run_command("check", *options, "--old", str(rollout_fleet.fleet.folder / "program"))
     assert done.returncode == 2
     assert "take a step between" in done.stderr
 
 
 def test_memory_past_its_limit_stops_the_rollout_at_once(made, tmp_path):
-    s = made(plan(bake="20s", bake_most="40s", memory_most="30%")).start()
-    _, options = s.add_generation(program(tmp_path / "leak", leaks_memory(1 << 20)))
-    s.start_controller("start", *options)
-    found = s.wait_for_phase("undone")
+    rollout_fleet = made(plan(bake="20s", bake_most="40s", memory_most="30%")).start()
+    _, options = rollout_fleet.add_generation(program(tmp_path / "leak", leaks_memory(1 << 20)))
+    rollout_fleet.start_controller("start", *options)
+    found = rollout_fleet.wait_for_phase("undone")
     assert "MB of at most" in found["reason"]
-    assert set(s.serving().values()) == {s.good}
-    assert_rules_kept(s)
+    assert set(rollout_fleet.serving().values()) == {rollout_fleet.good}
+    assert_rules_kept(rollout_fleet)
 
 
 def test_a_broken_rule_stops_the_rollout_at_once(made, tmp_path):
-    s = made(plan(bake="20s", bake_most="40s")).start()
-    _, options = s.add_generation(program(tmp_path / "late", COUNTS_ONE_IN_40_AS_LATE))
-    s.start_controller("start", *options)
-    found = s.wait_for_phase("undone")
+    rollout_fleet = made(plan(bake="20s", bake_most="40s")).start()
+    _, options = rollout_fleet.add_generation(program(tmp_path / "late", COUNTS_ONE_IN_40_AS_LATE))
+    rollout_fleet.start_controller("start", *options)
+    found = rollout_fleet.wait_for_phase("undone")
     assert "broke a rule" in found["reason"]
-    assert set(s.serving().values()) == {s.good}
-    assert_rules_kept(s)
+    assert set(rollout_fleet.serving().values()) == {rollout_fleet.good}
+    assert_rules_kept(rollout_fleet)
 
 
 def test_a_dead_host_returns_in_the_old_generation_and_is_changed_last(made):
-    s = made(plan(stages="box:disp-02 100%"), hosts=4).start()
-    new, options = s.add_generation(config={"stop_ms": 2400})
-    dead = s.fleet["disp-03"]
+    rollout_fleet = made(plan(stages="box:disp-02 100%"), hosts=4).start()
+    new, options = rollout_fleet.add_generation(config={"stop_ms": 2400})
+    dead = rollout_fleet.fleet["disp-03"]
     dead.kill()
-    s.start_controller("start", *options)
-    while s.wait_for_phase("asking", "waiting", "changing")["stage"] < 2:
-        if s.status()["phase"] == "asking":
-            s.run_command("go")
+    rollout_fleet.start_controller("start", *options)
+    while rollout_fleet.wait_for_phase("asking", "waiting", "changing")["stage"] < 2:
+        if rollout_fleet.status()["phase"] == "asking":
+            rollout_fleet.run_command("go")
         else:
-            s.wait_for_phase("asking", "waiting", "baking")
-    s.agents["disp-03"].start()
-    s.agents["disp-03"].wait_serving(s.good)
-    s.fleet.record.end_all_faults()
-    s.resume_until_done()
-    assert set(s.serving().values()) == {new}
-    assert_rules_kept(s)
+            rollout_fleet.wait_for_phase("asking", "waiting", "baking")
+    rollout_fleet.agents["disp-03"].start()
+    rollout_fleet.agents["disp-03"].wait_serving(rollout_fleet.good)
+    rollout_fleet.fleet.record.end_all_faults()
+    rollout_fleet.resume_until_done()
+    assert set(rollout_fleet.serving().values()) == {new}
+    assert_rules_kept(rollout_fleet)
 
 
 def test_a_store_that_collapses_for_all_in_mid_stage_condemns_and_acquits_nothing(made):
-    s = made(QUICK.replace("bake 2s", "bake 4s").replace("bake-most 6s", "bake-most 10s"), calls=0.8).start()
-    _, options = s.add_generation(config={"stop_ms": 2400})
-    s.start_controller("start", *options)
-    s.wait_for_bake()
-    s.fleet.store.slowdown = 200.0  # a call takes 0.4 s in place of 2 ms, for every box
-    found = s.wait_for_phase("asking", "undone", "confirming", "waiting")
+    rollout_fleet = made(
+        QUICK.replace("bake 2s", "bake 4s").replace("bake-most 6s", "bake-most 10s"), calls=0.8
+    ).start()
+    _, options = rollout_fleet.add_generation(config={"stop_ms": 2400})
+    rollout_fleet.start_controller("start", *options)
+    rollout_fleet.wait_for_bake()
+    rollout_fleet.fleet.store.slowdown = 200.0  # a call takes 0.4 s in place of 2 ms, for every box
+    found = rollout_fleet.wait_for_phase("asking", "undone", "confirming", "waiting")
     assert found["phase"] != "undone", found
-    s.fleet.store.slowdown = 1.0
-    s.run_command("back")
-    s.wait_for_phase("undone")
-    assert_rules_kept(s)
+    rollout_fleet.fleet.store.slowdown = 1.0
+    rollout_fleet.run_command("back")
+    rollout_fleet.wait_for_phase("undone")
+    assert_rules_kept(rollout_fleet)
 
 
 def test_an_agent_suspended_through_a_stage_is_skipped_and_rolls_back_alone(made):
-    s = made(plan(confirm="6s", stages="100%")).start()
-    _, options = s.add_generation(settings=METRICS_SETTINGS + LOG_WARNINGS_SETTINGS)
-    s.start_controller("start", *options)
-    s.wait_for_bake()
-    agent = s.agents["disp-01"]
+    rollout_fleet = made(plan(confirm="6s", stages="100%")).start()
+    _, options = rollout_fleet.add_generation(settings=METRICS_SETTINGS + LOG_WARNINGS_SETTINGS)
+    rollout_fleet.start_controller("start", *options)
+    rollout_fleet.wait_for_bake()
+    agent = rollout_fleet.agents["disp-01"]
     agent.process.send_signal(signal.SIGSTOP)
-    s.wait_for_phase("asking", "confirming", "waiting", "changing")
+    rollout_fleet.wait_for_phase("asking", "confirming", "waiting", "changing")
     let_time_pass(6.5)  # past the confirm time
     agent.process.send_signal(signal.SIGCONT)
-    agent.wait_for_phase("steady", serving=s.good, fault="was not confirmed in time")
-    s.run_command("back")
-    s.wait_for_phase("undone")
-    assert set(s.serving().values()) == {s.good}
-    assert_rules_kept(s)
+    agent.wait_for_phase("steady", serving=rollout_fleet.good, fault="was not confirmed in time")
+    rollout_fleet.run_command("back")
+    rollout_fleet.wait_for_phase("undone")
+    assert set(rollout_fleet.serving().values()) == {rollout_fleet.good}
+    assert_rules_kept(rollout_fleet)
 
 
 def test_a_change_that_slows_the_shared_store_for_all_is_not_judged_good(made):
-    s = made(
+    rollout_fleet = made(
         plan(stages="2 100%", bake="6s", bake_most="12s"),
         calls=0.9,
         rate=60,
     ).start()
-    new, options = s.add_generation(config={"stop_ms": 2400})
+    new, options = rollout_fleet.add_generation(config={"stop_ms": 2400})
 
     def slow_store_by_changed_hosts():  # what the changed hosts take from the store is missing to all
-        s.fleet.store.slowdown = 1.0 + 100.0 * sum(generation == new for generation in s.serving().values())
+        rollout_fleet.fleet.store.slowdown = 1.0 + 100.0 * sum(
+            generation == new for generation in rollout_fleet.serving().values()
+        )
 
     with repeated(slow_store_by_changed_hosts):
-        s.start_controller("start", *options)
-        found = s.wait_for_phase("asking", "undone", "confirming", "waiting")
+        rollout_fleet.start_controller("start", *options)
+        found = rollout_fleet.wait_for_phase("asking", "undone", "confirming", "waiting")
         assert found["phase"] == "asking", found
-        s.run_command("back")
-        s.wait_for_phase("undone")
-    assert_rules_kept(s)
+        rollout_fleet.run_command("back")
+        rollout_fleet.wait_for_phase("undone")
+    assert_rules_kept(rollout_fleet)
 
 
 def test_a_change_that_is_bad_only_after_warming_up_is_rolled_back(made, tmp_path):
-    s = made(
+    rollout_fleet = made(
         plan(warm_up="3s", bake="8s", bake_most="30s"),
         rate=60,
     ).start()
-    _, options = s.add_generation(program(tmp_path / "bad", fails_keyed_requests_when_warm(4, after_s=3)))
-    assert_rolled_back(s, options, reason="book")
-    assert_rules_kept(s)
+    _, options = rollout_fleet.add_generation(program(tmp_path / "bad", fails_keyed_requests_when_warm(4, after_s=3)))
+    assert_rolled_back(rollout_fleet, options, reason="book")
+    assert_rules_kept(rollout_fleet)
 
 
 def test_memory_that_grows_slowly_stops_the_rollout_before_its_limit(made, tmp_path):
-    s = made(plan(bake="20s", bake_most="60s"), rate=60).start()
-    _, options = s.add_generation(program(tmp_path / "leak", leaks_memory(40_000)))
-    s.start_controller("start", *options)
-    found = s.wait_for_phase("undone", "asking", "done")
+    rollout_fleet = made(plan(bake="20s", bake_most="60s"), rate=60).start()
+    _, options = rollout_fleet.add_generation(program(tmp_path / "leak", leaks_memory(40_000)))
+    rollout_fleet.start_controller("start", *options)
+    found = rollout_fleet.wait_for_phase("undone", "asking", "done")
     assert found["phase"] == "undone", found
     assert found["reason"].startswith("memory: worse by"), found
-    assert_rules_kept(s)
+    assert_rules_kept(rollout_fleet)
 
 
 def test_a_change_that_is_worse_by_a_tenth_for_one_class_is_stopped(made, tmp_path):
-    s = made(
+    rollout_fleet = made(
         plan(stages="2 100%", worse="2%", bake="50s", bake_most="120s", confirm="200s"),
         hosts=4,
         rate=110,
     ).start()
-    _, options = s.add_generation(program(tmp_path / "bad", fails_keyed_requests(1)))
-    s.start_controller("start", *options)
-    found = s.wait_for_phase("undone", "asking", "done", within=180.0)
+    _, options = rollout_fleet.add_generation(program(tmp_path / "bad", fails_keyed_requests(1)))
+    rollout_fleet.start_controller("start", *options)
+    found = rollout_fleet.wait_for_phase("undone", "asking", "done", within=180.0)
     assert found["phase"] == "undone", found
     assert "book" in found["reason"], found
-    assert_rules_kept(s)
+    assert_rules_kept(rollout_fleet)
