--- a/lapispick/fakes/connection_pool.py
+++ b/lapispick/fakes/connection_pool.py
@@ -17,6 +17,7 @@
         host, port = address.rsplit(":", 1)
         self.sock = socket.create_connection((host, int(port)), timeout=CONNECT_TIMEOUT_S)
         self.sock.settimeout(None)
+        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # a request must not wait for an ACK
         self.lock = threading.Lock()
         self.open_tokens = {}  # request id -> token
         self.last_id = 0
--- a/lapispick/fakes/fake_server.py
+++ b/lapispick/fakes/fake_server.py
@@ -15,7 +15,6 @@
     """A socket that sends each byte by itself."""
 
     def __init__(self, sock):
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._sock = sock
 
     def __getattr__(self, name):
@@ -69,6 +68,7 @@
                 connection, _ = listener.accept()
             except OSError:
                 return
+            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # a reply must not wait for an ACK
             if self.byte_by_byte:
                 connection = ByteByByteSocket(connection)
             self.connections.append(connection)
