--- a/lapispick/fakes/executor.py
+++ b/lapispick/fakes/executor.py
@@ -7,7 +7,7 @@
 import time
 from typing import NamedTuple
 
-from lapispick.fakes.fake_server import FakeServer
+from lapispick.fakes.fake_server import FakeServer, has_ended
 from lapispick.fakes.messages import encode_base64
 from lapispick.fakes.waiting import wait_until
 
@@ -54,6 +54,9 @@
             command = json.loads(line)
             self.received_verbs.append(command["verb"])
             with self.lock:
+                if command["verb"] == "JOIN" and has_ended(connection):
+                    # The host may have joined on its next connection before this thread came to read this one.
+                    return
                 if not self.ignores_commands:
                     self.commands.append(command)
                     handler = getattr(self, "on_" + command["verb"].lower())
--- a/lapispick/fakes/fake_server.py
+++ b/lapispick/fakes/fake_server.py
@@ -11,6 +11,14 @@
 OLD_CONNECTIONS_CLOSE_AFTER_S = 1.5
 
 
+def has_ended(connection):
+    """Tell whether the peer has closed a connection, and nothing of it is left to read."""
+    try:
+        return connection.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
+    except BlockingIOError:
+        return False
+
+
 class ByteByByteSocket:
     """A socket that sends each byte by itself."""
 
