--- a/lapispick/host/amqp/request_builder.py
+++ b/lapispick/host/amqp/request_builder.py
@@ -73,6 +73,8 @@
     def _tenant(self, properties: Properties, queue: Queue) -> object:
         """Return the tenant as the header gives it: where no tenants are configured, a value of any type."""
         tenant = properties.headers.get("customer") or queue.tenant
+        if isinstance(tenant, dict | list):  # neither can be looked up, nor be a part of an idempotency key
+            raise InvalidMessageError("its customer is a table or an array")
         if self._tenants and tenant not in self._tenants:
             raise InvalidMessageError(f"there is no customer {tenant!r}")
         return tenant
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -260,6 +260,7 @@
     [
         {"class_name": "nothing"},
         {"headers": {"customer": "nobody"}},
+        {"headers": {"customer": {"name": "nobody"}}},
         {"expiration": "soon"},
         {"headers": {"size": -1}},
         {"headers": {"size": True}},
