--- a/tests/test_handover_link.py
+++ b/tests/test_handover_link.py
@@ -170,7 +170,7 @@
     with FakeOwner(tmp_path, killed_process.address) as owner:
         queued = GatewayConnection.connect(killed_process.address)
         read_number = queued.request("track", "first", patience=9000)
-        keyed_number = queued.request("book", "late", make_idempotency_key())
+        keyed_number = queued.request("book", "late", make_idempotency_key(), patience=9000)
         new = host(successor_of=killed_process, wait_for_start=False)
         link, hello, _ = owner.accept()
         assert isinstance(hello, messages.Hello)
