--- a/lapispick/host/core/arrivals.py
+++ b/lapispick/host/core/arrivals.py
@@ -48,16 +48,16 @@
         self._max_open = max_open
         self._open_limit = float(max_open)
 
-    def use_share(self, share: float) -> None:
+    def use_quota(self, fraction: float) -> None:
         """Limit the open requests to this fraction of the maximum."""
-        self._open_limit = self._max_open * share
+        self._open_limit = self._max_open * fraction
 
     def on_request_arrived(self, event: events.RequestArrived, module_events: list[admission.Event]) -> None:
         """Take a request in."""
         request = event.request
         self._answers.opened(request)
-        if (refusal := self._refusal(request)) is not None:
-            return self._answers.send(request, refusal)
+        if (answer := self._immediate_answer(request)) is not None:
+            return self._answers.send(request, answer)
         if self._classes[request.class_index].idempotency is not admission.Idempotency.KEYED:
             request.idempotency_key = None
         record = self._idempotency.find_record(request)
@@ -77,7 +77,7 @@
             self._peers.recorder.record_arrival(entry.id, request)
         module_events.append(self._received(entry.id, request, retry_of))
 
-    def _refusal(self, request: Request) -> Answer | None:
+    def _immediate_answer(self, request: Request) -> Answer | None:
         """Return the answer to a request that can't be taken whatever it asks for."""
         if self._module.controller is None:
             log(LOG, logging.WARNING, "request-rejected", request_id=request.request_id, reason="not ready")
--- a/lapispick/host/core/idempotency.py
+++ b/lapispick/host/core/idempotency.py
@@ -46,9 +46,9 @@
         self.ownership.on_verdict = lambda number, verdict: post(events.ClaimDecided(requests[number], verdict))
         self.ownership.on_completed = self._result_ready
 
-    def use_share(self, share: float) -> None:
+    def use_quota(self, fraction: float) -> None:
         """Limit results to this fraction of their memory."""
-        self.table.max_result_bytes = int(self._max_result_bytes * share)
+        self.table.max_result_bytes = int(self._max_result_bytes * fraction)
         self.table.trim()
 
     # What a request that arrives repeats.
--- a/lapispick/host/core/peer_sync.py
+++ b/lapispick/host/core/peer_sync.py
@@ -52,10 +52,10 @@
         self._sent_usage: messages.ResourceUsage | None = None
         self.peer_usage = NO_USAGE  # what the other process has in hand
 
-    def _use_share(self, share: float) -> None:
+    def _use_quota(self, fraction: float) -> None:
         """Limit the bounded memory to this fraction of it."""
-        self._arrivals.use_share(share)
-        self._idempotency.use_share(share)
+        self._arrivals.use_quota(fraction)
+        self._idempotency.use_quota(fraction)
 
     def announce_drain(self, draining: bool) -> None:
         """Tell the other process of a drain or its end."""
@@ -93,7 +93,7 @@
         ownership.send = event.link.send
         ownership.has_unsent = event.link.has_unsent
         ownership.on_peer_connected(Role.FOLLOWER if event.owns_keys else Role.OWNER)
-        self._use_share(SHARED_FRACTION)
+        self._use_quota(SHARED_FRACTION)
         if not event.owns_keys:
             event.link.send(messages.DrainChanged(self._health.state.draining))
             keys = [record.key for record in self._idempotency.table]
@@ -138,4 +138,4 @@
         self._link = None
         self.peer_usage = NO_USAGE
         self._idempotency.ownership.on_peer_lost(event.peer_ended, event.ended_at_s * 1000)
-        self._use_share(1.0)
+        self._use_quota(1.0)
--- a/lapispick/rollout/host_calls.py
+++ b/lapispick/rollout/host_calls.py
@@ -47,9 +47,9 @@
 
 
 def _begin_change(state: HostState, call: Change, observation: Observation) -> str:
-    refusal = _change_answered(state, call) or _change_rejected(state, call, observation)
-    if refusal:
-        return refusal
+    answer = _change_answered(state, call) or _change_rejected(state, call, observation)
+    if answer:
+        return answer
     state.target = call.generation
     state.rollout = call.rollout
     state.phase = HostPhase.CHANGING
