--- a/lapispick/handover/budget.py
+++ b/lapispick/handover/budget.py
@@ -1,7 +1,8 @@
 """Divides the file descriptors of a worker host between its two processes during an upgrade. No I/O, no clock.
 
 Each process knows what the other used some ten milliseconds ago. A quarter of the connections is reserved for each, so
-that neither is starved; beyond that both together stay within what one process may use.
+that neither is starved; beyond that both together stay within what one process may use, but for what both accept
+between two reports.
 """
 
 from __future__ import annotations
