--- a/lapispick/admission/shadow_prices.py
+++ b/lapispick/admission/shadow_prices.py
@@ -1,6 +1,7 @@
 """Shadow prices of occupancy (the time on a slot) and cost: the duals of a linear program over a sample of requests.
 
-After the adaptive bid-price filter of ThrottleKit's "Unified Admission" page; see docs/DESIGN-lapispick.md.
+After the adaptive bid-price filter of ThrottleKit's "Unified Admission" page: a prior of zero prices the first
+requests, and prices learned from a sample replace it only if they do better on that sample.
 """
 
 from __future__ import annotations
