--- a/lapispick/admission/__init__.py
+++ b/lapispick/admission/__init__.py
@@ -1,7 +1,7 @@
-"""The decision module: which requests are admitted, in which order, and which are rejected. No I/O and no clock.
+"""The decision module: decides which requests are admitted, in which order they run, and which are rejected.
 
-The types of its interface are exported here; ``controller.Controller`` is where decisions start. The parts and the
-order of their work: docs/ADMISSION-DESIGN.md.
+It does no I/O and reads no clock. This package exports the types of its interface; ``controller.Controller`` is the
+entry point. docs/ADMISSION-DESIGN.md describes the components and the order in which they run.
 """
 
 from lapispick.admission.actions import (
--- a/lapispick/admission/actions.py
+++ b/lapispick/admission/actions.py
@@ -1,6 +1,6 @@
-"""The actions that the decision module orders.
+"""The output actions of the decision module.
 
-All times are milliseconds.
+All times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 
 
 class RejectReason(StrEnum):
-    """The bound that a rejected request met; the values are stored in traces."""
+    """Reason for the rejection of a request; the values are stored in traces."""
 
     DRAIN = "drain"
     LATE = "late"
     LIMIT = "limit"
     MEMORY = "memory"
     PRICE = "price"
-    REPEAT = "repeat"  # a newer attempt of the same request took its place
+    REPEAT = "repeat"  # replaced by a newer attempt of the same request
 
 
 class StartRun(NamedTuple):
@@ -27,28 +27,28 @@
 
 
 class CancelRun(NamedTuple):
-    """Cancel a run; with ``CancelMode.PAUSE`` it keeps its work."""
+    """Cancel a run; with ``CancelMode.PAUSE`` it keeps the work done and can be resumed."""
 
     id: int
 
 
 class Reject(NamedTuple):
-    """Final answer: rejected, never ran."""
+    """Final answer: rejected; the request never ran."""
 
     id: int
     retry_after_ms: float
     no_retry: bool
-    reason: str = ""  # a ``RejectReason``, for logs and traces; it is not sent to clients
+    reason: str = ""  # the value of a ``RejectReason``; for logs and traces, not sent to clients
 
 
 class Fail(NamedTuple):
-    """Final answer: failed; it may have been executed or not."""
+    """Final answer: failed; the request may or may not have been executed."""
 
     id: int
 
 
 class StartCall(NamedTuple):
-    """Make the downstream call that a request waits for."""
+    """Start the downstream call that a request waits for."""
 
     id: int
     timeout_ms: float
@@ -61,45 +61,45 @@
 
 
 class Coalesce(NamedTuple):
-    """Answer a queued request with the result of the one it repeats."""
+    """Answer a request with the result of the attempt that it repeats."""
 
     id: int
 
 
 class RetainKey(NamedTuple):
-    """Retain the idempotency key of a request for this long."""
+    """Retain the idempotency key of a request for ``retention_ms``."""
 
     id: int
     retention_ms: float
 
 
 class ReleaseKey(NamedTuple):
-    """Forget the idempotency key of a request that never ran."""
+    """Release the idempotency key of a request that never ran."""
 
     id: int
 
 
 class SetHealth(NamedTuple):
-    """Answer health checks so from now on; ``cached``: without work for each check."""
+    """Set the answer to health checks; if ``cached`` is true, the host gives it without any work for each check."""
 
     healthy: bool
     cached: bool
 
 
 class SetIdleTimeout(NamedTuple):
-    """Close connections that carried nothing for this long; 0 = the idle timeout of the settings."""
+    """Set the timeout after which idle connections are closed; 0 = the idle timeout of the settings."""
 
     timeout_ms: float
 
 
 class Advertise(NamedTuple):
-    """Send this backpressure value with every answer from now on."""
+    """Set the backpressure value that is sent with every answer from now on."""
 
     value: float
 
 
 class SetTimer(NamedTuple):
-    """Request a ``TimerFired`` after a delay."""
+    """Request a ``TimerFired`` event after a delay."""
 
     delay_ms: float
     token: int
--- a/lapispick/admission/controller.py
+++ b/lapispick/admission/controller.py
@@ -1,4 +1,4 @@
-"""The controller of one server: dispatches each event to its handler, and closes control windows."""
+"""The controller of one server: dispatches each event to its handler and closes the control windows."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 from lapispick.admission.server_state import ServerState
 from lapispick.admission.settings import Settings
 
-TIMER_INTERVAL_MS = 40.0  # below the margin that answers keep before their deadline
-CONTROL_WINDOW_MS = 240.0  # one step of the concurrency limit, the backpressure value and the idle timeout
+TIMER_INTERVAL_MS = 40.0  # with ANSWER_MARGIN_MS it bounds how late an overdue request is answered
+CONTROL_WINDOW_MS = 240.0  # interval at which the concurrency limit, backpressure value and idle timeout adapt
 TIMER_TOKEN = 0
 
 
 class RequestUsage(NamedTuple):
-    """What the requests of this process take at present."""
+    """Resources that the requests of this process use at present."""
 
     running: int
     memory_kb: float
@@ -45,7 +45,7 @@
 
 
 class Controller:
-    """Takes events and returns actions, with no clock and no I/O of its own."""
+    """Entry point of the decision module: takes events and returns actions, without a clock or I/O."""
 
     __slots__ = ("_admission", "_calls", "_handlers", "_lifecycle", "_next_window_at", "_scheduler", "state")
 
@@ -69,7 +69,7 @@
         }
 
     def step(self, now: float, events: Sequence[Event]) -> list[Action]:
-        """Take in what happened at ``now`` and return what to do, in this order."""
+        """Process the events that occurred up to ``now``; return the actions in the order of their execution."""
         state = self.state
         state.now = now
         state.events = events
@@ -84,16 +84,16 @@
             handlers[type(event)](event)
         self._lifecycle.answer_overdue()
         self._calls.retry_waiting()
-        self._scheduler.start_queued(self._admission.read_delay)
+        self._scheduler.start_queued(self._admission.read_delay_fraction)
         return state.actions
 
     def usage(self) -> RequestUsage:
-        """Return what this process uses, for another process of this server."""
+        """Return the resources that this process uses, for the peer process of this server."""
         state = self.state
         return RequestUsage(state.concurrency_limit.running, state.memory.used_kb, state.downstream.in_flight)
 
     def learned(self) -> LearnedEstimates:
-        """Return what a process that takes this one's place should know; see ``adopt``."""
+        """Return the learned estimates for the process that replaces this one; see ``adopt``."""
         state = self.state
         estimates = state.run_estimates
         return LearnedEstimates(
@@ -110,7 +110,7 @@
         )
 
     def adopt(self, learned: LearnedEstimates) -> None:
-        """Begin with what another process learned on these cores; what was learned here has priority."""
+        """Start with the estimates of another process on this host; estimates learned here take precedence."""
         state = self.state
         if not state.run_estimates.adopt(learned):
             return
@@ -119,7 +119,7 @@
         state.shadow_prices.adopt(learned.prices, learned.prices_frozen)
 
     def _on_shutdown_requested(self, event: ShutdownRequested) -> None:
-        """Begin to drain: all that was read is answered before the stop."""
+        """Start draining: every request that was read is answered before the stop."""
         state = self.state
         state.drain.begin(event, state.now)
         if not event.handed_over:
@@ -133,7 +133,7 @@
         self._next_window_at = state.now
 
     def _on_timer_fired(self, event: TimerFired) -> None:
-        """Ask for the next timer, read the gauges and close the control window when its time is over."""
+        """Request the next timer, read the gauges and close the control window if its interval has passed."""
         state = self.state
         state.actions.append(SetTimer(TIMER_INTERVAL_MS, TIMER_TOKEN))
         gauges = dict(zip(state.settings.gauges, event.gauges, strict=False))
@@ -146,13 +146,13 @@
             self._close_window(gauges.get(CORE_USE_GAUGE, 0.0))
 
     def _close_window(self, core_use: float) -> None:
-        """Expire keys, and adapt the limit, the order of the queues, the backpressure value and the idle timeout."""
+        """Expire keys; adapt the concurrency limit, the queue order, the backpressure value and the idle timeout."""
         state = self.state
         now = state.now
         state.idempotency.expire(now)
         state.concurrency_limit.close_window(state.slow_start.speed_fraction(now), core_use)
         state.queue.sort()
-        value = state.backpressure.close_window(state.drain.keeps_clients_away(now))
+        value = state.backpressure.close_window(state.drain.diverts_clients(now))
         if value is not None:
             state.actions.append(Advertise(value))
         timeout_ms = state.idle_timeout.close_window(state.backpressure.shed_fraction)
--- a/lapispick/admission/events.py
+++ b/lapispick/admission/events.py
@@ -1,6 +1,7 @@
-"""The events that the decision module is handed.
+"""The input events of the decision module.
 
-All times are milliseconds, all memory is in kilobytes. Times called ``*_at`` are clock times, the others are spans.
+All times are in milliseconds, all memory sizes in kilobytes. Fields named ``*_at`` are clock times, all other times are
+durations.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class Outcome(IntEnum):
-    """How a run or a downstream call ended."""
+    """Outcome of a run or a downstream call."""
 
     ERROR = 0
     OK = 1
@@ -25,58 +26,62 @@
 
 
 class CallTimes(NamedTuple):
-    """Moving averages of the time that a downstream call takes, in ms."""
+    """Moving averages of the duration of a downstream call, in ms: over many calls and over the last few."""
 
     usual_ms: float
     recent_ms: float
 
 
 class LearnedEstimates(NamedTuple):
-    """What a server has learned of its runs, for a process that takes its place; sent and stored by position."""
+    """Estimates learned from completed runs, for the process that replaces this one.
 
-    core_ms: tuple[float, ...]  # mean times by class: on the cores,
-    run_ms: tuple[float, ...]  # in total,
-    blocked_ms: tuple[float, ...]  # from needing a call to going on,
-    call_ms: tuple[float, ...]  # with a call in flight
-    runs: tuple[int, ...]  # that these rest on, by class
+    Encoded as an array, so the order of the fields is part of the format. The first five fields have one entry for
+    each class.
+    """
+
+    core_ms: tuple[float, ...]  # mean time on the cores
+    run_ms: tuple[float, ...]  # mean total run time
+    blocked_ms: tuple[float, ...]  # mean time from requesting a downstream call to resuming the run
+    call_ms: tuple[float, ...]  # mean time with a call in flight
+    runs: tuple[int, ...]  # number of runs that the means are based on, up to the span of the moving average
     concurrency_limit: float
     call_times: CallTimes
     call_limit: float
     prices: Prices
-    prices_frozen: bool  # they were learned
+    prices_frozen: bool  # True once the prices were learned from a sample; they stay the same from then on
 
 
-# Names in ``Settings.gauges``.
+# Gauge names in ``Settings.gauges``.
 CORE_USE_GAUGE = "core_use"  # fraction of the cores that is busy
-ON_CORES_GAUGE = "on_cores"  # threads on the cores now
-PEER_RUNS_GAUGE = "other_runs"  # running requests of another process of this server
-PEER_MEMORY_GAUGE = "other_kb"  # its memory in KB
-PEER_CALLS_GAUGE = "other_calls"  # its downstream calls in flight
+ON_CORES_GAUGE = "on_cores"  # number of threads that are on the cores at present
+PEER_RUNS_GAUGE = "other_runs"  # running requests of the peer, another process of this server
+PEER_MEMORY_GAUGE = "other_kb"  # memory used by the peer, in KB
+PEER_CALLS_GAUGE = "other_calls"  # downstream calls of the peer in flight
 PEER_GAUGES = (PEER_RUNS_GAUGE, PEER_MEMORY_GAUGE, PEER_CALLS_GAUGE)
 
 
 class RequestReceived(NamedTuple):
-    """A request was read and is owed one final answer."""
+    """A request was read; it must get exactly one final answer."""
 
     id: int
     deadline_at: float  # when the client stops waiting; 0 = unknown
-    rank: float  # place in [0, 1) by priority weight, lowest first
-    age_ms: float  # since it reached the machine
-    retry_of: int  # the request that this one repeats; 0 = none
+    rank: float  # position in [0, 1) in the order of priority weights, lowest first
+    age_ms: float  # time since the request reached the machine
+    retry_of: int  # id of the attempt that this request repeats; 0 = none
     cost: float  # expected work; 0 = no hint
-    request_memory_kb: float  # while it is queued
+    request_memory_kb: float  # memory that the request takes while it is queued
     class_index: int
     caller: int
 
 
 class ClientCancelled(NamedTuple):
-    """Nobody waits for this request any more."""
+    """The client no longer waits for this request."""
 
     id: int
 
 
 class RunCompleted(NamedTuple):
-    """A run is over, or the run that a coalesced request waited for."""
+    """The run of a request ended; for a coalesced request, the run whose result it waits for."""
 
     id: int
     outcome: Outcome
@@ -84,13 +89,13 @@
 
 
 class CallRequested(NamedTuple):
-    """A running request waits for a downstream call."""
+    """A running request needs a downstream call before it can continue."""
 
     id: int
 
 
 class CallCompleted(NamedTuple):
-    """A downstream call is over."""
+    """A downstream call ended."""
 
     id: int
     outcome: Outcome
@@ -98,14 +103,14 @@
 
 
 class ShutdownRequested(NamedTuple):
-    """The server is to drain and is stopped at the given time."""
+    """The server must drain; its process is stopped at ``stop_at``."""
 
     stop_at: float
-    handed_over: bool = False  # another process of this server continues: nothing is rejected for the shutdown
+    handed_over: bool = False  # another process of this server takes over: no request is rejected for the shutdown
 
 
 class TimerFired(NamedTuple):
-    """A timer ran out; the gauges come in the order of ``Settings.gauges``."""
+    """A timer expired; ``gauges`` has the gauge values in the order of ``Settings.gauges``."""
 
     token: int
     gauges: tuple[float, ...]
--- a/lapispick/admission/request_admission.py
+++ b/lapispick/admission/request_admission.py
@@ -1,4 +1,4 @@
-"""What happens to a request when it is read: attached to another, rejected, or queued."""
+"""Admission of received requests: each is coalesced with an earlier attempt, rejected or queued."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 from lapispick.admission.server_state import ServerState
 from lapispick.admission.settings import ClassSettings, Idempotency
 
-RETRY_ELSEWHERE = (RejectReason.DRAIN, RejectReason.MEMORY)  # another server may have capacity
+RETRY_ELSEWHERE_REASONS = (RejectReason.DRAIN, RejectReason.MEMORY)  # another server may accept the request
 
 
 class RequestAdmission:
-    """Admits requests that were read."""
+    """Decides whether received requests are admitted."""
 
-    __slots__ = ("_coalescer", "_lifecycle", "_price_test", "_state", "read_delay")
+    __slots__ = ("_coalescer", "_lifecycle", "_price_test", "_state", "read_delay_fraction")
 
     def __init__(self, state: ServerState, lifecycle: RequestLifecycle) -> None:
         self._state = state
         self._lifecycle = lifecycle
         self._coalescer = Coalescer(state, lifecycle)
         self._price_test = PriceTest(state)
-        self.read_delay = 0.0  # how long the last request lay unread, as a fraction of its latency objective
+        self.read_delay_fraction = 0.0  # time the last request lay unread, over its class's latency objective
 
     def on_request_received(self, event: RequestReceived) -> None:
-        """Attach, reject or queue a request."""
+        """Coalesce, reject or queue a request."""
         request = self._track(event)
         if event.retry_of and self._coalescer.coalesce(request, event.retry_of):
             return
-        reason = self._objection(request)
+        reason = self._reject_reason(request)
         if reason is None:
             self._queue(request, event.retry_of)
         else:
-            self._lifecycle.reject(request, reason, retry_elsewhere=reason in RETRY_ELSEWHERE)
+            self._lifecycle.reject(request, reason, retry_elsewhere=reason in RETRY_ELSEWHERE_REASONS)
 
     def _track(self, event: RequestReceived) -> TrackedRequest:
-        """Make the record of a request and count it."""
+        """Create the state of a request and count the request."""
         state = self._state
         settings = state.settings.classes[event.class_index]
         request = TrackedRequest(event, state.now)
@@ -51,8 +51,8 @@
         request.deadline_at = min(due_at - ANSWER_MARGIN_MS, state.drain.stop_at)
         state.requests[request.id] = request
         state.memory.reserve(request)
-        self.read_delay = event.age_ms / settings.latency_objective_ms
-        state.backpressure.record_received(event.rank, request.caller, self.read_delay)
+        self.read_delay_fraction = event.age_ms / settings.latency_objective_ms
+        state.backpressure.record_received(event.rank, request.caller, self.read_delay_fraction)
         state.idle_timeout.record_request(state.now, request.caller)
         state.deadlines.schedule(request)
         return request
@@ -60,20 +60,20 @@
     def _objective_at(
         self, event: RequestReceived, request: TrackedRequest, settings: ClassSettings, due_at: float
     ) -> float:
-        """Return when the latency objective ends, which counts from the client's first attempt."""
+        """Return the time at which the latency objective ends; it counts from the client's first attempt."""
         state = self._state
         if state.settings.lower_tier:
             if event.deadline_at > 0:
-                return due_at  # the time that a call is given is its objective
+                return due_at  # the objective of a call is the timeout that its caller set
             spent_ms = 0.0
         else:
-            spent_ms = state.attempts.time_since_first_attempt(due_at - request.arrived_at, settings.deadline_ms)
+            spent_ms = state.attempt_history.time_since_first_attempt(due_at - request.arrived_at, settings.deadline_ms)
         stretch_ms = settings.objective_stretch * state.run_estimates.core_time_ms(request)
         objective_ms = min(settings.deadline_ms, settings.latency_objective_ms + stretch_ms)
         return request.arrived_at - spent_ms + objective_ms
 
-    def _objection(self, request: TrackedRequest) -> RejectReason | None:
-        """Return why a request is not admitted, None if it is."""
+    def _reject_reason(self, request: TrackedRequest) -> RejectReason | None:
+        """Return the reason to reject a request, or None if it is admitted."""
         state = self._state
         if state.drain.rejects(request.arrived_at):
             return RejectReason.DRAIN
@@ -86,7 +86,7 @@
         return None
 
     def _queue(self, request: TrackedRequest, retry_of: int) -> None:
-        """Queue a request; a key is retained before it can come again, or two attempts could run."""
+        """Queue a request; its key is retained before a retry can arrive, as otherwise two attempts could run."""
         state = self._state
         settings = state.settings.classes[request.class_index]
         if settings.idempotency is Idempotency.KEYED:
--- a/lapispick/admission/request_lifecycle.py
+++ b/lapispick/admission/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""How requests are answered and completed, whatever led to it."""
+"""Answering and completing requests: the part that all event handlers share."""
 
 from __future__ import annotations
 
@@ -19,34 +19,34 @@
 from lapispick.admission.server_state import ServerState
 from lapispick.admission.settings import CancelMode, Idempotency
 
-MIN_LOG_INTERVAL_MS = 20_000.0  # between two lines on one bound
-MIN_RETRY_AFTER_FRACTION = 0.8  # jitter, so that not all clients return at one time
+MIN_LOG_INTERVAL_MS = 20_000.0  # between two log lines about the same bound
+MIN_RETRY_AFTER_FRACTION = 0.8  # jitter, so that clients do not all retry at the same time
 
-NOT_SHED = (RejectReason.DRAIN, RejectReason.REPEAT)  # rejections that are no sign of overload
+NOT_SHED_REASONS = (RejectReason.DRAIN, RejectReason.REPEAT)  # these rejections do not indicate overload
 
 
 class RequestLifecycle:
-    """Gives the one final answer of each request, and forgets the request when its run is over."""
+    """Gives each request exactly one final answer and removes the request when its run has ended."""
 
     __slots__ = ("_logged_at", "_pauser", "_state")
 
     def __init__(self, state: ServerState, pauser: RunPauser) -> None:
         self._state = state
         self._pauser = pauser
-        self._logged_at: dict[str, float] = {}  # by bound
+        self._logged_at: dict[str, float] = {}  # time of the last log line, by bound
 
     def reject(self, request: TrackedRequest, reason: RejectReason, retry_elsewhere: bool = False) -> None:
-        """Give a request that never ran its final answer, with a Retry-After of a mean run of its class."""
+        """Reject a request that never ran; its Retry-After is the mean run time of its class, with jitter."""
         state = self._state
         self.log_bound(reason)
         retry_after_ms = min(state.run_estimates.run_ms[request.class_index], state.settings.max_retry_after_ms)
         retry_after_ms = round(retry_after_ms * state.generator.uniform(MIN_RETRY_AFTER_FRACTION, 1), 1)
         state.actions.append(Reject(request.id, retry_after_ms, not retry_elsewhere, reason.value))
-        self._mark_answered(request, shed=reason not in NOT_SHED)
+        self._mark_answered(request, shed=reason not in NOT_SHED_REASONS)
         self._complete(request)
 
     def fail(self, request: TrackedRequest) -> None:
-        """Give a request that may have run its final answer, and stop it."""
+        """Fail a request that may have run, and cancel its run."""
         self._state.actions.append(Fail(request.id))
         self._mark_answered(request, shed=True)
         if request.state is COALESCED or request.state is PAUSED:
@@ -55,7 +55,7 @@
             self._cancel_run(request)
 
     def log_bound(self, bound: str) -> None:
-        """Log which bound a request met, at most once in ``MIN_LOG_INTERVAL_MS`` for each bound."""
+        """Log that a bound restricts requests, at most once in ``MIN_LOG_INTERVAL_MS`` for each bound."""
         state = self._state
         if state.now - self._logged_at.get(bound, -inf) > MIN_LOG_INTERVAL_MS:
             self._logged_at[bound] = state.now
@@ -63,7 +63,7 @@
             state.actions.append(Log(f"{bound} binds: limit {limit.value:.0f}, running {limit.running}"))
 
     def on_client_cancelled(self, event: ClientCancelled) -> None:
-        """Drop what waits and stop what runs; no answer is owed any more."""
+        """Drop a request that waits, or cancel its run; the request needs no answer any more."""
         state = self._state
         request = state.requests.get(event.id)
         if request is None or request.answered:
@@ -77,14 +77,14 @@
             self._cancel_run(request)
 
     def on_run_completed(self, event: RunCompleted) -> None:
-        """Learn from a run and forget its request."""
+        """Update the estimates from a completed run and remove its request."""
         request = self._state.requests.get(event.id)
         if request is None:
             return
         outcome = event.outcome
         if outcome is Outcome.ABANDONED or (outcome is Outcome.CANCELLED and not request.answered):
-            # Paused now; or not cancelled by this module, and the answer at the deadline still stands.
-            self._pauser.confirm(request)
+            # Either the run is paused now, or this module did not cancel it and fails the request at its deadline.
+            self._pauser.on_run_cancelled(request)
             return
         limit = self._state.concurrency_limit
         if outcome is Outcome.OK and request.state is not COALESCED and not request.pause_requested:
@@ -96,7 +96,7 @@
         self._complete(request)
 
     def answer_overdue(self) -> None:
-        """Answer all whose time has come: each request that was read has one final answer by its deadline."""
+        """Answer the requests that are due, so that each request gets its final answer by its deadline."""
         state = self._state
         while (request := state.deadlines.pop_due(state.now)) is not None:
             if request.answered:
@@ -109,15 +109,15 @@
                 state.deadlines.schedule(request)
 
     def _mark_answered(self, request: TrackedRequest, shed: bool) -> None:
-        """Note that no answer is owed any more; ``shed`` if that is a sign of overload where requests wait."""
+        """Record that a request needs no answer any more; ``shed`` indicates overload if other requests wait."""
         request.answered = True
         state = self._state
-        # Late retries at an idle server must not keep callers away.
-        overload = shed and (state.concurrency_limit.reached or len(state.downstream.waiting) > 0)
-        state.backpressure.record_answered(request.caller, overload)
+        # Late retries at an idle server must not raise the backpressure value.
+        overloaded = shed and (state.concurrency_limit.reached or len(state.downstream.waiting) > 0)
+        state.backpressure.record_answered(request.caller, overloaded)
 
     def _cancel_run(self, request: TrackedRequest) -> None:
-        """Stop a run that nobody waits for; a keyed one continues, as a retry can still get its result."""
+        """Cancel a run that no client waits for; a keyed run continues because a retry can still get its result."""
         settings = self._state.settings
         if (
             settings.cancel_mode is not CancelMode.NONE
@@ -126,7 +126,7 @@
             self._state.actions.append(CancelRun(request.id))
 
     def _complete(self, request: TrackedRequest) -> None:
-        """Forget a request and give back what it holds; a key that never ran is free again."""
+        """Remove a request and release its resources; the key of a request that never ran is released, too."""
         state = self._state
         if request.state is RUNNING:
             state.concurrency_limit.free_slot()
--- a/lapispick/admission/request_queue.py
+++ b/lapispick/admission/request_queue.py
@@ -1,4 +1,4 @@
-"""The queued requests: one queue for each class in time, and one for those past their latency objective."""
+"""The queued requests: for each class one queue of requests in time, and one of late requests."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 
 
 class RequestQueue:
-    """Queues by class and lateness, the most valuable work first, in each the earliest objective first.
+    """Queues by class and lateness; each queue is ordered by the end of the latency objective, the earliest first.
 
-    Queue numbers below ``late_offset`` are classes; the queue of a class's late requests is ``late_offset`` + class.
+    The queue with the most value per unit of work is served first. The number of a queue is its class index, plus
+    ``late_offset`` if it contains the late requests, those past their latency objective.
     """
 
     __slots__ = ("_estimates", "_sequence", "_settings", "heaps", "late_offset", "order", "work_ms")
@@ -22,50 +23,50 @@
         self._estimates = estimates
         self._sequence = 0
         self.late_offset = len(settings.classes)
-        queues = 2 * self.late_offset
-        self.heaps: list[list[tuple[float, int, TrackedRequest]]] = [[] for _ in range(queues)]
-        self.work_ms = [0.0] * queues  # expected time on the cores of what waits
-        self.order = list(range(queues))  # as they are served
+        queue_count = 2 * self.late_offset
+        self.heaps: list[list[tuple[float, int, TrackedRequest]]] = [[] for _ in range(queue_count)]
+        self.work_ms = [0.0] * queue_count  # expected core time of the queued requests, by queue
+        self.order = list(range(queue_count))  # queue numbers in the order in which the queues are served
 
     def push(self, request: TrackedRequest, now: float) -> None:
         """Queue a request."""
-        queue = self.number_of(request, now)
+        queue_number = self.number_of(request, now)
         work_ms = self._estimates.core_time_ms(request)
-        request.queue = queue
+        request.queue_number = queue_number
         request.queued_work_ms = work_ms
-        self.work_ms[queue] += work_ms
+        self.work_ms[queue_number] += work_ms
         self._sequence += 1
-        heappush(self.heaps[queue], (request.objective_at, self._sequence, request))
+        heappush(self.heaps[queue_number], (request.objective_at, self._sequence, request))
 
     def number_of(self, request: TrackedRequest, now: float) -> int:
-        """Return the queue that a request belongs to."""
+        """Return the number of the queue that a request belongs to."""
         return request.class_index + (self.late_offset if now >= request.objective_at else 0)
 
-    def first(self, queue: int) -> TrackedRequest | None:
-        """Return the request of a queue that is served next; those that left the queue are dropped here."""
-        heap = self.heaps[queue]
+    def first(self, queue_number: int) -> TrackedRequest | None:
+        """Return the next request of a queue; entries of requests that left the queue are dropped here."""
+        heap = self.heaps[queue_number]
         while heap:
             request = heap[0][2]
-            if request.state is QUEUED and request.queue == queue:
+            if request.state is QUEUED and request.queue_number == queue_number:
                 return request
             heappop(heap)
         return None
 
     def remove(self, request: TrackedRequest) -> None:
-        """Take a request's work off its queue; ``first`` drops its entry later."""
-        if request.queue != NOT_QUEUED:
-            self.work_ms[request.queue] -= request.queued_work_ms
-            request.queue = NOT_QUEUED
+        """Subtract the work of a request from its queue; ``first`` drops the entry later."""
+        if request.queue_number != NOT_QUEUED:
+            self.work_ms[request.queue_number] -= request.queued_work_ms
+            request.queue_number = NOT_QUEUED
 
     def sort(self) -> None:
-        """Order the queues by the value of a unit of work, the highest first."""
-        self.order.sort(key=lambda queue: (-self._value_density(queue), queue))
+        """Sort the queues by the value per unit of work, the highest first."""
+        self.order.sort(key=lambda queue_number: (-self._value_density(queue_number), queue_number))
 
-    def _value_density(self, queue: int) -> float:
-        """Return the value of a unit of work in a queue."""
-        class_index = queue % self.late_offset
+    def _value_density(self, queue_number: int) -> float:
+        """Return the value per unit of work of the requests in a queue."""
+        class_index = queue_number % self.late_offset
         settings = self._settings.classes[class_index]
-        value = settings.priority_weight * (settings.late_weight if queue >= self.late_offset else 1.0)
+        value = settings.priority_weight * (settings.late_weight if queue_number >= self.late_offset else 1.0)
         return (
             value
             if self._settings.weight_by_work
--- a/lapispick/admission/request_state.py
+++ b/lapispick/admission/request_state.py
@@ -1,4 +1,4 @@
-"""The record of one request while a server has it. It holds what is known and decides nothing."""
+"""The state of one request on a server. This module only stores data; the decisions are made elsewhere."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 class RequestState(IntEnum):
-    """What is happening to a request."""
+    """Processing state of a request."""
 
     QUEUED = 0
-    RUNNING = 1  # on the cores or at a disk
+    RUNNING = 1  # uses the cores or a disk
     CALLING = 2  # its downstream call is in flight
-    WAITING_FOR_CALL = 3  # for capacity; its call is not made yet
-    PAUSED = 4  # taken off the cores; the work done is kept
+    WAITING_FOR_CALL = 3  # its downstream call has not started; it waits for capacity or for a retry delay
+    PAUSED = 4  # does not use the cores; the work done is kept
     COALESCED = 5  # waits for the result of another attempt of the same request
     COMPLETED = 6
 
 
-# The members as globals: states are compared by identity several times an event.
+# Module-level names for the members: states are compared several times per event, and a global lookup is faster.
 QUEUED = RequestState.QUEUED
 RUNNING = RequestState.RUNNING
 CALLING = RequestState.CALLING
@@ -28,11 +28,11 @@
 COALESCED = RequestState.COALESCED
 COMPLETED = RequestState.COMPLETED
 
-NOT_QUEUED = -1  # the queue number of a request that is in no queue
+NOT_QUEUED = -1  # queue number of a request that is in no queue
 
 
 class TrackedRequest:
-    """One request that this server has read. Times called ``*_at`` are clock times in ms."""
+    """A request that this server has read. Attributes named ``*_at`` are clock times in ms."""
 
     __slots__ = (
         "answered",
@@ -50,7 +50,7 @@
         "memory_kb",
         "objective_at",
         "pause_requested",
-        "queue",
+        "queue_number",
         "queued_work_ms",
         "state",
         "value",
@@ -68,11 +68,11 @@
         self.value = 0.0
         self.call_needed_at = 0.0
         self.call_started_at = 0.0
-        self.blocked_ms = 0.0  # from needing a call to going on
-        self.call_ms = 0.0  # the part of it with a call in flight
-        self.queue = NOT_QUEUED
-        self.queued_work_ms = 0.0  # what it added to its queue's work, so that the same is taken off again
+        self.blocked_ms = 0.0  # total time from requesting a downstream call to resuming the run
+        self.call_ms = 0.0  # part of ``blocked_ms`` with a call in flight
+        self.queue_number = NOT_QUEUED
+        self.queued_work_ms = 0.0  # work added to the total of its queue; exactly this amount is subtracted again
         self.state = QUEUED
         self.call_attempts = 0
         self.answered = False
-        self.pause_requested = False  # its run time would include the pause, so it is not learned
+        self.pause_requested = False  # if true, the run time includes a pause and the estimates ignore it
--- a/lapispick/admission/run_scheduler.py
+++ b/lapispick/admission/run_scheduler.py
@@ -1,4 +1,4 @@
-"""Starts queued requests while slots and memory last."""
+"""Starts queued requests while slots and memory are available."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RunScheduler:
-    """Starts the most valuable queue first, in each the earliest objective first."""
+    """Starts requests from the queue with the highest value first, within it by the end of the latency objective."""
 
     __slots__ = ("_can_pause", "_lifecycle", "_pauser", "_state")
 
@@ -22,26 +22,26 @@
         self._pauser = pauser
         self._can_pause = state.settings.cancel_mode is CancelMode.PAUSE
 
-    def start_queued(self, read_delay: float) -> None:
-        """Start what fits; ``read_delay`` is that of the last request, a fraction of its latency objective."""
+    def start_queued(self, read_delay_fraction: float) -> None:
+        """Start the requests that fit; ``read_delay_fraction`` is that of the last request that was read."""
         state = self._state
-        if self._can_pause:  # late reading starts less, and pauses nothing
+        if self._can_pause:  # independent of the read delay: late reading reduces starts but pauses no runs
             self._pauser.balance(state.concurrency_limit.slots_beside_peer())
         heaps = state.queue.heaps
         if not any(heaps):
             return
-        slots = state.concurrency_limit.slots(read_delay > MAX_READ_DELAY_FRACTION)
-        for queue in state.queue.order:
-            if heaps[queue] and not self._start_from(queue, slots):
+        slots = state.concurrency_limit.slots(read_delay_fraction > MAX_READ_DELAY_FRACTION)
+        for queue_number in state.queue.order:
+            if heaps[queue_number] and not self._start_from(queue_number, slots):
                 return
 
-    def _start_from(self, queue: int, slots: int) -> bool:
-        """Start what is in one queue; False where slots or memory are used up."""
+    def _start_from(self, queue_number: int, slots: int) -> bool:
+        """Start the requests of one queue; return False if slots or memory are used up."""
         state = self._state
         limit = state.concurrency_limit
-        requests = state.queue
-        in_time = queue < requests.late_offset
-        while (request := requests.first(queue)) is not None:
+        request_queue = state.queue
+        in_time = queue_number < request_queue.late_offset
+        while (request := request_queue.first(queue_number)) is not None:
             if limit.running >= slots:
                 limit.record_reached()
                 return False
@@ -54,11 +54,11 @@
         return True
 
     def _will_be_late(self, request: TrackedRequest) -> bool:
-        """Tell whether a run that starts now is expected to miss the latency objective."""
+        """Return True if a run that starts now is expected to miss its latency objective."""
         return self._state.now + self._state.run_estimates.expected_run_ms(request) > request.objective_at
 
     def _demote(self, request: TrackedRequest) -> None:
-        """Queue a request that can't meet its objective as late, or reject it where a late answer has no value."""
+        """Move a request that can't meet its objective to the late queue; reject it if a late answer has no value."""
         state = self._state
         state.queue.remove(request)
         if state.settings.classes[request.class_index].late_weight > 0:
@@ -68,7 +68,7 @@
             self._lifecycle.reject(request, RejectReason.LATE)
 
     def _start(self, request: TrackedRequest) -> None:
-        """Start a request whose memory is reserved."""
+        """Start a request whose memory is already reserved."""
         state = self._state
         state.queue.remove(request)
         request.state = RUNNING
--- a/lapispick/admission/server_state.py
+++ b/lapispick/admission/server_state.py
@@ -1,4 +1,4 @@
-"""What the steps of a decision share: the requests of this server, the learned estimates and the limits."""
+"""The state that the steps of a decision share: the requests of this server, the learned estimates and the limits."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 
 class ServerState:
-    """The state of one server. Each part owns what it counts; the handlers of events bring them together."""
+    """State of one server. Each component updates only its own data; the event handlers combine the components."""
 
     __slots__ = (
         "actions",
-        "attempts",
+        "attempt_history",
         "backpressure",
         "concurrency_limit",
         "deadlines",
@@ -52,8 +52,8 @@
         self.settings = settings
         self.generator = random.Random(seed)
         self.now = now
-        self.events: Sequence[Event] = ()  # of this step
-        self.actions: list[Action] = []  # of this step
+        self.events: Sequence[Event] = ()  # events of the present step
+        self.actions: list[Action] = []  # actions of the present step
         self.requests: dict[int, TrackedRequest] = {}  # by id, until they are completed
         self.run_estimates = RunEstimates(settings.classes)
         self.shadow_prices = ShadowPrices()
@@ -61,7 +61,7 @@
         self.slow_start = SlowStart(settings, now)
         self.downstream = DownstreamLimit(settings, now)
         self.backpressure = Backpressure(settings)
-        self.attempts = AttemptHistory()
+        self.attempt_history = AttemptHistory()
         self.idle_timeout = IdleTimeout(settings)
         self.idempotency = IdempotencyTable()
         self.memory = MemoryBudget(settings, self.idempotency)
