--- a/tests/controller_harness.py
+++ b/tests/controller_harness.py
@@ -1,17 +1,17 @@
-"""Settings of the decision module, and a harness that drives a controller through its interface."""
+"""Test settings of the decision module, and a harness that drives a controller through its interface."""
 
 from lapispick import ClassSettings, Controller, Settings, admission
 
-# The classes of ``make_settings``.
+# Class indexes in the settings of ``make_settings``.
 IDEMPOTENT = 0
 KEYED = 1
 AT_MOST_ONCE = 2
-SKIPPABLE = 3  # idempotent, and its downstream calls can be skipped
+SKIPPABLE = 3  # idempotent; its downstream calls can be skipped
 
 
-def make_class(**over):
-    """Return the settings of a class of idempotent requests, with changes."""
-    base = dict(
+def make_class(**overrides):
+    """Return the settings of an idempotent request class; keyword arguments override the defaults."""
+    defaults = dict(
         latency_objective_ms=1000,
         objective_stretch=0,
         deadline_ms=4000,
@@ -21,12 +21,12 @@
         late_weight=0,
         degraded_weight=0,
     )
-    return ClassSettings(**{**base, **over})
+    return ClassSettings(**{**defaults, **overrides})
 
 
-def make_settings(**over):
-    """Return the settings of a decision module with four classes, with changes."""
-    base = dict(
+def make_settings(**overrides):
+    """Return settings with four request classes; keyword arguments override the defaults."""
+    defaults = dict(
         classes=(
             make_class(),
             make_class(idempotency=admission.Idempotency.KEYED, priority_weight=3),
@@ -53,42 +53,42 @@
         idle_timeout_ms=30_000,
         gauges=("core_use", "on_cores"),
     )
-    return Settings(**{**base, **over})
+    return Settings(**{**defaults, **overrides})
 
 
 class ControllerHarness:
-    """One controller with a clock of its own and a record of all its actions; settings are keyword arguments."""
+    """Controller with a simulated clock and a record of all its actions; keyword arguments override settings."""
 
-    def __init__(self, now=0.0, **over):
-        self.settings = make_settings(**over)
+    def __init__(self, now=0.0, **overrides):
+        self.settings = make_settings(**overrides)
         self.controller = Controller(self.settings, 1, now)
         self.state = self.controller.state
         self.now = now
         self.actions = []
-        self.next_id = 0
+        self.last_id = 0
 
     def step(self, *events, at=None):
-        """Step the controller at the present time, or at the time given; return its actions."""
+        """Step the controller at the present time, or at ``at`` if it is given; return its actions."""
         if at is not None:
             self.now = at
         actions = self.controller.step(self.now, list(events))
         self.actions += actions
         return actions
 
-    def tick(self, ms, gauges=(1.0, 2.0), every=40):
-        """Let time pass with the module's timer firing."""
+    def tick(self, duration_ms, gauges=(1.0, 2.0), interval_ms=40):
+        """Advance the clock and fire the timer at each interval; return the actions."""
         actions = []
-        end = self.now + ms
-        while self.now < end:
-            self.now = min(end, self.now + every)
+        ends_at = self.now + duration_ms
+        while self.now < ends_at:
+            self.now = min(ends_at, self.now + interval_ms)
             actions += self.step(admission.TimerFired(0, gauges))
         return actions
 
-    def request(self, class_index=0, **over):
-        """Return the event of a new request, with changes."""
-        self.next_id += 1
-        base = dict(
-            id=self.next_id,
+    def request(self, class_index=0, **overrides):
+        """Return the event for a new request; keyword arguments override its fields."""
+        self.last_id += 1
+        defaults = dict(
+            id=self.last_id,
             deadline_at=0,
             rank=0.5,
             age_ms=0,
@@ -98,13 +98,13 @@
             class_index=class_index,
             caller=0,
         )
-        return admission.RequestReceived(**{**base, **over})
+        return admission.RequestReceived(**{**defaults, **overrides})
 
-    def actions_of(self, kind, request_id=None):
-        """Return the actions of a kind so far, of one request if it is given."""
-        found = [action for action in self.actions if isinstance(action, kind)]
-        return found if request_id is None else [action for action in found if action.id == request_id]
+    def actions_of(self, action_type, request_id=None):
+        """Return all actions of a type so far; with ``request_id`` those of this request only."""
+        matching = [action for action in self.actions if isinstance(action, action_type)]
+        return matching if request_id is None else [action for action in matching if action.id == request_id]
 
     def final_answers(self, request_id):
-        """Return the rejections and failures that a request got."""
+        """Return the rejections and failures of a request."""
         return self.actions_of((admission.Reject, admission.Fail), request_id)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions outside the rules, each with the failure it guards against."""
+"""Decisions of the controller that the four rules in test_rules.py don't cover."""
 
 import msgspec
 import pytest
@@ -22,7 +22,7 @@
 def test_requests_over_the_concurrency_limit_are_queued(make_harness):
     harness = make_harness(cores=2)
     harness.step(*[harness.request(deadline_at=3900) for _ in range(10)])
-    assert len(harness.actions_of(StartRun)) == 3  # 1.5 times the cores at the start
+    assert len(harness.actions_of(StartRun)) == 3  # the initial limit is 1.5 times the cores
 
 
 def test_requests_waiting_for_a_call_take_no_slot(make_harness):
@@ -37,10 +37,10 @@
     for _ in range(30):
         harness.step(*[harness.request(deadline_at=harness.now + 3000) for _ in range(3)])
         harness.tick(240, gauges=(0.4, 2.0))
-    grown = harness.state.concurrency_limit.value
-    assert grown > 8
+    limit_while_idle = harness.state.concurrency_limit.value
+    assert limit_while_idle > 8
     harness.tick(2400, gauges=(1.0, 9.0))
-    assert harness.state.concurrency_limit.value <= grown - 4
+    assert harness.state.concurrency_limit.value <= limit_while_idle - 4
 
 
 def test_late_retries_at_an_idle_server_do_not_raise_backpressure(make_harness):
@@ -65,7 +65,7 @@
 
 def test_late_reading_raises_the_backpressure_level(make_harness):
     harness = make_harness(cores=4)
-    for i in range(40):  # one at a time: the queue stays empty, but reading is late
+    for i in range(40):  # one request at a time: the queue stays empty although reading is late
         request = harness.request(deadline_at=harness.now + 3000, age_ms=600, rank=(i * 7 % 10) / 10)
         harness.step(request)
         harness.step(RunCompleted(request.id, Outcome.OK, 20), at=harness.now + 20)
@@ -126,9 +126,12 @@
     assert harness.state.downstream.limit == pytest.approx(1.0)
 
 
-def make_calls(harness, ends, class_index):
-    """Let one request at a time make a call that ends so; return the actions for the last one."""
-    for duration_ms, outcome in ends:
+def make_calls(harness, results, class_index):
+    """Run one request after the other; each makes one call with the given duration and outcome.
+
+    Returns the actions for the call of the last request.
+    """
+    for duration_ms, outcome in results:
         request = harness.request(class_index, deadline_at=harness.now + 3900)
         harness.step(request)
         harness.step(CallRequested(request.id), at=harness.now + 5)
@@ -141,13 +144,13 @@
     return last_actions
 
 
-def test_many_lost_replies_lower_the_downstream_limit_and_single_ones_do_not(make_harness):
+def test_many_lost_replies_lower_the_downstream_limit_and_single_lost_replies_do_not(make_harness):
     harness = make_harness(call_quota=5, cores=10)
-    lost = [Outcome.TIMEOUT, Outcome.ERROR, Outcome.RESET]
+    lost_reply_outcomes = [Outcome.TIMEOUT, Outcome.ERROR, Outcome.RESET]
     make_calls(harness, [(50, Outcome.OK)] * 9, AT_MOST_ONCE)
     limit = harness.state.downstream.limit
-    for end in lost * 4:
-        make_calls(harness, [(400, end)] + [(50, Outcome.OK)] * 12, AT_MOST_ONCE)
+    for outcome in lost_reply_outcomes * 4:
+        make_calls(harness, [(400, outcome)] + [(50, Outcome.OK)] * 12, AT_MOST_ONCE)
     assert harness.state.downstream.limit == limit
     assert harness.state.downstream.recent_ms == pytest.approx(50)
     make_calls(harness, [(400, Outcome.TIMEOUT)] * 60, AT_MOST_ONCE)
@@ -156,24 +159,24 @@
 
 def test_skippable_call_with_a_lost_reply_is_retried_once_with_a_short_timeout(make_harness):
     harness = make_harness(call_quota=5, cores=10)
-    last = make_calls(harness, [(50, Outcome.OK)] * 9 + [(60, Outcome.ERROR)], SKIPPABLE)
-    assert [type(action) for action in last] == [StartCall]
-    assert last[0].timeout_ms == pytest.approx(400)
+    actions = make_calls(harness, [(50, Outcome.OK)] * 9 + [(60, Outcome.ERROR)], SKIPPABLE)
+    assert [type(action) for action in actions] == [StartCall]
+    assert actions[0].timeout_ms == pytest.approx(400)
     harness.step(*[harness.request(SKIPPABLE, deadline_at=harness.now + 3900)])
-    harness.step(CallRequested(harness.next_id), at=harness.now + 5)
-    for expected in (StartCall, SkipCall):
-        actions = harness.step(CallCompleted(harness.next_id, Outcome.RESET, 10), at=harness.now + 10)
-        assert [type(action) for action in actions] == [expected]
+    harness.step(CallRequested(harness.last_id), at=harness.now + 5)
+    for expected_type in (StartCall, SkipCall):
+        actions = harness.step(CallCompleted(harness.last_id, Outcome.RESET, 10), at=harness.now + 10)
+        assert [type(action) for action in actions] == [expected_type]
 
 
 def test_scarce_calls_reject_only_requests_that_need_one(make_harness):
     harness = make_harness(call_quota=1, cores=40)
     make_calls(harness, [(50, Outcome.OK)] * 9, SKIPPABLE)
     make_calls(harness, [(50, Outcome.OK)] * 9, AT_MOST_ONCE)
-    many_callers = [harness.request(AT_MOST_ONCE, deadline_at=harness.now + 3900) for _ in range(30)]
-    for request in many_callers:
+    burst = [harness.request(AT_MOST_ONCE, deadline_at=harness.now + 3900) for _ in range(30)]
+    for request in burst:
         harness.step(request)
-    harness.step(*[CallRequested(request.id) for request in many_callers], at=harness.now + 5)
+    harness.step(*[CallRequested(request.id) for request in burst], at=harness.now + 5)
     assert len(harness.state.downstream.waiting) > 20
     needs_call = harness.request(AT_MOST_ONCE, deadline_at=harness.now + 3900)
     skippable = harness.request(SKIPPABLE, deadline_at=harness.now + 3900)
@@ -184,11 +187,11 @@
     assert not harness.actions_of(Reject, skippable.id)
 
 
-def test_draining_server_admits_within_the_grace_and_then_keeps_clients_away(make_harness):
+def test_draining_server_admits_within_the_grace_and_then_diverts_clients(make_harness):
     harness = make_harness(cores=1)
     harness.step(harness.request(deadline_at=3900), harness.request(deadline_at=3900))
     harness.step(admission.ShutdownRequested(4000), at=10)
-    queued = harness.request(deadline_at=4000)  # there is work ahead of it, and most of the grace of 1 s is left
+    queued = harness.request(deadline_at=4000)  # requests run before it; most of the drain grace of 1 s is left
     harness.step(queued)
     harness.tick(400)
     assert not harness.actions_of(Reject, queued.id)
@@ -242,9 +245,9 @@
     assert harness.actions_of(StartRun)
 
 
-def test_retry_of_an_unknown_caller_is_recognised_by_its_time_left(make_harness):
+def test_retry_of_an_unknown_caller_is_recognised_by_its_remaining_time(make_harness):
     harness = make_harness()
-    for i in range(40):  # first attempts of forty callers come with the full deadline
+    for i in range(40):  # first attempts of 40 callers arrive with the full deadline
         request = harness.request(deadline_at=harness.now + 4000, caller=i)
         harness.step(request)
         harness.step(RunCompleted(request.id, Outcome.OK, 5), at=harness.now + 5)
@@ -285,10 +288,10 @@
     assert all(action.value > 0 for action in harness.actions_of(Advertise))
 
 
-def serve_each(harness, callers, count=120):
-    """Serve one request after the other, from so many callers in turn."""
-    for i in range(count):
-        request = harness.request(deadline_at=harness.now + 3000, caller=i % callers)
+def serve_one_at_a_time(harness, caller_count, request_count=120):
+    """Serve requests one after the other, from ``caller_count`` callers in turn."""
+    for i in range(request_count):
+        request = harness.request(deadline_at=harness.now + 3000, caller=i % caller_count)
         harness.step(request)
         harness.step(RunCompleted(request.id, Outcome.OK, 20), at=harness.now + 20)
         harness.tick(200)
@@ -296,12 +299,12 @@
 
 def test_idle_timeout_is_long_where_callers_return_and_short_where_they_do_not(make_harness):
     few_callers = make_harness()
-    serve_each(few_callers, callers=5)
+    serve_one_at_a_time(few_callers, caller_count=5)
     assert few_callers.actions_of(SetIdleTimeout)[-1].timeout_ms == few_callers.settings.idle_timeout_ms
     many_callers = make_harness()
-    serve_each(many_callers, callers=120)
+    serve_one_at_a_time(many_callers, caller_count=120)
     assert many_callers.actions_of(SetIdleTimeout)[-1].timeout_ms < 0.1 * many_callers.settings.idle_timeout_ms
-    # Callers of the last six seconds, however many there are.
+    # Only callers of the last 6 s are kept, so memory does not grow with the number of callers.
     assert len(many_callers.state.idle_timeout.last_seen) < 40
 
 
@@ -313,16 +316,16 @@
     assert harness.state.idle_timeout.value_ms == harness.settings.idle_timeout_ms
 
 
-def test_no_idle_timeout_is_set_where_the_callers_have_none(make_harness):
+def test_no_idle_timeout_is_set_if_that_of_the_callers_is_unknown(make_harness):
     harness = make_harness(idle_timeout_ms=0.0)
-    serve_each(harness, callers=60)
+    serve_one_at_a_time(harness, caller_count=60)
     assert not harness.actions_of(SetIdleTimeout)
 
 
 def test_single_gauge_readings_of_contention_do_not_lower_the_concurrency_limit(make_harness):
     harness = make_harness(cores=2)
     harness.state.concurrency_limit.value = 4.0
-    for _ in range(60):  # every other reading shows contention; their mean does not
+    for _ in range(60):  # every other reading shows contention, but the mean does not
         harness.step(admission.TimerFired(0, (0.9, 5.0)), at=harness.now + 40)
         harness.step(admission.TimerFired(0, (0.9, 0.0)), at=harness.now + 40)
     assert harness.state.concurrency_limit.value == 4.0
@@ -350,16 +353,16 @@
 
 
 class HangingCalls:
-    """A dependency whose calls hang until they time out, one after the other; ``in_flight`` has a row for each tick."""
+    """Dependency whose calls hang until they time out, one after the other; ``in_flight`` has one entry per step."""
 
     def __init__(self, harness):
         self.harness = harness
         self.in_flight = []
         self.started_count = 0
-        self._call = None  # the action, when it started and when it times out
+        self._call = None  # the call in flight: its action, start time and end time
 
     def step(self):
-        """Time the present call out if it is due, and take the one that was started meanwhile."""
+        """Time out the present call if it is due, then accept a call that was started in the meantime."""
         harness = self.harness
         if self._call is not None:
             action, started_at, ends_at = self._call
@@ -375,7 +378,7 @@
 def test_hanging_calls_stay_within_a_quota_under_one_call(make_harness):
     harness = make_harness(call_quota=0.43, cores=4)
     harness.step(*[harness.request(AT_MOST_ONCE, deadline_at=3900) for _ in range(4)])
-    harness.step(*[CallRequested(number) for number in range(1, 5)], at=5.0)
+    harness.step(*[CallRequested(request_id) for request_id in range(1, 5)], at=5.0)
     calls = HangingCalls(harness)
     while harness.now < 12_000:
         harness.tick(40)
@@ -386,26 +389,26 @@
             if harness.actions_of(StartRun, request.id):
                 harness.step(CallRequested(request.id))
     assert calls.started_count >= 2
-    window = 125  # ticks of 40 ms, 5 s
+    window_ticks = 125  # 5 s of 40 ms ticks
     in_flight = calls.in_flight
-    means = [sum(in_flight[i : i + window]) / window for i in range(len(in_flight) - window)]
+    means = [sum(in_flight[i : i + window_ticks]) / window_ticks for i in range(len(in_flight) - window_ticks)]
     assert max(means) < 0.43
 
 
-def test_one_slow_run_does_not_reject_its_class_for_good(make_harness):
-    """The first run of a class duration_ms twice its objective; later ones are admitted, and correct the estimate."""
+def test_one_slow_run_does_not_block_its_class_permanently(make_harness):
+    """The first run of a class takes twice its objective; later runs are still admitted and correct the estimate."""
     harness = make_harness()
     harness.step(first := harness.request())
     harness.step(RunCompleted(first.id, Outcome.OK, 2000.0), at=2000.0)
     for n in range(20):
-        harness.step(each := harness.request(), at=harness.now + 50.0)
-        assert harness.actions_of(StartRun, each.id), n
-        harness.step(RunCompleted(each.id, Outcome.OK, 40.0), at=harness.now + 40.0)
+        harness.step(request := harness.request(), at=harness.now + 50.0)
+        assert harness.actions_of(StartRun, request.id), n
+        harness.step(RunCompleted(request.id, Outcome.OK, 40.0), at=harness.now + 40.0)
     assert harness.state.run_estimates.core_ms[0] < 200.0
 
 
 @pytest.mark.parametrize(("time_left_ms", "is_started"), [(750.0, True), (650.0, False)])
-def test_queued_request_starts_while_seven_tenths_of_its_objective_are_left(make_harness, time_left_ms, is_started):
+def test_queued_request_starts_if_70_percent_of_its_objective_is_left(make_harness, time_left_ms, is_started):
     harness = make_harness(cores=1)
     harness.step(first := harness.request())
     harness.step(RunCompleted(first.id, Outcome.OK, 2000.0), at=2000.0)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, by event sequences through the module's interface."""
+"""The four rules of the decision module, tested with sequences of events through its interface."""
 
 import random
 
@@ -24,7 +24,7 @@
 )
 from tests.controller_harness import AT_MOST_ONCE, KEYED, SKIPPABLE
 
-# One final answer.
+# Each request gets exactly one final answer.
 
 
 def test_running_request_is_answered_by_its_deadline(make_harness):
@@ -41,7 +41,7 @@
     assert len(harness.final_answers(request.id)) == 1
 
 
-def test_unknown_deadline_counts_from_the_arrival(make_harness):
+def test_unknown_deadline_is_derived_from_the_arrival(make_harness):
     harness = make_harness(now=500.0)
     request = harness.request(age_ms=500)
     harness.step(request)
@@ -97,7 +97,7 @@
     request = harness.request()
     harness.step(request)
     harness.step(RunCompleted(request.id, Outcome.OK, 5), at=5)
-    late = harness.step(
+    actions = harness.step(
         RunCompleted(request.id, Outcome.ABANDONED, 0),
         ClientCancelled(request.id),
         CallRequested(request.id),
@@ -105,10 +105,10 @@
         RunCompleted(98, Outcome.OK, 1),
         at=9,
     )
-    assert late == []
+    assert actions == []
 
 
-# No effect twice.
+# No request with side effects is executed twice.
 
 
 def test_idempotency_key_is_retained_before_the_run_starts(make_harness):
@@ -123,11 +123,11 @@
     harness = make_harness()
     first = harness.request(KEYED, deadline_at=4000)
     harness.step(first)
-    again = harness.request(KEYED, retry_of=first.id, deadline_at=4000)
-    assert Coalesce(again.id) in harness.step(again, at=500)
+    retry = harness.request(KEYED, retry_of=first.id, deadline_at=4000)
+    assert Coalesce(retry.id) in harness.step(retry, at=500)
     harness.tick(300)
-    assert not harness.actions_of(StartRun, again.id)
-    assert not harness.actions_of(Reject, again.id)
+    assert not harness.actions_of(StartRun, retry.id)
+    assert not harness.actions_of(Reject, retry.id)
 
 
 def test_retry_of_an_executed_key_is_neither_rejected_nor_run(make_harness):
@@ -135,14 +135,14 @@
     first = harness.request(KEYED)
     harness.step(first)
     harness.step(RunCompleted(first.id, Outcome.OK, 50), at=50)
-    harness.step(ShutdownRequested(9000), at=60)  # also while shutting down
-    again = harness.request(KEYED, retry_of=first.id, deadline_at=4000)
-    third = harness.request(KEYED, retry_of=again.id, deadline_at=4000)
-    assert Coalesce(again.id) in harness.step(again, at=2000)
+    harness.step(ShutdownRequested(9000), at=60)  # the rule also applies during shutdown
+    second = harness.request(KEYED, retry_of=first.id, deadline_at=4000)
+    third = harness.request(KEYED, retry_of=second.id, deadline_at=4000)
+    assert Coalesce(second.id) in harness.step(second, at=2000)
     harness.step(third, at=2100)
-    assert not harness.actions_of(StartRun, again.id)
+    assert not harness.actions_of(StartRun, second.id)
     assert not harness.actions_of(StartRun, third.id)
-    assert not harness.actions_of(Reject, again.id)
+    assert not harness.actions_of(Reject, second.id)
     assert not harness.actions_of(Reject, third.id)
 
 
@@ -155,7 +155,7 @@
     assert len(harness.actions_of(StartRun)) == 1
 
 
-def test_newer_attempt_replaces_a_queued_one(make_harness):
+def test_newer_attempt_replaces_a_queued_attempt_of_its_key(make_harness):
     harness = make_harness()
     harness.step(*[harness.request(AT_MOST_ONCE) for _ in range(3)])  # fill the slots
     old = harness.request(KEYED, deadline_at=1500)
@@ -164,8 +164,8 @@
     harness.step(new, at=100)
     assert harness.final_answers(old.id)
     assert not harness.actions_of(Coalesce, new.id)
-    for number in range(1, 4):
-        harness.step(RunCompleted(number, Outcome.OK, 120), at=120)
+    for request_id in range(1, 4):
+        harness.step(RunCompleted(request_id, Outcome.OK, 120), at=120)
     assert harness.actions_of(StartRun, new.id)
     assert not harness.actions_of(StartRun, old.id)
 
@@ -180,14 +180,14 @@
     assert harness.actions_of(ReleaseKey, request.id)
 
 
-def test_keyed_run_is_not_cancelled_with_its_client(make_harness):
+def test_keyed_run_continues_when_its_client_cancels(make_harness):
     harness = make_harness()
     request = harness.request(KEYED)
     harness.step(request)
     harness.step(ClientCancelled(request.id), at=50)
-    again = harness.request(KEYED, retry_of=request.id)
+    retry = harness.request(KEYED, retry_of=request.id)
     assert not harness.actions_of(CancelRun)
-    assert Coalesce(again.id) in harness.step(again, at=90)
+    assert Coalesce(retry.id) in harness.step(retry, at=90)
 
 
 @pytest.mark.parametrize(
@@ -202,7 +202,7 @@
         (Outcome.CANCELLED, False),
     ],
 )
-def test_call_with_an_effect_is_retried_only_if_it_never_ran(make_harness, outcome, is_retried):
+def test_call_with_side_effects_is_retried_only_if_it_never_ran(make_harness, outcome, is_retried):
     harness = make_harness()
     request = harness.request(AT_MOST_ONCE)
     harness.step(request)
@@ -222,7 +222,7 @@
     assert SkipCall(request.id) in harness.step(CallCompleted(request.id, Outcome.FULL, 10), at=30)
 
 
-# Drain.
+# A draining server answers every request before it stops.
 
 
 def test_request_after_the_drain_grace_never_runs(make_harness):
@@ -256,12 +256,12 @@
     assert harness.actions_of(Reject, request.id)[0].no_retry is False
 
 
-# Bounds under overload.
+# Memory, running requests and calls stay within their limits under overload.
 
 
 def test_memory_stays_within_its_limit(make_harness):
-    limit = 1000
-    harness = make_harness(memory_kb=limit, cores=8)
+    limit_kb = 1000
+    harness = make_harness(memory_kb=limit_kb, cores=8)
     requests = [harness.request(deadline_at=3900) for _ in range(60)]
     harness.step(*requests)
     for _ in range(80):
@@ -271,16 +271,16 @@
             not harness.final_answers(request.id) and not harness.actions_of(StartRun, request.id)
             for request in requests
         )
-        assert 80 * running + 10 * queued <= limit
+        assert 80 * running + 10 * queued <= limit_kb
 
 
 @pytest.mark.parametrize("warming_up", [False, True])
 def test_running_requests_stay_under_the_overload_bound(make_harness, warming_up):
     harness = make_harness(warming_up=warming_up, cores=4)
-    for i in range(50):
+    for tick in range(50):
         harness.step(*[harness.request(deadline_at=harness.now + 3000) for _ in range(5)])
         harness.tick(40, gauges=(0.1, 1.0))
-        speed_fraction = 0.25 + 0.75 * min(1.0, i * 40 / 10_000) if warming_up else 1.0
+        speed_fraction = 0.25 + 0.75 * min(1.0, tick * 40 / 10_000) if warming_up else 1.0
         assert harness.state.concurrency_limit.running <= 4 * (1 + 7 * speed_fraction)
 
 
@@ -294,22 +294,22 @@
     assert 1 <= in_flight <= 5
 
 
-# All together.
+# Random traffic, which must follow all rules.
 
 
 class RandomTraffic:
-    """Clients, an executor and a dependency that act at random, and check each action of the controller."""
+    """Clients, an executor and a dependency with random behaviour that check each action of the controller."""
 
     def __init__(self, make_harness, seed):
         self.rng = random.Random(seed)
         self.harness = make_harness(cores=3, warming_up=bool(seed % 2), call_quota=self.rng.choice([0, 0.8, 4]))
-        self.requests = {}  # by id
+        self.requests = {}  # RequestReceived events by request id
         self.cancelled = set()
         self.answered = set()
-        self.runs = {}  # id -> "run" or "call": what a run does
-        self.calls = {}  # id -> whether its call is in flight
-        self.keys = set()  # keyed requests that were started
-        self.next_events = []  # that follow from the actions of the last step
+        self.runs = {}  # by request id: "run" while it executes, "call" while it needs a downstream call
+        self.calls = {}  # by request id: True while its downstream call is in flight
+        self.keys = set()  # ids of keyed requests that were started
+        self.next_events = []  # events caused by the actions of the last step
 
     def step(self):
         self.harness.now += self.rng.choice([2, 4, 11])
@@ -408,7 +408,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_random_traffic_keeps_all_rules(make_harness, seed):
+def test_random_traffic_follows_all_rules(make_harness, seed):
     traffic = RandomTraffic(make_harness, seed)
     for _ in range(1500):
         traffic.step()
