--- a/lapispick/admission/coalescing.py
+++ b/lapispick/admission/coalescing.py
@@ -12,7 +12,7 @@
 
 
 class Coalescer:
-    """Attaches a retry to the previous attempt, so that no key runs twice and no work is done twice."""
+    """Coalescing of retries with the previous attempt, so that no key runs twice and no work is done twice."""
 
     __slots__ = ("_lifecycle", "_state")
 
--- a/lapispick/admission/controller.py
+++ b/lapispick/admission/controller.py
@@ -45,7 +45,7 @@
 
 
 class Controller:
-    """Entry point of the decision module: takes events and returns actions, without a clock or I/O."""
+    """Entry point of the decision module, a state machine without clock or I/O: events in, actions out."""
 
     __slots__ = ("_admission", "_calls", "_handlers", "_lifecycle", "_next_window_at", "_scheduler", "state")
 
--- a/lapispick/admission/request_admission.py
+++ b/lapispick/admission/request_admission.py
@@ -16,7 +16,7 @@
 
 
 class RequestAdmission:
-    """Decides whether received requests are admitted."""
+    """Admission decisions for received requests."""
 
     __slots__ = ("_coalescer", "_lifecycle", "_price_test", "_state", "read_delay_fraction")
 
--- a/lapispick/admission/request_lifecycle.py
+++ b/lapispick/admission/request_lifecycle.py
@@ -26,7 +26,7 @@
 
 
 class RequestLifecycle:
-    """Gives each request exactly one final answer and removes the request when its run has ended."""
+    """Final answers and removal of requests: exactly one answer each, and removal when the run has ended."""
 
     __slots__ = ("_logged_at", "_pauser", "_state")
 
@@ -63,7 +63,7 @@
             state.actions.append(Log(f"{bound} binds: limit {limit.value:.0f}, running {limit.running}"))
 
     def on_client_cancelled(self, event: ClientCancelled) -> None:
-        """Drop a request that waits, or cancel its run; the request needs no answer any more."""
+        """Drop a request that waits, or cancel its run; the request no longer needs an answer."""
         state = self._state
         request = state.requests.get(event.id)
         if request is None or request.answered:
@@ -109,7 +109,7 @@
                 state.deadlines.schedule(request)
 
     def _mark_answered(self, request: TrackedRequest, shed: bool) -> None:
-        """Record that a request needs no answer any more; ``shed`` indicates overload if other requests wait."""
+        """Record that a request no longer needs an answer; ``shed`` indicates overload if other requests wait."""
         request.answered = True
         state = self._state
         # Late retries at an idle server must not raise the backpressure value.
--- a/lapispick/admission/run_pauser.py
+++ b/lapispick/admission/run_pauser.py
@@ -11,7 +11,7 @@
 
 
 class RunPauser:
-    """Tracks the runs that are paused or being paused; used with ``CancelMode.PAUSE`` only."""
+    """Tracker of the runs that are paused or being paused; used with ``CancelMode.PAUSE`` only."""
 
     __slots__ = ("_requests", "_state")
 
--- a/lapispick/admission/run_scheduler.py
+++ b/lapispick/admission/run_scheduler.py
@@ -12,7 +12,7 @@
 
 
 class RunScheduler:
-    """Starts requests from the queue with the highest value first, within it by the end of the latency objective."""
+    """Scheduler of queued requests: highest-value queue first, within it the earliest end of the objective first."""
 
     __slots__ = ("_can_pause", "_lifecycle", "_pauser", "_state")
 
