--- a/lapispick/admission/controller.py
+++ b/lapispick/admission/controller.py
@@ -92,7 +92,7 @@
         state = self.state
         return RequestUsage(state.concurrency_limit.running, state.memory.used_kb, state.downstream.in_flight)
 
-    def learned(self) -> LearnedEstimates:
+    def learned_estimates(self) -> LearnedEstimates:
         """Return the learned estimates for the process that replaces this one; see ``adopt``."""
         state = self.state
         estimates = state.run_estimates
--- a/lapispick/admission/idempotency_keys.py
+++ b/lapispick/admission/idempotency_keys.py
@@ -18,12 +18,12 @@
 class IdempotencyTable:
     """Idempotency records by attempt id, kept for the idempotency window of the class."""
 
-    __slots__ = ("_by_attempt", "_expiry", "retained")
+    __slots__ = ("_by_attempt", "_expiry", "retained_count")
 
     def __init__(self) -> None:
         self._by_attempt: dict[int, IdempotencyRecord] = {}
         self._expiry: deque[tuple[float, int]] = deque()  # expiry time and attempt id
-        self.retained = 0  # number of keys that take memory
+        self.retained_count = 0  # number of keys that take memory
 
     def get(self, attempt_id: int) -> IdempotencyRecord | None:
         """Return the record of an attempt's key, or None if there is none."""
@@ -32,7 +32,7 @@
     def retain(self, attempt_id: int, until: float, record: IdempotencyRecord | None) -> None:
         """Make an attempt the owner of its key; ``record`` is the record of an earlier attempt, if there is one."""
         if record is None:
-            self.retained += 1
+            self.retained_count += 1
             record = IdempotencyRecord(attempt_id)
         record.owner_id = attempt_id
         self._by_attempt[attempt_id] = record
@@ -56,7 +56,7 @@
         """Release the key of an attempt that never ran; return False if it has none."""
         if self._by_attempt.pop(attempt_id, None) is None:
             return False
-        self.retained -= 1
+        self.retained_count -= 1
         return True
 
     def expire(self, now: float) -> None:
@@ -65,4 +65,4 @@
             attempt_id = self._expiry.popleft()[1]
             record = self._by_attempt.pop(attempt_id, None)
             if record is not None and record.owner_id == attempt_id:
-                self.retained -= 1
+                self.retained_count -= 1
--- a/lapispick/admission/memory_budget.py
+++ b/lapispick/admission/memory_budget.py
@@ -25,7 +25,7 @@
     def fits(self, more_kb: float) -> bool:
         """Tell whether this much more stays within the budget."""
         requests_kb = self.used_kb + self.peer_kb + more_kb
-        return (requests_kb + self._key_kb * self._keys.retained) / self._available_kb <= 1
+        return (requests_kb + self._key_kb * self._keys.retained_count) / self._available_kb <= 1
 
     def reserve(self, request: TrackedRequest) -> None:
         """Reserve the memory of a request that was read, also beyond the budget."""
--- a/lapispick/admission/price_test.py
+++ b/lapispick/admission/price_test.py
@@ -28,7 +28,7 @@
         state = self._state
         now = state.now
         prices = state.shadow_prices
-        queue = state.queue.number_of(request, now)
+        queue = state.queue.queue_number_of(request, now)
         wait_ms = self._expected_wait_ms(queue)
         if wait_ms <= 0:
             prices.end_pressure()
--- a/lapispick/admission/request_queue.py
+++ b/lapispick/admission/request_queue.py
@@ -30,7 +30,7 @@
 
     def push(self, request: TrackedRequest, now: float) -> None:
         """Queue a request."""
-        queue_number = self.number_of(request, now)
+        queue_number = self.queue_number_of(request, now)
         work_ms = self._estimates.core_time_ms(request)
         request.queue_number = queue_number
         request.queued_work_ms = work_ms
@@ -38,7 +38,7 @@
         self._sequence += 1
         heappush(self.heaps[queue_number], (request.objective_at, self._sequence, request))
 
-    def number_of(self, request: TrackedRequest, now: float) -> int:
+    def queue_number_of(self, request: TrackedRequest, now: float) -> int:
         """Return the number of the queue that a request belongs to."""
         return request.class_index + (self.late_offset if now >= request.objective_at else 0)
 
--- a/lapispick/host/core/decision_module.py
+++ b/lapispick/host/core/decision_module.py
@@ -87,7 +87,7 @@
 
     def learned(self) -> admission.LearnedEstimates | None:
         """Return what the module has learned, for the process that takes over."""
-        return self.controller.learned() if self.controller is not None else None
+        return self.controller.learned_estimates() if self.controller is not None else None
 
     def adopt(self, learned: admission.LearnedEstimates | None) -> None:
         """Begin with what the other process learned, as soon as the module has started."""
--- a/tests/test_shared_budget.py
+++ b/tests/test_shared_budget.py
@@ -45,11 +45,11 @@
         request = old.request()
         old.step(request)
         old.step(admission.RunCompleted(request.id, admission.Outcome.OK, 77.0), at=old.now + 77)
-    learned = old.controller.learned()
+    learned = old.controller.learned_estimates()
     new = make_harness()
     new.controller.adopt(learned)
     assert abs(new.state.run_estimates.core_ms[0] - 77.0) < 1
-    assert new.controller.learned() == learned
+    assert new.controller.learned_estimates() == learned
     experienced = make_harness()
     request = experienced.request()
     experienced.step(request)
