--- a/lapispick/admission/price_test.py
+++ b/lapispick/admission/price_test.py
@@ -1,4 +1,4 @@
-"""The price test: a request's value against the shadow prices of the run time and cost that it takes."""
+"""The price test: compares the value of a request with the shadow price of the run time and cost it needs."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from lapispick.admission.server_state import ServerState
 from lapispick.admission.shadow_prices import SampledRequest
 
-MAX_WAIT_FRACTION = 0.25  # of a request's spare time; at an expected wait of this the prices count in full
+MAX_WAIT_FRACTION = 0.25  # of a request's spare time; from this expected wait on the prices apply in full
 
 
 class PriceTest:
-    """Admits everything while no work waits, and under pressure the requests whose value covers their price."""
+    """Admits all requests while no work waits, and under pressure only those whose value covers their price."""
 
     __slots__ = ("_needs_call", "_state")
 
     def __init__(self, state: ServerState) -> None:
         self._state = state
-        # By queue: the requests of all other classes go on without a call where there is no capacity.
+        # By queue. Requests of the other classes continue without a call if there is no capacity for one.
         self._needs_call = [settings.degraded_weight <= 0 for settings in state.settings.classes] * 2
 
     def admits(self, request: TrackedRequest) -> bool:
-        """Tell whether a request's value covers its price; the price counts in proportion to the pressure."""
+        """Return True if the value of a request covers its price, which is scaled by the pressure."""
         state = self._state
         now = state.now
         prices = state.shadow_prices
@@ -38,27 +38,28 @@
         occupancy_ms = state.run_estimates.core_time_ms(request)
         if not prices.frozen and not late:
             self._sample(wait_ms, SampledRequest(request.class_index, value, occupancy_ms, request.cost))
-        last_at = request.deadline_at if late else request.objective_at
-        spare_ms = last_at - now - state.run_estimates.expected_run_ms(request)
+        due_at = request.deadline_at if late else request.objective_at
+        spare_ms = due_at - now - state.run_estimates.expected_run_ms(request)
         pressure = wait_ms / (MAX_WAIT_FRACTION * spare_ms) if spare_ms > 0 else inf
         price = prices.occupancy_price * occupancy_ms + prices.cost_price * request.cost
-        admitted = pressure < 1 and value >= pressure * price  # behind a longer queue it would be answered too late
+        # At a pressure of 1 or more the queue is so long that the answer would be late.
+        admitted = pressure < 1 and value >= pressure * price
         if admitted:
             prices.admitted_cost += request.cost
         return admitted
 
     def _sample(self, wait_ms: float, request: SampledRequest) -> None:
-        """Add a request to the sample; not while the server warms up, as such prices would be wrong soon."""
+        """Add a request to the sample, except while the server warms up: such prices would soon be wrong."""
         state = self._state
         if state.slow_start.speed_fraction(state.now) < 1:
             return
         state.shadow_prices.observe(state.now, wait_ms, request)
-        text = state.shadow_prices.learn(state.concurrency_limit.value)
-        if text is not None:
-            state.actions.append(Log(text))
+        log_text = state.shadow_prices.learn(state.concurrency_limit.value)
+        if log_text is not None:
+            state.actions.append(Log(log_text))
 
     def _expected_wait_ms(self, queue: int) -> float:
-        """Return how long a request that joins this queue would wait for a slot, or for a call if it needs one."""
+        """Return the expected wait of a request in this queue for a slot, or for its call if that takes longer."""
         state = self._state
         estimates = state.run_estimates
         needs_call = self._needs_call
--- a/lapispick/admission/shadow_prices.py
+++ b/lapispick/admission/shadow_prices.py
@@ -1,7 +1,7 @@
-"""Shadow prices of occupancy (the time on a slot) and cost: the duals of a linear program over a sample of requests.
+"""Shadow prices of occupancy (time in a slot) and cost: the dual prices of a linear program over a sample of requests.
 
-After the adaptive bid-price filter of ThrottleKit's "Unified Admission" page: a prior of zero prices the first
-requests, and prices learned from a sample replace it only if they do better on that sample.
+Based on the adaptive bid-price filter in ThrottleKit's "Unified Admission" page: prices are zero at first, and prices
+learned from a sample replace them only if they admit more value on that sample.
 """
 
 from __future__ import annotations
@@ -12,21 +12,22 @@
 from typing import NamedTuple
 
 SAMPLE_SIZE = 24  # requests; the prices are frozen after one sample
-MIN_FREE_SLOTS_FRACTION = 0.3  # of the slots; what is queued already takes from the occupancy budget, down to this
-BUDGET_PERIOD_MS = 1000.0  # T of the linear program
+# Fraction of the slots. Queued requests reduce the occupancy budget, but never below this fraction.
+MIN_FREE_SLOTS_FRACTION = 0.3
+BUDGET_PERIOD_MS = 1000.0  # the period of the linear program's budgets and rates
 PRICE_TOLERANCE = 1e-12
 GAIN_TOLERANCE = 1e-9
 
 
 class Prices(NamedTuple):
-    """The prices of a millisecond on a slot and of a unit of cost."""
+    """The price of one millisecond in a slot and of one unit of cost."""
 
     occupancy: float
     cost: float
 
 
 class SampledRequest(NamedTuple):
-    """One request of the sample."""
+    """One request in the sample."""
 
     class_index: int
     value: float
@@ -35,20 +36,23 @@
 
 
 class RequestType(NamedTuple):
-    """The requests of one class in the linear program: how many come in a period, and their mean figures."""
+    """The requests of one class in the linear program, with their mean value, occupancy and cost."""
 
-    weight: float
+    weight: float  # requests per budget period
     value: float
     occupancy_ms: float
     cost: float
 
 
 def solve_prices(types: Sequence[RequestType], occupancy_budget: float, cost_budget: float) -> Prices:
-    """Find the duals of: maximise sum w*v*x, sum w*h*x <= occupancy_budget, sum w*c*x <= cost_budget, 0 <= x <= 1.
+    """Return the dual prices of the linear program that maximises the admitted value within both budgets.
 
-    The dual is piecewise linear and convex in the prices, so its least value lies where two of the lines
-    v = p_h*h + p_c*c, p_h = 0 and p_c = 0 meet; all such points are tried. The letters w, v, h and c stand for the
-    weight, value, occupancy and cost of a ``RequestType``, and x for the fraction of it that is admitted.
+    Maximise sum w*v*x subject to sum w*h*x <= occupancy_budget, sum w*c*x <= cost_budget and 0 <= x <= 1. The letters
+    w, v, h and c are the weight, value, occupancy and cost of a ``RequestType``, and x is the fraction of its requests
+    that is admitted.
+
+    The dual is piecewise linear and convex in the prices p_h and p_c, so its minimum lies at an intersection of two of
+    the lines v = p_h*h + p_c*c, p_h = 0 and p_c = 0. All intersections are tried.
     """
     lines = [(occupancy, cost, value) for _, value, occupancy, cost in types] + [(1.0, 0.0, 0.0), (0.0, 1.0, 0.0)]
     best = inf
@@ -70,17 +74,17 @@
 
 
 def _dual_value(types: Iterable[RequestType], prices: Prices, occupancy_budget: float, cost_budget: float) -> float:
-    """Return the value of the dual at these prices."""
+    """Return the value of the dual objective at the given prices."""
     occupancy_price, cost_price = prices
     dual = occupancy_price * occupancy_budget + cost_price * cost_budget
     return dual + sum(w * max(0.0, v - occupancy_price * h - cost_price * c) for w, v, h, c in types)
 
 
 class ShadowPrices:
-    """The prices of occupancy and cost: zero at first, learned once from a sample under pressure, then frozen."""
+    """Prices of occupancy and cost: zero at first, learned once from a sample taken under pressure, then frozen."""
 
     __slots__ = (
-        "_pressure_seen_at",
+        "_last_observed_at",
         "_sample_ms",
         "_total_wait_ms",
         "admitted_cost",
@@ -95,37 +99,37 @@
         self.cost_price = 0.0
         self.frozen = False
         self.sample: list[SampledRequest] = []
-        self.admitted_cost = 0.0  # under pressure; the price test adds to it
+        self.admitted_cost = 0.0  # of requests admitted under pressure; increased by the price test
         self._sample_ms = 0.0  # the time under pressure that the sample covers
         self._total_wait_ms = 0.0
-        self._pressure_seen_at: float | None = None  # the last request under the present pressure
+        self._last_observed_at: float | None = None  # last sampled request since pressure began; None without pressure
 
     @property
     def current(self) -> Prices:
-        """Return the prices that requests are put to now."""
+        """Return the prices in effect."""
         return Prices(self.occupancy_price, self.cost_price)
 
     def adopt(self, prices: Prices, frozen: bool) -> None:
-        """Begin with the prices of another process; ``frozen`` if they were learned."""
+        """Start with the prices of another process; ``frozen`` states whether they were learned from a sample."""
         self.occupancy_price, self.cost_price = prices
         self.frozen = frozen
 
     def end_pressure(self) -> None:
-        """Note that no work waits: the time until the next pressure is no part of the sample."""
-        self._pressure_seen_at = None
+        """Record that no work waits; the time until the next pressure is excluded from the time of the sample."""
+        self._last_observed_at = None
 
     def observe(self, now: float, wait_ms: float, request: SampledRequest) -> None:
-        """Note a request that came under pressure, and the wait that it met."""
-        if self._pressure_seen_at is not None:
-            self._sample_ms += now - self._pressure_seen_at
-        self._pressure_seen_at = now
+        """Add a request that arrived under pressure to the sample, with its expected wait."""
+        if self._last_observed_at is not None:
+            self._sample_ms += now - self._last_observed_at
+        self._last_observed_at = now
         self._total_wait_ms += wait_ms
         self.sample.append(request)
 
     def learn(self, slots: float) -> str | None:
-        """Price a full sample, adopt the result only if it admits more value on that sample, and freeze.
+        """Compute prices from a full sample, adopt them only if they admit more value on it, and freeze the prices.
 
-        Returns a text for the log when the prices were frozen just now.
+        Returns a log text if this call froze the prices, otherwise None.
         """
         if self.frozen or len(self.sample) < SAMPLE_SIZE or self._sample_ms <= 0:
             return None
@@ -143,7 +147,7 @@
         return f"prices {verdict}: hold {self.occupancy_price:.3g} cost {self.cost_price:.3g}"
 
     def _request_types(self, periods: float) -> list[RequestType]:
-        """Return the sample's classes with their rate and mean figures."""
+        """Return each class of the sample with its arrival rate and its mean value, occupancy and cost."""
         types = []
         for class_index in sorted({request.class_index for request in self.sample}):
             requests = [request for request in self.sample if request.class_index == class_index]
@@ -159,7 +163,7 @@
         return types
 
     def _replay(self, prices: Prices, slots: float, cost_budget: float) -> float:
-        """Return the value admitted when the sample arrives evenly and each budget refills evenly."""
+        """Return the value admitted if the sample arrives at a constant rate and each budget refills at one."""
         occupancy_budget = slots * BUDGET_PERIOD_MS
         refill = self._sample_ms / len(self.sample) / BUDGET_PERIOD_MS
         occupancy_left = 0.0
@@ -168,8 +172,8 @@
         for _, value, occupancy_ms, cost in self.sample:
             occupancy_left = min(occupancy_budget, occupancy_left + occupancy_budget * refill)
             cost_left = min(cost_budget, cost_left + cost_budget * refill)
-            clears = value >= (prices.occupancy * occupancy_ms + prices.cost * cost) * (1 - GAIN_TOLERANCE)
-            if clears and occupancy_ms <= occupancy_left and cost <= cost_left:
+            covers_price = value >= (prices.occupancy * occupancy_ms + prices.cost * cost) * (1 - GAIN_TOLERANCE)
+            if covers_price and occupancy_ms <= occupancy_left and cost <= cost_left:
                 occupancy_left -= occupancy_ms
                 cost_left -= cost
                 admitted_value += value
