--- a/lapispick/admission/deadlines.py
+++ b/lapispick/admission/deadlines.py
@@ -1,4 +1,4 @@
-"""When requests have to be answered at the latest."""
+"""Timers for the deadlines of requests."""
 
 from __future__ import annotations
 
@@ -6,12 +6,13 @@
 
 from lapispick.admission.request_state import QUEUED, TrackedRequest
 
-ANSWER_MARGIN_MS = 30.0  # answers go out this much before the deadline; with a late timer they are still in time
-MIN_REMAINING_FRACTION = 0.1  # of the time a request came with; a queued one is rejected when only this is left
+ANSWER_MARGIN_MS = 30.0  # before the deadline, so that answers are in time even if the timer fires late
+# Fraction of the time between arrival and deadline. A request that is still queued is rejected when only this is left.
+MIN_REMAINING_FRACTION = 0.1
 
 
 class DeadlineTimers:
-    """The times at which requests are looked at again."""
+    """The times at which requests have to be checked again."""
 
     __slots__ = ("_heap", "_sequence")
 
@@ -20,7 +21,7 @@
         self._sequence = 0
 
     def schedule(self, request: TrackedRequest) -> None:
-        """Look at a request again when it has to be started or answered."""
+        """Check a request again at the latest time to start it if it is queued, otherwise to answer it."""
         at = request.deadline_at
         if request.state is QUEUED:
             at -= MIN_REMAINING_FRACTION * (request.deadline_at - request.arrived_at)
@@ -28,7 +29,7 @@
         heappush(self._heap, (at, self._sequence, request))
 
     def pop_due(self, now: float) -> TrackedRequest | None:
-        """Return the next request whose time has come."""
+        """Return the next request whose time has passed, or None."""
         if self._heap and self._heap[0][0] <= now:
             return heappop(self._heap)[2]
         return None
