--- a/lapispick/simulator/__init__.py
+++ b/lapispick/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Runs the decision module under the simulator, over standard input and output."""
+"""Runs the decision module for the simulator, over standard input and output."""
--- a/lapispick/simulator/adapter.py
+++ b/lapispick/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter: runs one controller for each instance, and translates its events and actions."""
+"""The simulator adapter: runs one controller per instance, and translates between the wire and its interface."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from lapispick.platform_settings import StartSettings, admission_settings
 from lapispick.simulator import codec
 
-COST_KNOWN_BIT = 1  # of the flags of a request: its cost hint is valid
+COST_KNOWN_BIT = 1  # of the flags of a request; set if its cost hint is valid
 OUTCOMES = {int(outcome): outcome for outcome in admission.Outcome}
 
-Record = tuple[Any, ...]  # code, instance, and the fields of the code
-Encoder = Callable[[int, Any], bytes]  # from the instance and an action
+Record = tuple[Any, ...]  # event code, instance, and the fields of the event
+Encoder = Callable[[int, Any], bytes]  # encodes an action of an instance
 
 
 def _request_received(record: Record) -> admission.RequestReceived:
@@ -41,18 +41,18 @@
 
 
 def event_from(record: Record) -> admission.Event:
-    """Translate one event record."""
+    """Translate an event record into an event of the decision module."""
     return DECODERS[record[0]](record)
 
 
 def _one_field(code: int) -> Encoder:
-    """Return the encoder of an action that is sent with its first field only."""
+    """Return the encoder for an action of which only the first field is sent."""
     pack = codec.ACTIONS[code].pack
     return lambda instance, action: pack(code, instance, action[0])
 
 
 def _two_fields(code: int) -> Encoder:
-    """Return the encoder of an action that is sent with its two fields."""
+    """Return the encoder for an action whose two fields are sent."""
     pack = codec.ACTIONS[code].pack
     return lambda instance, action: pack(code, instance, action[0], action[1])
 
@@ -86,37 +86,37 @@
 
 
 class Adapter:
-    """Runs the controllers of this process, one for each instance; they share nothing."""
+    """Runs the controllers of this process, one per instance; they share no state."""
 
     __slots__ = ("controllers",)
 
     def __init__(self) -> None:
         self.controllers: dict[int, Controller] = {}
 
-    def answer(self, frame: bytes) -> bytes:
-        """Return the reply to one batch. Raises ``WireError``."""
+    def process_batch(self, frame: bytes) -> bytes:
+        """Process one batch and return the reply frame. Raises ``WireError``."""
         clock, number, records = codec.decode_batch(frame)
         pending: dict[int, list[admission.Event]] = {}
         for record in records:
             self._add_record(record, clock, number, pending)
         replies: list[bytes] = []
         for instance, events in pending.items():
-            self._step(instance, clock, events, replies)
+            self._step_instance(instance, clock, events, replies)
         return codec.encode_reply(number, replies)
 
     def _add_record(self, record: Record, clock: float, number: int, pending: dict[int, list[admission.Event]]) -> None:
-        """Start or end an instance, or add an event to those of its next step."""
+        """Start or end an instance, or add an event to the pending events of its next step."""
         code = record[0]
         instance = record[1]
         if code == codec.BORN:
             pending.pop(instance, None)
-            self._start(instance, record[2], record[3], clock)
+            self._start_instance(instance, record[2], record[3], clock)
             pending[instance] = []
         elif code == codec.KILL:
             self.controllers.pop(instance, None)
             pending.pop(instance, None)
         elif instance not in self.controllers:
-            raise codec.WireError(f"event code {code} for instance {instance}, which was never born")
+            raise codec.WireError(f"event code {code} for instance {instance}, which was not started")
         else:
             try:
                 event = DECODERS[code](record)
@@ -128,41 +128,45 @@
             else:
                 events.append(event)
 
-    def _step(self, instance: int, clock: float, events: list[admission.Event], replies: list[bytes]) -> None:
-        """Step one instance; an exception of its decision module is reported to the simulator and ends no other."""
+    def _step_instance(self, instance: int, clock: float, events: list[admission.Event], replies: list[bytes]) -> None:
+        """Step one instance; an exception in its decision module is reported to the simulator."""
         try:
             for action in self.controllers[instance].step(clock, events):
                 replies.append(ENCODERS[type(action)](instance, action))
-        except Exception as err:  # noqa: BLE001 - a fault of one instance must not end the others
+        except Exception as err:  # noqa: BLE001 - a fault in one instance must not stop the others
             print(f"lapispick: instance {instance} failed: {err!r}", file=sys.stderr)
             replies.append(codec.encode_text(codec.FATAL, instance, f"decision code failed: {err!r}"))
 
-    def _start(self, instance: int, seed: int, raw: bytes, clock: float) -> None:
-        """Start an instance with its settings, a JSON document. Raises ``WireError``."""
+    def _start_instance(self, instance: int, seed: int, settings_json: bytes, clock: float) -> None:
+        """Start an instance with its JSON-encoded start settings. Raises ``WireError``."""
         try:
-            info = msgspec.json.decode(raw, type=StartSettings)
+            start_settings = msgspec.json.decode(settings_json, type=StartSettings)
         except msgspec.ValidationError as err:
-            raise codec.WireError(f"start settings of instance {instance} lack or misuse a key: {err}") from err
+            raise codec.WireError(
+                f"start settings of instance {instance} have a missing or invalid key: {err}"
+            ) from err
         except msgspec.DecodeError as err:
             raise codec.WireError(f"start settings of instance {instance} are not JSON: {err}") from err
         try:
-            settings = admission_settings(info)
+            settings = admission_settings(start_settings)
         except KeyError as err:
-            raise codec.WireError(f"start settings of instance {instance} lack or misuse {err}") from err
+            raise codec.WireError(
+                f"start settings of instance {instance} have an unknown value or a missing key: {err}"
+            ) from err
         except (TypeError, ValueError, AttributeError) as err:
             raise codec.WireError(f"start settings of instance {instance} are malformed: {err}") from err
         try:
             self.controllers[instance] = Controller(settings, seed, clock)
         except ValueError as err:
-            raise codec.WireError(f"start settings of instance {instance} are refused: {err}") from err
+            raise codec.WireError(f"start settings of instance {instance} are invalid: {err}") from err
 
 
-def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
+def serve(input_stream: BinaryIO, output_stream: BinaryIO) -> None:
+    """Process batches until the input ends."""
     adapter = Adapter()
-    while (frame := codec.read_frame(source)) is not None:
-        sink.write(adapter.answer(frame))
-        sink.flush()
+    while (frame := codec.read_frame(input_stream)) is not None:
+        output_stream.write(adapter.process_batch(frame))
+        output_stream.flush()
 
 
 def main() -> int:
--- a/lapispick/simulator/codec.py
+++ b/lapispick/simulator/codec.py
@@ -1,6 +1,6 @@
-"""The binary codec of the simulator's wire: batches of events in, replies with actions out.
+"""The binary codec of the simulator's wire protocol: decodes batches of events, encodes replies with actions.
 
-All numbers are big-endian. A frame begins with its length, which counts itself.
+All numbers are big-endian. A frame begins with its length, which includes the length field itself.
 """
 
 from __future__ import annotations
@@ -8,16 +8,16 @@
 import struct
 from typing import Any, BinaryIO, NamedTuple
 
-BATCH_HEAD = struct.Struct(">IdI")  # length, clock in ms, number of the batch
-REPLY_HEAD = struct.Struct(">III")  # length, count of records, number of the batch
+BATCH_HEAD = struct.Struct(">IdI")  # length of the frame, clock in ms, batch number
+REPLY_HEAD = struct.Struct(">III")  # length of the frame, number of records, batch number
 TEXT_HEAD = struct.Struct(">BIH")  # code, instance, length of the text
 LENGTH_BYTES = 4
 MAX_FRAME_BYTES = 1 << 30
 MAX_TEXT_BYTES = 65_535
 GAUGE_BYTES = 4
 
-# Codes of events. These, and the codes of actions below, have the names of the wire's description; ``adapter.py`` maps
-# them to the events and actions of the decision module.
+# Event codes. The names of event and action codes are those of the protocol description; ``adapter.py`` maps them to
+# the events and actions of the decision module.
 RUN_OVER = 1
 BORN = 2
 BLOCKED = 3
@@ -28,8 +28,8 @@
 DEADLINE_HIT = 8
 TERMINATE_SOON = 9
 
-# The fixed part of each event after its code. BORN ends in the length of its settings, DEADLINE_HIT in the count of
-# its gauges; these follow.
+# The fixed-size part of each event after its code. Its last field is the length of the settings for BORN and the number
+# of gauges for DEADLINE_HIT; the settings or gauges follow as the variable part.
 EVENTS: dict[int, struct.Struct] = {
     RUN_OVER: struct.Struct(">IQBd"),
     BORN: struct.Struct(">IQI"),
@@ -42,7 +42,7 @@
     TERMINATE_SOON: struct.Struct(">Id"),
 }
 
-# Codes of actions.
+# Action codes.
 DISPATCH = 1
 PIN = 2
 INVOKE = 3
@@ -77,11 +77,11 @@
 
 
 class WireError(Exception):
-    """What came in does not follow the wire's description; the text says which part of which batch."""
+    """Input that does not follow the protocol description; the message names the faulty part."""
 
 
 def read_frame(stream: BinaryIO) -> bytes | None:
-    """Read one frame with its length; None at a clean end of input. Raises ``WireError``."""
+    """Read one frame including its length, or return None if the input ends before it. Raises ``WireError``."""
     head = _read_up_to(stream, LENGTH_BYTES)
     if not head:
         return None
@@ -91,15 +91,15 @@
     if size < BATCH_HEAD.size:
         raise WireError(f"frame length {size} is shorter than the {BATCH_HEAD.size} bytes of a batch header")
     if size > MAX_FRAME_BYTES:
-        raise WireError(f"over-long frame: {size} bytes")
+        raise WireError(f"frame length {size} exceeds the maximum of {MAX_FRAME_BYTES} bytes")
     body = _read_up_to(stream, size - LENGTH_BYTES)
     if len(body) < size - LENGTH_BYTES:
-        raise WireError(f"truncated frame: {len(body) + LENGTH_BYTES} of {size} bytes")
+        raise WireError(f"truncated frame: input ended after {len(body) + LENGTH_BYTES} of {size} bytes")
     return head + body
 
 
 def _read_up_to(stream: BinaryIO, size: int) -> bytes:
-    """Read this many bytes, fewer at the end of input."""
+    """Read this many bytes, or fewer if the input ends."""
     chunks = []
     while size:
         chunk = stream.read(size)
@@ -111,7 +111,7 @@
 
 
 class Batch(NamedTuple):
-    """One batch: the clock in ms, its number, and its events as ``(code, instance, fields...)``."""
+    """One batch: the clock in ms, the batch number, and the events as ``(code, instance, fields...)``."""
 
     clock: float
     number: int
@@ -119,7 +119,7 @@
 
 
 def decode_batch(frame: bytes) -> Batch:
-    """Split a frame into its events. Raises ``WireError``."""
+    """Decode the events of a frame. Raises ``WireError``."""
     _, clock, number = BATCH_HEAD.unpack_from(frame)
     position = BATCH_HEAD.size
     end = len(frame)
@@ -132,27 +132,29 @@
         start = position + 1
         position = start + layout.size
         if position > end:
-            raise WireError(f"truncated record of event code {code} in batch {number}")
+            raise WireError(f"truncated record of event code {code} in batch {number}: expected {layout.size} bytes")
         fields = layout.unpack_from(frame, start)
         if code in (BORN, DEADLINE_HIT):
-            *others, count = fields
+            *leading_fields, count = fields
             size = count if code == BORN else count * GAUGE_BYTES
             if position + size > end:
-                raise WireError(f"the counted part of event code {code} passes the end of batch {number}")
+                raise WireError(
+                    f"variable part of event code {code} ({size} bytes) exceeds the frame of batch {number}"
+                )
             tail = frame[position : position + size]
-            fields = (*others, tail if code == BORN else struct.unpack(f">{count}f", tail))
+            fields = (*leading_fields, tail if code == BORN else struct.unpack(f">{count}f", tail))
             position += size
         records.append((code, *fields))
     return Batch(clock, number, records)
 
 
 def encode_text(code: int, instance: int, text: str) -> bytes:
-    """Encode an ``Emit`` or a ``Fatal``; a text that is too long is cut between two characters."""
+    """Encode an EMIT or FATAL action; a text that is too long is truncated at a character boundary."""
     raw = text.encode()[:MAX_TEXT_BYTES].decode(errors="ignore").encode()
     return TEXT_HEAD.pack(code, instance, len(raw)) + raw
 
 
 def encode_reply(number: int, records: list[bytes]) -> bytes:
-    """Put the records of a reply into one frame."""
+    """Encode the records of a reply as one frame."""
     body = b"".join(records)
     return REPLY_HEAD.pack(REPLY_HEAD.size + len(body), len(records), number) + body
