--- a/tests/test_prices.py
+++ b/tests/test_prices.py
@@ -1,4 +1,4 @@
-"""The linear program against cases solved by hand, guarded adoption, and the price test through ``step``."""
+"""Tests the linear program with cases solved by hand, the adoption of learned prices, and the price test."""
 
 import pytest
 from hypothesis import given, settings
@@ -10,8 +10,8 @@
 
 
 def solve(types, occupancy_budget, cost_budget):
-    """Solve for types given as (weight, value, occupancy_ms, cost)."""
-    return solve_prices([RequestType(*each) for each in types], occupancy_budget, cost_budget)
+    """Return the prices for request types given as tuples of (weight, value, occupancy_ms, cost)."""
+    return solve_prices([RequestType(*fields) for fields in types], occupancy_budget, cost_budget)
 
 
 def test_prices_are_zero_while_both_budgets_suffice():
@@ -19,7 +19,7 @@
 
 
 def test_occupancy_budget_is_priced_at_the_marginal_type():
-    # 1 of (value 10, occupancy 10) fits completely; (4, 10) fits half, so a unit of occupancy is worth 4/10.
+    # The type (value 10, occupancy 10) fits completely, (4, 10) fits only half: a unit of occupancy is worth 4/10.
     prices = solve([(1, 10, 10, 1), (1, 4, 10, 1)], 15, 1e9)
     assert prices.occupancy == pytest.approx(0.4)
     assert prices.cost == 0
@@ -32,7 +32,7 @@
 
 
 def test_both_budgets_have_a_price_where_both_bind():
-    # Both types half admitted: 8 = 2a + 1c and 7 = 1a + 2c, so a = 3, c = 2.
+    # Both types are half admitted: 8 = 2 * 3 + 1 * 2 and 7 = 1 * 3 + 2 * 2, so the prices are 3 and 2.
     prices = solve([(1, 8, 2, 1), (1, 7, 1, 2)], 1.5, 1.5)
     assert prices.occupancy == pytest.approx(3.0)
     assert prices.cost == pytest.approx(2.0)
@@ -55,19 +55,19 @@
     assert occupancy_price >= 0
     assert cost_price >= 0
     assert any(
-        each.value >= (occupancy_price * each.occupancy_ms + cost_price * each.cost) * (1 - 1e-6) for each in types
+        kind.value >= (occupancy_price * kind.occupancy_ms + cost_price * kind.cost) * (1 - 1e-6) for kind in types
     )
-    needed_occupancy = sum(each.weight * each.occupancy_ms for each in types)
-    needed_cost = sum(each.weight * each.cost for each in types)
+    needed_occupancy = sum(kind.weight * kind.occupancy_ms for kind in types)
+    needed_cost = sum(kind.weight * kind.cost for kind in types)
     if needed_occupancy <= occupancy_budget and needed_cost <= cost_budget:
-        assert all(each.value >= occupancy_price * each.occupancy_ms + cost_price * each.cost - 1e-6 for each in types)
+        assert all(kind.value >= occupancy_price * kind.occupancy_ms + cost_price * kind.cost - 1e-6 for kind in types)
 
     def dual(price_of_occupancy, price_of_cost):
-        surplus = (each.value - price_of_occupancy * each.occupancy_ms - price_of_cost * each.cost for each in types)
-        admitted = sum(each.weight * max(0, excess) for each, excess in zip(types, surplus, strict=True))
+        surplus = (kind.value - price_of_occupancy * kind.occupancy_ms - price_of_cost * kind.cost for kind in types)
+        admitted = sum(kind.weight * max(0, excess) for kind, excess in zip(types, surplus, strict=True))
         return price_of_occupancy * occupancy_budget + price_of_cost * cost_budget + admitted
 
-    # No other pair of prices gives a lower dual value.
+    # None of these other pairs of prices gives a lower dual value.
     for other in [
         (0, 0),
         (occupancy_price * 1.1 + 0.01, cost_price),
@@ -78,27 +78,27 @@
         assert dual(occupancy_price, cost_price) <= dual(*other) * (1 + 1e-6) + 1e-6
 
 
-def fill(prices, spec, interval_ms=10):
-    """Give the prices a complete sample of requests, in turn of the (class, value, occupancy_ms) of ``spec``."""
-    for i in range(SAMPLE_SIZE):
-        class_index, value, occupancy_ms = spec[i % len(spec)]
-        prices.observe(i * interval_ms, 0, SampledRequest(class_index, value, occupancy_ms, 0))
+def observe_sample(prices, kinds, interval_ms=10):
+    """Let the prices observe a full sample that cycles through ``kinds``, tuples of (class, value, occupancy_ms)."""
+    for number in range(SAMPLE_SIZE):
+        class_index, value, occupancy_ms = kinds[number % len(kinds)]
+        prices.observe(number * interval_ms, 0, SampledRequest(class_index, value, occupancy_ms, 0))
 
 
 def test_learned_prices_are_adopted_when_better_on_the_sample_and_frozen():
     prices = ShadowPrices()
-    fill(prices, [(0, 1, 100), (1, 10, 100)])  # 100 a second ask for 10 slots, 4 are there
+    observe_sample(prices, [(0, 1, 100), (1, 10, 100)])  # 100 requests per second need 10 slots, 4 are available
     assert "adopted" in prices.learn(4)
     assert 0.01 < prices.occupancy_price <= 0.1 + 1e-9
     adopted_price = prices.occupancy_price
-    fill(prices, [(0, 9, 10)])
+    observe_sample(prices, [(0, 9, 10)])
     assert prices.learn(1) is None
     assert prices.occupancy_price == adopted_price
 
 
 def test_learned_prices_that_admit_no_more_value_are_not_adopted():
     prices = ShadowPrices()
-    fill(prices, [(0, 1, 100)])  # one type: a price can ration nothing
+    observe_sample(prices, [(0, 1, 100)])  # with a single type, a price can't improve the selection
     assert "kept" in prices.learn(4)
     assert prices.frozen
     assert prices.occupancy_price == 0
