--- a/lapispick/admission/attempt_history.py
+++ b/lapispick/admission/attempt_history.py
@@ -4,7 +4,7 @@
 
 MAX_ATTEMPTS = 200.0  # the counts are halved when their sum reaches this
 BINS = 100  # equal parts of the deadline; jitter stays within two of them
-MIN_FIRST_ATTEMPT_FRACTION = 0.1  # of the attempts; a time left that is less frequent is that of a retry
+MIN_FIRST_ATTEMPT_FRACTION = 0.1  # of the attempts; a less frequent time left indicates a retry
 
 
 class AttemptHistory:
--- a/lapispick/admission/downstream_calls.py
+++ b/lapispick/admission/downstream_calls.py
@@ -16,7 +16,7 @@
 CALL_RETRY_DELAY_MS = 60.0
 MIN_CALL_TIMEOUT_MS = 0.1  # on the wire, 0 means no timeout
 
-BOUND_NAME = "calls"  # in the log
+BOUND_NAME = "calls"  # of this limit in log lines
 NEVER_RAN_OUTCOMES = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.ABANDONED)
 
 
@@ -60,7 +60,7 @@
             self._handle_call_failure(request, event.outcome, single_loss)
 
     def retry_waiting(self) -> None:
-        """Make waiting calls while there is capacity; calls that can't be skipped go first."""
+        """Make waiting calls while there is capacity; required and retried calls go first."""
         now = self._state.now
         downstream = self._state.downstream
         while (request := downstream.pop_ready(now)) is not None:
--- a/lapispick/admission/downstream_limit.py
+++ b/lapispick/admission/downstream_limit.py
@@ -24,7 +24,7 @@
 MAX_CALL_FRACTION = 0.3  # of the quota times its window, for all calls in flight; a longer call is cancelled
 MAX_SINGLE_LOST_FRACTION = 0.25  # of the calls; a smaller fraction of lost replies does not indicate overload
 MIN_LOST_FRACTION = 0.0005  # of the calls; with a smaller fraction of lost replies no call is cancelled early
-CALL_TIMEOUT_RATIO = 8.0  # of the timeout of skippable calls to the usual or recent call time
+CALL_TIMEOUT_RATIO = 8.0  # of a skippable call's timeout to the usual or recent call time
 MIN_CALL_TIMEOUT_MS = 60.0  # long enough for replies that a busy host reads late
 MAX_CAPACITY_WAIT_RATIO = 2.0  # of the wait for capacity to the usual call time
 MAX_BURST_LATENCY_RATIO = 1.5  # of recent to usual call time; above it calls don't wait for capacity
@@ -65,7 +65,9 @@
         self._max_total_call_ms = MAX_CALL_FRACTION * quota * settings.call_quota_window_ms  # for all calls in flight
         self._updated_at = now
         self._mean_in_flight = 0.0
-        window_fraction = MEAN_WINDOW_FRACTION / min(1.0, quota or 1.0)  # longer if one call is a large part
+        window_fraction = MEAN_WINDOW_FRACTION / min(
+            1.0, quota or 1.0
+        )  # longer if one call is a large part of the quota
         self._mean_window_ms = max(1.0, settings.call_quota_window_ms * window_fraction)
         self._lost_fraction = 0.0
         self.limit = self._max_limit
@@ -73,7 +75,7 @@
         self.peer_calls = 0.0  # calls in flight of another process of this server
         self.recent_ms = 0.0  # moving average of the call time
         self._usual_call_ms = 0.0  # moving average of the call time over many more calls
-        # Heap of (not_before, request id, request): requests that can't continue without their call.
+        # Heap of (not_before, request id, request): requests whose call is required or retried.
         self.waiting: list[tuple[float, int, TrackedRequest]] = []
         self.degradable_waiting: deque[TrackedRequest] = deque()  # requests that can continue without their call
 
@@ -94,7 +96,7 @@
         self.limit = limit
 
     def wait(self, request: TrackedRequest, not_before: float) -> None:
-        """Let a request that can't continue without its call wait for capacity, at least until ``not_before``."""
+        """Let a request whose call is required or retried wait for capacity, at least until ``not_before``."""
         heappush(self.waiting, (not_before, request.id, request))
 
     def wait_degradable(self, request: TrackedRequest) -> None:
@@ -102,7 +104,7 @@
         self.degradable_waiting.append(request)
 
     def pop_ready(self, now: float) -> TrackedRequest | None:
-        """Return the next request whose wait has ended, or None; requests that need their call go first.
+        """Return the next request whose wait has ended, or None; required and retried calls go first.
 
         A wait ends if there is capacity for the call, if the request no longer needs a call, or if a request that can
         continue without its call should not wait any longer.
@@ -180,11 +182,11 @@
         )
 
     def max_call_ms(self) -> float:
-        """Return the maximum duration of a call: a call that hangs would far exceed a quota under one call."""
+        """Return the maximum duration of a call, as a call that hangs would far exceed a quota under one call."""
         return self._max_total_call_ms / max(1, self.in_flight) or inf
 
     def has_capacity(self) -> bool:
-        """Return True if one more call stays within the limit; a limit under one call bounds the mean in flight."""
+        """Return True if one more call stays within the limit; a limit under one call is enforced on the mean."""
         if self._quota <= 0:
             return True
         limit = max(MIN_OWN_QUOTA_FRACTION * self.limit, self.limit - self.peer_calls)
