--- a/lapispick/admission/concurrency_limit.py
+++ b/lapispick/admission/concurrency_limit.py
@@ -63,7 +63,7 @@
         slots = int(self.value * (LATE_READING_FRACTION if reading_late else 1.0))
         return max(int(MIN_OWN_QUOTA_FRACTION * slots), slots - int(self.peer_runs))
 
-    def slots_beside_peer(self) -> int:
+    def slots_left_by_peer(self) -> int:
         """Return the slots not occupied by the runs of another process of this server, at least one."""
         return max(1, int(self.value) - int(self.peer_runs))
 
@@ -84,7 +84,7 @@
         self._latency_ratio_sum += latency_ratio
         self._runs += 1
 
-    def observe_on_cores(self, threads: float) -> None:
+    def record_threads_on_cores(self, threads: float) -> None:
         """Record the number of threads on the cores; a moving average smooths single readings."""
         self._mean_threads_on_cores += (threads - self._mean_threads_on_cores) * ON_CORE_SMOOTHING_FRACTION
 
--- a/lapispick/admission/controller.py
+++ b/lapispick/admission/controller.py
@@ -83,7 +83,7 @@
         for event in events:
             handlers[type(event)](event)
         self._lifecycle.answer_overdue()
-        self._calls.retry_waiting()
+        self._calls.start_waiting_calls()
         self._scheduler.start_queued(self._admission.read_delay)
         return state.actions
 
@@ -140,7 +140,7 @@
         state.concurrency_limit.peer_runs = gauges.get(PEER_RUNS_GAUGE, 0.0)
         state.memory.peer_kb = gauges.get(PEER_MEMORY_GAUGE, 0.0)
         state.downstream.peer_calls = gauges.get(PEER_CALLS_GAUGE, 0.0)
-        state.concurrency_limit.observe_on_cores(gauges.get(ON_CORES_GAUGE, 0.0))
+        state.concurrency_limit.record_threads_on_cores(gauges.get(ON_CORES_GAUGE, 0.0))
         if state.now >= self._next_window_at:
             self._next_window_at = state.now + CONTROL_WINDOW_MS
             self._close_window(gauges.get(CORE_USE_GAUGE, 0.0))
--- a/lapispick/admission/downstream_calls.py
+++ b/lapispick/admission/downstream_calls.py
@@ -59,7 +59,7 @@
         if not request.answered:
             self._handle_call_failure(request, event.outcome, single_loss)
 
-    def retry_waiting(self) -> None:
+    def start_waiting_calls(self) -> None:
         """Make waiting calls while there is capacity; required and retried calls go first."""
         now = self._state.now
         downstream = self._state.downstream
--- a/lapispick/admission/downstream_limit.py
+++ b/lapispick/admission/downstream_limit.py
@@ -53,7 +53,7 @@
         "in_flight",
         "limit",
         "peer_calls",
-        "recent_ms",
+        "recent_call_ms",
         "waiting",
     )
 
@@ -73,7 +73,7 @@
         self.limit = self._max_limit
         self.in_flight = 0
         self.peer_calls = 0.0  # calls in flight of another process of this server
-        self.recent_ms = 0.0  # moving average of the call time
+        self.recent_call_ms = 0.0  # moving average of the call time
         self._usual_call_ms = 0.0  # moving average of the call time over many more calls
         # Heap of (not_before, request id, request): requests whose call is required or retried.
         self.waiting: list[tuple[float, int, TrackedRequest]] = []
@@ -82,7 +82,7 @@
     @property
     def call_times(self) -> CallTimes:
         """Return the usual and the recent time of a call."""
-        return CallTimes(self._usual_call_ms, self.recent_ms)
+        return CallTimes(self._usual_call_ms, self.recent_call_ms)
 
     def advance(self, now: float) -> None:
         """Update the mean of calls in flight to the given time."""
@@ -92,7 +92,7 @@
 
     def adopt(self, call_times: CallTimes, limit: float) -> None:
         """Start with the call times and the limit that another process learned."""
-        self._usual_call_ms, self.recent_ms = call_times
+        self._usual_call_ms, self.recent_call_ms = call_times
         self.limit = limit
 
     def wait(self, request: TrackedRequest, not_before: float) -> None:
@@ -142,13 +142,15 @@
         self._lost_fraction += (lost - self._lost_fraction) * LOST_SMOOTHING_FRACTION
         if lost and self._lost_fraction < MAX_SINGLE_LOST_FRACTION and quota >= 1:
             return True
-        self.recent_ms += (duration_ms - self.recent_ms) * (RECENT_SMOOTHING_FRACTION if self._usual_call_ms else 1.0)
+        self.recent_call_ms += (duration_ms - self.recent_call_ms) * (
+            RECENT_SMOOTHING_FRACTION if self._usual_call_ms else 1.0
+        )
         self._usual_call_ms += (duration_ms - self._usual_call_ms) * (
             USUAL_SMOOTHING_FRACTION if self._usual_call_ms else 1.0
         )
         if duration_ms >= self.max_call_ms():
             self.limit = 0.0  # raised to the minimum below
-        elif outcome is not Outcome.OK or self.recent_ms > MAX_LATENCY_RATIO * self._usual_call_ms:
+        elif outcome is not Outcome.OK or self.recent_call_ms > MAX_LATENCY_RATIO * self._usual_call_ms:
             self.limit *= BACKOFF_RATIO
         elif self.waiting:
             self.limit += GROWTH_CALLS
@@ -168,7 +170,7 @@
     def skippable_call_timeout_ms(self) -> float:
         """Return the timeout of a skippable call, as a lost reply never arrives; infinite if hardly any are lost."""
         if self._lost_fraction > MIN_LOST_FRACTION:
-            return max(MIN_CALL_TIMEOUT_MS, CALL_TIMEOUT_RATIO * max(self._usual_call_ms, self.recent_ms))
+            return max(MIN_CALL_TIMEOUT_MS, CALL_TIMEOUT_RATIO * max(self._usual_call_ms, self.recent_call_ms))
         return inf
 
     def should_wait(self, waiting_since: float, now: float) -> bool:
@@ -177,7 +179,7 @@
         If calls are slower than usual, the dependency is overloaded and waiting would only delay the request.
         """
         return (
-            self.recent_ms <= MAX_BURST_LATENCY_RATIO * self._usual_call_ms
+            self.recent_call_ms <= MAX_BURST_LATENCY_RATIO * self._usual_call_ms
             and now - waiting_since < MAX_CAPACITY_WAIT_RATIO * self._usual_call_ms
         )
 
--- a/lapispick/admission/price_test.py
+++ b/lapispick/admission/price_test.py
@@ -80,6 +80,6 @@
         wait_ms = work_ms / state.concurrency_limit.value
         if state.settings.call_quota > 0 and needs_call[queue] and estimates.call_ms[queue % late_offset] > 0:
             downstream = state.downstream
-            call_work_ms += len(downstream.waiting) * downstream.recent_ms
+            call_work_ms += len(downstream.waiting) * downstream.recent_call_ms
             wait_ms = max(wait_ms, call_work_ms / downstream.limit)
         return wait_ms
--- a/lapispick/admission/run_scheduler.py
+++ b/lapispick/admission/run_scheduler.py
@@ -26,7 +26,7 @@
         """Start what fits; ``read_delay`` is that of the last request, a fraction of its latency objective."""
         state = self._state
         if self._can_pause:  # late reading starts less, and pauses nothing
-            self._pauser.balance(state.concurrency_limit.slots_beside_peer())
+            self._pauser.balance(state.concurrency_limit.slots_left_by_peer())
         heaps = state.queue.heaps
         if not any(heaps):
             return
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -149,7 +149,7 @@
     for end in lost * 4:
         make_calls(harness, [(400, end)] + [(50, Outcome.OK)] * 12, AT_MOST_ONCE)
     assert harness.state.downstream.limit == limit
-    assert harness.state.downstream.recent_ms == pytest.approx(50)
+    assert harness.state.downstream.recent_call_ms == pytest.approx(50)
     make_calls(harness, [(400, Outcome.TIMEOUT)] * 60, AT_MOST_ONCE)
     assert harness.state.downstream.limit == pytest.approx(1.0)
 
