--- a/lapispick/admission/downstream_limit.py
+++ b/lapispick/admission/downstream_limit.py
@@ -65,9 +65,8 @@
         self._max_total_call_ms = MAX_CALL_FRACTION * quota * settings.call_quota_window_ms  # for all calls in flight
         self._updated_at = now
         self._mean_in_flight = 0.0
-        window_fraction = MEAN_WINDOW_FRACTION / min(
-            1.0, quota or 1.0
-        )  # longer if one call is a large part of the quota
+        # The window is longer if one call is a large part of the quota.
+        window_fraction = MEAN_WINDOW_FRACTION / min(1.0, quota or 1.0)
         self._mean_window_ms = max(1.0, settings.call_quota_window_ms * window_fraction)
         self._lost_fraction = 0.0
         self.limit = self._max_limit
