--- a/lapispick/admission/run_scheduler.py
+++ b/lapispick/admission/run_scheduler.py
@@ -26,7 +26,7 @@
         """Start the requests that fit; ``read_delay_fraction`` is that of the last request that was read."""
         state = self._state
         if self._can_pause:  # independent of the read delay: late reading reduces starts but pauses no runs
-            self._pauser.balance(state.concurrency_limit.slots_beside_peer())
+            self._pauser.balance(state.concurrency_limit.slots_left_by_peer())
         heaps = state.queue.heaps
         if not any(heaps):
             return
