--- a/lapispick/idempotency/ownership.py
+++ b/lapispick/idempotency/ownership.py
@@ -1,19 +1,20 @@
 """Decides which of the two processes of a worker host may execute a keyed request. No I/O, no clock.
 
-During an upgrade the older process owns the keys. It announces each request before it executes it; the newer process
-asks first. So each knows everything that was executed by either, and the remaining one can continue alone.
+During an upgrade the older process owns the keys. It announces each request before executing it. The newer process asks
+for permission before executing a request. So each process knows every request that either executed, and if one process
+ends, the other can continue alone.
 
-| role | a request that is not known to have been executed |
+| role | what happens to a request that is not known to have been executed |
 | --- | --- |
-| ``STANDALONE`` | is executed |
-| ``OWNER`` | is executed once the other process's socket has taken the announcement |
-| ``FOLLOWER`` | waits for the owner's reply |
-| ``SUSPENDED`` | waits: another process is alive, and what it executes is not known |
-
-A wait ends after ``CLAIM_TIMEOUT_MS`` with a rejection, as the request has certainly not been executed. A request that
-the other process executed without announcing the end counts as executed and failed. Where the other process ended
-without ``HandoverComplete``, it may have continued unlinked: for one window, the outcome of requests created before its
-end, and of all retries, is unknown. Times are Unix ms.
+| ``STANDALONE`` | it is executed |
+| ``OWNER`` | it is executed once the announcement was written to the other process's socket |
+| ``FOLLOWER`` | it waits for the owner's reply |
+| ``SUSPENDED`` | it waits: another process is running, and its executions are not known |
+
+A request that waits for longer than ``CLAIM_TIMEOUT_MS`` is rejected, because it has not been executed. A request whose
+execution the other process announced, but not its end, counts as executed and failed. If the other process ended
+without ``HandoverComplete``, it may have continued without a link. The outcome of requests created before its end, and
+of all retries, is then unknown for one idempotency window. Times are in Unix ms.
 """
 
 from __future__ import annotations
@@ -29,11 +30,11 @@
 from lapispick.idempotency.table import EXECUTED_BY_PEER, NOT_EXECUTED, IdempotencyRecord, IdempotencyTable
 from lapispick.idempotency.unknown_outcomes import UnknownOutcomes
 
-CLAIM_TIMEOUT_MS = 300.0  # a peer whose event loop is blocked for longer would reply too late to be of use
+CLAIM_TIMEOUT_MS = 300.0  # if the peer's event loop is blocked for longer, its reply comes too late to be useful
 
 
 class Role(Enum):
-    """The role of this process in the ownership of the keys."""
+    """Role of this process in the ownership of the keys."""
 
     STANDALONE = "standalone"
     OWNER = "owner"
@@ -42,27 +43,27 @@
 
 
 class PendingClaim(msgspec.Struct, frozen=True):
-    """An attempt that waits for the other process."""
+    """Attempt that waits for the other process, and the time at which it began to wait."""
 
     attempt: int
     record: IdempotencyRecord
-    since_ms: float
+    waiting_since_ms: float
 
 
 class KeyOwnership:
-    """Tracks the ownership of keys; the host carries the messages and applies the verdicts."""
+    """Ownership of the keys, as seen by this process. The host sends the messages and applies the verdicts."""
 
     def __init__(self, table: IdempotencyTable, idempotency_window_ms: float, role: Role = Role.STANDALONE) -> None:
         self.table = table
         self.role = role
         self.send: Callable[[messages.Message], None] = lambda message: None
-        self.has_unsent: Callable[[], bool] = lambda: False  # the peer's socket has not taken all that was sent
+        self.has_unsent: Callable[[], bool] = lambda: False  # whether messages still wait to be written to the socket
         self.on_verdict: Callable[[Any, Verdict], None] = lambda attempt, verdict: None
         self.on_completed: Callable[[Any, str | None], None] = lambda waiter, result: None
         self.unknown_outcomes = UnknownOutcomes(idempotency_window_ms)
         self._pending: dict[Hashable, PendingClaim] = {}
 
-    # Attempts of this process.
+    # Attempts that this process received.
 
     def claim(
         self,
@@ -73,9 +74,10 @@
         is_retry: bool,
         now_ms: float,
     ) -> Verdict:
-        """Decide whether an attempt may be executed; ``record`` is that of its key.
+        """Decide whether an attempt may be executed; ``record`` is the record of its key.
 
-        The verdict is ``RUN``, ``COALESCE``, ``FAIL`` or ``WAIT``; a wait ends with a call of ``on_verdict``.
+        The verdict is ``RUN``, ``COALESCE``, ``FAIL`` or ``WAIT``. After ``WAIT``, ``on_verdict`` is called with
+        the final verdict.
         """
         if record.executed_attempt:
             return Verdict.COALESCE
@@ -102,30 +104,35 @@
         return Verdict.WAIT
 
     def complete(self, record: IdempotencyRecord, result: str | None) -> None:
-        """Record the end of an execution of this process; None where it failed."""
+        """Record the result of an execution by this process, or None if it failed."""
         if self.role is not Role.STANDALONE:
             self._send_to_peer(messages.KeyCompleted(_key(record), result))
         self._notify(self.table.complete(record, result), result)
 
     def release(self, record: IdempotencyRecord) -> None:
-        """Release a key whose request was not executed after all."""
+        """Release a key whose request was not executed."""
         pending = self._pending.get(record.key)
         if pending is not None and pending.record is record:
-            return  # the reply to another attempt is on its way and still needs the record
+            return  # the reply to the pending claim needs the record
         if record.executed_attempt and record.executed_attempt != EXECUTED_BY_PEER:
             self._send_to_peer(messages.KeyReleased(_key(record), record.expires_at_ms))
         self._notify(self.table.remove(record), None)
 
     def on_flushed(self) -> None:
-        """Run the attempts that waited until the peer's socket had taken their announcement."""
+        """Run the owner's attempts that waited until their announcements were written to the socket."""
         if self.role is Role.OWNER:
             for key, pending in list(self._pending.items()):
                 del self._pending[key]
                 self.on_verdict(pending.attempt, Verdict.RUN)
 
     def expire_claims(self, now_ms: float) -> bool:
-        """Reject attempts that waited too long; return True where the peer lags so far that the link must be cut."""
-        expired = [key for key, pending in self._pending.items() if now_ms - pending.since_ms > CLAIM_TIMEOUT_MS]
+        """Reject attempts that waited too long.
+
+        Return True if this process is the owner and the peer reads so slowly that the link must be closed.
+        """
+        expired = [
+            key for key, pending in self._pending.items() if now_ms - pending.waiting_since_ms > CLAIM_TIMEOUT_MS
+        ]
         if expired and self.role is Role.OWNER:
             return True
         for key in expired:
@@ -137,7 +144,7 @@
         for waiter in waiters:
             self.on_completed(waiter, result)
 
-    # The other process.
+    # Messages and state of the other process.
 
     def on_peer_connected(self, role: Role) -> None:
         """Begin to share the keys, as ``OWNER`` or ``FOLLOWER``."""
@@ -146,7 +153,7 @@
             self.send(messages.UnknownOutcomesUntil(self.unknown_outcomes.ended_at_ms))
 
     def snapshot(self, keys: list[Hashable]) -> list[messages.Message]:
-        """Return the records of these keys whose requests were executed."""
+        """Return messages with the records of those keys whose requests were executed."""
         records = [self.table.get(key) for key in keys]
         return [
             messages.RecordSnapshot(
@@ -157,7 +164,7 @@
         ]
 
     def receive(self, message: messages.Message) -> None:
-        """Apply a message of the other process about keys; others are ignored."""
+        """Apply a message of the other process about keys. Other messages are ignored."""
         match message:
             case messages.RecordSnapshot(key, expires_at_ms, request_digest, completed, result):
                 self.table.mark_executed_by_peer(key, expires_at_ms, request_digest)
@@ -189,7 +196,7 @@
 
     def _on_claim_granted(self, granted: messages.ClaimGranted) -> None:
         pending = self._pending.get(granted.key)
-        if pending is None or pending.attempt != granted.claim_id:  # the claim has timed out
+        if pending is None or pending.attempt != granted.claim_id:  # the claim timed out
             self._send_to_peer(messages.KeyReleased(granted.key, granted.expires_at_ms))
             return
         del self._pending[granted.key]
@@ -201,27 +208,29 @@
         if pending is None or pending.attempt != denied.claim_id:
             return
         del self._pending[denied.key]
-        # Executions are announced before this reply; the outcome of one that was not is unknown.
+        # The owner announces an execution before it denies a claim. Without an announcement, the claim was denied
+        # because the outcome is unknown, so the record is completed as failed.
         if not pending.record.executed_attempt:
             pending.record.mark_started(EXECUTED_BY_PEER, pending.record.expires_at_ms)
             self.table.complete(pending.record, None)
         self.on_verdict(pending.attempt, Verdict.COALESCE)
 
     def on_peer_lost(self, peer_ended: bool, ended_at_ms: float = 0.0) -> None:
-        """Continue without the other process; unless ``peer_ended``, it may still execute requests.
+        """Continue without the other process, which may still execute requests unless ``peer_ended`` is set.
 
-        ``ended_at_ms`` is set where it owned the keys and ended without ``HandoverComplete``.
+        ``ended_at_ms`` is set if it owned the keys and ended without ``HandoverComplete``.
         """
         if ended_at_ms:
             self.unknown_outcomes.mark_until(ended_at_ms)
-        # A follower asks before it executes and can no longer ask, so the owner may continue in any case.
+        # The owner may continue even if the follower is running: without a link, a follower gets no permission to
+        # execute anything.
         if not peer_ended and self.role is not Role.OWNER:
             if self.role is Role.FOLLOWER:
                 self.role = Role.SUSPENDED
             return
         self.role = Role.STANDALONE
         for record in self.table:
-            self._notify(self.table.complete_by_peer(record.key, None), None)  # their outcome will never be known
+            self._notify(self.table.complete_by_peer(record.key, None), None)  # their results cannot arrive any more
         self._settle_pending(owner_lost=bool(ended_at_ms))
 
     def _settle_pending(self, owner_lost: bool) -> None:
--- a/lapispick/idempotency/states.py
+++ b/lapispick/idempotency/states.py
@@ -1,4 +1,4 @@
-"""The state machine of an idempotency key, in memory and on disk. No I/O, no clock.
+"""State machine of an idempotency key, used for the records in memory and on disk. No I/O, no clock.
 
     (no record) --INTEND--> INTENDED
     INTENDED --START--> STARTED --COMPLETE--> COMPLETED
@@ -9,15 +9,16 @@
 
 | state | event | next state |
 | --- | --- | --- |
-| ``INTENDED`` | ``START``: the command leaves for the executor | ``STARTED`` |
-| ``INTENDED`` | ``WITHDRAW``: the command will never leave | ``RELEASED`` |
+| ``INTENDED`` | ``START``: the command is sent to the executor | ``STARTED`` |
+| ``INTENDED`` | ``WITHDRAW``: the command will not be sent | ``RELEASED`` |
 | ``INTENDED``, ``STARTED`` | ``LOSE``: the process ended before it could record the outcome | ``OUTCOME_UNKNOWN`` |
 | ``STARTED`` | ``COMPLETE``: the execution ended with a result | ``COMPLETED`` |
 | ``STARTED`` | ``FAIL``: the execution failed, or its outcome is unknown | ``FAILED`` |
-| ``STARTED`` | ``NOT_EXECUTED``: the executor reports that it never ran the command | ``RELEASED`` |
+| ``STARTED`` | ``NOT_EXECUTED``: the executor reports that it did not run the command | ``RELEASED`` |
 | ``OUTCOME_UNKNOWN`` | ``RESOLVE``: the result became known later | ``COMPLETED`` |
 
-A record ends with its idempotency window, in any state; then its key may be intended again.
+Whatever its state, a record is valid until the end of its idempotency window. After that, another attempt may own the
+key.
 """
 
 from __future__ import annotations
@@ -26,18 +27,18 @@
 
 
 class KeyState(IntEnum):
-    """What is known of a key. The numbers are stored and never change."""
+    """State of an idempotency key. The numbers are stored and must not change."""
 
-    INTENDED = 1  # an attempt owns the key; no command has left
-    STARTED = 2  # the command has left, so the execution may take effect at any moment
-    COMPLETED = 3  # executed, and the result was known
+    INTENDED = 1  # an attempt owns the key; no command was sent
+    STARTED = 2  # the command was sent, so the execution may take effect at any moment
+    COMPLETED = 3  # executed, and the result is or was known
     FAILED = 4  # executed or possibly executed, without a result
     OUTCOME_UNKNOWN = 5  # a process ended without recording the outcome
-    RELEASED = 6  # certainly not executed, and the record is removed; never stored
+    RELEASED = 6  # not executed, and the record was removed; never stored
 
 
 class KeyEvent(IntEnum):
-    """What happens to a key."""
+    """Event that changes the state of an idempotency key."""
 
     INTEND = 1
     START = 2
@@ -50,23 +51,23 @@
 
 
 class Verdict(Enum):
-    """What happens to an attempt of a key."""
+    """Decision on an attempt that has an idempotency key."""
 
     RUN = "run"
-    WAIT = "wait"  # decided later, once the other process has replied
+    WAIT = "wait"  # decided later, after a reply of the other process
     COALESCE = "coalesce"  # another attempt was or is being executed: wait for its result
     REPLAY = "replay"  # answer with the stored result
-    REJECT = "reject"  # certainly not executed, and whether it may be cannot be decided in time
+    REJECT = "reject"  # not executed, because permission to execute it did not arrive in time
     FAIL = "fail"  # executed or possibly executed, and there is no result
-    MISMATCH = "mismatch"  # the key belongs to another request
+    MISMATCH = "mismatch"  # the key was used for a different request
 
 
 class KeyLifecycleError(Exception):
-    """A step that no order of events allows: a fault of this program, never of a peer."""
+    """State change that no order of events allows: a bug in this program, never a fault of a peer."""
 
 
 class InvalidTransitionError(KeyLifecycleError):
-    """An event that a key's state does not allow."""
+    """Event that the state of a key does not allow."""
 
     def __init__(self, state: KeyState, event: KeyEvent) -> None:
         super().__init__(f"event {event.name} is not allowed for a key in state {state.name}")
@@ -87,7 +88,7 @@
 
 
 def next_state(state: KeyState, event: KeyEvent) -> KeyState:
-    """Return the state after an event; raises ``InvalidTransitionError``."""
+    """Return the state that follows an event; raises ``InvalidTransitionError`` if the event is not allowed."""
     try:
         return TRANSITIONS[state, event]
     except KeyError:
--- a/lapispick/idempotency/table.py
+++ b/lapispick/idempotency/table.py
@@ -1,6 +1,6 @@
-"""The table of idempotency records: which attempt owns a key, which one was executed, and its result.
+"""Table of idempotency records: which attempt owns a key, which attempt was executed, and its result.
 
-Records follow the state machine of ``states.py``. No I/O, no clock. Times are Unix ms.
+Records follow the state machine in ``states.py``. No I/O, no clock. Times are in Unix ms.
 """
 
 from __future__ import annotations
@@ -16,58 +16,63 @@
 from lapispick.idempotency.states import TRANSITIONS, KeyEvent, KeyState
 
 DEFAULT_MAX_RESULT_BYTES = 16 << 20
-NOT_EXECUTED = 0  # in place of an attempt's number
-EXECUTED_BY_PEER = -1  # in place of an attempt's number: the other process of this host has it
+NOT_EXECUTED = 0  # used as the executed attempt of a record: no attempt was executed
+EXECUTED_BY_PEER = -1  # used as the executed attempt of a record: the host's other process executes it
 DIGEST_BYTES = 7
 
 
 class IdempotencyRecord(msgspec.Struct, eq=False):
-    """What is known of one idempotency key."""
+    """Record of one idempotency key: its owner attempt, state and result."""
 
     key: Hashable
     owner_attempt: int  # the attempt that would be executed
-    expires_at_ms: float  # end of the window: attempts created up to here are matched, however late they are read
-    request_digest: int  # of handler and body, which all attempts share
-    executed_attempt: int = NOT_EXECUTED  # a number, not the attempt: a cycle would wait minutes for the collector
+    expires_at_ms: float  # end of the window: attempts created until then match, whenever they are read
+    request_digest: int  # of handler and body, which are the same in all attempts
+    # The number of an attempt and not the attempt itself: that would make a reference cycle, which the garbage
+    # collector may free only minutes later.
+    executed_attempt: int = NOT_EXECUTED
     state: KeyState = KeyState.INTENDED
-    result: str | None = None  # None once completed: it failed, or the result was evicted
-    waiters: list[Any] = []  # notified once the record is completed
+    result: str | None = None  # None in a completed record: the execution failed, or its result was evicted
+    waiters: list[Any] = []  # attempts to notify when the record is completed
 
     @property
     def completed(self) -> bool:
-        """Tell whether the outcome is final: no execution of this record is pending."""
+        """Return True if the outcome is final: no execution of this record is pending."""
         return self.state > KeyState.STARTED
 
     def apply(self, event: KeyEvent) -> None:
-        """Go to the next state. An event that the state does not allow is ignored, as the peer's messages may cross."""
+        """Change the state by an event.
+
+        An event that the state does not allow is ignored, because messages of both processes may cross.
+        """
         self.state = TRANSITIONS.get((self.state, event), self.state)
 
     def mark_started(self, attempt: int, expires_at_ms: float) -> None:
-        """Note which attempt is executed, or ``EXECUTED_BY_PEER``; the window is extended, never shortened."""
+        """Record the attempt that is executed, or ``EXECUTED_BY_PEER``; extend the window, but never shorten it."""
         self.executed_attempt = attempt
         self.expires_at_ms = max(self.expires_at_ms, expires_at_ms)
         self.apply(KeyEvent.START)
 
     def take_waiters(self) -> list[Any]:
-        """Return the waiters, each of them once."""
+        """Return the waiters and clear the list, so that each is notified only once."""
         waiters = self.waiters
         self.waiters = []
         return waiters
 
 
 def digest_request(handler: str, body: str) -> int:
-    """Return a short digest of what all attempts of a request share; the same in every process."""
+    """Return a short digest of handler and body, which are the same in all attempts and in both processes."""
     return int.from_bytes(blake2b(f"{handler} {body}".encode(), digest_size=DIGEST_BYTES).digest())
 
 
 class IdempotencyTable:
-    """All records of this worker host whose window has not ended. Results are bounded, records are not evicted."""
+    """All unexpired idempotency records of this worker host. Results are evicted beyond a bound; records never are."""
 
     def __init__(self, max_result_bytes: int = DEFAULT_MAX_RESULT_BYTES) -> None:
         self.max_result_bytes = max_result_bytes
         self.result_bytes = 0
         self._records: dict[Hashable, IdempotencyRecord] = {}
-        self._with_result: deque[IdempotencyRecord] = deque()  # in the order in which the results arrived
+        self._records_with_result: deque[IdempotencyRecord] = deque()  # oldest result first
 
     def __len__(self) -> int:
         return len(self._records)
@@ -76,11 +81,11 @@
         return iter(list(self._records.values()))
 
     def get(self, key: Hashable) -> IdempotencyRecord | None:
-        """Return the record of a key, also after its window."""
+        """Return the record of a key, even if its window has ended."""
         return self._records.get(key)
 
     def find(self, key: Hashable, created_at_ms: float) -> IdempotencyRecord | None:
-        """Return the record that an attempt created at this time repeats; None outside the record's window."""
+        """Return the record of a key if an attempt created at this time is within its window, otherwise None."""
         record = self._records.get(key)
         if record is None or created_at_ms > record.expires_at_ms:
             return None
@@ -89,7 +94,10 @@
     def retain(
         self, key: Hashable, attempt: int, created_at_ms: float, expires_at_ms: float, request_digest: int
     ) -> IdempotencyRecord:
-        """Make an attempt the owner of its key. A record whose window lasts is kept, or it could be executed twice."""
+        """Make an attempt the owner of its key.
+
+        A record whose window has not ended is kept: replacing it could lead to a second execution.
+        """
         record = self.find(key, created_at_ms)
         if record is None:
             self._evict_result_of(key)
@@ -100,7 +108,7 @@
         return record
 
     def remove(self, record: IdempotencyRecord) -> list[Any]:
-        """Remove a record; return its waiters."""
+        """Remove a record and return its waiters."""
         if self._records.get(record.key) is record:
             del self._records[record.key]
         self._evict_result(record)
@@ -108,36 +116,39 @@
         return record.take_waiters()
 
     def complete(self, record: IdempotencyRecord, result: str | None) -> list[Any]:
-        """Record the end of an execution, with None where it failed; return the waiters."""
+        """Record the result of an execution, or None if it failed; return the waiters."""
         record.apply(KeyEvent.FAIL if result is None else KeyEvent.COMPLETE)
         if result is not None and record.result is None and self._records.get(record.key) is record:
             record.result = result
-            self._with_result.append(record)
+            self._records_with_result.append(record)
             self.result_bytes += len(result)
             self.trim()
         return record.take_waiters()
 
-    # What the other process of this host executes.
+    # Executions of the host's other process.
 
     def mark_executed_by_peer(self, key: Hashable, expires_at_ms: float, request_digest: int) -> None:
-        """Record that the peer executes a request; an attempt that is held here coalesces with it in its turn."""
+        """Record that the peer executes a request; an attempt that waits in this process will coalesce with it."""
         record = self._records.get(key)
         if record is not None and record.executed_attempt and expires_at_ms <= record.expires_at_ms:
-            return  # known already, or what was executed here is newer
-        if record is None or record.executed_attempt:  # an execution of an earlier window is superseded
+            return  # this execution is known already, or a newer one was executed here
+        if record is None or record.executed_attempt:  # supersedes an execution of an earlier window
             record = self.retain(key, EXECUTED_BY_PEER, inf, expires_at_ms, request_digest)
         record.mark_started(EXECUTED_BY_PEER, expires_at_ms)
         record.request_digest = request_digest
 
     def complete_by_peer(self, key: Hashable, result: str | None) -> list[Any]:
-        """Record the end of the peer's execution, if it is pending; return the waiters."""
+        """Record the result of the peer's execution if that is pending; return the waiters."""
         record = self._records.get(key)
         if record is None or record.executed_attempt != EXECUTED_BY_PEER or record.completed:
             return []
         return self.complete(record, result)
 
     def release_by_peer(self, key: Hashable, expires_at_ms: float) -> list[Any]:
-        """Remove a record that the peer claimed for this window and did not execute; return the waiters."""
+        """Remove the record of a key that the peer claimed but did not execute; return the waiters.
+
+        ``expires_at_ms`` identifies the claim: a record of a later window stays.
+        """
         record = self._records.get(key)
         if record is None or record.executed_attempt != EXECUTED_BY_PEER or record.expires_at_ms > expires_at_ms:
             return []
@@ -146,9 +157,9 @@
     # Results and expiry.
 
     def trim(self) -> None:
-        """Evict the oldest results beyond ``max_result_bytes``; their records stay, so nothing is executed twice."""
-        while self.result_bytes > self.max_result_bytes and self._with_result:
-            self._evict_result(self._with_result[0])
+        """Evict the oldest results beyond ``max_result_bytes``; their records stay, to prevent second executions."""
+        while self.result_bytes > self.max_result_bytes and self._records_with_result:
+            self._evict_result(self._records_with_result[0])
 
     def expired(self, before_ms: float) -> Iterable[IdempotencyRecord]:
         """Return the records whose window ended before this time and that are not being executed."""
@@ -159,13 +170,13 @@
         ]
 
     def _evict_result_of(self, key: Hashable) -> None:
-        replaced = self._records.get(key)
-        if replaced is not None:
-            self._evict_result(replaced)
+        record = self._records.get(key)
+        if record is not None:
+            self._evict_result(record)
 
     def _evict_result(self, record: IdempotencyRecord) -> None:
         if record.result is not None:
             self.result_bytes -= len(record.result)
             record.result = None
-        while self._with_result and self._with_result[0].result is None:
-            self._with_result.popleft()
+        while self._records_with_result and self._records_with_result[0].result is None:
+            self._records_with_result.popleft()
--- a/lapispick/idempotency/unknown_outcomes.py
+++ b/lapispick/idempotency/unknown_outcomes.py
@@ -1,25 +1,25 @@
-"""Which requests may have been executed by a process that left no record of them. No I/O, no clock.
+"""Requests that an ended process may have executed without passing on a record of them. No I/O, no clock.
 
-Where a process ended without its last message, everything that it may have read is of unknown outcome for one
-idempotency window: requests created before its end, and all retries. Times are Unix ms.
+If a process ends without ``HandoverComplete``, the outcome of every request that it may have read is unknown for one
+idempotency window. These are the requests created before its end, and all retries. Times are in Unix ms.
 """
 
 from __future__ import annotations
 
 
 class UnknownOutcomes:
-    """The latest end of such a process."""
+    """Requests of unknown outcome, by the latest time at which a process ended without passing on its records."""
 
     def __init__(self, window_ms: float) -> None:
-        self.ended_at_ms = 0.0  # 0: there was none
+        self.ended_at_ms = 0.0  # 0: no process ended without passing on its records
         self._window_ms = window_ms
 
     def mark_until(self, ended_at_ms: float) -> None:
-        """Note when such a process ended; 0 = none did."""
+        """Record when a process ended without passing on its records; 0 = none did."""
         self.ended_at_ms = max(self.ended_at_ms, ended_at_ms)
 
     def covers(self, created_at_ms: float, is_retry: bool) -> bool:
-        """Tell whether an attempt's request may have been executed by such a process."""
+        """Return True if a process may have executed the request of this attempt without passing on the record."""
         if not self.ended_at_ms > 0 or created_at_ms >= self.ended_at_ms + self._window_ms:
             return False
         return is_retry or created_at_ms <= self.ended_at_ms
