--- a/lapispick/handover/__init__.py
+++ b/lapispick/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Two processes as one worker host, for as long as an upgrade lasts: state and decisions, no I/O and no clock."""
+"""Messages and shared budget of the two processes of a worker host during an upgrade. No I/O, no clock."""
--- a/lapispick/handover/messages.py
+++ b/lapispick/handover/messages.py
@@ -1,11 +1,11 @@
-"""Messages between the two processes of one worker host during an upgrade: one JSON object a line. No I/O.
+"""Messages between the two processes of one worker host during an upgrade: one JSON object per line. No I/O.
 
-``VERSION`` is raised by every change that an older process would misread. A process announces the newest and the
-oldest version that it speaks in its ``Hello``; both then speak the newest version that both know, and refuse the link
-where there is none. Unknown fields are ignored, so a new field with a default needs no new version.
+Every change that an older process would misread raises ``VERSION``. In its ``Hello``, a process announces the newest
+and the oldest version that it supports. Both then use the newest version that both support; if there is none, the link
+is rejected. Unknown fields are ignored, so a new field with a default does not need a new version.
 
-Names on the wire are those of version 1; ``tag`` and ``field(name=...)`` map them to the names used here. Times are
-Unix ms.
+The names on the wire are those of version 1; ``tag`` and ``field(name=...)`` map them to the names used here. Times are
+in Unix ms.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 
 from lapispick.admission import LearnedEstimates
 
-VERSION = 1  # the newest version spoken; see lapispick/versions.py
-MIN_VERSION = 1  # the oldest version still spoken
+VERSION = 1  # the newest supported version; see lapispick/versions.py
+MIN_VERSION = 1  # the oldest supported version
 
 Key = tuple[str, ...]  # an idempotency key
 
@@ -31,33 +31,33 @@
 
 
 class Hello(Message, tag="hello"):
-    """First message of the new process: a request to link.
+    """First message of the new process: a request for a link.
 
-    ``listener`` tells on which listening socket it accepts clients already: its own, or the one that an earlier link
-    passed to it; empty while it accepts none.
+    ``listener`` is the listening socket on which the new process already accepts clients: its own, or the one that it
+    received over an earlier link. It is empty while the new process accepts no clients.
     """
 
     version: int
     name: str
     listen: str
     listener: str = field(default=NO_LISTENER, name="listens")
-    min_version: int = field(default=0, name="lowest")  # the oldest version that it speaks too; 0 = no other
+    min_version: int = field(default=0, name="lowest")  # the oldest version that the sender supports; 0 = no other
 
 
 class Welcome(Message, tag="welcome"):
-    """The old process accepts; the listening socket was sent just before this."""
+    """Acceptance of the link by the old process, which sent its listening socket just before this message."""
 
     version: int
 
 
 class LinkRejected(Message, tag="no"):
-    """The old process does not accept the link."""
+    """Rejection of the link by the old process."""
 
     reason: str = field(name="why")
 
 
 class RecordSnapshot(Message, tag="known"):
-    """A record of the initial snapshot whose request was executed, by either process."""
+    """Record in the initial snapshot, of a request that either process executed."""
 
     key: Key
     expires_at_ms: float = field(name="until")
@@ -67,19 +67,19 @@
 
 
 class UnknownOutcomesUntil(Message, tag="doubt"):
-    """When a process ended that may have executed requests unknown to the sender; 0 = none did."""
+    """Latest end of a process that may have executed requests unknown to the sender; 0 = there was none."""
 
     ended_at_ms: float = field(name="ended")
 
 
 class SnapshotComplete(Message, tag="whole"):
-    """The snapshot is complete."""
+    """End of the initial snapshot, with the estimates that the sender learned."""
 
     learned: LearnedEstimates | None = None
 
 
 class KeyClaimed(Message, tag="claimed"):
-    """The owner is about to execute a request."""
+    """Announcement that the owner is about to execute a request."""
 
     key: Key
     expires_at_ms: float = field(name="until")
@@ -87,7 +87,7 @@
 
 
 class ClaimRequest(Message, tag="claim"):
-    """The follower asks whether it may execute a request; the reply repeats ``claim_id``."""
+    """Request of the follower for permission to execute a request; the reply repeats ``claim_id``."""
 
     claim_id: int = field(name="number")
     key: Key
@@ -98,7 +98,7 @@
 
 
 class ClaimGranted(Message, tag="granted"):
-    """The follower may execute it."""
+    """Permission for the follower to execute the claimed request."""
 
     claim_id: int = field(name="number")
     key: Key
@@ -106,32 +106,32 @@
 
 
 class ClaimDenied(Message, tag="denied"):
-    """The follower must not: an attempt was executed, as an earlier message said, or may have been."""
+    """Refusal of a claim: an attempt was executed, as an earlier message announced, or may have been executed."""
 
     claim_id: int = field(name="number")
     key: Key
 
 
 class KeyCompleted(Message, tag="over"):
-    """An execution has ended; a result of None means that it failed."""
+    """End of an execution, with its result; None means that it failed."""
 
     key: Key
     result: str | None = None
 
 
 class KeyReleased(Message, tag="freed"):
-    """A claimed request was not executed after all; a claim for a later window stands."""
+    """Release of a claimed request that was not executed; a claim for a later window stays valid."""
 
     key: Key
     expires_at_ms: float = field(name="until")
 
 
 class Serving(Message, tag="serving"):
-    """The new process accepts clients."""
+    """Announcement that the new process accepts clients."""
 
 
 class ResourceUsage(Message, tag="usage"):
-    """What the sender uses of the budget that both processes share."""
+    """Sender's usage of the budget that both processes share."""
 
     runs: int
     memory_kb: float = field(name="kb")
@@ -140,23 +140,23 @@
 
 
 class DrainChanged(Message, tag="drain"):
-    """Operators began or ended a drain at the sender."""
+    """Announcement that operators began or ended a drain at the sender."""
 
     draining: bool = field(name="on")
 
 
 class ShutdownStarted(Message, tag="leaving"):
-    """The sender began its graceful shutdown; its latest estimates go with it."""
+    """Announcement that the sender began its graceful shutdown, with its latest estimates."""
 
     learned: LearnedEstimates | None = None
 
 
 class HandoverComplete(Message, tag="done"):
-    """The sender owes no answer any more and exits; its reader owns the keys."""
+    """Last message: the sender has answered all its requests and exits, and the receiver owns the keys."""
 
 
 def negotiate_version(hello: Hello) -> int | None:
-    """Return the newest version that both processes speak; None where there is none."""
+    """Return the newest version that both processes support, or None if there is none."""
     newest_common = min(VERSION, hello.version)
     oldest_common = max(MIN_VERSION, hello.min_version or hello.version)
     return newest_common if newest_common >= oldest_common else None
--- a/lapispick/host/handover/key_lock.py
+++ b/lapispick/host/handover/key_lock.py
@@ -1,8 +1,8 @@
-"""Elects the process that owns the idempotency keys: advisory locks on two files that the processes share.
+"""Advisory locks on two shared files, which decide which process of a worker host owns the idempotency keys.
 
-Whoever holds the lock owns the keys, and the kernel releases it with the process, however that ends. The second lock
-belongs to the one process that comes next. Nobody requests the keys without it: a third process could otherwise take
-them before the second one, to which they were handed over.
+The holder of the first lock owns the keys. The kernel releases the lock when the process ends, in whatever way. The
+second lock is held by the successor, the one process that may own the keys next. A process must hold it to acquire the
+first lock. Otherwise a third process could acquire the keys before the second one, to which they were handed over.
 """
 
 from __future__ import annotations
@@ -14,26 +14,26 @@
 
 OPEN_FLAGS = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
 FILE_MODE = 0o600
-SERVING = b"serving"  # content of the lock's file while its holder runs, or after it was killed
-ENDED = b"ended"  # content after its holder ended in order
+SERVING = b"serving"  # content of the lock file while its holder runs, or after the holder was killed
+ENDED = b"ended"  # content of the lock file after an orderly end of its holder
 
 
 class KeyLock:
-    """The lock on the keys, and the lock of the successor."""
+    """Lock on the idempotency keys, with the lock of the successor."""
 
     def __init__(self, folder: Path, stem: str) -> None:
-        """Open both files; raises ``OSError`` where the folder cannot hold them."""
+        """Open both lock files; raises ``OSError`` if the folder can't hold them."""
         self._owner_file = os.open(folder / f"{stem}.lock", OPEN_FLAGS, FILE_MODE)
         self._successor_file = os.open(folder / f"{stem}.next", OPEN_FLAGS, FILE_MODE)
         self.acquired = False
-        self.previous_end_s = 0.0  # Unix s; the latest at which an earlier holder ended, 0 = there was none
+        self.previous_end_s = 0.0  # latest time at which an earlier holder may have ended, in Unix s; 0 = no holder
 
     def try_become_successor(self) -> bool:
-        """Take the successor's lock; return whether this process has it."""
+        """Acquire the successor's lock; return whether this process holds it."""
         return _try_lock(self._successor_file)
 
     def try_acquire(self) -> bool:
-        """Take the lock on the keys, as the successor only; return whether this process has it."""
+        """Acquire the lock on the keys, if this process can be the successor; return whether it holds the lock."""
         if not self.try_become_successor() or not _try_lock(self._owner_file):
             return False
         fcntl.flock(self._successor_file, fcntl.LOCK_UN)
@@ -43,14 +43,14 @@
         return True
 
     def release(self) -> None:
-        """Release the lock on the keys at an orderly end of this process."""
+        """Release the lock on the keys before an orderly end of this process."""
         self._write(ENDED)
         fcntl.flock(self._owner_file, fcntl.LOCK_UN)
 
     def _read_previous_end(self) -> float:
         content = os.pread(self._owner_file, len(SERVING), 0)
         if content == SERVING:
-            return time.time()  # it was killed, at an unknown time
+            return time.time()  # the earlier holder was killed, at an unknown time
         if content:
             return os.fstat(self._owner_file).st_mtime
         return 0.0
--- a/lapispick/host/handover/service.py
+++ b/lapispick/host/handover/service.py
@@ -1,4 +1,4 @@
-"""Finds the other process of this worker host, takes over from it, and hands over to the next one."""
+"""Links to the older process of this worker host, takes over from it, and later hands over to a newer process."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 
 LOG = "handover"
 STEM_DIGEST_BYTES = 8
-RETRY_INTERVAL_S = 0.05  # between attempts to get the lock or a link
+RETRY_INTERVAL_S = 0.05  # between attempts to acquire the lock or to link
 OPEN_POLL_INTERVAL_S = RETRY_INTERVAL_S / 5
-# Then clients are accepted without a link: an upgrade has 6 s until the new process must be ready. Keyed requests are
-# rejected at once until a link is made or the other process has ended.
+# Time after which clients are accepted without a link, as an upgrade allows 6 s until the new process must be ready.
+# Keyed requests are rejected at once until there is a link or the other process has ended.
 UNLINKED_AFTER_S = 3.0
-FLUSH_TIMEOUT_S = 0.2  # for the last message of a process that ends
+FLUSH_TIMEOUT_S = 0.2  # for the last message before this process exits
 FLUSH_POLL_INTERVAL_S = 0.01
 
 
 class Handover:
-    """The part of this process in a hand-over: first the follower's, then the owner's."""
+    """Hand-over between processes: this process joins as the follower and later serves its successor as the owner."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         post: Callable[[Any], None],
         set_peer_connections: SetPeerConnections,
     ) -> None:
-        """Take the lock on the keys if it is free; raises ``OSError`` where the folder can't hold lock and socket."""
+        """Acquire the lock on the keys if it is free; raises ``OSError`` if the folder can't hold locks and socket."""
         self._loop = loop
         self._identity = identity
         self._max_unsent_bytes = max_unsent_bytes
@@ -66,18 +66,18 @@
 
     @property
     def peer_serves(self) -> bool:
-        """Tell whether the other process accepts clients and continues to."""
+        """Return True if the other process accepts clients and is not shutting down."""
         return self._peer is not None and self._peer.peer_serves
 
     @property
     def listener_shared(self) -> bool:
-        """Tell whether the other process accepts what the kernel queues for this listening socket."""
+        """Return True if the other process accepts connections from the same listening socket."""
         return self._peer_has_listener and self._peer is not None
 
-    # The owner.
+    # As the owner of the keys.
 
     def serve(self) -> None:
-        """Accept links of the next process until this one ends, one at a time."""
+        """Accept links from newer processes, one at a time, until this process exits."""
         try:
             sock = unix_socket.listen(self.address)
         except OSError as err:
@@ -88,7 +88,7 @@
                 continue
             try:
                 accepted, _ = sock.accept()
-            except OSError as err:  # such as no free descriptor: the connection stays in the kernel's queue
+            except OSError as err:  # for example no free descriptor: the connection stays in the kernel's queue
                 log(LOG, logging.WARNING, "link-rejected", error=err)
                 self._loop.sleep(RETRY_INTERVAL_S)
                 continue
@@ -110,7 +110,7 @@
             log(LOG, logging.WARNING, "link-rejected", error=err)
             stream.close()
             return
-        # A successor with a listening socket of its own never accepts from this one, so its queue is served here.
+        # A successor with its own listening socket never accepts from this one, so this process serves its queue.
         self._peer_has_listener = hello.listener != messages.OWN_LISTENER
         link = PeerLink(stream, self._gateways, self._set_peer_connections, peer_owns_keys=False)
         link.peer_serves = hello.listener != messages.NO_LISTENER
@@ -125,7 +125,7 @@
             hello, self._identity, linked=self._peer is not None, listening=self._gateways.is_listening
         )
 
-    # The established link.
+    # While the link is established.
 
     def _on_connected(self, link: PeerLink) -> None:
         self._peer = link
@@ -135,7 +135,7 @@
         self._post(events.PeerConnected(link, link.peer_owns_keys))
 
     def _receive(self, link: PeerLink) -> bool:
-        """Pass messages on until the link ends; return whether the other process ended in order."""
+        """Handle messages until the link ends; return whether the other process completed its hand-over."""
         completed = False
         try:
             while not completed and (line := link.stream.read_line()) is not None:
@@ -150,7 +150,7 @@
         return completed
 
     def _on_message(self, link: PeerLink, message: messages.Message) -> bool:
-        """Apply or pass on a message; return whether it is the last one."""
+        """Apply or post a message; return whether it is the last one."""
         if isinstance(message, messages.HandoverComplete):
             return True
         if isinstance(message, messages.Serving):
@@ -162,17 +162,17 @@
         self._post(events.PeerMessage(link, message))
         return False
 
-    # The follower.
+    # As the follower.
 
     def join(self, on_open: OnOpen, is_ready: Callable[[], bool]) -> None:
         """Take over: link to the owner, accept clients beside it, and own the keys once it has ended.
 
-        ``on_open`` is called once with the listening socket that was passed, or None where a new one is needed.
+        ``on_open`` is called once, with the listening socket that was passed or None if a new one is needed.
         """
         unlinked_at = time.monotonic() + UNLINKED_AFTER_S
         self._loop.spawn(self._open, on_open, is_ready, unlinked_at)
         if not self.lock.try_become_successor():
-            log(LOG, logging.INFO, "link-waiting", reason="another process comes first")
+            log(LOG, logging.INFO, "link-waiting", reason="another process is already the successor")
         completed = False
         while not self.lock.acquired:
             if self.lock.try_acquire():
@@ -201,7 +201,7 @@
             self._peer.send(messages.Serving())
 
     def _connect(self) -> PeerLink | None:
-        """Request a link from the owner of the keys; None where it does not answer or rejects it."""
+        """Request a link from the owner of the keys; return None if the owner rejects it or does not reply."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         stream = self._stream(sock)
         identity = self._identity
@@ -223,10 +223,10 @@
             return None
         return PeerLink(stream, self._gateways, self._set_peer_connections, peer_owns_keys=True)
 
-    # The end.
+    # Shutdown.
 
     def finish(self) -> None:
-        """Tell the other process that no message follows, and release the lock."""
+        """Send the last message to the other process, and release the lock on the keys."""
         if (link := self._peer) is not None:
             link.send(messages.HandoverComplete())
             flush_end = time.monotonic() + FLUSH_TIMEOUT_S
