--- a/tests/test_handover_link.py
+++ b/tests/test_handover_link.py
@@ -1,4 +1,4 @@
-"""The link between two processes of a running worker host: handshake, versions, passed sockets and cut snapshots."""
+"""Tests of the link between two processes of a worker host: handshake, versions, passed sockets, cut snapshots."""
 
 import contextlib
 import fcntl
@@ -27,7 +27,7 @@
 
 
 def send_and_close(path, data):
-    """Send bytes to the socket of a process, and wait until it ends the connection."""
+    """Send bytes to the socket of a process, and wait until it closes the connection."""
     with socket.socket(socket.AF_UNIX) as sock:
         sock.connect(path)
         sock.sendall(data)
@@ -36,7 +36,7 @@
 
 
 def reject_all(listener, reason):
-    """Reject every process that links, until the listener is shut down."""
+    """Reject every link until the listener is shut down."""
     with contextlib.suppress(OSError):
         while True:
             link, _ = listener.accept()
@@ -60,7 +60,7 @@
     old.process.kill()
     old.process.wait()
     os.unlink(path)
-    with lock.open("r+b") as lock_file, socket.socket(socket.AF_UNIX) as sock:  # an owner that never agrees
+    with lock.open("r+b") as lock_file, socket.socket(socket.AF_UNIX) as sock:  # an owner that rejects every link
         fcntl.flock(lock_file, fcntl.LOCK_EX)
         sock.bind(path)
         sock.listen(16)
@@ -69,94 +69,96 @@
         new = host(successor_of=old, wait_for_ready=False)
         wait_until_ready(new)
         assert time.monotonic() - started_at < 6
-        g = new.gateway()
-        assert g.result(g.request("track", "read")) == "did read"
-        assert g.error_code(g.request("book", "mine", make_idempotency_key())) == REJECTED_CODE
+        gateway = new.gateway()
+        assert gateway.result(gateway.request("track", "read")) == "did read"
+        assert gateway.error_code(gateway.request("book", "mine", make_idempotency_key())) == REJECTED_CODE
         assert not new.executor.runs_of("mine")
         assert "another version" in new.log()
         fcntl.flock(lock_file, fcntl.LOCK_UN)
         sock.shutdown(socket.SHUT_RDWR)
     new.wait_for_log("owns-keys")
-    assert g.result(g.request("book", "mine", make_idempotency_key())) == "did mine"
-    assert g.error_code(g.request("book", "theirs", make_idempotency_key(), redo=1)) != REJECTED_CODE
+    assert gateway.result(gateway.request("book", "mine", make_idempotency_key())) == "did mine"
+    assert gateway.error_code(gateway.request("book", "theirs", make_idempotency_key(), redo=1)) != REJECTED_CODE
     assert not new.executor.runs_of("theirs")
 
 
 def test_a_host_without_a_usable_folder_serves_without_a_link(host, shared_address, tmp_path):
-    h = host(listen=shared_address(), info=LONG_WINDOW_INFO, environ={"TMPDIR": str(tmp_path / "nowhere")})
-    assert "event=handover-off" in h.log()
-    g = h.gateway()
-    assert g.result(g.request("book", "x", make_idempotency_key())) == "did x"
+    unlinked = host(listen=shared_address(), info=LONG_WINDOW_INFO, environ={"TMPDIR": str(tmp_path / "missing")})
+    assert "event=handover-off" in unlinked.log()
+    gateway = unlinked.gateway()
+    assert gateway.result(gateway.request("book", "x", make_idempotency_key())) == "did x"
     long_path = tmp_path / ("d" * 120)
     long_path.mkdir()
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO, environ={"TMPDIR": str(long_path)})
     assert wait_until_ready(host(successor_of=old, environ={"TMPDIR": str(long_path)}))
 
 
-@pytest.mark.parametrize(("others", "mine"), [(None, 160), (0, 120), (30, 120), (60, 100), (120, 40), (160, 40)])
-def test_descriptors_are_divided_between_both_processes(others, mine):
-    assert budget.max_connections(160, others) == mine
-    assert budget.max_calls(64, others is not None) == (64 if others is None else 32)
+@pytest.mark.parametrize(
+    ("peer_connections", "max_connections"), [(None, 160), (0, 120), (30, 120), (60, 100), (120, 40), (160, 40)]
+)
+def test_descriptors_are_divided_between_both_processes(peer_connections, max_connections):
+    assert budget.max_connections(160, peer_connections) == max_connections
+    assert budget.max_calls(64, peer_connections is not None) == (64 if peer_connections is None else 32)
 
 
 class FakeOwner:
-    """Stands in for the old process: it has the lock and the clients' socket, and agrees to a link or rejects it.
+    """Fake old process: it holds the lock and a listening socket for clients, and accepts or rejects links.
 
-    Use it as a context. ``queued`` connections wait at its socket, where nobody reads them.
+    It is a context manager. Nothing reads the connections that the kernel queues at its listening socket.
     """
 
     def __init__(self, folder, address):
         self._lock_file = lock_path(folder).open("r+b")
         fcntl.flock(self._lock_file, fcntl.LOCK_EX)
         name, port = address.split(":")
-        self._clients = socket.socket()
-        self._clients.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        self._clients.bind((name, int(port)))
-        self._clients.listen()
+        self._client_listener = socket.socket()
+        self._client_listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        self._client_listener.bind((name, int(port)))
+        self._client_listener.listen()
         path = socket_path(folder)
         os.unlink(path)
-        self._sock = socket.socket(socket.AF_UNIX)
-        self._sock.bind(path)
-        self._sock.listen(16)
-        self._sock.settimeout(10)
+        self._link_listener = socket.socket(socket.AF_UNIX)
+        self._link_listener.bind(path)
+        self._link_listener.listen(16)
+        self._link_listener.settimeout(10)
 
     def __enter__(self):
         return self
 
     def __exit__(self, *_):
-        for each in (self._sock, self._clients, self._lock_file):
-            each.close()
+        for resource in (self._link_listener, self._client_listener, self._lock_file):
+            resource.close()
 
     def reject(self):
-        """Reject the next process that links."""
-        link, _ = self._sock.accept()
+        """Reject the next link."""
+        link, _ = self._link_listener.accept()
         link.recv(1000)
         link.sendall(messages.encode(messages.LinkRejected("not now")))
         link.close()
 
     def accept(self):
-        """Pass the clients' socket to the next process that links; return the link, its hello and its further lines."""
-        link, _ = self._sock.accept()
+        """Pass the client listener to the next process that links; return the link, its hello and its further lines."""
+        link, _ = self._link_listener.accept()
         lines = link.makefile("rb")
         hello = messages.decode(lines.readline())
-        socket.send_fds(link, [b"\n"], [self._clients.fileno()])
+        socket.send_fds(link, [b"\n"], [self._client_listener.fileno()])
         return link, hello, lines
 
     def accept_with_empty_snapshot(self):
-        """Link the next process and send a snapshot without records; return as ``accept``."""
+        """Accept the next link and send a snapshot without records; return the same values as ``accept``."""
         link, hello, lines = self.accept()
         snapshot = [messages.Welcome(messages.VERSION), messages.UnknownOutcomesUntil(0.0), messages.SnapshotComplete()]
         link.sendall(b"".join(map(messages.encode, snapshot)))
         return link, hello, lines
 
     def unlock(self):
-        """Release the lock, as the end of the process does."""
+        """Release the lock, as the kernel does when the process ends."""
         fcntl.flock(self._lock_file, fcntl.LOCK_UN)
 
 
 @pytest.fixture
 def killed_process(host, shared_address):
-    """A process that was killed; it made the names of the files that its successors look for."""
+    """Return a process that was killed after it created the files that its successors look for."""
     process = host(listen=shared_address(), info=LONG_WINDOW_INFO)
     process.process.kill()
     process.process.wait()
@@ -164,7 +166,7 @@
 
 
 @pytest.mark.parametrize("tail", [b"", b'{"say":"known","key":["no'])
-def test_a_cut_snapshot_leaves_the_outcomes_unknown_that_it_did_not_bring(host, killed_process, tmp_path, tail):
+def test_outcomes_that_a_cut_snapshot_does_not_include_are_unknown(host, killed_process, tmp_path, tail):
     known = make_idempotency_key()
     unknown = make_idempotency_key()
     with FakeOwner(tmp_path, killed_process.address) as owner:
@@ -174,7 +176,7 @@
         new = host(successor_of=killed_process, wait_for_start=False)
         link, hello, _ = owner.accept()
         assert isinstance(hello, messages.Hello)
-        sent = [
+        partial_snapshot = [
             messages.Welcome(messages.VERSION),
             messages.UnknownOutcomesUntil(0.0),
             messages.RecordSnapshot(
@@ -185,35 +187,35 @@
                 encode_base64("kept"),
             ),
         ]
-        link.sendall(b"".join(map(messages.encode, sent)) + tail)
+        link.sendall(b"".join(map(messages.encode, partial_snapshot)) + tail)
         link.shutdown(socket.SHUT_RDWR)
         owner.unlock()
     new.ops = wait_until(lambda: operators_address(new), "the start")
     wait_until_ready(new)
-    # The write came before the old process ended, which may have read a copy of it.
+    # The keyed request was sent before the old process ended, which may therefore have executed another attempt of it.
     assert queued.result(read_number) == "did first"
     assert queued.error_code(keyed_number) != REJECTED_CODE
     assert not new.executor.runs_of("late")
-    g = new.gateway()
-    assert g.result(g.request("book", "ran", known, redo=1)) == "kept"
-    assert g.error_code(g.request("book", "other", unknown, redo=1)) != REJECTED_CODE
+    gateway = new.gateway()
+    assert gateway.result(gateway.request("book", "ran", known, redo=1)) == "kept"
+    assert gateway.error_code(gateway.request("book", "other", unknown, redo=1)) != REJECTED_CODE
     assert not new.executor.runs_of("ran")
     assert not new.executor.runs_of("other")
 
 
-def test_a_process_that_links_again_says_that_it_serves_and_by_which_socket(host, killed_process, tmp_path):
+def test_a_process_that_links_again_reports_the_listening_socket_on_which_it_serves(host, killed_process, tmp_path):
     with FakeOwner(tmp_path, killed_process.address) as owner:
         new = host(successor_of=killed_process, wait_for_start=False)
         link, hello, lines = owner.accept_with_empty_snapshot()
         assert hello.listener == ""
         assert any(isinstance(messages.decode(line), messages.Serving) for line in lines)
-        link.shutdown(socket.SHUT_RDWR)  # the link alone breaks
+        link.shutdown(socket.SHUT_RDWR)  # only the link breaks
         _, hello, _ = owner.accept_with_empty_snapshot()
         assert hello.listener == "passed"
         new.process.kill()
 
 
-def test_a_process_that_served_unlinked_says_that_its_socket_is_its_own(host, killed_process, tmp_path):
+def test_a_process_that_served_unlinked_reports_its_own_listening_socket(host, killed_process, tmp_path):
     with FakeOwner(tmp_path, killed_process.address) as owner:
         new = host(successor_of=killed_process, wait_for_start=False)
         while "event=serving-unlinked" not in new.log():
@@ -222,8 +224,8 @@
         assert hello.listener == "own"
 
 
-def test_a_last_usage_report_does_not_outlive_its_link(host, shared_address, tmp_path):
-    """The report of a process that is killed is read together with the end of its link; the quota must come back."""
+def test_a_usage_report_that_is_read_with_the_end_of_its_link_is_ignored(host, shared_address, tmp_path):
+    """A killed process's last report may be read together with the end of its link. It must not reduce the quota."""
     max_connections = LIMITS["sockets"] * 5 // 8
     reserved_connections = budget.max_connections(max_connections, max_connections)
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
@@ -238,45 +240,47 @@
             sock.close()
     old.wait_for_log("link-ended")
     gateways = [old.gateway() for _ in range(2 * reserved_connections)]
-    for _ in range(2):  # an idle connection that is over the quota would be closed before its second request
+    for _ in range(2):  # an idle connection beyond the quota would be closed before its second request
         for gateway in gateways:
             assert gateway.result(gateway.request("track", "x")) == "did x"
 
 
-@pytest.mark.parametrize("listens", ["own", "passed", ""])
-def test_an_old_process_leaves_its_listening_socket_to_a_successor_that_has_it(host, shared_address, tmp_path, listens):
-    """What waits for the listening socket at the notice is read here, but for a successor that has that very socket."""
+@pytest.mark.parametrize("listener", ["own", "passed", ""])
+def test_an_old_process_leaves_its_listening_socket_to_a_successor_that_shares_it(
+    host, shared_address, tmp_path, listener
+):
+    """At shutdown, the old process accepts queued connections, unless its successor has the same listening socket."""
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO, stop_ms=2000, limits={"sockets": 1024})
     with socket.socket(socket.AF_UNIX) as sock:
         sock.connect(socket_path(tmp_path))
-        sock.sendall(messages.encode(messages.Hello(messages.VERSION, "n3", old.config["listen"], listens)))
-        _, fds, _, _ = socket.recv_fds(sock, 1, 1)
+        sock.sendall(messages.encode(messages.Hello(messages.VERSION, "n3", old.config["listen"], listener)))
+        _, passed_listeners, _, _ = socket.recv_fds(sock, 1, 1)
         old.wait_for_log("linked")
-        with old.suspended(), socket.socket(fileno=fds[0]) as passed:
-            # More than are accepted in one round.
-            waiting = [GatewayConnection.connect(old.address) for _ in range(200)]
-            numbers = [gateway.request("track", "queued") for gateway in waiting]
+        with old.suspended(), socket.socket(fileno=passed_listeners[0]) as passed:
+            # More connections than the old process accepts in one pass of its event loop.
+            queued = [GatewayConnection.connect(old.address) for _ in range(200)]
+            numbers = [gateway.request("track", "queued") for gateway in queued]
             old.terminate()
-            if listens != "passed":
+            if listener != "passed":
                 passed.detach()
-            else:  # our own duplicate stays, as the successor's would
+            else:  # this duplicate stays open, as the successor's would
                 duplicate = passed.dup()
         old.wait_for_log("shutdown-started")
-        assert f"handed_over={bool(listens)}" in old.log()
-        if listens == "passed":
+        assert f"handed_over={bool(listener)}" in old.log()
+        if listener == "passed":
             old.wait_for_log("ended")
             duplicate.setblocking(False)
-            taken = []
+            accepted = []
             with contextlib.suppress(BlockingIOError):
                 while True:
-                    taken.append(duplicate.accept()[0].getpeername())
+                    accepted.append(duplicate.accept()[0].getpeername())
             duplicate.close()
-            unread = [gateway for gateway in waiting if gateway.sock.getsockname() in taken]
+            unread = [gateway for gateway in queued if gateway.sock.getsockname() in accepted]
             assert 0 < len(unread) < 200
         else:
             unread = []
-            os.close(fds[0])
-        for gateway, number in zip(waiting, numbers, strict=True):
+            os.close(passed_listeners[0])
+        for gateway, number in zip(queued, numbers, strict=True):
             if gateway not in unread:
                 assert answer_kind(gateway.answer(number)) in (SERVED, REJECTED)
         assert old.process.wait(5) == 0
--- a/tests/test_idempotency_states.py
+++ b/tests/test_idempotency_states.py
@@ -1,4 +1,4 @@
-"""The state machine of an idempotency key, and how a record in memory follows it."""
+"""Tests of the state machine of an idempotency key, and of the records in memory that follow it."""
 
 import itertools
 
@@ -19,17 +19,18 @@
 }
 PAIRS = list(itertools.product(KeyState, KeyEvent))
 EXPIRES_AT_MS = 5000.0
+REQUEST_DIGEST = 77
 
 
 @pytest.fixture
 def table():
-    """A table without records."""
+    """Return a table without records."""
     return IdempotencyTable()
 
 
 def record_in(table, state):
-    """Return a record of the table that is in a state."""
-    record = table.retain("key", 1, 0.0, EXPIRES_AT_MS, 77)
+    """Add a record in this state to the table and return it."""
+    record = table.retain("key", 1, 0.0, EXPIRES_AT_MS, REQUEST_DIGEST)
     record.state = state
     return record
 
@@ -54,7 +55,7 @@
     assert record.state is ALLOWED.get((state, event), state)
 
 
-def test_an_execution_that_ends_with_a_result_completes_its_record(table):
+def test_an_execution_with_a_result_completes_its_record(table):
     record = record_in(table, KeyState.INTENDED)
     record.waiters.append("waiter")
     record.mark_started(1, EXPIRES_AT_MS)
@@ -64,7 +65,7 @@
     assert record.result == "result"
 
 
-def test_a_result_that_is_evicted_leaves_the_record_completed(table):
+def test_a_record_whose_result_is_evicted_stays_completed(table):
     record = record_in(table, KeyState.INTENDED)
     record.mark_started(EXECUTED_BY_PEER, EXPIRES_AT_MS)
     table.complete(record, "result")
@@ -76,7 +77,7 @@
 
 
 @pytest.mark.parametrize("state", [KeyState.INTENDED, KeyState.STARTED])
-def test_a_record_that_is_removed_before_its_end_is_released_and_stays_so(table, state):
+def test_a_record_that_is_removed_before_completion_is_released_and_stays_released(table, state):
     record = record_in(table, state)
     record.waiters.append("waiter")
     assert table.remove(record) == ["waiter"]
--- a/tests/test_shared_budget.py
+++ b/tests/test_shared_budget.py
@@ -1,4 +1,4 @@
-"""The decisions while two processes are one server: one budget, learned estimates, and a shutdown with hand-over."""
+"""Tests of the decision module while a worker host has two processes: shared budget, estimates and shutdown."""
 
 from lapispick import admission
 
@@ -6,7 +6,7 @@
 
 
 def start_requests(harness, count, **peer_gauges):
-    """Send requests to a harness whose other process uses so much; return how many were started."""
+    """Send requests to a harness whose peer reports these gauges; return how many runs were started."""
     peer = [peer_gauges.get(name, 0.0) for name in admission.PEER_GAUGES]
     harness.step(admission.TimerFired(0, (*peer, 0.1, 1.0)))
     harness.step(*(harness.request() for _ in range(count)))
@@ -14,32 +14,31 @@
 
 
 def test_peer_runs_reduce_the_slots_to_no_less_than_half(make_harness):
-    slots = start_requests(make_harness(gauges=GAUGES, cores=8), 30)
-    assert slots == 12
+    assert start_requests(make_harness(gauges=GAUGES, cores=8), 30) == 12
     assert start_requests(make_harness(gauges=GAUGES, cores=8), 30, other_runs=4.0) == 8
     assert start_requests(make_harness(gauges=GAUGES, cores=8), 30, other_runs=40.0) == 6
 
 
 def test_peer_memory_counts_in_full(make_harness):
-    full = make_harness(gauges=GAUGES, memory_kb=1000)
-    assert start_requests(full, 2, other_kb=900.0) == 0
-    assert full.actions_of(admission.Reject)[0].retry_after_ms > 0  # the second does not fit
+    harness = make_harness(gauges=GAUGES, memory_kb=1000)
+    assert start_requests(harness, 2, other_kb=900.0) == 0
+    assert harness.actions_of(admission.Reject)[0].retry_after_ms > 0  # the second request does not fit
     assert start_requests(make_harness(gauges=GAUGES, memory_kb=1000), 2) == 2
 
 
 def test_peer_calls_reduce_the_downstream_limit_to_no_less_than_half(make_harness):
-    def calls(**others):
+    def count_calls(**peer_gauges):
         harness = make_harness(gauges=GAUGES, cores=20, call_quota=20.0)
-        run_count = start_requests(harness, 20, **others)
-        harness.step(*(admission.CallRequested(number) for number in range(1, run_count + 1)))
+        run_count = start_requests(harness, 20, **peer_gauges)
+        harness.step(*(admission.CallRequested(request_id) for request_id in range(1, run_count + 1)))
         return len(harness.actions_of(admission.StartCall))
 
-    assert calls() == 12
-    assert calls(other_calls=4.0) == 8
-    assert calls(other_calls=40.0) == 6
+    assert count_calls() == 12
+    assert count_calls(other_calls=4.0) == 8
+    assert count_calls(other_calls=40.0) == 6
 
 
-def test_estimates_of_one_process_are_adopted_by_the_next(make_harness):
+def test_estimates_of_one_process_are_adopted_by_its_successor(make_harness):
     old = make_harness()
     for _ in range(40):
         request = old.request()
@@ -50,18 +49,18 @@
     new.controller.adopt(learned)
     assert abs(new.state.run_estimates.core_ms[0] - 77.0) < 1
     assert new.controller.learned() == learned
-    experienced = make_harness()
-    request = experienced.request()
-    experienced.step(request)
-    experienced.step(admission.RunCompleted(request.id, admission.Outcome.OK, 5.0), at=5.0)
-    experienced.controller.adopt(learned)
-    assert experienced.state.run_estimates.core_ms[0] == 5.0  # its own estimate is kept
+    with_own_estimate = make_harness()
+    request = with_own_estimate.request()
+    with_own_estimate.step(request)
+    with_own_estimate.step(admission.RunCompleted(request.id, admission.Outcome.OK, 5.0), at=5.0)
+    with_own_estimate.controller.adopt(learned)
+    assert with_own_estimate.state.run_estimates.core_ms[0] == 5.0  # its own estimate is kept
     fewer_classes = make_harness(classes=make_harness().settings.classes[:2])
     fewer_classes.controller.adopt(learned)
     assert not any(fewer_classes.state.run_estimates.runs)  # estimates of other classes are ignored
 
 
-def test_shutdown_with_hand_over_rejects_nothing_and_answers_all_in_time(make_harness):
+def test_a_shutdown_with_hand_over_rejects_nothing_and_answers_all_requests_in_time(make_harness):
     harness = make_harness(drain_grace_ms=500)
     harness.step(admission.ShutdownRequested(3000.0, handed_over=True))
     harness.tick(1000)
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""The ownership of keys between two processes of one worker host, without sockets."""
+"""Tests of the ownership of keys between two processes of one worker host, without sockets."""
 
 import random
 
@@ -10,77 +10,77 @@
 from lapispick.idempotency.table import EXECUTED_BY_PEER, NOT_EXECUTED, IdempotencyTable, digest_request
 from lapispick.idempotency.unknown_outcomes import UnknownOutcomes
 
-WINDOW = 5000.0
+WINDOW_MS = 5000.0
 KEYS = [("nonce", str(n)) for n in range(4)]
 
 
 def reachable(state):
-    """Return a state and all that follow it in the state machine."""
-    found = {state}
-    while more := {after for (before, _), after in TRANSITIONS.items() if before in found} - found:
-        found |= more
-    return found
+    """Return a state and all states that can be reached from it."""
+    states = {state}
+    while new_states := {target for (origin, _), target in TRANSITIONS.items() if origin in states} - states:
+        states |= new_states
+    return states
 
 
 REACHABLE = {state: reachable(state) for state in KeyState}
 
 
 class Process:
-    """One process: what it runs, rejects and answers."""
+    """Process of a worker host, with its running attempts and its answers."""
 
     def __init__(self, executions, role=Role.STANDALONE):
         self.executions = executions
-        self.alive = True
-        self.other = None
+        self.killed = False
+        self.peer = None
         self.table = IdempotencyTable()
-        self.ownership = KeyOwnership(self.table, WINDOW, role)
+        self.ownership = KeyOwnership(self.table, WINDOW_MS, role)
         self.inbox = []
-        self.buffer = []  # not sent yet
+        self.unsent = []  # messages that the link has not taken
         self.blocked = False
-        self.running = {}  # attempt -> its record
+        self.running_attempts = {}  # attempt -> its record
         self.records = {}  # attempt -> its record
         self.answers = {}
         self.states = {}  # id of a record -> its state when last seen, and the record
         self.ownership.send = self._send
-        self.ownership.on_verdict = self.decided
+        self.ownership.on_verdict = self.on_verdict
         self.ownership.on_completed = lambda attempt, result: self.answer(attempt, result or "failed")
-        self.ownership.has_unsent = lambda: bool(self.buffer)
+        self.ownership.has_unsent = lambda: bool(self.unsent)
 
     def _send(self, message):
         assert messages.decode(messages.encode(message).strip()) == message
-        self.buffer.append(message)
+        self.unsent.append(message)
         self.flush()
 
     def flush(self):
-        """Send what waits, unless the link is blocked."""
-        if not self.blocked and self.other is not None:
-            self.other.inbox += self.buffer
-            self.buffer = []
-
-    def link(self, other):
-        """Become the owner of a link, with a complete snapshot."""
-        self.other = other
-        other.other = self
+        """Send the unsent messages, unless the link is blocked."""
+        if not self.blocked and self.peer is not None:
+            self.peer.inbox += self.unsent
+            self.unsent = []
+
+    def link_to(self, peer):
+        """Link to a newer process as the owner of the keys, and send it a complete snapshot."""
+        self.peer = peer
+        peer.peer = self
         self.inbox = []
-        other.inbox = []
+        peer.inbox = []
         self.ownership.on_peer_connected(Role.OWNER)
-        other.ownership.on_peer_connected(Role.FOLLOWER)
+        peer.ownership.on_peer_connected(Role.FOLLOWER)
         for message in self.ownership.snapshot([record.key for record in self.table]):
             self._send(message)
 
     def request(self, key, now):
-        """Take an attempt of a key."""
-        is_retry = now - self.executions.last_attempt_at.get(key, -1e9) <= WINDOW
+        """Receive a new attempt of a key."""
+        is_retry = now - self.executions.last_attempt_at.get(key, -1e9) <= WINDOW_MS
         self.executions.last_attempt_at[key] = now
         self.executions.last_attempt += 1
         attempt = self.executions.last_attempt
         record = self.table.find(key, now)
         if record is not None and (record.executed_attempt or record.completed):
             return self.coalesce(attempt, record)
-        record = self.table.retain(key, attempt, now, now + WINDOW, digest_request("book", key[1]))
+        record = self.table.retain(key, attempt, now, now + WINDOW_MS, digest_request("book", key[1]))
         self.records[attempt] = record
         self.executions.created_at[attempt] = now
-        self.decided(attempt, self.ownership.claim(attempt, record, now, now + WINDOW, is_retry, now))
+        self.on_verdict(attempt, self.ownership.claim(attempt, record, now, now + WINDOW_MS, is_retry, now))
 
     def coalesce(self, attempt, record):
         if record.completed:
@@ -88,11 +88,11 @@
         else:
             record.waiters.append(attempt)
 
-    def decided(self, attempt, verdict):
+    def on_verdict(self, attempt, verdict):
         record = self.records[attempt]
         if verdict is Verdict.RUN:
             self.executions.add(record.key, attempt)
-            self.running[attempt] = record
+            self.running_attempts[attempt] = record
         elif verdict is Verdict.COALESCE:
             self.coalesce(attempt, record)
         elif verdict is not Verdict.WAIT:
@@ -104,116 +104,116 @@
         assert attempt not in self.answers, "answered twice"
         self.answers[attempt] = answer
 
-    def end(self, attempt, result):
-        """Let the run of an attempt end; it failed where the result is None."""
-        self.ownership.complete(self.running.pop(attempt), result)
+    def end_run(self, attempt, result):
+        """End the run of an attempt; a result of None means that it failed."""
+        self.ownership.complete(self.running_attempts.pop(attempt), result)
         self.answer(attempt, result or "failed")
 
     def check_states(self):
-        """Check that every record in the table went from its state before along the state machine, if anywhere."""
+        """Check that each record is in a state that the state machine allows after the last one seen."""
         for record in self.table:
-            before = self.states.get(id(record), (KeyState.INTENDED, record))[0]
-            assert record.state in REACHABLE[before], f"{record.key} went from {before.name} to {record.state.name}"
+            previous = self.states.get(id(record), (KeyState.INTENDED, record))[0]
+            assert record.state in REACHABLE[previous], f"{record.key} went from {previous.name} to {record.state.name}"
             assert record.state is not KeyState.RELEASED
             assert (record.state is KeyState.INTENDED) == (record.executed_attempt == NOT_EXECUTED)
-            self.states[id(record)] = record.state, record  # kept, so that no other record gets its id
+            self.states[id(record)] = record.state, record  # the reference keeps the id from being reused
 
-    def take(self):
-        """Receive the next message, if there is one."""
+    def receive_next(self):
+        """Receive the next message, if there is any."""
         if self.inbox:
             self.ownership.receive(self.inbox.pop(0))
 
 
 class Executions:
-    """What all processes executed together, on one clock."""
+    """Executions of all processes, and the clock that they share."""
 
     def __init__(self):
         self.last_attempt = 0
         self.now = 1000.0
         self.created_at = {}  # attempt -> when it was created
         self.last_attempt_at = {}  # key -> when its last attempt was made
-        self.by_key = {}  # key -> when the attempts that were executed were created
+        self.by_key = {}  # key -> when its executed attempts were created
 
     def add(self, key, attempt):
         times = self.by_key.setdefault(key, [])
         created_at = self.created_at[attempt]  # the window counts from the creation of the executed attempt
-        assert not times or created_at > times[-1] + WINDOW, f"{key} ran twice, created at {times} and {created_at}"
+        assert not times or created_at > times[-1] + WINDOW_MS, f"{key} ran twice, created at {times} and {created_at}"
         times.append(created_at)
 
 
-def pair():
-    """Return what two processes execute, the older one and the newer one; they are not linked."""
+def make_pair():
+    """Return the shared executions, an older process and a newer one; they are not linked."""
     executions = Executions()
     old = Process(executions)
     new = Process(executions, Role.SUSPENDED)
     return executions, old, new
 
 
-def pump(*processes):
-    """Let the processes receive all messages."""
+def deliver_all(*processes):
+    """Deliver all messages between the processes, also those sent in reply."""
     while any(process.inbox for process in processes):
         for process in processes:
-            process.take()
+            process.receive_next()
 
 
 def test_results_from_before_the_link_are_known_at_the_newer_process():
-    executions, old, new = pair()
+    executions, old, new = make_pair()
     for key in KEYS[:2]:
         old.request(key, executions.now)
-    old.end(1, "r1")
-    old.link(new)
-    pump(old, new)
+    old.end_run(1, "r1")
+    old.link_to(new)
+    deliver_all(old, new)
     for key in KEYS[:2]:
         new.request(key, executions.now)
     assert new.answers == {3: "r1"}
-    old.end(2, "r2")
-    pump(old, new)
+    old.end_run(2, "r2")
+    deliver_all(old, new)
     assert new.answers == {3: "r1", 4: "r2"}
     assert len(executions.by_key) == 2
 
 
 def test_the_newer_process_claims_a_key_and_its_result_is_known_at_the_owner():
-    executions, old, new = pair()
-    old.link(new)
+    executions, old, new = make_pair()
+    old.link_to(new)
     new.request(KEYS[0], executions.now)
-    assert not executions.by_key  # not before the owner has granted it
-    pump(old, new)
+    assert not executions.by_key  # it must wait until the owner grants the claim
+    deliver_all(old, new)
     old.request(KEYS[0], executions.now)
-    new.end(1, "r")
-    pump(old, new)
+    new.end_run(1, "r")
+    deliver_all(old, new)
     assert old.answers == {2: "r"}
     assert old.table.get(KEYS[0]).executed_attempt == EXECUTED_BY_PEER
 
 
 def test_two_claims_that_cross_run_once_and_both_processes_have_the_result():
-    executions, old, new = pair()
-    old.link(new)
+    executions, old, new = make_pair()
+    old.link_to(new)
     new.request(KEYS[0], executions.now)
     old.request(KEYS[0], executions.now)
-    pump(old, new)
-    old.end(2, "r")
-    pump(old, new)
+    deliver_all(old, new)
+    old.end_run(2, "r")
+    deliver_all(old, new)
     assert old.answers == {2: "r"}
     assert new.answers == {1: "r"}
 
 
 def test_a_claim_without_a_reply_is_rejected_after_its_timeout():
-    executions, old, new = pair()
-    old.link(new)
+    executions, old, new = make_pair()
+    old.link_to(new)
     new.request(KEYS[0], executions.now)
     new.ownership.expire_claims(executions.now + CLAIM_TIMEOUT_MS)
     assert not new.answers
     new.ownership.expire_claims(executions.now + CLAIM_TIMEOUT_MS + 1)
     assert new.answers == {1: "rejected"}
-    pump(old, new)  # the grant came too late: the key is released at the owner
+    deliver_all(old, new)  # the grant arrives after the timeout, so the owner releases the key
     old.request(KEYS[0], executions.now)
     assert executions.by_key
     assert old.table.get(KEYS[0]).executed_attempt == 2
 
 
-def test_the_owner_runs_no_key_before_its_announcement_is_sent():
-    executions, old, new = pair()
-    old.link(new)
+def test_the_owner_executes_no_key_before_its_announcement_is_sent():
+    executions, old, new = make_pair()
+    old.link_to(new)
     old.blocked = True
     old.request(KEYS[0], executions.now)
     assert not executions.by_key
@@ -224,21 +224,21 @@
     assert not old.ownership.expire_claims(executions.now + 2 * CLAIM_TIMEOUT_MS)
     old.blocked = True
     old.request(KEYS[1], executions.now)
-    # The other process is stuck, so its link is cut.
+    # The other process does not read its messages, so the link must be closed.
     assert old.ownership.expire_claims(executions.now + CLAIM_TIMEOUT_MS + 1)
     old.ownership.on_peer_lost(peer_ended=True)
     assert KEYS[1] in executions.by_key
 
 
-def test_attempts_that_a_killed_process_left_open_fail_as_their_outcome_is_unknown():
-    executions, old, new = pair()
-    old.link(new)
+def test_attempts_that_a_killed_process_did_not_finish_fail_as_their_outcome_is_unknown():
+    executions, old, new = make_pair()
+    old.link_to(new)
     old.request(KEYS[0], executions.now)
-    pump(old, new)
+    deliver_all(old, new)
     new.request(KEYS[0], executions.now)
     new.ownership.on_peer_lost(peer_ended=False)
     new.request(KEYS[1], executions.now)
-    # The other one may be alive.
+    # The other process may still be running.
     assert new.ownership.role is Role.SUSPENDED
     assert not new.answers
     new.ownership.on_peer_lost(peer_ended=True)
@@ -249,17 +249,17 @@
 
 
 def test_a_key_whose_window_has_ended_runs_again_at_either_process():
-    executions, old, new = pair()
+    executions, old, new = make_pair()
     old.request(KEYS[0], executions.now)
-    old.end(1, "r")
-    old.link(new)
-    pump(old, new)
+    old.end_run(1, "r")
+    old.link_to(new)
+    deliver_all(old, new)
     for process, n in ((new, 2), (old, 3), (new, 4)):
-        executions.now += WINDOW + 1
+        executions.now += WINDOW_MS + 1
         process.request(KEYS[0], executions.now)
-        pump(old, new)
-        process.end(n, f"r{n}")
-        pump(old, new)
+        deliver_all(old, new)
+        process.end_run(n, f"r{n}")
+        deliver_all(old, new)
         assert old.table.get(KEYS[0]).result == f"r{n}"
         assert new.table.get(KEYS[0]).result == f"r{n}"
 
@@ -275,137 +275,139 @@
 
 
 def test_an_attempt_that_was_not_executed_releases_its_key_at_both_processes():
-    executions, old, new = pair()
-    old.link(new)
+    executions, old, new = make_pair()
+    old.link_to(new)
     new.request(KEYS[0], executions.now)
-    pump(old, new)
-    new.ownership.release(new.running.pop(1))
+    deliver_all(old, new)
+    new.ownership.release(new.running_attempts.pop(1))
     executions.by_key.clear()
-    pump(old, new)
+    deliver_all(old, new)
     old.request(KEYS[0], executions.now)
     assert executions.by_key
 
 
 class RandomUpgrade:
-    """Random events of two or three processes; raises where a key runs twice."""
+    """Simulation of an upgrade with random events; raises ``AssertionError`` if a key is executed twice."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
         self.executions = Executions()
         self.processes = [Process(self.executions)]
 
-    def play(self):
-        """Play some events; returns how many runs there were."""
+    def run(self):
+        """Run a random number of events and return the number of executions."""
         for _ in range(self.rng.randrange(20, 120)):
-            self._play_event()
+            self._run_random_event()
             for process in self.processes:
                 process.check_states()
         return sum(len(times) for times in self.executions.by_key.values())
 
-    def _play_event(self):
+    def _run_random_event(self):
         rng = self.rng
-        live = [process for process in self.processes if process.alive]
-        owner = live[0]
+        running = [process for process in self.processes if not process.killed]
+        owner = running[0]
         draw = rng.random()
-        process = rng.choice(live)
+        process = rng.choice(running)
         if draw < 0.35:
             if process.ownership.role is not Role.SUSPENDED or rng.random() < 0.3:
                 process.request(rng.choice(KEYS), self.executions.now)
         elif draw < 0.6:
-            process.take()
-        elif draw < 0.75 and process.running:
-            process.end(rng.choice(sorted(process.running)), rng.choice(["r", None]))
-        elif draw < 0.8 and len(live) == 1:
+            process.receive_next()
+        elif draw < 0.75 and process.running_attempts:
+            process.end_run(rng.choice(sorted(process.running_attempts)), rng.choice(["r", None]))
+        elif draw < 0.8 and len(running) == 1:
             self.processes.append(Process(self.executions, Role.SUSPENDED))
-            owner.link(self.processes[-1])
+            owner.link_to(self.processes[-1])
         elif draw < 0.85:
             self._toggle_blocked(process)
         elif draw < 0.93:
-            self._let_time_pass(live)
-        elif draw < 0.96 and len(live) == 2 and rng.random() < 0.5:
-            self._kill_one_of(live)
-        elif len(live) == 2 and rng.random() < 0.3:  # the link alone is cut, and made again
-            cut_link(owner, live[1])
+            self._advance_clock(running)
+        elif draw < 0.96 and len(running) == 2 and rng.random() < 0.5:
+            self._kill_one_of(running)
+        elif len(running) == 2 and rng.random() < 0.3:  # only the link breaks, and may be made again
+            cut_link(owner, running[1])
             if rng.random() < 0.7:
-                owner.link(live[1])
+                owner.link_to(running[1])
 
     def _toggle_blocked(self, process):
         process.blocked = not process.blocked
         process.flush()
-        if not process.buffer:
+        if not process.unsent:
             process.ownership.on_flushed()
 
-    def _let_time_pass(self, live):
+    def _advance_clock(self, running):
         self.executions.now += self.rng.choice([1.0, 100.0, 400.0, 3000.0])
-        for process in live:
-            if process.ownership.expire_claims(self.executions.now) and process.other is not None:
-                cut_link(process, process.other)
-
-    def _kill_one_of(self, live):
-        """Kill a process; what it has sent still arrives."""
-        dead, other = self.rng.sample(live, 2)
-        dead.alive = False
-        while other.inbox:
-            other.take()
-        other.ownership.on_peer_lost(True, 0.0 if other.ownership.role is Role.OWNER else self.executions.now)
-        other.other = None
-        other.inbox = []
-        other.buffer = []
+        for process in running:
+            if process.ownership.expire_claims(self.executions.now) and process.peer is not None:
+                cut_link(process, process.peer)
+
+    def _kill_one_of(self, running):
+        """Kill a process; the messages that it sent still arrive."""
+        victim, survivor = self.rng.sample(running, 2)
+        victim.killed = True
+        while survivor.inbox:
+            survivor.receive_next()
+        survivor.ownership.on_peer_lost(True, 0.0 if survivor.ownership.role is Role.OWNER else self.executions.now)
+        survivor.peer = None
+        survivor.inbox = []
+        survivor.unsent = []
 
 
 def cut_link(first, second):
-    """Cut the link between two processes that both live."""
+    """Cut the link between two processes that both keep running."""
     for process in (first, second):
         process.inbox = []
-        process.buffer = []
+        process.unsent = []
         process.ownership.on_peer_lost(peer_ended=False)
-        process.other = None
+        process.peer = None
     first.ownership.on_peer_lost(peer_ended=first.ownership.role is Role.STANDALONE)
 
 
 @pytest.mark.parametrize("block", range(4))
-def test_no_key_runs_twice_in_its_window_whatever_is_killed_cut_or_delayed(block):
+def test_no_key_is_executed_twice_in_its_window_despite_kills_cut_links_and_delays(block):
     seeds = range(block * 500, block * 500 + 500)
     print("seeds", seeds)
-    runs = 0
+    executions = 0
     for seed in seeds:
         try:
-            runs += RandomUpgrade(seed).play()
+            executions += RandomUpgrade(seed).run()
         except AssertionError as err:
             raise AssertionError(f"seed {seed}: {err}") from err
-    assert runs > 500
+    assert executions > 500
 
 
-def test_a_record_whose_grant_is_on_its_way_is_not_removed():
-    executions, old, new = pair()
-    old.link(new)
+def test_a_record_with_a_pending_claim_is_not_removed():
+    executions, old, new = make_pair()
+    old.link_to(new)
     new.request(KEYS[0], executions.now)
-    key = new.table.get(KEYS[0])
-    new.ownership.release(key)
-    pump(old, new)
-    assert new.table.get(KEYS[0]) is key
-    assert key.executed_attempt == 1
+    record = new.table.get(KEYS[0])
+    new.ownership.release(record)
+    deliver_all(old, new)
+    assert new.table.get(KEYS[0]) is record
+    assert record.executed_attempt == 1
 
 
 def test_unknown_outcomes_are_passed_on_with_the_keys():
-    executions, old, new = pair()
+    executions, old, new = make_pair()
     old.ownership.unknown_outcomes.mark_until(executions.now)
-    old.link(new)
-    pump(old, new)
+    old.link_to(new)
+    deliver_all(old, new)
     new.ownership.on_peer_lost(peer_ended=True)
-    executions.last_attempt_at[KEYS[0]] = executions.now  # at a process that is not known
+    executions.last_attempt_at[KEYS[0]] = executions.now  # sent to a process that left no record
     new.request(KEYS[0], executions.now + 1)
     assert new.answers == {1: "failed"}
     assert not executions.by_key
 
 
-def test_a_late_snapshot_reverts_no_later_announcement():
-    executions, old, new = pair()
-    old.link(new)
+def test_a_late_snapshot_does_not_revert_a_later_announcement():
+    executions, old, new = make_pair()
+    old.link_to(new)
     old.request(KEYS[0], executions.now)
-    old.end(1, "r")
-    pump(old, new)
-    key = new.table.get(KEYS[0])
-    new.ownership.receive(messages.RecordSnapshot(KEYS[0], key.expires_at_ms, key.request_digest, completed=False))
+    old.end_run(1, "r")
+    deliver_all(old, new)
+    record = new.table.get(KEYS[0])
+    new.ownership.receive(
+        messages.RecordSnapshot(KEYS[0], record.expires_at_ms, record.request_digest, completed=False)
+    )
     assert new.table.get(KEYS[0]).result == "r"
     assert new.table.get(KEYS[0]).completed
