--- a/lapispick/durable/records.py
+++ b/lapispick/durable/records.py
@@ -109,7 +109,7 @@
         return record
     if record.incarnation >= incarnation:
         raise IncarnationError(record.incarnation, incarnation)
-    return _after(record, KeyEvent.LOSE)
+    return _after(record, KeyEvent.LOSE_OUTCOME)
 
 
 def _after(record: DurableRecord, event: KeyEvent) -> DurableRecord:
--- a/lapispick/host/assembly.py
+++ b/lapispick/host/assembly.py
@@ -167,7 +167,7 @@
             return
         self.gateways.listen()
         if lock is not None and lock.previous_end_s:
-            ownership.unknown_outcomes.mark_until(lock.previous_end_s * 1000)
+            ownership.unknown_outcomes.record_process_end(lock.previous_end_s * 1000)
 
     def _set_peer_connections(self, count: int | None) -> None:
         """Divide descriptors with another process that has so many connections; None: there is none."""
--- a/lapispick/idempotency/ownership.py
+++ b/lapispick/idempotency/ownership.py
@@ -171,7 +171,7 @@
                 if completed:
                     self._notify(self.table.complete_by_peer(key, result), result)
             case messages.UnknownOutcomesUntil(ended_at_ms):
-                self.unknown_outcomes.mark_until(ended_at_ms)
+                self.unknown_outcomes.record_process_end(ended_at_ms)
             case messages.KeyClaimed(key, expires_at_ms, request_digest):
                 self.table.mark_executed_by_peer(key, expires_at_ms, request_digest)
             case messages.KeyCompleted(key, result):
@@ -221,7 +221,7 @@
         ``ended_at_ms`` is set if it owned the keys and ended without ``HandoverComplete``.
         """
         if ended_at_ms:
-            self.unknown_outcomes.mark_until(ended_at_ms)
+            self.unknown_outcomes.record_process_end(ended_at_ms)
         # The owner may continue even if the follower is running: without a link, a follower gets no permission to
         # execute anything.
         if not peer_ended and self.role is not Role.OWNER:
--- a/lapispick/idempotency/states.py
+++ b/lapispick/idempotency/states.py
@@ -3,7 +3,7 @@
     (no record) --INTEND--> INTENDED
     INTENDED --START--> STARTED --COMPLETE--> COMPLETED
     INTENDED --WITHDRAW--> RELEASED
-    INTENDED, STARTED --LOSE--> OUTCOME_UNKNOWN --RESOLVE--> COMPLETED
+    INTENDED, STARTED --LOSE_OUTCOME--> OUTCOME_UNKNOWN --RESOLVE--> COMPLETED
     STARTED --FAIL--> FAILED
     STARTED --NOT_EXECUTED--> RELEASED
 
@@ -11,7 +11,7 @@
 | --- | --- | --- |
 | ``INTENDED`` | ``START``: the command is sent to the executor | ``STARTED`` |
 | ``INTENDED`` | ``WITHDRAW``: the command will not be sent | ``RELEASED`` |
-| ``INTENDED``, ``STARTED`` | ``LOSE``: the process ended before it could record the outcome | ``OUTCOME_UNKNOWN`` |
+| ``INTENDED``, ``STARTED`` | ``LOSE_OUTCOME``: the process ended before recording the outcome | ``OUTCOME_UNKNOWN`` |
 | ``STARTED`` | ``COMPLETE``: the execution ended with a result | ``COMPLETED`` |
 | ``STARTED`` | ``FAIL``: the execution failed, or its outcome is unknown | ``FAILED`` |
 | ``STARTED`` | ``NOT_EXECUTED``: the executor reports that it did not run the command | ``RELEASED`` |
@@ -46,7 +46,7 @@
     COMPLETE = 4
     FAIL = 5
     NOT_EXECUTED = 6
-    LOSE = 7
+    LOSE_OUTCOME = 7
     RESOLVE = 8
 
 
@@ -78,11 +78,11 @@
 TRANSITIONS: dict[tuple[KeyState, KeyEvent], KeyState] = {
     (KeyState.INTENDED, KeyEvent.START): KeyState.STARTED,
     (KeyState.INTENDED, KeyEvent.WITHDRAW): KeyState.RELEASED,
-    (KeyState.INTENDED, KeyEvent.LOSE): KeyState.OUTCOME_UNKNOWN,
+    (KeyState.INTENDED, KeyEvent.LOSE_OUTCOME): KeyState.OUTCOME_UNKNOWN,
     (KeyState.STARTED, KeyEvent.COMPLETE): KeyState.COMPLETED,
     (KeyState.STARTED, KeyEvent.FAIL): KeyState.FAILED,
     (KeyState.STARTED, KeyEvent.NOT_EXECUTED): KeyState.RELEASED,
-    (KeyState.STARTED, KeyEvent.LOSE): KeyState.OUTCOME_UNKNOWN,
+    (KeyState.STARTED, KeyEvent.LOSE_OUTCOME): KeyState.OUTCOME_UNKNOWN,
     (KeyState.OUTCOME_UNKNOWN, KeyEvent.RESOLVE): KeyState.COMPLETED,
 }
 
--- a/lapispick/idempotency/unknown_outcomes.py
+++ b/lapispick/idempotency/unknown_outcomes.py
@@ -14,7 +14,7 @@
         self.ended_at_ms = 0.0  # 0: no process ended without passing on its records
         self._window_ms = window_ms
 
-    def mark_until(self, ended_at_ms: float) -> None:
+    def record_process_end(self, ended_at_ms: float) -> None:
         """Record when a process ended without passing on its records; 0 = none did."""
         self.ended_at_ms = max(self.ended_at_ms, ended_at_ms)
 
--- a/tests/test_idempotency_states.py
+++ b/tests/test_idempotency_states.py
@@ -10,11 +10,11 @@
 ALLOWED = {
     (KeyState.INTENDED, KeyEvent.START): KeyState.STARTED,
     (KeyState.INTENDED, KeyEvent.WITHDRAW): KeyState.RELEASED,
-    (KeyState.INTENDED, KeyEvent.LOSE): KeyState.OUTCOME_UNKNOWN,
+    (KeyState.INTENDED, KeyEvent.LOSE_OUTCOME): KeyState.OUTCOME_UNKNOWN,
     (KeyState.STARTED, KeyEvent.COMPLETE): KeyState.COMPLETED,
     (KeyState.STARTED, KeyEvent.FAIL): KeyState.FAILED,
     (KeyState.STARTED, KeyEvent.NOT_EXECUTED): KeyState.RELEASED,
-    (KeyState.STARTED, KeyEvent.LOSE): KeyState.OUTCOME_UNKNOWN,
+    (KeyState.STARTED, KeyEvent.LOSE_OUTCOME): KeyState.OUTCOME_UNKNOWN,
     (KeyState.OUTCOME_UNKNOWN, KeyEvent.RESOLVE): KeyState.COMPLETED,
 }
 PAIRS = list(itertools.product(KeyState, KeyEvent))
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -267,7 +267,7 @@
 def test_outcomes_are_unknown_for_one_window():
     unknown = UnknownOutcomes(7.0)
     assert not unknown.covers(0.0, is_retry=True)
-    unknown.mark_until(3.0)
+    unknown.record_process_end(3.0)
     assert unknown.covers(9.0, is_retry=True)
     assert not unknown.covers(10.0, is_retry=True)
     assert unknown.covers(3.0, is_retry=False)
@@ -389,7 +389,7 @@
 
 def test_unknown_outcomes_are_passed_on_with_the_keys():
     executions, old, new = make_pair()
-    old.ownership.unknown_outcomes.mark_until(executions.now)
+    old.ownership.unknown_outcomes.record_process_end(executions.now)
     old.link_to(new)
     deliver_all(old, new)
     new.ownership.on_peer_lost(peer_ended=True)
