--- a/lapispick/host/core/arrivals.py
+++ b/lapispick/host/core/arrivals.py
@@ -1,4 +1,4 @@
-"""Requests that arrive, and those that their clients cancel."""
+"""Handles requests that arrive, and requests that their clients cancel."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from lapispick.idempotency.table import digest_request
 
 LOG = "core"
-NOT_READY_MS = 500.0  # when to come back to a host that can't take the request yet
-MAX_OPEN_REQUESTS = 2000  # that wait for an answer, unless the limits say otherwise
+NOT_READY_RETRY_AFTER_MS = 500.0  # Retry-After of requests that this host can't accept yet
+MAX_OPEN_REQUESTS = 2000  # unanswered requests, unless the limits set another maximum
 
 
 class ArrivalHandler:
-    """Hands requests to the decision module, or answers at once those that it must not see."""
+    """Handler of arriving requests, which passes them to the decision module or answers them at once."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         idempotency: IdempotencyCoordinator,
         module: DecisionModule,
         peers: Peers,
-        max_open: int,
+        max_open_requests: int,
     ) -> None:
         self._clock = clock
         self._classes = settings.classes
@@ -45,53 +45,53 @@
         self._idempotency = idempotency
         self._module = module
         self._peers = peers
-        self._max_open = max_open
-        self._open_limit = float(max_open)
+        self._max_open_requests = max_open_requests
+        self._open_limit = float(max_open_requests)
 
-    def use_quota(self, fraction: float) -> None:
-        """Limit the open requests to this fraction of the maximum."""
-        self._open_limit = self._max_open * fraction
+    def set_limit_fraction(self, fraction: float) -> None:
+        """Limit the unanswered requests to this fraction of their maximum."""
+        self._open_limit = self._max_open_requests * fraction
 
     def on_request_arrived(self, event: events.RequestArrived, module_events: list[admission.Event]) -> None:
-        """Take a request in."""
+        """Pass a request to the decision module, or answer it at once."""
         request = event.request
-        self._answers.opened(request)
+        self._answers.count_request(request)
         if (answer := self._immediate_answer(request)) is not None:
             return self._answers.send(request, answer)
         if self._classes[request.class_index].idempotency is not admission.Idempotency.KEYED:
             request.idempotency_key = None
         record = self._idempotency.find_record(request)
         if record is not None:
-            retry_of, fingerprint = record.owner_attempt, record.request_digest
+            retry_of, request_digest = record.owner_attempt, record.request_digest
         elif request.lookup_only:
             return self._answers.send(request, Answer(AnswerKind.FAILED))
-        elif (first := self._idempotency.find_in_batch(request, module_events)) is not None:
-            retry_of, fingerprint = first.id, digest_request(first.request.class_name, first.request.body)
+        elif (earlier := self._idempotency.find_in_batch(request, module_events)) is not None:
+            retry_of, request_digest = earlier.id, digest_request(earlier.request.class_name, earlier.request.body)
         else:
-            retry_of, fingerprint = 0, None
-        if fingerprint is not None and fingerprint != digest_request(request.class_name, request.body):
-            # Guards the result of one request against whoever names its key with another body.
+            retry_of, request_digest = 0, None
+        if request_digest is not None and request_digest != digest_request(request.class_name, request.body):
+            # A client that sends the key of another request with a different body must not get that request's result.
             return self._answers.send(request, Answer(AnswerKind.FAILED, client_error="the key of another request"))
         entry = self._requests.add(request, record)
         if self._peers.recorder is not None:
             self._peers.recorder.record_arrival(entry.id, request)
-        module_events.append(self._received(entry.id, request, retry_of))
+        module_events.append(self._request_received(entry.id, request, retry_of))
 
     def _immediate_answer(self, request: Request) -> Answer | None:
-        """Return the answer to a request that can't be taken whatever it asks for."""
+        """Return the answer to a request that can't be accepted, whatever its content; None if it can."""
         if self._module.controller is None:
             log(LOG, logging.WARNING, "request-rejected", request_id=request.request_id, reason="not ready")
-            return Answer(AnswerKind.REJECTED, retry_after_ms=NOT_READY_MS)
-        if self._answers.owed > self._open_limit:  # guards the memory against more than any front sends
+            return Answer(AnswerKind.REJECTED, retry_after_ms=NOT_READY_RETRY_AFTER_MS)
+        if self._answers.owed > self._open_limit:  # bounds the memory even if a front sends more than expected
             log(LOG, logging.WARNING, "request-rejected", request_id=request.request_id, reason="too many open")
-            return Answer(AnswerKind.REJECTED, retry_after_ms=NOT_READY_MS)
+            return Answer(AnswerKind.REJECTED, retry_after_ms=NOT_READY_RETRY_AFTER_MS)
         if self._requests.find(request.request_id) is not None:
             return Answer(AnswerKind.FAILED, client_error="a trace that is open already")
         return None
 
-    def _received(self, number: int, request: Request, retry_of: int) -> admission.RequestReceived:
+    def _request_received(self, entry_id: int, request: Request, retry_of: int) -> admission.RequestReceived:
         return admission.RequestReceived(
-            number,
+            entry_id,
             request.deadline_at,
             request.rank,
             max(0.0, self._clock.now - request.born_at),
@@ -103,9 +103,9 @@
         )
 
     def on_client_cancelled(self, event: events.ClientCancelled, module_events: list[admission.Event]) -> None:
-        """Note that nobody waits for a request any more."""
+        """Record that a client cancelled its request, and notify the decision module."""
         if event.before_arrival:
-            return self._answers.cancelled_before_arrival(event.request)
+            return self._answers.count_cancelled_before_arrival(event.request)
         entry = self._requests.find(event.request.request_id)
         if entry is None or entry.request is not event.request or entry.answered:
             return
--- a/lapispick/host/core/clock.py
+++ b/lapispick/host/core/clock.py
@@ -1,4 +1,4 @@
-"""The time that all parts of the core and the decision module see."""
+"""The clock that all parts of the core and the decision module share."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Clock:
-    """Unix time in ms, the same for all events of one batch; it never goes back."""
+    """Unix time in ms, the same for all events of one batch; it never goes backwards."""
 
     __slots__ = ("now",)
 
@@ -14,5 +14,5 @@
         self.now = 0.0
 
     def advance(self) -> None:
-        """Move on to the present."""
+        """Set the time to the current time, unless that is earlier."""
         self.now = max(self.now, time.time() * 1000)
--- a/lapispick/host/core/completion.py
+++ b/lapispick/host/core/completion.py
@@ -1,4 +1,4 @@
-"""What ends with the final answer: the call under way, runs that nobody reports on, the entry itself."""
+"""Completes requests: final answers, calls that are no longer needed, runs whose end is not reported, removal."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 
 
 class RequestCompletion:
-    """Answers a request once, and forgets it when neither the client nor the executor needs it."""
+    """Steps that answer each request once, and remove it when neither its client nor the executor needs it."""
 
     def __init__(
         self,
         clock: Clock,
-        table: RequestTable,
+        requests: RequestTable,
         answers: AnswerSender,
         peers: Peers,
         post: Callable[[events.Event], None],
     ) -> None:
         self._clock = clock
-        self._table = table
+        self._requests = requests
         self._answers = answers
         self._peers = peers
         self._post = post
 
     def answer(self, entry: InFlightRequest, answer: Answer) -> None:
-        """Give the final answer, unless one was given or the client cancelled."""
+        """Send the final answer, unless one was sent or the client cancelled."""
         if entry.answered:
             return
         entry.answered = True
@@ -45,20 +45,20 @@
         self._finish(entry)
 
     def cancel(self, entry: InFlightRequest) -> None:
-        """Note that the client cancelled and is owed no answer."""
-        self._answers.cancelled_by_client(entry.request)
+        """Record that the client cancelled and gets no answer."""
+        self._answers.count_cancelled(entry.request)
         entry.answered = True
         entry.answered_at = self._clock.now
         self._finish(entry)
 
     def fail(self, action: admission.Fail) -> None:
-        """Carry out the module's order to fail a request."""
-        if (entry := self._table.get(action.id)) is not None:
+        """Fail a request, as the decision module decided."""
+        if (entry := self._requests.get(action.id)) is not None:
             self.answer(entry, Answer(AnswerKind.FAILED))
 
     def reject(self, action: admission.Reject) -> None:
-        """Carry out the module's order to reject a request; one that may have run is failed instead."""
-        entry = self._table.get(action.id)
+        """Reject a request, as the decision module decided; fail it instead if it may have run."""
+        entry = self._requests.get(action.id)
         if entry is None:
             return
         never_ran = not entry.awaits_end and (entry.record is None or entry.record.executed_attempt != entry.id)
@@ -66,25 +66,25 @@
         self.answer(entry, Answer(kind, None, action.retry_after_ms, action.no_retry))
 
     def _finish(self, entry: InFlightRequest) -> None:
-        self.drop_call(entry)  # the executor ends a run at a call once its request is over
-        if entry.outcome_unknown or entry.state is RunState.PAUSED:  # nothing is reported of either
-            self.expect_no_end(entry)
-        self.release(entry)
+        self.cancel_call(entry)  # the executor ends a run that waits for a call once its request is over
+        if entry.outcome_unknown or entry.state is RunState.PAUSED:  # the executor reports no end of either
+            self.end_unreported_run(entry)
+        self.remove_if_complete(entry)
 
-    def expect_no_end(self, entry: InFlightRequest) -> None:
-        """End a run of which no report may ever come, as where its start was lost with a link."""
+    def end_unreported_run(self, entry: InFlightRequest) -> None:
+        """End a run whose end may never be reported, for example because its start was lost with a link."""
         self._peers.executor.forget_run(entry.request.request_id)
         self._post(events.RunCompleted(entry.request.request_id, Outcome.CANCELLED, 0.0, ""))
 
-    def drop_call(self, entry: InFlightRequest) -> None:
-        """Abandon the call under way."""
+    def cancel_call(self, entry: InFlightRequest) -> None:
+        """Cancel the call that a run waits for, if any."""
         if entry.store_call is not None:
             self._peers.store.cancel_call(entry.store_call)
             entry.store_call = None
 
-    def release(self, entry: InFlightRequest) -> None:
-        """Forget a request that is answered and of which no report is awaited."""
-        if not entry.answered or entry.awaits_end or not self._table.remove(entry):
+    def remove_if_complete(self, entry: InFlightRequest) -> None:
+        """Remove a request if it is answered and no report of its end is awaited."""
+        if not entry.answered or entry.awaits_end or not self._requests.remove(entry):
             return
         record = entry.record
         if record is None or not record.waiters:
@@ -92,5 +92,5 @@
         if entry in record.waiters:
             record.waiters.remove(entry)
         elif record.owner_attempt == entry.id and not record.executed_attempt:
-            # The module released the key, as its window was shorter than the attempt was queued.
+            # The decision module released the key, because the attempt was queued for longer than its window.
             self._post(events.OwnerReleased(record, entry.id))
--- a/lapispick/host/core/decision_module.py
+++ b/lapispick/host/core/decision_module.py
@@ -1,4 +1,4 @@
-"""Starts the Controller, hands it the events and has its actions carried out."""
+"""Starts the Controller, passes it events and carries out the actions that it returns."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from lapispick.host.logs import log
 
 LOG = "core"
-TIMER_RETRY_MS = 100.0  # until a timer goes off again that the module failed to handle
+TIMER_RETRY_MS = 100.0  # delay until a timer fires again after the Controller failed to handle it
 
-# Each handler takes the action type that it is registered for, which a table can't express.
+# Each handler accepts only the action type that it is registered for. The type of a table can't express this.
 ActionHandlers = dict[type, Callable[[Any], None]]
 
 
 class DecisionModule:
-    """Owns the Controller; there is none before the executor is ready."""
+    """Owner of the Controller, which is created when the executor becomes ready."""
 
     def __init__(
         self,
@@ -45,10 +45,10 @@
         self._peers = peers
         self._action_handlers = action_handlers
         self.controller: Controller | None = None
-        self._adoptable: admission.LearnedEstimates | None = None
+        self._pending_estimates: admission.LearnedEstimates | None = None
 
     def on_executor_ready(self, event: events.ExecutorReady, module_events: list[admission.Event]) -> None:
-        """Start the module; a host that was asked to shut down before that never accepts a request."""
+        """Create the Controller, unless a shutdown was requested before; such a host never accepts a request."""
         if self.controller is not None or self._health.shutting_down:
             return
         gauges = (*admission.PEER_GAUGES, *self._settings.gauges)
@@ -57,18 +57,18 @@
         self.controller = Controller(settings, self._seed, started_at)
         if self._peers.recorder is not None:
             self._peers.recorder.begin(settings, self._seed, started_at)
-        self._adopt()
+        self._adopt_pending()
         self._health.ready = True
         log(LOG, logging.INFO, "ready", cold=event.warming_up, uptime_ms=event.uptime_ms)
         self.step([])
 
     def step(self, module_events: list[admission.Event]) -> None:
-        """Hand the module what happened and carry out what it orders."""
+        """Pass events to the Controller and carry out the actions that it returns."""
         assert self.controller is not None
         now = self._clock.now
         try:
             actions = self.controller.step(now, module_events)
-        except Exception:  # guards all other requests against a fault of the module
+        except Exception:  # a fault of the Controller must not affect other requests
             logging.getLogger(LOG).exception("decision-module-failed")
             return self._fail_batch(module_events)
         if self._peers.recorder is not None:
@@ -78,7 +78,7 @@
             handlers[type(action)](action)
 
     def _fail_batch(self, module_events: list[admission.Event]) -> None:
-        """Fail the requests of a batch that the module failed to handle, and set its timer again."""
+        """Fail the requests of a batch that the Controller failed to handle, and set the timers of the batch again."""
         for event in module_events:
             if type(event) is admission.RequestReceived and event.id in self._requests:
                 self._action_handlers[admission.Fail](admission.Fail(event.id))
@@ -86,18 +86,18 @@
                 self._action_handlers[admission.SetTimer](admission.SetTimer(TIMER_RETRY_MS, event.token))
 
     def learned(self) -> admission.LearnedEstimates | None:
-        """Return what the module has learned, for the process that takes over."""
+        """Return the estimates that the Controller has learned, for the process that takes over."""
         return self.controller.learned() if self.controller is not None else None
 
     def adopt(self, learned: admission.LearnedEstimates | None) -> None:
-        """Begin with what the other process learned, as soon as the module has started."""
-        self._adoptable = learned
-        self._adopt()
+        """Adopt the estimates of the other process, now or when the Controller is created."""
+        self._pending_estimates = learned
+        self._adopt_pending()
 
-    def _adopt(self) -> None:
-        if self.controller is None or self._adoptable is None:
+    def _adopt_pending(self) -> None:
+        if self.controller is None or self._pending_estimates is None:
             return
-        self.controller.adopt(self._adoptable)
-        if self._peers.recorder is not None:  # or its trace would not replay
-            self._peers.recorder.record_occurrence("adopted", msgspec.json.encode(self._adoptable).decode())
-        self._adoptable = None
+        self.controller.adopt(self._pending_estimates)
+        if self._peers.recorder is not None:  # a replay of the trace needs the estimates
+            self._peers.recorder.record_occurrence("adopted", msgspec.json.encode(self._pending_estimates).decode())
+        self._pending_estimates = None
--- a/lapispick/host/core/dispatcher.py
+++ b/lapispick/host/core/dispatcher.py
@@ -1,4 +1,4 @@
-"""Takes events from the queue, and hands each event and each action of the decision module to the part in charge."""
+"""Takes events from the queue, and passes each event and each action of the decision module to its handler."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 LOG = "core"
 
-# Each handler takes the event type that it is registered for, which a table can't express.
+# Each handler accepts only the event type that it is registered for. The type of a table can't express this.
 EventHandler = Callable[[Any, list[admission.Event]], None]
 
 
 class Core:
-    """Wires the parts together; the only way in is ``post``."""
+    """The core of the worker host, which connects its parts; all events enter through ``post``."""
 
     def __init__(
         self,
@@ -41,8 +41,8 @@
         settings: admission.Settings,
         seed: int,
         max_result_bytes: int = DEFAULT_MAX_RESULT_BYTES,
-        max_open: int = MAX_OPEN_REQUESTS,
-        names: Sequence[str] = (),
+        max_open_requests: int = MAX_OPEN_REQUESTS,
+        class_names: Sequence[str] = (),
     ) -> None:
         self._settings = settings
         self._queue: Queue[events.Event] = Queue(loop)
@@ -50,8 +50,8 @@
         self.peers = peers = Peers()
         post = self.post
         self.requests = requests = RequestTable()
-        names = names or [str(i) for i in range(len(settings.classes))]
-        self.answers = answers = AnswerSender(clock, settings, names)
+        class_names = class_names or [str(i) for i in range(len(settings.classes))]
+        self.answers = answers = AnswerSender(clock, settings, class_names)
         self._completion = completion = RequestCompletion(clock, requests, answers, peers, post)
         self.idempotency = idempotency = IdempotencyCoordinator(
             clock, settings, requests, completion, post, max_result_bytes
@@ -63,7 +63,7 @@
             clock, settings, seed, requests, health.state, peers, self._action_handlers()
         )
         self._arrivals = arrivals = ArrivalHandler(
-            clock, settings, requests, answers, completion, idempotency, module, peers, max_open
+            clock, settings, requests, answers, completion, idempotency, module, peers, max_open_requests
         )
         self._peer_sync = peer_sync = PeerSynchronizer(loop, clock, module, arrivals, idempotency, health, post)
         self._shutdown = ShutdownHandler(clock, answers, health, peer_sync, peers)
@@ -116,15 +116,15 @@
 
     @property
     def owed(self) -> int:
-        """How many requests still wait for their answer."""
+        """The number of requests that wait for their answer."""
         return self.answers.owed
 
     def post(self, event: events.Event) -> None:
-        """Report an event."""
+        """Add an event to the queue."""
         self._queue.put(event)
 
     def serve(self) -> None:
-        """Take events and act on them, for ever; this greenlet alone owns the Controller."""
+        """Handle events in an endless loop; only the greenlet that runs this loop uses the Controller."""
         self._housekeeper.start()
         while True:
             batch = self._queue.take_all()
@@ -133,7 +133,7 @@
             for event in batch:
                 try:
                     self._event_handlers[type(event)](event, module_events)
-                except Exception:  # guards all other requests against a fault over one event
+                except Exception:  # a fault in the handling of one event must not affect other requests
                     logging.getLogger(LOG).exception("event-handler-failed")
             if module_events and self.module.controller is not None:
                 self.module.step(module_events)
--- a/lapispick/host/core/health_checks.py
+++ b/lapispick/host/core/health_checks.py
@@ -13,44 +13,44 @@
 from lapispick.host.logs import log
 
 LOG = "core"
-MAX_OPEN_CHECKS = 64  # deep checks that the executor has not answered; with more the host is unhealthy
+MAX_OPEN_CHECKS = 64  # deep checks that the executor has not answered; at this number the host counts as unhealthy
 
 
 class HealthReporter:
-    """Owns the state of health and the deep health checks under way."""
+    """The health state of the host, and the deep health checks that the executor has not answered."""
 
     def __init__(self, answers: AnswerSender, peers: Peers) -> None:
         self._answers = answers
         self._peers = peers
         self._open_checks: dict[str, events.HealthCheckReceived] = {}
-        self._answer_from_state = True  # no work for each check
+        self._answer_from_state = True  # deep checks cause no work at the executor
         self.state = HealthState()
-        # Is notified of whether the service registry should list this host.
+        # Called with whether the service registry should list this host.
         self.on_listed: Callable[[bool], None] = lambda listed: None
 
     def report(self) -> None:
-        """Report to the service registry."""
+        """Report to the service registry whether to list this host."""
         self.on_listed(self.state.listed)
 
     def set_health(self, action: admission.SetHealth) -> None:
-        """Answer health checks as the module orders."""
+        """Set the health, and how health checks are answered, as the decision module decided."""
         self.state.module_healthy = action.healthy
         self._answer_from_state = action.cached
         self.report()
 
     def set_draining(self, draining: bool) -> None:
-        """Begin or end a drain."""
+        """Begin or end a drain, and record it."""
         if draining == self.state.draining:
             return
         self.state.draining = draining
-        name = "drain-on" if draining else "drain-off"
+        event_name = "drain-on" if draining else "drain-off"
         if self._peers.recorder is not None:
-            self._peers.recorder.record_occurrence(name)
-        log(LOG, logging.INFO, name, unanswered=self._answers.owed)
+            self._peers.recorder.record_occurrence(event_name)
+        log(LOG, logging.INFO, event_name, unanswered=self._answers.owed)
         self.report()
 
     def on_health_check_received(self, event: events.HealthCheckReceived, module_events: list[admission.Event]) -> None:
-        """Answer a health check, a deep one by the executor's result where the module orders so."""
+        """Answer a health check; a deep one is sent to the executor if the decision module requires it."""
         healthy = self.state.healthy and len(self._open_checks) < MAX_OPEN_CHECKS
         if event.deep and not self._answer_from_state and healthy:
             self._open_checks[self._peers.executor.start_health_check()] = event
@@ -60,6 +60,6 @@
     def on_health_check_completed(
         self, event: events.HealthCheckCompleted, module_events: list[admission.Event]
     ) -> None:
-        """Answer a deep health check."""
+        """Answer a deep health check with the executor's result."""
         if (check := self._open_checks.pop(event.nonce, None)) is not None:
             check.reply(event.healthy and self.state.healthy, self._answers.backpressure)
--- a/lapispick/host/core/housekeeping.py
+++ b/lapispick/host/core/housekeeping.py
@@ -1,4 +1,4 @@
-"""Periodic work: expired idempotency records, lost runs, and the log line with totals."""
+"""Periodic work: removes expired idempotency records, ends lost runs and logs totals."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from lapispick.host.scheduler import EventLoop
 
 LOG = "core"
-RECORD_GRACE_MS = 30_000.0  # an expired record is retained this much longer for retries that are read late
+RECORD_GRACE_MS = 30_000.0  # expired records are retained this much longer for retries that are read late
 SWEEP_INTERVAL_S = 1.0
-LOST_RUN_MS = 15_000.0  # a run whose request is answered and that has not ended after this was lost
-TOTALS_INTERVAL_S = 10.0  # between two log lines with what was answered
+LOST_RUN_TIMEOUT_MS = 15_000.0  # a run that has not ended this long after its request was answered is lost
+TOTALS_INTERVAL_S = 10.0  # between two log lines of totals
 
 
 class Housekeeper:
-    """Bounds the stored records and the requests in flight over time."""
+    """Periodic work that bounds the stored records and the requests in flight, and logs totals."""
 
     def __init__(
         self,
@@ -41,19 +41,22 @@
         self._idempotency = idempotency
 
     def start(self) -> None:
-        """Begin the periodic work."""
+        """Schedule the periodic work."""
         self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         self._loop.call_later(TOTALS_INTERVAL_S, self._log_totals)
 
     def _sweep(self) -> None:
-        """Drop records that expired so long ago that no repeat of their time can be unread, and end lost runs."""
+        """End lost runs and remove expired records.
+
+        A record is removed only after every retry that was created within its window must have been read.
+        """
         self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         table = self._idempotency.table
         for record in table.expired(time.time() * 1000 - RECORD_GRACE_MS):
             table.remove(record)
-        for entry in self._requests.answered_before(self._clock.now - LOST_RUN_MS):
+        for entry in self._requests.answered_before(self._clock.now - LOST_RUN_TIMEOUT_MS):
             log(LOG, logging.WARNING, "run-lost", request_id=entry.request.request_id)
-            self._completion.expect_no_end(entry)  # or it would occupy its slot forever
+            self._completion.end_unreported_run(entry)  # otherwise it would occupy its slot forever
 
     def _log_totals(self) -> None:
         self._loop.call_later(TOTALS_INTERVAL_S, self._log_totals)
--- a/lapispick/host/core/idempotency.py
+++ b/lapispick/host/core/idempotency.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: which attempt owns one, whether it may run, and who gets its result."""
+"""Handles idempotency keys: which attempt owns a key, whether it may run, and which requests get its result."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class IdempotencyCoordinator:
-    """Owns the table of idempotency keys and carries out the module's orders on them."""
+    """Owner of the idempotency records, which carries out the decision module's actions on them."""
 
     def __init__(
         self,
@@ -43,18 +43,18 @@
         self._max_result_bytes = max_result_bytes
         self.table = IdempotencyTable(max_result_bytes)
         self.ownership = KeyOwnership(self.table, _window_ms(settings))
-        self.ownership.on_verdict = lambda number, verdict: post(events.ClaimDecided(requests[number], verdict))
-        self.ownership.on_completed = self._result_ready
+        self.ownership.on_verdict = lambda entry_id, verdict: post(events.ClaimDecided(requests[entry_id], verdict))
+        self.ownership.on_completed = self._answer_coalesced
 
-    def use_quota(self, fraction: float) -> None:
-        """Limit results to this fraction of their memory."""
+    def set_limit_fraction(self, fraction: float) -> None:
+        """Limit the stored results to this fraction of their maximum memory."""
         self.table.max_result_bytes = int(self._max_result_bytes * fraction)
         self.table.trim()
 
-    # What a request that arrives repeats.
+    # Which attempt an arriving request repeats.
 
     def find_record(self, request: Request) -> IdempotencyRecord | None:
-        """Return the record of the key that a request repeats."""
+        """Return the record of the key that a request repeats; None if it repeats no attempt."""
         if request.idempotency_key is None:
             return None
         record = self.table.find(request.idempotency_key, request.born_at)
@@ -62,38 +62,39 @@
             record.completed or record.executed_attempt or record.owner_attempt in self._requests
         ):
             return record
-        # An attempt that is still in flight is found however short the window: it may run at any moment, and its
-        # window, which begins when it arrived, would then cover what was taken for another request.
+        # An attempt in flight matches however short its window is. It may run at any moment, and its window, which
+        # begins when it arrived, would then include a retry that had been treated as another request.
         record = self.table.get(request.idempotency_key)
         is_in_flight = record is not None and not record.executed_attempt and record.owner_attempt in self._requests
         return record if is_in_flight else None
 
     def find_in_batch(self, request: Request, module_events: list[admission.Event]) -> InFlightRequest | None:
-        """Return the latest attempt of the same key in this batch, which the module has not retained so far.
+        """Return the latest attempt of the same key in this batch; None if there is none.
 
-        One of them may have been cancelled in this very batch and is in flight no more.
+        The decision module has not retained the key yet. An attempt that was cancelled in the same batch is skipped
+        if it is no longer in flight.
         """
         if request.idempotency_key is None:
             return None
         for event in reversed(module_events):
             if type(event) is not admission.RequestReceived:
                 continue
-            first = self._requests.get(event.id)
-            if first is not None and first.request.idempotency_key == request.idempotency_key:
-                return first
+            earlier = self._requests.get(event.id)
+            if earlier is not None and earlier.request.idempotency_key == request.idempotency_key:
+                return earlier
         return None
 
     # Whether a key may run.
 
     def may_run_twice(self, entry: InFlightRequest) -> bool:
-        """Tell whether starting this attempt would run its key a second time, whatever the module says."""
+        """Return True if starting this attempt could run its key twice, whatever the decision module decided."""
         if self._classes[entry.request.class_index].idempotency is not admission.Idempotency.KEYED:
             return False
         record = entry.record
         return record is None or record.executed_attempt not in (0, EXECUTED_BY_PEER)
 
     def claim(self, entry: InFlightRequest) -> Verdict:
-        """Ask whether an attempt may run here."""
+        """Decide whether an attempt may run in this process."""
         record = entry.record
         if record is None:
             return Verdict.RUN
@@ -104,45 +105,45 @@
     # How a run of a key ends.
 
     def run_ended(self, entry: InFlightRequest, result: str | None) -> None:
-        """Give the result of a run, None for a failed one, to all who wait for it."""
+        """Pass the result of a run, None for a failed one, to all requests that wait for it."""
         if entry.record is not None and entry.record.executed_attempt == entry.id:
             self.ownership.complete(entry.record, result)
 
-    def run_never_began(self, entry: InFlightRequest) -> None:
-        """Free the key of a run that never began, for an attempt of its own."""
+    def run_never_started(self, entry: InFlightRequest) -> None:
+        """Release the key of a run that never started, so that another attempt may run."""
         if entry.record is not None and entry.record.executed_attempt == entry.id:
             self.ownership.release(entry.record)
 
-    def free_unused(self, entry: InFlightRequest) -> None:
-        """Free the key that an attempt owns and has not run."""
+    def release_unexecuted(self, entry: InFlightRequest) -> None:
+        """Release the key that an attempt owns, if no attempt was executed."""
         record = entry.record
         if record is not None and not record.executed_attempt and record.owner_attempt == entry.id:
             self.ownership.release(record)
 
-    def free(self, entry: InFlightRequest) -> None:
-        """Free the key of an attempt that may run and is not started."""
+    def release_key(self, entry: InFlightRequest) -> None:
+        """Release the key of an attempt that may run but is not started."""
         if entry.record is not None:
             self.ownership.release(entry.record)
 
-    # The module's orders.
+    # Actions of the decision module.
 
     def retain(self, action: admission.RetainKey) -> None:
-        """Let an attempt own its key."""
+        """Make an attempt the owner of its key."""
         entry = self._requests.get(action.id)
         if entry is None or entry.request.idempotency_key is None:
             return
         request = entry.request
         until = self._clock.now + action.retention_ms
-        fingerprint = digest_request(request.class_name, request.body)
-        entry.record = self.table.retain(request.idempotency_key, entry.id, request.born_at, until, fingerprint)
+        request_digest = digest_request(request.class_name, request.body)
+        entry.record = self.table.retain(request.idempotency_key, entry.id, request.born_at, until, request_digest)
 
     def release(self, action: admission.ReleaseKey) -> None:
-        """Take an attempt's key back, unless it ran."""
+        """Release the key of an attempt, unless it was executed."""
         if (entry := self._requests.get(action.id)) is not None:
-            self.free_unused(entry)
+            self.release_unexecuted(entry)
 
     def coalesce(self, action: admission.Coalesce) -> None:
-        """Answer a request with the result of an earlier attempt, now or when that ends."""
+        """Answer a request with the result of an earlier attempt, now or when that attempt ends."""
         entry = self._requests.get(action.id)
         if entry is None or entry.answered:
             return
@@ -151,12 +152,12 @@
         if entry.state is RunState.QUEUED:
             entry.state = RunState.COALESCED
         if entry.record is None or entry.record.completed:
-            self._result_ready(entry, entry.record.result if entry.record else None)
+            self._answer_coalesced(entry, entry.record.result if entry.record else None)
         else:
             entry.record.waiters.append(entry)
 
-    def _result_ready(self, entry: InFlightRequest, result: str | None) -> None:
-        """Answer a coalesced request: an attempt of it has run, or none ever will (None)."""
+    def _answer_coalesced(self, entry: InFlightRequest, result: str | None) -> None:
+        """Answer a coalesced request with the result of the executed attempt; None if there is no result."""
         if result is None:
             self._completion.answer(entry, Answer(AnswerKind.FAILED))
             outcome = Outcome.ERROR
@@ -170,16 +171,16 @@
     def on_coalesced_completed(
         self, event: events.CoalescedRequestCompleted, module_events: list[admission.Event]
     ) -> None:
-        """Tell the module that a coalesced request is over."""
+        """Notify the decision module that a coalesced request is over."""
         entry = event.entry
-        if entry.start_withheld:  # the module believes that it ran: no duration can be learned from it
+        if entry.start_withheld:  # the decision module started it and must learn no duration from it
             module_events.append(admission.ClientCancelled(entry.id))
             module_events.append(admission.RunCompleted(entry.id, Outcome.CANCELLED, 0.0))
         else:
             module_events.append(admission.RunCompleted(entry.id, event.outcome, 0.0))
-        self._completion.release(entry)
+        self._completion.remove_if_complete(entry)
 
     def on_owner_released(self, event: events.OwnerReleased, module_events: list[admission.Event]) -> None:
-        """Answer those who wait for an attempt that never ran, unless another one owns its key by now."""
+        """Answer the requests that wait for an attempt that never ran, unless another attempt owns its key by now."""
         if event.record.owner_attempt == event.owner_id and not event.record.executed_attempt:
             self.ownership.release(event.record)
--- a/lapispick/host/core/peer_sync.py
+++ b/lapispick/host/core/peer_sync.py
@@ -1,4 +1,4 @@
-"""Synchronises this process with the other one of this worker host while an upgrade lasts."""
+"""Synchronises this process with the other process of the same worker host during an upgrade."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
     from lapispick.host.interfaces import Link
 
 LOG = "core"
-SHARED_FRACTION = 0.5  # of the memory that is bounded here, while two processes are one worker host
+SHARED_LIMIT_FRACTION = 0.5  # of each limit that bounds memory, while two processes share one worker host
 SNAPSHOT_PART_KEYS = 100  # keys sent at once
 SNAPSHOT_PAUSE_S = 0.005  # between two parts
 NO_USAGE = messages.ResourceUsage(0, 0.0, 0, 0)
 
 
 class PeerSynchronizer:
-    """Owns the link to the other process: the snapshot of keys, what each has in hand, what was learned."""
+    """Exchange of keys, resource usage and learned estimates with the other process, over a link."""
 
     def __init__(
         self,
@@ -50,25 +50,25 @@
         self._post = post
         self._link: Link | None = None
         self._sent_usage: messages.ResourceUsage | None = None
-        self.peer_usage = NO_USAGE  # what the other process has in hand
+        self.peer_usage = NO_USAGE  # last reported by the other process
 
-    def _use_quota(self, fraction: float) -> None:
-        """Limit the bounded memory to this fraction of it."""
-        self._arrivals.use_quota(fraction)
-        self._idempotency.use_quota(fraction)
+    def _set_limit_fraction(self, fraction: float) -> None:
+        """Set the limits that bound memory to this fraction of their maximum."""
+        self._arrivals.set_limit_fraction(fraction)
+        self._idempotency.set_limit_fraction(fraction)
 
     def announce_drain(self, draining: bool) -> None:
-        """Tell the other process of a drain or its end."""
+        """Notify the other process that a drain began or ended."""
         if self._link is not None:
             self._link.send(messages.DrainChanged(draining))
 
     def announce_shutdown(self) -> None:
-        """Tell the other process that this one shuts down, and what it has learned."""
+        """Notify the other process that this one shuts down, and send it the learned estimates."""
         if self._link is not None:
             self._link.send(messages.ShutdownStarted(self._module.learned()))
 
-    def exchange(self) -> None:
-        """Send the other process what is in hand here, and end waits that last too long."""
+    def exchange_usage(self) -> None:
+        """Send the other process the resource usage of this one, and end claims that have waited too long."""
         ownership = self._idempotency.ownership
         controller = self._module.controller
         if self._link is not None and controller is not None:
@@ -86,21 +86,21 @@
     # Events.
 
     def on_peer_connected(self, event: events.PeerConnected, module_events: list[admission.Event]) -> None:
-        """Begin to share with the other process; the owner of the keys sends a snapshot of them."""
+        """Share the keys and limits with the other process; the owner of the keys sends a snapshot of them."""
         self._link = event.link
         self._sent_usage = None
         ownership = self._idempotency.ownership
         ownership.send = event.link.send
         ownership.has_unsent = event.link.has_unsent
         ownership.on_peer_connected(Role.FOLLOWER if event.owns_keys else Role.OWNER)
-        self._use_quota(SHARED_FRACTION)
+        self._set_limit_fraction(SHARED_LIMIT_FRACTION)
         if not event.owns_keys:
             event.link.send(messages.DrainChanged(self._health.state.draining))
             keys = [record.key for record in self._idempotency.table]
             self.on_snapshot_due(events.SnapshotDue(event.link, keys), module_events)
 
     def on_snapshot_due(self, event: events.SnapshotDue, module_events: list[admission.Event]) -> None:
-        """Send a part of the snapshot, and the rest once that has left this process."""
+        """Send the next part of the snapshot, if the previous one has left this process, and schedule the rest."""
         if event.link is not self._link:
             return
         keys = event.keys
@@ -114,7 +114,7 @@
             event.link.send(messages.SnapshotComplete(self._module.learned()))
 
     def on_peer_message(self, event: events.PeerMessage, module_events: list[admission.Event]) -> None:
-        """Take in a message of the other process."""
+        """Handle a message of the other process."""
         if event.link is not self._link:
             return
         match event.message:
@@ -132,10 +132,10 @@
                 self._idempotency.ownership.receive(event.message)
 
     def on_peer_disconnected(self, event: events.PeerDisconnected, module_events: list[admission.Event]) -> None:
-        """Go on without the other process."""
+        """Continue without the other process."""
         if event.link is not self._link:
             return
         self._link = None
         self.peer_usage = NO_USAGE
         self._idempotency.ownership.on_peer_lost(event.peer_ended, event.ended_at_s * 1000)
-        self._use_quota(1.0)
+        self._set_limit_fraction(1.0)
--- a/lapispick/host/core/peers.py
+++ b/lapispick/host/core/peers.py
@@ -1,15 +1,15 @@
-"""What the core talks to: executor, store, fronts and the recorder."""
+"""The peers of the core within this process: executor, store, fronts and recorder."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:  # protocol classes are for the type checker, and would cost memory at run time
+if TYPE_CHECKING:  # only the type checker needs the protocol classes; at run time they would use memory
     from lapispick.host import interfaces
 
 
 class Peers:
-    """The peers of the core; the host fills them in after it has made them."""
+    """The peers of the core; the host sets them after it has created them."""
 
     executor: interfaces.Executor
     store: interfaces.Store
--- a/lapispick/host/core/request_table.py
+++ b/lapispick/host/core/request_table.py
@@ -1,4 +1,4 @@
-"""All requests that this host has, by the decision module's number and by request id."""
+"""The requests in flight on this host, by the decision module's number and by request id."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RequestTable:
-    """Numbers the requests and finds them again."""
+    """Table of the requests in flight, which gives each of them a number."""
 
     def __init__(self) -> None:
         self._by_id: dict[int, InFlightRequest] = {}
@@ -22,27 +22,27 @@
     def __len__(self) -> int:
         return len(self._by_id)
 
-    def __contains__(self, number: int) -> bool:
-        return number in self._by_id
+    def __contains__(self, entry_id: int) -> bool:
+        return entry_id in self._by_id
 
-    def __getitem__(self, number: int) -> InFlightRequest:
-        return self._by_id[number]
+    def __getitem__(self, entry_id: int) -> InFlightRequest:
+        return self._by_id[entry_id]
 
     def add(self, request: Request, record: IdempotencyRecord | None) -> InFlightRequest:
-        """Give a request the next number."""
+        """Add a request under the next number."""
         self._last_id += 1
         entry = InFlightRequest(self._last_id, request, record)
         self._by_id[entry.id] = self._by_request_id[request.request_id] = entry
         return entry
 
     def remove(self, entry: InFlightRequest) -> bool:
-        """Forget a request; False if it was forgotten before."""
+        """Remove a request; return False if it was removed before."""
         if entry.id not in self._by_id:
             return False
         del self._by_id[entry.id]
         del self._by_request_id[entry.request.request_id]
         return True
 
-    def answered_before(self, limit: float) -> list[InFlightRequest]:
-        """Return those that got their answer before this time, Unix ms, and are still here."""
-        return [entry for entry in self._by_id.values() if entry.answered and entry.answered_at < limit]
+    def answered_before(self, before_ms: float) -> list[InFlightRequest]:
+        """Return the requests in the table that were answered before this Unix time in ms."""
+        return [entry for entry in self._by_id.values() if entry.answered and entry.answered_at < before_ms]
--- a/lapispick/host/core/runs.py
+++ b/lapispick/host/core/runs.py
@@ -1,4 +1,4 @@
-"""Runs at the executor and the calls to the store that they wait for."""
+"""Handles runs at the executor, and the calls to the store that runs wait for."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from lapispick.admission import Outcome
 from lapispick.host import events
 from lapispick.host.core.answers import AnswerSender
-from lapispick.host.core.arrivals import NOT_READY_MS
+from lapispick.host.core.arrivals import NOT_READY_RETRY_AFTER_MS
 from lapispick.host.core.completion import RequestCompletion
 from lapispick.host.core.idempotency import IdempotencyCoordinator
 from lapispick.host.core.in_flight import InFlightRequest, RunState
@@ -23,7 +23,7 @@
 
 
 class RunCoordinator:
-    """Carries out the module's orders on runs and calls, and tells it how they end."""
+    """Handler of the decision module's actions on runs and calls, which notifies the module of their ends."""
 
     def __init__(
         self,
@@ -43,10 +43,10 @@
         self._peers = peers
         self._post = post
 
-    # The module's orders.
+    # Actions of the decision module.
 
     def start(self, action: admission.StartRun) -> None:
-        """Start a queued request, or resume a paused run."""
+        """Start the run of a queued request, or resume a paused run."""
         entry = self._requests.get(action.id)
         if entry is None or entry.answered:
             return
@@ -56,29 +56,29 @@
         if self._idempotency.may_run_twice(entry):
             return self._prevent_duplicate(entry)
         verdict = self._idempotency.claim(entry)
-        self._carry_out(entry, verdict)
+        self._apply_verdict(entry, verdict)
 
     def _prevent_duplicate(self, entry: InFlightRequest) -> None:
-        """Guard the rule on duplicates: the second run of a key is never started."""
+        """Fail an attempt whose run could be the second run of its key, which must never be started."""
         log(LOG, logging.ERROR, "duplicate-run-prevented", request_id=entry.request.request_id)
         if self._answers.extended_metrics is not None:
             self._answers.extended_metrics.broken_rules += 1
         self._post(events.CoalescedRequestCompleted(entry, Outcome.ERROR))
         self._completion.answer(entry, Answer(AnswerKind.FAILED))
 
-    def _carry_out(self, entry: InFlightRequest, verdict: Verdict) -> None:
-        """Do what was decided of an attempt that the module wants to run."""
+    def _apply_verdict(self, entry: InFlightRequest, verdict: Verdict) -> None:
+        """Apply the verdict on an attempt that the decision module wants to run."""
         if verdict is Verdict.RUN:
-            self._order_run(entry)
+            self._start_run(entry)
         elif verdict is Verdict.WAIT:
             entry.state = RunState.CLAIMING
         elif verdict is Verdict.COALESCE:
             entry.withhold_start(RunState.COALESCED)
             self._idempotency.coalesce(admission.Coalesce(entry.id))
         else:
-            self._withhold(entry, AnswerKind.REJECTED if verdict is Verdict.REJECT else AnswerKind.FAILED)
+            self._answer_undecided(entry, AnswerKind.REJECTED if verdict is Verdict.REJECT else AnswerKind.FAILED)
 
-    def _order_run(self, entry: InFlightRequest) -> None:
+    def _start_run(self, entry: InFlightRequest) -> None:
         entry.state = RunState.RUNNING
         self._answers.metrics.runs += 1
         request = entry.request
@@ -89,8 +89,8 @@
     def _is_idempotent(self, class_index: int) -> bool:
         return self._settings.classes[class_index].idempotency is admission.Idempotency.IDEMPOTENT
 
-    def _withhold(self, entry: InFlightRequest, kind: AnswerKind) -> None:
-        """Answer an attempt that has not run, as nobody can say in time whether it may."""
+    def _answer_undecided(self, entry: InFlightRequest, kind: AnswerKind) -> None:
+        """Answer an attempt that has not run, because it is not known in time whether it may run."""
         log(
             LOG,
             logging.WARNING,
@@ -100,22 +100,22 @@
             answer=kind.value,
         )
         entry.withhold_start(RunState.ENDED)
-        self._idempotency.free_unused(entry)
-        retry_after_ms = NOT_READY_MS if kind is AnswerKind.REJECTED else 0.0
+        self._idempotency.release_unexecuted(entry)
+        retry_after_ms = NOT_READY_RETRY_AFTER_MS if kind is AnswerKind.REJECTED else 0.0
         self._completion.answer(entry, Answer(kind, retry_after_ms=retry_after_ms))
         self._post(events.CoalescedRequestCompleted(entry, Outcome.ERROR))
 
     def cancel(self, action: admission.CancelRun) -> None:
-        """Cancel a run, or pause it where the settings say so and an answer is owed."""
+        """Cancel a run; if the settings say so and its request is unanswered, pause it instead."""
         entry = self._requests.get(action.id)
         if entry is None or not entry.in_executor:
             return
-        self._completion.drop_call(entry)
-        entry.cancel_ordered(not entry.answered and self._settings.cancel_mode is admission.CancelMode.PAUSE)
+        self._completion.cancel_call(entry)
+        entry.cancel_requested(not entry.answered and self._settings.cancel_mode is admission.CancelMode.PAUSE)
         self._peers.executor.cancel_run(entry.request.request_id)
 
     def start_call(self, action: admission.StartCall) -> None:
-        """Make the call that a run waits for."""
+        """Start the call that a run waits for."""
         entry = self._requests.get(action.id)
         if entry is None or not entry.in_executor or entry.answered:
             return
@@ -126,28 +126,28 @@
         )
 
     def skip_call(self, action: admission.SkipCall) -> None:
-        """Let a run go on without its call."""
+        """Let a run continue without its call."""
         entry = self._requests.get(action.id)
         if entry is not None and entry.in_executor:
-            self._completion.drop_call(entry)
-            self._peers.executor.skip_call(entry.request.request_id, entry.call_notice)
+            self._completion.cancel_call(entry)
+            self._peers.executor.skip_call(entry.request.request_id, entry.call_notice_index)
 
     # Events.
 
     def on_claim_decided(self, event: events.ClaimDecided, module_events: list[admission.Event]) -> None:
-        """Start an attempt that waited for its key, or answer it."""
+        """Apply the verdict on an attempt that waited for the decision on its key."""
         entry = event.entry
         if entry.state is not RunState.CLAIMING:
             return
-        if event.verdict is Verdict.RUN and entry.answered:  # nobody waits any more: it is not started
+        if event.verdict is Verdict.RUN and entry.answered:  # no answer is needed any more
             entry.withhold_start(RunState.ENDED)
-            self._idempotency.free(entry)
+            self._idempotency.release_key(entry)
             self._post(events.CoalescedRequestCompleted(entry, Outcome.ERROR))
         else:
-            self._carry_out(entry, event.verdict)
+            self._apply_verdict(entry, event.verdict)
 
     def on_run_completed(self, event: events.RunCompleted, module_events: list[admission.Event]) -> None:
-        """Answer a request with its run's result, or note that the run is paused."""
+        """Answer a request with the result of its run, or record that the run is paused."""
         entry = self._requests.find(event.request_id)
         if entry is None or not entry.in_executor:
             return
@@ -157,7 +157,7 @@
             module_events.append(admission.RunCompleted(entry.id, outcome, event.duration_ms))
             return
         entry.state = RunState.ENDED
-        self._completion.drop_call(entry)
+        self._completion.cancel_call(entry)
         if outcome not in (Outcome.OK, Outcome.ERROR):
             return self._end_without_result(entry, module_events, ran=outcome is not Outcome.ABANDONED)
         served = outcome is Outcome.OK
@@ -166,23 +166,23 @@
         if not entry.answered:
             answer = Answer(AnswerKind.SERVED, event.result) if served else Answer(AnswerKind.FAILED)
             self._completion.answer(entry, answer)
-        self._completion.release(entry)
+        self._completion.remove_if_complete(entry)
 
     def _end_without_result(
         self, entry: InFlightRequest, module_events: list[admission.Event], ran: bool, client_error: str = ""
     ) -> None:
-        """End a run that was cancelled, or never began."""
+        """End a run that was cancelled or never started."""
         if not entry.answered:
-            # The executor ends or starts nothing for a request that is over: its client has gone, and its front may
-            # never say so. Guards the module's slots and calls, which it reserves until it is notified of an end.
+            # The executor cancels a run, or does not start it, if the client of the request has gone, and the front
+            # may never report that. The decision module reserves slots and calls until it is notified of the end.
             module_events.append(admission.ClientCancelled(entry.id))
             self._completion.answer(entry, Answer(AnswerKind.FAILED, client_error=client_error))
         if ran:
             self._idempotency.run_ended(entry, None)
         else:
-            self._idempotency.run_never_began(entry)
+            self._idempotency.run_never_started(entry)
         module_events.append(admission.RunCompleted(entry.id, Outcome.CANCELLED, 0.0))
-        self._completion.release(entry)
+        self._completion.remove_if_complete(entry)
 
     def on_run_unknown(self, event: events.RunUnknown, module_events: list[admission.Event]) -> None:
         """Fail a request that the executor does not know."""
@@ -193,22 +193,22 @@
             self._end_without_result(entry, module_events, ran=False, client_error=text)
 
     def on_run_outcome_unknown(self, event: events.RunOutcomeUnknown, module_events: list[admission.Event]) -> None:
-        """Await no report of a run once its request is answered."""
+        """Stop waiting for the end of a run whose outcome is unknown, once its request is answered."""
         entry = self._requests.find(event.request_id)
         if entry is not None and entry.in_executor:
             entry.outcome_unknown = True
             if entry.answered:
-                self._completion.expect_no_end(entry)
+                self._completion.end_unreported_run(entry)
 
     def on_call_requested(self, event: events.CallRequested, module_events: list[admission.Event]) -> None:
-        """Tell the module that a run waits for a call."""
+        """Notify the decision module that a run waits for a call."""
         entry = self._requests.find(event.request_id)
         if entry is not None and entry.in_executor:
             entry.call_requested(event.notice_index, event.body)
             module_events.append(admission.CallRequested(entry.id))
 
     def on_call_completed(self, event: events.CallCompleted, module_events: list[admission.Event]) -> None:
-        """Hand a run the reply to its call."""
+        """Pass the reply to a call to its run, and notify the decision module that the call ended."""
         request_id = event.call.request_id
         entry = self._requests.find(request_id)
         if entry is None or entry.store_call is not event.call:
--- a/lapispick/host/core/shutdown.py
+++ b/lapispick/host/core/shutdown.py
@@ -1,4 +1,4 @@
-"""Drain by operators and graceful shutdown."""
+"""Handles drains by operators and the graceful shutdown."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ShutdownHandler:
-    """Tells the module, the other process, the service registry and the fronts."""
+    """Handler of drains and shutdowns: notifies decision module, other process, service registry and fronts."""
 
     def __init__(
         self,
@@ -34,12 +34,12 @@
         self._peers = peers
 
     def on_drain_changed(self, event: events.DrainChanged, module_events: list[admission.Event]) -> None:
-        """Begin or end a drain here and at the other process."""
+        """Begin or end a drain in this process and in the other one."""
         self._peer_sync.announce_drain(event.draining)
         self._health.set_draining(event.draining)
 
     def on_shutdown_requested(self, event: events.ShutdownRequested, module_events: list[admission.Event]) -> None:
-        """Begin the graceful shutdown; a second request changes nothing."""
+        """Begin the graceful shutdown; a second request has no effect."""
         state = self._health.state
         if state.shutting_down:
             return
--- a/lapispick/host/core/timers.py
+++ b/lapispick/host/core/timers.py
@@ -1,4 +1,4 @@
-"""The module's timers, and the gauges that it gets with each."""
+"""The timers of the decision module, and the gauges that it gets when a timer fires."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class ModuleTimers:
-    """Sets the timers that the module orders."""
+    """The timers of the decision module."""
 
     def __init__(self, loop: EventLoop, post: Callable[[events.Event], None]) -> None:
         self._loop = loop
         self._post = post
 
     def set_timer(self, action: admission.SetTimer) -> None:
-        """Set a timer."""
+        """Set a timer; when it fires, ``TimerDue`` is posted."""
         self._loop.call_later(action.delay_ms / 1000, self._post, events.TimerDue(action.token))
 
 
 class GaugeCollector:
-    """Owns the latest gauges of the executor."""
+    """The latest gauges of the executor, which the decision module gets when a timer fires."""
 
     def __init__(self, peer_sync: PeerSynchronizer, peers: Peers) -> None:
         self._peer_sync = peer_sync
@@ -36,9 +36,9 @@
         self._gauges = event.gauges
 
     def on_timer_due(self, event: events.TimerDue, module_events: list[admission.Event]) -> None:
-        """Tell the module that a timer ran out, with the gauges of the other process and of the executor."""
+        """Notify the decision module that a timer fired, with the gauges of the other process and of the executor."""
         usage = self._peer_sync.peer_usage
         gauges = (usage.runs, usage.memory_kb, usage.calls, *self._gauges)
         module_events.append(admission.TimerFired(event.token, gauges))
-        self._peer_sync.exchange()
-        self._peers.executor.request_gauges()  # for the next timer; waiting for the answer here would delay due answers
+        self._peer_sync.exchange_usage()
+        self._peers.executor.request_gauges()  # for the next timer; waiting here would delay answers that are due
