--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The core by itself, with a recorder in place of the controller and fakes of executor and store."""
+"""Tests of the core alone, with a recording controller and fakes of executor and store."""
 
 import gc
 
@@ -17,7 +17,7 @@
 
 
 class RecordingController:
-    """Records the events, and returns the actions that ``decide`` gives for each."""
+    """Controller that records the events and returns the actions that ``decide`` returns for each of them."""
 
     def __init__(self, decide):
         self.events = []
@@ -29,7 +29,7 @@
 
 
 class FakePeer:
-    """Executor and store in one."""
+    """Executor and store in one object."""
 
     def __init__(self, host):
         self.host = host
@@ -46,7 +46,7 @@
 
 
 class FakeLink:
-    """The link to the other process, as far as the core sees it."""
+    """The part of the link to the other process that the core uses."""
 
     def __init__(self):
         self.sent = []
@@ -61,7 +61,7 @@
 
 @pytest.fixture
 def make_core():
-    """Return a function that makes an event loop, which stops by itself, and a core that decides as told."""
+    """Return a function that makes an event loop, which stops by itself, and a core that decides with ``decide``."""
 
     def make(decide):
         loop = EventLoop()
@@ -69,8 +69,8 @@
         host.peers.executor = host.peers.store = FakePeer(host)
         host.module.controller = RecordingController(decide)
         loop.spawn(host.serve)
-        # From the start of the loop, and in two steps: after a stall all timers are due at once, and the core must
-        # still have its turn.
+        # The timers are set when the loop starts, and the stop needs two of them. After a stall all timers are due at
+        # once, and the core must still run before the loop stops.
         loop.call_soon(loop.call_later, 0.1, loop.call_later, 0.02, loop.stop)
         return loop, host
 
@@ -115,7 +115,7 @@
 
 
 def fail_and_reject(event):
-    """Decide to answer each request twice."""
+    """Decide to fail each request and then to reject it."""
     if type(event) is not admission.RequestReceived:
         return []
     return [admission.Fail(event.id), admission.Reject(event.id, 0.0, False)]
@@ -148,7 +148,7 @@
     assert host.owed == 0
 
 
-def test_a_second_run_of_a_key_is_never_started_whatever_is_decided(make_core):
+def test_a_second_run_of_a_key_is_never_started_whatever_the_module_decides(make_core):
     loop, host = make_core(start_keyed)
     answers = []
     for request_id in ("a", "b"):
@@ -181,10 +181,10 @@
     assert host.owed == 0
 
 
-def test_a_retained_record_holds_nothing_but_its_result(make_core):
+def test_a_retained_record_does_not_keep_its_request_in_memory(make_core):
     loop, host = make_core(start_keyed)
     answers = []
-    gc.disable()  # or a reference cycle would be collected before it is found
+    gc.disable()  # otherwise a reference cycle could be collected before the check finds it
     try:
         for n in range(3):
             host.post(events.RequestArrived(make_request(f"retained{n}", answers, class_index=1, key=n)))
@@ -193,7 +193,7 @@
         assert len(answers) == 3
         assert len(host.idempotency.table) == 3
         assert host.idempotency.table.result_bytes == 3
-        requests = [each for each in gc.get_objects() if type(each) is Request]
+        requests = [tracked for tracked in gc.get_objects() if type(tracked) is Request]
         assert not [request for request in requests if "retained" in request.request_id]
     finally:
         gc.enable()
@@ -206,7 +206,7 @@
     for n in range(5):
         host.post(events.RequestArrived(make_request(f"t{n}", answers, class_index=1, key=n)))
         loop.call_later(0.02, host.post, events.RunCompleted(f"t{n}", admission.Outcome.OK, 1.0, "r" * 100))
-    for n in range(5):  # scheduled after the last run, so that they arrive after it even if this test stalls
+    for n in range(5):  # scheduled after the last run, so that they arrive after its end even if this test stalls
         retry = make_request(f"again{n}", answers, class_index=1, key=n)
         loop.call_later(0.04, host.post, events.RequestArrived(retry))
     loop.run()
@@ -221,7 +221,7 @@
 
 
 def assert_ended_without_a_run(host):
-    """Check that a request left nothing behind, and that the decision module learned no run time from it."""
+    """Check that a request was removed without a run, and that the decision module learned no duration from it."""
     assert not host.peers.executor.runs
     assert not len(host.requests)
     assert host.module.controller.events[-2:] == [
@@ -255,12 +255,12 @@
     link = FakeLink()
     host.post(events.PeerConnected(link, owns_keys=True))
     host.post(events.RequestArrived(make_request("a", answers, class_index=1, key=("k",))))
-    for after, message in (
+    for delay_s, message in (
         (0.02, messages.KeyClaimed(("k",), 6000.0, digest_request("any", ""))),
         (0.03, messages.ClaimDenied(1, ("k",))),
         (0.05, messages.KeyCompleted(("k",), "r")),
     ):
-        loop.call_later(after, host.post, events.PeerMessage(link, message))
+        loop.call_later(delay_s, host.post, events.PeerMessage(link, message))
     loop.run()
     assert answers == [("a", AnswerKind.SERVED)]
     assert_ended_without_a_run(host)
--- a/tests/test_paused_runs.py
+++ b/tests/test_paused_runs.py
@@ -1,4 +1,4 @@
-"""Runs that overload the cores when they return from calls are paused, and resumed later (``WAKE``)."""
+"""Tests that runs that overload the cores when their calls end are paused, and resumed later (``WAKE``)."""
 
 import json
 import threading
@@ -22,20 +22,20 @@
 from lapispick.fakes.waiting import wait_until
 from tests.host_support import FAILED_CODE
 
-RUN_COUNT = 12  # of runs that return at once, on two cores with two slots
+RUN_COUNT = 12  # runs whose calls end at once, on two cores with two slots
 TRACK, BOOK = "track", "book"
 
 
 def pause_settings():
     info = json.loads(json.dumps(PLATFORM_INFO))
     info["FamilyInfo"].update(Halt="pause", CallsOut=50.0, ClassSkipWorth=[0.0, 0.0])
-    info["Guarantees"]["FallMultiple"] = 2.0  # there are two slots all the time
+    info["Guarantees"]["FallMultiple"] = 2.0  # keeps the number of slots at two
     info["Services"][0].update(Promise=4700.0)
     return info
 
 
 class PausingExecutor(Executor):
-    """Pauses runs that are cancelled on a core; knows which are at a call, on a core and paused."""
+    """Executor that pauses cancelled runs, and tracks which runs are at a call, on a core or paused."""
 
     def __init__(self):
         self.at_call = set()
@@ -78,7 +78,7 @@
 
 
 class GatedStore(Store):
-    """Replies to calls only once its gate is open."""
+    """Store that replies to calls only after its gate is set."""
 
     def __init__(self):
         self.gate = threading.Event()
@@ -92,37 +92,38 @@
 
 @pytest.fixture
 def start_overload(host):
-    """Return a function that makes all runs of a host return from their calls at once, for requests of one class."""
+    """Return a function that starts runs of one class on a host and then ends all their calls at once."""
 
     def start(class_name=TRACK, completes_on_cancel=False, stop_ms=6000, **params):
         worker = host(executor=PausingExecutor(), store=GatedStore(), info=pause_settings(), stop_ms=stop_ms)
         worker.executor.completes_on_cancel = completes_on_cancel
         gateway = worker.gateway()
-        numbers = []
+        request_ids = []
         for n in range(RUN_COUNT):
-            numbers.append(gateway.request(class_name, "stay:x", f"{n:032x}" if class_name == BOOK else None, **params))
-            wait_until(lambda n=n: len(worker.executor.at_call) > n, "its call")
-        with worker.suspended():  # all replies have arrived when it continues
+            key = f"{n:032x}" if class_name == BOOK else None
+            request_ids.append(gateway.request(class_name, "stay:x", key, **params))
+            wait_until(lambda n=n: len(worker.executor.at_call) > n, "the call of the run")
+        with worker.suspended():  # when it continues, all replies have arrived
             worker.store.gate.set()
-        return worker, gateway, numbers
+        return worker, gateway, request_ids
 
     return start
 
 
 def wait_until_paused(worker):
-    """Wait until all runs have returned and all but two are paused."""
+    """Wait until the calls of all runs have ended and all runs but two are paused."""
     wait_until(lambda: not worker.executor.at_call and len(worker.executor.on_core) == 2, "the pause of the others")
     assert len(worker.executor.paused) == RUN_COUNT - 2
 
 
 def test_runs_that_overload_the_cores_are_paused_and_resumed_one_by_one(start_overload):
-    worker, gateway, numbers = start_overload()
+    worker, gateway, request_ids = start_overload()
     wait_until_paused(worker)
     queued = gateway.request(TRACK, "plain")  # runs that were started before are resumed first
     for _ in range(RUN_COUNT):
         wait_until(lambda: worker.executor.on_core, "a run on a core")
         worker.executor.complete(min(worker.executor.on_core))
-    assert [gateway.result(n) for n in numbers] == ["done"] * RUN_COUNT
+    assert [gateway.result(n) for n in request_ids] == ["done"] * RUN_COUNT
     wait_until(lambda: worker.executor.runs_of("plain"), "the run of the queued request")
     assert gateway.answer(gateway.send("probe"))["result"]["healthy"]
     assert not worker.executor.paused
@@ -132,46 +133,47 @@
     assert queued not in gateway.answers or "result" in gateway.answers[queued]
 
 
-def test_a_pause_that_races_with_the_end_gives_the_result_and_resumes_nothing(start_overload):
-    worker, gateway, numbers = start_overload(completes_on_cancel=True)
+def test_a_run_that_completes_when_it_is_to_be_paused_gives_its_result_and_is_not_resumed(start_overload):
+    worker, gateway, request_ids = start_overload(completes_on_cancel=True)
     wait_until(lambda: not worker.executor.at_call and len(worker.executor.on_core) <= 2, "the end of the others")
     for task in list(worker.executor.on_core):
         worker.executor.complete(task)
-    assert [gateway.result(n) for n in numbers] == ["done"] * RUN_COUNT
+    assert [gateway.result(n) for n in request_ids] == ["done"] * RUN_COUNT
     assert worker.executor.commanded_tasks("KILL")
     assert not worker.executor.commanded_tasks("WAKE")
 
 
 def test_a_paused_run_whose_request_is_cancelled_or_past_its_deadline_is_never_resumed(start_overload):
-    worker, gateway, numbers = start_overload()
+    worker, gateway, request_ids = start_overload()
     wait_until_paused(worker)
     with worker.suspended():  # all cancellations arrive at once
-        for number in numbers:
-            gateway.cancel(number)
-    assert {gateway.error_code(n) for n in numbers} == {FAILED_CODE}
-    wait_until(lambda: not worker.executor.on_core, "the end of the two on the cores")
-    late = [gateway.request(TRACK, "stay:x", patience=1500) for _ in range(3)]  # the slots are free again
+        for request_id in request_ids:
+            gateway.cancel(request_id)
+    assert {gateway.error_code(n) for n in request_ids} == {FAILED_CODE}
+    wait_until(lambda: not worker.executor.on_core, "the end of the two runs on the cores")
+    # These start, as the slots are free again.
+    late = [gateway.request(TRACK, "stay:x", patience=1500) for _ in range(3)]
     wait_until(
         lambda: len(worker.executor.on_core) == 2 and len(worker.executor.paused) > RUN_COUNT,
-        "the pause of one of the three",
+        "the pause of one of the three runs",
     )
     assert {gateway.error_code(n) for n in late} == {FAILED_CODE}  # at their deadline
     wait_until(lambda: worker.metrics()["inflight"] == 0, "the last answer")
     line_count = worker.log().count("event=request-totals")
     wait_until(lambda: worker.log().count("event=request-totals") > line_count, "the next totals")
-    assert "in_flight=0" in worker.log().split("event=request-totals")[-1]  # none of them is retained
+    assert "in_flight=0" in worker.log().split("event=request-totals")[-1]  # the host keeps none of the requests
     assert not worker.executor.commanded_tasks("WAKE")
 
 
-def test_a_shutdown_answers_paused_runs_before_the_stop(start_overload):
-    worker, gateway, numbers = start_overload(stop_ms=2500)
+def test_a_shutdown_answers_the_requests_of_paused_runs_before_the_process_ends(start_overload):
+    worker, gateway, request_ids = start_overload(stop_ms=2500)
     wait_until_paused(worker)
     began = time.monotonic()
     worker.terminate()
     for _ in range(4):
         wait_until(lambda: worker.executor.on_core, "a run on a core")
         worker.executor.complete(min(worker.executor.on_core))
-    answers = [gateway.answer(n) for n in numbers]
+    answers = [gateway.answer(n) for n in request_ids]
     assert sum("result" in a for a in answers) == 4
     error_codes = {answer["error"]["code"] for answer in answers if "error" in answer}
     assert error_codes <= {FAILED_CODE}  # they were executed, so none is rejected
@@ -180,12 +182,12 @@
 
 
 def test_a_resume_lost_with_a_link_is_sent_again(start_overload):
-    worker, gateway, numbers = start_overload()
+    worker, gateway, request_ids = start_overload()
     wait_until_paused(worker)
     with worker.executor.lock:
         ended = min(worker.executor.on_core)
         worker.executor.complete(ended)
-        worker.executor.ignores_commands = True  # commands are lost from here on
+        worker.executor.ignores_commands = True  # from now on commands are lost
     wait_until(lambda: "WAKE" in worker.executor.received_verbs, "the command to resume")
     with worker.executor.lock:
         worker.executor.disconnect()
@@ -194,22 +196,22 @@
     for _ in range(RUN_COUNT - 1):
         wait_until(lambda: worker.executor.on_core, "a run on a core")
         worker.executor.complete(min(worker.executor.on_core))
-    assert [gateway.result(n) for n in numbers] == ["done"] * RUN_COUNT
-    assert len(worker.executor.commanded_tasks("EXEC")) == RUN_COUNT  # none is started again
+    assert [gateway.result(n) for n in request_ids] == ["done"] * RUN_COUNT
+    assert len(worker.executor.commanded_tasks("EXEC")) == RUN_COUNT  # no run is started a second time
 
 
 def test_a_run_that_is_not_idempotent_is_never_paused(start_overload):
-    worker, gateway, numbers = start_overload(class_name=BOOK)
-    wait_until(lambda: len(worker.executor.on_core) == RUN_COUNT, "the return of all runs")
+    worker, gateway, request_ids = start_overload(class_name=BOOK)
+    wait_until(lambda: len(worker.executor.on_core) == RUN_COUNT, "the end of all calls")
     for task in list(worker.executor.on_core):
         worker.executor.complete(task)
-    assert [gateway.result(n) for n in numbers] == ["done"] * RUN_COUNT
+    assert [gateway.result(n) for n in request_ids] == ["done"] * RUN_COUNT
     assert not worker.executor.commanded_tasks("KILL")
 
 
 def test_paused_run_keeps_its_memory_and_frees_its_slot(make_harness):
     harness = make_harness(cancel_mode=CancelMode.PAUSE, overload_runs_per_core=2, call_quota=50)
-    harness.tick(1000)  # the limit falls to its maximum
+    harness.tick(1000)  # the concurrency limit decreases to its maximum
     request_ids = []
     for _ in range(6):
         harness.step(request := harness.request())
@@ -231,19 +233,20 @@
     resumed = [i for i in paused if len(harness.actions_of(StartRun, i)) == 2]
     assert len(resumed) == 1
     assert harness.state.concurrency_limit.running == 2
-    harness.step(CallRequested(resumed[0]))  # it continues like any other
+    harness.step(CallRequested(resumed[0]))  # a resumed run continues like any other
     assert harness.state.concurrency_limit.running == 2
     assert sum(len(harness.actions_of(StartRun, i)) == 2 for i in paused) == 2
 
 
 def test_a_resume_that_the_executor_rejects_fails_its_request_and_frees_its_slot(start_overload):
-    worker, gateway, numbers = start_overload()
+    worker, gateway, request_ids = start_overload()
     wait_until_paused(worker)
     with worker.executor.lock:
-        worker.executor.paused.clear()  # it does not know the paused runs any more
+        worker.executor.paused.clear()  # the executor does not know the paused runs any more
         for task in list(worker.executor.on_core):
             worker.executor.complete(task)
-    answers = [gateway.answer(n) for n in numbers]  # long before their deadline: each is resumed when its slot is free
+    # Long before the deadline, as each run is resumed when a slot is free.
+    answers = [gateway.answer(n) for n in request_ids]
     assert sum("result" in a for a in answers) == 2
     assert {a["error"]["code"] for a in answers if "error" in a} == {FAILED_CODE}
     assert worker.metrics()["inflight"] == 0
@@ -251,7 +254,10 @@
 
 
 def test_a_request_that_is_read_late_pauses_no_run(make_harness):
-    """A request that was unread for long halves the runs that may start until the next one, which may never come."""
+    """A request that was read late halves the number of runs that may start until the next request arrives.
+
+    That request may never arrive, so the lower limit alone must not pause a run that has started.
+    """
     harness = make_harness(cancel_mode=CancelMode.PAUSE, cores=1)
     harness.step(request := harness.request())
     harness.tick(2000)
--- a/tests/test_retry_races.py
+++ b/tests/test_retry_races.py
@@ -1,6 +1,6 @@
-"""Races of a retry with the end of the attempt before it; `docs/CROSSINGS.md` lists them.
+"""Races of a retry with the end of an earlier attempt; `docs/CROSSINGS.md` lists them.
 
-The process is stopped while bytes are written to it, or an emulated peer withholds a reply; nothing is left to chance.
+The order of events is forced: the process is suspended while bytes are written to it, or a fake peer withholds a reply.
 """
 
 import time
@@ -40,8 +40,8 @@
     assert len(worker.executor.runs) == 1
 
 
-def hold_all_slots(worker, gateway):
-    """Start as many runs as there may ever be at once; they last until they are ended."""
+def occupy_all_slots(worker, gateway):
+    """Start the maximum number of concurrent runs, which last until the test ends them."""
     fill_all_slots(lambda: gateway.request("track", "hold"), start_count=lambda: len(worker.executor.runs))
 
 
@@ -53,13 +53,13 @@
 def test_attempt_queued_beyond_a_short_window_runs_once_for_all_retries(host):
     worker = host(info=make_platform_info([{}, {"Window": 200.0}]))
     gateway, key = worker.gateway(), make_idempotency_key()
-    hold_all_slots(worker, gateway)
+    occupy_all_slots(worker, gateway)
     born = time.time() * 1000
     first = gateway.request("book", "once", key, born=born, patience=4000)
-    gateway.answer(gateway.send("probe"))  # then all that was written before was read
+    gateway.answer(gateway.send("probe"))  # once it is answered, the host has read all that was sent before
     wait_until(lambda: time.time() * 1000 > born + 600, "the end of the window")
     beyond = gateway.request("book", "once", key, born=born + 300, patience=4000, redo=1)
-    within = gateway.request("book", "once", key, born=born + 150, patience=4600, redo=1)  # read after a later one
+    within = gateway.request("book", "once", key, born=born + 150, patience=4600, redo=1)  # read after a later retry
     gateway.answer(gateway.send("probe"))
     end_all_runs(worker)
     assert [gateway.result(n) for n in (first, beyond, within)] == ["did once"] * 3
@@ -69,7 +69,7 @@
 def test_request_coalesced_with_a_rejected_attempt_is_answered_at_once(host):
     worker = host(info=make_platform_info([{}, {"Window": 200.0}]))
     gateway, key = worker.gateway(), make_idempotency_key()
-    hold_all_slots(worker, gateway)
+    occupy_all_slots(worker, gateway)
     born = time.time() * 1000
     first = gateway.request("book", "once", key, born=born, patience=1200)
     gateway.answer(gateway.send("probe"))
--- a/tests/test_shutdown_races.py
+++ b/tests/test_shutdown_races.py
@@ -1,6 +1,6 @@
 """Races of a shutdown with another event, each forced into the unfavourable order; `docs/CROSSINGS.md` lists them.
 
-The process is stopped while bytes are written to it, or an emulated peer withholds a reply; nothing is left to chance.
+The order of events is forced: the process is suspended while bytes are written to it, or a fake peer withholds a reply.
 """
 
 import contextlib
@@ -35,27 +35,27 @@
         half_written.sock.sendall(line[40:])
         worker.terminate()
     for gateway, request_id in [(idle, unread_id), (half_written, 1), *zip(backlog, backlog_ids, strict=True)]:
-        answer = gateway.answer(request_id)  # a run that the end of the process cuts short is failed
+        answer = gateway.answer(request_id)  # a request whose run has not ended when the process ends is failed
         assert "result" in answer or answer["error"]["code"] in (REJECTED_CODE, FAILED_CODE)
     assert worker.process.wait(5) == 0
     assert "unanswered=0" in worker.log().split("event=ended")[1]
 
 
-def suspend_before_its_end(host, prepare=lambda worker, gateway: gateway.result(gateway.request("track", "before"))):
-    """Return a host that shuts down, suspended when it is about to end; a connection; the result of ``prepare``."""
+def suspend_before_exit(host, prepare=lambda worker, gateway: gateway.result(gateway.request("track", "before"))):
+    """Return a host that is suspended at the end of its shutdown, a connection to it and the result of ``prepare``."""
     worker = host(stop_ms=800)
     gateway = worker.gateway()
     prepared = prepare(worker, gateway)
     worker.terminate()
     wait_until(lambda: refuses_connections(worker.address), "the end of the listener")
     worker.process.send_signal(signal.SIGSTOP)
-    wait_until(worker.is_suspended, "the stop")
+    wait_until(worker.is_suspended, "the suspension")
     since = time.monotonic()
-    wait_until(lambda: time.monotonic() > since + 0.3, "the time for its end")
+    wait_until(lambda: time.monotonic() > since + 0.3, "the end of the shutdown period")
     messages_received = gateway.sock.recv(1 << 16, socket.MSG_PEEK | socket.MSG_DONTWAIT).count(b"\n")
     if "event=ended" not in worker.log() and messages_received == 1:  # the goaway
         return worker, gateway, prepared
-    return suspend_before_its_end(host, prepare)  # a busy machine delayed this test, and the host had gone further
+    return suspend_before_exit(host, prepare)  # on a busy machine the host was suspended too late
 
 
 def refuses_connections(address):
@@ -64,8 +64,8 @@
         return sock.connect_ex((name, int(port))) != 0
 
 
-def test_request_just_before_the_process_ends_is_read(host):
-    worker, gateway, _ = suspend_before_its_end(host)
+def test_request_sent_just_before_the_process_ends_is_answered(host):
+    worker, gateway, _ = suspend_before_exit(host)
     request_id = gateway.request("book", "last", make_idempotency_key())
     worker.process.send_signal(signal.SIGCONT)
     assert "result" in gateway.answer(request_id) or gateway.error_code(request_id) == REJECTED_CODE
@@ -78,19 +78,19 @@
         worker.executor.wait_for_run("hold")
         return request_id
 
-    worker, gateway, request_id = suspend_before_its_end(host, start_run)
+    worker, gateway, request_id = suspend_before_exit(host, start_run)
     worker.executor.end_run(worker.executor.runs[0].task, result="booked")
     worker.process.send_signal(signal.SIGCONT)
     assert gateway.result(request_id) == "booked"
     assert worker.process.wait(5) == 0
 
 
-def test_connection_closed_at_the_end_of_the_process_executes_nothing(host):
+def test_request_on_a_connection_that_the_ending_process_closed_is_not_executed(host):
     worker = host(stop_ms=700)
     gateway = worker.gateway()
     assert gateway.result(gateway.request("track", "before")) == "did before"
     worker.terminate()
-    assert ends_without_reset(gateway)  # then the process takes nothing more
+    assert ends_without_reset(gateway)  # after this the process reads no more requests
     with contextlib.suppress(OSError):
         gateway.request("book", "after the end", make_idempotency_key())
     assert worker.process.wait(5) == 0
@@ -112,7 +112,7 @@
             pass
         gateway.sock.setblocking(False)
         received = b""
-        while data := gateway.sock.recv(4096):  # would block on a connection that still takes requests
+        while data := gateway.sock.recv(4096):  # raises BlockingIOError if the connection is still open
             received += data
         assert b"goaway" in received
     assert old.process.wait(5) == 0
@@ -137,14 +137,14 @@
 def test_second_sigterm_and_reload_do_not_change_a_shutdown(host):
     worker = host(stop_ms=2500)
     gateway = worker.gateway()
-    number = gateway.request("book", "hold", make_idempotency_key())
+    request_id = gateway.request("book", "hold", make_idempotency_key())
     wait_until(lambda: worker.executor.runs, "the run")
     worker.terminate()
     worker.wait_for_log("shutdown-started")
     worker.reload(stop_ms=60_000)
     worker.terminate()
     worker.executor.end_run(worker.executor.runs[0].task, result="booked")
-    assert gateway.result(number) == "booked"
+    assert gateway.result(request_id) == "booked"
     assert worker.process.wait(5) == 0
     assert worker.log().count("event=shutdown-started") == 1
 
@@ -165,7 +165,7 @@
 
 
 def test_sighup_while_the_program_loads_does_not_end_it(host, tmp_path):
-    (tmp_path / "msgspec.py").write_text(  # shadows the real package, and loads it after the signal
+    (tmp_path / "msgspec.py").write_text(  # shadows the real package: raises the signal, then loads the real one
         "import signal, sys\n"
         "signal.raise_signal(signal.SIGHUP)\n"
         f"sys.path.remove({str(tmp_path)!r})\n"
@@ -179,5 +179,5 @@
         command=["/bin/sh", "-c", start_command.replace(".venv/bin/python", sys.executable)],
     )
     gateway = worker.gateway()
-    assert gateway.result(gateway.request("track", "alive")) == "did alive"
+    assert gateway.result(gateway.request("track", "loaded")) == "did loaded"
     worker.reload()
