--- a/lapispick/host/core/dispatcher.py
+++ b/lapispick/host/core/dispatcher.py
@@ -60,7 +60,7 @@
         self._runs = RunCoordinator(settings, requests, answers, completion, idempotency, peers, post)
         self.timers = ModuleTimers(loop, post)
         self.module = module = DecisionModule(
-            clock, settings, seed, requests, health.state, peers, self._action_handlers()
+            clock, settings, seed, requests, health.state, peers, self._build_action_handlers()
         )
         self._arrivals = arrivals = ArrivalHandler(
             clock, settings, requests, answers, completion, idempotency, module, peers, max_open_requests
@@ -71,7 +71,7 @@
         self._housekeeper = Housekeeper(loop, clock, requests, answers, completion, idempotency)
         self._event_handlers = self._build_event_handlers()
 
-    def _action_handlers(self) -> ActionHandlers:
+    def _build_action_handlers(self) -> ActionHandlers:
         return {
             admission.StartRun: self._runs.start,
             admission.CancelRun: self._runs.cancel,
--- a/lapispick/host/core/idempotency.py
+++ b/lapispick/host/core/idempotency.py
@@ -17,7 +17,7 @@
 from lapispick.idempotency.table import EXECUTED_BY_PEER, IdempotencyRecord, IdempotencyTable, digest_request
 
 
-def _window_ms(settings: admission.Settings) -> float:
+def _longest_window_ms(settings: admission.Settings) -> float:
     """Return the longest window of the classes that have idempotency keys."""
     keyed = [c.idempotency_window_ms for c in settings.classes if c.idempotency is admission.Idempotency.KEYED]
     return max(keyed, default=0.0)
@@ -42,7 +42,7 @@
         self._post = post
         self._max_result_bytes = max_result_bytes
         self.table = IdempotencyTable(max_result_bytes)
-        self.ownership = KeyOwnership(self.table, _window_ms(settings))
+        self.ownership = KeyOwnership(self.table, _longest_window_ms(settings))
         self.ownership.on_verdict = lambda entry_id, verdict: post(events.ClaimDecided(requests[entry_id], verdict))
         self.ownership.on_completed = self._answer_coalesced
 
@@ -99,8 +99,8 @@
         if record is None:
             return Verdict.RUN
         request = entry.request
-        until = request.born_at + self._classes[request.class_index].idempotency_window_ms
-        return self.ownership.claim(entry.id, record, request.born_at, until, request.is_retry, self._clock.now)
+        expires_at_ms = request.born_at + self._classes[request.class_index].idempotency_window_ms
+        return self.ownership.claim(entry.id, record, request.born_at, expires_at_ms, request.is_retry, self._clock.now)
 
     # How a run of a key ends.
 
@@ -133,9 +133,11 @@
         if entry is None or entry.request.idempotency_key is None:
             return
         request = entry.request
-        until = self._clock.now + action.retention_ms
+        expires_at_ms = self._clock.now + action.retention_ms
         request_digest = digest_request(request.class_name, request.body)
-        entry.record = self.table.retain(request.idempotency_key, entry.id, request.born_at, until, request_digest)
+        entry.record = self.table.retain(
+            request.idempotency_key, entry.id, request.born_at, expires_at_ms, request_digest
+        )
 
     def release(self, action: admission.ReleaseKey) -> None:
         """Release the key of an attempt, unless it was executed."""
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -8,7 +8,8 @@
 from lapispick import admission
 from lapispick.fakes.start_settings import PLATFORM_INFO
 from lapispick.handover import messages
-from lapispick.host import core, events
+from lapispick.host import events
+from lapispick.host.core import Core
 from lapispick.host.requests import AnswerKind, Request
 from lapispick.host.scheduler import EventLoop
 from lapispick.idempotency.ownership import Role
@@ -28,15 +29,15 @@
         return [action for event in events for action in self.decide(event)]
 
 
-class FakePeer:
+class FakeExecutorAndStore:
     """Executor and store in one object."""
 
-    def __init__(self, host):
-        self.host = host
+    def __init__(self, core):
+        self.core = core
         self.runs = []
 
     def request_gauges(self):
-        self.host.post(events.GaugesReported((0.5, 2.0)))
+        self.core.post(events.GaugesReported((0.5, 2.0)))
 
     def start_run(self, request_id, class_name, body, idempotent):
         self.runs.append(request_id)
@@ -65,14 +66,14 @@
 
     def make(decide):
         loop = EventLoop()
-        host = core.Core(loop, admission_settings(msgspec.convert(PLATFORM_INFO, StartSettings)), 1)
-        host.peers.executor = host.peers.store = FakePeer(host)
-        host.module.controller = RecordingController(decide)
-        loop.spawn(host.serve)
+        core = Core(loop, admission_settings(msgspec.convert(PLATFORM_INFO, StartSettings)), 1)
+        core.peers.executor = core.peers.store = FakeExecutorAndStore(core)
+        core.module.controller = RecordingController(decide)
+        loop.spawn(core.serve)
         # The timers are set when the loop starts, and the stop needs two of them. After a stall all timers are due at
         # once, and the core must still run before the loop stops.
         loop.call_soon(loop.call_later, 0.1, loop.call_later, 0.02, loop.stop)
-        return loop, host
+        return loop, core
 
     return make
 
@@ -130,69 +131,69 @@
     def decide(event):
         return [admission.SetTimer(5.0, event.token + 1)] if event.token < 2 else []
 
-    loop, host = make_core(decide)
-    host.timers.set_timer(admission.SetTimer(1.0, 1))
+    loop, core = make_core(decide)
+    core.timers.set_timer(admission.SetTimer(1.0, 1))
     loop.run()
-    assert host.module.controller.events == [
+    assert core.module.controller.events == [
         admission.TimerFired(1, (0, 0.0, 0)),
         admission.TimerFired(2, (0, 0.0, 0, 0.5, 2.0)),
     ]
 
 
 def test_an_exception_of_the_decision_module_fails_the_requests_of_its_batch(make_core):
-    loop, host = make_core(lambda event: 1 / 0)
+    loop, core = make_core(lambda event: 1 / 0)
     answers = []
-    host.post(events.RequestArrived(make_request("a", answers)))
+    core.post(events.RequestArrived(make_request("a", answers)))
     loop.run()
     assert answers == [("a", AnswerKind.FAILED)]
-    assert host.owed == 0
+    assert core.owed == 0
 
 
 def test_a_second_run_of_a_key_is_never_started_whatever_the_module_decides(make_core):
-    loop, host = make_core(start_keyed)
+    loop, core = make_core(start_keyed)
     answers = []
     for request_id in ("a", "b"):
-        host.post(events.RequestArrived(make_request(request_id, answers, class_index=1, key="k")))
+        core.post(events.RequestArrived(make_request(request_id, answers, class_index=1, key="k")))
     loop.run()
-    assert host.peers.executor.runs == ["a"]
+    assert core.peers.executor.runs == ["a"]
     assert answers == [("b", AnswerKind.FAILED)]
 
 
 def test_an_attempt_that_was_executed_is_never_rejected(make_core):
-    loop, host = make_core(start_and_reject)
+    loop, core = make_core(start_and_reject)
     answers = []
-    host.post(events.RequestArrived(make_request("a", answers, class_index=1, key="k")))
+    core.post(events.RequestArrived(make_request("a", answers, class_index=1, key="k")))
     loop.run()
     assert answers == [("a", AnswerKind.FAILED)]
 
 
 def test_each_request_gets_one_answer_and_none_after_its_client_cancelled(make_core):
-    loop, host = make_core(fail_and_reject)
+    loop, core = make_core(fail_and_reject)
     answers = []
-    host.post(events.RequestArrived(make_request("a", answers)))
+    core.post(events.RequestArrived(make_request("a", answers)))
     loop.run()
     assert answers == [("a", AnswerKind.FAILED)]
-    loop, host = make_core(fail_cancelled)
+    loop, core = make_core(fail_cancelled)
     cancelled = make_request("b", answers)
-    host.post(events.RequestArrived(cancelled))
-    host.post(events.ClientCancelled(cancelled))
+    core.post(events.RequestArrived(cancelled))
+    core.post(events.ClientCancelled(cancelled))
     loop.run()
     assert answers == [("a", AnswerKind.FAILED)]
-    assert host.owed == 0
+    assert core.owed == 0
 
 
 def test_a_retained_record_does_not_keep_its_request_in_memory(make_core):
-    loop, host = make_core(start_keyed)
+    loop, core = make_core(start_keyed)
     answers = []
     gc.disable()  # otherwise a reference cycle could be collected before the check finds it
     try:
         for n in range(3):
-            host.post(events.RequestArrived(make_request(f"retained{n}", answers, class_index=1, key=n)))
-            loop.call_later(0.02, host.post, events.RunCompleted(f"retained{n}", admission.Outcome.OK, 1.0, "r"))
+            core.post(events.RequestArrived(make_request(f"retained{n}", answers, class_index=1, key=n)))
+            loop.call_later(0.02, core.post, events.RunCompleted(f"retained{n}", admission.Outcome.OK, 1.0, "r"))
         loop.run()
         assert len(answers) == 3
-        assert len(host.idempotency.table) == 3
-        assert host.idempotency.table.result_bytes == 3
+        assert len(core.idempotency.table) == 3
+        assert core.idempotency.table.result_bytes == 3
         requests = [tracked for tracked in gc.get_objects() if type(tracked) is Request]
         assert not [request for request in requests if "retained" in request.request_id]
     finally:
@@ -200,15 +201,15 @@
 
 
 def test_results_over_the_bound_are_evicted_and_their_records_stay(make_core):
-    loop, host = make_core(start_or_coalesce)
-    host.idempotency.table.max_result_bytes = 250
+    loop, core = make_core(start_or_coalesce)
+    core.idempotency.table.max_result_bytes = 250
     answers = []
     for n in range(5):
-        host.post(events.RequestArrived(make_request(f"t{n}", answers, class_index=1, key=n)))
-        loop.call_later(0.02, host.post, events.RunCompleted(f"t{n}", admission.Outcome.OK, 1.0, "r" * 100))
+        core.post(events.RequestArrived(make_request(f"t{n}", answers, class_index=1, key=n)))
+        loop.call_later(0.02, core.post, events.RunCompleted(f"t{n}", admission.Outcome.OK, 1.0, "r" * 100))
     for n in range(5):  # scheduled after the last run, so that they arrive after its end even if this test stalls
         retry = make_request(f"again{n}", answers, class_index=1, key=n)
-        loop.call_later(0.04, host.post, events.RequestArrived(retry))
+        loop.call_later(0.04, core.post, events.RequestArrived(retry))
     loop.run()
     assert dict(answers) == {
         **{f"t{n}": AnswerKind.SERVED for n in range(5)},
@@ -216,66 +217,66 @@
         "again4": AnswerKind.SERVED,
         **{f"again{n}": AnswerKind.FAILED for n in range(3)},
     }
-    assert host.peers.executor.runs == [f"t{n}" for n in range(5)]
-    assert host.idempotency.table.result_bytes == 200
+    assert core.peers.executor.runs == [f"t{n}" for n in range(5)]
+    assert core.idempotency.table.result_bytes == 200
 
 
-def assert_ended_without_a_run(host):
+def assert_ended_without_a_run(core):
     """Check that a request was removed without a run, and that the decision module learned no duration from it."""
-    assert not host.peers.executor.runs
-    assert not len(host.requests)
-    assert host.module.controller.events[-2:] == [
+    assert not core.peers.executor.runs
+    assert not len(core.requests)
+    assert core.module.controller.events[-2:] == [
         admission.ClientCancelled(1),
         admission.RunCompleted(1, admission.Outcome.CANCELLED, 0.0),
     ]
 
 
 def test_an_attempt_cancelled_while_its_claim_waits_is_not_started_and_releases_its_key(make_core):
-    loop, host = make_core(start_keyed)
+    loop, core = make_core(start_keyed)
     answers = []
     link = FakeLink()
     cancelled = make_request("a", answers, class_index=1, key=("k",))
-    host.post(events.PeerConnected(link, owns_keys=True))
-    host.post(events.RequestArrived(cancelled))
-    loop.call_later(0.02, host.post, events.ClientCancelled(cancelled))
+    core.post(events.PeerConnected(link, owns_keys=True))
+    core.post(events.RequestArrived(cancelled))
+    loop.call_later(0.02, core.post, events.ClientCancelled(cancelled))
     loop.call_later(
         0.04,
-        lambda: host.post(events.PeerMessage(link, messages.ClaimGranted(1, ("k",), link.sent[0].expires_at_ms))),
+        lambda: core.post(events.PeerMessage(link, messages.ClaimGranted(1, ("k",), link.sent[0].expires_at_ms))),
     )
     loop.run()
     assert [type(message) for message in link.sent] == [messages.ClaimRequest, messages.KeyReleased]
     assert not answers
-    assert not len(host.idempotency.table)
-    assert_ended_without_a_run(host)
+    assert not len(core.idempotency.table)
+    assert_ended_without_a_run(core)
 
 
 def test_an_attempt_denied_by_the_other_process_gets_its_result_and_no_run_time_is_learned(make_core):
-    loop, host = make_core(start_keyed)
+    loop, core = make_core(start_keyed)
     answers = []
     link = FakeLink()
-    host.post(events.PeerConnected(link, owns_keys=True))
-    host.post(events.RequestArrived(make_request("a", answers, class_index=1, key=("k",))))
+    core.post(events.PeerConnected(link, owns_keys=True))
+    core.post(events.RequestArrived(make_request("a", answers, class_index=1, key=("k",))))
     for delay_s, message in (
         (0.02, messages.KeyClaimed(("k",), 6000.0, digest_request("any", ""))),
         (0.03, messages.ClaimDenied(1, ("k",))),
         (0.05, messages.KeyCompleted(("k",), "r")),
     ):
-        loop.call_later(delay_s, host.post, events.PeerMessage(link, message))
+        loop.call_later(delay_s, core.post, events.PeerMessage(link, message))
     loop.run()
     assert answers == [("a", AnswerKind.SERVED)]
-    assert_ended_without_a_run(host)
+    assert_ended_without_a_run(core)
 
 
 def test_messages_of_a_link_that_has_ended_are_ignored(make_core):
-    loop, host = make_core(start_keyed)
+    loop, core = make_core(start_keyed)
     answers = []
     link = FakeLink()
     next_link = FakeLink()
-    host.post(events.PeerConnected(link, owns_keys=True))
-    host.post(events.PeerConnected(next_link, owns_keys=True))
-    host.post(events.RequestArrived(make_request("a", answers, class_index=1, key=("k",))))
-    loop.call_later(0.02, host.post, events.PeerMessage(link, messages.ClaimGranted(1, ("k",), 1e13)))
-    loop.call_later(0.03, host.post, events.PeerDisconnected(link, True))
+    core.post(events.PeerConnected(link, owns_keys=True))
+    core.post(events.PeerConnected(next_link, owns_keys=True))
+    core.post(events.RequestArrived(make_request("a", answers, class_index=1, key=("k",))))
+    loop.call_later(0.02, core.post, events.PeerMessage(link, messages.ClaimGranted(1, ("k",), 1e13)))
+    loop.call_later(0.03, core.post, events.PeerDisconnected(link, True))
     loop.run()
-    assert not host.peers.executor.runs
-    assert host.idempotency.ownership.role is Role.FOLLOWER
+    assert not core.peers.executor.runs
+    assert core.idempotency.ownership.role is Role.FOLLOWER
