--- a/lapispick/host/core/answers.py
+++ b/lapispick/host/core/answers.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from lapispick.host.extended_metrics import ExtendedMetrics
 
-SLACK_MS = 60.0  # tolerance of the rule that each request is answered by its deadline
+DEADLINE_SLACK_MS = 60.0  # tolerance of the rule that each request is answered by its deadline
 
 
 class AnswerSender:
@@ -26,18 +26,18 @@
         self.extended_metrics: ExtendedMetrics | None = None
         signal = settings.backpressure_signal
         self.backpressure: float | None = None if signal is admission.BackpressureSignal.NONE else 0.0
-        self.owed = 0  # requests that wait for their answer
+        self.unanswered = 0  # requests that wait for their answer
         self.cancelled = 0  # requests whose clients cancelled them
 
     def count_request(self, request: Request) -> None:
         """Count a request that was read and must be answered."""
-        self.owed += 1
+        self.unanswered += 1
         if self.extended_metrics is not None:
             request.read_at = self._clock.now
 
     def send(self, request: Request, answer: Answer) -> None:
         """Send the final answer of a request."""
-        self.owed -= 1
+        self.unanswered -= 1
         self.metrics.answered(answer.kind, request.class_index)
         if self.extended_metrics is not None:
             self._record_extended_metrics(self.extended_metrics, request, answer.kind)
@@ -52,7 +52,7 @@
         metrics.answered(kind, request.class_index, now - request.born_at, now - request.read_at)
         deadline_at = request.deadline_at or request.born_at + self._classes[request.class_index].deadline_ms
         # A request that was read after its deadline was late before this process had it, and is not counted.
-        metrics.broken_rules += request.read_at <= deadline_at < self._clock.now - SLACK_MS
+        metrics.broken_rules += request.read_at <= deadline_at < self._clock.now - DEADLINE_SLACK_MS
 
     def count_cancelled_before_arrival(self, request: Request) -> None:
         """Count a request that its client cancelled before it reached the core."""
@@ -61,7 +61,7 @@
     def count_cancelled(self, request: Request) -> None:
         """Count a request that its client cancelled; its front answers a client that still listens."""
         self.cancelled += 1
-        self.owed -= 1
+        self.unanswered -= 1
         self.metrics.answered(AnswerKind.FAILED, request.class_index)
 
     def advertise(self, action: admission.Advertise) -> None:
--- a/lapispick/host/core/arrivals.py
+++ b/lapispick/host/core/arrivals.py
@@ -82,7 +82,7 @@
         if self._module.controller is None:
             log(LOG, logging.WARNING, "request-rejected", request_id=request.request_id, reason="not ready")
             return Answer(AnswerKind.REJECTED, retry_after_ms=NOT_READY_RETRY_AFTER_MS)
-        if self._answers.owed > self._open_limit:  # bounds the memory even if a front sends more than expected
+        if self._answers.unanswered > self._open_limit:  # bounds the memory even if a front sends more than expected
             log(LOG, logging.WARNING, "request-rejected", request_id=request.request_id, reason="too many open")
             return Answer(AnswerKind.REJECTED, retry_after_ms=NOT_READY_RETRY_AFTER_MS)
         if self._requests.find(request.request_id) is not None:
--- a/lapispick/host/core/dispatcher.py
+++ b/lapispick/host/core/dispatcher.py
@@ -115,9 +115,9 @@
         }
 
     @property
-    def owed(self) -> int:
+    def unanswered(self) -> int:
         """The number of requests that wait for their answer."""
-        return self.answers.owed
+        return self.answers.unanswered
 
     def post(self, event: events.Event) -> None:
         """Add an event to the queue."""
--- a/lapispick/host/core/health_checks.py
+++ b/lapispick/host/core/health_checks.py
@@ -46,7 +46,7 @@
         event_name = "drain-on" if draining else "drain-off"
         if self._peers.recorder is not None:
             self._peers.recorder.record_occurrence(event_name)
-        log(LOG, logging.INFO, event_name, unanswered=self._answers.owed)
+        log(LOG, logging.INFO, event_name, unanswered=self._answers.unanswered)
         self.report()
 
     def on_health_check_received(self, event: events.HealthCheckReceived, module_events: list[admission.Event]) -> None:
--- a/lapispick/host/core/housekeeping.py
+++ b/lapispick/host/core/housekeeping.py
@@ -66,7 +66,7 @@
             "request-totals",
             **{kind.value: self._answers.metrics.total(kind) for kind in AnswerKind},
             cancelled=self._answers.cancelled,
-            unanswered=self._answers.owed,
+            unanswered=self._answers.unanswered,
             in_flight=len(self._requests),
             keys=len(self._idempotency.table),
             backpressure=self._answers.backpressure,
--- a/lapispick/host/core/shutdown.py
+++ b/lapispick/host/core/shutdown.py
@@ -50,7 +50,7 @@
             logging.INFO,
             "shutdown-started",
             stop_ms=event.stop_ms,
-            unanswered=self._answers.owed,
+            unanswered=self._answers.unanswered,
             handed_over=event.handed_over,
         )
         module_events.append(admission.ShutdownRequested(self._clock.now + event.stop_ms, event.handed_over))
--- a/lapispick/host/members/assembly.py
+++ b/lapispick/host/members/assembly.py
@@ -28,7 +28,7 @@
     def collect(self) -> list[tuple[str, str, float, int, str]]:
         """Return the present facts: kind, subject, value, sample count and text of each."""
         health = self._core.health.state
-        load = round(self._core.owed / max(1, self._config.limits.max_open_requests), 2)
+        load = round(self._core.unanswered / max(1, self._config.limits.max_open_requests), 2)
         facts = [
             ("draining", "", float(health.draining or health.shutting_down), 1, ""),
             ("load", "", load, 1, ""),
--- a/lapispick/host/operator_calls.py
+++ b/lapispick/host/operator_calls.py
@@ -30,7 +30,7 @@
     def _list_metrics(self) -> list[str]:
         answers = self._core.answers
         extended = answers.extended_metrics.lines() if answers.extended_metrics is not None else []
-        return [*answers.metrics.lines(self._core.owed), *extended, "END"]
+        return [*answers.metrics.lines(self._core.unanswered), *extended, "END"]
 
     def _set_draining(self, draining: bool) -> list[str]:
         self._core.post(events.DrainChanged(draining))  # in the queue before any health check that is read after this
--- a/lapispick/host/shutdown.py
+++ b/lapispick/host/shutdown.py
@@ -94,7 +94,7 @@
     def _all_answered(self) -> bool:
         """Tell whether all that was received is read and answered, and the answers handed to the operating system."""
         return (
-            self._core.owed == 0
+            self._core.unanswered == 0
             and self._gateways.is_idle()
             and all(front.is_flushed() for front in self._core.peers.fronts)
         )
@@ -111,5 +111,5 @@
             self._handover.finish()
         if self._recorder is not None:
             self._recorder.close(stop_at - time.monotonic())
-        log(LOG, logging.INFO, "ended", unanswered=self._core.owed)
+        log(LOG, logging.INFO, "ended", unanswered=self._core.unanswered)
         self._loop.stop()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -146,7 +146,7 @@
     core.post(events.RequestArrived(make_request("a", answers)))
     loop.run()
     assert answers == [("a", AnswerKind.FAILED)]
-    assert core.owed == 0
+    assert core.unanswered == 0
 
 
 def test_a_second_run_of_a_key_is_never_started_whatever_the_module_decides(make_core):
@@ -179,7 +179,7 @@
     core.post(events.ClientCancelled(cancelled))
     loop.run()
     assert answers == [("a", AnswerKind.FAILED)]
-    assert core.owed == 0
+    assert core.unanswered == 0
 
 
 def test_a_retained_record_does_not_keep_its_request_in_memory(make_core):
