--- a/lapispick/host/core/housekeeping.py
+++ b/lapispick/host/core/housekeeping.py
@@ -48,7 +48,7 @@
     def _sweep(self) -> None:
         """End lost runs and remove expired records.
 
-        A record is removed only after every retry that was created within its window must have been read.
+        A record is removed so late that every retry that was created within its window has been read by then.
         """
         self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         table = self._idempotency.table
