--- a/lapispick/rollout/host_actions.py
+++ b/lapispick/rollout/host_actions.py
@@ -1,4 +1,7 @@
-"""What an agent does once a decision is stored. Each action may be repeated after a death of the agent. No I/O."""
+"""Actions of an agent, carried out once the decision is stored. No I/O.
+
+An agent that crashed may repeat each of them after its restart.
+"""
 
 from __future__ import annotations
 
@@ -8,25 +11,25 @@
 
 
 class Start(NamedTuple):
-    """Start a process, unless it is running."""
+    """Start of a process; does nothing if the process is already running."""
 
     process: HostProcess
 
 
 class Reload(NamedTuple):
-    """Let a running process take another generation's configuration by SIGHUP."""
+    """Reload of a running process by SIGHUP, with another generation's configuration."""
 
     process: HostProcess
 
 
 class Terminate(NamedTuple):
-    """Ask a process by SIGTERM to drain and end."""
+    """SIGTERM to a process, which makes it drain and exit."""
 
     number: int
 
 
 class Kill(NamedTuple):
-    """End a process at once."""
+    """SIGKILL to a process."""
 
     number: int
 
--- a/lapispick/rollout/host_calls.py
+++ b/lapispick/rollout/host_calls.py
@@ -1,4 +1,4 @@
-"""What an agent answers to controllers, and how a call changes its state. No I/O and no clock."""
+"""Handling of controllers' calls: the change of the agent's state and the answer. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 from lapispick.rollout.host_state import CALLED_BACK, HostPhase, HostProcess, HostState, Observation, Role, copy_of
 from lapispick.rollout.messages import Change, Confirm, RollBack, Status
 
+# First lines of answers.
 OK = "OK"
 DONE = "OK done"
 UNDER_WAY = "OK under way"
@@ -18,15 +19,15 @@
 
 
 class CallResult(NamedTuple):
-    """The state after a call and the first line of the answer; nothing is done before the state is stored."""
+    """State after a call, and the first line of the answer; the state is stored before anything acts on it."""
 
     state: HostState
     answer: str
 
 
 def handle_call(state: HostState, call: messages.Call, now: float, observation: Observation) -> CallResult:
-    """Carry out a call of a controller, unless its fence is too old; ``state`` is left alone."""
-    if not messages.is_accepted(state.fence, call.fence):
+    """Handle a call of a controller, or reject it if its fence is too old; ``state`` itself is not modified."""
+    if not messages.is_fence_accepted(state.fence, call.fence):
         return CallResult(state, f"ERR fenced: {state.fence} steers, not {call.fence}")
     changed = copy_of(state)
     changed.epoch = call.fence.epoch
@@ -41,13 +42,13 @@
 
 
 def _accepting_process(state: HostState, observation: Observation) -> HostProcess | None:
-    """Return the process that serves, if it accepts clients."""
+    """Return the serving process if it accepts clients, else None."""
     serving = state.process(Role.SERVING)
     return serving if serving is not None and serving.number in observation.accepting else None
 
 
 def _begin_change(state: HostState, call: Change, observation: Observation) -> str:
-    answer = _change_answered(state, call) or _change_rejected(state, call, observation)
+    answer = _answer_without_change(state, call) or _rejection_answer(state, call, observation)
     if answer:
         return answer
     state.target = call.generation
@@ -62,8 +63,8 @@
     return OK
 
 
-def _change_answered(state: HostState, call: Change) -> str:
-    """Return the answer to a change that is under way, done, rolled back, or comes amid another one."""
+def _answer_without_change(state: HostState, call: Change) -> str:
+    """Return the answer to a change that is in progress, done or rolled back, or that another blocks; else empty."""
     is_same = (state.rollout, state.target) == (call.rollout, call.generation)
     if is_same and state.phase in (HostPhase.CHANGING, HostPhase.UNCONFIRMED):
         return UNDER_WAY
@@ -75,10 +76,10 @@
     return f"ERR undone: {state.fault}" if was_rolled_back else ""
 
 
-def _change_rejected(state: HostState, call: Change, observation: Observation) -> str:
-    """Return why a new change can't begin; empty where it can."""
+def _rejection_answer(state: HostState, call: Change, observation: Observation) -> str:
+    """Return the answer that rejects a new change; empty if the change can begin."""
     serving = _accepting_process(state, observation)
-    if serving is None:  # SIGHUP would end a process that is only starting
+    if serving is None:  # SIGHUP would terminate a process that is still starting
         return NOTHING_SERVES
     generations = observation.generations
     if call.generation not in generations:
@@ -130,7 +131,7 @@
 
 
 def status_of(state: HostState, now: float, observation: Observation, memory_limit_mb: float = 0.0) -> Status:
-    """Return the status that controllers get."""
+    """Return the status that the agent reports to controllers."""
     serving = state.process(Role.SERVING)
     accepting = _accepting_process(state, observation)
     is_unconfirmed = state.phase == HostPhase.UNCONFIRMED
--- a/lapispick/rollout/host_context.py
+++ b/lapispick/rollout/host_context.py
@@ -1,4 +1,4 @@
-"""What one step of a host works on: the state, the observation, and the actions that follow. No I/O, no clock."""
+"""Context of one step of a host: its state, the observation and the resulting actions. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class HostContext:
-    """One step of a host: changes ``state`` and collects ``actions``."""
+    """Context of one step of a host, which modifies ``state`` and appends to ``actions``."""
 
     def __init__(self, state: HostState, now: float, observation: Observation, timeouts: Timeouts) -> None:
         self.state = state
@@ -20,11 +20,11 @@
         self.actions: list[Action] = []
 
     def accepts(self, process: HostProcess) -> bool:
-        """Tell whether a process accepts clients."""
+        """Return True if a process accepts clients."""
         return process.number in self.observation.accepting
 
     def roll_back(self, fault: str) -> None:
-        """Undo the change that is under way."""
+        """Begin to roll back the change that is in progress."""
         state = self.state
         state.fault = fault
         state.rolled_back_rollout = state.rollout
@@ -32,17 +32,20 @@
         state.phase = HostPhase.ROLLING_BACK
         state.is_restart = False
 
-    def start_failed(self, fault: str) -> None:
-        """Take note of a failed start; what served before still does, if anything does."""
+    def handle_failed_start(self, fault: str) -> None:
+        """Record a failed start; a change is given up, a rollback is retried after a backoff.
+
+        A process that served before the start still serves.
+        """
         state = self.state
         state.fault = fault
         if state.phase == HostPhase.CHANGING:
             self.give_up_change()
-        elif state.phase == HostPhase.ROLLING_BACK:  # one failed start must not keep what is to be rolled back
+        elif state.phase == HostPhase.ROLLING_BACK:  # one failed start must not leave the change in place
             self._back_off_after_failed_start()
 
     def give_up_change(self) -> None:
-        """Stay in the good generation, which still serves."""
+        """End a change and keep the good generation, which still serves."""
         state = self.state
         state.rolled_back_rollout = state.rollout
         state.target = state.good
@@ -50,7 +53,7 @@
         state.is_restart = False
 
     def back_off_after_crash(self, was_stable: bool) -> None:
-        """Put off the next start: by the shortest pause after a stable process, else by twice the pause before."""
+        """Delay the next start by the minimum backoff if the process was stable, else by twice the previous backoff."""
         state = self.state
         state.restart_backoff_s = MIN_RESTART_BACKOFF_S if was_stable else self._doubled_backoff_s()
         state.restart_not_before = self.now + state.restart_backoff_s
@@ -64,7 +67,7 @@
         return min(MAX_RESTART_BACKOFF_S, max(MIN_RESTART_BACKOFF_S, self.state.restart_backoff_s * 2))
 
     def can_start(self) -> bool:
-        """Tell whether a slot is free and no backoff is under way."""
+        """Return True if a slot is free and the backoff is over."""
         return self.state.free_slot() is not None and self.now >= self.state.restart_not_before
 
     def start_process(self, role: Role, generation: str) -> None:
--- a/lapispick/rollout/host_state.py
+++ b/lapispick/rollout/host_state.py
@@ -1,7 +1,7 @@
-"""The state of one host's agent, as it is stored, and what the agent observes. No I/O.
+"""Stored state of one host's agent, and the agent's observations. No I/O.
 
-``host_step.py`` describes the phases and decides on the transitions between them. Times are seconds of a clock that
-goes on while the agent is dead and starts anew with the machine; ``boot_id`` tells the starts of the machine apart.
+``host_step.py`` describes the phases and decides on the transitions between them. Times are seconds of a monotonic
+clock that keeps running while the agent is down and restarts when the machine boots; ``boot_id`` identifies the boot.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from lapispick.rollout.generations import Generation
 from lapispick.rollout.messages import Fence
 
-SLOTS = 2  # addresses for operators and executors: of a process and of its successor
+SLOTS = 2  # for a process and its successor; each slot has its own addresses for operators and executors
 STATE_VERSION = 1
 
-# Faults that controllers recognise: agents of all versions report them in these words.
+# Controllers compare these faults as text, so agents of all versions must report exactly this text.
 NOT_CONFIRMED_IN_TIME = "was not confirmed in time"
 CALLED_BACK = "called back"
 
 
 class HostPhase(StrEnum):
-    """The phases of a host; the values are stored and reported to controllers."""
+    """Phase of a host; the values are stored and reported to controllers."""
 
     STEADY = "steady"
     CHANGING = "trying"
@@ -34,7 +34,7 @@
 
 
 class Role(StrEnum):
-    """What a process of the host is for; the values are stored."""
+    """Role of a process of the host; the values are stored."""
 
     SERVING = "serving"
     STARTING = "coming"
@@ -42,37 +42,38 @@
 
 
 class Timeouts(msgspec.Struct, frozen=True):
-    """How long things may take, in seconds."""
+    """Time limits of an agent, in seconds."""
 
     start_s: float = 6.0  # from the start of a process to accepting clients
-    stop_s: float = 6.0  # from SIGTERM to the end of the process; then it is killed
-    min_uptime_s: float = 10.0  # a process that lasted as long did not fail to start
-    rollback_lease_wait_s: float = (
-        0.0  # to wait for a lease before rolling back what nobody confirmed; 0 = none is requested
-    )
+    stop_s: float = 6.0  # from SIGTERM to the exit of the process; after that it is killed
+    min_uptime_s: float = 10.0  # after a process that ran this long, the restart backoff begins at its minimum
+    rollback_lease_wait_s: float = 0.0  # wait for a lease before rolling back an unconfirmed change; 0 = none requested
 
 
 class HostProcess(msgspec.Struct):
-    """One process of the host, from before its start until after its end."""
+    """One process of the host, from the decision to start it until its exit is observed.
+
+    The names passed to ``field`` are those of the stored record.
+    """
 
     number: int
     generation: str
     slot: int
     role: Role
-    change: int  # the number of the change it was started for
+    change: int  # the value of ``HostState.change`` that the process runs for
     role_since: float = msgspec.field(name="asked")
-    was_alive: bool = msgspec.field(name="begun", default=False)
+    was_running: bool = msgspec.field(name="begun", default=False)  # has been observed running
     has_accepted: bool = msgspec.field(name="took", default=False)
-    unresponsive_since: float = msgspec.field(name="silent", default=0.0)  # on its operators' address; 0 = it answers
-    unresponsive_checks: int = msgspec.field(name="looks", default=0)  # in a row
+    unresponsive_since: float = msgspec.field(name="silent", default=0.0)  # at its operators' address; 0 = it answers
+    unresponsive_checks: int = msgspec.field(name="looks", default=0)  # consecutive
 
 
 class HostState(msgspec.Struct):
-    """All that an agent stores, under the names given to ``field``."""
+    """Stored state of an agent; the names passed to ``field`` are those of the stored record."""
 
     host: str = msgspec.field(name="box")
-    good: str = ""  # the generation to roll back to; confirmed
-    previous: str = ""  # what was good before the present rollout; it can still be rolled back to
+    good: str = ""  # the last confirmed generation, to which a change is rolled back
+    previous: str = ""  # the good generation before the current rollout, to which it can still be rolled back
     target: str = msgspec.field(name="wanted", default="")  # the generation to move to
     rollout: str = ""
     phase: HostPhase = HostPhase.STEADY
@@ -94,38 +95,38 @@
 
     @property
     def fence(self) -> Fence:
-        """Return the newest fence that the agent has seen."""
+        """Return the newest fence that the agent has accepted."""
         return Fence(self.epoch, self.controller)
 
     def process(self, role: Role) -> HostProcess | None:
-        """Return the newest process in a role."""
+        """Return the newest process in a role, or None."""
         in_role = (process for process in self.processes if process.role == role)
         return max(in_role, key=lambda process: process.number, default=None)
 
     def free_slot(self) -> int | None:
-        """Return a slot that no process uses."""
+        """Return a slot that no process uses, or None."""
         taken = {process.slot for process in self.processes}
         return next((slot for slot in range(SLOTS) if slot not in taken), None)
 
 
 class Observation(NamedTuple):
-    """What the agent observes of the processes and the generations on disk; processes by number."""
+    """Observation of the processes, by their numbers, and of the generations on disk."""
 
     alive: frozenset[int]
-    accepting: frozenset[int]  # those that accept clients
+    accepting: frozenset[int]  # processes that accept clients
     generations: Mapping[str, Generation]
     boot_id: str = ""
-    unresponsive: frozenset[int] = frozenset()  # those that answered operators nothing at all
-    has_lease: bool = False  # this host holds the lease to change
+    unresponsive: frozenset[int] = frozenset()  # processes that did not answer a health check at all
+    has_lease: bool = False  # this host holds the rollback lease
 
 
 def copy_of(state: HostState) -> HostState:
-    """Return a state that can be changed without touching this one."""
+    """Return a copy whose modification leaves the original state unchanged."""
     processes = [msgspec.structs.replace(process) for process in state.processes]
     return msgspec.structs.replace(state, processes=processes)
 
 
 def needed_generations(state: HostState) -> set[str]:
-    """Return the generations that must stay on disk."""
+    """Return the generations that must remain on disk."""
     running = (process.generation for process in state.processes)
     return {state.good, state.previous, state.target, *running} - {""}
--- a/lapispick/rollout/host_step.py
+++ b/lapispick/rollout/host_step.py
@@ -1,17 +1,18 @@
-"""Decides one host: which process is started, drained or killed, and when a change is rolled back. No I/O.
+"""Decides for one host which processes to start, drain or kill, and when to roll a change back. No I/O.
 
-The state is stored before anything that follows from it is done, and each step is decided from the state and from what
-is observed of the processes. So an agent that restarts at any instant continues from there; an action may be repeated.
+The state is stored before the actions of a decision are carried out, and each decision follows from the stored state
+and the observed processes. So an agent that restarts at any time continues from the stored state; it may repeat an
+action.
 
-| phase (stored as) | what serves | what ends it |
+| phase (stored as) | serving generation | next phase |
 | --- | --- | --- |
-| STEADY | the good generation | a change |
-| CHANGING (trying) | what served before, while the new one starts | it accepts clients: UNCONFIRMED; it fails: STEADY |
+| STEADY | the good one | a change: CHANGING; a rollback of a confirmed change: ROLLING_BACK |
+| CHANGING (trying) | the same as before, while the new one starts | it accepts clients: UNCONFIRMED; it fails: STEADY |
 | UNCONFIRMED (proving) | the new one | confirmed: STEADY; timeout, crash or a call: ROLLING_BACK |
-| ROLLING_BACK (returning) | the new one; the good one starts beside it | the good one accepts clients: STEADY |
-| STUCK | what served before; the good generation is not on disk | it is there again: ROLLING_BACK |
+| ROLLING_BACK (returning) | the new one, while the good one starts | the good one accepts clients: STEADY |
+| STUCK | the same as before; the good one is not on disk | it is on disk again: ROLLING_BACK |
 
-In every phase a host without any process starts the good generation: a host must never end up without a process.
+In every phase a host without a process starts the good generation, as a host must never remain without a process.
 """
 
 from __future__ import annotations
@@ -32,21 +33,22 @@
 )
 from lapispick.rollout.host_transition import move_to_target
 
-HUNG_AFTER_STARTS = 5  # start timeouts after which a process that serves nobody, and has no successor, is replaced
-MIN_UNRESPONSIVE_CHECKS = 5  # so that an agent that was suspended does not count that time by its first check
-_CHANGE_IN_PROGRESS = (HostPhase.CHANGING, HostPhase.UNCONFIRMED)
-_TRANSITIONS = (HostPhase.CHANGING, HostPhase.ROLLING_BACK)
+HUNG_AFTER_START_TIMEOUTS = 5  # start timeouts until a process that serves no clients and has no successor is replaced
+# A suspended agent must not count the time of its suspension as unresponsiveness at its first check afterwards.
+MIN_UNRESPONSIVE_CHECKS = 5
+_CHANGE_PHASES = (HostPhase.CHANGING, HostPhase.UNCONFIRMED)
+_TRANSITION_PHASES = (HostPhase.CHANGING, HostPhase.ROLLING_BACK)
 
 
 class HostDecision(NamedTuple):
-    """The state from now on, and what to do once it is stored."""
+    """New state of a host, and the actions to carry out once it is stored."""
 
     state: HostState
     actions: list[Action]
 
 
 def decide(state: HostState, now: float, observation: Observation, timeouts: Timeouts) -> HostDecision:
-    """Return the next state of a host and the actions that follow from it; ``state`` is left alone."""
+    """Return the next state of a host and the resulting actions; ``state`` itself is not modified."""
     context = HostContext(copy_of(state), now, observation, timeouts)
     state = context.state
     if state.boot_id != observation.boot_id:
@@ -57,7 +59,7 @@
     if state.phase == HostPhase.STUCK and state.good in observation.generations:
         state.phase = HostPhase.ROLLING_BACK
         state.target = state.good
-    if state.phase in _TRANSITIONS:
+    if state.phase in _TRANSITION_PHASES:
         move_to_target(context)
     _ensure_serving(context)
     _end_draining(context)
@@ -65,33 +67,33 @@
 
 
 def _forget_processes_before_boot(context: HostContext) -> None:
-    """Forget the processes from before the machine started; its clock began anew."""
+    """Remove the processes and times from before the machine's last boot, which also reset its clock."""
     state = context.state
     is_first = not state.boot_id
     state.boot_id = context.observation.boot_id
     state.processes = []
     state.restart_not_before = 0.0
-    if not is_first and state.phase in _CHANGE_IN_PROGRESS:
+    if not is_first and state.phase in _CHANGE_PHASES:
         context.roll_back("the machine started again before the change was confirmed")
 
 
 def _update_processes(context: HostContext) -> None:
-    """Take over what is observed of each process; kill processes that the state does not know."""
+    """Update the state from the observed processes; kill processes that are not in the state."""
     state = context.state
-    alive = context.observation.alive
-    # An agent that died may have removed a process from the state without having killed it.
-    unknown = sorted(alive - {process.number for process in state.processes})
+    running = context.observation.alive
+    # An agent that crashed may have removed a process from the state before it killed the process.
+    unknown = sorted(running - {process.number for process in state.processes})
     context.actions += [Kill(number) for number in unknown]
     for process in list(state.processes):
-        if process.number in alive:
-            _update_alive(context, process)
-        elif process.was_alive:
+        if process.number in running:
+            _update_running(context, process)
+        elif process.was_running:
             state.processes.remove(process)
-            _process_ended(context, process)
+            _handle_process_end(context, process)
 
 
-def _update_alive(context: HostContext, process: HostProcess) -> None:
-    process.was_alive = True
+def _update_running(context: HostContext, process: HostProcess) -> None:
+    process.was_running = True
     process.has_accepted = process.has_accepted or context.accepts(process)
     if process.number not in context.observation.unresponsive:
         process.unresponsive_since = 0.0
@@ -101,7 +103,7 @@
         process.unresponsive_checks += 1
 
 
-def _process_ended(context: HostContext, process: HostProcess) -> None:
+def _handle_process_end(context: HostContext, process: HostProcess) -> None:
     state = context.state
     if process.role == Role.DRAINING:
         return
@@ -109,21 +111,21 @@
     uptime_s = context.now - process.role_since
     context.back_off_after_crash(was_stable=uptime_s >= context.timeouts.min_uptime_s)
     if process.role == Role.STARTING:
-        context.start_failed(f"the process of {process.generation} ended before it took clients")
+        context.handle_failed_start(f"the process of {process.generation} ended before it took clients")
     elif state.phase == HostPhase.UNCONFIRMED and process.change == state.change:
         context.roll_back(f"the process of {process.generation} ended")
 
 
 def _ensure_serving(context: HostContext) -> None:
-    """Start a process where none serves or starts, and replace one that hangs."""
+    """Start a process if none serves or starts, and kill a serving process that hangs so that it is replaced."""
     state = context.state
     serving = state.process(Role.SERVING)
     if serving is not None:
-        if serving.was_alive and _is_hung(context, serving):
+        if serving.was_running and _is_hung(context, serving):
             state.processes.remove(serving)
             context.actions.append(Kill(serving.number))
-            _process_ended(context, serving)
-        elif not serving.was_alive:
+            _handle_process_end(context, serving)
+        elif not serving.was_running:
             context.actions.append(Start(serving))
         return
     if state.process(Role.STARTING) is not None or not context.can_start():
@@ -138,11 +140,11 @@
 
 
 def _is_hung(context: HostContext, serving: HostProcess) -> bool:
-    """Tell whether a process without a successor never accepted clients, or accepted some and answers no more.
+    """Return True if a process without a successor never accepted clients in time, or has stopped answering.
 
-    A process that was suspended for seconds, or is drained, or too busy for clients, is not hung.
+    A process that was suspended for seconds, is drained, or is too busy to accept clients is not hung.
     """
-    timeout_s = HUNG_AFTER_STARTS * context.timeouts.start_s
+    timeout_s = HUNG_AFTER_START_TIMEOUTS * context.timeouts.start_s
     if not serving.has_accepted:
         return context.now - serving.role_since >= timeout_s
     if serving.unresponsive_checks < MIN_UNRESPONSIVE_CHECKS:
@@ -151,7 +153,7 @@
 
 
 def _end_draining(context: HostContext) -> None:
-    """Ask draining processes to end, and kill those that take too long."""
+    """Send SIGTERM to draining processes, and kill those that exceed the stop timeout."""
     for process in context.state.processes:
         if process.role != Role.DRAINING or process.number not in context.observation.alive:
             continue
--- a/lapispick/rollout/host_transition.py
+++ b/lapispick/rollout/host_transition.py
@@ -1,4 +1,4 @@
-"""Moves a host from the generation that serves to its target, forward or back. No I/O and no clock."""
+"""Moves a host from its serving generation to its target, for a change or a rollback. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 def move_to_target(context: HostContext) -> None:
-    """Take the next step towards the target generation."""
+    """Take the next step of the transition to the target generation."""
     state = context.state
     serving = state.process(Role.SERVING)
     starting = state.process(Role.STARTING)
     if starting is None and serving is not None and _is_at_target(context, serving):
-        return _arrive(context)
+        return _finish_transition(context)
     if state.target not in context.observation.generations:
-        return _target_is_missing(context)
-    if starting is not None and starting.generation != state.target:  # of a change that was rolled back meanwhile
+        return _handle_missing_target(context)
+    if starting is not None and starting.generation != state.target:  # its change was rolled back meanwhile
         state.processes.remove(starting)
         context.actions.append(Kill(starting.number))
         starting = None
     if starting is not None:
-        return _follow_start(context, serving, starting)
-    if serving is not None:  # where nothing serves, the step starts a process anyway
-        return _replace(context, serving)
+        return _advance_start(context, serving, starting)
+    if serving is not None:  # if nothing serves, ``host_step`` starts a process in any phase
+        return _reload_or_replace(context, serving)
     return None
 
 
@@ -35,7 +35,7 @@
     return not state.is_restart or process.change == state.change
 
 
-def _arrive(context: HostContext) -> None:
+def _finish_transition(context: HostContext) -> None:
     state = context.state
     if state.phase == HostPhase.CHANGING:
         state.phase = HostPhase.UNCONFIRMED
@@ -47,7 +47,7 @@
     state.is_restart = False
 
 
-def _target_is_missing(context: HostContext) -> None:
+def _handle_missing_target(context: HostContext) -> None:
     state = context.state
     state.fault = f"{state.target} is gone from the shelf"
     if state.phase == HostPhase.ROLLING_BACK:
@@ -58,13 +58,13 @@
     state.target = state.good
 
 
-def _replace(context: HostContext, serving: HostProcess) -> None:
-    """Reload the serving process where that is enough, or start a successor."""
+def _reload_or_replace(context: HostContext, serving: HostProcess) -> None:
+    """Reload the serving process if that is enough, otherwise start a successor."""
     if _can_reload_to_target(context, serving):
         serving.generation = context.state.target
         serving.change = context.state.change
         context.actions.append(Reload(serving))
-        _arrive(context)
+        _finish_transition(context)
     elif not _waits_for_lease(context) and context.can_start():
         context.start_process(Role.STARTING, context.state.target)
 
@@ -79,10 +79,11 @@
 
 
 def _waits_for_lease(context: HostContext) -> bool:
-    """Tell whether to wait for a lease before an unconfirmed change is rolled back.
+    """Return True if the rollback of an unconfirmed change still has to wait for a lease.
 
-    Where a controller is cut off from many hosts, all their timeouts end at one instant. Nothing is known to be wrong
-    with what serves, so the rollback may wait, but not forever: a lease needs a majority of the members.
+    If many hosts are partitioned from their controller, their confirmation timeouts expire at the same time, and the
+    lease limits how many roll back at once. No fault of the serving generation is known, so the rollback may wait. The
+    wait is limited, because a lease needs a majority of the members, which may not be reachable.
     """
     state = context.state
     if state.phase != HostPhase.ROLLING_BACK or state.fault != NOT_CONFIRMED_IN_TIME:
@@ -92,8 +93,8 @@
     return context.now < state.confirm_deadline + context.timeouts.rollback_lease_wait_s
 
 
-def _follow_start(context: HostContext, serving: HostProcess | None, starting: HostProcess) -> None:
-    """Hand over to a started process once it accepts clients; give up on it once it takes too long."""
+def _advance_start(context: HostContext, serving: HostProcess | None, starting: HostProcess) -> None:
+    """Switch to a started process once it accepts clients, or kill it once it exceeds the start timeout."""
     if context.accepts(starting):
         if serving is not None:
             serving.role = Role.DRAINING
@@ -101,11 +102,11 @@
             context.actions.append(Terminate(serving.number))
         starting.role = Role.SERVING
         starting.role_since = context.now
-        _arrive(context)
+        _finish_transition(context)
     elif context.now - starting.role_since >= context.timeouts.start_s:
         context.state.processes.remove(starting)
         context.actions.append(Kill(starting.number))
         reason = f"{starting.generation} took no clients within {context.timeouts.start_s:g} s"
-        context.start_failed(reason)
-    elif not starting.was_alive:
-        context.actions.append(Start(starting))  # the agent may have died before it did so
+        context.handle_failed_start(reason)
+    elif not starting.was_running:
+        context.actions.append(Start(starting))  # the agent may have crashed before it started the process
--- a/lapispick/rollout/messages.py
+++ b/lapispick/rollout/messages.py
@@ -1,7 +1,7 @@
-"""Calls between controllers and agents: one line of text in, lines of text out. No I/O.
+"""Calls between controllers and agents: a call is one line of text, its answer one or more. No I/O.
 
 The first line of an answer begins with ``OK`` or ``ERR``. Each call that changes something carries a fencing token,
-``EPOCH.CONTROLLER``: an agent rejects a call with a lower epoch than it has seen, and one with the same epoch from
+``EPOCH.CONTROLLER``: an agent rejects a call with a lower epoch than the newest it has seen, or with that epoch from
 another controller.
 """
 
@@ -20,7 +20,7 @@
 
 
 class Fence(NamedTuple):
-    """A fencing token; the controller with the higher epoch is in charge."""
+    """Fencing token; an agent accepts calls only from the controller with the highest epoch that it has seen."""
 
     epoch: int = 0
     controller: str = ""
@@ -31,7 +31,7 @@
 
 
 def parse_fence(text: str) -> Fence:
-    """Read ``EPOCH.CONTROLLER``; raises ``ValueError``."""
+    """Parse ``EPOCH.CONTROLLER``; raises ``ValueError``."""
     epoch, dot, controller = text.partition(".")
     if text == str(Fence()):
         return Fence()
@@ -40,13 +40,13 @@
     return Fence(int(epoch), controller)
 
 
-def is_accepted(current: Fence, requested: Fence) -> bool:
-    """Tell whether an agent whose newest fence is ``current`` may carry out a call with ``requested``."""
+def is_fence_accepted(current: Fence, requested: Fence) -> bool:
+    """Return True if an agent whose newest fence is ``current`` accepts a call with the fence ``requested``."""
     return requested.epoch > current.epoch or requested == current
 
 
 class CallName(StrEnum):
-    """The first word of a call."""
+    """Name of a call, its first word."""
 
     CHANGE = "change"
     RESTART = "restart"
@@ -56,31 +56,34 @@
 
 
 class Change(NamedTuple):
-    """Switch to a generation; rolled back unless confirmed within ``confirm_timeout_s`` of accepting clients."""
+    """Call to switch to a generation.
+
+    The change is rolled back unless it is confirmed within ``confirm_timeout_s`` after the new process accepts clients.
+    """
 
     fence: Fence
     rollout: str
     generation: str
     confirm_timeout_s: float
-    restart: bool = False  # start the same generation anew, as for a matched control host
+    restart: bool = False  # start a new process even if the generation serves already, as on a matched control host
 
 
 class Confirm(NamedTuple):
-    """Keep what a rollout changed on this host, and make it the generation to roll back to."""
+    """Call to keep the generation of a rollout, and to make it the good one, to which later changes are rolled back."""
 
     fence: Fence
     rollout: str
 
 
 class RollBack(NamedTuple):
-    """Go back to the generation that was good before this rollout."""
+    """Call to return to the generation that was good before this rollout."""
 
     fence: Fence
     rollout: str
 
 
 class TakeControl(NamedTuple):
-    """Make this fence the newest one; the answer is the status."""
+    """Call to make this fence the newest one; the answer is the status."""
 
     fence: Fence
 
@@ -97,7 +100,7 @@
 
 
 def encode_call(call: Call) -> str:
-    """Write a call as a line, without its end."""
+    """Return a call as a line, without a newline."""
     if isinstance(call, Change):
         name = CallName.RESTART if call.restart else CallName.CHANGE
         return f"{name} {call.fence} {call.rollout} {call.generation} {call.confirm_timeout_s:g}"
@@ -109,7 +112,7 @@
 
 
 def decode_call(line: str) -> Call:
-    """Read a call; raises ``ValueError`` that says what is wrong."""
+    """Parse a call; raises ``ValueError`` with the text for the answer."""
     name_text, *arguments = line.split()
     if name_text not in _ARGUMENT_COUNTS:
         raise ValueError(f"unknown call {name_text!r}")
@@ -119,23 +122,23 @@
     fence = parse_fence(arguments[0])
     if name is CallName.TAKE_CONTROL:
         return TakeControl(fence)
-    rollout = _checked_name(arguments[1], "rollout")
+    rollout = _parse_name(arguments[1], "rollout")
     if name is CallName.CONFIRM:
         return Confirm(fence, rollout)
     if name is CallName.ROLL_BACK:
         return RollBack(fence, rollout)
-    timeout_s = _confirm_timeout_s(arguments[3])
-    generation = _checked_name(arguments[2], "generation")
+    timeout_s = _parse_confirm_timeout(arguments[3])
+    generation = _parse_name(arguments[2], "generation")
     return Change(fence, rollout, generation, timeout_s, name is CallName.RESTART)
 
 
-def _checked_name(text: str, what: str) -> str:
+def _parse_name(text: str, kind: str) -> str:
     if not NAME_PATTERN.fullmatch(text):
-        raise ValueError(f"{text!r} names no {what}")
+        raise ValueError(f"{text!r} names no {kind}")
     return text
 
 
-def _confirm_timeout_s(text: str) -> float:
+def _parse_confirm_timeout(text: str) -> float:
     try:
         timeout_s = float(text)
     except ValueError:
@@ -146,21 +149,21 @@
 
 
 class Status(msgspec.Struct, frozen=True):
-    """The status of one host as its agent reports it: a line of JSON after ``OK``. Unknown fields are ignored."""
+    """Status of one host as its agent reports it: a line of JSON after ``OK``; unknown fields are ignored."""
 
     host: str = msgspec.field(name="box")
     phase: str
-    serving: str  # the generation that accepts clients; empty = none does
+    serving: str  # the generation whose process accepts clients; empty = none does
     good: str
     target: str = msgspec.field(name="wanted")
     rollout: str
     fence: str
     fault: str = ""
-    rolled_back_rollout: str = msgspec.field(name="undone", default="")  # whatever the reason was
+    rolled_back_rollout: str = msgspec.field(name="undone", default="")  # the last one, for any reason
     confirm_left_s: float = msgspec.field(name="left_s", default=0.0)  # until an unconfirmed change is rolled back
-    serving_s: float = msgspec.field(name="since_s", default=0.0)  # since the serving process accepts clients
-    started_processes: int = msgspec.field(name="lives", default=0)  # over all restarts of the agent
-    crashes: int = 0  # processes that ended without being told to
+    serving_s: float = msgspec.field(name="since_s", default=0.0)  # how long the serving process has been serving
+    started_processes: int = msgspec.field(name="lives", default=0)  # in total, across restarts of the agent
+    crashes: int = 0  # processes that ended unexpectedly
     generations: tuple[str, ...] = msgspec.field(name="shelf", default=())
     formats: dict[str, tuple[int, int, int]] = msgspec.field(name="speaks", default_factory=dict)
     memory_limit_mb: float = msgspec.field(name="memory_mb", default=0.0)
@@ -171,15 +174,15 @@
 
 
 def encode_status(status: Status) -> list[str]:
-    """Write a status as the lines of an answer."""
+    """Return a status as the lines of an answer."""
     return ["OK", msgspec.json.encode(status).decode()]
 
 
 def decode_status(lines: list[str]) -> Status:
-    """Read the lines of an answer with a status; raises ``ValueError``."""
+    """Parse the lines of an answer that holds a status; raises ``ValueError``."""
     if not lines or lines[0] != "OK" or len(lines) < 2:
-        raise ValueError(lines[0] if lines else "an empty answer")
+        raise ValueError(lines[0] if lines else "the agent's answer is empty")
     try:
         return _decode_status(lines[1])
     except msgspec.MsgspecError as err:
-        raise ValueError(f"that is no state: {err}") from None
+        raise ValueError(f"invalid status of the agent: {err}") from None
--- a/tests/test_rollout_host.py
+++ b/tests/test_rollout_host.py
@@ -93,7 +93,7 @@
     host.step(0.0)
     host.step(1.0)
     _, actions = host_step.decide(
-        host.state, 1.0 + host_step.HUNG_AFTER_STARTS * Timeouts().start_s, host.observe(1.0), Timeouts()
+        host.state, 1.0 + host_step.HUNG_AFTER_START_TIMEOUTS * Timeouts().start_s, host.observe(1.0), Timeouts()
     )
     assert Kill(1) in actions
     host = unconfirmed_host()
@@ -223,7 +223,7 @@
     ],
 )
 def test_only_the_newest_fence_is_accepted_and_an_epoch_has_one_controller(current, requested, is_accepted):
-    assert messages.is_accepted(Fence(*current), Fence(*requested)) is is_accepted
+    assert messages.is_fence_accepted(Fence(*current), Fence(*requested)) is is_accepted
     state = HostState("x", good=OLD, epoch=current[0], controller=current[1])
     after, answer = host_calls.handle_call(
         state, messages.TakeControl(Fence(*requested)), 0.0, Observation(frozenset(), frozenset(), GENERATIONS)
