--- a/lapispick/rollout/generations.py
+++ b/lapispick/rollout/generations.py
@@ -1,7 +1,7 @@
-"""What a host runs: a program folder and settings, identified by a digest over both. No I/O.
+"""Generations of a host: each is a program folder and settings, identified by a digest of both. No I/O.
 
-The settings are the operators' file and, where wanted, changes of the platform's configuration such as another
-``stop_ms``. Two generations differ in place where SIGHUP applies all that differs; anything else needs a new process.
+The settings are the operators' file and, optionally, changes to the platform's configuration such as another
+``stop_ms``. A running process is reloaded if SIGHUP applies all differences; other differences need a new process.
 """
 
 from __future__ import annotations
@@ -15,24 +15,27 @@
 from lapispick.rollout.compat import FormatSupport
 
 DIGEST_BYTES = 8
-RELOADABLE_KEYS = ("executor", "store", "roster", "stop_ms")  # as host/reload.py applies them
-HOST_KEYS = ("name", "listen", "ops", "executor", "seed", "limits", "settings")  # a generation must not set these
+RELOADABLE_KEYS = ("executor", "store", "roster", "stop_ms")  # the keys that host/reload.py applies
+HOST_KEYS = ("name", "listen", "ops", "executor", "seed", "limits", "settings")  # set by host, not by generation
 
 
 class Generation(msgspec.Struct, frozen=True):
-    """One generation, as a host stores it under the names given to ``field``."""
+    """Generation as a host stores it; the names passed to ``field`` are those of the stored record."""
 
     digest: str
     program: str  # digest of the program folder alone
     settings: str = msgspec.field(name="conf")  # digest of the operators' settings file
-    config: dict[str, Any] = {}  # changes of the platform's configuration
+    config: dict[str, Any] = {}  # changes to the platform's configuration
     formats: dict[str, FormatSupport] = msgspec.field(name="speaks", default_factory=dict)
     label: str = ""
     added_at: float = msgspec.field(name="added", default=0.0)  # Unix s
 
 
 def files_digest(files: Iterable[tuple[str, bytes]]) -> str:
-    """Return the digest of named contents in any order; each part is preceded by its length."""
+    """Return the digest of named files, which does not depend on their order.
+
+    Each name and each content is preceded by its length, so that bytes can't move between them unnoticed.
+    """
     digest = blake2b(digest_size=DIGEST_BYTES)
     for name, data in sorted(files):
         for part in (name.encode(), data):
@@ -42,18 +45,18 @@
 
 
 def generation_digest(program: str, settings: str, config: Mapping[str, Any]) -> str:
-    """Return the digest of a generation from the digests of its program and settings, and its configuration."""
+    """Return the digest of a generation from its configuration and the digests of its program and settings."""
     config_bytes = msgspec.json.encode(dict(config), order="deterministic")
     return files_digest([("program", program.encode()), ("conf", settings.encode()), ("config", config_bytes)])
 
 
 def config_faults(config: Mapping[str, Any]) -> list[str]:
-    """Return what a generation must not change of the platform's configuration."""
+    """Return a fault for each key of the platform's configuration that a generation must not set."""
     return [f"{key}: is the box's own, no generation sets it" for key in sorted(config) if key in HOST_KEYS]
 
 
 def can_reload(old: Generation, new: Generation) -> bool:
-    """Tell whether SIGHUP applies all that differs."""
+    """Return True if the generations differ, and SIGHUP applies all differences."""
     if (old.program, old.settings) != (new.program, new.settings):
         return False
     keys = old.config.keys() | new.config.keys()
