--- a/tests/test_rollout_compat.py
+++ b/tests/test_rollout_compat.py
@@ -1,4 +1,4 @@
-"""Formats that two generations must read of each other, and digests of generations."""
+"""Compatibility of the formats of two generations, and digests and reloads of generations."""
 
 import msgspec
 import pytest
@@ -11,7 +11,7 @@
 
 
 def formats(writes, oldest, newest):
-    """Return the formats of a generation that writes and reads these versions of the handover."""
+    """Return the formats of a generation that writes and reads these versions of the format ``handover``."""
     return {"handover": compat.FormatSupport(writes, oldest, newest)}
 
 
@@ -25,17 +25,17 @@
         ((1, 1, 1), (2, 2, 2), ["take a step between", "first roll out one that reads 2"]),
     ],
 )
-def test_a_step_is_allowed_where_each_reads_what_the_other_writes(old, new, expected):
-    found = compat.objections(formats(*old), formats(*new))
-    assert len(found) == len(expected)
-    for text, objection in zip(expected, found, strict=True):
-        assert text in objection
+def test_a_change_is_allowed_if_each_generation_reads_what_the_other_writes(old, new, expected):
+    reasons = compat.objections(formats(*old), formats(*new))
+    assert len(reasons) == len(expected)
+    for text, reason in zip(expected, reasons, strict=True):
+        assert text in reason
     ours = formats(*old)["handover"]
     theirs = formats(*new)["handover"]
-    assert (compat.common_version(ours, theirs) is not None) or found
+    assert (compat.common_version(ours, theirs) is not None) or reasons
 
 
-def test_reported_formats_are_those_of_the_modules():
+def test_reported_format_versions_match_those_of_the_modules():
     reported = compat.parse_formats(versions.FORMATS)
     assert reported["handover"].writes == handover_messages.VERSION
     assert reported["durable"].writes == database.VERSION
@@ -45,7 +45,7 @@
             compat.parse_formats(invalid_formats)
 
 
-def test_a_generation_is_its_files_and_settings_and_reloads_only_where_sighup_applies_all():
+def test_digest_covers_names_and_contents_and_reload_requires_that_sighup_applies_all_differences():
     digest = generations.files_digest([("a", b"x"), ("b", b"y")])
     assert generations.files_digest([("b", b"y"), ("a", b"x")]) == digest
     assert generations.files_digest([("a", b"xb"), ("", b"y")]) != digest
--- a/tests/test_rollout_host.py
+++ b/tests/test_rollout_host.py
@@ -1,4 +1,4 @@
-"""What an agent decides for its host and answers to controllers, also when it dies at any instant."""
+"""Decisions of an agent for its host and its answers to controllers, also if the agent crashes at any time."""
 
 import random
 
@@ -14,33 +14,33 @@
 from lapispick.rollout.messages import Change, Confirm, Fence, RollBack
 
 
-def play(host, begin, end):
-    """Let the agent decide once a second, from ``begin`` to before ``end``."""
+def run_agent(host, begin, end):
+    """Let the agent decide and act once a second, from ``begin`` until before ``end``."""
     for second in range(begin, end):
         host.step(float(second))
 
 
 def call_agent(host, call, now):
-    """Make a call and return the answer."""
+    """Let the agent handle a call, and return the answer."""
     host.state, answer = host_calls.handle_call(host.state, call, now, host.observe(now))
     return answer
 
 
 def unconfirmed_host(rollout="r1"):
-    """Return a host that serves a change which nobody has confirmed."""
+    """Return a host that serves an unconfirmed change."""
     host = SimulatedHost("x", random.Random(1))
-    play(host, 0, 6)
+    run_agent(host, 0, 6)
     assert call_agent(host, Change(Fence(1, "a"), rollout, NEW, 10.0), 6.0) == "OK"
-    play(host, 6, 12)
+    run_agent(host, 6, 12)
     assert host.state.phase == HostPhase.UNCONFIRMED
     return host
 
 
-def test_a_rolled_back_rollout_is_rejected_for_good_and_another_one_is_not():
+def test_a_rolled_back_rollout_is_rejected_afterwards_and_another_one_is_not():
     host = unconfirmed_host()
     fence = Fence(1, "a")
     assert call_agent(host, RollBack(fence, "r1"), 12.0) == "OK"
-    play(host, 12, 20)
+    run_agent(host, 12, 20)
     assert host.state.phase == HostPhase.STEADY
     assert host.serving(20.0)[0] == OLD
     assert call_agent(host, Change(fence, "r1", NEW, 9.0), 20.0) == "ERR undone: called back"
@@ -48,12 +48,12 @@
     assert call_agent(host, Change(fence, "r2", NEW, 9.0), 20.0) == "OK"
 
 
-def test_a_confirmation_counts_in_time_and_while_the_host_accepts_clients():
+def test_a_confirmation_is_accepted_only_in_time_and_while_the_host_accepts_clients():
     host = unconfirmed_host()
     fence = Fence(1, "a")
-    late = host.state.confirm_deadline
+    deadline = host.state.confirm_deadline
     assert call_agent(host, Confirm(fence, "r2"), 12.0) == "ERR another rollout"
-    assert call_agent(host, Confirm(fence, "r1"), late) == "ERR too late: it is undone now"
+    assert call_agent(host, Confirm(fence, "r1"), deadline) == "ERR too late: it is undone now"
     number = host.state.process(Role.SERVING).number
     host.processes[number] = (NEW, 1e9)
     assert call_agent(host, Confirm(fence, "r1"), 12.0) == "ERR it takes no clients"
@@ -63,31 +63,32 @@
     assert host.state.previous == OLD
 
 
-def test_an_agent_that_died_between_its_decision_and_the_start_repeats_the_start():
+def test_an_agent_that_crashed_between_its_decision_and_the_start_repeats_the_start():
     host = SimulatedHost("x", random.Random(1))
-    play(host, 0, 6)
+    run_agent(host, 0, 6)
     assert call_agent(host, Change(Fence(1, "a"), "r1", NEW, 9.0), 6.0) == "OK"
     state, actions = host_step.decide(host.state, 6.0, host.observe(6.0), Timeouts())
     (start,) = actions
-    again, actions = host_step.decide(state, 6.5, host.observe(6.5), Timeouts())  # stored, and never done
+    # The first decision was stored, but its actions were not carried out.
+    repeated_state, actions = host_step.decide(state, 6.5, host.observe(6.5), Timeouts())
     assert actions == [start]
-    assert again == state
+    assert repeated_state == state
     assert start.process.generation == NEW
 
 
-def test_an_unconfirmed_process_that_ends_is_rolled_back_and_unknown_ones_are_killed():
+def test_a_change_whose_process_ends_unconfirmed_is_rolled_back_and_unknown_processes_are_killed():
     host = unconfirmed_host()
     host.processes.clear()
     state, _ = host_step.decide(host.state, 12.0, host.observe(12.0), Timeouts())
     assert state.phase == HostPhase.ROLLING_BACK
     assert "ended" in state.fault
     host = unconfirmed_host()
-    host.processes[99] = (NEW, 0.0)  # removed from the state before the agent died
+    host.processes[99] = (NEW, 0.0)  # removed from the state before the agent crashed
     _, actions = host_step.decide(host.state, 12.0, host.observe(12.0), Timeouts())
     assert Kill(99) in actions
 
 
-def test_a_process_that_drains_too_slowly_or_hangs_alone_is_killed():
+def test_a_process_that_drains_too_slowly_or_hangs_without_a_successor_is_killed():
     host = SimulatedHost("x", random.Random(1))
     host.failing_generations = {OLD}
     host.step(0.0)
@@ -104,7 +105,7 @@
 
 
 class RandomHost:
-    """A host under random calls, whose agent and processes die at random; it notes what was requested and confirmed."""
+    """Host under random calls and crashes of its agent and processes; records requested and confirmed generations."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -114,13 +115,13 @@
         self.confirmed = {OLD}
 
     def decide(self):
-        """Store a decision and return its actions."""
+        """Decide, keep the new state, and return the actions."""
         host = self.host
         host.state, actions = host_step.decide(host.state, self.now, host.observe(self.now), Timeouts())
         return actions
 
     def step(self, makes_calls):
-        """Let some time pass; the agent may die after any action, and a process may be killed."""
+        """Advance the time and decide; the agent may crash after any action, and a process may be killed."""
         host = self.host
         self.now += self.rng.choice((0.1, 0.1, 0.5, 3.0))
         actions = self.decide()
@@ -129,14 +130,14 @@
         if self.rng.random() < 0.03 and host.processes:
             host.processes.pop(self.rng.choice(list(host.processes)))
         if self.rng.random() < 0.1 and makes_calls:
-            self._call()
+            self._make_random_call()
 
-    def _call(self):
+    def _make_random_call(self):
         rng = self.rng
         fence = Fence(rng.randrange(3), rng.choice("ab"))
-        name = f"r{rng.randrange(3)}"
-        change = Change(fence, name, rng.choice((OLD, NEW)), 5.0, rng.random() < 0.3)
-        call = rng.choice((change, Confirm(fence, name), RollBack(fence, name)))
+        rollout = f"r{rng.randrange(3)}"
+        change = Change(fence, rollout, rng.choice((OLD, NEW)), 5.0, rng.random() < 0.3)
+        call = rng.choice((change, Confirm(fence, rollout), RollBack(fence, rollout)))
         state_before = self.host.state
         answer = call_agent(self.host, call, self.now)
         assert messages.decode_call(messages.encode_call(call)) == call
@@ -148,7 +149,7 @@
             self.confirmed.add(self.host.state.good)
 
     def settle(self):
-        """Let 50 s pass without calls or deaths."""
+        """Let 50 s pass without calls or crashes."""
         for _ in range(100):
             self.now += 0.5
             for action in self.decide():
@@ -157,16 +158,16 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.integers(0, 10**9))
-def test_a_host_settles_on_one_requested_generation_whatever_dies_when(seed):
+def test_a_host_settles_on_one_requested_generation_after_random_crashes(seed):
     random_host = RandomHost(seed)
     host = random_host.host
-    for number in range(300):
-        random_host.step(makes_calls=number < 200)
+    for step in range(300):
+        random_host.step(makes_calls=step < 200)
         assert host.state.fence.epoch >= 0
         assert len(host.state.processes) <= host_state.SLOTS
-        running = {each.number for each in host.state.processes if each.role != Role.DRAINING}
+        running = {process.number for process in host.state.processes if process.role != Role.DRAINING}
         assert len(running) <= 2
-        assert len({each.slot for each in host.state.processes}) == len(host.state.processes)
+        assert len({process.slot for process in host.state.processes}) == len(host.state.processes)
     random_host.settle()
     assert host.state.phase == HostPhase.STEADY, (seed, host.state)
     assert [generation for generation, _ in host.processes.values()] == [host.state.good]
@@ -178,11 +179,11 @@
     host = unconfirmed_host()
     assert call_agent(host, RollBack(Fence(1, "a"), "r1"), 12.0) == "OK"
     host.step(12.0)
-    host.processes.pop(host.state.process(Role.STARTING).number)  # killed by something else
+    host.processes.pop(host.state.process(Role.STARTING).number)  # killed by something other than the agent
     host.step(12.2)
     assert host.state.phase == HostPhase.ROLLING_BACK
     assert host.serving(12.2)[0] == NEW
-    play(host, 13, 30)
+    run_agent(host, 13, 30)
     assert host.state.phase == HostPhase.STEADY
     assert host.serving(30.0)[0] == OLD
     host = unconfirmed_host()
@@ -197,11 +198,11 @@
     assert state.process(Role.STARTING).generation == OLD
 
 
-def test_a_reboot_before_the_confirmation_rolls_back():
+def test_a_reboot_before_the_confirmation_rolls_the_change_back():
     host = SimulatedHost("x", random.Random(1))
-    play(host, 0, 10)
+    run_agent(host, 0, 10)
     assert call_agent(host, Change(Fence(1, "a"), "r1", NEW, 100.0), 10.0) == "OK"
-    play(host, 10, 20)
+    run_agent(host, 10, 20)
     assert host.state.phase == HostPhase.UNCONFIRMED
     assert host.serving(20.0)[0] == NEW
     host.processes.clear()
@@ -225,11 +226,11 @@
 def test_only_the_newest_fence_is_accepted_and_an_epoch_has_one_controller(current, requested, is_accepted):
     assert messages.is_fence_accepted(Fence(*current), Fence(*requested)) is is_accepted
     state = HostState("x", good=OLD, epoch=current[0], controller=current[1])
-    after, answer = host_calls.handle_call(
+    new_state, answer = host_calls.handle_call(
         state, messages.TakeControl(Fence(*requested)), 0.0, Observation(frozenset(), frozenset(), GENERATIONS)
     )
     assert answer.startswith("OK" if is_accepted else "ERR fenced")
-    assert (after.fence == Fence(*requested)) is is_accepted
+    assert (new_state.fence == Fence(*requested)) is is_accepted
 
 
 def test_a_starting_process_is_never_reloaded():
@@ -239,7 +240,7 @@
     assert host_calls.handle_call(host.state, call, 1.0, host.observe(1.0)).answer == "ERR nothing serves here"
     reloadable = msgspec.structs.replace(GENERATIONS[NEW], program=OLD, settings="", config={"stop_ms": 9})
     generations = {OLD: GENERATIONS[OLD], NEW: reloadable}
-    for has_accepted, action in ((True, Reload), (False, Start)):
+    for has_accepted, action_type in ((True, Reload), (False, Start)):
         state = host_state.copy_of(host.state)
         state.phase = HostPhase.CHANGING
         state.target = NEW
@@ -248,4 +249,4 @@
         _, actions = host_step.decide(
             state, 2.0, Observation(frozenset([1]), frozenset(), generations, "1"), Timeouts()
         )
-        assert [type(each) for each in actions] == [action]
+        assert [type(action) for action in actions] == [action_type]
