--- a/lapispick/agent/generation_store.py
+++ b/lapispick/agent/generation_store.py
@@ -146,9 +146,9 @@
         if generation is None:
             return "it is not there, or not whole"
         folder = self.folder / name
-        if generations.files_digest(program_files(folder / PROGRAM_FOLDER)) != generation.program:
+        if generations.files_digest(program_files(folder / PROGRAM_FOLDER)) != generation.program_digest:
             return "its program has changed since it was put here"
-        if settings_digest((folder / SETTINGS_FILE).read_bytes()) != generation.settings:
+        if settings_digest((folder / SETTINGS_FILE).read_bytes()) != generation.settings_digest:
             return "its settings have changed since they were put here"
         return ""
 
--- a/lapispick/agent/service.py
+++ b/lapispick/agent/service.py
@@ -132,7 +132,7 @@
 
     def _observation(self) -> Observation:
         return Observation(
-            alive=self.processes.alive(),
+            running=self.processes.alive(),
             accepting=self._checks.accepting,
             generations=self._generations,
             boot_id=processes.boot_id(),
--- a/lapispick/cli/agent.py
+++ b/lapispick/cli/agent.py
@@ -17,7 +17,7 @@
 from lapispick.conf.sections import AgentSettings
 from lapispick.host.addresses import parse_address
 from lapispick.rollout import messages
-from lapispick.rollout.host_state import SLOTS
+from lapispick.rollout.host_state import SLOT_COUNT
 
 JSON = click.option("--json", "json_", is_flag=True, help="For programs.")
 
@@ -57,7 +57,7 @@
     from lapispick.host import logs
 
     settings = _settings(file)
-    if settings.host_config is None or len(settings.slot_ops) != SLOTS:
+    if settings.host_config is None or len(settings.slot_ops) != SLOT_COUNT:
         print_error("section agent needs config and slot-ops")
         sys.exit(ExitCode.INVALID)
     base = _read_config(Path(str(settings.host_config)))
@@ -118,7 +118,7 @@
     rows = []
     for generation, fault in found:
         changes = " ".join(f"{key}={value}" for key, value in generation.config.items())
-        names = (generation.digest, generation.label, generation.program, generation.settings)
+        names = (generation.digest, generation.label, generation.program_digest, generation.settings_digest)
         rows.append((*names, changes, fault or "none"))
     print_table("generations", ("digest", "label", "program", "settings", "changes", "fault"), rows)
     sys.exit(ExitCode.DIFFERENCES if any(fault for _, fault in found) else 0)
--- a/lapispick/cli/rollout.py
+++ b/lapispick/cli/rollout.py
@@ -99,7 +99,7 @@
     faults = [*fleet.faults, *candidate.faults]
     if old is not None:
         try:
-            faults += compat.objections(generation_store.reported_formats(old), candidate.formats)
+            faults += compat.incompatibilities(generation_store.reported_formats(old), candidate.formats)
         except InvalidGenerationError as err:
             faults.append(str(err))
     if json_:
--- a/lapispick/cli/rollout_planning.py
+++ b/lapispick/cli/rollout_planning.py
@@ -128,7 +128,7 @@
             continue
         answered += 1
         running = {name: FormatSupport(*support) for name, support in status.formats.items()}
-        faults += [f"{worker.name}: {reason}" for reason in compat.objections(running, candidate.formats)]
+        faults += [f"{worker.name}: {reason}" for reason in compat.incompatibilities(running, candidate.formats)]
         if candidate.digest not in status.generations:
             faults.append(f"{worker.name}: {candidate.digest} is not stored there (lapispick agent add)")
     return faults[:MAX_SHOWN_FAULTS] if answered else ["no agent answers"]
--- a/lapispick/rollout/compat.py
+++ b/lapispick/rollout/compat.py
@@ -40,7 +40,7 @@
     return support
 
 
-def objections(old: Mapping[str, FormatSupport], new: Mapping[str, FormatSupport]) -> list[str]:
+def incompatibilities(old: Mapping[str, FormatSupport], new: Mapping[str, FormatSupport]) -> list[str]:
     """Return the reasons, for both directions, why two generations must not run side by side; empty if they may."""
     reasons = []
     for name in sorted(old.keys() & new.keys() - set(PRIVATE_FORMATS)):
--- a/lapispick/rollout/generations.py
+++ b/lapispick/rollout/generations.py
@@ -23,8 +23,8 @@
     """Generation as a host stores it; the names passed to ``field`` are those of the stored record."""
 
     digest: str
-    program: str  # digest of the program folder alone
-    settings: str = msgspec.field(name="conf")  # digest of the operators' settings file
+    program_digest: str = msgspec.field(name="program")  # of the program folder alone
+    settings_digest: str = msgspec.field(name="conf")  # of the operators' settings file
     config: dict[str, Any] = {}  # changes to the platform's configuration
     formats: dict[str, FormatSupport] = msgspec.field(name="speaks", default_factory=dict)
     label: str = ""
@@ -44,10 +44,12 @@
     return digest.hexdigest()
 
 
-def generation_digest(program: str, settings: str, config: Mapping[str, Any]) -> str:
+def generation_digest(program_digest: str, settings_digest: str, config: Mapping[str, Any]) -> str:
     """Return the digest of a generation from its configuration and the digests of its program and settings."""
     config_bytes = msgspec.json.encode(dict(config), order="deterministic")
-    return files_digest([("program", program.encode()), ("conf", settings.encode()), ("config", config_bytes)])
+    return files_digest(
+        [("program", program_digest.encode()), ("conf", settings_digest.encode()), ("config", config_bytes)]
+    )
 
 
 def config_faults(config: Mapping[str, Any]) -> list[str]:
@@ -57,7 +59,7 @@
 
 def can_reload(old: Generation, new: Generation) -> bool:
     """Return True if the generations differ, and SIGHUP applies all differences."""
-    if (old.program, old.settings) != (new.program, new.settings):
+    if (old.program_digest, old.settings_digest) != (new.program_digest, new.settings_digest):
         return False
     keys = old.config.keys() | new.config.keys()
     changed = {key for key in keys if old.config.get(key) != new.config.get(key)}
--- a/lapispick/rollout/host_calls.py
+++ b/lapispick/rollout/host_calls.py
@@ -6,7 +6,7 @@
 
 from lapispick.rollout import compat, messages
 from lapispick.rollout.generations import Generation
-from lapispick.rollout.host_state import CALLED_BACK, HostPhase, HostProcess, HostState, Observation, Role, copy_of
+from lapispick.rollout.host_state import ROLLBACK_ORDERED, HostPhase, HostProcess, HostState, Observation, Role, copy_of
 from lapispick.rollout.messages import Change, Confirm, RollBack, Status
 
 # First lines of answers.
@@ -89,8 +89,8 @@
     if call.restart:
         return ""
     current = generations[serving.generation]
-    objections = compat.objections(current.formats, generations[call.generation].formats)
-    return f"ERR skips a step: {objections[0]}" if objections else ""
+    incompatibilities = compat.incompatibilities(current.formats, generations[call.generation].formats)
+    return f"ERR skips a step: {incompatibilities[0]}" if incompatibilities else ""
 
 
 def _confirm(state: HostState, call: Confirm, now: float, observation: Observation) -> str:
@@ -124,7 +124,7 @@
     state.target = state.good
     state.phase = HostPhase.ROLLING_BACK
     state.is_restart = False
-    state.fault = CALLED_BACK
+    state.fault = ROLLBACK_ORDERED
     state.rolled_back_rollout = call.rollout
     state.change += 1
     return OK
--- a/lapispick/rollout/host_state.py
+++ b/lapispick/rollout/host_state.py
@@ -15,12 +15,12 @@
 from lapispick.rollout.generations import Generation
 from lapispick.rollout.messages import Fence
 
-SLOTS = 2  # for a process and its successor; each slot has its own addresses for operators and executors
+SLOT_COUNT = 2  # for a process and its successor; each slot has its own addresses for operators and executors
 STATE_VERSION = 1
 
 # Controllers compare these faults as text, so agents of all versions must report exactly this text.
 NOT_CONFIRMED_IN_TIME = "was not confirmed in time"
-CALLED_BACK = "called back"
+ROLLBACK_ORDERED = "called back"
 
 
 class HostPhase(StrEnum):
@@ -106,13 +106,13 @@
     def free_slot(self) -> int | None:
         """Return a slot that no process uses, or None."""
         taken = {process.slot for process in self.processes}
-        return next((slot for slot in range(SLOTS) if slot not in taken), None)
+        return next((slot for slot in range(SLOT_COUNT) if slot not in taken), None)
 
 
 class Observation(NamedTuple):
     """Observation of the processes, by their numbers, and of the generations on disk."""
 
-    alive: frozenset[int]
+    running: frozenset[int]
     accepting: frozenset[int]  # processes that accept clients
     generations: Mapping[str, Generation]
     boot_id: str = ""
--- a/lapispick/rollout/host_step.py
+++ b/lapispick/rollout/host_step.py
@@ -80,7 +80,7 @@
 def _update_processes(context: HostContext) -> None:
     """Update the state from the observed processes; kill processes that are not in the state."""
     state = context.state
-    running = context.observation.alive
+    running = context.observation.running
     # An agent that crashed may have removed a process from the state before it killed the process.
     unknown = sorted(running - {process.number for process in state.processes})
     context.actions += [Kill(number) for number in unknown]
@@ -155,7 +155,7 @@
 def _end_draining(context: HostContext) -> None:
     """Send SIGTERM to draining processes, and kill those that exceed the stop timeout."""
     for process in context.state.processes:
-        if process.role != Role.DRAINING or process.number not in context.observation.alive:
+        if process.role != Role.DRAINING or process.number not in context.observation.running:
             continue
         is_late = context.now - process.role_since >= context.timeouts.stop_s
         context.actions.append(Kill(process.number) if is_late else Terminate(process.number))
--- a/lapispick/rollout/stop_conditions.py
+++ b/lapispick/rollout/stop_conditions.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lapispick.rollout.canary_analysis import Outcome
-from lapispick.rollout.host_state import CALLED_BACK, NOT_CONFIRMED_IN_TIME
+from lapispick.rollout.host_state import NOT_CONFIRMED_IN_TIME, ROLLBACK_ORDERED
 from lapispick.rollout.rollout_state import HostReport, Phase
 from lapispick.rollout.step_context import StepContext
 
@@ -28,7 +28,7 @@
     status = report.status
     if status is None:
         return ""
-    if status.rolled_back_rollout == state.name and status.fault != CALLED_BACK:
+    if status.rolled_back_rollout == state.name and status.fault != ROLLBACK_ORDERED:
         # A lost confirmation is no evidence against the change.
         return "" if status.fault == NOT_CONFIRMED_IN_TIME else status.fault
     if status.serving != state.plan.generation:
--- a/tests/test_rollout_compat.py
+++ b/tests/test_rollout_compat.py
@@ -26,7 +26,7 @@
     ],
 )
 def test_a_change_is_allowed_if_each_generation_reads_what_the_other_writes(old, new, expected):
-    reasons = compat.objections(formats(*old), formats(*new))
+    reasons = compat.incompatibilities(formats(*old), formats(*new))
     assert len(reasons) == len(expected)
     for text, reason in zip(expected, reasons, strict=True):
         assert text in reason
@@ -53,7 +53,7 @@
     other_stop_time = msgspec.structs.replace(old, config={"stop_ms": 9})
     assert generations.can_reload(old, other_stop_time)
     assert not generations.can_reload(old, old)
-    assert not generations.can_reload(old, msgspec.structs.replace(other_stop_time, settings="z"))
+    assert not generations.can_reload(old, msgspec.structs.replace(other_stop_time, settings_digest="z"))
     assert not generations.can_reload(old, msgspec.structs.replace(old, config={"stop_ms": 9, "later": 1}))
     assert generations.config_faults({"listen": "x", "stop_ms": 1}) == [
         "listen: is the box's own, no generation sets it"
--- a/tests/test_rollout_host.py
+++ b/tests/test_rollout_host.py
@@ -164,7 +164,7 @@
     for step in range(300):
         random_host.step(makes_calls=step < 200)
         assert host.state.fence.epoch >= 0
-        assert len(host.state.processes) <= host_state.SLOTS
+        assert len(host.state.processes) <= host_state.SLOT_COUNT
         running = {process.number for process in host.state.processes if process.role != Role.DRAINING}
         assert len(running) <= 2
         assert len({process.slot for process in host.state.processes}) == len(host.state.processes)
@@ -238,7 +238,9 @@
     host.step(1.0)
     call = Change(Fence(1, "a"), "r1", NEW, 9.0)
     assert host_calls.handle_call(host.state, call, 1.0, host.observe(1.0)).answer == "ERR nothing serves here"
-    reloadable = msgspec.structs.replace(GENERATIONS[NEW], program=OLD, settings="", config={"stop_ms": 9})
+    reloadable = msgspec.structs.replace(
+        GENERATIONS[NEW], program_digest=OLD, settings_digest="", config={"stop_ms": 9}
+    )
     generations = {OLD: GENERATIONS[OLD], NEW: reloadable}
     for has_accepted, action_type in ((True, Reload), (False, Start)):
         state = host_state.copy_of(host.state)
