--- a/lapispick/members/__init__.py
+++ b/lapispick/members/__init__.py
@@ -1,1 +1,1 @@
-"""Cluster membership, quorum leases and gossiped facts of the worker hosts: decisions only, without I/O or clocks."""
+"""Decision logic of cluster membership, quorum leases and gossiped facts of the worker hosts. No I/O, no clock."""
--- a/lapispick/members/configurations.py
+++ b/lapispick/members/configurations.py
@@ -1,4 +1,4 @@
-"""The configurations of members that count for quorums: the current one and those that it replaced lately. No I/O."""
+"""Configurations of members that count for quorums: the current one and recently replaced ones. No I/O."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 
 class Configuration(NamedTuple):
-    """One accepted list of members; ``expires_at`` is infinite for the current one."""
+    """Accepted list of members; ``expires_at`` is infinite for the current one."""
 
     digest: str
     names: frozenset[str]
     expires_at: float
 
     def is_quorum(self, voters: set[str]) -> bool:
-        """Tell whether these voters are a majority."""
+        """Return True if these voters are a majority."""
         return 2 * len(voters & self.names) > len(self.names)
 
     def excludes_quorum(self, voters: set[str]) -> bool:
-        """Tell whether no majority is possible without these voters."""
+        """Return True if no majority is possible without these voters."""
         return 2 * len(voters & self.names) >= len(self.names)
 
 
 class Configurations:
-    """All configurations that count for quorums, oldest first. A decision needs a quorum in each of them."""
+    """Configurations that count for quorums, oldest first. A decision needs a quorum in each of them."""
 
     def __init__(self, names: Iterable[str], digest: str, settings: LeaseSettings) -> None:
         self._settings = settings
@@ -38,7 +38,7 @@
         return self._configurations[-1].digest
 
     def change(self, names: Iterable[str], digest: str, now: float) -> None:
-        """Make another configuration the current one; the previous one counts on for ``configuration_overlap_s``."""
+        """Set the current configuration; the previous one also counts for ``configuration_overlap_s`` more."""
         previous = self._configurations[-1]
         if digest == previous.digest:
             return
@@ -46,23 +46,25 @@
         self._configurations.append(Configuration(digest, frozenset(names), inf))
 
     def expire(self, now: float) -> None:
-        """Drop the configurations whose time is over."""
-        self._configurations = [each for each in self._configurations if each.expires_at > now]
+        """Drop expired configurations."""
+        self._configurations = [
+            configuration for configuration in self._configurations if configuration.expires_at > now
+        ]
 
     def contains(self, digest: str) -> bool:
-        """Tell whether a configuration is one of those that count."""
-        return any(each.digest == digest for each in self._configurations)
+        """Return True if the configuration with this digest counts."""
+        return any(configuration.digest == digest for configuration in self._configurations)
 
     def is_quorum(self, voters: Iterable[str]) -> bool:
-        """Tell whether these voters are a majority of every configuration that counts."""
-        granted = set(voters)
-        return all(each.is_quorum(granted) for each in self._configurations)
+        """Return True if these voters are a majority of every configuration that counts."""
+        voter_set = set(voters)
+        return all(configuration.is_quorum(voter_set) for configuration in self._configurations)
 
     def excludes_quorum(self, voters: Iterable[str]) -> bool:
-        """Tell whether some configuration has no majority without these voters."""
-        rejected = set(voters)
-        return any(each.excludes_quorum(rejected) for each in self._configurations)
+        """Return True if some configuration has no majority without these voters."""
+        voter_set = set(voters)
+        return any(configuration.excludes_quorum(voter_set) for configuration in self._configurations)
 
     def all_members(self) -> set[str]:
         """Return the names in any configuration that counts."""
-        return set().union(*(each.names for each in self._configurations))
+        return set().union(*(configuration.names for configuration in self._configurations))
--- a/lapispick/members/failure_detector.py
+++ b/lapispick/members/failure_detector.py
@@ -1,16 +1,17 @@
-"""The SWIM failure detector: probes other members, directly and through others. No I/O, no clock.
-
-SWIM (Das, Gupta, Motivala, 2002) with suspicion, and local health as in Lifeguard (Dadgar and others, 2018):
-
-- Each interval one member is probed, in an order that is shuffled anew each round, so that every one is probed within
-  two rounds. Without an answer a few other members are asked to probe it, so links that fail in one direction, or
-  between two members only, do not make it dead.
-- A member that nobody received an answer from is suspect, and dead once its suspicion timed out; it refutes by a higher
-  incarnation. The timeout is shorter the more members confirm the suspicion, and longer the worse the local health is.
-- The local health degrades by unanswered probes and by refutations of this member's own: a slow member first suspects
-  itself. It multiplies the timeouts.
-- State changes are gossiped on the messages that are sent anyway, each a number of times that grows with the logarithm
-  of the cluster size.
+"""SWIM failure detector: probes other members, directly and through others. No I/O, no clock.
+
+SWIM (Das, Gupta, Motivala, 2002) with suspicion, and with local health as in Lifeguard (Dadgar and others, 2018):
+
+- One member is probed per interval. The order is shuffled for each round, so every member is probed within two rounds.
+  If a member does not answer, a few other members are asked to probe it. A link that fails in one direction, or
+  between two members only, therefore does not make a member dead.
+- A member from which no answer arrives is suspect, and dead when the suspicion times out. It refutes a suspicion with a
+  higher incarnation. The timeout decreases with the number of members that confirm the suspicion, and increases as the
+  local health gets worse.
+- The local health gets worse with each unanswered probe and with each suspicion of this member that it refutes: a slow
+  member assumes that it is itself the cause. Poor local health lengthens all timeouts.
+- State changes are piggybacked on the other messages, each one a number of times that grows with the logarithm of the
+  cluster size.
 """
 
 from __future__ import annotations
@@ -24,15 +25,15 @@
 from lapispick.members.membership_view import MembershipView, RejectReason
 from lapispick.members.messages import MAX_UPDATES, Ack, GossipUpdate, Message, Probe, ProbeRequest
 
-PAUSE_RATIO = 1.5  # probe intervals between two ticks that mean the process was paused
-INDIRECT_TIMEOUT_RATIO = 0.9  # of the interval, so that a probe ends before the next one
-LEAVE_FANOUT = 3  # members to which a leave is announced directly
+PAUSE_RATIO = 1.5  # a longer time between two ticks, in probe intervals, means that the process was paused
+INDIRECT_TIMEOUT_RATIO = 0.9  # of the probe interval, so that a probe ends before the next one starts
+LEAVE_FANOUT = 3  # members to which a leaving member sends its announcement
 
 MessageT = TypeVar("MessageT", bound=Message)
 
 
 class RandomSource(Protocol):
-    """What is drawn from, a seeded ``random.Random``."""
+    """Source of random numbers, a seeded ``random.Random``."""
 
     def random(self) -> float:
         """Return a number from 0 to 1."""
@@ -45,7 +46,7 @@
 
 
 class Outgoing(NamedTuple):
-    """A message for a member."""
+    """Message to send, and the name of the member that receives it."""
 
     to: str
     message: Message
@@ -59,7 +60,7 @@
 
 
 class _RelayedProbe(NamedTuple):
-    """A probe on behalf of another member."""
+    """Probe sent on behalf of another member."""
 
     requester: str
     requester_sequence: int
@@ -72,51 +73,51 @@
     def __init__(self, view: MembershipView, rng: RandomSource, now: float) -> None:
         self.view = view
         self.settings = view.settings
-        self.rejected: dict[str, int] = {}  # messages by the reason why they were ignored
+        self.rejected: dict[str, int] = {}  # number of ignored messages by ``RejectReason``
         self._rng = rng
-        self._round: list[str] = []  # members still to probe, in reverse order
+        self._round_targets: list[str] = []  # members left to probe in this round, in reverse order
         self._outstanding: _OutstandingProbe | None = None
-        self._relayed: dict[int, _RelayedProbe] = {}  # by our own sequence number
+        self._relayed: dict[int, _RelayedProbe] = {}  # by the sequence number of the relayed probe
         self._sequence = 0
-        self._last_tick = now
-        # Members that start together probe at different moments.
+        self._last_tick_at = now
+        # A random offset keeps members that start together from probing at the same times.
         self._next_probe_at = now + rng.random() * self.settings.probe_interval_s
 
     def set_configuration(self) -> None:
-        """Drop what concerns members that the view's configuration contains no more."""
+        """Drop pending probes of members that are no longer in the configuration."""
         members = self.view.names
-        self._round = [name for name in self._round if name in members]
+        self._round_targets = [name for name in self._round_targets if name in members]
         if self._outstanding is not None and self._outstanding.target not in members:
             self._outstanding = None
 
     def relayed_probe_count(self) -> int:
-        """Return the number of indirect probes whose answer is awaited."""
+        """Return the number of relayed probes that were not answered yet."""
         return len(self._relayed)
 
-    # Time.
+    # Timing.
 
     def next_tick_at(self) -> float:
-        """Return when the next call of ``tick`` has something to do, monotonic s."""
+        """Return the time when ``tick`` is next due, in monotonic seconds."""
         if self._outstanding is None:
             return self._next_probe_at
         return min(self._next_probe_at, self._outstanding.sent_at + self._probe_timeout())
 
     def tick(self, now: float) -> list[Outgoing]:
-        """Do what is due; it may be called at any time."""
+        """Send due probes and apply expired timeouts; return the messages to send. May be called at any time."""
         self._check_for_pause(now)
         outgoing = self._check_outstanding(now)
         self.view.expire_suspicions(now)
         if now >= self._next_probe_at:
-            # Probes that were missed during a pause are not made up for.
+            # Probes that were missed during a pause are not sent later.
             interval = self.settings.probe_interval_s
             self._next_probe_at = max(self._next_probe_at + interval, now + interval / 2)
             outgoing += self._probe_next(now)
         return outgoing
 
     def _check_for_pause(self, now: float) -> None:
-        """Detect that this process was paused: silence of the others in that time is no sign of a failure."""
-        elapsed = now - self._last_tick
-        self._last_tick = now
+        """Detect a pause of this process. Missing answers during a pause are no sign of a failure of other members."""
+        elapsed = now - self._last_tick_at
+        self._last_tick_at = now
         if elapsed > PAUSE_RATIO * self.settings.probe_interval_s:
             self.view.extend_suspicions(elapsed)
             self.view.health.degrade()
@@ -154,27 +155,27 @@
     def _probe_next(self, now: float) -> list[Outgoing]:
         if self._outstanding is not None:
             return []
-        if not self._round:
+        if not self._round_targets:
             self._start_round()
-        if not self._round:
+        if not self._round_targets:
             return []
-        target = self._round.pop()
+        target = self._round_targets.pop()
         self._sequence += 1
         self._outstanding = _OutstandingProbe(self._sequence, target, now)
         return [Outgoing(target, self.build(Probe, target, sequence=self._sequence))]
 
     def _start_round(self) -> None:
-        # The dead are probed too: after a partition both sides find each other again.
+        # Dead members are probed too, so that both sides of a partition find each other after it heals.
         view = self.view
-        self._round = sorted(
+        self._round_targets = sorted(
             name for name in view.names if name != view.name and view.record(name).state is not MemberState.LEFT
         )
-        self._rng.shuffle(self._round)
+        self._rng.shuffle(self._round_targets)
 
     # Messages.
 
     def receive(self, now: float, message: Message) -> list[Outgoing]:
-        """Take a message and return the answers; a message that does not count is counted as rejected."""
+        """Process a message and return the answers; a message that the view does not accept is counted as rejected."""
         reason = self.view.reject_reason(message)
         if reason is not None:
             return self._reject(message, reason)
@@ -191,7 +192,7 @@
 
     def _reject(self, message: Message, reason: RejectReason) -> list[Outgoing]:
         self.rejected[reason.value] = self.rejected.get(reason.value, 0) + 1
-        if reason is RejectReason.OLDER_EPOCH and isinstance(message, Probe):  # the answer tells it the known epoch
+        if reason is RejectReason.OLDER_EPOCH and isinstance(message, Probe):  # the answer contains the later epoch
             answer = self.build(Ack, message.sender, include_record=True, sequence=message.sequence)
             return [Outgoing(message.sender, answer)]
         return []
@@ -200,7 +201,7 @@
         if not self.view.is_peer(message.target):
             return []
         self._sequence += 1
-        if len(self._relayed) >= self.view.size():  # the oldest was never answered
+        if len(self._relayed) >= self.view.size():  # the oldest one was not answered
             self._relayed.pop(next(iter(self._relayed)))
         self._relayed[self._sequence] = _RelayedProbe(message.sender, message.sequence, message.target)
         probe = self.build(Probe, message.target, sequence=self._sequence, requester=message.sender)
@@ -221,7 +222,7 @@
         return [Outgoing(relayed.requester, answer)]
 
     def leave(self) -> list[Outgoing]:
-        """Announce to a few members that this one leaves; they pass it on."""
+        """Announce to a few members that this one leaves; they gossip it."""
         self.view.announce(self.view.self_update(MemberState.LEFT))
         alive = self.view.alive_peers()
         chosen = self._rng.sample(alive, min(LEAVE_FANOUT, len(alive)))
@@ -230,9 +231,9 @@
     def build(
         self, message_type: Callable[..., MessageT], to: str, include_record: bool = False, **fields: object
     ) -> MessageT:
-        """Return a message for a member, with the gossip that it carries.
+        """Return a message to a member, with queued gossip updates.
 
-        Each message to a member that is believed suspect or dead says so, so that it can refute it.
+        A message to a member that is not alive includes the member's own record, so that the member can refute it.
         """
         view = self.view
         record = view.record(to)
@@ -251,5 +252,5 @@
 
 
 def sender_update(message: Message) -> GossipUpdate:
-    """Return the report that every message makes: its sender is alive."""
+    """Return the update that each message implies: its sender is alive."""
     return GossipUpdate(message.sender, STATE_NAMES[MemberState.ALIVE], message.incarnation, message.process_epoch)
--- a/lapispick/members/gossip_facts.py
+++ b/lapispick/members/gossip_facts.py
@@ -1,16 +1,18 @@
-"""Facts that members gossip about themselves, with age and author. No I/O and no clock.
+"""Gossip facts: observations that members publish, with author and age. No I/O, no clock.
 
-Of each author, kind and subject only the latest fact is kept: by process epoch, by sequence within it, and of one
-fact the oldest transmission. That order is total and the greatest wins, so merging is the join of a semilattice:
-whatever the order and number of messages, all members end with the same facts (a map of maxima).
+For each author, kind and subject, only the latest fact is kept: the one with the highest process epoch, then the
+highest sequence, then the greatest age among copies of the same fact. This order is total and the greatest fact is
+kept, so merging is the join of a semilattice: all members converge to the same facts (a map of maxima), whatever the
+order and the number of messages.
 
-A fact's age grows while members keep it, by each one's own clock. Time on links is not counted, so a fact is at least
-as old as it says and never becomes younger by being forwarded. After ``expiry_s`` it is dropped everywhere. At most
-``max_facts_per_author`` are kept, so an author that floods displaces its own facts only.
+While a member stores a fact, the age of the fact increases by that member's clock. The time in transit is not added, so
+a fact is at least as old as its age says, and forwarding never makes it younger. Every member drops a fact that is
+``expiry_s`` old. At most ``max_facts_per_author`` are kept per author, so an author that floods displaces its own facts
+only.
 
-Decisions use ``weighted_mean``, over authors, where a weight halves with each ``half_life_s`` of age, decreases with
-the author's own health score and increases with its number of samples; or ``is_confirmed``, for what diverts traffic,
-which a single author never decides.
+Decisions use one of two queries. ``weighted_mean`` is a mean over authors. The weight of a fact halves with each
+``half_life_s`` of its age, decreases with the author's health score and increases with the number of samples.
+``is_confirmed`` is for decisions that divert traffic, which a single author must never cause.
 """
 
 from __future__ import annotations
@@ -26,19 +28,19 @@
 from lapispick.members.gossip_queue import transmission_count
 from lapispick.members.messages import MAX_EPOCH, MAX_FACTS, MAX_TEXT_LENGTH, Fact
 
-MAX_NUMBER = 1e9  # of a value or an age; more is invalid
+MAX_VALUE = 1e9  # a fact with this value or age, or a higher one, is invalid
 MAX_SAMPLE_COUNT = 1 << 40
 MAX_HEALTH_SCORE = 100
-UNCHANGED_REPEATS = 3  # publications of an unchanged fact within its expiry
+UNCHANGED_REPEATS = 3  # publications of an unchanged fact per ``expiry_s``
 
 
 class FactKind(enum.StrEnum):
-    """The kinds of facts, by their names on the wire, with the meaning of the value."""
+    """Kind of a fact, by its name on the wire. The comments give the meaning of the fact's value."""
 
-    STORE = "store"  # mean latency of calls to the subject's address, relative to the usual one
-    WARMING_UP = "cold"  # 1 while the author's executor is not at full speed
-    DRAINING = "draining"  # 1 while the author drains or shuts down
-    GENERATION = "generation"  # what the author runs, in the text
+    STORE = "store"  # mean latency of calls to the address in the subject, relative to the usual latency
+    WARMING_UP = "cold"  # 1 while the author's executor is warming up
+    DRAINING = "draining"  # 1 while the author is draining or shutting down
+    GENERATION = "generation"  # the generation that the author runs is in the text
     LOAD = "load"  # fraction of the author's capacity in use
 
 
@@ -46,17 +48,17 @@
 
 
 class FactSettings(msgspec.Struct, frozen=True):
-    """How long facts count, and how many."""
+    """Settings of the facts: how long they are used, and how many are kept."""
 
     half_life_s: float = 10.0
     expiry_s: float = 60.0
     max_facts_per_author: int = 16
     min_confirming_authors: int = 2
-    retransmit_factor: float = 4.0  # times log10 of the cluster size: transmissions of a fact
+    retransmit_factor: float = 4.0  # transmissions of a fact, for up to 9 members; grows with log10 of the size
 
 
 class WeightedMean(NamedTuple):
-    """What all authors report together; ``weight`` is 0 if nobody reports anything."""
+    """Weighted mean of the facts of all authors; ``weight`` is 0 if there are none."""
 
     value: float
     weight: float
@@ -68,7 +70,7 @@
     observed_at: float  # by this member's clock
 
     def order(self) -> tuple[int, int, float]:
-        """Return (process epoch, sequence, age): of one author, kind and subject the greatest is stored."""
+        """Return (process epoch, sequence, age); the greatest of an author, kind and subject is stored."""
         return self.fact.process_epoch, self.fact.sequence, -self.observed_at
 
     def with_age(self, now: float) -> Fact:
@@ -82,7 +84,7 @@
 
 
 class FactStore:
-    """All facts that this member knows."""
+    """Facts that this member knows, its own included."""
 
     def __init__(self, settings: FactSettings) -> None:
         self.settings = settings
@@ -109,7 +111,7 @@
         sample_count: int = 1,
         text: str = "",
     ) -> None:
-        """Publish this member's own fact; an unchanged one ``UNCHANGED_REPEATS`` times within its expiry."""
+        """Publish a fact of this member; an unchanged one is repeated ``UNCHANGED_REPEATS`` times per expiry."""
         stored = self._facts.get(author, {}).get((kind, subject))
         if stored is not None and stored.fact.process_epoch == process_epoch:
             is_unchanged = (stored.fact.value, stored.fact.text) == (value, text)
@@ -120,7 +122,7 @@
         self.merge(now, fact, cluster_size)
 
     def merge(self, now: float, fact: Fact, cluster_size: int) -> bool:
-        """Take a fact; True if it is new."""
+        """Store a fact unless it is invalid or outdated; return True if it is new."""
         if not _is_valid(fact) or fact.age_s >= self.settings.expiry_s:
             self.rejected_count += 1
             return False
@@ -134,7 +136,7 @@
         of_author[key] = received
         if len(of_author) > self.settings.max_facts_per_author and self._drop_oldest(fact.author) == key:
             return False
-        if not is_known:  # an older transmission of a known fact is not gossiped again
+        if not is_known:  # a copy of a known fact is not gossiped again
             count = transmission_count(self.settings.retransmit_factor, cluster_size)
             self._transmissions_left[_FactKey(fact.author, *key)] = count
         return not is_known
@@ -147,23 +149,23 @@
         return oldest
 
     def take_outgoing(self, now: float) -> tuple[Fact, ...]:
-        """Return the facts for one message, those sent least often first, and count their transmission."""
+        """Return the facts for one message, the least transmitted first, and count these transmissions."""
         if not self._transmissions_left:
             return ()
         chosen = nsmallest(MAX_FACTS, self._transmissions_left, key=lambda key: (-self._transmissions_left[key], key))
         outgoing = []
         for key in chosen:
-            left = self._transmissions_left.pop(key) - 1
+            transmissions_left = self._transmissions_left.pop(key) - 1
             stored = self._facts.get(key.author, {}).get((key.kind, key.subject))
             if stored is None or self._is_expired(now, stored):
                 continue
-            if left > 0:
-                self._transmissions_left[key] = left
+            if transmissions_left > 0:
+                self._transmissions_left[key] = transmissions_left
             outgoing.append(stored.with_age(now))
         return tuple(outgoing)
 
     def snapshot(self, now: float) -> tuple[Fact, ...]:
-        """Return all facts with their present ages."""
+        """Return all facts with their current ages."""
         return tuple(
             stored.with_age(now)
             for of_author in self._facts.values()
@@ -172,7 +174,7 @@
         )
 
     def expire(self, now: float, members: Iterable[str]) -> None:
-        """Drop facts that are too old, and those of authors that are no members."""
+        """Drop facts that are too old, and facts of authors that are not members."""
         known = members if isinstance(members, frozenset) else set(members)
         for author in list(self._facts):
             of_author = self._facts[author]
@@ -189,7 +191,7 @@
     # Queries.
 
     def weighted_mean(self, now: float, kind: str, subject: str = "") -> WeightedMean:
-        """Return what all authors report of a subject, weighted by age, health and samples."""
+        """Return the mean of the facts about a subject, weighted by age, author's health and samples."""
         total = 0.0
         total_weight = 0.0
         authors = 0
@@ -200,7 +202,7 @@
         return WeightedMean(total / total_weight if total_weight else 0.0, total_weight, authors)
 
     def is_confirmed(self, now: float, kind: str, subject: str, threshold: float) -> bool:
-        """Tell whether enough healthy authors report at least this value and outweigh those that report less."""
+        """Return True if enough healthy authors report at least the threshold, and outweigh lower reports."""
         weight_for = 0.0
         weight_against = 0.0
         healthy_authors = 0
@@ -227,8 +229,8 @@
     return (
         fact.kind in FACT_KINDS
         and max(len(fact.subject), len(fact.text)) <= MAX_TEXT_LENGTH
-        and 0 <= fact.value < MAX_NUMBER
-        and 0 <= fact.age_s < MAX_NUMBER
+        and 0 <= fact.value < MAX_VALUE
+        and 0 <= fact.age_s < MAX_VALUE
         and 0 < fact.sample_count < MAX_SAMPLE_COUNT
         and 0 <= fact.author_health < MAX_HEALTH_SCORE
         and 0 <= fact.sequence < MAX_EPOCH
--- a/lapispick/members/gossip_queue.py
+++ b/lapispick/members/gossip_queue.py
@@ -1,4 +1,4 @@
-"""Gossip updates that wait to be sent, piggybacked on other messages. No I/O."""
+"""Queue of gossip updates that are sent piggybacked on other messages. No I/O."""
 
 from __future__ import annotations
 
@@ -12,42 +12,42 @@
 
 
 def transmission_count(factor: float, cluster_size: int) -> int:
-    """Return how often an update is sent by each member, so that it reaches all members with high probability."""
+    """Return the number of times each member sends an update, so that it reaches all with high probability."""
     return ceil(factor * max(1.0, log10(cluster_size + 1)))
 
 
-class _Queued(msgspec.Struct):
+class _QueuedUpdate(msgspec.Struct):
     update: GossipUpdate
     transmissions_left: int
 
 
 class GossipQueue:
-    """The latest update about each member, with the number of transmissions that are left."""
+    """Latest update about each member, with the number of transmissions left."""
 
     def __init__(self, retransmit_factor: float) -> None:
         self._retransmit_factor = retransmit_factor
-        self._queued: dict[str, _Queued] = {}
+        self._queued: dict[str, _QueuedUpdate] = {}
 
     def __len__(self) -> int:
         return len(self._queued)
 
     def put(self, update: GossipUpdate, cluster_size: int) -> None:
-        """Queue an update, in place of an earlier one about the same member."""
-        self._queued[update.name] = _Queued(update, transmission_count(self._retransmit_factor, cluster_size))
+        """Queue an update; it replaces an earlier one about the same member."""
+        self._queued[update.name] = _QueuedUpdate(update, transmission_count(self._retransmit_factor, cluster_size))
 
     def discard(self, name: str) -> None:
         """Drop the update about a member."""
         self._queued.pop(name, None)
 
     def take(self) -> Iterable[GossipUpdate]:
-        """Return the updates for one message, those sent least often first, and count their transmission."""
+        """Return the updates for one message, the least transmitted first, and count these transmissions."""
         if not self._queued:
             return ()
         chosen = nsmallest(
-            MAX_UPDATES, self._queued.values(), key=lambda each: (-each.transmissions_left, each.update.name)
+            MAX_UPDATES, self._queued.values(), key=lambda entry: (-entry.transmissions_left, entry.update.name)
         )
-        for each in chosen:
-            each.transmissions_left -= 1
-            if each.transmissions_left <= 0:
-                del self._queued[each.update.name]
-        return [each.update for each in chosen]
+        for entry in chosen:
+            entry.transmissions_left -= 1
+            if entry.transmissions_left <= 0:
+                del self._queued[entry.update.name]
+        return [entry.update for entry in chosen]
--- a/lapispick/members/lease_manager.py
+++ b/lapispick/members/lease_manager.py
@@ -1,7 +1,7 @@
-"""The leases that owners at this member request, and this member's part as a proposer and voter. No I/O.
+"""Leases that owners at this member request, and this member's role as a proposer and voter. No I/O.
 
-Owners are programs at this member's host. Each one requests a lease by name, repeats the request while it needs the
-lease, and releases it. The manager picks a slot for each request and runs its proposer.
+Owners are programs on this member's host. An owner requests a lease by name, repeats the request while it needs the
+lease, and then releases it. The manager selects a slot for each request and runs its proposer.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 
 
 class LeaseEventKind(enum.StrEnum):
-    """What happened to a lease."""
+    """Kind of a lease event."""
 
     ACQUIRED = "acquired"
     RENEWED = "renewed"
     LOST = "lost"
     RELEASED = "released"
-    ABANDONED = "abandoned"  # its owner stopped requesting it; it is left to expire
+    ABANDONED = "abandoned"  # the owner stopped requesting it; it is not released but expires
 
 
 class LeaseEvent(NamedTuple):
-    """Something happened to a lease; ``expires_at`` is by this member's clock."""
+    """Event of a lease; ``expires_at`` is a time of this member's clock."""
 
     kind: LeaseEventKind
     slot: str
@@ -42,7 +42,7 @@
 
 
 class LeaseManager:
-    """All lease requests of one member. ``slot_counts``: how many may hold each named lease."""
+    """Lease requests of one member. ``slot_counts`` is the number of concurrent holders by the name of the lease."""
 
     def __init__(
         self,
@@ -72,45 +72,45 @@
     # Owners.
 
     def request(self, now: float, lease: str, owner: str, priority: int = 0) -> LeaseStatus | None:
-        """Request a lease, or repeat a request; None for an unknown lease or too many requests.
+        """Request a lease, or repeat a request; return None for an unknown lease or if there are too many requests.
 
-        The owner acts under the fencing token, and stops before ``remaining_s`` is over.
+        The owner uses the lease with its fencing token, and stops before ``remaining_s`` has passed.
         """
         request = self._requests.find(lease, owner)
         if request is None and not self._view.replaced:
             request = self._requests.add(now, lease, owner, priority)
         if request is None:
             return None
-        request.last_requested = now
+        request.last_requested_at = now
         request.priority = priority
         return request.status(now)
 
     def release(self, now: float, lease: str, owner: str) -> list[Outgoing]:
-        """Release a lease, or withdraw a request."""
+        """Release a lease, or withdraw the request for it; return the messages to send."""
         request = self._requests.remove(lease, owner)
         return [] if request is None else self._withdraw(now, request, LeaseEventKind.RELEASED)
 
     def statuses(self, now: float) -> list[LeaseStatus]:
-        """Return all requests of this member's owners."""
+        """Return the status of each request."""
         return [request.status(now) for request in self._requests]
 
     def take_events(self) -> list[LeaseEvent]:
-        """Return what happened to leases since the last call."""
+        """Return the lease events since the last call, and clear them."""
         events = self._events
         self._events = []
         return events
 
-    # Time.
+    # Timing.
 
     def next_tick_at(self) -> float:
-        """Return when the next call of ``tick`` has something to do, monotonic s."""
+        """Return the time when ``tick`` is next due, in monotonic seconds."""
         return min((request.proposer.next_tick_at() for request in self._requests), default=float("inf"))
 
     def tick(self, now: float) -> list[Outgoing]:
-        """Propose and renew what is due, and drop the requests of silent owners."""
+        """Send due proposals and renewals, and drop the requests of owners that stopped repeating them."""
         outgoing = []
         for request in list(self._requests):
-            if now - request.last_requested >= self._owner_timeout_s:
+            if now - request.last_requested_at >= self._owner_timeout_s:
                 outgoing += self._abandon(now, request)
             elif request.proposer.fencing_token or self._requests.may_propose(now, request):
                 outgoing += self._tick_proposer(now, request)
@@ -123,15 +123,16 @@
         due = proposer.tick(now, self._rng.random())
         if token_before and not proposer.fencing_token:
             self._record(LeaseEventKind.LOST, request, token_before, now)
-        if isinstance(due, LeaseRelease) and request.slot_count > 1:  # another proposer has that slot
+        if isinstance(due, LeaseRelease) and request.slot_count > 1:  # another proposer holds that slot
             self._requests.move_to_next_slot(request)
             due = msgspec.structs.replace(due, leaves_queue=True)
         return [] if due is None else self._send_to_voters(now, due)
 
     def _abandon(self, now: float, request: LeaseRequest) -> list[Outgoing]:
-        """Drop the request of a silent owner. A lease is not released: the owner may still act under it.
+        """Drop the request of an owner that stopped repeating it.
 
-        It expires, as it is not renewed; until then no other owner at this member obtains the slot either.
+        A lease that it holds is not released, because the owner may still use it. The lease is no longer renewed and
+        expires. Until then no other owner at this member obtains the slot either.
         """
         self._requests.remove(request.lease, request.owner)
         proposer = request.proposer
@@ -143,7 +144,7 @@
         return []
 
     def lose_all(self, now: float) -> None:
-        """Drop all requests: another process has this member's name, and may hold the leases."""
+        """Drop all requests, because another process uses this member's name and may hold the leases."""
         for request in self._requests:
             if request.proposer.holds(now):
                 self._record(LeaseEventKind.LOST, request, request.proposer.fencing_token, now)
@@ -152,7 +153,7 @@
     # Messages.
 
     def receive(self, now: float, message: Message) -> list[Outgoing]:
-        """Take a message about leases and return the answers; other messages are ignored."""
+        """Process a message about leases and return the answers; other messages are ignored."""
         if isinstance(message, LeaseProposalMessage):
             return self._receive_proposal(now, message)
         if isinstance(message, LeaseVoteMessage) and message.vote is not None:
@@ -177,7 +178,7 @@
         if not release.was_held:
             return
         for request in self._requests:
-            if request.proposer.slot == release.slot:  # each at its own moment
+            if request.proposer.slot == release.slot:  # the random delays keep them from proposing at the same time
                 request.proposer.retry_within(now, self._rng.random() * self.settings.retry_delay_s / 2)
 
     def _record_vote(self, now: float, voter: str, vote: LeaseVote) -> None:
--- a/lapispick/members/lease_proposer.py
+++ b/lapispick/members/lease_proposer.py
@@ -1,4 +1,4 @@
-"""The proposer of quorum leases: proposes one slot, and holds and renews it while its lease runs. No I/O."""
+"""Proposer of quorum leases: proposes itself as the holder of one slot, and renews the lease. No I/O."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class LeaseProposer:
-    """One member's proposals for one slot. ``fencing_token`` is 0 unless the lease was obtained."""
+    """Proposals of one member for one slot. ``fencing_token`` is 0 unless the lease was acquired."""
 
     def __init__(
         self,
@@ -32,74 +32,74 @@
         self._proposed_at = NEVER
         self._waiting_since = NEVER
         self._next_proposal_at = NEVER
-        self._granted: set[str] = set()
-        self._rejected: set[str] = set()
+        self._granting_voters: set[str] = set()
+        self._rejecting_voters: set[str] = set()
 
     def retry_within(self, now: float, delay_s: float) -> None:
-        """Propose soon, because the slot was given back. An outstanding proposal is left to its end."""
+        """Propose within ``delay_s``, because the slot was released. An outstanding proposal is not interrupted."""
         if not self.fencing_token and self._ballot is None:
             self._next_proposal_at = min(self._next_proposal_at, now + delay_s)
 
     def set_waiting_since(self, since: float) -> None:
-        """Count waiting from an earlier time, spent on other slots of the same lease."""
+        """Set the start of the waiting time, which includes the time spent on other slots of the same lease."""
         self._waiting_since = since
 
     def next_tick_at(self) -> float:
-        """Return when the next call of ``tick`` has something to do, monotonic s."""
+        """Return the time when ``tick`` is next due, in monotonic seconds."""
         times = [self._next_proposal_at]
         if self.fencing_token:
             times.append(self.expires_at)
         elif self._ballot is not None:
-            is_lost = self.configurations.excludes_quorum(self._rejected)
+            is_lost = self.configurations.excludes_quorum(self._rejecting_voters)
             times.append(self._proposed_at + (0.0 if is_lost else self.settings.vote_timeout_s))
         return min(times)
 
     def holds(self, now: float) -> bool:
-        """Tell whether the lease is held at this moment, by this member's own clock."""
+        """Return True if the lease is held now, by this member's own clock."""
         return self.fencing_token > 0 and now < self.expires_at
 
-    def tick(self, now: float, draw: float) -> LeaseProposal | LeaseRelease | None:
-        """Return what is due for all voters. ``draw`` from 0 to 1 spreads competing proposers apart.
+    def tick(self, now: float, jitter: float) -> LeaseProposal | LeaseRelease | None:
+        """Return the due message to all voters. ``jitter``, from 0 to 1, spreads the retries of competing proposers.
 
-        A proposal that failed is released before the next one: two proposers with half of the votes each would
-        otherwise block each other for as long as both propose.
+        A failed proposal is released before the next one. Otherwise two proposers with half of the votes each would
+        block each other for as long as both propose.
         """
         self.configurations.expire(now)
         if self._waiting_since == NEVER:
             self._waiting_since = now
         if self.fencing_token and now >= self.expires_at:
-            self.fencing_token = 0  # the next proposal has a new number
-        if failed := self._take_failed_proposal(now, draw):
-            return failed
+            self.fencing_token = 0  # the next proposal gets a new ballot number
+        if release := self._take_failed_proposal(now, jitter):
+            return release
         if now < self._next_proposal_at:
             return None
-        return self._propose(now, draw)
+        return self._propose(now, jitter)
 
-    def _take_failed_proposal(self, now: float, draw: float) -> LeaseRelease | None:
+    def _take_failed_proposal(self, now: float, jitter: float) -> LeaseRelease | None:
         if self._ballot is None or self.fencing_token:
             return None
-        is_lost = self.configurations.excludes_quorum(self._rejected)
+        is_lost = self.configurations.excludes_quorum(self._rejecting_voters)
         if not is_lost and now - self._proposed_at <= self.settings.vote_timeout_s:
             return None
         failed = self._ballot
         self._ballot = None
-        if is_lost:  # the remaining votes cannot change it
-            self._next_proposal_at = now + self._retry_delay(draw)
+        if is_lost:  # a quorum is impossible, whatever the remaining votes are
+            self._next_proposal_at = now + self._retry_delay(jitter)
         return LeaseRelease(self.slot, failed)
 
-    def _propose(self, now: float, draw: float) -> LeaseProposal:
+    def _propose(self, now: float, jitter: float) -> LeaseProposal:
         is_renewal = self.holds(now)
         if not is_renewal:
             self._ballot = Ballot(self.highest_ballot_number + 1, self.name)
             self.highest_ballot_number += 1
         assert self._ballot is not None
         self._proposed_at = now
-        self._granted = set()
-        self._rejected = set()
+        self._granting_voters = set()
+        self._rejecting_voters = set()
         if is_renewal:
             self._next_proposal_at = now + self.settings.renewal_interval_s
         else:
-            self._next_proposal_at = now + (self.settings.vote_timeout_s + self._retry_delay(draw))
+            self._next_proposal_at = now + (self.settings.vote_timeout_s + self._retry_delay(jitter))
         return LeaseProposal(
             self.slot,
             self._ballot,
@@ -109,19 +109,19 @@
             now - self._waiting_since,
         )
 
-    def _retry_delay(self, draw: float) -> float:
-        return self.settings.retry_delay_s * (1 + draw)
+    def _retry_delay(self, jitter: float) -> float:
+        return self.settings.retry_delay_s * (1 + jitter)
 
     def record_vote(self, now: float, voter: str, vote: LeaseVote) -> bool:
-        """Take a vote; True if it completed a quorum that obtained or extended the lease."""
+        """Record a vote; return True if it completed a quorum that acquired or renewed the lease."""
         self.highest_ballot_number = max(self.highest_ballot_number, vote.highest_ballot_number)
         if vote.ballot != self._ballot or now - self._proposed_at > self.settings.vote_timeout_s:
-            return False  # of an older proposal, or too late
+            return False  # the vote is for an older proposal, or late
         if not vote.granted:
-            self._rejected.add(voter)
+            self._rejecting_voters.add(voter)
             return False
-        self._granted.add(voter)
-        if not self.configurations.is_quorum(self._granted):
+        self._granting_voters.add(voter)
+        if not self.configurations.is_quorum(self._granting_voters):
             return False
         expires_at = self._proposed_at + self.settings.holder_lease_s
         if now >= expires_at:
@@ -133,7 +133,7 @@
         return is_extended
 
     def release(self) -> LeaseRelease | None:
-        """Give the lease or the outstanding proposal back; nothing may be done under it any more."""
+        """Release the lease or the outstanding proposal; the owner must not use the lease any more."""
         if self._ballot is None:
             return None
         release = LeaseRelease(self.slot, self._ballot, self.fencing_token > 0)
--- a/lapispick/members/lease_requests.py
+++ b/lapispick/members/lease_requests.py
@@ -1,4 +1,4 @@
-"""The lease requests of the owners at one member, and the slot that each of them uses. No I/O."""
+"""Lease requests of the owners at one member, and the slot that each request uses. No I/O."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 class LeaseStatus(NamedTuple):
-    """A requested lease: ``fencing_token`` is 0 while it is waited for, ``remaining_s`` the time to act under it."""
+    """Status of a requested lease.
+
+    ``fencing_token`` is 0 while the owner waits for the lease, ``remaining_s`` is the time for which it may be used.
+    """
 
     lease: str
     slot: str
@@ -23,31 +26,31 @@
 
 
 class LeaseRequest(msgspec.Struct):
-    """An owner's request of a lease; ``since`` is when it was made, ``last_requested`` when it was repeated."""
+    """Request of an owner for a lease; ``last_requested_at`` is when the owner last made or repeated it."""
 
     lease: str
     owner: str
     priority: int
-    last_requested: float
-    since: float
+    last_requested_at: float
+    requested_at: float
     slot_count: int
     slot_index: int
     proposer: LeaseProposer
 
     def status(self, now: float) -> LeaseStatus:
-        """Return what the owner has at this moment."""
+        """Return the status of the lease for its owner."""
         proposer = self.proposer
         if not proposer.holds(now):
             return LeaseStatus(self.lease, proposer.slot, 0, 0.0, self.owner)
         return LeaseStatus(self.lease, proposer.slot, proposer.fencing_token, proposer.expires_at - now, self.owner)
 
     def is_older_than(self, other: LeaseRequest) -> bool:
-        """Tell whether this request goes first where both wait for a slot."""
-        return (self.since, self.owner) < (other.since, other.owner)
+        """Return True if this request precedes the other one while both wait for a slot."""
+        return (self.requested_at, self.owner) < (other.requested_at, other.owner)
 
 
 class LeaseRequests:
-    """The requests of one member's owners, at most ``max_requests`` of them."""
+    """Lease requests of the owners at one member, at most ``max_requests``."""
 
     def __init__(self, slots: LeaseSlots, max_requests: int, rng: RandomSource) -> None:
         self._slots = slots
@@ -62,11 +65,11 @@
         return iter(self._requests.values())
 
     def find(self, lease: str, owner: str) -> LeaseRequest | None:
-        """Return an owner's request of a lease."""
+        """Return the request of an owner for a lease; None if there is none."""
         return self._requests.get((lease, owner))
 
     def add(self, now: float, lease: str, owner: str, priority: int) -> LeaseRequest | None:
-        """Add a request at a random slot; None for an unknown lease or too many requests."""
+        """Add a request for a random slot; return None for an unknown lease or if there are too many requests."""
         slot_count = self._slots.count(lease)
         if not slot_count or len(self._requests) >= self._max_requests:
             return None
@@ -77,7 +80,7 @@
         return request
 
     def remove(self, lease: str, owner: str) -> LeaseRequest | None:
-        """Remove a request and return it; None where there is none."""
+        """Remove a request and return it; None if there is none."""
         return self._requests.pop((lease, owner), None)
 
     def clear(self) -> None:
@@ -85,9 +88,9 @@
         self._requests.clear()
 
     def may_propose(self, now: float, request: LeaseRequest) -> bool:
-        """Tell whether a request may propose now; it is moved to a slot that no other request here uses.
+        """Return True if a request may propose now, after moving it to a slot that no other request here uses.
 
-        Ballots carry the member's name, so voters would grant one slot to two of its owners.
+        Ballots carry the name of the member, not of the owner, so voters would grant one slot to two of its owners.
         """
         others = [other for other in self if other is not request and other.lease == request.lease]
         if any(not other.proposer.fencing_token and other.is_older_than(request) for other in others):
@@ -102,11 +105,11 @@
         return bool(free)
 
     def move_to_next_slot(self, request: LeaseRequest) -> None:
-        """Let a request propose the next slot of its lease: another member holds the present one."""
+        """Move a request to the next slot of its lease, because another member holds the current one."""
         self._move_to_slot(request, (request.slot_index + 1) % request.slot_count)
 
     def _move_to_slot(self, request: LeaseRequest, slot_index: int) -> None:
         self._slots.retire(request.proposer)
         request.slot_index = slot_index
         request.proposer = self._slots.new_proposer(request.lease, slot_index, request.priority)
-        request.proposer.set_waiting_since(request.since)
+        request.proposer.set_waiting_since(request.requested_at)
--- a/lapispick/members/lease_voter.py
+++ b/lapispick/members/lease_voter.py
@@ -1,4 +1,4 @@
-"""The voter of quorum leases: grants slots and queues those who wait for them. No I/O."""
+"""Voter of quorum leases: grants slots and queues the proposers that wait for them. No I/O."""
 
 from __future__ import annotations
 
@@ -13,40 +13,40 @@
 
 
 class Grant(msgspec.Struct):
-    """A slot that this voter has granted."""
+    """Grant of a slot by this voter."""
 
     ballot: Ballot
     process_epoch: int
     expires_at: float
 
     def belongs_to(self, proposal: LeaseProposal) -> bool:
-        """Tell whether the proposer holds it. A restarted process is another holder: the old one may still run."""
+        """Return True if the proposer holds the grant. A restarted process does not: the old one may still run."""
         return (self.ballot.proposer, self.process_epoch) == (proposal.ballot.proposer, proposal.process_epoch)
 
 
 class GrantStatus(NamedTuple):
-    """A grant as it is reported; ``remaining_s`` is the time until it expires."""
+    """Status of a grant for reports; ``remaining_s`` is the time until it expires."""
 
     ballot: Ballot
     remaining_s: float
 
 
 class _Waiter(msgspec.Struct):
-    since: float
-    last_seen: float
+    waiting_since: float
+    last_proposal_at: float
     priority: int
-    overtaken: int = 0
+    overtaken_count: int = 0
 
 
 class LeaseVoter:
-    """Votes on lease proposals. ``has_no_past``: it is known that no earlier process of this member granted any."""
+    """Votes on lease proposals. ``has_no_past``: no earlier process of this member can have granted any."""
 
     def __init__(
         self, settings: LeaseSettings, configurations: Configurations, now: float, has_no_past: bool = False
     ) -> None:
         self.settings = settings
         self.configurations = configurations
-        # An earlier process may have granted every slot just before this one started.
+        # An earlier process of this member may have granted every slot just before this one started.
         self.silent_until = now if has_no_past else now + settings.grant_s
         self._grants: dict[str, Grant] = {}
         self._highest: dict[str, Ballot] = {}
@@ -65,8 +65,8 @@
         is_holder = grant is not None and grant.belongs_to(proposal)
         if self._must_wait(now, slot, proposer, grant, is_holder):
             return self._reject(proposal, self._retry_after(now, grant))
-        # A renewal keeps its ballot, so the resource sees one holder. Any other ballot must have a higher number; the
-        # name does not decide, because the resource compares fencing tokens alone.
+        # A renewal keeps its ballot, so the resource sees one fencing token. Any other ballot needs a number higher
+        # than all earlier ones. The name is not compared, because the resource compares fencing tokens only.
         is_renewal = is_holder and grant is not None and proposal.ballot == grant.ballot
         if not is_renewal and proposal.ballot.number <= highest.number:
             return self._reject(proposal, self.settings.retry_delay_s)
@@ -77,7 +77,7 @@
         return LeaseVote(slot, proposal.ballot, True, proposal.ballot.number)
 
     def release(self, release: LeaseRelease) -> None:
-        """Free a slot that its holder or proposer gave back."""
+        """Free a slot that its holder or proposer released."""
         grant = self._grants.get(release.slot)
         if grant is not None and grant.ballot == release.ballot:
             del self._grants[release.slot]
@@ -85,7 +85,7 @@
             self._waiters.get(release.slot, {}).pop(release.ballot.proposer, None)
 
     def grants(self, now: float) -> dict[str, GrantStatus]:
-        """Return the slots that are granted here."""
+        """Return the unexpired grants of this voter, by slot."""
         return {
             slot: GrantStatus(grant.ballot, grant.expires_at - now)
             for slot, grant in self._grants.items()
@@ -93,11 +93,11 @@
         }
 
     def waiting(self, slot: str) -> list[str]:
-        """Return the proposers that wait for a slot, as far as they asked this voter."""
+        """Return the sorted names of the proposers that wait for a slot at this voter."""
         return sorted(self._waiters.get(slot, ()))
 
     def queued_slot_count(self) -> int:
-        """Return the number of slots that have, or had, a queue."""
+        """Return the number of slots that have or had a queue."""
         return len(self._waiters)
 
     def _is_acceptable(self, proposal: LeaseProposal) -> bool:
@@ -132,10 +132,10 @@
     def _enqueue(self, now: float, proposal: LeaseProposal) -> _Waiter:
         queue = self._waiters.setdefault(proposal.slot, {})
         self._drop_stale_waiters(now, queue)
-        # It may have waited before, for other slots of the same lease.
-        since = now - min(max(0.0, proposal.waited_s), self.settings.max_waited_s)
-        waiter = queue.setdefault(proposal.ballot.proposer, _Waiter(since, now, proposal.priority))
-        waiter.last_seen = now
+        # The proposer may have waited for other slots of the same lease before.
+        waiting_since = now - min(max(0.0, proposal.waited_s), self.settings.max_waited_s)
+        waiter = queue.setdefault(proposal.ballot.proposer, _Waiter(waiting_since, now, proposal.priority))
+        waiter.last_proposal_at = now
         waiter.priority = proposal.priority
         return waiter
 
@@ -144,26 +144,26 @@
         stale = [
             name
             for name, waiter in queue.items()
-            if now - waiter.last_seen > self.settings.waiter_timeout_s or name not in members
+            if now - waiter.last_proposal_at > self.settings.waiter_timeout_s or name not in members
         ]
         for name in stale:
             del queue[name]
 
     def _first_in_queue(self, now: float, slot: str) -> str:
-        """Return the next holder: whoever was overtaken too often, else by priority and waiting time."""
+        """Return the next holder: a waiter that was overtaken too often, else by priority and waiting time."""
 
         def rank(item: tuple[str, _Waiter]) -> tuple[bool, int, str]:
             name, waiter = item
-            # In whole steps, so that all voters see one order: proposers that started together reach each voter in a
-            # different order, and exact waiting times would split the votes again and again.
-            aged_priority = waiter.priority + int((now - waiter.since) / self.settings.priority_aging_s)
-            return waiter.overtaken < self.settings.max_overtakes, -aged_priority, name
+            # Whole steps make all voters use the same order. Proposals that are sent at the same time reach the voters
+            # in different orders, and with exact waiting times they would split the votes again and again.
+            aged_priority = waiter.priority + int((now - waiter.waiting_since) / self.settings.priority_aging_s)
+            return waiter.overtaken_count < self.settings.max_overtakes, -aged_priority, name
 
         return min(self._waiters[slot].items(), key=rank)[0]
 
     def _dequeue(self, slot: str, proposer: str, granted: _Waiter) -> None:
         queue = self._waiters[slot]
         for name, waiter in queue.items():
-            if name != proposer and waiter.since + self.settings.simultaneous_s < granted.since:
-                waiter.overtaken += 1
+            if name != proposer and waiter.waiting_since + self.settings.simultaneous_s < granted.waiting_since:
+                waiter.overtaken_count += 1
         del queue[proposer]
--- a/lapispick/members/leases.py
+++ b/lapispick/members/leases.py
@@ -1,24 +1,25 @@
-"""Quorum leases: their settings and the messages between proposers and voters. No I/O.
+"""Settings of quorum leases, and the messages between proposers and voters. No I/O.
 
-A lease with a limit of k concurrent holders consists of k slots with one holder each. (If grants were counted over k
-holders at once, up to 2k - 1 proposers could have a quorum.)
+A lease with a limit of k concurrent holders consists of k slots with one holder each. (If each voter granted the lease
+to k holders at once, up to 2k - 1 proposers could have a quorum.)
 
 - A proposal carries a ballot: a number and the proposer's name. A voter (``lease_voter.py``) grants it if the number is
-  higher than any that it has granted and no unexpired lease of another holder exists. The ballot number of a proposal
-  that a quorum granted is the fencing token. Two quorums share a voter, so a later holder's token is higher, and the
-  guarded resource can reject lower ones.
-- The holder counts the lease from before it sent the proposal, the voter from when it granted. As long as the monotonic
-  clocks drift apart by less than ``clock_drift_ratio``, the holder's lease expires first. A holder that was paused past
-  its lease finds it expired by its own clock.
-- A voter that started without its state may have granted leases before. It grants nothing for the longest lease after
-  its start.
-- The configuration of members may change (``configurations.py``): a proposal needs a quorum in each configuration that
-  was in force within the last ``configuration_overlap_s``, and a voter grants only to proposers whose configuration it
-  holds itself. A proposal under the old and one under the new configuration thus share a voter.
+  higher than any number that it has granted, and no other holder has an unexpired lease. The ballot number of a
+  proposal that a quorum granted is the fencing token. Two quorums have a voter in common, so a later holder has a
+  higher token, and the protected resource can reject lower tokens.
+- The holder's lease starts when it sends the proposal, the voter's grant when the voter grants it. As long as the rates
+  of the monotonic clocks differ by less than ``clock_drift_ratio``, the holder's lease expires first. A holder that was
+  paused for longer than its lease finds the lease expired by its own clock.
+- A voter that starts without its state may have granted leases before. It grants nothing until the longest of them has
+  expired.
+- The configuration of members may change (``configurations.py``). A proposal needs a quorum in each configuration that
+  was current within the last ``configuration_overlap_s``, and a voter grants a lease only to proposers whose
+  configuration it uses itself. A proposal under the old and one under the new configuration therefore have a voter in
+  common.
 - Voters queue the waiting proposers by priority plus waiting time. No proposer is overtaken by the same other one more
   than ``max_overtakes`` + 1 times.
 
-Without a quorum nobody obtains a lease, and nothing that serves requests waits for one.
+Without a quorum no member obtains a lease. Serving requests never waits for a lease.
 """
 
 from __future__ import annotations
@@ -27,32 +28,32 @@
 
 import msgspec
 
-NEVER = float("-inf")  # monotonic clocks may start anywhere, also below 0
-MAX_BALLOT_NUMBER = 1 << 52  # exact in a JSON double
+NEVER = float("-inf")  # a time before all others; monotonic clocks may start at any value, also below 0
+MAX_BALLOT_NUMBER = 1 << 52  # a JSON number (double) represents all integers up to here exactly
 
 
 class LeaseSettings(msgspec.Struct, frozen=True):
-    """Times in seconds of monotonic clocks."""
+    """Settings of the leases. Times are in seconds of monotonic clocks."""
 
     lease_s: float = 10.0
-    clock_drift_ratio: float = 0.02  # largest difference between the rates of two clocks
+    clock_drift_ratio: float = 0.02  # largest relative difference between the rates of two clocks
     vote_timeout_s: float = 1.0
-    retry_delay_s: float = 0.5  # before a failed proposal is repeated, times 1 to 2
-    configuration_overlap_s: float = 30.0  # a replaced configuration counts for so long; longer than the longest lease
-    waiter_timeout_s: float = 5.0  # a waiter that proposes no more is dropped
+    retry_delay_s: float = 0.5  # before a failed proposal is repeated, times a random factor of 1 to 2
+    configuration_overlap_s: float = 30.0  # a replaced configuration counts for this time, longer than any lease
+    waiter_timeout_s: float = 5.0  # a waiter that sends no proposal for this time is dropped
     max_overtakes: int = 3
-    simultaneous_s: float = 1.0  # waiters that began within this interval do not count as overtaken by each other
-    max_waited_s: float = 600.0  # limit of the waiting time that a proposer may report
-    priority_aging_s: float = 10.0  # waiting time that weighs as much as one step of priority
+    simultaneous_s: float = 1.0  # waiters whose waits began within this time do not count as overtaking each other
+    max_waited_s: float = 600.0  # longest reported waiting time that a voter takes into account
+    priority_aging_s: float = 10.0  # waiting time that is equivalent to one step of priority
 
     @property
     def grant_s(self) -> float:
-        """Return how long a voter keeps a grant: the lease with the clocks' drift added."""
+        """Return the duration of a voter's grant: the lease plus the clock drift."""
         return self.lease_s * (1 + self.clock_drift_ratio)
 
     @property
     def holder_lease_s(self) -> float:
-        """Return how long a holder may use a lease: the lease with the clocks' drift taken off."""
+        """Return the time for which a holder may use a lease: the lease minus the clock drift."""
         return self.lease_s * (1 - self.clock_drift_ratio)
 
     @property
@@ -62,14 +63,14 @@
 
 
 class Ballot(NamedTuple):
-    """The number of a proposal, and whose it is. A voter grants each number at most once."""
+    """Number of a proposal, and its proposer. A voter grants each number at most once."""
 
     number: int
     proposer: str
 
 
 class LeaseProposal(msgspec.Struct, frozen=True, tag="claim"):
-    """Asks a voter for a slot, or to extend a lease that is held."""
+    """Request to a voter for a slot, or for the renewal of a lease that is held."""
 
     slot: str
     ballot: Ballot
@@ -80,7 +81,7 @@
 
 
 class LeaseVote(msgspec.Struct, frozen=True, tag="vote"):
-    """The answer to a proposal; if it is rejected, with the highest ballot number granted and a time to wait."""
+    """Answer to a proposal; a rejection has the highest ballot number granted and the time before a retry."""
 
     slot: str
     ballot: Ballot
@@ -90,9 +91,9 @@
 
 
 class LeaseRelease(msgspec.Struct, frozen=True, tag="release"):
-    """Gives a slot back: a lease before it expires (``was_held``), or a proposal that failed.
+    """Release of a slot: of a lease before it expires (``was_held``), or of a proposal that failed.
 
-    A proposer that ``leaves_queue`` continues with another slot and must not block this slot's queue meanwhile.
+    ``leaves_queue``: the proposer continues with another slot, and must not block the queue of this one meanwhile.
     """
 
     slot: str
--- a/lapispick/members/member.py
+++ b/lapispick/members/member.py
@@ -1,7 +1,7 @@
-"""One cluster member: its membership view, leases and facts. No I/O, no clock, no random numbers of its own.
+"""Cluster member: its membership view, leases and facts. No I/O, no clock, no random number generator of its own.
 
-The caller passes received messages and the time of a monotonic clock, and sends what is returned. The host
-(``host/members/``) and the simulation (``model/``) run this same code.
+The caller passes in received messages, the time of a monotonic clock and a random number generator, and sends the
+messages that are returned. The host (``host/members/``) and the simulation (``model/``) run the same code.
 """
 
 from __future__ import annotations
@@ -21,22 +21,22 @@
 from lapispick.members.messages import Fact, Message, StateSync
 from lapispick.members.suspicion import SwimSettings
 
-MAX_FACTS_ACCEPTED = 8  # of one message
-FACT_EXPIRY_CHECKS = 10  # within the expiry of a fact
+MAX_FACTS_ACCEPTED = 8  # facts of one received message; the others are ignored
+FACT_EXPIRY_CHECKS = 10  # checks for expired facts per ``expiry_s``
 
 
 class MemberSettings(msgspec.Struct, frozen=True):
-    """All settings of a member."""
+    """Settings of a member."""
 
     swim: SwimSettings = SwimSettings()
     leases: LeaseSettings = LeaseSettings()
     facts: FactSettings = FactSettings()
-    lease_owner_timeout_s: float = 5.0  # a lease request that is not repeated for so long is dropped
+    lease_owner_timeout_s: float = 5.0  # a lease request that is not repeated within this time is dropped
     max_lease_requests: int = 64
 
 
 class Member:
-    """One member of the cluster. ``has_no_past``: it is known that no process of it ran before."""
+    """Member of the cluster. ``has_no_past``: no earlier process of this member can have run."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         now: float,
         has_no_past: bool = False,
     ) -> None:
-        """Join with the accepted list ``names``; ``slot_counts`` says how many may hold each named lease."""
+        """Join with the accepted list ``names``; ``slot_counts`` is the number of slots of each named lease."""
         self.name = name
         self.settings = settings
         self.view = MembershipView(name, fleet, process_epoch, names, settings.swim, now, digest)
@@ -72,11 +72,11 @@
 
     @property
     def process_epoch(self) -> int:
-        """Return the process epoch, which may have grown since the start."""
+        """Return the process epoch, which may have increased since the start."""
         return self.view.process_epoch
 
     def set_configuration(self, names: Iterable[str], digest: str, now: float) -> None:
-        """Take an accepted list of members."""
+        """Apply an accepted list of members."""
         self.view.set_configuration(names, digest)
         self.detector.set_configuration()
         self.leases.configurations.change(self.view.names, digest, now)
@@ -85,14 +85,14 @@
         """Return the state changes of members since the last call."""
         return self.view.take_changes()
 
-    # Time and messages.
+    # Timing and messages.
 
     def next_tick_at(self) -> float:
-        """Return when the next call of ``tick`` has something to do, monotonic s."""
+        """Return the time when ``tick`` is next due, in monotonic seconds."""
         return min(self.detector.next_tick_at(), self.leases.next_tick_at())
 
     def tick(self, now: float) -> list[Outgoing]:
-        """Do what is due."""
+        """Run the due steps of the failure detector, the leases and the facts; return the messages to send."""
         if self.view.replaced:
             self.leases.lose_all(now)
             return []
@@ -101,10 +101,10 @@
         if now >= self._next_fact_expiry:
             self._next_fact_expiry = now + self.settings.facts.expiry_s / FACT_EXPIRY_CHECKS
             self.facts.expire(now, self.view.names)
-        return [self._with_facts(now, each) for each in outgoing]
+        return [self._with_facts(now, message) for message in outgoing]
 
     def receive(self, now: float, message: Message) -> list[Outgoing]:
-        """Take a message and return the answers."""
+        """Process a message and return the answers."""
         if self.view.replaced:
             return []
         is_accepted = self.view.reject_reason(message) is None
@@ -113,16 +113,16 @@
             for fact in message.facts[:MAX_FACTS_ACCEPTED]:
                 self._merge_fact(now, fact)
             outgoing += self.leases.receive(now, message)
-        return [self._with_facts(now, each) for each in outgoing]
+        return [self._with_facts(now, answer) for answer in outgoing]
 
     def leave(self) -> list[Outgoing]:
-        """Announce that this member leaves. Its leases expire or are released by their owners."""
+        """Return the messages that announce that this member leaves; its leases expire or their owners release them."""
         return self.detector.leave()
 
     # Anti-entropy over streams.
 
     def state_sync(self, now: float, is_reply: bool = False) -> StateSync:
-        """Return the complete state."""
+        """Return a message with the complete state of this member."""
         return StateSync(
             self.view.fleet,
             self.name,
@@ -135,7 +135,7 @@
         )
 
     def merge_state(self, now: float, message: StateSync) -> bool:
-        """Merge another member's complete state; False if the message is rejected."""
+        """Merge the complete state of another member; return False if the message is rejected."""
         is_accepted = self.view.reject_reason(message) is None
         self.detector.receive(now, message)
         if not is_accepted:
--- a/lapispick/members/member_state.py
+++ b/lapispick/members/member_state.py
@@ -1,4 +1,4 @@
-"""The states of members and the records that are kept of them. No I/O."""
+"""States of members, and the record that a member keeps of each other member. No I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class MemberState(enum.IntEnum):
-    """What is believed of a member; of one incarnation the higher state supersedes the lower."""
+    """State of a member in a membership view. Within one incarnation, the higher state supersedes the lower."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -20,12 +20,15 @@
     LEFT = 3
 
 
-STATE_NAMES = {state: state.name.lower() for state in MemberState}  # as they are sent
+STATE_NAMES = {state: state.name.lower() for state in MemberState}  # names on the wire
 STATES_BY_NAME = {name: state for state, name in STATE_NAMES.items()}
 
 
 class StateChange(NamedTuple):
-    """A member changed its state. ``returned``: it was dead, or had left, for a short time only."""
+    """Change of a member's state.
+
+    ``returned``: the member was dead or had left, and is alive again within ``return_window_s`` of being declared dead.
+    """
 
     name: str
     state: MemberState
@@ -34,30 +37,33 @@
 
 
 class MemberRecord(msgspec.Struct):
-    """What is believed of one member. ``since`` is when ``state`` began; ``witnesses`` got no answer themselves."""
+    """Last known state of one other member.
+
+    ``state_since`` is when ``state`` began, and ``witnesses`` are the members whose own probes it did not answer.
+    """
 
     state: MemberState
     incarnation: int
     process_epoch: int
-    since: float
+    state_since: float
     witnesses: frozenset[str] = frozenset()
-    died_at: float = -1e9
+    declared_dead_at: float = -1e9  # long before any start: never declared dead
 
     @property
     def version(self) -> tuple[int, int, MemberState]:
-        """Return (process epoch, incarnation, state): the higher report supersedes the lower."""
+        """Return (process epoch, incarnation, state); a report with a higher version supersedes a lower one."""
         return self.process_epoch, self.incarnation, self.state
 
     def as_update(self, name: str) -> GossipUpdate:
-        """Return the report of this record."""
+        """Return this record as a gossip update."""
         return GossipUpdate(name, STATE_NAMES[self.state], self.incarnation, self.process_epoch)
 
 
-UNKNOWN_MEMBER = MemberRecord(MemberState.ALIVE, 0, 0, 0.0)  # of which nothing was heard; counts as alive
+UNKNOWN_MEMBER = MemberRecord(MemberState.ALIVE, 0, 0, 0.0)  # no report received yet; counts as alive
 
 
 class MemberRecords:
-    """The records of the other members, as far as something was heard of them, and how their states changed."""
+    """Records of the other members about which reports were received, and the changes of their states."""
 
     def __init__(self, return_window_s: float) -> None:
         self.not_alive: set[str] = set()
@@ -73,24 +79,24 @@
         return iter(self._records.items())
 
     def get(self, name: str) -> MemberRecord:
-        """Return what is believed of a member."""
+        """Return the record of a member, or ``UNKNOWN_MEMBER``."""
         return self._records.get(name, UNKNOWN_MEMBER)
 
     def get_or_add(self, now: float, name: str) -> MemberRecord:
-        """Return the record of a member, added as alive where nothing was heard of it before."""
+        """Return the record of a member; a member without a record gets one as alive."""
         record = self._records.get(name)
         if record is None:
             record = self._records[name] = MemberRecord(MemberState.ALIVE, 0, 0, now)
         return record
 
     def discard(self, name: str) -> None:
-        """Drop what is believed of a member."""
+        """Drop the record of a member."""
         self._records.pop(name, None)
         self.not_alive.discard(name)
         self.suspects.discard(name)
 
     def unavailable_count(self) -> int:
-        """Return how many members are dead or have left."""
+        """Return the number of members that are dead or have left."""
         return sum(self._records[name].state > MemberState.SUSPECT for name in self.not_alive)
 
     def change_state(self, now: float, name: str, state: MemberState, cause: str) -> None:
@@ -98,9 +104,9 @@
         record = self._records[name]
         came_back = state is MemberState.ALIVE and record.state in (MemberState.DEAD, MemberState.LEFT)
         record.state = state
-        record.since = now
+        record.state_since = now
         if state is MemberState.DEAD:
-            record.died_at = now
+            record.declared_dead_at = now
         if state is MemberState.ALIVE:
             self.not_alive.discard(name)
         else:
@@ -109,20 +115,20 @@
             self.suspects.add(name)
         else:
             self.suspects.discard(name)
-        returned = came_back and now - record.died_at <= self._return_window_s
+        returned = came_back and now - record.declared_dead_at <= self._return_window_s
         self.add_change(StateChange(name, state, returned, cause))
 
     def add_change(self, change: StateChange) -> None:
-        """Add a state change that ``take_changes`` will return."""
+        """Add a state change for ``take_changes`` to return."""
         self._changes.append(change)
 
     def take_changes(self) -> list[StateChange]:
-        """Return the state changes since the last call."""
+        """Return the state changes since the last call, and clear them."""
         changes = self._changes
         self._changes = []
         return changes
 
     def extend_suspicions(self, pause_s: float) -> None:
-        """Let all states other than alive have begun later by ``pause_s``."""
+        """Move the start of all states other than alive forward by ``pause_s``."""
         for name in self.not_alive:
-            self._records[name].since += pause_s
+            self._records[name].state_since += pause_s
--- a/lapispick/members/messages.py
+++ b/lapispick/members/messages.py
@@ -1,12 +1,12 @@
-"""Messages between cluster members: one JSON object a datagram. No I/O.
+"""Messages between cluster members: one JSON object per datagram. No I/O.
 
 Each message carries the cluster's name, the sender's process epoch and incarnation, and the newest protocol version
-that the sender speaks (``lapispick/versions.py``). ``Probe``, ``Ack`` and ``ProbeRequest`` belong to the failure
-detector, ``LeaseProposalMessage``, ``LeaseVoteMessage`` and ``LeaseReleaseMessage`` to the quorum leases. ``StateSync``
-carries the complete state, is too long for a datagram and goes over a stream, as one line.
+that the sender supports (``lapispick/versions.py``). The failure detector uses ``Probe``, ``Ack`` and ``ProbeRequest``;
+the quorum leases use ``LeaseProposalMessage``, ``LeaseVoteMessage`` and ``LeaseReleaseMessage``. ``StateSync`` carries
+the sender's complete state. It is too long for a datagram and is sent over a stream, as one line.
 
-The names on the wire are those of protocol version 1; ``msgspec.field(name=...)`` and ``tag=...`` map them here and
-nowhere else. ``GossipUpdate`` and ``Fact`` are sent as arrays, by position.
+The field names on the wire are those of protocol version 1. Only this module and ``leases.py`` map them to attributes,
+with ``msgspec.field(name=...)`` and ``tag=...``. ``GossipUpdate`` and ``Fact`` are sent as arrays, in field order.
 """
 
 from __future__ import annotations
@@ -16,18 +16,19 @@
 from lapispick.members.leases import LeaseProposal, LeaseRelease, LeaseVote
 
 PROTOCOL_VERSION = 1
-MAX_DATAGRAM_BYTES = 1200  # fits every link's MTU without fragmentation
-MAX_UPDATES = 8  # in one message
-MAX_FACTS = 4  # in one message
-MAX_EPOCH = 1 << 50  # a higher epoch or incarnation could never be superseded
-MAX_TEXT_LENGTH = 64  # characters of a fact's subject or text
+MAX_DATAGRAM_BYTES = 1200  # fits the MTU of every link without fragmentation
+MAX_UPDATES = 8  # gossip updates in one message
+MAX_FACTS = 4  # facts sent in one message
+MAX_EPOCH = 1 << 50  # limits epochs and incarnations, so that each accepted one can be superseded
+MAX_TEXT_LENGTH = 64  # in characters, of the subject or text of a fact
 
 
 class GossipUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What somebody reports of a member's state in one incarnation of one process epoch.
+    """Reported state of a member, in one incarnation of one process epoch.
 
-    ``state`` is a name of ``member_state.STATES_BY_NAME``; later versions may send others, which are ignored.
-    ``witness`` names the member whose own probe went unanswered; it is empty when a suspicion is only forwarded.
+    ``state`` is a key of ``member_state.STATES_BY_NAME``. Later versions may send other states, which are ignored.
+    ``witness`` is the member whose own probe was not answered. It is empty for other states than suspect, and in the
+    report of a stored suspicion (``MemberRecord.as_update``).
     """
 
     name: str
@@ -38,7 +39,10 @@
 
 
 class Fact(msgspec.Struct, frozen=True, array_like=True):
-    """One observation of its author. A higher (process epoch, sequence) of the same kind and subject replaces it."""
+    """Observation published by one member, the author.
+
+    A fact of the same author, kind and subject with a higher (process epoch, sequence) replaces it.
+    """
 
     author: str
     process_epoch: int
@@ -47,13 +51,13 @@
     subject: str
     value: float
     sample_count: int = 1
-    age_s: float = 0.0  # when it was sent
+    age_s: float = 0.0  # at the time of sending
     author_health: int = 0  # the author's local health score; 0 is healthy
     text: str = ""
 
 
 class Message(msgspec.Struct, frozen=True, tag_field="say"):
-    """What all messages carry. ``configuration_digest`` identifies the sender's accepted list of members."""
+    """Fields of all messages. ``configuration_digest`` identifies the sender's accepted list of members."""
 
     fleet: str
     sender: str
@@ -66,46 +70,46 @@
 
 
 class Probe(Message, tag="probe"):
-    """Ask the receiver for an ``Ack``; ``requester`` is the member on whose behalf an indirect probe is sent."""
+    """Request for an ``Ack``; ``requester`` is the member that asked for an indirect probe, else empty."""
 
     sequence: int = msgspec.field(default=0, name="number")
     requester: str = msgspec.field(default="", name="asker")
 
 
 class Ack(Message, tag="ack"):
-    """Answer a probe; ``target`` names the member that answered an indirect probe."""
+    """Answer to a probe; ``target`` is the member that answered an indirect probe, else empty."""
 
     sequence: int = msgspec.field(default=0, name="number")
     target: str = msgspec.field(default="", name="of")
 
 
 class ProbeRequest(Message, tag="ask"):
-    """Ask the receiver to probe ``target``, which did not answer the sender (SWIM's ping-req)."""
+    """Request to probe ``target``, which did not answer the sender (SWIM's ping-req)."""
 
     sequence: int = msgspec.field(default=0, name="number")
     target: str = ""
 
 
 class LeaseProposalMessage(Message, tag="claims"):
-    """Ask the receiver, as a voter, to grant a lease."""
+    """Proposal that the receiver, as a voter, grants a lease."""
 
     proposal: LeaseProposal | None = msgspec.field(default=None, name="claim")
 
 
 class LeaseVoteMessage(Message, tag="votes"):
-    """Answer a lease proposal."""
+    """Answer to a lease proposal."""
 
     vote: LeaseVote | None = None
 
 
 class LeaseReleaseMessage(Message, tag="releases"):
-    """Give a lease, or a failed proposal, back."""
+    """Release of a lease or of a failed proposal."""
 
     release: LeaseRelease | None = None
 
 
 class StateSync(Message, tag="whole"):
-    """The sender's complete state, for anti-entropy over a stream; ``is_reply`` is set in the answer to one."""
+    """Complete state of the sender, for anti-entropy over a stream; ``is_reply`` is set in the answer to another."""
 
     member_states: tuple[GossipUpdate, ...] = msgspec.field(default=(), name="states")
     all_facts: tuple[Fact, ...] = msgspec.field(default=(), name="held")
@@ -118,12 +122,15 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return a message as JSON."""
+    """Return the JSON of a message."""
     return _encode(message)
 
 
 def encode_datagram(message: Message) -> bytes:
-    """Return a message as JSON of at most ``MAX_DATAGRAM_BYTES``; facts, then gossip updates, are left out to fit."""
+    """Return the JSON of a message, at most ``MAX_DATAGRAM_BYTES`` long.
+
+    A message that is too long loses its last facts, then its last gossip updates.
+    """
     data = _encode(message)
     while len(data) > MAX_DATAGRAM_BYTES and (message.facts or message.updates):
         if message.facts:
--- a/lapispick/members/store_latency.py
+++ b/lapispick/members/store_latency.py
@@ -1,8 +1,9 @@
-"""How long a store's calls take now, relative to their usual latency, as this host sees it. No I/O and no clock.
+"""Latency of a store's calls relative to their usual latency, as this host observes it. No I/O, no clock.
 
-Two means with exponentially decaying weights, of ``recent_half_life_s`` and ``usual_half_life_s``. A failed call counts
-as one that took at least ``failure_latency_ratio`` times the usual latency. The ratio is gossiped with the number of
-calls that it rests on, so that readers can weigh the hosts' reports; no host decides by its own ratio alone.
+The recent and the usual latency are means with exponentially decaying weights, with half-lives of
+``recent_half_life_s`` and ``usual_half_life_s``. A failed call counts as one that took at least
+``failure_latency_ratio`` times the usual latency. The ratio of the means is gossiped with the number of calls behind
+it, so that readers can weight the reports of the hosts. No host decides by its own ratio alone.
 """
 
 from __future__ import annotations
@@ -11,11 +12,12 @@
 
 import msgspec
 
-MAX_OUTLIER_RATIO = 2  # of a call to the usual latency, in the usual mean; a collapse must not soon look usual
+# Limit of a call's latency in the usual mean, relative to it. A store that collapses must not soon look usual.
+MAX_OUTLIER_RATIO = 2
 
 
 class StoreLatencySettings(msgspec.Struct, frozen=True):
-    """Half-lives in seconds."""
+    """Settings of the latency means. Half-lives are in seconds."""
 
     recent_half_life_s: float = 3.0
     usual_half_life_s: float = 300.0
@@ -24,14 +26,14 @@
 
 
 class RelativeLatency(NamedTuple):
-    """The recent mean latency over the usual one, and the number of calls that it rests on."""
+    """Ratio of the recent to the usual mean latency, and the number of recent calls behind it."""
 
     ratio: float
     sample_count: int
 
 
 class _DecayingMean(msgspec.Struct):
-    """A mean whose weights halve with each half-life."""
+    """Mean of values whose weights halve with each half-life."""
 
     half_life_s: float
     total: float = 0.0
@@ -55,7 +57,7 @@
 
 
 class StoreLatency:
-    """The latency of calls to one store address."""
+    """Latency of calls to one store address."""
 
     def __init__(self, settings: StoreLatencySettings | None = None) -> None:
         self.settings = settings or StoreLatencySettings()
@@ -73,7 +75,7 @@
         self._usual.add(now, duration_ms)
 
     def relative_latency(self, now: float) -> RelativeLatency | None:
-        """Return the present latency relative to the usual one; None after too few calls."""
+        """Return the current latency relative to the usual one; None after too few calls."""
         self._recent.decay(now)
         self._usual.decay(now)
         if self._usual.weight < self.settings.min_calls or self._recent.weight < 1.0 or not self._usual.value:
--- a/lapispick/members/suspicion.py
+++ b/lapispick/members/suspicion.py
@@ -1,6 +1,6 @@
-"""How long a suspicion lasts, by the cluster size, its confirmations and the local health. No I/O, no clock.
+"""Suspicion timeout by cluster size, number of confirmations and local health. No I/O, no clock.
 
-Suspicion timeouts and the local health score are those of Lifeguard (Dadgar and others, 2018).
+The suspicion timeout and the local health score are those of Lifeguard (Dadgar and others, 2018).
 """
 
 from __future__ import annotations
@@ -11,22 +11,24 @@
 
 
 class SwimSettings(msgspec.Struct, frozen=True):
-    """Settings of the failure detector and the gossip. Times in seconds."""
+    """Settings of the failure detector and of gossip. Times are in seconds."""
 
     probe_interval_s: float = 1.0
-    probe_timeout_s: float = 0.3  # for a direct answer; indirect probes follow
-    indirect_probes: int = 3
-    suspicion_factor: float = 5.0  # times log10 of the cluster size, at least 1, times the probe interval
-    max_suspicion_ratio: float = 6.0  # of the timeout without confirmations to the shortest one
-    max_confirmations: int = 3  # that shorten a suspicion
-    max_health_multiplier: int = 8  # of timeouts
-    return_window_s: float = 120.0  # a member that was dead for no longer is reported as returned
-    retransmit_factor: float = 4.0  # times log10 of the cluster size: transmissions of an update
-    epoch_adoption_s: float = 10.0  # after the start, in which a process may take an epoch later than a known one
+    probe_timeout_s: float = 0.3  # for the answer to a direct probe; indirect probes follow
+    indirect_probes: int = 3  # members that are asked to probe a member that did not answer
+    suspicion_factor: float = (
+        5.0  # shortest timeout in probe intervals, for up to 10 members; grows with log10 of the size
+    )
+    max_suspicion_ratio: float = 6.0  # of the timeout without confirmations to the shortest timeout
+    max_confirmations: int = 3  # number of confirmations at which the timeout is shortest
+    max_health_multiplier: int = 8  # limit of the factor by which poor local health lengthens timeouts
+    return_window_s: float = 120.0  # a member that was dead for at most this time is reported as returned
+    retransmit_factor: float = 4.0  # transmissions of an update, for up to 9 members; grows with log10 of the size
+    epoch_adoption_s: float = 10.0  # time after its start in which a process may adopt the epoch after a reported one
 
 
 class LocalHealth:
-    """The local health score of Lifeguard: 0 is healthy. A slow member multiplies its timeouts by ``multiplier``."""
+    """Local health score of Lifeguard. 0 is healthy; a slow member multiplies its timeouts by ``multiplier``."""
 
     def __init__(self, max_multiplier: int) -> None:
         self._max_score = max_multiplier - 1
@@ -34,20 +36,20 @@
 
     @property
     def multiplier(self) -> int:
-        """Return the factor of probe timeouts."""
+        """Return the factor by which probe timeouts are multiplied."""
         return 1 + self.score
 
     def improve(self) -> None:
-        """Count a probe that was answered in time."""
+        """Improve the score by one, for a probe that was answered in time."""
         self.score = max(0, self.score - 1)
 
     def degrade(self) -> None:
-        """Count an unanswered probe, a refutation of this member's own, or a pause of its process."""
+        """Worsen the score by one, for an unanswered probe, a refuted suspicion of this member, or a pause."""
         self.score = min(self._max_score, self.score + 1)
 
 
 def suspicion_timeout(settings: SwimSettings, cluster_size: int, witness_count: int, health: LocalHealth) -> float:
-    """Return the timeout in s: shorter with each confirmation, longer the worse this member's own health is."""
+    """Return the suspicion timeout in seconds; confirmations shorten it, and poor local health lengthens it."""
     shortest = settings.suspicion_factor * max(1.0, log10(cluster_size)) * settings.probe_interval_s
     longest = shortest * settings.max_suspicion_ratio
     confirmed = min(1.0, log(witness_count + 1) / log(settings.max_confirmations + 1))
