--- a/tests/test_member_cluster.py
+++ b/tests/test_member_cluster.py
@@ -1,4 +1,4 @@
-"""Membership and leases on running hosts: partitions, pauses, deaths, lost messages, changes of the list."""
+"""Membership and leases on running hosts: partitions, pauses, killed hosts, lost messages, changes of the list."""
 
 import contextlib
 import json
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def make_cluster(tmp_path):
-    """Return a function that makes a cluster of hosts that are members; they are not started."""
+    """Return a function that creates a cluster of member hosts without starting them."""
     opened = []
 
     def make(hosts=5, settings=FAST_SETTINGS, seed=11, rate=8.0):
@@ -30,13 +30,13 @@
         return cluster
 
     yield make
-    for each in reversed(opened):
-        each.close()
+    for fleet_or_cluster in reversed(opened):
+        fleet_or_cluster.close()
 
 
 @pytest.fixture
 def start_cluster(make_cluster):
-    """Return a function that starts a cluster of hosts and waits until all are members."""
+    """Return a function that starts a cluster of hosts and waits until all see each other alive."""
 
     def start(*args, **options):
         cluster = make_cluster(*args, **options).start()
@@ -47,8 +47,10 @@
 
 
 def partition(cluster, *groups):
-    """Cut the links between groups of hosts; returns what heals them."""
-    heal_functions = [cluster.fleet.partition(one, other) for n, one in enumerate(groups) for other in groups[n + 1 :]]
+    """Cut the links between groups of hosts; return a function that restores them."""
+    heal_functions = [
+        cluster.fleet.partition(group, other) for n, group in enumerate(groups) for other in groups[n + 1 :]
+    ]
     return lambda: [heal() for heal in heal_functions]
 
 
@@ -57,7 +59,7 @@
     cluster.check_invariants()
 
 
-def test_members_agree_and_pass_leases_on_while_requests_are_answered(make_cluster):
+def test_members_agree_and_leases_change_holders_while_requests_are_answered(make_cluster):
     cluster = make_cluster(settings=SLOW_SETTINGS).start()
     cluster.fleet.start_load()
     hosts = cluster.names()
@@ -68,7 +70,7 @@
     cluster.wait_for_holds(10)
     cluster.fleet.wait_for_results(20)
     stop_owners_and_check(cluster)
-    assert sum(bool(owner.leases) for owner in owners) >= 4  # no host is overtaken all the time
+    assert sum(bool(owner.leases) for owner in owners) >= 4  # no host is overtaken indefinitely
     assert cluster.deaths() == []
     assert cluster.fleet.broken_rules() == []
 
@@ -89,8 +91,8 @@
     assert cluster.view(majority[0])["majority"] is True
     tokens_before = {token for _, token in cluster.resource.holds()}
     cluster.wait_for_holds(4)
-    later = [action for action in list(cluster.resource.accepted) if action.fencing_token not in tokens_before]
-    assert {action.host for action in later} <= set(majority)
+    later_actions = [action for action in list(cluster.resource.accepted) if action.fencing_token not in tokens_before]
+    assert {action.host for action in later_actions} <= set(majority)
     heal()
     cluster.wait_for_agreement(hosts)
     cluster.wait_for_holds(6)
@@ -105,22 +107,22 @@
     cluster.request_leases(hold_s=0.1)
     cluster.wait_for_holds(2)
     heal = partition(cluster, hosts[:2], hosts[2:4], hosts[4:])
-    let_time_pass(2.0)  # longer than the lease that was running
-    before = cluster.resource.holds()
+    let_time_pass(2.0)  # longer than the lease that was held
+    holds_before = cluster.resource.holds()
     let_time_pass(2.0)
-    assert cluster.resource.holds() == before
+    assert cluster.resource.holds() == holds_before
     heal()
     cluster.wait_for_holds(4)
     stop_owners_and_check(cluster)
 
 
-def test_a_holder_that_is_paused_past_its_lease_holds_nothing_when_it_resumes(start_cluster):
+def test_a_holder_that_is_paused_past_its_lease_has_no_lease_when_it_resumes(start_cluster):
     cluster = start_cluster()
-    owners = {owner.host.name: owner for owner in cluster.request_leases(hold_s=20.0)}  # each would keep it for long
+    owners = {owner.host.name: owner for owner in cluster.request_leases(hold_s=20.0)}  # much longer than a lease
     cluster.wait_for_holds(1)
     holder = cluster.resource.last_holder()
     resume = cluster.fleet.suspend(cluster.fleet[holder])
-    cluster.wait_for_holds(1)  # its lease expires at the others, and one of them obtains it
+    cluster.wait_for_holds(1)  # the lease expires at the voters, and another host obtains it
     assert cluster.resource.last_holder() != holder
     resume()
     let_time_pass(1.0)
@@ -130,7 +132,7 @@
     assert "event=lease-lost" in holder_log or "event=lease-abandoned" in holder_log
 
 
-def test_a_dead_holder_is_replaced_and_returns_in_a_later_epoch_without_its_disk(start_cluster):
+def test_a_killed_holder_is_replaced_and_restarts_in_a_later_epoch_without_its_disk(start_cluster):
     cluster = start_cluster()
     hosts = cluster.names()
     cluster.request_leases(hold_s=20.0)
@@ -151,14 +153,14 @@
     stop_owners_and_check(cluster)
 
 
-def test_partial_link_failures_make_no_member_dead(start_cluster):
+def test_no_member_is_declared_dead_because_of_partial_link_failures(start_cluster):
     cluster = start_cluster(settings=SLOW_SETTINGS)
     hosts = cluster.names()
     cluster.request_leases(hold_s=0.1)
     cluster.fleet.net.partition([hosts[0]], [hosts[1]])
     cluster.fleet.net.partition([hosts[2]], [hosts[3]], one_way=True)
     cluster.wait_for_holds(12)
-    let_time_pass(6.0)  # each is probed twice, and a suspicion that begins at once has timed out
+    let_time_pass(6.0)  # each member is probed twice, and an immediate suspicion times out
     assert cluster.deaths() == []
     stop_owners_and_check(cluster)
 
@@ -168,7 +170,7 @@
     hosts = cluster.names()
     cluster.fleet.net.partition([hosts[0]], [hosts[4]])
     began = time.monotonic()
-    while time.monotonic() - began < 10.0:  # more than twice a suspicion
+    while time.monotonic() - began < 10.0:  # more than two suspicion timeouts
         assert cluster.states(hosts[0]).get(hosts[4]) in ("alive", "suspect")
         time.sleep(0.1)
     assert cluster.deaths() == []
@@ -186,7 +188,7 @@
 
 
 @pytest.mark.parametrize("loss", [0.05, 0.2, 0.5])
-def test_lost_duplicated_late_and_reordered_messages_give_no_two_holders(start_cluster, loss):
+def test_lost_duplicated_delayed_and_reordered_messages_never_cause_two_holders(start_cluster, loss):
     cluster = start_cluster(settings=SLOW_SETTINGS if loss < 0.3 else FAST_SETTINGS)
     hosts = cluster.names()
     cluster.fleet.net.impair(hosts, hosts, loss=loss, duplicate=0.2, reorder=0.2, jitter_s=0.02)
@@ -194,7 +196,7 @@
     if loss < 0.5:
         cluster.wait_for_holds(4, within=60.0)
     else:
-        let_time_pass(6.0)  # whether a proposal succeeds is chance then; that no two hold the lease is not
+        let_time_pass(6.0)  # proposals may all fail here, but two hosts must never hold the lease
     if loss < 0.3:
         assert cluster.deaths() == []
     cluster.fleet.net.heal()
@@ -203,7 +205,7 @@
     stop_owners_and_check(cluster)
 
 
-def test_a_partition_that_flaps_every_second_gives_no_two_holders(start_cluster):
+def test_a_partition_that_flaps_every_second_never_causes_two_holders(start_cluster):
     cluster = start_cluster()
     hosts = cluster.names()
     cluster.request_leases(hold_s=0.2)
@@ -217,7 +219,7 @@
     stop_owners_and_check(cluster)
 
 
-def test_a_fifth_killed_at_once_is_detected_and_a_single_survivor_has_no_quorum(start_cluster):
+def test_hosts_killed_at_once_are_detected_and_a_single_survivor_has_no_quorum(start_cluster):
     cluster = start_cluster(10)
     hosts = cluster.names()
     killed = hosts[:2]
@@ -225,13 +227,13 @@
         cluster.fleet[name].kill()
     detection_s = cluster.wait_for_agreement(hosts[2:], absent=killed)
     print(f"detected in {detection_s:.1f} s")
-    last = hosts[-1]
+    survivor = hosts[-1]
     for name in hosts[2:-1]:
         cluster.fleet[name].kill()
-    cluster.wait_for_agreement([last], absent=hosts[:-1], within=60.0)
-    assert cluster.view(last)["seen"] == 1
-    assert cluster.view(last)["majority"] is False
-    cluster.request_leases(names=[last])
+    cluster.wait_for_agreement([survivor], absent=hosts[:-1], within=60.0)
+    assert cluster.view(survivor)["seen"] == 1
+    assert cluster.view(survivor)["majority"] is False
+    cluster.request_leases(names=[survivor])
     let_time_pass(3.0)
     assert cluster.resource.accepted == []
     cluster.start(hosts[:-1])
@@ -240,17 +242,17 @@
     stop_owners_and_check(cluster)
 
 
-def test_a_list_that_replaces_many_members_and_arrives_late_at_some_gives_no_two_holders(make_cluster):
+def test_a_list_change_that_reaches_hosts_at_different_times_never_causes_two_holders(make_cluster):
     cluster = make_cluster(10)
     hosts = cluster.names()
     old = hosts[:7]
-    new = hosts[3:]  # 4 of 7 stay
+    new = hosts[3:]  # 3 of 7 members are replaced
     cluster.set_list(old)
     cluster.start()
     cluster.wait_for_agreement(old)
     cluster.request_leases(hold_s=0.15)
     cluster.wait_for_holds(4)
-    heal = partition(cluster, hosts[:2], hosts[2:])  # which heals while the list changes
+    heal = partition(cluster, hosts[:2], hosts[2:])  # heals while the list changes
     for name in hosts:
         cluster.set_list(new, [name])
         let_time_pass(0.5)
@@ -262,14 +264,14 @@
     stop_owners_and_check(cluster)
 
 
-def test_two_configurations_at_once_give_no_two_holders(make_cluster):
+def test_two_configurations_at_once_never_cause_two_holders(make_cluster):
     cluster = make_cluster(6)
     hosts = cluster.names()
     cluster.set_list(hosts[:5], hosts[:3])
     cluster.set_list(hosts, hosts[3:])
     cluster.start()
     cluster.request_leases(hold_s=0.15)
-    let_time_pass(4.0)  # 5 in the one list, 3 of which hold it; 6 in the other, 3 of which hold it
+    let_time_pass(4.0)  # 3 of the 5 members of one list use it, and 3 of the 6 members of the other one
     assert cluster.overlaps() == []
     cluster.set_list(hosts)
     cluster.wait_for_agreement(hosts)
@@ -277,7 +279,7 @@
     stop_owners_and_check(cluster)
 
 
-def test_wall_clocks_that_differ_by_minutes_change_nothing(make_cluster):
+def test_differing_wall_clocks_affect_neither_membership_nor_leases(make_cluster):
     cluster = make_cluster(settings=SLOW_SETTINGS)
     hosts = cluster.names()
     cluster.start(clock_offsets=dict(zip(hosts, (0.0, 300.0, -300.0, 7200.0, -60.0), strict=True)))
@@ -288,7 +290,7 @@
     assert cluster.deaths() == []
 
 
-def test_a_lease_with_two_slots_uses_both_and_has_two_holders_at_most(start_cluster):
+def test_a_lease_with_two_slots_uses_both_and_has_at_most_two_holders(start_cluster):
     cluster = start_cluster()
     cluster.request_leases("pair", hold_s=0.3)
     cluster.wait_for_holds(12)
@@ -296,17 +298,17 @@
     assert {slot for slot, _ in cluster.resource.holds()} == {"pair/0", "pair/1"}
 
 
-def test_unknown_senders_invalid_messages_and_floods_affect_only_themselves(start_cluster):
+def test_unknown_senders_invalid_messages_and_floods_do_not_affect_members(start_cluster):
     cluster = start_cluster(3, settings=SLOW_SETTINGS)
     hosts = cluster.names()
     host, port = cluster.addresses[hosts[0]].split(":")
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger, socket.socket() as stream:
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as unknown_sender, socket.socket() as stream:
         forged = (
             b'{"say":"probe","fleet":"fleet","sender":"disp-02","life":99999999999999,"incarnation":9,'
             b'"rumours":[["disp-03","dead",9,99999999999999]]}'
         )
         for n in range(2000):
-            stranger.sendto(forged if n % 2 else b"\xff{" * (n % 700), (host, int(port)))
+            unknown_sender.sendto(forged if n % 2 else b"\xff{" * (n % 700), (host, int(port)))
         stream.connect((host, int(port)))
         stream.sendall(b"{" * 100_000 + b"\n")
         stream.settimeout(5)
@@ -317,8 +319,8 @@
     view = cluster.view(hosts[0])
     assert view["dropped"]["not from its address"] > 100
     assert view["dropped"]["nonsense"] > 100
-    assert {each["state"] for each in view["members"]} == {"alive"}
-    assert max(each["life"] for each in view["members"]) < 99999999999999
+    assert {member["state"] for member in view["members"]} == {"alive"}
+    assert max(member["life"] for member in view["members"]) < 99999999999999
     assert cluster.deaths() == []
 
 
@@ -331,14 +333,16 @@
     started = time.monotonic()
     os.kill(cluster.fleet[holder].processes[-1].pid, signal.SIGTERM)
     cluster.wait_for_holds(1)
-    print(f"the next holder obtained it after {time.monotonic() - started:.2f} s")
+    print(f"the next holder obtained the lease after {time.monotonic() - started:.2f} s")
     rest = [name for name in hosts if name != holder]
     cluster.wait_for_agreement(rest, absent=[holder])
-    wait_until(lambda: all(cluster.states(name)[holder] == "left" for name in rest), "that all know that it left")
+    wait_until(
+        lambda: all(cluster.states(name)[holder] == "left" for name in rest), "the state left at all other hosts"
+    )
     stop_owners_and_check(cluster)
 
 
-def test_the_commands_show_the_view_and_why_a_member_is_dead(start_cluster):
+def test_commands_show_the_view_and_why_a_member_is_dead(start_cluster):
     cluster = start_cluster(3)
     hosts = cluster.names()
     operators_addresses = [cluster.fleet[name].processes[-1].ops for name in hosts]
@@ -361,7 +365,7 @@
     assert run_lapispick("members", "why", "nobody", "--at", operators_addresses[0]).returncode == 1
 
 
-def test_a_lease_is_held_while_a_command_runs_and_passed_on_in_turn(start_cluster, tmp_path):
+def test_commands_that_need_the_same_lease_run_one_after_the_other(start_cluster, tmp_path):
     cluster = start_cluster(3)
     hosts = cluster.names()
     operators_addresses = [cluster.fleet[name].processes[-1].ops for name in hosts]
@@ -377,7 +381,7 @@
     ]
     assert [command.wait(60) for command in commands] == [7] * 4
     lines = [line.split() for line in output_file.read_text().splitlines()]
-    assert [what for _, what in lines] == ["begins", "ends"] * 4  # one after the other
+    assert [phase for _, phase in lines] == ["begins", "ends"] * 4  # the commands do not overlap
     tokens = [int(token) for token, _ in lines]
     assert tokens == sorted(tokens)
     assert len(set(tokens)) == 4
@@ -386,7 +390,7 @@
     assert run_lapispick("leases", "hold", "--at", operators_addresses[0], "nothing", "--", "true").returncode == 2
 
 
-def test_a_command_is_ended_before_its_lease_expires(start_cluster, tmp_path):
+def test_a_command_is_stopped_before_its_lease_expires(start_cluster, tmp_path):
     cluster = start_cluster(3)
     hosts = cluster.names()
     output_file = tmp_path / "out"
@@ -396,7 +400,7 @@
         "leases", "hold", "--at", operators_address, "job", "--", "sh", "-c", script, stderr=subprocess.PIPE
     )
     wait_until(lambda: output_file.exists() and output_file.read_text().strip(), "the command's start")
-    cluster.fleet.partition([hosts[0]], hosts[1:])  # the holder is cut off from the majority
+    cluster.fleet.partition([hosts[0]], hosts[1:])  # the holder is separated from the majority
     started = time.monotonic()
     assert command.wait(30) == 1
     assert b"was lost while the command ran" in command.stderr.read()
@@ -411,18 +415,20 @@
     cluster = start_cluster(3, rate=40.0)
     hosts = cluster.names()
     cluster.fleet.start_load()
-    cluster.fleet.wait_for_results(150)  # some seconds of the usual latency
+    cluster.fleet.wait_for_results(150)  # several seconds of calls with the usual latency
 
     def latency_ratios():
         view = cluster.view(hosts[0]) or {"facts": []}
         return {author: value for author, _, _, kind, _, value, *_ in view["facts"] if kind == "store"}
 
-    wait_until(lambda: set(latency_ratios()) == set(hosts), "a fact of each host")
+    wait_until(lambda: set(latency_ratios()) == set(hosts), "a latency fact of each host")
     assert max(latency_ratios().values()) < 4.0
-    cluster.fleet.store.slowdown = 60.0  # 0.12 s a call, far more than a busy machine adds to the usual latency
-    wait_until(lambda: sum(ratio > 4.0 for ratio in latency_ratios().values()) >= 2, "that two hosts report it")
+    cluster.fleet.store.slowdown = 60.0  # 0.12 s per call, far more than a busy machine adds to the usual latency
+    wait_until(
+        lambda: sum(ratio > 4.0 for ratio in latency_ratios().values()) >= 2, "a report of the slow store by two hosts"
+    )
     cluster.fleet.store.slowdown = 1.0
-    wait_until(lambda: max(latency_ratios().values()) < 3.0, "that it is over")
+    wait_until(lambda: max(latency_ratios().values()) < 3.0, "the recovery of the reported latency")
     assert cluster.fleet.broken_rules() == []
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Membership, leases and facts without I/O: properties in seeded simulations, and single rules."""
+"""Membership, leases and facts without I/O: properties in seeded simulations, and individual rules."""
 
 import json
 import random
@@ -21,9 +21,9 @@
 from lapispick.model.cluster import SimulatedCluster, host_names, member_factory
 from lapispick.model.properties import FORMER_NAMES, PROPERTIES, check
 
-DEFAULT_SEEDS = 3
+DEFAULT_SEED_COUNT = 3
 SEEDS_PER_TEST = 4
-SEEDS = {
+SEED_COUNTS = {
     "single_holder": 24,
     "reconfiguration": 6,
     "no_false_deaths": 4,
@@ -34,9 +34,9 @@
 
 
 def seed_ranges():
-    """Yield each property with ranges of seeds."""
+    """Yield the name of each property with ranges of seeds."""
     for name in PROPERTIES:
-        count = SEEDS.get(name, DEFAULT_SEEDS)
+        count = SEED_COUNTS.get(name, DEFAULT_SEED_COUNT)
         for first in range(0, count, SEEDS_PER_TEST):
             yield name, range(first, min(first + SEEDS_PER_TEST, count))
 
@@ -50,12 +50,12 @@
     assert check([name], seeds) == []
 
 
-def test_every_seed_count_names_a_property():
-    assert set(SEEDS) <= set(PROPERTIES)
+def test_seed_counts_and_former_names_belong_to_properties():
+    assert set(SEED_COUNTS) <= set(PROPERTIES)
     assert set(FORMER_NAMES.values()) == set(PROPERTIES)
 
 
-def test_a_simulation_repeats_message_by_message():
+def test_a_simulation_with_the_same_seed_repeats_every_message():
     outcomes = []
     for _ in range(2):
         script = fault_script.parse("5s kill 20% for 20s\n8s part disp-0001,disp-0002 for 10s")
@@ -66,7 +66,7 @@
     assert cluster.changes
 
 
-def test_a_member_that_leaves_has_left_and_is_not_dead():
+def test_a_member_that_leaves_is_recorded_as_left_and_not_as_dead():
     names = ["a", "b", "c"]
     members = {name: make_member(name, names) for name in names}
     for outgoing in members["a"].leave():
@@ -77,7 +77,7 @@
     assert members["b"].take_changes()[-1].cause == "a says so"
 
 
-def test_a_state_sync_gives_a_new_member_all_states_and_facts():
+def test_a_state_sync_transfers_all_states_and_facts_to_a_new_member():
     names = [f"m{n}" for n in range(30)]
     old = make_member("m0", names)
     new = make_member("m29", names)
@@ -102,7 +102,7 @@
         ("1s", "line 1"),
     ],
 )
-def test_an_invalid_fault_script_names_its_line(text, error):
+def test_the_error_of_an_invalid_fault_script_names_the_line(text, error):
     with pytest.raises(ValueError, match=error):
         fault_script.parse(text)
 
@@ -120,8 +120,8 @@
     assert metrics["false_deaths"] == 0
     assert metrics["overlaps"] == 0
     assert metrics["turns"] > 5
-    done = runner.invoke(cli, ["model", "sweep", "--sizes", "5,12", "--seconds", "5", "--save", str(rows)])
-    assert done.exit_code == 0, done.output
+    sweep = runner.invoke(cli, ["model", "sweep", "--sizes", "5,12", "--seconds", "5", "--save", str(rows)])
+    assert sweep.exit_code == 0, sweep.output
     assert len(json.loads(rows.read_text())) == 2
     assert runner.invoke(cli, ["model", "plot", str(rows), str(plot)]).exit_code == 0
     assert plot.read_bytes()[:4] == b"\x89PNG"
@@ -148,7 +148,7 @@
     assert max_held == slot_count
 
 
-def test_records_of_a_member_are_dropped_with_its_entry_in_the_list():
+def test_records_of_a_member_that_is_no_longer_listed_are_dropped():
     settings = MembersSettings(listen="127.0.0.1:9300")
     service = MembersService(EventLoop(), settings, InventorySettings(), "a", 1, lambda: (), 1 << 16)
     service.transport.limiter.allows("removed", 1.0)
@@ -167,7 +167,7 @@
     assert usual.ratio == 1.0
     assert 20 < usual.sample_count < 50
     for n in range(20):
-        store.record_call(10.0 + n * 0.1, 0.5, n % 2 == 0)  # an error at once is no quick answer
+        store.record_call(10.0 + n * 0.1, 0.5, n % 2 == 0)  # an immediate error must not count as a fast call
     assert store.relative_latency(12.0).ratio > 1.5
     for n in range(60):
         store.record_call(12.0 + n * 0.1, 200.0, True)
