--- a/benchmarks/members_mutants.py
+++ b/benchmarks/members_mutants.py
@@ -229,8 +229,8 @@
     Mutant(
         "grants before a restart are forgotten",
         "lease_voter.py",
-        "self.silent_until = now if has_no_past else now + settings.grant_s",
-        "self.silent_until = now",
+        "self.rejects_until = now if is_first_process else now + settings.grant_s",
+        "self.rejects_until = now",
         "silent_voter_start",
     ),
     Mutant(
@@ -257,7 +257,7 @@
     Mutant(
         "simultaneous waiters overtake each other",
         "lease_voter.py",
-        "waiter.waiting_since + self.settings.simultaneous_s < granted.waiting_since",
+        "waiter.waiting_since + self.settings.simultaneous_window_s < granted.waiting_since",
         "waiter.waiting_since < granted.waiting_since",
         "simultaneous_requests",
     ),
--- a/lapispick/members/lease_voter.py
+++ b/lapispick/members/lease_voter.py
@@ -39,15 +39,15 @@
 
 
 class LeaseVoter:
-    """Votes on lease proposals. ``has_no_past``: no earlier process of this member can have granted any."""
+    """Votes on lease proposals. ``is_first_process``: no earlier process of this member can have granted any."""
 
     def __init__(
-        self, settings: LeaseSettings, configurations: Configurations, now: float, has_no_past: bool = False
+        self, settings: LeaseSettings, configurations: Configurations, now: float, is_first_process: bool = False
     ) -> None:
         self.settings = settings
         self.configurations = configurations
         # An earlier process of this member may have granted every slot just before this one started.
-        self.silent_until = now if has_no_past else now + settings.grant_s
+        self.rejects_until = now if is_first_process else now + settings.grant_s
         self._grants: dict[str, Grant] = {}
         self._highest: dict[str, Ballot] = {}
         self._waiters: dict[str, dict[str, _Waiter]] = {}
@@ -115,14 +115,14 @@
         return grant
 
     def _must_wait(self, now: float, slot: str, proposer: str, grant: Grant | None, is_holder: bool) -> bool:
-        if now < self.silent_until:
+        if now < self.rejects_until:
             return True
         if is_holder:
             return False
         return grant is not None or self._first_in_queue(now, slot) != proposer
 
     def _retry_after(self, now: float, grant: Grant | None) -> float:
-        free_at = grant.expires_at if grant is not None else self.silent_until
+        free_at = grant.expires_at if grant is not None else self.rejects_until
         return min(max(self.settings.retry_delay_s, free_at - now), self.settings.lease_s)
 
     def _reject(self, proposal: LeaseProposal, retry_after_s: float) -> LeaseVote:
@@ -164,6 +164,6 @@
     def _dequeue(self, slot: str, proposer: str, granted: _Waiter) -> None:
         queue = self._waiters[slot]
         for name, waiter in queue.items():
-            if name != proposer and waiter.waiting_since + self.settings.simultaneous_s < granted.waiting_since:
+            if name != proposer and waiter.waiting_since + self.settings.simultaneous_window_s < granted.waiting_since:
                 waiter.overtaken_count += 1
         del queue[proposer]
--- a/lapispick/members/leases.py
+++ b/lapispick/members/leases.py
@@ -42,7 +42,7 @@
     configuration_overlap_s: float = 30.0  # a replaced configuration counts for this time, longer than any lease
     waiter_timeout_s: float = 5.0  # a waiter that sends no proposal for this time is dropped
     max_overtakes: int = 3
-    simultaneous_s: float = 1.0  # waiters whose waits began within this time do not count as overtaking each other
+    simultaneous_window_s: float = 1.0  # waiters that began to wait within it do not count as overtaking each other
     max_waited_s: float = 600.0  # longest reported waiting time that a voter takes into account
     priority_aging_s: float = 10.0  # waiting time that is equivalent to one step of priority
 
--- a/lapispick/members/member.py
+++ b/lapispick/members/member.py
@@ -36,7 +36,7 @@
 
 
 class Member:
-    """Member of the cluster. ``has_no_past``: no earlier process of this member can have run."""
+    """Member of the cluster. ``is_first_process``: no earlier process of this member can have run."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         settings: MemberSettings,
         rng: RandomSource,
         now: float,
-        has_no_past: bool = False,
+        is_first_process: bool = False,
     ) -> None:
         """Join with the accepted list ``names``; ``slot_counts`` is the number of slots of each named lease."""
         self.name = name
@@ -61,7 +61,7 @@
         self.leases = LeaseManager(
             self.detector,
             configurations,
-            LeaseVoter(settings.leases, configurations, now, has_no_past),
+            LeaseVoter(settings.leases, configurations, now, is_first_process),
             slot_counts,
             settings.leases,
             settings.lease_owner_timeout_s,
--- a/lapispick/model/cluster.py
+++ b/lapispick/model/cluster.py
@@ -272,7 +272,7 @@
             member_settings,
             rng,
             now,
-            has_no_past=epoch == 1,
+            is_first_process=epoch == 1,
         )
 
     return start
--- a/lapispick/model/properties/lease_rules.py
+++ b/lapispick/model/properties/lease_rules.py
@@ -33,7 +33,7 @@
     rng = random.Random(seed)
     settings = LeaseSettings()
     names = ["a", *(f"b{n}" for n in range(8))]
-    voter = LeaseVoter(settings, Configurations(names, DIGEST, settings), 0.0, has_no_past=True)
+    voter = LeaseVoter(settings, Configurations(names, DIGEST, settings), 0.0, is_first_process=True)
     voter.vote(0.0, _proposal(1, "b0"))
     holder = Ballot(1, "b0")
     number = 1
@@ -66,7 +66,7 @@
     """Waiting compensates for priority: in time a proposer without any goes before a newcomer that has some."""
     settings = LeaseSettings(max_overtakes=10**6)
     configurations = Configurations(["a", "b", "c"], DIGEST, settings)
-    voter = LeaseVoter(settings, configurations, 0.0, has_no_past=True)
+    voter = LeaseVoter(settings, configurations, 0.0, is_first_process=True)
     held = voter.vote(0.0, _proposal(1, "c"))
     for second in range(1, 40):
         voter.vote(float(second), _proposal(2, "a"))
@@ -76,7 +76,7 @@
     require(not late.granted, "a newcomer of priority 3 overtook one that had waited for 40 s")
 
     configurations = Configurations(["a", "b", "c"], DIGEST, settings)
-    voter = LeaseVoter(settings, configurations, 0.0, has_no_past=True)
+    voter = LeaseVoter(settings, configurations, 0.0, is_first_process=True)
     voter.vote(0.0, _proposal(1, "c"))
     voter.vote(1.0, _proposal(2, "a"))
     voter.release(_release(1, "c"))
@@ -106,7 +106,7 @@
     configurations = Configurations(["a", "b", "c"], DIGEST, settings)
     proposer = LeaseProposer("a", 1, SLOT, settings, configurations)
     proposal = _first_proposal(proposer, 100.0)
-    voters = [LeaseVoter(settings, configurations, 0.0, has_no_past=True) for _ in range(2)]
+    voters = [LeaseVoter(settings, configurations, 0.0, is_first_process=True) for _ in range(2)]
     for name, voter in zip("ab", voters, strict=True):
         proposer.record_vote(100.5, name, voter.vote(100.0, proposal))
     require(proposer.holds(109.4), "a lease does not last until the proposal plus the lease, less the drift")
@@ -136,7 +136,7 @@
 def restarted_holder(seed: int) -> None:
     """Another process of the same member does not share the lease of the one before."""
     settings = LeaseSettings()
-    voter = LeaseVoter(settings, Configurations(["a", "b", "c"], DIGEST, settings), 0.0, has_no_past=True)
+    voter = LeaseVoter(settings, Configurations(["a", "b", "c"], DIGEST, settings), 0.0, is_first_process=True)
     require(voter.vote(0.0, _proposal(5, "a")).granted, "the first proposal is rejected")
     require(not voter.vote(1.0, _proposal(6, "a", epoch=2)).granted, "two process epochs share a slot")
     require(voter.vote(2.0, _proposal(5, "a")).granted, "the holder cannot renew")
--- a/lapispick/model/properties/lease_runs.py
+++ b/lapispick/model/properties/lease_runs.py
@@ -123,7 +123,7 @@
 
     def start(name: str, epoch: int, now: float, member_rng: random.Random) -> Member:
         settings = MemberSettings()
-        return Member(name, FLEET, epoch, old, "old", {LEASE: 1}, settings, member_rng, now, has_no_past=True)
+        return Member(name, FLEET, epoch, old, "old", {LEASE: 1}, settings, member_rng, now, is_first_process=True)
 
     def change(name: str) -> None:
         cluster.members[name].set_configuration(new, "new", cluster.clock(name))
--- a/lapispick/model/properties/membership_rules.py
+++ b/lapispick/model/properties/membership_rules.py
@@ -20,10 +20,10 @@
 FLEET = "f"
 
 
-def _member(names: list[str], seed: int, epoch: int = 1, has_no_past: bool = False) -> Member:
+def _member(names: list[str], seed: int, epoch: int = 1, is_first_process: bool = False) -> Member:
     rng = random.Random(seed)
     settings = MemberSettings()
-    return Member("a", FLEET, epoch, names, CONFIGURATION_DIGEST, {LEASE: 1}, settings, rng, 0.0, has_no_past)
+    return Member("a", FLEET, epoch, names, CONFIGURATION_DIGEST, {LEASE: 1}, settings, rng, 0.0, is_first_process)
 
 
 def _detector(name: str, names: list[str], seed: int) -> FailureDetector:
@@ -50,7 +50,7 @@
 
 def replaced_process(seed: int) -> None:
     """A process that wakes after another one took its name sends nothing more and holds no lease."""
-    member = _member(["a"], seed, epoch=5, has_no_past=True)
+    member = _member(["a"], seed, epoch=5, is_first_process=True)
     member.set_configuration(["a", "b"], "l", 0.0)
     member.set_configuration(["a"], "m", 100.0)
     member.set_configuration(["a", "b"], "n", 200.0)
@@ -87,7 +87,7 @@
 
 def bounded_tables(seed: int) -> None:
     """A member that floods with facts, slots and updates makes no table grow past its limit."""
-    member = _member(["a", "b", "c"], seed, has_no_past=True)
+    member = _member(["a", "b", "c"], seed, is_first_process=True)
     for n in range(3000):
         now = n / 100
         facts = tuple(Fact("b", 1, n * 4 + k, "load", f"{n}-{k}", 1.0) for k in range(4))
