--- a/lapispick/host/scheduler.py
+++ b/lapispick/host/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler: greenlets over ``select.poll``, with timers and queues between greenlets."""
+"""An event loop that runs greenlets over ``select.poll``, with timers and queues between greenlets."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 READ = select.POLLIN
 WRITE = select.POLLOUT
 ERROR_EVENTS = select.POLLERR | select.POLLHUP | select.POLLNVAL
-MAX_ROUND_S = 0.02  # after this the hub polls again, so that urgent sockets wait for one call at most
-DEFAULT_MAX_UNSENT_BYTES = 4 << 20  # for all slow readers together
+MAX_ROUND_S = 0.02  # then the hub polls, even with calls left, so that urgent sockets wait for at most one more call
+DEFAULT_MAX_TOTAL_UNSENT_BYTES = 4 << 20  # of all streams together
 
 if TYPE_CHECKING:
     from typing import TypeVarTuple
@@ -30,7 +30,7 @@
 
 
 class Waiter:
-    """One wait of one greenlet; only the first ``wake`` has an effect."""
+    """A single wait of one greenlet; only the first ``wake`` has an effect."""
 
     __slots__ = ("done", "greenlet", "loop", "urgent")
 
@@ -41,47 +41,47 @@
         self.urgent = urgent
 
     def wake(self, value: object = None) -> None:
-        """Resume the greenlet with this value in the next round."""
+        """Resume the greenlet in the next round; ``EventLoop.suspend`` returns the value."""
         if not self.done:
             self.done = True
             self.loop.call_soon(self.greenlet.switch, value, urgent=self.urgent)
 
 
 class EventLoop:
-    """Runs greenlets until stopped. Its hub is the greenlet that created it; only the hub polls."""
+    """Runs greenlets until it is stopped. The greenlet that creates the loop is its hub; only the hub polls."""
 
-    def __init__(self, max_unsent_bytes: int = DEFAULT_MAX_UNSENT_BYTES) -> None:
-        self.max_unsent_bytes = max_unsent_bytes
+    def __init__(self, max_unsent_bytes: int = DEFAULT_MAX_TOTAL_UNSENT_BYTES) -> None:
+        self.max_unsent_bytes = max_unsent_bytes  # of all streams together
         self._hub = getcurrent()
         self._poll = select.poll()
-        self._ready: deque[Call] = deque()
-        self._urgent: deque[Call] = deque()  # called before all others, in their order
+        self._ready_calls: deque[Call] = deque()
+        self._urgent_calls: deque[Call] = deque()  # made before the ready calls, in the order in which they were added
         self._timers = TimerQueue()
-        self._waits: dict[int, dict[int, Waiter]] = {}  # by descriptor and event
+        self._io_waiters: dict[int, dict[int, Waiter]] = {}  # by file descriptor, then by poll event
         self._stopped = False
         self.unsent_bytes = 0  # of all streams together
 
     def call_soon(self, callback: Callable[[*Arguments], object], *args: *Arguments, urgent: bool = False) -> None:
-        """Call a function from the hub in the next round; urgent ones come before all others in it."""
-        calls = self._urgent if urgent else self._ready
+        """Call a function from the hub in the next round; urgent calls are made before all others."""
+        calls = self._urgent_calls if urgent else self._ready_calls
         calls.append((callback, args))
 
     def call_later(self, seconds: float, callback: Callable[[*Arguments], object], *args: *Arguments) -> Timer:
-        """Call a function from the hub after a time (s)."""
+        """Call a function from the hub after a delay (s)."""
         return self._timers.add(time.monotonic() + seconds, callback, args)
 
     def spawn(self, callback: Callable[[*Arguments], object], *args: *Arguments, urgent: bool = False) -> greenlet:
-        """Run a function in a greenlet of its own."""
-        task = greenlet(self._guarded, self._hub)
+        """Run a function in a new greenlet."""
+        task = greenlet(self._run_greenlet, self._hub)
         self.call_soon(task.switch, callback, *args, urgent=urgent)
         return task
 
     def kill(self, task: greenlet) -> None:
-        """Raise ``GreenletExit`` in a greenlet where it waits."""
+        """End a greenlet by raising ``GreenletExit`` at the point where it waits."""
         self.call_soon(lambda: task.dead or task.throw(GreenletExit))
 
-    def _guarded(self, callback: Callable[[*Arguments], object], *args: *Arguments) -> None:
-        # An exception that is not caught here would end the hub, and with it all other greenlets.
+    def _run_greenlet(self, callback: Callable[[*Arguments], object], *args: *Arguments) -> None:
+        # An exception that is not caught here would be raised in the hub and end all other greenlets.
         try:
             callback(*args)
         except GreenletExit:
@@ -90,17 +90,17 @@
             logging.getLogger("loop").exception("greenlet-failed", extra={"pairs": {"in": callback.__qualname__}})
 
     def sleep(self, seconds: float) -> None:
-        """Wait for a time (s)."""
+        """Suspend the calling greenlet for a time (s)."""
         self.suspend(Waiter(self), seconds)
 
     def yield_control(self) -> None:
-        """Let all other greenlets that are ready run first."""
+        """Let all other greenlets that are ready run before the calling one continues."""
         waiter = Waiter(self)
         waiter.wake()
         self.suspend(waiter)
 
     def suspend(self, waiter: Waiter, timeout: float | None = None) -> object:
-        """Wait until the waiter is woken and return its value; None after the timeout (s)."""
+        """Wait until the waiter is woken and return the value passed to ``wake``, or None after the timeout (s)."""
         timer = None if timeout is None else self.call_later(timeout, waiter.wake)
         try:
             return self._hub.switch()
@@ -110,47 +110,47 @@
                 timer.cancel()
 
     def wait_for_io(self, fd: int, event: int, timeout: float | None = None, urgent: bool = False) -> bool:
-        """Wait until a descriptor can be read or written; False after the timeout (s) or when cancelled."""
-        waits = self._waits.setdefault(fd, {})
-        waits[event] = waiter = Waiter(self, urgent)
-        self._poll.register(fd, sum(waits))
+        """Wait until a descriptor can be read or written; return False after the timeout (s) or a cancellation."""
+        waiters = self._io_waiters.setdefault(fd, {})
+        waiters[event] = waiter = Waiter(self, urgent)
+        self._poll.register(fd, sum(waiters))
         try:
             return bool(self.suspend(waiter, timeout))
         finally:
-            if self._waits.get(fd) is waits and waits.get(event) is waiter:
-                del waits[event]
-                if waits:
-                    self._poll.register(fd, sum(waits))
+            if self._io_waiters.get(fd) is waiters and waiters.get(event) is waiter:
+                del waiters[event]
+                if waiters:
+                    self._poll.register(fd, sum(waiters))
                 else:
                     self._unregister(fd)
 
     def _unregister(self, fd: int) -> None:
-        del self._waits[fd]
+        del self._io_waiters[fd]
         self._poll.unregister(fd)
 
     def cancel_io_waits(self, fd: int) -> None:
-        """Wake all greenlets that wait for a descriptor, which is about to be closed."""
-        if fd in self._waits:
-            for waiter in self._waits[fd].values():
+        """Wake all greenlets that wait for a descriptor; must be called before the descriptor is closed."""
+        if fd in self._io_waiters:
+            for waiter in self._io_waiters[fd].values():
                 waiter.wake(False)
             self._unregister(fd)
 
     def stop(self) -> None:
-        """Make ``run`` return after this round."""
+        """Make ``run`` return after the present round."""
         self._stopped = True
 
     def run(self) -> None:
-        """Poll and switch to greenlets until stopped."""
+        """Poll for events and switch to greenlets until the loop is stopped."""
         while not self._stopped:
-            for _ in range(len(self._urgent)):
-                self._call(*self._urgent.popleft())
+            for _ in range(len(self._urgent_calls)):
+                self._call(*self._urgent_calls.popleft())
             round_end = time.monotonic() + MAX_ROUND_S
-            for _ in range(len(self._ready)):
-                self._call(*self._ready.popleft())
-                if time.monotonic() > round_end:  # the rest stays ahead of what the poll adds, except urgent calls
+            for _ in range(len(self._ready_calls)):
+                self._call(*self._ready_calls.popleft())
+                if time.monotonic() > round_end:  # calls that are left precede those that the poll adds, except urgent
                     break
             for fd, events in self._poll.poll(self._poll_timeout_ms()):
-                for event, waiter in list(self._waits.get(fd, {}).items()):
+                for event, waiter in list(self._io_waiters.get(fd, {}).items()):
                     if events & (event | ERROR_EVENTS):
                         waiter.wake(True)
             now = time.monotonic()
@@ -160,12 +160,12 @@
     def _call(self, callback: Callable[..., object], args: tuple[object, ...]) -> None:
         try:
             callback(*args)
-        except Exception:  # one that is not caught here would end all greenlets
+        except Exception:  # an exception that is not caught here would end all greenlets
             logging.getLogger("loop").exception("call-failed", extra={"pairs": {"in": str(callback)}})
 
     def _poll_timeout_ms(self) -> int | None:
-        """Return how many milliseconds the hub may sleep."""
-        if self._ready or self._urgent or self._stopped:
+        """Return how long the hub may wait in the poll (ms), or None for no limit."""
+        if self._ready_calls or self._urgent_calls or self._stopped:
             return 0
         due_at = self._timers.next_due_at()
         if due_at is None:
@@ -174,7 +174,7 @@
 
 
 class Queue(Generic[Item]):
-    """An unbounded queue for one consumer greenlet, which takes all waiting items at once."""
+    """An unbounded queue with one consumer greenlet, which takes all queued items at once."""
 
     __slots__ = ("_items", "_loop", "_waiter")
 
@@ -184,13 +184,13 @@
         self._waiter: Waiter | None = None
 
     def put(self, item: Item) -> None:
-        """Add an item; it never blocks."""
+        """Add an item without blocking."""
         self._items.append(item)
         if self._waiter is not None:
             self._waiter.wake()
 
     def take_all(self) -> list[Item]:
-        """Wait for items and return them in order."""
+        """Wait until the queue is not empty, then remove and return all items in order."""
         if not self._items:
             self._waiter = Waiter(self._loop)
             try:
--- a/lapispick/host/timers.py
+++ b/lapispick/host/timers.py
@@ -1,4 +1,4 @@
-"""Timers: calls at a later time, in a binary heap ordered by the time when they are due."""
+"""Timers in a binary heap, ordered by due time."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 
 class Timer:
-    """A call at a later time, which can be cancelled until then."""
+    """A call that is due at a later time and can be cancelled until then."""
 
     __slots__ = ("args", "callback")
 
     def __init__(self, callback: Callable[..., object], args: tuple[object, ...]) -> None:
-        self.callback: Callable[..., object] | None = callback
+        self.callback: Callable[..., object] | None = callback  # None = cancelled
         self.args = args
 
     def cancel(self) -> None:
-        """Prevent the call; has no effect after it."""
+        """Prevent the call; no effect once it was made."""
         self.callback = None
 
 
 class TimerQueue:
-    """Pending timers; those due at the same time fire in the order in which they were added."""
+    """The pending timers; timers that are due at the same time fire in the order in which they were added."""
 
     __slots__ = ("_heap", "_sequence")
 
@@ -30,14 +30,14 @@
         self._sequence = 0
 
     def add(self, due_at: float, callback: Callable[..., object], args: tuple[object, ...]) -> Timer:
-        """Add a call at a time of the monotonic clock (s)."""
+        """Add a call that is due at a time of the monotonic clock (s)."""
         timer = Timer(callback, args)
         self._sequence += 1
         heappush(self._heap, (due_at, self._sequence, timer))
         return timer
 
     def next_due_at(self) -> float | None:
-        """Return when the next timer is due, or None; cancelled timers in front of it are dropped."""
+        """Return when the next timer is due, or None; remove the cancelled timers before it."""
         heap = self._heap
         while heap and heap[0][2].callback is None:
             heappop(heap)
