--- a/lapispick/host/store.py
+++ b/lapispick/host/store.py
@@ -1,4 +1,4 @@
-"""The client of the store: HTTP/1.1, one call at a time on a connection, connections reused for a short while."""
+"""A client of the store over HTTP/1.1, with one call at a time on each connection and reuse of idle connections."""
 
 from __future__ import annotations
 
@@ -20,38 +20,39 @@
 from lapispick.host.streams import LineTooLongError, Stream, StreamClosedError, connect
 
 LOG = "store"
-# The store closes idle connections after 10 s, and a call that meets such a close has proved nothing.
+# The store closes idle connections after 10 s. A call that is sent while the store closes its connection has an unknown
+# outcome.
 MAX_IDLE_S = 4.0
-# Of the connections for calls. A connection settles for SETTLE_S before it is reused: at 650 calls a second 20 are
-# settling at any time, and with fewer idle ones allowed each further call would open a connection.
+# The fraction of the connections for calls that may be idle. A connection settles for SETTLE_S before it is reused: at
+# 650 calls a second 20 are settling at any time, and with a lower limit each further call would open a connection.
 MAX_IDLE_FRACTION = 0.5
-SETTLE_S = 0.03  # surplus bytes after a good reply, which would pass for the next one, have come by then
+SETTLE_S = 0.03  # by then surplus bytes after a reply have arrived, which would be read as the next reply
 CONNECT_TIMEOUT_S = 1.0
 MAX_HEADER_LINE_BYTES = 8192
 MAX_HEADER_LINES = 64
 MAX_BODY_BYTES = 64 * 1024  # results have up to 4 KiB
 MAX_LENGTH_DIGITS = 9
-MAX_INTERIM_REPLIES = 16  # 1xx heads before a reply
-RECEIVE_BYTES = 16 * 1024
-HEADER_NAME = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
-CHUNK_SIZE = rb"[0-9a-fA-F]{1,8}"  # compiled when first used, as few stores send chunks
+MAX_INTERIM_REPLIES = 16  # replies with a 1xx status before the final one
+MAX_RECEIVE_BYTES = 16 * 1024  # of one read
+HEADER_NAME_PATTERN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
+CHUNK_SIZE_PATTERN = rb"[0-9a-fA-F]{1,8}"  # compiled on first use, as few stores send chunks
 
 Headers = dict[bytes, bytes]  # by name in lower case
 
 
 class MalformedReplyError(Exception):
-    """The reply does not follow HTTP/1.1."""
+    """A reply does not conform to HTTP/1.1 or exceeds a limit."""
 
 
 class Reply(msgspec.Struct):
-    """A complete reply."""
+    """A complete reply of the store."""
 
     status: int
     headers: Headers
     body: bytes
 
     def keeps_connection(self) -> bool:
-        """Tell whether the store leaves the connection open after this reply."""
+        """Return True if the store keeps the connection open after this reply."""
         return self.headers.get(b"connection", b"").lower() != b"close"
 
 
@@ -72,7 +73,7 @@
             if not 100 <= status < 200:
                 break
         else:
-            raise MalformedReplyError("no end of 1xx heads")
+            raise MalformedReplyError(f"no final reply after {MAX_INTERIM_REPLIES} interim replies (1xx)")
         if version == b"HTTP/1.0" and headers.get(b"connection", b"").lower() != b"keep-alive":
             headers[b"connection"] = b"close"
         return Reply(status, headers, self._read_body(headers))
@@ -81,21 +82,21 @@
         version, _, rest = self._read_line().partition(b" ")
         status = rest[:3]
         if version not in (b"HTTP/1.1", b"HTTP/1.0") or not status.isdigit() or rest[3:4] not in (b"", b" "):
-            raise MalformedReplyError("no status line")
+            raise MalformedReplyError("malformed status line, expected HTTP/1.1 or HTTP/1.0 and a three-digit status")
         return version, int(status)
 
     def read_headers(self) -> Headers:
-        """Read headers or trailers up to the empty line that ends them."""
+        """Read headers or trailers, up to the empty line that ends them."""
         headers: Headers = {}
         line_count = 0
         while line := self._read_line():
-            line_count += 1  # repeated names count too: an endless head would keep the host busy until the deadline
+            line_count += 1  # repeated names count too, or endless headers would keep the host busy until the deadline
             name, colon, value = line.partition(b":")
             name, value = name.lower(), value.strip()
-            if not colon or not HEADER_NAME.fullmatch(name) or line_count > MAX_HEADER_LINES:
-                raise MalformedReplyError("bad or too many headers")
+            if not colon or not HEADER_NAME_PATTERN.fullmatch(name) or line_count > MAX_HEADER_LINES:
+                raise MalformedReplyError(f"malformed header, or more than {MAX_HEADER_LINES} header lines")
             if headers.setdefault(name, value) != value and name in (b"content-length", b"transfer-encoding"):
-                raise MalformedReplyError("two lengths")
+                raise MalformedReplyError(f"conflicting values of the header {name.decode()}")
         return headers
 
     def _read_body(self, headers: Headers) -> bytes:
@@ -104,34 +105,34 @@
         if coding == b"chunked" and length is None:
             return self._read_chunks()
         if coding or length is None or not length.isdigit() or len(length) > MAX_LENGTH_DIGITS:
-            raise MalformedReplyError("no usable content-length")
+            raise MalformedReplyError(f"expected either chunks or a content-length of up to {MAX_LENGTH_DIGITS} digits")
         if int(length) > MAX_BODY_BYTES:
-            raise MalformedReplyError("no usable content-length")
+            raise MalformedReplyError(f"expected a body of at most {MAX_BODY_BYTES} bytes, got {int(length)}")
         return self._read_exactly(int(length))
 
     def _read_chunks(self) -> bytes:
         body = bytearray()
         while True:
             size = self._read_line().partition(b";")[0].strip()
-            if not re.fullmatch(CHUNK_SIZE, size):
-                raise MalformedReplyError("bad chunk size")
+            if not re.fullmatch(CHUNK_SIZE_PATTERN, size):
+                raise MalformedReplyError("malformed chunk size, expected up to 8 hexadecimal digits")
             count = int(size, 16)
             if len(body) + count > MAX_BODY_BYTES:
-                raise MalformedReplyError("bad chunk size")
+                raise MalformedReplyError(f"expected a body of at most {MAX_BODY_BYTES} bytes, got {len(body) + count}")
             if not count:
                 self.read_headers()  # trailers
                 return bytes(body)
             body += self._read_exactly(count)
             if self._read_line():
-                raise MalformedReplyError("a chunk without its end")
+                raise MalformedReplyError(f"expected an end of line after a chunk of {count} bytes")
 
     def _read_line(self) -> bytes:
         remaining_s = self._deadline - time.monotonic()
-        if remaining_s <= 0:  # an endless reply comes without a pause, so that no wait would time out
-            raise TimeoutError("the reply took too long")
+        if remaining_s <= 0:  # an endless reply may arrive without a pause, so that no wait would time out
+            raise TimeoutError("the reply was not complete at the deadline")
         line = self._stream.read_line(remaining_s)
         if line is None:
-            raise StreamClosedError("the connection ended in a reply")
+            raise StreamClosedError("the connection was closed before the reply was complete")
         return line.rstrip(b"\r")
 
     def _read_exactly(self, size: int) -> bytes:
@@ -139,7 +140,7 @@
 
 
 def outcome_of_reply(status: int, headers: Headers) -> Outcome:
-    """Return what a reply proves of its call."""
+    """Return the outcome of a call from the status and headers of its reply."""
     not_run = headers.get(b"x-not-run") == b"1"
     if status == 200:
         return Outcome.OK
@@ -162,25 +163,25 @@
         "reuses_connection",
         "started_at",
         "stream",
+        "task",
         "timeout_s",
-        "worker",
     )
 
     def __init__(self, request_id: str, body: str, timeout_s: float, idempotent: bool) -> None:
         self.request_id = request_id
         self.body = body  # base64
         self.timeout_s = timeout_s
-        self.idempotent = idempotent  # it may be made twice
-        self.reuses_connection = False  # its connection carried a call before
+        self.idempotent = idempotent  # the call may be made twice
+        self.reuses_connection = False  # an earlier call was made on its connection
         self.started_at = time.monotonic()
         self.ended = False
         self.stream: Stream | None = None
-        self.address: tuple[str, int] | None = None  # where it was made
-        self.worker: greenlet | None = None
+        self.address: tuple[str, int] | None = None  # of the store that the call was sent to
+        self.task: greenlet | None = None
 
 
 class CallResult(msgspec.Struct):
-    """How a call ended."""
+    """The outcome of a call, and whether its connection may be reused."""
 
     outcome: Outcome
     body: bytes = b""
@@ -188,13 +189,13 @@
 
 
 class IdleConnections:
-    """Connections that wait for further calls; the one that was used last is taken first."""
+    """Connections without a call; the most recently used one is taken first."""
 
     __slots__ = ("_connections", "_loop", "_sweep_scheduled")
 
     def __init__(self, loop: EventLoop) -> None:
         self._loop = loop
-        self._connections: deque[tuple[float, Stream]] = deque()  # by the time since which they are idle
+        self._connections: deque[tuple[float, Stream]] = deque()  # with the start of their idle time, oldest first
         self._sweep_scheduled = False
 
     def __len__(self) -> int:
@@ -208,21 +209,21 @@
             self._loop.call_later(MAX_IDLE_S / 2, self._sweep)
 
     def take(self) -> Stream | None:
-        """Return a connection that has settled and is still usable; those that are not are closed."""
-        now, settling, found = time.monotonic(), [], None
-        while self._connections and found is None:
+        """Remove and return a settled, usable connection, or None; unusable ones that are met are closed."""
+        now, settling, usable = time.monotonic(), [], None
+        while self._connections and usable is None:
             idle_since, stream = self._connections.pop()
             if now - idle_since < SETTLE_S:
                 settling.append((idle_since, stream))
             elif now - idle_since < MAX_IDLE_S and stream.is_idle():
-                found = stream
+                usable = stream
             else:
                 stream.close()
         self._connections.extend(reversed(settling))
-        return found
+        return usable
 
     def close_oldest(self) -> None:
-        """Close the connection that has been idle for longest."""
+        """Close the connection that has been idle for the longest time."""
         self._connections.popleft()[1].close()
 
     def close_all(self) -> None:
@@ -231,8 +232,8 @@
             self._connections.pop()[1].close()
 
     def _sweep(self) -> None:
-        limit = time.monotonic() - MAX_IDLE_S
-        while self._connections and self._connections[0][0] < limit:
+        min_idle_since = time.monotonic() - MAX_IDLE_S
+        while self._connections and self._connections[0][0] < min_idle_since:
             self.close_oldest()
         self._sweep_scheduled = bool(self._connections)
         if self._sweep_scheduled:
@@ -240,7 +241,7 @@
 
 
 class StoreClient:
-    """Makes calls and reports the end of each, unless it was cancelled."""
+    """Makes downstream calls and posts the end of each call that was not cancelled."""
 
     def __init__(
         self,
@@ -253,7 +254,7 @@
         self._address = address
         self.post = post
         self._max_calls = max_calls
-        self.shared = False  # with another process of this worker host
+        self.shared = False  # with another process of this worker host, which may use as many connections
         self._idle = IdleConnections(loop)
         self._active_calls = 0
 
@@ -262,23 +263,23 @@
         return budget.max_calls(self._max_calls, self.shared)
 
     def start_call(self, request_id: str, body: str, timeout_ms: float, idempotent: bool) -> StoreCall:
-        """Start a call with a base64 body; one that is not idempotent is made again only if it never ran."""
+        """Start a call with a base64 body; a call that is not idempotent is sent at most once."""
         call = StoreCall(request_id, body, timeout_ms / 1000, idempotent)
-        call.worker = self._loop.spawn(self._run, call)
+        call.task = self._loop.spawn(self._run, call)
         return call
 
     def cancel_call(self, call: StoreCall) -> None:
-        """Abandon a call: its connection is closed and nothing is reported."""
+        """Abandon a call: close its connection and post nothing."""
         if call.ended:
             return
         call.ended = True
         if call.stream is not None:
             call.stream.close()
-        if call.worker is not None:
-            self._loop.kill(call.worker)
+        if call.task is not None:
+            self._loop.kill(call.task)
 
     def change_address(self, address: tuple[str, int] | None) -> None:
-        """Make new calls at a new address, or nowhere; those under way end where they began."""
+        """Send new calls to a new address, or fail them if it is None; started calls keep their connection."""
         if address != self._address:
             self._address = address
             self._idle.close_all()
@@ -298,8 +299,9 @@
             return
         call.ended = True
         if call.stream is not None and result.connection_reusable:
-            self._keep(call.stream, call.address)
-        duration_ms = round((time.monotonic() - call.started_at) * 1000, 3)  # to the us; more is noise
+            self._keep_idle(call.stream, call.address)
+        # Rounded to the microsecond, as further digits are noise.
+        duration_ms = round((time.monotonic() - call.started_at) * 1000, 3)
         body = binascii.b2a_base64(result.body, newline=False).decode()
         self.post(events.CallCompleted(call, result.outcome, duration_ms, body))
 
@@ -321,15 +323,15 @@
             return CallResult(Outcome.TIMEOUT)
         except StreamClosedError:
             if call.reuses_connection and not stream.received_bytes:
-                # The store had closed the idle connection, or did so as the call was written. Only idempotent calls
-                # are made on a connection that was used before, so this one may be repeated.
+                # The store closed the idle connection before or while the call was written. Only idempotent calls
+                # reuse a connection, so the call may be repeated.
                 call.reuses_connection, call.stream = False, None
                 return self._exchange(call, new_connection=True)
             return CallResult(Outcome.RESET)
         except (MalformedReplyError, LineTooLongError) as err:
             log(LOG, logging.WARNING, "reply-malformed", error=err)
             return CallResult(Outcome.ERROR)
-        # Surplus bytes after a good reply would be read as the next one.
+        # Surplus bytes after a good reply would be read as the next reply.
         reusable = reply.keeps_connection() and stream.is_idle()
         return CallResult(outcome_of_reply(reply.status, reply.headers), reply.body, reusable)
 
@@ -345,17 +347,17 @@
         return head.encode()
 
     def _connection_for(self, call: StoreCall, new_connection: bool) -> Stream:
-        """Take an idle connection or open one; raises ``OSError`` with nothing sent."""
+        """Take an idle connection or open one; raises ``OSError``, in which case nothing was sent."""
         call.address = self._address
         if call.address is None:
-            raise OSError("there is no store")
-        # The reset of an idle connection may also come in place of a reply. A call that is not idempotent gets a
-        # connection of its own, so that the two cases can be told apart.
+            raise OSError("no address of a store is configured")
+        # The store may reset a connection because it was idle, or in place of a reply. A call that is not idempotent
+        # gets a new connection, so that a reset means that the call may have run.
         if not new_connection and call.idempotent and (stream := self._idle.take()) is not None:
             call.reuses_connection, stream.received_bytes = True, 0
             return stream
         if self._active_calls > self._max_connections:
-            raise OSError("too many calls are out")
+            raise OSError(f"all {self._max_connections} connections for calls are in use")
         while self._idle and len(self._idle) + self._active_calls > self._max_connections:
             self._idle.close_oldest()
         try:
@@ -364,14 +366,14 @@
                 call.address,
                 min(CONNECT_TIMEOUT_S, call.timeout_s),
                 max_line_bytes=MAX_HEADER_LINE_BYTES,
-                receive_bytes=RECEIVE_BYTES,
+                max_receive_bytes=MAX_RECEIVE_BYTES,
             )
         except OSError:
             if call.address == self._address:
                 raise
-            return self._connection_for(call, new_connection)  # the address changed; nothing was sent to the old one
+            return self._connection_for(call, new_connection)  # the address changed; nothing was sent to the former one
 
-    def _keep(self, stream: Stream, address: tuple[str, int] | None) -> None:
+    def _keep_idle(self, stream: Stream, address: tuple[str, int] | None) -> None:
         if address != self._address or len(self._idle) + self._active_calls >= self._max_connections:
             return stream.close()
         if len(self._idle) >= self._max_connections * MAX_IDLE_FRACTION:
