--- a/lapispick/host/executor.py
+++ b/lapispick/host/executor.py
@@ -1,4 +1,4 @@
-"""The link to the executor: commands and numbered notices, one JSON object a line, and recovery of a lost link."""
+"""The link to the executor, which carries commands and numbered notices as JSON lines, and its recovery when lost."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from lapispick.host.streams import LineTooLongError, Stream, connect
 
 LOG = "executor"
-CONNECT_TIMEOUT_S = 1.0  # for one attempt
+CONNECT_TIMEOUT_S = 1.0
 MIN_BACKOFF_S = 0.01
 MAX_BACKOFF_S = 0.4
-# A command that was written this long before a break was noticed may be lost with it: the executor may lose the last
-# 50 ms, and the rest is the time that a busy host takes to notice the break.
+# A command may be lost if it was written within this time before the host detected the loss of the link. The executor
+# may lose the commands of the last 50 ms; a busy host needs the rest of the time to detect the loss.
 MAX_LOST_COMMAND_AGE_S = 0.5
 DRAIN_TIMEOUT_S = 0.3  # for the last answer on a link that is replaced by one to a new address
 MAX_NOTICE_BYTES = 1 << 20  # results have up to 4 KiB
-MAX_UNSENT_BYTES = 4 << 20  # of commands for an executor that does not read
-WARMING_UP = "chilly"  # outcome of a WELCOME
-COMPLETED = "complete"  # outcome of a run or a health check
+MAX_UNSENT_BYTES = 4 << 20  # commands that an executor has not read
+WARMING_UP = "chilly"  # the outcome in a WELCOME while the executor warms up
+COMPLETED = "complete"  # the outcome of a successful run or health check
 RUN_OUTCOMES = {
     COMPLETED: Outcome.OK,
     "error": Outcome.ERROR,
@@ -34,12 +34,12 @@
     "unknown": Outcome.ABANDONED,
 }
 
-# Nonces of METER commands, which the executor answers in order with all else.
-GAUGES_NONCE = "tick"  # a plain request for the gauges
-FENCE_NONCE = "fence"  # its answer shows that all notices of the time without a link were read
-DRAIN_NONCE = "last"  # its answer shows that all commands before it were carried out
+# Nonces of METER commands. The executor answers them in order with its other messages.
+GAUGES_NONCE = "tick"  # requests only the gauges
+FENCE_NONCE = "fence"  # the answer shows that all notices from the time without a link were read
+DRAIN_NONCE = "last"  # the answer shows that all earlier commands were carried out
 
-VERBS_WITHOUT_A_RUN = ("EXEC", "KILL", "WAKE")  # where a command with one of these is rejected, nothing runs
+NO_RUN_IF_REJECTED = ("EXEC", "KILL", "WAKE")  # a rejected command with one of these verbs shows that no run exists
 
 CommandVerb = Literal["JOIN", "EXEC", "KILL", "WAKE", "RETURN", "BYPASS", "METER", "DIAG"]
 
@@ -59,25 +59,25 @@
     """Any message from the executor."""
 
     verb: str
-    index: int = 0  # counts the notices that are sent again after a lost link; 0 = none of these
+    index: int = 0  # number of a notice that the executor sends again after a lost link; 0 = never sent again
     request_id: str = msgspec.field(name="task", default="")
     outcome: str = ""
-    duration_ms: float = msgspec.field(name="spent", default=0.0)  # of a run; of WELCOME: the executor's uptime
+    duration_ms: float = msgspec.field(name="spent", default=0.0)  # of a run; in a WELCOME the executor's uptime
     body: str = msgspec.field(name="bytes", default="")  # base64
     nonce: str = ""
     gauges: tuple[float, ...] = msgspec.field(name="readings", default=())
 
 
 class OpenRun(msgspec.Struct):
-    """A run that has not ended, and the last command for it until a notice shows that it was carried out."""
+    """A run that has not ended, and the last command for it, which is kept until a notice shows its completion."""
 
-    idempotent: bool  # it may be started twice
+    idempotent: bool  # the run may be started twice
     command: Command | None = None
-    sent_at: float = 0.0  # monotonic s; 0 = not yet
-    may_be_lost: bool = False  # with the link that the command was written to
+    sent_at: float = 0.0  # monotonic s; 0 = not sent yet
+    may_be_lost: bool = False  # the link was lost soon after the command was written
 
     def on_link_lost(self, now: float) -> None:
-        """Decide whether the command may have been lost with the link; it was not if it is old enough."""
+        """Drop the command if it is too old to be lost with the link; else mark it as possibly lost."""
         if self.command is None or not self.sent_at or self.may_be_lost:
             return
         if self.sent_at < now - MAX_LOST_COMMAND_AGE_S:
@@ -86,80 +86,79 @@
             self.may_be_lost = True
 
     def on_link_drained(self) -> None:
-        """Take note that the executor has carried out all that was sent on the link."""
+        """Drop the command if it was sent on the present link, as the executor has carried it out."""
         if self.sent_at and not self.may_be_lost:
             self.command = None
 
     def needs_resend(self) -> bool:
-        """Tell whether the command was not sent on the present link."""
+        """Return True if there is a command that was not sent on the present link."""
         return self.command is not None and (self.may_be_lost or not self.sent_at)
 
     def may_start_twice(self) -> bool:
-        """Tell whether sending the command again could start a run twice that must not be."""
+        """Return True if sending the command again could start a run twice that is not idempotent."""
         return self.may_be_lost and not self.idempotent and self.command is not None and self.command.verb == "EXEC"
 
 
 _encode = msgspec.json.Encoder().encode
 
 
-def _send(stream: Stream, command: Command) -> None:
-    """Write a command to a connection."""
+def _write_command(stream: Stream, command: Command) -> None:
     stream.write(_encode(command) + b"\n")
 
 
 class ExecutorCommands:
-    """Sends the core's commands, and sends again those that a lost link may have taken along.
+    """Sends the core's commands, and sends those again that may be lost with a link.
 
-    While there is no link, commands for runs wait for the next one.
+    While there is no link, commands for runs are kept and sent on the next one.
     """
 
     def __init__(self, post: Callable[[events.ExecutorEvent], None]) -> None:
         self._post = post
-        self._stream: Stream | None = None  # while commands may be sent
-        self._open_runs: dict[str, OpenRun] = {}
-        self._last_check = 0
-        self._open_checks: set[str] = set()  # nonces of deep health checks without an answer so far
+        self._stream: Stream | None = None  # None while commands can't be sent
+        self._open_runs: dict[str, OpenRun] = {}  # by request id
+        self._last_check_number = 0
+        self._open_checks: set[str] = set()  # nonces of the deep health checks that were not answered yet
 
-    # From the core.
+    # Called by the core.
 
     def start_run(self, request_id: str, class_name: str, body: str, idempotent: bool) -> None:
-        """Start a run; one that is not idempotent is never started again where its start may have arrived."""
+        """Start a run; the start of a run that is not idempotent is never sent again if it may have arrived."""
         self._open_runs[request_id] = OpenRun(idempotent)
         self._send_for_run(request_id, Command("EXEC", request_id, class_name, body))
 
     def cancel_run(self, request_id: str) -> None:
-        """Cancel a run, or pause it where the settings say so."""
+        """Cancel a run, or pause it if the settings say so."""
         self._send_for_run(request_id, Command("KILL", request_id))
 
     def resume_run(self, request_id: str) -> None:
-        """Resume a paused run; it is open again, as the notice that it was paused closed it."""
+        """Resume a paused run and open it again, as the notice of its pause closed it."""
         self._open_runs[request_id] = OpenRun(idempotent=True)
         self._send_for_run(request_id, Command("WAKE", request_id))
 
     def send_call_reply(self, request_id: str, body: str) -> None:
-        """Hand a run the reply to its call."""
+        """Send a run the reply to its downstream call."""
         self._send_for_run(request_id, Command("RETURN", request_id, body=body))
 
     def skip_call(self, request_id: str, notice_index: int) -> None:
-        """Let a run go on without the call that this notice requested."""
+        """Let a run continue without the downstream call that this notice requested."""
         self._send_for_run(request_id, Command("BYPASS", request_id, index=notice_index))
 
     def forget_run(self, request_id: str) -> None:
-        """Expect no end of this run any more."""
+        """Stop tracking a run whose end is not expected any more."""
         self._open_runs.pop(request_id, None)
 
     def request_gauges(self) -> None:
-        """Request the gauges; they arrive as ``GaugesReported``."""
+        """Request the gauges, which are posted as ``GaugesReported``."""
         if self._stream is not None:
-            _send(self._stream, Command("METER", nonce=GAUGES_NONCE))
+            _write_command(self._stream, Command("METER", nonce=GAUGES_NONCE))
 
     def start_health_check(self) -> str:
         """Request a deep health check; return the nonce of its ``HealthCheckCompleted``."""
-        self._last_check += 1
-        nonce = f"check-{self._last_check}"
+        self._last_check_number += 1
+        nonce = f"check-{self._last_check_number}"
         self._open_checks.add(nonce)
         if self._stream is not None:
-            _send(self._stream, Command("DIAG", nonce=nonce))
+            _write_command(self._stream, Command("DIAG", nonce=nonce))
         else:
             self._fail_open_checks()
         return nonce
@@ -172,50 +171,50 @@
         run.may_be_lost = False
         if self._stream is not None:
             run.sent_at = time.monotonic()
-            _send(self._stream, command)
+            _write_command(self._stream, command)
 
     def _fail_open_checks(self) -> None:
-        """Fail the checks of a link that is lost: the executor does not repeat their answers."""
+        """Fail the unanswered checks of a lost link, as the executor does not send their answers again."""
         failed, self._open_checks = self._open_checks, set()
         for nonce in failed:
             self._post(events.HealthCheckCompleted(nonce, False))
 
-    # From the link.
+    # Called by the link.
 
     @property
     def open_run_count(self) -> int:
-        """How many runs have not ended."""
+        """Number of runs that have not ended."""
         return len(self._open_runs)
 
-    def started_runs(self) -> list[str]:
-        """Return the open runs for which a command was sent."""
+    def started_request_ids(self) -> list[str]:
+        """Return the request ids of the open runs for which a command was sent."""
         return [request_id for request_id, run in self._open_runs.items() if run.sent_at]
 
     def close_run(self, request_id: str) -> bool:
-        """Take note that a run has ended, or is paused; False where it was not open."""
+        """Record that a run has ended or is paused; return False if it was not open."""
         return self._open_runs.pop(request_id, None) is not None
 
     def on_command_completed(self, request_id: str) -> None:
-        """Take note that the last command for a run was carried out."""
+        """Record that the last command for a run was carried out."""
         if (run := self._open_runs.get(request_id)) is not None:
             run.command = None
 
     def on_health_check_completed(self, nonce: str, healthy: bool) -> None:
-        """Report the answer to a health check."""
+        """Post the answer to a health check."""
         self._open_checks.discard(nonce)
         self._post(events.HealthCheckCompleted(nonce, healthy))
 
     def on_link_up(self, stream: Stream) -> None:
-        """Send commands on this connection from now on."""
+        """Use this connection for commands from now on."""
         self._stream = stream
 
     def detach_link(self) -> Stream | None:
-        """Queue further commands for the next link; return the connection of the present one."""
+        """Keep further commands for the next link; return the connection of the present one."""
         stream, self._stream = self._stream, None
         return stream
 
     def on_link_lost(self) -> None:
-        """Note at once which commands may be lost: the next link may break before the answer to its fence."""
+        """Record which commands may be lost, at once, as the next link may be lost before its fence is answered."""
         self._stream = None
         now = time.monotonic()
         for run in self._open_runs.values():
@@ -223,12 +222,12 @@
         self._fail_open_checks()
 
     def on_link_drained(self) -> None:
-        """Take note that the executor has carried out all commands that were sent on the link."""
+        """Record that the executor has carried out all commands that were sent on the link."""
         for run in self._open_runs.values():
             run.on_link_drained()
 
     def resend(self) -> None:
-        """Send what an earlier link may have lost, but no start that could run an effect twice."""
+        """Send the commands that may be lost, except starts that could execute a run twice that is not idempotent."""
         if (stream := self._stream) is None:
             return
         for request_id, run in list(self._open_runs.items()):
@@ -240,13 +239,14 @@
             else:
                 run.sent_at = time.monotonic()
                 run.may_be_lost = False
-                _send(stream, run.command)
+                _write_command(stream, run.command)
 
 
 class ExecutorLink:
-    """Keeps one link to the executor open and posts its notices as events; ``commands`` is for the core.
+    """Keeps one link to the executor open and posts its notices as events; the core uses ``commands``.
 
-    A lost link is replaced. The executor then repeats the notices that were missed, and ``commands`` what may be lost.
+    A lost link is replaced. The executor then sends the missed notices again, and ``commands`` the commands that may be
+    lost.
     """
 
     def __init__(self, loop: EventLoop, address: tuple[str, int], post: Callable[[events.ExecutorEvent], None]) -> None:
@@ -257,7 +257,7 @@
         self._connection: Stream | None = None
         self._backoff_waiter: Waiter | None = None
         self._backoff_s = MIN_BACKOFF_S
-        self._last_index = 0  # of the notices that were read
+        self._last_notice_index = 0  # of the numbered notices that were read
         self._decode = msgspec.json.Decoder(Notice).decode
         self._notice_handlers: dict[str, Callable[[Notice], None]] = {
             "EXIT": self._on_run_completed,
@@ -269,7 +269,7 @@
         }
 
     def serve(self) -> None:
-        """Hold a link, and open a new one whenever it ends."""
+        """Keep a link open, and replace it whenever it ends."""
         while True:
             address = self._address
             try:
@@ -293,9 +293,9 @@
             max_unsent_bytes=MAX_UNSENT_BYTES,
         )
         if address == self._address:
-            _send(self._connection, Command("JOIN", index=self._last_index))
+            _write_command(self._connection, Command("JOIN", index=self._last_notice_index))
             self._read_notices(self._connection)
-        log(LOG, logging.WARNING, "link-ended", index=self._last_index, open=self.commands.open_run_count)
+        log(LOG, logging.WARNING, "link-ended", index=self._last_notice_index, open=self.commands.open_run_count)
 
     def _back_off(self) -> None:
         self._backoff_waiter = Waiter(self._loop)
@@ -304,7 +304,7 @@
         self._backoff_s = min(MAX_BACKOFF_S, self._backoff_s * 2)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Link to a new address, once the commands sent on the present link were carried out: none is lost."""
+        """Link to a new address after all commands sent on the present link were carried out, so that none is lost."""
         if address == self._address:
             return
         self._address = address
@@ -313,7 +313,7 @@
             self._backoff_waiter.wake()
         stream = self.commands.detach_link()
         if stream is not None:
-            _send(stream, Command("METER", nonce=DRAIN_NONCE))
+            _write_command(stream, Command("METER", nonce=DRAIN_NONCE))
             self._loop.call_later(DRAIN_TIMEOUT_S, stream.close)
         elif self._connection is not None:
             self._connection.close()
@@ -328,28 +328,28 @@
                 continue
             if notice.verb == "WELCOME":
                 self._on_welcome(stream, notice)
-            elif notice.index and notice.index <= self._last_index:
-                continue  # a repeated notice: a link before this one brought it
+            elif notice.index and notice.index <= self._last_notice_index:
+                continue  # it was read on an earlier link
             elif (handler := self._notice_handlers.get(notice.verb)) is None:
                 log(LOG, logging.WARNING, "notice-unknown", verb=notice.verb)
             else:
-                if notice.index > self._last_index + 1:
+                if notice.index > self._last_notice_index + 1:
                     self._on_notices_missed(notice.index)
-                self._last_index = max(self._last_index, notice.index)
+                self._last_notice_index = max(self._last_notice_index, notice.index)
                 handler(notice)
 
     def _on_notices_missed(self, next_index: int) -> None:
-        """Report all started runs as unknown, as the executor no longer has the notices of some ends."""
-        started = self.commands.started_runs()
-        log(LOG, logging.ERROR, "notices-missed", after=self._last_index, next=next_index, open=len(started))
-        for request_id in started:
+        """Post the outcome of all started runs as unknown, as the notices of some ends are lost at the executor."""
+        request_ids = self.commands.started_request_ids()
+        log(LOG, logging.ERROR, "notices-missed", after=self._last_notice_index, next=next_index, open=len(request_ids))
+        for request_id in request_ids:
             self._post(events.RunOutcomeUnknown(request_id))
 
     def _on_welcome(self, stream: Stream, notice: Notice) -> None:
         uptime_ms = notice.duration_ms
-        log(LOG, logging.INFO, "link-up", outcome=notice.outcome, spent_ms=uptime_ms, index=self._last_index)
+        log(LOG, logging.INFO, "link-up", outcome=notice.outcome, spent_ms=uptime_ms, index=self._last_notice_index)
         self._post(events.ExecutorReady(notice.outcome == WARMING_UP, uptime_ms))
-        _send(stream, Command("METER", nonce=FENCE_NONCE))
+        _write_command(stream, Command("METER", nonce=FENCE_NONCE))
         self.commands.on_link_up(stream)
         self._backoff_s = MIN_BACKOFF_S
 
@@ -375,9 +375,9 @@
         self.commands.on_health_check_completed(notice.nonce, notice.outcome == COMPLETED)
 
     def _on_command_rejected(self, notice: Notice) -> None:
-        """Report the end of a run that is not there; no other notice will."""
+        """Post the end of a run that the executor does not have; no other notice reports it."""
         log(LOG, logging.WARNING, "command-refused", command=notice.outcome, tag=notice.request_id)
-        if notice.outcome not in VERBS_WITHOUT_A_RUN or not self.commands.close_run(notice.request_id):
+        if notice.outcome not in NO_RUN_IF_REJECTED or not self.commands.close_run(notice.request_id):
             return
         if notice.outcome == "EXEC":
             self._post(events.RunUnknown(notice.request_id))
