--- a/lapispick/host/addresses.py
+++ b/lapispick/host/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses in settings: an IP address and a port, but no name, as its resolution would block the event loop."""
+"""Parses addresses in settings: an IP address and a port, not a name, as a name lookup would block the event loop."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def parse_address(text: str, min_port: int = 1) -> tuple[str, int]:
-    """Split ``IP:port``, where an IPv6 address may be in brackets; raises ``ValueError``."""
+    """Parse ``IP:port``, where an IPv6 address may be in brackets; raises ``ValueError``."""
     host, colon, port = text.rpartition(":")
     if not colon or not port.isdecimal() or not min_port <= int(port) <= MAX_PORT:
         raise ValueError(f"{text!r} is not IP:port")
--- a/lapispick/host/dns_resolver.py
+++ b/lapispick/host/dns_resolver.py
@@ -1,4 +1,4 @@
-"""Resolves names in threads, as the system's resolver blocks, perhaps for long."""
+"""Resolves names in threads, as the system's resolver may block for a long time."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 from lapispick.host.worker_threads import TooManyJobsError, WorkerThreads
 
 LOG = "names"
-THREADS = 2  # one look-up that hangs must not stop the others
+LOOKUP_THREADS = 2  # a lookup that hangs must not stop the others
 MAX_WAITING_LOOKUPS = 256
 MAX_ADDRESSES_PER_NAME = 16
-MAX_FILE_BYTES = 1 << 20
+MAX_HOSTS_FILE_BYTES = 1 << 20
 
 
 class LookupResult(NamedTuple):
-    """The addresses of a name, or why there are none."""
+    """The addresses of a name, or the error of its lookup."""
 
     addresses: list[str]
     error: str = ""
 
 
 class NameNotResolvedError(HostError, OSError):
-    """A name has no address, or it was not resolved in time."""
+    """A name has no address, or its lookup was rejected or timed out."""
 
 
 def parse_hosts(text: str) -> dict[str, list[str]]:
-    """Return the addresses of each name in the format of /etc/hosts; invalid lines are left out."""
+    """Return the addresses of each name from a text in the format of /etc/hosts; invalid lines are left out."""
     addresses: dict[str, list[str]] = {}
     for line in text.splitlines():
         fields = line.partition("#")[0].split()
@@ -50,10 +50,13 @@
 
 
 class DnsResolver:
-    """Resolves names for greenlets, first from an optional hosts file. Its threads end with the process."""
+    """Resolves names for greenlets, first from an optional hosts file and then by the system's resolver.
+
+    Its threads end with the process.
+    """
 
     def __init__(self, loop: EventLoop, timeout_s: float, hosts_file: Path | None) -> None:
-        self._threads = WorkerThreads(loop, THREADS, MAX_WAITING_LOOKUPS)
+        self._threads = WorkerThreads(loop, LOOKUP_THREADS, MAX_WAITING_LOOKUPS)
         self._timeout_s = timeout_s
         self._hosts_file = hosts_file
 
@@ -62,20 +65,20 @@
         if identity.address(name) is not None:
             return [name]
         try:
-            result = self._threads.run(self._find, name, timeout=self._timeout_s)
+            result = self._threads.run(self._resolve, name, timeout=self._timeout_s)
         except TooManyJobsError as err:
-            raise NameNotResolvedError(f"{name} is not looked up: {err}") from None
+            raise NameNotResolvedError(f"the lookup of {name} was not started: {err}") from None
         except TimeoutError:
-            raise NameNotResolvedError(f"{name} was not found within {self._timeout_s:g} s") from None
+            raise NameNotResolvedError(f"the lookup of {name} did not end within {self._timeout_s:g} s") from None
         if not result.addresses:
             raise NameNotResolvedError(f"{name} has no address: {result.error}")
         return result.addresses
 
-    # In the threads.
+    # Runs in the threads.
 
-    def _find(self, name: str) -> LookupResult:
+    def _resolve(self, name: str) -> LookupResult:
         try:
-            if self._hosts_file is not None and (listed := self._read_hosts(self._hosts_file).get(name)):
+            if self._hosts_file is not None and (listed := self._read_hosts_file(self._hosts_file).get(name)):
                 return LookupResult(listed[:MAX_ADDRESSES_PER_NAME])
             entries = socket.getaddrinfo(name, None, type=socket.SOCK_STREAM)
         except (OSError, UnicodeError) as err:
@@ -84,10 +87,10 @@
         return LookupResult(list(addresses)[:MAX_ADDRESSES_PER_NAME])
 
     @staticmethod
-    def _read_hosts(file: Path) -> dict[str, list[str]]:
+    def _read_hosts_file(file: Path) -> dict[str, list[str]]:
         try:
-            with open(file, encoding="utf-8", errors="replace") as opened:
-                return parse_hosts(opened.read(MAX_FILE_BYTES))
+            with open(file, encoding="utf-8", errors="replace") as stream:
+                return parse_hosts(stream.read(MAX_HOSTS_FILE_BYTES))
         except OSError as err:
             log(LOG, logging.WARNING, "names-file-failed", file=file, error=err)
             return {}
--- a/lapispick/host/errors.py
+++ b/lapispick/host/errors.py
@@ -1,5 +1,5 @@
-"""The base class of this package's errors."""
+"""The base class of the worker host's errors."""
 
 
 class HostError(Exception):
-    """Base of the errors that parts of the worker host raise."""
+    """Base class of the errors that are raised by parts of the worker host."""
--- a/lapispick/host/registry.py
+++ b/lapispick/host/registry.py
@@ -1,4 +1,4 @@
-"""Load reports to the service registry: datagrams at an interval, and several at once after a change."""
+"""Load reports to the service registry: a datagram at each interval, and several in quick succession after a change."""
 
 from __future__ import annotations
 
@@ -9,13 +9,14 @@
 from lapispick.host.scheduler import EventLoop
 
 LOG = "roster"
-# A quarter of the datagrams are lost and an entry expires after 3 s; with twelve reports in that time none does.
+# A quarter of the datagrams are lost, and an entry expires after 3 s without a report. With twelve reports in that time
+# entries do not expire.
 REPORT_INTERVAL_S = 0.25
-CHANGE_REPORT_DELAYS_S = (0.0, 0.03, 0.08)  # after a change, so that it is known at once although reports are lost
+CHANGE_REPORT_DELAYS_S = (0.0, 0.03, 0.08)  # several reports, so that a lost datagram does not delay a change
 
 
 class RegistryClient:
-    """Reports whether this worker host takes requests."""
+    """Reports to the service registry whether this worker host accepts requests."""
 
     def __init__(self, loop: EventLoop, address: tuple[str, int], name: str) -> None:
         self._loop = loop
@@ -31,7 +32,7 @@
         return sock
 
     def set_listed(self, listed: bool) -> None:
-        """Report from now on that this host takes requests, or that it does not."""
+        """Set whether this host accepts requests, and report a change at once."""
         if listed != self._listed:
             self._listed = listed
             self._report_change()
@@ -40,9 +41,9 @@
         """Report to a new address from now on."""
         if address != self._address:
             self._address = address
-            previous = self._sock
-            self._sock = self._open_socket()  # the address may be of the other family
-            previous.close()
+            previous_sock = self._sock
+            self._sock = self._open_socket()  # the address family may have changed
+            previous_sock.close()
             self._report_change()
 
     def _report_change(self) -> None:
@@ -50,7 +51,7 @@
             self._loop.call_later(delay_s, self._report)
 
     def serve(self) -> None:
-        """Report at the interval, for ever."""
+        """Report at each interval; never returns."""
         self._report_change()
         while True:
             self._report()
@@ -60,5 +61,5 @@
         report = f"HERE {self._name} {'on' if self._listed else 'off'}"
         try:
             self._sock.sendto(report.encode(), self._address)
-        except OSError as err:  # the registry may be down; entries do not expire meanwhile
+        except OSError as err:  # the registry may be down; its entries do not expire during that time
             log(LOG, logging.DEBUG, "report-failed", error=err)
--- a/lapispick/host/worker_threads.py
+++ b/lapispick/host/worker_threads.py
@@ -1,6 +1,7 @@
-"""Runs blocking jobs (disk access, name look-ups, process starts) in threads while greenlets wait for the results.
+"""A thread pool for blocking jobs (disk access, name lookups, process starts); greenlets wait for the results.
 
-A thread puts its result into a queue and wakes the event loop by a byte on a socket; nothing else is shared.
+Threads take jobs from a queue, put results into another queue, and wake the event loop by a byte on a socket. They
+share nothing else with the loop.
 """
 
 from __future__ import annotations
@@ -24,42 +25,42 @@
 
 
 class TooManyJobsError(HostError):
-    """Too many jobs are waiting."""
+    """A job was not accepted, as the queue of waiting jobs is full."""
 
 
 class WorkerThreads:
-    """A pool of threads. With one, the default, jobs are done in the order in which they were requested."""
+    """A pool of threads. A single thread, which is the default, runs the jobs in the order in which they were added."""
 
     def __init__(self, loop: EventLoop, threads: int = 1, max_waiting: int = MAX_WAITING_JOBS) -> None:
         self._loop = loop
-        self._last_job = 0
+        self._last_job_number = 0
         self._jobs: queue.Queue[tuple[int, Callable[[], object]]] = queue.Queue(max_waiting)
-        self._done: deque[tuple[int, object, BaseException | None]] = deque()
-        self._waiters: dict[int, Waiter] = {}
+        self._results: deque[tuple[int, object, BaseException | None]] = deque()
+        self._waiters: dict[int, Waiter] = {}  # by job number
         self._wake_receiver, self._wake_sender = socket.socketpair()
-        for end in (self._wake_receiver, self._wake_sender):
-            end.setblocking(False)
+        for sock in (self._wake_receiver, self._wake_sender):
+            sock.setblocking(False)
         for _ in range(threads):
-            threading.Thread(target=self._work, daemon=True).start()
-        loop.spawn(self._serve)
+            threading.Thread(target=self._run_jobs, daemon=True).start()
+        loop.spawn(self._deliver_results)
 
     def run(self, job: Callable[[*Arguments], T], *args: *Arguments, timeout: float | None = None) -> T:
-        """Run a job and return its result, or raise its exception; other greenlets run meanwhile.
+        """Run a job in a thread and wait for it; return its result or raise its exception.
 
-        Raises ``TooManyJobsError`` if too many wait, and ``TimeoutError`` after a timeout (s), which does not end the
-        job.
+        Raises ``TooManyJobsError`` if the queue of waiting jobs is full, and ``TimeoutError`` after a timeout (s). A
+        timeout does not end the job.
         """
-        self._last_job += 1
-        number = self._last_job
+        self._last_job_number += 1
+        job_number = self._last_job_number
         try:
-            self._jobs.put_nowait((number, lambda: job(*args)))
+            self._jobs.put_nowait((job_number, lambda: job(*args)))
         except queue.Full:
-            raise TooManyJobsError(f"{self._jobs.maxsize} others wait") from None
-        waiter = self._waiters[number] = Waiter(self._loop)
+            raise TooManyJobsError(f"the queue is full with {self._jobs.maxsize} waiting jobs") from None
+        waiter = self._waiters[job_number] = Waiter(self._loop)
         try:
             outcome = cast("tuple[T, BaseException | None] | None", self._loop.suspend(waiter, timeout))
         finally:
-            del self._waiters[number]
+            del self._waiters[job_number]
         if outcome is None:
             raise TimeoutError
         result, error = outcome
@@ -67,30 +68,30 @@
             raise error
         return result
 
-    def _serve(self) -> None:
+    def _deliver_results(self) -> None:
         while True:
             self._loop.wait_for_io(self._wake_receiver.fileno(), READ)
             try:
                 self._wake_receiver.recv(4096)
             except BlockingIOError:
                 continue
-            while self._done:
-                number, result, error = self._done.popleft()
-                if (waiter := self._waiters.get(number)) is not None:
+            while self._results:
+                job_number, result, error = self._results.popleft()
+                if (waiter := self._waiters.get(job_number)) is not None:
                     waiter.wake((result, error))
 
-    # In the threads: only the two queues and the sending socket are used here.
+    # Runs in the threads, and uses only the two queues and the sending socket.
 
-    def _work(self) -> None:
+    def _run_jobs(self) -> None:
         while True:
-            number, job = self._jobs.get()
+            job_number, job = self._jobs.get()
             try:
-                self._done.append((number, job(), None))
-            except BaseException as err:  # noqa: BLE001 - raised again where the result is awaited
-                self._done.append((number, None, err))
+                self._results.append((job_number, job(), None))
+            except BaseException as err:  # noqa: BLE001 - raised again in the greenlet that waits for the result
+                self._results.append((job_number, None, err))
             try:
                 self._wake_sender.send(b"\0")
             except BlockingIOError:
-                pass  # the socket is full, so that the loop is awake anyway
+                pass  # the socket's buffer is full, so the loop will read it and see the result
             except OSError:
                 return
