--- a/tests/test_executor.py
+++ b/tests/test_executor.py
@@ -1,4 +1,4 @@
-"""The link to the executor: notices that are split, repeated or cut off, and commands around a lost link."""
+"""The link to the executor: split, repeated and truncated notices, and commands when the link is lost."""
 
 import itertools
 import json
@@ -12,27 +12,27 @@
 
 
 class UnreliableExecutor(Executor):
-    """Sends each notice in pieces and twice, with a remark before; breaks the link within some."""
+    """Sends each notice split and repeated, after a LOG notice; truncates every fifth one by closing the link."""
 
     def __init__(self):
-        self.sent = itertools.count(1)
+        self.notice_numbers = itertools.count(1)
         super().__init__()
 
     def send(self, connection, **message):
         line = json.dumps(message).encode() + b"\n"
         if "index" not in message:
             return super().send(connection, **message)
-        if next(self.sent) % 5 == 0:
+        if next(self.notice_numbers) % 5 == 0:
             connection.sendall(line[: len(line) // 2])
             self.disconnect()
             return None
-        remark = b'{"verb":"LOG","index":%d,"outcome":"hm"}\n' % (message["index"] - 1)
-        for piece in (remark, line[:7], line[7:], line):
+        log_notice = b'{"verb":"LOG","index":%d,"outcome":"hm"}\n' % (message["index"] - 1)
+        for piece in (log_notice, line[:7], line[7:], line):
             connection.sendall(piece)
         return None
 
 
-def test_split_repeated_or_truncated_notices_lose_and_repeat_no_run(host):
+def test_split_repeated_and_truncated_notices_neither_lose_nor_repeat_a_run(host):
     worker = host(executor=UnreliableExecutor())
     gateway = worker.gateway()
     for number in range(20):
@@ -50,8 +50,8 @@
     request_id = gateway.request("track", "stay:200")
     verbs = worker.executor.received_verbs
     wait_until(lambda: "RETURN" in verbs, "the reply to the call")
-    ticks = verbs.count("METER")
-    wait_until(lambda: verbs.count("METER") > ticks + 20, "20 ticks of 40 ms")
+    gauge_requests = verbs.count("METER")
+    wait_until(lambda: verbs.count("METER") > gauge_requests + 20, "20 requests for gauges, one every 40 ms")
     worker.executor.disconnect()
     wait_until(lambda: verbs.count("JOIN") == 2, "the new link")
     worker.executor.end_run(worker.executor.runs[0].task)
@@ -63,7 +63,7 @@
     worker = host()
     gateway, key = worker.gateway(), make_idempotency_key()
     assert gateway.error_code(gateway.request("book", "never", key)) != REJECTED_CODE
-    # The retry is an attempt of its own, and not answered with the first one's outcome.
+    # The retry starts a run of its own and is not answered with the outcome of the first attempt.
     assert gateway.error_code(gateway.request("book", "never", key, redo=1)) != REJECTED_CODE
     assert sum(command["verb"] == "EXEC" for command in worker.executor.commands) == 2
 
--- a/tests/test_executor_races.py
+++ b/tests/test_executor_races.py
@@ -1,6 +1,7 @@
-"""Races on the link to the executor; `docs/CROSSINGS.md` lists them.
+"""Races on the link to the executor, which `docs/CROSSINGS.md` lists.
 
-The process is stopped while bytes are written to it, or an emulated peer withholds a reply; nothing is left to chance.
+Each race is provoked deterministically: the process is stopped while bytes are written to it, or a fake peer withholds
+a reply.
 """
 
 import time
@@ -15,53 +16,53 @@
 
 
 class UncooperativeExecutor(Executor):
-    """Cancels nothing: it replies that there is no such run, or does not reply."""
+    """Does not cancel runs: it rejects the command as if there were no such run, or ignores it."""
 
-    replies = True
+    rejects_cancel = True
 
     def on_kill(self, connection, command):
-        if self.replies:
+        if self.rejects_cancel:
             self.send(connection, verb="BAD", outcome="KILL", task=command["task"])
 
 
-@pytest.mark.parametrize("replies", [True, False])
-def test_runs_that_ignore_cancellation_release_their_slots_in_time(host, replies):
+@pytest.mark.parametrize("rejects_cancel", [True, False])
+def test_runs_that_ignore_cancellation_release_their_slots_in_time(host, rejects_cancel):
     executor = UncooperativeExecutor()
-    executor.replies = replies
+    executor.rejects_cancel = rejects_cancel
     info = make_platform_info([{"GiveUp": 48_000.0, "Promise": 47_000.0}])
     info["Guarantees"]["FallMultiple"] = 2.0  # keeps the number of slots small
     worker = host(executor=executor, info=info)
     gateway = worker.gateway()
-    lost = [gateway.request("track", "hold", patience=600) for _ in range(12)]  # as many as may run at once, and more
-    assert all(gateway.error_code(n) in (FAILED_CODE, REJECTED_CODE) for n in lost)
+    request_ids = [gateway.request("track", "hold", patience=600) for _ in range(12)]  # more than can run at once
+    assert all(gateway.error_code(request_id) in (FAILED_CODE, REJECTED_CODE) for request_id in request_ids)
     assert len(worker.executor.runs) > 1
-    began = time.monotonic()
+    started_at = time.monotonic()
     gateway.sock.settimeout(40)
     assert gateway.result(gateway.request("track", "next", patience=40_000)) == "did next"  # it waits for a slot
-    assert replies or "event=run-lost" in worker.log()
-    assert (time.monotonic() - began < 10) is replies
+    assert rejects_cancel or "event=run-lost" in worker.log()
+    assert (time.monotonic() - started_at < 10) is rejects_cancel
 
 
 @pytest.mark.parametrize("effect", ["deduplicated", "at_most_once"])
 def test_start_that_is_not_idempotent_is_never_resent(host, effect):
     worker = host(info=make_platform_info([{}, {"Idempotency": effect}]))
     gateway = worker.gateway()
-    read, write = send_with_lost_starts(worker, gateway)
+    idempotent_id, keyed_id = send_with_lost_starts(worker, gateway)
     worker.executor.ignores_commands = False
     worker.executor.disconnect()
-    assert gateway.result(read) == "did again"
-    assert gateway.error_code(write) != REJECTED_CODE
+    assert gateway.result(idempotent_id) == "did again"
+    assert gateway.error_code(keyed_id) != REJECTED_CODE
     assert not worker.executor.runs_of("once")
 
 
-def test_missed_notices_occupy_no_slot_for_good(host):
+def test_runs_with_missed_notices_release_their_slots(host):
     worker = host()
     gateway = worker.gateway()
-    lost = fill_all_slots(
+    request_ids = fill_all_slots(
         lambda: gateway.request("book", "hold", make_idempotency_key(), patience=2500),
         start_count=lambda: len(worker.executor.runs),
     )
-    let_time_pass(0.6)  # a start of this age counts as carried out when the link is lost
+    let_time_pass(0.6)  # a start that was sent so long before the link is lost counts as carried out
     worker.executor.max_resent_notices = 4
     with worker.executor.lock:
         worker.executor.disconnect()
@@ -69,10 +70,10 @@
             worker.executor.end_run(task)
         for _ in range(4):
             worker.executor.send_notice(verb="LOG", outcome="later")
-    assert all(gateway.error_code(n) == FAILED_CODE for n in lost)
-    began = time.monotonic()
+    assert all(gateway.error_code(request_id) == FAILED_CODE for request_id in request_ids)
+    started_at = time.monotonic()
     assert gateway.result(gateway.request("track", "next")) == "did next"
-    assert time.monotonic() - began < 5
+    assert time.monotonic() - started_at < 5
     assert "event=notices-missed" in worker.log()
 
 
@@ -81,13 +82,13 @@
     gateway = worker.gateway()
     with worker.suspended():
         pass
-    for _ in range(12):  # more than may run at once: none keeps its slot
-        number = gateway.request("track", "hold", patience=2000)
+    for _ in range(12):  # more than can run at once, so that the last request needs a released slot
+        request_id = gateway.request("track", "hold", patience=2000)
         worker.executor.wait_for_run("hold")
         with worker.suspended():
             worker.executor.end_run(worker.executor.runs[-1].task, result="in time")
-            gateway.cancel(number)
-        gateway.answer(number)
+            gateway.cancel(request_id)
+        gateway.answer(request_id)
         worker.executor.runs.clear()
     assert gateway.result(gateway.request("track", "next")) == "did next"
 
@@ -99,14 +100,14 @@
         worker.executor.is_up = False
         worker.executor.disconnect()
     wait_until(lambda: worker.executor.received_verbs.count("JOIN") == 2, "the new link")
-    numbers = [gateway.request("track", f"early{i}") for i in range(3)]
+    request_ids = [gateway.request("track", f"early{i}") for i in range(3)]
     assert gateway.answer(gateway.send("probe"))["result"]["healthy"]
     assert not worker.executor.runs
     worker.executor.become_ready()
-    assert [gateway.result(n) for n in numbers] == [f"did early{i}" for i in range(3)]
-    sent = [command.get("nonce", command["verb"]) for command in worker.executor.commands]
-    last_join = len(sent) - 1 - sent[::-1].index("JOIN")
-    assert sent.index("fence", last_join) < sent.index("EXEC", last_join)
+    assert [gateway.result(request_id) for request_id in request_ids] == [f"did early{i}" for i in range(3)]
+    received = [command.get("nonce", command["verb"]) for command in worker.executor.commands]
+    last_join = len(received) - 1 - received[::-1].index("JOIN")
+    assert received.index("fence", last_join) < received.index("EXEC", last_join)
 
 
 @pytest.mark.parametrize("relinked", [False, True])
@@ -120,35 +121,35 @@
         executor.disconnect()
     wait_until(lambda: len(executor.withheld_fences) == 1 + relinked, "the link")
     gateway, key = worker.gateway(), make_idempotency_key()
-    first = gateway.request("book", "hold", key)
+    first_id = gateway.request("book", "hold", key)
     wait_until(lambda: executor.runs, "the run")
     withheld, executor.withheld_fences = executor.withheld_fences, None
     executor.on_meter(*withheld[-1])
-    gateway.cancel(first)
-    retry = gateway.request("book", "hold", key, redo=1)
-    gateway.answer(gateway.send("probe"))  # then all of this was read
+    gateway.cancel(first_id)
+    retry_id = gateway.request("book", "hold", key, redo=1)
+    gateway.answer(gateway.send("probe"))  # the answer shows that the host has read the cancellation and the retry
     executor.end_run(executor.runs[0].task, result="booked")
-    assert gateway.result(retry) == "booked"
+    assert gateway.result(retry_id) == "booked"
     assert len(executor.runs) == 1
 
 
 def test_link_lost_twice_before_its_fence_is_answered_loses_no_start(host):
     worker = host()
     gateway = worker.gateway()
-    read, write = send_with_lost_starts(worker, gateway, patience=3000)
-    sent = time.monotonic()
+    idempotent_id, keyed_id = send_with_lost_starts(worker, gateway, patience=3000)
+    sent_at = time.monotonic()
     worker.executor.ignores_commands, worker.executor.withheld_fences = False, []
     worker.executor.disconnect()
     wait_until(lambda: worker.executor.withheld_fences, "the second link")
-    wait_until(lambda: time.monotonic() > sent + 0.8, "the time after which a start counts as read")
+    wait_until(lambda: time.monotonic() > sent_at + 0.8, "the time after which a start counts as carried out")
     worker.executor.withheld_fences = None
     worker.executor.disconnect()
-    assert gateway.result(read) == "did again"
-    assert gateway.error_code(write) == FAILED_CODE
+    assert gateway.result(idempotent_id) == "did again"
+    assert gateway.error_code(keyed_id) == FAILED_CODE
     assert not worker.executor.runs_of("once")
 
 
-FAULTY_NOTICES = [  # with the log event for each, if there is one
+FAULTY_NOTICES = [  # each with the event that the host logs, or an empty string
     (b"not JSON", "notice-malformed"),
     (b"[1]", "notice-malformed"),
     (b'{"verb":7}', "notice-malformed"),
@@ -172,11 +173,12 @@
     request_id = gateway.request("book", "hold", make_idempotency_key())
     wait_until(lambda: worker.executor.runs, "the run")
     for line, event in FAULTY_NOTICES:
-        before = worker.log().count(f"event={event}")
+        earlier_events = worker.log().count(f"event={event}")
         worker.executor.connection.sendall(line + b"\n")
         if event:
             wait_until(
-                lambda event=event, count=before: worker.log().count(f"event={event}") > count, f"{event} for {line!r}"
+                lambda event=event, count=earlier_events: worker.log().count(f"event={event}") > count,
+                f"{event} for {line!r}",
             )
         assert gateway.result(gateway.request("track", "unaffected")) == "did unaffected"
     worker.executor.end_run(worker.executor.runs[0].task, result="booked")
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The event loop: faults stay with the part that caused them, and what runs in which order."""
+"""The event loop: exceptions affect only the part that raised them, and calls are made in the expected order."""
 
 import socket
 import time
@@ -58,27 +58,27 @@
 
 def test_urgent_socket_is_served_before_the_rest_of_a_round():
     loop = EventLoop()
-    calls_done, calls_done_before = [], []
+    slow_calls_done, done_before_urgent = [], []
     receiver, sender = socket.socketpair()
 
-    def wait_urgently():
+    def wait_for_urgent_input():
         loop.wait_for_io(receiver.fileno(), READ, urgent=True)
-        calls_done_before.append(len(calls_done))
+        done_before_urgent.append(len(slow_calls_done))
 
-    def work():
+    def slow_call():
         time.sleep(0.002)
-        calls_done.append(1)
+        slow_calls_done.append(1)
 
-    def start_all():
+    def send_and_queue_slow_calls():
         sender.send(b"x")
         for _ in range(200):
-            loop.call_soon(work)
+            loop.call_soon(slow_call)
 
-    loop.spawn(wait_urgently)
-    loop.call_later(0.01, start_all)
+    loop.spawn(wait_for_urgent_input)
+    loop.call_later(0.01, send_and_queue_slow_calls)
     loop.call_later(1.0, loop.stop)
     loop.run()
     receiver.close()
     sender.close()
-    assert len(calls_done) == 200
-    assert calls_done_before[0] < 50
+    assert len(slow_calls_done) == 200
+    assert done_before_urgent[0] < 50
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,7 @@
-"""A store with unusable replies: their calls count as made, and no byte of them reaches another call."""
+"""Calls of a store that sends unusable replies or closes connections.
+
+A call with an unusable reply counts as made, and no byte of its reply reaches another call.
+"""
 
 import itertools
 import json
@@ -21,7 +24,7 @@
     gateway = worker.gateway()
     assert gateway.result(gateway.request("track", f"call:{reply}")) == "poorer"
     assert gateway.error_code(gateway.request("book", f"call:{reply}", make_idempotency_key())) != REJECTED_CODE
-    assert [call.body for call in worker.store.calls] == [reply] * 3  # the call of "track" was made once more
+    assert [call.body for call in worker.store.calls] == [reply] * 3  # only the call of "track" was repeated
     assert gateway.result(gateway.request("track", "call:200")) == "reply 4"
     assert len({call.connection for call in worker.store.calls}) == 4
     assert worker.peak_memory_mb() < 64
@@ -29,7 +32,7 @@
 
 @pytest.mark.parametrize("head", [[], [b"HTTP/1.1 200 OK", b"Transfer-Encoding: chunked", b"", b"0"]])
 def test_endless_headers_are_rejected_at_the_line_limit(head):
-    """Headers, and trailers after the chunks: either would keep the host busy for as long as the call may last."""
+    """Endless headers, or trailers after the chunks, would keep the host busy until the call's timeout."""
     lines = itertools.chain(head, itertools.repeat(b"X-More: of it", 2 * store.MAX_HEADER_LINES))
 
     class EndlessStream:
@@ -53,45 +56,47 @@
         assert gateway.result(gateway.request("track", f"call:{reply}")) == f"reply {number}"
 
 
-def test_a_forgotten_connection_costs_no_call(host):
+def test_idempotent_call_on_a_reset_idle_connection_is_repeated(host):
     worker = host()
     gateway = worker.gateway()
     assert gateway.result(gateway.request("track", "call:200")) == "reply 1"
 
-    def again():
+    def call_was_repeated():
         assert gateway.result(gateway.request("track", "call:forget")).startswith("reply")
-        return len(worker.store.calls) > len(worker.executor.runs)  # one was reset and made again
+        return len(worker.store.calls) > len(worker.executor.runs)  # a call was reset and repeated
 
-    wait_until(again, "the reset of a connection that was idle")
+    wait_until(call_was_repeated, "the reset of an idle connection")
     assert [line for line in worker.log().splitlines() if "level=warning" in line] == []
     assert gateway.result(gateway.request("book", "call:200", make_idempotency_key())).startswith("reply")
-    links = [call.connection for call in worker.store.calls]
-    assert links.count(links[-1]) == 1  # a write's call has a connection of its own
+    connections = [call.connection for call in worker.store.calls]
+    assert connections.count(connections[-1]) == 1  # the call of a keyed request has a new connection
 
 
-def test_as_many_connections_lie_idle_as_half_of_those_for_calls(host):
+def test_up_to_half_of_the_connections_for_calls_are_kept_idle(host):
     info = json.loads(json.dumps(PLATFORM_INFO))
     info["FamilyInfo"].update(Cores=40, CallsOut=200.0)
     worker = host(info=info)
-    wave = 28  # over the 16 that were kept once, under half of a quarter of 256
+    # More than 16, an earlier limit of idle connections; fewer than 32, half of the connections for calls, which are a
+    # quarter of 256 sockets.
+    batch_size = 28
     for _ in range(3):
         gateway = worker.gateway()
-        numbers = [gateway.request("track", "call:late") for _ in range(wave)]
-        assert all(gateway.result(n).startswith("reply") for n in numbers)
-        answered = time.monotonic()  # a connection went idle before its answer came, and settles for SETTLE_S
-        wait_until(lambda answered=answered: time.monotonic() - answered > SETTLE_S, "the end of the settling")
-    assert len(worker.store.calls) == 3 * wave
-    assert 16 < len({call.connection for call in worker.store.calls}) <= wave
+        request_ids = [gateway.request("track", "call:late") for _ in range(batch_size)]
+        assert all(gateway.result(request_id).startswith("reply") for request_id in request_ids)
+        answered_at = time.monotonic()  # the connections were idle before the answers arrived, and settle for SETTLE_S
+        wait_until(lambda answered_at=answered_at: time.monotonic() - answered_at > SETTLE_S, "settled connections")
+    assert len(worker.store.calls) == 3 * batch_size
+    assert 16 < len({call.connection for call in worker.store.calls}) <= batch_size
 
 
 def test_truncated_reply_fails_a_keyed_request_without_a_second_call(host):
     worker = host()
     gateway = worker.gateway()
-    complete = len(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply")
-    for size in range(complete):
+    reply_bytes = len(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nreply")
+    for size in range(reply_bytes):
         assert gateway.error_code(gateway.request("book", f"call:cut {size}", make_idempotency_key())) == FAILED_CODE
-    assert gateway.result(gateway.request("book", f"call:cut {complete}", make_idempotency_key())) == "reply"
-    assert [call.body for call in worker.store.calls] == [f"cut {size}" for size in range(complete + 1)]
+    assert gateway.result(gateway.request("book", f"call:cut {reply_bytes}", make_idempotency_key())) == "reply"
+    assert [call.body for call in worker.store.calls] == [f"cut {size}" for size in range(reply_bytes + 1)]
 
 
 def test_pooled_connection_that_closes_as_a_call_is_written_loses_no_call(host):
@@ -103,5 +108,5 @@
         results.append(gateway.result(gateway.request("track", "call:hang up")))
         return len(worker.store.calls) > len(results)
 
-    wait_until(call_was_repeated, "a call that met the end of its connection, and was made once more")
+    wait_until(call_was_repeated, "a call whose connection was closed and that was repeated")
     assert all(result.startswith("reply") for result in results)
