--- a/lapispick/host/assembly.py
+++ b/lapispick/host/assembly.py
@@ -172,7 +172,7 @@
     def _set_peer_connections(self, count: int | None) -> None:
         """Divide descriptors with another process that has so many connections; None: there is none."""
         self.gateways.peer_connections = count
-        self._store.shared = count is not None
+        self._store.peer_connected = count is not None
 
     def _open(self, listener: socket.socket | None) -> None:
         """Accept clients, beside the process that served so far or after it."""
--- a/lapispick/host/store.py
+++ b/lapispick/host/store.py
@@ -254,13 +254,13 @@
         self._address = address
         self.post = post
         self._max_calls = max_calls
-        self.shared = False  # with another process of this worker host, which may use as many connections
+        self.peer_connected = False  # to another process of this worker host, which shares the connection limit
         self._idle = IdleConnections(loop)
         self._active_calls = 0
 
     @property
     def _max_connections(self) -> int:
-        return budget.max_calls(self._max_calls, self.shared)
+        return budget.max_calls(self._max_calls, self.peer_connected)
 
     def start_call(self, request_id: str, body: str, timeout_ms: float, idempotent: bool) -> StoreCall:
         """Start a call with a base64 body; a call that is not idempotent is sent at most once."""
