--- a/lapispick/host/executor.py
+++ b/lapispick/host/executor.py
@@ -107,7 +107,7 @@
 
 
 class ExecutorCommands:
-    """Sends the core's commands, and sends those again that may be lost with a link.
+    """Sends the core's commands, and sends a command again if it may be lost with a link.
 
     While there is no link, commands for runs are kept and sent on the next one.
     """
--- a/lapispick/host/scheduler.py
+++ b/lapispick/host/scheduler.py
@@ -147,7 +147,7 @@
             round_end = time.monotonic() + MAX_ROUND_S
             for _ in range(len(self._ready_calls)):
                 self._call(*self._ready_calls.popleft())
-                if time.monotonic() > round_end:  # calls that are left precede those that the poll adds, except urgent
+                if time.monotonic() > round_end:  # the remaining calls precede what the poll adds, except urgent calls
                     break
             for fd, events in self._poll.poll(self._poll_timeout_ms()):
                 for event, waiter in list(self._io_waiters.get(fd, {}).items()):
--- a/lapispick/host/store.py
+++ b/lapispick/host/store.py
@@ -209,7 +209,7 @@
             self._loop.call_later(MAX_IDLE_S / 2, self._sweep)
 
     def take(self) -> Stream | None:
-        """Remove and return a settled, usable connection, or None; unusable ones that are met are closed."""
+        """Remove and return a settled, usable connection, or None; close the unusable ones that are found first."""
         now, settling, usable = time.monotonic(), [], None
         while self._connections and usable is None:
             idle_since, stream = self._connections.pop()
