--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -1,4 +1,4 @@
-"""Starts the worker host from its environment: ``python -m lapispick.host``."""
+"""Entry point of the worker host, ``python -m lapispick.host``; environment variables name its configuration."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def _load_operator_settings() -> Settings:
-    """Read the operators' settings, and the file that was theirs before; raises ``InvalidFileError``."""
+    """Read the operators' settings, with those of the legacy file if there is one; raises ``InvalidFileError``."""
     settings = operator_settings.load()
     if not operator_settings.has_legacy_file():
         return settings
@@ -34,9 +34,8 @@
 def main() -> int:
     """Run the worker host, and return the exit status of the process."""
     configure_logging()
-    signals = (
-        SignalSocket()
-    )  # before all else: until here the start command ignores SIGHUP, which would end the process
+    # The handlers come first: a SIGHUP without a handler ends the process; until here the start command ignores it.
+    signals = SignalSocket()
     try:
         config = load()
         settings = _load_operator_settings()
--- a/lapispick/host/assembly.py
+++ b/lapispick/host/assembly.py
@@ -37,7 +37,7 @@
 
 
 class Host:
-    """All parts of one worker host. The modules of an option are imported only where it is enabled."""
+    """All parts of one worker host. The modules of an optional part are imported only if it is enabled."""
 
     def __init__(self, config: Config, operator_settings: Settings, signals: SignalSocket) -> None:
         """``config`` is the platform's; ``operator_settings`` are those of ``lapispick.conf``."""
@@ -55,7 +55,7 @@
         core.health.on_listed = self._registry.set_listed
         self.gateways = self._make_gateways()
         core.peers.fronts.append(self.gateways)
-        self._operators = self._make_operators() if config.ops else None
+        self._operator_server = self._make_operator_server() if config.ops else None
         self._members = self._make_members(operator_settings) if operator_settings.members.enabled else None
         self._handover = self._make_handover(operator_settings)
         self._listen_or_wait()
@@ -71,7 +71,7 @@
             loop, config, core, self.gateways, self._members, self._handover, self._recorder
         )
 
-    # Parts.
+    # Construction of the parts.
 
     def _make_core(self) -> Core:
         config = self._config
@@ -99,7 +99,7 @@
             lambda: answers.backpressure,
         )
 
-    def _make_operators(self) -> OperatorServer:
+    def _make_operator_server(self) -> OperatorServer:
         config = self._config
         return OperatorServer(
             self._loop, config.operators_address, config.limits.max_operator_connections, HostCalls(self.core).by_name()
@@ -109,12 +109,12 @@
         from lapispick.host.members.assembly import make_members_service
 
         members = make_members_service(self._loop, self._config, operator_settings, self.core, self._store)
-        if self._operators is not None:
-            self._operators.add_calls(members.calls.without_arguments(), members.calls.with_arguments)
+        if self._operator_server is not None:
+            self._operator_server.add_calls(members.calls.without_arguments(), members.calls.with_arguments)
         return members
 
     def _make_handover(self, operator_settings: Settings) -> Handover | None:
-        """Return the link to another process of this worker host; None where there can't be one."""
+        """Return the link to another process of this worker host, or None if there can be no hand-over."""
         config = self._config
         folder = operator_settings.handover.folder or os.environ.get("TMPDIR")
         has_fixed_port = config.listen_address[1] != 0
@@ -130,7 +130,7 @@
                 self.core.post,
                 self._set_peer_connections,
             )
-        except OSError as err:  # the folder can't hold lock and socket: this process serves alone
+        except OSError as err:  # the folder can't hold the lock and the socket, so there is no hand-over
             log(LOG, logging.WARNING, "handover-off", error=err)
             return None
 
@@ -158,7 +158,7 @@
     # Hand-over.
 
     def _listen_or_wait(self) -> None:
-        """Listen at once, or wait where another process of this worker host owns the idempotency records."""
+        """Listen at once, or wait if another process of this worker host owns the idempotency records."""
         ownership = self.core.idempotency.ownership
         lock = self._handover.lock if self._handover is not None else None
         if lock is not None and not lock.acquired:
@@ -170,12 +170,12 @@
             ownership.unknown_outcomes.mark_until(lock.previous_end_s * 1000)
 
     def _set_peer_connections(self, count: int | None) -> None:
-        """Divide descriptors with another process that has so many connections; None: there is none."""
+        """Share the descriptors with another process that has ``count`` connections; None = no other process runs."""
         self.gateways.peer_connections = count
         self._store.shared = count is not None
 
-    def _open(self, listener: socket.socket | None) -> None:
-        """Accept clients, beside the process that served so far or after it."""
+    def _accept_clients(self, listener: socket.socket | None) -> None:
+        """Start to accept clients after a hand-over, while the previous process still serves or after its end."""
         self.gateways.listen(listener)
         self.core.health.state.listening = True
         self._serve_clients()
@@ -184,7 +184,7 @@
     # Running.
 
     def run(self) -> None:
-        """Run until a signal has ended the process."""
+        """Run until a signal ends the process."""
         for serve in (self.core.serve, self._executor.serve, self._watch_signals):
             self._loop.spawn(serve)
         if self.gateways.is_listening:
@@ -192,9 +192,9 @@
             if self._handover is not None:
                 self._loop.spawn(self._handover.serve)
         elif self._handover is not None:
-            self._loop.spawn(self._handover.join, self._open, lambda: self.core.health.state.ready)
-        if self._operators is not None:
-            self._loop.spawn(self._operators.serve)
+            self._loop.spawn(self._handover.join, self._accept_clients, lambda: self.core.health.state.ready)
+        if self._operator_server is not None:
+            self._loop.spawn(self._operator_server.serve)
         if self._members is not None:
             self._loop.spawn(self._members.serve)
         self._log_start()
@@ -213,7 +213,7 @@
             "started",
             name=self._config.name,
             listen=self.gateways.address,
-            ops=self._operators.address if self._operators else "no",
+            ops=self._operator_server.address if self._operator_server else "no",
             cores=limits.cores,
             memory_mb=limits.memory_mb,
             sockets=limits.sockets,
@@ -221,7 +221,7 @@
         )
 
     def _watch_signals(self) -> None:
-        """Act on signals, for ever: SIGHUP may be received during a shutdown too."""
+        """Handle signals until the process ends, as SIGHUP may be received during a shutdown too."""
         while True:
             self._loop.wait_for_io(self._signals.fileno(), READ)
             received = self._signals.read()
@@ -233,7 +233,7 @@
 
 
 def _read_memory_kb() -> tuple[int, int]:
-    """Return the resident memory of this process and its peak."""
+    """Return the resident memory of this process and its peak, kB."""
     with open("/proc/self/status", "rb") as file:
         status = dict(line.split(b":", 1) for line in file.read().splitlines())
     return int(status[b"VmRSS"].split()[0]), int(status[b"VmHWM"].split()[0])
--- a/lapispick/host/config.py
+++ b/lapispick/host/config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: the one place where it is read, validated and given defaults.
+"""Reads and validates the platform's configuration, and sets its defaults.
 
 The operators' own settings file is read in ``lapispick.conf``.
 """
@@ -27,27 +27,27 @@
 Address = tuple[str, int]
 CONFIG_PATH_VARIABLE = "LB_CONFIG"
 OPERATORS_ADDRESS_VARIABLE = "LB_OPS"
-# Descriptors that neither clients, calls nor operators may use: the standard streams, the signals' pair, listeners,
-# the executor's link and its successor, the service registry, a file that is read, and an upgrade's folder, locks and
-# sockets
+# Descriptors that neither clients, calls nor operators may use: the standard streams, the socket pair for signals,
+# listeners, the executor's link and its successor, the service registry, a file that is read, and the folder, locks and
+# sockets of an upgrade
 RESERVED_DESCRIPTORS = 16
 MIN_SOCKETS = 64
 MIN_MEMORY_MB = 24
 MAX_MEMORY_MB = (1 << 20) - 1
-MEMORY_TO_UNSENT_RATIO = 8  # the memory limit over the bytes that may wait for slow readers
-MEMORY_TO_RESULTS_RATIO = 6  # the memory limit over the retained results
-MEMORY_TO_REQUESTS_RATIO = 6  # the memory limit over the open requests
-MAX_REQUEST_BYTES = 8192  # of an open request with all that belongs to it
+MEMORY_TO_UNSENT_RATIO = 8  # memory limit divided by the bytes that may wait for slow readers
+MEMORY_TO_RESULTS_RATIO = 6  # memory limit divided by the bytes of retained results
+MEMORY_TO_REQUESTS_RATIO = 6  # memory limit divided by the memory for open requests
+MAX_REQUEST_BYTES = 8192  # memory of an open request, including all that belongs to it
 MIN_BROKER_CONNECTIONS = 2
 MIN_OPERATOR_CONNECTIONS = 4
 
 
 class ConfigError(HostError):
-    """The configuration is invalid; the text begins with the key at fault."""
+    """The configuration is invalid; the text begins with the invalid key."""
 
 
 class Limits(msgspec.Struct):
-    """What the processes of this program may use, and the bounds that derive from it."""
+    """Resource limits of this program's processes, and the bounds derived from them."""
 
     cores: float = 1.0
     memory_mb: float = 192.0
@@ -55,39 +55,48 @@
 
     @property
     def max_connections(self) -> int:
-        """Clients' connections; gateways open half of the limit at most, the rest is for others until they close."""
-        without_others = self.sockets - self.max_calls - self.max_operator_connections - RESERVED_DESCRIPTORS
-        return min(self.sockets * 5 // 8, without_others)
+        """Maximum number of clients' connections.
+
+        Gateways open at most half of ``sockets``; the rest is for other connections until they are closed.
+        """
+        unreserved = self.sockets - self.max_calls - self.max_operator_connections - RESERVED_DESCRIPTORS
+        return min(self.sockets * 5 // 8, unreserved)
 
     @property
     def max_calls(self) -> int:
-        """Connections to the store; an eighth is left for listener, links and what the system holds."""
-        without_others = self.sockets // 2 - self.max_operator_connections - RESERVED_DESCRIPTORS
-        return min(self.sockets // 4, without_others)
+        """Maximum number of connections to the store.
+
+        An eighth of ``sockets`` is left for the listener, links and what the operating system holds.
+        """
+        unreserved = self.sockets // 2 - self.max_operator_connections - RESERVED_DESCRIPTORS
+        return min(self.sockets // 4, unreserved)
 
     @property
     def max_broker_connections(self) -> int:
-        """Connections to brokers, old ones that still drain among them: half of what is left for links."""
+        """Maximum number of connections to brokers, including old ones that still drain.
+
+        This is half of what is left for links.
+        """
         return max(MIN_BROKER_CONNECTIONS, self.sockets // 16 - MIN_BROKER_CONNECTIONS)
 
     @property
     def max_operator_connections(self) -> int:
-        """Operators' connections, from the eighth that neither gateways nor calls can use."""
+        """Maximum number of operators' connections, from the eighth that gateways and calls can't use."""
         return max(MIN_OPERATOR_CONNECTIONS, self.sockets // 32)
 
     @property
     def max_unsent_bytes(self) -> int:
-        """Bytes that may wait for all slow readers together."""
+        """Maximum number of bytes that may wait for all slow readers together."""
         return self._memory_bytes // MEMORY_TO_UNSENT_RATIO
 
     @property
     def max_result_bytes(self) -> int:
-        """Bytes of results that are retained for repeated attempts."""
+        """Maximum number of bytes of results that are retained for retries."""
         return self._memory_bytes // MEMORY_TO_RESULTS_RATIO
 
     @property
     def max_open_requests(self) -> int:
-        """Requests that may be open at once."""
+        """Maximum number of requests that may be open at once."""
         return self._memory_bytes // MEMORY_TO_REQUESTS_RATIO // MAX_REQUEST_BYTES
 
     @property
@@ -96,7 +105,7 @@
 
 
 class Config(msgspec.Struct):
-    """The configuration that the platform gives a worker host at its start."""
+    """Configuration that the platform passes to a worker host at its start."""
 
     name: str
     listen: str
@@ -105,43 +114,43 @@
     seed: str
     stop_ms: float
     start_settings: StartSettings = msgspec.field(name="settings")
-    store: str = ""  # empty = there is no dependency that worker hosts share, and no call is made
-    ops: str = ""  # where operators call; empty = nowhere
+    store: str = ""  # empty = worker hosts share no dependency, and no calls are made
+    ops: str = ""  # address for operators' calls; empty = none
     limits: Limits = msgspec.field(default_factory=Limits)
 
     @property
     def listen_address(self) -> Address:
-        """Where clients connect; port 0 stands for any."""
+        """Address that clients connect to; port 0 = any free port."""
         return _socket_address(self.listen)
 
     @property
     def executor_address(self) -> Address:
-        """Where the executor listens."""
+        """Address that the executor listens on."""
         return _socket_address(self.executor)
 
     @property
     def registry_address(self) -> Address:
-        """Where load reports go."""
+        """Address that load reports are sent to."""
         return _socket_address(self.registry)
 
     @property
     def store_address(self) -> Address | None:
-        """Where downstream calls go; None where none are made."""
+        """Address that downstream calls are sent to, or None if no calls are made."""
         return _socket_address(self.store) if self.store else None
 
     @property
     def operators_address(self) -> Address:
-        """Where operators call; only where ``ops`` is given."""
+        """Address for operators' calls; valid only if ``ops`` is set."""
         return _socket_address(self.ops)
 
     @property
     def seed_number(self) -> int:
-        """The seed of the generators, which the file holds in hexadecimal."""
+        """Seed of the random number generators; the file has it in hexadecimal."""
         return int(self.seed, 16)
 
     @property
     def admission_settings(self) -> admission.Settings:
-        """The decision module's settings."""
+        """Settings of the decision module."""
         return admission_settings(self.start_settings)
 
 
@@ -154,7 +163,8 @@
             config = parse(file.read())
     except OSError as err:
         raise ConfigError(f"{CONFIG_PATH_VARIABLE}: {err}") from None
-    if operators_address := environ.get(OPERATORS_ADDRESS_VARIABLE):  # the file may have been written for another start
+    # The variable takes precedence, as the file may have been written for another start.
+    if operators_address := environ.get(OPERATORS_ADDRESS_VARIABLE):
         _require_address(operators_address, OPERATORS_ADDRESS_VARIABLE, min_port=0)
         config.ops = operators_address
     return config
@@ -194,7 +204,7 @@
 
 
 def _key_and_fault(err: msgspec.ValidationError) -> str:
-    """Return ``key: fault`` for msgspec's ``fault - at `$.key```."""
+    """Convert msgspec's ``fault - at `$.key``` to ``key: fault``."""
     text = str(err)
     location = re.search(r" - at `\$\.?([^`]*)`$", text)
     missing = re.search(r"missing required field `([^`]*)`", text)
