--- a/lapispick/host/events.py
+++ b/lapispick/host/events.py
@@ -1,6 +1,6 @@
-"""What fronts, peers and timers report to the core, each posted through ``Core.post``.
+"""Events that fronts, peers and timers report to the core through ``Core.post``.
 
-Spans called ``*_ms`` are milliseconds.
+Fields named ``*_ms`` are durations in milliseconds.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     from lapispick.idempotency.states import Verdict
     from lapispick.idempotency.table import IdempotencyRecord
 
-# From the fronts and the operators.
+# From fronts and operators.
 
 
 class RequestArrived(msgspec.Struct, frozen=True):
@@ -31,28 +31,28 @@
 
 
 class ClientCancelled(msgspec.Struct, frozen=True):
-    """Nobody waits for this request any more."""
+    """The client no longer waits for the answer to this request."""
 
     request: Request
-    before_arrival: bool = False  # it was cancelled before the front posted its ``RequestArrived``
+    before_arrival: bool = False  # cancelled before the front posted its ``RequestArrived``
 
 
 class HealthCheckReceived(msgspec.Struct, frozen=True):
-    """A health check; the reply takes whether the host is healthy, and the backpressure value."""
+    """A client sent a health check; ``reply`` takes whether the host is healthy, and the backpressure value."""
 
     deep: bool
     reply: Callable[[bool, float | None], None]
 
 
 class ShutdownRequested(msgspec.Struct, frozen=True):
-    """The host shall shut down gracefully and will be stopped after ``stop_ms``."""
+    """The host must shut down gracefully; it will be stopped after ``stop_ms``."""
 
     stop_ms: float
-    handed_over: bool = False  # another process of this worker host continues
+    handed_over: bool = False  # another process of this worker host continues to serve
 
 
 class DrainChanged(msgspec.Struct, frozen=True):
-    """Operators drain the host or end a drain; requests that arrive are answered either way."""
+    """An operator started or ended a drain; requests that arrive are answered in both cases."""
 
     draining: bool
 
@@ -61,7 +61,7 @@
 
 
 class ExecutorReady(msgspec.Struct, frozen=True):
-    """The executor accepts runs and has been up for ``uptime_ms``."""
+    """The executor accepts runs; it has been up for ``uptime_ms``."""
 
     warming_up: bool
     uptime_ms: float
@@ -77,19 +77,19 @@
 
 
 class RunUnknown(msgspec.Struct, frozen=True):
-    """The executor does not know this request: it started nothing, and the client's request is invalid."""
+    """The executor rejected the start of a run as unknown: nothing runs, and the client's request is invalid."""
 
     request_id: str
 
 
 class RunOutcomeUnknown(msgspec.Struct, frozen=True):
-    """A run's start or the report of its end may be lost, and neither can be requested again."""
+    """The start of a run or the report of its end may be lost, and neither can be repeated."""
 
     request_id: str
 
 
 class CallRequested(msgspec.Struct, frozen=True):
-    """A run waits for a downstream call with this body."""
+    """A run waits for the reply to a downstream call with this body."""
 
     request_id: str
     notice_index: int
@@ -97,7 +97,7 @@
 
 
 class GaugesReported(msgspec.Struct, frozen=True):
-    """The executor's gauges, in the order of the settings."""
+    """The executor reported its gauges, in the order of the settings."""
 
     gauges: tuple[float, ...]
 
@@ -128,7 +128,7 @@
     """Another process of this worker host is connected."""
 
     link: Link
-    owns_keys: bool  # the other process decides which keys may run; else this one does
+    owns_keys: bool  # True if the other process decides which keys may run, False if this one does
 
 
 class PeerMessage(msgspec.Struct, frozen=True):
@@ -142,12 +142,12 @@
     """The link to the other process is closed."""
 
     link: Link | None
-    peer_ended: bool  # that process has ended for certain
-    ended_at_s: float = 0.0  # Unix s; when it ended, for one that ended without a last message
+    peer_ended: bool  # it is certain that the other process has ended
+    ended_at_s: float = 0.0  # Unix s; the end of a process that sent no last message
 
 
 class SnapshotDue(msgspec.Struct, frozen=True):
-    """The next part of the idempotency snapshot can be sent: these keys remain."""
+    """The next part of the idempotency snapshot can be sent; ``keys`` are those that remain to be sent."""
 
     link: Link
     keys: list[Hashable]
@@ -157,7 +157,7 @@
 
 
 class TimerDue(msgspec.Struct, frozen=True):
-    """A timer that the decision module set has run out."""
+    """A timer that the decision module set has expired."""
 
     token: int
 
@@ -166,27 +166,27 @@
 
 
 class ClaimDecided(msgspec.Struct, frozen=True):
-    """It is decided whether an attempt that waited may run its idempotency key here."""
+    """Whether an attempt that waited may run its idempotency key in this process was decided."""
 
     entry: InFlightRequest
     verdict: Verdict
 
 
 class CoalescedRequestCompleted(msgspec.Struct, frozen=True):
-    """A request that was coalesced, or whose start was withheld, is over."""
+    """A request that was coalesced, or whose start was withheld, has ended."""
 
     entry: InFlightRequest
     outcome: Outcome
 
 
 class OwnerReleased(msgspec.Struct, frozen=True):
-    """The attempt that owned an idempotency key is gone, and others wait for its result."""
+    """The owner attempt of an idempotency key has ended while other attempts wait for its result."""
 
     record: IdempotencyRecord
     owner_id: int
 
 
-# For annotations only: nothing reads the unions at run time.
+# For annotations only: the unions are not used at run time.
 if TYPE_CHECKING:
     ExecutorEvent = (
         ExecutorReady
--- a/lapispick/host/health.py
+++ b/lapispick/host/health.py
@@ -1,19 +1,19 @@
-"""What this host reports of itself to health checks, the service registry and the operators. No I/O and no clock.
+"""The health of this host as health checks, the service registry and the operators see it. No I/O and no clock.
 
-It follows from six facts:
+It is derived from six facts:
 
 | fact | set by | cleared by |
 | --- | --- | --- |
-| ready | the executor has come up | never |
+| ready | the executor when it is up | never |
 | module_healthy | the decision module | the decision module |
 | draining | ``drain-on`` | ``drain-off`` |
-| listening | the start, or in an upgrade the end of the snapshot | never |
+| listening | the start, or the end of the snapshot in an upgrade | never |
 | shutting_down | SIGTERM | never |
 | handed_over | SIGTERM while another process of this worker host takes clients | never |
 
-A shutdown that is handed over changes neither the health of the host nor what the service registry is notified of.
-A drain is no shutdown: requests are answered as always. During a shutdown a drain call changes nothing; before the
-executor is up it takes effect once the executor is.
+A shutdown that is handed over changes neither the health of the host nor its load reports to the service registry.
+A drain is not a shutdown: requests are answered as usual. During a shutdown a drain call changes nothing; a drain call
+before the executor is up takes effect when the executor comes up.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class HealthState(msgspec.Struct):
-    """The six facts, and what follows from them."""
+    """The six facts, and the health derived from them."""
 
     ready: bool = False
     module_healthy: bool = True
@@ -33,17 +33,17 @@
 
     @property
     def healthy(self) -> bool:
-        """The answer to health checks."""
+        """Whether health checks are answered as healthy."""
         return self.ready and self.listed
 
     @property
     def listed(self) -> bool:
-        """The load report, on or off; the service registry lists no host before its executor is up."""
+        """Whether load reports say on; the service registry lists no host before its executor is up."""
         return self.module_healthy and not self.draining and (self.handed_over or not self.shutting_down)
 
     @property
     def not_accepting_reason(self) -> str:
-        """Why this process accepts no clients; empty where it accepts them, as it does while it drains."""
+        """Why this process accepts no clients; empty if it accepts them, which it also does while it drains."""
         if self.shutting_down:
             return "leaving"
         if not self.ready:
--- a/lapispick/host/interfaces.py
+++ b/lapispick/host/interfaces.py
@@ -11,41 +11,41 @@
 
 
 class Executor(Protocol):
-    """Runs requests; every method only queues a command."""
+    """Executor that runs requests; every method only queues a command."""
 
     def start_run(self, request_id: str, class_name: str, body: str, idempotent: bool) -> None:
-        """Start a run; one that is not idempotent is never started again where its start may have arrived."""
+        """Start a run; a run that is not idempotent is never started again if its start may have arrived."""
 
     def cancel_run(self, request_id: str) -> None:
-        """Cancel a run, or pause it where the settings say so."""
+        """Cancel a run, or pause it if the settings say so."""
 
     def resume_run(self, request_id: str) -> None:
         """Resume a paused run."""
 
     def send_call_reply(self, request_id: str, body: str) -> None:
-        """Hand a run the reply to its call."""
+        """Send a run the reply to its call."""
 
     def skip_call(self, request_id: str, notice_index: int) -> None:
-        """Let a run go on without the call that this notice requested."""
+        """Let a run continue without the call that this notice requested."""
 
     def request_gauges(self) -> None:
-        """Request the gauges; they arrive as ``GaugesReported``."""
+        """Request the gauges; the answer is a ``GaugesReported`` event."""
 
     def forget_run(self, request_id: str) -> None:
-        """Expect no end of this run any more."""
+        """Stop waiting for the end of this run."""
 
     def start_health_check(self) -> str:
         """Request a deep health check; return the nonce of its ``HealthCheckCompleted``."""
 
 
 class Store(Protocol):
-    """Carries out downstream calls."""
+    """Client of the store for downstream calls."""
 
     def start_call(self, request_id: str, body: str, timeout_ms: float, idempotent: bool) -> StoreCall:
-        """Start a call, which ends with a ``CallCompleted``; one that is not idempotent is never repeated if it ran."""
+        """Start a call, which ends with a ``CallCompleted``; it is never repeated if it ran and isn't idempotent."""
 
     def cancel_call(self, call: StoreCall) -> None:
-        """Abandon a call; nothing is reported of it."""
+        """Cancel a call; no ``CallCompleted`` follows."""
 
 
 class Link(Protocol):
@@ -55,23 +55,23 @@
         """Queue a message."""
 
     def has_unsent(self) -> bool:
-        """Tell whether something that was sent has not left this process."""
+        """Return True if messages that were sent have not left this process."""
 
     def connections(self) -> int:
-        """Count the clients' connections of this process."""
+        """Return the number of clients' connections of this process."""
 
     def on_peer_usage(self, usage: messages.ResourceUsage) -> None:
-        """Take note of the other process's resource usage."""
+        """Handle a report of the other process's resource usage."""
 
     def on_snapshot_complete(self) -> None:
-        """Take note that the snapshot is complete."""
+        """Record that the snapshot is complete."""
 
     def close(self) -> None:
         """Close the connection."""
 
 
 class Recorder(Protocol):
-    """Records the decision module's steps; no method waits for a disk."""
+    """Recorder of the decision module's steps; no method waits for a disk."""
 
     def begin(self, settings: admission.Settings, seed: int, now: float) -> None:
         """Start recording with the module's settings, seed and clock (ms)."""
@@ -80,23 +80,23 @@
         """Record one step."""
 
     def record_arrival(self, number: int, request: Request) -> None:
-        """Record a request's attributes that the module does not see."""
+        """Record the attributes of a request that the module does not receive."""
 
-    def record_answer(self, number: int, kind: str, age: float) -> None:
-        """Record a final answer, ``age`` ms after the request reached the machine."""
+    def record_answer(self, number: int, kind: str, age_ms: float) -> None:
+        """Record a final answer, ``age_ms`` after the request reached the machine."""
 
-    def record_occurrence(self, what: str, details: str = "") -> None:
-        """Record an operator's action, or what the module took over."""
+    def record_occurrence(self, name: str, details: str = "") -> None:
+        """Record an external event: an operator's action, or the adoption of learned estimates by the module."""
 
 
 class Front(Protocol):
-    """Accepts clients and passes their requests to the core."""
+    """Front that accepts clients and passes their requests to the core."""
 
     def set_idle_timeout(self, timeout_ms: float) -> None:
-        """Close connections that carried nothing for this long."""
+        """Close connections that are idle for this long."""
 
     def begin_shutdown(self) -> None:
         """Begin a graceful shutdown."""
 
     def is_flushed(self) -> bool:
-        """Tell whether all answers were handed to the operating system."""
+        """Return True if all answers were passed to the operating system."""
--- a/lapispick/host/metrics.py
+++ b/lapispick/host/metrics.py
@@ -1,8 +1,8 @@
-"""The metrics of this process, and how operators read them. No I/O and no clock.
+"""The metrics of this process, and their format for operators. No I/O and no clock.
 
-The core alone counts them, at the one final answer and at the order to the executor, so that no front can disagree
-with another. All start at 0 with the process. Their names in the operators' ``vars`` stand here and in
-``extended_metrics``, and nowhere else.
+Only the core counts them, once at the final answer and once at the command to the executor, so that all fronts count
+alike. All counts start at 0 with the process. Their names in the operators' ``vars`` are defined only here and in
+``extended_metrics``.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Metrics:
-    """Counts by class, and runs handed to the executor."""
+    """Counts of answers by request class, and of runs that were started at the executor."""
 
     __slots__ = ("_counts", "_names", "runs")
 
@@ -29,11 +29,11 @@
         self._counts[kind][class_index] += 1
 
     def total(self, kind: AnswerKind) -> int:
-        """Return the answers of one kind over all classes."""
+        """Return the number of answers of one kind over all classes."""
         return sum(self._counts[kind])
 
     def lines(self, inflight: int) -> list[str]:
-        """Write all metrics, ``|c`` for counts and ``|g`` for the state of this moment."""
+        """Return all metrics as lines, ``|c`` for counters and ``|g`` for gauges."""
         lines = [
             f"app.{METRIC_NAMES[kind]}.{name}:{count}|c"
             for kind, counts in self._counts.items()
