--- a/lapispick/host/inventory.py
+++ b/lapispick/host/inventory.py
@@ -1,6 +1,7 @@
-"""Follows the inventory: polls the helper process, decides on what it found and passes on the lists accepted.
+"""Polls the inventory through a helper process, decides whether a list is accepted, and passes on accepted lists.
 
-The event loop itself touches no disk and parses no file; it applies changes in chunks and yields between them.
+The helper process does all disk access and parsing, so that the event loop does neither. The event loop applies
+changes in chunks and yields between them.
 """
 
 from __future__ import annotations
@@ -41,10 +42,10 @@
 from lapispick.host.streams import LineTooLongError, Stream, StreamClosedError
 
 LOG = "inventory"
-ANSWER_TIMEOUT_S = 60.0  # for one message of the helper; one that takes longer is ended
+ANSWER_TIMEOUT_S = 60.0  # for one message; a helper that takes longer is killed
 MIN_RESTART_PAUSE_S = 0.2
 MAX_RESTART_PAUSE_S = 10.0
-STABLE_RUN_S = 60.0  # a helper that ran for longer is restarted with the shortest pause
+STABLE_RUN_S = 60.0  # a helper that ran for longer is restarted after the minimum pause
 EXIT_POLL_S = 0.02
 MAX_MESSAGE_BYTES = 8 << 20
 MAX_HISTORY_NAMES = 50  # of each kind of change
@@ -54,7 +55,7 @@
 
 
 def reading_options(settings: InventorySettings, schema: Schema) -> Options:
-    """Return how the files are read."""
+    """Return the options for reading the inventory files."""
     return Options(
         group=settings.group,
         schema=schema,
@@ -67,7 +68,7 @@
 
 
 def acceptance_policy(settings: InventorySettings) -> Policy:
-    """Return when a list is accepted."""
+    """Return the policy that decides whether a list is accepted."""
     return Policy(
         settle_s=settings.settle_s,
         max_settle_s=settings.max_settle_s,
@@ -91,22 +92,22 @@
 
     def start(self) -> None:
         """Start a process; raises ``OSError``."""
-        ours, theirs = socket.socketpair()
+        host_end, helper_end = socket.socketpair()
         try:
-            # A session of its own: a Ctrl-C meant for the host must not end the helper before a drain is over.
+            # The helper has its own session, so that a Ctrl-C meant for the host doesn't end it before a drain is over.
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "lapispick.fleet.helper"],
-                stdin=theirs,
+                stdin=helper_end,
                 stdout=subprocess.DEVNULL,
                 stderr=subprocess.DEVNULL,
                 start_new_session=True,
             )
         finally:
-            theirs.close()
-        self._stream = Stream(self._loop, ours, MAX_MESSAGE_BYTES)
+            helper_end.close()
+        self._stream = Stream(self._loop, host_end, MAX_MESSAGE_BYTES)
 
-    def end(self) -> None:
-        """End the process and wait for it."""
+    def stop(self) -> None:
+        """Kill the process and wait for its exit."""
         if self._stream is not None:
             self._stream.close()
         if self.process is not None:
@@ -122,7 +123,7 @@
         self._stream.write(self._encode(message) + b"\n")
 
     def read(self) -> FromHelper:
-        """Return the next message; failures of the state folder are logged here."""
+        """Return the next message, after logging any failures of the state folder that precede it."""
         assert self._stream is not None
         line = self._stream.read_line(ANSWER_TIMEOUT_S)
         if line is None:
@@ -135,7 +136,7 @@
 
 
 class Inventory:
-    """The host list that is in force for this host."""
+    """The host list that is in force in this process."""
 
     def __init__(
         self, loop: EventLoop, settings: InventorySettings, schema: Schema, on_accepted: AcceptedHandler
@@ -148,38 +149,38 @@
         self.history = History(settings.max_history)
         self.presence = PresenceTracker(settings.return_window_s, settings.max_hosts)
         self.helper = HelperConnection(loop)
-        self._received = EMPTY  # what the helper sent last
+        self._received = EMPTY  # the list that the helper sent last
 
     def serve(self) -> None:
-        """Follow the list for ever; a helper that ends is restarted with backoff."""
+        """Poll the inventory until the process ends; a helper that ends is restarted with backoff."""
         pause_s = MIN_RESTART_PAUSE_S
         while True:
             began = time.monotonic()
             try:
                 self.helper.start()
                 self._received = EMPTY
-                self._follow()
+                self._poll_files()
             except (OSError, StreamClosedError, LineTooLongError, msgspec.MsgspecError, HelperProtocolError) as err:
                 log(LOG, logging.ERROR, "helper-ended", error=err, retry_s=pause_s)
-            self.helper.end()
+            self.helper.stop()
             self._loop.sleep(jitter.pause(pause_s, random.random()))
             was_stable = time.monotonic() - began > STABLE_RUN_S
             pause_s = MIN_RESTART_PAUSE_S if was_stable else min(MAX_RESTART_PAUSE_S, pause_s * 2)
 
-    def _follow(self) -> None:
+    def _poll_files(self) -> None:
         """Poll the files through one helper until it fails."""
-        self._begin()
+        self._initialize_helper()
         while True:
             self.helper.send(Poll())
             polled = self.helper.read()
             if not isinstance(polled, Polled):
-                raise HelperProtocolError(f"{type(polled).__name__} came in place of a list")
+                raise HelperProtocolError(f"expected Polled from the helper, got {type(polled).__name__}")
             self._apply_chunks(polled)
             self._evaluate(polled)
             self._loop.sleep(self._settings.poll_interval_s)
 
-    def _begin(self) -> None:
-        """Tell a new helper what to read, and take over the last good list."""
+    def _initialize_helper(self) -> None:
+        """Send a new helper the path and options, and receive the last good list from it."""
         settings = self._settings
         self.helper.send(
             Begin(
@@ -192,23 +193,25 @@
         )
         loaded = self.helper.read()
         if not isinstance(loaded, LastGoodLoaded):
-            raise HelperProtocolError(f"{type(loaded).__name__} came first")
+            raise HelperProtocolError(f"expected LastGoodLoaded from the helper, got {type(loaded).__name__}")
         self._apply_chunks(loaded)
-        self._take_last_good(loaded)
+        self._use_last_good(loaded)
 
     def _apply_chunks(self, head: LastGoodLoaded | Polled) -> None:
-        """Apply the changes that follow; other greenlets run between the chunks."""
+        """Apply the changes that follow ``head``; other greenlets run between the chunks."""
         for _ in range(head.chunk_count):
             chunk = self.helper.read()
             if not isinstance(chunk, Chunk):
-                raise HelperProtocolError(f"{type(chunk).__name__} came in place of a chunk")
+                raise HelperProtocolError(f"expected Chunk from the helper, got {type(chunk).__name__}")
             self._received = self._received.with_changes(chunk.updated, chunk.removed)
             self._loop.yield_control()
         if head.digest and head.digest != self._received.digest:
-            raise HelperProtocolError(f"the helper's list is {head.digest}, the host's {self._received.digest}")
+            raise HelperProtocolError(
+                f"the helper's list has the digest {head.digest}, the host's copy has {self._received.digest}"
+            )
 
-    def _take_last_good(self, loaded: LastGoodLoaded) -> None:
-        """Put the last good list in force where nothing was accepted so far."""
+    def _use_last_good(self, loaded: LastGoodLoaded) -> None:
+        """Put the last good list in force if no list has been accepted yet."""
         if loaded.fault:
             log(LOG, logging.ERROR, "last-good-unusable", fault=loaded.fault)
         if not loaded.digest or self.acceptance.accepted is not None:
@@ -228,7 +231,7 @@
         self._on_accepted(self._received, changes)
 
     def _evaluate(self, polled: Polled) -> None:
-        """Decide on what a poll found, and report it where anything is new."""
+        """Decide whether the polled list is accepted; log and save the verdict if it is new."""
         observation = Observation(
             snapshot=None if polled.faults else self._received,
             faults=polled.faults,
@@ -259,7 +262,7 @@
             **changes.counts(),
         )
         self._on_accepted(accepted, changes)
-        names = {field: list(found[:MAX_HISTORY_NAMES]) for field, found in changes._asdict().items()}
+        names = {field: list(hosts[:MAX_HISTORY_NAMES]) for field, hosts in changes._asdict().items()}
         self.helper.send(SaveAccepted(accepted.digest, now, verdict.reason, names, changes.counts()))
 
     def _log_verdict(self, verdict: Verdict, polled: Polled) -> None:
--- a/lapispick/host/logs.py
+++ b/lapispick/host/logs.py
@@ -11,10 +11,10 @@
 
 
 class KeyValueFormatter(logging.Formatter):
-    """Formats a record as one line: time, level, event, then the record's own pairs."""
+    """Formatter for records as one line: time, level, event, then the record's own pairs."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Write a record as pairs; values with spaces or quotes are quoted."""
+        """Return a record as ``key=value`` pairs; values with spaces or quotes are quoted."""
         stamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
         pairs = {
             "ts": f"{stamp}.{int(record.msecs):03d}Z",
@@ -28,7 +28,7 @@
 
 
 def render(pairs: Mapping[str, object]) -> str:
-    """Write pairs as ``key=value``, in their order; the command line's logger uses this too."""
+    """Return pairs as ``key=value``, in their order; the command line's logger uses this too."""
     return " ".join(f"{key}={_quoted(value)}" for key, value in pairs.items())
 
 
@@ -39,22 +39,22 @@
     return text if plain else f'"{escaped}"'
 
 
-MAX_LINES_PER_SECOND = 10  # of one event, so that a misbehaving peer neither fills the log nor costs much CPU
+MAX_LINES_PER_SECOND = 10  # of one event; otherwise a misbehaving peer could fill the log and use much CPU
 
 
 class _EventRate(msgspec.Struct):
-    """How often an event was logged."""
+    """Rate at which an event is logged."""
 
-    second: int  # of the monotonic clock, that ``lines`` counts
+    second: int  # second of the monotonic clock in which ``lines`` are counted
     lines: int = 0
-    left_out: int = 0  # since the last line that was written
+    left_out: int = 0  # lines left out since the last one that was written
 
 
 _rates: dict[str, _EventRate] = {}  # by event
 
 
 def log(name: str, level: int, event: str, /, **pairs: object) -> None:
-    """Log one event with its pairs, and with ``left_out`` where earlier lines exceeded the rate limit."""
+    """Log one event with its pairs, and with ``left_out`` if earlier lines exceeded the rate limit."""
     if (left_out := count_line(event)) is None:
         return
     if left_out:
@@ -63,7 +63,7 @@
 
 
 def count_line(event: str) -> int | None:
-    """Return how many lines of an event were left out before this one; None where this one is left out too."""
+    """Return how many lines of an event were left out before this one, or None if this one is left out too."""
     second = int(time.monotonic())
     rate = _rates.setdefault(event, _EventRate(second))
     if rate.second != second:
@@ -83,4 +83,4 @@
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(level=level, handlers=[handler], force=True)
-    logging.raiseExceptions = False  # a closed standard error must not add tracebacks of its own
+    logging.raiseExceptions = False  # writing to a closed standard error must not print further tracebacks
--- a/lapispick/host/operator_calls.py
+++ b/lapispick/host/operator_calls.py
@@ -1,4 +1,4 @@
-"""The operators' calls that every worker host answers."""
+"""Operators' calls that every worker host answers."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class HostCalls:
-    """Answers operators about the state of this process, and drains it."""
+    """Handlers of operators' calls for the state of this process and for its drain."""
 
     def __init__(self, core: Core) -> None:
         self._core = core
 
     def by_name(self) -> dict[str, CallHandler]:
-        """Return the calls by the names that operators send."""
+        """Return the handlers by the names that operators send."""
         return {
             "check": self._check,
             "vars": self._list_metrics,
@@ -23,7 +23,7 @@
         }
 
     def _check(self) -> list[str]:
-        """Tell whether this process accepts clients."""
+        """Answer OK if this process accepts clients, else the reason why not."""
         reason = self._core.health.state.not_accepting_reason
         return [f"ERR {reason}" if reason else "OK"]
 
@@ -33,5 +33,5 @@
         return [*answers.metrics.lines(self._core.owed), *extended, "END"]
 
     def _set_draining(self, draining: bool) -> list[str]:
-        self._core.post(events.DrainChanged(draining))  # in the queue before any health check that is read after this
+        self._core.post(events.DrainChanged(draining))  # queued ahead of any health check that is read later
         return ["OK"]
--- a/lapispick/host/ops.py
+++ b/lapispick/host/ops.py
@@ -1,8 +1,8 @@
-"""Listens at the operators' address: a caller sends one line, gets one answer, and the connection is closed.
+"""Server at the operators' address: a caller sends one line, receives one answer, and the connection is closed.
 
-Its sockets go first in every round of the event loop, so that an answer waits for the present callback and no more.
-Callers that send nothing hold a descriptor only for a short time; beyond the limit the one that has been silent for
-longest is closed.
+Its sockets have priority in every round of the event loop, so that an answer waits only for the current callback.
+Callers that send nothing occupy a descriptor only for a short time; beyond the limit, the connection that has been
+silent for longest is closed.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 LOG = "ops"
 MAX_CALL_BYTES = 128
 MAX_ANSWER_BYTES = 64 * 1024
-CALL_TIMEOUT_S = 2.0  # to receive a complete call, and again until its answer is read
+CALL_TIMEOUT_S = 2.0  # for receiving a complete call, and the same again for the caller to read the answer
 ACCEPT_RETRY_S = 0.05
 LISTEN_BACKLOG = 64
 MAX_LOGGED_CHARACTERS = 40  # of an unknown call
-ANSWERED = 0.0  # in place of the time when a caller connected
+ANSWERED = 0.0  # replaces the time of connection once a call is answered, so that it counts as the oldest
 
 CallHandler = Callable[[], list[str]]
-LineHandler = Callable[[str], list[str]]  # takes the complete line of a call that has arguments
+LineHandler = Callable[[str], list[str]]  # takes the complete line of a call with arguments
 
 
 class OperatorServer:
-    """Listens for operators and answers each call by its handler."""
+    """Server that answers each operators' call by its handler."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         calls: dict[str, CallHandler],
         handle_line: LineHandler | None = None,
     ) -> None:
-        """``handle_line`` answers all lines that are not in ``calls``. Raises ``OSError``."""
+        """Open the listener; raises ``OSError``. ``handle_line`` answers all lines that are not in ``calls``."""
         self._loop = loop
         self._max_connections = max_connections
         self._calls = calls
@@ -55,12 +55,12 @@
         self.address = "{}:{}".format(*self._sock.getsockname()[:2])
 
     def add_calls(self, calls: dict[str, CallHandler], handle_line: LineHandler) -> None:
-        """Answer further calls."""
+        """Answer these calls too, and all other lines by ``handle_line``."""
         self._calls = {**self._calls, **calls}
         self._handle_line = handle_line
 
     def serve(self) -> None:
-        """Accept callers for ever."""
+        """Accept callers until the process ends."""
         while True:
             if not self._loop.wait_for_io(self._sock.fileno(), READ, urgent=True):
                 continue
@@ -68,7 +68,7 @@
                 sock, _ = self._sock.accept()
             except BlockingIOError:
                 continue
-            except OSError as err:  # such as no free descriptor
+            except OSError as err:  # for example, no descriptor is free
                 log(LOG, logging.ERROR, "ops-accept-failed", error=err)
                 if not self._close_oldest():
                     self._loop.sleep(ACCEPT_RETRY_S)
@@ -80,7 +80,7 @@
             self._loop.spawn(self._serve_caller, stream, urgent=True)
 
     def _close_oldest(self) -> bool:
-        """Close a caller that has its answer, else the one that has been silent for longest; False without any."""
+        """Close a caller that was answered, else the one silent for longest; return False if there is no caller."""
         if not self._connected_at:
             return False
         oldest = min(self._connected_at, key=self._connected_at.__getitem__)
