--- a/lapispick/host/reload.py
+++ b/lapispick/host/reload.py
@@ -21,7 +21,7 @@
 
 
 class ConfigurationReloader:
-    """Reads the platform's configuration again and moves the peers' clients to their new addresses."""
+    """Reloads the platform's configuration and switches the clients of the peers to their new addresses."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         registry: RegistryClient,
         recorder: Recorder | None,
     ) -> None:
-        """``config`` is changed in place, so that all who hold it see the new values."""
+        """``config`` is changed in place, so that all objects that refer to it see the new values."""
         self._config = config
         self._executor = executor
         self._store = store
@@ -39,23 +39,23 @@
         self._recorder = recorder
 
     def reload(self) -> None:
-        """Apply what can be changed without a restart; an invalid configuration changes nothing."""
+        """Apply the changes that need no restart; an invalid configuration changes nothing."""
         try:
-            fresh = load()
+            new_config = load()
         except ConfigError as err:
             log(LOG, logging.ERROR, "reload-refused", fault=err)
             return
-        self._apply(fresh)
+        self._apply(new_config)
         self._executor.change_address(self._config.executor_address)
         self._store.change_address(self._config.store_address)
         self._registry.change_address(self._config.registry_address)
 
-    def _apply(self, fresh: Config) -> None:
-        """Take over the values of reloadable keys, and log which keys changed."""
+    def _apply(self, new_config: Config) -> None:
+        """Copy the values of reloadable keys, and log which keys changed."""
         changed: list[str] = []
         applied: list[str] = []
         for field in msgspec.structs.fields(Config):
-            value = getattr(fresh, field.name)
+            value = getattr(new_config, field.name)
             if value == getattr(self._config, field.name):
                 continue
             changed.append(field.encode_name)
