--- a/tests/host_support.py
+++ b/tests/host_support.py
@@ -1,4 +1,4 @@
-"""Steps that several tests of a running worker host and its gateways share."""
+"""Helpers shared by tests of a running worker host and its gateways."""
 
 import contextlib
 
@@ -6,11 +6,11 @@
 from lapispick.fakes.waiting import wait_until
 
 FAILED_CODE = -32000  # of a JSON-RPC error: the request may have been executed
-MAX_RUNS = 8  # as many as a worker host ever runs at once with the settings of the tests
+MAX_RUNS = 8  # the maximum of concurrent runs of a worker host with the settings of the tests
 
 
 def ends_without_reset(gateway):
-    """Read the rest of a connection; True where it ends in order, without a reset."""
+    """Read the rest of a connection; return True if it ends without a reset."""
     with contextlib.suppress(AssertionError):
         while True:
             gateway.read()
@@ -27,9 +27,10 @@
 
 
 def fill_all_slots(send_request, start_count):
-    """Send one request after another until as many run as may ever run at once; return their ids.
+    """Send requests until as many run as may run at once; return their ids.
 
-    One at a time, so that none is queued and rejected; ``start_count`` returns how many were started.
+    Each is sent once the one before it was started, so that none is queued and rejected. ``start_count`` returns the
+    number of started runs.
     """
     request_ids = []
     for count in range(1, MAX_RUNS + 1):
--- a/tests/test_host.py
+++ b/tests/test_host.py
@@ -46,10 +46,10 @@
 def test_keyed_request_repeats_a_call_only_if_it_never_ran(host):
     worker = host()
     gateway = worker.gateway()
-    not_called = gateway.request("book", "call:503 n", make_idempotency_key())
-    perhaps_called = gateway.request("book", "call:500", make_idempotency_key())
-    assert gateway.error_code(not_called) != REJECTED_CODE  # it ran, so it is failed and not rejected
-    assert gateway.error_code(perhaps_called) != REJECTED_CODE
+    call_not_run_id = gateway.request("book", "call:503 n", make_idempotency_key())
+    call_maybe_run_id = gateway.request("book", "call:500", make_idempotency_key())
+    assert gateway.error_code(call_not_run_id) != REJECTED_CODE  # it ran, so it is failed and not rejected
+    assert gateway.error_code(call_maybe_run_id) != REJECTED_CODE
     assert sum(call.body == "503 n" for call in worker.store.calls) > 1
     assert sum(call.body == "500" for call in worker.store.calls) == 1
 
@@ -70,7 +70,7 @@
         gateway.result(gateway.request("track", "call:200"))
         return len({call.connection for call in worker.store.calls}) < len(worker.store.calls)
 
-    wait_until(connection_was_reused, "a connection that is used again")
+    wait_until(connection_was_reused, "a connection that is reused")
     worker.store.disconnect()  # closes the idle connection
     assert gateway.result(gateway.request("track", "call:200")).startswith("reply")
 
@@ -90,12 +90,12 @@
 def test_keyed_request_runs_once_and_its_retries_get_the_result(host):
     worker = host()
     gateway, key = worker.gateway(), make_idempotency_key()
-    first = gateway.request("book", "hold", key)
+    first_id = gateway.request("book", "hold", key)
     wait_until(lambda: worker.executor.runs, "the run")
-    retry = gateway.request("book", "hold", key, redo=1)
+    retry_id = gateway.request("book", "hold", key, redo=1)
     worker.executor.end_run(worker.executor.runs[0].task, result="booked")
-    assert gateway.result(first) == "booked"
-    assert gateway.result(retry) == "booked"
+    assert gateway.result(first_id) == "booked"
+    assert gateway.result(retry_id) == "booked"
     other_gateway = worker.gateway()
     assert other_gateway.result(other_gateway.request("book", "hold", key, redo=1)) == "booked"
     assert len(worker.executor.runs) == 1
@@ -114,19 +114,19 @@
     assert any("result" in answer for answer in answers)
 
 
-def test_retry_counts_by_the_time_of_its_creation(host):
+def test_idempotency_window_applies_to_the_time_when_a_retry_was_created(host):
     worker = host()
     gateway, key = worker.gateway(), make_idempotency_key()
     born = time.time() * 1000
     assert gateway.result(gateway.request("book", "late", key, born=born)) == "did late"
-    window = PLATFORM_INFO["Services"][1]["Window"]
-    wait_until(lambda: time.time() * 1000 > born + window + 1500, "the end of the window")
-    # It was created within the window, though it is read later: never a second run.
-    within = gateway.request("book", "late", key, born=born + window - 100, patience=9000, redo=1)
-    assert gateway.result(within) == "did late"
+    window_ms = PLATFORM_INFO["Services"][1]["Window"]
+    wait_until(lambda: time.time() * 1000 > born + window_ms + 1500, "the end of the window")
+    # A retry that was created within the window must not run again, even if it is read after the window.
+    within_window_id = gateway.request("book", "late", key, born=born + window_ms - 100, patience=9000, redo=1)
+    assert gateway.result(within_window_id) == "did late"
     assert len(worker.executor.runs) == 1
-    after = gateway.request("book", "late", key, redo=1)
-    assert gateway.result(after) == "did late"
+    after_window_id = gateway.request("book", "late", key, redo=1)
+    assert gateway.result(after_window_id) == "did late"
     assert len(worker.executor.runs) == 2
 
 
@@ -197,12 +197,12 @@
 
 def test_flood_from_a_slow_reader_closes_its_connection_only(host):
     worker = host()
-    slow, gateway = worker.gateway(), worker.gateway()
-    slow.sock.setblocking(False)
+    slow_gateway, gateway = worker.gateway(), worker.gateway()
+    slow_gateway.sock.setblocking(False)
     flood, sent = b'{"jsonrpc":"2.0","id":1,"method":"probe"}\n' * 2000, 0
     while "event=slow-reader-dropped" not in worker.log():
         try:
-            sent += slow.sock.send(flood[sent % len(flood) :])
+            sent += slow_gateway.sock.send(flood[sent % len(flood) :])
         except BlockingIOError:
             began = time.monotonic()
             assert gateway.result(gateway.request("track", "between")) == "did between"
@@ -211,7 +211,7 @@
             break
     worker.wait_for_log("slow-reader-dropped")
     assert gateway.result(gateway.request("track", "after")) == "did after"
-    assert worker.peak_memory_mb() < 96  # half of the limit
+    assert worker.peak_memory_mb() < 96  # half of the memory limit
 
 
 def test_health_checks_fail_until_the_executor_is_ready(host):
@@ -230,42 +230,42 @@
 def test_lost_link_loses_no_run_and_starts_no_keyed_run_twice(host):
     worker = host()
     gateway = worker.gateway()
-    read, write = gateway.request("track", "hold"), gateway.request("book", "hold", make_idempotency_key())
+    idempotent_id, keyed_id = gateway.request("track", "hold"), gateway.request("book", "hold", make_idempotency_key())
     wait_until(lambda: len(worker.executor.runs) == 2, "both runs")
     with worker.executor.lock:
         worker.executor.disconnect()
-        by_class = {handler: task for task, handler, _ in worker.executor.runs}
-        worker.executor.end_run(by_class["book"], result="booked")  # while there is no link
-    assert gateway.result(write) == "booked"
-    worker.executor.end_run(by_class["track"], result="tracked")
-    assert gateway.result(read) == "tracked"
+        task_by_class = {handler: task for task, handler, _ in worker.executor.runs}
+        worker.executor.end_run(task_by_class["book"], result="booked")  # while there is no link
+    assert gateway.result(keyed_id) == "booked"
+    worker.executor.end_run(task_by_class["track"], result="tracked")
+    assert gateway.result(idempotent_id) == "tracked"
     commands = worker.executor.commands
-    assert sum(command["verb"] == "EXEC" and command["task"] == by_class["book"] for command in commands) == 1
+    assert sum(command["verb"] == "EXEC" and command["task"] == task_by_class["book"] for command in commands) == 1
     assert next(command["index"] for command in commands if command["verb"] == "JOIN") == 0
 
 
 def test_start_lost_with_a_link_is_resent_for_idempotent_requests_only(host):
     worker = host()
     gateway = worker.gateway()
-    read, write = send_with_lost_starts(worker, gateway)
+    idempotent_id, keyed_id = send_with_lost_starts(worker, gateway)
     worker.executor.ignores_commands = False
     worker.executor.disconnect()
-    assert gateway.result(read) == "did again"
-    assert gateway.error_code(write) != REJECTED_CODE  # it may have run: failed, not rejected
+    assert gateway.result(idempotent_id) == "did again"
+    assert gateway.error_code(keyed_id) != REJECTED_CODE  # it may have run: failed, not rejected
     assert not worker.executor.runs_of("once")
 
 
-def test_lost_start_occupies_no_slot_for_good(host):
+def test_lost_starts_do_not_occupy_slots_forever(host):
     worker = host()
     gateway = worker.gateway()
     worker.executor.ignores_commands = True
-    lost = fill_all_slots(
+    lost_ids = fill_all_slots(
         lambda: gateway.request("book", "never", make_idempotency_key(), patience=4500),
         start_count=lambda: worker.executor.received_verbs.count("EXEC"),
     )
     worker.executor.ignores_commands = False
     worker.executor.disconnect()
-    assert all(gateway.error_code(n) != REJECTED_CODE for n in lost)
+    assert all(gateway.error_code(request_id) != REJECTED_CODE for request_id in lost_ids)
     assert gateway.result(gateway.request("track", "next")) == "did next"
 
 
@@ -276,9 +276,7 @@
     wait_until(lambda: "RETURN" in worker.executor.received_verbs, "the reply to the call")
     worker.executor.resends_all_notices = True
     worker.executor.disconnect()
-    wait_until(
-        lambda: worker.executor.received_verbs.count("RETURN") == 2, "the reply once more, after the old notices"
-    )
+    wait_until(lambda: worker.executor.received_verbs.count("RETURN") == 2, "the reply again, after the old notices")
     worker.executor.end_run(worker.executor.runs[0].task, result="done")
     assert gateway.result(request_id) == "done"
     assert len(worker.store.calls) == 1
@@ -291,13 +289,13 @@
     assert len(times) >= 3
     assert max(later - earlier for earlier, later in itertools.pairwise(times)) < 1.5
     worker.terminate()
-    wait_until(lambda: worker.registry.reports[-1].text == "HERE n3 off", "off")
+    wait_until(lambda: worker.registry.reports[-1].text == "HERE n3 off", "a report that says off")
 
 
 def test_shutdown_answers_all_requests_in_time(host):
     worker = host(stop_ms=3000)
     gateway = worker.gateway()
-    running, done = (
+    running_id, completed_id = (
         gateway.request("track", "hold", patience=9000),
         gateway.request("book", "hold", make_idempotency_key()),
     )
@@ -310,12 +308,12 @@
     check_id = new_gateway.send("probe")
     assert new_gateway.answer(check_id)["result"]["healthy"] is False
     worker.executor.end_run(next(run.task for run in worker.executor.runs if run.handler == "book"), result="booked")
-    assert gateway.result(done) == "booked"
+    assert gateway.result(completed_id) == "booked"
     wait_until(lambda: time.monotonic() - began > 1.9, "the end of the grace")
-    late = new_gateway.request("track", "late")
-    assert new_gateway.error_code(late) == REJECTED_CODE
+    late_id = new_gateway.request("track", "late")
+    assert new_gateway.error_code(late_id) == REJECTED_CODE
     assert not worker.executor.runs_of("late")
-    assert gateway.error_code(running) != REJECTED_CODE
+    assert gateway.error_code(running_id) != REJECTED_CODE
     assert worker.process.wait(5) == 0
     assert time.monotonic() - began < 3
 
--- a/tests/test_log_events.py
+++ b/tests/test_log_events.py
@@ -1,4 +1,4 @@
-"""The log events that tests watch for are those that the host writes, and ONCALL.md has each event."""
+"""Checks that the host writes the log events that tests watch for, and that ONCALL.md documents each event."""
 
 import ast
 import re
@@ -24,18 +24,18 @@
     assert internal_errors(f"ts=1 level=error event={event} in=serve\n") == [event]
 
 
-def test_other_events_are_no_internal_error():
+def test_other_events_are_not_internal_errors():
     assert internal_errors("ts=1 level=warning event=connect-failed error=refused\n") == []
 
 
 def _event_names(argument):
-    """Return the names that the event argument of a call of ``log`` can have, as far as it states them."""
+    """Return the event names that the event argument of a call of ``log`` contains as constants."""
     names = (node.value for node in ast.walk(argument) if isinstance(node, ast.Constant))
     return {name for name in names if isinstance(name, str) and EVENT.fullmatch(name)}
 
 
 def _logged_events():
-    """Return the events of all calls ``log(logger, level, event, ...)`` in the program."""
+    """Return the events of all calls of ``log(logger, level, event, ...)`` in the program."""
     events = set()
     for path in sorted((ROOT / "lapispick").rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
@@ -44,7 +44,7 @@
     return events
 
 
-def test_the_on_call_page_has_each_event():
+def test_the_on_call_page_documents_each_event():
     events = _logged_events()
     page = (ROOT / "ONCALL.md").read_text(encoding="utf-8").partition("## Renamed events")[0]
     documented = set(re.findall(r"`([a-z0-9-]+)`", page))
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -1,4 +1,4 @@
-"""The operators' address, the metrics and the drain by call."""
+"""Operators' calls, metrics and drains."""
 
 import contextlib
 import itertools
@@ -39,13 +39,13 @@
 
 
 def test_check_succeeds_only_while_clients_are_accepted(host):
-    late = Executor(is_up=False)
-    worker = host(executor=late, wait_for_ready=False)
+    executor = Executor(is_up=False)
+    worker = host(executor=executor, wait_for_ready=False)
     (answer,) = worker.call_operators()
     assert answer.startswith("ERR ")
-    worker.call_operators(b"drain-on")  # a drain call before the executor is up holds from then on
-    wait_until(lambda: late.commands, "the first message")
-    late.become_ready()
+    worker.call_operators(b"drain-on")  # takes effect when the executor comes up
+    wait_until(lambda: executor.commands, "the first message")
+    executor.become_ready()
     worker.wait_for_log("ready")
     assert worker.call_operators() == ["OK"]
     gateway = worker.gateway()
@@ -65,7 +65,7 @@
     assert worker.call_operators() == ["OK"]
     assert worker.metrics()["inflight"] == 0
     assert time.monotonic() - began < 1
-    assert len(os.listdir(f"/proc/{worker.process.pid}/fd")) < 30  # 8 of them at most, of 256 descriptors
+    assert len(os.listdir(f"/proc/{worker.process.pid}/fd")) < 30  # operators have at most 8 of the 256 descriptors
     for caller in callers:
         caller.settimeout(3.5)
         with contextlib.suppress(ConnectionError):
@@ -82,23 +82,23 @@
         line = gateway.request_line("track", "x") + b"\n"
         with contextlib.suppress(OSError):
             while not stop.is_set():
-                gateway.sock.sendall(line * 200)  # ids that are not new: each costs a look and an answer
+                gateway.sock.sendall(line * 200)  # repeated ids: each costs a lookup and an answer
                 gateway = worker.gateway()
 
-    floods = [threading.Thread(target=flood) for _ in range(8)]
-    for thread in floods:
+    flood_threads = [threading.Thread(target=flood) for _ in range(8)]
+    for thread in flood_threads:
         thread.start()
     try:
-        worst = 0.0
+        longest_s = 0.0
         for _ in range(40):
             began = time.monotonic()
             assert worker.call_operators() == ["OK"]
             assert worker.call_operators(b"vars")[-1] == "END"
-            worst = max(worst, time.monotonic() - began)
-        assert worst < 1
+            longest_s = max(longest_s, time.monotonic() - began)
+        assert longest_s < 1
     finally:
         stop.set()
-        for thread in floods:
+        for thread in flood_threads:
             thread.join()
 
 
@@ -110,20 +110,20 @@
     assert set(worker.metrics().values()) == {0}
     gateway = worker.gateway()
     keys = [uuid.UUID(int=i).hex for i in range(6)]
-    sent = {}
-    cancelled = set()
+    class_by_id = {}
+    cancelled_ids = set()
     for step in range(300):
         class_name = rng.choice(["track", "book"])
         key = rng.choice(keys) if class_name == "book" else None
         body = f"keyed {key}" if key else rng.choice(["x", "error", "call:200", "call:500", "late"])
         patience = 1 if body == "late" else 4000
-        sent[
+        class_by_id[
             gateway.request(
                 class_name, body, key, born=time.time() * 1000 - (5 if body == "late" else 0), patience=patience
             )
         ] = class_name
         if rng.random() < 0.05:
-            cancelled.add(gateway.last_id)
+            cancelled_ids.add(gateway.last_id)
             gateway.cancel(gateway.last_id)
         if step % 100 == 50:
             worker.executor.disconnect()
@@ -133,20 +133,22 @@
             for peer in (worker.executor, worker.store, worker.registry):
                 peer.relocate()
             worker.reload()
-        if step % 30 == 29:  # under the 32 that may be open
-            for n in sent:
-                gateway.answer(n)
+        if step % 30 == 29:  # fewer than the 32 requests that may be open
+            for request_id in class_by_id:
+                gateway.answer(request_id)
     counts = dict.fromkeys(itertools.product(("success", "busy", "failure"), ("track", "book")), 0)
-    for n, class_name in sent.items():
-        answer = gateway.answer(n)
+    for request_id, class_name in class_by_id.items():
+        answer = gateway.answer(request_id)
         kind = "success" if "result" in answer else "busy" if answer["error"]["code"] == REJECTED_CODE else "failure"
-        counts[kind, class_name] += n not in cancelled or kind == "failure"  # an answer that says so is counted
+        # Of the answers to cancelled requests, only failures are counted.
+        counts[kind, class_name] += request_id not in cancelled_ids or kind == "failure"
     metrics = worker.metrics()
     for (kind, class_name), count in counts.items():
-        assert 0 <= metrics[f"{kind}.{class_name}"] - count <= len(cancelled) * (kind != "failure"), (kind, class_name)
+        slack = len(cancelled_ids) * (kind != "failure")
+        assert 0 <= metrics[f"{kind}.{class_name}"] - count <= slack, (kind, class_name)
     assert counts["success", "track"] > 50
     assert counts["failure", "track"] > 10
-    # Starts that were lost with a link are sent again: the host handed over each run once.
+    # Starts that were lost with a link are sent again, but the host counts each run once.
     assert metrics["backend_calls"] == len({c["task"] for c in worker.executor.commands if c["verb"] == "EXEC"})
     assert metrics["inflight"] == 0
 
@@ -154,13 +156,13 @@
 def test_inflight_counts_requests_received_and_not_answered(host):
     worker = host()
     gateway = worker.gateway()
-    held = [gateway.request("track", "hold") for _ in range(3)]
+    request_ids = [gateway.request("track", "hold") for _ in range(3)]
     wait_until(lambda: worker.metrics()["inflight"] == 3, "three in flight")
     wait_until(lambda: len(worker.executor.runs) == 3, "three runs at the executor")
     for task, _, _ in list(worker.executor.runs):
         worker.executor.end_run(task)
-    for n in held:
-        gateway.answer(n)
+    for request_id in request_ids:
+        gateway.answer(request_id)
     assert worker.metrics()["inflight"] == 0
     assert worker.metrics()["success.track"] == 3
 
@@ -175,17 +177,17 @@
             assert gateway.result(gateway.request("track", "still")) == "did still"
             assert worker.call_operators() == ["OK"]
     worker.call_operators(b"drain-on")
-    wait_until(lambda: worker.registry.reports[-1].text == "HERE n3 off", "off")
+    wait_until(lambda: worker.registry.reports[-1].text == "HERE n3 off", "a report that says off")
     worker.reload()
     assert gateway.answer(gateway.send("probe"))["result"]["healthy"] is False  # SIGHUP in a drain changes nothing
     worker.call_operators(b"drain-off")
-    wait_until(lambda: worker.registry.reports[-1].text == "HERE n3 on", "on")
+    wait_until(lambda: worker.registry.reports[-1].text == "HERE n3 on", "a report that says on")
 
 
 def test_sigterm_while_draining_is_an_ordinary_shutdown(host):
     worker = host(stop_ms=2500)
     gateway = worker.gateway()
-    running = gateway.request("track", "hold", patience=9000)
+    request_id = gateway.request("track", "hold", patience=9000)
     wait_until(lambda: worker.executor.runs, "the run")
     worker.call_operators(b"drain-on")
     worker.terminate()
@@ -194,7 +196,7 @@
     assert worker.call_operators(b"drain-off") == ["OK"]
     assert gateway.answer(gateway.send("probe"))["result"]["healthy"] is False
     worker.executor.end_run(worker.executor.runs[0].task)
-    assert gateway.result(running) == "done"
+    assert gateway.result(request_id) == "done"
     assert worker.process.wait(5) == 0
 
 
@@ -268,13 +270,13 @@
     for n in range(20):
         gateway.result(gateway.request("track", f"x{n}"))
     gateway.result(gateway.request("book", "x", f"{1:032x}"))
-    found = worker.metrics()
-    assert found["worth.track"] == 20_000
-    assert found["worth.book"] == 5000
-    assert found["late.track"] == 0
-    assert sum(value for name, value in found.items() if name.startswith("took.track.")) == 20
-    assert 10_000 < found["memory_kb"] <= found["memory_most_kb"] < 100_000
-    assert found["generation.abc"] == 1
+    metrics = worker.metrics()
+    assert metrics["worth.track"] == 20_000
+    assert metrics["worth.book"] == 5000
+    assert metrics["late.track"] == 0
+    assert sum(value for name, value in metrics.items() if name.startswith("took.track.")) == 20
+    assert 10_000 < metrics["memory_kb"] <= metrics["memory_most_kb"] < 100_000
+    assert metrics["generation.abc"] == 1
 
 
 def extended_metrics_environ(tmp_path):
@@ -283,31 +285,31 @@
     return {"LAPISPICK_CONF": str(tmp_path / "own.conf")}
 
 
-def test_a_request_that_arrived_after_its_deadline_counts_as_no_broken_rule(host, tmp_path):
-    """Senders may be delayed between ``born`` and a request's last byte; a rollout must not undo a change for that."""
+def test_a_request_that_arrived_after_its_deadline_does_not_count_as_a_broken_rule(host, tmp_path):
+    """A sender may be slow between ``born`` and the last byte; a rollout must not roll back a change because of it."""
     worker = host(environ=extended_metrics_environ(tmp_path))
     gateway = worker.gateway()
     for class_name, params in (("track", {"patience": 500}), ("book", {"nonce": make_idempotency_key()})):
-        number = gateway.request(class_name, "late", born=time.time() * 1000 - 900, **{"patience": 300, **params})
-        assert gateway.error_code(number) == REJECTED_CODE
+        request_id = gateway.request(class_name, "late", born=time.time() * 1000 - 900, **{"patience": 300, **params})
+        assert gateway.error_code(request_id) == REJECTED_CODE
     assert worker.metrics()["broken"] == 0
     assert not worker.executor.runs_of("late")
 
 
 @pytest.mark.parametrize("sends_deadline", [True, False])
 def test_a_late_answer_to_a_request_read_in_time_counts_as_a_broken_rule(host, tmp_path, sends_deadline):
-    """The deadline is the caller's where it sends one, else that of the class."""
+    """The deadline is the one that the caller sends, else that of the request class."""
     info = json.loads(json.dumps(PLATFORM_INFO))
     info["FamilyInfo"]["PassesDeadline"] = sends_deadline
     info["Services"][0].update(GiveUp=4800.0 if sends_deadline else 300.0, Promise=250.0)
     worker = host(environ=extended_metrics_environ(tmp_path), info=info)
     gateway = worker.gateway()
-    number = gateway.request("track", "hold", patience=300 if sends_deadline else None)
+    request_id = gateway.request("track", "hold", patience=300 if sends_deadline else None)
     worker.executor.wait_for_run("hold")
     with worker.suspended():
-        late = time.monotonic() + 0.5
-        wait_until(lambda: time.monotonic() > late, "its deadline and the slack")
-    assert gateway.answer(number)["error"]["code"] != REJECTED_CODE
+        resume_at = time.monotonic() + 0.5
+        wait_until(lambda: time.monotonic() > resume_at, "the deadline and its slack")
+    assert gateway.answer(request_id)["error"]["code"] != REJECTED_CODE
     assert worker.metrics()["broken"] == 1
 
 
