--- a/lapispick/host/assembly.py
+++ b/lapispick/host/assembly.py
@@ -175,7 +175,7 @@
         self._store.shared = count is not None
 
     def _accept_clients(self, listener: socket.socket | None) -> None:
-        """Start to accept clients after a hand-over, while the previous process still serves or after its end."""
+        """Start to accept clients, while the previous process still serves or after its end."""
         self.gateways.listen(listener)
         self.core.health.state.listening = True
         self._serve_clients()
--- a/lapispick/host/events.py
+++ b/lapispick/host/events.py
@@ -97,7 +97,7 @@
 
 
 class GaugesReported(msgspec.Struct, frozen=True):
-    """The executor reported its gauges, in the order of the settings."""
+    """The executor reported its gauges; they are in the order of the settings."""
 
     gauges: tuple[float, ...]
 
@@ -166,7 +166,7 @@
 
 
 class ClaimDecided(msgspec.Struct, frozen=True):
-    """Whether an attempt that waited may run its idempotency key in this process was decided."""
+    """The verdict on whether an attempt that waited may run its idempotency key in this process."""
 
     entry: InFlightRequest
     verdict: Verdict
--- a/lapispick/host/health.py
+++ b/lapispick/host/health.py
@@ -4,7 +4,7 @@
 
 | fact | set by | cleared by |
 | --- | --- | --- |
-| ready | the executor when it is up | never |
+| ready | the executor, once it is up | never |
 | module_healthy | the decision module | the decision module |
 | draining | ``drain-on`` | ``drain-off`` |
 | listening | the start, or the end of the snapshot in an upgrade | never |
--- a/lapispick/host/inventory.py
+++ b/lapispick/host/inventory.py
@@ -180,7 +180,7 @@
             self._loop.sleep(self._settings.poll_interval_s)
 
     def _initialize_helper(self) -> None:
-        """Send a new helper the path and options, and receive the last good list from it."""
+        """Send a new helper the path and options, and use the last good list that it returns."""
         settings = self._settings
         self.helper.send(
             Begin(
--- a/lapispick/host/shutdown.py
+++ b/lapispick/host/shutdown.py
@@ -26,8 +26,8 @@
 ANSWER_POLL_S = 0.01
 HANDOVER_POLL_S = 0.02
 CLIENT_CLOSE_POLL_S = 0.005
-# If a successor serves, the process ends at the latest after the longest deadline of a class, or after the maximum that
-# follows if that is shorter, plus the margin.
+# If a successor serves, the process ends at the latest HANDOVER_MARGIN_MS after the longest deadline of a class, of
+# which at most MAX_HANDOVER_DEADLINE_MS count.
 MAX_HANDOVER_DEADLINE_MS = 3000.0
 HANDOVER_MARGIN_MS = 700.0
 GOAWAY_CROSSING_S = 0.4  # requests that clients sent before they received the goaway have been read by then
@@ -94,7 +94,7 @@
         self._close_and_stop(stop_at)
 
     def _all_answered(self) -> bool:
-        """Return True if all that was received is read and answered, and the answers are in the operating system."""
+        """Return True if all received input is read and answered, and the operating system has the answers."""
         return (
             self._core.owed == 0
             and self._gateways.is_idle()
