--- a/lapispick/host/core/answers.py
+++ b/lapispick/host/core/answers.py
@@ -38,7 +38,7 @@
     def send(self, request: Request, answer: Answer) -> None:
         """Give a request its final answer."""
         self.owed -= 1
-        self.metrics.answered(answer.kind, request.class_index)
+        self.metrics.count_answer(answer.kind, request.class_index)
         if self.extended_metrics is not None:
             self._measure(self.extended_metrics, request, answer.kind)
         request.reply(self._with_backpressure(answer))
@@ -49,20 +49,20 @@
 
     def _measure(self, metrics: ExtendedMetrics, request: Request, kind: AnswerKind) -> None:
         now = self._clock.now
-        metrics.answered(kind, request.class_index, now - request.born_at, now - request.read_at)
+        metrics.count_answer(kind, request.class_index, now - request.born_at, now - request.read_at)
         deadline_at = request.deadline_at or request.born_at + self._classes[request.class_index].deadline_ms
         # What was read after its due time was late before this process had it, and is not counted.
         metrics.broken_rules += request.read_at <= deadline_at < self._clock.now - SLACK_MS
 
     def cancelled_before_arrival(self, request: Request) -> None:
         """Count a request that its client cancelled before the core had it."""
-        self.metrics.answered(AnswerKind.FAILED, request.class_index)
+        self.metrics.count_answer(AnswerKind.FAILED, request.class_index)
 
     def cancelled_by_client(self, request: Request) -> None:
         """Count a request that is owed no answer any more; its front tells whoever still listens."""
         self.cancelled += 1
         self.owed -= 1
-        self.metrics.answered(AnswerKind.FAILED, request.class_index)
+        self.metrics.count_answer(AnswerKind.FAILED, request.class_index)
 
     def advertise(self, action: admission.Advertise) -> None:
         """Send this backpressure value from now on."""
--- a/lapispick/host/core/decision_module.py
+++ b/lapispick/host/core/decision_module.py
@@ -99,5 +99,5 @@
             return
         self.controller.adopt(self._adoptable)
         if self._peers.recorder is not None:  # or its trace would not replay
-            self._peers.recorder.record_occurrence("adopted", msgspec.json.encode(self._adoptable).decode())
+            self._peers.recorder.record_external_event("adopted", msgspec.json.encode(self._adoptable).decode())
         self._adoptable = None
--- a/lapispick/host/core/health_checks.py
+++ b/lapispick/host/core/health_checks.py
@@ -45,7 +45,7 @@
         self.state.draining = draining
         name = "drain-on" if draining else "drain-off"
         if self._peers.recorder is not None:
-            self._peers.recorder.record_occurrence(name)
+            self._peers.recorder.record_external_event(name)
         log(LOG, logging.INFO, name, unanswered=self._answers.owed)
         self.report()
 
--- a/lapispick/host/extended_metrics.py
+++ b/lapispick/host/extended_metrics.py
@@ -74,7 +74,7 @@
         self._late = [0] * len(names)
         self._durations = [[0] * (len(DURATION_BUCKETS_MS) + 1) for _ in names]
 
-    def answered(self, kind: AnswerKind, class_index: int, age_ms: float, duration_ms: float) -> None:
+    def count_answer(self, kind: AnswerKind, class_index: int, age_ms: float, duration_ms: float) -> None:
         """Count a final answer; ``age_ms`` runs from the arrival at the machine, ``duration_ms`` from the read here."""
         self._durations[class_index][bisect_left(DURATION_BUCKETS_MS, duration_ms)] += 1
         if kind == AnswerKind.SERVED:
--- a/lapispick/host/interfaces.py
+++ b/lapispick/host/interfaces.py
@@ -85,7 +85,7 @@
     def record_answer(self, number: int, kind: str, age_ms: float) -> None:
         """Record a final answer, ``age_ms`` after the request reached the machine."""
 
-    def record_occurrence(self, name: str, details: str = "") -> None:
+    def record_external_event(self, name: str, details: str = "") -> None:
         """Record an external event: an operator's action, or the adoption of learned estimates by the module."""
 
 
--- a/lapispick/host/metrics.py
+++ b/lapispick/host/metrics.py
@@ -24,7 +24,7 @@
         self._counts = {kind: [0] * len(names) for kind in METRIC_NAMES}
         self.runs = 0
 
-    def answered(self, kind: AnswerKind, class_index: int) -> None:
+    def count_answer(self, kind: AnswerKind, class_index: int) -> None:
         """Count a final answer."""
         self._counts[kind][class_index] += 1
 
--- a/lapispick/host/recorder.py
+++ b/lapispick/host/recorder.py
@@ -120,7 +120,7 @@
         """Record a final answer, ``age_ms`` after the request reached the machine."""
         self._notes.append((ANSWERED, number, kind, age_ms))
 
-    def record_occurrence(self, name: str, details: str = "") -> None:
+    def record_external_event(self, name: str, details: str = "") -> None:
         """Record an external event: an operator's action, or the adoption of learned estimates by the module."""
         self._notes.append((EXTERNAL_EVENT, name, details))
 
--- a/lapispick/host/reload.py
+++ b/lapispick/host/reload.py
@@ -64,6 +64,6 @@
                 setattr(self._config, field.name, value)
         log(LOG, logging.INFO, "reloaded", changed=",".join(applied) or "nothing")
         if self._recorder is not None:
-            self._recorder.record_occurrence("reloaded", ",".join(applied))
+            self._recorder.record_external_event("reloaded", ",".join(applied))
         if left_out := [key for key in changed if key not in RELOADABLE_KEYS]:
             log(LOG, logging.WARNING, "reload-left-out", needs_restart=",".join(left_out))
