--- a/lapispick/host/core/answers.py
+++ b/lapispick/host/core/answers.py
@@ -38,7 +38,7 @@
     def send(self, request: Request, answer: Answer) -> None:
         """Send the final answer of a request."""
         self.unanswered -= 1
-        self.metrics.answered(answer.kind, request.class_index)
+        self.metrics.count_answer(answer.kind, request.class_index)
         if self.extended_metrics is not None:
             self._record_extended_metrics(self.extended_metrics, request, answer.kind)
         request.reply(self._with_backpressure(answer))
@@ -49,20 +49,20 @@
 
     def _record_extended_metrics(self, metrics: ExtendedMetrics, request: Request, kind: AnswerKind) -> None:
         now = self._clock.now
-        metrics.answered(kind, request.class_index, now - request.born_at, now - request.read_at)
+        metrics.count_answer(kind, request.class_index, now - request.born_at, now - request.read_at)
         deadline_at = request.deadline_at or request.born_at + self._classes[request.class_index].deadline_ms
         # A request that was read after its deadline was late before this process had it, and is not counted.
         metrics.broken_rules += request.read_at <= deadline_at < self._clock.now - DEADLINE_SLACK_MS
 
     def count_cancelled_before_arrival(self, request: Request) -> None:
         """Count a request that its client cancelled before it reached the core."""
-        self.metrics.answered(AnswerKind.FAILED, request.class_index)
+        self.metrics.count_answer(AnswerKind.FAILED, request.class_index)
 
     def count_cancelled(self, request: Request) -> None:
         """Count a request that its client cancelled; its front answers a client that still listens."""
         self.cancelled += 1
         self.unanswered -= 1
-        self.metrics.answered(AnswerKind.FAILED, request.class_index)
+        self.metrics.count_answer(AnswerKind.FAILED, request.class_index)
 
     def advertise(self, action: admission.Advertise) -> None:
         """Set the backpressure value that is sent from now on."""
--- a/lapispick/host/core/decision_module.py
+++ b/lapispick/host/core/decision_module.py
@@ -99,5 +99,5 @@
             return
         self.controller.adopt(self._pending_estimates)
         if self._peers.recorder is not None:  # a replay of the trace needs the estimates
-            self._peers.recorder.record_occurrence("adopted", msgspec.json.encode(self._pending_estimates).decode())
+            self._peers.recorder.record_external_event("adopted", msgspec.json.encode(self._pending_estimates).decode())
         self._pending_estimates = None
--- a/lapispick/host/core/health_checks.py
+++ b/lapispick/host/core/health_checks.py
@@ -45,7 +45,7 @@
         self.state.draining = draining
         event_name = "drain-on" if draining else "drain-off"
         if self._peers.recorder is not None:
-            self._peers.recorder.record_occurrence(event_name)
+            self._peers.recorder.record_external_event(event_name)
         log(LOG, logging.INFO, event_name, unanswered=self._answers.unanswered)
         self.report()
 
