--- a/lapispick/durable/__init__.py
+++ b/lapispick/durable/__init__.py
@@ -1,1 +1,1 @@
-"""Idempotency records that survive restarts of a host, in an SQLite database. Not connected to the host yet."""
+"""Durable idempotency records in an SQLite database, which survive restarts of a host. The host does not use it yet."""
--- a/lapispick/durable/budget.py
+++ b/lapispick/durable/budget.py
@@ -1,7 +1,7 @@
-"""Which results are evicted when storage runs short; records of keys never are. No I/O, no clock.
+"""Storage budget of idempotency records: evicts results when storage runs short, never records. No I/O, no clock.
 
-A popular or large result must not evict the record of another key: that key could then be executed twice. So records
-have a part of the storage that results cannot take, and new keys are rejected once records fill all of it.
+Evicting the record of a key would allow a second execution of that key. So a part of the storage is reserved for
+records, however many or large the results are, and new keys are rejected once records fill the whole storage.
 """
 
 from __future__ import annotations
@@ -10,31 +10,31 @@
 
 import msgspec
 
-RECORD_BYTES = 200  # of a record without its result, index included; docs/CAPACITY.md
-MAX_RESULTS_FRACTION = 0.5  # of the storage
+RECORD_BYTES = 200  # size of a record without its result, including the index; see docs/CAPACITY.md
+MAX_RESULTS_FRACTION = 0.5  # share of the storage that results may use
 
 
 class StorageBudget(msgspec.Struct):
-    """How much storage is used, and by what."""
+    """Storage used by records and by results."""
 
     max_bytes: int
-    records: int = 0
+    record_count: int = 0
     result_bytes: int = 0
-    result_sizes: OrderedDict[bytes, int] = msgspec.field(default_factory=OrderedDict)  # the oldest first
+    result_sizes: OrderedDict[bytes, int] = msgspec.field(default_factory=OrderedDict)  # by key, oldest first
 
     def admits_record(self) -> bool:
-        """Tell whether there is capacity for one more record."""
-        return (self.records + 1) * RECORD_BYTES <= self.max_bytes
+        """Return True if there is space for one more record."""
+        return (self.record_count + 1) * RECORD_BYTES <= self.max_bytes
 
     def add_record(self) -> list[bytes]:
-        """Account for a record; return the keys whose results are evicted for it."""
-        self.records += 1
+        """Account for a new record; return the keys whose results are evicted to make space."""
+        self.record_count += 1
         return self._evict()
 
     def add_result(self, key: bytes, size: int) -> list[bytes] | None:
-        """Account for a result of ``size`` bytes; return the keys whose results are evicted for it.
+        """Account for a result of ``size`` bytes; return the keys whose results are evicted to make space.
 
-        None: the result is too large itself and is not accounted for.
+        Returns None if the result alone exceeds the limit of all results; it is then not accounted for.
         """
         if size > self.max_bytes * MAX_RESULTS_FRACTION:
             return None
@@ -43,13 +43,13 @@
         return self._evict()
 
     def remove_record(self, key: bytes) -> None:
-        """Release the storage of a key whose window has ended."""
-        self.records -= 1
+        """Release the storage of a key whose idempotency window has ended."""
+        self.record_count -= 1
         self.result_bytes -= self.result_sizes.pop(key, 0)
 
     def _evict(self) -> list[bytes]:
         evicted = []
-        limit = min(self.max_bytes * MAX_RESULTS_FRACTION, self.max_bytes - self.records * RECORD_BYTES)
+        limit = min(self.max_bytes * MAX_RESULTS_FRACTION, self.max_bytes - self.record_count * RECORD_BYTES)
         while self.result_bytes > limit and self.result_sizes:
             key, size = self.result_sizes.popitem(last=False)
             self.result_bytes -= size
--- a/lapispick/durable/database.py
+++ b/lapispick/durable/database.py
@@ -1,10 +1,10 @@
-"""The SQLite store of idempotency records: a write-ahead log, and one transaction and sync for a batch of writes.
+"""SQLite store of idempotency records, with a write-ahead log. Each batch of writes is one transaction and one sync.
 
-Calls block on the disk, so they run in a thread or process of their own, never in the event loop. The caller decides
-what is written (``records``); the store only checks that this incarnation of the host may still write.
+Calls block on the disk, so they must run in a separate thread or process, never in the event loop. The caller decides
+what is written (see ``records``); the store only checks that this incarnation of the host may still write.
 
-Each start of the host raises the incarnation in the store, and each transaction verifies it: a fencing token, so that
-an older process cannot write any more. Column and row names are those of schema version 1.
+Each start of the host increments the incarnation in the store, and each transaction checks it. The incarnation is a
+fencing token: an older process of the host can no longer write. Column and row names are those of schema version 1.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 from lapispick.idempotency.states import KeyState
 
 VERSION = 1  # of the schema
-BUSY_TIMEOUT_S = 1.0  # for another process that reads
-CHECKPOINT_PAGES = 1000  # of the write-ahead log before it is copied into the file
-PRIMARY_ERROR_MASK = 0xFF  # extended error codes have the system call in their upper bytes
+BUSY_TIMEOUT_S = 1.0  # longest wait for a lock of another process that reads the database
+CHECKPOINT_PAGES = 1000  # pages in the write-ahead log before they are copied into the database file
+PRIMARY_ERROR_MASK = 0xFF  # the upper bytes of an extended error code name the system call
 UNAVAILABLE_ERRORS = (
     sqlite3.SQLITE_FULL,
     sqlite3.SQLITE_READONLY,
@@ -45,11 +45,11 @@
 
 
 class StoreError(Exception):
-    """Base of the store's errors."""
+    """Base class of the store's errors."""
 
 
 class StoreUnusableError(StoreError):
-    """The file cannot be used as the store."""
+    """The file cannot be used as this host's store."""
 
     def __init__(self, path: Path, reason: str) -> None:
         super().__init__(f"{path}: {reason}")
@@ -58,7 +58,7 @@
 
 
 class StoreWriteError(StoreError):
-    """A write failed, and what it wrote is unknown; ``unavailable``: the next one would fail too."""
+    """A write failed, and it is unknown what was written. If ``unavailable``, the next write would fail too."""
 
     def __init__(self, reason: str, unavailable: bool) -> None:
         super().__init__(reason)
@@ -66,22 +66,22 @@
 
 
 class FencedError(StoreWriteError):
-    """A later incarnation of the host has the store: this process must not write or execute keyed requests any more."""
+    """A later incarnation of the host owns the store. This process must no longer write or execute keyed requests."""
 
     def __init__(self, incarnation: int) -> None:
-        super().__init__(f"incarnation {incarnation} of this host has the store", unavailable=True)
+        super().__init__(f"incarnation {incarnation} of this host owns the store", unavailable=True)
         self.incarnation = incarnation
 
 
 class StoreChange(NamedTuple):
-    """A change of one key; a record of None deletes it."""
+    """Change of one key. If ``record`` is None, the key is deleted."""
 
     key: bytes
     record: DurableRecord | None
 
 
 class Database:
-    """The store of one host, opened for one incarnation of it."""
+    """Store of one host, opened by one incarnation of the host."""
 
     def __init__(self, path: Path, host: str) -> None:
         self.path = path
@@ -95,12 +95,12 @@
             raise StoreUnusableError(path, str(err)) from None
 
     def load(self) -> Iterator[tuple[bytes, DurableRecord]]:
-        """Yield all keys with their records."""
+        """Yield each key with its record."""
         for key, state, *columns in self._db.execute(_SELECT):
             yield key, DurableRecord(_STORED_STATES[state], *columns)
 
     def write(self, changes: Iterable[StoreChange | tuple[bytes, DurableRecord | None]]) -> None:
-        """Write changes durably, all or none; raises ``StoreWriteError``."""
+        """Write all changes durably, or none of them; raises ``StoreWriteError``."""
         with self._transaction():
             for key, record in changes:
                 if record is None:
@@ -109,21 +109,21 @@
                     self._db.execute(_UPSERT, _row(key, record))
 
     def expire(self, now_ms: float, limit: int) -> int:
-        """Delete up to ``limit`` keys whose window has ended; return how many; raises ``StoreWriteError``."""
+        """Delete up to ``limit`` keys whose window has ended, and return their number; raises ``StoreWriteError``."""
         with self._transaction():
             return self._db.execute(_DELETE_EXPIRED, (now_ms, limit)).rowcount
 
-    def check(self) -> list[str]:
-        """Return what SQLite's integrity check finds."""
-        found = [row[0] for row in self._db.execute("pragma integrity_check")]
-        return [] if found == ["ok"] else found
+    def check_integrity(self) -> list[str]:
+        """Return the faults that SQLite's integrity check reports."""
+        messages = [row[0] for row in self._db.execute("pragma integrity_check")]
+        return [] if messages == ["ok"] else messages
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the database file."""
         self._db.close()
 
     def _begin_incarnation(self, host: str) -> int:
-        """Create the schema where there is none, check whose store this is, and return the new incarnation."""
+        """Create the schema if it is missing, check the owner, and return the new incarnation."""
         self._db.execute("begin immediate")
         try:
             if not self._db.execute("select 1 from sqlite_master where name = 'meta'").fetchone():
@@ -144,17 +144,17 @@
         self._db.executemany("insert into meta values (?, ?)", rows)
 
     def _check_owner(self, host: str) -> int:
-        """Return the last incarnation; raises ``StoreUnusableError`` for a newer version or another host's store."""
+        """Return the last incarnation; raises ``StoreUnusableError`` for a newer schema or another host's store."""
         meta = dict(self._db.execute("select name, value from meta"))
         if meta["version"] > VERSION:
-            raise StoreUnusableError(self.path, f"has version {meta['version']}; this program knows {VERSION}")
+            raise StoreUnusableError(self.path, f"has schema version {meta['version']}, expected {VERSION} or older")
         if meta["box"] != host:
-            raise StoreUnusableError(self.path, f"belongs to the host {meta['box']}, not {host}")
+            raise StoreUnusableError(self.path, f"belongs to host {meta['box']}, expected {host}")
         return int(meta["life"])
 
     @contextmanager
     def _transaction(self) -> Iterator[None]:
-        """Commit all or nothing; raises ``StoreWriteError``, ``FencedError`` where a later incarnation has begun."""
+        """Commit all writes or none; raises ``StoreWriteError``, or ``FencedError`` after a later start of the host."""
         try:
             self._db.execute("begin immediate")
             (incarnation,) = self._db.execute(_SELECT_INCARNATION).fetchone()
@@ -171,7 +171,8 @@
             raise
 
     def _roll_back(self) -> None:
-        with suppress(sqlite3.Error):  # the disk that failed the write may fail this too; the next write begins anew
+        # The rollback may fail on the same disk error as the write. The next write starts a new transaction.
+        with suppress(sqlite3.Error):
             if self._db.in_transaction:
                 self._db.execute("rollback")
 
--- a/lapispick/durable/records.py
+++ b/lapispick/durable/records.py
@@ -1,8 +1,8 @@
-"""Idempotency records that survive a restart: verdicts, transitions and recovery. No I/O, no clock.
+"""Durable idempotency records: verdicts, transitions and recovery after a restart. No I/O, no clock.
 
-Records follow the state machine of ``lapispick/idempotency/states.py``. The intent is on disk before the command
-leaves for the executor, and the result before the answer leaves. So after a restart no execution is unknown, and no
-answer that was sent is forgotten. Times are Unix ms.
+Records follow the state machine of ``lapispick/idempotency/states.py``. The intent is on disk before the command is
+sent to the executor, and the result before the answer is sent. So after a restart there is a record of each execution,
+and of each answer that was sent. Times are Unix ms.
 """
 
 from __future__ import annotations
@@ -20,27 +20,27 @@
 
 
 class DurableRecord(msgspec.Struct, frozen=True):
-    """What is stored of one key."""
+    """Stored record of one key."""
 
     state: KeyState
-    incarnation: int  # of the host, in which this was written
-    created_at_ms: float  # of the attempt that is executed
-    expires_at_ms: float  # end of the window, which counts from ``created_at_ms``
+    incarnation: int  # of the host that wrote the record
+    created_at_ms: float  # creation time of the executed attempt
+    expires_at_ms: float  # end of the idempotency window, which starts at ``created_at_ms``
     request_digest: bytes
-    result: bytes | None = None  # None: not known, or evicted
+    result: bytes | None = None  # None if unknown or evicted
 
 
 class IncarnationError(KeyLifecycleError):
-    """An unfinished record was written by the incarnation that recovers, or a later one."""
+    """An unfinished record was written by the incarnation that recovers it, or by a later one."""
 
     def __init__(self, recorded: int, recovering: int) -> None:
-        super().__init__(f"a record of incarnation {recorded} was found by incarnation {recovering}")
+        super().__init__(f"unfinished record of incarnation {recorded}, expected one before {recovering}")
         self.recorded = recorded
         self.recovering = recovering
 
 
 def decide(record: DurableRecord | None, request_digest: bytes, now_ms: float) -> Verdict:
-    """Return the verdict for an attempt that arrives now: any but ``WAIT`` and ``REJECT``."""
+    """Return the verdict for an attempt that arrives now; never ``WAIT`` or ``REJECT``."""
     if record is None or now_ms >= record.expires_at_ms:
         return Verdict.RUN
     if request_digest != record.request_digest:
@@ -60,10 +60,10 @@
     window_ms: float,
     now_ms: float,
 ) -> DurableRecord:
-    """Return the record to be stored before the command leaves, where the verdict was ``RUN``.
+    """Return the record to store before the command of an attempt with the verdict ``RUN`` is sent.
 
-    A ``created_at_ms`` in the future counts as now: a client's clock that is an hour ahead would otherwise hold the key
-    for an hour. Raises ``InvalidTransitionError`` where there is a record whose window has not ended.
+    A ``created_at_ms`` in the future counts as now. Otherwise a client whose clock is an hour ahead would block the key
+    for an additional hour. Raises ``InvalidTransitionError`` if the window of an existing record has not ended.
     """
     if record is not None and now_ms < record.expires_at_ms:
         raise InvalidTransitionError(record.state, KeyEvent.INTEND)
@@ -72,36 +72,36 @@
 
 
 def start(record: DurableRecord) -> DurableRecord:
-    """Return the record once its command leaves; it need not be stored, as recovery treats both states alike."""
-    return _after(record, KeyEvent.START)
+    """Return the record after its command is sent. It need not be stored, as recovery treats both states alike."""
+    return _apply_event(record, KeyEvent.START)
 
 
 def withdraw(record: DurableRecord) -> None:
-    """Check that a record may be deleted because its command will never leave."""
+    """Check that a record may be deleted because its command will never be sent."""
     next_state(record.state, KeyEvent.WITHDRAW)
 
 
 def complete(record: DurableRecord, result: bytes) -> DurableRecord:
-    """Return the record with its result, to be stored before the answer leaves."""
-    return msgspec.structs.replace(_after(record, KeyEvent.COMPLETE), result=result)
+    """Return the record with its result, to be stored before the answer is sent."""
+    return msgspec.structs.replace(_apply_event(record, KeyEvent.COMPLETE), result=result)
 
 
 def fail(record: DurableRecord) -> DurableRecord:
     """Return the record of an execution that failed or whose outcome is unknown."""
-    return _after(record, KeyEvent.FAIL)
+    return _apply_event(record, KeyEvent.FAIL)
 
 
 def resolve(record: DurableRecord, result: bytes) -> DurableRecord:
-    """Return a record of unknown outcome whose result became known."""
-    return msgspec.structs.replace(_after(record, KeyEvent.RESOLVE), result=result)
+    """Return a record of unknown outcome with its result, which became known later."""
+    return msgspec.structs.replace(_apply_event(record, KeyEvent.RESOLVE), result=result)
 
 
 def recover(record: DurableRecord, incarnation: int, now_ms: float) -> DurableRecord | None:
-    """Return what a new incarnation makes of a stored record; None where its window has ended.
+    """Return a stored record as a new incarnation of the host must treat it; None if its window has ended.
 
-    A stored intent may have been sent, so its outcome is unknown. The result may still become known from a notice that
-    was not read; until then its attempts fail. Raises ``IncarnationError`` for an unfinished record of this incarnation
-    or a later one.
+    The command of a stored intent may have been sent, so its outcome is unknown. A notice that was not read yet may
+    still bring the result; until then attempts with this key fail. Raises ``IncarnationError`` for an unfinished record
+    of this incarnation or a later one.
     """
     if now_ms >= record.expires_at_ms:
         return None
@@ -109,8 +109,8 @@
         return record
     if record.incarnation >= incarnation:
         raise IncarnationError(record.incarnation, incarnation)
-    return _after(record, KeyEvent.LOSE_OUTCOME)
+    return _apply_event(record, KeyEvent.LOSE_OUTCOME)
 
 
-def _after(record: DurableRecord, event: KeyEvent) -> DurableRecord:
+def _apply_event(record: DurableRecord, event: KeyEvent) -> DurableRecord:
     return msgspec.structs.replace(record, state=next_state(record.state, event))
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -1,4 +1,4 @@
-"""Durable idempotency records: states, storage budget, write admission, and the store through kills and disk faults."""
+"""Durable idempotency records: states, storage budget, write admission, and the store under kills and disk faults."""
 
 import os
 import random
@@ -17,13 +17,13 @@
 from lapispick.durable.write_admission import DiskHealth, WriteAdmission, WriteDecision
 from lapispick.idempotency.states import InvalidTransitionError, KeyState, Verdict
 
-WINDOW = 14_286.0
+WINDOW_MS = 14_286.0
 
 
-def stored(state=KeyState.COMPLETED, incarnation=1, created_at_ms=0.0, expires_at_ms=WINDOW, result=b"r"):
-    """Return a record as it is stored; only a completed one has a result."""
-    stored_result = result if state is KeyState.COMPLETED else None
-    return DurableRecord(state, incarnation, created_at_ms, expires_at_ms, b"body", stored_result)
+def make_record(state=KeyState.COMPLETED, incarnation=1, created_at_ms=0.0, expires_at_ms=WINDOW_MS, result=b"r"):
+    """Return a record; only a completed one has a result."""
+    known_result = result if state is KeyState.COMPLETED else None
+    return DurableRecord(state, incarnation, created_at_ms, expires_at_ms, b"body", known_result)
 
 
 @pytest.mark.parametrize(
@@ -36,50 +36,50 @@
         (KeyState.OUTCOME_UNKNOWN, Verdict.FAIL),
     ],
 )
-def test_the_verdict_for_an_attempt_follows_from_the_state(state, expected):
-    record = stored(state)
+def test_the_verdict_for_an_attempt_depends_on_the_state_of_its_key(state, expected):
+    record = make_record(state)
     assert records.decide(record, b"body", 5.0) is expected
     assert records.decide(record, b"another", 5.0) is Verdict.MISMATCH
-    assert records.decide(record, b"body", WINDOW) is Verdict.RUN
+    assert records.decide(record, b"body", WINDOW_MS) is Verdict.RUN
     assert records.decide(None, b"body", 5.0) is Verdict.RUN
 
 
-def test_an_attempt_fails_and_never_runs_where_the_result_was_evicted():
-    assert records.decide(stored(result=None), b"body", 5.0) is Verdict.FAIL
+def test_an_attempt_fails_and_is_not_executed_if_the_result_was_evicted():
+    assert records.decide(make_record(result=None), b"body", 5.0) is Verdict.FAIL
 
 
-def test_a_window_counts_from_creation_and_is_not_extended_by_a_clock_ahead():
-    assert records.intend(None, 1, b"", 100.0, WINDOW, 300.0).expires_at_ms == 100.0 + WINDOW
-    assert records.intend(None, 1, b"", 1e9, WINDOW, 300.0).expires_at_ms == 300.0 + WINDOW
+def test_a_window_starts_at_creation_and_is_not_extended_by_a_clock_ahead():
+    assert records.intend(None, 1, b"", 100.0, WINDOW_MS, 300.0).expires_at_ms == 100.0 + WINDOW_MS
+    assert records.intend(None, 1, b"", 1e9, WINDOW_MS, 300.0).expires_at_ms == 300.0 + WINDOW_MS
 
 
-def test_transitions_out_of_order_are_errors():
-    for step in (
-        lambda: records.complete(stored(KeyState.INTENDED), b""),
-        lambda: records.fail(stored(KeyState.OUTCOME_UNKNOWN)),
-        lambda: records.start(stored(KeyState.STARTED)),
-        lambda: records.withdraw(stored(KeyState.STARTED)),
-        lambda: records.intend(stored(KeyState.FAILED), 1, b"", 0.0, WINDOW, 5.0),
-        lambda: records.resolve(stored(), b""),
+def test_transitions_out_of_order_raise_errors():
+    for transition in (
+        lambda: records.complete(make_record(KeyState.INTENDED), b""),
+        lambda: records.fail(make_record(KeyState.OUTCOME_UNKNOWN)),
+        lambda: records.start(make_record(KeyState.STARTED)),
+        lambda: records.withdraw(make_record(KeyState.STARTED)),
+        lambda: records.intend(make_record(KeyState.FAILED), 1, b"", 0.0, WINDOW_MS, 5.0),
+        lambda: records.resolve(make_record(), b""),
     ):
         with pytest.raises(InvalidTransitionError):
-            step()
+            transition()
     with pytest.raises(IncarnationError):
-        records.recover(stored(KeyState.STARTED, incarnation=3), 3, 5.0)
+        records.recover(make_record(KeyState.STARTED, incarnation=3), 3, 5.0)
 
 
 def test_a_new_incarnation_marks_outcomes_unknown_and_drops_expired_records():
     for state in (KeyState.INTENDED, KeyState.STARTED):
-        unknown = records.recover(stored(state), 2, 5.0)
+        unknown = records.recover(make_record(state), 2, 5.0)
         assert unknown.state is KeyState.OUTCOME_UNKNOWN
         assert records.resolve(unknown, b"late").result == b"late"
     for state in (KeyState.COMPLETED, KeyState.FAILED, KeyState.OUTCOME_UNKNOWN):
-        assert records.recover(stored(state), 2, 5.0) == stored(state)
-    assert records.recover(stored(), 2, WINDOW) is None
+        assert records.recover(make_record(state), 2, 5.0) == make_record(state)
+    assert records.recover(make_record(), 2, WINDOW_MS) is None
 
 
 class CrashingHost:
-    """A host that may crash between any two of its steps; ``disk`` survives, ``executions`` is the executor's log."""
+    """Simulated host that may crash between any two steps. ``disk`` and ``executions`` survive, ``memory`` does not."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -87,21 +87,21 @@
         self.incarnation = 1
         self.disk = {}  # key -> record
         self.memory = {}  # key -> record
-        self.executions = {}  # key -> when the window of each execution ends
-        self.answered = {}  # key -> the result that was answered
+        self.executions = {}  # key -> ends of the windows of its executions, as the executor logs them
+        self.answered = {}  # key -> result of the answer that was sent
 
-    def crashes(self):
-        """Tell whether the host crashes here; it has recovered then."""
+    def maybe_crash(self):
+        """Return True if the host crashed here; it has then recovered already."""
         if self.rng.random() >= 0.1:
             return False
         self.incarnation += 1
-        recovered = {key: records.recover(each, self.incarnation, self.now) for key, each in self.disk.items()}
-        self.memory = {key: each for key, each in recovered.items() if each}
+        recovered = {key: records.recover(record, self.incarnation, self.now) for key, record in self.disk.items()}
+        self.memory = {key: record for key, record in recovered.items() if record}
         self.disk = dict(self.memory)
         return True
 
     def attempt(self, key):
-        """Take an attempt of a key, and carry it through unless the host crashes."""
+        """Receive an attempt with a key, and process it until the host crashes."""
         verdict = records.decide(self.memory.get(key), b"body", self.now)
         if verdict is Verdict.REPLAY:
             assert self.memory[key].result == self.answered.get(key, self.memory[key].result)
@@ -109,14 +109,14 @@
             assert key in self.executions or self.memory[key].state is not KeyState.COMPLETED
             return
         created_at_ms = self.now - self.rng.uniform(0, 500)
-        record = records.intend(self.memory.get(key), self.incarnation, b"body", created_at_ms, WINDOW, self.now)
+        record = records.intend(self.memory.get(key), self.incarnation, b"body", created_at_ms, WINDOW_MS, self.now)
         self.memory[key] = record
-        if self.crashes():  # the intent was lost with the process, and no command left
+        if self.maybe_crash():  # the intent was lost with the process, and no command was sent
             return
         self.disk[key] = record
-        if self.crashes():
+        if self.maybe_crash():
             return
-        if self.rng.random() < 0.1:  # its deadline passed first
+        if self.rng.random() < 0.1:  # the deadline passed before the command was sent
             records.withdraw(record)
             del self.memory[key]
             del self.disk[key]
@@ -126,27 +126,27 @@
         executions = self.executions.setdefault(key, [])
         assert not any(self.now < expires_at_ms for expires_at_ms in executions), "executed twice within the window"
         executions.append(record.expires_at_ms)
-        if not self.crashes():
+        if not self.maybe_crash():
             self.finish(key, record)
 
     def finish(self, key, record):
-        """End an execution with a result or a failure."""
+        """End an execution with a result or a failure, and answer unless the host crashes."""
         if self.rng.random() < 0.8:
             record = records.complete(record, b"%d" % self.rng.getrandbits(32))
         else:
             record = records.fail(record)
         self.memory[key] = record
-        if self.crashes():
+        if self.maybe_crash():
             return
         self.disk[key] = record
-        if self.crashes():
+        if self.maybe_crash():
             return
         if record.state is KeyState.COMPLETED:
             self.answered[key] = record.result
 
 
-@pytest.mark.parametrize("seeds", [range(at, at + 250) for at in range(0, 1000, 250)])
-def test_a_host_that_crashes_anywhere_executes_no_key_twice_and_repeats_its_answers(seeds):
+@pytest.mark.parametrize("seeds", [range(first, first + 250) for first in range(0, 1000, 250)])
+def test_a_host_that_crashes_at_any_step_executes_no_key_twice_and_repeats_its_answers(seeds):
     incarnations = 0
     for seed in seeds:
         host = CrashingHost(seed)
@@ -159,31 +159,31 @@
                     host.answered.pop(key, None)
             host.attempt(host.rng.randrange(6))
         incarnations += host.incarnation
-    assert incarnations > 1000  # there were crashes
+    assert incarnations > 1000  # hosts did crash
 
 
-def test_results_are_evicted_for_capacity_and_records_are_not():
+def test_results_are_evicted_when_storage_is_full_and_records_are_not():
     budget = StorageBudget(max_bytes=100 * RECORD_BYTES)
     for n in range(80):
         budget.add_record()
         budget.add_result(b"%d" % n, 150)
-    assert budget.records == 80
+    assert budget.record_count == 80
     assert budget.result_bytes + 80 * RECORD_BYTES <= budget.max_bytes
     assert b"0" not in budget.result_sizes  # the oldest was evicted
     assert b"79" in budget.result_sizes
     assert budget.add_result(b"huge", 51 * RECORD_BYTES) is None
-    assert b"79" in budget.result_sizes  # and none for one that can't be kept
+    assert b"79" in budget.result_sizes  # a result that is too large to be kept evicts no other
     while budget.admits_record():
         budget.add_record()
-    assert budget.records == 100
+    assert budget.record_count == 100
     assert budget.result_bytes == 0
     assert not budget.admits_record()
     budget.remove_record(b"5")
     assert budget.admits_record()
 
 
-def test_a_write_is_admitted_only_where_its_syncs_fit():
-    admission = WriteAdmission(allow_unguarded=False)
+def test_a_write_is_admitted_only_if_its_syncs_end_before_the_deadline():
+    admission = WriteAdmission(allow_unrecorded=False)
     now = 1000.0
     for _ in range(60):
         admission.on_sync_started(now)
@@ -191,7 +191,7 @@
     assert admission.decide(now, now + 200.0, 100.0) is WriteDecision.WRITE
     assert admission.decide(now, now + 105.0, 100.0) is WriteDecision.REJECT
     admission.on_sync_started(now)
-    # One that hangs: as long again, and its own.
+    # A sync that has hung for 500 ms may take as long again, and the write needs its own sync after it.
     assert admission.decide(now + 500.0, now + 1000.0, 100.0) is WriteDecision.REJECT
     assert admission.retry_after_ms(now + 500.0) >= 500.0
     admission.on_sync_completed(now + 500.0)
@@ -199,10 +199,10 @@
 
 
 @pytest.mark.parametrize(
-    ("allow_unguarded", "expected"), [(False, WriteDecision.REJECT), (True, WriteDecision.UNGUARDED)]
+    ("allow_unrecorded", "expected"), [(False, WriteDecision.REJECT), (True, WriteDecision.UNRECORDED)]
 )
-def test_a_failing_disk_is_retried_with_a_growing_backoff(allow_unguarded, expected):
-    admission = WriteAdmission(allow_unguarded)
+def test_a_failing_disk_is_retried_with_a_growing_backoff(allow_unrecorded, expected):
+    admission = WriteAdmission(allow_unrecorded)
     now = 0.0
     backoffs = []
     for _ in range(9):
@@ -223,40 +223,40 @@
 
 def test_the_store_loads_written_records_and_deletes_expired_ones(tmp_path):
     store = Database(tmp_path / "x.db", "n3")
-    written = {b"%d" % n: stored(list(KeyState)[n % 5], expires_at_ms=100.0 * n) for n in range(50)}
+    written = {b"%d" % n: make_record(list(KeyState)[n % 5], expires_at_ms=100.0 * n) for n in range(50)}
     store.write(written.items())
-    store.write([(b"7", None), (b"8", stored())])
+    store.write([(b"7", None), (b"8", make_record())])
     del written[b"7"]
-    written[b"8"] = stored()
+    written[b"8"] = make_record()
     store.close()
-    again = Database(tmp_path / "x.db", "n3")
-    assert dict(again.load()) == written
-    assert again.incarnation == 2
-    assert again.check() == []
-    assert again.expire(1000.0, 4) == 4
-    assert again.expire(1000.0, 100) == 5
-    assert {record.expires_at_ms for _, record in again.load()} >= {1100.0, WINDOW}
-    assert len(dict(again.load())) == 40
+    reopened = Database(tmp_path / "x.db", "n3")
+    assert dict(reopened.load()) == written
+    assert reopened.incarnation == 2
+    assert reopened.check_integrity() == []
+    assert reopened.expire(1000.0, 4) == 4
+    assert reopened.expire(1000.0, 100) == 5
+    assert {record.expires_at_ms for _, record in reopened.load()} >= {1100.0, WINDOW_MS}
+    assert len(dict(reopened.load())) == 40
 
 
-def test_a_later_incarnation_fences_the_one_before(tmp_path):
+def test_a_later_incarnation_fences_the_earlier_one(tmp_path):
     old = Database(tmp_path / "x.db", "n3")
-    old.write([(b"a", stored(KeyState.STARTED))])
+    old.write([(b"a", make_record(KeyState.STARTED))])
     new = Database(tmp_path / "x.db", "n3")
-    for write in (lambda: old.write([(b"a", stored())]), lambda: old.expire(1e9, 9)):
+    for write in (lambda: old.write([(b"a", make_record())]), lambda: old.expire(1e9, 9)):
         with pytest.raises(FencedError, match="incarnation 2"):
             write()
     assert dict(new.load())[b"a"].state is KeyState.STARTED
-    new.write([(b"a", stored())])
+    new.write([(b"a", make_record())])
 
 
 def test_files_of_another_host_version_or_format_are_rejected_with_the_reason(tmp_path):
     Database(tmp_path / "x.db", "n3").close()
-    with pytest.raises(StoreUnusableError, match="belongs to the host n3, not n4"):
+    with pytest.raises(StoreUnusableError, match="belongs to host n3, expected n4"):
         Database(tmp_path / "x.db", "n4")
     with sqlite3.connect(tmp_path / "x.db") as db:
         db.execute("update meta set value = 9 where name = 'version'")
-    with pytest.raises(StoreUnusableError, match="has version 9"):
+    with pytest.raises(StoreUnusableError, match="has schema version 9, expected 1 or older"):
         Database(tmp_path / "x.db", "n3")
     (tmp_path / "y.db").write_bytes(b"no database at all" * 500)
     with pytest.raises(StoreUnusableError, match="not a database"):
@@ -265,27 +265,27 @@
 
 def test_a_full_disk_fails_the_write_and_keeps_earlier_records(tmp_path):
     store = Database(tmp_path / "x.db", "n3")
-    store.write([(b"a", stored())])
+    store.write([(b"a", make_record())])
     limits = resource.getrlimit(resource.RLIMIT_FSIZE)
     size = sum(path.stat().st_size for path in tmp_path.iterdir())
     resource.setrlimit(resource.RLIMIT_FSIZE, (size + 8192, limits[1]))
     try:
         with pytest.raises(StoreWriteError) as raised:
-            store.write([(b"%d" % n, stored(result=b"x" * 4000)) for n in range(200)])
+            store.write([(b"%d" % n, make_record(result=b"x" * 4000)) for n in range(200)])
         assert not isinstance(raised.value, FencedError)
     finally:
         resource.setrlimit(resource.RLIMIT_FSIZE, limits)
-    store.write([(b"b", stored())])
+    store.write([(b"b", make_record())])
     assert set(dict(store.load())) == {b"a", b"b"}
-    assert store.check() == []
+    assert store.check_integrity() == []
 
 
-def test_a_batch_that_fails_in_the_middle_is_rolled_back_and_later_ones_are_written(tmp_path):
+def test_a_batch_that_fails_in_the_middle_is_rolled_back_and_later_batches_are_written(tmp_path):
     store = Database(tmp_path / "x.db", "n3")
     with pytest.raises(StoreWriteError):
-        store.write([(b"a", stored()), (b"b", stored(result=object()))])
+        store.write([(b"a", make_record()), (b"b", make_record(result=object()))])
     assert not dict(store.load())
-    store.write([(b"c", stored())])
+    store.write([(b"c", make_record())])
     assert set(dict(store.load())) == {b"c"}
 
 
@@ -303,7 +303,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_written_batches_survive_a_kill_completely(tmp_path, seed):
+def test_batches_that_were_written_are_complete_after_a_kill(tmp_path, seed):
     print("seed", seed)
     kill_after = random.Random(seed).randrange(1, 120)
     process = subprocess.Popen([sys.executable, "-c", WRITER, str(tmp_path / "x.db")], stdout=subprocess.PIPE)
@@ -314,10 +314,10 @@
     last_reported = max([last_reported, *map(int, process.stdout.read().split(b"\n")[:-1])])
     process.wait()
     store = Database(tmp_path / "x.db", "n3")
-    found = dict(store.load())
+    loaded = dict(store.load())
     for n in range(last_reported + 1):
-        assert {b"%d.%d" % (n, k) for k in range(3)} <= set(found)
-    assert len(found) in (3 * (last_reported + 1), 3 * (last_reported + 2))
-    assert store.check() == []
-    recovered = [records.recover(record, store.incarnation, 5.0) for record in found.values()]
+        assert {b"%d.%d" % (n, k) for k in range(3)} <= set(loaded)
+    assert len(loaded) in (3 * (last_reported + 1), 3 * (last_reported + 2))
+    assert store.check_integrity() == []
+    recovered = [records.recover(record, store.incarnation, 5.0) for record in loaded.values()]
     assert {record.state for record in recovered} == {KeyState.OUTCOME_UNKNOWN}
