--- a/lapispick/shares/__init__.py
+++ b/lapispick/shares/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions that each host makes alone from the same lists: which backends each of them uses."""
+"""Assignment of backends to worker hosts. Each host computes the same assignment from the same lists."""
--- a/lapispick/shares/load_fractions.py
+++ b/lapispick/shares/load_fractions.py
@@ -1,4 +1,4 @@
-"""Divides each host's load over its backends, so that backends are loaded in proportion to their weights. No I/O."""
+"""Splits each host's load over its backends so that backend loads are proportional to their weights. No I/O."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 from lapispick.shares.subsets import Assignment, Backend, Host
 
-FITTING_ROUNDS = 60  # after these, loads are within 1 % of the target where the assignment allows it
+FITTING_ROUNDS = 60  # enough to bring loads within 1 % of their targets where the assignment allows it
 
 LoadFractions = dict[str, dict[str, float]]  # host -> backend -> fraction of the host's load
 
 
 def load_fractions(hosts: Iterable[Host], backends: Iterable[Backend], assignment: Assignment) -> LoadFractions:
-    """Return which fraction of its load each host gives to each of its backends; those of a host sum to 1.
+    """Return the fraction of its load that each host sends to each of its backends. The fractions of a host sum to 1.
 
-    Iterative proportional fitting (Deming, Stephan, 1940).
+    The method is iterative proportional fitting (Deming, Stephan, 1940).
     """
     host_weights = {host.name: host.weight for host in hosts}
     target_loads = _target_loads(host_weights, backends, assignment)
@@ -27,7 +27,7 @@
 
 
 def backend_loads(hosts: Iterable[Host], fractions: Mapping[str, Mapping[str, float]]) -> dict[str, float]:
-    """Return the load of each backend where each host has a load of its weight."""
+    """Return the load of each backend if the load of each host equals its weight."""
     loads = Counter[str]()
     for host in hosts:
         for backend, fraction in fractions.get(host.name, {}).items():
@@ -38,7 +38,7 @@
 def _target_loads(
     host_weights: Mapping[str, float], backends: Iterable[Backend], assignment: Assignment
 ) -> dict[str, float]:
-    """Return the load that each used backend should have."""
+    """Return the target load of each backend that some host uses."""
     backend_weights = {backend.name: backend.weight for backend in backends}
     used = {backend for host in host_weights for backend in assignment.get(host, ())}
     total_load = sum(weight for host, weight in host_weights.items() if assignment.get(host))
@@ -47,7 +47,7 @@
 
 
 def _fit_hosts(loads: LoadFractions, host_weights: Mapping[str, float]) -> None:
-    """Scale the loads of each host to its weight."""
+    """Scale the loads of each host so that they sum to its weight."""
     for host, row in loads.items():
         scale = host_weights[host] / sum(row.values()) if row else 0.0
         for backend in row:
@@ -55,10 +55,10 @@
 
 
 def _fit_backends(loads: LoadFractions, target_loads: Mapping[str, float]) -> None:
-    """Scale the loads of each backend to its target."""
-    present_loads = Counter[str]()
+    """Scale the loads of each backend so that they sum to its target."""
+    current_loads = Counter[str]()
     for row in loads.values():
-        present_loads.update(row)
+        current_loads.update(row)
     for row in loads.values():
         for backend in row:
-            row[backend] *= target_loads[backend] / present_loads[backend]
+            row[backend] *= target_loads[backend] / current_loads[backend]
--- a/lapispick/shares/subsets.py
+++ b/lapispick/shares/subsets.py
@@ -1,16 +1,16 @@
 """Assigns each of N hosts a subset of M backends. Every host computes the same assignment from the lists alone. No I/O.
 
-Rendezvous hashing (Thaler, Ravishankar, 1998) with bounds on both sides (after Mirrokni, Thorup, Zadimoghaddam, 2018):
-the pairs of a host and a backend are visited by descending score, a digest of both names. A pair is assigned where the
-backend still requires a host, the host has capacity left, and the backend has not reached its limit of hosts in that
-zone. When a host joins or leaves, only its own pairs change, and the short chains that follow from hosts at capacity.
-
-- Each backend has exactly as many hosts as it requires, or all of them. A host that would be left without a backend
-  gets one more, from those with the fewest hosts.
-- The capacity of a host is in proportion to its weight, with ``CAPACITY_SLACK_RATIO`` on top, which keeps the chains
-  short.
-- The hosts of a backend are spread over as many zones as there are, as evenly as their number allows.
-- Where these limits would leave a backend short, zone limits are dropped first, then capacities.
+The algorithm is rendezvous hashing (Thaler, Ravishankar, 1998) with bounds on both sides (after Mirrokni, Thorup,
+Zadimoghaddam, 2018). Pairs of a host and a backend are visited by descending score, which is a digest of both names. A
+pair is assigned if the backend still requires a host, the host has capacity left, and the backend has not reached its
+limit of hosts in the zone of the host. When a host joins or leaves, only its own pairs change, and a short chain of
+other pairs if some hosts are at capacity.
+
+- Each backend has exactly as many hosts as it requires, or all hosts if there are fewer. A host that would have no
+  backend is assigned to one with the fewest hosts, which may then have more hosts than it requires.
+- The capacity of a host is proportional to its weight, plus ``CAPACITY_SLACK_RATIO``, which keeps the chains short.
+- The hosts of a backend are spread over all zones as evenly as their number allows.
+- If these limits would leave a backend with too few hosts, zone limits are dropped first, then capacities.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
 from lapispick.digests import blake2b
 
-CAPACITY_SLACK_RATIO = 0.25  # over a host's proportional part of all required pairs
+CAPACITY_SLACK_RATIO = 0.25  # capacity above a host's proportional part of all required pairs
 SCORE_BYTES = 8
 
 
 class Host(NamedTuple):
-    """A worker host."""
+    """Worker host."""
 
     name: str
     zone: str = ""
@@ -35,14 +35,14 @@
 
 
 class Backend(NamedTuple):
-    """Something that hosts use: a broker, an address of a store."""
+    """Server that hosts use: a broker, or an address of a store."""
 
     name: str
     weight: float = 1.0
 
 
 class ScoredPair(NamedTuple):
-    """A host and a backend, by name, with the score of the pair."""
+    """Names of a host and a backend, with the score of the pair."""
 
     score: int
     host: str
@@ -50,7 +50,7 @@
 
 
 class BackendRank(NamedTuple):
-    """The place of a host in the order in which a backend prefers hosts, from 1, and how many hosts it requires."""
+    """Place of a host, counted from 1, among all hosts by their score for a backend; and the hosts that it requires."""
 
     backend: str
     place: int
@@ -61,24 +61,27 @@
 
 
 def pair_score(host: str, backend: str) -> int:
-    """Return the score of a pair, which is the same on every host."""
+    """Return the score of a pair. Every host computes the same score."""
     return int.from_bytes(blake2b(f"{host}\0{backend}".encode(), digest_size=SCORE_BYTES).digest())
 
 
 def required_hosts(backends: Iterable[Backend], host_count: int, min_hosts: int) -> dict[str, int]:
-    """Return how many hosts each backend requires: ``min_hosts`` for the lightest, in proportion to weight."""
-    known = list(backends)
-    lightest = min((backend.weight for backend in known), default=1.0)
-    return {backend.name: min(host_count, round(min_hosts * backend.weight / lightest)) for backend in known}
+    """Return how many hosts each backend requires.
+
+    The backend with the lowest weight requires ``min_hosts``, and the others more in proportion to their weights.
+    """
+    backend_list = list(backends)
+    min_weight = min((backend.weight for backend in backend_list), default=1.0)
+    return {backend.name: min(host_count, round(min_hosts * backend.weight / min_weight)) for backend in backend_list}
 
 
 def host_capacities(hosts: Iterable[Host], required_pairs: int, backend_count: int) -> dict[str, int]:
-    """Return how many backends each host takes at most."""
-    known = list(hosts)
-    total_weight = sum(host.weight for host in known)
+    """Return the maximum number of backends of each host."""
+    host_list = list(hosts)
+    total_weight = sum(host.weight for host in host_list)
     return {
         host.name: min(backend_count, ceil(required_pairs * host.weight / total_weight * (1 + CAPACITY_SLACK_RATIO)))
-        for host in known
+        for host in host_list
     }
 
 
@@ -87,8 +90,8 @@
 ) -> Assignment:
     """Return the backends of each host.
 
-    Each backend has ``min_hosts`` hosts or more, and each host has ``min_backends`` backends or more, as far as there
-    are so many.
+    Each backend has at least ``min_hosts`` hosts, or all hosts if there are fewer. Each host has at least
+    ``min_backends`` backends, or all backends if there are fewer.
     """
     hosts_by_name = {host.name: host for host in hosts}
     backends_by_name = {backend.name: backend for backend in backends}
@@ -110,23 +113,23 @@
 
 
 class _AssignmentBuilder:
-    """The pairs that are assigned so far."""
+    """Assignment under construction."""
 
     def __init__(self, hosts: Mapping[str, Host], required: Mapping[str, int], capacities: Mapping[str, int]) -> None:
         self._hosts = hosts
         self._required = required
-        self._missing = dict(required)  # backend -> hosts that it still requires
+        self._missing_hosts = dict(required)  # backend -> number of hosts that it still requires
         self._capacities = capacities
         self._backends_of: dict[str, set[str]] = {name: set() for name in hosts}
-        self._hosts_in_zone: Counter[tuple[str, str]] = Counter()  # by backend and zone
+        self._hosts_in_zone: Counter[tuple[str, str]] = Counter()  # by (backend, zone)
         self._host_count: Counter[str] = Counter()  # by backend
 
     def assignment(self) -> Assignment:
-        """Return what is assigned, in the order of names."""
+        """Return the assignment, sorted by name."""
         return {host: tuple(sorted(self._backends_of[host])) for host in sorted(self._backends_of)}
 
     def assign_required(self, pairs: Iterable[ScoredPair]) -> None:
-        """Assign the hosts that backends require, dropping limits one by one where a backend would be left short."""
+        """Assign the hosts that backends require, dropping limits one by one while a backend has too few hosts."""
         zone_count = len({host.zone for host in self._hosts.values()})
         even_limits = {name: max(1, count // zone_count) for name, count in self._required.items()}
         rounded_up_limits = {name: ceil(count / zone_count) for name, count in self._required.items()}
@@ -136,37 +139,37 @@
         self._assign(pairs, None, limit_capacity=False)
 
     def assign_minimum(self, host: str, min_backends: int) -> None:
-        """Give a host at least so many backends: those with the fewest hosts, then by score."""
+        """Assign a host at least ``min_backends`` backends, those with the fewest hosts first, then by score."""
         assigned = self._backends_of[host]
         while len(assigned) < min_backends:
-            others = [backend for backend in self._missing if backend not in assigned]
-            backend = min(others, key=lambda name: (self._host_count[name], -pair_score(host, name)))
+            candidates = [backend for backend in self._missing_hosts if backend not in assigned]
+            backend = min(candidates, key=lambda name: (self._host_count[name], -pair_score(host, name)))
             assigned.add(backend)
             self._host_count[backend] += 1
 
     def _assign(
         self, pairs: Iterable[ScoredPair], zone_limits: Mapping[str, int] | None, limit_capacity: bool = True
     ) -> None:
-        """Assign pairs in their order; ``zone_limits`` bounds the hosts of one zone for each backend."""
-        if not any(self._missing.values()):
+        """Assign pairs in their order; ``zone_limits`` are the most hosts of one zone for each backend."""
+        if not any(self._missing_hosts.values()):
             return
         for _, host, backend in pairs:
             zone = self._hosts[host].zone
             assigned = self._backends_of[host]
-            if not self._missing[backend] or backend in assigned:
+            if not self._missing_hosts[backend] or backend in assigned:
                 continue
             if limit_capacity and len(assigned) >= self._capacities[host]:
                 continue
             if zone_limits is not None and self._hosts_in_zone[backend, zone] >= zone_limits[backend]:
                 continue
             assigned.add(backend)
-            self._missing[backend] -= 1
+            self._missing_hosts[backend] -= 1
             self._host_count[backend] += 1
             self._hosts_in_zone[backend, zone] += 1
 
 
 class AssignmentChange(NamedTuple):
-    """The difference of two assignments: (host, backend) pairs, and the least number of pairs that had to be added."""
+    """Difference of two assignments in (host, backend) pairs, and the least number of pairs that had to be added."""
 
     removed: tuple[tuple[str, str], ...]
     added: tuple[tuple[str, str], ...]
@@ -179,7 +182,7 @@
     new_pairs = _pairs_of(new)
     old_counts = Counter(backend for _, backend in old_pairs)
     new_counts = Counter(backend for _, backend in new_pairs)
-    # Pairs of removed hosts must be replaced, as far as the backend still has as many hosts.
+    # Pairs of removed hosts must be replaced, up to the number of hosts of the backend in the new assignment.
     lost_counts = Counter(backend for host, backend in old_pairs if host not in new)
     min_added = sum(max(0, count - (old_counts[name] - lost_counts[name])) for name, count in new_counts.items())
     return AssignmentChange(tuple(sorted(old_pairs - new_pairs)), tuple(sorted(new_pairs - old_pairs)), min_added)
@@ -192,12 +195,12 @@
 def explain_assignment(
     host: str, hosts: Sequence[Host], backends: Sequence[Backend], min_hosts: int
 ) -> list[BackendRank]:
-    """Return for each backend of a host why it has it."""
+    """Return the rank of a host for each of its backends, which explains the assignment."""
     assigned = assign_backends(hosts, backends, min_hosts).get(host, ())
     required = required_hosts(backends, len(hosts), min_hosts)
     ranks = []
     for backend in assigned:
         own_score = pair_score(host, backend)
-        better_hosts = sum(pair_score(other.name, backend) > own_score for other in hosts)
-        ranks.append(BackendRank(backend, 1 + better_hosts, required[backend]))
+        hosts_ahead = sum(pair_score(other.name, backend) > own_score for other in hosts)
+        ranks.append(BackendRank(backend, 1 + hosts_ahead, required[backend]))
     return ranks
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -1,4 +1,4 @@
-"""Subsets: every host computes the same assignment, no backend is left without a host, changes move few pairs."""
+"""Subsets: every host computes the same assignment, each backend has a host, and changes move few pairs."""
 
 import json
 import random
@@ -55,18 +55,19 @@
     if total_capacity >= 2 * sum(required.values()) + len(backends):
         for host in hosts:
             assert len(assignment[host.name]) <= capacities[host.name]
-    shuffled = list(hosts), list(backends)
-    for each in shuffled:
-        rng.shuffle(each)
-    assert assign_backends(*shuffled, min_hosts, min_backends=0) == assignment
+    shuffled_hosts = list(hosts)
+    shuffled_backends = list(backends)
+    rng.shuffle(shuffled_hosts)
+    rng.shuffle(shuffled_backends)
+    assert assign_backends(shuffled_hosts, shuffled_backends, min_hosts, min_backends=0) == assignment
     assignment = assign_backends(hosts, backends, min_hosts)
-    assert assign_backends(*shuffled, min_hosts) == assignment
+    assert assign_backends(shuffled_hosts, shuffled_backends, min_hosts) == assignment
     assert all(assignment.values())
     for backend in backends:
         assert len(hosts_of(assignment, backend.name)) >= required[backend.name]
-    for row in load_fractions(hosts, backends, assignment).values():
-        if row:
-            assert sum(row.values()) == pytest.approx(1, abs=1e-9, rel=0)
+    for fractions in load_fractions(hosts, backends, assignment).values():
+        if fractions:
+            assert sum(fractions.values()) == pytest.approx(1, abs=1e-9, rel=0)
 
 
 @pytest.mark.parametrize(
@@ -102,13 +103,13 @@
         assert len(change.added) <= 12 < len(hosts_of(before, removed.name)) * 3
 
 
-def test_two_lists_at_once_leave_each_backend_between_one_and_twice_its_hosts():
+def test_while_hosts_use_two_lists_each_backend_has_at_least_one_and_at_most_twice_its_hosts():
     hosts = make_hosts([("a", 1.0)] * 12)
     backends = make_backends([1.0] * 8)
     old = assign_backends(hosts[:10], backends, 3)
     new = assign_backends(hosts[2:], backends, 3)
     rng = random.Random(4)
-    for _ in range(200):  # each host has the one list or the other
+    for _ in range(200):  # each host uses either the old or the new list
         mixed = {host.name: (old if rng.random() < 0.5 else new).get(host.name, ()) for host in hosts}
         host_counts = [len(hosts_of(mixed, backend.name)) for backend in backends]
         assert min(host_counts) >= 1, host_counts
@@ -117,7 +118,7 @@
 
 @pytest.fixture
 def invoke(tmp_path):
-    """Return what runs a sub-command of ``shares`` on lists of twelve hosts and eight brokers."""
+    """Return a function that runs a subcommand of ``shares`` on lists of twelve hosts and eight brokers."""
     hosts = "".join(f"disp-{n:02},z{n % 3},10.0.0.{n}\n" for n in range(1, 13))
     (tmp_path / "boxes.csv").write_text(f"host,lapispick_zone,ansible_host\n{hosts}")
     brokers = "".join(f"broker-{n},q,10.0.1.{n}\n" for n in range(1, 9))
@@ -130,15 +131,15 @@
 
 
 def test_the_commands_show_a_subset_and_what_a_change_would_move(invoke):
-    shown = json.loads(invoke("subset", "disp-04", "--json").output)
-    assert shown["backends"]
-    assert all(1 <= rank["place"] <= 12 for rank in shown["backends"])
+    subset = json.loads(invoke("subset", "disp-04", "--json").output)
+    assert subset["backends"]
+    assert all(1 <= rank["place"] <= 12 for rank in subset["backends"])
     change = json.loads(invoke("what-if", "--without", "disp-04", "--json").output)
-    assert change["needed"] == len(shown["backends"])
+    assert change["needed"] == len(subset["backends"])
     assert change["needed"] <= len(change["begun"])
-    grown = json.loads(invoke("what-if", "--boxes", "24", "--json").output)
-    assert grown["hosts"] == 24
-    assert grown["least"] >= 3
+    larger_fleet = json.loads(invoke("what-if", "--boxes", "24", "--json").output)
+    assert larger_fleet["hosts"] == 24
+    assert larger_fleet["least"] >= 3
     assert invoke("subset", "nobody").exit_code == 2
     assert invoke("what-if").exit_code == 2
     assert "broker-" in invoke("show").output
