--- a/lapispick/host/members/anti_entropy.py
+++ b/lapispick/host/members/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Anti-entropy: members exchange their complete states over streams, a line in each direction."""
+"""Anti-entropy: members exchange their complete states over streams, one line in each direction."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 LOG = "members"
 STREAM_TIMEOUT_S = 3.0  # for one exchange
 MAX_INCOMING_STREAMS = 4
-MAX_FIRST_SYNC_S = 1.0
+MAX_FIRST_SYNC_DELAY_S = 1.0
 FLUSH_INTERVAL_S = 0.01
 ACCEPT_RETRY_S = 0.01
 
 
 class AntiEntropy:
-    """Exchanges states with one member each ``interval_s``, and answers others."""
+    """Exchanges states with one random member every ``interval_s``, and answers the exchanges of other members."""
 
     def __init__(
         self, loop: EventLoop, local: LocalMember, counters: TransportCounters, interval_s: float, max_state_bytes: int
@@ -36,14 +36,14 @@
         self._interval_s = interval_s
         self._max_state_bytes = max_state_bytes
         self._listener: socket.socket | None = None
-        self._incoming = 0
+        self._incoming_streams = 0
 
     def attach(self, listener: socket.socket) -> None:
-        """Use a listening socket."""
+        """Set the listening socket that ``serve`` accepts streams on."""
         self._listener = listener
 
     def serve(self) -> None:
-        """Accept streams for ever."""
+        """Accept streams; never returns."""
         assert self._listener is not None
         while True:
             if self._loop.wait_for_io(self._listener.fileno(), READ):
@@ -51,20 +51,20 @@
 
     def _accept(self, listener: socket.socket) -> None:
         try:
-            accepted, source = listener.accept()
+            connection, source = listener.accept()
         except OSError:
             self._loop.sleep(ACCEPT_RETRY_S)
             return
         known_ips = {address.ip for address in self._local.directory.addresses.values()}
-        if self._incoming >= MAX_INCOMING_STREAMS or source[0] not in known_ips:
-            accepted.close()
+        if self._incoming_streams >= MAX_INCOMING_STREAMS or source[0] not in known_ips:
+            connection.close()
             self._counters.reject(TransportReject.STREAM_LIMIT)
             return
-        self._incoming += 1
-        stream = Stream(self._loop, accepted, self._max_state_bytes, self._max_state_bytes)
-        self._loop.spawn(self._answer, stream, source[0])
+        self._incoming_streams += 1
+        stream = Stream(self._loop, connection, self._max_state_bytes, self._max_state_bytes)
+        self._loop.spawn(self._answer_stream, stream, source[0])
 
-    def _answer(self, stream: Stream, ip: str) -> None:
+    def _answer_stream(self, stream: Stream, ip: str) -> None:
         timeout = self._loop.call_later(STREAM_TIMEOUT_S, stream.close)
         try:
             line = stream.read_line()
@@ -77,13 +77,13 @@
             self._counters.reject(TransportReject.INVALID)
         finally:
             timeout.cancel()
-            self._incoming -= 1
+            self._incoming_streams -= 1
             stream.close_gracefully()
 
     def sync_periodically(self) -> None:
-        """Exchange states for ever, first soon after the start."""
+        """Exchange states periodically, the first time soon after the start; never returns."""
         rng = self._local.rng
-        wait = min(MAX_FIRST_SYNC_S, self._interval_s / 4) * (0.5 + rng.random())
+        wait = min(MAX_FIRST_SYNC_DELAY_S, self._interval_s / 4) * (0.5 + rng.random())
         while True:
             self._loop.sleep(wait)
             wait = jitter.period(self._interval_s, rng.random())
--- a/lapispick/host/members/assembly.py
+++ b/lapispick/host/members/assembly.py
@@ -1,4 +1,4 @@
-"""Assembles the membership service of a worker host, and the facts that it gossips about this host."""
+"""Assembly of the membership service of a worker host, and of the facts that it gossips about this host."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from lapispick.host.scheduler import EventLoop
 from lapispick.host.store import StoreClient
 
-MAX_STATE_FRACTION = 4  # the bytes that may wait for slow readers over those of one complete state
+MAX_UNSENT_STATES = 4  # complete states that fit into the bytes that may wait for a slow reader
 
 
 class HostFacts:
-    """What the other members are notified of about this worker host."""
+    """Facts about this worker host that are gossiped to the other members."""
 
     def __init__(self, config: Config, core: Core, store_watch: StoreWatch) -> None:
         self._config = config
@@ -26,7 +26,7 @@
         self._store_watch = store_watch
 
     def collect(self) -> list[tuple[str, str, float, int, str]]:
-        """Return the present facts: kind, subject, value, sample count and text of each."""
+        """Return the current facts as tuples of kind, subject, value, sample count and text."""
         health = self._core.health.state
         load = round(self._core.unanswered / max(1, self._config.limits.max_open_requests), 2)
         facts = [
@@ -44,7 +44,7 @@
 def make_members_service(
     loop: EventLoop, config: Config, operator_settings: Settings, core: Core, store: StoreClient
 ) -> MembersService:
-    """Return the service, which is not started yet; from here on it observes the store client's calls."""
+    """Return the service, not yet started. It observes the store client's calls from now on."""
     store_watch = StoreWatch(core.post)
     store.post = store_watch.post
     fleet = operator_settings.fleet
@@ -56,5 +56,5 @@
         config.name,
         config.seed_number,
         HostFacts(config, core, store_watch).collect,
-        config.limits.max_unsent_bytes // MAX_STATE_FRACTION,
+        config.limits.max_unsent_bytes // MAX_UNSENT_STATES,
     )
--- a/lapispick/host/members/directory.py
+++ b/lapispick/host/members/directory.py
@@ -1,4 +1,4 @@
-"""The accepted list of members, with their addresses."""
+"""Accepted list of members, with their addresses."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 
 
 class Address(NamedTuple):
-    """Where a member sends from and receives."""
+    """Address that a member sends from and receives at."""
 
     ip: str
     port: int
 
 
 class AcceptedList(NamedTuple):
-    """The members' names in order, and what identifies them."""
+    """Sorted names of the members, and a digest that identifies them."""
 
     names: tuple[str, ...]
     digest: str
 
 
 class MemberDirectory:
-    """Follows the inventory: who the members are, and where. ``on_change`` is called with each accepted list."""
+    """Tracks the members and their addresses in the inventory. Calls ``on_change`` with each accepted list."""
 
     def __init__(
         self, loop: EventLoop, settings: InventorySettings, name: str, on_change: Callable[[AcceptedList], None]
@@ -53,35 +53,35 @@
         self._inventory = Inventory(loop, settings, hosts.SCHEMA, self.accept)
 
     def serve(self) -> None:
-        """Follow the list for ever."""
+        """Follow the inventory; never returns."""
         self._inventory.serve()
 
     def is_listed(self) -> bool:
-        """Tell whether the accepted list names this host."""
+        """Return True if the accepted list names this host."""
         return self.name in self.workers
 
     def accept(self, snapshot: Snapshot, _difference: Difference) -> None:
-        """Take a list that the inventory accepted."""
-        found, faults = hosts.workers(snapshot.hosts.values())
+        """Use a list that the inventory accepted."""
+        workers, faults = hosts.workers(snapshot.hosts.values())
         for fault in faults[:MAX_LOGGED_FAULTS]:
             log(LOG, logging.ERROR, "members-list-invalid", fault=fault)
-        self.workers = {each.name: each for each in found if each.members}
+        self.workers = {worker.name: worker for worker in workers if worker.members}
         names = tuple(sorted(self.workers))
         if not self.is_listed():
             log(LOG, logging.WARNING, "members-not-listed", host=self.name, hosts=len(names))
-        # Quorums depend on who the members are, not where: hosts may reach each other by different addresses.
+        # Quorums depend on the names only: two hosts may reach the same member by different addresses.
         digest = blake2b("\n".join(names).encode(), digest_size=DIGEST_BYTES).hexdigest()
         self.accepted = AcceptedList(names, digest)
         self._on_change(self.accepted)
         self._loop.spawn(self._resolve)
 
     def _resolve(self) -> None:
-        """Resolve the members' addresses; a name without an address affects its own host only."""
+        """Resolve the members' addresses. A name that cannot be resolved affects only its own host."""
         for name, worker in list(self.workers.items()):
             host, _, port = worker.members.rpartition(":")
             try:
                 self.addresses[name] = Address(self._resolver.lookup(host.strip("[]"))[0], int(port))
             except NameNotResolvedError as err:
                 log(LOG, logging.WARNING, "member-address-unresolved", host=name, error=err)
-        for removed in self.addresses.keys() - self.workers.keys():
-            del self.addresses[removed]
+        for unlisted_name in self.addresses.keys() - self.workers.keys():
+            del self.addresses[unlisted_name]
--- a/lapispick/host/members/local_member.py
+++ b/lapispick/host/members/local_member.py
@@ -1,4 +1,4 @@
-"""The member that this host runs: its start with the first list that names the host, and the log of its events."""
+"""Member of this host: starts it with the first list that names the host, and logs its events."""
 
 from __future__ import annotations
 
@@ -18,16 +18,19 @@
 from lapispick.members.member_state import STATE_NAMES, StateChange
 
 LOG = "members"
-MAX_CHANGES_KEPT = 8  # of each member
+MAX_CHANGES_PER_MEMBER = 8
 
 
-class _Counts(NamedTuple):
+class _MemberCounts(NamedTuple):
     live: int
     size: int
 
 
 class LocalMember:
-    """Holds this host's ``Member``: None until a list names the host. ``has_left``: it takes part no more."""
+    """Holder of this host's ``Member``.
+
+    ``member`` is None until a list names the host. It no longer takes part once ``has_left`` is set.
+    """
 
     def __init__(self, settings: MembersSettings, directory: MemberDirectory, rng: random.Random) -> None:
         self.settings = settings
@@ -37,10 +40,10 @@
         self.member: Member | None = None
         self.has_left = False
         self.changes: dict[str, deque[LoggedChange]] = {}
-        self._logged_counts = _Counts(-1, -1)
+        self._logged_counts = _MemberCounts(-1, -1)
 
-    def active(self) -> Member | None:
-        """Return the member while it takes part; starts it if the accepted list names this host."""
+    def active_member(self) -> Member | None:
+        """Return the member, or None if it takes no part; starts it first if the accepted list names this host."""
         if self.member is None:
             self._start_if_listed()
         return None if self.has_left else self.member
@@ -62,22 +65,22 @@
         )
 
     def set_configuration(self, accepted: AcceptedList) -> None:
-        """Take an accepted list."""
+        """Pass an accepted list to the member."""
         if self.member is not None:
             self.member.set_configuration(accepted.names, accepted.digest, time.monotonic())
 
     def forget_unlisted(self) -> None:
-        """Drop what is stored of hosts that the list does not name any more."""
+        """Drop the stored changes of hosts that are no longer on the list."""
         for name in self.changes.keys() - self.directory.workers.keys():
             del self.changes[name]
 
     def log_events(self, member: Member, now: float) -> None:
-        """Log what changed in the view and the leases; a member that was replaced leaves."""
+        """Log changes of the view and the leases. A member that was replaced leaves."""
         for change in member.take_changes():
             self._log_change(change)
         for event in member.leases.take_events():
             _log_lease_event(event, now)
-        counts = _Counts(member.view.live_count(), member.view.size())
+        counts = _MemberCounts(member.view.live_count(), member.view.size())
         if counts != self._logged_counts:
             self._logged_counts = counts
             has_quorum = member.view.has_quorum()
@@ -88,8 +91,8 @@
 
     def _log_change(self, change: StateChange) -> None:
         state = STATE_NAMES[change.state]
-        kept = self.changes.setdefault(change.name, deque(maxlen=MAX_CHANGES_KEPT))
-        kept.append(LoggedChange(time.time(), state, change.cause))
+        member_changes = self.changes.setdefault(change.name, deque(maxlen=MAX_CHANGES_PER_MEMBER))
+        member_changes.append(LoggedChange(time.time(), state, change.cause))
         event = "member-returned" if change.returned else f"member-{state}"
         log(LOG, logging.INFO, event, host=change.name, reason=change.cause or "unknown")
 
--- a/lapispick/host/members/operator_calls.py
+++ b/lapispick/host/members/operator_calls.py
@@ -1,4 +1,4 @@
-"""The operators' calls about members and leases. The JSON names and the texts that programs read are fixed."""
+"""Operators' calls about members and leases. Programs read the answers, so JSON names and texts must not change."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from lapispick.members.member import Member
 from lapispick.members.member_state import STATE_NAMES, MemberState
 
-MAX_LISTED = 300  # members and facts in one answer
+MAX_LISTED = 300  # limit of the members, and of the facts, in one answer
 MAX_PRIORITY_DIGITS = 2
-USAGE = "ERR unknown call; there are members, turns, why NAME, want TURN OWNER [PRIORITY], done TURN OWNER"
-NOT_LISTED = "ERR no list names this box so far"
+USAGE_ERROR = "ERR unknown call; there are members, turns, why NAME, want TURN OWNER [PRIORITY], done TURN OWNER"
+NOT_LISTED_ERROR = "ERR no list names this box so far"
 
 
-def _answer(content: object) -> list[str]:
+def _json_answer(content: object) -> list[str]:
     return ["OK", msgspec.json.encode(content).decode()]
 
 
 class OperatorCalls:
-    """Answers operators about this host's member."""
+    """Answers operators' calls about this host's member."""
 
     def __init__(self, local: LocalMember, transport: DatagramTransport, counters: TransportCounters) -> None:
         self._local = local
@@ -36,27 +36,27 @@
         return {"members": self._members, "turns": self._leases}
 
     def with_arguments(self, line: str) -> list[str]:
-        """Take ``why NAME``, ``want LEASE OWNER [PRIORITY]`` or ``done LEASE OWNER``."""
+        """Answer ``why NAME``, ``want LEASE OWNER [PRIORITY]`` or ``done LEASE OWNER``."""
         command, *arguments = line.split()
         if command == "why" and len(arguments) == 1:
             return self._changes(arguments[0])
         if not 2 <= len(arguments) <= 3:
-            return [USAGE]
+            return [USAGE_ERROR]
         if command == "want":
             return self._request_lease(*arguments)
         if command == "done":
             return self._release_lease(arguments[0], arguments[1])
-        return [USAGE]
+        return [USAGE_ERROR]
 
     # Leases.
 
-    def _not_a_member(self) -> list[str]:
+    def _not_a_member_error(self) -> list[str]:
         return ["ERR this box is no member: " + ("it left" if self._local.has_left else "no list names it so far")]
 
     def _request_lease(self, lease: str, owner: str, priority: str = "0") -> list[str]:
         member = self._local.member
         if member is None or self._local.has_left:
-            return self._not_a_member()
+            return self._not_a_member_error()
         if not priority.isdecimal() or len(priority) > MAX_PRIORITY_DIGITS:
             return ["ERR a priority is a number from 0 to 99"]
         status = member.leases.request(time.monotonic(), lease, owner, int(priority))
@@ -69,16 +69,16 @@
     def _release_lease(self, lease: str, owner: str) -> list[str]:
         member = self._local.member
         if member is None:
-            return self._not_a_member()
+            return self._not_a_member_error()
         now = time.monotonic()
-        self._transport.send(member.leases.release(now, lease, owner))  # also after this host left
+        self._transport.send(member.leases.release(now, lease, owner))  # a host that left can still release its leases
         self._local.log_events(member, now)
         return ["OK"]
 
     def _leases(self) -> list[str]:
         member = self._local.member
         if member is None:
-            return [NOT_LISTED]
+            return [NOT_LISTED_ERROR]
         now = time.monotonic()
         leases = [
             LeaseInfo(status.slot, status.owner, status.fencing_token, status.remaining_s)
@@ -87,17 +87,17 @@
         voter = member.leases.voter
         for slot, (ballot, remaining_s) in sorted(voter.grants(now).items()):
             leases.append(LeaseInfo(slot, "", ballot.number, remaining_s, ballot.proposer, voter.waiting(slot)))
-        return _answer(leases)
+        return _json_answer(leases)
 
     # The view.
 
     def _members(self) -> list[str]:
         member = self._local.member
         if member is None:
-            return [NOT_LISTED]
+            return [NOT_LISTED_ERROR]
         view = member.view
         facts = sorted(member.facts.snapshot(time.monotonic()), key=lambda fact: (fact.kind, fact.subject, fact.author))
-        return _answer(
+        return _json_answer(
             ViewInfo(
                 name=member.name,
                 process_epoch=member.process_epoch,
@@ -117,7 +117,7 @@
         )
 
     def _member_infos(self, member: Member) -> list[MemberInfo]:
-        """Return all other members; of more than ``MAX_LISTED`` those that are not alive."""
+        """Return all other members. If there are more than ``MAX_LISTED``, return only those that are not alive."""
         view = member.view
         names = sorted(view.names - {member.name})
         if len(names) > MAX_LISTED:
@@ -136,4 +136,4 @@
         state = member.view.state_of(name) if member is not None else None
         if state is None:
             return [f"ERR {name} is not on the list"]
-        return _answer(ChangesInfo(name, STATE_NAMES[state], list(self._local.changes.get(name, ()))))
+        return _json_answer(ChangesInfo(name, STATE_NAMES[state], list(self._local.changes.get(name, ()))))
--- a/lapispick/host/members/process_epoch.py
+++ b/lapispick/host/members/process_epoch.py
@@ -1,4 +1,4 @@
-"""The process epoch: a number that grows with each start of this host's process, in a file of the state folder."""
+"""Process epoch: a number that grows with each start of the host's process, stored in a file of the state folder."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 def next_process_epoch(folder: PurePath | None) -> int:
     """Return and save the epoch of this start; blocks on the disk.
 
-    It is the saved number and one more, or the time in seconds, whichever is higher. Without a folder it is the time;
-    other members may know a later epoch, and report it.
+    The epoch is the higher of the saved epoch plus one and the Unix time in seconds. Without a folder it is the Unix
+    time; other members may know a later epoch, and report it.
     """
     epoch = min(max(_saved_epoch(folder) + 1, int(time.time())), MAX_START_EPOCH)
     if folder is not None:
--- a/lapispick/host/members/reports.py
+++ b/lapispick/host/members/reports.py
@@ -1,4 +1,4 @@
-"""The reports to operators on members and leases, as JSON. The names in the JSON are fixed; programs read them."""
+"""Reports to operators on members and leases, as JSON. Programs read them, so the JSON names must not change."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class LoggedChange(NamedTuple):
-    """A member's change of state: Unix time, state and reason."""
+    """Change of a member's state. ``time`` is Unix time in seconds."""
 
     time: float
     state: str
@@ -18,7 +18,7 @@
 
 
 class MemberInfo(msgspec.Struct):
-    """A member as operators see it."""
+    """Member as shown to operators."""
 
     name: str
     state: str
@@ -28,7 +28,7 @@
 
 
 class ViewInfo(msgspec.Struct):
-    """The membership view as operators see it."""
+    """Membership view as shown to operators."""
 
     name: str
     process_epoch: int = msgspec.field(name="life")
@@ -47,7 +47,7 @@
 
 
 class LeaseInfo(msgspec.Struct):
-    """A lease as operators see it: one that an owner here requested, or one that this host's vote was given to."""
+    """Lease as shown to operators: requested by an owner on this host, or granted with this host's vote."""
 
     slot: str
     owner: str
@@ -58,7 +58,7 @@
 
 
 class ChangesInfo(msgspec.Struct):
-    """The last changes of a member's state, oldest first."""
+    """Last changes of a member's state, oldest first."""
 
     name: str
     state: str
--- a/lapispick/host/members/service.py
+++ b/lapispick/host/members/service.py
@@ -1,4 +1,4 @@
-"""The membership service of a worker host: composes the parts, owns the sockets and runs the greenlets."""
+"""Membership service of a worker host: composes the parts, owns the sockets and runs the greenlets."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 from lapispick.members.messages import MAX_TEXT_LENGTH
 
 LOG = "members"
-BIND_RETRY_S = 0.3  # while another process of this host has the address
-BIND_ERROR_RETRY_S = 2.0  # on top, after any other error
+BIND_RETRY_S = 0.3  # while another process of this host uses the address
+BIND_ERROR_RETRY_S = 2.0  # added to ``BIND_RETRY_S`` after any other error
 LISTEN_BACKLOG = 16
 MIN_TICK_INTERVAL_S = 0.005
 MAX_TICK_INTERVAL_S = 0.1
 FACT_INTERVAL_S = 1.0
 
-# Returns this host's facts: kind, subject, value, sample count and text.
+# Returns this host's facts as tuples of kind, subject, value, sample count and text.
 FactSource = Callable[[], Iterable[tuple[str, str, float, int, str]]]
 
 
 class MembersService:
-    """Takes part in the cluster of the worker hosts that the accepted list names."""
+    """Takes part in the cluster of the worker hosts on the accepted list."""
 
     def __init__(
         self,
@@ -48,13 +48,16 @@
         fact_source: FactSource,
         max_state_bytes: int,
     ) -> None:
-        """``max_state_bytes`` limits a complete state. Raises ``OSError`` and ``ValueError`` for an invalid address."""
+        """Create the service; raises ``OSError`` or ``ValueError`` for an invalid address.
+
+        ``max_state_bytes`` is the limit of a complete state in anti-entropy.
+        """
         self.settings = settings
         self._loop = loop
         self._fact_source = fact_source
         self._address = parse_address(settings.listen)
         self._rng = random.Random(seed)
-        self._worker = WorkerThreads(loop)
+        self._worker_threads = WorkerThreads(loop)
         self.directory = MemberDirectory(loop, inventory, name, self._accept_list)
         self.local = LocalMember(settings, self.directory, self._rng)
         counters = TransportCounters()
@@ -63,8 +66,8 @@
         self.calls = OperatorCalls(self.local, self.transport, counters)
 
     def serve(self) -> None:
-        """Bind the address, then follow the list and take part, for ever."""
-        self.local.process_epoch = self._worker.run(lambda: next_process_epoch(self.settings.state_folder))
+        """Follow the accepted list, bind the address once it is free, and start the tasks of the member."""
+        self.local.process_epoch = self._worker_threads.run(lambda: next_process_epoch(self.settings.state_folder))
         self._loop.spawn(self.directory.serve)
         while not self._bind():
             self._loop.sleep(BIND_RETRY_S)
@@ -85,9 +88,9 @@
         listener = socket.socket(family, socket.SOCK_STREAM)
         try:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            for each in (datagrams, listener):
-                each.setblocking(False)
-                each.bind(self._address)
+            for new_socket in (datagrams, listener):
+                new_socket.setblocking(False)
+                new_socket.bind(self._address)
             listener.listen(LISTEN_BACKLOG)
         except OSError as err:
             datagrams.close()
@@ -102,12 +105,12 @@
 
     def _accept_list(self, accepted: AcceptedList) -> None:
         self.local.set_configuration(accepted)
-        self.local.forget_unlisted()  # names of replaced hosts would add up
+        self.local.forget_unlisted()  # else the names of replaced hosts would accumulate
         self.transport.limiter.forget_except(accepted.names)
 
     def _tick(self) -> None:
         while True:
-            member = self.local.active()
+            member = self.local.active_member()
             if member is None:
                 self._loop.sleep(MAX_TICK_INTERVAL_S)
                 continue
@@ -128,7 +131,7 @@
                 member.publish_fact(now, kind, subject[:MAX_TEXT_LENGTH], value, count, text[:MAX_TEXT_LENGTH])
 
     def leave(self) -> None:
-        """Announce that this host leaves. Its leases expire, or their owners, who may still act, release them."""
+        """Announce that this host leaves. Its leases expire, unless their owners, which may still run, release them."""
         member = self.local.member
         if member is None or self.local.has_left:
             return
--- a/lapispick/host/members/settings.py
+++ b/lapispick/host/members/settings.py
@@ -8,10 +8,10 @@
 from lapispick.members.suspicion import SwimSettings
 
 MIN_EPOCH_ADOPTION_S = 10.0
-EPOCH_ADOPTION_PERIODS = 10
+EPOCH_ADOPTION_INTERVALS = 10  # probe intervals
 MAX_LEASE_RETRY_S = 0.5
 MIN_WAITER_TIMEOUT_S = 5.0
-WAITER_TIMEOUT_VOTES = 4  # times the timeout of a vote
+WAITER_TIMEOUT_VOTES = 4  # vote timeouts
 
 
 def member_settings(section: MembersSettings) -> MemberSettings:
@@ -22,7 +22,7 @@
             probe_timeout_s=section.probe_timeout_s,
             indirect_probes=section.indirect_probes,
             suspicion_factor=float(section.suspicion_factor),
-            epoch_adoption_s=max(MIN_EPOCH_ADOPTION_S, EPOCH_ADOPTION_PERIODS * section.probe_interval_s),
+            epoch_adoption_s=max(MIN_EPOCH_ADOPTION_S, EPOCH_ADOPTION_INTERVALS * section.probe_interval_s),
         ),
         leases=LeaseSettings(
             lease_s=section.lease_s,
@@ -39,7 +39,7 @@
 def slot_counts(section: MembersSettings) -> dict[str, int]:
     """Return how many hosts may hold each named lease."""
     counts = {}
-    for each in section.leases:
-        name, _, count = each.partition(":")
+    for lease in section.leases:
+        name, _, count = lease.partition(":")
         counts[name] = int(count)
     return counts
--- a/lapispick/host/members/store_watch.py
+++ b/lapispick/host/members/store_watch.py
@@ -1,4 +1,4 @@
-"""Observes the store client's completed calls for the gossiped fact on the store's latency."""
+"""Observes the completed calls of the store client, for the gossiped fact about the store's latency."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class StoreWatch:
-    """Passes the store client's events on to the core, and records the latency of calls."""
+    """Forwards the store client's events to the core, and records the latency of calls."""
 
     def __init__(self, post: Callable[[CallCompleted], None]) -> None:
         self._post = post
         self._latency = StoreLatency()
 
     def post(self, event: CallCompleted) -> None:
-        """Take an event of the store client."""
+        """Record and forward an event of the store client."""
         self._latency.record_call(time.monotonic(), event.duration_ms, event.outcome is Outcome.OK)
         self._post(event)
 
     def relative_latency(self) -> RelativeLatency | None:
-        """Return the store's present latency relative to the usual one; None after too few calls."""
+        """Return the store's current latency relative to the usual one; None after too few calls."""
         return self._latency.relative_latency(time.monotonic())
--- a/lapispick/host/members/transport.py
+++ b/lapispick/host/members/transport.py
@@ -19,11 +19,11 @@
 from lapispick.members.failure_detector import Outgoing
 
 LOG = "members"
-MAX_BURST = 64  # datagrams that are read before other greenlets run
+MAX_BURST_DATAGRAMS = 64  # read before other greenlets run
 
 
 class TransportReject(enum.StrEnum):
-    """Why input was dropped; the values are the keys of the counters that operators see."""
+    """Reason for dropping input. The values are the keys of the counters that operators see."""
 
     INVALID = "nonsense"
     WRONG_ADDRESS = "not from its address"
@@ -32,7 +32,7 @@
 
 
 class TransportCounters:
-    """What was sent, received and dropped."""
+    """Counters of sent and received datagrams, and of dropped input."""
 
     def __init__(self) -> None:
         self.sent = 0
@@ -45,14 +45,14 @@
 
 
 class RateLimiter:
-    """Limits the messages that are taken from each member in a second."""
+    """Limits the messages that are accepted from each member per second."""
 
     def __init__(self, max_per_second: int) -> None:
         self._max_per_second = max_per_second
         self._counts: dict[str, _SecondCount] = {}
 
     def allows(self, name: str, now: float) -> bool:
-        """Count a message and tell whether it is within the limit."""
+        """Count a message and return True if it is within the limit."""
         second = int(now)
         previous = self._counts.get(name)
         count = previous.count + 1 if previous is not None and previous.second == second else 1
@@ -74,7 +74,7 @@
 
 
 def decode(data: bytes) -> messages.Message | None:
-    """Return a message; None for invalid input."""
+    """Return the decoded message; None for invalid input."""
     try:
         message: messages.Message = messages.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
@@ -83,40 +83,42 @@
 
 
 class DatagramTransport:
-    """Passes datagrams from listed addresses to the local member, and sends its messages."""
+    """Passes datagrams from the addresses of listed members to the local member, and sends its messages."""
 
-    def __init__(self, loop: EventLoop, local: LocalMember, counters: TransportCounters, max_rate: int) -> None:
-        self.limiter = RateLimiter(max_rate)
+    def __init__(
+        self, loop: EventLoop, local: LocalMember, counters: TransportCounters, max_messages_per_s: int
+    ) -> None:
+        self.limiter = RateLimiter(max_messages_per_s)
         self._loop = loop
         self._local = local
         self._counters = counters
         self._socket: socket.socket | None = None
 
-    def attach(self, bound: socket.socket) -> None:
-        """Use a bound socket."""
-        self._socket = bound
+    def attach(self, bound_socket: socket.socket) -> None:
+        """Set the bound socket that datagrams are sent and received on."""
+        self._socket = bound_socket
 
     def serve(self) -> None:
-        """Receive for ever."""
+        """Receive datagrams; never returns."""
         assert self._socket is not None
         while True:
             if self._loop.wait_for_io(self._socket.fileno(), READ):
                 self._receive_burst(self._socket)
                 self._loop.yield_control()
 
-    def _receive_burst(self, bound: socket.socket) -> None:
-        for _ in range(MAX_BURST):
+    def _receive_burst(self, bound_socket: socket.socket) -> None:
+        for _ in range(MAX_BURST_DATAGRAMS):
             try:
-                data, source = bound.recvfrom(messages.MAX_DATAGRAM_BYTES + 1)
+                data, source = bound_socket.recvfrom(messages.MAX_DATAGRAM_BYTES + 1)
             except BlockingIOError:
                 return
-            except OSError:  # the system reports here that an earlier receiver was not there
+            except OSError:  # the operating system reports here that an earlier recipient was unreachable
                 continue
             self._counters.received += 1
             self._receive(data, Address(source[0], source[1]))
 
     def _receive(self, data: bytes, source: Address) -> None:
-        member = self._local.active()
+        member = self._local.active_member()
         if member is None:
             return
         message = decode(data)
@@ -131,14 +133,14 @@
         return self._local.log_events(member, now)
 
     def send(self, outgoing: Iterable[Outgoing]) -> None:
-        """Send messages; one that cannot be sent counts as lost on the way."""
+        """Send messages. A message that cannot be sent is dropped, like one that the network loses."""
         assert self._socket is not None
-        for to, message in outgoing:
-            address = self._local.directory.addresses.get(to)
+        for recipient, message in outgoing:
+            address = self._local.directory.addresses.get(recipient)
             if address is None:
                 continue
             try:
                 self._socket.sendto(messages.encode_datagram(message), address)
                 self._counters.sent += 1
             except OSError as err:
-                log(LOG, logging.DEBUG, "message-not-sent", host=to, error=err)
+                log(LOG, logging.DEBUG, "message-not-sent", host=recipient, error=err)
