--- a/lapispick/durable/database.py
+++ b/lapispick/durable/database.py
@@ -18,7 +18,7 @@
 from lapispick.durable.records import DurableRecord
 from lapispick.idempotency.states import KeyState
 
-VERSION = 1  # of the schema
+SCHEMA_VERSION = 1
 BUSY_TIMEOUT_S = 1.0  # longest wait for a lock of another process that reads the database
 CHECKPOINT_PAGES = 1000  # pages in the write-ahead log before they are copied into the database file
 PRIMARY_ERROR_MASK = 0xFF  # the upper bytes of an extended error code name the system call
@@ -140,14 +140,16 @@
     def _create_schema(self, host: str) -> None:
         for statement in _SCHEMA.split(";"):
             self._db.execute(statement)
-        rows = [("version", VERSION), ("box", host), ("life", 0)]
+        rows = [("version", SCHEMA_VERSION), ("box", host), ("life", 0)]
         self._db.executemany("insert into meta values (?, ?)", rows)
 
     def _check_owner(self, host: str) -> int:
         """Return the last incarnation; raises ``StoreUnusableError`` for a newer schema or another host's store."""
         meta = dict(self._db.execute("select name, value from meta"))
-        if meta["version"] > VERSION:
-            raise StoreUnusableError(self.path, f"has schema version {meta['version']}, expected {VERSION} or older")
+        if meta["version"] > SCHEMA_VERSION:
+            raise StoreUnusableError(
+                self.path, f"has schema version {meta['version']}, expected {SCHEMA_VERSION} or older"
+            )
         if meta["box"] != host:
             raise StoreUnusableError(self.path, f"belongs to host {meta['box']}, expected {host}")
         return int(meta["life"])
--- a/tests/test_rollout_compat.py
+++ b/tests/test_rollout_compat.py
@@ -38,7 +38,7 @@
 def test_reported_format_versions_match_those_of_the_modules():
     reported = compat.parse_formats(versions.FORMATS)
     assert reported["handover"].writes == handover_messages.VERSION
-    assert reported["durable"].writes == database.VERSION
+    assert reported["durable"].writes == database.SCHEMA_VERSION
     assert reported["agent"].writes == messages.VERSION
     for invalid_formats in ({"x": (2, 1, 1)}, {"x": "1"}, {"x": (1, 1)}):
         with pytest.raises(ValueError):
