--- a/lapispick/rollout/__init__.py
+++ b/lapispick/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Staged rollouts of a change through a fleet: generations, stages, pacing and canary analysis. No I/O, no clock."""
+"""Staged rollout of a change to a fleet: generations, stages, pacing and canary analysis. No I/O and no clock."""
--- a/lapispick/rollout/canary_analysis.py
+++ b/lapispick/rollout/canary_analysis.py
@@ -1,17 +1,19 @@
-"""Canary analysis: does a stage do worse than the rest of the fleet at the same time? No I/O and no clock.
-
-In each slice of time the changed hosts of a kind (zone and machine type) are compared with hosts of the same kind that
-run the old generation and are as warm. One difference a metric and slice goes into a sequential test
-(``evidence.py``), less its mean before the change. There are three outcomes:
-
-- worse: the evidence of some metric is over ``metrics * stages / alarm``. It is corrected for their number, so that
-  all metrics of all stages together stop a good change with a chance of at most ``alarm``.
-- good: every metric has evidence that it is worse by less than twice its margin, and the unchanged hosts did not get
-  worse meanwhile. Where they did, the change may use more of a shared resource, and look better side by side.
-- can't tell: everything else, also for want of data.
-
-Only a difference counts, and only upwards: a store that collapses for all, a surge and cold caches decide nothing, and
-unchanged hosts that do worse than changed ones never cause a rollback.
+"""Canary analysis: compares the changed hosts of a stage with unchanged hosts over the same time. No I/O and no clock.
+
+In each slice of time the changed hosts of a kind (zone and machine type) are compared with warm hosts of the same kind
+that run the old generation. Each slice adds one difference per metric to a sequential test (``evidence.py``), after
+subtraction of the mean difference before the change. There are three outcomes:
+
+- ``WORSE``: the evidence that some metric is worse reaches ``number of metrics * stages / alarm``. This threshold is
+  corrected for multiple testing: the probability that any metric in any stage stops a good change is at most ``alarm``.
+- ``GOOD``: every metric has evidence that it is worse by less than twice its margin, and the unchanged hosts did not
+  get worse meanwhile. If they did, the change may use more of a shared resource at the expense of the unchanged
+  hosts, and then looks better in the comparison than it is.
+- ``INCONCLUSIVE``: all other cases, including too little data.
+
+Only the difference between the groups counts, and only if the changed hosts are worse. So an outage of a store that
+all hosts share, a load surge and cold caches decide nothing, and unchanged hosts that do worse than changed ones never
+cause a rollback.
 """
 
 from __future__ import annotations
@@ -34,48 +36,48 @@
 
 
 class Outcome(enum.Enum):
-    """What a stage's metrics say."""
+    """Outcome of the analysis of a stage; the values are stored and shown."""
 
     WORSE = "worse"
     GOOD = "good"
-    UNSURE = "can't tell"
+    INCONCLUSIVE = "can't tell"
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """What counts as worse. ``stages`` share the chance ``alarm`` of a false stop."""
+    """Tolerated differences, as margins of the metrics, and the accepted probabilities of a wrong outcome."""
 
-    alarm: float = 0.05
+    alarm: float = 0.05  # probability that a good change is stopped, over all stages together
     stages: int = 4
-    worse: float = 0.02  # margin of a fraction of requests
-    slower: float = 0.1  # margin of the answers slower than the unchanged hosts' median
-    memory: float = 0.05  # margin of the memory limit
-    runs: float = 0.05  # margin of executor runs per request
-    false_good: float = 0.1  # chance that something worse by twice the margin passes as good, per metric
+    worse: float = 0.02  # margin of metrics that are a fraction of the requests
+    slow_margin: float = 0.1  # of the fraction of answers slower than the reference median
+    memory_margin: float = 0.05  # of the fraction of the memory limit
+    runs_margin: float = 0.05  # of the executor runs per served request
+    false_good_probability: float = 0.1  # probability that a metric worse by twice its margin passes as good
     memory_limit_kb: float = 192 * 1024.0
 
     def margin(self, metric: str) -> float:
         """Return the margin of a metric by its name, in the metric's own unit."""
-        by_kind = {"slow": self.slower, "memory": self.memory, "runs": self.runs}
-        return by_kind.get(metric.partition(" ")[0], self.worse)
+        margins = {"slow": self.slow_margin, "memory": self.memory_margin, "runs": self.runs_margin}
+        return margins.get(metric.partition(" ")[0], self.worse)
 
 
 class MetricResult(NamedTuple):
-    """The result of the test of one metric."""
+    """Result of the test of one metric."""
 
     metric: str
     slices: int
-    mean: float  # how much worse the changed hosts were; below 0 they were better
-    low: float
+    mean: float  # mean difference to the unchanged hosts; positive if the changed hosts were worse
+    low: float  # confidence interval of the mean
     high: float
     margin: float
-    evidence: float  # that it is worse
-    needed: float
-    cleared: float  # evidence that it is worse by less than twice the margin
-    unchanged_regression: float  # how much worse the unchanged hosts became
+    evidence: float  # that the metric is worse by more than the margin
+    needed: float  # evidence at which the stage counts as worse
+    cleared: float  # evidence that the metric is worse by less than twice the margin
+    unchanged_regression: float  # by how much the unchanged hosts got worse
 
 
 class Verdict(NamedTuple):
-    """An outcome and its reason."""
+    """Outcome of the analysis and its reason."""
 
     outcome: Outcome
     reason: str
@@ -94,9 +96,10 @@
 
 
 class CanaryAnalysis:
-    """Analyses one stage. ``kinds`` says for each host which others it may be compared with."""
+    """Canary analysis of one stage."""
 
     def __init__(self, bounds: Bounds, kinds: Mapping[str, object]) -> None:
+        """``kinds`` maps each host to its kind; only hosts of the same kind are compared."""
         self.bounds = bounds
         self._kinds = dict(kinds)
         self._differences: dict[str, MetricDifference] = {}
@@ -107,7 +110,7 @@
     # Slices.
 
     def add_baseline(self, changed: Iterable[str], unchanged: Iterable[str], slices: Mapping[str, Slice]) -> None:
-        """Add a slice from before the change: what tells the two groups apart by themselves."""
+        """Add a slice from before the change, which shows how the two groups differ without it."""
         for slice_ in slices.values():
             for name, counts in slice_.classes.items():
                 times = self._response_times.setdefault(name, {})
@@ -117,7 +120,7 @@
         self._add(list(changed), list(unchanged), slices, is_baseline=True)
 
     def add_canary(self, changed: Iterable[str], unchanged: Iterable[str], slices: Mapping[str, Slice]) -> None:
-        """Add a slice with the change; only warm hosts may be in either group."""
+        """Add a slice with the change; both groups must contain warm hosts only."""
         unchanged = list(unchanged)
         if not self._references:
             for slice_ in (slices[name] for name in unchanged if name in slices):
@@ -154,7 +157,7 @@
         return comparison.compare(first, second, self._references)
 
     def _add_peers(self, kind: object, unchanged: list[Slice], is_baseline: bool) -> None:
-        """Compare two halves of the unchanged hosts, always the same ones, to see how groups drift apart."""
+        """Compare two fixed halves of the unchanged hosts to measure how groups drift apart without a change."""
         if len(unchanged) < 2:
             return
         ordered = sorted(unchanged, key=lambda slice_: slice_.host)
@@ -184,7 +187,7 @@
     # The verdict.
 
     def results(self) -> tuple[MetricResult, ...]:
-        """Return the result of each metric so far."""
+        """Return the result of each metric from all slices so far."""
         return tuple(
             self._result(metric, difference)
             for metric, difference in sorted(self._differences.items())
@@ -214,41 +217,42 @@
         )
 
     def _needed_evidence(self) -> float:
-        """Return the evidence that one of so many metrics needs, over so many stages."""
-        return max(1, len(self._differences)) * self.bounds.stages / self.bounds.alarm
+        """Return the evidence at which a metric counts as worse, corrected for the number of metrics and stages."""
+        test_count = max(1, len(self._differences)) * self.bounds.stages
+        return test_count / self.bounds.alarm
 
     def verdict(self) -> Verdict:
-        """Return what the metrics say so far; it may be asked at any time."""
+        """Return the verdict on all slices so far; it stays valid however often it is requested."""
         results = self.results()
-        worse = _worse_reason(results)
-        if worse:
-            return Verdict(Outcome.WORSE, worse, results)
-        unsure = self._unsure_reason(results)
-        if unsure:
-            return Verdict(Outcome.UNSURE, unsure, results)
+        worse_reason = _worse_reason(results)
+        if worse_reason:
+            return Verdict(Outcome.WORSE, worse_reason, results)
+        inconclusive_reason = self._inconclusive_reason(results)
+        if inconclusive_reason:
+            return Verdict(Outcome.INCONCLUSIVE, inconclusive_reason, results)
         reason = f"none of {len(results)} figures is worse by more than twice its margin"
         return Verdict(Outcome.GOOD, reason, results)
 
-    def _unsure_reason(self, results: Sequence[MetricResult]) -> str:
+    def _inconclusive_reason(self, results: Sequence[MetricResult]) -> str:
         if not results:
             return "there is nothing to compare with"
         for result in results:
             if result.unchanged_regression > result.margin:
-                by = f"{result.unchanged_regression:.1%}"
-                return f"{result.metric}: the boxes that stay as they are got worse by {by} meanwhile"
-        needed = 1 / self.bounds.false_good
-        open_results = [each for each in results if each.slices < MIN_SLICES or each.cleared < needed]
-        if not open_results:
+                regression = f"{result.unchanged_regression:.1%}"
+                return f"{result.metric}: the boxes that stay as they are got worse by {regression} meanwhile"
+        needed = 1 / self.bounds.false_good_probability
+        inconclusive = [result for result in results if result.slices < MIN_SLICES or result.cleared < needed]
+        if not inconclusive:
             return ""
-        first = open_results[0]
+        first = inconclusive[0]
         return (
             f"{first.metric}: {first.slices} slices, between {first.low:+.1%} and {first.high:+.1%}; "
-            f"{len(open_results)} of {len(results)} figures can't be told"
+            f"{len(inconclusive)} of {len(results)} figures can't be told"
         )
 
 
 def _worse_reason(results: Sequence[MetricResult]) -> str:
-    for result in sorted(results, key=lambda each: -each.evidence):
+    for result in sorted(results, key=lambda result: -result.evidence):
         if result.evidence >= result.needed and result.slices >= MIN_SLICES:
             return (
                 f"{result.metric}: worse by {result.mean:.1%} over {result.slices} slices, "
--- a/lapispick/rollout/metrics.py
+++ b/lapispick/rollout/metrics.py
@@ -1,7 +1,7 @@
-"""Turns the metrics that hosts report into slices of time that can be compared. No I/O and no clock.
+"""Converts the metrics that hosts report into comparable slices of time. No I/O and no clock.
 
-A slice is what one host did in a short span: requests by class, response times, memory. Counters start at 0 with each
-process, so a slice in which another process came to serve is left out.
+A slice contains the metrics of one host over a short interval: requests by class, response times and memory. Counters
+start at 0 in each process, so a slice in which a successor process took over is left out.
 """
 
 from __future__ import annotations
@@ -11,27 +11,27 @@
 
 import msgspec
 
-RESULTS = ("success", "busy", "failure")  # what the counters of a class are named after
-OVERFLOW_BUCKET = "more"  # of response times beyond the largest bound
-_ROUNDING = 1e-9
+RESULT_COUNTERS = ("success", "busy", "failure")  # prefixes of the names of a class's counters
+OVERFLOW_BUCKET = "more"  # of response times above the largest bound
+_ROUNDING_TOLERANCE = 1e-9
 
 
 class Sample(msgspec.Struct, frozen=True):
-    """All metrics of one process at one time."""
+    """Metrics of one process at one time."""
 
-    at: float
+    at: float  # seconds of a monotonic clock
     generation: str
-    counts: dict[str, int]
+    counts: dict[str, int]  # counter name -> value since the start of the process
     memory_kb: int = 0
 
     @property
     def broken_rules(self) -> int:
-        """Return how often this process broke a rule."""
+        """Return how many violations of its guarantees this process has counted."""
         return self.counts.get("broken", 0)
 
 
 def decode_sample(lines: Iterable[str], at: float) -> Sample:
-    """Read an answer to ``vars``; raises ``ValueError``."""
+    """Decode an answer to ``vars``; raises ``ValueError`` if it is malformed."""
     counts: dict[str, int] = {}
     generation = ""
     memory_kb = 0
@@ -41,7 +41,7 @@
         name, _, value = line.partition(":")
         number, _, metric_type = value.partition("|")
         if not number.isdecimal() or metric_type not in ("c", "g"):
-            raise ValueError(f"{line[:60]!r} is no figure")
+            raise ValueError(f"invalid metric, expected NAME:VALUE|c or NAME:VALUE|g, got {line[:60]!r}")
         name = name.removeprefix("app.")
         if name.startswith("generation."):
             generation = name.partition(".")[2]
@@ -49,22 +49,22 @@
             memory_kb = int(number)
         elif metric_type == "c":
             counts[name] = int(number)
-    raise ValueError("the figures have no END")
+    raise ValueError("the metrics are incomplete: the last line END is missing")
 
 
 class ClassCounts(NamedTuple):
-    """What became of one class's requests in a slice."""
+    """Requests of one class in a slice, by their result."""
 
     requests: int
     rejected: int
     failed: int
     late: int
-    weight: float  # priority weight of the answers
-    times: dict[float, int]  # upper bound of a bucket in ms -> answers
+    weight: float  # sum of the priority weights of the answers
+    times: dict[float, int]  # upper bound of a response time bucket in ms -> number of answers
 
 
 class Slice(NamedTuple):
-    """What one host did in one span."""
+    """Metrics of one host over one interval."""
 
     host: str
     duration_s: float
@@ -74,7 +74,7 @@
 
 
 def slice_between(host: str, previous: Sample, current: Sample) -> Slice | None:
-    """Return what happened between two samples; None where they are of two processes or not in order."""
+    """Return the slice between two samples; None if they are of two processes or not in order."""
     if current.at <= previous.at or current.generation != previous.generation:
         return None
     if any(current.counts.get(name, -1) < value for name, value in previous.counts.items()):
@@ -86,7 +86,7 @@
 
 
 def _class_counts(name: str, change: Mapping[str, int]) -> ClassCounts:
-    succeeded, rejected, failed = (change.get(f"{result}.{name}", 0) for result in RESULTS)
+    succeeded, rejected, failed = (change.get(f"{result}.{name}", 0) for result in RESULT_COUNTERS)
     late = change.get(f"late.{name}", 0)
     weight = change.get(f"worth.{name}", 0) / 1000
     return ClassCounts(succeeded + rejected + failed, rejected, failed, late, weight, _response_times(name, change))
@@ -103,23 +103,23 @@
 
 
 def add_counts(counts: Sequence[ClassCounts]) -> ClassCounts:
-    """Return several counts of a class as one."""
+    """Return the sum of several counts of one class."""
     times: dict[float, int] = {}
-    for each in counts:
-        for bound, count in each.times.items():
+    for class_counts in counts:
+        for bound, count in class_counts.times.items():
             times[bound] = times.get(bound, 0) + count
     return ClassCounts(
-        requests=sum(each.requests for each in counts),
-        rejected=sum(each.rejected for each in counts),
-        failed=sum(each.failed for each in counts),
-        late=sum(each.late for each in counts),
-        weight=sum(each.weight for each in counts),
+        requests=sum(class_counts.requests for class_counts in counts),
+        rejected=sum(class_counts.rejected for class_counts in counts),
+        failed=sum(class_counts.failed for class_counts in counts),
+        late=sum(class_counts.late for class_counts in counts),
+        weight=sum(class_counts.weight for class_counts in counts),
         times=times,
     )
 
 
 def merge_slices(slices: Iterable[Slice], host: str = "") -> Slice | None:
-    """Return several slices as one, as if one host had done it all; memory is the largest. None for none."""
+    """Return several slices merged into one, with the largest memory and the mean duration; None if there are none."""
     merged = list(slices)
     if not merged:
         return None
@@ -137,20 +137,20 @@
 
 
 def quantile(times: Mapping[float, int], fraction: float) -> float:
-    """Return the upper bound, ms, of the bucket that holds this quantile of the answers; 0 for none.
+    """Return the upper bound in ms of the bucket that contains a quantile of the answers; 0 if there are none.
 
-    ``times`` has the number of answers by the upper bound of their bucket, ms; ``fraction`` is from 0 to 1.
+    ``times`` maps the upper bound of each bucket in ms to its number of answers; ``fraction`` is from 0 to 1.
     """
     total = sum(times.values())
-    passed = 0
+    cumulative = 0
     for bound in sorted(times):
-        passed += times[bound]
-        if passed >= fraction * total - _ROUNDING:
+        cumulative += times[bound]
+        if cumulative >= fraction * total - _ROUNDING_TOLERANCE:
             return bound
     return 0.0
 
 
 def fraction_slower(times: Mapping[float, int], limit_ms: float) -> float:
-    """Return the fraction of answers that took longer than a bound."""
+    """Return the fraction of the answers that took longer than ``limit_ms``."""
     total = sum(times.values())
     return sum(count for bound, count in times.items() if bound > limit_ms) / total if total else 0.0
--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -55,7 +55,7 @@
     analysis = CanaryAnalysis(Bounds(), {"a": 1, "b": 1, "c": 2})
     for _ in range(60):
         analysis.add_baseline(["a"], ["b"], draw_slices(rng, {}, "ab"))
-    assert analysis.verdict().outcome is Outcome.UNSURE
+    assert analysis.verdict().outcome is Outcome.INCONCLUSIVE
     for _ in range(100):
         analysis.add_canary(["a"], ["b"], draw_slices(rng, extra_rejections, "ab"))
     verdict = analysis.verdict()
@@ -92,7 +92,7 @@
     analysis = CanaryAnalysis(Bounds(), {"a": 1, "c": 2})
     for _ in range(50):
         analysis.add_canary(["a"], ["c"], draw_slices(rng, {"a": 0.5}, "ac"))
-    assert analysis.verdict() == (Outcome.UNSURE, "there is nothing to compare with", ())
+    assert analysis.verdict() == (Outcome.INCONCLUSIVE, "there is nothing to compare with", ())
 
 
 def test_metrics_of_another_process_make_no_slice():
@@ -138,5 +138,5 @@
         both = {"a": 0.15, "b": 0.15} if n >= 60 else {}
         (analysis.add_baseline if n < 60 else analysis.add_canary)(["a"], ["b"], draw_slices(rng, both, "ab"))
     verdict = analysis.verdict()
-    assert verdict.outcome is Outcome.UNSURE
+    assert verdict.outcome is Outcome.INCONCLUSIVE
     assert "that stay as they are got worse" in verdict.reason
