--- a/lapispick/rollout/pacing.py
+++ b/lapispick/rollout/pacing.py
@@ -1,4 +1,4 @@
-"""Which hosts may change now: how many at once, and how much of the fleet has to serve. No I/O and no clock."""
+"""Limits on how many hosts change at once and when stages may begin. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -9,60 +9,61 @@
 
 DAYS = ("mon", "tue", "wed", "thu", "fri", "sat", "sun")
 MINUTES_PER_DAY = 1440
-_ROUNDING = 1e-9  # lets an exact fraction of the fleet count as reached
+_ROUNDING_TOLERANCE = 1e-9  # so that an exact fraction of the fleet counts as reached
 
 
-class Candidate(NamedTuple):
-    """A host as far as pacing is concerned."""
+class PacedHost(NamedTuple):
+    """State of a host that matters for pacing."""
 
     name: str
-    is_serving: bool  # it accepts clients, as its agent reported in time
-    is_changing: bool  # a change of it is under way, in either direction
-    is_waiting: bool  # it is to begin
+    is_serving: bool  # it accepts clients according to a recent report of its agent
+    is_changing: bool  # it is changing or rolling back
+    is_waiting: bool  # its change has yet to begin
 
 
 class Limits(NamedTuple):
-    """How much may change at once; stored as an array, so the order of the fields is fixed."""
+    """Limits on concurrent changes; stored as an array, so the order of the fields is fixed."""
 
     max_changing: int = 2
     min_serving_fraction: float = 0.8
 
 
 class Admission(NamedTuple):
-    """The hosts that may begin now, and why no more do; empty where all do."""
+    """Hosts that may begin to change now."""
 
     hosts: list[str]
-    reason: str
+    reason: str  # why the other waiting hosts may not begin; empty if there are none
 
 
 class Hours(NamedTuple):
-    """A span of a day in minutes after midnight; it crosses midnight where ``start`` is after ``end``."""
+    """Time window within a day in minutes after midnight; it crosses midnight if ``start`` is after ``end``."""
 
     start: int
     end: int
 
     def contains(self, minute: int) -> bool:
-        """Tell whether a minute of the day is within the span."""
+        """Return True if a minute of the day is within the window."""
         if self.start < self.end:
             return self.start <= minute < self.end
         return minute >= self.start or minute < self.end
 
 
-def next_hosts(candidates: Iterable[Candidate], limits: Limits) -> Admission:
-    """Return the hosts that may begin now; those that are down for other reasons count as down.
+def next_hosts(hosts: Iterable[PacedHost], limits: Limits) -> Admission:
+    """Return the waiting hosts that may begin to change now, in the order given.
 
-    A host that begins counts as down until it serves again, although an upgrade leaves no gap: it may fail.
+    A host that begins counts as down until it serves again: an upgrade leaves no gap, but it may fail. Hosts that are
+    down for other reasons count as down too.
     """
-    fleet = list(candidates)
+    fleet = list(hosts)
     waiting = [host for host in fleet if host.is_waiting and not host.is_changing]
     changing = sum(host.is_changing for host in fleet)
     serving = sum(host.is_serving and not host.is_changing for host in fleet)
-    min_serving = limits.min_serving_fraction * len(fleet) - _ROUNDING
+    min_serving = limits.min_serving_fraction * len(fleet) - _ROUNDING_TOLERANCE
     admitted: list[str] = []
     for host in waiting:
         if changing >= limits.max_changing:
             return Admission(admitted, f"{changing} are in change; {limits.max_changing} may be at once")
-        serving_after = serving - host.is_serving  # a host that is down already costs nothing
+        serving_after = serving - host.is_serving  # a host that is already down takes no capacity away
         if serving_after < min_serving:
             reason = f"{serving} of {len(fleet)} serve; {limits.min_serving_fraction:.0%} must"
             return Admission(admitted, reason)
@@ -76,7 +77,7 @@
 
 
 def parse_hours(text: str) -> Hours | None:
-    """Read ``HH:MM-HH:MM``; None for empty; raises ``ValueError``."""
+    """Parse ``HH:MM-HH:MM``; returns None for an empty text and raises ``ValueError`` for an invalid one."""
     if not text:
         return None
     match = _HOURS_PATTERN.fullmatch(text)
@@ -91,9 +92,9 @@
 
 
 def closed_reason(now: datetime.datetime, hours: Hours | None, excluded_days: Iterable[str]) -> str:
-    """Return why no stage may begin at a local time; empty where it may.
+    """Return why no stage may begin at a local time; empty if one may.
 
-    A span that crosses midnight belongs to the day on which it starts.
+    A time window that crosses midnight belongs to the day on which it starts.
     """
     minute = now.hour * 60 + now.minute
     day = now.weekday()
--- a/lapispick/rollout/rollback.py
+++ b/lapispick/rollout/rollback.py
@@ -1,4 +1,4 @@
-"""The phases in which a rollout's hosts go back to what they ran before. No I/O and no clock."""
+"""Phases in which the hosts of a rollout are rolled back to the generation before it. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from lapispick.rollout.stage_completion import confirm_controls
 from lapispick.rollout.step_context import StepContext
 
-_AT_REST = (HostPhase.STEADY, HostPhase.STUCK)
+_STABLE_PHASES = (HostPhase.STEADY, HostPhase.STUCK)
 
 
 def roll_back_hosts(step: StepContext) -> None:
-    """Order the rollout's hosts to roll back, a few at once, until all have."""
+    """Order the hosts of the rollout to roll back, a few at once, until all have done so."""
     state = step.state
     involved = {*state.touched_hosts, *state.deferred_hosts}
     remaining = sorted(name for name in involved if name in step.reports and not _is_rolled_back(step, name))
@@ -33,7 +33,7 @@
         status = step.status(name)
         if status is None or status.phase == HostPhase.ROLLING_BACK:
             continue
-        # A host that serves no clients goes back at once: that takes no capacity away.
+        # A host that serves no clients is ordered to roll back at once, as that takes no capacity away.
         if rolling_back < step.state.plan.max_concurrent_rollbacks or not status.serving:
             step.send(name, RollBack(step.fence, step.state.name))
             rolling_back += 1
@@ -41,13 +41,14 @@
 
 def _is_rolled_back(step: StepContext, name: str) -> bool:
     status = step.status(name)
-    if status is None:  # an unconfirmed change is rolled back by the agent itself; a confirmed one has to be ordered
+    if status is None:
+        # An unreachable agent rolls back an unconfirmed change itself, but a confirmed one only when ordered to.
         return False
     runs_change = status.rollout == step.state.name and status.rolled_back_rollout != step.state.name
-    return not runs_change and status.phase in _AT_REST
+    return not runs_change and status.phase in _STABLE_PHASES
 
 
 def resume_rollback(step: StepContext) -> None:
-    """Continue to roll back once at most half of ``max_down_fraction`` of the hosts are down."""
+    """Continue the rollback once the fraction of hosts that are down is at most half of ``max_down_fraction``."""
     if step.down_count() <= step.state.plan.max_down_fraction * len(step.reports) / 2:
         step.enter(Phase.ROLLING_BACK, step.state.rollback_cause)
--- a/lapispick/rollout/rollout_plan.py
+++ b/lapispick/rollout/rollout_plan.py
@@ -1,4 +1,4 @@
-"""What a rollout is to do, fixed when it starts. No I/O."""
+"""Plan of a rollout, which does not change after its start. No I/O."""
 
 from __future__ import annotations
 
@@ -13,26 +13,28 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """A rollout's generation, stages and limits; times are in seconds. Stored under the names given to ``field``."""
+    """Generation, stages and limits of a rollout, stored under the names given to ``field``; times are in seconds."""
 
     generation: str
     stages: tuple[tuple[str, ...], ...]
-    hold_after_stages: tuple[int, ...] = msgspec.field(name="hold", default=())  # from 1; an operator resumes
-    host_kinds: dict[str, tuple[str, str]] = msgspec.field(name="kinds", default_factory=dict)  # -> zone, machine
+    hold_after_stages: tuple[int, ...] = msgspec.field(name="hold", default=())  # from 1; an operator has to resume
+    # host -> (zone, machine type)
+    host_kinds: dict[str, tuple[str, str]] = msgspec.field(name="kinds", default_factory=dict)
     warm_up_s: float = msgspec.field(name="warm_up", default=20.0)
     min_bake_s: float = msgspec.field(name="bake", default=120.0)
     max_bake_s: float = msgspec.field(name="bake_most", default=900.0)
     confirm_timeout_s: float = msgspec.field(name="confirm", default=1800.0)
-    baseline_s: float = msgspec.field(name="watch", default=30.0)  # before the first stage
+    baseline_s: float = msgspec.field(name="watch", default=30.0)  # before the first stage begins
     pace: pacing.Limits = pacing.Limits()
     max_concurrent_rollbacks: int = msgspec.field(name="back_most", default=2)
     unreachable_after_s: float = msgspec.field(name="unreached", default=10.0)
-    max_down_fraction: float = msgspec.field(name="fire", default=0.3)  # over it no host is rolled back any more
+    max_down_fraction: float = msgspec.field(name="fire", default=0.3)  # above it the rollback is suspended
     use_controls: bool = msgspec.field(name="controls", default=True)
-    max_memory_fraction: float = msgspec.field(name="memory_most", default=0.9)  # over it the rollout stops
-    default_memory_limit_mb: float = msgspec.field(name="memory_mb", default=0.0)  # where agents report none; 0 = any
+    max_memory_fraction: float = msgspec.field(name="memory_most", default=0.9)  # above it the rollout is rolled back
+    # Memory limit of hosts whose agent reports none; 0 = no limit.
+    default_memory_limit_mb: float = msgspec.field(name="memory_mb", default=0.0)
 
 
 def slice_duration_s(plan: Plan) -> float:
-    """Return the duration of one slice of metrics: a sixtieth of the bake, and at least half a second."""
+    """Return the duration of one slice of metrics: a sixtieth of the minimum bake time, at least half a second."""
     return max(MIN_SLICE_S, ceil(plan.min_bake_s / SLICES_PER_BAKE * 10) / 10)
--- a/lapispick/rollout/rollout_step.py
+++ b/lapispick/rollout/rollout_step.py
@@ -1,24 +1,24 @@
-"""Decides a rollout over the whole fleet: which agent is called, when a stage ends, when to roll back. No I/O.
+"""Decides the steps of a rollout over the fleet: which agents to call, when a stage ends, when to roll back. No I/O.
 
-Each step is decided from the rollout's state and from what the agents last reported. So a controller that takes over
-continues from there, and a call that was made may be made again.
+Each step depends only on the state of the rollout and on the last reports of the agents. So a controller that takes
+over continues from the stored state, and may repeat a call that was already made.
 
 | phase (stored as) | what happens | what ends it |
 | --- | --- | --- |
-| BASELINE (watching) | nothing changes; the hosts are compared as they are | enough time: CHANGING |
-| CHANGING | hosts of the stage, and as many controls, change as pacing admits | all reachable ones did: BAKING |
-| BAKING | the stage is watched, from its last warm host on | good: CONFIRMING; worse: ROLLING_BACK; else a decision |
-| CONFIRMING | the agents of the stage are called to keep the change | all did: the next stage, HELD or DONE |
-| WAITING | nothing begins outside of the hours | the hours: CHANGING |
-| HELD (holding) | nothing begins | an operator resumes it or rolls it back |
-| AWAITING_DECISION (asking) | the analysis can't tell | an operator resumes it (as if good) or rolls it back |
-| ROLLING_BACK (returning) | all hosts of the rollout go back, a few at once | none is left: ROLLED_BACK |
-| ROLLBACK_SUSPENDED (burning) | too much of the fleet is down; nothing is restarted | it serves again: ROLLING_BACK |
+| BASELINE (watching) | no host changes; metrics are collected as the baseline | enough time: CHANGING |
+| CHANGING | hosts of the stage, and matched controls, change as pacing admits | all reachable ones did: BAKING |
+| BAKING | the warm hosts of the stage are compared | good: CONFIRMING; worse: ROLLING_BACK; else AWAITING_DECISION |
+| CONFIRMING | the agents of the stage are called to keep the change | all did: WAITING, HELD or DONE |
+| WAITING | no stage begins outside of the configured hours | the hours begin: CHANGING |
+| HELD (holding) | no host begins to change | an operator resumes the rollout or rolls back |
+| AWAITING_DECISION (asking) | inconclusive, or an agent rolled back | an operator accepts the stage or rolls back |
+| ROLLING_BACK (returning) | all hosts of the rollout roll back, a few at once | all did: ROLLED_BACK |
+| ROLLBACK_SUSPENDED (burning) | too many hosts are down; no host is restarted | enough hosts serve: ROLLING_BACK |
 | DONE, ROLLED_BACK (undone) | the rollout is over | |
 
-An unreachable host is deferred and tried again in each later stage; it counts as down. A host that joins the list
-comes last, and one that leaves it is removed. A host that comes back in the old generation changes again in the stage
-that is under way then.
+An unreachable host counts as down, is deferred and tried again in each later stage. A host that joins the list changes
+in the last stage, and one that leaves the list is removed. A host that comes back in the old generation changes again
+in the stage that is under way at that time.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 _CAN_BE_HELD = frozenset((Phase.BASELINE, Phase.CHANGING, Phase.BAKING, Phase.WAITING))
 _CAN_BE_ROLLED_BACK = frozenset(Phase) - FINAL_PHASES - {Phase.ROLLING_BACK, Phase.ROLLBACK_SUSPENDED}
 
-_PHASE_STEPS: dict[Phase, Callable[[StepContext], None]] = {
+_PHASE_HANDLERS: dict[Phase, Callable[[StepContext], None]] = {
     Phase.BASELINE: watch_baseline,
     Phase.CHANGING: change_hosts,
     Phase.BAKING: bake,
@@ -52,29 +52,29 @@
 
 
 class Decision(NamedTuple):
-    """The state from now on, and the calls to make once it is stored."""
+    """Next state of a rollout, and the calls to make once that state is stored."""
 
     state: RolloutState
     calls: list[HostCall]
 
 
 def decide(state: RolloutState, fence: Fence, observations: Observations) -> Decision:
-    """Return the next state of a rollout and the calls that follow from it; ``state`` is left alone."""
+    """Return the next state of a rollout and the calls that follow from it; ``state`` is not modified."""
     step = StepContext(copy_of(state), fence, observations)
     if not step.state.phase_since:
         step.state.phase_since = step.now
     _update_host_lists(step)
-    _obey_order(step)
+    _apply_order(step)
     if step.state.phase in _CAN_BE_STOPPED and (reason := stop_reason(step)):
         step.enter(Phase.ROLLING_BACK, reason)
-    phase_step = _PHASE_STEPS.get(step.state.phase)
-    if phase_step is not None:
-        phase_step(step)
+    handle_phase = _PHASE_HANDLERS.get(step.state.phase)
+    if handle_phase is not None:
+        handle_phase(step)
     return Decision(step.state, step.calls)
 
 
 def _update_host_lists(step: StepContext) -> None:
-    """Remove hosts that left the list, and defer those that joined or came back."""
+    """Remove hosts that left the list, and defer those that joined it or came back."""
     state = step.state
     listed = step.reports.keys()
     stages = state.plan.stages
@@ -89,8 +89,8 @@
     state.deferred_hosts += sorted(listed - planned - state.touched_hosts - set(state.deferred_hosts))
 
 
-def _obey_order(step: StepContext) -> None:
-    """Carry out the newest order of an operator, where it means anything in this phase."""
+def _apply_order(step: StepContext) -> None:
+    """Apply the newest order of an operator; an order that has no effect in this phase is dropped."""
     state = step.state
     order = state.order
     state.order = ""
--- a/lapispick/rollout/stage_changes.py
+++ b/lapispick/rollout/stage_changes.py
@@ -1,4 +1,4 @@
-"""The phases in which a stage's hosts change and are watched. No I/O and no clock."""
+"""Phases in which the hosts of a stage change and are observed. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 def watch_baseline(step: StepContext) -> None:
-    """Watch the unchanged fleet for a while, then begin the first stage."""
+    """Begin the first stage once the baseline has been observed for long enough."""
     if step.phase_duration_s >= step.state.plan.baseline_s and not step.closed_reason:
         begin_stage(step)
 
 
 def wait_for_hours(step: StepContext) -> None:
-    """Begin the next stage once one may begin."""
+    """Begin the next stage once the configured hours allow it."""
     if step.closed_reason:
         step.state.reason = step.closed_reason
     else:
@@ -31,7 +31,7 @@
     planned = stages[state.stage] if state.stage < len(stages) else ()
     is_last = state.stage >= len(stages) - 1
     state.stage_hosts = [name for name in planned if name in step.reports]
-    # Hosts that were unreachable are tried again in each stage; hosts that joined come with the last one.
+    # Hosts that were unreachable are tried again in each stage; hosts that joined the list change in the last one.
     planned_in_any_stage = {name for stage in stages for name in stage}
     retried = [name for name in state.deferred_hosts if is_last or name in planned_in_any_stage]
     state.stage_hosts += [name for name in retried if name not in state.stage_hosts]
@@ -43,7 +43,7 @@
 
 
 def _matched_controls(step: StepContext) -> list[str]:
-    """Return an unchanged host of the same kind for each host of the stage, as far as there are any."""
+    """Return an unchanged host of the same kind for each host of the stage, as long as any are available."""
     state = step.state
     kinds = state.plan.host_kinds
     available = [name for name in sorted(step.reports) if _can_be_control(step, name)]
@@ -64,7 +64,7 @@
 
 
 def change_hosts(step: StepContext) -> None:
-    """Order hosts and controls of the stage to begin, as many at once as pacing admits."""
+    """Order hosts of the stage to change and controls to restart, as many at once as pacing admits."""
     state = step.state
     timed_out = next((name for name in state.stage_hosts if _confirm_timed_out(step, name)), None)
     if timed_out is not None:
@@ -75,7 +75,7 @@
     waiting = [*unchanged, *restarts]
     if all(step.status(name) is None for name in waiting):
         return _finish_changes(step, unchanged)
-    admission = pacing.next_hosts(step.pacing_candidates(waiting), state.plan.pace)
+    admission = pacing.next_hosts(step.paced_hosts(waiting), state.plan.pace)
     state.reason = admission.reason or state.reason
     for name in admission.hosts:
         _send_change(step, name, is_restart=name in restarts)
@@ -100,7 +100,7 @@
 
 
 def _finish_changes(step: StepContext, unchanged: list[str]) -> None:
-    """Begin to bake once all reachable hosts have changed; the unreachable ones are deferred after a while."""
+    """Begin to bake once all reachable hosts have changed; defer the unreachable ones after a timeout."""
     state = step.state
     unreachable = [name for name in unchanged if step.status(name) is None]
     if state.stage_hosts and len(unreachable) == len(state.stage_hosts):
@@ -123,7 +123,7 @@
 
 
 def bake(step: StepContext) -> None:
-    """Watch the changed hosts until the canary analysis decides or time is up."""
+    """Wait until the canary analysis decides or the maximum bake time is over."""
     state = step.state
     for name in state.stage_hosts:
         status = step.status(name)
@@ -132,7 +132,7 @@
         if status.rolled_back_rollout == state.name:
             return step.enter(Phase.AWAITING_DECISION, f"{name}: undone, as it {status.fault}")
         if status.phase == HostPhase.STEADY and status.good != state.plan.generation:
-            # The host was unreachable while the stage began.
+            # The host was unreachable when the stage began and came back in the old generation.
             return step.enter(Phase.CHANGING, f"{name}: back in {status.good}")
     baked_s = step.now - state.last_change_at - state.plan.warm_up_s
     verdict = step.verdict
--- a/lapispick/rollout/stage_completion.py
+++ b/lapispick/rollout/stage_completion.py
@@ -1,4 +1,4 @@
-"""The phase in which a stage is confirmed, and what follows a stage. No I/O and no clock."""
+"""Phase in which a stage is confirmed, and the transition to the next stage. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def confirm_hosts(step: StepContext) -> None:
-    """Order the hosts of the stage to keep the change, until all reachable ones do."""
+    """Order the hosts of the stage to keep the change, until all reachable ones have confirmed it."""
     state = step.state
     rolled_back = next((name for name in state.stage_hosts if _has_rolled_back(step, name)), None)
     if rolled_back is not None:
@@ -22,7 +22,7 @@
     any_reachable = any(step.status(name) is not None for name in unconfirmed)
     if any_reachable or (unconfirmed and step.phase_duration_s < state.plan.unreachable_after_s):
         return None
-    defer_hosts(step, unconfirmed)  # whether they kept the change is seen once they answer again
+    defer_hosts(step, unconfirmed)  # their next status shows whether they kept the change
     if state.stage + 1 in state.plan.hold_after_stages:
         state.held_phase = ""
         return step.enter(Phase.HELD, f"stage {state.stage + 1} is over; the plan holds here")
@@ -35,7 +35,7 @@
 
 
 def confirm_controls(step: StepContext) -> None:
-    """Order restarted controls to keep the generation that they run, which is the one of before."""
+    """Order restarted controls to keep the generation that they run, which is still the old one."""
     for name in step.unconfirmed_controls():
         step.send(name, Confirm(step.fence, control_rollout_name(step.state)))
 
@@ -56,6 +56,6 @@
 
 
 def _has_reverted(step: StepContext, name: str) -> bool:
-    """Tell whether a confirmed host came back in the old generation."""
+    """Return True if a confirmed host came back in the old generation."""
     status = step.status(name)
     return status is not None and status.phase == HostPhase.STEADY and not step.is_confirmed(name)
--- a/lapispick/rollout/stages.py
+++ b/lapispick/rollout/stages.py
@@ -1,7 +1,7 @@
-"""Which hosts change in which stage, so that no stage takes all of a zone or failure domain. No I/O and no clock.
+"""Assignment of hosts to stages, so that no stage takes all of a zone or failure domain. No I/O and no clock.
 
-Hosts are put in an order that mixes zones, domains and machine types, drawn from the rollout's name: the same list and
-name give the same stages to every controller, and another rollout begins with other hosts.
+Hosts are put in a pseudorandom order that mixes zones, domains and machine types. It depends only on the list and on
+the rollout's name: every controller computes the same stages, and another rollout begins with other hosts.
 """
 
 from __future__ import annotations
@@ -16,30 +16,30 @@
 from lapispick.fleet.hosts import Worker
 
 MAX_COUNT = 100_000
-_DRAW_BYTES = 8
-_DRAW_RANGE = 2.0**64
+_HASH_BYTES = 8
+_HASH_RANGE = 2.0**64
 _NAMES_PREFIX = "box:"
-_ROUNDING = 1e-9  # keeps an exact fraction of the fleet from being rounded up
+_ROUNDING_TOLERANCE = 1e-9  # keeps an exact fraction of the fleet from being rounded up
 
-FaultGroup = tuple[str, ...]  # ("zone", zone) or ("domain", zone, domain): hosts that fail together
+FailureDomain = tuple[str, ...]  # ("zone", zone) or ("domain", zone, domain): hosts that can fail together
 
 
 class StageSize(NamedTuple):
-    """What one stage is to hold: hosts by name, else a number of hosts, else a fraction of all up to its end."""
+    """Size of one stage: hosts by name, else a number of hosts, else a cumulative fraction of the fleet."""
 
     names: tuple[str, ...] = ()
     count: int = 0
-    fraction: float = 0.0
+    fraction: float = 0.0  # of all hosts, in this stage and the ones before it
 
 
 class Limits(NamedTuple):
-    """How much of what fails together one stage may take."""
+    """Limits on how much of a failure domain one stage may take."""
 
     max_zone_fraction: float = 0.6
 
 
 def parse_size(text: str) -> StageSize:
-    """Read the size of a stage: ``3``, ``25%`` or ``box:NAME,NAME``; raises ``ValueError``."""
+    """Parse the size of a stage: ``3``, ``25%`` or ``box:NAME,NAME``; raises ``ValueError`` if it is invalid."""
     if text.startswith(_NAMES_PREFIX):
         names = tuple(filter(None, text.removeprefix(_NAMES_PREFIX).split(",")))
         if not names:
@@ -62,41 +62,44 @@
     return fraction
 
 
-def _draw(rollout: str, name: str) -> bytes:
-    return blake2b(name.encode(), digest_size=_DRAW_BYTES, key=rollout.encode()[:64]).digest()
+def _keyed_hash(rollout: str, name: str) -> bytes:
+    return blake2b(name.encode(), digest_size=_HASH_BYTES, key=rollout.encode()[:64]).digest()
 
 
 def mixed_order(hosts: Iterable[Worker], rollout: str) -> list[Worker]:
-    """Return the hosts so that any head of the list has a like share of each zone, domain and machine type."""
+    """Return the hosts in an order in which any prefix has a similar share of each zone, domain and machine type."""
     groups: dict[tuple[str, ...], list[Worker]] = {}
     for host in hosts:
         groups.setdefault((host.zone, host.domain, host.machine), []).append(host)
-    placed: list[tuple[float, bytes, Worker]] = []
+    positioned: list[tuple[float, bytes, Worker]] = []
     for group, members in groups.items():
-        # Groups of one size take turns at being first.
-        shift = int.from_bytes(_draw(rollout, "/".join(group))) / _DRAW_RANGE
-        members.sort(key=lambda host: _draw(rollout, host.name))
+        # A shift per group determines which of several groups of equal size comes first.
+        shift = int.from_bytes(_keyed_hash(rollout, "/".join(group))) / _HASH_RANGE
+        members.sort(key=lambda host: _keyed_hash(rollout, host.name))
         for index, host in enumerate(members):
-            placed.append(((index + shift) / len(members), _draw(rollout, host.name), host))
-    return [host for _, _, host in sorted(placed, key=lambda place: place[:2])]
+            positioned.append(((index + shift) / len(members), _keyed_hash(rollout, host.name), host))
+    return [host for _, _, host in sorted(positioned, key=lambda item: item[:2])]
 
 
-def _fault_groups(host: Worker) -> tuple[FaultGroup, FaultGroup]:
+def _failure_domains(host: Worker) -> tuple[FailureDomain, FailureDomain]:
     return ("zone", host.zone), ("domain", host.zone, host.domain)
 
 
-def _capacities(hosts: Sequence[Worker], max_fraction: float) -> dict[FaultGroup, int]:
-    """Return how many hosts of each group one stage may take: never all, where there are two or more."""
-    sizes: Counter[FaultGroup] = Counter()
+def _capacities(hosts: Sequence[Worker], max_fraction: float) -> dict[FailureDomain, int]:
+    """Return how many hosts of each failure domain one stage may take: never all hosts of a domain with two or more."""
+    sizes: Counter[FailureDomain] = Counter()
     for host in hosts:
-        sizes.update(_fault_groups(host))
-    return {group: max(1, min(ceil(size * max_fraction - _ROUNDING), size - 1)) for group, size in sizes.items()}
+        sizes.update(_failure_domains(host))
+    return {
+        domain: max(1, min(ceil(size * max_fraction - _ROUNDING_TOLERANCE), size - 1)) for domain, size in sizes.items()
+    }
 
 
 def assign(hosts: Sequence[Worker], sizes: Sequence[StageSize], rollout: str, limits: Limits) -> list[list[str]]:
-    """Return the names of each stage's hosts; hosts for which a stage has no capacity come later, or in one more.
+    """Return the names of the hosts of each stage.
 
-    Raises ``ValueError`` where a stage names a host that does not exist, or two stages name the same one.
+    Hosts that exceed the limits of a stage come in a later stage or, if the stages cover the whole fleet, in additional
+    stages. Raises ``ValueError`` if a stage names a host that does not exist, or two stages name the same host.
     """
     by_name = {host.name: host for host in hosts}
     named = [name for size in sizes for name in size.names]
@@ -106,14 +109,14 @@
     stages: list[list[str]] = []
     assigned = 0
     for size in sizes:
-        up_to = ceil(size.fraction * len(hosts) - _ROUNDING)
-        count = len(size.names) or size.count or max(0, up_to - assigned)
-        stage = _fill([by_name[name] for name in size.names], remaining, count, capacities)
+        cumulative_count = ceil(size.fraction * len(hosts) - _ROUNDING_TOLERANCE)
+        count = len(size.names) or size.count or max(0, cumulative_count - assigned)
+        stage = _fill_stage([by_name[name] for name in size.names], remaining, count, capacities)
         stages.append([host.name for host in stage])
         assigned += len(stage)
     includes_all = any(size.fraction >= 1 for size in sizes)
     while remaining and includes_all:
-        stage = _fill([], remaining, len(remaining), capacities)
+        stage = _fill_stage([], remaining, len(remaining), capacities)
         stages.append([host.name for host in stage])
     return [stage for stage in stages if stage]
 
@@ -126,48 +129,50 @@
         raise ValueError("a box stands in two stages")
 
 
-def _fill(stage: list[Worker], remaining: list[Worker], count: int, capacities: dict[FaultGroup, int]) -> list[Worker]:
-    """Move hosts from ``remaining`` to the stage until it holds ``count`` or has no capacity for any other."""
-    taken: Counter[FaultGroup] = Counter()
+def _fill_stage(
+    stage: list[Worker], remaining: list[Worker], count: int, capacities: dict[FailureDomain, int]
+) -> list[Worker]:
+    """Move hosts from ``remaining`` to the stage until it has ``count`` hosts or no capacity for any other host."""
+    taken: Counter[FailureDomain] = Counter()
     for host in stage:
-        taken.update(_fault_groups(host))
+        taken.update(_failure_domains(host))
     for host in list(remaining):
         if len(stage) >= count:
             break
-        if all(taken[group] < capacities[group] for group in _fault_groups(host)):
-            taken.update(_fault_groups(host))
+        if all(taken[domain] < capacities[domain] for domain in _failure_domains(host)):
+            taken.update(_failure_domains(host))
             stage.append(host)
             remaining.remove(host)
     return stage
 
 
 def remarks(hosts: Sequence[Worker], stages: Sequence[Sequence[str]], limits: Limits) -> list[str]:
-    """Return what an operator should know of a plan before it begins."""
+    """Return remarks on a plan that an operator should read before the rollout starts."""
     by_name = {host.name: host for host in hosts}
     capacities = _capacities(hosts, limits.max_zone_fraction)
-    found = []
+    texts = []
     assigned: set[str] = set()
     for number, stage in enumerate(stages, 1):
         stage_hosts = [by_name[name] for name in stage]
         assigned.update(stage)
-        found += _capacity_remarks(number, stage_hosts, capacities)
+        texts += _capacity_remarks(number, stage_hosts, capacities)
         if number < len(stages):
-            found += _comparison_remarks(number, stage_hosts, [host for host in hosts if host.name not in assigned])
+            texts += _comparison_remarks(number, stage_hosts, [host for host in hosts if host.name not in assigned])
     missing = by_name.keys() - assigned
     if missing:
-        found.append(f"{len(missing)} boxes stay as they are, such as {min(missing)}")
-    found += [f"{host.name} has no agent (lapispick_agent)" for host in hosts if not host.agent]
-    return found
+        texts.append(f"{len(missing)} boxes stay as they are, such as {min(missing)}")
+    texts += [f"{host.name} has no agent (lapispick_agent)" for host in hosts if not host.agent]
+    return texts
 
 
-def _capacity_remarks(number: int, stage: list[Worker], capacities: dict[FaultGroup, int]) -> list[str]:
-    taken: Counter[FaultGroup] = Counter()
+def _capacity_remarks(number: int, stage: list[Worker], capacities: dict[FailureDomain, int]) -> list[str]:
+    taken: Counter[FailureDomain] = Counter()
     for host in stage:
-        taken.update(_fault_groups(host))
+        taken.update(_failure_domains(host))
     return [
-        f"stage {number} takes {count} boxes of {' '.join(filter(None, group))}; {capacities[group]} may go at once"
-        for group, count in sorted(taken.items())
-        if count > capacities[group]
+        f"stage {number} takes {count} boxes of {' '.join(filter(None, domain))}; {capacities[domain]} may go at once"
+        for domain, count in sorted(taken.items())
+        if count > capacities[domain]
     ]
 
 
--- a/lapispick/rollout/stop_conditions.py
+++ b/lapispick/rollout/stop_conditions.py
@@ -1,4 +1,4 @@
-"""What ends a rollout at once, in any phase in which hosts run the change. No I/O and no clock."""
+"""Conditions that roll a rollout back at once, in any phase in which hosts run the change. No I/O and no clock."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 from lapispick.rollout.step_context import StepContext
 
 _KB_PER_MB = 1024
-_PHASES_THAT_COMPARE = (Phase.CHANGING, Phase.BAKING)
+_ANALYSED_PHASES = (Phase.CHANGING, Phase.BAKING)
 
 
 def stop_reason(step: StepContext) -> str:
-    """Return why the rollout has to be rolled back now; empty where it need not be."""
+    """Return why the rollout has to be rolled back now; empty if there is no reason."""
     for name in sorted(step.state.touched_hosts):
         report = step.reports.get(name)
         if report is not None and (reason := _host_fault(step, report)):
             return f"{name}: {reason}"
     verdict = step.verdict
-    if verdict is not None and verdict.outcome is Outcome.WORSE and step.state.phase in _PHASES_THAT_COMPARE:
+    if verdict is not None and verdict.outcome is Outcome.WORSE and step.state.phase in _ANALYSED_PHASES:
         return verdict.reason
     return ""
 
@@ -29,7 +29,7 @@
     if status is None:
         return ""
     if status.rolled_back_rollout == state.name and status.fault != CALLED_BACK:
-        # A lost confirmation is no evidence against the change.
+        # A confirmation that did not arrive in time is no evidence against the change.
         return "" if status.fault == NOT_CONFIRMED_IN_TIME else status.fault
     if status.serving != state.plan.generation:
         return ""
--- a/tests/test_rollout_stages.py
+++ b/tests/test_rollout_stages.py
@@ -9,7 +9,7 @@
 
 from lapispick.fleet.hosts import Worker
 from lapispick.rollout import pacing, stages
-from lapispick.rollout.pacing import Candidate
+from lapispick.rollout.pacing import PacedHost
 from lapispick.rollout.stages import parse_size
 from tests.property_support import cpu_time_bounded
 
@@ -71,7 +71,7 @@
 )
 @cpu_time_bounded
 def test_pacing_never_admits_too_many_hosts_and_keeps_enough_serving(rows, max_changing, min_serving):
-    candidates = [Candidate(str(n), *row) for n, row in enumerate(rows)]
+    candidates = [PacedHost(str(n), *row) for n, row in enumerate(rows)]
     admitted, reason = pacing.next_hosts(candidates, pacing.Limits(max_changing, min_serving))
     changing = sum(candidate.is_changing for candidate in candidates)
     assert not admitted or changing + len(admitted) <= max_changing
