--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -1,4 +1,4 @@
-"""The sequential test and the canary analysis, from slices of drawn metrics."""
+"""The sequential test and the canary analysis, with slices of random metrics."""
 
 import random
 
@@ -9,7 +9,7 @@
 from lapispick.rollout.canary_analysis import Bounds, CanaryAnalysis, Outcome
 from lapispick.rollout.evidence import Series
 
-LOG_20 = 2.9957
+LOG_20 = 2.9957  # log evidence that is exceeded with a probability of at most 1/20 if there is no difference
 
 
 def test_evidence_is_rare_without_a_difference_and_grows_with_one():
@@ -31,15 +31,15 @@
     assert abs(series.mean - 0.8) < evidence.confidence_radius(series.count, series.count, 1.0, 0.05)
 
 
-def draw_slices(rng, extra_rejections, names, count=40):
-    """Return a slice of each host; so many more of its ``count`` requests are rejected, as a fraction."""
-    drawn = {}
+def draw_slices(rng, extra_rejections, names, request_count=40):
+    """Return a random slice of each host; ``extra_rejections`` maps hosts to a fraction of additional rejections."""
+    slices = {}
     for name in names:
-        rejected = sum(rng.random() < 0.05 + extra_rejections.get(name, 0.0) for _ in range(count))
-        served = count - rejected
-        book = metrics.ClassCounts(count, rejected, 0, 0, float(served), {16.0: count})
-        drawn[name] = metrics.Slice(name, 1.0, {"book": book}, served, 30_000)
-    return drawn
+        rejected = sum(rng.random() < 0.05 + extra_rejections.get(name, 0.0) for _ in range(request_count))
+        served = request_count - rejected
+        book = metrics.ClassCounts(request_count, rejected, 0, 0, float(served), {16.0: request_count})
+        slices[name] = metrics.Slice(name, 1.0, {"book": book}, served, 30_000)
+    return slices
 
 
 @pytest.mark.parametrize(
@@ -50,7 +50,7 @@
         ({"b": 0.3}, set(Outcome) - {Outcome.WORSE}),
     ],
 )
-def test_only_changed_hosts_that_do_worse_are_worse(extra_rejections, outcomes):
+def test_outcome_is_worse_only_if_the_changed_hosts_do_worse(extra_rejections, outcomes):
     rng = random.Random(2)
     analysis = CanaryAnalysis(Bounds(), {"a": 1, "b": 1, "c": 2})
     for _ in range(60):
@@ -65,14 +65,14 @@
         assert result.low <= result.mean <= result.high
 
 
-def test_all_requests_of_a_class_with_few_requests_count():
+def test_all_requests_of_a_class_with_few_requests_are_counted():
     rng = random.Random(9)
     analysis = CanaryAnalysis(Bounds(), {"a": 1, "b": 1})
-    for n in range(400):
-        if n < 100:
-            analysis.add_baseline(["a"], ["b"], draw_slices(rng, {}, "ab", count=2))
+    for number in range(400):
+        if number < 100:
+            analysis.add_baseline(["a"], ["b"], draw_slices(rng, {}, "ab", request_count=2))
         else:
-            analysis.add_canary(["a"], ["b"], draw_slices(rng, {"a": 0.4}, "ab", count=2))
+            analysis.add_canary(["a"], ["b"], draw_slices(rng, {"a": 0.4}, "ab", request_count=2))
     verdict = analysis.verdict()
     assert verdict.outcome is Outcome.WORSE
     assert {result.slices for result in verdict.results if "book" in result.metric} == {100}
@@ -81,8 +81,8 @@
 def test_a_difference_from_before_the_change_does_not_count():
     rng = random.Random(6)
     analysis = CanaryAnalysis(Bounds(), {"a": 1, "b": 1})
-    for n in range(160):
-        add_slices = analysis.add_baseline if n < 60 else analysis.add_canary
+    for number in range(160):
+        add_slices = analysis.add_baseline if number < 60 else analysis.add_canary
         add_slices(["a"], ["b"], draw_slices(rng, {"a": 0.2}, "ab"))
     assert analysis.verdict().outcome is not Outcome.WORSE
 
@@ -95,7 +95,7 @@
     assert analysis.verdict() == (Outcome.INCONCLUSIVE, "there is nothing to compare with", ())
 
 
-def test_metrics_of_another_process_make_no_slice():
+def test_samples_of_two_processes_form_no_slice_and_malformed_samples_are_rejected():
     lines = [
         "app.success.book:5|c",
         "app.busy.book:1|c",
@@ -116,27 +116,29 @@
             metrics.decode_sample(malformed_lines, 1.0)
 
 
-def test_memory_that_grows_slowly_is_worse_far_below_its_limit():
+def test_slowly_growing_memory_is_worse_even_far_below_its_limit():
     rng = random.Random(3)
     analysis = CanaryAnalysis(Bounds(), {"a": 1, "b": 1})
-    for n in range(160):
-        now = draw_slices(rng, {}, "ab")
-        if n < 60:
-            analysis.add_baseline(["a"], ["b"], now)
+    for number in range(160):
+        slices = draw_slices(rng, {}, "ab")
+        if number < 60:
+            analysis.add_baseline(["a"], ["b"], slices)
             continue
-        leak = (n - 60) * 400  # kB; a fifth of the limit in 100 slices
-        analysis.add_canary(["a"], ["b"], {**now, "a": now["a"]._replace(memory_kb=30_000 + leak + rng.randrange(500))})
+        leak_kb = (number - 60) * 400  # a fifth of the limit in 100 slices
+        slices["a"] = slices["a"]._replace(memory_kb=30_000 + leak_kb + rng.randrange(500))
+        analysis.add_canary(["a"], ["b"], slices)
     verdict = analysis.verdict()
     assert verdict.outcome is Outcome.WORSE
     assert verdict.reason.startswith("memory")
 
 
-def test_unchanged_hosts_that_get_worse_make_the_verdict_unsure():
+def test_unchanged_hosts_that_get_worse_make_the_outcome_inconclusive():
     rng = random.Random(4)
     analysis = CanaryAnalysis(Bounds(), {"a": 1, "b": 1})
-    for n in range(160):
-        both = {"a": 0.15, "b": 0.15} if n >= 60 else {}
-        (analysis.add_baseline if n < 60 else analysis.add_canary)(["a"], ["b"], draw_slices(rng, both, "ab"))
+    for number in range(160):
+        add_slices = analysis.add_baseline if number < 60 else analysis.add_canary
+        extra_rejections = {"a": 0.15, "b": 0.15} if number >= 60 else {}
+        add_slices(["a"], ["b"], draw_slices(rng, extra_rejections, "ab"))
     verdict = analysis.verdict()
     assert verdict.outcome is Outcome.INCONCLUSIVE
     assert "that stay as they are got worse" in verdict.reason
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""Rollouts on a fleet of running hosts with agents: good and bad changes, dead controllers, partitions, other lists."""
+"""Rollouts on a fleet of running hosts with agents: good and bad changes, killed controllers, partitions, new lists."""
 
 import contextlib
 import json
@@ -38,38 +38,38 @@
 
 
 def plan(**changes):
-    """Return the directives of a quick rollout, with changes; ``_`` in a name stands for ``-``."""
+    """Return the directives of a quick rollout with some changed; ``_`` in the name of a directive stands for ``-``."""
     directives = {**PLAN, **{name.replace("_", "-"): value for name, value in changes.items()}}
     return "".join(f" {name} {value}\n" for name, value in directives.items())
 
 
-QUICK = plan()
+QUICK_PLAN = plan()
 
 
 @pytest.fixture
-def made(tmp_path):
-    """Make a fleet with agents, by the directives of the plan and the number of hosts."""
-    opened = []
+def make_fleet(tmp_path):
+    """Return a function that creates a fleet with agents from the directives of a plan and a number of hosts."""
+    resources = []
 
-    def make(rollout_settings=QUICK, hosts=3, listed=None, rate=30.0, **over):
-        fleet = Fleet(tmp_path, seed=6, hosts=hosts, gateways=2, rate=rate, **over)
-        opened.append(fleet)
+    def make(rollout_settings=QUICK_PLAN, hosts=3, listed=None, rate=30.0, **fleet_options):
+        fleet = Fleet(tmp_path, seed=6, hosts=hosts, gateways=2, rate=rate, **fleet_options)
+        resources.append(fleet)
         rollout_fleet = RolloutFleet(fleet, rollout_settings, listed)
-        opened.append(rollout_fleet)
+        resources.append(rollout_fleet)
         return rollout_fleet
 
     yield make
-    for each in reversed(opened):
-        each.close()
+    for resource in reversed(resources):
+        resource.close()
 
 
 @contextlib.contextmanager
-def repeated(function):
-    """Call a function ten times a second in a thread."""
-    over = threading.Event()
+def called_periodically(function):
+    """Call a function ten times a second in a thread for the duration of the context."""
+    stopped = threading.Event()
 
     def run():
-        while not over.wait(0.1):
+        while not stopped.wait(0.1):
             function()
 
     thread = threading.Thread(target=run)
@@ -77,26 +77,26 @@
     try:
         yield
     finally:
-        over.set()
+        stopped.set()
         thread.join()
 
 
 def assert_rules_kept(rollout_fleet):
-    """Fail if a rule was broken or a key executed twice."""
+    """Assert that no rule was broken and no key was executed twice."""
     assert rollout_fleet.fleet.broken_rules() == []
     assert max(rollout_fleet.fleet.record.executions_by_key().values(), default=0) <= 1
 
 
-def assert_rolled_back(rollout_fleet, options, reason):
-    """Roll a generation out, and fail unless it is rolled back for this reason without an operator."""
+def assert_rollout_is_rolled_back(rollout_fleet, options, reason):
+    """Roll out a generation and assert that it is rolled back for this reason without an operator."""
     rollout_fleet.start_controller("start", *options)
     status = rollout_fleet.wait_for_phase("undone", "asking", "done")
     assert status["phase"] == "undone", status
     assert reason in status["reason"], status
 
 
-def test_a_good_change_reaches_all_hosts(made):
-    rollout_fleet = made().start()
+def test_a_good_change_reaches_all_hosts(make_fleet):
+    rollout_fleet = make_fleet().start()
     new, options = rollout_fleet.add_generation(settings=METRICS_SETTINGS + LOG_WARNINGS_SETTINGS)
     rollout_fleet.start_controller("start", *options)
     rollout_fleet.wait_for_phase("done", "asking", "undone")
@@ -107,48 +107,50 @@
     assert_rules_kept(rollout_fleet)
 
 
-def test_a_change_that_is_worse_for_one_class_is_rolled_back(made, tmp_path):
-    rollout_fleet = made(plan(bake="8s", bake_most="30s"), rate=60).start()
+def test_a_change_that_is_worse_for_one_class_is_rolled_back(make_fleet, tmp_path):
+    rollout_fleet = make_fleet(plan(bake="8s", bake_most="30s"), rate=60).start()
     _, options = rollout_fleet.add_generation(program(tmp_path / "bad", fails_keyed_requests(4)))
-    assert_rolled_back(rollout_fleet, options, reason="book")
+    assert_rollout_is_rolled_back(rollout_fleet, options, reason="book")
     assert set(rollout_fleet.serving().values()) == {rollout_fleet.good}
     rolled_back = [agent for agent in rollout_fleet.agents.values() if agent.status().rolled_back_rollout == "r1"]
-    assert len(rolled_back) == 1  # it got no further than its first stage
+    assert len(rolled_back) == 1  # only the host of the first stage was changed
     explanation = json.loads(rollout_fleet.run_command("explain", "--json").stdout)
     assert explanation["outcome"] == "worse"
     assert any("book" in row["figure"] for row in explanation["rows"])
     assert_rules_kept(rollout_fleet)
 
 
-def test_a_change_that_is_bad_only_beside_old_hosts_is_rolled_back(made, tmp_path):
-    rollout_fleet = made(plan(bake="8s", bake_most="30s"), rate=60).start()
-    beside = tmp_path / "old-hosts-serve"
-    beside.touch()
-    new, options = rollout_fleet.add_generation(program(tmp_path / "bad", fails_keyed_requests(4, file_exists(beside))))
+def test_a_change_that_is_bad_only_alongside_old_hosts_is_rolled_back(make_fleet, tmp_path):
+    rollout_fleet = make_fleet(plan(bake="8s", bake_most="30s"), rate=60).start()
+    old_hosts_marker = tmp_path / "old-hosts-serve"
+    old_hosts_marker.touch()
+    new, options = rollout_fleet.add_generation(
+        program(tmp_path / "bad", fails_keyed_requests(4, file_exists(old_hosts_marker)))
+    )
 
-    def remove_file_without_old_hosts():
+    def remove_marker_without_old_hosts():
         if all(generation == new for generation in rollout_fleet.serving().values()):
-            beside.unlink(missing_ok=True)
+            old_hosts_marker.unlink(missing_ok=True)
 
-    with repeated(remove_file_without_old_hosts):
-        assert_rolled_back(rollout_fleet, options, reason="book")
+    with called_periodically(remove_marker_without_old_hosts):
+        assert_rollout_is_rolled_back(rollout_fleet, options, reason="book")
     assert set(rollout_fleet.serving().values()) == {rollout_fleet.good}
     assert_rules_kept(rollout_fleet)
 
 
-def test_a_program_that_does_not_start_stops_the_rollout_at_once(made, tmp_path):
-    rollout_fleet = made().start()
+def test_a_program_that_does_not_start_stops_the_rollout_at_once(make_fleet, tmp_path):
+    rollout_fleet = make_fleet().start()
     _, options = rollout_fleet.add_generation(program(tmp_path / "bad", DOES_NOT_START))
     controller = rollout_fleet.start_controller("start", *options)
-    found = rollout_fleet.wait_for_phase("undone")
-    assert "ended before it took clients" in found["reason"]
+    status = rollout_fleet.wait_for_phase("undone")
+    assert "ended before it took clients" in status["reason"]
     assert controller.wait(20) == 1
     assert set(rollout_fleet.serving().values()) == {rollout_fleet.good}
     assert_rules_kept(rollout_fleet)
 
 
-# (point, how often it is passed before the controller dies there)
-POINTS = [
+# Named point of the controller, and at which pass the controller is killed there.
+KILL_POINTS = [
     ("took-over", 1),
     ("decided", 1),
     ("stored", 1),
@@ -160,12 +162,12 @@
 ]
 
 
-@pytest.mark.parametrize(("point", "times"), POINTS)
-def test_a_controller_killed_at_any_point_is_resumed_by_another_one(made, point, times):
-    rollout_fleet = made(plan(bake="0.6s", bake_most="1.2s")).start()
+@pytest.mark.parametrize(("point", "times"), KILL_POINTS)
+def test_a_controller_killed_at_any_point_is_resumed_by_another_one(make_fleet, point, times):
+    rollout_fleet = make_fleet(plan(bake="0.6s", bake_most="1.2s")).start()
     new, options = rollout_fleet.add_generation(config={"stop_ms": 2400})
     first = rollout_fleet.start_controller("start", *options, dies_at=point, times=times)
-    if (point, times) in (("took-over", 1), ("decided", 1)):  # nothing is stored: it never began
+    if (point, times) in (("took-over", 1), ("decided", 1)):  # nothing is stored, so the rollout is started again
         assert first.wait(30) == -signal.SIGKILL
         rollout_fleet.start_controller("start", *options)
     else:
@@ -178,8 +180,8 @@
     assert_rules_kept(rollout_fleet)
 
 
-def test_a_controller_that_was_suspended_is_fenced_off(made):
-    rollout_fleet = made(plan(bake="4s", bake_most="20s")).start()
+def test_a_controller_that_was_suspended_is_fenced_off(make_fleet):
+    rollout_fleet = make_fleet(plan(bake="4s", bake_most="20s")).start()
     new, options = rollout_fleet.add_generation(config={"stop_ms": 2400})
     first = rollout_fleet.start_controller("start", *options)
     rollout_fleet.wait_for_bake()
@@ -188,38 +190,38 @@
     wait_until(lambda: CONTROL_TAKEN in second.log(), "the second controller")
     first.send_signal(signal.SIGCONT)
     assert first.wait(30) == 3
-    fenced_by = ("has taken over", "ERR fenced")  # by the store, or by an agent
-    assert any(reason in first.log() for reason in fenced_by)
+    fenced_texts = ("has taken over", "ERR fenced")  # from the store, or from an agent
+    assert any(text in first.log() for text in fenced_texts)
     assert second.poll() is None
     rollout_fleet.resume_until_done()
     assert set(rollout_fleet.serving().values()) == {new}
     assert_rules_kept(rollout_fleet)
 
 
-def test_hosts_that_are_partitioned_past_the_confirm_time_roll_back(made):
-    rollout_fleet = made(
+def test_hosts_that_are_partitioned_past_the_confirm_timeout_roll_back(make_fleet):
+    rollout_fleet = make_fleet(
         plan(confirm="4s", stages="100%", bake="2.5s", bake_most="3s"),
         hosts=4,
     ).start()
     _, options = rollout_fleet.add_generation(config={"stop_ms": 2400})
     rollout_fleet.start_controller("start", *options)
     rollout_fleet.wait_for_bake()
-    cut = [host.name for host in rollout_fleet.fleet.hosts[:2]]
-    heal = rollout_fleet.fleet.partition([CONTROLLERS], cut)
-    for name in cut:
+    partitioned = [host.name for host in rollout_fleet.fleet.hosts[:2]]
+    heal = rollout_fleet.fleet.partition([CONTROLLERS], partitioned)
+    for name in partitioned:
         rollout_fleet.agents[name].wait_for_phase(
             "steady", serving=rollout_fleet.good, fault="was not confirmed in time"
         )
     heal()
-    found = rollout_fleet.wait_for_phase("asking")
+    status = rollout_fleet.wait_for_phase("asking")
     rollout_fleet.run_command("back")
     rollout_fleet.wait_for_phase("undone")
-    assert set(rollout_fleet.serving().values()) == {rollout_fleet.good}, found
+    assert set(rollout_fleet.serving().values()) == {rollout_fleet.good}, status
     assert_rules_kept(rollout_fleet)
 
 
-def test_a_host_that_joins_and_one_that_is_unlisted_during_a_rollout(made):
-    rollout_fleet = made(hosts=4, listed=["disp-01", "disp-02", "disp-03"]).start()
+def test_a_rollout_completes_while_one_host_joins_and_another_is_unlisted(make_fleet):
+    rollout_fleet = make_fleet(hosts=4, listed=["disp-01", "disp-02", "disp-03"]).start()
     new, options = rollout_fleet.add_generation(config={"stop_ms": 2400})
     rollout_fleet.start_controller("start", *options)
     rollout_fleet.wait_for_phase("changing", "baking")
@@ -230,68 +232,66 @@
     assert_rules_kept(rollout_fleet)
 
 
-def test_a_second_rollout_is_rejected_while_one_is_running_or_rolling_back(made):
-    rollout_fleet = made().start()
+def test_a_second_rollout_is_rejected_while_one_is_running_or_rolling_back(make_fleet):
+    rollout_fleet = make_fleet().start()
     _, options = rollout_fleet.add_generation(config={"stop_ms": 2400})
     rollout_fleet.start_controller("start", *options)
     rollout_fleet.wait_for_phase("changing", "baking")
-    done = rollout_fleet.run_command("start", *options)
-    assert done.returncode == 1
-    assert "rollout r1 is not over" in done.stderr
+    result = rollout_fleet.run_command("start", *options)
+    assert result.returncode == 1
+    assert "rollout r1 is not over" in result.stderr
     rollout_fleet.wait_for_bake()
-    rollout_fleet.fleet.net.partition(
-        [CONTROLLERS], list(rollout_fleet.agents)
-    )  # going back can't end while its hosts are out of reach
+    # The rollback can't end while its hosts are unreachable.
+    rollout_fleet.fleet.net.partition([CONTROLLERS], list(rollout_fleet.agents))
     rollout_fleet.run_command("back")
     rollout_fleet.wait_for_phase("returning", "burning")
-    again = rollout_fleet.run_command("start", *options)
-    assert again.returncode == 1
-    assert "rollout r1 is not over" in again.stderr
+    result = rollout_fleet.run_command("start", *options)
+    assert result.returncode == 1
+    assert "rollout r1 is not over" in result.stderr
     rollout_fleet.fleet.net.heal()
     rollout_fleet.wait_for_phase("undone")
     assert set(rollout_fleet.serving().values()) == {rollout_fleet.good}
     assert_rules_kept(rollout_fleet)
 
 
-def test_a_rollout_that_skips_a_format_version_is_rejected_before_any_change(made, tmp_path):
-    rollout_fleet = made().start()
+def test_a_rollout_that_skips_a_format_version_is_rejected_before_any_change(make_fleet, tmp_path):
+    rollout_fleet = make_fleet().start()
     later = program(tmp_path / "later", SKIPS_A_HANDOVER_VERSION)
     new, options = rollout_fleet.add_generation(later)
-    done = rollout_fleet.run_command("start", *options)
-    assert done.returncode == 2
-    assert "handover: the new one reads 2 to 3, the old one writes 1" in done.stderr
+    result = rollout_fleet.run_command("start", *options)
+    assert result.returncode == 2
+    assert "handover: the new one reads 2 to 3, the old one writes 1" in result.stderr
     assert {agent.status().started_processes for agent in rollout_fleet.agents.values()} == {1}
     assert rollout_fleet.agents["disp-01"].call(f"change 1.x r9 {new} 60")[0].startswith("ERR skips a step")
-    done = rollout_fleet.run_command("check", *options, "--old", str(rollout_fleet.fleet.folder / "program"))
-    assert done.returncode == 2
-    assert "take a step between" in done.stderr
+    result = rollout_fleet.run_command("check", *options, "--old", str(rollout_fleet.fleet.folder / "program"))
+    assert result.returncode == 2
+    assert "take a step between" in result.stderr
 
 
-def test_memory_past_its_limit_stops_the_rollout_at_once(made, tmp_path):
-    rollout_fleet = made(plan(bake="20s", bake_most="40s", memory_most="30%")).start()
+def test_memory_past_its_limit_stops_the_rollout_at_once(make_fleet, tmp_path):
+    rollout_fleet = make_fleet(plan(bake="20s", bake_most="40s", memory_most="30%")).start()
     _, options = rollout_fleet.add_generation(program(tmp_path / "leak", leaks_memory(1 << 20)))
     rollout_fleet.start_controller("start", *options)
-    found = rollout_fleet.wait_for_phase("undone")
-    assert "MB of at most" in found["reason"]
+    status = rollout_fleet.wait_for_phase("undone")
+    assert "MB of at most" in status["reason"]
     assert set(rollout_fleet.serving().values()) == {rollout_fleet.good}
     assert_rules_kept(rollout_fleet)
 
 
-def test_a_broken_rule_stops_the_rollout_at_once(made, tmp_path):
-    rollout_fleet = made(plan(bake="20s", bake_most="40s")).start()
+def test_a_broken_rule_stops_the_rollout_at_once(make_fleet, tmp_path):
+    rollout_fleet = make_fleet(plan(bake="20s", bake_most="40s")).start()
     _, options = rollout_fleet.add_generation(program(tmp_path / "late", COUNTS_ONE_IN_40_AS_LATE))
     rollout_fleet.start_controller("start", *options)
-    found = rollout_fleet.wait_for_phase("undone")
-    assert "broke a rule" in found["reason"]
+    status = rollout_fleet.wait_for_phase("undone")
+    assert "broke a rule" in status["reason"]
     assert set(rollout_fleet.serving().values()) == {rollout_fleet.good}
     assert_rules_kept(rollout_fleet)
 
 
-def test_a_dead_host_returns_in_the_old_generation_and_is_changed_last(made):
-    rollout_fleet = made(plan(stages="box:disp-02 100%"), hosts=4).start()
+def test_a_killed_host_returns_in_the_old_generation_and_is_changed_last(make_fleet):
+    rollout_fleet = make_fleet(plan(stages="box:disp-02 100%"), hosts=4).start()
     new, options = rollout_fleet.add_generation(config={"stop_ms": 2400})
-    dead = rollout_fleet.fleet["disp-03"]
-    dead.kill()
+    rollout_fleet.fleet["disp-03"].kill()
     rollout_fleet.start_controller("start", *options)
     while rollout_fleet.wait_for_phase("asking", "waiting", "changing")["stage"] < 2:
         if rollout_fleet.status()["phase"] == "asking":
@@ -306,31 +306,31 @@
     assert_rules_kept(rollout_fleet)
 
 
-def test_a_store_that_collapses_for_all_in_mid_stage_condemns_and_acquits_nothing(made):
-    rollout_fleet = made(
-        QUICK.replace("bake 2s", "bake 4s").replace("bake-most 6s", "bake-most 10s"), calls=0.8
+def test_a_store_that_collapses_for_all_in_mid_stage_condemns_and_acquits_nothing(make_fleet):
+    rollout_fleet = make_fleet(
+        QUICK_PLAN.replace("bake 2s", "bake 4s").replace("bake-most 6s", "bake-most 10s"), calls=0.8
     ).start()
     _, options = rollout_fleet.add_generation(config={"stop_ms": 2400})
     rollout_fleet.start_controller("start", *options)
     rollout_fleet.wait_for_bake()
-    rollout_fleet.fleet.store.slowdown = 200.0  # a call takes 0.4 s in place of 2 ms, for every box
-    found = rollout_fleet.wait_for_phase("asking", "undone", "confirming", "waiting")
-    assert found["phase"] != "undone", found
+    rollout_fleet.fleet.store.slowdown = 200.0  # a call takes 0.4 s instead of 2 ms, for all hosts
+    status = rollout_fleet.wait_for_phase("asking", "undone", "confirming", "waiting")
+    assert status["phase"] != "undone", status
     rollout_fleet.fleet.store.slowdown = 1.0
     rollout_fleet.run_command("back")
     rollout_fleet.wait_for_phase("undone")
     assert_rules_kept(rollout_fleet)
 
 
-def test_an_agent_suspended_through_a_stage_is_skipped_and_rolls_back_alone(made):
-    rollout_fleet = made(plan(confirm="6s", stages="100%")).start()
+def test_an_agent_suspended_through_a_stage_is_skipped_and_rolls_back_by_itself(make_fleet):
+    rollout_fleet = make_fleet(plan(confirm="6s", stages="100%")).start()
     _, options = rollout_fleet.add_generation(settings=METRICS_SETTINGS + LOG_WARNINGS_SETTINGS)
     rollout_fleet.start_controller("start", *options)
     rollout_fleet.wait_for_bake()
     agent = rollout_fleet.agents["disp-01"]
     agent.process.send_signal(signal.SIGSTOP)
     rollout_fleet.wait_for_phase("asking", "confirming", "waiting", "changing")
-    let_time_pass(6.5)  # past the confirm time
+    let_time_pass(6.5)  # past the confirm timeout
     agent.process.send_signal(signal.SIGCONT)
     agent.wait_for_phase("steady", serving=rollout_fleet.good, fault="was not confirmed in time")
     rollout_fleet.run_command("back")
@@ -339,57 +339,57 @@
     assert_rules_kept(rollout_fleet)
 
 
-def test_a_change_that_slows_the_shared_store_for_all_is_not_judged_good(made):
-    rollout_fleet = made(
+def test_a_change_that_slows_the_shared_store_for_all_is_not_judged_good(make_fleet):
+    rollout_fleet = make_fleet(
         plan(stages="2 100%", bake="6s", bake_most="12s"),
         calls=0.9,
         rate=60,
     ).start()
     new, options = rollout_fleet.add_generation(config={"stop_ms": 2400})
 
-    def slow_store_by_changed_hosts():  # what the changed hosts take from the store is missing to all
+    def slow_store_by_changed_hosts():  # the load of the changed hosts slows the store for all hosts
         rollout_fleet.fleet.store.slowdown = 1.0 + 100.0 * sum(
             generation == new for generation in rollout_fleet.serving().values()
         )
 
-    with repeated(slow_store_by_changed_hosts):
+    with called_periodically(slow_store_by_changed_hosts):
         rollout_fleet.start_controller("start", *options)
-        found = rollout_fleet.wait_for_phase("asking", "undone", "confirming", "waiting")
-        assert found["phase"] == "asking", found
+        status = rollout_fleet.wait_for_phase("asking", "undone", "confirming", "waiting")
+        assert status["phase"] == "asking", status
         rollout_fleet.run_command("back")
         rollout_fleet.wait_for_phase("undone")
     assert_rules_kept(rollout_fleet)
 
 
-def test_a_change_that_is_bad_only_after_warming_up_is_rolled_back(made, tmp_path):
-    rollout_fleet = made(
+def test_a_change_that_is_bad_only_after_warming_up_is_rolled_back(make_fleet, tmp_path):
+    rollout_fleet = make_fleet(
         plan(warm_up="3s", bake="8s", bake_most="30s"),
         rate=60,
     ).start()
     _, options = rollout_fleet.add_generation(program(tmp_path / "bad", fails_keyed_requests_when_warm(4, after_s=3)))
-    assert_rolled_back(rollout_fleet, options, reason="book")
+    assert_rollout_is_rolled_back(rollout_fleet, options, reason="book")
     assert_rules_kept(rollout_fleet)
 
 
-def test_memory_that_grows_slowly_stops_the_rollout_before_its_limit(made, tmp_path):
-    rollout_fleet = made(plan(bake="20s", bake_most="60s"), rate=60).start()
+def test_memory_that_grows_slowly_stops_the_rollout_before_its_limit(make_fleet, tmp_path):
+    rollout_fleet = make_fleet(plan(bake="20s", bake_most="60s"), rate=60).start()
     _, options = rollout_fleet.add_generation(program(tmp_path / "leak", leaks_memory(40_000)))
     rollout_fleet.start_controller("start", *options)
-    found = rollout_fleet.wait_for_phase("undone", "asking", "done")
-    assert found["phase"] == "undone", found
-    assert found["reason"].startswith("memory: worse by"), found
+    status = rollout_fleet.wait_for_phase("undone", "asking", "done")
+    assert status["phase"] == "undone", status
+    assert status["reason"].startswith("memory: worse by"), status
     assert_rules_kept(rollout_fleet)
 
 
-def test_a_change_that_is_worse_by_a_tenth_for_one_class_is_stopped(made, tmp_path):
-    rollout_fleet = made(
+def test_a_change_that_is_worse_by_a_tenth_for_one_class_is_stopped(make_fleet, tmp_path):
+    rollout_fleet = make_fleet(
         plan(stages="2 100%", worse="2%", bake="50s", bake_most="120s", confirm="200s"),
         hosts=4,
         rate=110,
     ).start()
     _, options = rollout_fleet.add_generation(program(tmp_path / "bad", fails_keyed_requests(1)))
     rollout_fleet.start_controller("start", *options)
-    found = rollout_fleet.wait_for_phase("undone", "asking", "done", within=180.0)
-    assert found["phase"] == "undone", found
-    assert "book" in found["reason"], found
+    status = rollout_fleet.wait_for_phase("undone", "asking", "done", within=180.0)
+    assert status["phase"] == "undone", status
+    assert "book" in status["reason"], status
     assert_rules_kept(rollout_fleet)
--- a/tests/test_rollout_stages.py
+++ b/tests/test_rollout_stages.py
@@ -1,4 +1,4 @@
-"""Stages and pacing of a rollout: which hosts change in which stage, how many at once, and when."""
+"""Stages and pacing of a rollout: the hosts of each stage, how many change at once, and when stages may begin."""
 
 import datetime
 import random
@@ -14,28 +14,28 @@
 from tests.property_support import cpu_time_bounded
 
 
-def workers(*sizes):
+def make_workers(*zone_sizes):
     return [
         Worker(f"z{zone}-{n}", f"z{zone}-{n}:1", agent="x:1", zone=f"z{zone}", domain=f"r{n % 2}", machine=f"m{n % 2}")
-        for zone, size in enumerate(sizes)
+        for zone, size in enumerate(zone_sizes)
         for n in range(size)
     ]
 
 
-DETERMINISTIC = settings(derandomize=True, deadline=None)  # the same verdict every time
-SIZES = [("1", "10%", "100%"), ("100%",), ("2", "5", "50%", "100%")]
+DETERMINISTIC = settings(derandomize=True, deadline=None)  # the same examples in every run
+STAGE_SIZES = [("1", "10%", "100%"), ("100%",), ("2", "5", "50%", "100%")]
 
 
 @DETERMINISTIC
 @given(
     st.lists(st.integers(1, 30), min_size=1, max_size=5),
-    st.sampled_from(SIZES),
+    st.sampled_from(STAGE_SIZES),
     st.floats(0.1, 1.0),
     st.text(min_size=1, max_size=8),
 )
 @cpu_time_bounded
-def test_every_host_has_one_stage_and_none_takes_all_of_a_zone(zone_sizes, stage_sizes, max_zone_fraction, name):
-    hosts = workers(*zone_sizes)
+def test_every_host_has_one_stage_and_no_stage_takes_all_of_a_zone(zone_sizes, stage_sizes, max_zone_fraction, name):
+    hosts = make_workers(*zone_sizes)
     limits = stages.Limits(max_zone_fraction)
     sizes = [parse_size(size) for size in stage_sizes]
     assigned = stages.assign(hosts, sizes, name, limits)
@@ -45,7 +45,7 @@
             assert sum(host.startswith(f"z{zone}-") for host in stage) < max(2, size)
     shuffled = hosts[:]
     random.Random(1).shuffle(shuffled)
-    assert stages.assign(shuffled, sizes, name, limits) == assigned  # any order of the list
+    assert stages.assign(shuffled, sizes, name, limits) == assigned  # whatever the order of the list
 
 
 @pytest.mark.parametrize("text", ["0", "x", "120%", "0%", "box:", "-1", "1.5"])
@@ -54,13 +54,13 @@
         parse_size(text)
 
 
-def test_named_hosts_are_in_their_stage_and_an_unknown_name_gets_the_nearest_one():
-    hosts = workers(4, 4)
+def test_named_hosts_are_in_their_stage_and_for_an_unknown_name_the_nearest_one_is_suggested():
+    hosts = make_workers(4, 4)
     assigned = stages.assign(hosts, [parse_size("box:z0-1,z1-2"), parse_size("100%")], "r", stages.Limits())
     assert assigned[0] == ["z0-1", "z1-2"]
     with pytest.raises(ValueError, match="did you mean z0-1"):
         stages.assign(hosts, [parse_size("box:z0-11")], "r", stages.Limits())
-    assert any("stay as they are" in r for r in stages.remarks(hosts, assigned[:1], stages.Limits()))
+    assert any("stay as they are" in remark for remark in stages.remarks(hosts, assigned[:1], stages.Limits()))
 
 
 @DETERMINISTIC
@@ -71,19 +71,14 @@
 )
 @cpu_time_bounded
 def test_pacing_never_admits_too_many_hosts_and_keeps_enough_serving(rows, max_changing, min_serving):
-    candidates = [PacedHost(str(n), *row) for n, row in enumerate(rows)]
-    admitted, reason = pacing.next_hosts(candidates, pacing.Limits(max_changing, min_serving))
-    changing = sum(candidate.is_changing for candidate in candidates)
+    hosts = [PacedHost(str(number), *row) for number, row in enumerate(rows)]
+    admitted, reason = pacing.next_hosts(hosts, pacing.Limits(max_changing, min_serving))
+    changing = sum(host.is_changing for host in hosts)
     assert not admitted or changing + len(admitted) <= max_changing
-    by_name = {candidate.name: candidate for candidate in candidates}
-    still_serving = sum(
-        candidate.is_serving and not candidate.is_changing and candidate.name not in admitted
-        for candidate in candidates
-    )
-    assert not any(by_name[n].is_serving for n in admitted) or still_serving >= min_serving * len(candidates) - 1e-6
-    assert reason or sum(candidate.is_waiting and not candidate.is_changing for candidate in candidates) == len(
-        admitted
-    )
+    by_name = {host.name: host for host in hosts}
+    still_serving = sum(host.is_serving and not host.is_changing and host.name not in admitted for host in hosts)
+    assert not any(by_name[name].is_serving for name in admitted) or still_serving >= min_serving * len(hosts) - 1e-6
+    assert reason or sum(host.is_waiting and not host.is_changing for host in hosts) == len(admitted)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_rollout_state.py
+++ b/tests/test_rollout_state.py
@@ -1,4 +1,4 @@
-"""Whole rollouts in simulated time, with the agents' own decisions."""
+"""Whole rollouts of simulated fleets, with the decisions of controller and agents, in simulated time."""
 
 import random
 
@@ -11,14 +11,14 @@
 
 
 def play_until_phase(fleet, *phases, max_now=2000):
-    """Let time pass until the rollout is in one of these phases; returns the rollout."""
+    """Advance the simulated time until the rollout is in one of these phases, and return the rollout."""
     while fleet.rollout.phase not in phases:
         fleet.second()
         assert fleet.now < max_now, fleet.rollout.phase
     return fleet.rollout
 
 
-def test_a_good_rollout_changes_all_hosts_and_keeps_its_pace():
+def test_a_good_rollout_changes_all_hosts_and_takes_none_down():
     fleet = SimulatedFleet(3, 60)
     state = fleet.play()
     assert state.phase == Phase.DONE
@@ -26,7 +26,7 @@
     assert fleet.max_down == 0
 
 
-def test_a_bad_generation_costs_little_and_is_rolled_back():
+def test_a_bad_generation_loses_few_requests_and_is_rolled_back():
     fleet = SimulatedFleet(4, 60, effect=lambda class_name, warm: 0.3)
     state = fleet.play()
     assert state.phase == Phase.ROLLED_BACK
@@ -34,7 +34,7 @@
     assert fleet.lost_requests / fleet.served_without_change < 0.03
 
 
-def test_a_generation_that_is_bad_only_when_warm_is_found():
+def test_a_generation_that_is_bad_only_when_warm_is_rolled_back():
     state = SimulatedFleet(5, 60, effect=lambda class_name, warm: 0.25 if warm >= 1 else 0.0).play()
     assert state.phase == Phase.ROLLED_BACK
 
@@ -49,8 +49,8 @@
 def test_a_store_collapse_within_a_stage_stops_no_rollout():
     fleet = SimulatedFleet(7, 30, sizes=("30%", "100%"))
     play_until_phase(fleet, Phase.BAKING)
-    for n in range(40):
-        fleet.store_collapse = 0.5 if n < 30 else 0.0
+    for second in range(40):
+        fleet.store_collapse = 0.5 if second < 30 else 0.0
         fleet.second()
     assert fleet.rollout.phase in (Phase.BAKING, Phase.AWAITING_DECISION, Phase.CONFIRMING)
 
@@ -70,10 +70,10 @@
     for _ in range(30):
         fleet.second()
     assert sum(host.starts for host in fleet.hosts.values() if not host.failing_generations) == starts
-    for each in fleet.hosts.values():
-        each.failing_generations = set()
+    for host in fleet.hosts.values():
+        host.failing_generations = set()
     assert fleet.play(order=Order.ROLL_BACK).phase == Phase.ROLLED_BACK
-    assert fleet.rollout.reason == cause  # the cause of the rollback, not the end of its suspension
+    assert fleet.rollout.reason == cause  # the cause of the rollback, without the reason of its suspension
 
 
 def test_a_rollback_has_its_own_limit_of_concurrent_hosts():
@@ -90,21 +90,21 @@
     assert 0 < max_rolling_back <= 3
 
 
-def test_hosts_that_warm_up_are_in_neither_group():
+def test_hosts_that_are_warming_up_are_not_compared():
     fleet = SimulatedFleet(10, 20, sizes=("30%", "100%"), plan={"warm_up_s": 10.0})
     play_until_phase(fleet, Phase.BAKING)
     reports = fleet.reports()
-    changed, old = rollout_state.comparison_groups(fleet.rollout, reports)
-    assert all(reports[n].status.serving_s >= 10.0 for n in (*changed, *old))
+    changed, unchanged = rollout_state.comparison_groups(fleet.rollout, reports)
+    assert all(reports[name].status.serving_s >= 10.0 for name in (*changed, *unchanged))
     for _ in range(20):
         fleet.second()
     reports = fleet.reports()
-    changed, old = rollout_state.comparison_groups(fleet.rollout, reports)
+    changed, unchanged = rollout_state.comparison_groups(fleet.rollout, reports)
     assert set(changed) == set(fleet.rollout.stage_hosts)
-    assert set(old) == set(fleet.rollout.controls)
+    assert set(unchanged) == set(fleet.rollout.controls)
 
 
-def test_a_planned_pause_waits_for_an_operator_and_changes_no_host():
+def test_a_planned_hold_waits_for_an_operator_and_changes_no_host():
     fleet = SimulatedFleet(11, 20, sizes=("20%", "100%"), plan={"hold_after_stages": (1,)})
     play_until_phase(fleet, Phase.HELD, Phase.AWAITING_DECISION)
     if fleet.rollout.phase == Phase.AWAITING_DECISION:
@@ -119,7 +119,7 @@
     assert fleet.play().phase == Phase.DONE
 
 
-def test_an_operator_pauses_a_stage_and_resumes_it_where_it_was():
+def test_an_operator_holds_a_stage_and_resumes_it_where_it_was():
     fleet = SimulatedFleet(12, 20, sizes=("50%", "100%"), plan={"pace": pacing.Limits(1, 0.5)})
     play_until_phase(fleet, Phase.CHANGING)
     fleet.second()
@@ -159,7 +159,7 @@
 def test_hosts_that_join_are_changed_last_and_unlisted_hosts_are_removed():
     fleet = SimulatedFleet(14, 12, sizes=("30%", "100%"))
     play_until_phase(fleet, Phase.CHANGING)
-    removed = next(n for n in fleet.hosts if n not in fleet.rollout.stage_hosts)
+    removed = next(name for name in fleet.hosts if name not in fleet.rollout.stage_hosts)
     del fleet.hosts[removed]
     fleet.hosts["d9999"] = SimulatedHost("d9999", random.Random(1))
     fleet.second()
@@ -172,22 +172,22 @@
 def test_an_unreachable_host_is_deferred_and_changed_once_it_answers():
     fleet = SimulatedFleet(15, 12, sizes=("50%", "100%"))
     play_until_phase(fleet, Phase.CHANGING)
-    lost = fleet.rollout.stage_hosts[0]
-    fleet.hosts[lost].reachable = False
+    unreachable = fleet.rollout.stage_hosts[0]
+    fleet.hosts[unreachable].reachable = False
     play_until_phase(fleet, Phase.BAKING)
-    assert lost in fleet.rollout.deferred_hosts
-    assert lost not in fleet.rollout.stage_hosts
+    assert unreachable in fleet.rollout.deferred_hosts
+    assert unreachable not in fleet.rollout.stage_hosts
     for _ in range(5000):
         if fleet.rollout.phase == Phase.AWAITING_DECISION:
             fleet.rollout.order = Order.RESUME
         if fleet.rollout.stage >= 2:
             break
         fleet.second()
-    assert play_until_phase(fleet, Phase.CHANGING, max_now=6000).stage_hosts == [lost]
+    assert play_until_phase(fleet, Phase.CHANGING, max_now=6000).stage_hosts == [unreachable]
     for _ in range(60):
         fleet.second()
     assert fleet.rollout.phase == Phase.CHANGING
     assert "can be reached" in fleet.rollout.reason
-    fleet.hosts[lost].reachable = True
+    fleet.hosts[unreachable].reachable = True
     assert fleet.play().phase == Phase.DONE
-    assert fleet.hosts[lost].serving(fleet.now)[0] == NEW
+    assert fleet.hosts[unreachable].serving(fleet.now)[0] == NEW
