--- a/lapispick/rollout/stage_changes.py
+++ b/lapispick/rollout/stage_changes.py
@@ -38,8 +38,8 @@
     state.deferred_hosts = [name for name in state.deferred_hosts if name not in state.stage_hosts]
     state.controls = _matched_controls(step) if state.plan.use_controls else []
     state.last_change_at = step.now
-    hosts = len(state.stage_hosts)
-    step.enter(Phase.CHANGING, f"stage {state.stage + 1}: {hosts} boxes, {len(state.controls)} controls")
+    host_count = len(state.stage_hosts)
+    step.enter(Phase.CHANGING, f"stage {state.stage + 1}: {host_count} boxes, {len(state.controls)} controls")
 
 
 def _matched_controls(step: StepContext) -> list[str]:
