--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -18,7 +18,7 @@
 
 from benchmarks.rollout_model import NEW, OLD, SimulatedFleet
 from lapispick.rollout import metrics, pacing
-from lapispick.rollout.canary_analysis import Bounds, CanaryAnalysis, Outcome
+from lapispick.rollout.canary_analysis import AnalysisBounds, CanaryAnalysis, Outcome
 from lapispick.rollout.host_state import HostProcess, Role
 from lapispick.rollout.metrics import ClassCounts, Slice
 
@@ -60,7 +60,7 @@
     names = list(fleet.hosts)
     changed = names[: stage.changed]
     unchanged = names[stage.changed :]
-    analysis = CanaryAnalysis(Bounds(), dict.fromkeys(names, 1))
+    analysis = CanaryAnalysis(AnalysisBounds(), dict.fromkeys(names, 1))
     for host in fleet.hosts.values():
         host.processes[1] = (OLD, -100.0)
         host.state.processes = [HostProcess(1, OLD, 0, Role.SERVING, 0, -100.0, True, True)]
--- a/benchmarks/rollout_model.py
+++ b/benchmarks/rollout_model.py
@@ -14,7 +14,7 @@
 
 from lapispick.fleet.hosts import Worker
 from lapispick.rollout import host_calls, host_step, pacing, rollout_state, rollout_step, stages
-from lapispick.rollout.canary_analysis import Bounds, CanaryAnalysis, Verdict
+from lapispick.rollout.canary_analysis import AnalysisBounds, CanaryAnalysis, Verdict
 from lapispick.rollout.compat import FormatSupport
 from lapispick.rollout.generations import Generation
 from lapispick.rollout.host_actions import Action, Kill, Reload, Start, Terminate
@@ -255,7 +255,7 @@
 
     def _new_analysis(self) -> CanaryAnalysis:
         rollout = self.rollout
-        analysis = CanaryAnalysis(Bounds(stages=len(rollout.plan.stages)), dict(rollout.plan.host_kinds))
+        analysis = CanaryAnalysis(AnalysisBounds(stage_count=len(rollout.plan.stages)), dict(rollout.plan.host_kinds))
         for slices in self.baseline:
             unchanged = [name for name in slices if name not in rollout.touched_hosts]
             analysis.add_baseline(rollout.stage_hosts, unchanged, slices)
--- a/lapispick/agent/controller.py
+++ b/lapispick/agent/controller.py
@@ -27,7 +27,7 @@
 from lapispick.host.scheduler import EventLoop
 from lapispick.host.worker_threads import WorkerThreads
 from lapispick.rollout import messages, metrics, pacing, rollout_state, rollout_step
-from lapispick.rollout.canary_analysis import Bounds
+from lapispick.rollout.canary_analysis import AnalysisBounds
 from lapispick.rollout.messages import Fence
 from lapispick.rollout.pacing import Hours
 from lapispick.rollout.rollout_plan import slice_duration_s
@@ -47,7 +47,7 @@
 
     name: str
     poll_interval_s: float
-    analysis_bounds: Bounds
+    analysis_bounds: AnalysisBounds
     hours: Hours | None = None  # when stages may begin
     excluded_days: tuple[str, ...] = ()
     names_file: Path | None = None
--- a/lapispick/agent/stage_analysis.py
+++ b/lapispick/agent/stage_analysis.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 from lapispick.agent.rollout_records import Explanation, explain
-from lapispick.rollout.canary_analysis import Bounds, CanaryAnalysis, Verdict
+from lapispick.rollout.canary_analysis import AnalysisBounds, CanaryAnalysis, Verdict
 from lapispick.rollout.metrics import Slice
 from lapispick.rollout.rollout_state import HostReport, Phase, RolloutState, comparison_groups
 
@@ -17,7 +17,7 @@
 class StageAnalysis:
     """The canary analysis of one stage after the other."""
 
-    def __init__(self, bounds: Bounds) -> None:
+    def __init__(self, bounds: AnalysisBounds) -> None:
         self._bounds = bounds
         self._analysis: CanaryAnalysis | None = None
         self._analysed_stage = -1
--- a/lapispick/cli/rollout_control.py
+++ b/lapispick/cli/rollout_control.py
@@ -18,7 +18,7 @@
 from lapispick.host import logs
 from lapispick.host.inventory import acceptance_policy
 from lapispick.rollout import pacing
-from lapispick.rollout.canary_analysis import Bounds
+from lapispick.rollout.canary_analysis import AnalysisBounds
 from lapispick.rollout.rollout_state import Phase, RolloutState
 
 _KB_PER_MB = 1024
@@ -58,10 +58,10 @@
 def _controller_options(state: RolloutState, fleet: Fleet, default_memory_limit_mb: float) -> ControllerOptions:
     settings = fleet.settings
     names_file = fleet.source.settings.hosts_file
-    bounds = Bounds(
-        alarm=settings.false_alarm_probability,
-        stages=max(1, len(state.plan.stages)),
-        worse=settings.tolerated_degradation,
+    bounds = AnalysisBounds(
+        false_alarm_probability=settings.false_alarm_probability,
+        stage_count=max(1, len(state.plan.stages)),
+        request_margin=settings.tolerated_degradation,
         memory_limit_kb=default_memory_limit_mb * _KB_PER_MB,
     )
     return ControllerOptions(
--- a/lapispick/rollout/canary_analysis.py
+++ b/lapispick/rollout/canary_analysis.py
@@ -4,8 +4,9 @@
 that run the old generation. Each slice adds one difference per metric to a sequential test (``evidence.py``), after
 subtraction of the mean difference before the change. There are three outcomes:
 
-- ``WORSE``: the evidence that some metric is worse reaches ``number of metrics * stages / alarm``. This threshold is
-  corrected for multiple testing: the probability that any metric in any stage stops a good change is at most ``alarm``.
+- ``WORSE``: the evidence that some metric is worse reaches
+  ``number of metrics * stage_count / false_alarm_probability``. This threshold is corrected for multiple testing: the
+  probability that any metric in any stage stops a good change is at most ``false_alarm_probability``.
 - ``GOOD``: every metric has evidence that it is worse by less than twice its margin, and the unchanged hosts did not
   get worse meanwhile. If they did, the change may use more of a shared resource at the expense of the unchanged
   hosts, and then looks better in the comparison than it is.
@@ -43,12 +44,12 @@
     INCONCLUSIVE = "can't tell"
 
 
-class Bounds(msgspec.Struct, frozen=True):
+class AnalysisBounds(msgspec.Struct, frozen=True):
     """Tolerated differences, as margins of the metrics, and the accepted probabilities of a wrong outcome."""
 
-    alarm: float = 0.05  # probability that a good change is stopped, over all stages together
-    stages: int = 4
-    worse: float = 0.02  # margin of metrics that are a fraction of the requests
+    false_alarm_probability: float = 0.05  # probability that a good change is stopped, over all stages together
+    stage_count: int = 4
+    request_margin: float = 0.02  # margin of metrics that are a fraction of the requests
     slow_margin: float = 0.1  # of the fraction of answers slower than the reference median
     memory_margin: float = 0.05  # of the fraction of the memory limit
     runs_margin: float = 0.05  # of the executor runs per served request
@@ -58,7 +59,7 @@
     def margin(self, metric: str) -> float:
         """Return the margin of a metric by its name, in the metric's own unit."""
         margins = {"slow": self.slow_margin, "memory": self.memory_margin, "runs": self.runs_margin}
-        return margins.get(metric.partition(" ")[0], self.worse)
+        return margins.get(metric.partition(" ")[0], self.request_margin)
 
 
 class MetricResult(NamedTuple):
@@ -98,7 +99,7 @@
 class CanaryAnalysis:
     """Canary analysis of one stage."""
 
-    def __init__(self, bounds: Bounds, kinds: Mapping[str, object]) -> None:
+    def __init__(self, bounds: AnalysisBounds, kinds: Mapping[str, object]) -> None:
         """``kinds`` maps each host to its kind; only hosts of the same kind are compared."""
         self.bounds = bounds
         self._kinds = dict(kinds)
@@ -200,7 +201,7 @@
         total_variance = difference.total_variance
         variance = difference.variance
         mean = total / count
-        radius = confidence_radius(count, total_variance, variance, self.bounds.alarm)
+        radius = confidence_radius(count, total_variance, variance, self.bounds.false_alarm_probability)
         worse = log_evidence(total - count * difference.margin, total_variance, variance)
         cleared = log_evidence(2 * count * difference.margin - total, total_variance, variance)
         return MetricResult(
@@ -218,8 +219,8 @@
 
     def _needed_evidence(self) -> float:
         """Return the evidence at which a metric counts as worse, corrected for the number of metrics and stages."""
-        test_count = max(1, len(self._differences)) * self.bounds.stages
-        return test_count / self.bounds.alarm
+        test_count = max(1, len(self._differences)) * self.bounds.stage_count
+        return test_count / self.bounds.false_alarm_probability
 
     def verdict(self) -> Verdict:
         """Return the verdict on all slices so far; it stays valid however often it is requested."""
--- a/tests/test_canary_analysis.py
+++ b/tests/test_canary_analysis.py
@@ -6,7 +6,7 @@
 import pytest
 
 from lapispick.rollout import evidence, metrics
-from lapispick.rollout.canary_analysis import Bounds, CanaryAnalysis, Outcome
+from lapispick.rollout.canary_analysis import AnalysisBounds, CanaryAnalysis, Outcome
 from lapispick.rollout.evidence import Series
 
 LOG_20 = 2.9957  # log evidence that is exceeded with a probability of at most 1/20 if there is no difference
@@ -52,7 +52,7 @@
 )
 def test_outcome_is_worse_only_if_the_changed_hosts_do_worse(extra_rejections, outcomes):
     rng = random.Random(2)
-    analysis = CanaryAnalysis(Bounds(), {"a": 1, "b": 1, "c": 2})
+    analysis = CanaryAnalysis(AnalysisBounds(), {"a": 1, "b": 1, "c": 2})
     for _ in range(60):
         analysis.add_baseline(["a"], ["b"], draw_slices(rng, {}, "ab"))
     assert analysis.verdict().outcome is Outcome.INCONCLUSIVE
@@ -67,7 +67,7 @@
 
 def test_all_requests_of_a_class_with_few_requests_are_counted():
     rng = random.Random(9)
-    analysis = CanaryAnalysis(Bounds(), {"a": 1, "b": 1})
+    analysis = CanaryAnalysis(AnalysisBounds(), {"a": 1, "b": 1})
     for number in range(400):
         if number < 100:
             analysis.add_baseline(["a"], ["b"], draw_slices(rng, {}, "ab", request_count=2))
@@ -80,7 +80,7 @@
 
 def test_a_difference_from_before_the_change_does_not_count():
     rng = random.Random(6)
-    analysis = CanaryAnalysis(Bounds(), {"a": 1, "b": 1})
+    analysis = CanaryAnalysis(AnalysisBounds(), {"a": 1, "b": 1})
     for number in range(160):
         add_slices = analysis.add_baseline if number < 60 else analysis.add_canary
         add_slices(["a"], ["b"], draw_slices(rng, {"a": 0.2}, "ab"))
@@ -89,7 +89,7 @@
 
 def test_hosts_of_different_kinds_are_never_compared():
     rng = random.Random(2)
-    analysis = CanaryAnalysis(Bounds(), {"a": 1, "c": 2})
+    analysis = CanaryAnalysis(AnalysisBounds(), {"a": 1, "c": 2})
     for _ in range(50):
         analysis.add_canary(["a"], ["c"], draw_slices(rng, {"a": 0.5}, "ac"))
     assert analysis.verdict() == (Outcome.INCONCLUSIVE, "there is nothing to compare with", ())
@@ -118,7 +118,7 @@
 
 def test_slowly_growing_memory_is_worse_even_far_below_its_limit():
     rng = random.Random(3)
-    analysis = CanaryAnalysis(Bounds(), {"a": 1, "b": 1})
+    analysis = CanaryAnalysis(AnalysisBounds(), {"a": 1, "b": 1})
     for number in range(160):
         slices = draw_slices(rng, {}, "ab")
         if number < 60:
@@ -134,7 +134,7 @@
 
 def test_unchanged_hosts_that_get_worse_make_the_outcome_inconclusive():
     rng = random.Random(4)
-    analysis = CanaryAnalysis(Bounds(), {"a": 1, "b": 1})
+    analysis = CanaryAnalysis(AnalysisBounds(), {"a": 1, "b": 1})
     for number in range(160):
         add_slices = analysis.add_baseline if number < 60 else analysis.add_canary
         extra_rejections = {"a": 0.15, "b": 0.15} if number >= 60 else {}
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -509,7 +509,7 @@
     state = msgspec.json.decode((SAMPLES / "rollout-course.json").read_bytes(), type=rollout_state.RolloutState)
     status = msgspec.json.decode((SAMPLES / "agent-status.jsonl").read_bytes(), type=agent_calls.Status)
     reports = {"disp-01": rollout_state.HostReport(status, 99.0)}
-    explanation = stage_analysis.StageAnalysis(canary_analysis.Bounds()).add(state, reports, {})
+    explanation = stage_analysis.StageAnalysis(canary_analysis.AnalysisBounds()).add(state, reports, {})
     summary = rollout_records.summarize_fleet(rollout_state.deviations(state, reports), reports)
     return {
         "seen": shape(json.loads(msgspec.json.encode(summary))),
