--- a/lapispick/host/jsonrpc/__init__.py
+++ b/lapispick/host/jsonrpc/__init__.py
@@ -1,1 +1,1 @@
-"""The JSON-RPC 2.0 front: requests of gateways over TCP."""
+"""JSON-RPC 2.0 front end: serves the requests that gateways send over TCP."""
--- a/lapispick/host/jsonrpc/connection.py
+++ b/lapispick/host/jsonrpc/connection.py
@@ -1,4 +1,7 @@
-"""One gateway's connection: reads messages, posts requests to the core and writes their answers. It decides nothing."""
+"""Connection of one gateway: reads messages, posts requests to the core and writes their answers.
+
+The core decides which requests are served.
+"""
 
 from __future__ import annotations
 
@@ -19,20 +22,20 @@
 from lapispick.host.streams import LineTooLongError, Stream
 
 LOG = "clients"
-MAX_OPEN_REQUESTS = 32  # on one connection
-MESSAGES_PER_YIELD = 16  # of one connection, before other greenlets run
-MAX_FAULTS = 3  # invalid messages in a row, after which the connection is closed
-STALLED_READER_S = 3.0  # a reader that acknowledged nothing for so long may be evicted
-HALF_CLOSED_TIMEOUT_S = 10.0  # for the answers to a gateway that has ended its side and reads slowly
-MAX_MESSAGE_ID = (1 << 53) - 1  # the largest integer that JSON carries exactly
+MAX_OPEN_REQUESTS = 32  # per connection
+MESSAGES_PER_YIELD = 16  # messages read from one connection before other greenlets run
+MAX_PROTOCOL_ERRORS = 3  # without a served request in between; then the connection is closed
+STALLED_READER_S = 3.0  # a reader that has acknowledged no data for this long may be evicted
+HALF_CLOSED_TIMEOUT_S = 10.0  # for sending the answers to a slow reader that has shut down its sending side
+MAX_MESSAGE_ID = (1 << 53) - 1  # the largest integer that JSON numbers (doubles) represent exactly
 
 
 class ConnectionContext(msgspec.Struct, eq=False):
-    """What the connections of a front share."""
+    """Settings and callbacks that all connections of a front end share."""
 
     loop: EventLoop
     post: Callable[[events.Event], None]  # to the core
-    backpressure: Callable[[], float | None]  # the value that goes out with answers
+    backpressure: Callable[[], float | None]  # returns the value that is sent with answers
     class_indexes: dict[str, int]
     classes: tuple[admission.ClassSettings, ...]
     tenants: set[str]
@@ -41,34 +44,37 @@
 
 
 class PeerActivity:
-    """When the peer of a connection sent something, and whether that was valid."""
+    """Times at which the peer of a connection sent data, and whether that data was valid."""
 
     __slots__ = (
-        "_is_suspect",
         "_stream",
+        "_was_overdue",
         "accepted_at",
-        "fault_count",
-        "is_proven",
+        "has_sent_valid_message",
         "last_used_at",
         "message_started_at",
+        "protocol_error_count",
     )
 
     def __init__(self, stream: Stream) -> None:
         self.accepted_at = self.last_used_at = time.monotonic()
-        self.message_started_at = 0.0  # of an incomplete message; 0 = there is none
-        self.is_proven = False  # it has sent a valid message
-        self.fault_count = 0  # since the last request that was served
+        self.message_started_at = 0.0  # when an incomplete message started; 0 = there is none
+        self.has_sent_valid_message = False
+        self.protocol_error_count = 0  # since the last served request
         self._stream = stream
-        self._is_suspect = False  # it was overdue before
+        self._was_overdue = False  # at an earlier check
 
     def state(self, has_requests: bool) -> ConnectionState:
-        """Return what decides on eviction; ``has_requests``: some are not answered."""
+        """Return the state that decides on eviction.
+
+        ``has_requests`` is True if some requests are not answered yet.
+        """
         stream = self._stream
         has_line = stream.has_line()
-        is_within_message = stream.unread_bytes > 0 and not has_line
+        has_incomplete_message = stream.unread_bytes > 0 and not has_line
         is_stalled = stream.stalled_s() > STALLED_READER_S
         message_started_at = 0.0
-        if is_within_message:
+        if has_incomplete_message:
             message_started_at = self.message_started_at or stream.last_received_at
         return ConnectionState(
             self.accepted_at,
@@ -78,43 +84,43 @@
             message_started_at,
             # A complete message that is not processed yet counts as a request.
             has_requests or has_line or (stream.unsent_bytes > 0 and not is_stalled),
-            self.is_proven,
-            self.fault_count > 0 or stream.closing or is_stalled,
+            self.has_sent_valid_message,
+            self.protocol_error_count > 0 or stream.closing or is_stalled,
         )
 
     def is_overdue(self, has_requests: bool, now: float) -> bool:
-        """Tell whether the peer has been silent, or within a message, for too long."""
+        """Return True if the peer has sent nothing, or has left a message incomplete, for too long."""
         stream = self._stream
         if self.message_started_at and not stream.unread_bytes:
             self.message_started_at = 0.0
         elif not self.message_started_at and stream.unread_bytes and not stream.has_line():
             self.message_started_at = now
-        if self.is_proven and not (self.message_started_at or stream.unsent_bytes):
+        if self.has_sent_valid_message and not (self.message_started_at or stream.unsent_bytes):
             return False
-        if not is_overdue(self.state(has_requests), now):  # the state also samples the progress of a slow reader
+        if not is_overdue(self.state(has_requests), now):  # ``state`` also samples the progress of a slow reader
             return False
-        # Input in the kernel's buffer may be unread because this host was delayed: it is given one more round.
-        has_input = not self._is_suspect and stream.has_pending_input()
-        self._is_suspect = True
+        # Input in the kernel's buffer may be unread because this host was delayed: the peer gets one more check.
+        has_input = not self._was_overdue and stream.has_pending_input()
+        self._was_overdue = True
         return not has_input
 
 
 class OpenRequests:
-    """The requests of one connection that are not answered, by the ids of their messages."""
+    """Unanswered requests of one connection, by the ids of their messages."""
 
     __slots__ = ("_post", "_unposted", "by_id")
 
     def __init__(self, post: Callable[[events.Event], None]) -> None:
         self.by_id: dict[int, Request] = {}
-        self._unposted: dict[int, Request] = {}  # those of them that were not posted to the core
+        self._unposted: dict[int, Request] = {}  # the part of ``by_id`` that is not yet posted to the core
         self._post = post
 
     def add(self, message_id: int, request: Request) -> None:
-        """Add a request, which is posted later."""
+        """Add a request without posting it; ``post_new`` posts it."""
         self.by_id[message_id] = self._unposted[message_id] = request
 
     def post_new(self) -> None:
-        """Post the requests that were added since the last time."""
+        """Post the requests that were added since the last call."""
         if self._unposted:
             requests = self._unposted
             self._unposted = {}
@@ -122,7 +128,7 @@
                 self._post(events.RequestArrived(request))
 
     def find_cancelled(self, message: Message) -> int | None:
-        """Return the id that a cancel message names; it may name the attempt of a request instead."""
+        """Return the id of the request that a cancel message refers to, by message id or by attempt id."""
         params = message.params
         message_id = params.cancelled_id if params.cancelled_id is not None else message.id
         if message_id in self.by_id or not params.attempt_id:
@@ -133,33 +139,33 @@
         return None
 
     def cancel(self, message_id: int) -> None:
-        """Cancel a request for its gateway."""
+        """Cancel a request because its gateway asked to."""
         request = self.by_id.pop(message_id)
         before_arrival = self._unposted.pop(message_id, None) is not None
         self._post(events.ClientCancelled(request, before_arrival))
 
     def abandon(self, message_id: int) -> None:
-        """Forget a request as its connection ends or it is invalid; the core is notified where it knows of it."""
+        """Remove a request that is invalid or whose connection closes; cancel it if it was posted to the core."""
         request = self.by_id.pop(message_id)
         if self._unposted.pop(message_id, None) is None:
             self._post(events.ClientCancelled(request))
 
 
 class Connection:
-    """One gateway's connection and the requests open on it."""
+    """Connection of one gateway, with the open requests on it."""
 
     def __init__(self, context: ConnectionContext, stream: Stream) -> None:
         self.stream = stream
         self.activity = PeerActivity(stream)
         self.requests = OpenRequests(context.post)
-        self.input_ended = False  # the peer has ended its side
+        self.input_ended = False  # the peer has shut down its sending side
         self._context = context
         self._last_id = 0
         self._goaway_sent = False
-        self._closes_after_answers = False  # nothing more is read, and open requests are still answered
+        self._closes_after_answers = False  # nothing more is read, but open requests are still answered
 
     def serve(self) -> None:
-        """Read messages until the gateway closes."""
+        """Read messages until the gateway closes the connection or shuts down its sending side."""
         activity = self.activity
         line_count = 0
         try:
@@ -168,7 +174,8 @@
                 activity.message_started_at = 0.0
                 if line.strip():
                     self._on_line(line)
-                # A line after a request may show that the peer is at fault: it is read before the request is posted.
+                # A later line may be invalid and close the connection. All buffered lines are therefore read before any
+                # request is posted.
                 if not self.stream.has_line():
                     self.requests.post_new()
                     line_count = 0
@@ -177,13 +184,13 @@
                 if line_count % MESSAGES_PER_YIELD == 0:
                     self._context.loop.yield_control()
         except LineTooLongError as err:
-            self._on_fault(None, ErrorCode.INVALID_REQUEST, "the message is too long", closes=True, error=err)
-        except Exception:  # or the peer would wait for a connection that nobody reads
+            self._on_protocol_error(None, ErrorCode.INVALID_REQUEST, "the message is too long", closes=True, error=err)
+        except Exception:  # without the close, the peer would wait on a connection that is no longer read
             self.close()
             raise
         self.input_ended = True
         self.requests.post_new()
-        # A gateway that only ended its side still waits for its answers.
+        # A gateway that only shut down its sending side still waits for its answers.
         if self.stream.failed:
             self.close()
         elif not self.requests.by_id:
@@ -192,14 +199,14 @@
     # Closing.
 
     def close(self) -> None:
-        """Close the connection now; its open requests are cancelled."""
+        """Close the connection now and cancel its open requests."""
         self.stream.close()
         for message_id in list(self.requests.by_id):
             self.requests.abandon(message_id)
         self._context.on_closed(self)
 
     def close_gracefully(self) -> None:
-        """Fail the open requests, and close the connection once all that was written is sent."""
+        """Fail the open requests, and close the connection once all written data is sent."""
         self._closes_after_answers = True
         for message_id in list(self.requests.by_id):
             self.requests.abandon(message_id)
@@ -207,26 +214,26 @@
         self.stream.close_gracefully()
 
     def close_after_answers(self) -> None:
-        """Answer an incomplete message with an error, read nothing more, and close once open requests are answered."""
+        """Answer an incomplete message with an error, stop reading, and close once all open requests are answered."""
         self._send_error(None, ErrorCode.INVALID_REQUEST, "the message did not come whole in time")
         self._closes_after_answers = True
         self.stream.discard_input()
         self._on_request_ended()
 
     def send_goaway(self) -> None:
-        """Ask the gateway to send nothing new here and to close."""
+        """Ask the gateway to send no new requests on this connection and to close it."""
         if not self._goaway_sent:
             self._goaway_sent = True
             self.stream.write(messages.GOAWAY)
 
-    # The state that decides on closing.
+    # State that decides on closing.
 
     def is_overdue(self, now: float) -> bool:
-        """Tell whether the peer has been silent, or within a message, for too long."""
+        """Return True if the peer has sent nothing, or has left a message incomplete, for too long."""
         return self.activity.is_overdue(bool(self.requests.by_id), now)
 
     def eviction_state(self) -> ConnectionState:
-        """Return what decides whether this connection may be evicted."""
+        """Return the state that decides whether this connection may be evicted."""
         return self.activity.state(bool(self.requests.by_id))
 
     # Messages.
@@ -238,58 +245,62 @@
             self._on_invalid_message(line, err)
             return
         except msgspec.DecodeError as err:
-            self._on_fault(None, ErrorCode.PARSE_ERROR, "not JSON", closes=True, error=err)
+            self._on_protocol_error(None, ErrorCode.PARSE_ERROR, "not JSON", closes=True, error=err)
             return
         if message.method == CANCEL_METHOD:
             self._on_cancel(message)
         elif message.id is None:
-            self._on_fault(None, ErrorCode.INVALID_REQUEST, "a request needs an id")
+            self._on_protocol_error(None, ErrorCode.INVALID_REQUEST, "a request needs an id")
         elif message.method == HEALTH_CHECK_METHOD:
             self._on_health_check(message.id, message.params.is_deep)
         elif self._accept_id(message.id):
             self._on_request(message.id, message)
 
     def _accept_id(self, message_id: int) -> bool:
-        """Note an id; one that is not new closes the connection, as answers to it could not be told apart."""
+        """Record a message id and return True if it is new.
+
+        Any other id closes the connection, because the gateway could not distinguish the answers to it.
+        """
         if self._last_id < message_id <= MAX_MESSAGE_ID:
             self._last_id = message_id
             return True
-        # A request that is not open may have been answered under this id: another answer would be a duplicate.
+        # If no request is open under this id, one may have been answered: another answer would be a duplicate.
         answered_id = message_id if message_id in self.requests.by_id else None
         text = "the id is not new on this connection"
-        self._on_fault(answered_id, ErrorCode.INVALID_REQUEST, text, closes=True)
+        self._on_protocol_error(answered_id, ErrorCode.INVALID_REQUEST, text, closes=True)
         return False
 
     def _on_request(self, message_id: int, message: Message) -> None:
         context = self._context
         class_index = context.class_indexes.get(message.method)
         if class_index is None:
-            self._on_fault(message_id, ErrorCode.METHOD_NOT_FOUND, "no such class")
+            self._on_protocol_error(message_id, ErrorCode.METHOD_NOT_FOUND, "no such class")
             return
         try:
             messages.validate(message.params, context.classes[class_index], context.tenants, context.needs_timeout)
         except InvalidMessageError as err:
-            self._on_fault(message_id, ErrorCode.INVALID_REQUEST, str(err))
+            self._on_protocol_error(message_id, ErrorCode.INVALID_REQUEST, str(err))
             return
         if len(self.requests.by_id) >= MAX_OPEN_REQUESTS:
-            self._on_fault(message_id, ErrorCode.REJECTED, "too many open requests", closes=True)
+            self._on_protocol_error(message_id, ErrorCode.REJECTED, "too many open requests", closes=True)
             return
-        self.activity.is_proven = True
+        self.activity.has_sent_valid_message = True
         request = messages.build_request(message, class_index, lambda answer: self._on_answer(message_id, answer))
         self.requests.add(message_id, request)
 
     def _on_cancel(self, message: Message) -> None:
         message_id = self.requests.find_cancelled(message)
         if message_id is None or message_id > self._last_id:
-            self._on_fault(None, ErrorCode.INVALID_REQUEST, "no such request")
+            self._on_protocol_error(None, ErrorCode.INVALID_REQUEST, "no such request")
         elif message_id in self.requests.by_id:
             self.requests.cancel(message_id)
-            # Not required by the protocol; it shows a peer that sends and cancels hundreds of requests what was read.
+            # The protocol does not require this answer. It shows a peer that sends and cancels hundreds of requests
+            # which of them were read.
             self._send_error(message_id, ErrorCode.FAILED, "Given up")
             self._on_request_ended()
 
     def _on_health_check(self, message_id: int, is_deep: bool) -> None:
-        self.activity.is_proven = True
+        self.activity.has_sent_valid_message = True
         self._last_id = max(self._last_id, message_id)
 
         def reply(is_healthy: bool, backpressure: float | None) -> None:
@@ -298,35 +309,35 @@
         self._context.post(events.HealthCheckReceived(is_deep, reply))
 
     def _on_invalid_message(self, line: bytes, err: Exception) -> None:
-        """Answer JSON that is no message, under its id if that can be read and is new."""
+        """Answer JSON that is not a valid message, under its id if the id is readable and new."""
         try:
             message_id = messages.decode_id(line).id
         except msgspec.DecodeError:
             message_id = None
         if message_id is None or self._accept_id(message_id):
-            self._on_fault(message_id, ErrorCode.INVALID_REQUEST, "not a message of the protocol", error=err)
+            self._on_protocol_error(message_id, ErrorCode.INVALID_REQUEST, "not a message of the protocol", error=err)
 
-    def _on_fault(
+    def _on_protocol_error(
         self, message_id: int | None, code: ErrorCode, text: str, closes: bool = False, **pairs: object
     ) -> None:
-        """Answer an invalid message with an error; close the connection if asked to, or after too many of them."""
-        self.activity.fault_count += 1
+        """Answer a protocol error; close the connection if ``closes`` is set or after ``MAX_PROTOCOL_ERRORS``."""
+        self.activity.protocol_error_count += 1
         log(LOG, logging.WARNING, "request-faulty", fault=text, id=message_id, **pairs)
         if message_id is not None and message_id in self.requests.by_id:
             self.requests.abandon(message_id)
         self._send_error(message_id, code, text)
-        if closes or self.activity.fault_count >= MAX_FAULTS:
+        if closes or self.activity.protocol_error_count >= MAX_PROTOCOL_ERRORS:
             self.close_gracefully()
 
     # Answers.
 
     def _on_answer(self, message_id: int, answer: Answer) -> None:
         if self.requests.by_id.pop(message_id, None) is None:
-            return  # it was cancelled
+            return  # the request was cancelled
         if answer.client_error:
-            self._on_fault(message_id, ErrorCode.FAILED, answer.client_error)
+            self._on_protocol_error(message_id, ErrorCode.FAILED, answer.client_error)
         elif answer.kind == AnswerKind.SERVED:
-            self.activity.fault_count = 0
+            self.activity.protocol_error_count = 0
             self.stream.write(messages.encode_result(message_id, {"doc": answer.result}, answer.backpressure))
         elif answer.kind == AnswerKind.FAILED:
             self._send_error(message_id, ErrorCode.FAILED, "Failed", answer.backpressure)
--- a/lapispick/host/jsonrpc/front.py
+++ b/lapispick/host/jsonrpc/front.py
@@ -1,4 +1,7 @@
-"""The platform's front: JSON-RPC 2.0 over TCP, one message a line. It decides nothing."""
+"""JSON-RPC 2.0 front end for gateways: accepts their TCP connections, on which each line is one message.
+
+The core decides which requests are served.
+"""
 
 from __future__ import annotations
 
@@ -19,32 +22,31 @@
 from lapispick.platform_settings import StartSettings
 
 LOG = "clients"
-MAX_MESSAGE_BYTES = 8 * 1024  # one with a body of 2 KiB has about 3,200
-RECEIVE_BYTES = 16 * 1024  # read from a connection at once
-MAX_UNSENT_BYTES = 256 * 1024  # that wait for a slow reader; 32 full answers are under that
+MAX_MESSAGE_BYTES = 8 * 1024  # a message with a body of 2 KiB has about 3,200 bytes
+RECEIVE_BYTES = 16 * 1024  # per read from a connection
+MAX_UNSENT_BYTES = 256 * 1024  # buffered for a slow reader; 32 answers of full size take less
 BACKLOG = 1024
-MAX_ACCEPTS_PER_ROUND = 64  # so that a flood of connections leaves time for other greenlets
-ACCEPT_PAUSE_S = 0.05  # after a connection could not be accepted
-MAX_EVICTION_CHECKS = 8  # candidates for eviction beyond the number that may be accepted in one round
-# How long the order of eviction is used, as computing it takes some ms with hundreds of connections: for the class that
-# it began with, and for later classes.
-MAX_ORDER_AGE_S = 0.05
-MAX_LATER_ORDER_AGE_S = 0.01
-SWEEP_INTERVAL_S = 0.1  # between two checks of all connections
-GOAWAY_TIMEOUT_S = 1.0  # how long an idle peer may take to close after goaway
+MAX_ACCEPTS_PER_ROUND = 64  # leaves time for other greenlets during a flood of connections
+ACCEPT_PAUSE_S = 0.05  # after a failure to accept a connection
+MAX_EVICTION_CHECKS = 8  # eviction candidates in excess of the connections that may be accepted in one round
+# The order of eviction is reused, because computing it takes some ms with hundreds of connections.
+MAX_ORDER_AGE_S = 0.05  # for connections of the first eviction class in the order
+MAX_LATER_CLASS_ORDER_AGE_S = 0.01  # for connections of the classes after it
+SWEEP_INTERVAL_S = 0.1  # between checks of all connections
+GOAWAY_TIMEOUT_S = 1.0  # for an idle peer to close its connection after goaway
 
 
 class Evictor:
-    """Closes connections in the order of eviction, which is used for several of them."""
+    """Closes connections in the order of eviction; the computed order is reused for several evictions."""
 
     def __init__(self, connections: set[Connection]) -> None:
         self._connections = connections
-        self._candidates: Iterator[tuple[Connection, EvictionClass]] | None = None  # in their order
+        self._candidates: Iterator[tuple[Connection, EvictionClass]] | None = None  # in the order of eviction
         self._ordered_at = 0.0
-        self._first_class = EvictionClass.AT_FAULT  # that the order began with
+        self._first_class = EvictionClass.AT_FAULT  # of the first candidate in the order
 
     def evict(self) -> bool:
-        """Close the first connection in the order of eviction; False where none may be closed."""
+        """Close the first connection in the order of eviction; return False if no connection may be closed."""
         now = time.monotonic()
         is_fresh = False
         while not is_fresh:
@@ -53,8 +55,8 @@
                 self._candidates = self._order_candidates(now)
                 is_fresh = True
             for connection, eviction_class in self._candidates:
-                if not is_fresh and eviction_class > self._first_class and age_s > MAX_LATER_ORDER_AGE_S:
-                    break  # others may be in an earlier class by now
+                if not is_fresh and eviction_class > self._first_class and age_s > MAX_LATER_CLASS_ORDER_AGE_S:
+                    break  # other connections may have moved to an earlier class
                 if self._close_candidate(connection, eviction_class, now):
                     return True
             self._candidates = None
@@ -68,7 +70,7 @@
         return iter(order[: MAX_ACCEPTS_PER_ROUND + MAX_EVICTION_CHECKS])
 
     def _close_candidate(self, connection: Connection, eviction_class: EvictionClass, now: float) -> bool:
-        """Close a connection, unless what arrived since the order was computed is a reason not to evict it."""
+        """Close a connection and return True, unless input since the order was computed requires to keep it open."""
         stream = connection.stream
         if stream.closed:
             return False
@@ -81,7 +83,7 @@
 
 
 class JsonRpcFront:
-    """Listens for gateways, and keeps their connections within the limit on descriptors."""
+    """Listens for gateways and keeps the number of their connections within the descriptor limit."""
 
     def __init__(
         self,
@@ -96,7 +98,7 @@
         self.loop = loop
         self.address = "{}:{}".format(*listen)
         self.connections: set[Connection] = set()
-        self.peer_connections: int | None = None  # of another process of this worker host; None = there is none
+        self.peer_connections: int | None = None  # of the other process of this worker host; None = there is no other
         self._context = ConnectionContext(
             loop=loop,
             post=post,
@@ -120,7 +122,7 @@
 
     @property
     def is_listening(self) -> bool:
-        """Tell whether connections are accepted."""
+        """Return True if connections are accepted."""
         return self._listener is not None
 
     def fileno(self) -> int:
@@ -129,12 +131,13 @@
         return self._listener.fileno()
 
     def listen(self, listener: socket.socket | None = None) -> None:
-        """Listen at the address, or at the listener that the previous process hands over."""
+        """Listen on the configured address, or on a listener that the previous process handed over."""
         if listener is None:
             family = socket.AF_INET6 if ":" in self._listen_address[0] else socket.AF_INET
             listener = socket.socket(family, socket.SOCK_STREAM)
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)  # the next process may start beside this one
+            # The successor process may start to listen while this process still runs.
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
             listener.bind(self._listen_address)
         listener.setblocking(False)
         listener.listen(BACKLOG)
@@ -146,15 +149,15 @@
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         while (listener := self._listener) is not None:
             is_ready = self.loop.wait_for_io(listener.fileno(), READ)
-            # The listener may be closed after this greenlet was woken and before it runs.
+            # The listener may be closed between the wake-up of this greenlet and its next step.
             if is_ready and self._listener is listener and not self._accept(listener):
                 self.loop.sleep(ACCEPT_PAUSE_S)
 
     def _accept(self, listener: socket.socket) -> bool:
-        """Accept the connections that wait; False where none can be accepted now."""
+        """Accept pending connections; return False if no connection can be accepted now."""
         for _ in range(MAX_ACCEPTS_PER_ROUND):
             if len(self.connections) >= budget.max_connections(self._max_connections, self.peer_connections):
-                if not is_readable(listener):  # nobody waits, so none has to be evicted
+                if not is_readable(listener):  # no connection is pending, so no eviction is needed
                     break
                 if not self._evictor.evict():
                     return False
@@ -165,7 +168,7 @@
             except OSError as err:
                 if err.errno in (errno.ECONNABORTED, errno.EINTR):
                     continue
-                log(LOG, logging.ERROR, "accept-failed", error=err)  # there may be no descriptors left
+                log(LOG, logging.ERROR, "accept-failed", error=err)  # the process may have run out of descriptors
                 return self._evictor.evict()
             self._add_connection(sock)
         return True
@@ -179,13 +182,16 @@
         self.loop.spawn(connection.serve)
 
     def close_listener(self, is_shared: bool = False) -> None:
-        """Accept what has connected so far, and close; a shared listener stays open in the other process."""
+        """Accept the pending connections and close the listener.
+
+        A shared listener stays open in the other process, which accepts the pending connections.
+        """
         listener = self._listener
         if listener is None:
             return
-        rounds = 0 if is_shared else BACKLOG // MAX_ACCEPTS_PER_ROUND + 1  # all that the kernel queues
-        while rounds and is_readable(listener) and self._accept(listener):
-            rounds -= 1
+        remaining_rounds = 0 if is_shared else BACKLOG // MAX_ACCEPTS_PER_ROUND + 1  # covers the kernel's whole backlog
+        while remaining_rounds and is_readable(listener) and self._accept(listener):
+            remaining_rounds -= 1
         self._listener = None
         self.loop.cancel_io_waits(listener.fileno())
         listener.close()
@@ -193,11 +199,11 @@
     # Periodic checks.
 
     def set_idle_timeout(self, timeout_ms: float) -> None:
-        """Close connections that carried nothing for this long."""
+        """Set the time without messages after which connections are closed."""
         self._idle_timeout_s = timeout_ms / 1000
 
     def _sweep(self) -> None:
-        """Close connections that are over the limit, overdue or idle."""
+        """Close connections that exceed the limit, are overdue or are idle."""
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = time.monotonic()
         while len(self.connections) > budget.max_connections(self._max_connections, self.peer_connections):
@@ -211,7 +217,7 @@
         if stream.closed:
             connection.close()
         elif stream.discarding or connection.input_ended:
-            pass  # it is being closed
+            pass  # the connection is being closed
         elif connection.is_overdue(now):
             open_count = len(connection.requests.by_id)
             log(LOG, logging.INFO, "silent-closed", unread=stream.unread_bytes, open=open_count)
@@ -223,7 +229,10 @@
             self._check_idle(connection, now)
 
     def _check_idle(self, connection: Connection, now: float) -> None:
-        """Ask an idle gateway to close, so that no request crosses the close, and close if it does not."""
+        """Ask an idle gateway to close its connection, and close it after ``GOAWAY_TIMEOUT_S``.
+
+        Closing at once could lose a request that the gateway has already sent.
+        """
         idle_s = now - connection.activity.last_used_at
         if idle_s <= self._idle_timeout_s:
             return
@@ -236,32 +245,32 @@
     # Shutdown.
 
     def begin_shutdown(self) -> None:
-        """Begin a graceful shutdown: ask all gateways to send nothing new."""
+        """Begin a graceful shutdown: ask all gateways to send no new requests."""
         self._is_shutting_down = True
         for connection in self.connections:
             connection.send_goaway()
 
     def is_idle(self) -> bool:
-        """Tell whether nothing is open, unsent or unread on any connection that still reads."""
+        """Return True if no connection has open requests, unsent answers or input that may contain requests."""
         return not any(
-            connection.requests.by_id or connection.stream.unsent_bytes or _may_bring_requests(connection.stream)
+            connection.requests.by_id or connection.stream.unsent_bytes or _may_receive_requests(connection.stream)
             for connection in self.connections
         )
 
     def close_connections(self) -> None:
-        """Close all connections once what was written on them is sent."""
+        """Close all connections once the data written to them is sent."""
         for connection in list(self.connections):
             connection.close_gracefully()
 
     def all_closed(self) -> bool:
-        """Tell whether all connections are closed."""
+        """Return True if all connections are closed."""
         return all(connection.stream.closed for connection in self.connections)
 
     def is_flushed(self) -> bool:
-        """Tell whether all answers were handed to the operating system."""
+        """Return True if all answers were passed to the operating system."""
         return not any(connection.stream.unsent_bytes for connection in self.connections)
 
 
-def _may_bring_requests(stream: Stream) -> bool:
-    """Tell whether a stream is read and has input that is not processed, or has failed."""
+def _may_receive_requests(stream: Stream) -> bool:
+    """Return True if a stream that is still read has unprocessed input or has failed."""
     return not (stream.discarding or stream.eof_received or stream.is_idle())
--- a/lapispick/host/jsonrpc/messages.py
+++ b/lapispick/host/jsonrpc/messages.py
@@ -1,6 +1,6 @@
-"""The messages of the platform's JSON-RPC 2.0 protocol: their fields, error codes and the bounds of their values.
+"""Messages of the platform's JSON-RPC 2.0 protocol: their fields, error codes and value bounds.
 
-The names on the wire are the platform's; they are mapped to the terms of the glossary here and nowhere else.
+The platform defines the field names on the wire. They are mapped to the names of this program here and nowhere else.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from lapispick.host.requests import MAX_BODY_BYTES, MAX_REQUEST_MEMORY_KB, Answer, Request
 
 if TYPE_CHECKING:
-    Fields = dict[str, str | float | bool | None]  # of a result, or of an error's data
+    Fields = dict[str, str | float | bool | None]  # of a result or of the data of an error
 
 MAX_MESSAGE_AGE_MS = 60_000.0  # since a request reached the machine
 MAX_CLOCK_SKEW_MS = 1000.0
-MAX_TIMEOUT_DEADLINE_RATIO = 10.0  # times the deadline of a class; no gateway waits longer
+MAX_TIMEOUT_DEADLINE_RATIO = 10.0  # timeout / deadline of the request class; no gateway waits longer
 MAX_GATEWAY_NUMBER = (1 << 32) - 1
 ATTEMPT_ID = re.compile("[0-9a-fA-F]{16}")
 IDEMPOTENCY_KEY = re.compile("[0-9a-fA-F]{32}")
@@ -33,7 +33,7 @@
 
 
 class ErrorCode(IntEnum):
-    """Codes of error answers; those above -32100 are the platform's own."""
+    """Codes of error answers; the codes above -32100 are specific to the platform."""
 
     PARSE_ERROR = -32700
     INVALID_REQUEST = -32600
@@ -43,14 +43,14 @@
 
 
 class InvalidMessageError(HostError):
-    """A message has a value outside the protocol's bounds; the text is sent to the peer."""
+    """Error for a message with a value outside the protocol's bounds; its text is sent to the peer."""
 
 
 class Params(msgspec.Struct):
-    """The params of all messages; each kind uses some of them."""
+    """Parameters of all messages; each method uses some of them."""
 
     attempt_id: str = msgspec.field(default="", name="trace")
-    created_at_ms: float = msgspec.field(default=0.0, name="born")  # Unix ms; when the request reached the machine
+    created_at_ms: float = msgspec.field(default=0.0, name="born")  # Unix time at which the request reached the machine
     gateway: int = msgspec.field(default=0, name="client")
     tenant: str = msgspec.field(default="", name="customer")
     timeout_ms: float | None = msgspec.field(default=None, name="patience")
@@ -59,12 +59,12 @@
     rank: float = msgspec.field(default=-1.0, name="order")
     idempotency_key: str = msgspec.field(default="", name="nonce")
     body: str | None = msgspec.field(default=None, name="doc")  # base64
-    is_deep: bool = msgspec.field(default=False, name="thorough")  # of a health check
-    cancelled_id: int | None = msgspec.field(default=None, name="id")
+    is_deep: bool = msgspec.field(default=False, name="thorough")  # for health checks
+    cancelled_id: int | None = msgspec.field(default=None, name="id")  # for cancel messages
 
 
 class Message(msgspec.Struct):
-    """A request or a notification."""
+    """Request or notification."""
 
     jsonrpc: Literal["2.0"]
     method: str
@@ -73,7 +73,7 @@
 
 
 class MessageId(msgspec.Struct):
-    """The id of a message whose other fields are invalid."""
+    """Id of a message whose other fields are invalid."""
 
     id: int | None = None
 
@@ -84,7 +84,7 @@
 
 
 def validate(params: Params, settings: admission.ClassSettings, tenants: set[str], needs_timeout: bool) -> None:
-    """Raise ``InvalidMessageError`` for values outside the protocol's bounds; no other code checks them."""
+    """Raise ``InvalidMessageError`` if a value is outside the protocol's bounds; no other code checks these bounds."""
     if not ATTEMPT_ID.fullmatch(params.attempt_id):
         raise InvalidMessageError("trace must be 16 hex digits")
     age_ms = time.time() * 1000 - params.created_at_ms
@@ -119,7 +119,7 @@
 
 
 def build_request(message: Message, class_index: int, reply: Callable[[Answer], None]) -> Request:
-    """Return the request of a valid message."""
+    """Return the request for the core that a valid message describes."""
     params = message.params
     return Request(
         request_id=params.attempt_id,
@@ -139,7 +139,7 @@
 
 
 def rejection_data(answer: Answer) -> Fields:
-    """Return the data of a rejection's error."""
+    """Return the data fields of the error that rejects a request."""
     data: Fields = {}
     if answer.retry_after_ms > 0:
         data["pause"] = round(answer.retry_after_ms, 1)
@@ -149,14 +149,14 @@
 
 
 def encode_result(message_id: int, result: Fields, backpressure: float | None) -> bytes:
-    """Encode a result line; the backpressure value is added to ``result``."""
+    """Encode a result message as one line; the backpressure value is added to ``result``."""
     if backpressure is not None:
         result["advice"] = backpressure
     return encode({"jsonrpc": "2.0", "id": message_id, "result": result}) + b"\n"
 
 
 def encode_error(message_id: int | None, code: ErrorCode, text: str, data: Fields, backpressure: float | None) -> bytes:
-    """Encode an error line; the backpressure value is added to ``data``."""
+    """Encode an error message as one line; the backpressure value is added to ``data``."""
     if backpressure is not None:
         data["advice"] = backpressure
     error = {"code": code, "message": text, "data": data}
--- a/lapispick/host/requests.py
+++ b/lapispick/host/requests.py
@@ -1,4 +1,4 @@
-"""A request as all fronts hand it to the core, and its one final answer."""
+"""Requests that all front ends post to the core, and their final answers."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 import msgspec
 
-MAX_BODY_BYTES = 2048  # of a request's body before its base64 encoding, from any front
-MAX_REQUEST_MEMORY_KB = 2000.0  # the memory reserved for a request stays under this
+MAX_BODY_BYTES = 2048  # of a decoded request body, for all front ends
+MAX_REQUEST_MEMORY_KB = 2000.0  # exclusive limit of the memory that one request reserves
 
 
 class AnswerKind(StrEnum):
-    """How a request ended. The values stand in log lines, in traces and in AMQP replies."""
+    """Outcome of a request; the values appear in log lines, traces and AMQP replies."""
 
     SERVED = "served"
     REJECTED = "refused"
@@ -21,31 +21,31 @@
 
 
 class Answer(NamedTuple):
-    """The one final answer to a request."""
+    """Final answer to a request; each request gets exactly one."""
 
     kind: AnswerKind
     result: str | None = None  # of SERVED: the executor's result, unchanged
-    retry_after_ms: float = 0.0  # of REJECTED: when to come back
-    no_retry: bool = False  # of REJECTED: asks the client to try no other host
-    backpressure: float | None = None  # the value advertised to clients, where the settings have one
-    client_error: str = ""  # of FAILED: the protocol error that the client made
+    retry_after_ms: float = 0.0  # of REJECTED: delay before a retry
+    no_retry: bool = False  # of REJECTED: tells the client not to retry on another host
+    backpressure: float | None = None  # the value advertised to clients; None if the settings disable it
+    client_error: str = ""  # of FAILED: the protocol error of the client, if any
 
 
 class Request(msgspec.Struct, eq=False):
-    """One attempt of a request, with no trace of its wire format."""
+    """One attempt of a request, independent of its wire format."""
 
-    request_id: str  # identifies this attempt at the executor and the store
+    request_id: str  # id of this attempt at the executor and the store
     class_name: str
     class_index: int
     body: str  # base64, unchanged
-    born_at: float  # Unix ms; when it reached the machine
-    deadline_at: float  # Unix ms; 0 = none given
+    born_at: float  # Unix ms; when the request reached the machine
+    deadline_at: float  # Unix ms; 0 = no deadline given
     request_memory_kb: float
     rank: float
-    caller: int  # the number of the gateway or broker that sent it
+    caller: int  # number of the gateway or broker that sent the request
     idempotency_key: Hashable | None  # the same for all attempts of one request
     reply: Callable[[Answer], None]
     tenant: str = ""  # for traces only
     is_retry: bool = False  # an earlier attempt may have run
-    lookup_only: bool = False  # may be answered from the idempotency table, but must not run itself
-    read_at: float = 0.0  # Unix ms; when it was read, where the extended metrics are on
+    lookup_only: bool = False  # may be answered from the idempotency table but must not run
+    read_at: float = 0.0  # Unix ms; when the request was read; 0 unless the extended metrics are enabled
--- a/tests/test_connection_overload.py
+++ b/tests/test_connection_overload.py
@@ -34,8 +34,8 @@
     last_received_at=0.0,
     receive_count=1,
     message_started_at=0.0,
-    owes_answer=False,
-    is_proven=False,
+    has_pending_answer=False,
+    has_sent_valid_message=False,
     is_at_fault=False,
 )
 
@@ -45,19 +45,19 @@
     within_message = NEW_CONNECTION._replace(accepted_at=99.0, message_started_at=99.0)
     continued_message = NEW_CONNECTION._replace(message_started_at=98.0, receive_count=4)
     states = {
-        "at fault": NEW_CONNECTION._replace(is_at_fault=True, is_proven=True, last_used_at=99.0),
+        "at fault": NEW_CONNECTION._replace(is_at_fault=True, has_sent_valid_message=True, last_used_at=99.0),
         "silent": NEW_CONNECTION._replace(accepted_at=99.5),
         "silent for longer": NEW_CONNECTION._replace(accepted_at=98.0),
         "stopped": within_message._replace(last_received_at=99.1),
         "stopped for longer": within_message._replace(last_received_at=99.0),
-        "idle": NEW_CONNECTION._replace(is_proven=True, last_used_at=99.0),
+        "idle": NEW_CONNECTION._replace(has_sent_valid_message=True, last_used_at=99.0),
         "started": NEW_CONNECTION._replace(message_started_at=99.8, last_received_at=99.8),
         "sending": continued_message._replace(last_received_at=99.5),
         "stopped after several parts": continued_message._replace(last_received_at=99.2),
-        "recently served": NEW_CONNECTION._replace(is_proven=True, last_used_at=99.8),
+        "recently served": NEW_CONNECTION._replace(has_sent_valid_message=True, last_used_at=99.8),
         "new": NEW_CONNECTION._replace(accepted_at=99.95),
-        "owes an answer": NEW_CONNECTION._replace(owes_answer=True, is_proven=True),
-        "owes an answer and is at fault": NEW_CONNECTION._replace(owes_answer=True, is_at_fault=True),
+        "has a pending answer": NEW_CONNECTION._replace(has_pending_answer=True, has_sent_valid_message=True),
+        "has a pending answer and is at fault": NEW_CONNECTION._replace(has_pending_answer=True, is_at_fault=True),
     }
     shuffled = list(states.items())
     random.Random(1).shuffle(shuffled)
@@ -80,10 +80,10 @@
     ("state", "is_overdue"),
     [
         (NEW_CONNECTION, True),
-        (NEW_CONNECTION._replace(is_proven=True), False),
-        (NEW_CONNECTION._replace(is_proven=True, message_started_at=5.0), True),
+        (NEW_CONNECTION._replace(has_sent_valid_message=True), False),
+        (NEW_CONNECTION._replace(has_sent_valid_message=True, message_started_at=5.0), True),
         (NEW_CONNECTION._replace(accepted_at=9.0), False),
-        (NEW_CONNECTION._replace(is_proven=True, message_started_at=9.0), False),
+        (NEW_CONNECTION._replace(has_sent_valid_message=True, message_started_at=9.0), False),
     ],
 )
 def test_the_time_for_a_message_counts_from_connecting_or_from_its_first_byte(state, is_overdue):
