--- a/lapispick/host/jsonrpc/front.py
+++ b/lapispick/host/jsonrpc/front.py
@@ -70,7 +70,7 @@
         return iter(order[: MAX_ACCEPTS_PER_ROUND + MAX_EVICTION_CHECKS])
 
     def _close_candidate(self, connection: Connection, eviction_class: EvictionClass, now: float) -> bool:
-        """Close a connection and return True, unless input since the order was computed requires to keep it open."""
+        """Close a connection and return True, unless input received since the order was computed protects it."""
         stream = connection.stream
         if stream.closed:
             return False
--- a/tests/test_acceptance_terms.py
+++ b/tests/test_acceptance_terms.py
@@ -1,4 +1,4 @@
-"""Limits that many hosts keep together: slow start, calls to a recovered store, descriptors, and the time to start."""
+"""Limits that many hosts keep together: slow start, calls to a recovered store, descriptors and startup time."""
 
 import math
 import random
@@ -19,29 +19,34 @@
 from lapispick.fakes.store import Store
 from lapispick.fakes.waiting import wait_until
 
-READY_S = 10.0  # by then nine in ten restarted processes take clients
+READY_TIMEOUT_S = 10.0  # nine of ten restarted processes have to accept clients within this time
 
 
 @pytest.fixture
 def fleet(tmp_path):
-    """Start hosts at once, each with an executor of its own and all with one store."""
+    """Start several hosts at once, each with its own executor and all with one store."""
     hosts = []
 
-    def start(count, store=None, executor=Executor, ready=True, **over):
+    def start(count, store=None, executor=Executor, ready=True, **host_options):
         store = store or Store()
-        for i in range(count):
-            folder = tmp_path / f"h{i}"
+        for index in range(count):
+            folder = tmp_path / f"h{index}"
             folder.mkdir()
             hosts.append(
                 HostProcess(
-                    folder, executor=executor(), store=store, wait_for_start=False, seed=f"{i * 7919 + 5:016x}", **over
+                    folder,
+                    executor=executor(),
+                    store=store,
+                    wait_for_start=False,
+                    seed=f"{index * 7919 + 5:016x}",
+                    **host_options,
                 )
             )
         for worker in hosts:
-            started = wait_until(
-                lambda worker=worker: re.search(r"event=started .*listen=(\S+)", worker.log()), "the start"
+            log_match = wait_until(
+                lambda worker=worker: re.search(r"event=started .*listen=(\S+)", worker.log()), "the start of the host"
             )
-            worker.address = started.group(1)
+            worker.address = log_match.group(1)
             if ready:
                 worker.wait_for_log("ready")
         return hosts
@@ -52,8 +57,8 @@
         worker.check_log()
 
 
-def send_requests(hosts, duration_s, interval_s, rng, body, answer_timeout_s=10, **over):
-    """Send requests to random hosts at an interval; return once all are answered, or after a timeout."""
+def send_requests(hosts, duration_s, interval_s, rng, body, answer_timeout_s=10, **params):
+    """Send requests to random hosts at an interval; return once all are answered or ``answer_timeout_s`` has passed."""
     open_requests, answered = [0], threading.Condition()
 
     def on_answer(token, answer):
@@ -66,7 +71,7 @@
     while time.monotonic() < end:
         with answered:
             open_requests[0] += 1
-        pools[rng.randrange(len(pools))].send_request("track", 1, request_params(body, **over))
+        pools[rng.randrange(len(pools))].send_request("track", 1, request_params(body, **params))
         time.sleep(interval_s)
     with answered:
         answered.wait_for(lambda: open_requests[0] <= 0, answer_timeout_s)
@@ -75,7 +80,10 @@
 
 
 class ColdExecutor(Executor):
-    """Warms up: as many runs as cores, each five times as long as usual; records the time of each start."""
+    """Executor that is warming up: it runs as many requests as it has cores, each for five times as long as usual.
+
+    It records the start time of each run.
+    """
 
     def __init__(self):
         self.started_at = []
@@ -90,14 +98,20 @@
         super().on_exec(connection, command)
 
 
-def max_within(times, span):
-    """Return how many of the times lie within any span of this length, at most."""
+def max_count_in_window(times, window_s):
+    """Return the maximum number of the times that lie within one window of this length."""
     times = sorted(times)
-    return max((sum(at <= other < at + span for other in times[i:]) for i, at in enumerate(times)), default=0)
+    return max(
+        (
+            sum(start <= timestamp < start + window_s for timestamp in times[index:])
+            for index, start in enumerate(times)
+        ),
+        default=0,
+    )
 
 
 def upper_bound(mean):
-    """Return a bound on a random count with this mean."""
+    """Return an upper bound for a random count with this mean."""
     return mean + 2 * math.sqrt(mean) + 2
 
 
@@ -106,16 +120,17 @@
     print("seed", seed := 11 + count)
     hosts = fleet(count, executor=ColdExecutor, info=make_platform_info(Cold=True))
     send_requests(hosts, 5, 0.25 / count, random.Random(seed), "work")
-    rules = PLATFORM_INFO["Guarantees"]
-    allowed = 2 * (1 + (rules["FallMultiple"] - 1) * rules["ColdFrom"])  # on two cores, at the lowest speed
-    max_starts = [max_within(worker.executor.started_at, 1.5) for worker in hosts]
-    print("most starts of one host", max(max_starts), "of", upper_bound(allowed))
-    assert max(max_starts) <= upper_bound(allowed)
+    guarantees = PLATFORM_INFO["Guarantees"]
+    # Two cores run this many requests at the lowest speed.
+    allowed_runs = 2 * (1 + (guarantees["FallMultiple"] - 1) * guarantees["ColdFrom"])
+    max_starts = [max_count_in_window(worker.executor.started_at, 1.5) for worker in hosts]
+    print("most starts of one host", max(max_starts), "of", upper_bound(allowed_runs))
+    assert max(max_starts) <= upper_bound(allowed_runs)
     assert min(max_starts) > 0
 
 
 class RecoveringStore(Store):
-    """Is down at first, and slow after its recovery; records how many calls are in flight."""
+    """Store that is down at first and slow after its recovery; it records how many calls are in flight."""
 
     def __init__(self):
         self.in_flight = 0
@@ -125,7 +140,7 @@
 
     def listen(self):
         self.sock = socket.socket()
-        self.sock.bind(("127.0.0.1", 0))  # an address that refuses until it listens
+        self.sock.bind(("127.0.0.1", 0))  # connections to this address are refused until the socket listens
         self.address = f"127.0.0.1:{self.sock.getsockname()[1]}"
 
     def recover(self):
@@ -151,7 +166,7 @@
     hosts = fleet(count, store, info=make_platform_info(CallsOut=quota, ClassSkipWorth=[0.0, 0.0]))
     recovery = threading.Timer(2.0, store.recover)
     recovery.start()
-    # No request ends by its deadline.
+    # The timeout is so long that no request ends at its deadline.
     send_requests(hosts, 4, 0.15 / count, random.Random(seed), "call:200", answer_timeout_s=1, patience=20_000)
     recovery.join()
     print("most calls in flight", store.max_in_flight, "of", upper_bound(quota * count), "calls", len(store.started_at))
@@ -160,7 +175,7 @@
 
 
 @pytest.mark.parametrize("sockets", [64, 256])
-def test_idle_clients_that_fill_the_descriptors_block_nobody_else(host, sockets):
+def test_idle_clients_that_use_up_the_descriptors_block_no_other_peer(host, sockets):
     worker = host(
         limits={"sockets": sockets},
         info=make_platform_info(Cores=16, CallsOut=100.0),
@@ -168,12 +183,12 @@
     )
     worker.registry.close()  # the service registry is down
     first = worker.gateway()
-    for number in range(1, 15):  # calls that never end: as many as there are descriptors for at the lowest limit
+    for number in range(1, 15):  # calls that never end; as many as the lowest descriptor limit allows
         first.request("book", "call:hang", f"{number:032x}")
-    wait_until(lambda: len(worker.store.calls) >= 12, "the calls")
-    name, port = worker.address.split(":")
-    idle = [socket.create_connection((name, int(port)), timeout=15) for _ in range(sockets * 2)]
-    callers = [
+    wait_until(lambda: len(worker.store.calls) >= 12, "the calls to the store")
+    address, port = worker.address.split(":")
+    idle = [socket.create_connection((address, int(port)), timeout=15) for _ in range(sockets * 2)]
+    operator_connections = [
         socket.create_connection(("127.0.0.1", int(worker.ops.split(":")[1])), timeout=15) for _ in range(sockets)
     ]
     gateway = worker.gateway()
@@ -182,7 +197,7 @@
         assert gateway.result(gateway.request("book", "call:200", f"{99:032x}")).startswith("reply")
     with worker.executor.lock:
         worker.executor.disconnect()
-    wait_until(lambda: worker.executor.received_verbs.count("JOIN") > 1, "the new link")
+    wait_until(lambda: worker.executor.received_verbs.count("JOIN") > 1, "a new link to the executor")
     assert gateway.result(gateway.request("track", "linked")) == "did linked"
     worker.registry.relocate()
     worker.reload()
@@ -190,18 +205,18 @@
     assert worker.call_operators() == ["OK"]
     assert "Errno 24" not in worker.log()
     assert "accept-failed" not in worker.log()
-    for sock in (*idle, *callers):
+    for sock in (*idle, *operator_connections):
         sock.close()
 
 
-def test_upgrade_succeeds_beside_idle_clients_that_fill_the_descriptors(host, shared_address):
+def test_upgrade_succeeds_while_idle_clients_use_up_the_descriptors(host, shared_address):
     address = shared_address()
     name, port = address.split(":")
     shell = ["/bin/sh", "-c", f"ulimit -n 64; exec {sys.executable} -m lapispick.host"]
     old = host(listen=address, limits={"sockets": 64}, command=shell)
     idle = [socket.create_connection((name, int(port)), timeout=15) for _ in range(100)]
     new = host(successor_of=old, limits={"sockets": 64}, command=shell)
-    wait_until(lambda: new.call_operators() == ["OK"], "the successor to be healthy")
+    wait_until(lambda: new.call_operators() == ["OK"], "a healthy answer of the successor")
     old.terminate()
     assert old.process.wait(10) == 0
     gateway = new.gateway()
@@ -214,11 +229,11 @@
 
 def test_hosts_started_at_once_on_busy_cores_are_ready_in_time(fleet):
     with busy_processes(4):
-        began = time.monotonic()
+        started_at = time.monotonic()
         hosts = fleet(20, ready=False)
-        took = []
+        ready_after_s = []
         for worker in hosts:
             worker.wait_for_log("ready")
-            took.append(time.monotonic() - began)
-    print("ready after, s", [round(each, 2) for each in sorted(took)])
-    assert sorted(took)[17] < READY_S
+            ready_after_s.append(time.monotonic() - started_at)
+    print("ready after, s", [round(seconds, 2) for seconds in sorted(ready_after_s)])
+    assert sorted(ready_after_s)[17] < READY_TIMEOUT_S
--- a/tests/test_connection_overload.py
+++ b/tests/test_connection_overload.py
@@ -1,4 +1,4 @@
-"""Connections under overload: floods that never finish a request, slow writers, and messages cut at any byte."""
+"""Connections under overload: floods of incomplete requests, slow writers, and messages split at any byte."""
 
 import itertools
 import random
@@ -86,7 +86,7 @@
         (NEW_CONNECTION._replace(has_sent_valid_message=True, message_started_at=9.0), False),
     ],
 )
-def test_the_time_for_a_message_counts_from_connecting_or_from_its_first_byte(state, is_overdue):
+def test_the_message_timeout_starts_at_connect_or_at_the_first_byte_of_a_message(state, is_overdue):
     assert connection_eviction.is_overdue(state, 5.0 + MESSAGE_TIMEOUT_S) is is_overdue
     assert 2.0 < MESSAGE_TIMEOUT_S < 3.0 - 0.5
     assert max(FIRST_PART_TIMEOUT_S, LATER_PART_TIMEOUT_S) < MESSAGE_TIMEOUT_S
@@ -94,23 +94,23 @@
 
 @pytest.fixture
 def front():
-    """A front whose connections nobody reads, with ``connect`` to open one."""
+    """Front end that reads none of its connections; ``connect`` opens a connection to it."""
     info = msgspec.convert(PLATFORM_INFO, StartSettings)
-    started = JsonRpcFront(
-        EventLoop(), ("127.0.0.1", 0), info, admission_settings(info), 2, lambda item: None, lambda: None
+    json_rpc_front = JsonRpcFront(
+        EventLoop(), ("127.0.0.1", 0), info, admission_settings(info), 2, lambda event: None, lambda: None
     )
-    started.listen()
-    host, port = started.address.split(":")
+    json_rpc_front.listen()
+    host, port = json_rpc_front.address.split(":")
     clients = []
 
     def connect():
         clients.append(socket.create_connection((host, int(port))))
-        select.select([started.fileno()], [], [], 5)
-        started._accept(started._listener)
+        select.select([json_rpc_front.fileno()], [], [], 5)
+        json_rpc_front._accept(json_rpc_front._listener)
         return clients[-1]
 
-    started.connect = connect
-    yield started
+    json_rpc_front.connect = connect
+    yield json_rpc_front
     for client in clients:
         client.close()
 
@@ -135,7 +135,8 @@
     (connection,) = front.connections
     select.select([connection.stream.sock], [], [], 5)
     connection.stream.loop.yield_control = lambda: None
-    connection.stream._receive(None)  # into the buffer, as before a reader that lets other greenlets run
+    # The input is in the buffer but not processed, as when the reader has yielded to other greenlets.
+    connection.stream._receive(None)
     assert not connection.stream.has_pending_input()
     assert not front._evictor.evict()
     assert not connection.stream.closed
@@ -146,54 +147,54 @@
     assert not connection.stream.closed
 
 
-def test_a_listener_that_is_closed_before_its_greenlet_runs_is_not_accepted_from(front):
+def test_no_connection_is_accepted_on_a_listener_closed_before_its_greenlet_runs(front):
     front.loop.wait_for_io = lambda fd, event: front.close_listener(is_shared=True) is None
-    front._accept = lambda listener: pytest.fail("a closed listener was accepted from")
+    front._accept = lambda listener: pytest.fail("a connection was accepted on a closed listener")
     front.serve()
     assert not front.is_listening
 
 
-PARTS = 20  # of a message that is written slowly
-WRITE_S = 2.0  # the time that it takes
-# The host has to wait for a writer whose delays stay under these; on a busy machine a writer may exceed them itself.
+MESSAGE_PARTS = 20  # of a slowly written message
+MESSAGE_WRITE_S = 2.0  # for all parts
+# The host has to wait for a writer that stays within these delays. On a busy machine a writer may exceed them itself.
 MAX_FIRST_GAP_S = FIRST_PART_TIMEOUT_S - 0.05
 MAX_LATER_GAP_S = LATER_PART_TIMEOUT_S - 0.15
 MAX_WRITE_S = MESSAGE_TIMEOUT_S - 0.15
-FLOOD = """
+FLOOD_PROGRAM = """
 import contextlib, random, socket, sys, time
-rng, mine, end = random.Random(int(sys.argv[3])), [], time.monotonic() + 60
+rng, sockets, end = random.Random(int(sys.argv[3])), [], time.monotonic() + 60
 while time.monotonic() < end:
     with contextlib.suppress(OSError):
-        mine.append(socket.create_connection((sys.argv[1], int(sys.argv[2]))))
-        mine[-1].sendall(b'{"jsonrpc":"2.0","id":1,"method":"track","params":{"trace":'[: rng.randrange(0, 50)])
-    if len(mine) > 100:  # far more of all together than the host has descriptors
-        mine.pop(rng.randrange(50)).close()
-    time.sleep(0.005)  # up to 200 a second from each
+        sockets.append(socket.create_connection((sys.argv[1], int(sys.argv[2]))))
+        sockets[-1].sendall(b'{"jsonrpc":"2.0","id":1,"method":"track","params":{"trace":'[: rng.randrange(0, 50)])
+    if len(sockets) > 100:  # all programs together open far more than the host has descriptors
+        sockets.pop(rng.randrange(50)).close()
+    time.sleep(0.005)  # up to 200 connections a second per program
 """
 
 
 class SlowWriter:
-    """Writes a request in parts on a connection of its own."""
+    """Writes a request in parts on its own connection."""
 
     def __init__(self, host, body):
         self.gateway = host.gateway()
-        # Its creation time is that of its last byte: an older request would be past its latency objective.
-        created_at_ms = (time.time() + WRITE_S) * 1000
+        # The creation time is that of the last byte: an older request would have missed its latency objective.
+        created_at_ms = (time.time() + MESSAGE_WRITE_S) * 1000
         self.line = self.gateway.request_line("track", body, born=created_at_ms) + b"\n"
         self.written_at = []
 
     def write(self):
-        cuts = [len(self.line) * part // PARTS for part in range(PARTS + 1)]
+        cuts = [len(self.line) * part // MESSAGE_PARTS for part in range(MESSAGE_PARTS + 1)]
         started_at = time.monotonic()
         for part, (start, end) in enumerate(itertools.pairwise(cuts)):
-            time.sleep(max(0.0, started_at + part * WRITE_S / PARTS - time.monotonic()))
+            time.sleep(max(0.0, started_at + part * MESSAGE_WRITE_S / MESSAGE_PARTS - time.monotonic()))
             self.gateway.sock.sendall(self.line[start:end])
             self.written_at.append(time.monotonic())
 
-    def is_punctual(self):
-        """Tell whether all parts so far were written in time, the one that may be due now among them."""
+    def is_on_time(self):
+        """Return True if all parts so far were written in time, including a part that may be due now."""
         times = list(self.written_at)
-        if len(times) < PARTS:
+        if len(times) < MESSAGE_PARTS:
             times.append(time.monotonic())
         first_gap, *later_gaps = (end - start for start, end in itertools.pairwise(times))
         if times[-1] - times[0] >= MAX_WRITE_S:
@@ -201,22 +202,24 @@
         return first_gap < MAX_FIRST_GAP_S and max(later_gaps, default=0) < MAX_LATER_GAP_S
 
 
-def test_valid_requests_are_served_during_a_flood_of_connections_that_never_finish_one(host):
-    """A punctual slow writer is served; one that the busy machine delayed counts for nothing and writes again."""
-    started = host(executor=Executor(work_s=0.001))
-    address = started.address.split(":")
-    flood = [subprocess.Popen([sys.executable, "-c", FLOOD, *address, str(seed)]) for seed in range(2)]
+def test_valid_requests_are_served_during_a_flood_of_incomplete_requests(host):
+    """Slow writers that are on time are served; a writer delayed by the busy machine is not counted and tries again."""
+    worker = host(executor=Executor(work_s=0.001))
+    address = worker.address.split(":")
+    flood_processes = [
+        subprocess.Popen([sys.executable, "-c", FLOOD_PROGRAM, *address, str(seed)]) for seed in range(2)
+    ]
     results = []
 
     def write_slowly():
         for _ in range(10):
-            writer = SlowWriter(started, "slow")
+            writer = SlowWriter(worker, "slow")
             try:
                 writer.write()
                 return results.append(writer.gateway.result(1))
             except (OSError, AssertionError, KeyError) as err:
-                if writer.is_punctual():
-                    return results.append(f"a punctual writer got {err!r}")
+                if writer.is_on_time():
+                    return results.append(f"a writer that was on time got {err!r}")
 
     try:
         threads = [threading.Thread(target=write_slowly) for _ in range(6)]
@@ -224,67 +227,69 @@
             thread.start()
         for number in range(60):
             started_at = time.monotonic()
-            gateway = started.gateway()
+            gateway = worker.gateway()
             assert gateway.result(gateway.request("track", f"x{number}")) == f"did x{number}"
             assert time.monotonic() - started_at < 2
             gateway.sock.close()
-            assert started.call_operators() == ["OK"]
+            assert worker.call_operators() == ["OK"]
         for thread in threads:
             thread.join()
     finally:
-        for process in flood:
+        for process in flood_processes:
             process.kill()
             process.wait()
     assert results == ["did slow"] * 6
-    assert started.peak_memory_mb() < 64
+    assert worker.peak_memory_mb() < 64
 
 
-def test_a_request_may_be_cut_at_any_byte(host):
-    started = host()
-    other_gateway = started.gateway()
-    gateway = started.gateway()
+def test_a_request_split_at_any_byte_is_served(host):
+    worker = host()
+    other_gateway = worker.gateway()
+    gateway = worker.gateway()
     line = gateway.request_line("track", "cut", number=1) + b"\n"
-    for cut_at in range(1, len(line)):
-        line = gateway.request_line("track", f"cut{cut_at}", number=cut_at) + b"\n"
-        gateway.sock.sendall(line[:cut_at])
+    for split_at in range(1, len(line)):
+        line = gateway.request_line("track", f"cut{split_at}", number=split_at) + b"\n"
+        gateway.sock.sendall(line[:split_at])
         other_gateway.answer(other_gateway.send("probe"))  # the host has read the first part when it answers this
-        gateway.sock.sendall(line[cut_at:])
-        assert gateway.result(cut_at) == f"did cut{cut_at}"
+        gateway.sock.sendall(line[split_at:])
+        assert gateway.result(split_at) == f"did cut{split_at}"
 
 
-def test_operators_calls_and_all_peers_may_send_byte_by_byte(host):
+def test_input_from_operators_and_all_peers_may_arrive_byte_by_byte(host):
     executor = Executor()
     executor.byte_by_byte = True
     store = Store()
     store.byte_by_byte = True
-    started = host(executor=executor, store=store)
-    gateway = started.gateway()
+    worker = host(executor=executor, store=store)
+    gateway = worker.gateway()
     for number in range(5):
         assert gateway.result(gateway.request("track", "call:200")).startswith("reply")
         assert gateway.result(gateway.request("book", f"x{number}", f"{number:032x}")) == f"did x{number}"
     for call in ("check", "vars"):
-        with socket.create_connection(started.ops.split(":")) as sock:
+        with socket.create_connection(worker.ops.split(":")) as sock:
             ByteByByteSocket(sock).sendall(f"{call}\n".encode())
             assert sock.makefile().read().splitlines()[-1] in ("OK", "END")
 
 
-def test_silent_connections_that_were_served_stay_open_and_are_served_again(host):
-    started = host()
-    gateways = [started.gateway() for _ in range(20)]
+def test_idle_connections_that_were_served_stay_open_and_are_served_again(host):
+    worker = host()
+    gateways = [worker.gateway() for _ in range(20)]
     for gateway in gateways:
         assert gateway.result(gateway.request("track", "once")) == "did once"
-    silent_since = time.monotonic()
-    wait_until(lambda: time.monotonic() - silent_since > MESSAGE_TIMEOUT_S + 0.3, "more than the time for a message")
+    idle_since = time.monotonic()
+    wait_until(lambda: time.monotonic() - idle_since > MESSAGE_TIMEOUT_S + 0.3, "the end of the message timeout")
     for gateway in gateways:
         assert gateway.result(gateway.request("track", "again")) == "did again"
 
 
-def test_an_eviction_order_that_was_computed_before_closes_no_connection_that_must_stay_by_now(front, monkeypatch):
-    """A connection that was silent then may owe an answer now, and the other way round."""
+def test_an_outdated_eviction_order_closes_no_connection_that_must_stay_open(front, monkeypatch):
+    """A connection that was silent when the order was computed may have a pending answer now, and vice versa."""
     eviction_order = connection_eviction.eviction_order
-    computed = []
+    computed_orders = []
     monkeypatch.setattr(
-        connection_eviction, "eviction_order", lambda *arguments: computed.append(1) or eviction_order(*arguments)
+        connection_eviction,
+        "eviction_order",
+        lambda *arguments: computed_orders.append(1) or eviction_order(*arguments),
     )
     front._max_connections = 3
     for _ in range(3):
@@ -295,7 +300,7 @@
     third.requests.by_id[1] = None
     assert front._evictor.evict()
     assert first.stream.closed
-    second.requests.by_id[1] = None  # its request was read in between
+    second.requests.by_id[1] = None  # its request was read after the order was computed
     assert not front._evictor.evict()
     assert not second.stream.closed
     assert not third.stream.closed
@@ -303,7 +308,7 @@
     assert front._evictor.evict()
     assert third.stream.closed
     assert not second.stream.closed
-    computed_before = len(computed)
+    order_count = len(computed_orders)
     front._max_connections = 100
     for _ in range(12):
         front.connect()
@@ -311,4 +316,4 @@
         connection.activity.accepted_at -= 1.0
     while sum(not connection.stream.closed for connection in front.connections) > 2:
         assert front._evictor.evict()
-    assert len(computed) == computed_before + 1  # one order for all evictions of one burst
+    assert len(computed_orders) == order_count + 1  # all evictions of a burst use one order
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -1,4 +1,4 @@
-"""Clients that break the protocol: each gets an error or a close, none is served, and no other is affected."""
+"""Clients that violate the protocol get an error or are disconnected, are not served, and affect no other client."""
 
 import contextlib
 import socket
@@ -11,7 +11,7 @@
 
 
 def is_rejected(messages):
-    """Tell whether a client was answered by errors or closed, and was not served."""
+    """Return True if a client was answered with errors or disconnected, and was not served."""
     return bool(messages) and all(message == CLOSED or "error" in message for message in messages)
 
 
@@ -66,24 +66,24 @@
 
 
 def test_invalid_messages_are_answered_with_errors_or_closed_and_never_executed(host):
-    started = host()
-    valid = started.gateway()
+    worker = host()
+    valid = worker.gateway()
     invalid = []
     for fields in INVALID_FIELDS:
-        invalid.append(started.gateway())
+        invalid.append(worker.gateway())
         line = invalid[-1].request_line(**{"method": "track", **fields})
         invalid[-1].send_line(line)
     for line in INVALID_LINES:
-        invalid.append(started.gateway())
+        invalid.append(worker.gateway())
         with contextlib.suppress(OSError):
             invalid[-1].send_line(line)
     assert valid.result(valid.request("track", "fine")) == "did fine"
     received = [gateway.read_until_quiet(0.3) for gateway in invalid]
-    pairs = zip(INVALID_FIELDS + INVALID_LINES, received, strict=True)
-    assert not [(sent, messages) for sent, messages in pairs if not is_rejected(messages)]
-    assert len(started.executor.runs) == 1
-    assert started.process.poll() is None
-    repeating = started.gateway()
+    sent_and_received = zip(INVALID_FIELDS + INVALID_LINES, received, strict=True)
+    assert not [(sent, messages) for sent, messages in sent_and_received if not is_rejected(messages)]
+    assert len(worker.executor.runs) == 1
+    assert worker.process.poll() is None
+    repeating = worker.gateway()
     with contextlib.suppress(OSError):
         for _ in range(50):
             repeating.send_line(b'{"id":1}')
@@ -91,49 +91,49 @@
 
 
 def test_requests_under_a_used_id_and_too_many_open_requests_are_never_served(host):
-    started = host()
-    valid = started.gateway()
-    same_id = started.gateway()
-    used_id = started.gateway()
-    too_many = started.gateway()
+    worker = host()
+    valid = worker.gateway()
+    same_id = worker.gateway()
+    used_id = worker.gateway()
+    too_many = worker.gateway()
     same_id.send_line(same_id.request_line("track", "one") + b"\n" + same_id.request_line("track", "two"))
     used_id.send_line(used_id.request_line("track", "hold"))
-    started.executor.wait_for_run("hold")
+    worker.executor.wait_for_run("hold")
     used_id.send_line(used_id.request_line("track", "other"))
     with contextlib.suppress(OSError):
         too_many.send_line(b"\n".join(too_many.request_line("track", "many", number=n) for n in range(1, 300)))
     received = [gateway.read_until_quiet(1) for gateway in (same_id, used_id, too_many)]
     assert [is_rejected(messages) for messages in received] == [True] * 3, received
     assert valid.result(valid.request("track", "fine")) == "did fine"
-    assert not started.executor.runs_of("one")
-    assert not started.executor.runs_of("two")
-    assert not started.executor.runs_of("other")
-    assert not started.executor.runs_of("many")
+    assert not worker.executor.runs_of("one")
+    assert not worker.executor.runs_of("two")
+    assert not worker.executor.runs_of("other")
+    assert not worker.executor.runs_of("many")
 
 
-def test_an_idempotency_key_with_another_body_gets_no_result_and_does_not_affect_its_owner(host):
-    started = host()
-    owner = started.gateway()
+def test_a_reused_idempotency_key_with_another_body_gets_no_result_and_does_not_affect_its_owner(host):
+    worker = host()
+    owner = worker.gateway()
     key = make_idempotency_key()
     first = owner.request("book", "hold", key)
-    wait_until(lambda: started.executor.runs, "the run")
-    during_the_run = started.gateway()
+    wait_until(lambda: worker.executor.runs, "the start of the run")
+    during_the_run = worker.gateway()
     during_the_run.send_line(during_the_run.request_line("book", "other", nonce=key))
     assert is_rejected(during_the_run.read_until_quiet(0.5))
-    started.executor.end_run(started.executor.runs[0].task, result="booked")
+    worker.executor.end_run(worker.executor.runs[0].task, result="booked")
     assert owner.result(first) == "booked"
-    after_the_run = started.gateway()
+    after_the_run = worker.gateway()
     after_the_run.send_line(after_the_run.request_line("book", "other", nonce=key))
     assert is_rejected(after_the_run.read_until_quiet(0.5))
-    assert len(started.executor.runs) == 1
-    retry = started.gateway()
+    assert len(worker.executor.runs) == 1
+    retry = worker.gateway()
     assert retry.result(retry.request("book", "hold", key, redo=1)) == "booked"
 
 
-def test_requests_that_are_cancelled_at_once_are_answered_and_no_other_loses_its_answer(host):
-    started = host()
-    valid = started.gateway()
-    cancelling = started.gateway()
+def test_requests_cancelled_immediately_are_answered_and_other_requests_keep_their_answers(host):
+    worker = host()
+    valid = worker.gateway()
+    cancelling = worker.gateway()
     key = make_idempotency_key()
     lines = []
     for number in range(1, 201):
@@ -145,43 +145,43 @@
         cancelling.send_line(b"\n".join(lines))
     assert valid.result(valid.request("book", "cancelled", key)) == "did cancelled"
     assert is_rejected(cancelling.read_until_quiet(1))
-    assert "event-handler-failed" not in started.log()
+    assert "event-handler-failed" not in worker.log()
 
 
 def test_requests_unknown_to_the_executor_keep_no_slot_and_no_key(host):
-    started = host()
+    worker = host()
     key = make_idempotency_key()
     for _ in range(30):
-        gateway = started.gateway()
+        gateway = worker.gateway()
         keyed = gateway.request_line("book", "unknown", nonce=key)
         idempotent = gateway.request_line("track", "unknown", number=2)
         gateway.send_line(keyed + b"\n" + idempotent)
         assert is_rejected(gateway.read_until_quiet(0.05))
-    gateway = started.gateway()
+    gateway = worker.gateway()
     assert gateway.result(gateway.request("book", "known", key)) == "did known"
     assert gateway.result(gateway.request("track", "known")) == "did known"
 
 
 def test_runs_that_the_executor_ends_as_abandoned_free_their_slots(host):
-    started = host()
-    gateway = started.gateway()
-    for number in range(1, 30):  # more than may ever run at once
+    worker = host()
+    gateway = worker.gateway()
+    for number in range(1, 30):  # more than may ever run concurrently
         message_id = gateway.request("track", "over" if number % 2 else "never")
         assert gateway.error_code(message_id) != REJECTED_CODE
     assert gateway.result(gateway.request("track", "next")) == "did next"
 
 
 def test_silent_and_incomplete_connections_are_closed_and_other_clients_are_accepted(host):
-    started = host()
-    name, port = started.address.split(":")
-    silent = [socket.create_connection((name, int(port))) for _ in range(256 * 5 // 8 + 40)]
-    incomplete = started.gateway()
-    endless = started.gateway()
-    served = started.gateway()
+    worker = host()
+    address, port = worker.address.split(":")
+    silent = [socket.create_connection((address, int(port))) for _ in range(256 * 5 // 8 + 40)]
+    incomplete = worker.gateway()
+    endless = worker.gateway()
+    served = worker.gateway()
     started_at = time.monotonic()
     incomplete.sock.sendall(incomplete.request_line("track")[:50])
     assert served.result(served.request("track", "once")) == "did once"
-    late = started.gateway()
+    late = worker.gateway()
     assert late.result(late.request("track", "still")) == "did still"
     assert time.monotonic() - started_at < 1
 
@@ -200,5 +200,5 @@
     assert time.monotonic() - started_at < 3
     thread.join()
     assert endless.read_until_quiet(3)[-1] == CLOSED
-    assert served.result(served.request("track", "again")) == "did again"  # a connection that was served may stay
-    assert started.peak_memory_mb() < 64
+    assert served.result(served.request("track", "again")) == "did again"  # a connection that was served may stay open
+    assert worker.peak_memory_mb() < 64
