--- a/lapispick/host/amqp/request_builder.py
+++ b/lapispick/host/amqp/request_builder.py
@@ -52,7 +52,7 @@
             class_name=class_name,
             class_index=class_index,
             body=base64.b64encode(delivery.body).decode(),
-            born_at=created_at_ms,
+            created_at=created_at_ms,
             deadline_at=self._deadline_at(properties, created_at_ms, class_index),
             request_memory_kb=_memory_kb(properties, queue),
             rank=self._ranks[class_index],
--- a/lapispick/host/core/answers.py
+++ b/lapispick/host/core/answers.py
@@ -49,8 +49,8 @@
 
     def _record_extended_metrics(self, metrics: ExtendedMetrics, request: Request, kind: AnswerKind) -> None:
         now = self._clock.now
-        metrics.answered(kind, request.class_index, now - request.born_at, now - request.read_at)
-        deadline_at = request.deadline_at or request.born_at + self._classes[request.class_index].deadline_ms
+        metrics.answered(kind, request.class_index, now - request.created_at, now - request.read_at)
+        deadline_at = request.deadline_at or request.created_at + self._classes[request.class_index].deadline_ms
         # A request that was read after its deadline was late before this process had it, and is not counted.
         metrics.broken_rules += request.read_at <= deadline_at < self._clock.now - DEADLINE_SLACK_MS
 
--- a/lapispick/host/core/completion.py
+++ b/lapispick/host/core/completion.py
@@ -39,7 +39,7 @@
         entry.answered = True
         entry.answered_at = self._clock.now
         if self._peers.recorder is not None:
-            age_ms = self._clock.now - entry.request.born_at
+            age_ms = self._clock.now - entry.request.created_at
             self._peers.recorder.record_answer(entry.id, answer.kind, age_ms)
         self._answers.send(entry.request, answer)
         self._finish(entry)
--- a/lapispick/host/core/idempotency.py
+++ b/lapispick/host/core/idempotency.py
@@ -57,7 +57,7 @@
         """Return the record of the key that a request repeats; None if it repeats no attempt."""
         if request.idempotency_key is None:
             return None
-        record = self.table.find(request.idempotency_key, request.born_at)
+        record = self.table.find(request.idempotency_key, request.created_at)
         if record is not None and (
             record.completed or record.executed_attempt or record.owner_attempt in self._requests
         ):
@@ -99,8 +99,10 @@
         if record is None:
             return Verdict.RUN
         request = entry.request
-        expires_at_ms = request.born_at + self._classes[request.class_index].idempotency_window_ms
-        return self.ownership.claim(entry.id, record, request.born_at, expires_at_ms, request.is_retry, self._clock.now)
+        expires_at_ms = request.created_at + self._classes[request.class_index].idempotency_window_ms
+        return self.ownership.claim(
+            entry.id, record, request.created_at, expires_at_ms, request.is_retry, self._clock.now
+        )
 
     # How a run of a key ends.
 
@@ -136,7 +138,7 @@
         expires_at_ms = self._clock.now + action.retention_ms
         request_digest = digest_request(request.class_name, request.body)
         entry.record = self.table.retain(
-            request.idempotency_key, entry.id, request.born_at, expires_at_ms, request_digest
+            request.idempotency_key, entry.id, request.created_at, expires_at_ms, request_digest
         )
 
     def release(self, action: admission.ReleaseKey) -> None:
--- a/lapispick/host/recorder.py
+++ b/lapispick/host/recorder.py
@@ -113,7 +113,7 @@
         if request.idempotency_key is not None:
             encoded = repr(request.idempotency_key).encode()
             subject = blake2b(encoded, digest_size=SUBJECT_DIGEST_BYTES, key=self._salt).digest()
-        self._notes.append((ARRIVAL, number, request.tenant, subject, request.born_at))
+        self._notes.append((ARRIVAL, number, request.tenant, subject, request.created_at))
 
     def record_answer(self, number: int, kind: str, age: float) -> None:
         """Record the final answer of a request."""
--- a/lapispick/host/requests.py
+++ b/lapispick/host/requests.py
@@ -38,7 +38,7 @@
     class_name: str
     class_index: int
     body: str  # base64, unchanged
-    born_at: float  # Unix ms; when the request reached the machine
+    created_at: float  # Unix ms; when the request reached the machine
     deadline_at: float  # Unix ms; 0 = no deadline given
     request_memory_kb: float
     rank: float
