--- a/tests/test_connection_close_races.py
+++ b/tests/test_connection_close_races.py
@@ -1,7 +1,6 @@
 """Races between the close of a connection and data that is still sent on it; `docs/CROSSINGS.md` lists them.
 
-To make the races deterministic, a test suspends the process while it writes to it, or an emulated peer withholds a
-reply.
+The races are deterministic: a test sends bytes while the process is suspended, or an emulated peer withholds a reply.
 """
 
 import socket
