--- a/lapispick/host/amqp/codec.py
+++ b/lapispick/host/amqp/codec.py
@@ -1,4 +1,7 @@
-"""AMQP 0-9-1 frames and the values in them: integers, strings and field tables, as in the public specification."""
+"""Codec of AMQP 0-9-1 frames and of the values in them: integers, strings and field tables.
+
+The encoding is the one of the public specification.
+"""
 
 from __future__ import annotations
 
@@ -10,16 +13,16 @@
 from lapispick.host.amqp.errors import CodecError
 
 PROTOCOL_HEADER = b"AMQP\x00\x00\x09\x01"
-FRAME_HEADER = struct.Struct(">BHI")  # type, channel, bytes of the payload
+FRAME_HEADER = struct.Struct(">BHI")  # type, channel, payload size in bytes
 FRAME_END = 0xCE
-FRAME_OVERHEAD_BYTES = 8  # of a frame around its payload
-MIN_FRAME_MAX_BYTES = 4096  # what every peer must accept before the negotiation
+FRAME_OVERHEAD_BYTES = 8  # header and end byte of a frame
+MIN_FRAME_MAX_BYTES = 4096  # every peer must accept frames of this size before the negotiation
 MAX_TABLE_DEPTH = 16  # of nested tables and arrays
 MAX_SHORT_STRING_BYTES = 255
 
 
 class FrameType(IntEnum):
-    """What the payload of a frame contains."""
+    """Type of the payload of a frame."""
 
     METHOD = 1
     HEADER = 2
@@ -28,7 +31,7 @@
 
 
 class Frame(NamedTuple):
-    """One frame without its end."""
+    """One frame without its end byte."""
 
     type: FrameType
     channel: int
@@ -36,7 +39,7 @@
 
 
 class FieldType(Enum):
-    """Types of arguments and properties; the integers have their ``struct`` code as value."""
+    """Types of method arguments and properties; the value of an integer type is its ``struct`` code."""
 
     BIT = "bit"
     OCTET = "B"
@@ -48,58 +51,58 @@
     TABLE = "table"
 
 
-NUMBERS = {code: struct.Struct(">" + code) for code in "BHIQbhiqfd"}
-
-# The layout of each type of number in a field table.
-TABLE_NUMBERS = {
-    "b": NUMBERS["b"],
-    "B": NUMBERS["B"],
-    "s": NUMBERS["h"],
-    "u": NUMBERS["H"],
-    "I": NUMBERS["i"],
-    "i": NUMBERS["I"],
-    "l": NUMBERS["q"],
-    "L": NUMBERS["Q"],
-    "f": NUMBERS["f"],
-    "d": NUMBERS["d"],
-    "T": NUMBERS["Q"],
+NUMBER_STRUCTS = {code: struct.Struct(">" + code) for code in "BHIQbhiqfd"}
+
+# The encoding of each numeric type in a field table, by its type code.
+TABLE_NUMBER_STRUCTS = {
+    "b": NUMBER_STRUCTS["b"],
+    "B": NUMBER_STRUCTS["B"],
+    "s": NUMBER_STRUCTS["h"],
+    "u": NUMBER_STRUCTS["H"],
+    "I": NUMBER_STRUCTS["i"],
+    "i": NUMBER_STRUCTS["I"],
+    "l": NUMBER_STRUCTS["q"],
+    "L": NUMBER_STRUCTS["Q"],
+    "f": NUMBER_STRUCTS["f"],
+    "d": NUMBER_STRUCTS["d"],
+    "T": NUMBER_STRUCTS["Q"],
 }
 
 
 class Reader:
-    """Reads values from a payload; raises ``CodecError`` where it is too short."""
+    """Reader of the values in a payload; raises ``CodecError`` if the payload is too short."""
 
     def __init__(self, data: bytes) -> None:
         self._data = data
         self._position = 0
 
     def has_more(self) -> bool:
-        """Tell whether bytes are left."""
+        """Return True if unread bytes are left."""
         return self._position < len(self._data)
 
     def read_bytes(self, size: int) -> bytes:
-        """Return the next bytes."""
-        left = len(self._data) - self._position
-        if size > left:
-            raise CodecError(f"{size} bytes wanted, {left} left")
+        """Read the next ``size`` bytes."""
+        bytes_left = len(self._data) - self._position
+        if size > bytes_left:
+            raise CodecError(f"{size} bytes wanted, {bytes_left} left")
         self._position += size
         return self._data[self._position - size : self._position]
 
     def read_integer(self, code: str) -> int:
-        """Return an integer of this ``struct`` code."""
-        layout = NUMBERS[code]
+        """Read an integer with this ``struct`` code."""
+        layout = NUMBER_STRUCTS[code]
         return layout.unpack(self.read_bytes(layout.size))[0]
 
     def read_short_string(self) -> str:
-        """Return a string with one byte of length."""
+        """Read a string that is preceded by its length in one byte."""
         return _decode_text(self.read_bytes(self.read_integer("B")))
 
     def read_long_string(self) -> bytes:
-        """Return the bytes of a string with four bytes of length."""
+        """Read the bytes of a string that is preceded by its length in four bytes."""
         return self.read_bytes(self.read_integer("I"))
 
     def read_table(self, depth: int = 0) -> dict[str, object]:
-        """Return a field table."""
+        """Read a field table."""
         inner = Reader(self.read_long_string())
         table: dict[str, object] = {}
         while inner.has_more():
@@ -108,29 +111,29 @@
         return table
 
     def read_table_value(self, depth: int) -> object:
-        """Return a value of a table, which begins with its type."""
+        """Read a value of a table, which is preceded by its type code."""
         if depth > MAX_TABLE_DEPTH:
             raise CodecError("tables are nested too deep")
-        kind = chr(self.read_bytes(1)[0])
-        if kind in TABLE_NUMBERS:
-            layout = TABLE_NUMBERS[kind]
+        type_code = chr(self.read_bytes(1)[0])
+        if type_code in TABLE_NUMBER_STRUCTS:
+            layout = TABLE_NUMBER_STRUCTS[type_code]
             return layout.unpack(self.read_bytes(layout.size))[0]
-        if kind == "t":
+        if type_code == "t":
             return self.read_integer("B") != 0
-        if kind == "S":
+        if type_code == "S":
             return _decode_text(self.read_long_string())
-        if kind == "x":
+        if type_code == "x":
             return self.read_long_string()
-        if kind == "D":
+        if type_code == "D":
             scale = self.read_integer("B")
             return self.read_integer("i") / 10**scale
-        if kind == "F":
+        if type_code == "F":
             return self.read_table(depth + 1)
-        if kind == "A":
+        if type_code == "A":
             return self._read_array(depth)
-        if kind == "V":
+        if type_code == "V":
             return None
-        raise CodecError(f"unknown field type {kind!r}")
+        raise CodecError(f"unknown field type {type_code!r}")
 
     def _read_array(self, depth: int) -> list[object]:
         inner = Reader(self.read_long_string())
@@ -155,7 +158,7 @@
 
 
 def _encode_long_string(raw: bytes) -> bytes:
-    return NUMBERS["I"].pack(len(raw)) + raw
+    return NUMBER_STRUCTS["I"].pack(len(raw)) + raw
 
 
 def encode_table(table: dict[str, object]) -> bytes:
@@ -171,18 +174,19 @@
     if isinstance(value, bool):
         return b"t" + bytes([value])
     if isinstance(value, int):
-        return b"l" + NUMBERS["q"].pack(value)
+        return b"l" + NUMBER_STRUCTS["q"].pack(value)
     if isinstance(value, float):
-        return b"d" + NUMBERS["d"].pack(value)
+        return b"d" + NUMBER_STRUCTS["d"].pack(value)
     if isinstance(value, dict):
         return b"F" + encode_table(value)
     return b"S" + _encode_long_string(str(value).encode())
 
 
 def encoder(field_type: FieldType) -> Callable[[Any], bytes]:
-    """Return what encodes values of any type but ``BIT``; raises ``CodecError`` for too long short strings.
+    """Return the function that encodes values of a type other than ``BIT``.
 
-    The type of the value depends on the field type, which the signature can't express.
+    The function for short strings raises ``CodecError`` if the string is too long. The type of the value depends on the
+    field type, which the signature can't express.
     """
     if field_type is FieldType.SHORT_STRING:
         return _encode_short_string
@@ -190,11 +194,11 @@
         return _encode_long_string
     if field_type is FieldType.TABLE:
         return encode_table
-    return NUMBERS[field_type.value].pack
+    return NUMBER_STRUCTS[field_type.value].pack
 
 
 def decoder(field_type: FieldType) -> Callable[[Reader], object]:
-    """Return what reads values of any type but ``BIT``, which shares its byte with its neighbours."""
+    """Return the function that reads values of a type other than ``BIT``; adjacent bits share an octet."""
     if field_type is FieldType.SHORT_STRING:
         return Reader.read_short_string
     if field_type is FieldType.LONG_STRING:
--- a/lapispick/host/amqp/content.py
+++ b/lapispick/host/amqp/content.py
@@ -19,14 +19,14 @@
 
 BASIC_CLASS_ID = 60
 CONTENT_WEIGHT = 0  # reserved by the specification
-HEADER = struct.Struct(">HHQH")  # class, weight, bytes of the body, flags of the properties that are present
-FLAGS_OFFSET = 12
-FIRST_FLAG = 15  # the place of the first property's bit
-MORE_FLAGS = 1  # announces properties that this class does not have
+CONTENT_HEADER = struct.Struct(">HHQH")  # class, weight, body size in bytes, flags of the properties that are present
+FLAGS_OFFSET_BYTES = 12  # from the start of the content header
+FIRST_FLAG_BIT = 15  # position of the flag of the first property
+CONTINUATION_FLAG = 1  # more flags follow, for properties that the basic class does not have
 
 
 class Properties(msgspec.Struct):
-    """The properties of a message, in the order of their flags; None = absent."""
+    """The properties of a message, in the order of their flags; None if absent."""
 
     content_type: str | None = None
     content_encoding: str | None = None
@@ -44,20 +44,20 @@
     cluster_id: str | None = None
 
 
-OTHER_TYPES = {
+NON_STRING_TYPES = {
     "headers": FieldType.TABLE,
     "delivery_mode": FieldType.OCTET,
     "priority": FieldType.OCTET,
     "timestamp": FieldType.LONG_LONG,
 }
-PROPERTY_TYPES = {name: OTHER_TYPES.get(name, FieldType.SHORT_STRING) for name in Properties.__struct_fields__}
-FLAGS = {name: 1 << (FIRST_FLAG - place) for place, name in enumerate(PROPERTY_TYPES)}
-ENCODERS = [(name, FLAGS[name], encoder(field_type)) for name, field_type in PROPERTY_TYPES.items()]
-DECODERS = [(name, FLAGS[name], decoder(field_type)) for name, field_type in PROPERTY_TYPES.items()]
+PROPERTY_TYPES = {name: NON_STRING_TYPES.get(name, FieldType.SHORT_STRING) for name in Properties.__struct_fields__}
+PROPERTY_FLAGS = {name: 1 << (FIRST_FLAG_BIT - position) for position, name in enumerate(PROPERTY_TYPES)}
+ENCODERS = [(name, PROPERTY_FLAGS[name], encoder(field_type)) for name, field_type in PROPERTY_TYPES.items()]
+DECODERS = [(name, PROPERTY_FLAGS[name], decoder(field_type)) for name, field_type in PROPERTY_TYPES.items()]
 
 
 def encode_header(channel: int, body_size: int, properties: Properties) -> bytes:
-    """Encode the frame of a content header; ``body_size`` is in bytes."""
+    """Encode the frame of a content header, for a body of ``body_size`` bytes."""
     flags = 0
     values = bytearray()
     for name, flag, encode in ENCODERS:
@@ -65,12 +65,12 @@
         if value is not None and value != {}:
             flags |= flag
             values += encode(value)
-    header = HEADER.pack(BASIC_CLASS_ID, CONTENT_WEIGHT, body_size, flags)
+    header = CONTENT_HEADER.pack(BASIC_CLASS_ID, CONTENT_WEIGHT, body_size, flags)
     return encode_frame(FrameType.HEADER, channel, header + bytes(values))
 
 
 def decode_body_size(payload: bytes) -> int:
-    """Return the bytes of the body that a content header announces; raises ``CodecError``."""
+    """Return the body size in bytes from a content header; raise ``CodecError`` if the header is invalid."""
     reader = Reader(payload)
     if reader.read_integer("H") != BASIC_CLASS_ID or reader.read_integer("H") != CONTENT_WEIGHT:
         raise CodecError("a content header of another class")
@@ -78,12 +78,12 @@
 
 
 def decode_properties(payload: bytes) -> Properties:
-    """Return the properties of a content header; raises ``CodecError``."""
+    """Return the properties from a content header; raise ``CodecError`` if they are malformed."""
     reader = Reader(payload)
-    reader.read_bytes(FLAGS_OFFSET)
+    reader.read_bytes(FLAGS_OFFSET_BYTES)
     flags = reader.read_integer("H")
-    if flags & MORE_FLAGS:
-        raise CodecError("more property flags than the class has")
+    if flags & CONTINUATION_FLAG:
+        raise CodecError("the content header has a second field of property flags, expected one")
     properties = Properties()
     for name, flag, decode in DECODERS:
         if flags & flag:
@@ -92,7 +92,10 @@
 
 
 def encode_content(channel: int, properties: Properties, body: bytes, frame_max_bytes: int) -> bytes:
-    """Encode a content header and its body, which is split into frames."""
-    step = frame_max_bytes - FRAME_OVERHEAD_BYTES
-    parts = [encode_frame(FrameType.BODY, channel, body[at : at + step]) for at in range(0, len(body), step)]
-    return encode_header(channel, len(body), properties) + b"".join(parts)
+    """Encode a content header and its body, split into frames of at most ``frame_max_bytes``."""
+    max_payload_bytes = frame_max_bytes - FRAME_OVERHEAD_BYTES
+    body_frames = [
+        encode_frame(FrameType.BODY, channel, body[start : start + max_payload_bytes])
+        for start in range(0, len(body), max_payload_bytes)
+    ]
+    return encode_header(channel, len(body), properties) + b"".join(body_frames)
--- a/lapispick/host/amqp/errors.py
+++ b/lapispick/host/amqp/errors.py
@@ -8,7 +8,7 @@
 
 
 class ReplyCode(IntEnum):
-    """Reply codes of the specification that this client sends."""
+    """Reply codes that this client sends, with the names and numbers of the specification."""
 
     SUCCESS = 200
     FRAME_ERROR = 501
@@ -19,17 +19,20 @@
 
 
 class AmqpError(HostError):
-    """The base of the errors of this package."""
+    """Base class of the errors of this package."""
 
 
 class CodecError(AmqpError):
-    """Received bytes do not follow the specification."""
+    """Error for received bytes that violate the specification, and for strings that are too long to encode."""
 
     reply_code = ReplyCode.SYNTAX_ERROR
 
 
 class ConnectionClosedError(AmqpError):
-    """The broker closed the connection, or it can't continue; ``reply_code`` is sent to the broker where it is set."""
+    """Error that ends a connection: the broker closed it, or it can't continue.
+
+    If ``reply_code`` is set, it is sent to the broker together with the text.
+    """
 
     def __init__(self, text: str, reply_code: ReplyCode | None = None) -> None:
         super().__init__(text)
@@ -37,4 +40,4 @@
 
 
 class InvalidMessageError(AmqpError):
-    """A message can't be turned into a request."""
+    """Error for a message that can't be turned into a request."""
--- a/lapispick/host/amqp/methods.py
+++ b/lapispick/host/amqp/methods.py
@@ -24,11 +24,11 @@
 Table = Annotated[dict[str, object], FieldType.TABLE]
 
 BITS_PER_OCTET = 8
-IDS = struct.Struct(">HH")  # of class and method
+METHOD_IDS = struct.Struct(">HH")  # class id, method id
 
 
 class Method(msgspec.Struct, frozen=True):
-    """The base of all methods."""
+    """Base class of all methods."""
 
     name: ClassVar[str]  # as in the specification
 
@@ -37,16 +37,16 @@
 
 
 class Argument(NamedTuple):
-    """How an argument of a method is encoded."""
+    """Encoding of one argument of a method."""
 
     name: str
-    is_bit: bool  # neighbouring bits share an octet
-    encode: Callable[[Any], bytes]  # of a bit: its octet
+    is_bit: bool  # adjacent bits share an octet
+    encode: Callable[[Any], bytes]  # for a bit, encodes the whole octet
     decode: Callable[[Reader], object]
 
 
 class Layout(NamedTuple):
-    """How a method is encoded."""
+    """Encoding of a method."""
 
     class_id: int
     method_id: int
@@ -64,7 +64,7 @@
 
 
 def _method(class_id: int, method_id: int, name: str) -> Callable[[M], M]:
-    """Register a method under its ids and its name."""
+    """Return a decorator that registers a method with its ids and name."""
 
     def register(method: M) -> M:
         types = get_type_hints(method, include_extras=True)
@@ -79,7 +79,7 @@
 
 @_method(10, 10, "connection.start")
 class ConnectionStart(Method, frozen=True):
-    """The broker starts the negotiation."""
+    """Start of the negotiation by the broker."""
 
     version_major: Octet
     version_minor: Octet
@@ -90,7 +90,7 @@
 
 @_method(10, 11, "connection.start-ok")
 class ConnectionStartOk(Method, frozen=True):
-    """The client chooses a mechanism and logs in."""
+    """Login of the client with the mechanism that it chose."""
 
     client_properties: Table
     mechanism: ShortString
@@ -100,7 +100,7 @@
 
 @_method(10, 30, "connection.tune")
 class ConnectionTune(Method, frozen=True):
-    """The broker proposes limits; 0 = none."""
+    """Limits that the broker proposes; 0 means no limit."""
 
     channel_max: Short
     frame_max: Long  # bytes
@@ -109,7 +109,7 @@
 
 @_method(10, 31, "connection.tune-ok")
 class ConnectionTuneOk(Method, frozen=True):
-    """The client decides on the limits."""
+    """Limits that the client accepts."""
 
     channel_max: Short
     frame_max: Long  # bytes
@@ -118,7 +118,7 @@
 
 @_method(10, 40, "connection.open")
 class ConnectionOpen(Method, frozen=True):
-    """The client opens a virtual host."""
+    """Request of the client to open a virtual host."""
 
     virtual_host: ShortString
     reserved_1: ShortString = ""
@@ -127,14 +127,14 @@
 
 @_method(10, 41, "connection.open-ok")
 class ConnectionOpenOk(Method, frozen=True):
-    """The connection is open."""
+    """Confirmation that the connection is open."""
 
     reserved_1: ShortString = ""
 
 
 @_method(10, 50, "connection.close")
 class ConnectionClose(Method, frozen=True):
-    """Either side closes the connection; the ids name the method at fault, if any."""
+    """Request of either side to close the connection; the ids name the method that caused it, if any."""
 
     reply_code: Short
     reply_text: ShortString
@@ -144,40 +144,40 @@
 
 @_method(10, 51, "connection.close-ok")
 class ConnectionCloseOk(Method, frozen=True):
-    """The other side has closed the connection."""
+    """Confirmation that the other side has closed the connection."""
 
 
 @_method(20, 10, "channel.open")
 class ChannelOpen(Method, frozen=True):
-    """The client opens a channel."""
+    """Request of the client to open a channel."""
 
     reserved_1: ShortString = ""
 
 
 @_method(20, 11, "channel.open-ok")
 class ChannelOpenOk(Method, frozen=True):
-    """The channel is open."""
+    """Confirmation that the channel is open."""
 
     reserved_1: LongString = b""
 
 
 @_method(20, 20, "channel.flow")
 class ChannelFlow(Method, frozen=True):
-    """One side asks the other to pause or resume the flow of content."""
+    """Request of either side to pause or resume the flow of content."""
 
     active: Bit
 
 
 @_method(20, 21, "channel.flow-ok")
 class ChannelFlowOk(Method, frozen=True):
-    """The flow is paused or resumed."""
+    """Confirmation that the flow is paused or resumed."""
 
     active: Bit
 
 
 @_method(20, 40, "channel.close")
 class ChannelClose(Method, frozen=True):
-    """Either side closes the channel; the ids name the method at fault, if any."""
+    """Request of either side to close the channel; the ids name the method that caused it, if any."""
 
     reply_code: Short
     reply_text: ShortString
@@ -187,12 +187,12 @@
 
 @_method(20, 41, "channel.close-ok")
 class ChannelCloseOk(Method, frozen=True):
-    """The other side has closed the channel."""
+    """Confirmation that the other side has closed the channel."""
 
 
 @_method(60, 10, "basic.qos")
 class BasicQos(Method, frozen=True):
-    """The client limits the messages that are delivered before they are acknowledged."""
+    """Request of the client to limit the number of unacknowledged messages."""
 
     prefetch_size: Long  # bytes; 0 = no limit
     prefetch_count: Short
@@ -201,12 +201,12 @@
 
 @_method(60, 11, "basic.qos-ok")
 class BasicQosOk(Method, frozen=True):
-    """The limit applies."""
+    """Confirmation that the limit applies."""
 
 
 @_method(60, 20, "basic.consume")
 class BasicConsume(Method, frozen=True, kw_only=True):
-    """The client consumes a queue."""
+    """Request of the client to consume a queue."""
 
     reserved_1: Short = 0
     queue: ShortString
@@ -220,14 +220,14 @@
 
 @_method(60, 21, "basic.consume-ok")
 class BasicConsumeOk(Method, frozen=True):
-    """The consumer is registered."""
+    """Confirmation that the consumer is registered."""
 
     consumer_tag: ShortString
 
 
 @_method(60, 30, "basic.cancel")
 class BasicCancel(Method, frozen=True):
-    """Either side cancels a consumer."""
+    """Request of the client to cancel a consumer, or notification that the broker has cancelled it."""
 
     consumer_tag: ShortString
     nowait: Bit = False
@@ -235,14 +235,14 @@
 
 @_method(60, 31, "basic.cancel-ok")
 class BasicCancelOk(Method, frozen=True):
-    """The consumer is cancelled."""
+    """Confirmation that the consumer is cancelled."""
 
     consumer_tag: ShortString
 
 
 @_method(60, 40, "basic.publish")
 class BasicPublish(Method, frozen=True, kw_only=True):
-    """The client publishes a message, whose content follows."""
+    """Publication of a message by the client; its content follows."""
 
     reserved_1: Short = 0
     exchange: ShortString = ""
@@ -253,7 +253,7 @@
 
 @_method(60, 50, "basic.return")
 class BasicReturn(Method, frozen=True):
-    """The broker returns a message that it could not route; its content follows."""
+    """Return of a message that the broker could not route; its content follows."""
 
     reply_code: Short
     reply_text: ShortString
@@ -263,7 +263,7 @@
 
 @_method(60, 60, "basic.deliver")
 class BasicDeliver(Method, frozen=True):
-    """The broker delivers a message to a consumer; its content follows."""
+    """Delivery of a message to a consumer; its content follows."""
 
     consumer_tag: ShortString
     delivery_tag: LongLong
@@ -274,15 +274,15 @@
 
 @_method(60, 80, "basic.ack")
 class BasicAck(Method, frozen=True):
-    """A delivery, or a publication, is acknowledged."""
+    """Acknowledgement of a delivery by the client, or of a publication by the broker."""
 
     delivery_tag: LongLong
-    multiple: Bit = False  # also all before it
+    multiple: Bit = False  # includes all earlier tags
 
 
 @_method(60, 90, "basic.reject")
 class BasicReject(Method, frozen=True):
-    """The client rejects a delivery."""
+    """Rejection of a delivery by the client."""
 
     delivery_tag: LongLong
     requeue: Bit
@@ -290,34 +290,34 @@
 
 @_method(60, 120, "basic.nack")
 class BasicNack(Method, frozen=True):
-    """A delivery, or a publication, was not accepted."""
+    """Rejection of a delivery by the client, or of a publication by the broker."""
 
     delivery_tag: LongLong
-    multiple: Bit = False  # also all before it
+    multiple: Bit = False  # includes all earlier tags
     requeue: Bit = False
 
 
 @_method(85, 10, "confirm.select")
 class ConfirmSelect(Method, frozen=True):
-    """The client asks for publisher confirms."""
+    """Request of the client to enable publisher confirms."""
 
     nowait: Bit = False
 
 
 @_method(85, 11, "confirm.select-ok")
 class ConfirmSelectOk(Method, frozen=True):
-    """Publications are confirmed from now on."""
+    """Confirmation that publisher confirms are enabled."""
 
 
 def _encode_bits(bits: list[bool]) -> bytes:
-    return bytes([sum(bit << place for place, bit in enumerate(bits))])
+    return bytes([sum(bit << position for position, bit in enumerate(bits))])
 
 
 def encode_method(channel: int, method: Method) -> bytes:
-    """Encode the frame of a method; raises ``CodecError`` for a short string that is too long."""
+    """Encode the frame of a method; raise ``CodecError`` if a short string is too long."""
     layout = _LAYOUTS[type(method)]
-    payload = bytearray(IDS.pack(layout.class_id, layout.method_id))
-    bits: list[bool] = []  # not encoded yet
+    payload = bytearray(METHOD_IDS.pack(layout.class_id, layout.method_id))
+    bits: list[bool] = []  # adjacent bits that are not encoded yet
     for argument in layout.arguments:
         value = getattr(method, argument.name)
         if argument.is_bit:
@@ -333,7 +333,7 @@
 
 
 def decode_method(payload: bytes) -> Method:
-    """Decode a method; raises ``CodecError``, also for a method that is not listed here."""
+    """Decode a method; raise ``CodecError`` if it is malformed or not defined in this module."""
     reader = Reader(payload)
     ids = (reader.read_integer("H"), reader.read_integer("H"))
     method = _METHODS.get(ids)
@@ -341,14 +341,14 @@
         raise CodecError(f"unknown method {ids}")
     values: dict[str, object] = {}
     octet = 0
-    bit = 0  # place of the next bit in its octet
+    bit_position = 0  # of the next bit in ``octet``
     for argument in _LAYOUTS[method].arguments:
         if not argument.is_bit:
-            bit = 0
+            bit_position = 0
             values[argument.name] = argument.decode(reader)
             continue
-        if bit == 0:
+        if bit_position == 0:
             octet = reader.read_integer(FieldType.OCTET.value)
-        values[argument.name] = bool(octet >> bit & 1)
-        bit = (bit + 1) % BITS_PER_OCTET
+        values[argument.name] = bool(octet >> bit_position & 1)
+        bit_position = (bit_position + 1) % BITS_PER_OCTET
     return method(**values)
