--- a/lapispick/host/amqp/assembly.py
+++ b/lapispick/host/amqp/assembly.py
@@ -1,4 +1,4 @@
-"""Assembles the AMQP front and the inventory that it follows."""
+"""Creates the AMQP front and the inventory that lists its brokers."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def start_amqp_front(loop: EventLoop, config: Config, operator_settings: Settings, core: Core) -> None:
-    """Add the front to the core's, and start it with the inventory of its brokers."""
+    """Create the AMQP front, register it with the core and start it together with the inventory of its brokers."""
     inventory_settings = operator_settings.inventory
     resolver = DnsResolver(loop, inventory_settings.resolve_timeout_s, inventory_settings.hosts_file)
     bounds = Bounds(
--- a/lapispick/host/amqp/front.py
+++ b/lapispick/host/amqp/front.py
@@ -1,4 +1,4 @@
-"""The AMQP 0-9-1 front: keeps sessions with the brokers of the accepted inventory and follows its changes in place."""
+"""The AMQP 0-9-1 front: keeps a session with each broker of the accepted inventory and applies its changes."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 from lapispick.platform_settings import StartSettings
 
 LOG = "amqp"
-HOSTS_PER_YIELD = 100  # that are read before other greenlets run
-MAX_LOOKUP_MISSES = 2  # look-ups in a row without the present address; then a broker counts as moved
+HOSTS_PER_YIELD = 100  # inventory hosts that are read before other greenlets run
+MAX_LOOKUP_MISSES = 2  # consecutive look-ups without the current address, after which a broker counts as moved
 
 
 class BrokerSpec(NamedTuple):
-    """What the reconciler compares; any difference needs a new session."""
+    """Desired state of a session, compared by the reconciler; any difference needs a new session."""
 
     broker: Broker
-    move_count: int  # how often the broker's name has moved to other addresses
+    move_count: int  # how often the broker's name was found to have moved to other addresses
 
 
 class AmqpFront:
-    """The sessions with all brokers of the inventory."""
+    """Front that keeps a session with each broker of the inventory."""
 
     def __init__(
         self,
@@ -55,37 +55,37 @@
         self._resolve_interval_s = resolve_interval_s
         self._reconciler = Reconciler(bounds)
         self._queues: dict[str, dict[str, Queue]] = {}  # by the key of each listed broker
-        self._sessions: dict[int, Session] = {}  # by their number at the reconciler
-        self._move_counts: dict[str, int] = {}
+        self._sessions: dict[int, Session] = {}  # by instance, the number assigned by the reconciler
+        self._move_counts: dict[str, int] = {}  # by the key of each listed broker
         self._caller_numbers = CallerNumbers()
         self._step_timer: Timer | None = None
-        self._logged_left_out = 0
+        self._last_logged_left_out_count = 0
 
     def start(self) -> None:
-        """Resolve names periodically; sessions begin with the first inventory."""
+        """Start to resolve names periodically; the first inventory opens the sessions."""
         self.loop.spawn(self._resolve_periodically)
 
-    # What sessions need.
+    # The interface for sessions.
 
     def caller_number(self, broker_key: str, queue_name: str) -> int:
-        """Return the number that a queue has as a caller."""
+        """Return the caller number of a queue."""
         return self._caller_numbers.get(broker_key, queue_name)
 
     def lookup(self, name: str) -> list[str]:
-        """Return the addresses of a broker's name; raises ``NameNotResolvedError``."""
+        """Return the addresses of a broker's name; raise ``NameNotResolvedError`` if it can't be resolved."""
         return self._resolver.lookup(name)
 
     def on_session_opened(self, session: Session) -> None:
-        """Take note that a broker is consumed; an older session with it may end."""
+        """Record that a session is open, so that an older session with the same broker can be drained."""
         self._reconciler.opened(time.monotonic(), session.instance)
         self.loop.call_soon(self._step)
 
     def on_session_lost(self, session: Session) -> None:
-        """Take note that a connection broke; the session connects again."""
+        """Record that a connection broke; the session reconnects by itself."""
         self._reconciler.lost(time.monotonic(), session.instance)
 
     def on_session_ended(self, session: Session) -> None:
-        """Forget a session."""
+        """Remove a session that has ended."""
         self._sessions.pop(session.instance, None)
         self._reconciler.ended(session.instance)
         key = session.broker_key
@@ -97,7 +97,7 @@
     # The inventory.
 
     def apply(self, snapshot: Snapshot, difference: Difference) -> None:
-        """Apply a changed inventory; called by one greenlet, and others run meanwhile."""
+        """Apply a changed inventory; only one greenlet calls this, but others run during its yields."""
         for count, key in enumerate((*difference.joined, *difference.moved, *difference.changed), 1):
             host = snapshot.hosts[key]
             self._queues[key] = queues_of(host)
@@ -117,7 +117,7 @@
         self._reconciler.put(key, BrokerSpec(broker, self._move_counts.get(key, 0)))
 
     def _step(self) -> None:
-        """Carry out the reconciler's actions, and step again when time alone changes them."""
+        """Execute the actions of the reconciler, and schedule the next step for the time when new ones may be due."""
         if self.is_shutting_down:
             return
         now = time.monotonic()
@@ -146,26 +146,26 @@
 
     def _log_left_out(self) -> None:
         left_out = self._reconciler.left_out
-        if left_out == self._logged_left_out:
+        if left_out == self._last_logged_left_out_count:
             return
-        self._logged_left_out = left_out
+        self._last_logged_left_out_count = left_out
         max_brokers = self._reconciler.bounds.max_instances
         log(LOG, logging.ERROR, "brokers-left-out", brokers=left_out, most=max_brokers)
 
-    # Names that move.
+    # Broker names that move to other addresses.
 
     def _resolve_periodically(self) -> None:
-        """Resolve the names of connected brokers again; sessions with moved ones are opened anew."""
-        misses: dict[int, int] = {}  # look-ups in a row without the present address, by session
+        """Resolve the names of connected brokers periodically; replace the sessions of brokers that have moved."""
+        misses: dict[int, int] = {}  # consecutive look-ups without the current address, by session
         while True:
             self.loop.sleep(jitter.period(self._resolve_interval_s, random.random()))
             for session in list(self._sessions.values()):
                 if session.is_draining or session.address in ("", session.broker.host):
                     continue
-                is_found = self._is_address_found(session)
-                if is_found is None:
+                is_address_found = self._is_address_found(session)
+                if is_address_found is None:
                     continue
-                count = 0 if is_found else misses.get(session.instance, 0) + 1
+                count = 0 if is_address_found else misses.get(session.instance, 0) + 1
                 if count >= MAX_LOOKUP_MISSES and session.broker_key in self._queues and not session.is_draining:
                     count = 0
                     self._move(session)
@@ -173,7 +173,7 @@
             misses = {instance: count for instance, count in misses.items() if instance in self._sessions}
 
     def _is_address_found(self, session: Session) -> bool | None:
-        """Tell whether a broker's name still has the address in use; None where the name can't be resolved."""
+        """Return True if a broker's name still resolves to the address in use; None if it can't be resolved."""
         try:
             return session.address in self._resolver.lookup(session.broker.host)
         except NameNotResolvedError as err:
@@ -187,17 +187,17 @@
         self._put(key, session.broker)
         self._step()
 
-    # As for every front.
+    # The interface for the core.
 
     def set_idle_timeout(self, timeout_ms: float) -> None:
-        """Do nothing: this host opens the connections to brokers itself."""
+        """Do nothing: idle time-outs are for connections that clients open, and this host connects to the brokers."""
 
     def begin_shutdown(self) -> None:
-        """Begin a graceful shutdown: consume nothing more."""
+        """Begin a graceful shutdown: drain all sessions."""
         self.is_shutting_down = True
         for session in list(self._sessions.values()):
             session.drain()
 
     def is_flushed(self) -> bool:
-        """Tell whether all that was accepted is answered and handed to the operating system."""
+        """Return True if all accepted messages are answered and all bytes are handed to the operating system."""
         return all(session.is_flushed() for session in self._sessions.values())
--- a/lapispick/host/amqp/inventory_schema.py
+++ b/lapispick/host/amqp/inventory_schema.py
@@ -1,4 +1,4 @@
-"""Brokers and queues in the inventory: the schema of their variables, and the structs that the front reads."""
+"""Brokers and queues in the inventory: the schema of their variables, and the structs that the front uses."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from lapispick.fleet.schema import Schema, Variable, VariableKind
 from lapispick.platform_settings import StartSettings
 
-VARIABLES = {
+BROKER_VARIABLES = {
     "amqp_host": Variable(VariableKind.HOST, doc="where the broker listens"),
     "amqp_port": Variable(VariableKind.INTEGER, 5672, 1, 65535),
     "amqp_vhost": Variable(VariableKind.TEXT, "/", 1, 255),
@@ -22,14 +22,14 @@
 
 
 def schema(start_settings: StartSettings | None) -> Schema:
-    """Return the schema of a host; without the start settings any class and tenant is valid."""
+    """Return the schema of a broker in the inventory; without start settings, any class and tenant is valid."""
     class_names = (
         tuple(request_class.name for request_class in start_settings.request_classes) if start_settings else ()
     )
     tenants = tuple(tenant.name for tenant in start_settings.tenants) if start_settings else ()
     return Schema(
         prefix="amqp_",
-        host_variables=VARIABLES,
+        host_variables=BROKER_VARIABLES,
         items_variable="amqp_queues",
         item_name="amqp_queue",
         item_required=True,
@@ -48,7 +48,7 @@
 
 
 class Queue(msgspec.Struct, frozen=True):
-    """One queue to consume, with defaults for what its messages may leave out."""
+    """One queue to consume, with defaults for properties that its messages may omit."""
 
     name: str
     prefetch: int
@@ -58,7 +58,7 @@
 
 
 class Broker(msgspec.Struct, frozen=True):
-    """One broker and how to log in there; a change of any field needs a new connection."""
+    """Address and login of one broker; a change of any field needs a new connection."""
 
     host: str  # a name or an address
     port: int
@@ -69,12 +69,12 @@
 
     @property
     def display_name(self) -> str:
-        """Return its name for log lines."""
+        """Return the name of the broker for log lines."""
         return f"{self.host}:{self.port}"
 
 
 def broker_of(host: InventoryHost) -> Broker:
-    """Return the broker that a host of the inventory is."""
+    """Return the broker that a host of the inventory describes."""
     values = host.vars
     return Broker(
         host=host.address,
@@ -87,7 +87,7 @@
 
 
 def queues_of(host: InventoryHost) -> dict[str, Queue]:
-    """Return the queues of a host by name."""
+    """Return the queues of a broker by name."""
     return {item["amqp_queue"]: _queue(item) for item in host.items}
 
 
--- a/lapispick/host/amqp/replies.py
+++ b/lapispick/host/amqp/replies.py
@@ -1,4 +1,4 @@
-"""Replies to messages: published with confirms, and published again where the broker does not accept one."""
+"""Replies to messages: published with publisher confirms, and published again if the broker rejects one."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 
 class ReplyPublisher:
-    """Publishes replies on one channel and matches the broker's confirms with them."""
+    """Publisher of the replies on one channel; matches the confirms of the broker with the replies."""
 
     def __init__(self, channel_number: int, send: Callable[[bytes], None]) -> None:
         self._channel_number = channel_number
         self._send = send
         self._published_count = 0
-        self._unconfirmed: dict[int, Delivery] = {}  # by the number of the publication
+        self._unconfirmed: dict[int, Delivery] = {}  # by publication number, the delivery tag of its confirm
 
     def publish(self, delivery: Delivery, frame_max_bytes: int) -> None:
-        """Publish the reply to a message that is answered."""
+        """Publish the reply to an answered message."""
         assert delivery.answer is not None
         self._published_count += 1
         delivery.publish_attempts += 1
@@ -50,20 +50,20 @@
         return f"{self._channel_number}-{delivery.tag}"
 
     def mark_unroutable(self, returned: Delivery) -> bool:
-        """Note that the broker returned a reply; False where it waits for no confirm of it."""
+        """Record that the broker returned a reply; return False if no unconfirmed reply matches it."""
         message_id = returned.properties.message_id if returned.properties else None
-        found = [d for d in self._unconfirmed.values() if self._message_id(d) == message_id]
-        for delivery in found:
+        matching = [delivery for delivery in self._unconfirmed.values() if self._message_id(delivery) == message_id]
+        for delivery in matching:
             delivery.is_unroutable = True
-        return bool(found)
+        return bool(matching)
 
     def pop_confirmed(self, confirm: BasicAck | BasicNack) -> list[Delivery]:
-        """Return the messages whose replies a confirm is about, and wait for no more confirms of these."""
-        last = confirm.delivery_tag
+        """Return the messages whose replies a confirm covers, and remove these replies from the unconfirmed ones."""
+        last_number = confirm.delivery_tag  # 0 with ``multiple``: all unconfirmed replies
         numbers = [
             number
             for number in self._unconfirmed
-            if number == last or (confirm.multiple and (not last or number < last))
+            if number == last_number or (confirm.multiple and (not last_number or number < last_number))
         ]
         return [self._unconfirmed.pop(number) for number in numbers]
 
--- a/lapispick/host/amqp/request_builder.py
+++ b/lapispick/host/amqp/request_builder.py
@@ -1,4 +1,4 @@
-"""Builds requests from the messages of a queue."""
+"""Builder of requests from the messages of queues."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from lapispick.platform_settings import StartSettings
 
 MAX_EXPIRATION_DIGITS = 12
-MAX_SHOWN_EXPIRATION = 20  # characters of an invalid one in a log line
+MAX_SHOWN_LENGTH = 20  # characters of an invalid value in an error message
 
 
 class RequestBuilder:
-    """Builds requests with the classes and tenants of the settings."""
+    """Builder of requests with the request classes and tenants of the settings."""
 
     def __init__(self, start_settings: StartSettings, settings: admission.Settings) -> None:
         self._class_names = [request_class.name for request_class in start_settings.request_classes]
@@ -29,23 +29,25 @@
         by_weight = sorted(
             range(len(self._class_names)), key=lambda index: (settings.classes[index].priority_weight, index)
         )
-        self._ranks = {class_index: (place + 0.5) / len(by_weight) for place, class_index in enumerate(by_weight)}
+        self._ranks = {class_index: (position + 0.5) / len(by_weight) for position, class_index in enumerate(by_weight)}
 
     def build(self, delivery: Delivery, queue: Queue, caller: int, reply: Callable[[Answer], None]) -> Request:
-        """Return the request of a message; raises ``InvalidMessageError``."""
+        """Return the request of a message; raise ``InvalidMessageError`` if the message is invalid."""
         now_ms = time.time() * 1000
         properties = delivery.properties
         if properties is None:
-            raise InvalidMessageError("its properties can't be read")
+            raise InvalidMessageError("the message properties are malformed")
         if delivery.body_size > MAX_BODY_BYTES:
-            raise InvalidMessageError(f"its body holds {delivery.body_size} bytes")
+            raise InvalidMessageError(f"the body has {delivery.body_size} bytes, expected at most {MAX_BODY_BYTES}")
         class_index = self._class_index(properties, queue)
         class_name = self._class_names[class_index]
         idempotency = self._classes[class_index].idempotency
         tenant = self._tenant(properties, queue)
         is_keyed = idempotency is admission.Idempotency.KEYED
         if is_keyed and not properties.message_id:
-            raise InvalidMessageError(f"{class_name} needs a message-id, or a second copy could run")
+            raise InvalidMessageError(
+                f"{class_name} requires a message-id, without which a duplicate could be executed"
+            )
         created_at_ms = min(now_ms, _created_at_ms(properties) or now_ms)
         return Request(
             request_id=f"{random.getrandbits(64):016x}",
@@ -67,16 +69,16 @@
     def _class_index(self, properties: Properties, queue: Queue) -> int:
         name = properties.headers.get("class") or properties.type or queue.class_name
         if name not in self._class_names:
-            raise InvalidMessageError(f"there is no class {name!r}")
+            raise InvalidMessageError(f"unknown request class {name!r}")
         return self._class_names.index(name)
 
     def _tenant(self, properties: Properties, queue: Queue) -> object:
-        """Return the tenant as the header gives it: where no tenants are configured, a value of any type."""
+        """Return the tenant from the header, else of the queue; without configured tenants it may have any type."""
         tenant = properties.headers.get("customer") or queue.tenant
-        if isinstance(tenant, dict | list):  # neither can be looked up, nor be a part of an idempotency key
-            raise InvalidMessageError("its customer is a table or an array")
+        if isinstance(tenant, dict | list):  # not hashable, so unusable for a look-up or in an idempotency key
+            raise InvalidMessageError("the header customer is a table or an array, expected a single value")
         if self._tenants and tenant not in self._tenants:
-            raise InvalidMessageError(f"there is no customer {tenant!r}")
+            raise InvalidMessageError(f"unknown customer {tenant!r}")
         return tenant
 
     def _deadline_at(self, properties: Properties, created_at_ms: float, class_index: int) -> float:
@@ -85,21 +87,22 @@
             return created_at_ms + self._classes[class_index].deadline_ms
         is_number = expiration.isascii() and expiration.isdecimal()
         if not is_number or len(expiration) > MAX_EXPIRATION_DIGITS:
-            shown = expiration[:MAX_SHOWN_EXPIRATION]
-            raise InvalidMessageError(f"its expiration {shown!r} is no number of milliseconds")
+            shown = expiration[:MAX_SHOWN_LENGTH]
+            raise InvalidMessageError(f"expected an expiration in whole milliseconds, got {shown!r}")
         return created_at_ms + float(expiration)
 
 
 def _created_at_ms(properties: Properties) -> float:
-    """Return Unix ms from the header in milliseconds, else from the property in seconds; 0 = unknown."""
-    exact = properties.headers.get("timestamp_in_ms")
-    if isinstance(exact, int) and not isinstance(exact, bool) and exact > 0:
-        return float(exact)
+    """Return Unix ms from the header in milliseconds, else from the property in seconds, or 0 if neither is set."""
+    header_ms = properties.headers.get("timestamp_in_ms")
+    if isinstance(header_ms, int) and not isinstance(header_ms, bool) and header_ms > 0:
+        return float(header_ms)
     return properties.timestamp * 1000.0 if properties.timestamp else 0.0
 
 
 def _memory_kb(properties: Properties, queue: Queue) -> float:
     size_kb = properties.headers.get("size", queue.request_memory_kb)
     if isinstance(size_kb, bool) or not isinstance(size_kb, int | float) or not 0 < size_kb < MAX_REQUEST_MEMORY_KB:
-        raise InvalidMessageError("its size must be above 0 and under 2,000")
+        shown = repr(size_kb)[:MAX_SHOWN_LENGTH]
+        raise InvalidMessageError(f"expected a size above 0 and below {MAX_REQUEST_MEMORY_KB:g} KB, got {shown}")
     return float(size_kb)
