--- a/lapispick/host/amqp/channel.py
+++ b/lapispick/host/amqp/channel.py
@@ -1,7 +1,8 @@
-"""One channel of the AMQP 0-9-1 front: consumes a queue and gives every message that it accepts one final answer.
+"""One channel of the AMQP 0-9-1 front: consumes a queue and gives each accepted message exactly one final answer.
 
-An answer is a reply published with confirms, and only then is the message acknowledged. A message with no
-``reply-to`` is acknowledged if it was served and otherwise rejected without requeue.
+The answer to a message with ``reply-to`` is published as a reply with publisher confirms; the message is acknowledged
+only after the broker has confirmed the reply. A message without ``reply-to`` is acknowledged if it was served and
+otherwise rejected without requeue.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from lapispick.host import events
 from lapispick.host.amqp import methods
 from lapispick.host.amqp.codec import Frame, FrameType
-from lapispick.host.amqp.deliveries import RETURNED_TAG, ContentAssembler, Delivery
+from lapispick.host.amqp.deliveries import RETURNED_REPLY_TAG, ContentAssembler, Delivery
 from lapispick.host.amqp.errors import ConnectionClosedError, InvalidMessageError, ReplyCode
 from lapispick.host.amqp.inventory_schema import Queue
 from lapispick.host.amqp.methods import Method, decode_method, encode_method
@@ -26,11 +27,11 @@
 from lapispick.host.scheduler import EventLoop
 
 LOG = "amqp"
-REOPEN_S = 1.0  # before a queue whose channel or consumer the broker ended is consumed again
+REOPEN_DELAY_S = 1.0  # after the broker closed the channel or cancelled the consumer of a queue
 
 
 class ChannelOwner(Protocol):
-    """What a channel needs of the session that opened it."""
+    """Interface of the session that opened a channel."""
 
     loop: EventLoop
     name: str  # for log lines
@@ -51,21 +52,21 @@
 
 
 class Channel:
-    """One channel, which consumes one queue."""
+    """One channel and its consumer of one queue."""
 
     def __init__(self, owner: ChannelOwner, number: int, queue: Queue) -> None:
         self.owner = owner
         self.number = number
         self.queue = queue
         self.consumer_tag = f"lapispick-{number}"
-        self.is_cancelled = False  # nothing more is consumed
-        self.is_ready = False  # it consumes, or the broker said why not
-        self.is_retired = False  # it is closed as soon as nothing is in flight
-        self.in_flight: dict[int, Delivery] = {}  # accepted and not settled, by delivery tag
+        self.is_cancelled = False  # the consumer is to be cancelled, or not to be started
+        self.is_ready = False  # the broker has confirmed the consumer, or has closed the channel
+        self.is_retired = False  # to be closed as soon as it is idle
+        self.in_flight: dict[int, Delivery] = {}  # accepted but not yet settled, by delivery tag
         self._is_open = False
         self._is_consuming = False
-        self._consume_sent = False  # and not confirmed
-        self._cancel_sent = False  # and not confirmed
+        self._is_consume_pending = False  # sent, but not yet confirmed
+        self._is_cancel_pending = False  # sent, but not yet confirmed
         self._close_sent = False
         self._content = ContentAssembler(queue.name)
         self._replies = ReplyPublisher(number, owner.send)
@@ -74,7 +75,7 @@
         self.owner.send(encode_method(self.number, method))
 
     def on_frame(self, frame: Frame) -> None:
-        """Handle a frame; raises ``CodecError`` or ``ConnectionClosedError``."""
+        """Handle a frame; raise ``CodecError`` or ``ConnectionClosedError`` if it is invalid."""
         if frame.type is not FrameType.METHOD:
             delivery = self._content.add(frame)
             if delivery is not None:
@@ -88,10 +89,10 @@
             raise ConnectionClosedError(f"{method.name} came on a channel", ReplyCode.COMMAND_INVALID)
         handler(self, method)
 
-    # Opening: each step follows the broker's answer to the one before.
+    # Opening. Each step is sent when the broker has confirmed the previous one.
 
     def open(self) -> None:
-        """Open the channel and consume its queue."""
+        """Open the channel and start to consume its queue."""
         self._send(methods.ChannelOpen())
 
     def _on_open_ok(self, method: methods.ChannelOpenOk) -> None:
@@ -111,12 +112,12 @@
         if self.is_retired:
             self.close_if_done()
         elif not self.is_cancelled:
-            self._consume_sent = True
+            self._is_consume_pending = True
             self._send(methods.BasicConsume(queue=self.queue.name, consumer_tag=self.consumer_tag))
 
     def _on_consume_ok(self, method: methods.BasicConsumeOk) -> None:
         self._is_consuming = True
-        self._consume_sent = False
+        self._is_consume_pending = False
         self._log(logging.INFO, "consuming", prefetch=self.queue.prefetch)
         self._set_ready()
         if self.is_cancelled:
@@ -132,30 +133,33 @@
     # Closing.
 
     def cancel(self) -> None:
-        """Consume nothing more."""
+        """Cancel the consumer; accepted messages are still answered."""
         self.is_cancelled = True
         if self._is_consuming:
             self._is_consuming = False
-            self._cancel_sent = True
+            self._is_cancel_pending = True
             self._send(methods.BasicCancel(consumer_tag=self.consumer_tag))
 
     def _on_cancel_ok(self, method: methods.BasicCancelOk) -> None:
-        self._cancel_sent = False
+        self._is_cancel_pending = False
         self.close_if_done()
 
     def retire(self) -> None:
-        """Consume nothing more, and close this channel once all that was accepted is settled."""
+        """Cancel the consumer, and close the channel once all accepted messages are settled."""
         self.is_retired = True
         self.cancel()
         self.close_if_done()
 
     @property
     def is_idle(self) -> bool:
-        """Tell whether nothing is in flight and nothing more can come: a cancel counts once it is confirmed."""
-        return not (self.in_flight or self._is_consuming or self._consume_sent or self._cancel_sent)
+        """Return True if no message is in flight and none can arrive.
+
+        The broker may deliver messages until it has confirmed a cancel.
+        """
+        return not (self.in_flight or self._is_consuming or self._is_consume_pending or self._is_cancel_pending)
 
     def close_if_done(self) -> None:
-        """Close a retired channel that is idle; closed earlier, the broker would redeliver what it just sent."""
+        """Close a retired channel once it is idle; closed earlier, messages on their way would be redelivered."""
         if self.is_retired and self.is_idle and self._is_open and not self._close_sent:
             self._close_sent = True
             self._send(methods.ChannelClose(ReplyCode.SUCCESS, "retired"))
@@ -165,18 +169,18 @@
         self.owner.on_channel_closed(self)
 
     def _on_cancelled_by_broker(self, method: methods.BasicCancel) -> None:
-        """Consume again after a while; what was accepted can still be answered."""
+        """Consume again after a delay; accepted messages can still be answered."""
         self._log(logging.WARNING, "consumer-cancelled")
         self._is_consuming = False
         if not self.is_cancelled:
-            self.owner.loop.call_later(jitter.pause(REOPEN_S, random.random()), self._consume_again)
+            self.owner.loop.call_later(jitter.pause(REOPEN_DELAY_S, random.random()), self._consume_again)
 
     def _consume_again(self) -> None:
         if self.owner.is_current(self) and not self._is_consuming:
             self._consume()
 
     def _on_closed_by_broker(self, method: methods.ChannelClose) -> None:
-        """Have the channel opened again; the broker redelivers its messages."""
+        """Let the session open a new channel; the broker redelivers the unsettled messages of this one."""
         self._log(logging.WARNING, "channel-closed", code=method.reply_code, text=method.reply_text)
         self._send(methods.ChannelCloseOk())
         self._set_ready()
@@ -191,7 +195,7 @@
         self._content.start(Delivery(method.delivery_tag, method.redelivered))
 
     def _on_return(self, method: methods.BasicReturn) -> None:
-        self._content.start(Delivery(RETURNED_TAG))
+        self._content.start(Delivery(RETURNED_REPLY_TAG))
 
     def _on_message(self, delivery: Delivery) -> None:
         if delivery.is_returned_reply:
@@ -199,8 +203,8 @@
                 log(LOG, logging.WARNING, "reply-unroutable", queue=self.queue.name)
             return
         if self.owner.host_is_shutting_down or len(self.in_flight) >= self.queue.prefetch:
-            # Another host may execute it. A message that arrives after this consumer alone was cancelled is accepted:
-            # requeued, it would count as redelivered.
+            # Requeued, so that another host may execute it. A message that arrives after only this consumer was
+            # cancelled is accepted, since a requeue would mark it as redelivered.
             self._send(methods.BasicReject(delivery.tag, requeue=True))
             return
         self.in_flight[delivery.tag] = delivery
@@ -215,9 +219,9 @@
         self.owner.post(events.RequestArrived(request))
 
     def _answer(self, delivery: Delivery, answer: Answer) -> None:
-        """Give the final answer: the reply first, the acknowledgement once the broker has confirmed the reply."""
+        """Send the final answer: first the reply, then the acknowledgement once the broker has confirmed the reply."""
         if not self.owner.is_current(self):
-            return  # the broker redelivers the message
+            return  # the channel is closed, so the broker redelivers the message
         delivery.answer = answer
         if delivery.reply_to:
             self._replies.publish(delivery, self.owner.frame_max_bytes)
@@ -238,7 +242,7 @@
                 self._settle(delivery)
 
     def _settle(self, delivery: Delivery) -> None:
-        """Acknowledge a message, or reject it where its failure reached nobody."""
+        """Acknowledge a message; reject it if it was not served and no reply was delivered."""
         assert delivery.answer is not None
         is_replied = bool(delivery.reply_to) and not delivery.is_unroutable
         del self.in_flight[delivery.tag]
@@ -249,7 +253,7 @@
         self.close_if_done()
 
 
-# Each handler takes the method type that it is registered for, which a table can't express.
+# Each handler accepts only the method type that it is registered for; the type of the table can't express this.
 HANDLERS: dict[type[Method], Callable[[Channel, Any], None]] = {
     methods.ChannelOpenOk: Channel._on_open_ok,
     methods.ConfirmSelectOk: Channel._on_select_ok,
--- a/lapispick/host/amqp/channel_table.py
+++ b/lapispick/host/amqp/channel_table.py
@@ -1,4 +1,4 @@
-"""The channels of one broker connection: opens them and finds them by number."""
+"""The channels of one broker connection, by number."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ChannelTable:
-    """Owns the numbers of the channels; at most one channel of each queue is not retired."""
+    """The open channels of a connection by number; at most one channel of each queue is not retired."""
 
     def __init__(self, owner: ChannelOwner) -> None:
         self._owner = owner
@@ -23,11 +23,11 @@
         return self._by_number.get(channel.number) is channel
 
     def get(self, number: int) -> Channel | None:
-        """Return the channel with this number."""
+        """Return the channel with this number, or None."""
         return self._by_number.get(number)
 
     def open(self, queue: Queue, max_channels: int, is_cancelled: bool) -> None:
-        """Open a channel for a queue under the lowest free number; one that is cancelled consumes nothing."""
+        """Open a channel for a queue with the lowest free number; if ``is_cancelled``, it does not consume."""
         number = next(number for number in range(1, MAX_CHANNELS + 1) if number not in self._by_number)
         if number > max_channels:
             log(LOG, logging.ERROR, "queue-left-out", broker=self._owner.name, queue=queue.name, channels=max_channels)
@@ -38,33 +38,33 @@
         channel.open()
 
     def remove(self, channel: Channel) -> None:
-        """Remove a channel that is closed; without effect where its number is another one's."""
+        """Remove a closed channel; do nothing if its number belongs to another channel by now."""
         if channel in self:
             del self._by_number[channel.number]
 
     def consumes(self, queue: Queue) -> bool:
-        """Tell whether a channel that is not retired consumes this queue with these settings."""
+        """Return True if a channel that is not retired consumes this queue with these settings."""
         return any(channel.queue == queue and not channel.is_retired for channel in self._by_number.values())
 
     def retire_changed(self, queues: dict[str, Queue]) -> None:
-        """Retire the channels of queues that are not listed any more, or with other settings."""
+        """Retire the channels of queues that are no longer listed or have changed settings."""
         for channel in list(self._by_number.values()):
             if not channel.is_retired and queues.get(channel.queue.name) != channel.queue:
                 channel.retire()
 
     def cancel_all(self) -> None:
-        """Consume nothing more."""
+        """Cancel the consumers of all channels."""
         for channel in self._by_number.values():
             channel.cancel()
 
     def are_ready(self) -> bool:
-        """Tell whether every channel consumes its queue, or the broker has said why not."""
+        """Return True if the broker has confirmed the consumer, or closed the channel, of every queue."""
         return all(channel.is_ready for channel in self._by_number.values())
 
     def are_idle(self) -> bool:
-        """Tell whether nothing is in flight on any channel and nothing more can come."""
+        """Return True if no message is in flight on any channel and none can arrive."""
         return all(channel.is_idle for channel in self._by_number.values())
 
     def have_in_flight(self) -> bool:
-        """Tell whether a message that was accepted is not settled."""
+        """Return True if an accepted message is not settled yet."""
         return any(channel.in_flight for channel in self._by_number.values())
--- a/lapispick/host/amqp/connection.py
+++ b/lapispick/host/amqp/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection to an AMQP 0-9-1 broker: frames, negotiation, heartbeats and its end."""
+"""One TCP connection to an AMQP 0-9-1 broker: frames, negotiation, heartbeats and closing."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
 
 M = TypeVar("M", bound=Method)
 
-HANDSHAKE_S = 5.0  # for each step until the connection is open
-MAX_FRAME_MAX_BYTES = 131_072  # the longest frame that is proposed
+HANDSHAKE_TIMEOUT_S = 5.0  # for each frame until the connection is open
+MAX_FRAME_MAX_BYTES = 131_072  # upper limit in the negotiation of the frame size
 MAX_CHANNELS = 255
-HEARTBEAT_SLACK_S = 0.05  # a frame that is sent this little before half the interval makes a heartbeat unnecessary
-MAX_REPLY_TEXT = 200  # characters
+HEARTBEAT_SLACK_S = 0.05  # a heartbeat is sent if the last frame is at most this much younger than half the interval
+MAX_REPLY_TEXT_LENGTH = 200  # characters
 FRAME_TYPES = frozenset(FrameType)
 CONNECTION_CHANNEL = 0  # carries the methods of the connection itself
 MECHANISM = "PLAIN"
@@ -55,7 +55,7 @@
 
 
 class BrokerConnection:
-    """One connection to a broker, from TCP's connect to its end."""
+    """One connection to a broker, from the established TCP connection until it is closed."""
 
     def __init__(self, loop: EventLoop, stream: Stream) -> None:
         self.stream = stream
@@ -67,7 +67,7 @@
         self._last_sent_at = 0.0
 
     def send(self, data: bytes) -> None:
-        """Send frames."""
+        """Send encoded frames."""
         self._last_sent_at = time.monotonic()
         self.stream.write(data)
 
@@ -75,12 +75,15 @@
         self.send(encode_method(CONNECTION_CHANNEL, method))
 
     def read_frame(self, timeout_s: float | None = None) -> Frame:
-        """Read a frame, within two heartbeats unless said otherwise; raises ``ConnectionClosedError`` and others."""
+        """Read one frame; the default time-out is two heartbeat intervals.
+
+        Raises ``ConnectionClosedError`` for an invalid frame, ``OSError`` or ``StreamClosedError`` if reading fails.
+        """
         if timeout_s is None:
             timeout_s = 2 * self.heartbeat_s
         header = self.stream.read_exactly(FRAME_HEADER.size, timeout_s)
         frame_type, channel, size = FRAME_HEADER.unpack(header)
-        if size > self.frame_max_bytes - FRAME_OVERHEAD_BYTES:  # bounds the memory that a broker can occupy
+        if size > self.frame_max_bytes - FRAME_OVERHEAD_BYTES:  # limits the memory that a broker can make this host use
             raise ConnectionClosedError(f"a frame of {size} bytes", ReplyCode.FRAME_ERROR)
         payload = self.stream.read_exactly(size + 1, timeout_s)
         if payload[-1] != FRAME_END or frame_type not in FRAME_TYPES:
@@ -88,11 +91,14 @@
         return Frame(FrameType(frame_type), channel, payload[:-1])
 
     def open(self, broker: Broker) -> None:
-        """Negotiate and log in; raises ``ConnectionClosedError`` and others."""
+        """Negotiate the connection and log in.
+
+        Raises ``ConnectionClosedError``, ``CodecError``, ``OSError`` or ``StreamClosedError`` if this fails.
+        """
         self.send(PROTOCOL_HEADER)
         start = self._expect(ConnectionStart)
         if MECHANISM.encode() not in start.mechanisms.split():
-            raise ConnectionClosedError("the broker does not take PLAIN")
+            raise ConnectionClosedError(f"the broker does not support the login mechanism {MECHANISM}")
         self._send_method(
             ConnectionStartOk(
                 client_properties=CLIENT_PROPERTIES,
@@ -117,14 +123,14 @@
         heartbeat = min(broker.heartbeat_s, tune.heartbeat) or broker.heartbeat_s
         if frame_max < MIN_FRAME_MAX_BYTES:
             raise ConnectionClosedError(
-                f"the broker's longest frame is {frame_max} bytes; the least is {MIN_FRAME_MAX_BYTES}"
+                f"the broker limits frames to {frame_max} bytes, expected at least {MIN_FRAME_MAX_BYTES}"
             )
         return ConnectionTuneOk(channel_max, frame_max, heartbeat)
 
     def _expect(self, expected: type[M]) -> M:
-        """Read the next method of the negotiation."""
+        """Read the next method of the negotiation, which must be of the expected type; skip heartbeats."""
         while True:
-            frame = self.read_frame(HANDSHAKE_S)
+            frame = self.read_frame(HANDSHAKE_TIMEOUT_S)
             if frame.type is FrameType.HEARTBEAT:
                 continue
             if frame.type is not FrameType.METHOD or frame.channel != CONNECTION_CHANNEL:
@@ -135,15 +141,15 @@
             return method
 
     def _decode(self, frame: Frame) -> Method:
-        """Decode a method of the connection; raises ``ConnectionClosedError`` where the broker closes it."""
+        """Decode a method on channel 0; raise ``ConnectionClosedError`` if the broker closes the connection."""
         method = decode_method(frame.payload)
         if isinstance(method, ConnectionClose):
             self._send_method(ConnectionCloseOk())
-            raise ConnectionClosedError(f"the broker says {method.reply_code} {method.reply_text}")
+            raise ConnectionClosedError(f"the broker closed the connection: {method.reply_code} {method.reply_text}")
         return method
 
     def on_frame(self, frame: Frame) -> bool:
-        """Handle a frame of the connection itself; True once the broker has confirmed the close."""
+        """Handle a frame on channel 0; return True if it confirms the close of the connection."""
         if frame.type is FrameType.HEARTBEAT:
             return False
         if frame.type is not FrameType.METHOD:
@@ -154,7 +160,7 @@
         return True
 
     def start_heartbeats(self) -> None:
-        """Send a heartbeat whenever nothing was sent for half the interval, until the connection ends."""
+        """Send a heartbeat whenever nothing was sent for half the interval, until the connection is closed."""
         self._loop.call_later(self.heartbeat_s / 2, self._send_heartbeat)
 
     def _send_heartbeat(self) -> None:
@@ -166,10 +172,13 @@
 
     def request_close(self, reply_code: ReplyCode, text: str) -> None:
         """Ask the broker to close the connection."""
-        self._send_method(ConnectionClose(reply_code, text[:MAX_REPLY_TEXT]))
+        self._send_method(ConnectionClose(reply_code, text[:MAX_REPLY_TEXT_LENGTH]))
+
+    def close_gracefully(self) -> None:
+        """Close the TCP connection in the background.
 
-    def end(self) -> None:
-        """Close the TCP connection in the background; a close over unread input would reset our last frames away."""
+        A close with unread input would reset the connection, and the last frames that were sent would be lost.
+        """
         self.is_open = False
         self._loop.spawn(self.stream.close_gracefully_and_wait)
 
--- a/lapispick/host/amqp/deliveries.py
+++ b/lapispick/host/amqp/deliveries.py
@@ -1,4 +1,4 @@
-"""Messages of a queue: assembled from frames, and in flight until they are settled."""
+"""Deliveries: messages of a queue, assembled from frames and in flight until they are settled."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from lapispick.host.requests import MAX_BODY_BYTES, Answer
 
 LOG = "amqp"
-RETURNED_TAG = 0  # of a reply that the broker returned; deliveries are numbered from 1
+RETURNED_REPLY_TAG = 0  # stands for a reply that the broker returned; delivery tags start at 1
 
 
 class Delivery:
-    """One message, until it is settled."""
+    """One delivered message and the state of its answer, until it is settled."""
 
     __slots__ = (
         "answer",
@@ -31,47 +31,47 @@
     def __init__(self, tag: int, redelivered: bool = False) -> None:
         self.tag = tag
         self.redelivered = redelivered
-        self.properties: Properties | None = None  # None: they can't be read
-        self.body_size = 0  # as announced; the body of a message that is too long is dropped
+        self.properties: Properties | None = None  # None: malformed
+        self.body_size = 0  # bytes, from the content header; the body of a message that is too long is not stored
         self.body = bytearray()
         self.answer: Answer | None = None
-        self.publish_attempts = 0  # of its reply
-        self.is_unroutable = False  # no queue accepts its reply
+        self.publish_attempts = 0  # number of times that the reply was published
+        self.is_unroutable = False  # the reply could not be delivered to its queue
 
     @property
     def is_returned_reply(self) -> bool:
-        """Tell whether the broker returned a reply that it could not route."""
-        return self.tag == RETURNED_TAG
+        """Return True if this is a reply that the broker returned as unroutable."""
+        return self.tag == RETURNED_REPLY_TAG
 
     @property
     def reply_to(self) -> str:
-        """Return the queue that the requester reads; empty where it expects no reply."""
+        """Return the queue for the reply; empty if the requester expects no reply."""
         return (self.properties.reply_to or "") if self.properties is not None else ""
 
 
 class ContentAssembler:
-    """Assembles the content header and the body of one message at a time."""
+    """Assembler of content headers and bodies into messages, one at a time."""
 
     def __init__(self, queue_name: str) -> None:
         self._queue_name = queue_name
         self._delivery: Delivery | None = None
         self._has_header = False
-        self._bytes_left = 0  # of the body
+        self._bytes_left = 0  # of the body that are not received yet
 
     @property
     def is_receiving(self) -> bool:
-        """Tell whether the content of a message is incomplete."""
+        """Return True if the content of a message is incomplete."""
         return self._delivery is not None
 
     def start(self, delivery: Delivery) -> None:
-        """Expect the content of a message."""
+        """Begin a message, whose content follows in the next frames."""
         self._delivery = delivery
         self._has_header = False
 
     def add(self, frame: Frame) -> Delivery | None:
-        """Add a content frame; return the message once it is complete. Raises an ``AmqpError`` for invalid frames."""
-        add = self._add_header if frame.type is FrameType.HEADER else self._add_body
-        delivery = add(frame.payload)
+        """Add a content frame; return the message once it is complete. Raise an ``AmqpError`` for an invalid frame."""
+        add_payload = self._add_header if frame.type is FrameType.HEADER else self._add_body
+        delivery = add_payload(frame.payload)
         if self._bytes_left:
             return None
         self._delivery = None
@@ -85,7 +85,7 @@
         self._has_header = True
         try:
             delivery.properties = decode_properties(payload)
-        except CodecError as err:  # affects this message only: its size is known
+        except CodecError as err:  # only this message is affected, since its size is known
             log(LOG, logging.WARNING, "properties-malformed", queue=self._queue_name, error=err)
         return delivery
 
