--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -1,4 +1,4 @@
-"""The AMQP front: the codec against bytes of the specification, and the running program against a fake broker."""
+"""Tests of the AMQP front: the codec against bytes of the specification, the running host against a fake broker."""
 
 import collections
 import struct
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def consuming_host(host, tmp_path):
-    """Start a worker host that consumes the queue ``jobs`` of a fake broker."""
+    """Return a function that starts a worker host, which consumes the queue ``jobs`` of a fake broker."""
 
     def start(prefetch=32, broker=None, heartbeat=10, **overrides):
         broker = broker or Broker()
@@ -42,11 +42,11 @@
             f"{CSV_HEADER}a,shops,{name},{port},jobs,{prefetch},shop,{heartbeat}\nb,others,,,,,,\n"
         )
         (tmp_path / "own.conf").write_text(CONF)
-        started = host(environ={"LAPISPICK_CONF": str(tmp_path / "own.conf")}, **overrides)
-        started.broker = broker
+        worker = host(environ={"LAPISPICK_CONF": str(tmp_path / "own.conf")}, **overrides)
+        worker.broker = broker
         brokers.append(broker)
-        started.wait_for_log("consuming")
-        return started
+        worker.wait_for_log("consuming")
+        return worker
 
     brokers = []
     yield start
@@ -69,7 +69,7 @@
 
 
 def wait_for_answer(host, correlation_id):
-    """Wait for the one reply to a request."""
+    """Wait for the reply to a request, of which there must be only one."""
     return wait_until(lambda: host.broker.reply(correlation_id), f"the reply to {correlation_id}")
 
 
@@ -85,7 +85,7 @@
 
 
 def payload_of(frame):
-    """Return what a frame holds between its header and its end."""
+    """Return the payload of an encoded frame."""
     return frame[codec.FRAME_HEADER.size : -1]
 
 
@@ -227,11 +227,11 @@
     assert len(host.executor.runs) == 1
 
 
-@pytest.mark.parametrize("what", ["unknown", "never", "over"])
-def test_runs_without_a_result_are_failed_and_free_their_slot(consuming_host, what):
+@pytest.mark.parametrize("body", ["unknown", "never", "over"])
+def test_runs_without_a_result_are_failed_and_free_their_slot(consuming_host, body):
     host = consuming_host()
-    for _ in range(20):  # more than may ever run at once
-        _, correlation_id = put_request(host.broker, what)
+    for _ in range(20):  # more than can run at once
+        _, correlation_id = put_request(host.broker, body)
         assert wait_for_answer(host, correlation_id).outcome == "failed"
     _, correlation_id = put_request(host.broker, "next")
     assert wait_for_answer(host, correlation_id).outcome == "served"
@@ -248,9 +248,9 @@
 
 def test_a_keyed_message_without_message_id_is_not_executed(consuming_host):
     host = consuming_host()
-    silent, _ = put_request(host.broker, "nokey", class_name="book", message_id=None, reply_to=None)
+    without_reply, _ = put_request(host.broker, "nokey", class_name="book", message_id=None, reply_to=None)
     _, correlation_id = put_request(host.broker, "nokey", class_name="book", message_id=None)
-    wait_until(lambda: silent.fate == "reject", "the rejection")
+    wait_until(lambda: without_reply.fate == "reject", "the rejection")
     assert wait_for_answer(host, correlation_id).outcome == "failed"
     assert not host.executor.runs
 
@@ -279,20 +279,21 @@
 @pytest.mark.parametrize(
     "malformed_frame",
     [
-        lambda n: codec.encode_frame(FrameType.BODY, n, b"early"),
-        lambda n: codec.encode_frame(FrameType.HEADER, n, b"\x00"),
-        lambda n: codec.encode_frame(FrameType.HEADER, 9000, b"\x00" * 14),
-        lambda n: codec.encode_frame(FrameType.METHOD, n, b"\xff\xff\xff\xff"),
-        lambda n: codec.encode_frame(FrameType.HEARTBEAT, 0, b"")[:-1] + b"\x00",
-        lambda n: codec.FRAME_HEADER.pack(FrameType.METHOD, n, 1 << 31),
-        lambda n: b"\x77" * 50,
+        lambda channel: codec.encode_frame(FrameType.BODY, channel, b"early"),
+        lambda channel: codec.encode_frame(FrameType.HEADER, channel, b"\x00"),
+        lambda channel: codec.encode_frame(FrameType.HEADER, 9000, b"\x00" * 14),
+        lambda channel: codec.encode_frame(FrameType.METHOD, channel, b"\xff\xff\xff\xff"),
+        lambda channel: codec.encode_frame(FrameType.HEARTBEAT, 0, b"")[:-1] + b"\x00",
+        lambda channel: codec.FRAME_HEADER.pack(FrameType.METHOD, channel, 1 << 31),
+        lambda channel: b"\x77" * 50,
     ],
 )
 def test_a_malformed_frame_ends_the_connection_and_a_new_one_is_opened(consuming_host, malformed_frame):
     host = consuming_host()
     host.broker.put("jobs", "broken", raw=malformed_frame)
     wait_until(
-        lambda: "event=connection-closed" in host.log() or "event=connection-lost" in host.log(), "the end of it"
+        lambda: "event=connection-closed" in host.log() or "event=connection-lost" in host.log(),
+        "the end of the connection",
     )
     _, correlation_id = put_request(host.broker, "good")
     assert wait_for_answer(host, correlation_id).outcome == "served"
@@ -302,7 +303,9 @@
 def test_the_close_after_an_invalid_frame_reaches_a_broker_that_is_still_sending(consuming_host):
     host = consuming_host()
     with host.suspended(), host.broker.lock:
-        host.broker.put("jobs", "x", raw=lambda n: codec.encode_frame(FrameType.BODY, n, b"early") + b"x" * 150_000)
+        host.broker.put(
+            "jobs", "x", raw=lambda channel: codec.encode_frame(FrameType.BODY, channel, b"early") + b"x" * 150_000
+        )
     wait_until(lambda: "connection.close" in host.broker.methods, "the close")
     wait_until(lambda: host.log().count("event=connected") == 2, "a new connection")
     assert host.broker.reset_count == 0
@@ -313,9 +316,9 @@
     malformed = host.broker.put(
         "jobs",
         "x",
-        raw=lambda n: (
-            codec.encode_frame(FrameType.HEADER, n, struct.pack(">HHQH", 60, 0, 1, 0x2000) + b"\x00\x00\xff\xff")
-            + codec.encode_frame(FrameType.BODY, n, b"x")
+        raw=lambda channel: (
+            codec.encode_frame(FrameType.HEADER, channel, struct.pack(">HHQH", 60, 0, 1, 0x2000) + b"\x00\x00\xff\xff")
+            + codec.encode_frame(FrameType.BODY, channel, b"x")
         ),
     )
     _, correlation_id = put_request(host.broker, "good")
@@ -338,19 +341,19 @@
 def test_a_nacked_reply_is_published_again_and_an_unroutable_one_settles_its_message(consuming_host):
     host = consuming_host()
     host.broker.nacks_left = 2
-    message, correlation_id = put_request(host.broker, "stubborn")
+    message, correlation_id = put_request(host.broker, "nacked")
     assert wait_for_answer(host, correlation_id).outcome == "served"
     wait_until(lambda: message.fate == "ack", "the acknowledgement")
     host.broker.returns_unroutable = True
-    served, _ = put_request(host.broker, "nobody asks")
+    served, _ = put_request(host.broker, "unroutable")
     failed, _ = put_request(host.broker, "error", class_name="book")
     wait_until(lambda: (served.fate, failed.fate) == ("ack", "reject"), "both settlements")
 
 
-def test_heartbeats_are_sent_and_a_silent_broker_is_connected_again(consuming_host):
+def test_heartbeats_are_sent_and_a_broker_that_sends_none_is_reconnected(consuming_host):
     host = consuming_host(broker=Broker(heartbeat=1), heartbeat=1)
     wait_until(lambda: host.broker.heartbeat_count >= 2, "two heartbeats")
-    wait_until(lambda: host.broker.methods.count("connection.open") >= 2, "a new connection after the silence")
+    wait_until(lambda: host.broker.methods.count("connection.open") >= 2, "a new connection after the time-out")
 
 
 def test_the_prefetch_limits_unacknowledged_messages(consuming_host):
@@ -369,7 +372,7 @@
     host.broker.message_during_cancel = {"type": "book", "message_id": "x"}
     host.terminate()
     wait_until(lambda: host.broker.cancel_count == 1, "the cancel")
-    left, _ = put_request(host.broker, "left", class_name="book")
+    undelivered, _ = put_request(host.broker, "undelivered", class_name="book")
     host.executor.end_run(host.executor.runs[0].task, result="booked")
     answer = wait_for_answer(host, correlation_id)
     assert answer.outcome == "served"
@@ -377,13 +380,13 @@
     assert host.process.wait(5) == 0
     assert time.monotonic() - started_at < 2.5
     assert accepted.fate == "ack"
-    assert left.fate is None
-    assert left.delivery_count == 0
+    assert undelivered.fate is None
+    assert undelivered.delivery_count == 0
     assert host.broker.close_count == 1
-    crossed = next(m for m in host.broker.messages if m.body == b"crossing")
-    assert crossed.delivery_count == 1
-    assert crossed.fate == "requeue"  # so that another host may execute it
-    assert not host.executor.runs_of("left")
+    sent_during_cancel = next(m for m in host.broker.messages if m.body == b"crossing")
+    assert sent_during_cancel.delivery_count == 1
+    assert sent_during_cancel.fate == "requeue"  # so that another host may execute it
+    assert not host.executor.runs_of("undelivered")
     assert not host.executor.runs_of("crossing")
 
 
@@ -393,44 +396,43 @@
     seconds = 3.0
     info = {**PLATFORM_INFO, "FamilyInfo": {**PLATFORM_INFO["FamilyInfo"], "CallsOut": 50.0}}
     host = consuming_host(prefetch=60, executor=Executor(work_s, cores), info=info)
-    interval_s = work_s / cores / 1.1  # 110% of what the cores can do
+    interval_s = work_s / cores / 1.1  # 110% of the capacity of the cores
     requests = {}
 
-    def flood():
+    def send_requests():
         for i in range(int(seconds / interval_s)):
             class_name = "book" if i % 3 == 0 else "track"
-            requests[f"subject-{i}"] = (
-                class_name,
-                *put_request(host.broker, f"subject-{i}", class_name, correlation=f"s{i}"),
-            )
+            body = f"body-{i}"
+            requests[body] = (class_name, *put_request(host.broker, body, class_name, correlation=f"s{i}"))
             time.sleep(interval_s)
 
-    thread = threading.Thread(target=flood)
+    thread = threading.Thread(target=send_requests)
     thread.start()
-    for fraction in (0.3, 0.6):  # two acknowledgements are lost, with all that is unacknowledged redelivered
-        wait_until(lambda fraction=fraction: len(requests) >= fraction * seconds / interval_s, "part of the flood")
+    # Two acknowledgements are lost; each time the broker redelivers all unacknowledged messages.
+    for fraction in (0.3, 0.6):
+        wait_until(lambda fraction=fraction: len(requests) >= fraction * seconds / interval_s, "part of the requests")
         host.broker.disconnect_on = "basic.ack"
     thread.join()
-    wait_until(lambda: all(m.fate for _, m, _ in requests.values()), "an end of every message")
-    effects = collections.Counter(body for _, handler, body in host.executor.runs if handler == "book")
-    assert max(effects.values()) == 1
+    wait_until(lambda: all(m.fate for _, m, _ in requests.values()), "the settlement of every message")
+    executions = collections.Counter(body for _, handler, body in host.executor.runs if handler == "book")
+    assert max(executions.values()) == 1
     assert host.broker.methods.count("connection.open") >= 3
     outcomes = collections.Counter()
-    for subject, (class_name, _, correlation_id) in requests.items():
+    for body, (class_name, _, correlation_id) in requests.items():
         answers = host.broker.answers(correlation_id)
-        assert answers, subject
+        assert answers, body
         outcomes[answers[-1].outcome] += 1
         for answer in answers:
-            assert answer.outcome != "served" or answer.body == f"did {subject}"
+            assert answer.outcome != "served" or answer.body == f"did {body}"
             # A rejected message was not executed, not even for another delivery of it.
-            assert class_name != "book" or answer.outcome != "refused" or not effects[subject]
+            assert class_name != "book" or answer.outcome != "refused" or not executions[body]
     assert outcomes["served"] > 0.5 * len(requests)
 
 
-def test_frames_that_arrive_byte_by_byte_are_understood(consuming_host):
+def test_frames_that_arrive_byte_by_byte_are_decoded(consuming_host):
     broker = Broker()
     broker.byte_by_byte = True
     host = consuming_host(broker=broker)
-    messages = [put_request(broker, f"x{n}", class_name="book") for n in range(5)]
-    wait_until(lambda: all(m.fate == "ack" for m, _ in messages), "all acknowledged")
+    messages = [put_request(broker, f"x{i}", class_name="book") for i in range(5)]
+    wait_until(lambda: all(m.fate == "ack" for m, _ in messages), "the acknowledgement of every message")
     assert len(host.executor.runs) == 5
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -1,4 +1,4 @@
-"""Settings of other deployments: the host serves whatever is absent, off or different there."""
+"""Tests of a worker host with the settings of other deployments: features that are absent, off or different."""
 
 import json
 import time
@@ -21,8 +21,8 @@
     gateway = worker.gateway()
     assert gateway.result(gateway.request("track", "plain")) == "did plain"
     assert gateway.result(gateway.request("track", "call:200")) == "poorer"
-    ran = gateway.request("book", "call:200", f"{7:032x}")
-    assert gateway.error_code(ran) == FAILED_CODE  # it ran, and its call can't be skipped
+    number = gateway.request("book", "call:200", f"{7:032x}")
+    assert gateway.error_code(number) == FAILED_CODE  # it was executed, and its call can't be skipped
     worker.reload(omit=("store",))
     assert gateway.result(gateway.request("track", "again")) == "did again"
     assert not worker.store.calls
@@ -56,18 +56,18 @@
     assert other_gateway.error_code(other_gateway.request("book", "no", f"{2:032x}")) == -32601
 
 
-def test_a_request_without_a_deadline_is_answered_by_that_of_its_class(host):
+def test_a_request_without_a_deadline_is_answered_by_the_deadline_of_its_class(host):
     info = make_platform_info(PassesDeadline=False)
     info["Services"][0].update(GiveUp=1500.0, Promise=900.0)
     worker = host(info=info)
     gateway = worker.gateway()
     with measure_pauses(worker) as paused_s:
-        born = time.time() * 1000
+        created_at_ms = time.time() * 1000
         number = gateway.send(
-            "track", **{k: v for k, v in request_params("hold", born=born).items() if k != "patience"}
+            "track", **{k: v for k, v in request_params("hold", born=created_at_ms).items() if k != "patience"}
         )
         assert gateway.error_code(number) == FAILED_CODE
-        assert 1300 < time.time() * 1000 - born < 1560 + 1000 * paused_s()
+        assert 1300 < time.time() * 1000 - created_at_ms < 1560 + 1000 * paused_s()
     assert worker.executor.runs_of("hold")
 
 
@@ -79,18 +79,18 @@
     assert not worker.executor.runs
 
 
-def test_retries_that_are_not_marked_execute_a_key_once_and_reads_each_time(host):
+def test_unmarked_retries_execute_a_key_once_and_idempotent_requests_each_time(host):
     worker = host(info=make_platform_info(PassesDeadline=False, Advert="off"))
     gateway = worker.gateway()
     other = worker.gateway()
     key = f"{7:032x}"
     first = gateway.request("book", "hold", key)
     wait_until(lambda: worker.executor.runs, "the run")
-    copies = [other.request("book", "hold", key) for _ in range(3)]
-    reads = [other.request("track", "copy") for _ in range(2)]
-    assert [other.result(n) for n in reads] == ["did copy"] * 2
+    retries = [other.request("book", "hold", key) for _ in range(3)]
+    idempotent_requests = [other.request("track", "copy") for _ in range(2)]
+    assert [other.result(n) for n in idempotent_requests] == ["did copy"] * 2
     worker.executor.end_run(worker.executor.runs[0].task, result="placed")
-    assert [gateway.result(first), *(other.result(n) for n in copies)] == ["placed"] * 4
+    assert [gateway.result(first), *(other.result(n) for n in retries)] == ["placed"] * 4
     assert len(worker.executor.runs_of("hold")) == 1
 
 
@@ -102,16 +102,16 @@
     worker = host(info=info, stop_ms=4000)
     gateway = worker.gateway()
     key = f"{3:032x}"
-    born = time.time() * 1000
-    assert gateway.result(gateway.request("book", "placed", key, born=born)) == "did placed"
-    wait_until(lambda: time.time() * 1000 > born + 1500, "the end of the short window")
+    created_at_ms = time.time() * 1000
+    assert gateway.result(gateway.request("book", "placed", key, born=created_at_ms)) == "did placed"
+    wait_until(lambda: time.time() * 1000 > created_at_ms + 1500, "the end of the shorter window")
     retry = gateway.request("book", "placed", key)
     assert gateway.result(retry) == "did placed"
     assert len(worker.executor.runs_of("placed")) == (1 if window > 1500 else 2)
     worker.terminate()
     worker.wait_for_log("shutdown-started")
-    drain_began = time.time() * 1000
-    wait_until(lambda: time.time() * 1000 > drain_began + 1000, "a second of the drain")
+    drain_started_at_ms = time.time() * 1000
+    wait_until(lambda: time.time() * 1000 > drain_started_at_ms + 1000, "the first second of the drain")
     late = gateway.request("track", "late")
     answer = gateway.answer(late)
     assert ("result" in answer) == (grace > 1000)
@@ -123,7 +123,7 @@
     number = gateway.request("track", "hold")
     wait_until(lambda: worker.executor.runs, "the run")
     gateway.cancel(number)
-    wait_until(lambda: any(c["verb"] == "KILL" for c in worker.executor.commands), "the stop")
+    wait_until(lambda: any(c["verb"] == "KILL" for c in worker.executor.commands), "the KILL command")
     assert gateway.result(gateway.request("track", "next")) == "did next"
 
 
@@ -142,20 +142,20 @@
 
 @pytest.mark.parametrize("returning", [False, True])
 def test_idle_connections_of_one_time_callers_are_closed_before_the_idle_timeout(host, returning):
-    """Where a connection table is full of them, idle connections cost the work that others need."""
+    """Idle connections that fill a connection table prevent requests of other callers from being served."""
     worker = host(info=make_platform_info(Idle=4000.0))
     callers = [worker.gateway() for _ in range(60)]
-    began = time.monotonic()
+    started_at = time.monotonic()
     for n, gateway in enumerate(callers):
         assert gateway.result(gateway.request("track", "once", client=1 + (0 if returning else n))) == "did once"
     callers[0].file.peek(1)  # the goaway
-    goaway_after_s = time.monotonic() - began
+    goaway_after_s = time.monotonic() - started_at
     callers[0].read()
     assert callers[0].goaway_received
     assert goaway_after_s > 3.9 if returning else goaway_after_s < 3.9
 
 
-def test_a_few_requests_with_far_more_work_fail_alone(host):
+def test_a_few_requests_that_do_not_end_fail_without_affecting_others(host):
     info = make_platform_info(PassesDeadline=False, Halt="pause")
     info["Services"][0].update(GiveUp=2500.0, Promise=1000.0)
     worker = host(info=info)
@@ -169,12 +169,14 @@
         if number in light:
             assert gateway.result(number) == f"did x{n}"
     assert {gateway.error_code(n) for n in heavy} == {FAILED_CODE}
-    wait_until(lambda: len([c for c in worker.executor.commands if c["verb"] == "KILL"]) == len(heavy), "their stops")
+    wait_until(
+        lambda: len([c for c in worker.executor.commands if c["verb"] == "KILL"]) == len(heavy), "the KILL commands"
+    )
     assert gateway.result(gateway.request("track", "after")) == "did after"
 
 
 class LoadedStore(Store):
-    """Takes ``work_s * slowdown`` for a call, and records the maximum of concurrent calls."""
+    """Store whose calls take ``work_s * slowdown``; records the maximum number of concurrent calls."""
 
     def __init__(self):
         self.concurrent = 0
