--- a/lapispick/agent/__init__.py
+++ b/lapispick/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The processes of a staged rollout: a host's agent, and the controller with its store of rollouts."""
+"""The processes of a staged rollout: the agent of each host, and the controller with its store of rollouts."""
--- a/lapispick/agent/action_runner.py
+++ b/lapispick/agent/action_runner.py
@@ -1,4 +1,4 @@
-"""Carries out what a decision of the agent orders: starts, reloads and ends processes of the host."""
+"""Runs the actions that the agent decides on: starts, reloads and ends processes of the host."""
 
 from __future__ import annotations
 
@@ -19,54 +19,57 @@
 
 
 class ActionRunner:
-    """Acts on the processes of one host; ``point`` is called with the name of each point at which a test may stop."""
+    """Runs actions on the processes of one host.
+
+    ``failpoint`` is called with the name of each step at which a test may end the agent.
+    """
 
     def __init__(
         self,
         processes: ProcessTable,
         launcher: HostLauncher,
-        work: WorkerThreads,
-        point: Callable[[str], None],
+        worker_threads: WorkerThreads,
+        failpoint: Callable[[str], None],
     ) -> None:
         self._processes = processes
         self._launcher = launcher
-        self._work = work
-        self._point = point
+        self._worker_threads = worker_threads
+        self._failpoint = failpoint
 
     def run(self, action: Action, state: HostState, generations: Mapping[str, Generation]) -> None:
-        """Carry out one action of a decision whose ``state`` is stored; raises ``OSError``."""
+        """Run one action of a decision whose ``state`` has been stored; raises ``OSError``."""
         if isinstance(action, Start):
             self._start(action.process, state, generations)
         elif isinstance(action, Reload):
             self._reload(action.process, generations)
         elif isinstance(action, Terminate):
-            self._point("terminating")
+            self._failpoint("terminating")
             self._processes.signal(action.number, signal.SIGTERM)
-            self._point("terminated")
+            self._failpoint("terminated")
         elif isinstance(action, Kill):
-            self._point("killing")
+            self._failpoint("killing")
             self._processes.kill(action.number)
             log(LOG, logging.WARNING, "host-killed", process=action.number)
 
     def _start(self, process: HostProcess, state: HostState, generations: Mapping[str, Generation]) -> None:
         if process.number in self._processes.alive():
             return
-        self._point("starting")
+        self._failpoint("starting")
         self._write_config(process, generations)
-        self._work.run(self._launcher.start, process, host_state.needed_generations(state))
+        self._worker_threads.run(self._launcher.start, process, host_state.needed_generations(state))
         log(LOG, logging.INFO, "host-started", process=process.number, generation=process.generation)
-        self._point("started")
+        self._failpoint("started")
 
     def _reload(self, process: HostProcess, generations: Mapping[str, Generation]) -> None:
-        self._point("reloading")
-        self.send_config(process, generations)
+        self._failpoint("reloading")
+        self.reload_config(process, generations)
         log(LOG, logging.INFO, "host-reloaded", process=process.number, generation=process.generation)
-        self._point("reloaded")
+        self._failpoint("reloaded")
 
-    def send_config(self, process: HostProcess, generations: Mapping[str, Generation]) -> None:
-        """Write the configuration of a running process, and let the process read it; raises ``OSError``."""
+    def reload_config(self, process: HostProcess, generations: Mapping[str, Generation]) -> None:
+        """Write the configuration of a running process and signal the process to reload it; raises ``OSError``."""
         self._write_config(process, generations)
         self._processes.signal(process.number, signal.SIGHUP)
 
     def _write_config(self, process: HostProcess, generations: Mapping[str, Generation]) -> None:
-        self._work.run(self._launcher.write_config, process, generations[process.generation])
+        self._worker_threads.run(self._launcher.write_config, process, generations[process.generation])
--- a/lapispick/agent/errors.py
+++ b/lapispick/agent/errors.py
@@ -6,15 +6,15 @@
 
 
 class AgentError(Exception):
-    """Base of all errors of this package; the text says what is wrong with which value."""
+    """Base class of the errors of this package; the text gives the invalid value and the reason."""
 
 
 class InvalidGenerationError(AgentError):
-    """A program folder and settings can't be a generation."""
+    """A program folder and its settings do not form a valid generation."""
 
 
 class StateFileError(AgentError):
-    """No agent can run with this folder."""
+    """The folder or the state file of an agent can't be used."""
 
     def __init__(self, path: Path, reason: str) -> None:
         super().__init__(f"{path}: {reason}")
@@ -23,15 +23,15 @@
 
 
 class UnknownGenerationError(AgentError):
-    """A generation is not in the store."""
+    """A generation is not in the generation store."""
 
     def __init__(self, generation: str, folder: Path) -> None:
-        super().__init__(f"{generation} is not on the shelf {folder}")
+        super().__init__(f"generation {generation} not found in {folder}")
         self.generation = generation
 
 
 class RolloutStoreError(AgentError):
-    """The store of rollouts can't be used."""
+    """The rollout store can't be opened."""
 
     def __init__(self, path: Path, reason: object) -> None:
         super().__init__(f"{path}: {reason}")
@@ -39,7 +39,7 @@
 
 
 class FencedError(AgentError):
-    """Another controller has taken over: this one must not call any agent any more."""
+    """Another controller has taken over; this one must make no more calls to agents."""
 
     def __init__(self, newer_epoch: int, own_epoch: int) -> None:
         super().__init__(f"controller {newer_epoch} has taken over from {own_epoch}")
--- a/lapispick/agent/generation_store.py
+++ b/lapispick/agent/generation_store.py
@@ -1,6 +1,6 @@
-"""The generations that a host keeps on disk, side by side. A rename makes a generation complete at once.
+"""Stores several generations of a host on disk. A generation becomes visible atomically, by a rename.
 
-``FOLDER/DIGEST/`` holds ``program/`` with the package, ``lapispick.conf``, and ``generation.json``.
+``FOLDER/DIGEST/`` contains ``program/`` with the package, ``lapispick.conf`` and ``generation.json``.
 """
 
 from __future__ import annotations
@@ -26,24 +26,27 @@
 PACKAGE = "lapispick"
 MAX_PROGRAM_FILES = 5000
 MAX_PROGRAM_BYTES = 256 << 20
-PROGRAM_TIMEOUT_S = 20.0  # for a program to report its formats
+PROGRAM_TIMEOUT_S = 20.0  # for a program to report its formats or check settings
 _MAX_SHOWN_STDERR = 200
 _decode_generation = msgspec.json.Decoder(Generation).decode
 
 
 def program_files(folder: Path) -> list[tuple[str, bytes]]:
-    """Return the files of a program folder without Python's caches; raises ``InvalidGenerationError``."""
-    found = []
-    size = 0
+    """Return the paths and contents of a program's files, except Python's caches.
+
+    Raises ``InvalidGenerationError``.
+    """
+    files = []
+    total_bytes = 0
     for path in sorted(folder.rglob("*")):
         if "__pycache__" in path.parts or not path.is_file():
             continue
         data = path.read_bytes()
-        size += len(data)
-        found.append((str(path.relative_to(folder)), data))
-        if len(found) > MAX_PROGRAM_FILES or size > MAX_PROGRAM_BYTES:
+        total_bytes += len(data)
+        files.append((str(path.relative_to(folder)), data))
+        if len(files) > MAX_PROGRAM_FILES or total_bytes > MAX_PROGRAM_BYTES:
             raise InvalidGenerationError(f"{folder}: over {MAX_PROGRAM_FILES} files or {MAX_PROGRAM_BYTES >> 20} MB")
-    return found
+    return files
 
 
 def settings_digest(data: bytes) -> str:
@@ -52,35 +55,35 @@
 
 
 def program_environment(program: Path) -> dict[str, str]:
-    """Return an environment in which Python imports the package from a program folder."""
+    """Return environment variables with which Python imports the package from a program folder."""
     return {**os.environ, "PYTHONPATH": str(program), "PYTHONDONTWRITEBYTECODE": "1"}
 
 
 def reported_formats(program: Path, python: str = sys.executable) -> dict[str, compat.FormatSupport]:
-    """Ask a program which formats it reads and writes; a program without ``versions.py`` reports none.
+    """Return the formats that a program reports to read and write; empty for one without ``versions.py``.
 
     Raises ``InvalidGenerationError``.
     """
     if not (program / PACKAGE / "versions.py").is_file():
         return {}
-    done = subprocess.run(
+    completed = subprocess.run(
         [python, "-m", "lapispick.versions"],
         cwd=program,
         capture_output=True,
         timeout=PROGRAM_TIMEOUT_S,
         env=program_environment(program),
     )
-    if done.returncode:
-        stderr = done.stderr.decode(errors="replace").strip()[-_MAX_SHOWN_STDERR:]
+    if completed.returncode:
+        stderr = completed.stderr.decode(errors="replace").strip()[-_MAX_SHOWN_STDERR:]
         raise InvalidGenerationError(f"{program}: does not start: {stderr}")
     try:
-        return compat.parse_formats(msgspec.json.decode(done.stdout))
+        return compat.parse_formats(msgspec.json.decode(completed.stdout))
     except (ValueError, AttributeError) as err:
         raise InvalidGenerationError(f"{program}: says what can't be read of what it speaks: {err}") from None
 
 
 class GenerationStore:
-    """The generations in one folder."""
+    """Store of the generations in one folder."""
 
     def __init__(self, folder: Path, python: str = sys.executable) -> None:
         self.folder = folder
@@ -89,7 +92,7 @@
     def add(self, program: Path, settings: Path | None, config: dict[str, Any], label: str = "") -> Generation:
         """Store a copy of a program folder and settings; raises ``InvalidGenerationError`` or ``OSError``."""
         if not (program / PACKAGE).is_dir():
-            raise InvalidGenerationError(f"{program}: holds no folder lapispick")
+            raise InvalidGenerationError(f"{program}: expected a subfolder {PACKAGE}")
         if faults := generations.config_faults(config):
             raise InvalidGenerationError(faults[0])
         settings_bytes = settings.read_bytes() if settings is not None else b""
@@ -116,13 +119,13 @@
         (temporary / SETTINGS_FILE).write_bytes(settings)
         atomic_files.replace(temporary / RECORD_FILE, msgspec.json.encode(generation))
         final = self.folder / generation.digest
-        if final.exists():  # its record is broken, or it would have been found
+        if final.exists():  # incomplete or unreadable, as add() has not found it
             shutil.rmtree(final)
         os.rename(temporary, final)
         atomic_files.sync_directory(self.folder)
 
     def get(self, name: str) -> Generation | None:
-        """Return a generation; None where it is missing or incomplete, or its digest is not its name."""
+        """Return a generation; None if it is missing or incomplete, or if its digest differs from its name."""
         folder = self.folder / name
         try:
             generation = _decode_generation((folder / RECORD_FILE).read_bytes())
@@ -138,10 +141,10 @@
             names = [path.name for path in self.folder.iterdir() if not path.name.startswith(".")]
         except OSError:
             return {}
-        return {name: found for name in sorted(names) if (found := self.get(name)) is not None}
+        return {name: generation for name in sorted(names) if (generation := self.get(name)) is not None}
 
     def verify(self, name: str) -> str:
-        """Return what is wrong with a generation's files; empty where they are what the digest says."""
+        """Return what is wrong with the files of a generation; empty if they match its digests."""
         generation = self.get(name)
         if generation is None:
             return "it is not there, or not whole"
@@ -153,9 +156,9 @@
         return ""
 
     def prune(self, keep: int, needed: set[str]) -> list[str]:
-        """Remove all but the newest ``keep`` and those in ``needed``; returns what was removed."""
+        """Remove all generations but the newest ``keep`` and those in ``needed``; returns the removed digests."""
         newest_first = sorted(self.all().values(), key=lambda generation: generation.added_at, reverse=True)
-        removed = [each.digest for each in newest_first[keep:] if each.digest not in needed]
+        removed = [generation.digest for generation in newest_first[keep:] if generation.digest not in needed]
         for name in removed:
             shutil.rmtree(self.folder / name, ignore_errors=True)
         return removed
--- a/lapispick/agent/host_launcher.py
+++ b/lapispick/agent/host_launcher.py
@@ -1,6 +1,6 @@
 """Starts the processes of a host with their configuration, environment and log file, and removes old files.
 
-Blocks on the disk, so all but the paths runs in a thread, never in the loop.
+The methods block on disk access, so the agent runs them in a thread, never in the event loop.
 """
 
 from __future__ import annotations
@@ -22,28 +22,28 @@
 from lapispick.rollout.host_state import HostProcess
 
 PROCESS_FOLDER = "lives"
-SHARED_FOLDER = "tmp"
+SHARED_TEMP_FOLDER = "tmp"
 GENERATION_VARIABLE = "LAPISPICK_GENERATION"
-MAX_RETAINED_PROCESSES = 10  # whose configuration and log stay
-MAX_LOG_BYTES = 8 << 20  # of one process; as many again are kept of what came before
-_PRIVATE_VARIABLES = ("LB_", "LAPISPICK_")  # prefixes that are not passed on from the agent
+MAX_RETAINED_PROCESSES = 10  # newest processes whose configuration and log files are kept
+MAX_LOG_BYTES = 8 << 20  # per process; a second file keeps as much of the older output
+_PRIVATE_VARIABLE_PREFIXES = ("LB_", "LAPISPICK_")  # of environment variables that the host does not inherit
 
 
 class HostLauncher:
-    """Starts the processes of one host; ``base`` is the platform's configuration of the host."""
+    """Starts the processes of one host; ``platform_config`` is the platform's configuration of the host."""
 
     def __init__(
         self,
         settings: AgentSettings,
-        base: Mapping[str, Any],
+        platform_config: Mapping[str, Any],
         processes: ProcessTable,
-        generations: GenerationStore,
+        generation_store: GenerationStore,
         python: str = sys.executable,
     ) -> None:
         self._settings = settings
-        self._base = base
+        self._platform_config = platform_config
         self._processes = processes
-        self._generations = generations
+        self._generation_store = generation_store
         self._python = python
         self._folder = Path(str(settings.folder)).absolute()
 
@@ -53,7 +53,7 @@
     def write_config(self, process: HostProcess, generation: Generation) -> None:
         """Write the platform's configuration for a process; raises ``OSError``."""
         config = {
-            **self._base,
+            **self._platform_config,
             **generation.config,
             "ops": self._settings.slot_ops[process.slot],
             "seed": os.urandom(8).hex(),
@@ -65,26 +65,28 @@
         atomic_files.replace(path, msgspec.json.encode(config))
 
     def start(self, process: HostProcess, needed_generations: set[str]) -> None:
-        """Start a process and remove what is not needed any more; raises ``OSError``."""
-        home = self._generations.folder / process.generation
-        config = self._config_path(process.number)
-        shared = self._folder / SHARED_FOLDER
-        shared.mkdir(exist_ok=True)
-        environment = {key: value for key, value in os.environ.items() if not key.startswith(_PRIVATE_VARIABLES)}
+        """Start a process, then remove old files and generations that are not needed; raises ``OSError``."""
+        generation_folder = self._generation_store.folder / process.generation
+        config_path = self._config_path(process.number)
+        temp_folder = self._folder / SHARED_TEMP_FOLDER
+        temp_folder.mkdir(exist_ok=True)
+        environment = {
+            key: value for key, value in os.environ.items() if not key.startswith(_PRIVATE_VARIABLE_PREFIXES)
+        }
         environment |= {
-            "LB_CONFIG": str(config),
-            "LAPISPICK_CONF": str(home / SETTINGS_FILE),
-            "TMPDIR": str(shared),
-            "PYTHONPATH": str(home / PROGRAM_FOLDER),
+            "LB_CONFIG": str(config_path),
+            "LAPISPICK_CONF": str(generation_folder / SETTINGS_FILE),
+            "TMPDIR": str(temp_folder),
+            "PYTHONPATH": str(generation_folder / PROGRAM_FOLDER),
             "PYTHONDONTWRITEBYTECODE": "1",
             GENERATION_VARIABLE: process.generation,
         }
         command = [self._python, "-m", HOST_MODULE]
-        log = config.with_suffix(".log")
-        self._processes.start(process.number, command, home / PROGRAM_FOLDER, environment, log)
+        log_path = config_path.with_suffix(".log")
+        self._processes.start(process.number, command, generation_folder / PROGRAM_FOLDER, environment, log_path)
         self._remove_old_files(process.number)
-        for removed in self._generations.prune(self._settings.max_spare_generations, needed_generations):
-            shutil.rmtree(self._generations.folder / removed, ignore_errors=True)
+        for removed in self._generation_store.prune(self._settings.max_spare_generations, needed_generations):
+            shutil.rmtree(self._generation_store.folder / removed, ignore_errors=True)
 
     def _remove_old_files(self, newest: int) -> None:
         for path in self._folder.glob(f"{PROCESS_FOLDER}/*.*"):
@@ -92,7 +94,7 @@
                 path.unlink(missing_ok=True)
 
     def rotate_logs(self) -> None:
-        """Move the contents of logs that grew too long to an older file; processes append to the emptied one."""
+        """Move the contents of logs over ``MAX_LOG_BYTES`` to a second file; processes append to the truncated log."""
         for path in self._folder.glob(f"{PROCESS_FOLDER}/*.log"):
             if path.stat().st_size > MAX_LOG_BYTES:
                 path.with_suffix(".old").write_bytes(path.read_bytes())
--- a/lapispick/agent/line_client.py
+++ b/lapispick/agent/line_client.py
@@ -1,4 +1,4 @@
-"""Calls over TCP in the operators' form: one line out, lines in until the other end closes."""
+"""Calls over TCP in the operators' protocol: sends one line and reads lines until the peer closes."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 def call(loop: EventLoop, address: tuple[str, int], line: str, timeout_s: float) -> list[str]:
-    """Send a line and return the lines of the answer; raises ``OSError``, also on timeout."""
+    """Send a line and return the lines of the answer; raises ``OSError``, also on a timeout."""
     stream = connect(loop, address, timeout_s)
     deadline = time.monotonic() + timeout_s
     lines = []
     try:
         stream.write(line.encode() + b"\n")
-        while (line := stream.read_line(max(_MIN_TIMEOUT_S, deadline - time.monotonic()))) is not None:
-            lines.append(line.decode("utf-8", "replace"))
+        while (answer_line := stream.read_line(max(_MIN_TIMEOUT_S, deadline - time.monotonic()))) is not None:
+            lines.append(answer_line.decode("utf-8", "replace"))
     except (LineTooLongError, StreamClosedError) as err:
         raise OSError(str(err)) from None
     finally:
--- a/lapispick/agent/processes.py
+++ b/lapispick/agent/processes.py
@@ -1,7 +1,8 @@
-"""The processes of a host, as an agent starts and finds them by a mark in their environment.
+"""Starts the processes of a host, and finds them by a marker in their environment.
 
-An agent that died between a start and its note of the process finds the process by its mark. Only processes of the
-same user are looked at, and only marked ones of this very host and folder are ever signalled.
+If an agent ends after it started a process and before it recorded the start, the next agent finds the process by the
+marker. Only processes of the same user are inspected, and only processes marked with this host and folder are
+signalled.
 """
 
 from __future__ import annotations
@@ -13,16 +14,16 @@
 from pathlib import Path
 from typing import NamedTuple
 
-MARK_VARIABLE = "LAPISPICK_LIFE"
-HOST_MODULE = "lapispick.host"  # helpers that a host starts bear its mark too, and are other modules
+MARKER_VARIABLE = "LAPISPICK_LIFE"
+HOST_MODULE = "lapispick.host"  # helper processes inherit the marker of their host, but run other modules
 BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
-_STATE_FIELD = 0  # of /proc/PID/stat behind the command's name
+_STATE_FIELD = 0  # indexes into the fields of /proc/PID/stat after the command name
 _START_TIME_FIELD = 19
-_ENDED_STATES = (b"Z", b"X")
+_ENDED_STATES = (b"Z", b"X")  # zombie, dead
 
 
 def boot_id() -> str:
-    """Return what identifies this start of the machine."""
+    """Return an identifier of the machine's current boot."""
     try:
         return BOOT_ID_FILE.read_text().strip()
     except OSError:
@@ -30,7 +31,7 @@
 
 
 def _start_time(pid: int) -> int:
-    """Return when a process began, in ticks since the machine's start; 0 where it has ended."""
+    """Return the start time of a process in clock ticks since boot; 0 if it has ended."""
     try:
         with open(f"/proc/{pid}/stat", "rb") as file:
             fields = file.read().rpartition(b")")[2].split()
@@ -40,22 +41,22 @@
 
 
 class _Identity(NamedTuple):
-    """A process; its start time tells it from a later process of the same id."""
+    """Process id and start time; the start time distinguishes a process from a later one with the same id."""
 
     pid: int
-    started: int
+    start_time: int
 
 
 class ProcessTable:
-    """The processes of one host by their numbers."""
+    """Processes of one host by their numbers."""
 
-    def __init__(self, mark: str) -> None:
-        self._mark = mark  # the host and its folder
+    def __init__(self, marker: str) -> None:
+        self._marker = marker  # identifies the host and its folder
         self._children: dict[int, subprocess.Popen[bytes]] = {}
         self._identities: dict[int, _Identity] = {}
 
     def find(self) -> None:
-        """Look for all marked processes; once at the agent's start, as later ones are its own children."""
+        """Find all marked processes; called once when the agent starts, as later processes are its children."""
         for entry in os.listdir("/proc"):
             if not entry.isdecimal():
                 continue
@@ -63,33 +64,33 @@
                 number = self._marked_number(entry)
             except OSError:
                 continue
-            if number is not None and (started := _start_time(int(entry))):
-                self._identities[number] = _Identity(int(entry), started)
+            if number is not None and (start_time := _start_time(int(entry))):
+                self._identities[number] = _Identity(int(entry), start_time)
 
     def _marked_number(self, entry: str) -> int | None:
-        """Return the number of a host's process from its mark; None where it is none of this host."""
+        """Return the number in the marker of a process of this host; None for any other process."""
         if os.stat(f"/proc/{entry}").st_uid != os.getuid():
             return None
-        prefix = f"{MARK_VARIABLE}={self._mark}#".encode()
+        prefix = f"{MARKER_VARIABLE}={self._marker}#".encode()
         with open(f"/proc/{entry}/environ", "rb") as file:
-            marks = [variable for variable in file.read().split(b"\0") if variable.startswith(prefix)]
+            markers = [variable for variable in file.read().split(b"\0") if variable.startswith(prefix)]
         with open(f"/proc/{entry}/cmdline", "rb") as file:
             is_host = HOST_MODULE.encode() in file.read().split(b"\0")
-        if not marks or not is_host:
+        if not markers or not is_host:
             return None
         with contextlib.suppress(ValueError):
-            return int(marks[0].rpartition(b"#")[2])
+            return int(markers[0].rpartition(b"#")[2])
         return None
 
     def start(self, number: int, command: list[str], cwd: Path, environment: dict[str, str], log: Path) -> None:
-        """Start a process with this number, unless there is one; raises ``OSError``. It outlives the agent."""
+        """Start a process unless one with its number runs; raises ``OSError``. The process outlives the agent."""
         if number in self.alive():
             return
         with log.open("ab") as output:
             child = subprocess.Popen(
                 command,
                 cwd=cwd,
-                env={**environment, MARK_VARIABLE: f"{self._mark}#{number}"},
+                env={**environment, MARKER_VARIABLE: f"{self._marker}#{number}"},
                 stdin=subprocess.DEVNULL,
                 stdout=output,
                 stderr=output,
@@ -99,7 +100,7 @@
         self._identities[number] = _Identity(child.pid, _start_time(child.pid))
 
     def alive(self) -> frozenset[int]:
-        """Return the numbers of the processes that run."""
+        """Return the numbers of the running processes."""
         for number in list(self._identities):
             if self._has_ended(number):
                 self._children.pop(number, None)
@@ -111,19 +112,19 @@
         if child is not None:
             return child.poll() is not None
         identity = self._identities[number]
-        return _start_time(identity.pid) != identity.started
+        return _start_time(identity.pid) != identity.start_time
 
     def pid(self, number: int) -> int | None:
-        """Return the process id of a number."""
+        """Return the process id for a number; None if no such process is known."""
         identity = self._identities.get(number)
         return identity.pid if identity is not None else None
 
     def signal(self, number: int, signal_number: int) -> None:
-        """Send a signal to a process, if it runs."""
+        """Send a signal to a process if it is running."""
         if number in self.alive():
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self._identities[number].pid, signal_number)
 
     def kill(self, number: int) -> None:
-        """End a process at once."""
+        """Kill a process with SIGKILL."""
         self.signal(number, signal.SIGKILL)
--- a/lapispick/agent/state_file.py
+++ b/lapispick/agent/state_file.py
@@ -1,4 +1,4 @@
-"""The state of one host's agent on disk, held by one agent at a time."""
+"""The stored state of one host's agent; a lock ensures that only one agent uses it at a time."""
 
 from __future__ import annotations
 
@@ -28,12 +28,14 @@
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            raise StateFileError(folder, "another agent runs here") from None
+            raise StateFileError(folder, "locked by another agent") from None
         self.state = self._read(host)
         if self.state.version > STATE_VERSION:
-            raise StateFileError(self._path, f"has version {self.state.version}, from a later program")
+            raise StateFileError(
+                self._path, f"unsupported version {self.state.version}, expected at most {STATE_VERSION}"
+            )
         if self.state.host != host:
-            raise StateFileError(self._path, f"belongs to {self.state.host}, not {host}")
+            raise StateFileError(self._path, f"belongs to host {self.state.host}, expected {host}")
 
     def _read(self, host: str) -> HostState:
         try:
@@ -41,7 +43,7 @@
         except FileNotFoundError:
             return HostState(host)
         except (OSError, msgspec.MsgspecError) as err:
-            advice = "move it away and name the good generation anew"
+            advice = "move the file away and start the agent with --adopt GENERATION"
             raise StateFileError(self._path, f"can't be read: {err}; {advice}") from None
 
     def save(self, state: HostState) -> None:
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -1,4 +1,4 @@
-"""A host's agent on the running program: changes, rollbacks, and the agent killed at every point that it names."""
+"""Tests of a host's agent with the running program: changes, rollbacks, and agents killed at each failpoint."""
 
 import datetime
 import itertools
@@ -24,12 +24,15 @@
 
 
 class AgentScenario:
-    """A fleet of one host with an agent, a load, and two generations; bounds are options of ``HostAgent``."""
+    """A fleet of one host with an agent, load from gateways, and two generations.
 
-    def __init__(self, fleet, **bounds):
+    ``agent_options`` are passed to ``HostAgent``.
+    """
+
+    def __init__(self, fleet, **agent_options):
         self.fleet = fleet
         self.host = fleet.hosts[0]
-        self.agent = HostAgent(self.host, **bounds)
+        self.agent = HostAgent(self.host, **agent_options)
         self.good = self.agent.add_generation(label="good")
         self.new = self.agent.add_generation(settings=METRICS_SETTINGS + LOG_DEBUG_SETTINGS, label="new")
 
@@ -39,7 +42,7 @@
         self.agent.wait_serving(self.good)
 
     def start_load(self):
-        """Let gateways send requests, and wait until some are answered."""
+        """Start sending requests from the gateways, and wait until some are answered."""
         self.fleet.start_load()
         self.fleet.wait_for_results(20)
 
@@ -49,19 +52,19 @@
         self.start_load()
 
     def check_rules(self):
-        """Fail if a rule was broken or a key executed twice."""
+        """Assert that no rule was broken and no key executed twice."""
         assert self.fleet.broken_rules() == []
         assert max(self.fleet.record.executions_by_key().values(), default=0) <= 1
 
 
 @pytest.fixture
 def scenario(tmp_path):
-    """A host with an agent that is not started yet."""
+    """Provide a host with an agent that is not started yet."""
     with Fleet(tmp_path, seed=5, hosts=1, gateways=2, rate=25) as fleet:
         yield AgentScenario(fleet)
 
 
-def test_a_change_serves_and_stays_once_confirmed(scenario):
+def test_a_confirmed_change_stays_until_the_rollout_is_rolled_back(scenario):
     scenario.start_under_load()
     agent = scenario.agent
     assert agent.call(f"change 1.a r1 {scenario.new} 60")[0] == "OK"
@@ -70,7 +73,7 @@
     assert agent.call("confirm 1.a r1")[0] == "OK done"
     assert agent.wait_for_phase("steady", good=scenario.new, serving=scenario.new).rolled_back_rollout == ""
     wait_until(lambda: agent.running_generations() == [scenario.new], "the end of the old process")
-    assert agent.call("back 1.a r1")[0] == "OK"  # a stage that went wrong later on
+    assert agent.call("back 1.a r1")[0] == "OK"  # the rollout fails after this host was confirmed
     agent.wait_for_phase("steady", good=scenario.good, serving=scenario.good, rolled_back_rollout="r1")
     scenario.check_rules()
 
@@ -82,7 +85,7 @@
     agent.wait_for_phase("proving")
     agent.wait_for_phase("steady", serving=scenario.good, rolled_back_rollout="r1", fault="was not confirmed in time")
     assert agent.call("confirm 1.a r1")[0].startswith("ERR undone")
-    assert agent.call(f"change 1.a r1 {scenario.new} 9")[0].startswith("ERR undone")  # a controller that wakes up late
+    assert agent.call(f"change 1.a r1 {scenario.new} 9")[0].startswith("ERR undone")  # a delayed call
     scenario.check_rules()
 
 
@@ -126,8 +129,8 @@
 
 FAULTY_PROGRAMS = {
     "does not start": DOES_NOT_START,
-    "hangs": HANGS_AT_START,
-    "dies a second after": exits_after_a_second(),
+    "hangs at start": HANGS_AT_START,
+    "exits after a second": exits_after_a_second(),
 }
 
 
@@ -137,14 +140,14 @@
     scenario.start_under_load()
     agent = scenario.agent
     agent.call(f"change 1.a r1 {faulty_generation} 60")
-    if fault == "dies a second after":
+    if fault == "exits after a second":
         agent.wait_for_phase("proving")
         open_fault = scenario.fleet.record.begin_fault("killed", [scenario.host.name])
     status = agent.wait_for_phase("steady", rolled_back_rollout="r1", serving=scenario.good)
     assert faulty_generation in status.fault
     assert status.good == scenario.good
-    wait_until(lambda: agent.running_generations() == [scenario.good], "only the good one")
-    if fault == "dies a second after":
+    wait_until(lambda: agent.running_generations() == [scenario.good], "that only the good generation runs")
+    if fault == "exits after a second":
         scenario.fleet.record.end_fault(open_fault)
     scenario.fleet.wait_for_results(20)
     scenario.check_rules()
@@ -154,14 +157,14 @@
     scenario.start()
     agent = scenario.agent
     os.rename(agent.store.folder / scenario.good, agent.store.folder / ".away")
-    wait_until(lambda: scenario.good not in agent.status().generations, "that the agent sees it")
+    wait_until(lambda: scenario.good not in agent.status().generations, "detection of the missing generation")
     assert "not on the shelf" in agent.call(f"change 1.a r1 {scenario.new} 9")[0]
     os.rename(agent.store.folder / ".away", agent.store.folder / scenario.good)
-    wait_until(lambda: scenario.good in agent.status().generations, "that the agent sees it")
+    wait_until(lambda: scenario.good in agent.status().generations, "detection of the restored generation")
     agent.call(f"change 1.a r1 {scenario.new} 1.0")
     agent.wait_for_phase("proving")
     os.rename(agent.store.folder / scenario.good, agent.store.folder / ".away")
-    status = agent.wait_for_phase("stuck", serving=scenario.new)  # it can't roll back, and goes on serving
+    status = agent.wait_for_phase("stuck", serving=scenario.new)  # it can't roll back and continues to serve
     assert "gone from the shelf" in status.fault
     assert call_operators(agent.operator_addresses[serving_slot(agent)], "check") == ["OK"]
 
@@ -172,8 +175,8 @@
     return next(process["slot"] for process in state["lives"] if process["role"] == "serving")
 
 
-# (point, times it is passed before the agent dies there)
-POINTS = [
+# (failpoint, the pass through it at which the agent is killed)
+FAILPOINTS = [
     ("stored", 1),
     ("starting", 1),
     ("started", 1),
@@ -187,24 +190,24 @@
 ]
 
 
-@pytest.mark.parametrize(("point", "times"), POINTS)
-def test_an_agent_killed_at_any_point_of_a_change_leaves_a_host_that_serves(scenario, point, times):
-    """The next agent goes on: the host ends in the requested generation, with one process."""
+@pytest.mark.parametrize(("failpoint", "times"), FAILPOINTS)
+def test_a_change_completes_after_the_agent_is_killed_at_any_failpoint(scenario, failpoint, times):
+    """The host serves without an agent; the next agent completes the change, so that one new process remains."""
     scenario.start()
     agent = scenario.agent
     agent.kill()
-    agent.start(dies_at=point, times=times)
+    agent.start(dies_at=failpoint, times=times)
     wait_until(
         lambda: agent.process.poll() is not None or getattr(agent.status(), "serving", "") == scenario.good,
-        "the agent at work",
+        "the first health check or the end of the agent",
     )
     scenario.start_load()
     agent.call(f"change 1.a r1 {scenario.new} 60")
     agent.wait_ended()
-    scenario.fleet.wait_for_results(20)  # with no agent at all
+    scenario.fleet.wait_for_results(20)  # while no agent runs
     agent.start()
-    if agent.status().rollout != "r1":  # it died before the change was on disk: the controller asks again
-        agent.wait_serving(scenario.good)  # once this agent has looked at the process for the first time
+    if agent.status().rollout != "r1":  # it ended before the change was on disk: the controller repeats the call
+        agent.wait_serving(scenario.good)  # the new agent has checked the process
         assert agent.call(f"change 1.a r1 {scenario.new} 60")[0] == "OK"
     agent.wait_for_phase("proving", serving=scenario.new)
     assert agent.call("confirm 1.a r1")[0].startswith("OK")
@@ -215,16 +218,16 @@
 
 
 @pytest.mark.parametrize(
-    ("point", "times"), [("starting", 1), ("started", 1), ("terminating", 1), ("terminated", 1), ("stored", 2)]
+    ("failpoint", "times"), [("starting", 1), ("started", 1), ("terminating", 1), ("terminated", 1), ("stored", 2)]
 )
-def test_an_agent_killed_during_a_rollback_continues_it(scenario, point, times):
+def test_an_agent_killed_during_a_rollback_continues_it(scenario, failpoint, times):
     scenario.start_under_load()
     agent = scenario.agent
     agent.call(f"change 1.a r1 {scenario.new} 60")
     agent.wait_for_phase("proving", serving=scenario.new)
     wait_until(lambda: agent.running_generations() == [scenario.new], "the end of the old process")
     agent.kill()
-    agent.start(dies_at=point, times=times)
+    agent.start(dies_at=failpoint, times=times)
     agent.call("back 1.a r1")
     agent.wait_ended()
     agent.start()
@@ -239,7 +242,7 @@
     agent.call(f"change 1.a r1 {scenario.new} 1.5")
     agent.wait_for_phase("proving", serving=scenario.new)
     agent.process.send_signal(signal.SIGSTOP)
-    let_time_pass(2.0)  # past the confirm time
+    let_time_pass(2.0)  # longer than the confirm timeout
     agent.process.send_signal(signal.SIGCONT)
     assert agent.call("confirm 1.a r1")[0].startswith("ERR")
     agent.wait_for_phase("steady", serving=scenario.good, rolled_back_rollout="r1")
@@ -269,8 +272,8 @@
         open_fault = scenario.fleet.record.begin_fault("stopped", [scenario.host.name])
         os.kill(pid, signal.SIGSTOP)
         started_at = time.monotonic()
-        wait_until(lambda: scenario.agent.status().serving == "", "that the agent sees it")
-        wait_until(lambda: time.monotonic() - started_at > 2.0, "two seconds")
+        wait_until(lambda: scenario.agent.status().serving == "", "detection of the suspended process")
+        wait_until(lambda: time.monotonic() - started_at > 2.0, "the end of the two seconds")
         os.kill(pid, signal.SIGCONT)
         assert scenario.agent.wait_serving(scenario.good).crashes == 0
         assert scenario.agent.pids() == [pid]
@@ -283,8 +286,8 @@
 
 
 def test_valid_settings_that_end_the_host_after_a_second_are_rolled_back(scenario, tmp_path):
-    """Both generations are one program: what differs is a line of the settings that it does not survive."""
-    crashing_program = program(tmp_path / "one", exits_after_a_second(LOGS_DEBUG_LINES))
+    """Both generations have the same program, which exits a second after its start if it logs debug lines."""
+    crashing_program = program(tmp_path / "crashing", exits_after_a_second(LOGS_DEBUG_LINES))
     scenario.good = scenario.agent.add_generation(crashing_program, label="good")
     faulty_generation = scenario.agent.add_generation(crashing_program, settings=METRICS_SETTINGS + LOG_DEBUG_SETTINGS)
     scenario.start_under_load()
@@ -304,20 +307,20 @@
     log_file = scenario.agent.folder / "lives" / "1.log"
     with log_file.open("ab") as file:
         file.truncate(9 << 20)
-    wait_until(lambda: log_file.stat().st_size < 1 << 20, "a short log")
+    wait_until(lambda: log_file.stat().st_size < 1 << 20, "the truncation of the log")
     assert (log_file.with_suffix(".old")).stat().st_size >= 9 << 20
     (pid,) = scenario.agent.pids()
-    os.kill(pid, signal.SIGTERM)  # what the process writes from now on is at the beginning
-    wait_until(lambda: b"event=shutdown-started" in log_file.read_bytes(), "what it wrote since")
+    os.kill(pid, signal.SIGTERM)  # its next output is at the start of the truncated log
+    wait_until(lambda: b"event=shutdown-started" in log_file.read_bytes(), "new output in the truncated log")
 
 
 def test_a_second_agent_and_an_unreadable_state_are_rejected(scenario):
     scenario.start()
-    second = HostAgent.__new__(HostAgent)
-    second.__dict__ = dict(scenario.agent.__dict__)
-    second.start(wait=False)
-    assert second.wait_ended() == 2
-    assert "another agent runs here" in second.log()
+    second_agent = HostAgent.__new__(HostAgent)
+    second_agent.__dict__ = dict(scenario.agent.__dict__)
+    second_agent.start(wait=False)
+    assert second_agent.wait_ended() == 2
+    assert "locked by another agent" in second_agent.log()
     scenario.agent.kill()
     (scenario.agent.folder / "state.json").write_text("{")
     scenario.agent.start(wait=False)
@@ -325,14 +328,14 @@
     assert "can't be read" in scenario.agent.log()
 
 
-def host_starts(agent):
-    """Return when an agent started processes of its host, by its log."""
+def host_start_times(agent):
+    """Return the times at which an agent started processes of its host, read from its log."""
     lines = [line for line in agent.log().splitlines() if HOST_STARTED in line]
     return [datetime.datetime.fromisoformat(line.split()[0].removeprefix("ts=")) for line in lines]
 
 
-def test_unconfirmed_hosts_roll_back_one_after_the_other_by_a_lease(tmp_path):
-    """Cut off from a controller all their times are over at once; each waits for the lease, and serves meanwhile."""
+def test_unconfirmed_hosts_roll_back_one_at_a_time_under_a_lease(tmp_path):
+    """Without a controller all confirm timeouts expire at once; each host serves while it waits for the lease."""
     with Fleet(tmp_path, seed=5, hosts=3, gateways=2, rate=25) as fleet:
         cluster = MemberCluster(fleet)
         agents = []
@@ -359,7 +362,7 @@
             agent.wait_for_phase("steady", serving=good_generations[agent], rolled_back_rollout="r1")
         fleet.wait_for_results(20)
         assert fleet.broken_rules() == []
-        assert [len(host_starts(agent)) for agent in agents] == [3, 3, 3]
-        last_starts = sorted(host_starts(agent)[-1] for agent in agents)
+        assert [len(host_start_times(agent)) for agent in agents] == [3, 3, 3]
+        last_starts = sorted(host_start_times(agent)[-1] for agent in agents)
         intervals_s = [(later - earlier).total_seconds() for earlier, later in itertools.pairwise(last_starts)]
-        assert min(intervals_s) > 1.0, intervals_s  # the lease of the one before expires first
+        assert min(intervals_s) > 1.0, intervals_s  # the lease of the previous host expires first
