--- a/lapispick/agent/controller.py
+++ b/lapispick/agent/controller.py
@@ -1,7 +1,7 @@
-"""The controller of a rollout: polls the agents, stores the state, and makes the calls that are decided.
+"""The controller of a rollout: polls the agents, stores the state and makes the calls that it decides on.
 
-The state is on disk before any call that follows from it. A controller may end at any instant; another one continues
-from the store, with a higher epoch, and the agents reject the calls of the one before.
+The state is written to disk before any call that follows from it is made. A controller may end at any time; another one
+continues from the stored state with a higher epoch, and the agents reject calls with the earlier epoch.
 """
 
 from __future__ import annotations
@@ -39,16 +39,16 @@
 MAX_CONCURRENT_CALLS = 64
 HEARTBEAT_INTERVAL_S = 1.0
 MIN_POLL_PAUSE_S = 0.02
-_JOIN_PAUSE_S = 0.005
+_JOIN_POLL_INTERVAL_S = 0.005
 
 
 class ControllerOptions(NamedTuple):
-    """How a controller works."""
+    """Settings of a controller."""
 
     name: str
     poll_interval_s: float
     analysis_bounds: Bounds
-    hours: Hours | None = None  # when stages may begin
+    hours: Hours | None = None  # of the day at which stages may begin; None = at all hours
     excluded_days: tuple[str, ...] = ()
     names_file: Path | None = None
 
@@ -58,33 +58,33 @@
 
     def __init__(
         self,
-        store: RolloutStore,
+        rollout_store: RolloutStore,
         state: RolloutState,
         workers: Sequence[Worker],
         options: ControllerOptions,
         accepted_workers: Callable[[], list[Worker] | None] | None = None,
     ) -> None:
-        """``accepted_workers`` returns the hosts of a list that was accepted just now, None where it did not change."""
+        """``accepted_workers`` returns the hosts of a newly accepted list, None if no new list was accepted."""
         self.loop = EventLoop()
-        self.work = WorkerThreads(self.loop)
-        self.store = store
+        self.worker_threads = WorkerThreads(self.loop)
+        self.rollout_store = rollout_store
         self.state = state
         self.hosts = {worker.name: ManagedHost(worker) for worker in workers}
         self.fence = Fence(0, options.name)
-        self.ended_reason = ""  # why this controller is not in charge any more
+        self.ended_reason = ""  # why it stopped before the rollout was over; empty = it has not
         self._options = options
         self._accepted_workers = accepted_workers
-        self._names = DnsResolver(self.loop, CALL_TIMEOUT_S, options.names_file)
+        self._dns_resolver = DnsResolver(self.loop, CALL_TIMEOUT_S, options.names_file)
         self._analysis = StageAnalysis(options.analysis_bounds)
-        self._slice_at = 0.0
-        self._heartbeat_at = 0.0
-        self._stored_notes = len(state.notes)
+        self._last_slice_at = 0.0
+        self._last_heartbeat_at = 0.0
+        self._stored_note_count = len(state.notes)
 
     def point(self, name: str) -> None:
-        """Mark a named point; tests end the process at each of them."""
+        """Mark a named step at which tests may end the process."""
 
     def run(self) -> RolloutState:
-        """Control the rollout until it is over or another controller has taken over; returns its state then."""
+        """Run the rollout until it is over, another controller takes over, or an error occurs; returns its state."""
         self.loop.spawn(self._serve)
         self.loop.run()
         return self.state
@@ -93,22 +93,22 @@
         try:
             self._take_over()
             while not self.state.is_over and not self.ended_reason:
-                began = time.monotonic()
+                started_at = time.monotonic()
                 self._poll()
-                elapsed = time.monotonic() - began
+                elapsed = time.monotonic() - started_at
                 self.loop.sleep(max(MIN_POLL_PAUSE_S, self._options.poll_interval_s - elapsed))
         except FencedError as err:
             self.ended_reason = str(err)
-        except Exception as err:  # noqa: BLE001 - the agents go on alone, and roll back what nobody confirms
+        except Exception as err:  # noqa: BLE001 - agents continue on their own and roll back unconfirmed changes
             log(LOG, logging.ERROR, "controller-failed", error=repr(err))
             self.ended_reason = f"failed: {err!r}"
         self.loop.stop()
 
     def _take_over(self) -> None:
-        self._for_each(list(self.hosts), self._poll_host)
+        self._run_concurrently(list(self.hosts), self._poll_host)
         statuses = [host.status for host in self.hosts.values() if host.status is not None]
         epochs = [messages.parse_fence(status.fence).epoch for status in statuses]
-        epoch = self.work.run(self.store.take_over, self._options.name, max(epochs, default=0))
+        epoch = self.worker_threads.run(self.rollout_store.take_over, self._options.name, max(epochs, default=0))
         self.fence = Fence(epoch, self._options.name)
         log(
             LOG,
@@ -121,12 +121,12 @@
         self.point("took-over")
 
     def _poll(self) -> None:
-        """Poll all agents once, decide, store what was decided, and make the calls that follow from it."""
-        self._update_list()
-        self._for_each(list(self.hosts), self._poll_host)
+        """Poll all agents once, decide, store the decision, and make the calls that follow from it."""
+        self._update_hosts()
+        self._run_concurrently(list(self.hosts), self._poll_host)
         self._analyse()
         now = time.time()
-        state = self._with_newest_order()
+        state = self._state_with_newest_order()
         closed_reason = pacing.closed_reason(datetime.datetime.now(), self._options.hours, self._options.excluded_days)
         observations = Observations(now, self._reports(), self._analysis.verdict, closed_reason)
         decision = rollout_step.decide(state, self.fence, observations)
@@ -140,10 +140,10 @@
             self._make_calls(decision.calls)
             self.point("called")
 
-    def _update_list(self) -> None:
+    def _update_hosts(self) -> None:
         if self._accepted_workers is None:
             return
-        workers = self.work.run(self._accepted_workers)
+        workers = self.worker_threads.run(self._accepted_workers)
         if workers is None:
             return
         for worker in workers:
@@ -151,8 +151,8 @@
         for name in self.hosts.keys() - {worker.name for worker in workers}:
             del self.hosts[name]
 
-    def _with_newest_order(self) -> RolloutState:
-        orders = self.work.run(self.store.take_orders, self.state.name)
+    def _state_with_newest_order(self) -> RolloutState:
+        orders = self.worker_threads.run(self.rollout_store.take_orders, self.state.name)
         return msgspec.structs.replace(self.state, order=orders[-1]) if orders else self.state
 
     def _reports(self) -> dict[str, HostReport]:
@@ -160,46 +160,46 @@
         return {name: host.report(now) for name, host in self.hosts.items()}
 
     def _store(self, state: RolloutState, now: float) -> None:
-        notes = state.notes[-1:]  # the oldest were dropped
-        if len(state.notes) >= self._stored_notes:
-            notes = state.notes[self._stored_notes :]
-        self.work.run(self.store.save, state, now, notes)
+        notes = state.notes[-1:]  # if the list got shorter, its oldest notes were dropped
+        if len(state.notes) >= self._stored_note_count:
+            notes = state.notes[self._stored_note_count :]
+        self.worker_threads.run(self.rollout_store.save, state, now, notes)
         for _, text in notes:
             log(LOG, logging.INFO, "rollout-phase", rollout=state.name, note=text)
-        self._stored_notes = len(state.notes)
+        self._stored_note_count = len(state.notes)
         self.state = state
 
     def _send_heartbeat(self, now: float) -> None:
-        if time.monotonic() - self._heartbeat_at <= HEARTBEAT_INTERVAL_S:
+        if time.monotonic() - self._last_heartbeat_at <= HEARTBEAT_INTERVAL_S:
             return
-        self._heartbeat_at = time.monotonic()
+        self._last_heartbeat_at = time.monotonic()
         reports = self._reports()
         summary = summarize_fleet(rollout_state.deviations(self.state, reports), reports)
-        self.work.run(self.store.record_heartbeat, self.state.name, now, summary)
+        self.worker_threads.run(self.rollout_store.record_heartbeat, self.state.name, now, summary)
 
     def _analyse(self) -> None:
-        """Give the canary analysis a slice of time, once it is long enough."""
+        """Pass the metrics to the canary analysis, once a whole slice has elapsed."""
         now = time.monotonic()
-        if now - self._slice_at < slice_duration_s(self.state.plan):
+        if now - self._last_slice_at < slice_duration_s(self.state.plan):
             return
-        self._slice_at = now
+        self._last_slice_at = now
         slices = {name: slice_ for name, host in self.hosts.items() if (slice_ := host.take_slice()) is not None}
         explanation = self._analysis.add(self.state, self._reports(), slices)
         if explanation is not None:
             self._store_explanation(explanation)
 
     def _store_explanation(self, explanation: Explanation) -> None:
-        self.work.run(self.store.save_explanation, self.state.name, time.time(), explanation)
+        self.worker_threads.run(self.rollout_store.save_explanation, self.state.name, time.time(), explanation)
 
     # Calls to agents.
 
-    def _for_each(self, names: list[str], job: Callable[[ManagedHost], None]) -> None:
-        """Do a job for hosts, several at once, and wait until each has had its answer or timed out."""
+    def _run_concurrently(self, names: list[str], job: Callable[[ManagedHost], None]) -> None:
+        """Run a job for several hosts concurrently, and wait until each one has been answered or timed out."""
         remaining = list(reversed(names))
-        workers = min(MAX_CONCURRENT_CALLS, len(names))
-        running = workers
+        greenlets = min(MAX_CONCURRENT_CALLS, len(names))
+        running = greenlets
 
-        def work() -> None:
+        def run_jobs() -> None:
             nonlocal running
             while remaining:
                 host = self.hosts.get(remaining.pop())
@@ -207,15 +207,15 @@
                     job(host)
             running -= 1
 
-        for _ in range(workers):
-            self.loop.spawn(work)
+        for _ in range(greenlets):
+            self.loop.spawn(run_jobs)
         while running:
-            self.loop.sleep(_JOIN_PAUSE_S)
+            self.loop.sleep(_JOIN_POLL_INTERVAL_S)
 
     def _call(self, host: ManagedHost, line: str) -> list[str]:
-        """Call an agent and return its answer; raises ``OSError`` or ``ValueError``."""
+        """Call an agent and return the lines of its answer; raises ``OSError`` or ``ValueError``."""
         name, port = line_client.parse_address(host.worker.agent)
-        return line_client.call(self.loop, (self._names.lookup(name)[0], port), line, CALL_TIMEOUT_S)
+        return line_client.call(self.loop, (self._dns_resolver.lookup(name)[0], port), line, CALL_TIMEOUT_S)
 
     def _poll_host(self, host: ManagedHost) -> None:
         if not host.worker.agent:
@@ -229,7 +229,7 @@
 
     def _make_calls(self, calls: list[HostCall]) -> None:
         by_host = {host_call.host: host_call.call for host_call in calls}
-        self._for_each(list(by_host), lambda host: self._make_call(host, by_host[host.worker.name]))
+        self._run_concurrently(list(by_host), lambda host: self._make_call(host, by_host[host.worker.name]))
 
     def _make_call(self, host: ManagedHost, call: messages.Call) -> None:
         line = messages.encode_call(call)
--- a/lapispick/agent/managed_host.py
+++ b/lapispick/agent/managed_host.py
@@ -1,4 +1,4 @@
-"""What a controller knows of one host: its last status and metrics."""
+"""The last status and metrics of one host, as a controller has received them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ManagedHost:
-    """One host of the list."""
+    """Last status and metrics of one host."""
 
     def __init__(self, worker: Worker) -> None:
         self.worker = worker
@@ -24,14 +24,14 @@
         self._slices: list[Slice] = []
 
     def update_status(self, status: Status) -> None:
-        """Take over what the agent reported just now."""
+        """Store the status that the agent has just reported."""
         self._status = status
         self._status_at = time.monotonic()
         if not status.serving:
             self._sample = None
 
     def update_metrics(self, sample: Sample) -> None:
-        """Take over the metrics that the serving process reported just now."""
+        """Store the metrics that the serving process has just reported."""
         self.memory_kb = sample.memory_kb
         self.broken_rules = sample.broken_rules
         if self._sample is not None:
@@ -41,17 +41,17 @@
         self._sample = sample
 
     def take_slice(self) -> Slice | None:
-        """Return what the host did since the last call, and forget it."""
+        """Return and clear the metrics since the last call, merged into one slice; None if there are none."""
         merged = metrics.merge_slices(self._slices, self.worker.name)
         self._slices.clear()
         return merged
 
     @property
     def status(self) -> Status | None:
-        """Return the last status; None before there was any."""
+        """Return the last status; None before the first one."""
         return self._status
 
     def report(self, now: float) -> HostReport:
-        """Return what is known of the host; ``now`` is monotonic."""
+        """Return the last status and metrics, and the age of the status; ``now`` is monotonic."""
         age_s = now - self._status_at if self._status is not None else float("inf")
         return HostReport(self._status, age_s, self.memory_kb, self.broken_rules)
--- a/lapispick/agent/rollout_records.py
+++ b/lapispick/agent/rollout_records.py
@@ -1,4 +1,4 @@
-"""What the store of rollouts holds beside their states, as it is stored and shown with ``--json``."""
+"""Records of the rollout store other than the states of rollouts, as they are stored and shown with ``--json``."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class HostSummary(NamedTuple):
-    """What an agent reported of its host, all empty where it did not; stored as an array."""
+    """Last report of an agent on its host; all fields are empty if there is none. Stored as an array."""
 
     serving: str = ""
     phase: str = ""
@@ -19,14 +19,14 @@
 
 
 class FleetSummary(msgspec.Struct):
-    """What a controller last saw of the fleet."""
+    """State of the fleet as a controller last saw it."""
 
     deviations: list[str]
     hosts: dict[str, HostSummary] = msgspec.field(name="boxes")
 
 
 class MetricExplanation(msgspec.Struct):
-    """One metric of an explanation; a bound is None where it is infinite."""
+    """Analysis of one metric in an explanation; an infinite bound is None."""
 
     metric: str = msgspec.field(name="figure")
     slices: int
@@ -41,7 +41,7 @@
 
 
 class Explanation(msgspec.Struct):
-    """Why the canary analysis decides as it does."""
+    """Explanation of a verdict of the canary analysis."""
 
     stage: int  # from 1
     outcome: str
@@ -52,21 +52,21 @@
 
 
 class StoredExplanation(NamedTuple):
-    """An explanation and when it was stored, Unix s."""
+    """An explanation and the time at which it was stored, in Unix seconds."""
 
     at: float
     explanation: Explanation
 
 
 class Event(NamedTuple):
-    """Something that happened in a rollout, at a Unix time."""
+    """Event in a rollout; the time is in Unix seconds."""
 
     at: float
     text: str
 
 
 class RolloutRecord(NamedTuple):
-    """A rollout in the history; times are Unix seconds."""
+    """A rollout in the history; times are in Unix seconds."""
 
     name: str
     began_at: float
@@ -75,7 +75,7 @@
 
 
 class Leadership(NamedTuple):
-    """Which controller is in charge, and when it was last seen, Unix s."""
+    """Controller in charge, and the time at which it was last seen, in Unix seconds."""
 
     controller: str
     epoch: int
@@ -83,7 +83,7 @@
 
 
 def summarize_fleet(deviations: list[str], reports: dict[str, HostReport]) -> FleetSummary:
-    """Return what is shown of the fleet."""
+    """Return the summary of the fleet that operators are shown."""
     hosts = {name: _summarize_host(report) for name, report in sorted(reports.items())}
     return FleetSummary(deviations, hosts)
 
--- a/lapispick/agent/rollout_store.py
+++ b/lapispick/agent/rollout_store.py
@@ -1,6 +1,7 @@
-"""The state of rollouts on disk, in SQLite; a later controller fences the one before.
+"""Stores the state of rollouts in SQLite; a controller that takes over fences off the previous one.
 
-Blocks on the disk, so it runs in a thread, never in the loop. It decides nothing but which controller may write.
+The methods block on disk access, so a controller runs them in a thread, never in the event loop. The store only decides
+which controller may write.
 """
 
 from __future__ import annotations
@@ -42,10 +43,10 @@
 
 
 class RolloutStore:
-    """The rollouts of one folder."""
+    """Store of the rollouts in one folder."""
 
     def __init__(self, folder: Path) -> None:
-        """Open or create it; raises ``RolloutStoreError``."""
+        """Open or create the database; raises ``RolloutStoreError``."""
         folder.mkdir(parents=True, exist_ok=True)
         self.path = folder / DATABASE_FILE
         self.epoch = 0
@@ -54,7 +55,7 @@
             self._db.execute("pragma journal_mode=wal")
             self._db.execute("pragma synchronous=full")
             with self._transaction():
-                self._create_or_check()
+                self._create_or_check_schema()
         except sqlite3.DatabaseError as err:
             raise RolloutStoreError(self.path, err) from None
 
@@ -69,7 +70,7 @@
                 self._db.execute("rollback")
             raise
 
-    def _create_or_check(self) -> None:
+    def _create_or_check_schema(self) -> None:
         if not self._db.execute("select 1 from sqlite_master where name = 'meta'").fetchone():
             for statement in _SCHEMA.split(";"):
                 self._db.execute(statement)
@@ -77,7 +78,7 @@
             self._db.executemany("insert into meta values (?, ?)", values)
         (version,) = self._db.execute("select value from meta where name = 'version'").fetchone()
         if version > VERSION:
-            raise RolloutStoreError(self.path, f"has version {version}; this program knows {VERSION}")
+            raise RolloutStoreError(self.path, f"unsupported version {version}, expected at most {VERSION}")
 
     def _stored_epoch(self) -> int:
         (epoch,) = self._db.execute("select value from meta where name = 'epoch'").fetchone()
@@ -85,17 +86,17 @@
 
     @contextmanager
     def _fenced_write(self) -> Iterator[None]:
-        """Write as the controller in charge; raises ``FencedError`` where another one has taken over."""
+        """Write as the controller in charge; raises ``FencedError`` if another one has taken over."""
         with self._transaction():
             epoch = self._stored_epoch()
             if epoch != self.epoch:
                 raise FencedError(epoch, self.epoch)
             yield
 
-    # For the controller in charge.
+    # Methods for the controller in charge.
 
     def take_over(self, controller: str, min_epoch: int) -> int:
-        """Become the one that writes; returns the epoch, higher than any before and than ``min_epoch``."""
+        """Make a controller the only one that may write; returns an epoch above ``min_epoch`` and all earlier ones."""
         with self._transaction():
             self.epoch = max(self._stored_epoch(), min_epoch) + 1
             self._db.execute("update meta set value = ? where name = 'epoch'", (self.epoch,))
@@ -128,7 +129,7 @@
             self._db.execute(f"delete from {table} where rollout not in (select name from rollouts)")
 
     def record_heartbeat(self, rollout: str, now: float, summary: FleetSummary) -> None:
-        """Store that this controller is alive, and what it saw of the fleet; raises ``FencedError``."""
+        """Record that this controller is running and how it sees the fleet; raises ``FencedError``."""
         with self._fenced_write():
             self._db.execute("update meta set value = ? where name = 'seen'", (now,))
             self._db.execute(
@@ -136,35 +137,35 @@
             )
 
     def save_explanation(self, rollout: str, now: float, explanation: Explanation) -> None:
-        """Store why the canary analysis decides as it does; raises ``FencedError``."""
+        """Store the explanation of a verdict of the canary analysis; raises ``FencedError``."""
         with self._fenced_write():
             self._db.execute(
                 "insert or replace into explained values (?, ?, ?)", (rollout, now, msgspec.json.encode(explanation))
             )
 
     def take_orders(self, rollout: str) -> list[str]:
-        """Return the orders that operators left, and remove them; raises ``FencedError``."""
+        """Return and remove the orders of operators; raises ``FencedError``."""
         with self._fenced_write():
-            found = self._db.execute("select word from orders where rollout = ? order by number", (rollout,)).fetchall()
-            if found:
+            rows = self._db.execute("select word from orders where rollout = ? order by number", (rollout,)).fetchall()
+            if rows:
                 self._db.execute("delete from orders where rollout = ?", (rollout,))
-        return [order for (order,) in found]
+        return [order for (order,) in rows]
 
-    # For all controllers and commands, at any time.
+    # Methods for all controllers and commands, at any time.
 
     def add_order(self, rollout: str, order: str) -> None:
-        """Leave an order for the controller."""
+        """Store an operator's order for the controller."""
         with self._transaction():
             self._db.execute("insert into orders (rollout, word) values (?, ?)", (rollout, order))
 
     def get(self, rollout: str = "") -> RolloutState | None:
-        """Return a rollout's state; by default that of the newest."""
+        """Return the state of a rollout, by default of the newest; None if there is none."""
         if rollout:
             cursor = self._db.execute("select course from rollouts where name = ?", (rollout,))
         else:
             cursor = self._db.execute("select course from rollouts order by began desc, name desc limit 1")
-        found = cursor.fetchone()
-        return _decode_state(found[0]) if found else None
+        row = cursor.fetchone()
+        return _decode_state(row[0]) if row else None
 
     def history(self) -> list[RolloutRecord]:
         """Return all rollouts, the newest last."""
@@ -172,25 +173,25 @@
         return [RolloutRecord(name, began, ended, _decode_state(state)) for name, began, ended, state in rows]
 
     def events(self, rollout: str) -> list[Event]:
-        """Return what happened in a rollout."""
+        """Return the events of a rollout, the oldest first."""
         rows = self._db.execute("select at, text from events where rollout = ? order by number", (rollout,))
         return [Event(at, text) for at, text in rows]
 
     def explanation(self, rollout: str) -> StoredExplanation | None:
-        """Return the newest explanation of the canary analysis."""
-        found = self._db.execute("select at, told from explained where rollout = ?", (rollout,)).fetchone()
-        return StoredExplanation(found[0], _decode_explanation(found[1])) if found else None
+        """Return the newest explanation of the canary analysis; None if there is none."""
+        row = self._db.execute("select at, told from explained where rollout = ?", (rollout,)).fetchone()
+        return StoredExplanation(row[0], _decode_explanation(row[1])) if row else None
 
     def fleet_summary(self, rollout: str) -> FleetSummary | None:
-        """Return what a controller last saw of the fleet."""
-        found = self._db.execute("select told from looks where rollout = ?", (rollout,)).fetchone()
-        return _decode_summary(found[0]) if found else None
+        """Return the last summary of the fleet; None if there is none."""
+        row = self._db.execute("select told from looks where rollout = ?", (rollout,)).fetchone()
+        return _decode_summary(row[0]) if row else None
 
     def leadership(self) -> Leadership:
-        """Return which controller is in charge."""
+        """Return the controller in charge."""
         values = dict(self._db.execute("select name, value from meta"))
         return Leadership(values["who"], values["epoch"], values["seen"])
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the database."""
         self._db.close()
--- a/lapispick/agent/stage_analysis.py
+++ b/lapispick/agent/stage_analysis.py
@@ -1,4 +1,4 @@
-"""Feeds the canary analysis of the stage under way, and keeps slices of unchanged hosts as its baseline."""
+"""Feeds the canary analysis of the current stage, and keeps slices of unchanged hosts as its baseline."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class StageAnalysis:
-    """The canary analysis of one stage after the other."""
+    """Canary analysis of the current stage of a rollout."""
 
     def __init__(self, bounds: Bounds) -> None:
         self._bounds = bounds
@@ -27,9 +27,12 @@
     def add(
         self, state: RolloutState, reports: Mapping[str, HostReport], slices: dict[str, Slice]
     ) -> Explanation | None:
-        """Add a slice of time; returns the explanation of the new verdict, None where nothing is analysed."""
+        """Add the hosts' slices of one interval.
+
+        Returns the explanation of the new verdict, or None in a phase that is not analysed.
+        """
         if state.phase in _UNCHANGED_PHASES:
-            self._keep_for_baseline(slices)
+            self._add_to_baseline(slices)
         if state.phase not in _ANALYSED_PHASES:
             return None
         if self._analysis is None or self._analysed_stage != state.stage:
@@ -40,7 +43,7 @@
             self._analysis.add_canary(groups.changed, groups.unchanged, slices)
         self.verdict = self._analysis.verdict()
         touched = state.touched_hosts
-        self._keep_for_baseline({name: slice_ for name, slice_ in slices.items() if name not in touched})
+        self._add_to_baseline({name: slice_ for name, slice_ in slices.items() if name not in touched})
         return explain(state.stage + 1, self.verdict, groups)
 
     def _begin_stage(self, state: RolloutState) -> None:
@@ -52,5 +55,5 @@
             unchanged = [name for name in slices if name not in touched]
             self._analysis.add_baseline(state.stage_hosts, unchanged, slices)
 
-    def _keep_for_baseline(self, slices: dict[str, Slice]) -> None:
+    def _add_to_baseline(self, slices: dict[str, Slice]) -> None:
         self._baseline = [*self._baseline, slices][-MAX_BASELINE_SLICES:]
