--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -1,4 +1,4 @@
-"""Compatibility of versions: stored samples of all messages and files of earlier ones, and two versions under load."""
+"""Compatibility of versions: stored samples of all earlier messages and files, and two versions under load."""
 
 import json
 import random
@@ -34,7 +34,7 @@
 
 
 def restore_database(name, path):
-    """Create an SQLite database from a stored dump."""
+    """Create an SQLite database from a stored dump and return its path."""
     with sqlite3.connect(path) as db:
         db.executescript((SAMPLES / name).read_text())
     db.close()
@@ -43,31 +43,33 @@
 
 def test_handover_messages_of_version_1_are_read():
     lines = (SAMPLES / "handover-1.jsonl").read_bytes().splitlines()
-    found = {type(message): message for message in map(handover_messages.decode, lines)}
-    # A new kind of message needs a sample, and a version.
-    assert set(found) == set(handover_messages.AnyMessage.__args__)
-    assert found[handover_messages.RecordSnapshot] == handover_messages.RecordSnapshot(
+    decoded = {type(message): message for message in map(handover_messages.decode, lines)}
+    # A new type of message requires a sample and a new version.
+    assert set(decoded) == set(handover_messages.AnyMessage.__args__)
+    assert decoded[handover_messages.RecordSnapshot] == handover_messages.RecordSnapshot(
         ("nonce", "5c0f6e1a"), 1764576000123.0, 77, True, "ZG9uZQ=="
     )
-    assert found[handover_messages.SnapshotComplete].learned.call_times == (20.0, 30.0)
-    assert found[handover_messages.ShutdownStarted].learned.prices_frozen is True
-    assert found[handover_messages.Hello].min_version == 0
-    assert found[handover_messages.ResourceUsage] == handover_messages.ResourceUsage(1, 2.5, 3, 4)
+    assert decoded[handover_messages.SnapshotComplete].learned.call_times == (20.0, 30.0)
+    assert decoded[handover_messages.ShutdownStarted].learned.prices_frozen is True
+    assert decoded[handover_messages.Hello].min_version == 0
+    assert decoded[handover_messages.ResourceUsage] == handover_messages.ResourceUsage(1, 2.5, 3, 4)
     for line in lines:  # a field of a later version is ignored
-        later = json.dumps({**json.loads(line), "later": [1]}).encode()
-        assert handover_messages.decode(later) == handover_messages.decode(line)
+        extended_line = json.dumps({**json.loads(line), "later": [1]}).encode()
+        assert handover_messages.decode(extended_line) == handover_messages.decode(line)
 
 
 def test_member_messages_of_version_1_are_read():
     lines = (SAMPLES / "members-1.jsonl").read_bytes().splitlines()
-    found = {type(message): message for message in map(members.decode, lines)}
-    assert set(found) == set(members.AnyMessage.__args__)  # a new kind needs a sample, and perhaps a version
-    assert found[members.LeaseProposalMessage].proposal.ballot == (7, "disp-01")
-    assert found[members.LeaseVoteMessage].vote.highest_ballot_number == 8
-    assert found[members.Ack].updates[0].witness == "disp-03"
-    assert found[members.Probe].facts[0].age_s == 1.25
+    decoded = {type(message): message for message in map(members.decode, lines)}
+    # A new type of message requires a sample, and may require a new version.
+    assert set(decoded) == set(members.AnyMessage.__args__)
+    assert decoded[members.LeaseProposalMessage].proposal.ballot == (7, "disp-01")
+    assert decoded[members.LeaseVoteMessage].vote.highest_ballot_number == 8
+    assert decoded[members.Ack].updates[0].witness == "disp-03"
+    assert decoded[members.Probe].facts[0].age_s == 1.25
     for line in lines:  # a field of a later version is ignored
-        assert members.decode(json.dumps({**json.loads(line), "later": [1]}).encode()) == members.decode(line)
+        extended_line = json.dumps({**json.loads(line), "later": [1]}).encode()
+        assert members.decode(extended_line) == members.decode(line)
 
 
 @pytest.mark.parametrize(
@@ -79,7 +81,8 @@
 
 
 def test_agent_calls_states_and_generations_of_version_1_are_read():
-    fence, lines = Fence(12, "alpha"), (SAMPLES / "agent-1.txt").read_text().splitlines()
+    fence = Fence(12, "alpha")
+    lines = (SAMPLES / "agent-1.txt").read_text().splitlines()
     assert [messages.decode_call(line) for line in lines[:5]] == [
         Change(fence, "r1", GENERATION, 30.0),
         Change(fence, "r1.c", GENERATION, 30.0, True),
@@ -101,21 +104,21 @@
 
 def test_rollout_database_of_version_1_is_continued(tmp_path):
     restore_database("ledger-1.sql", tmp_path / "rollouts.db")
-    store = RolloutStore(tmp_path)
-    state = store.get()
+    rollout_store = RolloutStore(tmp_path)
+    state = rollout_store.get()
     assert (state.name, state.phase, state.stage_hosts) == ("r1", "baking", ["disp-01"])
     assert state.plan.hold_after_stages == (1,)
-    assert store.events("r1") == [(1.5, "begun")]
-    assert store.take_over("beta", 0) == 6
-    store.save(state, 11.0, [])
+    assert rollout_store.events("r1") == [(1.5, "begun")]
+    assert rollout_store.take_over("beta", 0) == 6
+    rollout_store.save(state, 11.0, [])
 
 
 def test_durable_records_of_version_1_are_read(tmp_path):
-    store = Database(restore_database("durable-1.sql", tmp_path / "keys.db"), "n3")
-    found = dict(store.load())
-    assert found[b"k1"] == DurableRecord(KeyState.COMPLETED, 1, 1000.0, 15286.0, b"body", b"result")
-    assert len(found) == 2
-    assert store.incarnation == 2
+    database = Database(restore_database("durable-1.sql", tmp_path / "keys.db"), "n3")
+    records = dict(database.load())
+    assert records[b"k1"] == DurableRecord(KeyState.COMPLETED, 1, 1000.0, 15286.0, b"body", b"result")
+    assert len(records) == 2
+    assert database.incarnation == 2
 
 
 def test_settings_of_the_previous_version_are_read_and_of_a_later_one_rejected(tmp_path):
@@ -129,14 +132,14 @@
 
 
 def test_samples_exist_for_all_written_versions():
-    """Raising a version requires a sample of what the previous one wrote."""
+    """A format's new version requires a stored sample that the previous version wrote."""
     suffixes = {"handover": "jsonl", "agent": "txt", "ledger": "sql", "durable": "sql"}
     written = {f"{kind}-{versions.FORMATS[kind][0]}.{suffix}" for kind, suffix in suffixes.items()}
     assert {path.name for path in SAMPLES.iterdir()} >= written
 
 
 def test_keyed_retries_to_alternating_versions_run_once(tmp_path):
-    """Upgrade and roll back between adjacent versions, while 200 keyed requests are retried throughout."""
+    """A host is upgraded, rolled back and upgraded again while 200 keyed requests are retried continuously."""
     with Fleet(tmp_path, seed=7, hosts=1, gateways=2, rate=20) as fleet:
         agent = HostAgent(fleet.hosts[0])
         old = agent.add_generation(label="old")
@@ -144,7 +147,9 @@
         agent.start(adopt=old)
         agent.wait_serving(old)
         fleet.start_load()
-        stop, rng, keys = threading.Event(), random.Random(7), [make_idempotency_key() for _ in range(200)]
+        stop = threading.Event()
+        rng = random.Random(7)
+        keys = [make_idempotency_key() for _ in range(200)]
         deadline = time.time() + 60
 
         def send_retries():
@@ -173,8 +178,8 @@
         assert all("event=linked role=follower" in log for log in logs[1:])
         assert "serving-unlinked" not in "".join(logs)
         assert fleet.broken_rules() == []
-        effects = fleet.record.executions_by_key()
-        missing = [key for key in keys if not effects[key]]
-        assert not missing
-        assert max(effects.values()) == 1
+        executions = fleet.record.executions_by_key()
+        never_executed = [key for key in keys if not executions[key]]
+        assert not never_executed
+        assert max(executions.values()) == 1
         assert agent.process.send_signal(signal.SIGTERM) is None
