--- a/lapispick/agent/action_runner.py
+++ b/lapispick/agent/action_runner.py
@@ -52,7 +52,7 @@
             log(LOG, logging.WARNING, "host-killed", process=action.number)
 
     def _start(self, process: HostProcess, state: HostState, generations: Mapping[str, Generation]) -> None:
-        if process.number in self._processes.alive():
+        if process.number in self._processes.running_numbers():
             return
         self._failpoint("starting")
         self._write_config(process, generations)
--- a/lapispick/agent/controller.py
+++ b/lapispick/agent/controller.py
@@ -80,7 +80,7 @@
         self._last_heartbeat_at = 0.0
         self._stored_note_count = len(state.notes)
 
-    def point(self, name: str) -> None:
+    def failpoint(self, name: str) -> None:
         """Mark a named step at which tests may end the process."""
 
     def run(self) -> RolloutState:
@@ -118,7 +118,7 @@
             fence=self.fence,
             hosts=len(self.hosts),
         )
-        self.point("took-over")
+        self.failpoint("took-over")
 
     def _poll(self) -> None:
         """Poll all agents once, decide, store the decision, and make the calls that follow from it."""
@@ -131,14 +131,14 @@
         observations = Observations(now, self._reports(), self._analysis.verdict, closed_reason)
         decision = rollout_step.decide(state, self.fence, observations)
         if decision.state != self.state:
-            self.point("decided")
+            self.failpoint("decided")
             self._store(decision.state, now)
-            self.point("stored")
+            self.failpoint("stored")
         self._send_heartbeat(now)
         if decision.calls:
-            self.point("calling")
+            self.failpoint("calling")
             self._make_calls(decision.calls)
-            self.point("called")
+            self.failpoint("called")
 
     def _update_hosts(self) -> None:
         if self._accepted_workers is None:
--- a/lapispick/agent/processes.py
+++ b/lapispick/agent/processes.py
@@ -55,7 +55,7 @@
         self._children: dict[int, subprocess.Popen[bytes]] = {}
         self._identities: dict[int, _Identity] = {}
 
-    def find(self) -> None:
+    def find_marked_processes(self) -> None:
         """Find all marked processes; called once when the agent starts, as later processes are its children."""
         for entry in os.listdir("/proc"):
             if not entry.isdecimal():
@@ -84,7 +84,7 @@
 
     def start(self, number: int, command: list[str], cwd: Path, environment: dict[str, str], log: Path) -> None:
         """Start a process unless one with its number runs; raises ``OSError``. The process outlives the agent."""
-        if number in self.alive():
+        if number in self.running_numbers():
             return
         with log.open("ab") as output:
             child = subprocess.Popen(
@@ -99,7 +99,7 @@
         self._children[number] = child
         self._identities[number] = _Identity(child.pid, _start_time(child.pid))
 
-    def alive(self) -> frozenset[int]:
+    def running_numbers(self) -> frozenset[int]:
         """Return the numbers of the running processes."""
         for number in list(self._identities):
             if self._has_ended(number):
@@ -121,7 +121,7 @@
 
     def signal(self, number: int, signal_number: int) -> None:
         """Send a signal to a process if it is running."""
-        if number in self.alive():
+        if number in self.running_numbers():
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self._identities[number].pid, signal_number)
 
--- a/lapispick/agent/service.py
+++ b/lapispick/agent/service.py
@@ -64,7 +64,7 @@
         self.loop = EventLoop()
         self.worker_threads = WorkerThreads(self.loop)
         self._launcher = HostLauncher(settings, platform_config, self.processes, self.generation_store, python)
-        self._runner = ActionRunner(self.processes, self._launcher, self.worker_threads, self.point)
+        self._runner = ActionRunner(self.processes, self._launcher, self.worker_threads, self.failpoint)
         self._memory_limit_mb = float(platform_config.get("limits", {}).get("memory_mb", 0.0))
         lease_wait_s = settings.rollback_lease_wait_s if settings.rollback_lease else 0.0
         self._timeouts = Timeouts(settings.start_timeout_s, settings.stop_timeout_s, rollback_lease_wait_s=lease_wait_s)
@@ -81,7 +81,7 @@
             self.loop, parse_address(settings.listen, 0), MAX_CALLERS, calls, self._handle_call
         )
 
-    def point(self, name: str) -> None:
+    def failpoint(self, name: str) -> None:
         """Mark a named step at which tests may end the process."""
 
     def adopt(self, generation: str) -> None:
@@ -94,7 +94,7 @@
 
     def run(self) -> None:
         """Run until SIGTERM or SIGINT; the host continues to serve."""
-        self.processes.find()
+        self.processes.find_marked_processes()
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(signal_number, lambda *_: self.loop.stop())
         self.loop.spawn(self.operator_server.serve)
@@ -107,7 +107,7 @@
             at=self.operator_server.address,
             phase=self.state.phase,
             good=self.state.good or "none",
-            processes=len(self.processes.alive()),
+            processes=len(self.processes.running_numbers()),
         )
         self.loop.run()
 
@@ -122,7 +122,7 @@
 
     def _repeat_reload(self) -> None:
         """Reload the serving process, as the previous agent may have ended before it sent the signal."""
-        running = self.processes.alive()
+        running = self.processes.running_numbers()
         for process in self.state.processes:
             is_reloadable = process.role == Role.SERVING and process.has_accepted and process.number in running
             if is_reloadable and process.generation in self._generations:
@@ -137,7 +137,7 @@
 
     def _observation(self) -> Observation:
         return Observation(
-            alive=self.processes.alive(),
+            alive=self.processes.running_numbers(),
             accepting=self._checks.accepting,
             generations=self._generations,
             boot_id=processes.boot_id(),
@@ -147,7 +147,7 @@
 
     def _step(self) -> None:
         self._generations = self.worker_threads.run(self._rotate_logs_and_read_generations)
-        running = self.processes.alive()
+        running = self.processes.running_numbers()
         self._checks = self._client.check_health(
             [process for process in self.state.processes if process.number in running]
         )
@@ -181,11 +181,11 @@
         """Store a state unless it equals the current one; raises ``OSError``."""
         if state == self.state:
             return
-        self.point("decided")
+        self.failpoint("decided")
         self.worker_threads.run(self.state_file.save, state)
         self._log_phase(state)
         self.state = state
-        self.point("stored")
+        self.failpoint("stored")
 
     def _log_phase(self, state: HostState) -> None:
         previous = self.state
@@ -225,7 +225,7 @@
                 self._save(result.state)
         except OSError as err:
             return [f"ERR the state can't be kept: {err.strerror}"]
-        self.point("answering")
+        self.failpoint("answering")
         log(LOG, logging.INFO, "agent-called", call=line, answer=result.answer)
         if not result.answer.startswith(host_calls.OK):
             return [result.answer]
--- a/lapispick/fakes/agents.py
+++ b/lapispick/fakes/agents.py
@@ -27,7 +27,7 @@
         left[0] -= 1
         if not left[0]:
             os.kill(os.getpid(), signal.SIGKILL)
-{name}.point = passed
+{name}.failpoint = passed
 from lapispick.cli.main import main
 main()
 """
@@ -161,8 +161,8 @@
     def pids(self):
         """Return the processes of the host, whoever started them."""
         found = ProcessTable(f"{self.host.name}:{self.folder}")
-        found.find()
-        return [found.pid(number) for number in found.alive()]
+        found.find_marked_processes()
+        return [found.pid(number) for number in found.running_numbers()]
 
     def running_generations(self):
         """Return the generations that run, as the processes themselves were told."""
