--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -146,7 +146,10 @@
     status = agent.wait_for_phase("steady", rolled_back_rollout="r1", serving=scenario.good)
     assert faulty_generation in status.fault
     assert status.good == scenario.good
-    wait_until(lambda: agent.running_generations() == [scenario.good], "that only the good generation runs")
+    wait_until(
+        lambda: agent.running_generations() == [scenario.good],
+        "the end of all processes but one of the good generation",
+    )
     if fault == "exits after a second":
         scenario.fleet.record.end_fault(open_fault)
     scenario.fleet.wait_for_results(20)
@@ -343,8 +346,8 @@
         new_generations = {}
         for host in fleet.hosts:
             agent = HostAgent(host)
-            host_settings = agent.settings_file.read_text()
-            agent.settings_file.write_text(host_settings.replace("end\n", " turn job\n turn-wait 30s\nend\n"))
+            agent_settings = agent.settings_file.read_text()
+            agent.settings_file.write_text(agent_settings.replace("end\n", " turn job\n turn-wait 30s\nend\n"))
             host_settings = cluster.config_files[host.name].read_text() + METRICS_SETTINGS
             good_generations[agent] = agent.add_generation(settings=host_settings, label="good")
             new_generations[agent] = agent.add_generation(settings=host_settings + "section log\nend\n")
