--- a/lapispick/conf/__init__.py
+++ b/lapispick/conf/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' settings file: one directive a line, in sections."""
+"""The operators' settings file: sections with one directive on each line."""
--- a/lapispick/conf/checks.py
+++ b/lapispick/conf/checks.py
@@ -1,4 +1,7 @@
-"""Checks of the settings that involve several directives. The only I/O is a look at the subject key's file."""
+"""Checks of settings that involve several directives.
+
+The only I/O is reading the size of the subject key's file.
+"""
 
 from __future__ import annotations
 
@@ -10,24 +13,31 @@
 from lapispick.conf.sections import AgentSettings, Settings
 from lapispick.file_errors import FaultCollector, SourceLocation
 
-MIN_KEY_BYTES = 16  # of a secret for subjects
-MAX_KEY_BYTES = 64  # as many as the digest takes
+MIN_SUBJECT_KEY_BYTES = 16
+MAX_SUBJECT_KEY_BYTES = 64  # the longest key that BLAKE2b accepts
 MAX_LEASE_HOLDERS = 1000
-AGENT_SLOTS = 2  # a process and the next one
+AGENT_SLOTS = 2  # one for a process and one for its successor
 
 
 class _Problem(msgspec.Struct, frozen=True):
-    """What is wrong with a directive."""
+    """A directive with an invalid value, and the text that says why."""
 
     directive: str
     message: str
 
 
 def check(
-    settings: Settings, locations: Mapping[str, SourceLocation], default: SourceLocation, faults: FaultCollector
+    settings: Settings,
+    section_locations: Mapping[str, SourceLocation],
+    default_location: SourceLocation,
+    faults: FaultCollector,
 ) -> None:
-    """Add what is wrong; ``locations`` tells where each section begins that is given."""
-    problems_of_sections = {
+    """Add the faults of the settings.
+
+    ``section_locations`` has the first line of each section in the file; faults of a missing section are reported at
+    ``default_location``.
+    """
+    problems_by_section = {
         "amqp": _amqp_problems(settings),
         "trace": _trace_problems(settings),
         "agent": _agent_problems(settings.agent),
@@ -36,9 +46,9 @@
         "fleet": _fleet_problems(settings),
         "inventory": _inventory_problems(settings),
     }
-    for section, problems in problems_of_sections.items():
+    for section, problems in problems_by_section.items():
         for problem in problems:
-            faults.add(locations.get(section, default), problem.directive, problem.message)
+            faults.add(section_locations.get(section, default_location), problem.directive, problem.message)
 
 
 def _amqp_problems(settings: Settings) -> Iterator[_Problem]:
@@ -55,8 +65,8 @@
     if trace.subject_key is None:
         return
     try:
-        if not MIN_KEY_BYTES <= Path(trace.subject_key).stat().st_size <= MAX_KEY_BYTES:
-            yield _Problem("subject-key", f"must hold {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes")
+        if not MIN_SUBJECT_KEY_BYTES <= Path(trace.subject_key).stat().st_size <= MAX_SUBJECT_KEY_BYTES:
+            yield _Problem("subject-key", f"must hold {MIN_SUBJECT_KEY_BYTES} to {MAX_SUBJECT_KEY_BYTES} bytes")
     except OSError as err:
         yield _Problem("subject-key", f"{trace.subject_key}: {err.strerror}")
 
@@ -71,14 +81,14 @@
 def _rollout_problems(settings: Settings) -> Iterator[_Problem]:
     """Yield the first problem of the section."""
     rollout = settings.rollout
-    numbers = range(1, len(rollout.stages) + 1)
+    stage_numbers = range(1, len(rollout.stages) + 1)
     if rollout.min_bake_s > rollout.max_bake_s:
         yield _Problem("bake-most", "must not be under bake")
     elif rollout.confirm_timeout_s < rollout.warm_up_s + rollout.min_bake_s:
         yield _Problem(
             "confirm", "must not be under warm-up and bake together, or each change is undone while it is watched"
         )
-    elif any(not stage.isdecimal() or int(stage) not in numbers for stage in rollout.hold_after_stages):
+    elif any(not stage.isdecimal() or int(stage) not in stage_numbers for stage in rollout.hold_after_stages):
         yield _Problem("hold", f"takes numbers of stages from 1 to {len(rollout.stages)}")
 
 
@@ -98,11 +108,12 @@
 
 
 def _leases_problem(leases: tuple[str, ...]) -> _Problem | None:
+    """Return the first problem of the list of named leases, None if it has none."""
     names = [lease.partition(":")[0] for lease in leases]
     for lease in leases:
         name, _, count = lease.partition(":")
-        is_named = name.replace("-", "").isalnum()
-        if not is_named or not count.isdecimal() or not 1 <= int(count) <= MAX_LEASE_HOLDERS:
+        has_valid_name = name.replace("-", "").isalnum()
+        if not has_valid_name or not count.isdecimal() or not 1 <= int(count) <= MAX_LEASE_HOLDERS:
             return _Problem("turns", f"{lease!r} is not NAME:K with K from 1 to {MAX_LEASE_HOLDERS}")
     if len(set(names)) < len(names):
         return _Problem("turns", "names a lease twice")
--- a/lapispick/conf/legacy.py
+++ b/lapispick/conf/legacy.py
@@ -1,4 +1,4 @@
-"""The file that ``deploy/lapispick.conf`` replaces: ``amqp.toml``, still read in this version."""
+"""The earlier settings file ``amqp.toml``, which ``deploy/lapispick.conf`` replaces and this version still reads."""
 
 from __future__ import annotations
 
@@ -16,34 +16,36 @@
 
 
 def located(environ: Mapping[str, str]) -> Path | None:
-    """Return the path of such a file, None where there is none."""
-    if named := environ.get(LEGACY_PATH_VARIABLE):
-        return Path(named)
+    """Return the path of the ``amqp.toml``, None if there is none."""
+    if path := environ.get(LEGACY_PATH_VARIABLE):
+        return Path(path)
     return Path(LEGACY_PATH) if Path(LEGACY_PATH).exists() else None
 
 
 def merged(settings: Settings, path: Path) -> Settings:
-    """Return the settings with those of the old file; raises ``InvalidFileError``."""
+    """Return the settings with the values of the ``amqp.toml`` applied; raises ``InvalidFileError``."""
     faults = FaultCollector()
     location = SourceLocation(str(path))
     try:
-        given = tomllib.loads(path.read_text(encoding="utf-8"))
+        values = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, ValueError) as err:
         faults.add(location, "", str(err))
         raise InvalidFileError(faults.collected) from None
-    for key, value in given.items():
+    for key, value in values.items():
         if key not in KEY_TYPES:
-            faults.add(location, key, f"unknown; there are {', '.join(KEY_TYPES)}{suggest_nearest(key, KEY_TYPES)}")
+            faults.add(
+                location, key, f"unknown key; expected one of {', '.join(KEY_TYPES)}{suggest_nearest(key, KEY_TYPES)}"
+            )
         elif type(value) is not KEY_TYPES[key]:
-            faults.add(location, key, f"must be a {KEY_TYPES[key].__name__}")
-    if given.get("enabled") and "inventory" not in given:
-        faults.add(location, "inventory", "must name the inventory's file")
+            faults.add(location, key, f"expected {KEY_TYPES[key].__name__}, got {value!r:.200}")
+    if values.get("enabled") and "inventory" not in values:
+        faults.add(location, "inventory", "missing; expected the path of the inventory's file, because enabled is true")
     if faults:
         raise InvalidFileError(faults.collected)
-    if not given.get("enabled", False):
+    if not values.get("enabled", False):
         return settings
     inventory = msgspec.structs.replace(
-        settings.inventory, path=path.parent / given["inventory"], group=given.get("group", "amqp")
+        settings.inventory, path=path.parent / values["inventory"], group=values.get("group", "amqp")
     )
     return msgspec.structs.replace(
         settings, inventory=inventory, amqp=AmqpSettings(enabled=True, drain_timeout_s=settings.amqp.drain_timeout_s)
--- a/lapispick/conf/parser.py
+++ b/lapispick/conf/parser.py
@@ -1,4 +1,6 @@
-"""The syntax of the settings file: lines, words, sections and includes. No I/O: files come from a function.
+"""The syntax of the settings file: lines, words, sections and includes.
+
+This module does no I/O; the caller passes a function that reads files. An example of a settings file:
 
 # a comment
 include sites/*.conf
@@ -18,13 +20,13 @@
 
 from lapispick.file_errors import FaultCollector, SourceLocation
 
-MAX_FILES = 64  # files of one configuration
-MAX_INCLUDE_DEPTH = 8  # includes within includes
-MAX_LINES = 20_000  # of all files together
+MAX_FILES = 64  # in one configuration
+MAX_INCLUDE_DEPTH = 8  # files within one another
+MAX_LINES = 20_000  # in all files together
 
 
 class Line(msgspec.Struct, frozen=True):
-    """One directive: its name, its arguments and where it is written."""
+    """One directive with its name, its arguments and its location in the file."""
 
     location: SourceLocation
     name: str
@@ -32,68 +34,68 @@
 
 
 class Section(msgspec.Struct):
-    """One ``section NAME`` to ``end``."""
+    """The lines from ``section NAME`` to ``end``."""
 
     location: SourceLocation
     name: str
     lines: list[Line] = msgspec.field(default_factory=list)
 
 
-# Returns (path, text) of the files that a pattern names, in order; raises ``OSError`` or ``ValueError``.
-Opener = Callable[[PurePath], list[tuple[PurePath, str]]]
+# Returns the path and the text of each file that matches a pattern, in order; raises ``OSError`` or ``ValueError``.
+FileReader = Callable[[PurePath], list[tuple[PurePath, str]]]
 
 
 class Parser:
-    """Reads one file and all that it includes."""
+    """Parser of one file and all files that it includes."""
 
-    def __init__(self, opener: Opener) -> None:
+    def __init__(self, read_files: FileReader) -> None:
         self.faults = FaultCollector()
         self.sections: list[Section] = []
-        self._opener = opener
-        self._open_files: list[PurePath] = []  # being parsed, the outermost first
+        self._read_files = read_files
+        self._open_files: list[PurePath] = []  # the files being parsed, the outermost first
         self._file_count = 0
         self._line_count = 0
         self._open_section: Section | None = None
 
-    def file(self, path: PurePath, location: SourceLocation | None = None) -> None:
-        """Read what a pattern names; faults are collected."""
-        location = location or SourceLocation(str(path))
+    def parse_files(self, pattern: PurePath, location: SourceLocation | None = None) -> None:
+        """Parse the files that match a pattern, and collect their faults; ``location`` is that of the ``include``."""
+        location = location or SourceLocation(str(pattern))
         if len(self._open_files) >= MAX_INCLUDE_DEPTH:
-            return self.faults.add(location, "include", f"{path} is included more than {MAX_INCLUDE_DEPTH} deep")
+            return self.faults.add(location, "include", f"{pattern} is included more than {MAX_INCLUDE_DEPTH} deep")
         try:
-            found = self._opener(path)
+            files = self._read_files(pattern)
         except (OSError, ValueError) as err:
-            return self.faults.add(location, "include" if self._open_files else "", f"{path} can't be read: {err}")
-        for each, text in found:
+            return self.faults.add(location, "include" if self._open_files else "", f"{pattern} can't be read: {err}")
+        for path, text in files:
             self._file_count += 1
-            if each in self._open_files:
-                chain = " -> ".join(str(f) for f in (*self._open_files, each))
+            if path in self._open_files:
+                chain = " -> ".join(str(file) for file in (*self._open_files, path))
                 self.faults.add(location, "include", f"a file includes itself: {chain}")
             elif self._file_count > MAX_FILES:
                 return self.faults.add(location, "include", f"more than {MAX_FILES} files")
             else:
-                self._parse_text(each, text)
+                self._parse_text(path, text)
 
     def _parse_text(self, path: PurePath, text: str) -> None:
         self._open_files.append(path)
-        outer = self._open_section
+        outer_section = self._open_section
         self._open_section = None
-        for number, raw in enumerate(text.splitlines(), 1):
+        for line_number, raw_line in enumerate(text.splitlines(), 1):
             self._line_count += 1
             if self._line_count > MAX_LINES:
-                self.faults.add(SourceLocation(str(path), number), "", f"more than {MAX_LINES} lines")
+                self.faults.add(SourceLocation(str(path), line_number), "", f"more than {MAX_LINES} lines")
                 break
-            self._parse_line(SourceLocation(str(path), number), raw)
+            self._parse_line(SourceLocation(str(path), line_number), raw_line)
         if self._open_section is not None:
             self.faults.add(self._open_section.location, "section", f"{self._open_section.name} has no end")
-        self._open_section = outer
+        self._open_section = outer_section
         self._open_files.pop()
 
-    def _parse_line(self, location: SourceLocation, raw: str) -> None:
+    def _parse_line(self, location: SourceLocation, raw_line: str) -> None:
         try:
-            tokens = shlex.split(raw, comments=True)
+            tokens = shlex.split(raw_line, comments=True)
         except ValueError as err:
-            return self.faults.add(location, raw.split(maxsplit=1)[0], f"can't be split into words: {err}")
+            return self.faults.add(location, raw_line.split(maxsplit=1)[0], f"can't be split into words: {err}")
         if not tokens:
             return
         name = tokens[0]
@@ -114,7 +116,7 @@
             return self.faults.add(location, "include", "takes one path or pattern")
         if self._open_section is not None:
             return self.faults.add(location, "include", f"stands within section {self._open_section.name}")
-        self.file(self._open_files[-1].parent / arguments[0], location)
+        self.parse_files(self._open_files[-1].parent / arguments[0], location)
 
     def _begin_section(self, location: SourceLocation, arguments: tuple[str, ...]) -> None:
         if len(arguments) != 1:
--- a/lapispick/conf/value_types.py
+++ b/lapispick/conf/value_types.py
@@ -1,6 +1,6 @@
-"""The types of values that directives take, with their units. No I/O.
+"""The types of the values of directives, with their units. No I/O.
 
-Each type parses an argument of a directive into a value, or raises ``ValueError`` with what is expected.
+Each type is a function that parses an argument of a directive; it raises ``ValueError`` with the expected form.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 SIZE_UNITS_BYTES = {"B": 1, "KB": 1 << 10, "MB": 1 << 20, "GB": 1 << 30}
 TRUE_VALUES = ("yes", "on", "true")
 FALSE_VALUES = ("no", "off", "false")
-_FIRST_PRINTABLE = 32  # code point
+_FIRST_PRINTABLE_CODE_POINT = 32
 
 
 def _quantity(text: str, units: Mapping[str, float], default_unit: str, example: str) -> float:
@@ -28,14 +28,14 @@
 
 
 def text(raw: str) -> str:
-    """Take any text."""
-    if any(ord(character) < _FIRST_PRINTABLE for character in raw):
+    """Return any text without control characters."""
+    if any(ord(character) < _FIRST_PRINTABLE_CODE_POINT for character in raw):
         raise ValueError(f"{raw!r} holds a control character")
     return raw
 
 
 def boolean(raw: str) -> bool:
-    """Take ``yes`` or ``no``, or another word of ``TRUE_VALUES`` and ``FALSE_VALUES``."""
+    """Parse a word of ``TRUE_VALUES`` or ``FALSE_VALUES``, such as ``yes`` and ``no``."""
     if raw.lower() in TRUE_VALUES:
         return True
     if raw.lower() in FALSE_VALUES:
@@ -44,24 +44,24 @@
 
 
 def count(raw: str) -> int:
-    """Take a whole number of at most 12 digits, without a sign."""
+    """Parse a whole number of at most 12 digits, without a sign."""
     if not re.fullmatch(r"\d{1,12}", raw):
         raise ValueError(f"{raw!r} is not a whole number such as 20")
     return int(raw)
 
 
 def duration(raw: str) -> float:
-    """Take a duration such as ``5s`` or ``200ms``; returns seconds. A bare number is seconds."""
+    """Parse a duration such as ``5s`` or ``200ms``, and return seconds; a number without a unit is seconds."""
     return _quantity(raw, DURATION_UNITS_S, "s", "a span such as 5s")
 
 
 def byte_size(raw: str) -> int:
-    """Take a size such as ``32MB``; returns bytes. A bare number is bytes."""
+    """Parse a size such as ``32MB``, and return bytes; a number without a unit is bytes."""
     return int(_quantity(raw, SIZE_UNITS_BYTES, "B", "a size such as 32MB"))
 
 
 def fraction(raw: str) -> float:
-    """Take a fraction such as ``17%`` or ``0.17``; returns a number from 0 to 1."""
+    """Parse a fraction such as ``17%`` or ``0.17``, and return a number from 0 to 1."""
     try:
         value = float(raw[:-1]) / 100 if raw.endswith("%") else float(raw)
     except ValueError:
@@ -72,39 +72,39 @@
 
 
 def path(raw: str) -> PurePath:
-    """Take a path; a relative one counts from the file that names it."""
+    """Parse a path; the caller resolves a relative one against the folder of the settings file."""
     if not raw or "\0" in raw:
         raise ValueError("must name a file or folder")
     return PurePath(raw)
 
 
-def shown(value: Any) -> str:
-    """Write a value so that it can be read back, for ``config show``."""
+def format_value(value: Any) -> str:
+    """Format a value so that it can be parsed again, for ``config show``."""
     if isinstance(value, bool):
         return "yes" if value else "no"
     if isinstance(value, float):
         return f"{value:g}"
     if isinstance(value, tuple):
-        return " ".join(shown(element) for element in value)
-    written = str(value)
-    plain = re.fullmatch(r"[\w./:%+,@=-]+", written)
-    return written if plain else "'" + written.replace("'", "'\"'\"'") + "'"
+        return " ".join(format_value(element) for element in value)
+    formatted = str(value)
+    needs_no_quotes = re.fullmatch(r"[\w./:%+,@=-]+", formatted)
+    return formatted if needs_no_quotes else "'" + formatted.replace("'", "'\"'\"'") + "'"
 
 
 class Directive(msgspec.Struct, frozen=True):
-    """What one directive takes; ``minimum`` and ``maximum`` are bounds in the value's own unit."""
+    """The type, description and bounds of a directive's value; the bounds have the unit of the parsed value."""
 
-    parse: Callable[[str], Any]
+    value_type: Callable[[str], Any]
     doc: str
     minimum: float | None = None
     maximum: float | None = None
     choices: tuple[str, ...] = ()
-    repeatable: bool = False  # takes several arguments, and may stand on several lines
+    repeatable: bool = False  # may have several arguments and occur on several lines
     secret: bool = False
 
-    def value(self, raw: str) -> Any:
-        """Read one argument; raises ``ValueError``."""
-        value = self.parse(raw)
+    def parse_value(self, raw: str) -> Any:
+        """Parse one argument and check its bounds; raises ``ValueError``."""
+        value = self.value_type(raw)
         if self.choices and value not in self.choices:
             raise ValueError(f"{raw!r} is none of {', '.join(self.choices)}")
         minimum = self.minimum
@@ -112,5 +112,5 @@
         if (minimum is not None and value < minimum) or (maximum is not None and value > maximum):
             if minimum is None or maximum is None:
                 raise ValueError(f"{raw!r} is out of bounds")
-            raise ValueError(f"{raw!r} is outside of {shown(minimum)} to {shown(maximum)}")
+            raise ValueError(f"{raw!r} is outside of {format_value(minimum)} to {format_value(maximum)}")
         return value
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -94,7 +94,7 @@
 @given(st.text(max_size=200))
 def test_no_text_breaks_the_parser(text):
     reader = parser.Parser(lambda path: [(path, text)])
-    reader.file(parser.PurePath("x"))
+    reader.parse_files(parser.PurePath("x"))
     assert isinstance(reader.sections, list)
 
 
