--- a/lapispick/__init__.py
+++ b/lapispick/__init__.py
@@ -1,4 +1,4 @@
-"""Overload control inside each server: admission by value against shadow prices."""
+"""Overload control inside each worker host: requests are admitted by their value against shadow prices."""
 
 from lapispick.admission import ClassSettings, Settings
 from lapispick.admission.controller import Controller
--- a/lapispick/__main__.py
+++ b/lapispick/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m lapispick`` is the command line; a worker host is ``python -m lapispick.host``."""
+"""Runs the command line for ``python -m lapispick``; ``python -m lapispick.host`` runs a worker host."""
 
 from lapispick.cli.main import main
 
--- a/lapispick/atomic_files.py
+++ b/lapispick/atomic_files.py
@@ -1,4 +1,4 @@
-"""Small files that are replaced atomically and durably: written beside the old one, synced, renamed."""
+"""Replaces small files atomically and durably: the new file is written beside the old one, synced and renamed."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def replace(path: Path, data: bytes) -> None:
-    """Replace a file so that after a crash it holds the old or the new content; raises ``OSError``."""
+    """Replace a file so that after a crash it has either the old or the new content; raises ``OSError``."""
     temporary = path.with_name(path.name + ".new")
     descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
     try:
--- a/lapispick/digests.py
+++ b/lapispick/digests.py
@@ -1,7 +1,7 @@
-"""BLAKE2b without loading OpenSSL: the same digests as ``hashlib.blake2b``.
+"""BLAKE2b without OpenSSL, with the same digests as ``hashlib.blake2b``.
 
-``hashlib`` loads OpenSSL, which takes memory and is not needed otherwise. CPython has BLAKE2 in an extension module of
-its own, which ``hashlib`` itself uses; where an interpreter lacks it, ``hashlib`` is the fallback.
+``hashlib`` loads OpenSSL, which takes memory and is not needed for anything else. CPython has BLAKE2 in a separate
+extension module, which ``hashlib`` itself uses; an interpreter without that module falls back to ``hashlib``.
 """
 
 from __future__ import annotations
--- a/lapispick/jitter.py
+++ b/lapispick/jitter.py
@@ -1,16 +1,17 @@
-"""Jitter for periods and backoffs, so that processes that share a cause do not act in step. No I/O, no clock, no draws.
+"""Jitter for periods and backoffs, so that processes that react to the same event do not act at the same time.
 
-Callers pass a draw from 0 to 1 of their own generator. The mean stays the requested time, so nothing runs more often.
+This module does no I/O, reads no clock and draws no random numbers: callers pass a draw from 0 to 1 from their own
+generator. The mean is the requested time, so on average nothing runs more often.
 """
 
 from __future__ import annotations
 
-PERIOD_JITTER_FRACTION = 0.4  # of a period, over which its end is spread
-MIN_BACKOFF_FRACTION = 0.1  # of a backoff; a first retry must not come at once
+PERIOD_JITTER_FRACTION = 0.4  # the range of the end of a period, as a fraction of the period
+MIN_BACKOFF_FRACTION = 0.1  # of the mean backoff; a first retry must not be immediate
 
 
 def period(interval_s: float, draw: float) -> float:
-    """Return the time (s) to the next run of a periodic job, within 20 % of ``interval_s``."""
+    """Return the time (s) until the next run of a periodic job, within 20 % of ``interval_s``."""
     return interval_s * (1 + PERIOD_JITTER_FRACTION * (draw - 0.5))
 
 
--- a/lapispick/platform_settings.py
+++ b/lapispick/platform_settings.py
@@ -1,7 +1,7 @@
-"""The start settings as the simulator and the platform give them, translated for the decision module.
+"""The start settings from the simulator or the platform, and their translation for the decision module.
 
-Names are those of ``docs/GLOSSARY.md``; each field whose key in the document differs states the key. Times are
-milliseconds.
+The names of fields are the terms of ``docs/GLOSSARY.md``. A key of the document is the field's name in Pascal case, or
+the ``name`` of the field. Times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 }
 
 SHARED_DOWNSTREAM = "shared"  # a dependency that other hosts call too
-WEIGHT_BY_WORK = "work"  # weights count for each unit of work, not for each request
+WEIGHT_BY_WORK = "work"  # weights apply to each unit of work, not to each request
 
 
 class RequestClass(msgspec.Struct, rename="pascal"):
@@ -55,7 +55,7 @@
     """Properties of this host and its site: ``FamilyInfo``."""
 
     downstream: str = field(name="Below")
-    degraded_weights: list[float] = field(name="ClassSkipWorth")  # by class
+    degraded_weights: list[float] = field(name="ClassSkipWorth")  # one for each request class
     cores: int
     memory_kb: float
     run_memory_factor: float = field(name="RunMemFactor")
@@ -73,14 +73,14 @@
 
 
 class RetryAfterSettings(msgspec.Struct, rename="pascal"):
-    """Whether rejections may carry a Retry-After, and up to which value: ``Bounds``."""
+    """Whether rejections may carry a Retry-After, and its largest value: ``Bounds``."""
 
     max_ms: float = field(name="MaxRetryAfter")
     enabled: bool = field(name="RetryAfter")
 
 
 class PlatformGuarantees(msgspec.Struct, rename="pascal"):
-    """What the platform's rules state in figures: ``Guarantees``."""
+    """Figures that the platform's rules guarantee: ``Guarantees``."""
 
     initial_speed_fraction: float = field(name="ColdFrom")
     warm_up_ms: float = field(name="WarmUp")
@@ -89,7 +89,7 @@
 
 
 class StartSettings(msgspec.Struct, rename="pascal"):
-    """The whole document; keys that are not used here are ignored."""
+    """The whole document; keys without a field are ignored."""
 
     host: HostProperties = field(name="FamilyInfo")
     retry_after: RetryAfterSettings = field(name="Bounds")
@@ -101,7 +101,11 @@
 
 
 def admission_settings(settings: StartSettings) -> admission.Settings:
-    """Translate the start settings; raises ``KeyError`` for an unknown name and ``ValueError`` for a wrong count."""
+    """Translate the start settings into the settings of the decision module.
+
+    Raises ``KeyError`` for an unknown idempotency, cancel mode or backpressure signal, and ``ValueError`` if there are
+    more or fewer degraded weights than request classes.
+    """
     host = settings.host
     guarantees = settings.guarantees
     retry_after = settings.retry_after
