--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that several test modules share: a controller's harness, worker hosts as processes, addresses."""
+"""Fixtures that several test modules share: a controller harness, worker host processes and reserved addresses."""
 
 import contextlib
 
@@ -11,29 +11,29 @@
 
 @pytest.fixture
 def make_harness():
-    """Return the class of a controller with a record of its actions; its settings are keyword arguments."""
+    """Return the class of a harness that records a controller's actions; its keyword arguments are settings."""
     return ControllerHarness
 
 
 @pytest.fixture
 def host(tmp_path, monkeypatch):
-    """Return a function that starts a worker host, as ``successor_of`` an earlier one or alone, until the test ends."""
+    """Return a function that starts a worker host, alone or as ``successor_of`` another one, until the test ends."""
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    started = []
+    processes = []
 
-    def start(successor_of=None, **over):
-        process = successor_of.start_successor(**over) if successor_of else HostProcess(tmp_path, **over)
-        started.append(process)
+    def start(successor_of=None, **options):
+        process = successor_of.start_successor(**options) if successor_of else HostProcess(tmp_path, **options)
+        processes.append(process)
         return process
 
     yield start
-    for process in started:
+    for process in processes:
         process.close()
         process.check_log()
 
 
 @pytest.fixture
 def shared_address():
-    """Return a function that reserves a port for processes that share it, and returns it as an address."""
+    """Return a function that reserves a port that several processes may share, and returns its address."""
     with contextlib.ExitStack() as stack:
         yield lambda: stack.enter_context(reserved_address())
--- a/tests/property_support.py
+++ b/tests/property_support.py
@@ -1,4 +1,4 @@
-"""Support for property tests: a bound on the CPU time of one example."""
+"""Support for property tests: a limit on the CPU time of each example."""
 
 import functools
 import time
@@ -9,7 +9,7 @@
 def cpu_time_bounded(test):
     """Fail an example that takes over ``MAX_EXAMPLE_CPU_S`` of CPU time.
 
-    The deadline of Hypothesis measures elapsed time, so its verdict depends on what else the machine does.
+    The deadline of Hypothesis applies to elapsed time, so its result depends on the load of the machine.
     """
 
     @functools.wraps(test)
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""What commands do when the other end of a connection or a pipe is closed."""
+"""The behaviour of commands when their peer closes the connection, or their output pipe is closed."""
 
 import os
 import subprocess
@@ -11,24 +11,24 @@
 
 
 @pytest.mark.parametrize(
-    ("broken", "command"),
+    ("patched_function", "command"),
     [
         ("lapispick.fakes.connection_pool.ConnectionPool.send_request", ["demo", "--seconds", "0.5"]),
         ("lapispick.cli.ops.call", ["ops", "check", "--at", "127.0.0.1:1"]),
     ],
 )
-def test_a_connection_closed_by_its_peer_is_reported(monkeypatch, broken, command):
-    def hang_up(*_, **__):
+def test_a_connection_closed_by_its_peer_is_reported(monkeypatch, patched_function, command):
+    def raise_broken_pipe(*_, **__):
         raise BrokenPipeError(32, "Broken pipe")
 
-    monkeypatch.setattr(broken, hang_up)
+    monkeypatch.setattr(patched_function, raise_broken_pipe)
     result = CliRunner().invoke(cli, command)
     assert result.exit_code == 1
     assert "Broken pipe" in result.stderr
 
 
 @pytest.mark.parametrize("unbuffered", ["", "1"])
-def test_a_closed_pipe_of_the_output_is_not_reported(unbuffered):
+def test_a_closed_output_pipe_is_not_reported(unbuffered):
     process = subprocess.Popen(
         [sys.executable, "-m", "lapispick", "config", "show"],
         stdout=subprocess.PIPE,
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -1,4 +1,4 @@
-"""The settings file: its syntax, its types of values, and the text of every fault."""
+"""The settings file: its syntax, its value types and its faults, and the commands that read it."""
 
 import json
 import os
@@ -15,14 +15,15 @@
 from lapispick.file_errors import InvalidFileError
 
 
-def write(folder, **files):
+def write_files(folder, **files):
+    """Write files named after the keyword arguments, and return the path of ``a.conf``."""
     for name, text in files.items():
         (folder / f"{name}.conf").write_text(text)
     return folder / "a.conf"
 
 
 def test_sections_units_quotes_and_includes_are_read(tmp_path):
-    path = write(
+    path = write_files(
         tmp_path,
         a='include more/*.conf\nsection inventory # here\n path "my list.yml"\n settle 200ms\n'
         ' loss 17%\n size-most 2MB\n end-marker "# end"\nend\n',
@@ -66,41 +67,41 @@
 )
 def test_faults_name_file_line_and_directive(tmp_path, text, fault):
     with pytest.raises(InvalidFileError) as caught:
-        settings.parse(write(tmp_path, a=text))
+        settings.parse(write_files(tmp_path, a=text))
     assert any(f"{tmp_path}/{fault}" in str(f) for f in caught.value.faults), caught.value.faults
 
 
 def test_all_faults_are_reported_at_once(tmp_path):
     with pytest.raises(InvalidFileError) as caught:
-        settings.parse(write(tmp_path, a="section amqp\nx 1\ndrain y\nend\nsection log\nlevel loud\nend\n"))
+        settings.parse(write_files(tmp_path, a="section amqp\nx 1\ndrain y\nend\nsection log\nlevel loud\nend\n"))
     assert len(caught.value.faults) == 3
 
 
 def test_the_depth_of_includes_is_limited(tmp_path):
     for n in range(12):
-        write(tmp_path, **{f"f{n}": f"include f{n + 1}.conf\n"})
+        write_files(tmp_path, **{f"f{n}": f"include f{n + 1}.conf\n"})
     with pytest.raises(InvalidFileError, match="more than 8 deep"):
         settings.parse(tmp_path / "f0.conf")
 
 
-def test_settings_that_are_written_read_back_the_same(tmp_path):
-    parsed = settings.parse(write(tmp_path, a='section inventory\npath "it\'s here.yml"\nlook 70ms\nend\n'))
-    written = write(tmp_path, a="\n".join(settings.lines(parsed)) + "\n")
-    assert settings.parse(written) == parsed
-    assert settings.parse(settings.located({})) == settings.load({})  # the repository's own is in order
+def test_formatted_settings_are_parsed_as_the_same_settings(tmp_path):
+    parsed = settings.parse(write_files(tmp_path, a='section inventory\npath "it\'s here.yml"\nlook 70ms\nend\n'))
+    formatted = write_files(tmp_path, a="\n".join(settings.lines(parsed)) + "\n")
+    assert settings.parse(formatted) == parsed
+    assert settings.parse(settings.located({})) == settings.load({})  # the default file of the repository has no faults
     assert not settings.load({}).amqp.enabled
 
 
 @given(st.text(max_size=200))
-def test_no_text_breaks_the_parser(text):
-    reader = parser.Parser(lambda path: [(path, text)])
-    reader.parse_files(parser.PurePath("x"))
-    assert isinstance(reader.sections, list)
+def test_the_parser_accepts_any_text_without_an_exception(text):
+    conf_parser = parser.Parser(lambda path: [(path, text)])
+    conf_parser.parse_files(parser.PurePath("x"))
+    assert isinstance(conf_parser.sections, list)
 
 
 @given(st.text(max_size=12))
-def test_no_value_breaks_a_value_type(value):
-    for parse_value in (
+def test_value_types_raise_only_value_errors_with_a_message(value):
+    for value_type in (
         value_types.duration,
         value_types.byte_size,
         value_types.fraction,
@@ -110,7 +111,7 @@
         value_types.path,
     ):
         try:
-            parse_value(value)
+            value_type(value)
         except ValueError as err:
             assert str(err)
 
@@ -126,10 +127,10 @@
 
 
 def test_the_config_command_checks_and_shows_settings(tmp_path):
-    path = write(tmp_path, a="section amqp\ndrain 5s\nend\n")
+    path = write_files(tmp_path, a="section amqp\ndrain 5s\nend\n")
     assert run_lapispick("config", "check", "--conf", str(path)).returncode == 0
     assert json.loads(run_lapispick("config", "show", "--json", LAPISPICK_CONF=str(path)).stdout)["amqp"]["drain"] == 5
-    result = run_lapispick("config", "check", "--conf", str(write(tmp_path, a="x\n")), "--json")
+    result = run_lapispick("config", "check", "--conf", str(write_files(tmp_path, a="x\n")), "--json")
     assert result.returncode == 2
     assert "outside of a section" in json.loads(result.stdout)["faults"][0]
     assert "_LAPISPICK_COMPLETE" in run_lapispick("completion", "bash").stdout
@@ -137,38 +138,38 @@
 
 
 def test_the_inventory_command_lists_checks_and_compares(tmp_path):
-    one, two = tmp_path / "1.csv", tmp_path / "2.csv"
-    head = "host,amqp_queue,amqp_port,amqp_password\n"
-    one.write_text(head + "a,q,1,geheim\nA.,r,1,geheim\nb,q,2,x\n")
-    two.write_text(head + "a,q,1,geheim\nb,q,3,x\nc,q,2,x\n")
-    conf = write(tmp_path, a="section inventory\npath 1.csv\ngroup shops\nend\n")
+    old, new = tmp_path / "1.csv", tmp_path / "2.csv"
+    header = "host,amqp_queue,amqp_port,amqp_password\n"
+    old.write_text(header + "a,q,1,s3cret\nA.,r,1,s3cret\nb,q,2,x\n")
+    new.write_text(header + "a,q,1,s3cret\nb,q,3,x\nc,q,2,x\n")
+    conf = write_files(tmp_path, a="section inventory\npath 1.csv\ngroup shops\nend\n")
     options = ("--conf", str(conf))
-    result = run_lapispick("inventory", "list", "--path", str(one), "--json", *options)
-    found = json.loads(result.stdout)
-    assert [b["name"] for b in found] == ["a", "b"]
-    assert "geheim" not in result.stdout
-    assert found[0]["spellings"] == ["A.", "a"]
+    result = run_lapispick("inventory", "list", "--path", str(old), "--json", *options)
+    hosts = json.loads(result.stdout)
+    assert [host["name"] for host in hosts] == ["a", "b"]
+    assert "s3cret" not in result.stdout
+    assert hosts[0]["spellings"] == ["A.", "a"]
     assert (
         "one host under several spellings: A., a"
-        in run_lapispick("inventory", "check", "--path", str(one), *options).stdout
+        in run_lapispick("inventory", "check", "--path", str(old), *options).stdout
     )
-    result = run_lapispick("inventory", "diff", str(one), str(two), *options)
+    result = run_lapispick("inventory", "diff", str(old), str(new), *options)
     assert result.returncode == 1
     assert "joined   c" in result.stdout
     assert "moved    b (b:2 -> b:3)" in result.stdout
     assert "queue r left" in result.stdout
-    assert run_lapispick("inventory", "diff", str(one), str(one), *options).returncode == 0
-    one.write_text(head + "a,,x,\n")
-    result = run_lapispick("inventory", "check", "--path", str(one), *options)
+    assert run_lapispick("inventory", "diff", str(old), str(old), *options).returncode == 0
+    old.write_text(header + "a,,x,\n")
+    result = run_lapispick("inventory", "check", "--path", str(old), *options)
     assert result.returncode == 1
     assert "1.csv:2:3: amqp_port: 'x' is not a whole number" in result.stderr
-    result = run_lapispick("inventory", "watch", "--path", str(two), "--seconds", "2.2", *options)
+    result = run_lapispick("inventory", "watch", "--path", str(new), "--seconds", "2.2", *options)
     assert "level=info event=inventory-accepted" in result.stderr
     assert "hosts=3" in result.stderr
     assert run_lapispick("inventory", "history").returncode == 3
 
 
-def test_a_faulty_settings_file_ends_the_start_and_every_fault_is_logged(tmp_path):
+def test_a_host_with_a_faulty_settings_file_logs_every_fault_and_exits(tmp_path):
     conf = tmp_path / "own.conf"
     config = tmp_path / "config.json"
     conf.write_text("section amqp\n  enable yes\n  drain 5x\nend\n")
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""The platform's host does not import what is off, whatever requests and calls it answers."""
+"""A host does not import the modules of disabled features, whatever requests and calls it answers."""
 
 import os
 import re
@@ -12,7 +12,7 @@
 from lapispick.fakes.fleet import ROOT
 from lapispick.fakes.messages import make_idempotency_key
 
-OFF_BY_DEFAULT = (
+DISABLED_BY_DEFAULT = (
     "lapispick.trace",
     "lapispick.host.recorder",
     "lapispick.host.extended_metrics",
@@ -46,28 +46,28 @@
 )
 
 
-def imported_modules(worker):
-    return set(re.findall(r"^import time:[\s\d|]*?([\w.]+)$", worker.log(), re.MULTILINE))
+def imported_modules(host_process):
+    return set(re.findall(r"^import time:[\s\d|]*?([\w.]+)$", host_process.log(), re.MULTILINE))
 
 
-def modules_that_are_off(names):
-    prefixes = tuple(f"{module}." for module in OFF_BY_DEFAULT)
-    return sorted(name for name in names if name in OFF_BY_DEFAULT or name.startswith(prefixes))
+def modules_disabled_by_default(names):
+    prefixes = tuple(f"{module}." for module in DISABLED_BY_DEFAULT)
+    return sorted(name for name in names if name in DISABLED_BY_DEFAULT or name.startswith(prefixes))
 
 
-def test_run_imports_nothing_that_is_off(host):
-    worker = host(environ={"PYTHONPROFILEIMPORTTIME": "1"})
-    gateway = worker.gateway()
+def test_a_host_imports_no_module_of_a_disabled_feature(host):
+    host_process = host(environ={"PYTHONPROFILEIMPORTTIME": "1"})
+    gateway = host_process.gateway()
     assert gateway.result(gateway.request("track", "call:200")) == "reply 1"
     assert gateway.result(gateway.request("book", "x", make_idempotency_key())) == "did x"
     for line in (b"check", b"vars", b"drain-on", b"drain-off"):
-        worker.call_operators(line)
-    worker.reload()
-    worker.terminate()
-    assert worker.process.wait(6) == 0
-    names = imported_modules(worker)
+        host_process.call_operators(line)
+    host_process.reload()
+    host_process.terminate()
+    assert host_process.process.wait(6) == 0
+    names = imported_modules(host_process)
     assert {"lapispick.host.core", "lapispick.admission.controller", "greenlet"} <= names
-    assert modules_that_are_off(names) == []
+    assert modules_disabled_by_default(names) == []
 
 
 @pytest.mark.parametrize(
@@ -77,40 +77,41 @@
         ("section figures\n enabled yes\nend\n", "lapispick.host.extended_metrics"),
     ],
 )
-def test_the_check_sees_the_import_of_what_is_on(host, tmp_path, conf, module):
+def test_the_modules_of_an_enabled_feature_are_found_among_the_imports(host, tmp_path, conf, module):
     (tmp_path / "own.conf").write_text(conf)
-    worker = host(environ={"PYTHONPROFILEIMPORTTIME": "1", "LAPISPICK_CONF": str(tmp_path / "own.conf")})
-    names = imported_modules(worker)
-    assert module in modules_that_are_off(names)
-    # The host's process needs only the types of trace records; the rest belongs to the writer's process.
+    host_process = host(environ={"PYTHONPROFILEIMPORTTIME": "1", "LAPISPICK_CONF": str(tmp_path / "own.conf")})
+    names = imported_modules(host_process)
+    assert module in modules_disabled_by_default(names)
+    # The host's process needs only the types of trace records; only the writer's process needs these modules.
     assert not {"numpy", "google.protobuf", "zstandard"} & names
 
 
-OFF_WITHOUT_INVENTORY = re.compile(
+DISABLED_WITHOUT_INVENTORY = re.compile(
     r"lapispick\.(fleet|cli|fakes|trace|conf\.legacy|host\.(amqp|inventory|dns_resolver|names|recorder))"
     r"|immutables|idna|yaml|click|structlog|rich|google|zstandard|google_crc32c|difflib|subprocess|tomllib"
 )
 
 
-def test_a_host_without_inventory_imports_nothing_of_it(host):
-    worker = host(environ={"PYTHONPROFILEIMPORTTIME": "1"})
-    gateway = worker.gateway()
+def test_a_host_without_an_inventory_imports_no_module_that_only_an_inventory_needs(host):
+    host_process = host(environ={"PYTHONPROFILEIMPORTTIME": "1"})
+    gateway = host_process.gateway()
     assert gateway.result(gateway.request("track", "x")) == "did x"
-    names = imported_modules(worker)
+    names = imported_modules(host_process)
     assert "lapispick.conf.settings" in names
     assert "lapispick.host.core" in names
-    assert not [name for name in names if OFF_WITHOUT_INVENTORY.match(name)]
+    assert not [name for name in names if DISABLED_WITHOUT_INVENTORY.match(name)]
 
 
-MAX_IMPORT_MEMORY_RATIO = 2.2  # to bare Python's; hosts get 32 MB and more, part of it for results and unread bytes
+# Relative to bare Python. Hosts have a memory limit of 32 MB or more, which results and unread bytes need in part.
+MAX_IMPORT_MEMORY_RATIO = 2.2
 PRINT_RESIDENT_PAGES = "print(int(open('/proc/self/statm').read().split()[1]))"
 
 
 def test_the_hosts_import_memory_is_limited_relative_to_bare_python(tmp_path):
-    """A ratio within one run, since the page size and the build of Python affect both processes.
+    """The memory of the host's imports is compared with bare Python, as the page size and the build affect both.
 
-    Neither process reads the environment's site files (-S): an editable install leaves one that makes bare Python a
-    quarter larger, and the ratio smaller by as much.
+    Neither process reads the site files of the environment (-S): an editable install adds one that makes bare Python
+    larger by a quarter, and the ratio smaller by as much.
     """
     path = os.pathsep.join([sysconfig.get_path("purelib"), sysconfig.get_path("platlib"), str(ROOT)])
     environ = {**os.environ, "PYTHONPYCACHEPREFIX": str(tmp_path), "PYTHONDONTWRITEBYTECODE": "", "PYTHONPATH": path}
@@ -119,8 +120,8 @@
         command = [sys.executable, "-S", "-c", f"{code}\n{PRINT_RESIDENT_PAGES}"]
         return int(subprocess.run(command, env=environ, capture_output=True, check=True).stdout)
 
-    resident_pages("import lapispick.host.__main__")  # the first one compiles and leaves the bytecode for the next
-    bare = statistics.median(resident_pages("") for _ in range(5))
-    host = statistics.median(resident_pages("import lapispick.host.__main__") for _ in range(5))
-    print(f"{host / bare:.2f} times bare Python")
-    assert host < MAX_IMPORT_MEMORY_RATIO * bare
+    resident_pages("import lapispick.host.__main__")  # compiles the bytecode for the processes that are measured
+    bare_pages = statistics.median(resident_pages("") for _ in range(5))
+    host_pages = statistics.median(resident_pages("import lapispick.host.__main__") for _ in range(5))
+    print(f"{host_pages / bare_pages:.2f} times bare Python")
+    assert host_pages < MAX_IMPORT_MEMORY_RATIO * bare_pages
--- a/tests/test_module_boundaries.py
+++ b/tests/test_module_boundaries.py
@@ -1,4 +1,4 @@
-"""Decision modules do no I/O, read no clock and import nothing beyond a named few; the README's example runs."""
+"""Decision modules do no I/O, read no clock and import only modules that are listed; the example of the README runs."""
 
 import ast
 import re
@@ -9,7 +9,7 @@
 ROOT = Path(__file__).parent.parent
 PACKAGE = ROOT / "lapispick"
 
-STANDARD_LIBRARY = {
+LIBRARY_MODULES = {
     "__future__",
     "bisect",
     "collections",
@@ -24,9 +24,9 @@
     "re",
     "typing",
 }
-PROJECT = {"lapispick.digests", "lapispick.file_errors", "lapispick.fleet.hosts"}
+PROJECT_MODULES = {"lapispick.digests", "lapispick.file_errors", "lapispick.fleet.hosts"}
 
-# Each group of decision modules, the paths that belong to it, and the decision modules outside it that it may import.
+# For each group of decision modules: its paths, and the decision modules of other groups that it may import.
 GROUPS = {
     "admission": (["admission"], []),
     "handover": (["handover"], ["lapispick.admission"]),
@@ -46,8 +46,8 @@
 
 def _files(paths):
     for path in paths:
-        full = PACKAGE / path
-        yield from sorted(full.rglob("*.py")) if full.is_dir() else [full]
+        full_path = PACKAGE / path
+        yield from sorted(full_path.rglob("*.py")) if full_path.is_dir() else [full_path]
 
 
 DECISION_MODULES = [(group, path) for group, (paths, _) in GROUPS.items() for path in _files(paths)]
@@ -63,14 +63,14 @@
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom):
-            assert node.level == 0, "imports name the whole module"
+            assert node.level == 0, "imports must be absolute"
             yield node.module
 
 
-def _allowed(name, group):
-    own_modules = {_module_name(path) for owner, path in DECISION_MODULES if owner == group}
+def _is_allowed(name, group):
+    own_modules = {_module_name(path) for module_group, path in DECISION_MODULES if module_group == group}
     packages = {module.rpartition(".")[0] for module in own_modules}
-    return name in STANDARD_LIBRARY | PROJECT | own_modules | packages | set(GROUPS[group][1])
+    return name in LIBRARY_MODULES | PROJECT_MODULES | own_modules | packages | set(GROUPS[group][1])
 
 
 def _parse(path):
@@ -78,8 +78,8 @@
 
 
 @pytest.mark.parametrize(("group", "path"), DECISION_MODULES, ids=lambda value: str(value).rpartition("lapispick/")[2])
-def test_decision_modules_import_only_what_is_named(group, path):
-    assert [name for name in _imports(_parse(path)) if not _allowed(name, group)] == []
+def test_decision_modules_import_only_listed_modules(group, path):
+    assert [name for name in _imports(_parse(path)) if not _is_allowed(name, group)] == []
 
 
 def _called_names(path):
@@ -95,13 +95,13 @@
 
 
 def test_the_decision_module_draws_only_from_a_seeded_generator():
-    used = {
+    used_attributes = {
         node.attr
         for path in _files(["admission"])
         for node in ast.walk(_parse(path))
         if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name) and node.value.id == "random"
     }
-    assert used <= {"Random"}
+    assert used_attributes <= {"Random"}
 
 
 def test_the_readme_example_runs(capsys):
