--- a/benchmarks/members_herd.py
+++ b/benchmarks/members_herd.py
@@ -141,7 +141,7 @@
 
 ACTIVITIES = (
     Activity(
-        "reconnects", OUTAGE_S, partial(_reconnect_times, _former_backoff), partial(_reconnect_times, jitter.pause)
+        "reconnects", OUTAGE_S, partial(_reconnect_times, _former_backoff), partial(_reconnect_times, jitter.backoff)
     ),
     Activity("look-ups", HOUR_S, partial(_lookup_times, _fixed_period), partial(_lookup_times, jitter.period)),
     Activity("probes", PROBES_SPAN_S, partial(_probe_times, False), partial(_probe_times, True)),
--- a/lapispick/cli/config.py
+++ b/lapispick/cli/config.py
@@ -58,7 +58,7 @@
     else:
         for fault in faults:
             print_error(fault)
-        print_line(f"{len(faults)} faults" if faults else f"{file or conf.located()} is in order")
+        print_line(f"{len(faults)} faults" if faults else f"{file or conf.settings_path()} is in order")
     sys.exit(ExitCode.INVALID if faults else 0)
 
 
@@ -71,5 +71,5 @@
     if json_:
         print_json(msgspec.to_builtins(settings, enc_hook=str))
     else:
-        for line in conf.lines(settings):
+        for line in conf.format_settings(settings):
             print_line(line)
--- a/lapispick/conf/legacy.py
+++ b/lapispick/conf/legacy.py
@@ -15,14 +15,14 @@
 KEY_TYPES = {"enabled": bool, "inventory": str, "group": str}
 
 
-def located(environ: Mapping[str, str]) -> Path | None:
+def legacy_path(environ: Mapping[str, str]) -> Path | None:
     """Return the path of the ``amqp.toml``, None if there is none."""
     if path := environ.get(LEGACY_PATH_VARIABLE):
         return Path(path)
     return Path(LEGACY_PATH) if Path(LEGACY_PATH).exists() else None
 
 
-def merged(settings: Settings, path: Path) -> Settings:
+def apply_legacy_file(settings: Settings, path: Path) -> Settings:
     """Return the settings with the values of the ``amqp.toml`` applied; raises ``InvalidFileError``."""
     faults = FaultCollector()
     location = SourceLocation(str(path))
--- a/lapispick/conf/settings.py
+++ b/lapispick/conf/settings.py
@@ -72,7 +72,7 @@
     return settings
 
 
-def located(environ: Mapping[str, str] = os.environ) -> Path:
+def settings_path(environ: Mapping[str, str] = os.environ) -> Path:
     """Return the path of the settings file."""
     return Path(environ.get(PATH_VARIABLE) or DEFAULT_PATH)
 
@@ -87,13 +87,13 @@
 
     Returns the defaults if the environment names no file and there is none at the default path.
     """
-    path = located(environ)
+    path = settings_path(environ)
     if not environ.get(PATH_VARIABLE) and not path.exists():
         return Settings()
     return parse(path)
 
 
-def lines(settings: Settings) -> list[str]:
+def format_settings(settings: Settings) -> list[str]:
     """Return the lines of a settings file with all settings; a directive without a value becomes a comment.
 
     Parsing these lines returns equal settings.
--- a/lapispick/file_errors.py
+++ b/lapispick/file_errors.py
@@ -58,7 +58,7 @@
 
     def __init__(self, max_faults: int = MAX_FAULTS) -> None:
         self.collected: list[FileFault] = []
-        self.left_out = 0  # faults beyond the bound
+        self.omitted_count = 0  # faults beyond the bound
         self._max_faults = max_faults
 
     def add(self, location: SourceLocation, key: str, message: str) -> None:
@@ -66,7 +66,7 @@
         if len(self.collected) < self._max_faults:
             self.collected.append(FileFault(location, key, message))
         else:
-            self.left_out += 1
+            self.omitted_count += 1
 
     def extend(self, faults: Iterable[FileFault]) -> None:
         """Add several faults."""
--- a/lapispick/fleet/reading.py
+++ b/lapispick/fleet/reading.py
@@ -147,7 +147,7 @@
             hosts = self._assembler.assemble(entries, options.max_hosts, faults)
         if not faults and not hosts:
             faults.add(SourceLocation("inventory"), options.group, "no host is in this group; the list is empty")
-        return Reading({} if faults else hosts, tuple(faults.collected), reason, faults.left_out)
+        return Reading({} if faults else hosts, tuple(faults.collected), reason, faults.omitted_count)
 
     def _drop_removed(self, files: list[File]) -> None:
         """Drop from the cache the files that are there no more."""
--- a/lapispick/host/__main__.py
+++ b/lapispick/host/__main__.py
@@ -25,10 +25,10 @@
         return settings
     from lapispick.conf import legacy
 
-    path = legacy.located(os.environ)
+    path = legacy.legacy_path(os.environ)
     assert path is not None
-    log(LOG, logging.WARNING, "amqp-toml-old", file=path, use=operator_settings.located())
-    return legacy.merged(settings, path)
+    log(LOG, logging.WARNING, "amqp-toml-old", file=path, use=operator_settings.settings_path())
+    return legacy.apply_legacy_file(settings, path)
 
 
 def main() -> int:
--- a/lapispick/host/amqp/channel.py
+++ b/lapispick/host/amqp/channel.py
@@ -169,7 +169,7 @@
         self._log(logging.WARNING, "consumer-cancelled")
         self._is_consuming = False
         if not self.is_cancelled:
-            self.owner.loop.call_later(jitter.pause(REOPEN_S, random.random()), self._consume_again)
+            self.owner.loop.call_later(jitter.backoff(REOPEN_S, random.random()), self._consume_again)
 
     def _consume_again(self) -> None:
         if self.owner.is_current(self) and not self._is_consuming:
--- a/lapispick/host/amqp/session.py
+++ b/lapispick/host/amqp/session.py
@@ -124,7 +124,7 @@
                 if self._connect_and_consume():
                     backoff_s = MIN_BACKOFF_S
                 if not self.is_draining:
-                    self.loop.sleep(jitter.pause(backoff_s, random.random()))
+                    self.loop.sleep(jitter.backoff(backoff_s, random.random()))
                     backoff_s = min(MAX_BACKOFF_S, backoff_s * 2)
         finally:
             self._has_ended = True
--- a/lapispick/host/inventory.py
+++ b/lapispick/host/inventory.py
@@ -162,7 +162,7 @@
             except (OSError, StreamClosedError, LineTooLongError, msgspec.MsgspecError, HelperProtocolError) as err:
                 log(LOG, logging.ERROR, "helper-ended", error=err, retry_s=pause_s)
             self.helper.end()
-            self._loop.sleep(jitter.pause(pause_s, random.random()))
+            self._loop.sleep(jitter.backoff(pause_s, random.random()))
             was_stable = time.monotonic() - began > STABLE_RUN_S
             pause_s = MIN_RESTART_PAUSE_S if was_stable else min(MAX_RESTART_PAUSE_S, pause_s * 2)
 
--- a/lapispick/jitter.py
+++ b/lapispick/jitter.py
@@ -15,6 +15,6 @@
     return interval_s * (1 + PERIOD_JITTER_FRACTION * (draw - 0.5))
 
 
-def pause(backoff_s: float, draw: float) -> float:
+def backoff(backoff_s: float, draw: float) -> float:
     """Return a backoff (s) with the mean ``backoff_s``, from a tenth of it to nearly twice."""
     return backoff_s * (MIN_BACKOFF_FRACTION + 2 * (1 - MIN_BACKOFF_FRACTION) * draw)
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -86,9 +86,10 @@
 
 def test_formatted_settings_are_parsed_as_the_same_settings(tmp_path):
     parsed = settings.parse(write_files(tmp_path, a='section inventory\npath "it\'s here.yml"\nlook 70ms\nend\n'))
-    formatted = write_files(tmp_path, a="\n".join(settings.lines(parsed)) + "\n")
+    formatted = write_files(tmp_path, a="\n".join(settings.format_settings(parsed)) + "\n")
     assert settings.parse(formatted) == parsed
-    assert settings.parse(settings.located({})) == settings.load({})  # the default file of the repository has no faults
+    # The default file of the repository has no faults.
+    assert settings.parse(settings.settings_path({})) == settings.load({})
     assert not settings.load({}).amqp.enabled
 
 
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -374,7 +374,7 @@
 def directives():
     """Return the directives by section with their defaults, as the program writes a settings file."""
     found, section = {}, ""
-    for line in operators_settings.lines(operators_settings.Settings()):
+    for line in operators_settings.format_settings(operators_settings.Settings()):
         words = line.split("# ")[0].split() if not line.lstrip().startswith("#") else [line.split()[1]]
         if words[0] == "section":
             section = words[1]
@@ -640,7 +640,7 @@
     path.write_bytes((SAMPLES / "host-config.json").read_bytes())
     made = host_config.load({"LB_CONFIG": str(path), "LB_OPS": "127.0.0.1:9999"})
     assert (made.name, made.ops) == ("n3", "127.0.0.1:9999")
-    assert operators_settings.located({"LAPISPICK_CONF": "a.conf"}) == Path("a.conf")
+    assert operators_settings.settings_path({"LAPISPICK_CONF": "a.conf"}) == Path("a.conf")
 
 
 def test_the_files_that_balancer_toml_names_are_there():
