--- a/lapispick/conf/sections.py
+++ b/lapispick/conf/sections.py
@@ -368,7 +368,7 @@
     max_down_fraction: Annotated[
         float,
         _directive(
-            value_types.fraction, "fraction of the fleet not serving, above which no host is started again", 0, 1
+            value_types.fraction, "fraction of the fleet not serving, above which rollbacks are suspended", 0, 1
         ),
     ] = msgspec.field(default=0.3, name="fire")
 
