--- a/lapispick/fleet/presence.py
+++ b/lapispick/fleet/presence.py
@@ -1,4 +1,7 @@
-"""Incarnations of hosts: one that returns in time is the same host in a new incarnation. No I/O, no clock."""
+"""Tracks which hosts the list contains, and their incarnations. No I/O, no clock.
+
+A host that returns to the list within a time window keeps its identity and gets a new incarnation.
+"""
 
 from __future__ import annotations
 
@@ -9,33 +12,33 @@
 
 
 class Presence(msgspec.Struct, frozen=True):
-    """One host in the list; incarnations count from 1. Times are those that were passed in, in seconds."""
+    """Presence of one host in the list; times are in seconds of the caller's clock."""
 
     name: str
-    incarnation: int
-    joined: float
-    left: float | None = None
+    incarnation: int  # counts from 1
+    joined_at: float
+    left_at: float | None = None
 
 
 class PresenceTracker:
-    """The hosts that are present, and for a while those that left."""
+    """Hosts that are in the list, and for a limited time those that left it."""
 
-    def __init__(self, return_window_s: float, max_left: int) -> None:
+    def __init__(self, return_window_s: float, max_departed: int) -> None:
         self.present: dict[str, Presence] = {}
-        self._left: OrderedDict[str, Presence] = OrderedDict()  # the oldest first
+        self._departed: OrderedDict[str, Presence] = OrderedDict()  # the oldest first
         self._return_window_s = return_window_s
-        self._max_left = max_left
+        self._max_departed = max_departed
 
     def apply(self, now: float, joined: Iterable[str], left: Iterable[str]) -> list[Presence]:
-        """Apply a change of the list; return those of the joined that have returned."""
+        """Apply a change of the list; return the hosts that joined and had left within the return window."""
         for name in left:
             if (removed := self.present.pop(name, None)) is not None:
-                self._left.pop(name, None)
-                self._left[name] = msgspec.structs.replace(removed, left=now)
+                self._departed.pop(name, None)
+                self._departed[name] = msgspec.structs.replace(removed, left_at=now)
         self._expire(now)
         returned: list[Presence] = []
         for name in joined:
-            earlier = self._left.pop(name, None)
+            earlier = self._departed.pop(name, None)
             presence = Presence(name, earlier.incarnation + 1 if earlier else 1, now)
             self.present[name] = presence
             if earlier is not None:
@@ -43,10 +46,13 @@
         return returned
 
     def _expire(self, now: float) -> None:
-        """Bound the memory: a fleet whose hosts are replaced over and over has no end of names."""
-        while self._left:
-            oldest = next(iter(self._left.values()))
-            in_window = oldest.left is not None and now - oldest.left <= self._return_window_s
-            if len(self._left) <= self._max_left and in_window:
+        """Remove departed hosts that are too old or too many.
+
+        Without a bound, memory would grow in a fleet that keeps replacing hosts under new names.
+        """
+        while self._departed:
+            oldest = next(iter(self._departed.values()))
+            in_window = oldest.left_at is not None and now - oldest.left_at <= self._return_window_s
+            if len(self._departed) <= self._max_departed and in_window:
                 return
-            self._left.popitem(last=False)
+            self._departed.popitem(last=False)
