--- a/lapispick/fleet/helper.py
+++ b/lapispick/fleet/helper.py
@@ -1,7 +1,7 @@
-"""The helper process: reads and parses the files, and writes the state folder, away from the host's event loop.
+"""The helper process: reads and parses the files, and writes the state folder, outside the host's event loop.
 
-The host starts it with a socket as its standard input. It answers one message after the other and ends with the
-socket. Input that crashes a parser ends this process and not the host.
+The host starts it with a socket as its standard input. It answers messages in order and exits when the socket is
+closed. Input that crashes a parser ends this process instead of the host.
 """
 
 from __future__ import annotations
@@ -37,14 +37,14 @@
 from lapispick.fleet.reading import Reader
 from lapispick.fleet.snapshot import EMPTY, Snapshot, difference
 
-MAX_SENT_LISTS = 8  # that may still be accepted
-MAX_CHUNK_NAMES = MAX_CHUNK_HOSTS * 16  # names are short
+MAX_SENT_LISTS = 8  # kept to be saved when the host accepts one of them
+MAX_CHUNK_NAMES = MAX_CHUNK_HOSTS * 16  # a name is much shorter than a host with its variables
 
 _encode = msgspec.json.Encoder().encode
 
 
 class Helper:
-    """Answers the messages of the host."""
+    """Answers the host's messages; keeps the lists that it sent."""
 
     def __init__(self, begin: Begin) -> None:
         self._begin = begin
@@ -52,47 +52,47 @@
         self._folder = Path(begin.state_folder) if begin.state_folder else None
         self._source = f"{begin.path} group {begin.options.group}"
         self.reset()
-        self._sent = EMPTY
-        self._lists: OrderedDict[str, Snapshot] = OrderedDict()  # by digest, the oldest first
+        self._last_sent = EMPTY
+        self._sent_lists: OrderedDict[str, Snapshot] = OrderedDict()  # by digest, the oldest first
         self._signature: tuple[object, ...] | None = None
-        self._last: Polled | None = None
+        self._last_polled: Polled | None = None
 
     def reset(self) -> None:
-        """Drop the reader's cache; the next poll reads all files."""
+        """Replace the reader and with it its cache; the next poll reads all files."""
         self._reader = Reader(self._begin.options, os.environ)
 
     def load_last_good(self) -> list[FromHelper]:
-        """Return the last good list."""
+        """Return the last good list as messages; they state the fault if it can't be used."""
         if self._folder is None:
             return [LastGoodLoaded()]
         try:
-            found = last_good.load(self._folder, self._source)
+            loaded = last_good.load(self._folder, self._source)
         except StateFolderError as err:
             return [LastGoodLoaded(fault=str(err))]
-        if found is None:
+        if loaded is None:
             return [LastGoodLoaded()]
-        head = found.head
-        self._sent = found.snapshot
-        chunks = _chunks(list(self._sent.hosts.values()), [])
+        head = loaded.head
+        self._last_sent = loaded.snapshot
+        chunks = _chunks(list(self._last_sent.hosts.values()), [])
         return [LastGoodLoaded(len(chunks), head.digest, head.at, head.reason), *chunks]
 
     def poll(self) -> list[FromHelper]:
-        """Read what changed and return it."""
-        began = time.perf_counter()
+        """Read the files if they changed, and return the changes of the list as messages."""
+        started_at = time.perf_counter()
         operator_digest = last_good.load_operator_digest(self._folder) if self._folder else ""
         chunks: list[Chunk] = []
         signature = files.signature(self._path)
-        if signature is not None and signature == self._signature and self._last is not None:
-            polled = msgspec.structs.replace(self._last, chunk_count=0)
+        if signature is not None and signature == self._signature and self._last_polled is not None:
+            polled = msgspec.structs.replace(self._last_polled, chunk_count=0)
         else:
             polled, chunks = self._read()
         polled.operator_digest = operator_digest
-        polled.duration_ms = (time.perf_counter() - began) * 1000
-        self._last = polled
+        polled.duration_ms = (time.perf_counter() - started_at) * 1000
+        self._last_polled = polled
         return [polled, *chunks]
 
     def save_accepted(self, message: SaveAccepted) -> list[FromHelper]:
-        """Write the list that was accepted and its line of the history."""
+        """Write an accepted list, and append its entry to the history."""
         if self._folder is None:
             return []
         try:
@@ -102,7 +102,7 @@
         return []
 
     def save_status(self, message: SaveStatus) -> list[FromHelper]:
-        """Write the status that the commands show."""
+        """Write the status that commands show to operators."""
         if self._folder is None:
             return []
         try:
@@ -112,34 +112,34 @@
         return []
 
     def _read(self) -> tuple[Polled, list[Chunk]]:
-        """Read the files; return what they hold and the changes since the last list."""
-        found = files.read(self._path, self._begin.max_bytes)
-        self._signature = found.signature
-        if found.faults:
-            return Polled(faults=found.faults), []
-        reading = self._reader.read(found.files)
+        """Read the files; return the result and the changes since the list that was sent last."""
+        file_set = files.read(self._path, self._begin.max_bytes)
+        self._signature = file_set.signature
+        if file_set.faults:
+            return Polled(faults=file_set.faults), []
+        reading = self._reader.read(file_set.files)
         polled = Polled(
             faults=reading.faults,
             omitted_faults=reading.omitted_faults,
-            incomplete_reason=found.incomplete_reason or reading.incomplete_reason,
+            incomplete_reason=file_set.incomplete_reason or reading.incomplete_reason,
         )
         if reading.faults:
             return polled, []
-        snapshot = _next_snapshot(self._sent, reading.hosts)
-        changes = difference(self._sent, snapshot)
+        snapshot = _next_snapshot(self._last_sent, reading.hosts)
+        changes = difference(self._last_sent, snapshot)
         updated = [snapshot.hosts[name] for name in (*changes.joined, *changes.moved, *changes.changed)]
         chunks = _chunks(updated, list(changes.left))
         polled.chunk_count = len(chunks)
         polled.digest = snapshot.digest
-        self._sent = snapshot
-        self._lists[snapshot.digest] = snapshot
-        while len(self._lists) > MAX_SENT_LISTS:
-            self._lists.popitem(last=False)
+        self._last_sent = snapshot
+        self._sent_lists[snapshot.digest] = snapshot
+        while len(self._sent_lists) > MAX_SENT_LISTS:
+            self._sent_lists.popitem(last=False)
         return polled, chunks
 
     def _save_accepted(self, folder: Path, message: SaveAccepted) -> None:
         host_count = 0
-        snapshot = self._lists.get(message.digest)
+        snapshot = self._sent_lists.get(message.digest)
         if snapshot is not None:
             host_count = len(snapshot.hosts)
             last_good.save(folder, self._source, snapshot, message.at, message.reason)
@@ -153,14 +153,14 @@
 
 
 def _next_snapshot(base: Snapshot, hosts: dict[str, InventoryHost]) -> Snapshot:
-    """Return a list as a change of the one before, so that both share what is equal."""
-    known = base.hosts
+    """Return the snapshot of ``hosts``, built from ``base`` so that both share the memory of equal hosts."""
+    base_hosts = base.hosts
     updated = [
         host
         for name, host in hosts.items()
-        if (old := known.get(name)) is not host and (old is None or old.digest != host.digest)
+        if (old := base_hosts.get(name)) is not host and (old is None or old.digest != host.digest)
     ]
-    removed = [name for name in known if name not in hosts] if updated or len(hosts) != len(known) else []
+    removed = [name for name in base_hosts if name not in hosts] if updated or len(hosts) != len(base_hosts) else []
     return base.with_changes(updated, removed)
 
 
@@ -174,14 +174,14 @@
     return chunks
 
 
-def answer(helper: Helper, message: ToHelper) -> list[FromHelper]:
-    """Return the answer to one message."""
+def handle_message(helper: Helper, message: ToHelper) -> list[FromHelper]:
+    """Carry out a message of the host and return the replies."""
     if isinstance(message, Poll):
         try:
             return helper.poll()
-        except Exception as err:  # noqa: BLE001 - a list that breaks a parser is a list with a fault and must not end the helper
+        except Exception as err:  # noqa: BLE001 - an exception of the reader is reported as a fault of the list and must not end the helper
             helper.reset()
-            return [Polled(faults=(FileFault(SourceLocation("inventory"), "", f"breaks the reader: {err!r:.200}"),))]
+            return [Polled(faults=(FileFault(SourceLocation("inventory"), "", f"the reader raised {err!r:.200}"),))]
     if isinstance(message, SaveAccepted):
         return helper.save_accepted(message)
     if isinstance(message, SaveStatus):
@@ -190,21 +190,21 @@
 
 
 def main() -> int:
-    """Serve the host until it closes the socket."""
-    gc.disable()  # the cached objects form no cycles, and a full collection over them takes longer than a poll
+    """Serve the host until it closes the socket; return the exit code."""
+    gc.disable()  # the cached objects form no reference cycles, and a full collection of them takes longer than a poll
     connection = socket.socket(fileno=os.dup(0))
     decode = msgspec.json.Decoder(ToHelper).decode
     helper: Helper | None = None
     with connection, connection.makefile("rb") as lines:
         for line in lines:
             message = decode(line)
-            messages: Iterable[FromHelper] = ()
+            replies: Iterable[FromHelper] = ()
             if isinstance(message, Begin):
                 helper = Helper(message)
-                messages = helper.load_last_good()
+                replies = helper.load_last_good()
             elif helper is not None:
-                messages = answer(helper, message)
-            connection.sendall(b"".join(_encode(each) + b"\n" for each in messages))
+                replies = handle_message(helper, message)
+            connection.sendall(b"".join(_encode(reply) + b"\n" for reply in replies))
             gc.collect(0)
     return 0
 
--- a/lapispick/fleet/last_good.py
+++ b/lapispick/fleet/last_good.py
@@ -1,8 +1,8 @@
-"""The state folder: the last accepted list, the history, the status, what an operator accepts. I/O only.
+"""The state folder: the last accepted list, the history, the status and the digest that an operator accepted. I/O only.
 
-``last-good.jsonl`` holds a head and then a host a line. It is written beside, synced and renamed, so that a crash
-leaves the old or the new one; the head has a checksum over all, for disks that lose writes. The list may hold
-passwords and is readable for its owner only.
+``last-good.jsonl`` contains a header line, then one host per line. It is written to a temporary file, synced and
+renamed, so that a crash leaves either the old or the new file. The header has a checksum over header and hosts, since
+some disks lose writes. The list may contain passwords, so only its owner can read the file.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 ACCEPT_FILE = "accept"
 MAX_FILE_BYTES = 256 << 20
 MAX_ACCEPT_CHARACTERS = 64
-MAX_HISTORY_NAMES = 50  # of each kind of change in a line of the history
+MAX_HISTORY_NAMES = 50  # host names per kind of change in a history entry
 
 
 class Head(msgspec.Struct):
-    """The first line of the last good list."""
+    """Header line of the last good list."""
 
     version: int
     at: float  # Unix seconds when it was accepted
-    source: str  # path and group that it came from
+    source: str  # path and group from which the list was read
     reason: str = msgspec.field(name="ground")
     host_count: int = msgspec.field(name="boxes")
     digest: str
@@ -42,13 +42,13 @@
 
 
 class HistoryEntry(msgspec.Struct):
-    """One line of the history; of many names the first are stored."""
+    """One line of the history; it lists the first names of each kind of change, and ``counts`` has the full number."""
 
     at: float  # Unix seconds
     digest: str
     reason: str = msgspec.field(name="ground")
     host_count: int = msgspec.field(name="boxes")
-    joined: list[str] = []  # msgspec copies it
+    joined: list[str] = []  # msgspec copies the default for each instance
     left: list[str] = []
     moved: list[str] = []
     changed: list[str] = []
@@ -56,14 +56,14 @@
 
 
 class LastGood(NamedTuple):
-    """The last accepted list."""
+    """The last accepted list with its header."""
 
     head: Head
     snapshot: Snapshot
 
 
 def write_file(path: Path, data: bytes, sync: bool) -> None:
-    """Replace a file atomically; raises ``OSError`` and leaves the old one then."""
+    """Replace a file atomically; raises ``OSError`` and then leaves the old file in place."""
     path.parent.mkdir(parents=True, exist_ok=True)
     temporary = path.with_name(f".{path.name}.{os.getpid()}")
     fd = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
@@ -77,7 +77,7 @@
     except OSError:
         temporary.unlink(missing_ok=True)
         raise
-    if sync:  # the rename itself is durable only once its folder is synced
+    if sync:  # the rename is durable only once the folder is synced
         folder = os.open(path.parent, os.O_RDONLY)
         try:
             os.fsync(folder)
@@ -94,11 +94,11 @@
 
 
 def load(folder: Path, source: str) -> LastGood | None:
-    """Return the last good list, None where there is none yet; raises ``StateFolderError``."""
+    """Return the last good list, None if none has been saved yet; raises ``StateFolderError``."""
     path = folder / LAST_GOOD_FILE
     try:
-        if path.stat().st_size > MAX_FILE_BYTES:
-            raise StateFolderError(path, f"over {MAX_FILE_BYTES} bytes")
+        if (size := path.stat().st_size) > MAX_FILE_BYTES:
+            raise StateFolderError(path, f"expected at most {MAX_FILE_BYTES} bytes, got {size}")
         first_line, _, body = path.read_bytes().partition(b"\n")
     except FileNotFoundError:
         return None
@@ -107,27 +107,31 @@
     try:
         head = msgspec.json.decode(first_line, type=Head)
         if head.version != VERSION:
-            raise StateFolderError(path, f"version {head.version}; this program reads version {VERSION}")
+            raise StateFolderError(path, f"expected format version {VERSION}, got {head.version}")
         if head.crc32 != _checksum(head, body):
-            raise StateFolderError(path, "its checksum is wrong")
+            raise StateFolderError(path, "the contents do not match the checksum in the header")
         hosts = [msgspec.json.decode(line, type=InventoryHost) for line in body.splitlines()]
     except msgspec.MsgspecError as err:
         raise StateFolderError(path, str(err)) from None
     snapshot = snapshot_of({host.name: host for host in hosts})
     if head.digest != snapshot.digest or head.host_count != len(snapshot.hosts):
-        raise StateFolderError(path, "its digest is wrong")
+        problem = (
+            f"expected {head.host_count} hosts with digest {head.digest}, "
+            f"got {len(snapshot.hosts)} with digest {snapshot.digest}"
+        )
+        raise StateFolderError(path, problem)
     if head.source != source:
-        raise StateFolderError(path, f"is the list of {head.source}")
+        raise StateFolderError(path, f"expected the list of {source!r}, got the list of {head.source!r}")
     return LastGood(head, snapshot)
 
 
 def _checksum(head: Head, body: bytes) -> int:
-    """Return the checksum over the head, its own field set to zero, and all that follows."""
+    """Return the checksum over the header, with its checksum field set to zero, and the lines after it."""
     return zlib.crc32(body, zlib.crc32(msgspec.json.encode(msgspec.structs.replace(head, crc32=0))))
 
 
 def load_history(folder: Path) -> list[HistoryEntry]:
-    """Return the history, the oldest first; what can't be read is omitted."""
+    """Return the history, the oldest entry first; lines that can't be decoded are skipped."""
     entries: list[HistoryEntry] = []
     try:
         lines = (folder / HISTORY_FILE).read_bytes().splitlines()
@@ -142,13 +146,13 @@
 
 
 def append_history(folder: Path, entry: HistoryEntry, max_entries: int) -> None:
-    """Add an entry to the history; raises ``OSError``."""
+    """Append an entry to the history and keep the last ``max_entries``; raises ``OSError``."""
     entries = [*load_history(folder), entry][-max_entries:]
     write_file(folder / HISTORY_FILE, b"".join(msgspec.json.encode(e) + b"\n" for e in entries), sync=False)
 
 
 def load_status(folder: Path) -> dict[str, Any] | None:
-    """Return the status that the host wrote last, or None."""
+    """Return the status that the host wrote last, None if it can't be read."""
     try:
         return msgspec.json.decode((folder / STATUS_FILE).read_bytes(), type=dict[str, Any])
     except (OSError, msgspec.MsgspecError):
@@ -156,7 +160,7 @@
 
 
 def load_operator_digest(folder: Path) -> str:
-    """Return the digest that an operator accepts, or nothing."""
+    """Return the digest that an operator accepted, an empty string if there is none."""
     try:
         with open(folder / ACCEPT_FILE, encoding="ascii") as file:
             digest = file.read(MAX_ACCEPT_CHARACTERS).strip()
@@ -166,10 +170,10 @@
 
 
 def save_operator_digest(folder: Path, digest: str) -> None:
-    """Let the host accept the list with this digest; raises ``OSError``."""
+    """Save the digest of the list that the host shall accept; raises ``OSError``."""
     write_file(folder / ACCEPT_FILE, digest.encode() + b"\n", sync=False)
 
 
 def clear_operator_digest(folder: Path) -> None:
-    """Remove what an operator accepted, once the list is in force."""
+    """Delete the digest that an operator accepted, once the list is in force."""
     (folder / ACCEPT_FILE).unlink(missing_ok=True)
--- a/lapispick/fleet/messages.py
+++ b/lapispick/fleet/messages.py
@@ -1,6 +1,6 @@
-"""The messages between the host and its helper process: JSON, one message a line, over a socket pair.
+"""Messages between the host and its helper process: JSON, one message per line, over a socket pair.
 
-Another version of the program may read them: tags and encoded field names stay as they are.
+Another version of the program may read them, so tags and encoded field names must not change.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from lapispick.fleet.host_assembly import InventoryHost
 from lapispick.fleet.reading import Options
 
-MAX_CHUNK_HOSTS = 32  # the host decodes so many in far less than a millisecond
+MAX_CHUNK_HOSTS = 32  # the host decodes this many in far less than a millisecond
 
 
 class Begin(msgspec.Struct, tag="begin"):
-    """To the helper, first: what to read."""
+    """First message to the helper: the files to read, and the options."""
 
     path: str
     max_bytes: int = msgspec.field(name="size_most")
@@ -25,11 +25,11 @@
 
 
 class Poll(msgspec.Struct, tag="look"):
-    """To the helper: read the files and send what changed since the last list."""
+    """Request to the helper to read the files and send the changes since the list that it sent last."""
 
 
 class SaveAccepted(msgspec.Struct, tag="keep"):
-    """To the helper: the list with this digest was accepted; write it and its line of the history."""
+    """Request to the helper to write the accepted list with this digest and its history entry."""
 
     digest: str
     at: float  # Unix seconds
@@ -39,13 +39,13 @@
 
 
 class SaveStatus(msgspec.Struct, tag="status"):
-    """To the helper: write what operators should be able to see."""
+    """Request to the helper to write the status that commands show to operators."""
 
     status: dict[str, str | int | float | list[str]] = msgspec.field(name="told")
 
 
 class LastGoodLoaded(msgspec.Struct, tag="kept"):
-    """From the helper, first: the last good list, sent as so many chunks; none where ``digest`` is empty."""
+    """First message from the helper: the last good list, in the chunks that follow; none if ``digest`` is empty."""
 
     chunk_count: int = msgspec.field(default=0, name="parts")
     digest: str = ""
@@ -55,7 +55,7 @@
 
 
 class Polled(msgspec.Struct, tag="listed"):
-    """From the helper: what a poll found. So many chunks with the changes since the last list follow."""
+    """Reply of the helper to ``Poll``; ``chunk_count`` chunks with the changes since the last sent list follow."""
 
     chunk_count: int = msgspec.field(default=0, name="parts")
     digest: str = ""
@@ -67,14 +67,14 @@
 
 
 class Chunk(msgspec.Struct, tag="part"):
-    """From the helper: hosts that were added or changed, and names that were removed."""
+    """Part of a list from the helper: hosts that were added or changed, and names that were removed."""
 
     updated: list[InventoryHost] = msgspec.field(default_factory=list, name="put")
     removed: list[str] = msgspec.field(default_factory=list, name="gone")
 
 
 class StateFolderFailed(msgspec.Struct, tag="trouble"):
-    """From the helper: the state folder can't be written."""
+    """Report of the helper that the state folder can't be written."""
 
     text: str
 
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -77,7 +77,7 @@
     [
         ("{lapispick_ops: nowhere}", "'nowhere' is neither PORT nor HOST:PORT"),
         ("{lapispick_ops: 8443}", "a:8443 stands twice, first for a"),
-        ("{lapispick_agent: 70000}", "has no port from 1 to 65535"),
+        ("{lapispick_agent: 70000}", "has port 70000; expected a port from 1 to 65535"),
         ("{lapispick_agent: 'b:8443'}", "b:8443 stands twice, first for a"),
     ],
 )
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -1,4 +1,4 @@
-"""Spellings of one host, and ranges of names."""
+"""Canonical forms of host names and addresses, and the expansion of ranges in names."""
 
 import re
 
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "same"),
+    ("text", "canonical"),
     [
         ("DISP-07.Pipera.example.org.", "disp-07.pipera.example.org"),
         ("disp-07", "disp-07.pipera.example.org"),
@@ -26,9 +26,9 @@
         ("a_b.example.", "a_b.example"),
     ],
 )
-def test_spellings_have_one_form(text, same):
-    assert identity.name(text, "pipera.example.org") == same
-    assert identity.name(same, "pipera.example.org") == same
+def test_spellings_of_a_host_have_one_canonical_form(text, canonical):
+    assert identity.name(text, "pipera.example.org") == canonical
+    assert identity.name(canonical, "pipera.example.org") == canonical
 
 
 @pytest.mark.parametrize(
@@ -38,11 +38,11 @@
         (".", "empty"),
         ("a..b", "Empty"),
         ("-a", "hyphen"),
-        ("1.2.3", "broken address"),
-        ("fe80::1%eth0", "zone"),
+        ("1.2.3", "neither an IP address nor a valid host name"),
+        ("fe80::1%eth0", "IPv6 zone"),
         ("a b", "U\\+0020"),
         ("x" * 64, "long"),
-        ("a." * 127 + "toolong", "253"),
+        ("a." * 127 + "toolong", "expected at most 253"),
     ],
 )
 def test_an_invalid_name_is_rejected_with_the_reason(text, reason):
@@ -51,12 +51,12 @@
 
 
 @given(st.text(min_size=1, max_size=30))
-def test_normalising_is_idempotent(text):
+def test_the_canonical_form_is_idempotent(text):
     try:
-        once = identity.name(text, "x.example")
+        canonical = identity.name(text, "x.example")
     except HostNameError:
         return
-    assert identity.name(once, "x.example") == once
+    assert identity.name(canonical, "x.example") == canonical
 
 
 @pytest.mark.parametrize(
@@ -69,12 +69,12 @@
         ("b.example", "b.example", None),
     ],
 )
-def test_a_port_behind_a_name_is_split_off(text, host, port):
+def test_an_endpoint_is_split_into_host_and_port(text, host, port):
     assert identity.endpoint(text) == (host, port)
 
 
 def test_a_port_out_of_range_is_rejected():
-    with pytest.raises(HostNameError, match="port from 1"):
+    with pytest.raises(HostNameError, match="has port 0; expected a port from 1 to 65535"):
         identity.endpoint("b:0")
 
 
@@ -133,9 +133,9 @@
         ("b1,shops,10.0.0.1,,q1,me", r"f\.csv:3:5: amqp_queue: 'q1' stands twice, first at f\.csv:2:5"),
     ],
 )
-def test_spellings_that_contradict_each_other_name_both_places(csv_row, fault):
-    found = faults(HEAD + "b1,shops,10.0.0.1,,q1,me\n" + csv_row + "\n", "f.csv")
-    assert any(re.search(fault, each) for each in found), found
+def test_contradicting_values_of_one_host_are_reported_with_both_locations(csv_row, fault):
+    reported = faults(HEAD + "b1,shops,10.0.0.1,,q1,me\n" + csv_row + "\n", "f.csv")
+    assert any(re.search(fault, text) for text in reported), reported
 
 
 def test_one_address_with_several_vhosts_is_several_hosts():
--- a/tests/test_inventory_files.py
+++ b/tests/test_inventory_files.py
@@ -1,4 +1,4 @@
-"""Files on the disk: what belongs to a list, what can't be read, and the state folder through crashes."""
+"""Reading inventory files from disk, the state folder after crashes and failed writes, and the helper process."""
 
 import os
 
@@ -6,7 +6,7 @@
 
 from lapispick.fleet import files, last_good, snapshot
 from lapispick.fleet.errors import StateFolderError
-from lapispick.fleet.helper import Helper, answer
+from lapispick.fleet.helper import Helper, handle_message
 from lapispick.fleet.messages import Begin, Poll, SaveAccepted
 from lapispick.fleet.reading import Options
 from tests.fleet_files import SCHEMA, csv_list, hosts
@@ -14,7 +14,7 @@
 MAX_BYTES = 1 << 20
 
 
-def test_a_folder_is_read_in_the_order_of_names_without_temporary_files(tmp_path):
+def test_a_folder_is_read_in_the_order_of_file_names_without_temporary_files(tmp_path):
     for name in (
         "20.yml",
         "10.csv",
@@ -28,8 +28,8 @@
     ):
         (tmp_path / name).parent.mkdir(parents=True, exist_ok=True)
         (tmp_path / name).write_text(f"# {name}\n")
-    found = files.read(tmp_path, MAX_BYTES)
-    assert [file.name for file in found.files] == [
+    file_set = files.read(tmp_path, MAX_BYTES)
+    assert [file.name for file in file_set.files] == [
         "10.csv",
         "20.yml",
         "group_vars/all.yml",
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(
-    ("make", "fault"),
+    ("create", "fault"),
     [
         (lambda path: None, "No such file"),
         (lambda path: os.mkfifo(path), "no regular file"),
@@ -49,34 +49,35 @@
         (lambda path: path.symlink_to("/dev/zero"), "no regular file"),
     ],
 )
-def test_an_unreadable_path_is_a_fault_and_does_not_block(tmp_path, make, fault):
+def test_an_unreadable_path_is_a_fault_and_does_not_block(tmp_path, create, fault):
     path = tmp_path / "list.csv"
-    make(path)
-    (found,) = files.read(path, MAX_BYTES).faults
-    assert fault in str(found)
-    assert str(found).startswith("list.csv: can't be read")
+    create(path)
+    (reported,) = files.read(path, MAX_BYTES).faults
+    assert fault in str(reported)
+    assert str(reported).startswith("list.csv: can't be read")
 
 
 def test_a_change_within_the_resolution_of_the_clock_is_detected(tmp_path):
     path = tmp_path / "list.csv"
     path.write_text("a")
-    assert files.signature(path) is None  # just written: only its contents can tell
+    # Another write just now may leave the same modification time, so only the contents can show it.
+    assert files.signature(path) is None
     os.utime(path, (1, 1))
     assert files.signature(path) is not None
     assert files.signature(path) == files.signature(path)
 
 
 def load_last_good(folder):
-    """Return the stored list of ``source`` with its head."""
+    """Return the last good list that was saved for ``source``, with its header."""
     return last_good.load(folder, "source")
 
 
-def test_a_cut_or_corrupt_last_good_list_is_rejected(tmp_path):
+def test_a_truncated_or_corrupt_last_good_list_is_rejected(tmp_path):
     old, new = (snapshot.snapshot_of(hosts(csv_list({"a": n, "b": 1}), "f.csv")) for n in (1, 2))
     assert load_last_good(tmp_path) is None
     last_good.save(tmp_path, "source", old, 5.0, "settled")
-    head, found = load_last_good(tmp_path)
-    assert found.digest == old.digest
+    head, loaded = load_last_good(tmp_path)
+    assert loaded.digest == old.digest
     assert head.at == 5.0
     assert head.host_count == 2
     path = tmp_path / last_good.LAST_GOOD_FILE
@@ -91,27 +92,27 @@
         with pytest.raises(StateFolderError):
             load_last_good(tmp_path)
     path.write_bytes(contents)
-    with pytest.raises(StateFolderError, match="is the list of source"):
+    with pytest.raises(StateFolderError, match="expected the list of 'another', got the list of 'source'"):
         last_good.load(tmp_path, "another")
 
 
 def test_a_failed_write_keeps_the_old_list(tmp_path, monkeypatch):
     old, new = (snapshot.snapshot_of(hosts(csv_list({"a": n}), "f.csv")) for n in (1, 2))
     last_good.save(tmp_path, "source", old, 5.0, "")
-    for step in ("fsync", "replace"):
+    for operation in ("fsync", "replace"):
 
         def fail(*_):
             raise OSError("no space")
 
         with monkeypatch.context() as patch:
-            patch.setattr(os, step, fail)
+            patch.setattr(os, operation, fail)
             with pytest.raises(OSError, match="no space"):
                 last_good.save(tmp_path, "source", new, 6.0, "")
         assert load_last_good(tmp_path)[1].digest == old.digest
         assert os.listdir(tmp_path) == [last_good.LAST_GOOD_FILE]
 
 
-def test_the_history_is_bounded_and_is_read_without_a_cut_line(tmp_path):
+def test_the_history_is_bounded_and_truncated_lines_are_skipped(tmp_path):
     for n in range(5):
         last_good.append_history(tmp_path, last_good.HistoryEntry(n, f"{n:032x}", "settled", n), 3)
     path = tmp_path / last_good.HISTORY_FILE
@@ -119,9 +120,9 @@
     assert [entry.at for entry in last_good.load_history(tmp_path)] == [2, 3]
 
 
-def make_helper(path, **over):
-    """Return the inventory helper for the list at a path."""
-    return Helper(Begin(str(path), MAX_BYTES, Options("shops", SCHEMA), **over))
+def make_helper(path, **begin_fields):
+    """Return the inventory helper for the list at ``path``."""
+    return Helper(Begin(str(path), MAX_BYTES, Options("shops", SCHEMA), **begin_fields))
 
 
 def test_the_helper_sends_only_what_changed(tmp_path):
@@ -149,13 +150,13 @@
     assert not chunks
 
 
-def test_an_exception_of_the_reader_is_a_fault_of_the_list(tmp_path, monkeypatch):
+def test_an_exception_of_the_reader_is_reported_as_a_fault_of_the_list(tmp_path, monkeypatch):
     (tmp_path / "list.csv").write_text(csv_list({"a": 1}))
     helper = make_helper(tmp_path / "list.csv")
     monkeypatch.setattr(helper._reader, "read", lambda _: 1 / 0)
-    (listed,) = answer(helper, Poll())
-    assert "breaks the reader: ZeroDivisionError" in str(listed.faults[0])
-    assert answer(helper, Poll())[0].digest
+    (polled,) = handle_message(helper, Poll())
+    assert "the reader raised ZeroDivisionError" in str(polled.faults[0])
+    assert handle_message(helper, Poll())[0].digest
 
 
 def test_a_state_folder_that_cannot_be_written_is_reported(tmp_path):
@@ -163,5 +164,5 @@
     (tmp_path / "state").write_text("a file")
     helper = make_helper(tmp_path / "list.csv", state_folder=str(tmp_path / "state"))
     digest = helper.poll()[0].digest
-    (failure,) = answer(helper, SaveAccepted(digest, 1.0, "", {}, {}))
+    (failure,) = handle_message(helper, SaveAccepted(digest, 1.0, "", {}, {}))
     assert "state" in failure.text
--- a/tests/test_inventory_reading.py
+++ b/tests/test_inventory_reading.py
@@ -93,7 +93,11 @@
     [
         ("i.csv", CSV_HEADER + "b,q,x\n", r"i\.csv:2:3: amqp_port: 'x' is not a whole number from 1 to 65535"),
         ("i.csv", CSV_HEADER + "b,q,1\nc,,2\n", r"i\.csv:3:1: amqp_queue: is not told"),
-        ("i.csv", "host,amqp_host,amqp_queue\nb,no host,q\n", r"i\.csv:2:2: amqp_host: 'no host' is no host name"),
+        (
+            "i.csv",
+            "host,amqp_host,amqp_queue\nb,no host,q\n",
+            r"i\.csv:2:2: amqp_host: 'no host' is not a valid host name",
+        ),
         ("i.csv", CSV_HEADER + ",q,1\n", r"i\.csv:2: host: is empty"),
         ("i.csv", CSV_HEADER + "b,q\n", r"i\.csv:2: amqp_port: 2 cells under 3 columns"),
         ("i.csv", "name,x\n", r"i\.csv:1: host: the header has no such column, only name, x"),
