--- a/lapispick/fleet/reconciler.py
+++ b/lapispick/fleet/reconciler.py
@@ -1,12 +1,13 @@
-"""Decides what to open, drain and close so that the running instances match the desired state.
-
-No I/O, no clock: times are passed in. A unit (a broker, say) has a key and a spec; an instance of it is opening, open
-or draining. Instances of one key may overlap: where the spec changes, the new instance is opened first, and the old
-one is drained once the new one is open, so that a wrong password interrupts nothing that works. The order of a step
-is: units without any instance are opened, then new instances beside old ones, then units that were removed are
-drained, each by key. At most a fraction of the units changes at once; a change that is stuck stops counting after
-``change_timeout_s``, or one unreachable broker would stop all other changes. An instance that drains for too long is
-closed.
+"""Decides which instances to open, drain and close so that the running instances match the desired state.
+
+No I/O, no clock: callers pass times. A unit (for example a broker) has a key and a spec; an instance of it is opening,
+open or draining. Instances of one key may overlap: when the spec changes, the new instance is opened first, and the old
+one is drained once the new one is open, so that a wrong password doesn't interrupt a working connection.
+
+The order of a step is: units without any instance are opened, then new instances are opened beside old ones, then
+removed units are drained, each group ordered by key. At most a fraction of the units changes at once. A change that is
+stuck no longer counts after ``change_timeout_s``, since otherwise one unreachable broker would block all other changes.
+An instance that drains for longer than ``drain_timeout_s`` is closed.
 """
 
 from __future__ import annotations
@@ -19,22 +20,22 @@
 
 import msgspec
 
-_MIN_PAUSE_S = 0.01
-_MAX_PAUSE_S = 60.0
+_MIN_STEP_DELAY_S = 0.01
+_MAX_STEP_DELAY_S = 60.0
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """How much may change at once."""
+    """Limits of concurrent changes."""
 
     max_changing_fraction: float = 0.25  # of the units
-    min_changing: int = 2  # units that may always change
-    change_timeout_s: float = 10.0  # a change that takes longer stops counting
+    min_changing: int = 2  # units that may always change at once, whatever the fraction allows
+    change_timeout_s: float = 10.0  # a change that takes longer no longer counts
     drain_timeout_s: float = 30.0
-    max_instances: int = 100  # of all units together, draining ones too
+    max_instances: int = 100  # of all units together, including draining ones
 
 
 class State(enum.Enum):
-    """The state of an instance."""
+    """State of an instance."""
 
     OPENING = "opening"
     OPEN = "open"
@@ -42,7 +43,7 @@
 
 
 class Open(NamedTuple):
-    """Open an instance."""
+    """Action: open a new instance with this number."""
 
     instance: int
     key: str
@@ -50,14 +51,14 @@
 
 
 class Drain(NamedTuple):
-    """Accept nothing more in this instance, and end it once all is done."""
+    """Action: accept nothing more in this instance, and end it once everything that it accepted is done."""
 
     instance: int
     key: str
 
 
 class Close(NamedTuple):
-    """End this instance now."""
+    """Action: end this instance immediately."""
 
     instance: int
     key: str
@@ -74,11 +75,11 @@
     spec: Any
     state: State
     since: float  # when it entered its state
-    served: bool = False  # it was open once; one that never was has nothing to drain
+    was_opened: bool = False  # an instance that was never open has nothing to drain
 
 
 class Reconciler:
-    """Compares the desired units with the instances that exist."""
+    """Compares the desired units with the existing instances, and returns the actions that are needed."""
 
     def __init__(self, bounds: Bounds) -> None:
         self.bounds = bounds
@@ -89,13 +90,13 @@
         self._last_number = 0
 
     def put(self, key: str, spec: Any) -> None:
-        """Desire a unit with this spec; specs are compared by ``==``."""
+        """Add a desired unit, or replace its spec; specs are compared by ``==``."""
         if key not in self.desired and not self._has_instance(key):
             self._pending.add(key)
         self.desired[key] = spec
 
     def drop(self, key: str) -> None:
-        """Desire a unit no more."""
+        """Remove a unit from the desired ones."""
         self.desired.pop(key, None)
         self._pending.discard(key)
 
@@ -107,42 +108,42 @@
             self.put(key, spec)
 
     def opened(self, now: float, number: int) -> None:
-        """Note that an instance is open; one that drains stays draining."""
+        """Record that an instance is open; a draining instance stays draining."""
         instance = self.instances.get(number)
         if instance is not None and instance.state is State.OPENING:
             instance.state = State.OPEN
             instance.since = now
-            instance.served = True
+            instance.was_opened = True
 
     def lost(self, now: float, number: int) -> None:
-        """Note that an open instance has to open again, as after a broken connection."""
+        """Record that an open instance has to open again, for example after its connection was lost."""
         instance = self.instances.get(number)
         if instance is not None and instance.state is State.OPEN:
             instance.state = State.OPENING
             instance.since = now
 
     def ended(self, number: int) -> None:
-        """Note that an instance has ended."""
+        """Record that an instance has ended."""
         instance = self.instances.pop(number, None)
         if instance is not None and instance.key in self.desired and not self._has_instance(instance.key):
             self._pending.add(instance.key)
 
     def changing(self, now: float) -> int:
-        """Return how many units are opening or draining and not stuck."""
+        """Return how many units are opening or draining without being stuck."""
         keys = {
             instance.key
             for instance in self.instances.values()
-            if (instance.state is State.OPENING or (instance.state is State.DRAINING and instance.served))
+            if (instance.state is State.OPENING or (instance.state is State.DRAINING and instance.was_opened))
             and now - instance.since < self.bounds.change_timeout_s
         }
         return len(keys)
 
     def step(self, now: float) -> list[Action]:
-        """Return what to do now; the instances count as begun or draining from here on."""
-        by_key: dict[str, list[Instance]] = {}
+        """Return the actions that are due; from now on the instances count as opening or draining."""
+        instances_by_key: dict[str, list[Instance]] = {}
         for instance in self.instances.values():
-            by_key.setdefault(instance.key, []).append(instance)
-        unit_count = max(len(self.desired), len(by_key))
+            instances_by_key.setdefault(instance.key, []).append(instance)
+        unit_count = max(len(self.desired), len(instances_by_key))
         allowed = max(self.bounds.min_changing, ceil(self.bounds.max_changing_fraction * unit_count))
         budget = allowed - self.changing(now)
         actions = self._close_overdue(now)
@@ -150,17 +151,17 @@
         actions += opened
         budget -= len(opened)
         self.left_out = len(self._pending) if self._is_full() else 0
-        for key in sorted(by_key.keys() & self.desired.keys()):
-            replacing = self._replace(now, key, by_key[key], budget)
-            budget -= bool(replacing)
-            actions += replacing
-            actions += [self._drain(now, instance) for instance in self._superseded(by_key[key], key)]
-        for key in sorted(by_key.keys() - self.desired.keys()):
-            live = _live(by_key[key])
-            served = any(instance.served for instance in live)
-            if live and (budget > 0 or not served):
-                actions += [self._drain(now, instance) for instance in live]
-                budget -= served
+        for key in sorted(instances_by_key.keys() & self.desired.keys()):
+            replacements = self._replace(now, key, instances_by_key[key], budget)
+            budget -= bool(replacements)
+            actions += replacements
+            actions += [self._drain(now, instance) for instance in self._superseded(instances_by_key[key], key)]
+        for key in sorted(instances_by_key.keys() - self.desired.keys()):
+            undrained = _undrained(instances_by_key[key])
+            was_opened = any(instance.was_opened for instance in undrained)
+            if undrained and (budget > 0 or not was_opened):
+                actions += [self._drain(now, instance) for instance in undrained]
+                budget -= was_opened
         return actions
 
     def _has_instance(self, key: str) -> bool:
@@ -180,27 +181,27 @@
         return [Close(instance.number, instance.key) for instance in overdue]
 
     def _open_pending(self, now: float, budget: int) -> list[Action]:
-        """Open units without any instance; of thousands only as many are sorted as can begin."""
+        """Open units without any instance; only as many keys as can be opened are sorted, since thousands may wait."""
         count = min(budget, self.bounds.max_instances - len(self.instances))
         return [self._open(now, key) for key in nsmallest(max(0, count), self._pending)]
 
     def _replace(self, now: float, key: str, instances: list[Instance], budget: int) -> list[Action]:
-        """Open an instance of the desired spec beside old ones, or drain these where there is room for one only."""
+        """Open an instance with the desired spec beside the old ones; drain these first at the limit of instances."""
         if budget <= 0 or self._has_desired_spec(instances, key):
             return []
         if not self._is_full():
             return [self._open(now, key)]
-        return [self._drain(now, instance) for instance in _live(instances)]
+        return [self._drain(now, instance) for instance in _undrained(instances)]
 
     def _has_desired_spec(self, instances: list[Instance], key: str) -> bool:
-        return any(instance.spec == self.desired[key] for instance in _live(instances))
+        return any(instance.spec == self.desired[key] for instance in _undrained(instances))
 
     def _superseded(self, instances: list[Instance], key: str) -> list[Instance]:
-        """Return the instances that the one of the desired spec replaces."""
-        outdated = [instance for instance in _live(instances) if instance.spec != self.desired[key]]
+        """Return the instances of other specs that are no longer needed."""
+        outdated = [instance for instance in _undrained(instances) if instance.spec != self.desired[key]]
         if any(instance.state is State.OPEN and instance.spec == self.desired[key] for instance in instances):
             return outdated
-        # One that never opened can go without a replacement.
+        # An instance that is still opening does no work, so it can be drained before its replacement is open.
         return [instance for instance in outdated if instance.state is State.OPENING]
 
     def _open(self, now: float, key: str) -> Action:
@@ -215,12 +216,12 @@
         return Drain(instance.number, instance.key)
 
 
-def _live(instances: list[Instance]) -> list[Instance]:
+def _undrained(instances: list[Instance]) -> list[Instance]:
     return [instance for instance in instances if instance.state is not State.DRAINING]
 
 
 def next_due(reconciler: Reconciler, now: float) -> float:
-    """Return after how many seconds a step is worthwhile though nothing happens."""
+    """Return after how many seconds a step is due if no event happens before."""
     bounds = reconciler.bounds
     delays: list[float] = []
     for instance in reconciler.instances.values():
@@ -229,4 +230,4 @@
             delays.append(bounds.drain_timeout_s - elapsed_s)
         if instance.state is not State.OPEN:
             delays.append(bounds.change_timeout_s - elapsed_s)
-    return max(_MIN_PAUSE_S, min((delay for delay in delays if delay > 0), default=_MAX_PAUSE_S))
+    return max(_MIN_STEP_DELAY_S, min((delay for delay in delays if delay > 0), default=_MAX_STEP_DELAY_S))
--- a/tests/test_inventory_watch.py
+++ b/tests/test_inventory_watch.py
@@ -1,4 +1,4 @@
-"""A running host follows its inventory in place: whatever happens to its files, no message is lost or run twice."""
+"""A running host follows changes of its inventory; no message is lost or run twice, whatever happens to the files."""
 
 import collections
 import json
@@ -26,7 +26,7 @@
     settle 80ms
     settle-most 250ms
     names-every 100ms
-    {more}
+    {directives}
 end
 section amqp
     enabled yes
@@ -48,7 +48,7 @@
         self.write()
 
     def text(self, order=None):
-        """Return the inventory as CSV, its hosts in this order."""
+        """Return the inventory as CSV, with the hosts in this order."""
         return HEAD + "".join(self._line(name) for name in (order or self.rows))
 
     def _line(self, name):
@@ -57,10 +57,10 @@
         return f"{name},{row['host']},{port},{row['queue']},{row['prefetch']},shop,{row['password']}\n"
 
     def write(self, text=None, order=None):
-        """Replace the file atomically, as tools should."""
-        spare = self.file.with_suffix(".tmp")
-        spare.write_text(self.text(order) if text is None else text)
-        spare.replace(self.file)
+        """Replace the file atomically, as well-behaved tools do."""
+        temporary = self.file.with_suffix(".tmp")
+        temporary.write_text(self.text(order) if text is None else text)
+        temporary.replace(self.file)
 
     def remove(self, name):
         """Remove a broker from the inventory and return its row."""
@@ -68,16 +68,16 @@
         self.write()
         return row
 
-    def start(self, host, more="", **overrides):
-        """Start the host, with more directives of the inventory's section."""
+    def start(self, host, directives="", **overrides):
+        """Start the host with additional directives in the inventory's section."""
         conf = self.folder / "own.conf"
-        conf.write_text(CONF.format(path=self.file.name, more=more))
+        conf.write_text(CONF.format(path=self.file.name, directives=directives))
         self.environ = {"LAPISPICK_CONF": str(conf)}
         self.host = host(environ=self.environ, **overrides)
         return self.host
 
     def wait_until_consumed(self, *names):
-        """Wait until these brokers and no others are consumed."""
+        """Wait until the host consumes from these brokers and no others."""
 
         def consumed():
             return {name for name, broker in self.brokers.items() if broker.consumer_tags()}
@@ -85,7 +85,7 @@
         wait_until(lambda: consumed() == set(names), f"consumers at {names}")
 
     def put_request(self, name, body, class_name="book", **overrides):
-        """Put a request into the queue of a broker; its body is its correlation id too."""
+        """Put a request into the queue of a broker; the body is also the correlation id."""
         properties = {
             "type": class_name,
             "message_id": f"m-{body}",
@@ -97,15 +97,15 @@
         return self.brokers[name].put("jobs", body, **properties)
 
     def wait_for_answer(self, name, correlation_id):
-        """Wait for the one reply to a request."""
+        """Wait for the reply to a request and return it."""
         return wait_until(lambda: self.brokers[name].reply(correlation_id), f"the reply to {correlation_id}")
 
     def wait_for_event(self, event, count=1):
-        """Wait until the host has logged an event so many times."""
-        wait_until(lambda: self.host.log().count(f"event={event}") >= count, f"{count} log lines {event}")
+        """Wait until the host has logged an event at least ``count`` times."""
+        wait_until(lambda: self.host.log().count(f"event={event}") >= count, f"{count} log lines of the event {event}")
 
     def run_command(self, *arguments):
-        """Run the command line as an operator would."""
+        """Run a command of the command line, and return the process."""
         return subprocess.run(
             [sys.executable, "-m", "lapispick", *arguments],
             capture_output=True,
@@ -115,7 +115,7 @@
         )
 
     def output_of(self, *arguments, code=0):
-        """Return what a command prints that must end with this code."""
+        """Return the output of a command, which must end with this exit code."""
         process = self.run_command(*arguments)
         assert process.returncode == code, (process.stdout, process.stderr)
         return process.stdout
@@ -123,6 +123,7 @@
 
 @pytest.fixture
 def start_fleet(tmp_path):
+    """Return a function that starts a fleet of brokers; they are closed after the test."""
     started = []
 
     def start(**options):
@@ -136,7 +137,7 @@
 
 
 class MessageFlow:
-    """Messages that keep coming at all brokers, and the check of them at the end."""
+    """Continuous messages to all brokers, and the check that each was answered and run once."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -155,12 +156,12 @@
             time.sleep(0.01)
 
     def stop_and_check(self):
-        """Every message has one final answer and was executed once."""
+        """Stop, and check that each message has one final answer and was executed once."""
         wait_until(lambda: len(self.messages) > 50, "enough messages")
         self.is_running = False
         self.thread.join()
         self.fleet.wait_until_consumed(*self.fleet.brokers)
-        wait_until(lambda: all(message.fate for message in self.messages.values()), "an end of every message")
+        wait_until(lambda: all(message.fate for message in self.messages.values()), "the settlement of every message")
         replies = [reply for broker in self.fleet.brokers.values() for reply in broker.replies]
         reply_counts = collections.Counter(reply.properties.correlation_id for reply in replies)
         assert reply_counts == dict.fromkeys(self.messages, 1)
@@ -173,18 +174,18 @@
 def helpers_of(pid):
     """Return the ids of a process's running inventory helpers."""
     children = Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
-    commands = {int(child): Path(f"/proc/{child}/cmdline") for child in children}
-    return [child for child, command in commands.items() if command.exists() and b"helper" in command.read_bytes()]
+    paths = {int(child): Path(f"/proc/{child}/cmdline") for child in children}
+    return [child for child, path in paths.items() if path.exists() and b"helper" in path.read_bytes()]
 
 
-def test_no_message_is_lost_while_the_file_is_cut_doubled_reordered_or_replaced(start_fleet, host):
+def test_no_message_is_lost_while_the_file_is_truncated_duplicated_reordered_or_replaced(start_fleet, host):
     fleet = start_fleet()
     fleet.start(host)
     fleet.wait_until_consumed("broker-a", "broker-b")
     flow = MessageFlow(fleet)
     text = fleet.text()
     for size in range(len(text)):
-        fleet.file.write_text(text[:size])  # in place, as bad tools do
+        fleet.file.write_text(text[:size])  # in place and not atomically, as some tools do
         time.sleep(0.01)
     fleet.file.write_text(text)
     fleet.wait_until_consumed("broker-a", "broker-b")
@@ -205,13 +206,13 @@
     flow.stop_and_check()
 
 
-def test_a_rolling_replacement_in_a_file_that_is_written_in_two_parts_loses_no_message(start_fleet, host):
+def test_no_message_is_lost_in_a_rolling_replacement_while_the_file_is_written_in_two_parts(start_fleet, host):
     fleet = start_fleet(count=6)
     fleet.start(host)
     fleet.wait_until_consumed(*fleet.brokers)
     flow = MessageFlow(fleet)
     rows = dict(fleet.rows)
-    for name in list(rows)[:5]:  # 17% of the fleet at a time, 5 of 6 in all
+    for name in list(rows)[:5]:  # 17% of the fleet at a time, 5 of 6 brokers in total
         remaining = {key: row for key, row in rows.items() if key != name}
         fleet.rows = remaining
         text = fleet.text()
@@ -228,7 +229,7 @@
     flow.stop_and_check()
 
 
-def test_a_removed_broker_is_closed_once_all_that_it_delivered_is_settled(start_fleet, host):
+def test_the_connection_to_a_removed_broker_is_closed_once_its_deliveries_are_settled(start_fleet, host):
     fleet = start_fleet()
     fleet.start(host)
     fleet.wait_until_consumed(*fleet.brokers)
@@ -241,7 +242,10 @@
     assert not message.fate
     assert not broker.close_count
     fleet.host.executor.end_run(fleet.host.executor.runs[0].task, result="done")
-    wait_until(lambda: message.fate == "ack" and broker.close_count == 1, "the acknowledgement, then the close")
+    wait_until(
+        lambda: message.fate == "ack" and broker.close_count == 1,
+        "the acknowledgement, then the close of the connection",
+    )
     assert broker.reply("hold").outcome == "served"
     assert broker.reply("hold").body == "done"
     assert not broker.reply("later")
@@ -250,7 +254,7 @@
     fleet.wait_for_answer("broker-b", "later")
 
 
-def test_a_keyed_message_is_recognised_at_another_broker_and_after_its_own_returned(start_fleet, host):
+def test_a_keyed_message_is_recognised_at_another_broker_and_after_its_broker_returned(start_fleet, host):
     fleet = start_fleet()
     fleet.start(host)
     fleet.wait_until_consumed(*fleet.brokers)
@@ -287,7 +291,7 @@
     fleet.write()
     wait_until(
         lambda: changed.methods.count("basic.cancel") == 1 and len(changed.consumer_tags()) == 1,
-        "the consumer's change",
+        "the replacement of the consumer",
     )
     assert changed.methods.count("channel.open") == 2
     assert changed.methods.count("connection.open") == 1
@@ -308,16 +312,19 @@
     assert len(unchanged.methods) == methods_before
 
 
-def test_a_name_without_address_affects_only_its_broker_and_a_moved_one_is_followed(start_fleet, host):
+def test_a_name_without_address_affects_only_its_broker_and_a_moved_name_is_followed(start_fleet, host):
     fleet = start_fleet(count=3)
     names = fleet.folder / "names"
-    names.write_text("# none so far\n")
+    names.write_text("# no names yet\n")
     fleet.rows["broker-b"]["host"] = "shop-b.invalid"
-    fleet.rows.pop("broker-c")  # it becomes the target of the name's move, at the same port of another address
+    fleet.rows.pop("broker-c")  # later the name moves to this broker, at the same port of another address
     fleet.write()
     fleet.start(host, "names-file names")
     fleet.wait_until_consumed("broker-a")
-    wait_until(lambda: re.search(r"event=connect-failed .*shop-b\.invalid", fleet.host.log()), "the log line")
+    wait_until(
+        lambda: re.search(r"event=connect-failed .*shop-b\.invalid", fleet.host.log()),
+        "the log line of the failed connection",
+    )
     names.write_text("127.0.0.1 shop-b.invalid other\n")
     fleet.wait_until_consumed("broker-a", "broker-b")
     moved = fleet.brokers["broker-c"]
@@ -328,7 +335,7 @@
     names.write_text("127.0.0.2 shop-b.invalid\n")
     fleet.wait_until_consumed("broker-a", "broker-c")
     fleet.wait_for_event("name-moved")
-    wait_until(lambda: fleet.brokers["broker-b"].close_count == 1, "the close at the old address")
+    wait_until(lambda: fleet.brokers["broker-b"].close_count == 1, "the close of the connection to the old address")
     fleet.put_request("broker-c", "x")
     fleet.wait_for_answer("broker-c", "x")
 
@@ -356,7 +363,7 @@
     assert not (fleet.folder / "state/accept").exists()
 
 
-@pytest.mark.parametrize("damage", ["none", "torn", "flipped"])
+@pytest.mark.parametrize("damage", ["none", "truncated", "corrupted"])
 def test_a_host_that_starts_with_a_broken_file_uses_the_last_good_inventory(start_fleet, host, damage):
     fleet = start_fleet()
     fleet.start(host, "state-folder state")
@@ -367,9 +374,9 @@
     fleet.host.close()
     fleet.write("host,amqp_queue\nbroker-a,\n")
     data = last_good.read_bytes()
-    if damage == "torn":
+    if damage == "truncated":
         last_good.write_bytes(data[:-9])
-    elif damage == "flipped":
+    elif damage == "corrupted":
         last_good.write_bytes(data.replace(b'"jobs"', b'"jobz"', 1))
     fleet.host = host(environ=fleet.environ)
     fleet.wait_for_event("inventory-rejected")
@@ -383,7 +390,7 @@
     fleet.wait_for_answer("broker-a", "x")
 
 
-def test_a_helper_that_dies_is_replaced_and_connections_stay_open(start_fleet, host):
+def test_a_killed_helper_is_replaced_and_connections_stay_open(start_fleet, host):
     fleet = start_fleet()
     fleet.start(host)
     fleet.wait_until_consumed(*fleet.brokers)
@@ -411,7 +418,7 @@
     message = fleet.put_request("broker-b", "hold")
     wait_until(lambda: fleet.host.executor.runs, "the run")
     fleet.host.terminate()
-    wait_until(lambda: not fleet.brokers["broker-a"].consumer_tags(), "the end of consuming")
+    wait_until(lambda: not fleet.brokers["broker-a"].consumer_tags(), "the cancellation of the consumer")
     fleet.remove("broker-b")
     fleet.host.executor.end_run(fleet.host.executor.runs[0].task, result="done")
     wait_until(lambda: message.fate == "ack", "the acknowledgement")
--- a/tests/test_reconciler.py
+++ b/tests/test_reconciler.py
@@ -1,4 +1,4 @@
-"""What is opened, drained and closed, in which order, and how much at once."""
+"""Which instances are opened, drained and closed, in which order, and how many at once."""
 
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
@@ -11,7 +11,7 @@
 
 
 def make_reconciler(bounds=LOOSE_BOUNDS, **specs):
-    """Return a reconciler whose instances of these units are open."""
+    """Return a reconciler with an open instance of each of these units."""
     reconciler = Reconciler(bounds)
     reconciler.set_desired(specs)
     for action in reconciler.step(0.0):
@@ -61,7 +61,7 @@
     reconciler.opened(2.0, 1)
     assert [action.key for action in reconciler.step(2.0)] == ["c"]
     assert 0 < next_due(reconciler, 2.0) <= 8.0
-    assert [action.key for action in reconciler.step(10.0)] == ["d"]  # b is stuck and counts no more
+    assert [action.key for action in reconciler.step(10.0)] == ["d"]  # b is stuck and no longer counts
     assert [action.key for action in reconciler.step(12.1)] == ["e"]
 
 
@@ -70,7 +70,7 @@
     reconciler.set_desired({})
     assert reconciler.step(1.0) == [Drain(1, "a")]
     reconciler.set_desired({"a": 1})
-    assert reconciler.step(2.0) == [Open(2, "a", 1)]  # beside the one that still drains
+    assert reconciler.step(2.0) == [Open(2, "a", 1)]  # while the old instance still drains
     assert reconciler.step(31.0) == [Close(1, "a")]
 
 
@@ -84,7 +84,7 @@
     assert reconciler.step(2.0) == [Open(3, "a", 2)]
 
 
-moves = st.lists(
+event_lists = st.lists(
     st.one_of(
         st.dictionaries(st.sampled_from("abcdefgh"), st.integers(1, 2)),
         st.tuples(st.just("open"), st.integers(0, 9)),
@@ -113,41 +113,41 @@
         )
 
     def checked_step(self, now):
-        """Step, and check how many units start to change at once; a unit's instances may be drained together."""
+        """Step, and check how many units start to change at once; all instances of one unit may be drained together."""
         max_started = max(0, self.max_changing - self.changing(now))
         started = set()
-        served = {number for number, instance in self.instances.items() if instance.served}
+        opened_numbers = {number for number, instance in self.instances.items() if instance.was_opened}
         for action in self.step(now):
             if isinstance(action, Close):
                 assert action.instance not in self.instances
-            else:  # the old instance of a unit whose new one is open goes with it
-                if isinstance(action, Open) or (action.instance in served and action.key not in self.desired):
+            else:  # draining an old instance beside an open new one does not count as another change
+                if isinstance(action, Open) or (action.instance in opened_numbers and action.key not in self.desired):
                     started.add(action.key)
         assert len(started) <= max_started
         assert len(self.instances) <= self.max_instances
 
 
-@given(moves, st.integers(1, 3), st.integers(2, 6))
+@given(event_lists, st.integers(1, 3), st.integers(2, 6))
 @example([{"a": 2}, ("open", 0), {"a": 1}, {}], 1, 2)  # two open instances of one unit are drained in one step
 @settings(max_examples=400, deadline=None)
-def test_bounds_are_kept_and_the_desired_units_are_reached_whatever_happens(steps, max_changing, max_instances):
+def test_any_sequence_of_events_keeps_the_bounds_and_reaches_the_desired_units(events, max_changing, max_instances):
     reconciler = CheckedReconciler(max_changing, max_instances)
     now = 0.0
-    for move in steps:
-        if isinstance(move, dict):
-            reconciler.set_desired(move)
-        elif move[0] == "wait":
-            now += move[1]
-        elif instances := sorted(reconciler.instances):
-            instance = instances[move[1] % len(instances)]
-            if move[0] == "open":
-                reconciler.opened(now, instance)
-            elif move[0] == "lose":
-                reconciler.lost(now, instance)
-            elif reconciler.instances[instance].state is State.DRAINING:
-                reconciler.ended(instance)
+    for event in events:
+        if isinstance(event, dict):
+            reconciler.set_desired(event)
+        elif event[0] == "wait":
+            now += event[1]
+        elif numbers := sorted(reconciler.instances):
+            number = numbers[event[1] % len(numbers)]
+            if event[0] == "open":
+                reconciler.opened(now, number)
+            elif event[0] == "lose":
+                reconciler.lost(now, number)
+            elif reconciler.instances[number].state is State.DRAINING:
+                reconciler.ended(number)
         reconciler.checked_step(now)
-    for _ in range(60):  # from here on all opens and drains succeed
+    for _ in range(60):  # from now on, every opening and draining succeeds
         for instance in list(reconciler.instances.values()):
             if instance.state is State.OPENING:
                 reconciler.opened(now, instance.number)
@@ -155,7 +155,7 @@
                 reconciler.ended(instance.number)
         now += 1
         reconciler.checked_step(now)
-    alive = {instance.key: instance.spec for instance in reconciler.instances.values()}
-    assert alive.items() <= reconciler.desired.items()
-    assert len(alive) == min(max_instances, len(reconciler.desired))
-    assert reconciler.left_out == len(reconciler.desired) - len(alive)
+    specs_by_key = {instance.key: instance.spec for instance in reconciler.instances.values()}
+    assert specs_by_key.items() <= reconciler.desired.items()
+    assert len(specs_by_key) == min(max_instances, len(reconciler.desired))
+    assert reconciler.left_out == len(reconciler.desired) - len(specs_by_key)
