--- a/lapispick/cli/inventory.py
+++ b/lapispick/cli/inventory.py
@@ -146,7 +146,7 @@
     remarks = [reading.incomplete_reason] if reading.incomplete_reason else []
     accepted = _accepted(settings)
     if not reading.faults and accepted is not None:
-        objection = Acceptance(acceptance_policy(settings), accepted).objection(0.0, made)
+        objection = Acceptance(acceptance_policy(settings), accepted).hold_reason(0.0, made)
         remarks += [f"a host holds it back: {objection}"] if objection else []
     remarks += [
         f"one host under several spellings: {', '.join(host.spellings)}"
@@ -242,7 +242,7 @@
     one = _named(old, where)
     two = _named(new, where) if new is not None else _snapshot(where)
     found = snapshot.difference(one, two)
-    objection = Acceptance(acceptance_policy(where.settings), one).objection(0.0, two)
+    objection = Acceptance(acceptance_policy(where.settings), one).hold_reason(0.0, two)
     if json_:
         print_json({"old": one.digest, "new": two.digest, **found._asdict(), "held": objection})
     else:
--- a/lapispick/fleet/acceptance.py
+++ b/lapispick/fleet/acceptance.py
@@ -105,7 +105,7 @@
         is_new = (self.phase, self.reason, self._candidate_identity) != previous
         return Verdict(self.phase, self.reason, is_new, accepted, changes)
 
-    def objection(self, now: float, snapshot: Snapshot) -> str:
+    def hold_reason(self, now: float, snapshot: Snapshot) -> str:
         """Return which limit a list exceeds, so that it has to be held; empty if it exceeds none."""
         if self.accepted is None:
             return ""
@@ -174,7 +174,7 @@
     def _evaluate_complete(self, now: float, snapshot: Snapshot, settled: bool) -> Snapshot | None:
         """Accept or hold a complete list whose settling is over."""
         policy = self.policy
-        hold_reason = self.objection(now, snapshot)
+        hold_reason = self.hold_reason(now, snapshot)
         if not hold_reason:
             self._set_phase(Phase.ACCEPTED, "settled" if settled else f"changing for {policy.max_settle_s:g} s")
             return snapshot
--- a/lapispick/fleet/entry_parser.py
+++ b/lapispick/fleet/entry_parser.py
@@ -64,7 +64,7 @@
         """Return what an entry says; what is wrong stands in its ``faults``."""
         parsed = ParsedEntry(entry)
         try:
-            parsed.name, parsed.port = identity.endpoint(entry.name, self._domain)
+            parsed.name, parsed.port = identity.parse_endpoint(entry.name, self._domain)
         except HostNameError as err:
             parsed.faults.add(entry.location, "host", str(err))
             return parsed
@@ -84,7 +84,7 @@
             if var is None or var.value == "":
                 continue
             try:
-                parsed.address, port = identity.endpoint(str(var.value), self._domain)
+                parsed.address, port = identity.parse_endpoint(str(var.value), self._domain)
             except HostNameError as err:
                 return parsed.faults.add(var.location, key, str(err))
             if port is not None:
--- a/lapispick/fleet/groups.py
+++ b/lapispick/fleet/groups.py
@@ -251,6 +251,6 @@
 
 def _canonical(name: str, domain: str) -> str:
     try:
-        return identity.endpoint(name, domain)[0]
+        return identity.parse_endpoint(name, domain)[0]
     except HostNameError:
         return name
--- a/lapispick/fleet/helper.py
+++ b/lapispick/fleet/helper.py
@@ -71,10 +71,10 @@
             return [LastGoodLoaded(fault=str(err))]
         if loaded is None:
             return [LastGoodLoaded()]
-        head = loaded.head
+        header = loaded.header
         self._last_sent = loaded.snapshot
         chunks = _chunks(list(self._last_sent.hosts.values()), [])
-        return [LastGoodLoaded(len(chunks), head.digest, head.at, head.reason), *chunks]
+        return [LastGoodLoaded(len(chunks), header.digest, header.at, header.reason), *chunks]
 
     def poll(self) -> list[FromHelper]:
         """Read the files if they changed, and return the changes of the list as messages."""
--- a/lapispick/fleet/host_assembly.py
+++ b/lapispick/fleet/host_assembly.py
@@ -90,10 +90,10 @@
     def _merge(self, group: list[ParsedEntry], faults: FaultCollector) -> InventoryHost:
         """Return the host that these entries describe."""
         # A name is preferred to an address as the host's name; else the first in order.
-        leader = min(group, key=lambda parsed: (identity.address(parsed.name) is not None, parsed.name))
+        leader = min(group, key=lambda parsed: (identity.canonical_address(parsed.name) is not None, parsed.name))
         given = self._merge_values(leader, group, faults)
         # An address that one entry gives is preferred to names, whatever the others say.
-        reached = min(group, key=lambda parsed: (identity.address(parsed.address) is None, parsed.address))
+        reached = min(group, key=lambda parsed: (identity.canonical_address(parsed.address) is None, parsed.address))
         for parsed in group:
             self._check_agreement(leader.name, reached, parsed, faults)
         values = {
@@ -131,7 +131,7 @@
         """Entries of one host may give a name and its address, but not two addresses or ports."""
         location = parsed.entry.location
         other_location = reached.entry.location
-        if identity.address(parsed.address) and parsed.address != reached.address:
+        if identity.canonical_address(parsed.address) and parsed.address != reached.address:
             faults.add(
                 location, "host", f"{name} is at {parsed.address} here, but at {reached.address} at {other_location}"
             )
--- a/lapispick/fleet/hosts.py
+++ b/lapispick/fleet/hosts.py
@@ -76,7 +76,7 @@
         return ""
     if given.isdecimal():
         given = _joined(host, int(given))
-    name, port = identity.endpoint(given)
+    name, port = identity.parse_endpoint(given)
     if port is None:
         raise ValueError(f"{given!r} is neither PORT nor HOST:PORT")
     return _joined(name, port)
--- a/lapispick/fleet/identity.py
+++ b/lapispick/fleet/identity.py
@@ -23,7 +23,7 @@
 _UNICODE_DOTS = re.compile("[\u3002\uff0e\uff61]")
 
 
-def address(text: str) -> str | None:
+def canonical_address(text: str) -> str | None:
     """Return an address in its canonical form, None if the text is not an address.
 
     Raises ``HostNameError`` for an IPv6 address with a zone.
@@ -50,10 +50,10 @@
         raise HostNameError(text, f"is not a valid host name: {err}") from None
 
 
-def name(text: str, domain: str = "") -> str:
+def canonical_name(text: str, domain: str = "") -> str:
     """Return a host name or address in its canonical form; idempotent; raises ``HostNameError``."""
-    if (canonical_address := address(text)) is not None:
-        return canonical_address
+    if (canonical := canonical_address(text)) is not None:
+        return canonical
     plain = text.strip().removesuffix(".").lower()
     if not plain:
         raise HostNameError(text, "is empty; expected a host name or an address")
@@ -63,7 +63,7 @@
     if re.fullmatch(r"[0-9.]+", plain):
         raise HostNameError(text, "is neither an IP address nor a valid host name: it has digits and dots only")
     if "." not in plain and domain:
-        plain = f"{plain}.{name(domain)}"
+        plain = f"{plain}.{canonical_name(domain)}"
     canonical = ".".join(_canonical_label(label, text) for label in plain.split("."))
     if len(canonical) > MAX_NAME_CHARACTERS:
         problem = f"... has {len(canonical)} characters as a host name; expected at most {MAX_NAME_CHARACTERS}"
@@ -71,7 +71,7 @@
     return canonical
 
 
-def endpoint(text: str, domain: str = "") -> tuple[str, int | None]:
+def parse_endpoint(text: str, domain: str = "") -> tuple[str, int | None]:
     """Parse ``name``, ``name:port`` or ``[v6]:port`` into (name or address, port or None); raises ``HostNameError``."""
     text = text.strip()
     match = _WITH_PORT.fullmatch(text)
@@ -79,5 +79,5 @@
         port = int(match.group(2))
         if not 0 < port <= MAX_PORT:
             raise HostNameError(text, f"has port {port}; expected a port from 1 to {MAX_PORT}")
-        return name(match.group(1), domain), port
-    return name(text, domain), None
+        return canonical_name(match.group(1), domain), port
+    return canonical_name(text, domain), None
--- a/lapispick/fleet/last_good.py
+++ b/lapispick/fleet/last_good.py
@@ -29,7 +29,7 @@
 MAX_HISTORY_NAMES = 50  # host names per kind of change in a history entry
 
 
-class Head(msgspec.Struct):
+class Header(msgspec.Struct):
     """Header line of the last good list."""
 
     version: int
@@ -58,7 +58,7 @@
 class LastGood(NamedTuple):
     """The last accepted list with its header."""
 
-    head: Head
+    header: Header
     snapshot: Snapshot
 
 
@@ -88,9 +88,9 @@
 def save(folder: Path, source: str, snapshot: Snapshot, at: float, reason: str) -> None:
     """Write the last good list; raises ``OSError``."""
     body = b"".join(msgspec.json.encode(snapshot.hosts[name]) + b"\n" for name in sorted(snapshot.hosts))
-    head = Head(VERSION, at, source, reason, len(snapshot.hosts), snapshot.digest, crc32=0)
-    head.crc32 = _checksum(head, body)
-    write_file(folder / LAST_GOOD_FILE, msgspec.json.encode(head) + b"\n" + body, sync=True)
+    header = Header(VERSION, at, source, reason, len(snapshot.hosts), snapshot.digest, crc32=0)
+    header.crc32 = _checksum(header, body)
+    write_file(folder / LAST_GOOD_FILE, msgspec.json.encode(header) + b"\n" + body, sync=True)
 
 
 def load(folder: Path, source: str) -> LastGood | None:
@@ -105,29 +105,29 @@
     except OSError as err:
         raise StateFolderError(path, str(err)) from None
     try:
-        head = msgspec.json.decode(first_line, type=Head)
-        if head.version != VERSION:
-            raise StateFolderError(path, f"expected format version {VERSION}, got {head.version}")
-        if head.crc32 != _checksum(head, body):
+        header = msgspec.json.decode(first_line, type=Header)
+        if header.version != VERSION:
+            raise StateFolderError(path, f"expected format version {VERSION}, got {header.version}")
+        if header.crc32 != _checksum(header, body):
             raise StateFolderError(path, "the contents do not match the checksum in the header")
         hosts = [msgspec.json.decode(line, type=InventoryHost) for line in body.splitlines()]
     except msgspec.MsgspecError as err:
         raise StateFolderError(path, str(err)) from None
     snapshot = snapshot_of({host.name: host for host in hosts})
-    if head.digest != snapshot.digest or head.host_count != len(snapshot.hosts):
+    if header.digest != snapshot.digest or header.host_count != len(snapshot.hosts):
         problem = (
-            f"expected {head.host_count} hosts with digest {head.digest}, "
+            f"expected {header.host_count} hosts with digest {header.digest}, "
             f"got {len(snapshot.hosts)} with digest {snapshot.digest}"
         )
         raise StateFolderError(path, problem)
-    if head.source != source:
-        raise StateFolderError(path, f"expected the list of {source!r}, got the list of {head.source!r}")
-    return LastGood(head, snapshot)
+    if header.source != source:
+        raise StateFolderError(path, f"expected the list of {source!r}, got the list of {header.source!r}")
+    return LastGood(header, snapshot)
 
 
-def _checksum(head: Head, body: bytes) -> int:
+def _checksum(header: Header, body: bytes) -> int:
     """Return the checksum over the header, with its checksum field set to zero, and the lines after it."""
-    return zlib.crc32(body, zlib.crc32(msgspec.json.encode(msgspec.structs.replace(head, crc32=0))))
+    return zlib.crc32(body, zlib.crc32(msgspec.json.encode(msgspec.structs.replace(header, crc32=0))))
 
 
 def load_history(folder: Path) -> list[HistoryEntry]:
--- a/lapispick/fleet/reconciler.py
+++ b/lapispick/fleet/reconciler.py
@@ -85,17 +85,17 @@
         self.bounds = bounds
         self.desired: dict[str, Any] = {}
         self.instances: dict[int, Instance] = {}
-        self.left_out = 0  # desired units without an instance because of ``max_instances``
+        self.omitted_count = 0  # desired units without an instance because of ``max_instances``
         self._pending: set[str] = set()  # desired units without any instance
         self._last_number = 0
 
-    def put(self, key: str, spec: Any) -> None:
+    def set_unit(self, key: str, spec: Any) -> None:
         """Add a desired unit, or replace its spec; specs are compared by ``==``."""
         if key not in self.desired and not self._has_instance(key):
             self._pending.add(key)
         self.desired[key] = spec
 
-    def drop(self, key: str) -> None:
+    def remove_unit(self, key: str) -> None:
         """Remove a unit from the desired ones."""
         self.desired.pop(key, None)
         self._pending.discard(key)
@@ -103,11 +103,11 @@
     def set_desired(self, desired: Mapping[str, Any]) -> None:
         """Replace all desired units."""
         for key in self.desired.keys() - desired.keys():
-            self.drop(key)
+            self.remove_unit(key)
         for key, spec in desired.items():
-            self.put(key, spec)
+            self.set_unit(key, spec)
 
-    def opened(self, now: float, number: int) -> None:
+    def record_opened(self, now: float, number: int) -> None:
         """Record that an instance is open; a draining instance stays draining."""
         instance = self.instances.get(number)
         if instance is not None and instance.state is State.OPENING:
@@ -115,20 +115,20 @@
             instance.since = now
             instance.was_opened = True
 
-    def lost(self, now: float, number: int) -> None:
+    def record_lost(self, now: float, number: int) -> None:
         """Record that an open instance has to open again, for example after its connection was lost."""
         instance = self.instances.get(number)
         if instance is not None and instance.state is State.OPEN:
             instance.state = State.OPENING
             instance.since = now
 
-    def ended(self, number: int) -> None:
+    def record_ended(self, number: int) -> None:
         """Record that an instance has ended."""
         instance = self.instances.pop(number, None)
         if instance is not None and instance.key in self.desired and not self._has_instance(instance.key):
             self._pending.add(instance.key)
 
-    def changing(self, now: float) -> int:
+    def changing_count(self, now: float) -> int:
         """Return how many units are opening or draining without being stuck."""
         keys = {
             instance.key
@@ -145,12 +145,12 @@
             instances_by_key.setdefault(instance.key, []).append(instance)
         unit_count = max(len(self.desired), len(instances_by_key))
         allowed = max(self.bounds.min_changing, ceil(self.bounds.max_changing_fraction * unit_count))
-        budget = allowed - self.changing(now)
+        budget = allowed - self.changing_count(now)
         actions = self._close_overdue(now)
         opened = self._open_pending(now, budget)
         actions += opened
         budget -= len(opened)
-        self.left_out = len(self._pending) if self._is_full() else 0
+        self.omitted_count = len(self._pending) if self._is_full() else 0
         for key in sorted(instances_by_key.keys() & self.desired.keys()):
             replacements = self._replace(now, key, instances_by_key[key], budget)
             budget -= bool(replacements)
@@ -177,7 +177,7 @@
             if instance.state is State.DRAINING and now - instance.since >= self.bounds.drain_timeout_s
         ]
         for instance in overdue:
-            self.ended(instance.number)
+            self.record_ended(instance.number)
         return [Close(instance.number, instance.key) for instance in overdue]
 
     def _open_pending(self, now: float, budget: int) -> list[Action]:
@@ -220,7 +220,7 @@
     return [instance for instance in instances if instance.state is not State.DRAINING]
 
 
-def next_due(reconciler: Reconciler, now: float) -> float:
+def next_step_delay_s(reconciler: Reconciler, now: float) -> float:
     """Return after how many seconds a step is due if no event happens before."""
     bounds = reconciler.bounds
     delays: list[float] = []
--- a/lapispick/fleet/schema.py
+++ b/lapispick/fleet/schema.py
@@ -97,7 +97,7 @@
         raise error
     text = str(value)
     if variable.kind is VariableKind.HOST:
-        return identity.name(text, domain) if text else text
+        return identity.canonical_name(text, domain) if text else text
     if not (variable.minimum or 0) <= len(text.encode()) <= (variable.maximum or MAX_TEXT_BYTES):
         raise error
     if variable.choices and text and text not in variable.choices:
--- a/lapispick/host/amqp/front.py
+++ b/lapispick/host/amqp/front.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from lapispick import admission, jitter
-from lapispick.fleet.reconciler import Bounds, Close, Drain, Open, Reconciler, next_due
+from lapispick.fleet.reconciler import Bounds, Close, Drain, Open, Reconciler, next_step_delay_s
 from lapispick.fleet.snapshot import Difference, Snapshot
 from lapispick.host import events
 from lapispick.host.amqp.caller_numbers import CallerNumbers
@@ -77,17 +77,17 @@
 
     def on_session_opened(self, session: Session) -> None:
         """Take note that a broker is consumed; an older session with it may end."""
-        self._reconciler.opened(time.monotonic(), session.instance)
+        self._reconciler.record_opened(time.monotonic(), session.instance)
         self.loop.call_soon(self._step)
 
     def on_session_lost(self, session: Session) -> None:
         """Take note that a connection broke; the session connects again."""
-        self._reconciler.lost(time.monotonic(), session.instance)
+        self._reconciler.record_lost(time.monotonic(), session.instance)
 
     def on_session_ended(self, session: Session) -> None:
         """Forget a session."""
         self._sessions.pop(session.instance, None)
-        self._reconciler.ended(session.instance)
+        self._reconciler.record_ended(session.instance)
         key = session.broker_key
         if key not in self._queues and all(other.broker_key != key for other in self._sessions.values()):
             self._caller_numbers.release(key)
@@ -105,7 +105,7 @@
             if count % HOSTS_PER_YIELD == 0:
                 self.loop.yield_control()
         for key in difference.left:
-            self._reconciler.drop(key)
+            self._reconciler.remove_unit(key)
             self._queues.pop(key, None)
             self._move_counts.pop(key, None)
         self._step()
@@ -114,7 +114,7 @@
                 session.update(self._queues[session.broker_key])
 
     def _put(self, key: str, broker: Broker) -> None:
-        self._reconciler.put(key, BrokerSpec(broker, self._move_counts.get(key, 0)))
+        self._reconciler.set_unit(key, BrokerSpec(broker, self._move_counts.get(key, 0)))
 
     def _step(self) -> None:
         """Carry out the reconciler's actions, and step again when time alone changes them."""
@@ -129,7 +129,7 @@
         self._log_left_out()
         if self._step_timer is not None:
             self._step_timer.cancel()
-        self._step_timer = self.loop.call_later(next_due(self._reconciler, now), self._step)
+        self._step_timer = self.loop.call_later(next_step_delay_s(self._reconciler, now), self._step)
 
     def _open_session(self, action: Open) -> None:
         spec: BrokerSpec = action.spec
@@ -145,7 +145,7 @@
             session.drain()
 
     def _log_left_out(self) -> None:
-        left_out = self._reconciler.left_out
+        left_out = self._reconciler.omitted_count
         if left_out == self._logged_left_out:
             return
         self._logged_left_out = left_out
--- a/lapispick/host/dns_resolver.py
+++ b/lapispick/host/dns_resolver.py
@@ -38,8 +38,8 @@
     for line in text.splitlines():
         fields = line.partition("#")[0].split()
         try:
-            address = identity.address(fields[0]) if len(fields) > 1 else None
-            names = [identity.name(field) for field in fields[1:]]
+            address = identity.canonical_address(fields[0]) if len(fields) > 1 else None
+            names = [identity.canonical_name(field) for field in fields[1:]]
         except HostNameError:
             continue
         if address is None:
@@ -62,7 +62,7 @@
 
     def lookup(self, name: str) -> list[str]:
         """Return the addresses of a name, or the name itself if it is an address; raises ``NameNotResolvedError``."""
-        if identity.address(name) is not None:
+        if identity.canonical_address(name) is not None:
             return [name]
         try:
             result = self._threads.run(self._resolve, name, timeout=self._timeout_s)
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -27,8 +27,8 @@
     ],
 )
 def test_spellings_of_a_host_have_one_canonical_form(text, canonical):
-    assert identity.name(text, "pipera.example.org") == canonical
-    assert identity.name(canonical, "pipera.example.org") == canonical
+    assert identity.canonical_name(text, "pipera.example.org") == canonical
+    assert identity.canonical_name(canonical, "pipera.example.org") == canonical
 
 
 @pytest.mark.parametrize(
@@ -47,16 +47,16 @@
 )
 def test_an_invalid_name_is_rejected_with_the_reason(text, reason):
     with pytest.raises(HostNameError, match=reason):
-        identity.name(text)
+        identity.canonical_name(text)
 
 
 @given(st.text(min_size=1, max_size=30))
 def test_the_canonical_form_is_idempotent(text):
     try:
-        canonical = identity.name(text, "x.example")
+        canonical = identity.canonical_name(text, "x.example")
     except HostNameError:
         return
-    assert identity.name(canonical, "x.example") == canonical
+    assert identity.canonical_name(canonical, "x.example") == canonical
 
 
 @pytest.mark.parametrize(
@@ -70,12 +70,12 @@
     ],
 )
 def test_an_endpoint_is_split_into_host_and_port(text, host, port):
-    assert identity.endpoint(text) == (host, port)
+    assert identity.parse_endpoint(text) == (host, port)
 
 
 def test_a_port_out_of_range_is_rejected():
     with pytest.raises(HostNameError, match="has port 0; expected a port from 1 to 65535"):
-        identity.endpoint("b:0")
+        identity.parse_endpoint("b:0")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_inventory_files.py
+++ b/tests/test_inventory_files.py
@@ -76,10 +76,10 @@
     old, new = (snapshot.snapshot_of(hosts(csv_list({"a": n, "b": 1}), "f.csv")) for n in (1, 2))
     assert load_last_good(tmp_path) is None
     last_good.save(tmp_path, "source", old, 5.0, "settled")
-    head, loaded = load_last_good(tmp_path)
+    header, loaded = load_last_good(tmp_path)
     assert loaded.digest == old.digest
-    assert head.at == 5.0
-    assert head.host_count == 2
+    assert header.at == 5.0
+    assert header.host_count == 2
     path = tmp_path / last_good.LAST_GOOD_FILE
     last_good.save(tmp_path, "source", new, 6.0, "settled")
     contents = path.read_bytes()
--- a/tests/test_reconciler.py
+++ b/tests/test_reconciler.py
@@ -3,7 +3,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from lapispick.fleet.reconciler import Bounds, Close, Drain, Open, Reconciler, State, next_due
+from lapispick.fleet.reconciler import Bounds, Close, Drain, Open, Reconciler, State, next_step_delay_s
 
 LOOSE_BOUNDS = Bounds(
     max_changing_fraction=1.0, min_changing=100, change_timeout_s=10.0, drain_timeout_s=30.0, max_instances=100
@@ -15,7 +15,7 @@
     reconciler = Reconciler(bounds)
     reconciler.set_desired(specs)
     for action in reconciler.step(0.0):
-        reconciler.opened(0.0, action.instance)
+        reconciler.record_opened(0.0, action.instance)
     return reconciler
 
 
@@ -23,7 +23,7 @@
     reconciler = make_reconciler(a=1, b=1)
     reconciler.set_desired({"b": 1, "c": 1, "d": 1})
     assert reconciler.step(1.0) == [Open(3, "c", 1), Open(4, "d", 1), Drain(1, "a")]
-    reconciler.ended(1)
+    reconciler.record_ended(1)
     assert not reconciler.step(2.0)
     assert {instance.key for instance in reconciler.instances.values()} == {"b", "c", "d"}
 
@@ -33,7 +33,7 @@
     reconciler.set_desired({"a": "new"})
     assert reconciler.step(1.0) == [Open(2, "a", "new")]
     assert not reconciler.step(2.0)
-    reconciler.opened(3.0, 2)
+    reconciler.record_opened(3.0, 2)
     assert reconciler.step(3.0) == [Drain(1, "a")]
 
 
@@ -58,9 +58,9 @@
     reconciler.set_desired(dict.fromkeys("abcde", 1))
     assert [action.key for action in reconciler.step(0.0)] == ["a", "b"]
     assert not reconciler.step(1.0)
-    reconciler.opened(2.0, 1)
+    reconciler.record_opened(2.0, 1)
     assert [action.key for action in reconciler.step(2.0)] == ["c"]
-    assert 0 < next_due(reconciler, 2.0) <= 8.0
+    assert 0 < next_step_delay_s(reconciler, 2.0) <= 8.0
     assert [action.key for action in reconciler.step(10.0)] == ["d"]  # b is stuck and no longer counts
     assert [action.key for action in reconciler.step(12.1)] == ["e"]
 
@@ -77,10 +77,10 @@
 def test_at_the_instance_limit_old_instances_are_drained_first_and_omitted_units_counted():
     reconciler = make_reconciler(Bounds(max_changing_fraction=1.0, min_changing=9, max_instances=2), a=1, b=1, c=1)
     assert set(reconciler.desired) - {instance.key for instance in reconciler.instances.values()} == {"c"}
-    assert reconciler.left_out == 1
+    assert reconciler.omitted_count == 1
     reconciler.set_desired({"a": 2, "b": 1})
     assert reconciler.step(1.0) == [Drain(1, "a")]
-    reconciler.ended(1)
+    reconciler.record_ended(1)
     assert reconciler.step(2.0) == [Open(3, "a", 2)]
 
 
@@ -114,7 +114,7 @@
 
     def checked_step(self, now):
         """Step, and check how many units start to change at once; all instances of one unit may be drained together."""
-        max_started = max(0, self.max_changing - self.changing(now))
+        max_started = max(0, self.max_changing - self.changing_count(now))
         started = set()
         opened_numbers = {number for number, instance in self.instances.items() if instance.was_opened}
         for action in self.step(now):
@@ -141,21 +141,21 @@
         elif numbers := sorted(reconciler.instances):
             number = numbers[event[1] % len(numbers)]
             if event[0] == "open":
-                reconciler.opened(now, number)
+                reconciler.record_opened(now, number)
             elif event[0] == "lose":
-                reconciler.lost(now, number)
+                reconciler.record_lost(now, number)
             elif reconciler.instances[number].state is State.DRAINING:
-                reconciler.ended(number)
+                reconciler.record_ended(number)
         reconciler.checked_step(now)
     for _ in range(60):  # from now on, every opening and draining succeeds
         for instance in list(reconciler.instances.values()):
             if instance.state is State.OPENING:
-                reconciler.opened(now, instance.number)
+                reconciler.record_opened(now, instance.number)
             elif instance.state is State.DRAINING:
-                reconciler.ended(instance.number)
+                reconciler.record_ended(instance.number)
         now += 1
         reconciler.checked_step(now)
     specs_by_key = {instance.key: instance.spec for instance in reconciler.instances.values()}
     assert specs_by_key.items() <= reconciler.desired.items()
     assert len(specs_by_key) == min(max_instances, len(reconciler.desired))
-    assert reconciler.left_out == len(reconciler.desired) - len(specs_by_key)
+    assert reconciler.omitted_count == len(reconciler.desired) - len(specs_by_key)
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -89,7 +89,7 @@
     "generation": Generation,
     "rollout": rollout_state.RolloutState,
     "rollout, plan": rollout_plan.Plan,
-    "inventory, head of the last good list": last_good.Head,
+    "inventory, head of the last good list": last_good.Header,
     "inventory, line of the history": last_good.HistoryEntry,
     "trace, start of the writer": trace_writer.Begin,
     "operators, view of members": member_reports.ViewInfo,
