--- a/lapispick/trace/aggregation.py
+++ b/lapispick/trace/aggregation.py
@@ -1,8 +1,8 @@
 """Aggregates the blocks of traces into requests, and requests into a summary. No I/O.
 
-A retry counts for the request that it repeats: the request is served if any of its attempts is, and its age counts
-from the birth of the first. Records are processed by columns, a block at a time. Memory follows the requests that are
-open or may still be retried.
+A retry counts for the request that it repeats: the request is served if any of its attempts is, and its age is
+measured from the creation of the first attempt. Records are processed by columns, a block at a time. Memory use is
+proportional to the number of requests that are unanswered or may still be retried.
 """
 
 from __future__ import annotations
@@ -28,18 +28,18 @@
 if TYPE_CHECKING:
     from lapispick.trace import message_types
 
-RETRY_MARGIN_MS = 30_000.0  # how long a request is remembered for retries beyond its idempotency window or deadline
-DROP_DIVISOR = 4  # requests are dropped once a quarter has expired, as the others are moved
+RETRY_MARGIN_MS = 30_000.0  # added to the idempotency window or deadline, for how long a request is kept for retries
+DROP_DIVISOR = 4  # drop requests only once a quarter has expired, because dropping copies the remaining ones
 WORST_WINDOWS = 5
 
 
 class SourceInfo(msgspec.Struct, frozen=True):
     """One incarnation of a host: its classes by number, and the correction of its clock, as in the file's header."""
 
-    classes: tuple[tuple[str, admission.ClassSettings], ...]
-    offset: float = 0.0
-    drift: float = 0.0
-    at: float = 0.0
+    classes: tuple[tuple[str, admission.ClassSettings], ...]  # name and settings of each
+    offset: float = 0.0  # ms that the clock is ahead at ``at``
+    drift: float = 0.0  # ms that the clock gains per second
+    at: float = 0.0  # ms, by the host's own clock
 
 
 class _Classes:
@@ -49,30 +49,34 @@
         positions: dict[tuple[str, admission.ClassSettings], int] = {}
         # For each source, the positions of its classes among the distinct ones.
         self._by_source = [
-            np.array([positions.setdefault(each, len(positions)) for each in source.classes], np.int64)
+            np.array([positions.setdefault(class_, len(positions)) for class_ in source.classes], np.int64)
             for source in sources
         ]
         self.names = [name for name, _ in positions]
         self.settings = [settings for _, settings in positions]
 
     def retention_ms(self) -> Array:
-        """Return how long after its birth a request is remembered for retries, ms: shape (classes,)."""
+        """Return how long after its creation a request is kept for retries, ms, by class: shape (classes,)."""
         return np.array(
-            [max(each.idempotency_window_ms, each.deadline_ms) + RETRY_MARGIN_MS for each in self.settings], np.float64
+            [max(class_.idempotency_window_ms, class_.deadline_ms) + RETRY_MARGIN_MS for class_ in self.settings],
+            np.float64,
         )
 
     def positions(self, source_index: Array, class_index: Array) -> Array:
-        """Return the positions in ``names`` of classes that are given by source and number.
+        """Return the positions in ``names`` of classes that are given by source and class number.
 
-        All arrays have shape (records,). Raises ``ValueError`` for a number that the header does not name.
+        All arrays have shape (records,). Raises ``ValueError`` for a class number that the header does not list.
         """
         positions = np.zeros(len(class_index), np.int64)
-        for source, known in enumerate(self._by_source):
+        for source, source_positions in enumerate(self._by_source):
             in_source = source_index == source
             numbers = class_index[in_source]
-            if len(numbers) and not 0 <= int(numbers.min()) <= int(numbers.max()) < len(known):
-                raise ValueError("holds a request of a class that its header does not name")
-            positions[in_source] = known[numbers]
+            if len(numbers) and not 0 <= int(numbers.min()) <= int(numbers.max()) < len(source_positions):
+                raise ValueError(
+                    f"class number is not listed in the header: expected 0 <= number < {len(source_positions)}, "
+                    f"got {int(numbers.min())} to {int(numbers.max())}"
+                )
+            positions[in_source] = source_positions[numbers]
         return positions
 
 
@@ -85,7 +89,7 @@
 
 
 class Aggregator:
-    """Aggregates the blocks of a file, or of several files of one incarnation, in their order."""
+    """Aggregates the blocks of a file, or of several files of one incarnation, which are added in order."""
 
     def __init__(self, sources: Sequence[SourceInfo]) -> None:
         self._classes = _Classes(sources)
@@ -96,8 +100,8 @@
         self._accounts: dict[str, int] = {"": 0}
         self._queue_times = DurationHistograms()
         self._run_durations = DurationHistograms()
-        self._now = -np.inf
-        self._block_times: Array = np.zeros(0)  # of the present block's steps
+        self._now = -np.inf  # time of the last step, ms by the reference clock
+        self._block_times: Array = np.zeros(0)  # of the steps of the current block
         by_class = {name: RequestTotals() for name in self._classes.names}
         self._summary = Summary(RequestTotals(), by_class, {}, {}, [], {}, {}, {})
 
@@ -107,7 +111,10 @@
             return
         source_index = block.source_index
         if int(source_index.min()) < 0 or int(source_index.max()) >= len(self._sources):
-            raise ValueError("holds a step of a box that its header does not name")
+            raise ValueError(
+                f"source is not listed in the header: expected 0 <= index < {len(self._sources)}, "
+                f"got {int(source_index.min())} to {int(source_index.max())}"
+            )
         self._block_times = self._corrected_times(block)
         self._add_requests(block)
         self._add_accounts(self._records(block, Arrival))
@@ -121,7 +128,7 @@
         self._count_expired(self._now)
 
     def tracked_rows(self) -> int:
-        """Return how many requests, attempts and subjects are remembered."""
+        """Return the number of requests, attempts and subjects in memory."""
         attempts = sum(attempts.size for attempts in self._table.attempts)
         return self._table.requests.size + attempts + len(self._linker)
 
@@ -140,7 +147,7 @@
         return summary
 
     def _corrected_times(self, block: Block) -> Array:
-        """Return the times of a block's steps by the reference clock; never earlier than those before."""
+        """Return the times of a block's steps by the reference clock; those that would decrease are raised."""
         times = np.maximum.accumulate(step_times(self._sources, block))
         return np.maximum(times, self._now)
 
@@ -149,7 +156,7 @@
         positions = records.step_positions
         return _TimedRecords(records, block.source_index[positions], self._block_times[positions])
 
-    def _find(self, timed: _TimedRecords) -> FoundAttempts:
+    def _find_attempts(self, timed: _TimedRecords) -> FoundAttempts:
         return self._table.find_attempts(timed.records.column("id"), timed.source_index, timed.times)
 
     def _add_requests(self, block: Block) -> None:
@@ -161,7 +168,7 @@
         first = self._table.add(ids, source_index, times, records.column("age_ms"), classes)
         subjects = subjects_of(block, records, source_index)
         retries = records.column("retry_of").tolist()
-        # One by one, as attempts of one block may repeat each other.
+        # Processed one by one, because an attempt may repeat another one of the same block.
         for row, (retry_of, subject) in enumerate(zip(retries, subjects, strict=True)):
             if retry_of or subject:
                 attempt = ReceivedAttempt(source_index[row], ids[row], retry_of, subject, times[row], first + row)
@@ -174,18 +181,18 @@
         names = [name.decode(errors="replace") for name in records.dictionary("account")]
         numbers = [self._accounts.setdefault(name, len(self._accounts)) for name in names]
         accounts = np.array(numbers, np.int64)[records.column("account")]
-        request_rows = self._find(arrivals).request_rows
+        request_rows = self._find_attempts(arrivals).request_rows
         account_of_request = self._table.requests["account"]
         sets_account = (request_rows >= 0) & (accounts > 0)
         sets_account[sets_account] = account_of_request[request_rows[sets_account]] == 0
-        # Reversed, as the first of several is to be stored last.
+        # In reverse order, so that the first account of a request overwrites later ones.
         account_of_request[request_rows[sets_account][::-1]] = accounts[sets_account][::-1]
 
     def _add_starts(self, starts: _TimedRecords) -> None:
-        """Add the times from arrival to the first start of each attempt."""
+        """Record the time from the arrival to the first start of each attempt."""
         if not starts.records.count:
             return
-        found = self._find(starts)
+        found = self._find_attempts(starts)
         for source, record_rows, attempt_rows in found.by_source:
             attempts = self._table.attempts[source]
             waiting = attempts["waiting"][attempt_rows]
@@ -198,32 +205,32 @@
     def _add_runs(self, runs: _TimedRecords) -> None:
         if not runs.records.count:
             return
-        request_rows = self._find(runs).request_rows
+        request_rows = self._find_attempts(runs).request_rows
         finished = (request_rows >= 0) & (runs.records.column("outcome") <= int(admission.Outcome.OK))
         durations = runs.records.column("duration_ms")[finished]
         self._add_durations(self._run_durations, request_rows[finished], durations)
 
     def _add_durations(self, histograms: DurationHistograms, request_rows: Array, durations: Array) -> None:
         class_index = self._table.requests["class_index"][request_rows]
-        for each in np.unique(class_index).tolist():
-            histograms.add(self._classes.names[each], durations[class_index == each])
+        for class_ in np.unique(class_index).tolist():
+            histograms.add(self._classes.names[class_], durations[class_index == class_])
 
     def _add_degraded(self, skipped_calls: _TimedRecords) -> None:
         if skipped_calls.records.count:
-            request_rows = self._find(skipped_calls).request_rows
+            request_rows = self._find_attempts(skipped_calls).request_rows
             self._table.requests["degraded"][request_rows[request_rows >= 0]] = True
 
     def _add_ends(self, block: Block) -> None:
-        """Add answers and cancellations; an answer to a cancelled attempt does not count."""
+        """Record answers and cancellations; an answer to an attempt that was cancelled before is ignored."""
         cancellations = self._records(block, admission.ClientCancelled)
         cancelled: dict[int, CancelledAttempts] = {}
         if cancellations.records.count:
             step_positions = cancellations.records.step_positions
-            for source, record_rows, attempt_rows in self._find(cancellations).by_source:
+            for source, record_rows, attempt_rows in self._find_attempts(cancellations).by_source:
                 cancelled[source] = CancelledAttempts(attempt_rows, step_positions[record_rows])
         answers = self._records(block, Answered)
         if answers.records.count:
-            add_answers(self._table, answers.records, answers.times, self._find(answers), cancelled)
+            add_answers(self._table, answers.records, answers.times, self._find_attempts(answers), cancelled)
         for source, (attempt_rows, _) in cancelled.items():
             self._table.attempts[source]["open"][attempt_rows] = False
 
@@ -238,7 +245,7 @@
             reasons[name] = reasons.get(name, 0) + count
 
     def _count_expired(self, now: float) -> None:
-        """Count the oldest requests that can't be retried any more, and forget them and their attempts."""
+        """Count the oldest requests, which can't be retried any more, and drop them and their attempts."""
         requests = self._table.requests
         count = self._table.expired_count(now)
         if count < requests.size // DROP_DIVISOR and now < np.inf:
@@ -249,11 +256,14 @@
 
 
 def source_info(source: message_types.Source) -> SourceInfo:
-    """Return the description of a source in a file's header; raises ``ValueError`` if its settings are invalid."""
+    """Return the classes and clock correction of a source in a file's header.
+
+    Raises ``ValueError`` if its settings are invalid.
+    """
     try:
         classes = msgspec.json.decode(source.settings, type=admission.Settings).classes
     except msgspec.MsgspecError as err:
-        raise ValueError(f"its settings can't be read: {err}") from None
+        raise ValueError(f"invalid class settings in the header: {err}") from None
     names = list(source.classes) or [str(number) for number in range(len(classes))]
     return SourceInfo(tuple(zip(names, classes, strict=False)), source.offset, source.drift, source.at)
 
--- a/lapispick/trace/anonymising.py
+++ b/lapispick/trace/anonymising.py
@@ -1,7 +1,7 @@
 """Replaces subjects, accounts, callers and hosts by pseudonyms: keyed, stable and one to one. No I/O.
 
-Equal names have equal pseudonyms and different names different ones, so a replay orders the same. Pseudonyms can't be
-reversed without the key, which no file contains. Times, sizes and classes stay as they are.
+Equal names get equal pseudonyms and different names different ones, so a replay of the result makes the same decisions.
+Pseudonyms can't be reversed without the key, which no trace contains. Times, sizes and classes are unchanged.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 MIN_KEY_BYTES = 16
 MAX_KEY_BYTES = 64
 DIGEST_BYTES = 8
-DIGEST_CHARACTERS = 10  # of a name's pseudonym
-CALLER_BYTES = 4  # callers are numbers of 31 bits elsewhere
-MADE_NOTE = "anonymised"
+DIGEST_CHARACTERS = 10  # hexadecimal digits of the digest in the pseudonym of a name
+CALLER_BYTES = 4  # shifted right by one bit, because caller numbers have 31 bits
+MADE_NOTE = "anonymised"  # in the header, on how the file was made
 
 
 class NameKind(enum.StrEnum):
-    """What a name stands for; part of the pseudonym."""
+    """Type of a name; part of the pseudonym."""
 
     ACCOUNT = "account"
     CALLER = "caller"
@@ -36,29 +36,31 @@
 
 
 class PseudonymConflictError(Exception):
-    """Two names have the same pseudonym; another key is needed."""
+    """Two names have the same pseudonym with the given key."""
 
 
 Name = TypeVar("Name", bound=str | int)
 
 
 class _Pseudonyms(Generic[Name]):
-    """Remembers names of one type with their pseudonyms, to see that no two names have the same one."""
+    """Maps names of one Python type to pseudonyms, and detects two names with the same pseudonym."""
 
     def __init__(self, derive: Callable[[NameKind, Name], Name]) -> None:
-        """``derive`` returns the pseudonym of a name."""
+        """``derive`` computes the pseudonym of a name."""
         self._derive = derive
         self.by_original: dict[tuple[NameKind, Name], Name] = {}
         self._originals: dict[tuple[NameKind, Name], Name] = {}  # by pseudonym
 
     def get(self, kind: NameKind, original: Name) -> Name:
-        """Return the pseudonym of a name; raises ``PseudonymConflictError``."""
+        """Return the pseudonym of a name; raises ``PseudonymConflictError`` if another name has the same one."""
         known = self.by_original.get((kind, original))
         if known is not None:
             return known
         pseudonym = self._derive(kind, original)
         if self._originals.setdefault((kind, pseudonym), original) != original:
-            raise PseudonymConflictError(f"two {kind}s have one stand-in with this key; take another key")
+            raise PseudonymConflictError(
+                f"two names of type {kind} have the same pseudonym with this key; use another key"
+            )
         self.by_original[kind, original] = pseudonym
         return pseudonym
 
@@ -67,36 +69,36 @@
     """Replaces names by pseudonyms."""
 
     def __init__(self, key: bytes, hosts: bool = False) -> None:
-        """``hosts``: replace the names of hosts too. Raises ``ValueError`` for a key of the wrong length."""
+        """``hosts``: replace host names too. Raises ``ValueError`` for a key of the wrong length."""
         if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
-            raise ValueError(f"the key must hold {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes, not {len(key)}")
+            raise ValueError(f"expected a key of {MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes, got {len(key)}")
         self._key = key
         self._replaces_hosts = hosts
         self._names = _Pseudonyms(self._derive_name)
         self._callers = _Pseudonyms(self._derive_caller)
 
     def originals(self) -> set[str]:
-        """Return the names that were replaced."""
+        """Return the original names that were replaced so far."""
         return {original for _, original in self._names.by_original if original}
 
     def pseudonyms(self) -> set[str]:
-        """Return the names that stand for others."""
+        """Return the pseudonyms that names were replaced by so far."""
         return set(self._names.by_original.values())
 
     def replace_header(self, header: message_types.Header) -> None:
-        """Replace the names in a header."""
+        """Replace the names in a header, in place."""
         for source in header.sources:
             accounts = [self._names.get(NameKind.ACCOUNT, name) for name in source.accounts]
             del source.accounts[:]
             source.accounts.extend(accounts)
             if self._replaces_hosts:
                 source.box = self._names.get(NameKind.HOST, source.box)
-        # How the file was made may name hosts and folders.
+        # The notes on how the file was made may contain names of hosts and folders.
         del header.made[:]
         header.made.append(MADE_NOTE)
 
     def replace_steps(self, steps: Iterable[Step]) -> Iterator[Step]:
-        """Yield the steps with pseudonyms."""
+        """Yield the steps with all names replaced by pseudonyms."""
         for step in steps:
             yield step._replace(
                 events=tuple(self._replace_event(event) for event in step.events),
@@ -112,7 +114,7 @@
         if type(note) is Arrival:
             account = self._names.get(NameKind.ACCOUNT, note.account) if note.account else ""
             return note._replace(account=account, subject=self._subject(note.subject))
-        # Details may name addresses; those of ``ADOPTED`` don't, and a replay needs them.
+        # Details may contain addresses; those of ``ADOPTED`` events don't, and a replay needs them.
         if type(note) is ExternalEvent and note.kind != ADOPTED:
             return note._replace(details="")
         return note
--- a/lapispick/trace/attempt_matching.py
+++ b/lapispick/trace/attempt_matching.py
@@ -1,6 +1,6 @@
-"""Collects the attempts that name a subject from the steps of hosts, to compare their clocks. No I/O.
+"""Collects the answered attempts that have a subject, to compare the clocks of hosts. No I/O.
 
-Memory follows the attempts that are open.
+Memory use is proportional to the number of unanswered attempts.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 if TYPE_CHECKING:
     from lapispick.trace import message_types
 
-MAX_ATTEMPTS = 200_000  # that are used for an estimate; a thousand determine a clock to the ms
+MAX_ATTEMPTS = 200_000  # used for an estimate; a thousand already determine a clock to within 1 ms
 SUBJECT_RANK_BYTES = 8
 MAX_SUBJECT_RANK = 1 << (8 * SUBJECT_RANK_BYTES)
 
 
 def answered_attempts(sources: Sequence[message_types.Source], steps: Iterable[Step]) -> Iterator[Attempt]:
-    """Yield the answered attempts that name a subject, with the times of each host's own clock."""
+    """Yield the answered attempts that have a subject, with times by each host's own clock."""
     open_arrivals: dict[tuple[int, int], Arrival] = {}  # by source and request
     for step in steps:
         for note in step.notes:
@@ -32,7 +32,9 @@
                 if arrival is not None:
                     yield _attempt(sources[step.source_index].box, arrival, note)
         for event in step.events:
-            if type(event) is admission.ClientCancelled:  # nobody waited for the answer, so its time says nothing
+            if (
+                type(event) is admission.ClientCancelled
+            ):  # a retry need not come after the answer, as no client awaits it
                 open_arrivals.pop((step.source_index, event.id), None)
 
 
@@ -42,9 +44,9 @@
 
 
 def sample_subjects(traces: Iterable[Iterable[Attempt]], max_attempts: int = MAX_ATTEMPTS) -> list[Attempt]:
-    """Return the attempts of a sample of the subjects: the same subjects at all hosts, as many as fit.
+    """Return at most ``max_attempts`` attempts, for a sample of subjects that is the same at all hosts.
 
-    Subjects are digests, so those with the lowest values are a fair sample.
+    Subjects are uniformly distributed digests, so those with the lowest values are an unbiased sample.
     """
     rank_limit = MAX_SUBJECT_RANK
     sample: list[Attempt] = []
@@ -55,7 +57,7 @@
             sample.append(attempt)
             while len(sample) > max_attempts:
                 rank_limit //= 2
-                sample = [each for each in sample if _rank(each) < rank_limit]
+                sample = [kept for kept in sample if _rank(kept) < rank_limit]
     return sample
 
 
--- a/lapispick/trace/clock_skew.py
+++ b/lapispick/trace/clock_skew.py
@@ -1,12 +1,12 @@
-"""Estimates how far the clocks of hosts are apart, from subjects that were attempted at more than one. No I/O.
+"""Estimates the clock offsets between hosts, from subjects that were attempted at more than one host. No I/O.
 
-An attempt that was rejected or failed at host A and whose subject was then served at host B arrived at B after it had
-ended at A: by B's clock no earlier than that moment by A's clock plus what B's clock is ahead. Each such pair bounds
-the difference of the clocks from one side, and a pair in the other direction from the other side. The pairs with the
-shortest transit bound it closely.
+If an attempt was rejected or failed at host A and its subject was then served at host B, the attempt at B arrived after
+the one at A had ended. So the arrival time by B's clock, minus the end time by A's clock, is an upper bound of the
+offset of B's clock relative to A's. A pair in the other direction gives a lower bound. The pairs with the shortest
+transit give the tightest bounds.
 
-Pairs whose order can't be derived from their outcomes are left out. A few pairs in the wrong order do little harm, as
-a low quantile is taken instead of the minimum. Time slices with too few pairs are left out.
+Pairs whose order can't be derived from their outcomes are left out. A few pairs in the wrong order have little effect,
+because a low quantile is used instead of the minimum. Time slices with too few pairs are left out.
 """
 
 from __future__ import annotations
@@ -19,17 +19,17 @@
 
 import msgspec
 
-SHORTEST_TRANSIT_QUANTILE = 0.05  # with 60 pairs three wrong ones are passed over
-MIN_PAIRS = 5  # in each direction; with fewer a single wrong one decides
-SLICES = 6  # of the time that the pairs cover; each gives an offset, and the line through them the drift
-MIN_SLICES = 3  # with pairs; with fewer the drift is unknown
-MAX_TRANSIT_MS = 60_000.0  # what seems to take longer is no retry but a new request
-MAX_LINE_DISTANCE_MS = 50.0  # of a slice, beyond its own error; if it is further off, the clock was set in between
-NO_SHARED_SUBJECT = "cannot tell: no subject was tried at both"
+SHORTEST_TRANSIT_QUANTILE = 0.05  # with 60 pairs, up to three in the wrong order are ignored
+MIN_PAIRS = 5  # in each direction; with fewer, a single pair in the wrong order determines the result
+SLICES = 6  # of the time that the pairs cover; each gives an offset, and a line fitted to the offsets the drift
+MIN_SLICES = 3  # with enough pairs; with fewer slices the drift is unknown
+MAX_TRANSIT_MS = 60_000.0  # a longer transit indicates a new request instead of a retry
+MAX_LINE_DISTANCE_MS = 50.0  # of a slice's offset, beyond its own error; if it is larger, the clock was set meanwhile
+NO_SHARED_SUBJECT = "cannot tell: no subject was attempted at both hosts"
 
 
 class Attempt(NamedTuple):
-    """One attempt of a subject at one host, by that host's clock, ms."""
+    """One attempt of a subject at one host; times in ms by that host's clock."""
 
     subject: bytes
     host: str
@@ -39,57 +39,57 @@
 
 
 class Clock(msgspec.Struct, frozen=True):
-    """A host's clock against the reference: ``offset`` ms ahead at ``at``, gaining ``drift`` ms per second."""
+    """Estimate of a host's clock relative to the reference: ``offset`` ms ahead at ``at``, gaining ``drift`` ms/s."""
 
     offset: float
     drift: float
     at: float  # ms, by the reference's clock
-    error: float  # ms; the offset lies within this, as long as most pairs are in the order that they seem to be
+    error: float  # ms; bound of the offset's error if most pairs are in the order that their outcomes indicate
     pairs: int
-    drift_known: bool = msgspec.field(name="drift_told")  # False: too few pairs over time; the drift counts as 0
+    drift_known: bool = msgspec.field(name="drift_told")  # False: too few slices with pairs; ``drift`` is 0
 
     def ahead(self, now: float) -> float:
-        """Return how far the clock is ahead at a time of the reference, ms."""
+        """Return the offset in ms at a time by the reference's clock."""
         return self.offset + self.drift * (now - self.at) / 1000
 
 
 class UnknownClock(msgspec.Struct, frozen=True):
-    """Nothing is known of a host's clock, for a reason."""
+    """Reason why a host's clock could not be estimated."""
 
     reason: str
 
 
 class ClockEstimates(NamedTuple):
-    """The reference host, and the clock of every host against it."""
+    """The reference host, and the clock of every host relative to it."""
 
     reference: str
     clocks: dict[str, Clock | UnknownClock]
 
 
 class Transit(NamedTuple):
-    """What a pair of attempts says of the way from one host to another."""
+    """Transit of a subject from an unserved attempt at one host to the served one at another."""
 
-    ended_at: float  # ms, by the first host's clock
-    duration: float  # ms, by both clocks: what it took, and what the second clock is ahead
+    ended_at: float  # end of the first attempt, ms by the first host's clock
+    duration: float  # ms, by both clocks: the true duration plus the offset of the second clock
 
 
 class _Bounds(NamedTuple):
-    """What the pairs of both directions allow for the difference of two clocks, ms."""
+    """Offset between two clocks that follows from the pairs in both directions, ms."""
 
     offset: float
     error: float
 
 
 class _SliceOffset(NamedTuple):
-    """The difference of two clocks in a slice of time."""
+    """Offset between two clocks in a slice of time, ms."""
 
     at: float
     offset: float
     error: float
 
 
-class _Link(NamedTuple):
-    """What is known of one host's clock against another one's."""
+class _RelativeClock(NamedTuple):
+    """Estimate of one host's clock relative to another host's."""
 
     offset: float
     drift: float
@@ -100,11 +100,12 @@
 
 
 class _Comparisons(NamedTuple):
-    """What is known of each pair of hosts."""
+    """Results of the comparisons of all pairs of hosts."""
 
-    links: dict[str, dict[str, _Link]]  # of the second host's clock against the first one's
-    unknown_reasons: dict[str, str]  # why a host's clock is not known against another one's
-    pair_counts: dict[str, int]
+    # By host, then by the host whose clock is estimated relative to it.
+    relative_clocks: dict[str, dict[str, _RelativeClock]]
+    unknown_reasons: dict[str, str]  # by host: why its clock could not be estimated relative to another host's
+    pair_counts: dict[str, int]  # by host
 
 
 HostPair = tuple[str, str]
@@ -131,124 +132,130 @@
 def _last_attempt(attempts: list[Attempt]) -> Attempt | None:
     """Return the last attempt of a subject, None if the order is unknown.
 
-    Clocks that disagree don't give the order, but only the last attempt is served. Several that were served, or
-    several at one host, leave it open.
+    The order can't be taken from clocks that disagree, but only the last attempt is served. The order is unknown if
+    several attempts were served, or if there are several at one host.
     """
     served = [attempt for attempt in attempts if attempt.served]
     hosts = {attempt.host for attempt in attempts}
     return served[0] if len(served) == 1 and len(hosts) == len(attempts) else None
 
 
-def _shortest(transits: list[Transit]) -> float:
+def _shortest_duration(transits: list[Transit]) -> float:
     durations = sorted(transit.duration for transit in transits)
     return durations[int(len(durations) * SHORTEST_TRANSIT_QUANTILE)]
 
 
-def _bounds(forth: list[Transit], back: list[Transit]) -> _Bounds | None:
-    """Return what both directions allow, None if there are too few pairs."""
-    if len(forth) < MIN_PAIRS or len(back) < MIN_PAIRS:
+def _bounds(forward: list[Transit], backward: list[Transit]) -> _Bounds | None:
+    """Return the offset between two clocks, None if there are too few pairs in either direction."""
+    if len(forward) < MIN_PAIRS or len(backward) < MIN_PAIRS:
         return None
-    upper = _shortest(forth)
-    lower = -_shortest(back)
-    # If they cross a little, because of pairs in the wrong order, the distance is still the size of the error.
+    upper = _shortest_duration(forward)
+    lower = -_shortest_duration(backward)
+    # Pairs in the wrong order may put the lower bound above the upper one; the error is half the distance then too.
     return _Bounds((upper + lower) / 2, abs(upper - lower) / 2)
 
 
-def _compare(forth: list[Transit], back: list[Transit]) -> _Link | UnknownClock:
-    """Estimate the second host's clock against the first one's, from the transits between them."""
-    pairs = len(forth) + len(back)
+def _compare(forward: list[Transit], backward: list[Transit]) -> _RelativeClock | UnknownClock:
+    """Estimate the second host's clock relative to the first one's, from the transits in both directions."""
+    pairs = len(forward) + len(backward)
     if not pairs:
         return UnknownClock(NO_SHARED_SUBJECT)
-    if not forth or not back:
-        return UnknownClock("cannot tell: subjects went one way only, which bounds the clock from one side")
-    bounds = _bounds(forth, back)
+    if not forward or not backward:
+        return UnknownClock("cannot tell: all retries went one way, so the offset is bounded on one side only")
+    bounds = _bounds(forward, backward)
     if bounds is None:
         return UnknownClock(
-            f"cannot tell: {len(forth)} and {len(back)} pairs, at least {MIN_PAIRS} each way are needed"
+            f"cannot tell: expected at least {MIN_PAIRS} pairs in each direction, "
+            f"got {len(forward)} and {len(backward)}"
         )
-    # Transits back begin by the other clock; the offset brings them close enough for slices that are far longer.
-    back = [transit._replace(ended_at=transit.ended_at - bounds.offset) for transit in back]
-    first = min(transit.ended_at for transit in (*forth, *back))
-    last = max(transit.ended_at for transit in (*forth, *back))
-    slices = _slice_offsets(forth, back, first, last)
+    # The start times of the backward transits are by the second host's clock. Subtracting the offset converts them
+    # closely enough, because slices are far longer than its error.
+    backward = [transit._replace(ended_at=transit.ended_at - bounds.offset) for transit in backward]
+    first = min(transit.ended_at for transit in (*forward, *backward))
+    last = max(transit.ended_at for transit in (*forward, *backward))
+    slices = _slice_offsets(forward, backward, first, last)
     if len(slices) < MIN_SLICES:
-        return _Link(bounds.offset, 0.0, (first + last) / 2, bounds.error, pairs, drift_known=False)
+        return _RelativeClock(bounds.offset, 0.0, (first + last) / 2, bounds.error, pairs, drift_known=False)
     return _fit_line(slices, pairs)
 
 
-def _slice_offsets(forth: list[Transit], back: list[Transit], first: float, last: float) -> list[_SliceOffset]:
+def _slice_offsets(forward: list[Transit], backward: list[Transit], first: float, last: float) -> list[_SliceOffset]:
     """Return the offset in each slice of time that has enough pairs."""
     offsets: list[_SliceOffset] = []
     for number in range(SLICES):
         begin = first + (last - first) * number / SLICES
         end = first + (last - first) * (number + 1) / SLICES
         is_last = number == SLICES - 1
-        bounds = _bounds(_within(forth, begin, end, is_last), _within(back, begin, end, is_last))
+        bounds = _bounds(_in_slice(forward, begin, end, is_last), _in_slice(backward, begin, end, is_last))
         if bounds is not None:
             offsets.append(_SliceOffset((begin + end) / 2, bounds.offset, bounds.error))
     return offsets
 
 
-def _within(transits: list[Transit], begin: float, end: float, with_end: bool) -> list[Transit]:
+def _in_slice(transits: list[Transit], begin: float, end: float, with_end: bool) -> list[Transit]:
     return [
         transit for transit in transits if begin <= transit.ended_at < end or (with_end and transit.ended_at == end)
     ]
 
 
-def _fit_line(slices: list[_SliceOffset], pairs: int) -> _Link | UnknownClock:
-    """Fit a line through the slices' offsets by least squares; one that does not fit is no drift."""
-    at = sum(each.at for each in slices) / len(slices)
-    offset = sum(each.offset for each in slices) / len(slices)
-    variance = sum((each.at - at) ** 2 for each in slices)
-    covariance = sum((each.at - at) * (each.offset - offset) for each in slices)
+def _fit_line(slices: list[_SliceOffset], pairs: int) -> _RelativeClock | UnknownClock:
+    """Fit a line to the slices' offsets by least squares; the clock is unknown if the offsets are too far from it."""
+    at = sum(slice_.at for slice_ in slices) / len(slices)
+    offset = sum(slice_.offset for slice_ in slices) / len(slices)
+    variance = sum((slice_.at - at) ** 2 for slice_ in slices)
+    covariance = sum((slice_.at - at) * (slice_.offset - offset) for slice_ in slices)
     slope = covariance / variance if variance else 0.0
-    distances = [abs(each.offset - offset - slope * (each.at - at)) for each in slices]
-    if any(distance > MAX_LINE_DISTANCE_MS + each.error for distance, each in zip(distances, slices, strict=True)):
-        furthest = max(distances)
-        return UnknownClock(f"cannot tell: the clock was set in between, up to {furthest:.0f} ms beside a line")
-    error = max(*distances, *(each.error for each in slices))
-    return _Link(offset, slope * 1000, at, error, pairs, drift_known=True)
+    distances = [abs(slice_.offset - offset - slope * (slice_.at - at)) for slice_ in slices]
+    if any(distance > MAX_LINE_DISTANCE_MS + slice_.error for distance, slice_ in zip(distances, slices, strict=True)):
+        max_distance = max(distances)
+        return UnknownClock(
+            f"cannot tell: the clock was set during the trace; offsets are up to {max_distance:.0f} ms off a line"
+        )
+    error = max(*distances, *(slice_.error for slice_ in slices))
+    return _RelativeClock(offset, slope * 1000, at, error, pairs, drift_known=True)
 
 
 def estimate_clocks(attempts: Iterable[Attempt], hosts: Iterable[str]) -> ClockEstimates:
-    """Estimate the clock of every host; the reference is the host that shares subjects with most others.
+    """Estimate the clock of every host; the reference is the host that can be compared directly with most others.
 
-    A host that shares no subjects with the reference is compared by way of others, along the path with the least
+    A host that shares no subjects with the reference is compared through other hosts, along the path with the smallest
     error.
     """
     names = sorted(hosts)
-    links, unknown_reasons, pair_counts = _compare_all(names, transits_by_hosts(attempts))
+    relative_clocks, unknown_reasons, pair_counts = _compare_all(names, transits_by_hosts(attempts))
     clocks: dict[str, Clock | UnknownClock] = {
         name: UnknownClock(unknown_reasons.get(name, NO_SHARED_SUBJECT)) for name in names
     }
-    reference = max(names, key=lambda name: (len(links[name]), pair_counts[name]), default="")
+    reference = max(names, key=lambda name: (len(relative_clocks[name]), pair_counts[name]), default="")
     if reference:
         own_clock = Clock(0.0, 0.0, 0.0, 0.0, pair_counts[reference], drift_known=True)
-        clocks.update(_chain_links(reference, own_clock, links))
+        clocks.update(_chain_clocks(reference, own_clock, relative_clocks))
     return ClockEstimates(reference, clocks)
 
 
 def _compare_all(names: list[str], transits: dict[HostPair, list[Transit]]) -> _Comparisons:
-    links: dict[str, dict[str, _Link]] = {name: {} for name in names}
+    relative_clocks: dict[str, dict[str, _RelativeClock]] = {name: {} for name in names}
     unknown_reasons: dict[str, str] = {}
     pair_counts = dict.fromkeys(names, 0)
     for first in names:
         for second in names:
             if first == second:
                 continue
-            forth = transits.get((first, second), [])
-            back = transits.get((second, first), [])
-            pair_counts[first] += len(forth) + len(back)
-            link = _compare(forth, back)
-            if isinstance(link, _Link):
-                links[first][second] = link
-            elif forth or back or second not in unknown_reasons:
-                unknown_reasons[second] = link.reason
-    return _Comparisons(links, unknown_reasons, pair_counts)
-
-
-def _chain_links(reference: str, own_clock: Clock, links: dict[str, dict[str, _Link]]) -> dict[str, Clock]:
-    """Return the clocks of all hosts that are linked to the reference, by Dijkstra's algorithm on the errors."""
+            forward = transits.get((first, second), [])
+            backward = transits.get((second, first), [])
+            pair_counts[first] += len(forward) + len(backward)
+            estimate = _compare(forward, backward)
+            if isinstance(estimate, _RelativeClock):
+                relative_clocks[first][second] = estimate
+            elif forward or backward or second not in unknown_reasons:
+                unknown_reasons[second] = estimate.reason
+    return _Comparisons(relative_clocks, unknown_reasons, pair_counts)
+
+
+def _chain_clocks(
+    reference: str, own_clock: Clock, relative_clocks: dict[str, dict[str, _RelativeClock]]
+) -> dict[str, Clock]:
+    """Return the clocks of all hosts that are comparable with the reference, by Dijkstra's algorithm on the errors."""
     clocks: dict[str, Clock] = {}
     lowest_errors: dict[str, float] = {}
     queue: list[tuple[float, str, Clock]] = [(0.0, reference, own_clock)]
@@ -258,21 +265,21 @@
             continue
         lowest_errors[name] = error
         clocks[name] = clock
-        for other, link in links[name].items():
+        for other, relative in relative_clocks[name].items():
             if other not in lowest_errors:
-                heapq.heappush(queue, (error + link.error, other, _extend(clock, link)))
+                heapq.heappush(queue, (error + relative.error, other, _combine(clock, relative)))
     return clocks
 
 
-def _extend(clock: Clock, link: _Link) -> Clock:
-    """Return the clock of a host that is known against another one's."""
-    # By the reference; close enough, as clocks drift by a few parts in a thousand at most.
-    at = link.at - clock.ahead(link.at)
+def _combine(clock: Clock, relative: _RelativeClock) -> Clock:
+    """Return the clock of a host, given another host's clock and the host's clock relative to that one."""
+    # By the reference's clock; accurate enough, because clocks drift by a few parts in a thousand at most.
+    at = relative.at - clock.ahead(relative.at)
     return Clock(
-        offset=clock.ahead(at) + link.offset,
-        drift=clock.drift + link.drift,
+        offset=clock.ahead(at) + relative.offset,
+        drift=clock.drift + relative.drift,
         at=at,
-        error=clock.error + link.error,
-        pairs=min(clock.pairs, link.pairs) if clock.pairs else link.pairs,
-        drift_known=clock.drift_known and link.drift_known,
+        error=clock.error + relative.error,
+        pairs=min(clock.pairs, relative.pairs) if clock.pairs else relative.pairs,
+        drift_known=clock.drift_known and relative.drift_known,
     )
--- a/lapispick/trace/comparing.py
+++ b/lapispick/trace/comparing.py
@@ -1,7 +1,7 @@
 """Compares two traces, or a trace with a replay of it. No I/O.
 
-Only the first difference is reliable: what follows would have been decided in situations that might not have come
-about. The weight is estimated as if each run had the average weight of the recorded runs of its class.
+Only the first difference is reliable, because other decisions at that step could have changed all later situations. The
+priority weight is estimated as if each run had the average weight of the recorded runs of its class.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from lapispick.trace.summary import UNKNOWN_NAME
 from lapispick.trace.text_names import format_records, step_field_name
 
-MAX_KNOWN_REQUESTS = 200_000  # whose class is stored; far more than are ever open
+MAX_KNOWN_REQUESTS = 200_000  # whose class is stored; far more than are ever unanswered at a time
 Decision = admission.StartRun | admission.Reject | admission.Fail | admission.SkipCall
-_FINAL = (admission.Reject, admission.Fail)
+_FINAL_DECISIONS = (admission.Reject, admission.Fail)
 
 
 class ClassDecisions(msgspec.Struct):
-    """How often each decision was made for a class; the weight is estimated from the first side's runs."""
+    """Number of decisions for a class, by kind, and the priority weight estimated from the recorded runs."""
 
     runs: int = msgspec.field(default=0, name="run")
     rejected: int = msgspec.field(default=0, name="refused")
@@ -44,27 +44,27 @@
 
 
 class Divergence(msgspec.Struct):
-    """The first step in which two sides differ, from 1, and what each has there."""
+    """The first step that differs between two traces, and the content of the differing field on each side."""
 
-    step: int
+    step: int  # counted from 1
     now: float
-    field: str = msgspec.field(name="part")  # of a step, by its name in text; ``end`` where one trace is longer
+    field: str = msgspec.field(name="part")  # of ``Step``, by its name in text; ``end`` if one trace is longer
     left: str
     right: str
 
 
 class Decisions:
-    """Counts decisions by class, on one side."""
+    """Counts the decisions in one trace or replay by class, and the rejections by reason."""
 
     def __init__(self, class_name: Callable[[int, int], str]) -> None:
-        """``class_name`` returns the name of a source's class."""
+        """``class_name`` returns the name of a class, given the indexes of its source and of the class."""
         self._class_name = class_name
-        self._classes: dict[tuple[int, int], str] = {}  # by source and request
+        self._classes: dict[tuple[int, int], str] = {}  # names by source and request
         self.by_class: dict[str, ClassDecisions] = {}
         self.reasons: Counter[str] = Counter()
 
     def add(self, step: Step, actions: Iterable[admission.Action]) -> None:
-        """Add a step's requests and what one side ordered in it."""
+        """Record the requests of a step, and count the decisions among the actions of one side."""
         for event in step.events:
             if type(event) is admission.RequestReceived:
                 self._classes[step.source_index, event.id] = self._class_name(step.source_index, event.class_index)
@@ -82,12 +82,12 @@
         self.by_class.setdefault(name, ClassDecisions()).count(action)
         if isinstance(action, admission.Reject):
             self.reasons[action.reason or UNKNOWN_NAME] += 1
-        if isinstance(action, _FINAL):
+        if isinstance(action, _FINAL_DECISIONS):
             del self._classes[source_index, action.id]
 
 
 def estimate(recorded: dict[str, ClassDecisions], other: dict[str, ClassDecisions], served: dict[str, float]) -> None:
-    """Set the weight on both sides; ``served`` is what the recorded runs of each class earned."""
+    """Estimate the priority weight on both sides; ``served`` is the served weight of the recorded runs by class."""
     for name, decisions in recorded.items():
         decisions.priority_weight = served.get(name, 0.0)
     for name, decisions in other.items():
@@ -101,28 +101,28 @@
 def first_divergence(
     left: Iterable[Step], right: Iterable[Step], on_pair: Callable[[Step, Step], None]
 ) -> Divergence | None:
-    """Walk two traces step by step; return where they first differ.
+    """Compare two traces step by step and return the first difference, None if there is none.
 
-    ``on_pair`` gets every pair of steps, an empty step where one trace has ended.
+    ``on_pair`` is called with every pair of steps, with an empty step where one trace has ended.
     """
-    found = None
-    for number, (one, two) in enumerate(zip_longest(left, right), 1):
-        on_pair(one or Step(0.0), two or Step(0.0))
-        if found is None and one != two:
-            found = _divergence(number, one, two)
-    return found
+    divergence = None
+    for number, (left_step, right_step) in enumerate(zip_longest(left, right), 1):
+        on_pair(left_step or Step(0.0), right_step or Step(0.0))
+        if divergence is None and left_step != right_step:
+            divergence = _divergence(number, left_step, right_step)
+    return divergence
 
 
-def _divergence(number: int, one: Step | None, two: Step | None) -> Divergence:
-    if one is None or two is None:
-        longer = one or two
+def _divergence(number: int, left_step: Step | None, right_step: Step | None) -> Divergence:
+    if left_step is None or right_step is None:
+        longer = left_step or right_step
         assert longer is not None
-        left = "ended" if one is None else "goes on"
-        right = "ended" if two is None else "goes on"
+        left = "ended" if left_step is None else "goes on"
+        right = "ended" if right_step is None else "goes on"
         return Divergence(number, longer.now, "end", left, right)
-    field = next(name for name in Step._fields if getattr(one, name) != getattr(two, name))
-    left, right = (_format(getattr(step, field)) for step in (one, two))
-    return Divergence(number, one.now, step_field_name(field), left, right)
+    field = next(name for name in Step._fields if getattr(left_step, name) != getattr(right_step, name))
+    left, right = (_format(getattr(step, field)) for step in (left_step, right_step))
+    return Divergence(number, left_step.now, step_field_name(field), left, right)
 
 
 def _format(value: object) -> str:
--- a/lapispick/trace/duration_histograms.py
+++ b/lapispick/trace/duration_histograms.py
@@ -8,21 +8,21 @@
 from lapispick.trace.arrays import Array
 from lapispick.trace.summary import Percentiles
 
-MAX_DURATION_MS = 3_600_000  # longer ones count as this
+MAX_DURATION_MS = 3_600_000  # longer durations are counted as this one
 EXACT_BELOW_MS = 1 << 16  # shorter durations are counted in an array, which is faster than the histogram
 SIGNIFICANT_DIGITS = 3
 PERCENTILES = (50, 90, 99, 100)
 
 
 class DurationHistograms:
-    """The distribution of durations for each name."""
+    """Distributions of durations by name."""
 
     def __init__(self) -> None:
         self._counts: dict[str, Array] = {}  # by ms, below ``EXACT_BELOW_MS``
         self._histograms: dict[str, HdrHistogram] = {}
 
     def add(self, name: str, durations: Array) -> None:
-        """Count an array of durations, ms."""
+        """Add durations in ms to the distribution of a name."""
         rounded = np.clip(np.rint(durations), 1, MAX_DURATION_MS).astype(np.int64)
         counts = self._counts.setdefault(name, np.zeros(EXACT_BELOW_MS, np.int64))
         values, occurrences = np.unique(rounded[rounded < EXACT_BELOW_MS], return_counts=True)
@@ -32,7 +32,7 @@
             histogram.record_value(duration)
 
     def pop(self, name: str) -> Percentiles:
-        """Return the percentiles for a name, and forget it."""
+        """Return the percentiles for a name, and remove its distribution."""
         histogram = self._histograms.pop(name, None)
         if histogram is None:
             return Percentiles()
@@ -42,4 +42,4 @@
         total = histogram.get_total_count()
         if not total:
             return Percentiles()
-        return Percentiles(total, *(float(histogram.get_value_at_percentile(each)) for each in PERCENTILES))
+        return Percentiles(total, *(float(histogram.get_value_at_percentile(percentile)) for percentile in PERCENTILES))
--- a/lapispick/trace/merging.py
+++ b/lapispick/trace/merging.py
@@ -1,6 +1,6 @@
-"""Merges the traces of several hosts: the order of their steps, and the sources that they come from. No I/O.
+"""Merges the traces of several hosts: the order of their steps, and the sources in the headers. No I/O.
 
-Never reorders within one incarnation of a host, whatever its clock did.
+The steps of one incarnation of a host are never reordered, even if its clock was set back.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 
 
 class Incarnation(NamedTuple):
-    """One incarnation of a host; its files differ in their sequence only."""
+    """Identity of one incarnation of a host; the headers of its files differ in the sequence number only."""
 
     host: str
     number: str
 
 
 class MergedSources(NamedTuple):
-    """The distinct sources of files, in order of their first file, and where those of each file are among them."""
+    """The distinct sources of several files, in order of their first occurrence."""
 
     sources: list[message_types.Source]
-    positions: list[list[int]]
+    positions: list[list[int]]  # for each file, the positions in ``sources`` of the file's own sources
 
 
 def incarnation_of(source: message_types.Source) -> Incarnation:
-    """Return which incarnation of which host a source stands for."""
+    """Return the identity of the incarnation that a source describes."""
     return Incarnation(source.box, source.incarnation)
 
 
 def merge_sources(files: Iterable[Sequence[message_types.Source]]) -> MergedSources:
-    """Return the distinct sources in the headers of files."""
+    """Return the distinct sources in the headers of several files."""
     known: dict[Incarnation, int] = {}
     distinct: list[message_types.Source] = []
     positions: list[list[int]] = []
@@ -50,7 +50,7 @@
 
 
 def apply_clocks(sources: Sequence[message_types.Source], clocks: dict[str, Clock | UnknownClock]) -> list[str]:
-    """Write the clocks of hosts into their sources; return the reasons for those that are not corrected."""
+    """Set the clock correction of each source; return the hosts that are not corrected, each with the reason."""
     reasons: list[str] = []
     for source in sources:
         clock = clocks.get(source.box)
@@ -58,16 +58,16 @@
             source.offset = clock.offset
             source.drift = clock.drift
             source.error = clock.error
-            source.at = clock.at + clock.offset  # when it was that far ahead, by the host's own clock
+            source.at = clock.at + clock.offset  # by the host's own clock, not by the reference's
         else:
-            reason = clock.reason if clock is not None else "cannot tell: it was not looked at"
+            reason = clock.reason if clock is not None else "cannot tell: no estimate for this host"
             reasons.append(f"{source.box}: {reason}")
     return reasons
 
 
 def merge(streams: Sequence[Iterable[Step]], step_time: Callable[[Step], float]) -> Iterator[Step]:
-    """Yield the steps of all streams by time; at the same time by the order of the streams.
+    """Yield the steps of all streams ordered by time, and by the order of the streams where times are equal.
 
-    A step that is earlier than the one before it in its stream follows that one at once.
+    A step that is earlier than its predecessor in the same stream comes directly after it.
     """
     return heapq.merge(*streams, key=step_time)
--- a/lapispick/trace/replaying.py
+++ b/lapispick/trace/replaying.py
@@ -1,7 +1,7 @@
-"""Replays a trace: feeds it to the present decision module on the recorded clock and compares the actions. No I/O.
+"""Replays a trace: feeds it to the current decision module by the recorded clock and compares the actions. No I/O.
 
-The replay is open-loop: what the module orders now does not change the recorded events. With another module only the
-first difference is reliable; later ones show its decisions in situations that it might not have caused.
+The replay is open-loop: the actions of the current module don't change the recorded events. With a different module,
+only the first difference is reliable; later ones show its decisions in situations that it might not have caused.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 
 
 class Difference(NamedTuple):
-    """The first step whose actions differ."""
+    """The first step whose replayed actions differ from the recorded ones."""
 
-    number: int
+    number: int  # counted from 1
     now: float
     recorded: tuple[admission.Action, ...]
     replayed: tuple[admission.Action, ...]
@@ -35,14 +35,14 @@
     """The result of a replay; actions are counted by name."""
 
     steps: int = 0
-    differing: int = 0
+    differing: int = 0  # steps whose actions differ
     first: Difference | None = None
-    lost_steps: int = 0  # in the gap at which the replay ended
+    lost_steps: int = 0  # in the gap at which the replay stopped
     recorded: Counter[str] = dataclasses.field(default_factory=Counter)
     replayed: Counter[str] = dataclasses.field(default_factory=Counter)
 
     def add(self, step: Step, replayed: tuple[admission.Action, ...]) -> None:
-        """Compare the actions of a step."""
+        """Compare the replayed actions of a step with the recorded ones, and count both."""
         self.steps += 1
         self.recorded.update(record_name(type(action)) for action in step.actions)
         self.replayed.update(record_name(type(action)) for action in replayed)
@@ -58,9 +58,9 @@
     steps: Iterable[Step],
     on_step: StepObserver | None = None,
 ) -> ReplayResult:
-    """Replay the steps of one incarnation from its first on; ends at a gap, as the state behind it is unknown.
+    """Replay the steps of one incarnation from its first step; stop at a gap, as the state after it is unknown.
 
-    ``on_step`` gets each step, the actions of the present module, and the module.
+    ``on_step`` is called with each step, the actions of the current module, and its controller.
     """
     controller = Controller(msgspec.json.decode(settings, type=admission.Settings), seed, module_now)
     result = ReplayResult()
@@ -70,7 +70,7 @@
             break
         _adopt_estimates(controller, step)
         if not step.events and not step.actions and result.steps:
-            continue  # notes only
+            continue  # the step has only notes
         actions = tuple(controller.step(step.now, list(step.events)))
         result.add(step, actions)
         if on_step is not None:
--- a/tests/test_aggregation.py
+++ b/tests/test_aggregation.py
@@ -132,9 +132,9 @@
 def test_records_that_contradict_the_header_or_their_order_are_rejected():
     with pytest.raises(ValueError, match="do not rise"):
         aggregate(request_step(0, 2), request_step(1, 1))
-    with pytest.raises(ValueError, match="does not name"):
+    with pytest.raises(ValueError, match="source is not listed in the header: expected 0 <= index < 1, got 1"):
         aggregate(request_step(0, 1, source_index=1))
-    with pytest.raises(ValueError, match="of a class"):
+    with pytest.raises(ValueError, match="class number is not listed in the header: expected 0 <= number < 2, got 7"):
         aggregate(request_step(0, 1, class_index=7))
 
 
--- a/tests/test_clock_skew.py
+++ b/tests/test_clock_skew.py
@@ -123,7 +123,7 @@
     rng = random.Random(1)
     clocks = {"a": clock_ahead_by(0.0), "b": clock_ahead_by(1000.0)}
     attempts = make_attempts(rng, clocks, 60)
-    nothing = UnknownClock("cannot tell: no subject was tried at both")
+    nothing = UnknownClock("cannot tell: no subject was attempted at both hosts")
     assert estimate_clocks([], ["a", "b"]).clocks["b"] == nothing
     separate = [attempt._replace(subject=attempt.subject + attempt.host.encode()) for attempt in attempts]
     for clock in estimate_clocks(separate, clocks).clocks.values():
--- a/tests/test_trace_anonymising.py
+++ b/tests/test_trace_anonymising.py
@@ -35,7 +35,7 @@
     assert header.sources[0].box.startswith("box-")
     assert anonymiser.originals() == {"a", "shop", "bar"}
     assert PSEUDONYM_KEY not in header.SerializeToString()
-    with pytest.raises(ValueError, match="16 to 64 bytes, not 3"):
+    with pytest.raises(ValueError, match="16 to 64 bytes, got 3"):
         Anonymiser(b"key")
 
 
