--- a/lapispick/trace/aggregation.py
+++ b/lapispick/trace/aggregation.py
@@ -252,7 +252,7 @@
             return
         self._totals.add(self._summary, requests, count, list(self._accounts))
         self._table.drop(count)
-        self._linker.forget_before(requests.first_index)
+        self._linker.remove_before(requests.first_index)
 
 
 def source_info(source: message_types.Source) -> SourceInfo:
--- a/lapispick/trace/request_answers.py
+++ b/lapispick/trace/request_answers.py
@@ -1,4 +1,4 @@
-"""Stores the answers of a block in the table of requests. No I/O."""
+"""Records the answers of a block in the table of requests. No I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from lapispick.trace.record_types import FAILED, REJECTED, SERVED
 from lapispick.trace.request_table import AnswerCode, FoundAttempts, RequestTable
 
-NEVER = np.iinfo(np.int64).max
+NOT_CANCELLED = np.iinfo(np.int64).max  # later than the position of any step
 ANSWER_CODES = {
     SERVED.encode(): AnswerCode.SERVED,
     REJECTED.encode(): AnswerCode.REJECTED,
@@ -20,47 +20,48 @@
 
 
 class CancelledAttempts(NamedTuple):
-    """Attempts of one source that clients cancelled in a block, and in which of its steps."""
+    """Attempts of one source that were cancelled by clients in a block."""
 
     attempt_rows: Array
-    step_positions: Array
+    step_positions: Array  # the step of the block in which each was cancelled
 
 
 def add_answers(
     table: RequestTable, answers: Records, times: Array, found: FoundAttempts, cancelled: dict[int, CancelledAttempts]
 ) -> None:
-    """Store answers, given as ``Answered`` records, in the requests that they belong to.
+    """Record answers, given as ``Answered`` records, in the requests that they belong to.
 
-    Only the first answer of an open attempt counts. ``cancelled`` are the cancelled attempts of the block by source.
+    Only the first answer to an open attempt counts. ``cancelled`` has the block's cancelled attempts by source.
     """
     codes = np.array([ANSWER_CODES.get(kind, AnswerCode.NONE) for kind in answers.dictionary("kind")], np.uint8)
     answer = codes[answers.column("kind")]
-    counts = np.zeros(answers.count, np.bool_)
+    is_counted = np.zeros(answers.count, np.bool_)
     for source, record_rows, attempt_rows in found.by_source:
         attempts = table.attempts[source]
         is_first = np.zeros(len(attempt_rows), np.bool_)
         is_first[np.unique(attempt_rows, return_index=True)[1]] = True
         is_first &= attempts["open"][attempt_rows]
-        if source in cancelled:  # a cancellation in the same block or step came before the answer's note
-            cancelled_step = np.full(attempts.size, NEVER, np.int64)
+        # Within a step, a cancellation comes before the note of an answer.
+        if source in cancelled:
+            cancelled_step = np.full(attempts.size, NOT_CANCELLED, np.int64)
             cancelled_step[cancelled[source].attempt_rows[::-1]] = cancelled[source].step_positions[::-1]
             is_first &= cancelled_step[attempt_rows] > answers.step_positions[record_rows]
         attempts["open"][attempt_rows] = False
-        counts[record_rows[is_first]] = answer[record_rows[is_first]] != AnswerCode.NONE
-    _store_unserved(table, found.request_rows, answer, counts)
-    _store_served(table, found.request_rows, times, counts & (answer == AnswerCode.SERVED))
+        is_counted[record_rows[is_first]] = answer[record_rows[is_first]] != AnswerCode.NONE
+    _store_unserved(table, found.request_rows, answer, is_counted)
+    _store_served(table, found.request_rows, times, is_counted & (answer == AnswerCode.SERVED))
 
 
-def _store_unserved(table: RequestTable, request_rows: Array, answer: Array, counts: Array) -> None:
-    """Store rejections and failures, the last of each request, unless the request was served."""
+def _store_unserved(table: RequestTable, request_rows: Array, answer: Array, is_counted: Array) -> None:
+    """Record the last rejection or failure of each request, unless the request was served."""
     stored_answer = table.requests["answer"]
-    unserved = counts & (answer != AnswerCode.SERVED)
+    unserved = is_counted & (answer != AnswerCode.SERVED)
     unserved[unserved] = stored_answer[request_rows[unserved]] != AnswerCode.SERVED
     stored_answer[request_rows[unserved]] = answer[unserved]
 
 
 def _store_served(table: RequestTable, request_rows: Array, times: Array, served: Array) -> None:
-    """Store the first served answer of each request with its age."""
+    """Record the first served answer of each request, with the request's age at that time."""
     requests = table.requests
     stored_answer = requests["answer"]
     rows = np.flatnonzero(served)
--- a/lapispick/trace/request_totals.py
+++ b/lapispick/trace/request_totals.py
@@ -1,4 +1,4 @@
-"""Adds requests up by class, account and time window. No I/O."""
+"""Sums up requests by class, account and time window. No I/O."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class TotalsCounter:
-    """Adds requests to a summary."""
+    """Adds requests to the totals of a summary."""
 
     def __init__(self, class_names: Sequence[str], classes: Sequence[admission.ClassSettings]) -> None:
         self._class_names = class_names
@@ -24,7 +24,7 @@
         self._degraded_weight = _column(classes, "degraded_weight")
 
     def add(self, summary: Summary, requests: GrowingTable, count: int, account_names: Sequence[str]) -> None:
-        """Add the oldest requests of a table."""
+        """Add the ``count`` oldest requests of a table; ``account_names`` are indexed by account number."""
         rows = np.flatnonzero(~requests["is_retry"][:count])
         columns = self._totals_by_request(requests, rows)
         windows = (requests["born_at"][rows] // WINDOW_MS).astype(np.int64)
@@ -44,7 +44,7 @@
         _add_by_group(columns, windows, window_totals)
 
     def _totals_by_request(self, requests: GrowingTable, rows: Array) -> dict[str, Array]:
-        """Return what each request adds to each field of ``RequestTotals``."""
+        """Return, for each field of ``RequestTotals``, the amount that each request adds."""
         class_index = requests["class_index"][rows]
         answer = requests["answer"][rows]
         degraded = requests["degraded"][rows]
--- a/lapispick/trace/selecting.py
+++ b/lapispick/trace/selecting.py
@@ -1,8 +1,8 @@
 """Selects the records of a cut: by time, and by the class, account and outcome of requests. No I/O.
 
-A step waits until the outcomes of all its attempts are known, which the longest deadline bounds; so memory follows
-what is open and not the length of the trace. An attempt that spans an edge of the window is marked, selected with all
-its records or left out, by the ``EdgePolicy``.
+A step is kept until the outcomes of all its attempts are known, at most for little more than the longest deadline. So
+memory use depends on the number of open attempts and not on the length of the trace. An attempt that spans an edge of
+the window is marked, selected with all its records or left out, as the ``EdgePolicy`` says.
 """
 
 from __future__ import annotations
@@ -20,25 +20,25 @@
 
     R = TypeVar("R", bound=Record)
 
-LATE_ANSWER_MS = 1000.0  # beyond the longest deadline: an answer may be late, and its note comes a step later
+LATE_ANSWER_MS = 1000.0  # added to the longest deadline: an answer may be late, and its note comes one step later
 NO_ANSWER = "gone"  # the outcome of an attempt without an answer
-MEMORY_HORIZONS = 2  # an attempt is forgotten after so many horizons
-_ENDS = (Answered, admission.ClientCancelled)  # the records that end an attempt
+RETENTION_HORIZONS = 2  # attempts are kept for this many times ``Selector._horizon_ms``
+_END_RECORD_TYPES = (Answered, admission.ClientCancelled)  # records that end an attempt
 
 
 class EdgePolicy(enum.StrEnum):
-    """What becomes of attempts that span an edge of the window; the values are options of ``trace cut``."""
+    """Treatment of attempts that span an edge of the window; the values are options of ``trace cut``."""
 
     MARK = "mark"
-    COMPLETE = "whole"  # select all their records
+    COMPLETE = "whole"  # select all their records, also those outside the window
     DROP = "drop"
 
 
 class Selection(NamedTuple):
-    """What a cut selects; an empty set stands for all."""
+    """Criteria of a cut; an empty set selects all."""
 
-    since: float = float("-inf")  # ms; the window begins here
-    until: float = float("inf")  # ms; the window ends before
+    since: float = float("-inf")  # start of the window, ms, inclusive
+    until: float = float("inf")  # end of the window, ms, exclusive
     classes: frozenset[str] = frozenset()
     accounts: frozenset[str] = frozenset()
     outcomes: frozenset[str] = frozenset()
@@ -46,55 +46,63 @@
 
     @property
     def by_request(self) -> bool:
-        """Tell whether requests are selected by more than time."""
+        """Return True if requests are selected by class, account or outcome."""
         return bool(self.classes or self.accounts or self.outcomes)
 
     def includes(self, now: float) -> bool:
-        """Tell whether a time is within the window."""
+        """Return True if a time is within the window."""
         return self.since <= now < self.until
 
 
 class _Attempt:
-    """What is known of an attempt so far."""
-
-    __slots__ = ("account", "class_name", "ended_inside", "inside", "outcome", "since", "starts_with_request")
-
-    def __init__(self, since: float, starts_with_request: bool) -> None:
-        self.since = since
-        self.starts_with_request = starts_with_request  # else it began before the first step that was read
-        self.inside = False  # any record of it is within the window
+    """State of an attempt, from the records read so far."""
+
+    __slots__ = (
+        "account",
+        "class_name",
+        "ended_inside",
+        "first_seen_at",
+        "has_records_inside",
+        "outcome",
+        "starts_with_request",
+    )
+
+    def __init__(self, first_seen_at: float, starts_with_request: bool) -> None:
+        self.first_seen_at = first_seen_at
+        self.starts_with_request = starts_with_request  # False: it began before the first step that was read
+        self.has_records_inside = False  # inside the window
         self.ended_inside = False
         self.class_name = ""
         self.account = ""
         self.outcome = ""
 
 
-AttemptId = tuple[int, int]  # index of the source, and number of the request
+AttemptId = tuple[int, int]  # index of the source, and id of the request
 
 
 class _PendingStep(NamedTuple):
-    """A step whose attempts are not all known to have ended."""
+    """A step that is kept until the outcomes of its attempts are known."""
 
     now: float
     step: Step
     attempts: list[AttemptId]
 
 
-class _Edges(NamedTuple):
-    """Which edges of the window an attempt spans."""
+class _SpannedEdges(NamedTuple):
+    """The edges of the window that an attempt spans."""
 
     began_before: bool
     ends_after: bool
 
 
 def _attempt_id(step: Step, record: Record) -> AttemptId | None:
-    """Return the attempt that a record belongs to."""
+    """Return the attempt that a record belongs to, None if it belongs to none."""
     number = getattr(record, "id", None)
     return None if number is None else (step.source_index, number)
 
 
 class Selector:
-    """Takes the steps around a window, in order, and yields what is selected."""
+    """Yields the selected steps and records, from the steps in and around a window in order."""
 
     def __init__(
         self,
@@ -103,7 +111,10 @@
         deadline_ms: float,
         step_time: Callable[[Step], float],
     ) -> None:
-        """``class_name`` returns the name of a source's class, ``step_time`` the time of a step in ms."""
+        """``class_name`` returns the name of a class, given the indexes of its source and of the class.
+
+        ``step_time`` returns the time of a step in ms.
+        """
         self._selection = selection
         self._class_name = class_name
         self._step_time = step_time
@@ -114,22 +125,22 @@
 
     @property
     def margin(self) -> float:
-        """Return how far beyond the window steps are needed, ms."""
+        """Return how far beyond the window steps must be read, ms."""
         selection = self._selection
         return self._horizon_ms if selection.edges is EdgePolicy.COMPLETE or selection.by_request else 0.0
 
     def run(self, steps: Iterable[Step]) -> Iterator[Step]:
-        """Yield the steps that are selected, with the selected records of them."""
+        """Yield the selected steps, each with its selected records only."""
         for step in steps:
             now = self._step_time(step)
             self._add(now, step)
-            while self._pending and self._is_decidable(now):
+            while self._pending and self._is_oldest_decidable(now):
                 yield from self._select(self._pending.popleft())
         while self._pending:
             yield from self._select(self._pending.popleft())
 
     def _add(self, now: float, step: Step) -> None:
-        """Note what the records of a step say of their attempts."""
+        """Update the attempts of a step from its records, and append the step to the pending ones."""
         inside = self._selection.includes(now)
         attempts: list[AttemptId] = []
         for records in (step.events, step.notes, step.actions):
@@ -137,31 +148,31 @@
                 attempt_id = _attempt_id(step, record)
                 if attempt_id is not None:
                     attempts.append(attempt_id)
-                    self._note(now, step, record, attempt_id, inside)
+                    self._update_attempt(now, step, record, attempt_id, inside)
         self._pending.append(_PendingStep(now, step, attempts))
 
-    def _note(self, now: float, step: Step, record: Record, attempt_id: AttemptId, inside: bool) -> None:
+    def _update_attempt(self, now: float, step: Step, record: Record, attempt_id: AttemptId, inside: bool) -> None:
         attempt = self._attempts.get(attempt_id)
         if attempt is None:
             attempt = self._attempts[attempt_id] = _Attempt(now, isinstance(record, admission.RequestReceived))
-        attempt.inside |= inside
+        attempt.has_records_inside |= inside
         if isinstance(record, admission.RequestReceived):
             attempt.class_name = self._class_name(step.source_index, record.class_index)
         elif isinstance(record, Arrival):
             attempt.account = record.account
-        elif isinstance(record, _ENDS) and not attempt.outcome:
+        elif isinstance(record, _END_RECORD_TYPES) and not attempt.outcome:
             attempt.outcome = record.kind if isinstance(record, Answered) else NO_ANSWER
             attempt.ended_inside = inside
 
-    def _is_decidable(self, now: float) -> bool:
-        """Tell whether the outcomes of the oldest pending step are known, or none can come any more."""
+    def _is_oldest_decidable(self, now: float) -> bool:
+        """Return True if the outcomes of the oldest pending step's attempts are known or can't follow any more."""
         oldest = self._pending[0]
         if now - oldest.now > self._horizon_ms:
             return True
-        return all(self._attempts[each].outcome for each in oldest.attempts if each in self._attempts)
+        return all(self._attempts[attempt_id].outcome for attempt_id in oldest.attempts if attempt_id in self._attempts)
 
     def _matches(self, attempt: _Attempt | None) -> bool:
-        """Tell whether an attempt is one of those that are selected, whenever it was."""
+        """Return True if an attempt meets the criteria other than time."""
         selection = self._selection
         if attempt is None:
             return not selection.by_request
@@ -171,12 +182,14 @@
             return False
         return not selection.outcomes or (attempt.outcome or NO_ANSWER) in selection.outcomes
 
-    def _edges(self, attempt: _Attempt) -> _Edges:
-        began_before = not attempt.starts_with_request or attempt.since < self._selection.since
-        return _Edges(began_before and attempt.inside, attempt.inside and not attempt.ended_inside)
+    def _spanned_edges(self, attempt: _Attempt) -> _SpannedEdges:
+        began_before = not attempt.starts_with_request or attempt.first_seen_at < self._selection.since
+        return _SpannedEdges(
+            began_before and attempt.has_records_inside, attempt.has_records_inside and not attempt.ended_inside
+        )
 
     def _is_selected(self, attempt_id: AttemptId | None, inside: bool) -> bool:
-        """Tell whether a record of an attempt, or of none, is selected."""
+        """Return True if a record of this attempt is selected; None stands for a record without an attempt."""
         selection = self._selection
         if attempt_id is None:
             return inside and not selection.by_request
@@ -186,45 +199,45 @@
         if attempt is None or selection.edges is EdgePolicy.MARK:
             return inside
         if selection.edges is EdgePolicy.COMPLETE:
-            return attempt.inside
-        return inside and not any(self._edges(attempt))
+            return attempt.has_records_inside
+        return inside and not any(self._spanned_edges(attempt))
 
     def _select(self, pending: _PendingStep) -> Iterator[Step]:
         step = pending.step
         inside = self._selection.includes(pending.now)
-        events = self._selected(step, step.events, inside)
-        actions = self._selected(step, step.actions, inside)
-        notes: tuple[Note, ...] = self._selected(step, step.notes, inside)
+        events = self._selected_records(step, step.events, inside)
+        actions = self._selected_records(step, step.actions, inside)
+        notes: tuple[Note, ...] = self._selected_records(step, step.notes, inside)
         marks_edges = inside and self._selection.edges is EdgePolicy.MARK
         if marks_edges:
             notes += self._edge_marks(pending.attempts)
         keeps_empty = marks_edges and not self._selection.by_request
         if keeps_empty or events or actions or notes:
             yield step._replace(events=events, actions=actions, notes=notes)
-        self._forget(pending.now)
+        self._remove_expired_attempts(pending.now)
 
-    def _selected(self, step: Step, records: tuple[R, ...], inside: bool) -> tuple[R, ...]:
-        """Return the records of a step that are selected."""
+    def _selected_records(self, step: Step, records: tuple[R, ...], inside: bool) -> tuple[R, ...]:
+        """Return the selected ones among records of a step."""
         return tuple(record for record in records if self._is_selected(_attempt_id(step, record), inside))
 
     def _edge_marks(self, attempts: list[AttemptId]) -> tuple[SpansBoundary, ...]:
-        """Return a note for each attempt that spans an edge and has none yet."""
+        """Return a mark for each attempt that spans an edge and is not marked yet."""
         marks: list[SpansBoundary] = []
         for attempt_id in dict.fromkeys(attempts):
             attempt = self._attempts.get(attempt_id)
             if attempt is None or attempt_id in self._marked or not self._matches(attempt):
                 continue
-            edges = self._edges(attempt)
+            edges = self._spanned_edges(attempt)
             if any(edges):
                 self._marked.add(attempt_id)
                 marks.append(SpansBoundary(attempt_id[1], edges.began_before, edges.ends_after))
         return tuple(marks)
 
-    def _forget(self, now: float) -> None:
-        """Forget attempts of which no record can come any more; dicts keep the order of arrival."""
+    def _remove_expired_attempts(self, now: float) -> None:
+        """Remove attempts for which no more records can follow; the dict is in the order of their first records."""
         while self._attempts:
             attempt_id, attempt = next(iter(self._attempts.items()))
-            if now - attempt.since <= MEMORY_HORIZONS * self._horizon_ms:
+            if now - attempt.first_seen_at <= RETENTION_HORIZONS * self._horizon_ms:
                 break
             del self._attempts[attempt_id]
             self._marked.discard(attempt_id)
--- a/lapispick/trace/series.py
+++ b/lapispick/trace/series.py
@@ -1,6 +1,6 @@
-"""A trace over time, for plots: what arrived and what was decided in each interval. No I/O.
+"""Time series of a trace for plots: arrivals, answers and rejections in each interval. No I/O.
 
-Memory follows the time that a trace covers, not the number of its steps; long traces get longer intervals.
+Memory use is bounded by the number of intervals, not by that of steps; long traces get longer intervals.
 """
 
 from __future__ import annotations
@@ -17,44 +17,44 @@
 from lapispick.trace.record_types import SERVED, Answered, Arrival, ExternalEvent
 from lapispick.trace.summary import UNKNOWN_NAME
 
-MAX_POINTS = 1200  # intervals of one plot; more can't be distinguished
+MAX_INTERVALS = 1200  # in one plot; more could not be distinguished
 MIN_INTERVAL_MS = 250.0
-MAX_AGES = 1000  # of which the median of an interval is taken
-SHUTDOWN_MARK = "leave"
+MAX_AGES = 1000  # samples for the median of an interval
+SHUTDOWN_MARK = "leave"  # ``Mark.name`` of the shutdown of a host
 
 
 class Mark(NamedTuple):
-    """Something that operators did, or the shutdown of a host."""
+    """An external event, such as a drain or a reload, or the shutdown of a host."""
 
-    time: float
-    name: str
+    time: float  # ms
+    name: str  # kind of the external event, or ``SHUTDOWN_MARK``
 
 
 class Sample(NamedTuple):
     """A value at a time."""
 
-    time: float
+    time: float  # ms
     value: float
 
 
 class Series(msgspec.Struct):
-    """Counts by interval; times and lengths are in ms. The JSON form is read by other programs."""
+    """Counts by interval; times and durations are in ms. Other programs read the JSON form."""
 
-    begin: float  # of the first interval
+    begin: float  # start of the first interval
     interval_ms: float = msgspec.field(name="span")
     arrived: list[int]
-    answers: dict[str, list[int]]  # by served, refused, failed
-    rejection_reasons: dict[str, list[int]] = msgspec.field(name="grounds")  # rejected attempts
+    answers: dict[str, list[int]]  # by kind: served, refused, failed
+    rejection_reasons: dict[str, list[int]] = msgspec.field(name="grounds")  # rejected attempts by reason
     open_attempts: list[int] = msgspec.field(name="inflight")  # without an answer at the end of the interval
-    served_ages: list[float] = msgspec.field(name="waits")  # median from arrival to the served answer; 0: none
+    served_ages: list[float] = msgspec.field(name="waits")  # median from arrival to served answer; 0 if there is none
     marks: list[Mark]
-    concurrency_limit: list[float] = msgspec.field(default_factory=list, name="limit")  # if the trace was replayed
+    concurrency_limit: list[float] = msgspec.field(default_factory=list, name="limit")  # if replayed
     occupancy_price: list[float] = msgspec.field(default_factory=list, name="price")
 
 
 def interval_ms(first: float, last: float) -> float:
-    """Return the length of an interval for a plot from first to last."""
-    return max(MIN_INTERVAL_MS, (last - first) / MAX_POINTS)
+    """Return the length of an interval in a plot from ``first`` to ``last``, ms."""
+    return max(MIN_INTERVAL_MS, (last - first) / MAX_INTERVALS)
 
 
 class _Counts:
@@ -65,12 +65,12 @@
         self._by_name: dict[str, Array] = {}
 
     def add(self, name: str, intervals: Array) -> None:
-        """Count one for each of these intervals."""
+        """Add one to the count of each of these intervals, as often as it occurs."""
         counts = self._by_name.setdefault(name, np.zeros(self._interval_count, np.int64))
         counts += np.bincount(intervals, minlength=self._interval_count)
 
     def add_by_value(self, records: Records, field: str, intervals: Array) -> None:
-        """Count records by the value of a field of strings."""
+        """Count records by the value of a string field."""
         if not records.count:
             return
         indices = records.column(field)
@@ -78,7 +78,7 @@
             self.add(value.decode(errors="replace") or UNKNOWN_NAME, intervals[indices == index])
 
     def total(self) -> Array:
-        """Return the counts of all names together: shape (intervals,)."""
+        """Return the sums of the counts over all names: shape (intervals,)."""
         return sum(self._by_name.values(), np.zeros(self._interval_count, np.int64))
 
     def lists(self) -> dict[str, list[int]]:
@@ -87,7 +87,7 @@
 
 
 class _SeriesBuilder:
-    """Collects the series from blocks."""
+    """Builds a ``Series`` from blocks."""
 
     def __init__(self, first: float, last: float) -> None:
         self._first = first
@@ -101,21 +101,21 @@
         self._marks: list[Mark] = []
 
     def add(self, block: Block, times: Array) -> None:
-        """Add a block; ``times`` are those of its steps."""
+        """Add a block, given the times of its steps."""
         intervals = np.clip((times - self._first) // self._interval_ms, 0, self._interval_count - 1).astype(np.int64)
 
-        def of(records: Records) -> Array:
+        def intervals_of(records: Records) -> Array:
             return intervals[records.step_positions]
 
         arrivals = block.records(Arrival)
-        self._arrived.add("all", of(arrivals))
+        self._arrived.add("all", intervals_of(arrivals))
         cancellations = block.records(admission.ClientCancelled)
-        self._cancelled.add("all", of(cancellations))
+        self._cancelled.add("all", intervals_of(cancellations))
         answers = block.records(Answered)
-        self._answers.add_by_value(answers, "kind", of(answers))
+        self._answers.add_by_value(answers, "kind", intervals_of(answers))
         rejections = block.records(admission.Reject)
-        self._rejection_reasons.add_by_value(rejections, "reason", of(rejections))
-        self._add_ages(answers, of(answers))
+        self._rejection_reasons.add_by_value(rejections, "reason", intervals_of(rejections))
+        self._add_ages(answers, intervals_of(answers))
         self._add_marks(block, times)
 
     def build(self) -> Series:
@@ -160,7 +160,7 @@
 
 
 def resample(samples: Sequence[Sample], series: Series) -> list[float]:
-    """Return the last sampled value of each interval; before the first sample, the first one's."""
+    """Return the last sampled value up to the end of each interval; before the first sample, its value."""
     value = samples[0].value if samples else 0.0
     position = 0
     values: list[float] = []
--- a/lapispick/trace/step_times.py
+++ b/lapispick/trace/step_times.py
@@ -1,4 +1,4 @@
-"""The times of steps by the reference clock of a file: a source's clock less its correction. No I/O."""
+"""Converts the times of steps from the clock of their source to the reference clock of a file. No I/O."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 
 class CorrectedSource(Protocol):
-    """A source with the correction of its clock, as the header of a file has it."""
+    """A source with its clock correction, as in the header of a file."""
 
     @property
     def offset(self) -> float:
-        """Return how far the clock is ahead at ``at``, ms."""
+        """Return how far the clock is ahead of the reference clock at ``at``, ms."""
 
     @property
     def drift(self) -> float:
-        """Return how much it gains, ms per second."""
+        """Return how much the clock gains on the reference clock, ms per second."""
 
     @property
     def at(self) -> float:
-        """Return the time of the offset by the source's own clock, ms."""
+        """Return the time at which ``offset`` applies, ms by the source's own clock."""
 
 
 def step_time(sources: Sequence[CorrectedSource], step: Step) -> float:
-    """Return the time of a step, ms; by its own clock if its source is unknown."""
+    """Return the corrected time of a step, ms; the recorded time if its source is unknown."""
     if step.source_index >= len(sources):
         return step.now
     source = sources[step.source_index]
@@ -37,7 +37,7 @@
 
 
 def step_times(sources: Sequence[CorrectedSource], block: Block) -> Array:
-    """Return the times of all steps of a block, ms: shape (steps,)."""
+    """Return the corrected times of all steps of a block, ms: shape (steps,)."""
     offset = np.array([source.offset for source in sources])[block.source_index]
     drift = np.array([source.drift for source in sources])[block.source_index]
     at = np.array([source.at for source in sources])[block.source_index]
--- a/lapispick/trace/summary.py
+++ b/lapispick/trace/summary.py
@@ -1,11 +1,14 @@
-"""What a summary of traces consists of. Its JSON is read by other programs, which the names in ``name=`` are for."""
+"""The summary of traces.
+
+Other programs read its JSON, so the names of the keys, which ``name=`` sets, don't change.
+"""
 
 from __future__ import annotations
 
 import msgspec
 
-WINDOW_MS = 10_000.0  # of the totals over time
-UNKNOWN_NAME = "not told"  # shown for an account or a reason that the trace does not have
+WINDOW_MS = 10_000.0  # length of the windows for which totals are given
+UNKNOWN_NAME = "not told"  # shown for an account or a reason that was not recorded
 
 
 class RequestTotals(msgspec.Struct):
@@ -17,14 +20,14 @@
     served_weight: float = msgspec.field(default=0.0, name="served")
     within_objective: int = msgspec.field(default=0, name="in_aim")
     late: int = 0  # served after the latency objective
-    degraded: int = msgspec.field(default=0, name="poorer")  # served without the downstream call
+    degraded: int = msgspec.field(default=0, name="poorer")  # served with a degraded answer, without the call
     rejected: int = msgspec.field(default=0, name="refused")
     failed: int = 0
     unanswered: int = msgspec.field(default=0, name="gone")  # cancelled, or still open when the trace ended
 
     @property
     def served_fraction(self) -> float | None:
-        """Return the served fraction of the offered weight; None where nothing was offered."""
+        """Return the served fraction of the offered weight, None if nothing was offered."""
         return self.served_weight / self.offered_weight if self.offered_weight else None
 
 
@@ -39,13 +42,13 @@
 
 
 class Summary(msgspec.Struct):
-    """What became of the requests of a trace."""
+    """Outcomes and durations of the requests of a trace."""
 
     total: RequestTotals = msgspec.field(name="whole")
     classes: dict[str, RequestTotals]
     accounts: dict[str, RequestTotals]
-    windows: dict[str, RequestTotals]  # by the first ms of each window
-    worst_windows: list[str] = msgspec.field(name="worst")  # with the least served fraction, the worst first
+    windows: dict[str, RequestTotals]  # by the start of each window, ms
+    worst_windows: list[str] = msgspec.field(name="worst")  # with the smallest served fraction, in ascending order
     rejection_reasons: dict[str, int] = msgspec.field(name="grounds")  # rejected attempts by reason
     queue_times: dict[str, Percentiles] = msgspec.field(name="waits")  # from arrival to start, by class
     run_durations: dict[str, Percentiles] = msgspec.field(name="runs")
--- a/tests/test_aggregation.py
+++ b/tests/test_aggregation.py
@@ -1,4 +1,4 @@
-"""The summary of a trace: retries, lateness, weights, windows, several hosts, and bounded memory."""
+"""Tests of the summary of a trace: retries, late answers, weights, windows, several hosts, and bounded memory."""
 
 import random
 
@@ -91,7 +91,7 @@
     assert summary.worst_windows == ["10000", "0"]
 
 
-def test_a_retry_of_itself_or_of_a_later_attempt_is_a_request_of_its_own():
+def test_an_attempt_marked_as_a_retry_of_itself_or_of_a_later_attempt_is_a_new_request():
     summary = aggregate(Step(0, (make_request(1, TRACK, 1), make_request(2, TRACK, 3), make_request(3))))
     assert summary.total.requests == 3
     assert summary.total.attempts == 3
@@ -112,8 +112,9 @@
     return step._replace(notes=notes)
 
 
-def test_attempts_of_one_subject_at_two_hosts_are_one_request_by_the_corrected_clock():
-    # The second host's clock is a second ahead: what it calls 1,700 was about 715, before the latency objective.
+def test_attempts_of_one_subject_at_two_hosts_are_one_request_with_corrected_times():
+    # The second host's clock is about a second ahead: its 1700 ms are about 715 ms by the reference clock, which is
+    # within the latency objective.
     steps = (
         request_step(100, 1, BOOK, subject=b"s"),
         answer_step(400, 1, "refused"),
@@ -130,7 +131,7 @@
 
 
 def test_records_that_contradict_the_header_or_their_order_are_rejected():
-    with pytest.raises(ValueError, match="do not rise"):
+    with pytest.raises(ValueError, match="expected increasing request ids, got 1 after 2"):
         aggregate(request_step(0, 2), request_step(1, 1))
     with pytest.raises(ValueError, match="source is not listed in the header: expected 0 <= index < 1, got 1"):
         aggregate(request_step(0, 1, source_index=1))
@@ -139,12 +140,12 @@
 
 
 class RandomTrace:
-    """Seeded steps of two hosts, with clocks that are set back and records that refer to old or unknown requests."""
+    """Random steps of two hosts, whose clocks are set back and whose records refer to old or unknown requests."""
 
     def __init__(self, seed):
         self._random = random.Random(seed)
         self._now = 0.0
-        self._last = [0, 0]  # the last request of each source
+        self._last_ids = [0, 0]  # by source: id of its last request
 
     def steps(self, count=250):
         return [self._step() for _ in range(count)]
@@ -156,36 +157,40 @@
         events, actions, notes = [], [], []
         for _ in range(rng.randrange(4)):
             self._add_record(source, events, actions, notes)
-        shown = self._now + (1000 if source else 0) - (rng.uniform(0, 200) if rng.random() < 0.1 else 0)
-        return Step(shown, tuple(events), tuple(actions), tuple(notes), source)
+        clock_ms = self._now + (1000 if source else 0) - (rng.uniform(0, 200) if rng.random() < 0.1 else 0)
+        return Step(clock_ms, tuple(events), tuple(actions), tuple(notes), source)
 
     def _add_record(self, source, events, actions, notes):
-        rng, last = self._random, self._last
-        # Most are recent; some are too old to take part, and now and then one never arrived.
-        known = rng.randint(max(0, last[source] - 12) if rng.random() < 0.8 else 0, last[source]) or 10**6
+        rng, last_ids = self._random, self._last_ids
+        # Most ids are recent; some are of requests that are too old to be counted, and some of none.
+        request_id = rng.randint(max(0, last_ids[source] - 12) if rng.random() < 0.8 else 0, last_ids[source]) or 10**6
         kind = rng.randrange(8)
         if kind < 3:
-            self._add_request(source, known, events, notes)
+            self._add_request(source, request_id, events, notes)
         elif kind == 3:
-            events.append(admission.ClientCancelled(known))
+            events.append(admission.ClientCancelled(request_id))
         elif kind == 4:
             duration = rng.uniform(0, 8000) * rng.choice((1, 1, 20))
-            events.append(admission.RunCompleted(known, rng.choice(list(admission.Outcome)), duration))
+            events.append(admission.RunCompleted(request_id, rng.choice(list(admission.Outcome)), duration))
         elif kind == 5:
-            choices = (admission.StartRun(known), admission.SkipCall(known), admission.Reject(known, 1.0, True, "late"))
+            choices = (
+                admission.StartRun(request_id),
+                admission.SkipCall(request_id),
+                admission.Reject(request_id, 1.0, True, "late"),
+            )
             actions.append(rng.choice(choices))
         else:
-            notes.append(Answered(known, rng.choice(("served", "refused", "failed", "new")), 1.0))
+            notes.append(Answered(request_id, rng.choice(("served", "refused", "failed", "new")), 1.0))
 
-    def _add_request(self, source, known, events, notes):
-        rng, last = self._random, self._last
-        last[source] += 1
+    def _add_request(self, source, request_id, events, notes):
+        rng, last_ids = self._random, self._last_ids
+        last_ids[source] += 1
         keyed = rng.random() < 0.5
-        retry_of = known if rng.random() < 0.3 else 0
-        events.append(make_request(last[source], int(keyed), retry_of, rng.uniform(0, 9)))
+        retry_of = request_id if rng.random() < 0.3 else 0
+        events.append(make_request(last_ids[source], int(keyed), retry_of, rng.uniform(0, 9)))
         if rng.random() < 0.9:
             account = rng.choice(("", "a", "b"))
-            notes.append(Arrival(last[source], account, bytes([rng.randrange(40)]) * keyed, self._now))
+            notes.append(Arrival(last_ids[source], account, bytes([rng.randrange(40)]) * keyed, self._now))
 
 
 def check_percentiles(percentiles, durations):
--- a/tests/test_clock_skew.py
+++ b/tests/test_clock_skew.py
@@ -1,4 +1,4 @@
-"""Clocks of hosts, estimated from subjects that were attempted at more than one."""
+"""Tests of clock estimates from subjects that were attempted at more than one host."""
 
 import json
 import random
@@ -22,7 +22,7 @@
 MAX_ERROR_MS = 20.0
 
 
-class Retried(NamedTuple):
+class RetriedSubject(NamedTuple):
     """A subject that was rejected at one host and served at another; times are true ms."""
 
     subject: bytes
@@ -33,7 +33,7 @@
 
 
 def clock_ahead_by(offset_ms):
-    """Return a clock that maps true ms to ms that are ahead by an offset."""
+    """Return a clock, a function of the true ms, that is ahead by an offset."""
     return lambda true_ms: true_ms + offset_ms
 
 
@@ -41,13 +41,13 @@
     for number in range(count):
         first, last = rng.sample(sorted(hosts), 2)
         subject, ended_at = b"%08d" % number, rng.uniform(0, HOUR)
-        yield Retried(subject, first, last, ended_at, ended_at + 1.0 + rng.expovariate(1 / 4))
+        yield RetriedSubject(subject, first, last, ended_at, ended_at + 1.0 + rng.expovariate(1 / 4))
 
 
 def make_attempts(rng, clocks: dict[str, Callable[[float], float]], count, wrong_fraction=0.0):
-    """Return the attempts of retried subjects by the hosts' clocks, which map true ms to shown ms.
+    """Return the attempts of retried subjects, with times by the hosts' clocks, which are functions of the true ms.
 
-    A fraction has the outcomes in the wrong order, as if served first and rejected later.
+    For a fraction of the subjects the first attempt is recorded as served and the last as rejected.
     """
     attempts = []
     for retried in retried_subjects(rng, clocks, count):
@@ -67,15 +67,15 @@
 
 
 def errors_ms(estimates, clocks, true_ms):
-    """Return how far each estimate is off at a true time."""
+    """Return the absolute error of each estimate at a true time."""
     reference = clocks[estimates.reference](true_ms)
     return [
         abs(clock.ahead(reference) - (clocks[host](true_ms) - reference)) for host, clock in estimates.clocks.items()
     ]
 
 
-def assert_all_right(estimates, clocks, true_ms):
-    """Check that all clocks are known and right at a true time."""
+def assert_accurate(estimates, clocks, true_ms):
+    """Check that all clocks are known, with errors within the bound at a true time."""
     assert not unknown_clocks(estimates)
     assert max(errors_ms(estimates, clocks, true_ms)) <= MAX_ERROR_MS
 
@@ -85,23 +85,23 @@
 def test_fifty_retries_give_an_offset_within_20_ms(seed, offset):
     rng = random.Random(seed)
     clocks = {"a": clock_ahead_by(0.0), "b": clock_ahead_by(offset)}
-    assert_all_right(estimate_clocks(make_attempts(rng, clocks, 50), clocks), clocks, HOUR / 2)
+    assert_accurate(estimate_clocks(make_attempts(rng, clocks, 50), clocks), clocks, HOUR / 2)
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_drift_is_estimated_and_right_at_both_ends(seed):
+def test_a_drift_is_estimated_and_accurate_at_both_ends_of_the_trace(seed):
     rng = random.Random(seed)
     clocks = {"a": clock_ahead_by(0.0), "b": lambda true_ms: true_ms * (1 + 100e-6) + 1000.0}  # 360 ms in the hour
     estimates = estimate_clocks(make_attempts(rng, clocks, 400), clocks)
     (other,) = (clock for host, clock in estimates.clocks.items() if host != estimates.reference)
     assert other.drift_known
     assert abs(abs(other.drift) - 0.1) < 0.01
-    assert_all_right(estimates, clocks, 0.0)
-    assert_all_right(estimates, clocks, HOUR)
+    assert_accurate(estimates, clocks, 0.0)
+    assert_accurate(estimates, clocks, HOUR)
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_the_stated_error_holds_and_is_small(seed):
+def test_the_stated_error_bounds_the_true_error_and_is_small(seed):
     rng = random.Random(seed)
     clocks = {"a": clock_ahead_by(0.0), "b": clock_ahead_by(-700.0), "c": clock_ahead_by(250.0)}
     estimates = estimate_clocks(make_attempts(rng, clocks, 300), clocks)
@@ -112,19 +112,19 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_few_pairs_in_the_wrong_order_do_no_harm(seed):
+def test_a_few_pairs_in_the_wrong_order_have_little_effect(seed):
     rng = random.Random(seed)
     clocks = {"a": clock_ahead_by(0.0), "b": clock_ahead_by(1000.0)}
     attempts = make_attempts(rng, clocks, 200, wrong_fraction=0.02)
-    assert_all_right(estimate_clocks(attempts, clocks), clocks, HOUR / 2)
+    assert_accurate(estimate_clocks(attempts, clocks), clocks, HOUR / 2)
 
 
-def test_a_clock_is_unknown_without_shared_subjects_or_with_one_direction_only():
+def test_a_clock_is_unknown_without_shared_subjects_or_with_retries_in_one_direction_only():
     rng = random.Random(1)
     clocks = {"a": clock_ahead_by(0.0), "b": clock_ahead_by(1000.0)}
     attempts = make_attempts(rng, clocks, 60)
-    nothing = UnknownClock("cannot tell: no subject was attempted at both hosts")
-    assert estimate_clocks([], ["a", "b"]).clocks["b"] == nothing
+    no_shared_subject = UnknownClock("cannot tell: no subject was attempted at both hosts")
+    assert estimate_clocks([], ["a", "b"]).clocks["b"] == no_shared_subject
     separate = [attempt._replace(subject=attempt.subject + attempt.host.encode()) for attempt in attempts]
     for clock in estimate_clocks(separate, clocks).clocks.values():
         assert isinstance(clock, UnknownClock) or clock.offset == 0
@@ -136,19 +136,19 @@
     assert unknown_clocks(estimate_clocks(three_subjects_only, clocks))
 
 
-def test_a_host_without_subjects_shared_with_the_reference_is_compared_by_way_of_others():
+def test_a_host_without_subjects_shared_with_the_reference_is_compared_through_other_hosts():
     rng = random.Random(2)
     clocks = {"a": clock_ahead_by(0.0), "b": clock_ahead_by(1000.0), "c": clock_ahead_by(-500.0)}
-    of_a_and_b = make_attempts(rng, {host: clocks[host] for host in "ab"}, 100)
-    of_b_and_c = make_attempts(rng, {host: clocks[host] for host in "bc"}, 100)
-    renamed = [attempt._replace(subject=b"x" + attempt.subject) for attempt in of_b_and_c]
-    estimates = estimate_clocks(of_a_and_b + renamed, clocks)
+    attempts_at_a_and_b = make_attempts(rng, {host: clocks[host] for host in "ab"}, 100)
+    attempts_at_b_and_c = make_attempts(rng, {host: clocks[host] for host in "bc"}, 100)
+    renamed = [attempt._replace(subject=b"x" + attempt.subject) for attempt in attempts_at_b_and_c]
+    estimates = estimate_clocks(attempts_at_a_and_b + renamed, clocks)
     assert estimates.reference == "b"
-    assert_all_right(estimates, clocks, HOUR / 2)
-    assert isinstance(estimate_clocks(of_a_and_b, clocks).clocks["c"], UnknownClock)
+    assert_accurate(estimates, clocks, HOUR / 2)
+    assert isinstance(estimate_clocks(attempts_at_a_and_b, clocks).clocks["c"], UnknownClock)
 
 
-def test_a_clock_that_was_set_in_between_is_no_drift():
+def test_a_clock_that_was_set_during_the_trace_is_unknown():
     rng = random.Random(3)
     clocks = {"a": clock_ahead_by(0.0), "b": lambda true_ms: true_ms + (1000.0 if true_ms < HOUR / 2 else -500.0)}
     estimates = estimate_clocks(make_attempts(rng, clocks, 400), clocks)
@@ -169,7 +169,7 @@
 def write_trace(folder, host, attempts):
     """Write the attempts at one host as a trace; return its path."""
     steps = []
-    at_host = sorted((each for each in attempts if each.host == host), key=lambda attempt: attempt.ended_at)
+    at_host = sorted((attempt for attempt in attempts if attempt.host == host), key=lambda attempt: attempt.ended_at)
     for number, attempt in enumerate(at_host, 1):
         arrival = Arrival(number, "shop", attempt.subject, attempt.arrived_at)
         kind = "served" if attempt.served else "refused"
@@ -197,7 +197,7 @@
     assert "cannot tell" in result.output
 
 
-def test_a_cancelled_attempt_has_no_known_end():
+def test_cancelled_attempts_and_those_without_a_subject_are_left_out():
     steps = [
         Step(1.0, notes=(Arrival(1, "", b"s", 1.0), Arrival(2, "", b"t", 1.0), Arrival(3, "", b"", 1.0))),
         Step(2.0, events=(admission.ClientCancelled(1),)),
@@ -228,7 +228,7 @@
     assert (subjects[0] == subjects[1]) is shared
 
 
-def test_a_missing_or_short_subject_key_is_an_error_of_the_settings(tmp_path):
+def test_a_missing_or_short_subject_key_is_a_configuration_error(tmp_path):
     for content in (None, b"short"):
         if content:
             (tmp_path / "secret").write_bytes(content)
--- a/tests/test_trace_anonymising.py
+++ b/tests/test_trace_anonymising.py
@@ -1,4 +1,4 @@
-"""Pseudonyms in traces."""
+"""Tests of pseudonyms in traces."""
 
 import pytest
 
--- a/tests/test_trace_comparing.py
+++ b/tests/test_trace_comparing.py
@@ -1,4 +1,4 @@
-"""Comparing two traces: where they diverge, and the decisions on each side."""
+"""Tests of the comparison of two traces: where they diverge, and the decisions on each side."""
 
 from lapispick import admission
 from lapispick.trace import comparing
@@ -30,7 +30,7 @@
     assert comparing.first_divergence(STEPS, STEPS[:-1], on_pair).field == "end"
 
 
-def test_the_classes_of_a_bounded_number_of_requests_are_remembered(monkeypatch):
+def test_the_number_of_requests_with_a_stored_class_is_bounded(monkeypatch):
     monkeypatch.setattr(comparing, "MAX_KNOWN_REQUESTS", 100)
     decisions = comparing.Decisions(class_name)
     for number in range(1, 1000):
--- a/tests/test_trace_merging.py
+++ b/tests/test_trace_merging.py
@@ -1,4 +1,4 @@
-"""Merging traces: the order of steps, sources, clocks, and which attempts clocks are estimated from."""
+"""Tests of merging traces: order of steps, sources, clocks, and the sample of attempts for clock estimates."""
 
 import random
 
@@ -42,14 +42,14 @@
     sources, positions = merging.merge_sources([header.sources for header in headers])
     assert [(source.box, source.incarnation) for source in sources] == [("a", "1"), ("b", "1"), ("a", "2")]
     assert positions == [[0], [0], [1], [2]]
-    clocks = {"a": Clock(0.0, 0.0, 0.0, 0.0, 9, True), "b": UnknownClock("cannot tell: no")}
-    assert merging.apply_clocks(sources, clocks) == ["b: cannot tell: no"]
+    clocks = {"a": Clock(0.0, 0.0, 0.0, 0.0, 9, True), "b": UnknownClock("no shared subject")}
+    assert merging.apply_clocks(sources, clocks) == ["b: no shared subject"]
     merging.apply_clocks(sources, {"b": Clock(1000.0, 2.0, 50_000.0, 3.0, 9, True)})
     assert step_time(sources, Step(51_000.0, source_index=1)) == 50_000.0
     assert step_time(sources, Step(61_000.0, source_index=1)) == pytest.approx(59_980.0)
 
 
-def steps_of(subjects):
+def request_and_answer_steps(subjects):
     for number, subject in enumerate(subjects):
         yield request_step(number, number + 1, 1, subject=subject)
         yield answer_step(number, number + 1)
@@ -59,7 +59,8 @@
     rng = random.Random(3)
     subjects = [rng.randbytes(8) for _ in range(3000)]
     attempts = [
-        list(attempt_matching.answered_attempts(make_header(host).sources, steps_of(subjects))) for host in "ab"
+        list(attempt_matching.answered_attempts(make_header(host).sources, request_and_answer_steps(subjects)))
+        for host in "ab"
     ]
     sample = attempt_matching.sample_subjects(attempts, 1000)
     assert 300 < len(sample) <= 1000
--- a/tests/test_trace_selecting.py
+++ b/tests/test_trace_selecting.py
@@ -1,4 +1,4 @@
-"""Which records a cut selects, by time and by request."""
+"""Tests of the records that a cut selects, by time and by request."""
 
 import pytest
 
@@ -23,7 +23,7 @@
 
 
 def ids_by_step(steps):
-    """Return the time of each step with the requests of its records, events first, but for the marks of edges."""
+    """Return the time of each step and the request ids of its records, events first, without the marks of edges."""
     return [(step.now, *(record.id for record in records_of(step) if hasattr(record, "id"))) for step in steps]
 
 
@@ -37,13 +37,13 @@
     return [(note.id, note.began_before, note.ends_after) for note in notes]
 
 
-def test_a_window_has_its_steps_and_marks_requests_across_its_edges():
+def test_a_cut_has_the_steps_of_its_window_and_marks_requests_across_its_edges():
     steps = cut(since=120.0, until=350.0)
     assert ids_by_step(steps) == [(150, 1), (200, 2), (300, 3, 3), (310,), (320, 3)]
     assert marks(steps) == [(1, True, False), (2, True, True)]
 
 
-def test_requests_across_the_edges_are_selected_completely_or_left_out_on_demand():
+def test_requests_across_the_edges_are_selected_completely_or_left_out_by_policy():
     complete = cut(since=120.0, until=350.0, edges=EdgePolicy.COMPLETE)
     assert ids_by_step(complete) == [
         (0, 1, 1),
