--- a/benchmarks/trace_clocks.py
+++ b/benchmarks/trace_clocks.py
@@ -59,7 +59,7 @@
     clock = clocks[other]
     if not isinstance(clock, Clock):
         return _Errors(None, 0.0, mean_error)
-    return _Errors(abs(clock.ahead(_shown(reference, middle)) - true_offset), clock.error, mean_error)
+    return _Errors(abs(clock.offset_at(_shown(reference, middle)) - true_offset), clock.error, mean_error)
 
 
 def _row(count: int) -> tuple[Any, ...]:
--- a/benchmarks/trace_file.py
+++ b/benchmarks/trace_file.py
@@ -148,7 +148,7 @@
             ("a minute's cut", f"{cutting.seconds:.2f} s, reads {read_fraction:.2%}"),
             ("cut in two and merged: the same summary", _summarise(merged) == summary),
             ("anonymised: the same summary", _without_names(_summarise(anonymous)) == _without_names(summary)),
-            ("replay: steps, different ones", f"{replayed.steps}, {replayed.differing}"),
+            ("replay: steps, different ones", f"{replayed.steps}, {replayed.differing_steps}"),
         )
     show(f"a trace of {minutes:g} minutes at {REQUESTS_PER_S:g} requests a second", ("", "value"), rows)
 
--- a/lapispick/cli/trace_compare.py
+++ b/lapispick/cli/trace_compare.py
@@ -52,7 +52,9 @@
     )
 
 
-def _print_decisions(left: comparing.Decisions, right: comparing.Decisions, titles: tuple[str, str]) -> None:
+def _print_decisions(
+    left: comparing.DecisionCounter, right: comparing.DecisionCounter, titles: tuple[str, str]
+) -> None:
     """Print a table of the decisions by class on both sides."""
     sides = (left.by_class, right.by_class)
     none = comparing.ClassDecisions()
@@ -71,8 +73,8 @@
     """A replay, and the decisions on both sides."""
 
     result: replaying.ReplayResult
-    recorded: comparing.Decisions
-    replayed: comparing.Decisions
+    recorded: comparing.DecisionCounter
+    replayed: comparing.DecisionCounter
     same_module: bool
 
 
@@ -92,14 +94,14 @@
         print_json(_replay_fields(replayed))
     else:
         _print_replay(replayed)
-    sys.exit(ExitCode.DIFFERENCES if replayed.result.differing else 0)
+    sys.exit(ExitCode.DIFFERENCES if replayed.result.differing_steps else 0)
 
 
 def _replay(readers: list[TraceReader]) -> _Replay:
     source = readers[0].first_source
     class_name = class_names(readers[0].sources)
-    recorded = comparing.Decisions(class_name)
-    replayed = comparing.Decisions(class_name)
+    recorded = comparing.DecisionCounter(class_name)
+    replayed = comparing.DecisionCounter(class_name)
 
     def on_step(step: Step, actions: tuple[Any, ...], _: Any) -> None:
         recorded.add(step, step.actions)
@@ -108,8 +110,8 @@
     with progress_bar("replay", readers) as report:
         steps = read_all_steps(readers, report)
         result = replaying.replay(source.settings, source.seed, source.module_now, steps, on_step)
-    if result.differing:
-        comparing.estimate(recorded.by_class, replayed.by_class, _served_weights(readers))
+    if result.differing_steps:
+        comparing.estimate_priority_weights(recorded.by_class, replayed.by_class, _served_weights(readers))
     return _Replay(result, recorded, replayed, source.module == module_digest())
 
 
@@ -119,13 +121,13 @@
     decisions = {"recorded": replayed.recorded.by_class, "replayed": replayed.replayed.by_class}
     return {
         "steps": result.steps,
-        "differing": result.differing,
+        "differing": result.differing_steps,
         "gaps": result.lost_steps,
         "same_module": replayed.same_module,
         "recorded": dict(result.recorded),
         "replayed": dict(result.replayed),
         "decisions": msgspec.to_builtins(decisions),
-        "first": None if result.first is None else _difference_fields(result.first),
+        "first": None if result.first_difference is None else _difference_fields(result.first_difference),
     }
 
 
@@ -141,11 +143,11 @@
 def _print_replay(replayed: _Replay) -> None:
     result = replayed.result
     gap = f", ended at a gap of {result.lost_steps}" if result.lost_steps else ""
-    print_line(f"{result.steps} steps, {result.differing} differ{gap}")
-    if result.first is not None:
-        before = format_records(result.first.recorded)
-        now = format_records(result.first.replayed)
-        print_line(f"first at step {result.first.number}: recorded {before}, now {now}")
+    print_line(f"{result.steps} steps, {result.differing_steps} differ{gap}")
+    if result.first_difference is not None:
+        before = format_records(result.first_difference.recorded)
+        now = format_records(result.first_difference.replayed)
+        print_line(f"first at step {result.first_difference.number}: recorded {before}, now {now}")
         _print_decisions(replayed.recorded, replayed.replayed, ("recorded", "now"))
         print_line("Only the first difference is sound; worth is estimated by the runs of each class.")
     names = sorted(result.recorded.keys() | result.replayed.keys())
@@ -158,7 +160,7 @@
 
     def __init__(self, reader: TraceReader) -> None:
         self.reader = reader
-        self.decisions = comparing.Decisions(class_names(reader.sources))
+        self.decisions = comparing.DecisionCounter(class_names(reader.sources))
         self.records: Counter[str] = Counter()  # by name
 
     def add(self, step: Step) -> None:
@@ -212,7 +214,7 @@
         "headers": headers,
         "first": divergence,
         "decisions": [side.decisions.by_class for side in sides],
-        "grounds": [dict(side.decisions.reasons) for side in sides],
+        "grounds": [dict(side.decisions.rejection_reasons) for side in sides],
         "records": [dict(side.records) for side in sides],
     }
 
--- a/lapispick/cli/trace_plot.py
+++ b/lapispick/cli/trace_plot.py
@@ -81,7 +81,7 @@
 
     source = readers[0].first_source
     result = replaying.replay(source.settings, source.seed, source.module_now, read_all_steps(readers), on_step)
-    if result.differing:
+    if result.differing_steps:
         print_error("limit and price are left out: the present module decides otherwise")
         return
     series.concurrency_limit = resample(limits, series)
--- a/lapispick/cli/trace_summary.py
+++ b/lapispick/cli/trace_summary.py
@@ -32,7 +32,7 @@
 
 def estimate_from(readers: list[TraceReader]) -> ClockEstimates:
     """Estimate the clocks of all hosts of these files."""
-    attempts = attempt_matching.sample_subjects(
+    attempts = attempt_matching.sample_attempts(
         attempt_matching.answered_attempts(reader.sources, read_steps(reader)) for reader in readers
     )
     return estimate_clocks(attempts, {source.box for reader in readers for source in reader.sources})
--- a/lapispick/cli/trace_write.py
+++ b/lapispick/cli/trace_write.py
@@ -105,7 +105,7 @@
     )
     header = _copy_header(reader)
     header.made.append(_cut_note(selection))
-    steps = reader.steps(since - selector.margin, until + selector.margin)
+    steps = reader.steps(since - selector.margin_ms, until + selector.margin_ms)
     count = files.write_trace(out, header, selector.run(steps))
     text = f"{count} steps, {reader.read_bytes} of {reader.size} bytes read"
     _print_result(json_, text, steps=count, read_bytes=reader.read_bytes, bytes=reader.size)
--- a/lapispick/trace/attempt_matching.py
+++ b/lapispick/trace/attempt_matching.py
@@ -43,7 +43,7 @@
     return Attempt(arrival.subject, host, arrival.born_at, ended_at, served=answer.kind == SERVED)
 
 
-def sample_subjects(traces: Iterable[Iterable[Attempt]], max_attempts: int = MAX_ATTEMPTS) -> list[Attempt]:
+def sample_attempts(traces: Iterable[Iterable[Attempt]], max_attempts: int = MAX_ATTEMPTS) -> list[Attempt]:
     """Return at most ``max_attempts`` attempts, for a sample of subjects that is the same at all hosts.
 
     Subjects are uniformly distributed digests, so those with the lowest values are an unbiased sample.
--- a/lapispick/trace/clock_skew.py
+++ b/lapispick/trace/clock_skew.py
@@ -48,7 +48,7 @@
     pairs: int
     drift_known: bool = msgspec.field(name="drift_told")  # False: too few slices with pairs; ``drift`` is 0
 
-    def ahead(self, now: float) -> float:
+    def offset_at(self, now: float) -> float:
         """Return the offset in ms at a time by the reference's clock."""
         return self.offset + self.drift * (now - self.at) / 1000
 
@@ -274,9 +274,9 @@
 def _combine(clock: Clock, relative: _RelativeClock) -> Clock:
     """Return the clock of a host, given another host's clock and the host's clock relative to that one."""
     # By the reference's clock; accurate enough, because clocks drift by a few parts in a thousand at most.
-    at = relative.at - clock.ahead(relative.at)
+    at = relative.at - clock.offset_at(relative.at)
     return Clock(
-        offset=clock.ahead(at) + relative.offset,
+        offset=clock.offset_at(at) + relative.offset,
         drift=clock.drift + relative.drift,
         at=at,
         error=clock.error + relative.error,
--- a/lapispick/trace/comparing.py
+++ b/lapispick/trace/comparing.py
@@ -53,7 +53,7 @@
     right: str
 
 
-class Decisions:
+class DecisionCounter:
     """Counts the decisions in one trace or replay by class, and the rejections by reason."""
 
     def __init__(self, class_name: Callable[[int, int], str]) -> None:
@@ -61,7 +61,7 @@
         self._class_name = class_name
         self._classes: dict[tuple[int, int], str] = {}  # names by source and request
         self.by_class: dict[str, ClassDecisions] = {}
-        self.reasons: Counter[str] = Counter()
+        self.rejection_reasons: Counter[str] = Counter()
 
     def add(self, step: Step, actions: Iterable[admission.Action]) -> None:
         """Record the requests of a step, and count the decisions among the actions of one side."""
@@ -81,12 +81,14 @@
             return
         self.by_class.setdefault(name, ClassDecisions()).count(action)
         if isinstance(action, admission.Reject):
-            self.reasons[action.reason or UNKNOWN_NAME] += 1
+            self.rejection_reasons[action.reason or UNKNOWN_NAME] += 1
         if isinstance(action, _FINAL_DECISIONS):
             del self._classes[source_index, action.id]
 
 
-def estimate(recorded: dict[str, ClassDecisions], other: dict[str, ClassDecisions], served: dict[str, float]) -> None:
+def estimate_priority_weights(
+    recorded: dict[str, ClassDecisions], other: dict[str, ClassDecisions], served: dict[str, float]
+) -> None:
     """Estimate the priority weight on both sides; ``served`` is the served weight of the recorded runs by class."""
     for name, decisions in recorded.items():
         decisions.priority_weight = served.get(name, 0.0)
--- a/lapispick/trace/replaying.py
+++ b/lapispick/trace/replaying.py
@@ -35,8 +35,8 @@
     """The result of a replay; actions are counted by name."""
 
     steps: int = 0
-    differing: int = 0  # steps whose actions differ
-    first: Difference | None = None
+    differing_steps: int = 0
+    first_difference: Difference | None = None
     lost_steps: int = 0  # in the gap at which the replay stopped
     recorded: Counter[str] = dataclasses.field(default_factory=Counter)
     replayed: Counter[str] = dataclasses.field(default_factory=Counter)
@@ -47,8 +47,8 @@
         self.recorded.update(record_name(type(action)) for action in step.actions)
         self.replayed.update(record_name(type(action)) for action in replayed)
         if replayed != step.actions:
-            self.differing += 1
-            self.first = self.first or Difference(self.steps, step.now, step.actions, replayed)
+            self.differing_steps += 1
+            self.first_difference = self.first_difference or Difference(self.steps, step.now, step.actions, replayed)
 
 
 def replay(
--- a/lapispick/trace/selecting.py
+++ b/lapispick/trace/selecting.py
@@ -124,7 +124,7 @@
         self._marked: set[AttemptId] = set()
 
     @property
-    def margin(self) -> float:
+    def margin_ms(self) -> float:
         """Return how far beyond the window steps must be read, ms."""
         selection = self._selection
         return self._horizon_ms if selection.edges is EdgePolicy.COMPLETE or selection.by_request else 0.0
--- a/tests/test_clock_skew.py
+++ b/tests/test_clock_skew.py
@@ -70,7 +70,8 @@
     """Return the absolute error of each estimate at a true time."""
     reference = clocks[estimates.reference](true_ms)
     return [
-        abs(clock.ahead(reference) - (clocks[host](true_ms) - reference)) for host, clock in estimates.clocks.items()
+        abs(clock.offset_at(reference) - (clocks[host](true_ms) - reference))
+        for host, clock in estimates.clocks.items()
     ]
 
 
--- a/tests/test_trace_merging.py
+++ b/tests/test_trace_merging.py
@@ -62,7 +62,7 @@
         list(attempt_matching.answered_attempts(make_header(host).sources, request_and_answer_steps(subjects)))
         for host in "ab"
     ]
-    sample = attempt_matching.sample_subjects(attempts, 1000)
+    sample = attempt_matching.sample_attempts(attempts, 1000)
     assert 300 < len(sample) <= 1000
     at_a, at_b = ({attempt.subject for attempt in sample if attempt.host == host} for host in "ab")
     assert at_b <= at_a
--- a/tests/test_trace_selecting.py
+++ b/tests/test_trace_selecting.py
@@ -18,7 +18,7 @@
 def cut(**criteria):
     selection = Selection(**criteria)
     selector = make_selector(selection)
-    since, until = selection.since - selector.margin, selection.until + selector.margin
+    since, until = selection.since - selector.margin_ms, selection.until + selector.margin_ms
     return list(selector.run(step for step in STEPS if since <= step.now < until))
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -499,8 +499,8 @@
         source = reader.first_source
     assert {note.kind for step in steps for note in step.notes if type(note) is ExternalEvent} == {"adopted"}
     replayed = replay(source.settings, source.seed, source.module_now, steps)
-    assert replayed.differing == 0
+    assert replayed.differing_steps == 0
     assert replayed.steps > 60
     # Without the notes of the adopted estimates, the decision module decides differently.
     without_notes = [step._replace(notes=()) for step in steps]
-    assert replay(source.settings, source.seed, source.module_now, without_notes).differing > 0
+    assert replay(source.settings, source.seed, source.module_now, without_notes).differing_steps > 0
