--- a/lapispick/trace/aggregation.py
+++ b/lapispick/trace/aggregation.py
@@ -29,7 +29,7 @@
     from lapispick.trace import message_types
 
 RETRY_MARGIN_MS = 30_000.0  # added to the idempotency window or deadline, for how long a request is kept for retries
-DROP_DIVISOR = 4  # drop requests only once a quarter has expired, because dropping copies the remaining ones
+DROP_DIVISOR = 4  # drop requests only once a quarter has expired, because dropping moves the remaining ones
 WORST_WINDOWS = 5
 
 
--- a/lapispick/trace/attempt_matching.py
+++ b/lapispick/trace/attempt_matching.py
@@ -32,9 +32,9 @@
                 if arrival is not None:
                     yield _attempt(sources[step.source_index].box, arrival, note)
         for event in step.events:
-            if (
-                type(event) is admission.ClientCancelled
-            ):  # a retry need not come after the answer, as no client awaits it
+            # The client of a cancelled attempt does not wait for the answer, so the answer's time is no lower bound for
+            # the time of a retry.
+            if type(event) is admission.ClientCancelled:
                 open_arrivals.pop((step.source_index, event.id), None)
 
 
