--- a/lapispick/fleet/__init__.py
+++ b/lapispick/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet as configuration tools list it: reading, identity, versions, acceptance and application in place."""
+"""The inventory: reads host lists that configuration tools write, versions them, accepts and applies changes."""
--- a/lapispick/fleet/csv_reader.py
+++ b/lapispick/fleet/csv_reader.py
@@ -1,6 +1,6 @@
-"""CSV as configuration tools write it: a header, then a row for each host or for each item of a host. No I/O.
+"""Reads CSV as configuration tools write it: a header, then a row for each host or for each item of a host. No I/O.
 
-RFC 4180 with what is common in practice: other delimiters, blank lines, comment lines that begin with ``#``.
+Extends RFC 4180 by what is common in practice: other delimiters, blank lines, comment lines that begin with ``#``.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from lapispick.file_errors import FaultCollector, SourceLocation
 from lapispick.fleet import ranges
-from lapispick.fleet.entries import Entry, Var
+from lapispick.fleet.entries import Entry, LocatedValue
 from lapispick.fleet.errors import HostRangeError
 
 DELIMITERS = {"comma": ",", "semicolon": ";", "tab": "\t", "bar": "|"}
@@ -24,44 +24,44 @@
 _MAX_SHOWN_CHARACTERS = 200  # of a header in a message
 
 Rows = list[tuple[str, Entry]]  # (group or "", entry)
-RowCache = dict[tuple[str, ...], Rows]  # the rows by their cells; the locations in them may have moved since
+RowCache = dict[tuple[str, ...], Rows]  # rows by their cells; their locations are those of an earlier read
 
 
 class CsvRows(NamedTuple):
-    """The rows of one file, and the cache for the next reading of it; an empty cache means an unreadable file."""
+    """Rows of one file, and the cache for the next read of it; the cache is empty if the file is unreadable."""
 
     rows: Rows
     cache: RowCache
 
 
 def detect_delimiter(text: str) -> str:
-    """Return the delimiter under which the header has a column ``host`` and the most columns; else a comma."""
+    """Return the delimiter that gives a header with a column ``host`` and the most columns; a comma if none does."""
     for line in text[:MAX_CELL_CHARACTERS].splitlines():
         if line.strip() and not line.lstrip().startswith("#"):
-            found = [delimiter for delimiter in DELIMITERS.values() if delimiter in line]
-            if len(found) == 1:
-                return found[0]
+            present = [delimiter for delimiter in DELIMITERS.values() if delimiter in line]
+            if len(present) == 1:
+                return present[0]
             break
-    headers = {delimiter: _first_cells(text, delimiter) for delimiter in DELIMITERS.values()}
-    fitting = [delimiter for delimiter, header in headers.items() if NAME_COLUMN in header]
-    return max(fitting, key=lambda delimiter: len(headers[delimiter]), default=DEFAULT_DELIMITER)
+    headers = {delimiter: _header_cells(text, delimiter) for delimiter in DELIMITERS.values()}
+    matching = [delimiter for delimiter, header in headers.items() if NAME_COLUMN in header]
+    return max(matching, key=lambda delimiter: len(headers[delimiter]), default=DEFAULT_DELIMITER)
 
 
 def read(file: str, text: str, delimiter: str, max_hosts: int, faults: FaultCollector, cache: RowCache) -> CsvRows:
     """Return the rows of a file; faults are collected.
 
-    ``delimiter`` may be ``auto``. A row that is in ``cache`` is taken from there.
+    ``delimiter`` may be ``auto``. Rows that are in ``cache`` are not parsed again.
     """
     if "\0" in text:
         line = text.count("\n", 0, text.index("\0")) + 1
-        faults.add(SourceLocation(file, line), "", "a NUL byte; the file is broken or no text")
+        faults.add(SourceLocation(file, line), "", "NUL byte; the file is corrupt or not a text file")
         return CsvRows([], {})
-    reader = _Reader(file, max_hosts, faults, cache)
+    reader = _FileReader(file, max_hosts, faults, cache)
     return reader.read(text, DELIMITERS.get(delimiter) or detect_delimiter(text))
 
 
-class _Reader:
-    """Reads one file once."""
+class _FileReader:
+    """Reads one file; an instance is used once."""
 
     def __init__(self, file: str, max_hosts: int, faults: FaultCollector, cache: RowCache) -> None:
         self._file = file
@@ -73,35 +73,35 @@
 
     def read(self, text: str, delimiter: str) -> CsvRows:
         faults = self._faults
-        found: Rows = []
+        rows: Rows = []
         line = 1
         try:
             for line, cells in _records(text, delimiter):
-                if _is_blank(cells):
+                if _is_blank_or_comment(cells):
                     continue
                 if not self._header:
                     self._read_header(line, cells)
                     if faults:
                         return CsvRows([], self._cache)
                     continue
-                found += self._read_row(line, cells)
-                if len(found) > self._max_hosts:
+                rows += self._read_row(line, cells)
+                if len(rows) > self._max_hosts:
                     faults.add(SourceLocation(self._file, line), NAME_COLUMN, f"more than {self._max_hosts} hosts")
                     return CsvRows([], self._cache)
         except csv.Error as err:
-            # The parser stops here, so that the rows before are no complete list either.
-            faults.add(SourceLocation(self._file, line), "", f"can't be read as CSV behind this line: {err}")
+            # The parser stops at the error, so the rows before it are not a complete list.
+            faults.add(SourceLocation(self._file, line), "", f"invalid CSV after this line: {err}")
             self._cache.clear()
         if not self._header and not faults:
-            faults.add(SourceLocation(self._file, 1), NAME_COLUMN, "there is no header")
-        return CsvRows(found, self._cache)
+            faults.add(SourceLocation(self._file, 1), NAME_COLUMN, "the file has no header")
+        return CsvRows(rows, self._cache)
 
     def _read_header(self, line: int, cells: list[str]) -> None:
         self._header = [cell.strip() for cell in cells]
         self._check_header(line)
         if self._faults:
             return
-        key = tuple(self._header)  # the cache of a file begins with its header, which has no rows
+        key = tuple(self._header)  # cached without rows, so that a change of the header is detected
         if self._old_cache.get(key) != []:
             self._old_cache = {}
         self._cache[key] = []
@@ -111,16 +111,16 @@
         location = SourceLocation(self._file, line)
         if NAME_COLUMN not in header:
             shown = ", ".join(header)[:_MAX_SHOWN_CHARACTERS]
-            self._faults.add(location, NAME_COLUMN, f"the header has no such column, only {shown}")
+            self._faults.add(location, NAME_COLUMN, f"missing column; the header has only {shown}")
         if len(header) > MAX_COLUMNS:
-            self._faults.add(location, "", f"{len(header)} columns; {MAX_COLUMNS} are the most")
+            self._faults.add(location, "", f"{len(header)} columns exceed the limit of {MAX_COLUMNS}")
         for column, key in enumerate(header, 1):
-            first = header.index(key) + 1
-            if first != column:
+            first_column = header.index(key) + 1
+            if first_column != column:
                 self._faults.add(
                     SourceLocation(self._file, line, column),
                     key or "a column without a name",
-                    f"the header has this column twice, first as column {first}",
+                    f"duplicate column in the header, first used as column {first_column}",
                 )
 
     def _read_row(self, line: int, cells: list[str]) -> Rows:
@@ -136,12 +136,12 @@
         location = SourceLocation(self._file, line)
         if len(cells) != len(header):
             key = header[min(len(cells), len(header) - 1)]
-            self._faults.add(location, key, f"{len(cells)} cells under {len(header)} columns")
+            self._faults.add(location, key, f"expected {len(header)} cells, got {len(cells)}")
             return []
-        row: dict[str, Var] = {}
+        row: dict[str, LocatedValue] = {}
         for column, (key, cell) in enumerate(zip(header, cells, strict=True), 1):
             if value := cell.strip():
-                row[key] = Var(value, SourceLocation(self._file, line, column))
+                row[key] = LocatedValue(value, SourceLocation(self._file, line, column))
         name = row.pop(NAME_COLUMN, None)
         if name is None:
             self._faults.add(location, NAME_COLUMN, "is empty")
@@ -157,7 +157,7 @@
 
 
 def _records(text: str, delimiter: str) -> Iterator[tuple[int, list[str]]]:
-    """Yield (number of its first line, cells) for each record."""
+    """Yield each record as (number of its first line, cells)."""
     reader = csv.reader(io.StringIO(text, newline=""), delimiter=delimiter, strict=True)
     line = 1
     for cells in reader:
@@ -165,13 +165,13 @@
         line = reader.line_num + 1
 
 
-def _is_blank(cells: list[str]) -> bool:
-    """Tell whether a record is blank or a comment."""
-    first = cells[0].lstrip() if cells else ""
-    return first.startswith("#") or (not first and not any(cell.strip() for cell in cells))
+def _is_blank_or_comment(cells: list[str]) -> bool:
+    """Return True if a record is blank or a comment."""
+    first_cell = cells[0].lstrip() if cells else ""
+    return first_cell.startswith("#") or (not first_cell and not any(cell.strip() for cell in cells))
 
 
-def _first_cells(text: str, delimiter: str) -> list[str]:
+def _header_cells(text: str, delimiter: str) -> list[str]:
     """Return the cells of the first record that is neither blank nor a comment."""
     try:
         for _, cells in _records(text[:MAX_CELL_CHARACTERS], delimiter):
--- a/lapispick/fleet/entry_parser.py
+++ b/lapispick/fleet/entry_parser.py
@@ -1,4 +1,4 @@
-"""Parses one entry of the list by a schema: identity, address, typed variables, items. No I/O."""
+"""Parses an entry of the inventory by a schema: identity, address, typed variables, items. No I/O."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from lapispick.file_errors import FaultCollector, SourceLocation
 from lapispick.fleet import identity
 from lapispick.fleet import schema as schemas
-from lapispick.fleet.entries import Entry, Var
+from lapispick.fleet.entries import Entry, LocatedValue
 from lapispick.fleet.errors import HostNameError
 from lapispick.fleet.schema import Schema, Variable
-from lapispick.fleet.yaml_values import Map
+from lapispick.fleet.yaml_values import YamlMapping
 
-MAX_ITEMS = 1000  # of one host
+MAX_ITEMS_PER_HOST = 1000
 
 
 class ParsedItem(NamedTuple):
-    """An item (a queue, say) by the names of its variables, and where it is written."""
+    """An item, such as a queue: its values by variable name, and its location."""
 
     values: dict[str, Any]
     location: SourceLocation
 
 
 class ParsedEntry:
-    """What one entry says of a host. Entries that share ``name_key`` or ``address_key`` are one host."""
+    """Parsed content of one entry. Entries with an equal ``name_key`` or ``address_key`` are the same host."""
 
     __slots__ = (
         "address",
@@ -47,7 +47,7 @@
         self.distinguishing: tuple[Any, ...] = ()
         self.name_key: tuple[Any, ...] = ()
         self.address_key: tuple[Any, ...] = ()
-        self.values: dict[str, Var] = {}
+        self.values: dict[str, LocatedValue] = {}
         self.items: list[ParsedItem] = []
         self.faults = FaultCollector()
 
@@ -61,7 +61,7 @@
         self._environ = environ
 
     def parse(self, entry: Entry) -> ParsedEntry:
-        """Return what an entry says; what is wrong stands in its ``faults``."""
+        """Return the parsed entry; ``faults`` has what is wrong with it."""
         parsed = ParsedEntry(entry)
         try:
             parsed.name, parsed.port = identity.endpoint(entry.name, self._domain)
@@ -77,7 +77,7 @@
         return parsed
 
     def _parse_address(self, parsed: ParsedEntry) -> None:
-        """Take the address of the first variable that gives one; else the name remains the address."""
+        """Set the address from the first address variable that is set; without one, the name stays the address."""
         entry_vars = parsed.entry.vars
         for key in self._schema.address_variables:
             var = entry_vars.get(key)
@@ -92,48 +92,54 @@
             return None
 
     def _parse_variables(self, parsed: ParsedEntry) -> dict[str, Any]:
-        """Parse the host's variables; return those of items, which hold for each item of the entry."""
+        """Parse the host's variables; return the values of item variables, which are defaults for the entry's items."""
         schema = self._schema
         item_defaults: dict[str, Any] = {}
         for key, var in parsed.entry.vars.items():
-            if problem := schema.unknown(key):
+            if problem := schema.name_problem(key):
                 parsed.faults.add(var.location, key, problem)
             elif key in schema.host_variables and key not in schema.address_variables:
                 self._parse_host_variable(parsed, key, var)
             elif key in schema.item_variables:
-                self._read_into(item_defaults, parsed, schema.item_variables[key], key, var)
+                self._parse_value_into(item_defaults, parsed, schema.item_variables[key], key, var)
         return item_defaults
 
-    def _parse_host_variable(self, parsed: ParsedEntry, key: str, var: Var) -> None:
-        read: dict[str, Any] = {}
-        if not self._read_into(read, parsed, self._schema.host_variables[key], key, var):
+    def _parse_host_variable(self, parsed: ParsedEntry, key: str, var: LocatedValue) -> None:
+        parsed_values: dict[str, Any] = {}
+        if not self._parse_value_into(parsed_values, parsed, self._schema.host_variables[key], key, var):
             return
-        value = read[key]
-        parsed.values[key] = Var(value, var.location)
+        value = parsed_values[key]
+        parsed.values[key] = LocatedValue(value, var.location)
         target = self._schema.environment_variables.get(key)
         if not target or not value:
             return
         if value not in self._environ:
-            return parsed.faults.add(var.location, key, f"{value} is not set in the environment")
-        parsed.values[target] = Var(self._environ[value], var.location)
+            return parsed.faults.add(var.location, key, f"environment variable {value} is not set")
+        parsed.values[target] = LocatedValue(self._environ[value], var.location)
 
-    def _read_into(self, values: dict[str, Any], parsed: ParsedEntry, variable: Variable, key: str, var: Var) -> bool:
-        """Add a value in its type, or a fault; tell whether it was added."""
+    def _parse_value_into(
+        self, values: dict[str, Any], parsed: ParsedEntry, variable: Variable, key: str, var: LocatedValue
+    ) -> bool:
+        """Store a parsed value and return True, or add a fault and return False."""
         try:
-            values[key] = schemas.read(variable, var.value, self._domain)
+            values[key] = schemas.parse_value(variable, var.value, self._domain)
         except (ValueError, OverflowError) as err:
             parsed.faults.add(var.location, key, str(err))
             return False
         return True
 
     def _set_keys(self, parsed: ParsedEntry) -> None:
-        """Set the port, and what identifies the host."""
+        """Set the port and the keys that identify the host."""
         schema = self._schema
         port_variable = schema.port_variable
-        if port_variable and (given := parsed.values.get(port_variable)) is not None:
-            if parsed.port is not None and parsed.port != given.value:
-                parsed.faults.add(given.location, port_variable, f"{given.value} here, but {parsed.port} in the name")
-            parsed.port = given.value
+        if port_variable and (given_port := parsed.values.get(port_variable)) is not None:
+            if parsed.port is not None and parsed.port != given_port.value:
+                parsed.faults.add(
+                    given_port.location,
+                    port_variable,
+                    f"port {given_port.value} contradicts the port {parsed.port} of the name or address",
+                )
+            parsed.port = given_port.value
         elif port_variable and parsed.port is None:
             parsed.port = schema.host_variables[port_variable].default
         parsed.distinguishing = tuple(
@@ -154,34 +160,38 @@
         if not parsed.items and not parsed.faults and schema.item_required:
             parsed.faults.add(parsed.entry.location, schema.item_name, "is not told, and a host needs one")
 
-    def _parse_item_list(self, parsed: ParsedEntry, item_defaults: dict[str, Any], item_list: Var) -> None:
+    def _parse_item_list(self, parsed: ParsedEntry, item_defaults: dict[str, Any], item_list: LocatedValue) -> None:
         schema = self._schema
         location = item_list.location
         key = schema.items_variable
         if not isinstance(item_list.value, list) or schema.item_name in item_defaults:
-            return parsed.faults.add(location, key, f"must be a list, and then there is no {schema.item_name}")
-        if len(item_list.value) > MAX_ITEMS:
-            return parsed.faults.add(location, key, f"holds more than {MAX_ITEMS}")
+            return parsed.faults.add(location, key, f"must be a list, and can't be combined with {schema.item_name}")
+        if len(item_list.value) > MAX_ITEMS_PER_HOST:
+            return parsed.faults.add(
+                location, key, f"{len(item_list.value)} items exceed the limit of {MAX_ITEMS_PER_HOST}"
+            )
         for element in item_list.value:
-            if isinstance(element, Map):
+            if isinstance(element, YamlMapping):
                 parsed.items.append(ParsedItem(self._parse_item(parsed, item_defaults, element), element.location))
             elif isinstance(element, str):
-                named = {schema.item_name: Var(element, location)}
-                parsed.items.append(ParsedItem(self._parse_item(parsed, item_defaults, named), location))
+                item_values = {schema.item_name: LocatedValue(element, location)}
+                parsed.items.append(ParsedItem(self._parse_item(parsed, item_defaults, item_values), location))
             else:
-                parsed.faults.add(location, key, "holds what is neither a name nor a mapping")
+                parsed.faults.add(location, key, f"expected a name or a mapping in the list, got {element!r:.60}")
 
     def _parse_item(
-        self, parsed: ParsedEntry, item_defaults: dict[str, Any], given: Mapping[str, Var]
+        self, parsed: ParsedEntry, item_defaults: dict[str, Any], item_values: Mapping[str, LocatedValue]
     ) -> dict[str, Any]:
         variables = self._schema.item_variables
         item = dict(item_defaults)
-        for key, var in given.items():
+        for key, var in item_values.items():
             if key in variables:
-                self._read_into(item, parsed, variables[key], key, var)
+                self._parse_value_into(item, parsed, variables[key], key, var)
             else:
                 known = ", ".join(variables)
                 parsed.faults.add(
-                    var.location, key, f"unknown here{schemas.suggest_nearest(key, variables)}; there are {known}"
+                    var.location,
+                    key,
+                    f"unknown item variable{schemas.suggest_nearest(key, variables)}; expected one of {known}",
                 )
         return item
--- a/lapispick/fleet/errors.py
+++ b/lapispick/fleet/errors.py
@@ -1,4 +1,4 @@
-"""The exceptions of the inventory. What is wrong within a file is collected as faults and not raised."""
+"""Exceptions of the inventory. Faults in the content of a file are collected as ``FileFault`` and not raised."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class HostNameError(InventoryError, ValueError):
-    """A text can be neither a host name nor an address."""
+    """A text is not a valid host name or address."""
 
     def __init__(self, text: str, problem: str) -> None:
         super().__init__(f"{text!r} {problem}")
@@ -28,7 +28,7 @@
 
 
 class StateFolderError(InventoryError):
-    """A file of the state folder can't be used."""
+    """A file in the state folder can't be used."""
 
     def __init__(self, path: Path, problem: str) -> None:
         super().__init__(f"{path}: {problem}")
@@ -37,4 +37,4 @@
 
 
 class HelperProtocolError(InventoryError):
-    """The helper process sent a message that can't follow, or holds another list than the host."""
+    """The helper process sent an unexpected message, or its list differs from the host's copy."""
--- a/lapispick/fleet/groups.py
+++ b/lapispick/fleet/groups.py
@@ -1,8 +1,9 @@
-"""Groups of hosts: members, children and variables, and what each host inherits. No I/O.
+"""Groups of hosts: members, children and variables, and the variables that each host inherits. No I/O.
 
-Variables override each other in this order, the last one counts: ``all``, then groups from the top down (those of one
-depth by name), the ``group_vars`` of each of them, the host itself, its ``host_vars``. Several files
-are read in the order of their names; a later one overrides an earlier one, key by key.
+Variables are applied in this order, and later ones override earlier ones: those of ``all``; those of the other groups
+by increasing depth, and by name within one depth; those of the host itself; its ``host_vars``. The ``group_vars`` of a
+group follow its own variables. Files are read in the order of their names; a later file overrides an earlier one, key
+by key.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 from lapispick.file_errors import FaultCollector, SourceLocation
 from lapispick.fleet import identity, ranges
-from lapispick.fleet.entries import Entry, Var
+from lapispick.fleet.entries import Entry, LocatedValue
 from lapispick.fleet.errors import HostNameError, HostRangeError
 from lapispick.fleet.group_graph import (
     ALL,
@@ -22,61 +23,65 @@
     inherited_vars,
     parents_of,
 )
-from lapispick.fleet.yaml_values import Map
+from lapispick.fleet.yaml_values import YamlMapping
 
 GROUP_KEYS = ("hosts", "vars", "children")
 MAX_GROUPS = 5_000
-MAX_GROUP_DEPTH = 32  # groups within groups
+MAX_GROUP_DEPTH = 32  # of nested groups
 _MAX_SHOWN_CHARACTERS = 300  # of the known groups in a message
 
 
 class GroupTree:
-    """All groups of all files."""
+    """The groups of all files of a list, with their hosts and variables."""
 
     def __init__(self, max_hosts: int, faults: FaultCollector) -> None:
         self.groups: dict[str, Group] = {}
-        self.host_vars: dict[str, Map] = {}
-        self.rows: list[tuple[str, Entry]] = []  # of CSV files, with their groups
+        self.host_vars: dict[str, YamlMapping] = {}
+        self.rows: list[tuple[str, Entry]] = []  # of CSV files: (group or "", entry)
         self._max_hosts = max_hosts
         self._max_memberships = 2 * max_hosts  # a host may be in several groups
         self._membership_count = 0
         self._faults = faults
 
-    def group(self, name: str, location: SourceLocation) -> Group:
-        """Return a group, created where it is new."""
-        if (known := self.groups.get(name)) is None:
-            known = self.groups[name] = Group(name, location)
+    def get_or_create_group(self, name: str, location: SourceLocation) -> Group:
+        """Return a group; create it if it is new."""
+        if (group := self.groups.get(name)) is None:
+            group = self.groups[name] = Group(name, location)
             if len(self.groups) == MAX_GROUPS + 1:
                 self._faults.add(location, name, f"more than {MAX_GROUPS} groups")
-        return known
+        return group
 
-    def add(self, top: Map) -> None:
+    def add(self, root: YamlMapping) -> None:
         """Add the groups of one YAML file."""
-        for name, var in top.items():
-            self._add_group(name, var, 0)
+        for name, contents in root.items():
+            self._add_group(name, contents, 0)
 
     def add_rows(self, rows: list[tuple[str, Entry]]) -> None:
         """Add the rows of one CSV file."""
         self.rows += rows
         for name, entry in rows:
             if name and name not in self.groups:
-                self.group(name, entry.location)
-
-    def _mapping(self, var: Var, key: str) -> Map:
-        if var.value is None:
-            return Map(var.location)
-        if not isinstance(var.value, Map):
-            self._faults.add(var.location, key, "must be a mapping")
-            return Map(var.location)
-        return var.value
-
-    def _add_group(self, name: str, var: Var, depth: int) -> None:
-        group = self.group(name, var.location)
+                self.get_or_create_group(name, entry.location)
+
+    def _mapping(self, contents: LocatedValue, key: str) -> YamlMapping:
+        if contents.value is None:
+            return YamlMapping(contents.location)
+        if not isinstance(contents.value, YamlMapping):
+            self._faults.add(contents.location, key, "must be a mapping")
+            return YamlMapping(contents.location)
+        return contents.value
+
+    def _add_group(self, name: str, contents: LocatedValue, depth: int) -> None:
+        group = self.get_or_create_group(name, contents.location)
         if depth > MAX_GROUP_DEPTH:
-            return self._faults.add(var.location, name, f"groups are nested more than {MAX_GROUP_DEPTH} deep")
-        for key, inner in self._mapping(var, name).items():
+            return self._faults.add(
+                contents.location, name, f"groups are nested more than {MAX_GROUP_DEPTH} levels deep"
+            )
+        for key, inner in self._mapping(contents, name).items():
             if key not in GROUP_KEYS:
-                self._faults.add(inner.location, key, f"a group has only {', '.join(GROUP_KEYS)}")
+                self._faults.add(
+                    inner.location, key, f"unknown key of a group; expected one of {', '.join(GROUP_KEYS)}"
+                )
                 continue
             mapping = self._mapping(inner, key)
             if key == "vars":
@@ -86,24 +91,24 @@
             else:
                 self._add_hosts(group, mapping)
 
-    def _add_children(self, group: Group, children: Map, depth: int) -> None:
-        for name, var in children.items():
-            group.children.setdefault(name, var.location)
-            self._add_group(name, var, depth + 1)
+    def _add_children(self, group: Group, children: YamlMapping, depth: int) -> None:
+        for name, contents in children.items():
+            group.children.setdefault(name, contents.location)
+            self._add_group(name, contents, depth + 1)
 
-    def _add_hosts(self, group: Group, hosts: Map) -> None:
-        for pattern, var in hosts.items():
-            host_vars = self._mapping(var, pattern)
-            names = self._expand(pattern, var.location)
+    def _add_hosts(self, group: Group, hosts: YamlMapping) -> None:
+        for pattern, contents in hosts.items():
+            host_vars = self._mapping(contents, pattern)
+            names = self._expand(pattern, contents.location)
             for name in names:
                 if name in group.hosts and group.hosts[name][0]:
-                    merged = Map(var.location)
+                    merged = YamlMapping(contents.location)
                     merged.update(group.hosts[name][0] | host_vars)
                     host_vars = merged
-                group.hosts[name] = (host_vars, var.location)
+                group.hosts[name] = (host_vars, contents.location)
             self._membership_count += len(names)
         if self._membership_count > self._max_memberships:
-            self._faults.add(group.location, group.name, f"more than {self._max_memberships} members of groups")
+            self._faults.add(group.location, group.name, f"more than {self._max_memberships} group memberships")
 
     def _expand(self, pattern: str, location: SourceLocation) -> list[str]:
         try:
@@ -114,107 +119,112 @@
 
 
 class _ResolvedEntry(NamedTuple):
-    """An entry and the objects it was made of; the same objects, compared by ``is``, give the same entry."""
+    """An entry and the objects that it was built from; it is reused while these are the same objects."""
 
     sources: tuple[Any, ...]
     entry: Entry
 
 
 class _Inheritance:
-    """What the hosts of one reading inherit."""
+    """The variables that hosts inherit, for one read of the list."""
 
-    def __init__(self, tree: GroupTree, domain: str, previous: dict[tuple[str, ...], dict[str, Var]]) -> None:
-        self.by_groups: dict[tuple[str, ...], dict[str, Var]] = {}
+    def __init__(self, tree: GroupTree, domain: str, previous: dict[tuple[str, ...], dict[str, LocatedValue]]) -> None:
+        self.by_groups: dict[tuple[str, ...], dict[str, LocatedValue]] = {}
         self._groups = tree.groups
         self._domain = domain
         self._previous = previous
         self._depths = depths_of(tree.groups)
         self._parents = parents_of(tree.groups)
         self._host_vars = tree.host_vars | {
-            _canonical(name, domain): mapping for name, mapping in tree.host_vars.items()
+            _canonical_name(name, domain): mapping for name, mapping in tree.host_vars.items()
         }
 
-    def group_vars(self, direct: tuple[str, ...]) -> dict[str, Var]:
-        """Return what these groups give a host; the same object as in the last reading where it is equal."""
-        known = self.by_groups.get(direct)
+    def group_vars(self, direct_groups: tuple[str, ...]) -> dict[str, LocatedValue]:
+        """Return the variables inherited from these groups; the object of the last read if it is equal."""
+        known = self.by_groups.get(direct_groups)
         if known is None:
-            known = inherited_vars(self._groups, direct, self._parents, self._depths)
-            earlier = self._previous.get(direct)
+            known = inherited_vars(self._groups, direct_groups, self._parents, self._depths)
+            earlier = self._previous.get(direct_groups)
             if earlier is not None and earlier == known:
                 known = earlier
-            self.by_groups[direct] = known
+            self.by_groups[direct_groups] = known
         return known
 
-    def host_vars(self, name: str) -> Map | None:
-        """Return the ``host_vars`` of a host, under its name as written or its canonical name."""
+    def host_vars(self, name: str) -> YamlMapping | None:
+        """Return the ``host_vars`` of a host, by its name as written or its canonical name."""
         if not self._host_vars:
             return None
-        return self._host_vars.get(name) or self._host_vars.get(_canonical(name, self._domain))
+        return self._host_vars.get(name) or self._host_vars.get(_canonical_name(name, self._domain))
 
-    def row_vars(self, name: str) -> Map | None:
-        """Return the ``host_vars`` of the host of a CSV row, under its canonical name."""
-        return self._host_vars.get(_canonical(name, self._domain)) if self._host_vars else None
+    def host_vars_of_row(self, name: str) -> YamlMapping | None:
+        """Return the ``host_vars`` of the host of a CSV row, by its canonical name."""
+        return self._host_vars.get(_canonical_name(name, self._domain)) if self._host_vars else None
 
 
 class Resolver:
-    """Resolves what each host inherits; reuses what did not change since the last call."""
+    """Resolves the variables that each host inherits; reuses results that did not change since the last call."""
 
     def __init__(self) -> None:
         self._hosts: dict[str, _ResolvedEntry] = {}
         self._rows: dict[int, _ResolvedEntry] = {}
-        self._inherited: dict[tuple[str, ...], dict[str, Var]] = {}
+        self._inherited: dict[tuple[str, ...], dict[str, LocatedValue]] = {}
 
     def entries(self, tree: GroupTree, group: str, domain: str, faults: FaultCollector) -> list[Entry]:
-        """Return the hosts of a group and all below it, in the order of the files."""
+        """Return the entries of the hosts in a group and its descendants, in the order of the files."""
         if not _check_groups(tree, group, faults):
             return []
         selected = descendants_of(tree.groups, group)
         inheritance = _Inheritance(tree, domain, self._inherited)
         entries: list[Entry] = []
         hosts: dict[str, _ResolvedEntry] = {}
-        for name, direct in _groups_of_hosts(tree.groups).items():
-            if group == ALL or selected.intersection(direct):
-                hosts[name] = self._resolve_host(tree, name, tuple(direct), inheritance, faults)
+        for name, direct_groups in _groups_of_hosts(tree.groups).items():
+            if group == ALL or selected.intersection(direct_groups):
+                hosts[name] = self._resolve_host(tree, name, tuple(direct_groups), inheritance, faults)
                 entries.append(hosts[name].entry)
         rows: dict[int, _ResolvedEntry] = {}
         for group_name, row in tree.rows:
             if not group_name or group == ALL or group_name in selected:
                 entries.append(self._resolve_row(row, group_name or group, inheritance, rows))
-        # Only what this list uses is retained: groups that are renamed over and over must not add up.
+        # Keep only what this list uses, so that repeatedly renamed groups don't make the cache grow.
         self._hosts = hosts
         self._rows = rows
         self._inherited = inheritance.by_groups
         return entries
 
     def _resolve_host(
-        self, tree: GroupTree, name: str, direct: tuple[str, ...], inheritance: _Inheritance, faults: FaultCollector
+        self,
+        tree: GroupTree,
+        name: str,
+        direct_groups: tuple[str, ...],
+        inheritance: _Inheritance,
+        faults: FaultCollector,
     ) -> _ResolvedEntry:
-        given = [tree.groups[group].hosts[name] for group in direct]
-        inherited = inheritance.group_vars(direct)
+        definitions = [tree.groups[group].hosts[name] for group in direct_groups]
+        inherited = inheritance.group_vars(direct_groups)
         host_vars = inheritance.host_vars(name)
-        sources = (*(mapping for mapping, _ in given), host_vars, inherited)
+        sources = (*(mapping for mapping, _ in definitions), host_vars, inherited)
         known = self._hosts.get(name)
-        if known is not None and _identical(known.sources, sources):
+        if known is not None and _are_same_objects(known.sources, sources):
             return known
-        merged: dict[str, Var] = {}
-        for mapping, _ in given:
+        merged: dict[str, LocatedValue] = {}
+        for mapping, _ in definitions:
             for key, var in mapping.items():
                 earlier = merged.get(key)
                 if earlier is not None and earlier.value != var.value and earlier.location.file == var.location.file:
                     faults.add(var.location, key, f"{name} has another value at {earlier.location}")
                 merged[key] = var
-        first_location = given[0][1]
+        first_location = definitions[0][1]
         return _ResolvedEntry(sources, Entry(name, first_location, {**inherited, **merged, **(host_vars or {})}))
 
     def _resolve_row(self, row: Entry, group: str, inheritance: _Inheritance, rows: dict[int, _ResolvedEntry]) -> Entry:
-        """Return the entry of a row; the row itself where it inherits nothing, else one that is added to ``rows``."""
+        """Return the row itself if it inherits nothing, otherwise a resolved entry, which is added to ``rows``."""
         inherited = inheritance.group_vars((group,))
-        host_vars = inheritance.row_vars(row.name)
+        host_vars = inheritance.host_vars_of_row(row.name)
         if not inherited and not host_vars:
             return row
         sources = (row, inherited, host_vars)
         resolved = self._rows.get(id(row))
-        if resolved is None or not _identical(resolved.sources, sources):
+        if resolved is None or not _are_same_objects(resolved.sources, sources):
             entry = Entry(row.name, row.location, {**inherited, **row.vars, **(host_vars or {})})
             resolved = _ResolvedEntry(sources, entry)
         rows[id(row)] = resolved
@@ -222,34 +232,34 @@
 
 
 def _check_groups(tree: GroupTree, group: str, faults: FaultCollector) -> bool:
-    """Tell whether the group exists and no group contains itself; else there is a fault."""
+    """Return True if the group exists and no group contains itself; otherwise add a fault."""
     is_known = group in tree.groups or group == ALL or not all(name for name, _ in tree.rows)
     if not is_known and (tree.groups or tree.rows):
         known = ", ".join(sorted(tree.groups)) or "none"
-        problem = f"there is no such group; there are {known[:_MAX_SHOWN_CHARACTERS]}"
+        problem = f"unknown group; known groups: {known[:_MAX_SHOWN_CHARACTERS]}"
         faults.add(SourceLocation("inventory"), group, problem)
         return False
     if cycle := find_cycle(tree.groups):
         location = tree.groups[cycle[0]].children[cycle[1]]
-        faults.add(location, cycle[0], f"groups hold each other: {' -> '.join(cycle)}")
+        faults.add(location, cycle[0], f"cycle of groups: {' -> '.join(cycle)}")
         return False
     return True
 
 
 def _groups_of_hosts(groups: dict[str, Group]) -> dict[str, list[str]]:
-    """Return the groups that name each host."""
-    direct: dict[str, list[str]] = {}
+    """Return the groups that directly contain each host."""
+    groups_of_hosts: dict[str, list[str]] = {}
     for group in groups.values():
         for name in group.hosts:
-            direct.setdefault(name, []).append(group.name)
-    return direct
+            groups_of_hosts.setdefault(name, []).append(group.name)
+    return groups_of_hosts
 
 
-def _identical(one: tuple[Any, ...], two: tuple[Any, ...]) -> bool:
-    return len(one) == len(two) and all(a is b for a, b in zip(one, two, strict=True))
+def _are_same_objects(left: tuple[Any, ...], right: tuple[Any, ...]) -> bool:
+    return len(left) == len(right) and all(a is b for a, b in zip(left, right, strict=True))
 
 
-def _canonical(name: str, domain: str) -> str:
+def _canonical_name(name: str, domain: str) -> str:
     try:
         return identity.endpoint(name, domain)[0]
     except HostNameError:
--- a/lapispick/fleet/host_assembly.py
+++ b/lapispick/fleet/host_assembly.py
@@ -1,7 +1,7 @@
-"""Assembles hosts from parsed entries: one host under all its spellings. No I/O.
+"""Assembles hosts from parsed entries and merges the entries of one host. No I/O.
 
-Two entries are one host where their canonical names agree, or their addresses and ports do. What they say of the host
-must agree then; a contradiction is a fault that names both locations. Items (queues, say) of all its entries add up.
+Two entries belong to one host if their canonical names are equal, or their addresses and ports are. They must then
+agree; a contradiction is a fault that names both locations. A host has the items (such as queues) of all its entries.
 """
 
 from __future__ import annotations
@@ -14,29 +14,29 @@
 
 from lapispick.file_errors import FaultCollector, SourceLocation
 from lapispick.fleet import identity
-from lapispick.fleet.entries import Entry, Var
+from lapispick.fleet.entries import Entry, LocatedValue
 from lapispick.fleet.entry_parser import EntryParser, ParsedEntry, ParsedItem
 from lapispick.fleet.schema import Schema
 
-_HIDDEN = "***"
-_pack = msgspec.msgpack.Encoder(order="sorted")
+_REDACTED = "***"
+_digest_encoder = msgspec.msgpack.Encoder(order="sorted")
 
 
 class InventoryHost(msgspec.Struct, frozen=True):
-    """One host: its canonical name, where it is reached, and what the user of the list reads of it."""
+    """One host: its canonical name, its address, and the values of its variables in the schema."""
 
     name: str
     address: str = msgspec.field(name="host")  # a name or an address, in its canonical form
     port: int | None
     vars: dict[str, Any]  # all variables of the schema that are given or have a default
-    items: tuple[dict[str, Any], ...] = ()  # by name
-    digest: bytes = b""  # of all above
-    spellings: tuple[str, ...] = ()  # as the files write it
+    items: tuple[dict[str, Any], ...] = ()  # sorted by name
+    digest: bytes = b""  # of all fields above
+    spellings: tuple[str, ...] = ()  # names as written in the files
     locations: tuple[SourceLocation, ...] = msgspec.field(default=(), name="places")
 
     def shown(self, schema: Schema) -> dict[str, Any]:
-        """Return the variables with secrets hidden."""
-        return {key: _HIDDEN if value and _is_secret(schema, key) else value for key, value in self.vars.items()}
+        """Return the variables with the values of secrets replaced by asterisks."""
+        return {key: _REDACTED if value and _is_secret(schema, key) else value for key, value in self.vars.items()}
 
 
 def _is_secret(schema: Schema, key: str) -> bool:
@@ -45,35 +45,36 @@
 
 
 class Assembler:
-    """Assembles the hosts of one schema; what did not change since the last call is reused."""
+    """Assembles the hosts of one schema; reuses the hosts that did not change since the last call."""
 
     def __init__(self, schema: Schema, domain: str, environ: Mapping[str, str]) -> None:
         self._schema = schema
         self._parser = EntryParser(schema, domain, environ)
-        self._parsed: dict[int, ParsedEntry] = {}  # by the identity of their entries
+        self._parsed: dict[int, ParsedEntry] = {}  # by the ids of their entries
+        # By the ids of the parsed entries, which are also kept, so that no other object gets the same id.
         self._hosts: dict[tuple[int, ...], tuple[list[ParsedEntry], InventoryHost]] = {}
 
     def assemble(self, entries: list[Entry], max_hosts: int, faults: FaultCollector) -> dict[str, InventoryHost]:
         """Return the hosts by name; faults are collected."""
         parsed_entries = self._parse(entries, faults)
-        found: dict[str, InventoryHost] = {}
+        hosts: dict[str, InventoryHost] = {}
         if faults:
-            return found
+            return hosts
         assembled: dict[tuple[int, ...], tuple[list[ParsedEntry], InventoryHost]] = {}
-        for group in _same_hosts(parsed_entries):
+        for group in _group_by_host(parsed_entries):
             key = (id(group[0]),) if len(group) == 1 else tuple(id(parsed) for parsed in group)
-            known = self._hosts.get(key)  # it refers to its entries, so that no other object has their ids
+            known = self._hosts.get(key)
             if known is None:
                 known = (group, self._merge(group, faults))
             host = known[1]
             assembled[key] = known
-            if (other := found.get(host.name)) is not None:
-                faults.add(host.locations[0], host.name, f"another host has this name at {other.locations[0]}")
-            found[host.name] = host
+            if (other := hosts.get(host.name)) is not None:
+                faults.add(host.locations[0], host.name, f"another host at {other.locations[0]} has the same name")
+            hosts[host.name] = host
         self._hosts = assembled
-        if len(found) > max_hosts:
-            faults.add(entries[0].location, "", f"{len(found)} hosts; {max_hosts} are the most")
-        return found
+        if len(hosts) > max_hosts:
+            faults.add(entries[0].location, "", f"{len(hosts)} hosts exceed the limit of {max_hosts}")
+        return hosts
 
     def _parse(self, entries: list[Entry], faults: FaultCollector) -> list[ParsedEntry]:
         parsed_entries: dict[int, ParsedEntry] = {}
@@ -89,25 +90,25 @@
 
     def _merge(self, group: list[ParsedEntry], faults: FaultCollector) -> InventoryHost:
         """Return the host that these entries describe."""
-        # A name is preferred to an address as the host's name; else the first in order.
-        leader = min(group, key=lambda parsed: (identity.address(parsed.name) is not None, parsed.name))
-        given = self._merge_values(leader, group, faults)
-        # An address that one entry gives is preferred to names, whatever the others say.
-        reached = min(group, key=lambda parsed: (identity.address(parsed.address) is None, parsed.address))
+        # The host gets the first name in order; an address is used as its name only if no entry has a name.
+        name_source = min(group, key=lambda parsed: (identity.address(parsed.name) is not None, parsed.name))
+        merged_vars = self._merge_values(name_source, group, faults)
+        # An address in any entry is preferred to a name, whatever the other entries have.
+        address_source = min(group, key=lambda parsed: (identity.address(parsed.address) is None, parsed.address))
         for parsed in group:
-            self._check_agreement(leader.name, reached, parsed, faults)
+            self._check_agreement(name_source.name, address_source, parsed, faults)
         values = {
             key: variable.default
             for key, variable in self._schema.host_variables.items()
             if variable.default is not None and key not in self._schema.address_variables
         }
-        values |= {key: var.value for key, var in given.items()}
+        values |= {key: var.value for key, var in merged_vars.items()}
         items = self._merge_items(group, faults)
-        packed = _pack.encode((leader.name, reached.address, reached.port, values, items))
+        packed = _digest_encoder.encode((name_source.name, address_source.address, address_source.port, values, items))
         return InventoryHost(
-            name=leader.name,
-            address=reached.address,
-            port=reached.port,
+            name=name_source.name,
+            address=address_source.address,
+            port=address_source.port,
             vars=values,
             items=items,
             digest=blake2b(packed, digest_size=16).digest(),
@@ -115,8 +116,10 @@
             locations=tuple(parsed.entry.location for parsed in group),
         )
 
-    def _merge_values(self, leader: ParsedEntry, group: list[ParsedEntry], faults: FaultCollector) -> dict[str, Var]:
-        merged: dict[str, Var] = {}
+    def _merge_values(
+        self, name_source: ParsedEntry, group: list[ParsedEntry], faults: FaultCollector
+    ) -> dict[str, LocatedValue]:
+        merged: dict[str, LocatedValue] = {}
         for parsed in group:
             for key, var in parsed.values.items():
                 known = merged.setdefault(key, var)
@@ -124,23 +127,29 @@
                     continue
                 secret = self._schema.host_variables[key].secret
                 shown = "another value" if secret else f"{var.value!r} here, but {known.value!r}"
-                faults.add(var.location, key, f"{leader.name} has {shown} at {known.location}")
+                faults.add(var.location, key, f"{name_source.name} has {shown} at {known.location}")
         return merged
 
-    def _check_agreement(self, name: str, reached: ParsedEntry, parsed: ParsedEntry, faults: FaultCollector) -> None:
-        """Entries of one host may give a name and its address, but not two addresses or ports."""
+    def _check_agreement(
+        self, name: str, address_source: ParsedEntry, parsed: ParsedEntry, faults: FaultCollector
+    ) -> None:
+        """Add a fault if an entry has another address or port; a name beside an address is no contradiction."""
         location = parsed.entry.location
-        other_location = reached.entry.location
-        if identity.address(parsed.address) and parsed.address != reached.address:
+        other_location = address_source.entry.location
+        if identity.address(parsed.address) and parsed.address != address_source.address:
             faults.add(
-                location, "host", f"{name} is at {parsed.address} here, but at {reached.address} at {other_location}"
+                location,
+                "host",
+                f"{name} is at {parsed.address} here, but at {address_source.address} at {other_location}",
             )
-        if parsed.port != reached.port:
+        if parsed.port != address_source.port:
             key = self._schema.port_variable or "host"
-            faults.add(location, key, f"{name} has port {parsed.port} here, but {reached.port} at {other_location}")
+            faults.add(
+                location, key, f"{name} has port {parsed.port} here, but {address_source.port} at {other_location}"
+            )
 
     def _merge_items(self, group: list[ParsedEntry], faults: FaultCollector) -> tuple[dict[str, Any], ...]:
-        """Return the items of all entries in the order of their names."""
+        """Return the items of all entries, sorted by name."""
         schema = self._schema
         defaults = {
             key: variable.default for key, variable in schema.item_variables.items() if variable.default is not None
@@ -159,7 +168,7 @@
         return tuple(items[name].values for name in sorted(items))
 
 
-def _same_hosts(parsed_entries: list[ParsedEntry]) -> list[list[ParsedEntry]]:
+def _group_by_host(parsed_entries: list[ParsedEntry]) -> list[list[ParsedEntry]]:
     """Group the entries of each host, in the order of their first entries (union-find over both keys)."""
     names = {parsed.name_key for parsed in parsed_entries}
     addresses = {parsed.address_key for parsed in parsed_entries}
@@ -182,7 +191,7 @@
     groups: dict[int, list[ParsedEntry]] = {}
     for index, parsed in enumerate(parsed_entries):
         groups.setdefault(find(index), []).append(parsed)
-    # Sorted, so that the same entries give the same host in whatever order the files have them.
+    # Sorted, so that the host does not depend on the order of its entries in the files.
     return [
         sorted(group, key=lambda parsed: (parsed.name, parsed.entry.name, parsed.entry.location.line))
         if len(group) > 1
--- a/lapispick/fleet/hosts.py
+++ b/lapispick/fleet/hosts.py
@@ -16,25 +16,25 @@
     prefix=PREFIX,
     host_variables={
         "lapispick_host": Variable(
-            VariableKind.HOST, doc="where the host is reached, if not at ansible_host or its name"
+            VariableKind.HOST, doc="address of the host, if other than ansible_host or its name"
         ),
-        "lapispick_port": Variable(VariableKind.INTEGER, 8443, 1, 65535, doc="where gateways connect"),
+        "lapispick_port": Variable(VariableKind.INTEGER, 8443, 1, 65535, doc="port for gateways"),
         "lapispick_ops": Variable(
-            VariableKind.TEXT, "", 0, 255, doc="where operators call; PORT, or HOST:PORT if elsewhere"
+            VariableKind.TEXT, "", 0, 255, doc="address for operator calls; PORT, or HOST:PORT if on another host"
         ),
-        "lapispick_agent": Variable(VariableKind.TEXT, "", 0, 255, doc="the agent's address, likewise"),
+        "lapispick_agent": Variable(VariableKind.TEXT, "", 0, 255, doc="address of the agent, as PORT or HOST:PORT"),
         "lapispick_members": Variable(
-            VariableKind.TEXT, "", 0, 255, doc="where it hears the other worker hosts, likewise"
+            VariableKind.TEXT, "", 0, 255, doc="address for membership messages, as PORT or HOST:PORT"
         ),
-        "lapispick_zone": Variable(VariableKind.TEXT, "", 0, 63, doc="the site"),
+        "lapispick_zone": Variable(VariableKind.TEXT, "", 0, 63, doc="site"),
         "lapispick_domain": Variable(
-            VariableKind.TEXT, "", 0, 63, doc="what fails together within a zone: a rack, a power feed"
+            VariableKind.TEXT, "", 0, 63, doc="failure domain within the zone, such as a rack or a power feed"
         ),
         "lapispick_machine": Variable(
-            VariableKind.TEXT, "", 0, 63, doc="the type of machine; like is compared with like"
+            VariableKind.TEXT, "", 0, 63, doc="type of machine; only hosts of one type are compared"
         ),
         "lapispick_weight": Variable(
-            VariableKind.NUMBER, 1.0, 0.001, 1000.0, doc="its share of the load beside the others'"
+            VariableKind.NUMBER, 1.0, 0.001, 1000.0, doc="its share of the load relative to the other hosts"
         ),
     },
     address_variables=("lapispick_host", "ansible_host"),
@@ -43,7 +43,7 @@
 
 
 class Worker(msgspec.Struct, frozen=True, order=True):
-    """One worker host of the list. Addresses are ``HOST:PORT``, or empty where the list gives none."""
+    """One worker host of the list. Addresses have the form ``HOST:PORT``; they are empty if the list has none."""
 
     name: str
     serves: str
@@ -57,7 +57,7 @@
 
     @property
     def failure_domain(self) -> tuple[str, str]:
-        """Return (zone, domain): domains of the same name in two zones are two."""
+        """Return (zone, domain): domains of the same name in two zones are different domains."""
         return self.zone, self.domain
 
     @property
@@ -66,54 +66,54 @@
         return self.zone, self.machine
 
 
-def _joined(host: str, port: int) -> str:
+def _join_host_port(host: str, port: int) -> str:
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
-def _endpoint(given: str, host: str) -> str:
-    """Return ``HOST:PORT`` of what a variable gives; raises ``ValueError``."""
-    if not given:
+def _full_address(value: str, host: str) -> str:
+    """Return ``HOST:PORT`` for a value ``PORT`` or ``HOST:PORT``, or "" for ""; raises ``ValueError`` for others."""
+    if not value:
         return ""
-    if given.isdecimal():
-        given = _joined(host, int(given))
-    name, port = identity.endpoint(given)
+    if value.isdecimal():
+        value = _join_host_port(host, int(value))
+    name, port = identity.endpoint(value)
     if port is None:
-        raise ValueError(f"{given!r} is neither PORT nor HOST:PORT")
-    return _joined(name, port)
+        raise ValueError(f"expected PORT or HOST:PORT, got {value!r}")
+    return _join_host_port(name, port)
 
 
 def worker(host: InventoryHost) -> Worker:
-    """Return the worker host that a host of the inventory is; raises ``ValueError`` for an address that is none."""
+    """Return the worker host for a host of the inventory; raises ``ValueError`` for an invalid address."""
     values = host.vars
     return Worker(
         host.name,
-        _joined(host.address, host.port or values["lapispick_port"]),
-        _endpoint(values["lapispick_ops"], host.address),
-        _endpoint(values["lapispick_agent"], host.address),
+        _join_host_port(host.address, host.port or values["lapispick_port"]),
+        _full_address(values["lapispick_ops"], host.address),
+        _full_address(values["lapispick_agent"], host.address),
         values["lapispick_zone"],
         values["lapispick_domain"],
         values["lapispick_machine"],
         values["lapispick_weight"],
-        _endpoint(values["lapispick_members"], host.address),
+        _full_address(values["lapispick_members"], host.address),
     )
 
 
 def workers(inventory_hosts: Iterable[InventoryHost]) -> tuple[tuple[Worker, ...], tuple[FileFault, ...]]:
-    """Return the worker hosts by name, and the faults of those whose addresses can't be used or are another's."""
-    found_workers: list[Worker] = []
+    """Return the worker hosts, sorted by name, and faults in addresses; a host with an invalid one is left out."""
+    worker_hosts: list[Worker] = []
     faults = FaultCollector()
-    taken: dict[str, str] = {}  # address -> name of its host
+    host_names: dict[str, str] = {}  # by address
     for host in sorted(inventory_hosts, key=lambda host: host.name):
         try:
-            found = worker(host)
+            worker_host = worker(host)
         except ValueError as err:
             faults.add(host.locations[0], PREFIX + "ops", f"{host.name}: {err}")
             continue
-        for endpoint in filter(None, (found.serves, found.ops, found.agent, found.members)):
-            if endpoint in taken:
+        for address in filter(None, (worker_host.serves, worker_host.ops, worker_host.agent, worker_host.members)):
+            if address in host_names:
                 faults.add(
-                    host.locations[0], "host", f"{host.name}: {endpoint} stands twice, first for {taken[endpoint]}"
+                    host.locations[0], "host", f"{host.name}: {address} is already used by {host_names[address]}"
                 )
-            taken.setdefault(endpoint, host.name)
-        found_workers.append(found)
-    return tuple(found_workers), tuple(faults.collected)
+            host_names.setdefault(address, host.name)
+        worker_hosts.append(worker_host)
+    return tuple(worker_hosts), tuple(faults.collected)
--- a/lapispick/fleet/ranges.py
+++ b/lapispick/fleet/ranges.py
@@ -1,4 +1,4 @@
-"""Host ranges such as ``disp-[01:14].pipera`` and ``box-[a:c]``, with a step as third part. No I/O."""
+"""Expands host ranges such as ``disp-[01:14].pipera`` and ``box-[a:c]``, also with a step: ``d[0:6:3]``. No I/O."""
 
 from __future__ import annotations
 
@@ -8,48 +8,51 @@
 
 MAX_RANGE_SPAN = 10_000_000
 _RANGE = re.compile(r"\[(?:(\d+):(\d+)|([A-Za-z]):([A-Za-z]))(?::(\d+))?\]")
-_LOOKS_LIKE_RANGE = re.compile(r"\[[^\]:]+:[^\]:]*(?::[^\]:]*)?\]")  # an IPv6 address in brackets does not
+_LOOKS_LIKE_RANGE = re.compile(r"\[[^\]:]+:[^\]:]*(?::[^\]:]*)?\]")  # excludes IPv6 addresses in brackets
 
 
-def _values(match: re.Match[str]) -> list[str]:
-    """Return the texts that one range stands for."""
+def _range_values(match: re.Match[str]) -> list[str]:
+    """Return the values that one range expands to."""
     pattern = match.group(0)
     low, high, first, last, step_text = match.groups()
     step = int(step_text) if step_text else 1
     if step < 1:
-        raise HostRangeError(pattern, "has a step under 1")
+        raise HostRangeError(pattern, "has a step below 1")
     if low is None:
-        return _letters(pattern, first, last, step)
-    return _numbers(pattern, low, high, step)
+        return _letter_values(pattern, first, last, step)
+    return _number_values(pattern, low, high, step)
 
 
-def _letters(pattern: str, first: str, last: str, step: int) -> list[str]:
+def _letter_values(pattern: str, first: str, last: str, step: int) -> list[str]:
     if first.islower() != last.islower() or first > last:
         raise HostRangeError(pattern, "does not go upwards within one case")
     return [chr(code) for code in range(ord(first), ord(last) + 1, step)]
 
 
-def _numbers(pattern: str, low: str, high: str, step: int) -> list[str]:
+def _number_values(pattern: str, low: str, high: str, step: int) -> list[str]:
     if len(low) > 1 and low.startswith("0") and len(low) != len(high):
-        raise HostRangeError(pattern, "has ends padded to different widths")
+        raise HostRangeError(pattern, "has bounds padded to different widths")
     if int(low) > int(high):
         raise HostRangeError(pattern, "does not go upwards")
     if int(high) - int(low) >= MAX_RANGE_SPAN:
-        raise HostRangeError(pattern, "is too long")
+        raise HostRangeError(pattern, f"is too long; the maximum is {MAX_RANGE_SPAN} numbers")
     width = len(low) if low.startswith("0") else 0
     return [str(number).zfill(width) for number in range(int(low), int(high) + 1, step)]
 
 
 def expand(text: str, max_names: int) -> list[str]:
-    """Return the names that a pattern stands for, in order; raises ``HostRangeError`` beyond ``max_names`` names."""
+    """Return the names that a pattern expands to, in order.
+
+    Raises ``HostRangeError`` for an invalid range and for more than ``max_names`` names.
+    """
     if "[" not in text:
         return [text]
     names = [""]
     end = 0
     for match in _RANGE.finditer(text):
-        values = _values(match)
+        values = _range_values(match)
         if len(names) * len(values) > max_names:
-            raise HostRangeError(repr(text), f"stands for more than {max_names} names")
+            raise HostRangeError(repr(text), f"expands to more than {max_names} names")
         names = [prefix + text[end : match.start()] + value for prefix in names for value in values]
         end = match.end()
     rest = text[end:]
--- a/lapispick/fleet/reading.py
+++ b/lapispick/fleet/reading.py
@@ -1,7 +1,7 @@
-"""From the bytes of all files to a list of hosts. No I/O: files are passed as (name, bytes) in their order.
+"""Reads the hosts of a list from the bytes of its files. No I/O: files are passed as (name, bytes) in their order.
 
-The reader caches what it made of each file, so that a change costs about what changed. Where anything is wrong it
-first reads all files again without the cache, so that every location in a fault is right.
+The reader caches the parsed form of each file, so that the cost of a read follows the size of the change. If there is
+any fault, it reads all files again without the cache before it reports faults, so that their locations are right.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from lapispick.fleet.host_assembly import Assembler, InventoryHost
 from lapispick.fleet.schema import Schema
 from lapispick.fleet.yaml_reader import Document
-from lapispick.fleet.yaml_values import Map
+from lapispick.fleet.yaml_values import YamlMapping
 
 CSV_SUFFIXES = (".csv",)
 YAML_SUFFIXES = (".yml", ".yaml")
@@ -35,7 +35,7 @@
 
 
 class Options(msgspec.Struct, frozen=True):
-    """How the files of one list are read."""
+    """Options for reading the files of one list."""
 
     group: str
     schema: Schema = msgspec.field(name="wanted")
@@ -47,29 +47,32 @@
 
 
 class File(NamedTuple):
-    """One file; ``name`` is relative to the list's folder, and its first part marks files with variables."""
+    """One file; ``name`` is relative to the list's folder.
+
+    Files below ``group_vars`` and ``host_vars`` have variables, all others have hosts.
+    """
 
     name: str
     data: bytes
 
 
 class Reading(NamedTuple):
-    """What the files say: the hosts by name, or what is wrong."""
+    """Result of reading the files: the hosts by name, or the faults."""
 
     hosts: dict[str, InventoryHost]
     faults: tuple[FileFault, ...]
-    incomplete_reason: str  # why the files may be incomplete
-    omitted_faults: int = 0  # beyond the bound
+    incomplete_reason: str  # why the files may be incomplete; empty if nothing indicates it
+    omitted_faults: int = 0  # faults that are not listed because there are too many
 
 
 def belongs_to_list(name: str) -> bool:
-    """Tell whether a file belongs to a list; hidden files and those with another ending do not."""
+    """Return True if a file belongs to a list; hidden and temporary files and those with other suffixes do not."""
     path = PurePosixPath(name)
     return path.suffix in CSV_SUFFIXES + YAML_SUFFIXES and not path.name.startswith((".", "#", "~"))
 
 
 def decode(file: File, faults: FaultCollector) -> str | None:
-    """Return the text of a file in UTF-8 or, with its byte order mark, UTF-16."""
+    """Return the text of a file in UTF-8, or in UTF-16 with a byte order mark; None, and a fault, if it is neither."""
     data = file.data
     encoding = "utf-8"
     for mark, name in BYTE_ORDER_MARKS:
@@ -81,15 +84,15 @@
         return data.decode(encoding)
     except UnicodeDecodeError as err:
         line = data.count(b"\n", 0, err.start) + 1
-        faults.add(SourceLocation(file.name, line), "", f"is no {encoding.upper()} at byte {err.start}: {err.reason}")
+        faults.add(SourceLocation(file.name, line), "", f"invalid {encoding.upper()} at byte {err.start}: {err.reason}")
         return None
 
 
 def incomplete_reason(name: str, text: str, options: Options) -> str:
-    """Return why a text may be a part of a file only; empty where nothing shows it."""
+    """Return why a text may be only a part of its file; empty if nothing indicates it."""
     if options.end_marker:
-        last = next((line for line in reversed(text.splitlines()) if line.strip()), "")
-        if last.strip() != options.end_marker:
+        last_line = next((line for line in reversed(text.splitlines()) if line.strip()), "")
+        if last_line.strip() != options.end_marker:
             return f"{name} does not end with the line {options.end_marker!r}"
     if options.final_newline and text and not text.endswith(("\n", "\r")):
         return f"{name} ends within a line"
@@ -97,7 +100,7 @@
 
 
 class Reader:
-    """Reads the files of one list again and again."""
+    """Reads the files of one list repeatedly and caches results between reads."""
 
     def __init__(self, options: Options, environ: Mapping[str, str]) -> None:
         self._options = options
@@ -105,7 +108,7 @@
         self._reset()
 
     def read(self, files: list[File]) -> Reading:
-        """Read all files; the cache of the last reading saves work and changes no result."""
+        """Read all files; the cache of the last read saves time but does not change the result."""
         had_cache = self._has_cache
         reading = self._read(files)
         if reading.faults and had_cache:
@@ -130,31 +133,31 @@
         faults = FaultCollector()
         tree = GroupTree(options.max_hosts, faults)
         reason = ""
-        self._is_unreadable = not files
+        self._has_unreadable_file = not files
         for file in files:
             text = decode(file, faults)
             if text is None:
-                self._is_unreadable = True
+                self._has_unreadable_file = True
             else:
                 reason = reason or incomplete_reason(file.name, text, options)
                 self._read_file(file, text, tree, faults)
-        self._drop_removed(files)
+        self._drop_removed_files(files)
         hosts: dict[str, InventoryHost] = {}
         if not files:
-            faults.add(SourceLocation("inventory"), "", "there is no .csv, .yml or .yaml file")
-        if not self._is_unreadable:  # rows and keys with faults don't prevent a look at the others
+            faults.add(SourceLocation("inventory"), "", "no .csv, .yml or .yaml file found")
+        if not self._has_unreadable_file:  # faults in some rows or keys do not prevent checking the others
             entries = self._resolver.entries(tree, options.group, options.domain, faults)
             hosts = self._assembler.assemble(entries, options.max_hosts, faults)
         if not faults and not hosts:
-            faults.add(SourceLocation("inventory"), options.group, "no host is in this group; the list is empty")
+            faults.add(SourceLocation("inventory"), options.group, "no hosts in this group; the list is empty")
         return Reading({} if faults else hosts, tuple(faults.collected), reason, faults.left_out)
 
-    def _drop_removed(self, files: list[File]) -> None:
-        """Drop from the cache the files that are there no more."""
-        for removed in self._digests.keys() - {file.name for file in files}:
-            self._digests.pop(removed)
-            self._documents.pop(removed, None)
-            self._rows.pop(removed, None)
+    def _drop_removed_files(self, files: list[File]) -> None:
+        """Drop files that no longer exist from the cache."""
+        for removed_name in self._digests.keys() - {file.name for file in files}:
+            self._digests.pop(removed_name)
+            self._documents.pop(removed_name, None)
+            self._rows.pop(removed_name, None)
 
     def _read_file(self, file: File, text: str, tree: GroupTree, faults: FaultCollector) -> None:
         digest = blake2b(file.data, digest_size=16).digest()
@@ -171,30 +174,30 @@
             cache = known.cache if known is not None else {}
             known = csv_reader.read(name, text, self._options.delimiter, self._options.max_hosts, faults, cache)
             self._rows[name] = known
-        self._is_unreadable = self._is_unreadable or not known.cache
+        self._has_unreadable_file = self._has_unreadable_file or not known.cache
         tree.add_rows(known.rows)
 
     def _read_yaml(self, name: str, text: str, is_unchanged: bool, tree: GroupTree, faults: FaultCollector) -> None:
         document = self._documents.get(name)
         if document is None or (not is_unchanged and not document.update(text)):
             document = self._documents[name] = Document(name, text, faults)
-        if document.top is None:
-            self._is_unreadable = True
+        if document.root is None:
+            self._has_unreadable_file = True
         else:
-            self._add_mapping(PurePosixPath(name), document.top, tree)
+            self._add_mapping(PurePosixPath(name), document.root, tree)
 
-    def _add_mapping(self, path: PurePosixPath, top: Map, tree: GroupTree) -> None:
-        """Add the contents of a YAML file where its folder says that they belong."""
+    def _add_mapping(self, path: PurePosixPath, root: YamlMapping, tree: GroupTree) -> None:
+        """Add the contents of a YAML file as variables or as groups, depending on its folder."""
         kind = path.parts[0] if len(path.parts) > 1 else ""
         if kind == GROUP_VARS:
-            tree.group(path.parts[1].removesuffix(path.suffix), top.location).group_vars |= top
+            tree.get_or_create_group(path.parts[1].removesuffix(path.suffix), root.location).group_vars |= root
         elif kind == HOST_VARS:
             host = path.parts[1].removesuffix(path.suffix) if len(path.parts) == 2 else path.parts[1]
             known = tree.host_vars.get(host)
             if known is not None:
-                merged = Map(top.location)
-                merged.update(known | top)
-                top = merged
-            tree.host_vars[host] = top
+                merged = YamlMapping(root.location)
+                merged.update(known | root)
+                root = merged
+            tree.host_vars[host] = root
         else:
-            tree.add(top)
+            tree.add(root)
--- a/lapispick/fleet/schema.py
+++ b/lapispick/fleet/schema.py
@@ -1,8 +1,8 @@
-"""What the variables of a host mean to one user of the list: types, bounds, defaults. Plain data, sent as JSON.
+"""Schema of the host variables that one consumer of the inventory reads: types, bounds, defaults.
 
-A user has a prefix (``amqp_``): variables with it must be known, all others belong to other tools and are ignored.
-Beside the variables of a host, a user may have items, several a host, such as queues: a list in YAML, a row for each
-in CSV.
+Schemas are plain data and are sent as JSON. Each consumer has a prefix (``amqp_``): variables with the prefix must be
+in the schema; all others belong to other tools and are ignored. Besides the variables of a host, a schema may define
+items, such as queues, of which a host can have several: elements of a list in YAML, a row each in CSV.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 MAX_TEXT_BYTES = 4096
 _MAX_SHOWN_CHARACTERS = 60  # of a value in a message
-_UNBOUNDED = 1e300
+_MAX_MAGNITUDE = 1e300  # of a number without bounds; finite, so that infinity is rejected
 _TRUE_VALUES = ("true", "yes", "on")
 _FALSE_VALUES = ("false", "no", "off")
 
@@ -27,13 +27,13 @@
     """The type of a variable."""
 
     TEXT = "text"
-    HOST = "host"  # a name or address, brought into its canonical form
+    HOST = "host"  # a name or address, converted to its canonical form
     INTEGER = "integer"
     NUMBER = "number"
     FLAG = "flag"
 
 
-_DESCRIPTIONS = {
+_VALUE_DESCRIPTIONS = {
     VariableKind.INTEGER: "a whole number",
     VariableKind.NUMBER: "a number",
     VariableKind.FLAG: "true or false",
@@ -43,7 +43,7 @@
 
 
 class Variable(msgspec.Struct, frozen=True):
-    """One variable; the bounds are those of a number, or of a text's length in bytes."""
+    """Type, default and bounds of one variable; the bounds apply to a number, or to the length of a text in bytes."""
 
     kind: VariableKind = VariableKind.TEXT
     default: str | int | float | bool | None = None
@@ -55,24 +55,25 @@
 
 
 class Schema(msgspec.Struct, frozen=True):
-    """All that one user of the list reads of a host."""
+    """The variables of a host that one consumer of the inventory reads."""
 
     prefix: str
     host_variables: dict[str, Variable] = msgspec.field(name="box")
     item_variables: dict[str, Variable] = msgspec.field(default_factory=dict, name="item")
-    items_variable: str = msgspec.field(default="", name="items")  # holds a list of items
-    item_name: str = ""  # the variable that names an item, unique within a host
+    items_variable: str = msgspec.field(default="", name="items")  # its value is a list of items
+    # The variable that names an item; the name is unique within a host.
+    item_name: str = msgspec.field(default="", name="item_name")
     item_required: bool = msgspec.field(default=False, name="item_needed")  # a host without any item is a fault
-    # Where a host is reached; the first variable that is given counts.
+    # The address of a host is the value of the first of these variables that is set.
     address_variables: tuple[str, ...] = msgspec.field(default=("ansible_host",), name="host")
     port_variable: str = msgspec.field(default="", name="port")
-    # One address counts as several hosts where these variables differ.
+    # Entries with one address are different hosts if these variables differ.
     distinguishing_variables: tuple[str, ...] = msgspec.field(default=(), name="apart")
-    # Variable that names an environment variable -> variable that receives its value.
+    # Maps a variable that names an environment variable to the variable that receives its value.
     environment_variables: dict[str, str] = msgspec.field(default_factory=dict, name="environ")
 
-    def unknown(self, key: str) -> str | None:
-        """Return what is wrong with the name of a variable, or None."""
+    def name_problem(self, key: str) -> str | None:
+        """Return what is wrong with the name of a variable, or None if it is valid."""
         if not self.prefix or not key.startswith(self.prefix):
             return None
         known = [*self.host_variables, *self.item_variables]
@@ -81,18 +82,18 @@
         return None if key in known else f"unknown variable{suggest_nearest(key, known)}"
 
 
-ANY_HOST = Schema(prefix="", host_variables={})  # names and addresses of any list, without further variables
+ANY_HOST = Schema(prefix="", host_variables={})  # reads only names and addresses
 
 
-def read(variable: Variable, value: Any, domain: str = "") -> str | int | float | bool:
-    """Return a value in the variable's type; raises ``ValueError`` with the value and what is expected."""
-    error = ValueError(f"{_shortened(value)} is not {_expected(variable)}")
+def parse_value(variable: Variable, value: Any, domain: str = "") -> str | int | float | bool:
+    """Return a value converted to the variable's type; raises ``ValueError`` with the value and what was expected."""
+    error = ValueError(f"{_shortened_repr(value)} is not {_expected_values(variable)}")
     if isinstance(value, TaggedText):
-        raise ValueError(f"has the tag {value.tag}, which can't be read here")
+        raise ValueError(f"expected a value without a tag, got one with the tag {value.tag}")
     if variable.kind is VariableKind.FLAG:
-        return _flag(value, error)
+        return _parse_flag(value, error)
     if variable.kind in (VariableKind.INTEGER, VariableKind.NUMBER):
-        return _number(variable, value, error)
+        return _parse_number(variable, value, error)
     if isinstance(value, bool) or not isinstance(value, str | int | float):
         raise error
     text = str(value)
@@ -102,23 +103,25 @@
         raise error
     if variable.choices and text and text not in variable.choices:
         choices = ", ".join(variable.choices)
-        raise ValueError(f"{_shortened(value)} is none of {choices}{suggest_nearest(text, variable.choices)}")
+        raise ValueError(
+            f"expected one of {choices}, got {_shortened_repr(value)}{suggest_nearest(text, variable.choices)}"
+        )
     return text
 
 
-def _expected(variable: Variable) -> str:
-    """Describe the values of a variable for a message."""
+def _expected_values(variable: Variable) -> str:
+    """Describe the valid values of a variable for a message."""
     minimum = variable.minimum
     maximum = variable.maximum
     if variable.kind is VariableKind.TEXT:
         return f"a text of {minimum or 0:g} to {maximum or MAX_TEXT_BYTES:g} bytes"
-    description = _DESCRIPTIONS[variable.kind]
+    description = _VALUE_DESCRIPTIONS[variable.kind]
     if minimum is None or maximum is None:
         return description
     return f"{description} from {minimum:g} to {maximum:g}"
 
 
-def _flag(value: Any, error: ValueError) -> bool:
+def _parse_flag(value: Any, error: ValueError) -> bool:
     if isinstance(value, bool):
         return value
     if isinstance(value, str) and value.lower() in _TRUE_VALUES:
@@ -128,16 +131,16 @@
     raise error
 
 
-def _number(variable: Variable, value: Any, error: ValueError) -> int | float:
+def _parse_number(variable: Variable, value: Any, error: ValueError) -> int | float:
     if isinstance(value, bool) or not isinstance(value, str | int | float):
         raise error
     try:
         number = float(value)
     except ValueError:
         raise error from None
-    minimum = variable.minimum if variable.minimum is not None else -_UNBOUNDED
-    maximum = variable.maximum if variable.maximum is not None else _UNBOUNDED
-    if not minimum <= number <= maximum:  # so that NaN, which compares false, is rejected
+    minimum = variable.minimum if variable.minimum is not None else -_MAX_MAGNITUDE
+    maximum = variable.maximum if variable.maximum is not None else _MAX_MAGNITUDE
+    if not minimum <= number <= maximum:  # also rejects NaN, which compares false
         raise error
     if variable.kind is VariableKind.NUMBER:
         return number
@@ -146,6 +149,6 @@
     return int(number)
 
 
-def _shortened(value: Any) -> str:
+def _shortened_repr(value: Any) -> str:
     text = repr(value)
     return text if len(text) <= _MAX_SHOWN_CHARACTERS else text[: _MAX_SHOWN_CHARACTERS - 3] + "..."
--- a/tests/fleet_files.py
+++ b/tests/fleet_files.py
@@ -1,4 +1,4 @@
-"""Inventories as configuration tools write them, and short ways to read them."""
+"""Helpers for tests that write and read inventories."""
 
 from msgspec import convert
 
@@ -8,35 +8,35 @@
 from lapispick.platform_settings import StartSettings
 
 SCHEMA = inventory_schema.schema(convert(PLATFORM_INFO, StartSettings))
-ENVIRON = {"SHOP_WORD": "secret"}
+ENVIRON = {"SHOP_PASSWORD": "secret"}
 
 
-def reader(**over):
-    """Return a reader of the group ``shops``, with other options."""
-    return Reader(Options(**{"group": "shops", "schema": SCHEMA, **over}), ENVIRON)
+def reader(**options):
+    """Return a reader of the group ``shops`` with these options changed."""
+    return Reader(Options(**{"group": "shops", "schema": SCHEMA, **options}), ENVIRON)
 
 
 def files(text, name="f.yml"):
-    """Return files: a text under one name, or several by name."""
+    """Return files from one text with a name, or from a dict of texts by name."""
     texts = text if isinstance(text, dict) else {name: text}
     return [File(name, data if isinstance(data, bytes) else data.encode()) for name, data in texts.items()]
 
 
-def read(text, name="f.yml", **over):
-    """Read a text, or several by name."""
-    return reader(**over).read(files(text, name))
+def read(text, name="f.yml", **options):
+    """Return the result of reading a text, or a dict of texts by name."""
+    return reader(**options).read(files(text, name))
 
 
-def hosts(text, name="f.yml", **over):
+def hosts(text, name="f.yml", **options):
     """Return the hosts of a text without faults."""
-    found = read(text, name, **over)
-    assert not found.faults, [str(fault) for fault in found.faults]
-    return found.hosts
+    result = read(text, name, **options)
+    assert not result.faults, [str(fault) for fault in result.faults]
+    return result.hosts
 
 
-def faults(text, name="f.yml", **over):
-    """Return the faults of a text as operators see them."""
-    return [str(fault) for fault in read(text, name, **over).faults]
+def faults(text, name="f.yml", **options):
+    """Return the faults of a text in the form that operators see."""
+    return [str(fault) for fault in read(text, name, **options).faults]
 
 
 def yaml_list(ports):
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -1,4 +1,4 @@
-"""The inventory of worker hosts: its schema, its faults, and the commands on a list that also holds brokers."""
+"""The inventory of worker hosts: its schema, its faults, and the commands for a list that also has brokers."""
 
 import json
 
@@ -49,11 +49,11 @@
 
 
 def test_two_spellings_of_a_worker_host_are_one_host():
-    twice = LIST.replace(
+    list_with_duplicate = LIST.replace(
         "hosts:\n        disp-[06:07].pipera.example.org:",
         "hosts:\n        DISP-06.Pipera.example.org.: {}\n        disp-[06:07].pipera.example.org:",
     )
-    found, found_faults = read_workers(twice)
+    found, found_faults = read_workers(list_with_duplicate)
     assert not found_faults
     assert len(found) == 3
 
@@ -75,15 +75,15 @@
 @pytest.mark.parametrize(
     ("variables", "fault"),
     [
-        ("{lapispick_ops: nowhere}", "'nowhere' is neither PORT nor HOST:PORT"),
-        ("{lapispick_ops: 8443}", "a:8443 stands twice, first for a"),
+        ("{lapispick_ops: nowhere}", "expected PORT or HOST:PORT, got 'nowhere'"),
+        ("{lapispick_ops: 8443}", "a:8443 is already used by a"),
         ("{lapispick_agent: 70000}", "has no port from 1 to 65535"),
-        ("{lapispick_agent: 'b:8443'}", "b:8443 stands twice, first for a"),
+        ("{lapispick_agent: 'b:8443'}", "b:8443 is already used by a"),
     ],
 )
 def test_invalid_and_duplicate_addresses_are_faults(variables, fault):
     _, found_faults = read_workers(f"dispatch:\n  hosts:\n    a: {variables}\n    b: {{}}")
-    assert [f for f in map(str, found_faults) if fault in f]
+    assert any(fault in str(found_fault) for found_fault in found_faults)
     assert str(found_faults[0]).startswith("f.yml:")
 
 
@@ -104,7 +104,7 @@
         " group dispatch\nend\nsection amqp\n enabled yes\nend\n"
     )
     conf_options = ("--conf", inventory_folder / "own.conf")
-    assert run_inventory("check", *conf_options)[0] == 0  # the brokers' group, as the AMQP front is on
+    assert run_inventory("check", *conf_options)[0] == 0  # checks the brokers' group, as the AMQP front is on
     code, output = run_inventory("list", *conf_options, "--group", "dispatch", "--json")
     assert code == 0
     assert {entry["vars"]["lapispick_zone"] for entry in json.loads(output)} == {"pipera", "berceni"}
@@ -124,9 +124,10 @@
         "section inventory\n path list.yml\nend\nsection fleet\n group dispatch\nend\n"
     )
     (inventory_folder / "list.yml").write_text(LIST.replace("lapispick_ops: 9100", "lapispick_ops: 8443"))
-    code, output = run_inventory("check", "--conf", inventory_folder / "own.conf")  # the fleet's, as no front is on
+    # Checks the fleet's group, as the AMQP front is off.
+    code, output = run_inventory("check", "--conf", inventory_folder / "own.conf")
     assert code == 1
-    assert "stands twice" in output
+    assert "is already used by" in output
 
 
 @pytest.mark.parametrize(
--- a/tests/test_inventory_reading.py
+++ b/tests/test_inventory_reading.py
@@ -1,4 +1,4 @@
-"""Reading inventories in both formats, and the messages about their faults."""
+"""Reading inventories in both formats, and their fault messages."""
 
 import re
 
@@ -18,7 +18,7 @@
   vars: {amqp_prefetch: 5, ansible_user: deploy}
   children:
     shops:
-      vars: {amqp_user: shop, amqp_password_env: SHOP_WORD}
+      vars: {amqp_user: shop, amqp_password_env: SHOP_PASSWORD}
       children:
         north:
           hosts:
@@ -95,13 +95,13 @@
         ("i.csv", CSV_HEADER + "b,q,1\nc,,2\n", r"i\.csv:3:1: amqp_queue: is not told"),
         ("i.csv", "host,amqp_host,amqp_queue\nb,no host,q\n", r"i\.csv:2:2: amqp_host: 'no host' is no host name"),
         ("i.csv", CSV_HEADER + ",q,1\n", r"i\.csv:2: host: is empty"),
-        ("i.csv", CSV_HEADER + "b,q\n", r"i\.csv:2: amqp_port: 2 cells under 3 columns"),
-        ("i.csv", "name,x\n", r"i\.csv:1: host: the header has no such column, only name, x"),
-        ("i.csv", "host,host\n", r"i\.csv:1:2: host: the header has this column twice, first as column 1"),
-        ("i.csv", 'host,amqp_queue\n"b,q\n', r"i\.csv:1: can't be read as CSV behind this line: unexpected end"),
-        ("i.csv", "", r"i\.csv:1: host: there is no header"),
-        ("i.csv", CSV_HEADER, r"inventory: shops: no host is in this group; the list is empty|there is no such group"),
-        ("i.csv", CSV_HEADER + "b,q,1\nc\0,q,1\n", r"i\.csv:3: a NUL byte"),
+        ("i.csv", CSV_HEADER + "b,q\n", r"i\.csv:2: amqp_port: expected 3 cells, got 2"),
+        ("i.csv", "name,x\n", r"i\.csv:1: host: missing column; the header has only name, x"),
+        ("i.csv", "host,host\n", r"i\.csv:1:2: host: duplicate column in the header, first used as column 1"),
+        ("i.csv", 'host,amqp_queue\n"b,q\n', r"i\.csv:1: invalid CSV after this line: unexpected end"),
+        ("i.csv", "", r"i\.csv:1: host: the file has no header"),
+        ("i.csv", CSV_HEADER, r"inventory: shops: no hosts in this group; the list is empty|unknown group"),
+        ("i.csv", CSV_HEADER + "b,q,1\nc\0,q,1\n", r"i\.csv:3: NUL byte"),
         ("i.csv", CSV_HEADER + "d-[1:x],q,1\n", r"i\.csv:2:1: host: \[1:x\] is no range"),
         (
             "i.csv",
@@ -111,28 +111,48 @@
         (
             "i.csv",
             "host,amqp_queue,amqp_class\nb,q,bok\n",
-            r"i\.csv:2:3: amqp_class: 'bok' is none of track, book; did you mean book\?",
+            r"i\.csv:2:3: amqp_class: expected one of track, book, got 'bok'; did you mean book\?",
         ),
-        ("i.csv", b"host,amqp_queue\nb,\xff\n", r"i\.csv:2: is no UTF-8 at byte 18"),
+        ("i.csv", b"host,amqp_queue\nb,\xff\n", r"i\.csv:2: invalid UTF-8 at byte 18"),
         ("i.yml", YAML.replace("5673", "0"), r"i\.yml:14:\d+: amqp_port: 0 is not a whole number"),
         ("i.yml", YAML.replace("amqp_prefetch: 9", "amqp_prefetch: true"), r"i\.yml:13:\d+: amqp_prefetch: True is"),
-        ("i.yml", YAML.replace("amqp_class: book", "amqp_clas: book"), r"i\.yml:13:\d+: amqp_clas: unknown here"),
-        ("i.yml", YAML.replace("SHOP_WORD", "NO_WORD"), r"i\.yml:5:\d+: amqp_password_env: NO_WORD is not set"),
-        ("i.yml", YAML.replace("    elsewhere", "    shops"), r"i\.yml:15:5: shops: .*twice, first at i\.yml:4:5"),
-        ("i.yml", YAML.replace("hosts: {b3", "host: {b3"), r"i\.yml:16:7: host: a group has only hosts, vars"),
-        ("i.yml", YAML.replace("    shops", "    shop"), r"shops: there is no such group; there are all, elsewhere"),
-        ("i.yml", "all: [\n", r"i\.yml:2:1: can't be read as YAML"),
+        (
+            "i.yml",
+            YAML.replace("amqp_class: book", "amqp_clas: book"),
+            r"i\.yml:13:\d+: amqp_clas: unknown item variable",
+        ),
+        (
+            "i.yml",
+            YAML.replace("SHOP_PASSWORD", "UNSET_PASSWORD"),
+            r"i\.yml:5:\d+: amqp_password_env: environment variable UNSET_PASSWORD is not set",
+        ),
+        (
+            "i.yml",
+            YAML.replace("    elsewhere", "    shops"),
+            r"i\.yml:15:5: shops: duplicate key, first used at i\.yml:4:5",
+        ),
+        (
+            "i.yml",
+            YAML.replace("hosts: {b3", "host: {b3"),
+            r"i\.yml:16:7: host: unknown key of a group; expected one of hosts, vars",
+        ),
+        ("i.yml", YAML.replace("    shops", "    shop"), r"shops: unknown group; known groups: all, elsewhere"),
+        ("i.yml", "all: [\n", r"i\.yml:2:1: invalid YAML"),
         ("i.yml", "all: 3\n", r"i\.yml:1:1: all: must be a mapping"),
-        ("i.yml", "- a\n", r"i\.yml:1: the whole must be a mapping"),
-        ("i.yml", "? [a]\n: b\n", r"i\.yml:1:3: a key must be a plain text"),
-        ("i.yml", "shops: &a {children: {b: *a}}\n", r"i\.yml:1:8: an alias within its own anchor"),
-        ("i.yml", "shops: {hosts: {a: {amqp_queue: !vault x}}}\n", r"amqp_queue: has the tag !vault"),
-        ("i.yml", "shops: {children: {a: {children: {shops: {}}}}}\n", r"groups hold each other: a -> shops -> a"),
+        ("i.yml", "- a\n", r"i\.yml:1: expected a mapping of groups at the top level"),
+        ("i.yml", "? [a]\n: b\n", r"i\.yml:1:3: a key must be a scalar"),
+        ("i.yml", "shops: &a {children: {b: *a}}\n", r"i\.yml:1:8: the anchored value contains an alias of itself"),
+        (
+            "i.yml",
+            "shops: {hosts: {a: {amqp_queue: !vault x}}}\n",
+            r"amqp_queue: expected a value without a tag, got one with the tag !vault",
+        ),
+        ("i.yml", "shops: {children: {a: {children: {shops: {}}}}}\n", r"cycle of groups: a -> shops -> a"),
         ("i.yml", "shops: " + "{children: {a: " * 40 + "{}" + "}}" * 40 + "\n", r"nested more than"),
         (
             "i.yml",
             "a0: &a0 [x,x]\n" + "".join(f"a{n}: &a{n} [{','.join([f'*a{n - 1}'] * 9)}]\n" for n in range(1, 12)),
-            r"stands for more than 2000000 values",
+            r"expands to more than 2000000 values",
         ),
         (
             "i.yml",
@@ -164,30 +184,30 @@
     ("options", "is_complete"),
     [({"final_newline": True}, False), ({"final_newline": False}, True), ({"end_marker": "# end"}, False)],
 )
-def test_a_text_that_may_be_cut_is_reported_as_incomplete(options, is_complete):
+def test_a_text_that_may_be_truncated_is_reported_as_incomplete(options, is_complete):
     text = csv_list({"a": 1, "b": 2})
     assert bool(read(text[:-1], "f.csv", **options).incomplete_reason) != is_complete
     assert not read(text + "# end\n", "f.csv", **options).incomplete_reason
 
 
-names = st.sampled_from([f"b{n}" for n in range(40)])
-lists = st.dictionaries(names, st.integers(1, 9), min_size=1, max_size=30)
+host_names = st.sampled_from([f"b{n}" for n in range(40)])
+port_maps = st.dictionaries(host_names, st.integers(1, 9), min_size=1, max_size=30)
 
 
-@given(lists, st.randoms())
+@given(port_maps, st.randoms())
 @settings(max_examples=60, deadline=None)
 def test_any_order_of_hosts_gives_the_same_digest(ports, random):
-    mixed = list(ports.items())
-    random.shuffle(mixed)
+    shuffled_items = list(ports.items())
+    random.shuffle(shuffled_items)
     for make_list, name in ((csv_list, "f.csv"), (yaml_list, "f.yml")):
         in_order = snapshot.snapshot_of(hosts(make_list(ports), name))
-        shuffled = snapshot.snapshot_of(hosts(make_list(dict(mixed)), name))
+        shuffled = snapshot.snapshot_of(hosts(make_list(dict(shuffled_items)), name))
         assert in_order.digest == shuffled.digest
 
 
-@given(lists, lists)
+@given(port_maps, port_maps)
 @settings(max_examples=60, deadline=None)
-def test_a_difference_applied_gives_the_new_list(old_ports, new_ports):
+def test_applying_a_difference_to_the_old_list_gives_the_new_list(old_ports, new_ports):
     old = snapshot.snapshot_of(hosts(csv_list(old_ports), "f.csv"))
     new = snapshot.snapshot_of(hosts(csv_list(new_ports), "f.csv"))
     difference = snapshot.difference(old, new)
@@ -199,14 +219,14 @@
     assert not snapshot.difference(applied, new)
 
 
-def plain(value):
-    """Return what a YAML value says, without its places."""
+def without_locations(value):
+    """Return a YAML value without locations."""
     if isinstance(value, dict):
-        return {key: plain(var.value) for key, var in value.items()}
-    return [plain(element) for element in value] if isinstance(value, list) else value
+        return {key: without_locations(var.value) for key, var in value.items()}
+    return [without_locations(element) for element in value] if isinstance(value, list) else value
 
 
-edits = st.lists(
+line_edits = st.lists(
     st.tuples(
         st.integers(0, 200),
         st.integers(0, 3),
@@ -242,24 +262,24 @@
 )
 
 
-@given(st.integers(4, 24), edits)
+@given(st.integers(4, 24), line_edits)
 @settings(max_examples=400, deadline=None)
 def test_an_incremental_update_reads_the_same_as_a_full_read(count, changes):
     lines = yaml_list({f"b{n}": n + 1 for n in range(count)}).splitlines()
     document = Document("f.yml", "\n".join(lines) + "\n", FaultCollector())
-    for line_index, drop, line in changes:
+    for line_index, replaced_count, line in changes:
         line_index %= len(lines) + 1
-        lines[line_index : line_index + drop] = [line]
+        lines[line_index : line_index + replaced_count] = [line]
         text = "\n".join(lines) + "\n"
         faults_found = FaultCollector()
-        reread = Document("f.yml", text, faults_found)
+        fully_read = Document("f.yml", text, faults_found)
         if not document.update(text):
-            document = reread
+            document = fully_read
             if faults_found:
                 return
         else:
             assert not faults_found, [str(fault) for fault in faults_found.collected]
-            assert plain(document.top) == plain(reread.top)
+            assert without_locations(document.root) == without_locations(fully_read.root)
 
 
 def test_a_change_of_one_host_is_read_incrementally():
@@ -270,7 +290,8 @@
         assert document.update(yaml_list(ports))
     del ports["b3"]
     assert document.update(yaml_list(ports))
-    assert plain(document.top) == plain(Document("f.yml", yaml_list(ports), FaultCollector()).top)
+    fully_read = Document("f.yml", yaml_list(ports), FaultCollector())
+    assert without_locations(document.root) == without_locations(fully_read.root)
 
 
 def digests(reading):
@@ -278,7 +299,7 @@
     return {name: host.digest for name, host in reading.hosts.items()}
 
 
-@given(lists, lists)
+@given(port_maps, port_maps)
 @settings(max_examples=60, deadline=None)
 def test_a_reader_with_a_cache_reads_the_same_as_a_new_one(old, new):
     for make_list, name in ((csv_list, "f.csv"), (yaml_list, "f.yml")):
@@ -306,6 +327,6 @@
         assert found.faults or found.hosts
 
 
-def test_variables_are_not_checked_by_a_schema_without_any():
+def test_a_schema_without_variables_does_not_check_variables():
     any_host_reader = Reader(Options("all", ANY_HOST), {})
     assert set(any_host_reader.read(files("host,amqp_port,x\na,none,\n", "f.csv")).hosts) == {"a"}
