--- a/benchmarks/inventory.py
+++ b/benchmarks/inventory.py
@@ -26,7 +26,7 @@
 from lapispick.fakes.start_settings import PLATFORM_INFO
 from lapispick.fleet import snapshot
 from lapispick.fleet.messages import Begin, FromHelper, Poll
-from lapispick.fleet.reading import File, Options, Reader
+from lapispick.fleet.reading import InventoryFile, InventoryReader, ReadOptions
 from lapispick.fleet.reconciler import Bounds
 from lapispick.host.amqp import inventory_schema
 from lapispick.host.amqp.front import AmqpFront
@@ -89,9 +89,11 @@
     change_ms: float
 
 
-def _read_list(reader: Reader, base: snapshot.Snapshot, form: str, text: str) -> tuple[float, snapshot.Snapshot]:
+def _read_list(
+    reader: InventoryReader, base: snapshot.Snapshot, form: str, text: str
+) -> tuple[float, snapshot.Snapshot]:
     """Read a list and apply what differs from ``base``; return the time that it took in ms, and the result."""
-    files = [File(f"list.{form}", text.encode())]
+    files = [InventoryFile(f"list.{form}", text.encode())]
     gc.collect()
     gc.disable()
     began = time.perf_counter()
@@ -109,7 +111,7 @@
 
 
 def _load_in_process(form: str, old: str, new: str) -> LoadTimes:
-    reader = Reader(Options("shops", PLAIN), {})
+    reader = InventoryReader(ReadOptions("shops", PLAIN), {})
     first_ms, base = _read_list(reader, snapshot.EMPTY, form, old)
     change_ms, _ = _read_list(reader, base, form, new)
     return LoadTimes(first_ms, change_ms)
@@ -162,7 +164,7 @@
             for _ in range(head.chunk_count):  # type: ignore[union-attr]
                 decode(lines.readline())
 
-        request(Begin(str(path), 64 << 20, Options("shops", PLAIN)))
+        request(Begin(str(path), 64 << 20, ReadOptions("shops", PLAIN)))
         request(Poll())
         first_s = time.perf_counter() - began
         path.write_text(new)
--- a/benchmarks/rollout_model.py
+++ b/benchmarks/rollout_model.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from lapispick.fleet.hosts import Worker
+from lapispick.fleet.hosts import WorkerHost
 from lapispick.rollout import host_calls, host_step, pacing, rollout_state, rollout_step, stages
 from lapispick.rollout.canary_analysis import Bounds, CanaryAnalysis, Verdict
 from lapispick.rollout.compat import FormatSupport
@@ -147,7 +147,9 @@
 
     def _plan(self, rollout: str, over: dict[str, Any], sizes: tuple[str, ...]) -> Plan:
         workers = [
-            Worker(name, f"{name}:1", agent=f"{name}:2", zone=f"z{n % 3}", machine="old" if n % 2 else "new")
+            WorkerHost(
+                name, f"{name}:1", agent_address=f"{name}:2", zone=f"z{n % 3}", machine="old" if n % 2 else "new"
+            )
             for n, name in enumerate(self.hosts)
         ]
         max_changing = max(2, len(workers) // 20)
--- a/lapispick/agent/controller.py
+++ b/lapispick/agent/controller.py
@@ -21,7 +21,7 @@
 from lapispick.agent.rollout_records import Explanation, summarize_fleet
 from lapispick.agent.rollout_store import RolloutStore
 from lapispick.agent.stage_analysis import StageAnalysis
-from lapispick.fleet.hosts import Worker
+from lapispick.fleet.hosts import WorkerHost
 from lapispick.host.dns_resolver import DnsResolver
 from lapispick.host.logs import log
 from lapispick.host.scheduler import EventLoop
@@ -60,9 +60,9 @@
         self,
         store: RolloutStore,
         state: RolloutState,
-        workers: Sequence[Worker],
+        workers: Sequence[WorkerHost],
         options: ControllerOptions,
-        accepted_workers: Callable[[], list[Worker] | None] | None = None,
+        accepted_workers: Callable[[], list[WorkerHost] | None] | None = None,
     ) -> None:
         """``accepted_workers`` returns the hosts of a list that was accepted just now, None where it did not change."""
         self.loop = EventLoop()
@@ -214,11 +214,11 @@
 
     def _call(self, host: ManagedHost, line: str) -> list[str]:
         """Call an agent and return its answer; raises ``OSError`` or ``ValueError``."""
-        name, port = line_client.parse_address(host.worker.agent)
+        name, port = line_client.parse_address(host.worker.agent_address)
         return line_client.call(self.loop, (self._names.lookup(name)[0], port), line, CALL_TIMEOUT_S)
 
     def _poll_host(self, host: ManagedHost) -> None:
-        if not host.worker.agent:
+        if not host.worker.agent_address:
             return
         try:
             host.update_status(messages.decode_status(self._call(host, "status")))
--- a/lapispick/agent/managed_host.py
+++ b/lapispick/agent/managed_host.py
@@ -4,7 +4,7 @@
 
 import time
 
-from lapispick.fleet.hosts import Worker
+from lapispick.fleet.hosts import WorkerHost
 from lapispick.rollout import metrics
 from lapispick.rollout.messages import Status
 from lapispick.rollout.metrics import Sample, Slice
@@ -14,7 +14,7 @@
 class ManagedHost:
     """One host of the list."""
 
-    def __init__(self, worker: Worker) -> None:
+    def __init__(self, worker: WorkerHost) -> None:
         self.worker = worker
         self.memory_kb = 0
         self.broken_rules = 0
--- a/lapispick/cli/inventory.py
+++ b/lapispick/cli/inventory.py
@@ -18,7 +18,7 @@
 from lapispick.fleet.acceptance import MIN_ACCEPT_DIGITS, Acceptance, Observation, Phase, Verdict
 from lapispick.fleet.errors import StateFolderError
 from lapispick.fleet.host_assembly import InventoryHost
-from lapispick.fleet.reading import Reader, Reading
+from lapispick.fleet.reading import InventoryReader, ReadResult
 from lapispick.fleet.schema import ANY_HOST, Schema
 from lapispick.fleet.snapshot import Snapshot
 from lapispick.host.amqp import inventory_schema
@@ -73,16 +73,16 @@
         self._schema = where.schema
         self._path = Path(str(settings.path))
         self._max_bytes = settings.max_bytes
-        self._reader = Reader(reading_options(settings, self._schema), os.environ)
+        self._reader = InventoryReader(reading_options(settings, self._schema), os.environ)
 
-    def read(self) -> Reading:
+    def read(self) -> ReadResult:
         """Read the files again."""
         found = files.read(self._path, self._max_bytes)
         if found.faults:
-            return Reading({}, found.faults, "")
+            return ReadResult({}, found.faults, "")
         reading = self._reader.read(found.files)
         if self._schema is hosts.SCHEMA and not reading.faults:
-            reading = reading._replace(faults=hosts.workers(reading.hosts.values())[1])
+            reading = reading._replace(faults=hosts.worker_hosts_of(reading.hosts.values())[1])
         return reading._replace(incomplete_reason=found.incomplete_reason or reading.incomplete_reason)
 
 
@@ -202,7 +202,7 @@
         "name": host.name,
         "host": host.address,
         "port": host.port,
-        "vars": host.shown(schema),
+        "vars": host.redacted_vars(schema),
         "items": host.items,
         "spellings": host.spellings,
         "places": [str(location) for location in host.locations],
@@ -213,8 +213,8 @@
     return (
         host.name,
         f"{host.address}:{host.port}",
-        format_pairs({key: value for key, value in host.shown(schema).items() if value != ""}),
-        ", ".join(str(item.get(schema.item_name, "")) for item in host.items),
+        format_pairs({key: value for key, value in host.redacted_vars(schema).items() if value != ""}),
+        ", ".join(str(item.get(schema.item_name_variable, "")) for item in host.items),
         host.locations[0] if host.locations else "",
     )
 
@@ -260,11 +260,11 @@
     parts = []
     if (old.address, old.port) != (new.address, new.port):
         parts.append(f"{old.address}:{old.port} -> {new.address}:{new.port}")
-    was, now = old.shown(schema), new.shown(schema)
+    was, now = old.redacted_vars(schema), new.redacted_vars(schema)
     for key in sorted(was.keys() | now.keys()):
         if old.vars.get(key) != new.vars.get(key) and key != schema.port_variable:
             parts.append(f"{key}: {was.get(key)} -> {now.get(key)}")
-    items_old, items_new = ({item[schema.item_name]: item for item in host.items} for host in (old, new))
+    items_old, items_new = ({item[schema.item_name_variable]: item for item in host.items} for host in (old, new))
     for key in sorted(items_old.keys() | items_new.keys()):
         if items_old.get(key) != items_new.get(key):
             parts.append(
--- a/lapispick/cli/rollout_control.py
+++ b/lapispick/cli/rollout_control.py
@@ -14,7 +14,7 @@
 from lapispick.cli.rollout_planning import Fleet
 from lapispick.fleet import hosts, snapshot
 from lapispick.fleet.acceptance import Acceptance, Observation
-from lapispick.fleet.hosts import Worker
+from lapispick.fleet.hosts import WorkerHost
 from lapispick.host import logs
 from lapispick.host.inventory import acceptance_policy
 from lapispick.rollout import pacing
@@ -31,7 +31,7 @@
         self._files = Files(fleet.source)
         self._acceptance = Acceptance(acceptance_policy(fleet.source.settings))
 
-    def accepted_workers(self) -> list[Worker] | None:
+    def accepted_workers(self) -> list[WorkerHost] | None:
         """Return the hosts of a list that this call accepted, None where it accepted none."""
         reading = self._files.read()
         snapshot_read = None if reading.faults else snapshot.snapshot_of(reading.hosts)
@@ -40,7 +40,7 @@
         )
         if verdict.accepted is None:
             return None
-        return list(hosts.workers(verdict.accepted.hosts.values())[0])
+        return list(hosts.worker_hosts_of(verdict.accepted.hosts.values())[0])
 
 
 def run_controller(store: RolloutStore, state: RolloutState, fleet: Fleet, default_memory_limit_mb: float) -> None:
--- a/lapispick/cli/rollout_planning.py
+++ b/lapispick/cli/rollout_planning.py
@@ -17,7 +17,7 @@
 from lapispick.cli.rollout_common import fail
 from lapispick.conf.sections import RolloutSettings
 from lapispick.fleet import hosts
-from lapispick.fleet.hosts import Worker
+from lapispick.fleet.hosts import WorkerHost
 from lapispick.rollout import compat, generations, messages, pacing, stages
 from lapispick.rollout.compat import FormatSupport
 from lapispick.rollout.rollout_plan import Plan
@@ -37,7 +37,7 @@
     """The list of hosts, and the stages that follow from it and the settings."""
 
     settings: RolloutSettings
-    workers: tuple[Worker, ...]
+    workers: tuple[WorkerHost, ...]
     stages: list[list[str]]
     remarks: list[str]
     faults: list[str]
@@ -81,7 +81,7 @@
     list_source = source(settings_file, None, settings.fleet.group)
     reading = Files(list_source).read()
     faults = [str(fault) for fault in reading.faults]
-    workers, _ = hosts.workers(reading.hosts.values())
+    workers, _ = hosts.worker_hosts_of(reading.hosts.values())
     limits = stages.Limits(settings.rollout.max_zone_fraction)
     planned: list[list[str]] = []
     remarks: list[str] = []
@@ -134,10 +134,10 @@
     return faults[:MAX_SHOWN_FAULTS] if answered else ["no agent answers"]
 
 
-def _agent_status(worker: Worker) -> messages.Status | None:
+def _agent_status(worker: WorkerHost) -> messages.Status | None:
     from lapispick.cli.ops import NoAnswerError, call
 
     try:
-        return messages.decode_status(call(line_client.parse_address(worker.agent), "status"))
+        return messages.decode_status(call(line_client.parse_address(worker.agent_address), "status"))
     except (NoAnswerError, ValueError):
         return None
--- a/lapispick/cli/shares.py
+++ b/lapispick/cli/shares.py
@@ -57,7 +57,7 @@
     if not group:
         print_error("no group in section fleet of the settings")
         sys.exit(ExitCode.INVALID)
-    workers, _ = worker_hosts.workers(_read_hosts(source(conf, path, group)))
+    workers, _ = worker_hosts.worker_hosts_of(_read_hosts(source(conf, path, group)))
     return [Host(worker.name, worker.zone, worker.weight) for worker in workers]
 
 
--- a/lapispick/fleet/entry_parser.py
+++ b/lapispick/fleet/entry_parser.py
@@ -72,7 +72,7 @@
         self._parse_address(parsed)
         item_defaults = self._parse_variables(parsed)
         self._set_keys(parsed)
-        if self._schema.item_name:
+        if self._schema.item_name_variable:
             self._parse_items(parsed, item_defaults)
         return parsed
 
@@ -155,17 +155,19 @@
         item_list = entry_vars.get(schema.items_variable) if schema.items_variable else None
         if item_list is not None:
             self._parse_item_list(parsed, item_defaults, item_list)
-        elif schema.item_name in item_defaults:
-            parsed.items.append(ParsedItem(item_defaults, entry_vars[schema.item_name].location))
+        elif schema.item_name_variable in item_defaults:
+            parsed.items.append(ParsedItem(item_defaults, entry_vars[schema.item_name_variable].location))
         if not parsed.items and not parsed.faults and schema.item_required:
-            parsed.faults.add(parsed.entry.location, schema.item_name, "is not told, and a host needs one")
+            parsed.faults.add(parsed.entry.location, schema.item_name_variable, "is not told, and a host needs one")
 
     def _parse_item_list(self, parsed: ParsedEntry, item_defaults: dict[str, Any], item_list: LocatedValue) -> None:
         schema = self._schema
         location = item_list.location
         key = schema.items_variable
-        if not isinstance(item_list.value, list) or schema.item_name in item_defaults:
-            return parsed.faults.add(location, key, f"must be a list, and can't be combined with {schema.item_name}")
+        if not isinstance(item_list.value, list) or schema.item_name_variable in item_defaults:
+            return parsed.faults.add(
+                location, key, f"must be a list, and can't be combined with {schema.item_name_variable}"
+            )
         if len(item_list.value) > MAX_ITEMS_PER_HOST:
             return parsed.faults.add(
                 location, key, f"{len(item_list.value)} items exceed the limit of {MAX_ITEMS_PER_HOST}"
@@ -174,7 +176,7 @@
             if isinstance(element, YamlMapping):
                 parsed.items.append(ParsedItem(self._parse_item(parsed, item_defaults, element), element.location))
             elif isinstance(element, str):
-                item_values = {schema.item_name: LocatedValue(element, location)}
+                item_values = {schema.item_name_variable: LocatedValue(element, location)}
                 parsed.items.append(ParsedItem(self._parse_item(parsed, item_defaults, item_values), location))
             else:
                 parsed.faults.add(location, key, f"expected a name or a mapping in the list, got {element!r:.60}")
--- a/lapispick/fleet/files.py
+++ b/lapispick/fleet/files.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from lapispick.file_errors import FileFault, SourceLocation
-from lapispick.fleet.reading import GROUP_VARS, HOST_VARS, File, belongs_to_list
+from lapispick.fleet.reading import GROUP_VARS, HOST_VARS, InventoryFile, belongs_to_list
 
 MAX_FILES = 5_000
 MAX_READ_ATTEMPTS = 3  # of a file that changes while it is read
@@ -28,7 +28,7 @@
 class FileSet(NamedTuple):
     """The files of a list at one time; ``signature`` is None if only the contents can show a change."""
 
-    files: list[File]
+    files: list[InventoryFile]
     faults: tuple[FileFault, ...]
     incomplete_reason: str
     signature: tuple[object, ...] | None
@@ -51,7 +51,7 @@
 
 def read(path: Path, max_bytes: int) -> FileSet:
     """Read all files of a list, up to ``max_bytes`` in total; each unreadable file is a fault."""
-    files: list[File] = []
+    files: list[InventoryFile] = []
     faults: list[FileFault] = []
     incomplete_reason = ""
     signature_before = signature(path)
@@ -72,7 +72,7 @@
         if not contents.is_stable:
             incomplete_reason = incomplete_reason or f"{name} changes while it is read"
         bytes_left -= len(contents.data)
-        files.append(File(name, contents.data))
+        files.append(InventoryFile(name, contents.data))
     is_unchanged = signature_before is not None and signature(path) == signature_before
     return FileSet(files, tuple(faults), incomplete_reason, signature_before if is_unchanged else None)
 
--- a/lapispick/fleet/helper.py
+++ b/lapispick/fleet/helper.py
@@ -34,7 +34,7 @@
     StateFolderFailed,
     ToHelper,
 )
-from lapispick.fleet.reading import Reader
+from lapispick.fleet.reading import InventoryReader
 from lapispick.fleet.snapshot import EMPTY, Snapshot, difference
 
 MAX_SENT_LISTS = 8  # that may still be accepted
@@ -59,7 +59,7 @@
 
     def reset(self) -> None:
         """Drop the reader's cache; the next poll reads all files."""
-        self._reader = Reader(self._begin.options, os.environ)
+        self._reader = InventoryReader(self._begin.options, os.environ)
 
     def load_last_good(self) -> list[FromHelper]:
         """Return the last good list."""
--- a/lapispick/fleet/host_assembly.py
+++ b/lapispick/fleet/host_assembly.py
@@ -34,7 +34,7 @@
     spellings: tuple[str, ...] = ()  # names as written in the files
     locations: tuple[SourceLocation, ...] = msgspec.field(default=(), name="places")
 
-    def shown(self, schema: Schema) -> dict[str, Any]:
+    def redacted_vars(self, schema: Schema) -> dict[str, Any]:
         """Return the variables with the values of secrets replaced by asterisks."""
         return {key: _REDACTED if value and _is_secret(schema, key) else value for key, value in self.vars.items()}
 
@@ -158,11 +158,13 @@
         for parsed in group:
             for values, location in parsed.items:
                 item = defaults | values
-                name = item.get(schema.item_name)
+                name = item.get(schema.item_name_variable)
                 if not name:
-                    faults.add(location, schema.item_name, "is empty")
+                    faults.add(location, schema.item_name_variable, "is empty")
                 elif name in items:
-                    faults.add(location, schema.item_name, f"{name!r} stands twice, first at {items[name].location}")
+                    faults.add(
+                        location, schema.item_name_variable, f"{name!r} stands twice, first at {items[name].location}"
+                    )
                 else:
                     items[name] = ParsedItem(item, location)
         return tuple(items[name].values for name in sorted(items))
--- a/lapispick/fleet/hosts.py
+++ b/lapispick/fleet/hosts.py
@@ -42,18 +42,18 @@
 )
 
 
-class Worker(msgspec.Struct, frozen=True, order=True):
+class WorkerHost(msgspec.Struct, frozen=True, order=True):
     """One worker host of the list. Addresses have the form ``HOST:PORT``; they are empty if the list has none."""
 
     name: str
-    serves: str
-    ops: str = ""
-    agent: str = ""
+    gateway_address: str
+    ops_address: str = ""
+    agent_address: str = ""
     zone: str = ""
     domain: str = ""
     machine: str = ""
     weight: float = 1.0
-    members: str = ""
+    members_address: str = ""
 
     @property
     def failure_domain(self) -> tuple[str, str]:
@@ -82,10 +82,10 @@
     return _join_host_port(name, port)
 
 
-def worker(host: InventoryHost) -> Worker:
+def worker_host_of(host: InventoryHost) -> WorkerHost:
     """Return the worker host for a host of the inventory; raises ``ValueError`` for an invalid address."""
     values = host.vars
-    return Worker(
+    return WorkerHost(
         host.name,
         _join_host_port(host.address, host.port or values["lapispick_port"]),
         _full_address(values["lapispick_ops"], host.address),
@@ -98,18 +98,26 @@
     )
 
 
-def workers(inventory_hosts: Iterable[InventoryHost]) -> tuple[tuple[Worker, ...], tuple[FileFault, ...]]:
+def worker_hosts_of(inventory_hosts: Iterable[InventoryHost]) -> tuple[tuple[WorkerHost, ...], tuple[FileFault, ...]]:
     """Return the worker hosts, sorted by name, and faults in addresses; a host with an invalid one is left out."""
-    worker_hosts: list[Worker] = []
+    worker_hosts: list[WorkerHost] = []
     faults = FaultCollector()
     host_names: dict[str, str] = {}  # by address
     for host in sorted(inventory_hosts, key=lambda host: host.name):
         try:
-            worker_host = worker(host)
+            worker_host = worker_host_of(host)
         except ValueError as err:
             faults.add(host.locations[0], PREFIX + "ops", f"{host.name}: {err}")
             continue
-        for address in filter(None, (worker_host.serves, worker_host.ops, worker_host.agent, worker_host.members)):
+        for address in filter(
+            None,
+            (
+                worker_host.gateway_address,
+                worker_host.ops_address,
+                worker_host.agent_address,
+                worker_host.members_address,
+            ),
+        ):
             if address in host_names:
                 faults.add(
                     host.locations[0], "host", f"{host.name}: {address} is already used by {host_names[address]}"
--- a/lapispick/fleet/messages.py
+++ b/lapispick/fleet/messages.py
@@ -9,7 +9,7 @@
 
 from lapispick.file_errors import FileFault
 from lapispick.fleet.host_assembly import InventoryHost
-from lapispick.fleet.reading import Options
+from lapispick.fleet.reading import ReadOptions
 
 MAX_CHUNK_HOSTS = 32  # the host decodes so many in far less than a millisecond
 
@@ -19,7 +19,7 @@
 
     path: str
     max_bytes: int = msgspec.field(name="size_most")
-    options: Options
+    options: ReadOptions
     state_folder: str = ""
     max_history: int = msgspec.field(default=20, name="history")
 
--- a/lapispick/fleet/reading.py
+++ b/lapispick/fleet/reading.py
@@ -34,7 +34,7 @@
 )
 
 
-class Options(msgspec.Struct, frozen=True):
+class ReadOptions(msgspec.Struct, frozen=True):
     """Options for reading the files of one list."""
 
     group: str
@@ -46,7 +46,7 @@
     max_hosts: int = msgspec.field(default=10_000, name="boxes_most")
 
 
-class File(NamedTuple):
+class InventoryFile(NamedTuple):
     """One file; ``name`` is relative to the list's folder.
 
     Files below ``group_vars`` and ``host_vars`` have variables, all others have hosts.
@@ -56,7 +56,7 @@
     data: bytes
 
 
-class Reading(NamedTuple):
+class ReadResult(NamedTuple):
     """Result of reading the files: the hosts by name, or the faults."""
 
     hosts: dict[str, InventoryHost]
@@ -71,7 +71,7 @@
     return path.suffix in CSV_SUFFIXES + YAML_SUFFIXES and not path.name.startswith((".", "#", "~"))
 
 
-def decode(file: File, faults: FaultCollector) -> str | None:
+def decode(file: InventoryFile, faults: FaultCollector) -> str | None:
     """Return the text of a file in UTF-8, or in UTF-16 with a byte order mark; None, and a fault, if it is neither."""
     data = file.data
     encoding = "utf-8"
@@ -88,7 +88,7 @@
         return None
 
 
-def incomplete_reason(name: str, text: str, options: Options) -> str:
+def incomplete_reason(name: str, text: str, options: ReadOptions) -> str:
     """Return why a text may be only a part of its file; empty if nothing indicates it."""
     if options.end_marker:
         last_line = next((line for line in reversed(text.splitlines()) if line.strip()), "")
@@ -99,15 +99,15 @@
     return ""
 
 
-class Reader:
+class InventoryReader:
     """Reads the files of one list repeatedly and caches results between reads."""
 
-    def __init__(self, options: Options, environ: Mapping[str, str]) -> None:
+    def __init__(self, options: ReadOptions, environ: Mapping[str, str]) -> None:
         self._options = options
         self._environ = environ
         self._reset()
 
-    def read(self, files: list[File]) -> Reading:
+    def read(self, files: list[InventoryFile]) -> ReadResult:
         """Read all files; the cache of the last read saves time but does not change the result."""
         had_cache = self._has_cache
         reading = self._read(files)
@@ -128,7 +128,7 @@
         self._assembler = Assembler(self._options.schema, self._options.domain, self._environ)
         self._has_cache = False
 
-    def _read(self, files: list[File]) -> Reading:
+    def _read(self, files: list[InventoryFile]) -> ReadResult:
         options = self._options
         faults = FaultCollector()
         tree = GroupTree(options.max_hosts, faults)
@@ -150,16 +150,16 @@
             hosts = self._assembler.assemble(entries, options.max_hosts, faults)
         if not faults and not hosts:
             faults.add(SourceLocation("inventory"), options.group, "no hosts in this group; the list is empty")
-        return Reading({} if faults else hosts, tuple(faults.collected), reason, faults.left_out)
+        return ReadResult({} if faults else hosts, tuple(faults.collected), reason, faults.left_out)
 
-    def _drop_removed_files(self, files: list[File]) -> None:
+    def _drop_removed_files(self, files: list[InventoryFile]) -> None:
         """Drop files that no longer exist from the cache."""
         for removed_name in self._digests.keys() - {file.name for file in files}:
             self._digests.pop(removed_name)
             self._documents.pop(removed_name, None)
             self._rows.pop(removed_name, None)
 
-    def _read_file(self, file: File, text: str, tree: GroupTree, faults: FaultCollector) -> None:
+    def _read_file(self, file: InventoryFile, text: str, tree: GroupTree, faults: FaultCollector) -> None:
         digest = blake2b(file.data, digest_size=16).digest()
         is_unchanged = self._digests.get(file.name) == digest
         self._digests[file.name] = digest
--- a/lapispick/fleet/schema.py
+++ b/lapispick/fleet/schema.py
@@ -62,7 +62,7 @@
     item_variables: dict[str, Variable] = msgspec.field(default_factory=dict, name="item")
     items_variable: str = msgspec.field(default="", name="items")  # its value is a list of items
     # The variable that names an item; the name is unique within a host.
-    item_name: str = msgspec.field(default="", name="item_name")
+    item_name_variable: str = msgspec.field(default="", name="item_name")
     item_required: bool = msgspec.field(default=False, name="item_needed")  # a host without any item is a fault
     # The address of a host is the value of the first of these variables that is set.
     address_variables: tuple[str, ...] = msgspec.field(default=("ansible_host",), name="host")
--- a/lapispick/host/amqp/inventory_schema.py
+++ b/lapispick/host/amqp/inventory_schema.py
@@ -31,7 +31,7 @@
         prefix="amqp_",
         host_variables=VARIABLES,
         items_variable="amqp_queues",
-        item_name="amqp_queue",
+        item_name_variable="amqp_queue",
         item_required=True,
         item_variables={
             "amqp_queue": Variable(VariableKind.TEXT, None, 1, 255),
--- a/lapispick/host/inventory.py
+++ b/lapispick/host/inventory.py
@@ -33,7 +33,7 @@
     ToHelper,
 )
 from lapispick.fleet.presence import PresenceTracker
-from lapispick.fleet.reading import Options
+from lapispick.fleet.reading import ReadOptions
 from lapispick.fleet.schema import Schema
 from lapispick.fleet.snapshot import EMPTY, Difference, History, Snapshot, Version
 from lapispick.host.inventory_status import InventoryStatus
@@ -54,9 +54,9 @@
 AcceptedHandler = Callable[[Snapshot, Difference], None]
 
 
-def reading_options(settings: InventorySettings, schema: Schema) -> Options:
+def reading_options(settings: InventorySettings, schema: Schema) -> ReadOptions:
     """Return the options for reading the inventory files."""
-    return Options(
+    return ReadOptions(
         group=settings.group,
         schema=schema,
         domain=settings.domain,
--- a/lapispick/host/members/directory.py
+++ b/lapispick/host/members/directory.py
@@ -10,7 +10,7 @@
 from lapispick.conf.sections import InventorySettings
 from lapispick.digests import blake2b
 from lapispick.fleet import hosts
-from lapispick.fleet.hosts import Worker
+from lapispick.fleet.hosts import WorkerHost
 from lapispick.fleet.snapshot import Difference, Snapshot
 from lapispick.host.dns_resolver import DnsResolver, NameNotResolvedError
 from lapispick.host.inventory import Inventory
@@ -44,7 +44,7 @@
     ) -> None:
         self.name = name
         self.accepted: AcceptedList | None = None
-        self.workers: dict[str, Worker] = {}
+        self.workers: dict[str, WorkerHost] = {}
         self.addresses: dict[str, Address] = {}
         self._loop = loop
         self._on_change = on_change
@@ -62,10 +62,10 @@
 
     def accept(self, snapshot: Snapshot, _difference: Difference) -> None:
         """Use a list that the inventory accepted."""
-        workers, faults = hosts.workers(snapshot.hosts.values())
+        workers, faults = hosts.worker_hosts_of(snapshot.hosts.values())
         for fault in faults[:MAX_LOGGED_FAULTS]:
             log(LOG, logging.ERROR, "members-list-invalid", fault=fault)
-        self.workers = {worker.name: worker for worker in workers if worker.members}
+        self.workers = {worker.name: worker for worker in workers if worker.members_address}
         names = tuple(sorted(self.workers))
         if not self.is_listed():
             log(LOG, logging.WARNING, "members-not-listed", host=self.name, hosts=len(names))
@@ -78,7 +78,7 @@
     def _resolve(self) -> None:
         """Resolve the members' addresses. A name that cannot be resolved affects only its own host."""
         for name, worker in list(self.workers.items()):
-            host, _, port = worker.members.rpartition(":")
+            host, _, port = worker.members_address.rpartition(":")
             try:
                 self.addresses[name] = Address(self._resolver.lookup(host.strip("[]"))[0], int(port))
             except NameNotResolvedError as err:
--- a/lapispick/host/members/operator_calls.py
+++ b/lapispick/host/members/operator_calls.py
@@ -128,7 +128,9 @@
             if name in workers:
                 record = view.record(name)
                 state = STATE_NAMES[record.state]
-                infos.append(MemberInfo(name, state, record.incarnation, record.process_epoch, workers[name].members))
+                infos.append(
+                    MemberInfo(name, state, record.incarnation, record.process_epoch, workers[name].members_address)
+                )
         return infos
 
     def _changes(self, name: str) -> list[str]:
--- a/lapispick/rollout/stages.py
+++ b/lapispick/rollout/stages.py
@@ -13,7 +13,7 @@
 
 from lapispick.digests import blake2b
 from lapispick.file_errors import suggest_nearest
-from lapispick.fleet.hosts import Worker
+from lapispick.fleet.hosts import WorkerHost
 
 MAX_COUNT = 100_000
 _DRAW_BYTES = 8
@@ -66,12 +66,12 @@
     return blake2b(name.encode(), digest_size=_DRAW_BYTES, key=rollout.encode()[:64]).digest()
 
 
-def mixed_order(hosts: Iterable[Worker], rollout: str) -> list[Worker]:
+def mixed_order(hosts: Iterable[WorkerHost], rollout: str) -> list[WorkerHost]:
     """Return the hosts so that any head of the list has a like share of each zone, domain and machine type."""
-    groups: dict[tuple[str, ...], list[Worker]] = {}
+    groups: dict[tuple[str, ...], list[WorkerHost]] = {}
     for host in hosts:
         groups.setdefault((host.zone, host.domain, host.machine), []).append(host)
-    placed: list[tuple[float, bytes, Worker]] = []
+    placed: list[tuple[float, bytes, WorkerHost]] = []
     for group, members in groups.items():
         # Groups of one size take turns at being first.
         shift = int.from_bytes(_draw(rollout, "/".join(group))) / _DRAW_RANGE
@@ -81,11 +81,11 @@
     return [host for _, _, host in sorted(placed, key=lambda place: place[:2])]
 
 
-def _fault_groups(host: Worker) -> tuple[FaultGroup, FaultGroup]:
+def _fault_groups(host: WorkerHost) -> tuple[FaultGroup, FaultGroup]:
     return ("zone", host.zone), ("domain", host.zone, host.domain)
 
 
-def _capacities(hosts: Sequence[Worker], max_fraction: float) -> dict[FaultGroup, int]:
+def _capacities(hosts: Sequence[WorkerHost], max_fraction: float) -> dict[FaultGroup, int]:
     """Return how many hosts of each group one stage may take: never all, where there are two or more."""
     sizes: Counter[FaultGroup] = Counter()
     for host in hosts:
@@ -93,7 +93,7 @@
     return {group: max(1, min(ceil(size * max_fraction - _ROUNDING), size - 1)) for group, size in sizes.items()}
 
 
-def assign(hosts: Sequence[Worker], sizes: Sequence[StageSize], rollout: str, limits: Limits) -> list[list[str]]:
+def assign(hosts: Sequence[WorkerHost], sizes: Sequence[StageSize], rollout: str, limits: Limits) -> list[list[str]]:
     """Return the names of each stage's hosts; hosts for which a stage has no capacity come later, or in one more.
 
     Raises ``ValueError`` where a stage names a host that does not exist, or two stages name the same one.
@@ -118,7 +118,7 @@
     return [stage for stage in stages if stage]
 
 
-def _check_names(named: Sequence[str], by_name: dict[str, Worker]) -> None:
+def _check_names(named: Sequence[str], by_name: dict[str, WorkerHost]) -> None:
     for name in named:
         if name not in by_name:
             raise ValueError(f"there is no box {name}{suggest_nearest(name, by_name)}")
@@ -126,7 +126,9 @@
         raise ValueError("a box stands in two stages")
 
 
-def _fill(stage: list[Worker], remaining: list[Worker], count: int, capacities: dict[FaultGroup, int]) -> list[Worker]:
+def _fill(
+    stage: list[WorkerHost], remaining: list[WorkerHost], count: int, capacities: dict[FaultGroup, int]
+) -> list[WorkerHost]:
     """Move hosts from ``remaining`` to the stage until it holds ``count`` or has no capacity for any other."""
     taken: Counter[FaultGroup] = Counter()
     for host in stage:
@@ -141,7 +143,7 @@
     return stage
 
 
-def remarks(hosts: Sequence[Worker], stages: Sequence[Sequence[str]], limits: Limits) -> list[str]:
+def remarks(hosts: Sequence[WorkerHost], stages: Sequence[Sequence[str]], limits: Limits) -> list[str]:
     """Return what an operator should know of a plan before it begins."""
     by_name = {host.name: host for host in hosts}
     capacities = _capacities(hosts, limits.max_zone_fraction)
@@ -156,11 +158,11 @@
     missing = by_name.keys() - assigned
     if missing:
         found.append(f"{len(missing)} boxes stay as they are, such as {min(missing)}")
-    found += [f"{host.name} has no agent (lapispick_agent)" for host in hosts if not host.agent]
+    found += [f"{host.name} has no agent (lapispick_agent)" for host in hosts if not host.agent_address]
     return found
 
 
-def _capacity_remarks(number: int, stage: list[Worker], capacities: dict[FaultGroup, int]) -> list[str]:
+def _capacity_remarks(number: int, stage: list[WorkerHost], capacities: dict[FaultGroup, int]) -> list[str]:
     taken: Counter[FaultGroup] = Counter()
     for host in stage:
         taken.update(_fault_groups(host))
@@ -171,7 +173,7 @@
     ]
 
 
-def _comparison_remarks(number: int, stage: list[Worker], unchanged: list[Worker]) -> list[str]:
+def _comparison_remarks(number: int, stage: list[WorkerHost], unchanged: list[WorkerHost]) -> list[str]:
     kinds = {host.kind for host in stage} - {host.kind for host in unchanged}
     return [
         f"stage {number} leaves no box of {'/'.join(filter(None, kind)) or 'its kind'} to compare with"
--- a/tests/fleet_files.py
+++ b/tests/fleet_files.py
@@ -3,7 +3,7 @@
 from msgspec import convert
 
 from lapispick.fakes.start_settings import PLATFORM_INFO
-from lapispick.fleet.reading import File, Options, Reader
+from lapispick.fleet.reading import InventoryFile, InventoryReader, ReadOptions
 from lapispick.host.amqp import inventory_schema
 from lapispick.platform_settings import StartSettings
 
@@ -13,13 +13,13 @@
 
 def reader(**options):
     """Return a reader of the group ``shops`` with these options changed."""
-    return Reader(Options(**{"group": "shops", "schema": SCHEMA, **options}), ENVIRON)
+    return InventoryReader(ReadOptions(**{"group": "shops", "schema": SCHEMA, **options}), ENVIRON)
 
 
 def files(text, name="f.yml"):
     """Return files from one text with a name, or from a dict of texts by name."""
     texts = text if isinstance(text, dict) else {name: text}
-    return [File(name, data if isinstance(data, bytes) else data.encode()) for name, data in texts.items()]
+    return [InventoryFile(name, data if isinstance(data, bytes) else data.encode()) for name, data in texts.items()]
 
 
 def read(text, name="f.yml", **options):
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -9,7 +9,7 @@
 from lapispick.conf import settings as conf
 from lapispick.file_errors import InvalidFileError
 from lapispick.fleet import hosts
-from lapispick.fleet.hosts import SCHEMA, Worker
+from lapispick.fleet.hosts import SCHEMA, WorkerHost
 from tests.fleet_files import faults
 from tests.fleet_files import hosts as inventory_hosts
 
@@ -32,18 +32,20 @@
 
 
 def read_workers(text, **options):
-    return hosts.workers(inventory_hosts(text, group="dispatch", schema=SCHEMA, **options).values())
+    return hosts.worker_hosts_of(inventory_hosts(text, group="dispatch", schema=SCHEMA, **options).values())
 
 
 def test_a_host_is_read_with_its_addresses_failure_domain_and_weight():
     found, found_faults = read_workers(LIST)
     assert not found_faults
     assert len(found) == 3
-    assert found[0] == Worker(
+    assert found[0] == WorkerHost(
         "disp-01.berceni.example.org", "10.0.0.4:8444", "10.1.0.4:9101", "10.0.0.4:9200", "berceni", "", "", 2.0
     )
     name = "disp-06.pipera.example.org"
-    assert found[1] == Worker(name, f"{name}:8443", f"{name}:9100", f"{name}:9200", "pipera", "rack-2", "old-box", 1.0)
+    assert found[1] == WorkerHost(
+        name, f"{name}:8443", f"{name}:9100", f"{name}:9200", "pipera", "rack-2", "old-box", 1.0
+    )
     assert found[1].kind == ("pipera", "old-box")
     assert found[1].failure_domain == ("pipera", "rack-2")
 
--- a/tests/test_inventory_files.py
+++ b/tests/test_inventory_files.py
@@ -8,7 +8,7 @@
 from lapispick.fleet.errors import StateFolderError
 from lapispick.fleet.helper import Helper, answer
 from lapispick.fleet.messages import Begin, Poll, SaveAccepted
-from lapispick.fleet.reading import Options
+from lapispick.fleet.reading import ReadOptions
 from tests.fleet_files import SCHEMA, csv_list, hosts
 
 MAX_BYTES = 1 << 20
@@ -121,7 +121,7 @@
 
 def make_helper(path, **over):
     """Return the inventory helper for the list at a path."""
-    return Helper(Begin(str(path), MAX_BYTES, Options("shops", SCHEMA), **over))
+    return Helper(Begin(str(path), MAX_BYTES, ReadOptions("shops", SCHEMA), **over))
 
 
 def test_the_helper_sends_only_what_changed(tmp_path):
--- a/tests/test_inventory_reading.py
+++ b/tests/test_inventory_reading.py
@@ -8,7 +8,7 @@
 
 from lapispick.file_errors import FaultCollector
 from lapispick.fleet import snapshot
-from lapispick.fleet.reading import Options, Reader
+from lapispick.fleet.reading import InventoryReader, ReadOptions
 from lapispick.fleet.schema import ANY_HOST
 from lapispick.fleet.yaml_reader import Document
 from tests.fleet_files import csv_list, faults, files, hosts, read, reader, yaml_list
@@ -328,5 +328,5 @@
 
 
 def test_a_schema_without_variables_does_not_check_variables():
-    any_host_reader = Reader(Options("all", ANY_HOST), {})
+    any_host_reader = InventoryReader(ReadOptions("all", ANY_HOST), {})
     assert set(any_host_reader.read(files("host,amqp_port,x\na,none,\n", "f.csv")).hosts) == {"a"}
--- a/tests/test_rollout_stages.py
+++ b/tests/test_rollout_stages.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lapispick.fleet.hosts import Worker
+from lapispick.fleet.hosts import WorkerHost
 from lapispick.rollout import pacing, stages
 from lapispick.rollout.pacing import Candidate
 from lapispick.rollout.stages import parse_size
@@ -16,7 +16,14 @@
 
 def workers(*sizes):
     return [
-        Worker(f"z{zone}-{n}", f"z{zone}-{n}:1", agent="x:1", zone=f"z{zone}", domain=f"r{n % 2}", machine=f"m{n % 2}")
+        WorkerHost(
+            f"z{zone}-{n}",
+            f"z{zone}-{n}:1",
+            agent_address="x:1",
+            zone=f"z{zone}",
+            domain=f"r{n % 2}",
+            machine=f"m{n % 2}",
+        )
         for zone, size in enumerate(sizes)
         for n in range(size)
     ]
