--- a/lapispick/fleet/entry_parser.py
+++ b/lapispick/fleet/entry_parser.py
@@ -158,7 +158,7 @@
         elif schema.item_name_variable in item_defaults:
             parsed.items.append(ParsedItem(item_defaults, entry_vars[schema.item_name_variable].location))
         if not parsed.items and not parsed.faults and schema.item_required:
-            parsed.faults.add(parsed.entry.location, schema.item_name_variable, "is not told, and a host needs one")
+            parsed.faults.add(parsed.entry.location, schema.item_name_variable, "missing; a host needs at least one")
 
     def _parse_item_list(self, parsed: ParsedEntry, item_defaults: dict[str, Any], item_list: LocatedValue) -> None:
         schema = self._schema
--- a/lapispick/fleet/files.py
+++ b/lapispick/fleet/files.py
@@ -117,7 +117,7 @@
         try:
             before = os.fstat(fd)
             if not stat.S_ISREG(before.st_mode):
-                raise OSError(f"{file.name} is no regular file")
+                raise OSError(f"{file.name} is not a regular file")
             if before.st_size > max_bytes:
                 raise OSError(f"{file.name} is over {max_bytes} bytes")
             with os.fdopen(os.dup(fd), "rb") as opened:
--- a/lapispick/fleet/host_assembly.py
+++ b/lapispick/fleet/host_assembly.py
@@ -140,7 +140,7 @@
             faults.add(
                 location,
                 "host",
-                f"{name} is at {parsed.address} here, but at {address_source.address} at {other_location}",
+                f"{name} has address {parsed.address} here, but {address_source.address} at {other_location}",
             )
         if parsed.port != address_source.port:
             key = self._schema.port_variable or "host"
@@ -163,7 +163,9 @@
                     faults.add(location, schema.item_name_variable, "is empty")
                 elif name in items:
                     faults.add(
-                        location, schema.item_name_variable, f"{name!r} stands twice, first at {items[name].location}"
+                        location,
+                        schema.item_name_variable,
+                        f"duplicate name {name!r}, first used at {items[name].location}",
                     )
                 else:
                     items[name] = ParsedItem(item, location)
--- a/lapispick/fleet/ranges.py
+++ b/lapispick/fleet/ranges.py
@@ -25,7 +25,7 @@
 
 def _letter_values(pattern: str, first: str, last: str, step: int) -> list[str]:
     if first.islower() != last.islower() or first > last:
-        raise HostRangeError(pattern, "does not go upwards within one case")
+        raise HostRangeError(pattern, "is not ascending within one case")
     return [chr(code) for code in range(ord(first), ord(last) + 1, step)]
 
 
@@ -33,7 +33,7 @@
     if len(low) > 1 and low.startswith("0") and len(low) != len(high):
         raise HostRangeError(pattern, "has bounds padded to different widths")
     if int(low) > int(high):
-        raise HostRangeError(pattern, "does not go upwards")
+        raise HostRangeError(pattern, "is not ascending")
     if int(high) - int(low) >= MAX_RANGE_SPAN:
         raise HostRangeError(pattern, f"is too long; the maximum is {MAX_RANGE_SPAN} numbers")
     width = len(low) if low.startswith("0") else 0
@@ -57,5 +57,7 @@
         end = match.end()
     rest = text[end:]
     if (malformed := _LOOKS_LIKE_RANGE.search(rest)) is not None:
-        raise HostRangeError(malformed.group(0), "is no range such as [01:14], [a:f] or [0:20:2]")
+        raise HostRangeError(
+            malformed.group(0), "is not a valid range; expected a form such as [01:14], [a:f] or [0:20:2]"
+        )
     return [prefix + rest for prefix in names]
--- a/lapispick/fleet/schema.py
+++ b/lapispick/fleet/schema.py
@@ -87,7 +87,7 @@
 
 def parse_value(variable: Variable, value: Any, domain: str = "") -> str | int | float | bool:
     """Return a value converted to the variable's type; raises ``ValueError`` with the value and what was expected."""
-    error = ValueError(f"{_shortened_repr(value)} is not {_expected_values(variable)}")
+    error = ValueError(f"expected {_expected_values(variable)}, got {_shortened_repr(value)}")
     if isinstance(value, TaggedText):
         raise ValueError(f"expected a value without a tag, got one with the tag {value.tag}")
     if variable.kind is VariableKind.FLAG:
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -161,7 +161,7 @@
     one.write_text(head + "a,,x,\n")
     result = run_lapispick("inventory", "check", "--path", str(one), *options)
     assert result.returncode == 1
-    assert "1.csv:2:3: amqp_port: 'x' is not a whole number" in result.stderr
+    assert "1.csv:2:3: amqp_port: expected a whole number from 1 to 65535, got 'x'" in result.stderr
     result = run_lapispick("inventory", "watch", "--path", str(two), "--seconds", "2.2", *options)
     assert "level=info event=inventory-accepted" in result.stderr
     assert "hosts=3" in result.stderr
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -64,8 +64,8 @@
     ("host_line", "fault"),
     [
         ("a: {lapispick_opps: 9}", "unknown variable; did you mean lapispick_ops?"),
-        ("a: {lapispick_weight: 0}", "lapispick_weight: 0 is not a number from 0.001 to 1000"),
-        ("a: {lapispick_port: 0}", "lapispick_port: 0 is not a whole number from 1 to 65535"),
+        ("a: {lapispick_weight: 0}", "lapispick_weight: expected a number from 0.001 to 1000, got 0"),
+        ("a: {lapispick_port: 0}", "lapispick_port: expected a whole number from 1 to 65535, got 0"),
         ("a: {amqp_port: none of ours}", ""),
     ],
 )
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -96,12 +96,12 @@
 @pytest.mark.parametrize(
     ("text", "reason"),
     [
-        ("d[3:1]", "upwards"),
+        ("d[3:1]", "ascending"),
         ("d[01:100]", "widths"),
         ("d[c:A]", "one case"),
         ("d[1:5:0]", "step"),
         ("d[1:200]", "more than 100"),
-        ("d[1:x]", "no range"),
+        ("d[1:x]", "not a valid range"),
         ("d[1:9]-[1:99]", "more than 100"),
         ("d[0:99999999999]", "too long"),
     ],
@@ -128,9 +128,9 @@
     ("csv_row", "fault"),
     [
         ("B1.,shops,,5673,q2,", r"f\.csv:3:1: amqp_port: b1 has port 5673 here, but 5672 at f\.csv:2:1"),
-        ("b1,shops,10.0.0.2,,q2,", r"f\.csv:3:1: host: b1 is at 10\.0\.0\.2 here, but at 10\.0\.0\.1 at f\.csv:2"),
+        ("b1,shops,10.0.0.2,,q2,", r"f\.csv:3:1: host: b1 has address 10\.0\.0\.2 here, but 10\.0\.0\.1 at f\.csv:2"),
         ("b2,shops,10.0.0.1,,q2,other", r"f\.csv:3:6: amqp_user: b1 has 'other' here, but 'me' at f\.csv:2:6"),
-        ("b1,shops,10.0.0.1,,q1,me", r"f\.csv:3:5: amqp_queue: 'q1' stands twice, first at f\.csv:2:5"),
+        ("b1,shops,10.0.0.1,,q1,me", r"f\.csv:3:5: amqp_queue: duplicate name 'q1', first used at f\.csv:2:5"),
     ],
 )
 def test_spellings_that_contradict_each_other_name_both_places(csv_row, fault):
--- a/tests/test_inventory_files.py
+++ b/tests/test_inventory_files.py
@@ -43,10 +43,10 @@
     ("make", "fault"),
     [
         (lambda path: None, "No such file"),
-        (lambda path: os.mkfifo(path), "no regular file"),
+        (lambda path: os.mkfifo(path), "not a regular file"),
         (lambda path: path.symlink_to(path), "Too many levels"),
         (lambda path: path.write_bytes(b"x" * (MAX_BYTES + 1)), "over 1048576"),
-        (lambda path: path.symlink_to("/dev/zero"), "no regular file"),
+        (lambda path: path.symlink_to("/dev/zero"), "not a regular file"),
     ],
 )
 def test_an_unreadable_path_is_a_fault_and_does_not_block(tmp_path, make, fault):
--- a/tests/test_inventory_reading.py
+++ b/tests/test_inventory_reading.py
@@ -91,8 +91,8 @@
 @pytest.mark.parametrize(
     ("name", "text", "message"),
     [
-        ("i.csv", CSV_HEADER + "b,q,x\n", r"i\.csv:2:3: amqp_port: 'x' is not a whole number from 1 to 65535"),
-        ("i.csv", CSV_HEADER + "b,q,1\nc,,2\n", r"i\.csv:3:1: amqp_queue: is not told"),
+        ("i.csv", CSV_HEADER + "b,q,x\n", r"i\.csv:2:3: amqp_port: expected a whole number from 1 to 65535, got 'x'"),
+        ("i.csv", CSV_HEADER + "b,q,1\nc,,2\n", r"i\.csv:3:1: amqp_queue: missing; a host needs at least one"),
         ("i.csv", "host,amqp_host,amqp_queue\nb,no host,q\n", r"i\.csv:2:2: amqp_host: 'no host' is no host name"),
         ("i.csv", CSV_HEADER + ",q,1\n", r"i\.csv:2: host: is empty"),
         ("i.csv", CSV_HEADER + "b,q\n", r"i\.csv:2: amqp_port: expected 3 cells, got 2"),
@@ -102,7 +102,7 @@
         ("i.csv", "", r"i\.csv:1: host: the file has no header"),
         ("i.csv", CSV_HEADER, r"inventory: shops: no hosts in this group; the list is empty|unknown group"),
         ("i.csv", CSV_HEADER + "b,q,1\nc\0,q,1\n", r"i\.csv:3: NUL byte"),
-        ("i.csv", CSV_HEADER + "d-[1:x],q,1\n", r"i\.csv:2:1: host: \[1:x\] is no range"),
+        ("i.csv", CSV_HEADER + "d-[1:x],q,1\n", r"i\.csv:2:1: host: \[1:x\] is not a valid range"),
         (
             "i.csv",
             "host,amqp_queue,amqp_prefech\nb,q,3\n",
@@ -114,8 +114,16 @@
             r"i\.csv:2:3: amqp_class: expected one of track, book, got 'bok'; did you mean book\?",
         ),
         ("i.csv", b"host,amqp_queue\nb,\xff\n", r"i\.csv:2: invalid UTF-8 at byte 18"),
-        ("i.yml", YAML.replace("5673", "0"), r"i\.yml:14:\d+: amqp_port: 0 is not a whole number"),
-        ("i.yml", YAML.replace("amqp_prefetch: 9", "amqp_prefetch: true"), r"i\.yml:13:\d+: amqp_prefetch: True is"),
+        (
+            "i.yml",
+            YAML.replace("5673", "0"),
+            r"i\.yml:14:\d+: amqp_port: expected a whole number from 1 to 65535, got 0",
+        ),
+        (
+            "i.yml",
+            YAML.replace("amqp_prefetch: 9", "amqp_prefetch: true"),
+            r"i\.yml:13:\d+: amqp_prefetch: expected a whole number from 1 to 1000, got True",
+        ),
         (
             "i.yml",
             YAML.replace("amqp_class: book", "amqp_clas: book"),
@@ -316,7 +324,7 @@
     cached.read(files(csv_list(ports), "f.csv"))
     text = csv_list(ports).replace("b0,", "new,7,jobs\nb0,") + "b29,30,jobs\n"
     (fault,) = cached.read(files(text, "f.csv")).faults
-    assert str(fault) == "f.csv:33:3: amqp_queue: 'jobs' stands twice, first at f.csv:32:3"
+    assert str(fault) == "f.csv:33:3: amqp_queue: duplicate name 'jobs', first used at f.csv:32:3"
 
 
 @given(st.binary(max_size=300))
