--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -31,23 +31,23 @@
 """
 
 
-def read_workers(text, **options):
+def read_worker_hosts(text, **options):
     return hosts.worker_hosts_of(inventory_hosts(text, group="dispatch", schema=SCHEMA, **options).values())
 
 
 def test_a_host_is_read_with_its_addresses_failure_domain_and_weight():
-    found, found_faults = read_workers(LIST)
+    worker_hosts, found_faults = read_worker_hosts(LIST)
     assert not found_faults
-    assert len(found) == 3
-    assert found[0] == WorkerHost(
+    assert len(worker_hosts) == 3
+    assert worker_hosts[0] == WorkerHost(
         "disp-01.berceni.example.org", "10.0.0.4:8444", "10.1.0.4:9101", "10.0.0.4:9200", "berceni", "", "", 2.0
     )
     name = "disp-06.pipera.example.org"
-    assert found[1] == WorkerHost(
+    assert worker_hosts[1] == WorkerHost(
         name, f"{name}:8443", f"{name}:9100", f"{name}:9200", "pipera", "rack-2", "old-box", 1.0
     )
-    assert found[1].kind == ("pipera", "old-box")
-    assert found[1].failure_domain == ("pipera", "rack-2")
+    assert worker_hosts[1].kind == ("pipera", "old-box")
+    assert worker_hosts[1].failure_domain == ("pipera", "rack-2")
 
 
 def test_two_spellings_of_a_worker_host_are_one_host():
@@ -55,9 +55,9 @@
         "hosts:\n        disp-[06:07].pipera.example.org:",
         "hosts:\n        DISP-06.Pipera.example.org.: {}\n        disp-[06:07].pipera.example.org:",
     )
-    found, found_faults = read_workers(list_with_duplicate)
+    worker_hosts, found_faults = read_worker_hosts(list_with_duplicate)
     assert not found_faults
-    assert len(found) == 3
+    assert len(worker_hosts) == 3
 
 
 @pytest.mark.parametrize(
@@ -84,7 +84,7 @@
     ],
 )
 def test_invalid_and_duplicate_addresses_are_faults(variables, fault):
-    _, found_faults = read_workers(f"dispatch:\n  hosts:\n    a: {variables}\n    b: {{}}")
+    _, found_faults = read_worker_hosts(f"dispatch:\n  hosts:\n    a: {variables}\n    b: {{}}")
     assert any(fault in str(found_fault) for found_fault in found_faults)
     assert str(found_faults[0]).startswith("f.yml:")
 
--- a/tests/test_inventory_reading.py
+++ b/tests/test_inventory_reading.py
@@ -34,23 +34,23 @@
 
 
 def test_yaml_hosts_inherit_the_variables_of_their_groups_and_override_them():
-    found = hosts(YAML)
-    assert set(found) == {"b1", "b2"}
-    inheriting = found["b1"]
+    hosts_by_name = hosts(YAML)
+    assert set(hosts_by_name) == {"b1", "b2"}
+    inheriting = hosts_by_name["b1"]
     assert inheriting.address == "127.0.0.1"
     assert inheriting.port == 5672
     assert inheriting.vars["amqp_user"] == "shop"
     assert inheriting.vars["amqp_password"] == "secret"
     queues = [(item["amqp_queue"], item["amqp_prefetch"], item["amqp_class"]) for item in inheriting.items]
     assert queues == [("books", 9, "book"), ("jobs", 5, "")]
-    overriding = found["b2"]
+    overriding = hosts_by_name["b2"]
     assert overriding.address == "127.0.0.2"
     assert overriding.port == 5673
     assert overriding.vars["amqp_user"] == "other"
 
 
 def test_files_and_folders_of_variables_are_merged_in_their_order():
-    found = hosts(
+    hosts_by_name = hosts(
         {
             "10-base.yml": "shops: {hosts: {'b[1:2]': {amqp_queue: q}}, vars: {amqp_user: base, amqp_port: 1}}\n",
             "20-site.yml": "shops: {vars: {amqp_user: site}}\n",
@@ -60,14 +60,16 @@
             "host_vars/B2.yml": "amqp_port: 9\n",
         }
     )
-    merged = {name: (host.port, host.vars["amqp_user"], host.vars["amqp_vhost"]) for name, host in found.items()}
+    merged = {
+        name: (host.port, host.vars["amqp_user"], host.vars["amqp_vhost"]) for name, host in hosts_by_name.items()
+    }
     assert merged == {
         "b1": (1, "site", "/shops"),
         "b2": (9, "site", "/shops"),
         "b3": (1, "site", "/shops"),
     }
-    assert found["b3"].items[0]["amqp_queue"] == "a\nb"
-    assert found["b3"].items[0]["amqp_prefetch"] == 7
+    assert hosts_by_name["b3"].items[0]["amqp_queue"] == "a\nb"
+    assert hosts_by_name["b3"].items[0]["amqp_prefetch"] == 7
 
 
 @pytest.mark.parametrize(
@@ -170,15 +172,15 @@
     ],
 )
 def test_faults_name_file_line_key_value_and_what_is_expected(name, text, message):
-    found = faults(text, name)
-    assert any(re.search(message, fault) for fault in found), found
+    fault_texts = faults(text, name)
+    assert any(re.search(message, fault) for fault in fault_texts), fault_texts
 
 
 def test_faults_are_listed_up_to_a_limit():
     assert len(faults(CSV_HEADER + "b1,q,x\nb2,q,y\n,q,3\n", "f.csv")) >= 2
-    found = read(CSV_HEADER + "b,q,x\n" * 300, "f.csv")
-    assert len(found.faults) == 50
-    assert found.omitted_faults == 250
+    result = read(CSV_HEADER + "b,q,x\n" * 300, "f.csv")
+    assert len(result.faults) == 50
+    assert result.omitted_faults == 250
 
 
 def test_merge_keys_and_anchors_are_read():
@@ -228,7 +230,7 @@
 
 
 def without_locations(value):
-    """Return a YAML value without locations."""
+    """Return a YAML value with plain values in place of located ones."""
     if isinstance(value, dict):
         return {key: without_locations(var.value) for key, var in value.items()}
     return [without_locations(element) for element in value] if isinstance(value, list) else value
@@ -313,9 +315,9 @@
     for make_list, name in ((csv_list, "f.csv"), (yaml_list, "f.yml")):
         cached = reader()
         for ports in (old, new, old):
-            found = cached.read(files(make_list(ports), name))
-            fresh = read(make_list(ports), name)
-            assert digests(found) == digests(fresh)
+            cached_result = cached.read(files(make_list(ports), name))
+            uncached_result = read(make_list(ports), name)
+            assert digests(cached_result) == digests(uncached_result)
 
 
 def test_fault_locations_are_right_after_a_change_that_moved_lines():
@@ -331,8 +333,8 @@
 @settings(max_examples=200, deadline=None)
 def test_any_bytes_give_faults_or_hosts(data):
     for name in ("f.csv", "f.yml"):
-        found = read(data, name)
-        assert found.faults or found.hosts
+        result = read(data, name)
+        assert result.faults or result.hosts
 
 
 def test_a_schema_without_variables_does_not_check_variables():
