--- a/lapispick/trace/__init__.py
+++ b/lapispick/trace/__init__.py
@@ -1,1 +1,1 @@
-"""Traces: a compact, versioned, indexed file of all that the decision module is handed and orders."""
+"""Traces: compact, versioned and indexed files of all inputs and outputs of the decision module."""
--- a/lapispick/trace/block_reader.py
+++ b/lapispick/trace/block_reader.py
@@ -1,6 +1,6 @@
-"""Decodes the blocks of a trace: column by column on demand, or complete steps. No I/O.
+"""Decodes the blocks of a trace: single columns on demand, or complete steps. No I/O.
 
-Readers skip records and fields that they don't know, and read zeros or empty values for fields that a file lacks.
+Readers skip unknown records and fields, and return zeros or empty values for fields that a file lacks.
 """
 
 from __future__ import annotations
@@ -33,18 +33,18 @@
 
     from lapispick.trace.record_types import Record
 
-OUTCOMES = {int(outcome): outcome for outcome in admission.Outcome}
+OUTCOMES_BY_NUMBER = {int(outcome): outcome for outcome in admission.Outcome}
 
 
 class CategoryRecords(NamedTuple):
-    """The records of one category in all steps, in order: the position of each one's step, and its number."""
+    """Records of one category in all steps, in order: the position of each record's step, and the record's number."""
 
     step_positions: Array
     record_numbers: Array
 
 
 class Records:
-    """All records of one type in a block, field by field; ``step_positions`` are those of their steps."""
+    """All records of one type in a block, field by field; ``step_positions`` has the position of each record's step."""
 
     __slots__ = ("_block", "_columns", "count", "record_type", "step_positions")
 
@@ -64,25 +64,29 @@
     def dictionary(self, name: str) -> list[bytes]:
         """Return the distinct values of a field of strings or bytes; [b''] if the file lacks the field.
 
-        Raises ``ValueError`` where an index is outside of them.
+        Raises ``ValueError`` if an index is out of range.
         """
         column = self._block.columns.get((RECORD_NUMBERS[self.record_type], self._field(name)[0]))
         dictionary = list(column.words) if column is not None else [b""]
         indices = self.column(name)
         if self.count and not (int(indices.min()) >= 0 and int(indices.max()) < len(dictionary)):
-            raise ValueError("is no block: a word that is not there")
+            raise ValueError(
+                f"is invalid: field {name!r} has an index out of range, expected 0 to {len(dictionary) - 1}"
+            )
         return dictionary
 
     def values(self, name: str) -> list[Any]:
-        """Return a field's values as the records hold them; raises ``ValueError`` for an unknown outcome."""
+        """Return a field's values as they are in the records; raises ``ValueError`` for an unknown outcome."""
         _, field = self._field(name)
         if field.type is FieldType.FLOATS:
-            return self._lists(name)
+            return self._list_values(name)
         values = self.column(name).tolist()
         if field.type is FieldType.OUTCOME:
-            if not set(values) <= set(OUTCOMES):
-                raise ValueError("is no block: an outcome that is not known")
-            return [OUTCOMES[value] for value in values]
+            if not set(values) <= set(OUTCOMES_BY_NUMBER):
+                raise ValueError(
+                    f"is invalid: unknown outcomes {sorted(set(values) - set(OUTCOMES_BY_NUMBER))} in field {name!r}"
+                )
+            return [OUTCOMES_BY_NUMBER[value] for value in values]
         if field.type is FieldType.BOOL:
             return [bool(value) for value in values]
         if field.type is FieldType.BYTES:
@@ -108,7 +112,7 @@
             return values
         return np.zeros(self.count, np.float64 if field.type is FieldType.FLOAT else np.int64)
 
-    def _lists(self, name: str) -> list[tuple[float, ...]]:
+    def _list_values(self, name: str) -> list[tuple[float, ...]]:
         """Return the values of a field of lists."""
         number, _ = self._field(name)
         record = RECORD_NUMBERS[self.record_type]
@@ -118,26 +122,28 @@
         ends = np.cumsum(lengths)
         total = int(ends[-1]) if self.count else 0
         if self.count and (int(lengths.min()) < 0 or max(int(lengths.max()), total) > MAX_BLOCK_RECORDS):
-            raise ValueError("is no block: a list without bounds")
+            raise ValueError(
+                f"is invalid: field {name!r} has list lengths out of range, expected 0 to {MAX_BLOCK_RECORDS} in total"
+            )
         column = self._block.decode_column(record, number, total)
         if column is None:
-            raise ValueError("is no block: a list without values")
+            raise ValueError(f"is invalid: field {name!r} has list lengths but no values")
         items = column.tolist()
         return [tuple(items[end - length : end]) for length, end in zip(lengths.tolist(), ends.tolist(), strict=True)]
 
 
 class Block:
-    """The steps of a block by columns, each decoded on demand; raises ``ValueError`` for an invalid block."""
+    """The steps of a block by column, each decoded on demand; raises ``ValueError`` for an invalid block."""
 
     def __init__(self, data: bytes) -> None:
         try:
             message = BlockMessage.FromString(data)
-        except Exception as err:  # noqa: BLE001 - the library's DecodeError has no common base across its versions
-            raise ValueError(f"is no block: {err}") from None
+        except Exception as err:  # noqa: BLE001 - protobuf's DecodeError has no base class common to its versions
+            raise ValueError(f"is invalid: {err}") from None
         self.columns = {(column.record, column.field): column for column in message.columns}
         self.count = message.steps
         if self.count > MAX_BLOCK_STEPS:
-            raise ValueError(f"is no block: {self.count} steps; {MAX_BLOCK_STEPS} are the most")
+            raise ValueError(f"is invalid: {self.count} steps, expected at most {MAX_BLOCK_STEPS}")
         self.now = self._step_column(StepField.NOW, np.float64)
         self.source_index = self._step_column(StepField.SOURCE_INDEX, np.int64)
         self._categories: dict[RecordCategory, CategoryRecords] = {}
@@ -185,21 +191,21 @@
         if any(len(shape) < len(RecordCategory) for shape in shapes) or (
             self.count and not 0 <= int(shape_of_step.min()) <= int(shape_of_step.max()) < len(shapes)
         ):
-            raise ValueError("is no block: a step without a shape")
-        # All shapes one after the other; each step takes its slice of them.
+            raise ValueError("is invalid: the shape of a step is missing or incomplete")
+        # The record numbers of all shapes, concatenated; those of a step are a slice of them.
         record_numbers = np.frombuffer(b"".join(shape[category] for shape in shapes), dtype=np.uint8)
         lengths = np.array([len(shape[category]) for shape in shapes], dtype=np.int64)
         counts = lengths[shape_of_step] if self.count else np.zeros(0, np.int64)
         total = int(counts.sum())
         if total > MAX_BLOCK_RECORDS:
-            raise ValueError(f"is no block: {total} records; {MAX_BLOCK_RECORDS} are the most")
+            raise ValueError(f"is invalid: {total} records in one category, expected at most {MAX_BLOCK_RECORDS}")
         slice_starts = (np.cumsum(lengths) - lengths)[shape_of_step] if self.count else counts
         first_records = np.cumsum(counts) - counts
         indices = np.arange(total) + np.repeat(slice_starts - first_records, counts)
         return CategoryRecords(np.repeat(np.arange(self.count), counts), record_numbers[indices])
 
     def _records_by_step(self, category: RecordCategory) -> list[tuple[Record, ...]]:
-        """Return the records of one category, step by step, without those of unknown types."""
+        """Return the records of one category for each step, without those of unknown types."""
         step_positions, record_numbers = self.category(category)
         known = {number for number in set(record_numbers.tolist()) if number in RECORD_TYPES}
         remaining = {number: iter(self._decode_records(RECORD_TYPES[number])) for number in known}
--- a/lapispick/trace/block_writer.py
+++ b/lapispick/trace/block_writer.py
@@ -27,7 +27,7 @@
 
 
 class _RecordsByType:
-    """The records of a block by their type, each with the position of its step."""
+    """The records of a block by type, each with the position of its step."""
 
     def __init__(self, steps: Sequence[Step]) -> None:
         self.records: dict[type, list[Record]] = {}
@@ -61,7 +61,7 @@
         values_by_field = zip(*records, strict=True)
         for number, (field, values) in enumerate(zip(RECORD_FIELDS[record_type], values_by_field, strict=True), 1):
             _add_field(block, RECORD_NUMBERS[record_type], number, field.type, values, step_times)
-    return _pieces(block)
+    return _split_for_compression(block)
 
 
 def _add_column(
@@ -98,11 +98,11 @@
         _add_column(block, record, field, encode_integers(values))
 
 
-def _pieces(block: message_types.Block) -> list[bytes]:
-    """Return the bytes of a block in pieces that compress best one by one: each byte plane is a piece.
+def _split_for_compression(block: message_types.Block) -> list[bytes]:
+    """Return the bytes of a block in pieces that compress best separately: each byte plane is a piece.
 
-    A protobuf message may be concatenated from parts that repeat its fields, and ``data`` is the last field of a
-    column.
+    Encoded protobuf messages may be concatenated, which joins their repeated fields. As ``data`` is the last field of a
+    column, the byte planes are at the end of its encoding.
     """
     pieces = [BlockMessage(steps=block.steps).SerializeToString()]
     for column in block.columns:
--- a/lapispick/trace/files.py
+++ b/lapispick/trace/files.py
@@ -1,4 +1,4 @@
-"""Writes and reads trace files as streams; memory does not grow with their length."""
+"""Writes and reads trace files as streams; memory use does not grow with the size of the files."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 if TYPE_CHECKING:
     from lapispick.trace import message_types
 
-STEPS_PER_BLOCK = 4000  # fewer where a block would be larger than a frame may be
-SEARCH_CHUNK_BYTES = 1 << 20  # read at once by the search for the next frame
+STEPS_PER_BLOCK = 4000  # fewer if the block would exceed the maximum size of a frame
+SEARCH_CHUNK_BYTES = 1 << 20  # read at once when searching for the next frame
 
 
 class BlockLocation(NamedTuple):
-    """Where a block is in the file, and the times of its steps (ms)."""
+    """Position of a block in the file, and the earliest and latest time of its steps (ms)."""
 
     offset: int
     first: float
@@ -41,14 +41,14 @@
 
 
 class _Frame(NamedTuple):
-    """A frame that was read, with its body decompressed."""
+    """A frame with its decompressed body."""
 
     header: layout.FrameHeader
     body: bytes
 
 
 class TraceWriter:
-    """Writes one file; the blocks already written survive a kill, and ``close`` adds the index."""
+    """Writer of one file; blocks already written survive a kill of the process, and ``close`` adds the index."""
 
     def __init__(self, file: BinaryIO, header: message_types.Header) -> None:
         self._file = file
@@ -57,14 +57,14 @@
         self._locations: list[BlockLocation] = []
 
     def write_block(self, steps: list[Step]) -> None:
-        """Add a block; steps that are too large for one frame are split into several."""
+        """Write the steps as one block, or as several if they exceed the maximum size of a frame."""
         pieces = encode_block(steps)
         if sum(map(len, pieces)) > layout.MAX_BODY_BYTES and len(steps) > 1:
             half = len(steps) // 2
             self.write_block(steps[:half])
             self.write_block(steps[half:])
             return
-        times = [step_time(self._sources, step) for step in steps]  # a clock may have been set back in between
+        times = [step_time(self._sources, step) for step in steps]  # not in order if the clock was set back
         location = BlockLocation(self.size, min(times), max(times), len(steps))
         frame = layout.encode_frame(FrameKind.BLOCK, pieces, location.steps, location.first, location.last)
         self.size += self._file.write(frame)
@@ -87,7 +87,7 @@
 
 
 class TraceReader:
-    """Reads one file; if its index is missing, the blocks are found by scanning."""
+    """Reader of one file; if the index is missing, the blocks are found by scanning the file."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -119,10 +119,10 @@
         self.close()
 
     def read_block(self, location: BlockLocation) -> Block:
-        """Return a block by its columns; raises ``TraceError`` if it is corrupt."""
+        """Return a block, whose columns are decoded on demand; raises ``TraceError`` if it is corrupt."""
         frame = self._read_frame(location.offset)
         if frame is None:
-            raise TraceError(f"{self.path}: the block at byte {location.offset} is spoilt")
+            raise TraceError(f"{self.path}: the block at byte {location.offset} is truncated or corrupt")
         try:
             return Block(frame.body)
         except ValueError as err:
@@ -136,7 +136,7 @@
             raise TraceError(f"{self.path}: the block at byte {location.offset} {err}") from None
 
     def steps(self, since: float = float("-inf"), until: float = float("inf")) -> Iterator[Step]:
-        """Yield the steps from ``since`` to before ``until`` (ms, as ``step_time``), reading only their blocks."""
+        """Yield the steps with a ``step_time`` (ms) from ``since`` to before ``until``; other blocks are not read."""
         for location in self.blocks:
             if location.last < since or location.first >= until:
                 continue
@@ -153,9 +153,9 @@
         except TraceError as err:
             self._file.close()
             raise TraceError(f"{self.path}: {err}") from None
-        except Exception as err:  # noqa: BLE001 - the library's DecodeError has no common base across its versions
+        except Exception as err:  # noqa: BLE001 - protobuf's DecodeError has no base class common to its versions
             self._file.close()
-            raise TraceError(f"{self.path}: its header is no header: {err}") from None
+            raise TraceError(f"{self.path}: invalid header: {err}") from None
 
     def _read(self, offset: int, length: int) -> bytes:
         self._file.seek(offset)
@@ -164,11 +164,11 @@
         return data
 
     def _read_frame(self, offset: int) -> _Frame | None:
-        """Return the frame at this offset, None if it is not a valid one."""
+        """Return the frame at this offset, None if there is no valid one."""
         header = layout.decode_frame_header(self._read(offset, FRAME_HEADER_BYTES))
         if header is None:
             return None
-        body = layout.decode_body(header, self._read(offset + FRAME_HEADER_BYTES, header.stored))
+        body = layout.decode_body(header, self._read(offset + FRAME_HEADER_BYTES, header.compressed_size))
         return None if body is None else _Frame(header, body)
 
     def _read_index(self) -> list[BlockLocation] | None:
@@ -188,21 +188,21 @@
             return None
         try:
             entries = Index.FromString(body).entries
-        except Exception:  # noqa: BLE001 - the library's DecodeError has no common base across its versions
+        except Exception:  # noqa: BLE001 - protobuf's DecodeError has no base class common to its versions
             return None
         if any(not self._frames_offset <= entry.offset < offset for entry in entries):
             return None
         return [BlockLocation(entry.offset, entry.first, entry.last, entry.steps) for entry in entries]
 
     def _scan(self) -> Iterator[BlockLocation]:
-        """Find the valid blocks one after the other; the bytes between them are damage."""
+        """Yield the valid blocks in order; records the bytes between them as damage."""
         offset = self._frames_offset
         damage_offset: int | None = None
         while offset < self.size:
             frame = self._read_frame(offset)
             if frame is None:
                 damage_offset = offset if damage_offset is None else damage_offset
-                offset = self._find_mark(offset + 1)
+                offset = self._find_frame_marker(offset + 1)
                 continue
             if damage_offset is not None:
                 self._add_damage(damage_offset, offset)
@@ -210,23 +210,23 @@
             header = frame.header
             if header.kind == FrameKind.BLOCK:
                 yield BlockLocation(offset, header.first, header.last, header.steps)
-            offset += FRAME_HEADER_BYTES + header.stored
+            offset += FRAME_HEADER_BYTES + header.compressed_size
             if header.kind == FrameKind.INDEX:
                 break
         if damage_offset is not None:
             self._add_damage(damage_offset, self.size)
 
     def _add_damage(self, begin: int, end: int) -> None:
-        self.damage.append(Damage(begin, end - begin, "no whole block"))
+        self.damage.append(Damage(begin, end - begin, "truncated or corrupt block"))
 
-    def _find_mark(self, offset: int) -> int:
-        """Return where the next frame may begin at or after an offset; the size of the file if none does."""
+    def _find_frame_marker(self, offset: int) -> int:
+        """Return the offset of the next frame marker at or after ``offset``, the file's size if there is none."""
         while offset < self.size:
             data = self._read(offset, SEARCH_CHUNK_BYTES)
-            found = data.find(layout.FRAME_MARK)
-            if found >= 0:
-                return offset + found
-            offset += max(1, len(data) - len(layout.FRAME_MARK) + 1)
+            position = data.find(layout.FRAME_MARKER)
+            if position >= 0:
+                return offset + position
+            offset += max(1, len(data) - len(layout.FRAME_MARKER) + 1)
         return self.size
 
 
--- a/lapispick/trace/message_types.py
+++ b/lapispick/trace/message_types.py
@@ -1,7 +1,7 @@
-"""The types of the protobuf messages in a trace file, for annotations; ``schema`` builds the messages themselves.
+"""Types of the protobuf messages in a trace file, for annotations; ``schema`` builds the messages themselves.
 
-The messages are built at run time, so that a type checker can't see their fields. Each protocol here has the fields of
-the message that it is named after.
+The messages are built at run time, so a type checker can't see their fields. Each protocol here has the fields of the
+message of the same name.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class RepeatedMessages(Protocol[Item]):
-    """A repeated field of messages."""
+    """Repeated field of messages."""
 
     def add(self, **fields: object) -> Item:
         """Append a message with these fields, and return it."""
@@ -24,24 +24,24 @@
 
 
 class Message(Protocol):
-    """What all messages can do."""
+    """Interface that all messages share."""
 
-    def SerializeToString(self) -> bytes:  # noqa: N802 - the name is the library's
-        """Return the message's bytes."""
+    def SerializeToString(self) -> bytes:  # noqa: N802 - protobuf defines the name
+        """Return the encoded message."""
 
 
 class MessageType(Protocol[Item]):
-    """The type of a message."""
+    """Class of a message."""
 
     def __call__(self, **fields: object) -> Item:
         """Return a message with these fields."""
 
-    def FromString(self, data: bytes) -> Item:  # noqa: N802 - the name is the library's
-        """Return the message that was encoded."""
+    def FromString(self, data: bytes) -> Item:  # noqa: N802 - protobuf defines the name
+        """Return the decoded message."""
 
 
 class Column(Message, Protocol):
-    """A column of a block."""
+    """Column of a block."""
 
     record: int
     field: int
@@ -55,14 +55,14 @@
 
 
 class Block(Message, Protocol):
-    """A block."""
+    """Block of steps, stored by column."""
 
     steps: int
     columns: RepeatedMessages[Column]
 
 
 class Source(Message, Protocol):
-    """One incarnation of a host, in a file's header."""
+    """Description of one host incarnation in a file's header."""
 
     box: str
     incarnation: str
@@ -82,14 +82,14 @@
 
 
 class Header(Message, Protocol):
-    """The header of a file."""
+    """Header of a file."""
 
     sources: RepeatedMessages[Source]
     made: MutableSequence[str]
 
 
 class Entry(Message, Protocol):
-    """An entry of the index: where a block is."""
+    """Entry of the index: the offset of a block, and the earliest and latest time of its steps."""
 
     offset: int
     first: float
@@ -98,6 +98,6 @@
 
 
 class Index(Message, Protocol):
-    """The index of a file."""
+    """Index of a file."""
 
     entries: RepeatedMessages[Entry]
--- a/lapispick/trace/messages.py
+++ b/lapispick/trace/messages.py
@@ -1,4 +1,4 @@
-"""What the host tells the process that writes trace files. JSON; another version may read it."""
+"""The first message from the worker host to the trace writer, as JSON; a writer of another version may read it."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Begin(msgspec.Struct):
-    """The first message: where and how to write, and what the headers of the files say."""
+    """Options of the trace writer: where and how it writes files, and the content of their headers."""
 
     folder: str
     host: str = msgspec.field(name="box")
@@ -15,7 +15,7 @@
     max_file_age_s: float = msgspec.field(name="rotate_age")
     max_total_bytes: int = msgspec.field(name="keep_size")
     retention_s: float = msgspec.field(name="keep_age")
-    sync: str  # no, file or block: when the disk must have the data
+    sync: str  # no, file or block: when the data is synced to the disk
     seed: int
     module_now: float  # ms, the decision module's clock at its start
     started_ms: float  # Unix time
--- a/lapispick/trace/record_types.py
+++ b/lapispick/trace/record_types.py
@@ -1,7 +1,7 @@
-"""The types of the records in a trace, and the numbers that stand for them in files.
+"""Record types of a trace, and the numbers that identify them in files.
 
 ``docs/TRACE-FORMAT.md`` lists the same numbers; a number is never reused. The worker host imports this module, so it
-depends on nothing but the decision module's events and actions.
+must depend on nothing but the decision module's events and actions.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 SERVED = "served"
 REJECTED = "refused"
 FAILED = "failed"
-# A value of ``ExternalEvent.kind``: the module took over the estimates of the process before it, in an upgrade.
+# A value of ``ExternalEvent.kind``: in an upgrade, the decision module adopted the estimates of its predecessor.
 ADOPTED = "adopted"
 
 EVENTS: tuple[type, ...] = (
@@ -45,11 +45,11 @@
 
 
 class Arrival(NamedTuple):
-    """What is known of a request beside the decision module's event; one for each request, in the step that has it."""
+    """Attributes of a request that its event lacks; there is one for each request, in the same step as the event."""
 
     id: int
     account: str
-    subject: bytes  # a keyed digest of a keyed request's subject; empty where it has none
+    subject: bytes  # keyed digest of the subject of a keyed request; empty for other requests
     born_at: float  # Unix ms
 
 
@@ -62,20 +62,20 @@
 
 
 class Gap(NamedTuple):
-    """Steps that were lost, because the disk was slow or full or the writer ended."""
+    """A gap of lost steps, because the disk was slow or full or the writer ended."""
 
     steps: int
 
 
 class ExternalEvent(NamedTuple):
-    """A drain, a reload or an upgrade: what the host reports beside the decision module's events."""
+    """An event of the host outside the decision module: a drain, a reload or an upgrade."""
 
     kind: str  # drain-on, drain-off, reloaded or ``ADOPTED``
-    details: str  # reloaded: the changed keys; adopted: the estimates as JSON; else empty
+    details: str  # the changed keys of a reload, or the adopted estimates as JSON; empty for a drain
 
 
 class SpansBoundary(NamedTuple):
-    """A request that is only partly inside the time window of a cut."""
+    """Marks a request that is only partly within the time window of a cut."""
 
     id: int
     began_before: bool  # records before the window are missing
@@ -88,17 +88,17 @@
 }
 RECORD_TYPES: dict[int, type] = {number: record_type for record_type, number in RECORD_NUMBERS.items()}
 
-# For annotations only: nothing reads the unions at run time.
+# These unions are used only in annotations.
 if TYPE_CHECKING:
     Note = Arrival | Answered | Gap | ExternalEvent | SpansBoundary
     Record = admission.Event | admission.Action | Note
 
 
 class Step(NamedTuple):
-    """One step of the decision module: its clock (ms), its input, its output, and notes of the host."""
+    """One step of the decision module: its clock (ms), its inputs, its outputs, and notes of the host."""
 
     now: float
     events: tuple[admission.Event, ...] = ()
     actions: tuple[admission.Action, ...] = ()
     notes: tuple[Note, ...] = ()
-    source_index: int = 0  # of the incarnation of a host that it comes from, in the file's header
+    source_index: int = 0  # index in the file's header of the host incarnation that recorded the step
--- a/lapispick/trace/retention.py
+++ b/lapispick/trace/retention.py
@@ -1,4 +1,4 @@
-"""Decides which trace files to remove, and when a file is closed for the next one. No I/O, no clock."""
+"""Decides which trace files to remove, and when to rotate. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 
 class TraceFile(NamedTuple):
-    """One file of the folder."""
+    """A file in the trace folder."""
 
     name: str
-    size: int
-    modified_at: float  # seconds of any clock
+    size: int  # bytes
+    modified_at: float  # seconds, of any clock
 
 
-def expired(files: Iterable[TraceFile], now: float, max_total_bytes: int, retention_s: float) -> list[str]:
-    """Return the files to remove, the oldest first: those too old, then as many as the total size requires.
+def expired_files(files: Iterable[TraceFile], now: float, max_total_bytes: int, retention_s: float) -> list[str]:
+    """Return the names of the files to remove, the oldest first: old ones, and as many as the total size requires.
 
-    The newest is never removed: an incident of this moment is in it.
+    The newest file is never removed, because it contains the current moment, which may be part of an incident.
     """
     ordered = sorted(files, key=lambda file: (file.modified_at, file.name))
     total_bytes = sum(file.size for file in ordered)
@@ -29,6 +29,6 @@
     return removed
 
 
-def rotate(size: int, opened_at: float, now: float, max_file_bytes: int, max_file_age_s: float) -> bool:
-    """Tell whether a file of ``size`` bytes is to be closed and the next one begun; times are seconds of one clock."""
+def needs_rotation(size: int, opened_at: float, now: float, max_file_bytes: int, max_file_age_s: float) -> bool:
+    """Return True if a file of ``size`` bytes must be rotated; both times are seconds of the same clock."""
     return size >= max_file_bytes or now - opened_at >= max_file_age_s
--- a/lapispick/trace/schema.py
+++ b/lapispick/trace/schema.py
@@ -1,4 +1,4 @@
-"""The protobuf messages of a trace file, built from tables when this module is imported. No I/O.
+"""Protobuf messages of a trace file, built from tables when this module is imported. No I/O.
 
 The columns of a block follow from the fields of the record types, so the schema and the decision module's interface
 can't diverge. ``docs/TRACE-FORMAT.md`` specifies the messages; their names and field numbers are stored.
@@ -16,16 +16,17 @@
 if TYPE_CHECKING:
     from lapispick.trace import message_types
 
-MAX_BLOCK_STEPS = 1 << 16  # what a reader allocates before it has seen the steps
-MAX_BLOCK_RECORDS = 1 << 20  # of each category
+MAX_BLOCK_STEPS = 1 << 16  # limits the memory that a reader allocates before it decodes the steps
+MAX_BLOCK_RECORDS = 1 << 20  # per category
 STEP_RECORD = 0  # the record number of the step itself
-LIST_LENGTHS_OFFSET = 64  # the lengths of a list field are stored under its field number plus this
-# A step's shape is the numbers of its records, a byte each: events, 0, actions, 0, notes, 0. Few differ in a block.
+LIST_LENGTHS_OFFSET = 64  # the lengths of a list field are stored under its field number plus this offset
+# The shape of a step is the sequence of its record numbers, one byte each: events, 0, actions, 0, notes, 0.
+# A block has few distinct shapes, so they are stored in a dictionary.
 SHAPE_SEPARATOR = b"\0"
 
 
 class StepField(enum.IntEnum):
-    """The fields of the step itself."""
+    """Fields of the step itself; the numbers are stored."""
 
     NOW = 1
     SOURCE_INDEX = 2
@@ -33,7 +34,7 @@
 
 
 class RecordCategory(enum.IntEnum):
-    """The categories of a step's records, in the order of a shape."""
+    """Categories of a step's records, in their order in a shape."""
 
     EVENTS = 0
     ACTIONS = 1
@@ -41,7 +42,7 @@
 
 
 class FieldType(enum.StrEnum):
-    """The type of a record's field, as it is annotated."""
+    """Type of a record's field, as in its annotation."""
 
     INT = "int"
     FLOAT = "float"
@@ -59,7 +60,7 @@
     type: FieldType
 
 
-# Message -> its fields with their types, numbered from 1; ``*`` marks a repeated field.
+# The fields of each message with their types, numbered from 1; ``*`` marks a repeated field.
 _MESSAGE_FIELDS: dict[str, tuple[tuple[str, str], ...]] = {
     "Column": (
         ("record", "UINT32"),
@@ -111,8 +112,8 @@
 
 def _build_messages() -> dict[str, Any]:
     file = descriptor_pb2.FileDescriptorProto(name="lapispick/trace.proto", package="lapispick", syntax="proto3")
-    for title, fields in _MESSAGE_FIELDS.items():
-        message = file.message_type.add(name=title)
+    for message_name, fields in _MESSAGE_FIELDS.items():
+        message = file.message_type.add(name=message_name)
         for number, (name, declared_type) in enumerate(fields, 1):
             _add_field(message, name, number, declared_type)
     pool = descriptor_pool.DescriptorPool()
@@ -131,7 +132,7 @@
 
 
 def _fields_of(record_type: type) -> tuple[RecordField, ...]:
-    """Return the fields of a named tuple with their types as they are annotated."""
+    """Return the fields of a named tuple with their annotated types."""
     return tuple(
         RecordField(name, FieldType(getattr(annotation, "__forward_arg__", str(annotation))))
         for name, annotation in record_type.__annotations__.items()
--- a/tests/test_column_codec.py
+++ b/tests/test_column_codec.py
@@ -69,7 +69,7 @@
         column._replace(scale=63),
         column._replace(relative_to=7),
     ):
-        with pytest.raises(ValueError, match="contradicts"):
+        with pytest.raises(ValueError, match="is invalid: inconsistent column"):
             decode_column(inconsistent, 3)
     with pytest.raises(OverflowError):
         encode_integers([1 << 63])
--- a/tests/test_trace_files.py
+++ b/tests/test_trace_files.py
@@ -12,7 +12,7 @@
 from lapispick.trace.block_reader import decode_block
 from lapispick.trace.block_writer import encode_block
 from lapispick.trace.record_types import ACTIONS, EVENTS, NOTES, RECORD_TYPES, Answered, Arrival, Step
-from lapispick.trace.retention import TraceFile, expired, rotate
+from lapispick.trace.retention import TraceFile, expired_files, needs_rotation
 from tests.trace_support import read_blocks
 
 HEADER = files.make_header(box="n3", incarnation="a-1", seed=5, classes=["track"], accounts=["shop"])
@@ -142,7 +142,7 @@
     data = files.encode_file(HEADER, make_blocks(2))
     newer_minor = data[:10] + b"\x07\0" + data[12:]
     assert read_blocks(write_bytes(tmp_path, newer_minor))[0] == make_blocks(2)[0]
-    with pytest.raises(layout.TraceError, match=r"version 2\.0; this program reads versions 1\.x"):
+    with pytest.raises(layout.TraceError, match=r"unsupported format version 2\.0, expected 1\.x"):
         files.TraceReader(write_bytes(tmp_path, data[:8] + b"\x02\0" + data[10:]))
     newer = block_message(make_step(1))
     for column in newer.columns:
@@ -222,7 +222,7 @@
             changed.words[0] = value
         else:
             setattr(changed, name, value)
-    with pytest.raises(ValueError, match="is no block"):
+    with pytest.raises(ValueError, match="is invalid: "):
         decode_block(message.SerializeToString())
 
 
@@ -231,7 +231,7 @@
     columns = [column for column in message.columns if (column.record, column.field) != TIMER_GAUGES]
     del message.columns[:]
     message.columns.extend(columns)
-    with pytest.raises(ValueError, match="a list without values"):
+    with pytest.raises(ValueError, match="field 'gauges' has list lengths but no values"):
         decode_block(message.SerializeToString())
 
 
@@ -250,7 +250,7 @@
 
 
 def test_lengths_beyond_the_bounds_are_rejected(tmp_path):
-    huge = layout.FRAME.pack(layout.FRAME_MARK, 1, 0xFFFFFFFF, 0xFFFFFFFF, 1, 0.0, 0.0, 0)
+    huge = layout.FRAME.pack(layout.FRAME_MARKER, 1, 0xFFFFFFFF, 0xFFFFFFFF, 1, 0.0, 0.0, 0)
     frame = huge + layout.CHECKSUM.pack(layout.crc32c(huge))
     steps, reader = read_blocks(write_bytes(tmp_path, layout.encode_prelude(HEADER.SerializeToString()) + frame))
     assert not steps
@@ -262,9 +262,9 @@
 
 def test_files_expire_by_age_and_size_and_rotate_by_size_and_age():
     folder = [TraceFile(f"f{number}", 10, float(number)) for number in range(5)]
-    assert expired(folder, 5.0, 25, 1e9) == ["f0", "f1", "f2"]
-    assert expired(reversed(folder), 100.0, 10**9, 97.5) == ["f0", "f1", "f2"]
-    assert expired(folder[:1], 1e9, 0, 0) == []  # the newest is never removed
-    assert rotate(10, 0, 1, 10, 9)
-    assert rotate(1, 0, 9, 10, 9)
-    assert not rotate(9, 0, 8, 10, 9)
+    assert expired_files(folder, 5.0, 25, 1e9) == ["f0", "f1", "f2"]
+    assert expired_files(reversed(folder), 100.0, 10**9, 97.5) == ["f0", "f1", "f2"]
+    assert expired_files(folder[:1], 1e9, 0, 0) == []  # the newest is never removed
+    assert needs_rotation(10, 0, 1, 10, 9)
+    assert needs_rotation(1, 0, 9, 10, 9)
+    assert not needs_rotation(9, 0, 8, 10, 9)
