--- a/lapispick/trace/growing_table.py
+++ b/lapispick/trace/growing_table.py
@@ -1,4 +1,4 @@
-"""A table of numpy columns to which rows are appended and from which the oldest are dropped. No I/O."""
+"""Table of numpy columns to which rows are appended and from which the oldest are dropped. No I/O."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 class GrowingTable:
     """Named columns of equal length.
 
-    A *row* counts from the first one that is still there, an *index* from the first one that ever was.
+    A *row* is counted from the first row that has not been dropped, an *index* from the first row ever appended.
     """
 
     def __init__(self, **dtypes: DTypeLike) -> None:
@@ -29,7 +29,7 @@
         return self._columns[name][: self.size]
 
     def append(self, count: int, **values: ArrayLike) -> int:
-        """Append rows, zero where no values are given; return the index of the first."""
+        """Append rows, with zeros in columns without given values; return the index of the first."""
         self._reserve(self.size + count)
         for name, column in self._columns.items():
             column[self.size : self.size + count] = values.get(name, 0)
--- a/lapispick/trace/helper.py
+++ b/lapispick/trace/helper.py
@@ -1,8 +1,8 @@
 """The process that writes trace files, so that the host never waits for the disk.
 
-The host starts it with a socket as standard input: ``Begin`` as JSON first, then batches of steps in msgpack, each
-with its length before it. At the end of the socket the file is closed properly, so that neither SIGTERM nor SIGKILL of
-the host leaves an incomplete file; a kill of this process loses only the open block.
+The host starts it with a socket as standard input, and sends ``Begin`` as JSON, then batches of steps in msgpack; each
+message is preceded by its length. When the host closes the socket, this process closes the file properly, so that
+neither SIGTERM nor SIGKILL of the host leaves an incomplete file. A kill of this process loses only the open block.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 from lapispick.trace.recording import MAX_BLOCK_AGE_S, Recording
 
 POLL_S = MAX_BLOCK_AGE_S / 4  # how often an open block's age is checked
-NICENESS = 5  # the host goes first where they share a core, and this process still gets a third of its share
-LENGTH_BYTES = 4  # in front of each message
+NICENESS = 5  # on a shared core the host has priority, and this process still gets a third of the host's share
+LENGTH_BYTES = 4  # size of the length prefix of each message
 RECEIVE_BYTES = 1 << 16
 
 
 def decode_steps(data: bytes) -> list[Step]:
     """Return the steps of one batch, as the recorder encodes them."""
-    # The numbers of all events and actions come first; notes carry their own.
+    # The batch begins with the record numbers of all events and actions; each note begins with its own.
     record_numbers, steps = msgspec.msgpack.decode(data)
     numbers = iter(record_numbers)
     return [
@@ -46,7 +46,7 @@
 
 
 def _decode_record(number: int, values: list[Any]) -> Any:
-    """Return a record; its type follows from the number."""
+    """Return the record of the type with this number."""
     record_type = RECORD_TYPES[number]
     if record_type in (admission.RunCompleted, admission.CallCompleted):
         values[1] = admission.Outcome(values[1])
@@ -55,8 +55,8 @@
     return record_type(*values)
 
 
-def messages(connection: socket.socket) -> Iterator[bytes | None]:
-    """Yield complete messages, and None whenever nothing arrived for a while; ends with the socket."""
+def receive_messages(connection: socket.socket) -> Iterator[bytes | None]:
+    """Yield complete messages until the host closes the socket, and None if nothing arrived for ``POLL_S``."""
     buffer = bytearray()
     while True:
         if not select.select([connection], [], [], POLL_S)[0]:
@@ -64,7 +64,7 @@
             continue
         try:
             data = connection.recv(RECEIVE_BYTES)
-        except ConnectionResetError:  # the host ended with an unread message of ours; all that it sent came first
+        except ConnectionResetError:  # the host ended without reading our last message; all that it sent is received
             return
         if not data:
             return
@@ -81,20 +81,20 @@
 
 
 def main() -> int:
-    """Write until the host closes the socket."""
+    """Write steps to files until the host closes the socket."""
     os.nice(NICENESS)
     connection = socket.socket(fileno=os.dup(0))
 
     def report_error(text: str) -> None:
-        with suppress(OSError):  # the host has ended or does not read; the gap in the trace shows it too
+        with suppress(OSError):  # the host has ended or does not read; the trace also shows the error as a gap
             connection.send(text.replace("\n", " ").encode() + b"\n", socket.MSG_DONTWAIT)
 
     def report_written(count: int) -> None:
-        with suppress(OSError):  # the host then counts these steps as lost if this process ends, no more
+        with suppress(OSError):  # the only effect: the host counts these steps as lost if this process ends
             connection.send(b"wrote %d\n" % count, socket.MSG_DONTWAIT)
 
     recording: Recording | None = None
-    for data in messages(connection):
+    for data in receive_messages(connection):
         now = time.monotonic()
         if recording is None:
             if data is not None:
--- a/lapispick/trace/lines.py
+++ b/lapispick/trace/lines.py
@@ -1,6 +1,6 @@
-"""Converts traces to JSON lines and back: the header first, then one step a line. No I/O.
+"""Converts traces to JSON lines and back: the header first, then one step per line. No I/O.
 
-Bytes are base64, outcomes are names, numbers are JSON numbers: every float comes back with the same bits, except
+Bytes are base64-encoded, outcomes are names, and numbers are JSON numbers. Every float is restored bit for bit, except
 not-a-number and the infinities, which JSON can't express and the decision module never emits.
 """
 
@@ -37,11 +37,11 @@
 
 
 class TraceLineError(Exception):
-    """A line is not part of a trace; the text says which and why."""
+    """A line is not a valid part of a trace; the message gives its number and the reason."""
 
 
 class _Line(msgspec.Struct):
-    """A step as it is written in a line."""
+    """A step in its JSON form."""
 
     now: float
     events: list[dict[str, Any]] = []
@@ -90,8 +90,8 @@
         raise TraceLineError(f"line 1: is no header of a trace: {err}") from None
 
 
-def decode_step(line: bytes, number: int) -> Step:
-    """Return the step in a line, whose number is for the error; raises ``TraceLineError``."""
+def decode_step(line: bytes, line_number: int) -> Step:
+    """Return the step in a line; raises ``TraceLineError`` with the line's number."""
     try:
         decoded = msgspec.json.decode(line, type=_Line)
         events, actions, notes = (
@@ -100,14 +100,14 @@
         )
         return Step(decoded.now, events, actions, notes, decoded.source)
     except (msgspec.MsgspecError, ValueError, KeyError, TypeError, binascii.Error) as err:
-        raise TraceLineError(f"line {number}: {err}") from None
+        raise TraceLineError(f"line {line_number}: {err}") from None
 
 
 def _decode_record(fields: dict[str, Any], category: RecordCategory) -> Any:
-    """Return a record of this category; its type follows from the name in ``fields``."""
+    """Return a record of this category; ``fields`` includes the name of its type."""
     record_type = RECORDS_BY_NAME.get(fields.get("record", ""))
     if record_type is None or CATEGORY_OF_RECORD[record_type] is not category:
-        raise ValueError(f"no record {fields.get('record')!r} among the {_CATEGORY_NAMES[category]}")
+        raise ValueError(f"expected a record type of the {_CATEGORY_NAMES[category]}, got {fields.get('record')!r}")
     remaining = {name: value for name, value in fields.items() if name != "record"}
     values = {
         field.name: _decode_value(remaining.pop(field_name(record_type, field.name)), field.type)
--- a/lapispick/trace/module_digest.py
+++ b/lapispick/trace/module_digest.py
@@ -1,4 +1,4 @@
-"""The digest of the decision module that made a trace, by which a replay knows whether it runs the same one."""
+"""Digest of the decision module that made a trace; a replay checks with it whether it runs the same module."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def module_digest() -> str:
-    """Return a digest of the present decision module's source."""
+    """Return the digest of the source code of this program's decision module."""
     digest = sha256()
     for path in sorted(Path(admission.__file__).parent.glob("*.py")):
         digest.update(path.read_bytes())
--- a/lapispick/trace/text_names.py
+++ b/lapispick/trace/text_names.py
@@ -1,6 +1,6 @@
-"""The names of records, fields and outcomes in the text form of a trace, where they differ from the code's.
+"""Names of records, fields and outcomes in the text form of a trace, where they differ from the names in the code.
 
-The text form (``lapispick trace convert``, ``--json``) is read by other versions, so its names stay as they are.
+The text form (``lapispick trace convert``, ``--json``) is read by other versions, so its names must not change.
 """
 
 from __future__ import annotations
@@ -62,22 +62,22 @@
 
 
 def record_name(record_type: type) -> str:
-    """Return the name of a record type in text."""
+    """Return the name of a record type in the text form."""
     return _RECORD_NAMES.get(record_type, record_type.__name__)
 
 
 def field_name(record_type: type, field: str) -> str:
-    """Return the name in text of a record's field."""
+    """Return the name of a record's field in the text form."""
     return _FIELD_NAMES.get((record_type, field), field)
 
 
 def step_field_name(field: str) -> str:
-    """Return the name in text of a field of ``Step``."""
+    """Return the name of a field of ``Step`` in the text form."""
     return _STEP_FIELD_NAMES.get(field, field)
 
 
 def outcome_name(outcome: admission.Outcome) -> str:
-    """Return the name of an outcome in text."""
+    """Return the name of an outcome in the text form."""
     return _OUTCOME_NAMES.get(outcome, outcome.name)
 
 
--- a/tests/test_trace_lines.py
+++ b/tests/test_trace_lines.py
@@ -10,7 +10,7 @@
     [
         (b"{", "line 7"),
         (b'{"now": "x"}', "line 7: Expected `float`"),
-        (b'{"now": 1, "events": [{"record": "Run", "id": 1}]}', "no record 'Run' among the events"),
+        (b'{"now": 1, "events": [{"record": "Run", "id": 1}]}', "expected a record type of the events, got 'Run'"),
         (b'{"now": 1, "actions": [{"record": "Run"}]}', "line 7: 'id'"),
         (b'{"now": 1, "actions": [{"record": "Run", "id": 1, "x": 2}]}', "Run has no field 'x'"),
         (b'{"now": 1, "events": [{"record": "RunEnded", "id": 1, "outcome": "GOOD", "took": 1}]}', "GOOD"),
--- a/tests/test_trace_recorder.py
+++ b/tests/test_trace_recorder.py
@@ -17,7 +17,7 @@
 from lapispick.fakes.waiting import wait_until
 from lapispick.host.recorder import Recorder
 from lapispick.trace import layout
-from lapispick.trace.helper import messages
+from lapispick.trace.helper import receive_messages
 from lapispick.trace.record_types import Answered, Arrival, ExternalEvent, Gap
 from tests.trace_support import read_blocks
 
@@ -267,4 +267,4 @@
         for data in (b"one", b"two"):
             ours.send(len(data).to_bytes(4, "little") + data)
         ours.close()
-        assert list(messages(theirs)) == [b"one", b"two"]
+        assert list(receive_messages(theirs)) == [b"one", b"two"]
