--- a/lapispick/trace/helper.py
+++ b/lapispick/trace/helper.py
@@ -64,7 +64,7 @@
             continue
         try:
             data = connection.recv(RECEIVE_BYTES)
-        except ConnectionResetError:  # the host ended without reading our last message; all that it sent is received
+        except ConnectionResetError:  # the host ended with our messages unread; all its data was received before
             return
         if not data:
             return
@@ -90,7 +90,7 @@
             connection.send(text.replace("\n", " ").encode() + b"\n", socket.MSG_DONTWAIT)
 
     def report_written(count: int) -> None:
-        with suppress(OSError):  # the only effect: the host counts these steps as lost if this process ends
+        with suppress(OSError):  # only effect: if this process ends, the host counts these steps as lost
             connection.send(b"wrote %d\n" % count, socket.MSG_DONTWAIT)
 
     recording: Recording | None = None
--- a/lapispick/trace/retention.py
+++ b/lapispick/trace/retention.py
@@ -15,9 +15,9 @@
 
 
 def expired_files(files: Iterable[TraceFile], now: float, max_total_bytes: int, retention_s: float) -> list[str]:
-    """Return the names of the files to remove, the oldest first: old ones, and as many as the total size requires.
+    """Return the names of the files to remove, oldest first: the expired, then as many as the total size requires.
 
-    The newest file is never removed, because it contains the current moment, which may be part of an incident.
+    The newest file is never removed, because it covers the present, which may be an incident.
     """
     ordered = sorted(files, key=lambda file: (file.modified_at, file.name))
     total_bytes = sum(file.size for file in ordered)
--- a/tests/test_column_codec.py
+++ b/tests/test_column_codec.py
@@ -1,4 +1,4 @@
-"""Columns decode to the same bits, regular ones are small, and inconsistent ones are rejected."""
+"""Columns decode to the same bits, regular columns are small, and inconsistent ones are rejected."""
 
 import struct
 
--- a/tests/test_trace_files.py
+++ b/tests/test_trace_files.py
@@ -1,4 +1,4 @@
-"""Trace files: truncation, flipped bits, versions, windows and hostile bytes."""
+"""Trace files: truncation, flipped bits, versions, time windows and arbitrary bytes."""
 
 from hashlib import sha256
 from pathlib import Path
@@ -87,8 +87,13 @@
         "Outcome": admission.Outcome.ERROR,
         "tuple[float, ...]": (1.0, 0.0),
     }
-    records = {kind: kind(*(samples[field.type] for field in fields)) for kind, fields in schema.RECORD_FIELDS.items()}
-    step = Step(1.5, *(tuple(records[kind] for kind in category) for category in (EVENTS, ACTIONS, NOTES)))
+    records = {
+        record_type: record_type(*(samples[field.type] for field in fields))
+        for record_type, fields in schema.RECORD_FIELDS.items()
+    }
+    step = Step(
+        1.5, *(tuple(records[record_type] for record_type in category) for category in (EVENTS, ACTIONS, NOTES))
+    )
     assert decode_block(b"".join(encode_block([step]))) == [step]
     assert list(RECORD_TYPES) == list(range(1, 27))
     assert RECORD_TYPES[8] is admission.StartRun
@@ -100,7 +105,7 @@
     data = files.encode_file(HEADER, blocks)
     offsets = [location.offset for location in read_blocks(write_bytes(tmp_path, data))[1].blocks]
     index_offset = layout.TRAILER.unpack(data[-layout.TRAILER.size :])[0]
-    for length in range(offsets[1], len(data)):  # every byte of the last two blocks
+    for length in range(offsets[1], len(data)):  # truncated at each byte of the last two blocks
         steps, reader = read_blocks(write_bytes(tmp_path, data[:length]))
         complete = 1 + (length >= offsets[2]) + (length >= index_offset)
         assert steps == [step for block in blocks[:complete] for step in block], length
@@ -110,7 +115,7 @@
 
 
 def read_undamaged(path):
-    """Return the steps of the valid blocks, how many blocks are not, and the closed reader."""
+    """Return the steps of the valid blocks, the number of corrupt blocks, and the closed reader."""
     steps = []
     corrupt = 0
     with files.TraceReader(path) as reader:
@@ -122,7 +127,7 @@
     return steps, corrupt, reader
 
 
-def test_a_flipped_bit_costs_at_most_its_own_block_and_is_reported(tmp_path):
+def test_a_flipped_bit_corrupts_at_most_its_own_block_and_is_reported(tmp_path):
     blocks = make_blocks(2, 2, 2)
     data = files.encode_file(HEADER, blocks)
     written = [step for block in blocks for step in block]
@@ -146,15 +151,15 @@
         files.TraceReader(write_bytes(tmp_path, data[:8] + b"\x02\0" + data[10:]))
     newer = block_message(make_step(1))
     for column in newer.columns:
-        if (column.record, column.field) == STEP_SHAPE:  # an unknown record among the events
+        if (column.record, column.field) == STEP_SHAPE:  # add an unknown record to the events
             column.words[0] = column.words[0][:1] + bytes([UNKNOWN_RECORD]) + column.words[0][1:]
     newer.columns.add(record=UNKNOWN_RECORD, field=1, width=1, data=b"\x04")
-    newer.columns.add(record=1, field=40, width=1, data=b"\x04")  # and a new field of a known one
+    newer.columns.add(record=1, field=40, width=1, data=b"\x04")  # add an unknown field to a known record
     newer.MergeFromString(b"\xfa\x07\x02\x08\x01")
     assert decode_block(newer.SerializeToString()) == [make_step(1)]
     older = block_message(make_step(1))
-    missing = {REQUEST_RANK, ARRIVAL_ACCOUNT, TIMER_GAUGES, TIMER_GAUGE_LENGTHS}
-    remaining = [column for column in older.columns if (column.record, column.field) not in missing]
+    missing_columns = {REQUEST_RANK, ARRIVAL_ACCOUNT, TIMER_GAUGES, TIMER_GAUGE_LENGTHS}
+    remaining = [column for column in older.columns if (column.record, column.field) not in missing_columns]
     del older.columns[:]
     older.columns.extend(remaining)
     (step,) = decode_block(older.SerializeToString())
@@ -163,8 +168,8 @@
     assert step.events[1].gauges == ()
 
 
-def test_the_sample_of_version_1_is_read_as_it_always_was():
-    # Made by benchmarks.trace_workload; neither the file nor what it says ever changes.
+def test_the_sample_of_version_1_is_read_unchanged():
+    # Made by benchmarks.trace_workload. Neither the file nor its decoded content may change.
     steps, reader = read_blocks(SAMPLE)
     assert (
         sha256(b"\n".join(lines.encode_trace(reader.header, steps))).hexdigest()
@@ -179,7 +184,7 @@
     assert summary.rejection_reasons == {"price": 124}
 
 
-def test_a_window_is_read_by_way_of_the_index(tmp_path):
+def test_a_time_window_is_read_with_the_index(tmp_path):
     path = write_bytes(tmp_path, files.encode_file(HEADER, make_blocks(*[50] * 40)))
     with files.TraceReader(path) as reader:
         read_before = reader.read_bytes
@@ -189,7 +194,7 @@
         assert not list(reader.steps(7.0, 7.0))
 
 
-def test_a_window_is_found_after_the_clock_was_set_back(tmp_path):
+def test_a_time_window_is_complete_after_the_clock_was_set_back(tmp_path):
     steps = [Step(float(now)) for now in (100, 200, 50, 60, 150)]
     path = write_bytes(tmp_path, files.encode_file(HEADER, [steps[:3], steps[3:]]))
     with files.TraceReader(path) as reader:
@@ -210,10 +215,10 @@
         ),
         (make_step(1), RUN_OUTCOME, dict(width=1, data=b"\x40")),
     ],
-    ids=["steps", "shape", "word", "list", "outcome"],
+    ids=["steps", "shape", "dictionary index", "list length", "outcome"],
 )
 def test_an_inconsistent_block_is_rejected_before_memory_is_allocated(step, key, changes):
-    # Zeros take no bytes, so only the bounds limit what is allocated for a length.
+    # A column of zeros takes no bytes, so only the limits of the reader bound the memory allocated for it.
     message = schema.BlockMessage.FromString(b"".join(encode_block([step])))
     by_key = {(column.record, column.field): column for column in message.columns}
     changed = message if key is None else by_key[key]
@@ -249,7 +254,7 @@
         assert str(err).startswith(str(path))
 
 
-def test_lengths_beyond_the_bounds_are_rejected(tmp_path):
+def test_lengths_above_the_limits_are_rejected(tmp_path):
     huge = layout.FRAME.pack(layout.FRAME_MARKER, 1, 0xFFFFFFFF, 0xFFFFFFFF, 1, 0.0, 0.0, 0)
     frame = huge + layout.CHECKSUM.pack(layout.crc32c(huge))
     steps, reader = read_blocks(write_bytes(tmp_path, layout.encode_prelude(HEADER.SerializeToString()) + frame))
--- a/tests/test_trace_lines.py
+++ b/tests/test_trace_lines.py
@@ -1,4 +1,4 @@
-"""Lines of JSON that are not part of a trace."""
+"""Rejects JSON lines that are not a valid part of a trace."""
 
 import pytest
 
--- a/tests/test_trace_recorder.py
+++ b/tests/test_trace_recorder.py
@@ -21,22 +21,22 @@
 from lapispick.trace.record_types import Answered, Arrival, ExternalEvent, Gap
 from tests.trace_support import read_blocks
 
-CONF = "section trace\n enabled yes\n folder traces\n flush 50ms\n {more}\nend\n"
-REQUESTS = 60  # in one round
+CONF = "section trace\n enabled yes\n folder traces\n flush 50ms\n {extra_setting}\nend\n"
+REQUESTS = 60  # that ``RecordedHost.send_requests`` sends by default
 REQUESTS_AT_ONCE = 8
 
 
 class RecordedHost:
     """A worker host with a recorder, and requests to it."""
 
-    def __init__(self, folder, host, more="", **over):
+    def __init__(self, folder, host, extra_setting="", **overrides):
         self.folder = folder / "traces"
-        (folder / "own.conf").write_text(CONF.format(more=more))
-        self.host = host(environ={"LAPISPICK_CONF": str(folder / "own.conf")}, **over)
+        (folder / "own.conf").write_text(CONF.format(extra_setting=extra_setting))
+        self.host = host(environ={"LAPISPICK_CONF": str(folder / "own.conf")}, **overrides)
         self.gateway = self.host.gateway()
         self.request_count = 0
 
-    def answers(self, count=REQUESTS):
+    def send_requests(self, count=REQUESTS):
         """Send requests, every third one keyed and every second one with a call, and return their answers."""
         numbers = []
         for _ in range(count):
@@ -68,9 +68,9 @@
         children = Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
         return next(int(child) for child in children if b"trace.helper" in Path(f"/proc/{child}/cmdline").read_bytes())
 
-    def lost_steps(self, count):
-        """Send requests, and return how many steps the gaps in the open files stand for."""
-        self.answers(count)
+    def send_and_count_lost_steps(self, count):
+        """Send requests, and return the total of lost steps that the gaps in the open files give."""
+        self.send_requests(count)
         notes = [note for path in self.open_files() for note in notes_of(read_blocks(path)[0])]
         return sum(note.steps for note in notes if type(note) is Gap)
 
@@ -99,10 +99,10 @@
 
 
 def count_runs(path):
-    """Return how many runs are in the complete blocks of a file."""
+    """Return the number of runs in the complete blocks of a file."""
     try:
         return sum(type(action) is admission.StartRun for step in read_blocks(path)[0] for action in step.actions)
-    except layout.TraceError:  # it was created this moment
+    except layout.TraceError:  # it was just created, and its header is incomplete
         return 0
 
 
@@ -113,10 +113,10 @@
 
 def test_a_recorded_trace_replays_exactly_and_the_commands_agree(tmp_path, host):
     recorded = RecordedHost(tmp_path, host, "rotate-age 1s", stop_ms=2000)
-    end = time.monotonic() + 20
+    deadline = time.monotonic() + 20
     recorded.host.call_operators(b"drain-on")
-    while len(recorded.files()) < 2 and time.monotonic() < end:  # over more than one file
-        assert len(recorded.answers()) == REQUESTS
+    while len(recorded.files()) < 2 and time.monotonic() < deadline:  # until there is more than one file
+        assert len(recorded.send_requests()) == REQUESTS
     recorded.host.call_operators(b"drain-off")
     recorded.host.reload(stop_ms=1900)
     recorded.host.terminate()
@@ -154,7 +154,7 @@
 
 
 def check_arrivals(notes, request_count):
-    """Compare the noted arrivals with the requests that were sent; every third one was keyed."""
+    """Compare the recorded arrivals with the requests that were sent; every third one was keyed."""
     arrivals = [note for note in notes if type(note) is Arrival]
     keyed_count = sum(1 for number in range(request_count) if number % 3 == 0)
     assert len(arrivals) == request_count
@@ -164,38 +164,40 @@
 
 def test_a_host_killed_under_load_leaves_a_complete_file(tmp_path, host):
     recorded = RecordedHost(tmp_path, host)
-    recorded.answers()
-    seen = wait_until(lambda: recorded.open_files() and count_runs(recorded.open_files()[0]), "runs on the disk")
-    recorded.answers()
+    recorded.send_requests()
+    runs_on_disk = wait_until(
+        lambda: recorded.open_files() and count_runs(recorded.open_files()[0]), "runs on the disk"
+    )
+    recorded.send_requests()
     recorded.host.process.kill()
     wait_until(recorded.files, "the file, closed by the writer")
     trace_output("verify", recorded.folder)
     replayed = recorded.replay()
-    assert seen <= replayed["recorded"]["Run"] <= recorded.request_count
+    assert runs_on_disk <= replayed["recorded"]["Run"] <= recorded.request_count
     assert not replayed["differing"]
 
 
-def test_a_writer_killed_under_load_leaves_every_complete_block_and_costs_no_answer(tmp_path, host):
+def test_a_writer_killed_under_load_leaves_every_complete_block_and_loses_no_answer(tmp_path, host):
     recorded = RecordedHost(tmp_path, host)
-    recorded.answers()
+    recorded.send_requests()
     recorded.wait_for_block()
     writer, stopped_at = recorded.writer_pid(), time.monotonic()
-    os.kill(writer, signal.SIGSTOP)  # what is sent to it from here on is never written
-    recorded.answers(20)
-    wait_until(lambda: recorded.answers(20) and time.monotonic() - stopped_at > 0.3, "some batches, 50 ms apart")
+    os.kill(writer, signal.SIGSTOP)  # steps that are sent to it from now on are never written
+    recorded.send_requests(20)
+    wait_until(lambda: recorded.send_requests(20) and time.monotonic() - stopped_at > 0.3, "some batches, 50 ms apart")
     os.kill(writer, signal.SIGKILL)
-    assert len(recorded.answers()) == REQUESTS
+    assert len(recorded.send_requests()) == REQUESTS
     recorded.host.wait_for_log("trace-writer-ended")
 
     def steps_of_next_writer():
-        recorded.answers(4)
+        recorded.send_requests(4)
         return len(recorded.open_files()) == 2 and read_blocks(recorded.open_files()[1])[0]
 
     first_step = wait_until(steps_of_next_writer, "the next writer's first block")[0]
     (gap,) = (note for note in first_step.notes if type(note) is Gap)
     lost = int(re.search(r"trace-writer-ended lost=(\d+)", recorded.host.log()).group(1))
     path, next_path = recorded.open_files()
-    source, next_source = (read_blocks(each)[1].first_source for each in (path, next_path))
+    source, next_source = (read_blocks(file)[1].first_source for file in (path, next_path))
     assert gap.steps >= lost > 0
     assert source.sequence == 0
     assert next_source.sequence == 1
@@ -208,7 +210,7 @@
 
 
 def check_repair(path, repaired):
-    """Append half a block to a file, repair it and replay the result."""
+    """Append a truncated block to a file, repair it and replay the result."""
     path.write_bytes(path.read_bytes() + b"LPB\xa7 half a block")
     assert "no index" in trace_output("verify", path, exit_code=1)
     trace_output("repair", path, repaired)
@@ -218,18 +220,18 @@
     assert replayed["differing"] == 0
 
 
-def test_a_disk_that_hangs_delays_nothing_and_leaves_a_gap(tmp_path, host):
+def test_a_hanging_disk_delays_no_answer_and_leaves_a_gap(tmp_path, host):
     recorded = RecordedHost(tmp_path, host, "buffer 64KB")
-    recorded.answers()
+    recorded.send_requests()
     os.kill(recorded.writer_pid(), signal.SIGSTOP)
-    end = time.monotonic() + 30
-    while "event=trace-gap" not in recorded.host.log() and time.monotonic() < end:
+    deadline = time.monotonic() + 30
+    while "event=trace-gap" not in recorded.host.log() and time.monotonic() < deadline:
         began = time.monotonic()
-        assert len(recorded.answers(100)) == 100
+        assert len(recorded.send_requests(100)) == 100
         assert time.monotonic() - began < 5
     os.kill(recorded.writer_pid(), signal.SIGCONT)
     recorded.host.wait_for_log("trace-gap")
-    assert wait_until(lambda: recorded.lost_steps(8), "the gap in the file") > 0
+    assert wait_until(lambda: recorded.send_and_count_lost_steps(8), "the gap in the file") > 0
     recorded.host.terminate()
     recorded.host.process.wait(6)
     wait_until(recorded.files, "the closed file")
@@ -238,32 +240,33 @@
     assert not replayed["differing"]
 
 
-def test_a_full_disk_costs_its_steps_and_no_answer(tmp_path, host):
+def test_a_full_disk_loses_steps_and_no_answer(tmp_path, host):
     recorded = RecordedHost(tmp_path, host)
-    recorded.answers()
+    recorded.send_requests()
     recorded.wait_for_block()
     resource.prlimit(recorded.writer_pid(), resource.RLIMIT_FSIZE, (4096, resource.RLIM_INFINITY))
-    end = time.monotonic() + 20
-    while "event=trace-failed" not in recorded.host.log() and time.monotonic() < end:
-        assert len(recorded.answers()) == REQUESTS
+    deadline = time.monotonic() + 20
+    while "event=trace-failed" not in recorded.host.log() and time.monotonic() < deadline:
+        assert len(recorded.send_requests()) == REQUESTS
     recorded.host.wait_for_log("trace-failed")
     resource.prlimit(recorded.writer_pid(), resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY, resource.RLIM_INFINITY))
-    assert wait_until(lambda: recorded.lost_steps(4), "the gap in the next file") > 0
+    assert wait_until(lambda: recorded.send_and_count_lost_steps(4), "the gap in the next file") > 0
     assert not recorded.replay()["differing"]
 
 
-def test_a_folder_that_cannot_be_written_is_logged_and_costs_no_answer(tmp_path, host):
+def test_an_unwritable_folder_is_logged_and_loses_no_answer(tmp_path, host):
     (tmp_path / "traces").write_text("a file")
     recorded = RecordedHost(tmp_path, host)
-    recorded.answers()
+    recorded.send_requests()
     recorded.host.wait_for_log("trace-failed")
-    assert len(recorded.answers()) == REQUESTS
+    assert len(recorded.send_requests()) == REQUESTS
 
 
-def test_the_writer_gets_the_last_messages_of_a_host_that_left_its_reports_unread():
+def test_the_writer_receives_the_last_messages_of_a_host_that_did_not_read_its_reports():
     ours, theirs = socket.socketpair()
     with theirs:
-        theirs.send(b"wrote 1\n")  # nobody reads it any more, so the writer's socket ends with a reset
+        # The host never reads this, so closing its end resets the writer's socket.
+        theirs.send(b"wrote 1\n")
         for data in (b"one", b"two"):
             ours.send(len(data).to_bytes(4, "little") + data)
         ours.close()
--- a/tests/trace_support.py
+++ b/tests/trace_support.py
@@ -1,4 +1,4 @@
-"""Steps, headers and commands that several tests of traces share."""
+"""Steps, headers and commands shared by the tests of traces."""
 
 import msgspec
 from click.testing import CliRunner
@@ -17,7 +17,7 @@
     return CLASS_NAMES[class_index]
 
 
-def make_header(host="a", incarnation="1", **over):
+def make_header(host="a", incarnation="1", **overrides):
     fields = dict(
         box=host,
         incarnation=incarnation,
@@ -25,7 +25,7 @@
         accounts=["shop", "bar"],
         settings=msgspec.json.encode(make_settings()),
     )
-    return files.make_header(**{**fields, **over})
+    return files.make_header(**{**fields, **overrides})
 
 
 def make_request(number, class_index=0, retry_of=0, age=0.0):
@@ -46,7 +46,7 @@
 
 
 def mixed_steps():
-    """Return steps of four requests: two served, one rejected, one still open."""
+    """Return steps of four requests: two served, one rejected, one unanswered."""
     return [
         request_step(0, 1),
         start_step(1, 10),
@@ -73,7 +73,7 @@
 
 
 def run_trace_command(*arguments, exit_code=0):
-    """Return what a command prints."""
+    """Run a trace command and return its output."""
     result = CliRunner().invoke(cli, ["trace", *map(str, arguments)])
     assert result.exit_code == exit_code, result.output
     return result.stdout + result.stderr
