--- a/benchmarks/trace_file.py
+++ b/benchmarks/trace_file.py
@@ -128,7 +128,7 @@
         with files.TraceReader(path) as reader:
             middle = (reader.blocks[0].first + reader.blocks[-1].last) / 2
             cutting = _timed(lambda: files.write_trace(cut, header, reader.steps(middle, middle + CUT_MS)))
-            read_fraction = reader.read_bytes / reader.size
+            read_fraction = reader.bytes_read / reader.size
         merged = _cut_in_two_and_merge(path, folder, header, middle)
         _anonymise(merged, anonymous)
         replayed = _replay(merged)
--- a/lapispick/cli/trace.py
+++ b/lapispick/cli/trace.py
@@ -99,13 +99,13 @@
     if not reader.indexed:
         yield "no index: the file was not closed"
     for location in reader.blocks:
-        read_before = reader.read_bytes
+        read_before = reader.bytes_read
         try:
             if len(reader.read_steps(location)) != location.steps:
                 yield f"the block at byte {location.offset} holds another number of steps"
         except TraceError as err:
             yield str(err)
-        report(reader.read_bytes - read_before)
+        report(reader.bytes_read - read_before)
 
 
 @trace.command()
--- a/lapispick/cli/trace_common.py
+++ b/lapispick/cli/trace_common.py
@@ -140,12 +140,12 @@
 def read_blocks(reader: TraceReader, report: ReportBytes = _report_nothing) -> Iterator[Block]:
     """Yield the valid blocks; a line is printed for each corrupt one."""
     for location in reader.blocks:
-        read_before = reader.read_bytes
+        read_before = reader.bytes_read
         try:
             yield reader.read_block(location)
         except TraceError as err:
             print_error(f"left out: {err}")
-        report(reader.read_bytes - read_before)
+        report(reader.bytes_read - read_before)
 
 
 def read_all_blocks(readers: Iterable[TraceReader], report: ReportBytes = _report_nothing) -> Iterator[Block]:
--- a/lapispick/cli/trace_write.py
+++ b/lapispick/cli/trace_write.py
@@ -107,8 +107,8 @@
     header.made.append(_cut_note(selection))
     steps = reader.steps(since - selector.margin, until + selector.margin)
     count = files.write_trace(out, header, selector.run(steps))
-    text = f"{count} steps, {reader.read_bytes} of {reader.size} bytes read"
-    _print_result(json_, text, steps=count, read_bytes=reader.read_bytes, bytes=reader.size)
+    text = f"{count} steps, {reader.bytes_read} of {reader.size} bytes read"
+    _print_result(json_, text, steps=count, read_bytes=reader.bytes_read, bytes=reader.size)
 
 
 def _longest_deadline_ms(sources: Sequence[Any]) -> float:
--- a/lapispick/host/recorder.py
+++ b/lapispick/host/recorder.py
@@ -25,7 +25,7 @@
 from lapispick.host.scheduler import EventLoop
 from lapispick.host.streams import LineTooLongError, Stream, StreamClosedError
 from lapispick.platform_settings import StartSettings
-from lapispick.trace.messages import Begin
+from lapispick.trace.messages import WriterOptions
 from lapispick.trace.record_types import RECORD_NUMBERS, Answered, Arrival, ExternalEvent, Gap
 
 if TYPE_CHECKING:
@@ -80,7 +80,7 @@
         """Start the writer; ``now`` is the module's clock at its start, ms."""
         section = self._settings
         self._begin_message = msgspec.json.encode(
-            Begin(
+            WriterOptions(
                 folder=str(section.folder),
                 host=self._name,
                 incarnation=f"{int(time.time() * 1000):012x}-{os.getpid()}",
--- a/lapispick/trace/attempt_matching.py
+++ b/lapispick/trace/attempt_matching.py
@@ -37,8 +37,8 @@
 
 
 def _attempt(host: str, arrival: Arrival, answer: Answered) -> Attempt:
-    ended_at = arrival.born_at + answer.age_ms
-    return Attempt(arrival.subject, host, arrival.born_at, ended_at, served=answer.kind == SERVED)
+    ended_at = arrival.created_at + answer.age_ms
+    return Attempt(arrival.subject, host, arrival.created_at, ended_at, served=answer.kind == SERVED)
 
 
 def sample_subjects(traces: Iterable[Iterable[Attempt]], max_attempts: int = MAX_ATTEMPTS) -> list[Attempt]:
--- a/lapispick/trace/files.py
+++ b/lapispick/trace/files.py
@@ -100,7 +100,7 @@
         self.first_source = self.sources[0]  # the only one, unless the file was merged
         self._frames_offset = self._file.tell()
         self.size = os.fstat(self._file.fileno()).st_size
-        self.read_bytes = self._frames_offset
+        self.bytes_read = self._frames_offset
         self.damage: list[Damage] = []
         locations = self._read_index()
         self.indexed = locations is not None
@@ -160,7 +160,7 @@
     def _read(self, offset: int, length: int) -> bytes:
         self._file.seek(offset)
         data = self._file.read(length)
-        self.read_bytes += len(data)
+        self.bytes_read += len(data)
         return data
 
     def _read_frame(self, offset: int) -> _Frame | None:
--- a/lapispick/trace/helper.py
+++ b/lapispick/trace/helper.py
@@ -1,8 +1,9 @@
 """The process that writes trace files, so that the host never waits for the disk.
 
-The host starts it with a socket as standard input, and sends ``Begin`` as JSON, then batches of steps in msgpack; each
-message is preceded by its length. When the host closes the socket, this process closes the file properly, so that
-neither SIGTERM nor SIGKILL of the host leaves an incomplete file. A kill of this process loses only the open block.
+The host starts it with a socket as standard input, and sends ``WriterOptions`` as JSON, then batches of steps in
+msgpack; each message is preceded by its length. When the host closes the socket, this process closes the file properly,
+so that neither SIGTERM nor SIGKILL of the host leaves an incomplete file. A kill of this process loses only the open
+block.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 import msgspec
 
 from lapispick import admission
-from lapispick.trace.messages import Begin
+from lapispick.trace.messages import WriterOptions
 from lapispick.trace.record_types import RECORD_TYPES, Step
 from lapispick.trace.recording import MAX_BLOCK_AGE_S, Recording
 
@@ -98,7 +99,7 @@
         now = time.monotonic()
         if recording is None:
             if data is not None:
-                recording = Recording(msgspec.json.decode(data, type=Begin), report_error, report_written)
+                recording = Recording(msgspec.json.decode(data, type=WriterOptions), report_error, report_written)
             continue
         if data is not None:
             for step in decode_steps(data):
--- a/lapispick/trace/messages.py
+++ b/lapispick/trace/messages.py
@@ -5,7 +5,7 @@
 import msgspec
 
 
-class Begin(msgspec.Struct):
+class WriterOptions(msgspec.Struct):
     """Options of the trace writer: where and how it writes files, and the content of their headers."""
 
     folder: str
--- a/lapispick/trace/record_types.py
+++ b/lapispick/trace/record_types.py
@@ -50,7 +50,7 @@
     id: int
     account: str
     subject: bytes  # keyed digest of the subject of a keyed request; empty for other requests
-    born_at: float  # Unix ms
+    created_at: float  # Unix ms
 
 
 class Answered(NamedTuple):
@@ -58,7 +58,7 @@
 
     id: int
     kind: str  # ``SERVED``, ``REJECTED`` or ``FAILED``
-    age_ms: float  # since ``Arrival.born_at``
+    age_ms: float  # since ``Arrival.created_at``
 
 
 class Gap(NamedTuple):
--- a/lapispick/trace/recording.py
+++ b/lapispick/trace/recording.py
@@ -10,7 +10,7 @@
 from typing import BinaryIO
 
 from lapispick.trace.files import STEPS_PER_BLOCK, TraceWriter, make_header
-from lapispick.trace.messages import Begin
+from lapispick.trace.messages import WriterOptions
 from lapispick.trace.module_digest import module_digest
 from lapispick.trace.record_types import Gap, Step
 from lapispick.trace.retention import TraceFile, expired_files, needs_rotation
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        options: Begin,
+        options: WriterOptions,
         report_error: Callable[[str], None],
         report_written: Callable[[int], None] = lambda count: None,
     ) -> None:
--- a/lapispick/trace/text_names.py
+++ b/lapispick/trace/text_names.py
@@ -50,7 +50,7 @@
     (admission.SetHealth, "cached"): "from_store",
     (admission.SetIdleTimeout, "timeout_ms"): "span",
     (admission.SetTimer, "delay_ms"): "after",
-    (Arrival, "born_at"): "born",
+    (Arrival, "created_at"): "born",
     (Answered, "age_ms"): "age",
     (ExternalEvent, "kind"): "what",
     (ExternalEvent, "details"): "told",
--- a/tests/test_stored_samples.py
+++ b/tests/test_stored_samples.py
@@ -93,7 +93,7 @@
     "rollout-course.json": json_codec(rollout_state.RolloutState),
     "host-config.json": json_codec(host_config.Config),
     "members-turns.jsonl": json_codec(member_reports.LeaseInfo),
-    "trace-writer-begin.json": json_codec(trace_writer.Begin),
+    "trace-writer-begin.json": json_codec(trace_writer.WriterOptions),
 }
 
 # Sample -> all kinds of messages that it must hold.
--- a/tests/test_trace_files.py
+++ b/tests/test_trace_files.py
@@ -187,9 +187,9 @@
 def test_a_time_window_is_read_with_the_index(tmp_path):
     path = write_bytes(tmp_path, files.encode_file(HEADER, make_blocks(*[50] * 40)))
     with files.TraceReader(path) as reader:
-        read_before = reader.read_bytes
+        read_before = reader.bytes_read
         assert [step.now for step in reader.steps(510.0, 520.0)] == [float(number) for number in range(510, 520)]
-        assert reader.read_bytes - read_before < reader.size / 20
+        assert reader.bytes_read - read_before < reader.size / 20
         assert not list(reader.steps(5000.0, 6000.0))
         assert not list(reader.steps(7.0, 7.0))
 
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -91,7 +91,7 @@
     "rollout, plan": rollout_plan.Plan,
     "inventory, head of the last good list": last_good.Head,
     "inventory, line of the history": last_good.HistoryEntry,
-    "trace, start of the writer": trace_writer.Begin,
+    "trace, start of the writer": trace_writer.WriterOptions,
     "operators, view of members": member_reports.ViewInfo,
     "operators, one member": member_reports.MemberInfo,
     "operators, one turn": member_reports.LeaseInfo,
