--- a/lapispick/trace/block_reader.py
+++ b/lapispick/trace/block_reader.py
@@ -71,7 +71,7 @@
         indices = self.column(name)
         if self.count and not (int(indices.min()) >= 0 and int(indices.max()) < len(dictionary)):
             raise ValueError(
-                f"is invalid: field {name!r} has an index out of range, expected 0 to {len(dictionary) - 1}"
+                f"is invalid: field {name!r} has a dictionary index out of range, expected 0 to {len(dictionary) - 1}"
             )
         return dictionary
 
--- a/lapispick/trace/files.py
+++ b/lapispick/trace/files.py
@@ -195,7 +195,7 @@
         return [BlockLocation(entry.offset, entry.first, entry.last, entry.steps) for entry in entries]
 
     def _scan(self) -> Iterator[BlockLocation]:
-        """Yield the valid blocks in order; records the bytes between them as damage."""
+        """Yield the valid blocks in order, and record the bytes between them as damage."""
         offset = self._frames_offset
         damage_offset: int | None = None
         while offset < self.size:
--- a/lapispick/trace/layout.py
+++ b/lapispick/trace/layout.py
@@ -74,7 +74,7 @@
     """Read the prelude of a file; raises ``TraceError`` if it is invalid."""
     data = read(PRELUDE.size)
     if len(data) < PRELUDE.size or data[: len(MAGIC)] != MAGIC:
-        raise TraceError(f"not a trace file: expected it to begin with {MAGIC!r}, got {data[: len(MAGIC)]!r}")
+        raise TraceError(f"not a trace file: expected at least {PRELUDE.size} bytes that begin with {MAGIC!r}")
     _, major, minor, length, crc = PRELUDE.unpack(data)
     if major != MAJOR_VERSION:
         raise TraceError(f"unsupported format version {major}.{minor}, expected {MAJOR_VERSION}.x")
--- a/lapispick/trace/recording.py
+++ b/lapispick/trace/recording.py
@@ -116,7 +116,7 @@
             self.close()
 
     def _open(self, now: float) -> TraceWriter:
-        """Return the writer of the open file; opens the next file if there is none."""
+        """Return the writer of the open file; if there is none, open the next file."""
         if self._writer is not None:
             return self._writer
         options = self._options
--- a/tests/test_trace_recorder.py
+++ b/tests/test_trace_recorder.py
@@ -240,7 +240,7 @@
     assert not replayed["differing"]
 
 
-def test_a_full_disk_loses_steps_and_no_answer(tmp_path, host):
+def test_a_full_disk_loses_steps_but_no_answer(tmp_path, host):
     recorded = RecordedHost(tmp_path, host)
     recorded.send_requests()
     recorded.wait_for_block()
