--- a/lapispick/model/__init__.py
+++ b/lapispick/model/__init__.py
@@ -1,1 +1,1 @@
-"""A discrete-event simulation of clusters too large for sockets: the real decision code on one simulated clock."""
+"""Discrete-event simulation of clusters too large to run on sockets: the real decision code on a simulated clock."""
--- a/lapispick/model/cluster.py
+++ b/lapispick/model/cluster.py
@@ -1,7 +1,7 @@
-"""A simulated cluster: one clock, links that lose and delay messages, clocks that drift, hosts that pause and die.
+"""Simulated cluster: links lose and delay messages, members' clocks drift, and members are paused and killed.
 
-Each member runs ``members/member.py`` or anything else with the interface ``SimulatedMember``. One seed determines all
-random draws, so a run can be repeated message by message.
+All events happen on one simulated clock. Each member runs ``members/member.py`` or another implementation of the
+``SimulatedMember`` interface. One seed determines all random numbers, so a run can be repeated message by message.
 """
 
 from __future__ import annotations
@@ -24,28 +24,28 @@
 DEFAULT_SLOT_COUNTS = {"job": 1}
 MAX_CLOCK_DRIFT_RATIO = 0.004
 MAX_CLOCK_OFFSET_S = 300
-MIN_DELAY_S = 0.002  # of a message; up to as much again is drawn
+MIN_DELAY_S = 0.002  # of a message; a random delay of up to the same length is added
 MIN_TICK_INTERVAL_S = 0.01
 MAX_TICK_INTERVAL_S = 1.0
 
 
 class SimulatedMember(Protocol):
-    """What a member of a simulated cluster has to do."""
+    """Interface of a member of a simulated cluster."""
 
     def next_tick_at(self) -> float:
-        """Return when the next tick has something to do."""
+        """Return the time, by the member's clock, at which the next tick has work to do."""
 
     def tick(self, now: float) -> list[Outgoing]:
-        """Do what is due."""
+        """Do the work that is due, and return the messages to send."""
 
     def receive(self, now: float, message: Any) -> list[Outgoing]:
-        """Take a message."""
+        """Process a received message, and return the messages to send."""
 
     def take_changes(self) -> list[StateChange]:
         """Return the state changes since the last call."""
 
 
-# From a name, a process epoch, the time of the member's clock and a generator of its own.
+# Arguments: the name, the process epoch, the time of the member's own clock, and the member's random generator.
 MemberFactory = Callable[[str, int, float, random.Random], SimulatedMember]
 
 
@@ -58,12 +58,12 @@
     hosts: frozenset[str]
     both_ways: bool
 
-    def cuts(self, sender: str, receiver: str) -> bool:
+    def blocks(self, sender: str, receiver: str) -> bool:
         return (sender in self.hosts) != (receiver in self.hosts) and (self.both_ways or sender in self.hosts)
 
 
 class ObservedChange(NamedTuple):
-    """A state change as one member saw it."""
+    """State change in the view of one member."""
 
     at: float
     observer: str
@@ -71,7 +71,7 @@
 
 
 class ObservedDeath(NamedTuple):
-    """One member declared another one dead."""
+    """Declaration by one member that another one is dead."""
 
     at: float
     observer: str
@@ -79,35 +79,35 @@
 
 
 def host_names(size: int) -> list[str]:
-    """Return the names of a cluster of this size."""
+    """Return the names of the hosts in a cluster of this size."""
     return [f"disp-{number:04}" for number in range(1, size + 1)]
 
 
 class SimulatedCluster:
-    """A cluster in the simulation. ``loss`` and ``max_extra_delay_s`` may be changed while it runs."""
+    """Cluster in the simulation. ``loss`` (a fraction) and ``max_extra_delay_s`` may be changed while it runs."""
 
     def __init__(
         self, seed: int, size: int, factory: MemberFactory, script: Sequence[FaultStep] = (), loss: float = 0.0
     ) -> None:
-        """Start ``size`` members within the first second, and inject the faults of the script."""
+        """Create ``size`` members, whose first ticks are in the first second, and schedule the faults of the script."""
         self.rng = random.Random(seed)
         self.seed = seed
         self.factory = factory
         self.now = 0.0
         self.loss = loss
         self.max_extra_delay_s = 0.0
-        self.blocked_links: set[tuple[str, str]] = set()  # sender and receiver
+        self.blocked_links: set[tuple[str, str]] = set()  # pairs of sender and receiver
         self.names = host_names(size)
         self.sent_messages = 0
         self.sent_bytes = 0
         self.changes: list[ObservedChange] = []
-        self.dead: set[str] = set()
+        self.killed: set[str] = set()  # members that are killed and not yet restarted
         self.process_epochs = dict.fromkeys(self.names, 1)
         self.members: dict[str, Any] = {}
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._counter = itertools.count()
+        self._sequence_numbers = itertools.count()
         self._clocks = {name: self._draw_clock() for name in self.names}
-        self._paused: dict[str, list[Any]] = {}  # with the messages that wait
+        self._paused: dict[str, list[Any]] = {}  # by member: the messages to deliver when it resumes
         self._partitions: dict[int, _Partition] = {}
         for name in self.names:
             self._start(name)
@@ -130,11 +130,11 @@
         return duration / self._clocks[name].rate
 
     def at(self, when: float, call: Callable[[], None]) -> None:
-        """Schedule a call."""
-        heapq.heappush(self._events, (when, next(self._counter), call))
+        """Schedule a call at a simulated time."""
+        heapq.heappush(self._events, (when, next(self._sequence_numbers), call))
 
     def run(self, until: float, check: Callable[[], None] | None = None) -> None:
-        """Run until a time; ``check`` is called after each event."""
+        """Run until a simulated time; ``check`` is called after each event."""
         while self._events and self._events[0][0] <= until:
             self.now, _, call = heapq.heappop(self._events)
             call()
@@ -151,15 +151,15 @@
         self.at(self.now + rng.random(), partial(self._tick, name, epoch))
 
     def is_paused(self, name: str) -> bool:
-        """Tell whether a member is paused."""
+        """Return True if a member is paused."""
         return name in self._paused
 
     def is_running(self, name: str) -> bool:
-        """Tell whether a member is neither dead nor paused."""
-        return name not in self.dead and name not in self._paused
+        """Return True if a member is neither killed nor paused."""
+        return name not in self.killed and name not in self._paused
 
     def _tick(self, name: str, epoch: int) -> None:
-        if self.process_epochs[name] != epoch or name in self.dead:
+        if self.process_epochs[name] != epoch or name in self.killed:
             return
         member = self.members[name]
         if name not in self._paused:
@@ -169,47 +169,47 @@
         self.at(self.now + delay, partial(self._tick, name, epoch))
 
     def tick_now(self, name: str) -> None:
-        """Let a running member do at once what is due."""
+        """Tick a running member now instead of at its next tick; do nothing for a member that is not running."""
         if self.is_running(name):
             self.send(name, self.members[name].tick(self.clock(name)))
 
     def send(self, name: str, outgoing: Sequence[Outgoing]) -> None:
-        """Send a member's messages, and record the state changes that it saw."""
-        for to, message in outgoing:
+        """Send a member's messages, and record the state changes in its view."""
+        for receiver, message in outgoing:
             self.sent_messages += 1
             is_message = isinstance(message, messages.Message)
             self.sent_bytes += len(messages.encode_datagram(message)) if is_message else len(message)
-            if self.rng.random() < self.loss or self._is_cut(name, to):
+            if self.rng.random() < self.loss or self._is_blocked(name, receiver):
                 continue
             delay = MIN_DELAY_S * (1 + self.rng.random())
             if self.max_extra_delay_s:
                 delay += self.rng.random() * self.max_extra_delay_s
-            self.at(self.now + delay, partial(self._deliver, to, message))
+            self.at(self.now + delay, partial(self._deliver, receiver, message))
         for change in self.members[name].take_changes():
             self.changes.append(ObservedChange(self.now, name, change))
 
-    def _deliver(self, to: str, message: Any) -> None:
-        if to in self.dead:
+    def _deliver(self, receiver: str, message: Any) -> None:
+        if receiver in self.killed:
             return
-        if to in self._paused:
-            self._paused[to].append(message)
+        if receiver in self._paused:
+            self._paused[receiver].append(message)
             return
-        self.send(to, self.members[to].receive(self.clock(to), message))
+        self.send(receiver, self.members[receiver].receive(self.clock(receiver), message))
 
     # Faults.
 
-    def _is_cut(self, sender: str, receiver: str) -> bool:
+    def _is_blocked(self, sender: str, receiver: str) -> bool:
         if (sender, receiver) in self.blocked_links:
             return True
-        return any(partition.cuts(sender, receiver) for partition in self._partitions.values())
+        return any(partition.blocks(sender, receiver) for partition in self._partitions.values())
 
     def _inject(self, step: FaultStep) -> None:
-        hosts = step.affected(self.names, self.rng)
-        number = next(self._counter)
+        hosts = step.affected_hosts(self.names, self.rng)
+        partition_number = next(self._sequence_numbers)
         end = self.now + step.span
         if step.kind in (FaultKind.PARTITION, FaultKind.ONE_WAY_PARTITION):
-            self._partitions[number] = _Partition(frozenset(hosts), step.kind == FaultKind.PARTITION)
-            self.at(end, partial(self._heal, number))
+            self._partitions[partition_number] = _Partition(frozenset(hosts), step.kind == FaultKind.PARTITION)
+            self.at(end, partial(self._heal, partition_number))
         elif step.kind == FaultKind.LOSS:
             self.at(end, partial(setattr, self, "loss", self.loss))
             self.loss = step.value
@@ -218,19 +218,19 @@
             self.max_extra_delay_s = step.value
         else:
             for name in hosts:
-                self._take_down(name, step.kind, end)
+                self._pause_or_kill(name, step.kind, end)
 
-    def _heal(self, number: int) -> None:
-        del self._partitions[number]
+    def _heal(self, partition_number: int) -> None:
+        del self._partitions[partition_number]
 
-    def _take_down(self, name: str, kind: str, end: float) -> None:
+    def _pause_or_kill(self, name: str, kind: str, end: float) -> None:
         if not self.is_running(name):
             return
         if kind == FaultKind.PAUSE:
             self._paused[name] = []
             self.at(end, partial(self._resume, name))
         else:
-            self.dead.add(name)
+            self.killed.add(name)
             self.at(end, partial(self._restart, name))
 
     def _resume(self, name: str) -> None:
@@ -238,14 +238,14 @@
             self._deliver(name, message)
 
     def _restart(self, name: str) -> None:
-        self.dead.discard(name)
+        self.killed.discard(name)
         self.process_epochs[name] += 1
         self._start(name)
 
     # Results.
 
     def deaths(self) -> list[ObservedDeath]:
-        """Return who declared whom dead, and when."""
+        """Return all declarations of a member as dead, in chronological order."""
         return [
             ObservedDeath(at, observer, change.name)
             for at, observer, change in self.changes
@@ -256,7 +256,7 @@
 def member_factory(
     names: Sequence[str], settings: MemberSettings | None = None, slot_counts: Mapping[str, int] | None = None
 ) -> MemberFactory:
-    """Return a factory of real members that share one configuration of these names."""
+    """Return a factory of real members; the names form the configuration that they share."""
     configuration = frozenset(names)
     member_settings = settings or MemberSettings()
     counts = slot_counts or DEFAULT_SLOT_COUNTS
--- a/lapispick/model/properties/lease_runs.py
+++ b/lapispick/model/properties/lease_runs.py
@@ -1,4 +1,4 @@
-"""Properties of leases in simulated clusters, whatever fails."""
+"""Properties of leases in simulated clusters, with and without faults."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class _Owners:
-    """An owner at each member that wants the lease, keeps it for a while and releases it."""
+    """One owner at each member, which repeatedly requests the lease, holds it for ``hold_s`` and releases it."""
 
     def __init__(self, cluster: SimulatedCluster, hold_s: float = 3.0) -> None:
         self.cluster = cluster
@@ -25,7 +25,7 @@
         self.held_since: dict[str, float] = {}
         self.fencing_tokens: list[int] = []
         self.highest_token = 0
-        self._holders: dict[int, tuple[str, int]] = {}  # by token: the name and its process epoch
+        self._holders: dict[int, tuple[str, int]] = {}  # by token: the member and its process epoch
         for name in cluster.names:
             cluster.at(cluster.rng.random(), partial(self._poll, name))
 
@@ -52,22 +52,24 @@
         self.fencing_tokens.append(token)
         holder = (name, self.cluster.process_epochs[name])
         is_only_holder = self._holders.setdefault(token, holder) == holder
-        require(is_only_holder, f"fencing token {token} has two holders at {self.cluster.now:.1f}")
+        require(is_only_holder, f"fencing token {token} has two holders at {self.cluster.now:.1f} s")
 
     def check(self) -> None:
-        """Check the present instant: one holder, and no action under an older token."""
+        """Check that at this instant at most one member holds the slot, and that none acts under an outdated token."""
         cluster = self.cluster
         holding = [
             (name, status.fencing_token)
             for name in self.held_since
-            if name not in cluster.dead
+            if name not in cluster.killed
             for status in cluster.members[name].leases.statuses(cluster.clock(name))
             if status.fencing_token
         ]
-        require(len(holding) <= 1, f"{holding} hold one slot at {cluster.now:.2f}")
+        require(len(holding) <= 1, f"several members hold one slot at {cluster.now:.2f} s: {holding}")
         for name, token in holding:
             if not cluster.is_paused(name):
-                require(token >= self.highest_token, f"{name} acts under {token} after {self.highest_token} was seen")
+                require(
+                    token >= self.highest_token, f"{name} acts under token {token} after token {self.highest_token}"
+                )
                 self.highest_token = max(self.highest_token, token)
 
 
@@ -88,7 +90,7 @@
 
 
 def single_holder(seed: int) -> None:
-    """At no instant two members hold a slot, a token has one holder, and leases are granted again after the faults."""
+    """At most one member holds a slot at any time, each token has one holder, and leases are granted after faults."""
     rng = random.Random(f"faults {seed}")
     names = host_names(5)
     faults = _random_faults(rng, names, 60.0)
@@ -99,11 +101,11 @@
     acquired_before = len(owners.fencing_tokens)
     cluster.loss = 0.0
     cluster.run(150.0, owners.check)
-    require(len(owners.fencing_tokens) > acquired_before, "nobody obtained the lease after the faults")
+    require(len(owners.fencing_tokens) > acquired_before, "no member obtained the lease after the faults")
 
 
 def fencing_tokens_survive_restart(seed: int) -> None:
-    """After all members restarted without state, later holders still have higher fencing tokens."""
+    """Fencing tokens continue to increase after all members restarted without state."""
     script = [FaultStep(25.0, FaultKind.KILL, "all", 1.0)]
     cluster = SimulatedCluster(seed, 3, member_factory(host_names(3)), script)
     owners = _Owners(cluster, hold_s=1.0)
@@ -111,11 +113,17 @@
     highest_before = owners.highest_token
     owners.held_since.clear()
     cluster.run(70.0, owners.check)
-    require(0 < highest_before < owners.highest_token, f"tokens went from {highest_before} to {owners.highest_token}")
+    require(
+        0 < highest_before < owners.highest_token,
+        f"highest token: {highest_before} before the restart, {owners.highest_token} after it",
+    )
 
 
 def reconfiguration(seed: int) -> None:
-    """While the configuration changes at each member in turn, with one member in common, one holds the slot."""
+    """At most one member holds the slot while the members change configuration at different times.
+
+    The old and the new configuration have one member in common.
+    """
     names = host_names(9)
     old = frozenset(names[:5])
     new = frozenset(names[4:])
@@ -134,11 +142,11 @@
     for name in names:
         cluster.at(15.0 + rng.uniform(0, 10), partial(change, name))
     cluster.run(100.0, owners.check)
-    require(bool(owners.fencing_tokens), "nobody obtained the lease")
+    require(bool(owners.fencing_tokens), "no member obtained the lease")
 
 
 def owners_share_no_slot(seed: int) -> None:
-    """Two owners at one member, and more members than slots, never share a slot."""
+    """Owners never share a slot: neither two owners at one member nor the owners at more members than slots."""
     names = host_names(3)
     cluster = SimulatedCluster(seed, 3, member_factory(names, slot_counts={LEASE: 2}))
     max_held = 0
@@ -152,21 +160,21 @@
         cluster.tick_now(name)
         held = [
             status.slot
-            for each in names
-            for status in cluster.members[each].leases.statuses(cluster.clock(each))
+            for member in names
+            for status in cluster.members[member].leases.statuses(cluster.clock(member))
             if status.fencing_token
         ]
-        require(len(held) == len(set(held)), f"slots {held} are held at once")
+        require(len(held) == len(set(held)), f"a slot has two holders; held slots: {held}")
         max_held = max(max_held, len(held))
 
     for name in names:
         cluster.at(cluster.rng.random(), partial(poll, name))
     cluster.run(40.0)
-    require(max_held == 2, f"of two slots {max_held} were used")
+    require(max_held == 2, f"{max_held} of 2 slots were used at the same time")
 
 
 def simultaneous_requests(seed: int) -> None:
-    """Members that all request a lease at one instant all obtain it, one after the other."""
+    """Members that request a lease at the same instant all obtain it, one after the other."""
     names = host_names(14)
     cluster = SimulatedCluster(seed, 14, member_factory(names))
     acquired_at: dict[str, float] = {}
@@ -192,11 +200,11 @@
     for name in names:
         cluster.at(20.0, partial(poll, name))
     cluster.run(90.0)
-    require(len(acquired_at) == 14, f"{len(acquired_at)} of 14 obtained the lease within 70 s")
+    require(len(acquired_at) == 14, f"{len(acquired_at)} of 14 members obtained the lease within 70 s")
 
 
 def all_slots_used(seed: int) -> None:
-    """With more proposers than slots all slots are used: nobody queues behind members that wait for another slot."""
+    """With more proposers than slots all slots are used: waiters for one slot do not block waiters for another."""
     names = host_names(6)
     cluster = SimulatedCluster(seed, 6, member_factory(names, slot_counts={LEASE: 2}))
     acquired_at: dict[str, float] = {}
@@ -220,11 +228,13 @@
     for name in names:
         cluster.at(10.0, partial(poll, name))
     cluster.run(70.0)
-    require(acquired_count > 120, f"{acquired_count} leases of half a second in a minute with two slots")
+    require(
+        acquired_count > 120, f"two slots were leased {acquired_count} times for 0.5 s in 60 s, expected more than 120"
+    )
 
 
 def abandoned_lease_expires(seed: int) -> None:
-    """A lease whose owner fell silent is nobody's before it expires, at the owner's own member either."""
+    """A lease whose owner stops requesting it goes to no other owner before it expires, also at the same member."""
     names = host_names(3)
     cluster = SimulatedCluster(seed, 3, member_factory(names))
     silent_owner_until = 0.0
@@ -234,7 +244,7 @@
         nonlocal silent_owner_until
         cluster.at(cluster.now + POLL_INTERVAL_S, partial(poll, name, owner))
         if owner == "silent" and silent_owner_until:
-            return  # it was granted the lease once, and acts under it until the end
+            return  # it obtained the lease once, and acts under it until it expires
         status = cluster.members[name].leases.request(cluster.clock(name), LEASE, owner)
         cluster.tick_now(name)
         if status is None or not status.fencing_token:
@@ -250,8 +260,8 @@
     cluster.run(60.0)
     require(silent_owner_until > 0, "the silent owner never obtained the lease")
     require(bool(acquired_at), "no other owner obtained the lease")
-    early = silent_owner_until - acquired_at[0]
-    require(early <= 0, f"another owner obtained the lease {early:.1f} s before it expired")
+    early_s = silent_owner_until - acquired_at[0]
+    require(early_s <= 0, f"another owner obtained the lease {early_s:.1f} s before it expired")
 
 
 PROPERTIES: tuple[Property, ...] = (
--- a/lapispick/model/runs.py
+++ b/lapispick/model/runs.py
@@ -1,4 +1,4 @@
-"""Runs of the simulation and their metrics."""
+"""Simulation runs and their metrics."""
 
 from __future__ import annotations
 
@@ -14,44 +14,44 @@
 
 LEASE = "job"
 OWNER = "owner"
-HOLD_TIME_S = 0.5  # for which an owner keeps a lease
+HOLD_TIME_S = 0.5  # time for which an owner holds a lease before it releases it
 CHECK_INTERVAL_S = 0.1
 
 
 class RunSettings(msgspec.Struct, frozen=True):
-    """One run: members, simulated seconds, fraction of lost messages, seed, fault script, members that want a lease."""
+    """Settings of one run; ``loss`` is the fraction of lost messages, ``script`` the text of a fault script."""
 
-    size: int
-    seconds: float = 60.0
+    size: int  # members
+    seconds: float = 60.0  # simulated time
     loss: float = 0.0
     seed: int = 1
     script: str = ""
-    lease_requesters: int = 0
+    lease_requesters: int = 0  # members that request the lease
 
 
 class RunMetrics(msgspec.Struct):
-    """The results of a run. Times in s; -1 means that it did not happen. The JSON names are those of saved sweeps."""
+    """Metrics of a run. Times are in s; -1 means that there was no such event. Saved sweeps use the JSON names."""
 
     size: int
     messages_per_member_s: float = msgspec.field(name="words")
     bytes_per_member_s: float = msgspec.field(name="bytes")
     killed: int
-    detected: int = msgspec.field(name="noticed")  # of those killed
+    detected: int = msgspec.field(name="noticed")  # killed members that were declared dead
     mean_first_detection_s: float = msgspec.field(name="notice_first")
-    mean_last_detection_s: float = msgspec.field(name="notice_all")  # until all live members know
-    false_deaths: int  # members that were declared dead and were not
+    mean_last_detection_s: float = msgspec.field(name="notice_all")  # until the last declaration by a live member
+    false_deaths: int  # members that were declared dead without being killed
     leases: int = msgspec.field(name="turns")
-    mean_lease_wait_s: float = msgspec.field(name="turn_wait")  # from one holder's release to the next acquisition
-    overlaps: int  # checks that found two holders
+    mean_lease_wait_s: float = msgspec.field(name="turn_wait")  # from a holder's release to the next acquisition
+    overlaps: int  # checks that found more than one holder
     cpu_s: float
 
 
 class _LeaseWorkload:
-    """Owners that hold the lease for a moment each, in turn."""
+    """Owners that repeatedly request the lease, hold it for ``HOLD_TIME_S`` and release it."""
 
     def __init__(self, cluster: SimulatedCluster, owners: list[str]) -> None:
         self.cluster = cluster
-        self.acquired = 0
+        self.acquired_count = 0
         self.total_wait_s = 0.0
         self.overlaps = 0
         self._held_since: dict[str, float] = {}
@@ -81,12 +81,12 @@
             self._held_since.pop(name, None)
         elif name not in self._held_since:
             self._held_since[name] = self.cluster.now
-            self.acquired += 1
+            self.acquired_count += 1
             self.total_wait_s += self.cluster.now - self._free_since
 
     def check(self) -> None:
-        """Count the instants at which two members hold the lease, each by its own clock."""
-        holders = sum(self._is_holder(name) for name in self._held_since if name not in self.cluster.dead)
+        """Count an overlap if more than one member holds the lease at this instant, each by its own clock."""
+        holders = sum(self._is_holder(name) for name in self._held_since if name not in self.cluster.killed)
         self.overlaps += holders > 1
 
     def _is_holder(self, name: str) -> bool:
@@ -95,7 +95,7 @@
 
 
 def simulate(run: RunSettings, settings: MemberSettings | None = None) -> RunMetrics:
-    """Run one simulation."""
+    """Run one simulation and return its metrics."""
     started_cpu = time.process_time()
     factory = member_factory(host_names(run.size), settings)
     cluster = SimulatedCluster(run.seed, run.size, factory, fault_script.parse(run.script), run.loss)
@@ -118,8 +118,8 @@
         mean_first_detection_s=_mean(first_detections),
         mean_last_detection_s=_mean(last_detections),
         false_deaths=len({death.name for death in cluster.deaths() if death.name not in killed}),
-        leases=workload.acquired,
-        mean_lease_wait_s=workload.total_wait_s / workload.acquired if workload.acquired else -1.0,
+        leases=workload.acquired_count,
+        mean_lease_wait_s=workload.total_wait_s / workload.acquired_count if workload.acquired_count else -1.0,
         overlaps=workload.overlaps,
         cpu_s=time.process_time() - started_cpu,
     )
@@ -130,10 +130,10 @@
 
 
 def _record_kills(cluster: SimulatedCluster, killed: dict[str, float]) -> None:
-    """Record when members die."""
+    """Record when each member is first killed, to the precision of ``CHECK_INTERVAL_S``."""
 
     def check() -> None:
-        for name in cluster.dead:
+        for name in cluster.killed:
             killed.setdefault(name, cluster.now)
         cluster.at(cluster.now + CHECK_INTERVAL_S, check)
 
@@ -141,7 +141,7 @@
 
 
 def plot(rows: list[RunMetrics], path: str) -> None:
-    """Plot metrics by cluster size into an image file."""
+    """Plot metrics by cluster size, and write the plot to an image file."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -149,9 +149,9 @@
 
     figure, axes = pyplot.subplots(1, 3, figsize=(11, 3.2))
     values: tuple[tuple[str, Callable[[RunMetrics], float]], ...] = (
-        ("s until the first member detects a death", lambda row: row.mean_first_detection_s),
-        ("messages per member and second", lambda row: row.messages_per_member_s),
-        ("bytes per member and second", lambda row: row.bytes_per_member_s),
+        ("time to first detection of a death (s)", lambda row: row.mean_first_detection_s),
+        ("messages per member per second", lambda row: row.messages_per_member_s),
+        ("bytes per member per second", lambda row: row.bytes_per_member_s),
     )
     for axis, (label, value) in zip(axes, values, strict=True):
         axis.plot([row.size for row in rows], [value(row) for row in rows], marker="o")
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -95,7 +95,7 @@
 @pytest.mark.parametrize(
     ("text", "error"),
     [
-        ("10s fly all", "line 1: fly is none of"),
+        ("10s fly all", "line 1: unknown fault kind 'fly', expected one of"),
         ("x stop all", "line 1: 'x' is not a span"),
         ("1s loss all for 2s", "takes one value"),
         ("\n1s stop 5% for 1s 3", "line 2: stop takes no value"),
