--- a/lapispick/model/properties/__init__.py
+++ b/lapispick/model/properties/__init__.py
@@ -1,8 +1,8 @@
-"""Invariants of membership, leases and facts, each checked in seeded simulations of the real decision code.
+"""Properties of membership, leases and facts that are checked on the real decision code.
 
-A property is a function of a seed that raises ``PropertyError`` with what it observed. ``lapispick model check`` runs
-them with thousands of seeds, the tests with some. ``benchmarks/members_mutants.py`` shows that each one fails when the
-code that it covers is removed.
+A property is a function of a seed. It raises ``PropertyError`` with the observed behaviour if the property is violated.
+``lapispick model check`` checks the properties with thousands of seeds, the tests with a few.
+``benchmarks/members_mutants.py`` shows that each property fails when the code that it covers is removed.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from lapispick.model.properties.base import Property, PropertyError
 
 PROPERTIES: dict[str, Property] = {
-    check.__name__: check
+    property_check.__name__: property_check
     for module in (lease_runs, lease_rules, membership_runs, membership_rules, fact_rules)
-    for check in module.PROPERTIES
+    for property_check in module.PROPERTIES
 }
 
-# Names of earlier versions, which ``lapispick model check`` still accepts.
+# Property names of earlier versions, with the current names. ``lapispick model check`` still accepts them.
 FORMER_NAMES = {
     "one_holder": "single_holder",
     "numbers_survive": "fencing_tokens_survive_restart",
@@ -52,7 +52,7 @@
 
 
 class Violation(NamedTuple):
-    """A property that does not hold, the seed that shows it and what was observed."""
+    """Violated property, the seed that reproduces the violation, and the observed behaviour."""
 
     name: str
     seed: int
@@ -60,7 +60,7 @@
 
 
 def check(names: Sequence[str], seeds: range) -> list[Violation]:
-    """Check properties with seeds; returns the first violation of each."""
+    """Check each property with all seeds until one violates it; return the first violation of each property."""
     violations = []
     for name in names:
         for seed in seeds:
--- a/lapispick/model/properties/base.py
+++ b/lapispick/model/properties/base.py
@@ -1,4 +1,4 @@
-"""What the modules of properties share."""
+"""Types, constants and assertions that the modules of properties share."""
 
 from __future__ import annotations
 
@@ -9,26 +9,29 @@
 
 Property = Callable[[int], None]
 
-POLL_INTERVAL_S = 0.1  # of the owners of leases
+POLL_INTERVAL_S = 0.1  # time between two requests of a lease owner
 LEASE = "job"
 OWNER = "owner"
 
 
 class PropertyError(AssertionError):
-    """A property does not hold; says what was observed."""
+    """Violation of a property; the message describes the observed behaviour."""
 
 
-def require(holds: bool, observed: str) -> None:
-    """Raise ``PropertyError`` unless the condition holds."""
-    if not holds:
+def require(condition: bool, observed: str) -> None:
+    """Raise ``PropertyError`` unless the condition is true."""
+    if not condition:
         raise PropertyError(observed)
 
 
-def require_agreement(cluster: SimulatedCluster, alive: set[str], absent: set[str]) -> None:
-    """Raise ``PropertyError`` unless all live members believe each other alive, and the others dead or left."""
-    for observer in sorted(alive):
+def require_agreement(cluster: SimulatedCluster, live: set[str], absent: set[str]) -> None:
+    """Raise ``PropertyError`` unless each live member sees the other live ones as alive, the absent as dead or left."""
+    for observer in sorted(live):
         view = cluster.members[observer].view
-        for name in sorted(alive | absent):
-            expected = (MemberState.ALIVE,) if name in alive else (MemberState.DEAD, MemberState.LEFT)
+        for name in sorted(live | absent):
+            expected = (MemberState.ALIVE,) if name in live else (MemberState.DEAD, MemberState.LEFT)
             if name != observer and view.state_of(name) not in expected:
-                raise PropertyError(f"{observer} believes {name} to be {view.state_of(name)!r} at {cluster.now:.0f}")
+                states = " or ".join(state.name for state in expected)
+                raise PropertyError(
+                    f"{observer} sees {name} as {view.state_of(name)!r} at {cluster.now:.0f} s, expected {states}"
+                )
--- a/lapispick/model/properties/membership_rules.py
+++ b/lapispick/model/properties/membership_rules.py
@@ -1,4 +1,4 @@
-"""Properties of single members and their views."""
+"""Properties of a single member and its view."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def long_pause(seed: int) -> None:
-    """A member that was paused for long declares nobody dead for what it did not hear meanwhile."""
+    """A member declares no other member dead because of messages that it did not receive during its own long pause."""
     detector = _detector("a", ["a", "b", "c", "d"], seed)
     view = detector.view
     view.receive(1.0, GossipUpdate("b", "suspect", 0, 1, "c"), "c")
@@ -40,28 +40,28 @@
         detector.tick(step / 10)
     before = {name: view.state_of(name) for name in "bcd"}
     detector.tick(64.0)
-    require(MemberState.DEAD not in before.values(), "a member is dead at once")
+    require(MemberState.DEAD not in before.values(), "a suspected member is dead within 3 s")
     after = {name: view.state_of(name) for name in "bcd"}
-    require(MemberState.DEAD not in after.values(), "it declares others dead for its own pause")
+    require(MemberState.DEAD not in after.values(), "a member declares others dead because of its own pause")
     for step in range(640, 2000):
         detector.tick(step / 10)
-    require(view.state_of("b") is MemberState.DEAD, "a suspicion never ends")
+    require(view.state_of("b") is MemberState.DEAD, "a suspicion does not time out")
 
 
 def replaced_process(seed: int) -> None:
-    """A process that wakes after another one took its name sends nothing more and holds no lease."""
+    """A paused process that was replaced by a later one with its name sends no messages and obtains no leases."""
     member = _member(["a"], seed, epoch=5, is_first_process=True)
     member.set_configuration(["a", "b"], "l", 0.0)
     member.set_configuration(["a"], "m", 100.0)
     member.set_configuration(["a", "b"], "n", 200.0)
     member.receive(300.0, Probe(FLEET, "b", 1, 0, (GossipUpdate("a", "alive", 0, 9),), sequence=1))
-    require(member.view.replaced, "a process does not notice that it was replaced")
+    require(member.view.replaced, "a process does not detect that it was replaced")
     require(not member.tick(301.0), "a replaced process sends messages")
-    require(member.leases.request(301.0, LEASE, "x") is None, "a replaced process requests leases")
+    require(member.leases.request(301.0, LEASE, "x") is None, "a replaced process accepts a request for a lease")
 
 
 def invalid_senders_ignored(seed: int) -> None:
-    """Messages of another fleet, of unknown members, of earlier epochs, and invalid ones change nothing."""
+    """Messages from another fleet, unknown members or earlier epochs, and invalid messages change no state."""
     member = _member(["a", "b", "c"], seed)
     member.receive(0.0, Probe(FLEET, "b", 5, 0, sequence=1))
     before = msgspec.json.encode(member.state_sync(1.0).member_states)
@@ -81,12 +81,15 @@
     unknown_state = GossipUpdate("c", "odd", 9, 9)
     invalid_incarnation = GossipUpdate("c", "dead", MAX_EPOCH + 1, 1)
     member.receive(1.0, Probe(FLEET, "b", 5, 0, (unknown_name, unknown_state, invalid_incarnation)))
-    require(msgspec.json.encode(member.state_sync(1.0).member_states) == before, "an invalid update counts")
-    require(not member.facts.snapshot(1.0), "an invalid sender's fact counts")
+    require(
+        msgspec.json.encode(member.state_sync(1.0).member_states) == before,
+        "an invalid message or update changed a state",
+    )
+    require(not member.facts.snapshot(1.0), "a fact from an invalid message was stored")
 
 
 def bounded_tables(seed: int) -> None:
-    """A member that floods with facts, slots and updates makes no table grow past its limit."""
+    """A member that floods another with facts, slots and updates makes no table grow beyond its limit."""
     member = _member(["a", "b", "c"], seed, is_first_process=True)
     for n in range(3000):
         now = n / 100
@@ -105,7 +108,7 @@
         "lease requests": (len(member.leases), 64),
     }
     for table, (size, limit) in sizes_and_limits.items():
-        require(size <= limit, f"the table of {table} has {size} entries, more than {limit}")
+        require(size <= limit, f"the table of {table} has {size} entries, expected at most {limit}")
     longest = Probe(
         FLEET,
         "a" * 200,
@@ -116,20 +119,25 @@
         tuple(Fact("a" * 200, 1, 1, "load", "s" * 64, 1.0, text="t" * 64) for _ in range(4)),
     )
     size = len(messages.encode_datagram(longest))
-    require(size <= messages.MAX_DATAGRAM_BYTES, f"a datagram has {size} bytes")
+    require(
+        size <= messages.MAX_DATAGRAM_BYTES,
+        f"the longest datagram has {size} bytes, expected at most {messages.MAX_DATAGRAM_BYTES}",
+    )
 
 
 def refutation(seed: int) -> None:
-    """A member that hears it is believed suspect or dead refutes it with a higher incarnation, and is believed."""
-    one = _detector("a", ["a", "b"], seed)
-    other = _detector("b", ["a", "b"], seed)
-    one.view.receive(1.0, GossipUpdate("b", "dead", 0, 1), "a")
-    require(one.view.state_of("b") is MemberState.DEAD, "a report of a death is not recorded")
-    probe = one.build(Probe, "b", sequence=1)
-    require(any(update.name == "b" for update in probe.updates), "a member that is believed dead is not told")
-    for answer in other.receive(1.1, probe):
-        one.receive(1.2, answer.message)
-    require(one.view.state_of("b") is MemberState.ALIVE, "a refutation is not believed")
+    """A member that is reported suspect or dead refutes this with a higher incarnation, and others see it as alive."""
+    detector = _detector("a", ["a", "b"], seed)
+    refuting_detector = _detector("b", ["a", "b"], seed)
+    detector.view.receive(1.0, GossipUpdate("b", "dead", 0, 1), "a")
+    require(detector.view.state_of("b") is MemberState.DEAD, "a report that a member is dead is not recorded")
+    probe = detector.build(Probe, "b", sequence=1)
+    require(
+        any(update.name == "b" for update in probe.updates), "a probe does not tell its target that it is reported dead"
+    )
+    for answer in refuting_detector.receive(1.1, probe):
+        detector.receive(1.2, answer.message)
+    require(detector.view.state_of("b") is MemberState.ALIVE, "a refutation is not recorded")
 
 
 PROPERTIES: tuple[Property, ...] = (
