--- a/lapispick/cli/demo.py
+++ b/lapispick/cli/demo.py
@@ -1,4 +1,4 @@
-"""``lapispick demo``: one worker host among fake peers, a few seconds of requests, and their outcomes."""
+"""``lapispick demo``: runs one worker host with fake peers, sends it requests and prints their outcomes."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 from lapispick.cli.output import ExitCode, print_error, print_json, print_line, print_table
 
-WORK_S = 0.02  # of each run
+RUN_DURATION_S = 0.02
 CORES = 2  # of the fake executor
-MAX_ANSWER_WAIT_S = 10.0  # the last answers are due within the patience of the last requests, far sooner
+MAX_ANSWER_WAIT_S = 10.0  # the last answers are due ``TIMEOUT_MS`` after the last requests, far sooner
 ANSWER_POLL_INTERVAL_S = 0.02
-PATIENCE_MS = 1200
-SHORT_PATIENCE_MS = 15  # less than a run takes
+TIMEOUT_MS = 1200
+SHORT_TIMEOUT_MS = 15  # shorter than a run
 CALL_QUOTA_PER_S = 50.0
 REJECTED_CODE = -32050
 QUEUE = "jobs"
@@ -55,34 +55,34 @@
 
 
 class RequestKind(NamedTuple):
-    """A kind of request, and which fraction of all requests it is."""
+    """A kind of request, and its fraction of all requests."""
 
     name: str
     request_class: str
     fraction: float
-    patience_ms: int = PATIENCE_MS
+    timeout_ms: int = TIMEOUT_MS
     is_retry: bool = False
 
 
 TRACK = RequestKind("track", "track", 0.55)
 BOOK = RequestKind("book", "book", 0.25)
-BOOK_AGAIN = RequestKind("book again", "book", 0.1, is_retry=True)
-TRACK_IN_A_HURRY = RequestKind("track, hardly any time", "track", 0.1, patience_ms=SHORT_PATIENCE_MS)
-KINDS = (TRACK, BOOK, BOOK_AGAIN, TRACK_IN_A_HURRY)
+BOOK_RETRY = RequestKind("book again", "book", 0.1, is_retry=True)
+TRACK_SHORT_TIMEOUT = RequestKind("track, hardly any time", "track", 0.1, timeout_ms=SHORT_TIMEOUT_MS)
+KINDS = (TRACK, BOOK, BOOK_RETRY, TRACK_SHORT_TIMEOUT)
 OUTCOMES = ("served", "refused", "failed", "unanswered")
 
 OutcomeCounts = dict[tuple[str, str], collections.Counter[str]]  # by front and kind
 
 
 class Booking(NamedTuple):
-    """A keyed request that may be sent again."""
+    """A keyed request that may be retried."""
 
     key: str
     body: str
 
 
 class Result(NamedTuple):
-    """What a demo showed."""
+    """Result of a demo run."""
 
     outcomes: OutcomeCounts
     second_executions: int
@@ -90,7 +90,7 @@
 
     @property
     def unanswered(self) -> int:
-        """Count the requests without an answer."""
+        """Return the number of requests without an answer."""
         return sum(count["unanswered"] for count in self.outcomes.values())
 
 
@@ -104,10 +104,10 @@
 
 
 class _Demo:
-    """A worker host with its fake peers, and the requests that are sent to it."""
+    """A worker host with its fake peers, and the requests sent to it with their answers."""
 
     def __init__(self, seed: int, folder: Path) -> None:
-        # Imported here, so that no other command loads the fakes.
+        # Imported here so that the other commands don't load the fakes.
         from lapispick.fakes.broker import Broker
         from lapispick.fakes.connection_pool import ConnectionPool
         from lapispick.fakes.executor import Executor
@@ -121,7 +121,7 @@
         conf = folder / "own.conf"
         conf.write_text(CONF)
         (folder / "brokers.yml").write_text(BROKERS.format(host=host, port=port))
-        self._executor = Executor(WORK_S, CORES)
+        self._executor = Executor(RUN_DURATION_S, CORES)
         self._host = HostProcess(
             folder,
             environ={"LAPISPICK_CONF": str(conf)},
@@ -132,30 +132,30 @@
         self._gateway = ConnectionPool(self._host.address, self._on_answer)
         self._request_params = request_params
         self._json_rpc_kinds: list[RequestKind] = []  # by request number
-        self._answers: dict[int, Any] = {}  # by request number; None: the connection ended before the answer
+        self._answers: dict[int, Any] = {}  # by request number; None if the connection ended before the answer
         self._amqp_kinds: dict[str, RequestKind] = {}  # by correlation id
         self._bookings: list[Booking] = []
 
     def run(self, seconds: float, requests_per_s: float) -> Result:
-        """Send requests at a rate for a span, and wait for their answers."""
+        """Send requests at this mean rate and wait for their answers."""
         end = time.monotonic() + seconds
-        due = time.monotonic()
-        while due < end:
+        next_send_at = time.monotonic()
+        while next_send_at < end:
             kind = self._random.choices(KINDS, [kind.fraction for kind in KINDS])[0]
             self._send(kind, self._random.choice((Front.JSON_RPC, Front.AMQP)))
-            due += self._random.expovariate(requests_per_s)
-            time.sleep(max(0.0, due - time.monotonic()))
+            next_send_at += self._random.expovariate(requests_per_s)
+            time.sleep(max(0.0, next_send_at - time.monotonic()))
         self._wait_for_answers()
         return Result(self._outcomes(), self._second_executions(), self._rejection_reasons())
 
     def close(self) -> None:
-        """End the host and its peers."""
+        """Stop the host and its peers."""
         self._gateway.close()
         self._host.close()
         self._broker.close()
 
     def _send(self, kind: RequestKind, front: Front) -> None:
-        """Send one request; a retry goes over JSON-RPC."""
+        """Send one request; retries are always sent over JSON-RPC."""
         number = len(self._json_rpc_kinds) + len(self._amqp_kinds)
         booking = Booking(uuid.UUID(int=self._random.getrandbits(128)).hex, f"subject-{number}")
         if kind.is_retry and self._bookings:
@@ -170,8 +170,8 @@
     def _send_json_rpc(self, kind: RequestKind, booking: Booking) -> None:
         number = len(self._json_rpc_kinds)
         self._json_rpc_kinds.append(kind)
-        key = {"nonce": booking.key} if kind.request_class == BOOK.request_class else {}
-        params = self._request_params(booking.body, patience=kind.patience_ms, **key)
+        nonce = {"nonce": booking.key} if kind.request_class == BOOK.request_class else {}
+        params = self._request_params(booking.body, patience=kind.timeout_ms, **nonce)
         self._gateway.send_request(kind.request_class, number, params)
 
     def _send_amqp(self, kind: RequestKind, booking: Booking) -> None:
@@ -183,7 +183,7 @@
             correlation_id=booking.key,
             message_id=booking.key,
             reply_to="answers",
-            expiration=str(kind.patience_ms),
+            expiration=str(kind.timeout_ms),
         )
 
     def _on_answer(self, number: int, answer: Any) -> None:
@@ -209,22 +209,22 @@
         return counts
 
     def _second_executions(self) -> int:
-        """Return how often a booking was executed again, which must be never."""
+        """Return the number of repeated executions of bookings; expected to be 0."""
         counts = collections.Counter(run.body for run in self._executor.runs if run.handler == BOOK.request_class)
         return sum(count - 1 for count in counts.values())
 
     def _rejection_reasons(self) -> list[str]:
-        """Return the decision module's reasons from the host's log."""
+        """Return the distinct reasons of rejections from the host's log."""
         lines = [line for line in self._host.log().splitlines() if 'text="' in line]
         return sorted({line.split('text="')[1].rstrip('"') for line in lines})
 
 
 def _run(seed: int, folder: Path, seconds: float, load: float) -> Result:
-    session = _Demo(seed, folder)
+    running_demo = _Demo(seed, folder)
     try:
-        return session.run(seconds, load * CORES / WORK_S)
+        return running_demo.run(seconds, load * CORES / RUN_DURATION_S)
     finally:
-        session.close()
+        running_demo.close()
 
 
 @click.command()
@@ -234,30 +234,30 @@
     default=1.6,
     show_default=True,
     type=click.FloatRange(0.1, 3),
-    help="Requests asked for, as a multiple of what the two cores of the fake executor can do.",
+    help="Offered load, as a multiple of the capacity of the fake executor, which has two cores.",
 )
 @click.option("--seed", default=7, show_default=True)
-@click.option("--json", "json_", is_flag=True, help="For programs.")
+@click.option("--json", "json_", is_flag=True, help="Print JSON.")
 def demo(seconds: float, load: float, seed: int, json_: bool) -> None:
-    """Run one worker host with fake peers on loopback, send it more than it can serve, and print the outcomes."""
+    """Run one worker host with fake peers on loopback, overload it with requests, and print the outcomes."""
     if not json_:
         print_line(
-            f"seed {seed}: a worker host with {CORES} cores in its fake executor, {load:g} times what they can do, "
-            f"for {seconds:g} s ..."
+            f"seed {seed}: sending {load:g} times the capacity of one worker host, "
+            f"whose fake executor has {CORES} cores, for {seconds:g} s ..."
         )
     with tempfile.TemporaryDirectory() as folder:
         try:
             result = _run(seed, Path(folder), seconds, load)
-        except (OSError, AssertionError) as err:  # no port, no host, a fake that lost its peer
-            raise click.ClickException(f"the demo broke off: {err or type(err).__name__}") from err
+        except (OSError, AssertionError) as err:  # no free port, the host did not start, or a fake lost its peer
+            raise click.ClickException(f"the demo failed: {err or type(err).__name__}") from err
     if json_:
         _print_result_json(result)
     else:
         _print_result(result)
     if result.second_executions or result.unanswered:
         print_error(
-            f"rules were broken: {result.unanswered} requests without an answer, "
-            f"{result.second_executions} bookings ran again"
+            "expected an answer to each request and at most one execution of each booking, got "
+            f"{result.unanswered} unanswered requests and {result.second_executions} repeated executions"
         )
         sys.exit(ExitCode.DIFFERENCES)
 
@@ -274,7 +274,7 @@
     for (front, kind), counts in sorted(result.outcomes.items()):
         rows.append((front, kind, *(counts[outcome] for outcome in OUTCOMES)))
     print_table("outcomes", ("front", "request", *OUTCOMES), rows)
-    print_line("why requests were rejected, in the decision module's words:")
+    print_line("rejection reasons of the decision module:")
     for reason in result.rejection_reasons:
         print_line(f"  {reason}")
     print_line(f"bookings that ran twice: {result.second_executions}")
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo: both fronts serve requests, and its summary counts what happened to each."""
+"""Tests of the demo: both fronts answer all requests, and the summary counts their outcomes."""
 
 import json
 import subprocess
