--- a/lapispick/cli/trace.py
+++ b/lapispick/cli/trace.py
@@ -1,4 +1,4 @@
-"""``lapispick trace``: commands that show and check the content of traces."""
+"""``lapispick trace``: the command group, and the commands that show and check the content of traces."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def _info(reader: TraceReader) -> dict[str, Any]:
-    """Return what ``trace info`` prints of a file."""
+    """Return the fields of a file that ``trace info`` prints."""
     source = reader.first_source
     blocks = reader.blocks
     return {
@@ -68,7 +68,7 @@
 @PATHS
 @JSON
 def info(paths: tuple[Path, ...], json_: bool) -> None:
-    """Print what the files contain."""
+    """Print an overview of each file."""
     rows = [_info(reader) for reader in open_traces(paths)]
     if json_:
         print_json(rows)
@@ -80,7 +80,7 @@
 @PATHS
 @JSON
 def verify(paths: tuple[Path, ...], json_: bool) -> None:
-    """Read every block and print what is corrupt or missing; exits with 1 if anything is."""
+    """Read every block and print the faults of each file; exits with 1 if there are any."""
     readers = open_traces(paths)
     with progress_bar("verify", readers) as report:
         faults_by_file = {str(reader.path): list(_faults(reader, report)) for reader in readers}
@@ -88,21 +88,22 @@
         print_json([{"file": file, "faults": faults} for file, faults in faults_by_file.items()])
     else:
         for file, faults in faults_by_file.items():
-            print_line(f"{file}: {'; '.join(faults) or 'whole'}")
+            print_line(f"{file}: {'; '.join(faults) or 'valid'}")
     sys.exit(ExitCode.DIFFERENCES if any(faults_by_file.values()) else 0)
 
 
 def _faults(reader: TraceReader, report: ReportBytes) -> Iterator[str]:
-    """Yield what is wrong with a file."""
+    """Yield a description of each fault of a file."""
     for damage in reader.damage:
-        yield f"{damage.length} bytes at {damage.offset}: {damage.reason}"
+        yield f"{damage.length} bytes at byte {damage.offset}: {damage.reason}"
     if not reader.indexed:
         yield "no index: the file was not closed"
     for location in reader.blocks:
         read_before = reader.bytes_read
         try:
-            if len(reader.read_steps(location)) != location.steps:
-                yield f"the block at byte {location.offset} holds another number of steps"
+            step_count = len(reader.read_steps(location))
+            if step_count != location.steps:
+                yield f"the block at byte {location.offset} has {step_count} steps, expected {location.steps}"
         except TraceError as err:
             yield str(err)
         report(reader.bytes_read - read_before)
@@ -113,7 +114,7 @@
 @SINCE
 @UNTIL
 def cat(paths: tuple[Path, ...], since: float, until: float) -> None:
-    """Print the steps as JSON, one on each line."""
+    """Print the steps as JSON, one per line."""
     for reader in open_traces(paths):
         hosts = [source.box for source in reader.sources]
         for step in reader.steps(since, until):
--- a/lapispick/cli/trace_common.py
+++ b/lapispick/cli/trace_common.py
@@ -1,4 +1,4 @@
-"""What the trace commands share: opening files, reading past corrupt blocks, times, and a progress bar."""
+"""Helpers of the trace commands: opening files, reading the valid blocks, times, and a progress bar."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from lapispick.trace.record_types import Step
 from lapispick.trace.recording import OPEN_SUFFIX, SUFFIX
 
-JSON = click.option("--json", "json_", is_flag=True, help="For programs.")
+JSON = click.option("--json", "json_", is_flag=True, help="Print JSON.")
 PATHS = click.argument("paths", nargs=-1, required=True, type=click.Path(path_type=Path))
 PATH = click.argument("path", type=click.Path(path_type=Path))
 OUT = click.argument("out", type=click.Path(path_type=Path))
-ReportBytes = Callable[[int], None]  # gets the number of bytes that were read since the last call
-ClassName = Callable[[int, int], str]  # returns the name of a class by the index of its source and its own
+ReportBytes = Callable[[int], None]  # called with the number of bytes read since the last call
+ClassNameLookup = Callable[[int, int], str]  # returns a class name, given the indexes of its source and of the class
 
 
 def _report_nothing(_: int) -> None:
@@ -34,12 +34,12 @@
 
 
 class Moment(click.ParamType):
-    """A time as Unix ms or as ISO 8601; one without a zone is UTC."""
+    """Option type for a time: Unix ms or ISO 8601, in UTC if it has no zone."""
 
     name = "time"
 
     def convert(self, value: Any, param: Any, ctx: Any) -> float:
-        """Return Unix ms."""
+        """Return the time in Unix ms."""
         if isinstance(value, float):
             return value
         try:
@@ -49,52 +49,52 @@
         try:
             moment = datetime.fromisoformat(value)
         except ValueError:
-            self.fail(f"{value!r} is neither Unix ms nor a time as in 2026-12-01T12:30:05Z", param, ctx)
+            self.fail(f"expected Unix ms or ISO 8601 such as 2026-12-01T12:30:05Z, got {value!r}", param, ctx)
         with_zone = moment if moment.tzinfo else moment.replace(tzinfo=UTC)
         return with_zone.timestamp() * 1000
 
 
 SINCE = click.option(
-    "--since", type=Moment(), default=float("-inf"), help="The begin of the window; Unix ms or ISO 8601."
+    "--since", type=Moment(), default=float("-inf"), help="Start of the window, inclusive; Unix ms or ISO 8601."
 )
 UNTIL = click.option(
-    "--until", type=Moment(), default=float("inf"), help="The end of the window, which is not part of it."
+    "--until", type=Moment(), default=float("inf"), help="End of the window, exclusive; Unix ms or ISO 8601."
 )
 
 
 def fail(text: str) -> Any:
-    """Print what is wrong with the call or the files, and exit."""
+    """Print an error message and exit with ``ExitCode.INVALID``."""
     print_error(text)
     sys.exit(ExitCode.INVALID)
 
 
-def open_traces(paths: Iterable[Path]) -> list[TraceReader]:
-    """Open files, and all traces of folders, ordered by incarnation and sequence; exits if one can't be opened."""
+def open_traces(paths: Sequence[Path]) -> list[TraceReader]:
+    """Open files, and all traces in folders, sorted by incarnation and sequence; exits if one can't be opened."""
     readers: list[TraceReader] = []
     for path in paths:
-        for file in _traces_at(path):
+        for file in _trace_files(path):
             try:
                 readers.append(TraceReader(file))
             except TraceError as err:
                 fail(str(err))
     if not readers:
-        fail("no trace there")
-    return sorted(readers, key=_order)
+        fail(f"no trace files in {', '.join(map(str, paths))}")
+    return sorted(readers, key=_sort_key)
 
 
-def _traces_at(path: Path) -> list[Path]:
+def _trace_files(path: Path) -> list[Path]:
     if not path.is_dir():
         return [path]
     return sorted(file for file in path.iterdir() if file.name.endswith((SUFFIX, OPEN_SUFFIX)))
 
 
-def _order(reader: TraceReader) -> tuple[str, str, int, float]:
+def _sort_key(reader: TraceReader) -> tuple[str, str, int, float]:
     source = reader.first_source
     return source.box, source.incarnation, source.sequence, reader.blocks[0].first if reader.blocks else 0.0
 
 
 def group_by_incarnation(readers: Iterable[TraceReader]) -> list[list[TraceReader]]:
-    """Return the files of each incarnation of a host together, and each merged file by itself, in order."""
+    """Group the files of each incarnation of a host; each merged file is a group of its own. Keeps the order."""
     groups: dict[Any, list[TraceReader]] = {}
     for reader in readers:
         is_merged = len(reader.sources) > 1
@@ -104,17 +104,17 @@
 
 
 def host_names(sources: Iterable[Any]) -> list[str]:
-    """Return the distinct names of the hosts of sources."""
+    """Return the distinct host names of the sources."""
     return list(dict.fromkeys(source.box for source in sources))
 
 
 def format_time(ms: float) -> str:
-    """Return a time as text."""
+    """Return a time in Unix ms as ISO 8601 text."""
     return time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(ms / 1000)) + f".{int(ms % 1000):03d}Z"
 
 
-def class_names(sources: Iterable[Any]) -> ClassName:
-    """Return a function that returns the name of a class, or its number if the header does not name it."""
+def class_name_lookup(sources: Iterable[Any]) -> ClassNameLookup:
+    """Return a function that looks up a class name; a class that the header doesn't name gets its index."""
     names_by_source = [list(source.classes) for source in sources]
 
     def class_name(source_index: int, class_index: int) -> str:
@@ -126,7 +126,7 @@
 
 @contextmanager
 def progress_bar(title: str, readers: Iterable[TraceReader]) -> Iterator[ReportBytes]:
-    """Show on a terminal how much of these files has been read."""
+    """Show the fraction of the files read so far, if standard error is a terminal."""
     console = Console(stderr=True)
     if not console.is_terminal:
         yield _report_nothing
@@ -138,13 +138,13 @@
 
 
 def read_blocks(reader: TraceReader, report: ReportBytes = _report_nothing) -> Iterator[Block]:
-    """Yield the valid blocks; a line is printed for each corrupt one."""
+    """Yield the valid blocks; prints an error for each corrupt one."""
     for location in reader.blocks:
         read_before = reader.bytes_read
         try:
             yield reader.read_block(location)
         except TraceError as err:
-            print_error(f"left out: {err}")
+            print_error(f"skipped: {err}")
         report(reader.bytes_read - read_before)
 
 
@@ -160,7 +160,7 @@
         try:
             yield from block.steps()
         except ValueError as err:
-            print_error(f"left out: {reader.path}: a block {err}")
+            print_error(f"skipped: {reader.path}: a block {err}")
 
 
 def read_all_steps(readers: Iterable[TraceReader], report: ReportBytes = _report_nothing) -> Iterator[Step]:
--- a/lapispick/cli/trace_plot.py
+++ b/lapispick/cli/trace_plot.py
@@ -1,4 +1,4 @@
-"""``lapispick trace plot``: draws a trace over time, as a picture or a page."""
+"""``lapispick trace plot``: plots a trace over time, as a PNG or an HTML page."""
 
 from __future__ import annotations
 
@@ -32,33 +32,37 @@
 @click.command()
 @PATHS
 @click.option(
-    "--out", required=True, type=click.Path(path_type=Path), help="A .png, or a .html that needs no other file."
+    "--out",
+    required=True,
+    type=click.Path(path_type=Path),
+    help="File to write: a .png, or a self-contained .html with the plots and the tables of the summary.",
 )
 @JSON
 def plot(paths: tuple[Path, ...], out: Path, json_: bool) -> None:
-    """Draw priority weight, answers, rejections by reason, ages, concurrency limit and price over time."""
+    """Plot priority weight, answers, rejections by reason, ages, concurrency limit and price over time."""
     if out.suffix not in (".png", ".html"):
-        fail(f"{out}: must end in .png or .html")
+        fail(f"{out}: expected a file name that ends in .png or .html")
     readers = open_traces(paths)
     if len(group_by_incarnation(readers)) != 1:
-        fail("needs files of one life of one box, or one merged file")
+        fail("expected files of one incarnation of one host, or one merged file")
     if not any(reader.blocks for reader in readers):
-        fail("no steps there")
+        fail(f"no steps in {', '.join(map(str, paths))}")
     with progress_bar("plot", readers) as report:
         summary = aggregation.summarise(readers[0].sources, read_all_blocks(readers, report))
     series = _series(readers)
     title = ", ".join(host_names(readers[0].sources))
-    picture = trace_page.draw(title, summary, series)
-    out.write_bytes(picture if out.suffix == ".png" else trace_page.page(title, summary, picture).encode())
+    png = trace_page.render_png(title, summary, series)
+    out.write_bytes(png if out.suffix == ".png" else trace_page.render_page(title, summary, png).encode())
     if json_:
         print_json(series)
         return
     total = summary.total
-    print_line(f"{out}: {total.requests} requests, {total.served_weight:g} of {total.offered_weight:g} served")
+    served = f"served {total.served_weight:g} of {total.offered_weight:g} priority weight"
+    print_line(f"{out}: {total.requests} requests, {served}")
 
 
 def _series(readers: list[TraceReader]) -> Series:
-    """Return the series of files, with the module's limit and price if the trace can be replayed."""
+    """Return the series of files, with the concurrency limit and price of the module if the trace can be replayed."""
     locations = [location for reader in readers for location in reader.blocks]
     timed_blocks = ((block, step_times(reader.sources, block)) for reader in readers for block in read_blocks(reader))
     first = min(location.first for location in locations)
@@ -70,7 +74,7 @@
 
 
 def _add_module_state(readers: list[TraceReader], series: Series) -> None:
-    """Add the module's limit and price by a replay; left out if its decisions differ from the recorded ones."""
+    """Add the concurrency limit and price from a replay; omitted if its actions differ from the recorded ones."""
     limits: list[Sample] = []
     prices: list[Sample] = []
 
@@ -82,7 +86,7 @@
     source = readers[0].first_source
     result = replaying.replay(source.settings, source.seed, source.module_now, read_all_steps(readers), on_step)
     if result.differing_steps:
-        print_error("limit and price are left out: the present module decides otherwise")
+        print_error("concurrency limit and price omitted: the current module's actions differ from the recorded ones")
         return
     series.concurrency_limit = resample(limits, series)
     series.occupancy_price = resample(prices, series)
--- a/lapispick/cli/trace_summary.py
+++ b/lapispick/cli/trace_summary.py
@@ -1,4 +1,4 @@
-"""``lapispick trace``: commands that summarise traces and compare the clocks of their hosts."""
+"""``lapispick trace``: commands that summarise traces and estimate the clock offsets of their hosts."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 from lapispick.trace.files import TraceReader
 from lapispick.trace.summary import Summary
 
-CLOCK_COLUMNS = ("box", "ahead, ms", "gains, ms a s", "within, ms", "pairs", "")
+CLOCK_COLUMNS = ("box", "offset, ms", "drift, ms/s", "error, ms", "pairs", "")
 
 
-def estimate_from(readers: list[TraceReader]) -> ClockEstimates:
-    """Estimate the clocks of all hosts of these files."""
+def estimate_host_clocks(readers: list[TraceReader]) -> ClockEstimates:
+    """Return estimates of the clocks of all hosts in these files."""
     attempts = attempt_matching.sample_attempts(
         attempt_matching.answered_attempts(reader.sources, read_steps(reader)) for reader in readers
     )
@@ -42,11 +42,11 @@
 @PATHS
 @JSON
 def clocks(paths: tuple[Path, ...], json_: bool) -> None:
-    """Estimate how far the hosts' clocks are apart, from subjects that were attempted at several.
+    """Estimate the clock offsets between hosts, from subjects that were attempted at more than one host.
 
-    The hosts need the same `subject-key`. Exits with 1 if a clock is unknown.
+    The hosts must have the same `subject-key`. Exits with 1 if a clock is unknown.
     """
-    estimates = estimate_from(open_traces(paths))
+    estimates = estimate_host_clocks(open_traces(paths))
     if json_:
         by_host = {host: _clock_fields(clock) for host, clock in estimates.clocks.items()}
         print_json({"reference": estimates.reference, "clocks": by_host})
@@ -58,15 +58,15 @@
 
 
 def _clock_fields(clock: Clock | UnknownClock) -> Any:
-    """Return a clock as it is printed in JSON."""
+    """Return the JSON output of a clock."""
     return {"why": clock.reason} if isinstance(clock, UnknownClock) else msgspec.to_builtins(clock)
 
 
 def _clock_row(host: str, clock: Clock | UnknownClock, reference: str) -> tuple[Any, ...]:
     if isinstance(clock, UnknownClock):
         return host, "", "", "", "", clock.reason
-    drift = f"{clock.drift:.3f}" if clock.drift_known else "not told"
-    remark = "the reference" if host == reference else ""
+    drift = f"{clock.drift:.3f}" if clock.drift_known else "unknown"
+    remark = "reference" if host == reference else ""
     return host, f"{clock.offset:.1f}", drift, f"{clock.error:.1f}", clock.pairs, remark
 
 
@@ -76,12 +76,14 @@
 def summarise(paths: tuple[Path, ...], json_: bool) -> None:
     """Summarise the requests of one incarnation of a host, or of a merged file.
 
-    Prints priority weight (worth) by class, account and window of 10 s, rejections by reason, queue times and run
-    durations. Retries count for the request that they repeat, in a merged file over all hosts.
+    Prints the offered (asked) and served priority weight by class, account and window of 10 s, rejections by reason,
+    queue times and run durations. A retry counts for the request that it repeats, in a merged file also across hosts.
     """
     readers = open_traces(paths)
     if len(group_by_incarnation(readers)) != 1:
-        fail("needs files of one life of one box, or one merged file; `lapispick trace merge` makes one of several")
+        fail(
+            "expected files of one incarnation of one host, or one merged file; `lapispick trace merge` merges several"
+        )
     try:
         with progress_bar("summarise", readers) as report:
             summary = aggregation.summarise(readers[0].sources, read_all_blocks(readers, report))
--- a/lapispick/cli/trace_tables.py
+++ b/lapispick/cli/trace_tables.py
@@ -1,4 +1,4 @@
-"""Rows of the tables of a summary, as the commands print them and the page of a plot shows them."""
+"""Rows of the tables of a summary, for the commands that print them and the HTML page of ``trace plot``."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 def totals_rows(totals_by_name: Mapping[str, RequestTotals], columns: Sequence[str]) -> Iterator[tuple[Any, ...]]:
-    """Yield a row for each name: the name and these columns."""
+    """Yield one row per name, with the name and the cells of these columns."""
     for name, totals in totals_by_name.items():
         yield (name or UNKNOWN_NAME, *(_TOTALS_CELLS[column](totals) for column in columns))
 
 
 def percentile_rows(percentiles_by_name: Mapping[str, Percentiles]) -> Iterator[tuple[Any, ...]]:
-    """Yield a row of ``PERCENTILE_COLUMNS`` for each name."""
+    """Yield one row of ``PERCENTILE_COLUMNS`` per name."""
     for name, percentiles in percentiles_by_name.items():
         yield name, percentiles.count, percentiles.p50, percentiles.p90, percentiles.p99, percentiles.maximum
--- a/lapispick/trace/lines.py
+++ b/lapispick/trace/lines.py
@@ -87,7 +87,7 @@
         document = msgspec.json.decode(line, type=dict[str, Any])
         return json_format.ParseDict(document["header"], Header())
     except (msgspec.MsgspecError, KeyError, json_format.ParseError) as err:
-        raise TraceLineError(f"line 1: is no header of a trace: {err}") from None
+        raise TraceLineError(f"line 1: invalid trace header: {err}") from None
 
 
 def decode_step(line: bytes, line_number: int) -> Step:
--- a/tests/test_trace_commands.py
+++ b/tests/test_trace_commands.py
@@ -1,4 +1,4 @@
-"""The commands of ``lapispick trace`` on files of two hosts whose clocks disagree."""
+"""Tests of the commands of ``lapispick trace``, mostly on traces of two hosts with different clocks."""
 
 import json
 import random
@@ -16,18 +16,18 @@
 
 
 def write_fleet(folder, clock_difference=1000.0, count=300, drift=0.0):
-    """Write the traces of two hosts: keyed requests are rejected at the one and served at the other."""
+    """Write the traces of two hosts; each keyed request is rejected at one host and then served at the other."""
     rng, attempts = random.Random(1), {"a": [], "b": []}
     for number in range(count):
         attempted_at, subject = START + number * 1000.0 + rng.uniform(0, 500), rng.randbytes(8)
-        pause = 2 + rng.expovariate(0.2)
+        retry_delay = 2 + rng.expovariate(0.2)
         first, last = rng.sample("ab", 2)
-        shown_ahead = {"a": 0, "b": clock_difference + drift * (attempted_at - START)}
-        attempts[first].append((attempted_at + shown_ahead[first], subject, "refused"))
-        attempts[last].append((attempted_at + 20 + pause + shown_ahead[last], subject, "served"))
-    for host, of_host in attempts.items():
+        clock_offsets = {"a": 0, "b": clock_difference + drift * (attempted_at - START)}
+        attempts[first].append((attempted_at + clock_offsets[first], subject, "refused"))
+        attempts[last].append((attempted_at + 20 + retry_delay + clock_offsets[last], subject, "served"))
+    for host, host_attempts in attempts.items():
         steps = []
-        for number, (now, subject, kind) in enumerate(sorted(of_host), 1):
+        for number, (now, subject, kind) in enumerate(sorted(host_attempts), 1):
             steps.append(request_step(now, number, 1, subject=subject))
             steps.append(Step(now + 20, (), (), (Answered(number, kind, 20.0),)))
         files.write_trace(folder / f"{host}.lptrace", make_header(host), steps)
@@ -38,7 +38,7 @@
     return json.loads(run_trace_command("summarise", path, "--json"))
 
 
-def test_traces_a_second_apart_are_merged_in_the_order_of_what_happened(tmp_path):
+def test_traces_with_clocks_a_second_apart_are_merged_in_the_true_order(tmp_path):
     paths = write_fleet(tmp_path)
     corrected, uncorrected = tmp_path / "m.lptrace", tmp_path / "p.lptrace"
     run_trace_command("merge", corrected, *paths, "--correct-clocks")
@@ -49,22 +49,24 @@
         assert offsets["b"] - offsets["a"] == pytest.approx(1000, abs=20)
         assert 0 in offsets.values()
         assert list(reader.header.made) == ["merged by corrected clocks"]
-    assert [step for step in steps if step.source_index == 0] == read_steps(paths[0])  # each host's as they were
+    assert [step for step in steps if step.source_index == 0] == read_steps(
+        paths[0]
+    )  # the order within a host is unchanged
     total = summarise(corrected)["whole"]
     assert total["requests"] == 300
     assert total["tries"] == 600
     assert total["in_aim"] == 300
-    assert summarise(uncorrected)["whole"]["late"] > 50  # a second counts as age
-    assert "needs files of one life" in run_trace_command("summarise", *paths, exit_code=2)
+    assert summarise(uncorrected)["whole"]["late"] > 50  # the clock offset of 1 s counts as age
+    assert "expected files of one incarnation of one host" in run_trace_command("summarise", *paths, exit_code=2)
     assert "one of the traces" in run_trace_command("merge", paths[0], *paths, exit_code=2)
     unrelated = tmp_path / "c.lptrace"
     files.write_trace(unrelated, make_header("c"), [request_step(5.0, 1)])
     output = run_trace_command("merge", corrected, *paths, unrelated, "--correct-clocks", exit_code=1)
-    assert "not corrected: c: cannot tell" in output
+    assert "clock not corrected: c: cannot tell" in output
 
 
-def test_a_clock_that_drifts_is_corrected_from_end_to_end(tmp_path):
-    paths = write_fleet(tmp_path, count=600, drift=0.002)  # 1.2 s in ten minutes
+def test_a_drifting_clock_is_corrected_over_the_whole_trace(tmp_path):
+    paths = write_fleet(tmp_path, count=600, drift=0.002)  # drifts by 1.2 s in ten minutes
     merged = tmp_path / "m.lptrace"
     run_trace_command("merge", merged, *paths, "--correct-clocks")
     times = {}  # by subject
@@ -86,11 +88,11 @@
         files.write_trace(folder / f"a-{number}.lptrace", make_header(incarnation=number), steps)
     infos = json.loads(run_trace_command("info", folder, "--json"))
     assert [info["incarnation"] for info in infos] == ["1", "2"]
-    assert "needs files of one life" in run_trace_command("summarise", folder, exit_code=2)
+    assert "expected files of one incarnation of one host" in run_trace_command("summarise", folder, exit_code=2)
     merged = tmp_path / "m.lptrace"
     output = json.loads(run_trace_command("merge", merged, folder, "--json"))
     assert output == {"steps": 4, "lives": 2, "not_corrected": []}
-    total = summarise(merged)["whole"]  # both have a request 1
+    total = summarise(merged)["whole"]  # both incarnations have a request with the id 1
     assert total["requests"] == 2
     assert total["in_aim"] == 2
 
@@ -106,9 +108,9 @@
     assert [without_marks(step) for step in read_steps(merged)] == read_steps(path)
     assert summarise(merged) == summarise(path)
     output = run_trace_command("cut", path, merged, "--since", "noon", exit_code=2)
-    assert "neither Unix ms nor a time" in output
+    assert "expected Unix ms or ISO 8601 such as 2026-12-01T12:30:05Z, got 'noon'" in output
     output = run_trace_command("cut", path, merged, "--class", "x", exit_code=2)
-    assert "knows book, job, quote, track, not x" in output
+    assert "expected one of book, job, quote, track, got x" in output
     run_trace_command("cut", path, merged, "--outcome", "refused", "--edges", EdgePolicy.COMPLETE)
     total = summarise(merged)["whole"]
     assert total["refused"] == total["requests"] > 0
@@ -119,7 +121,7 @@
     return step._replace(notes=tuple(note for note in step.notes if type(note) is not SpansBoundary))
 
 
-def test_an_anonymised_trace_has_no_name_left_and_the_same_summary(tmp_path):
+def test_an_anonymised_trace_has_no_original_name_and_the_same_summary(tmp_path):
     path, _ = write_fleet(tmp_path)
     key, output = tmp_path / "key", tmp_path / "o.lptrace"
     key.write_bytes(PSEUDONYM_KEY)
@@ -134,12 +136,14 @@
     assert "16 to 64 bytes" in run_trace_command("anonymise", path, output, "--key", key, exit_code=2)
 
 
-def test_a_name_in_another_place_fails_the_anonymisation(tmp_path):
+def test_a_name_in_a_log_text_fails_the_anonymisation(tmp_path):
     path, output, key = tmp_path / "x.lptrace", tmp_path / "o.lptrace", tmp_path / "key"
     key.write_bytes(PSEUDONYM_KEY)
     log_step = Step(1.0, (), (admission.Log("a line that names shop"),))
     files.write_trace(path, make_header(), [request_step(0, 1), log_step])
-    assert "shop: still stands" in run_trace_command("anonymise", path, output, "--key", key, exit_code=2)
+    assert "left in the output, which was removed: shop" in run_trace_command(
+        "anonymise", path, output, "--key", key, exit_code=2
+    )
     assert not output.exists()
 
 
@@ -155,8 +159,8 @@
     printed = run_trace_command("cat", path).splitlines()
     assert printed == (tmp_path / "x.jsonl").read_text().splitlines()[1:]
     (tmp_path / "x.jsonl").write_text("{}\n")
-    assert "line 1: is no header" in run_trace_command("convert", tmp_path / "x.jsonl", back, exit_code=2)
-    assert "must be .jsonl" in run_trace_command("convert", path, back, exit_code=2)
+    assert "line 1: invalid trace header" in run_trace_command("convert", tmp_path / "x.jsonl", back, exit_code=2)
+    assert "to end in .jsonl" in run_trace_command("convert", path, back, exit_code=2)
 
 
 def test_a_plot_is_a_picture_or_a_self_contained_page(tmp_path):
@@ -170,8 +174,8 @@
     assert "By account" in page
     files.write_trace(tmp_path / "e.lptrace", make_header(), [])
     output = run_trace_command("plot", tmp_path / "e.lptrace", "--out", tmp_path / "x.png", exit_code=2)
-    assert "no steps" in output
-    assert "must end in" in run_trace_command("plot", path, "--out", tmp_path / "x.svg", exit_code=2)
+    assert "no steps in" in output
+    assert "ends in .png or .html" in run_trace_command("plot", path, "--out", tmp_path / "x.svg", exit_code=2)
 
 
 def test_empty_files_and_files_with_one_record_are_valid_traces(tmp_path):
