--- a/lapispick/cli/trace_page.py
+++ b/lapispick/cli/trace_page.py
@@ -86,7 +86,7 @@
 def _draw_reasons(axes: Any, series: Series) -> None:
     for name, counts in series.rejection_reasons.items():
         _draw_line(axes, series, _per_second(series, counts), label=name)
-    axes.set_ylabel("rejected attempts per second")
+    axes.set_ylabel("rejections per second, by reason")
 
 
 def _draw_limit(axes: Any, series: Series) -> None:
--- a/tests/test_trace_commands.py
+++ b/tests/test_trace_commands.py
@@ -49,9 +49,8 @@
         assert offsets["b"] - offsets["a"] == pytest.approx(1000, abs=20)
         assert 0 in offsets.values()
         assert list(reader.header.made) == ["merged by corrected clocks"]
-    assert [step for step in steps if step.source_index == 0] == read_steps(
-        paths[0]
-    )  # the order within a host is unchanged
+    # The merge leaves the steps of each host as they were.
+    assert [step for step in steps if step.source_index == 0] == read_steps(paths[0])
     total = summarise(corrected)["whole"]
     assert total["requests"] == 300
     assert total["tries"] == 600
