--- a/lapispick/conf/checks.py
+++ b/lapispick/conf/checks.py
@@ -53,7 +53,7 @@
 
 def _amqp_problems(settings: Settings) -> Iterator[_Problem]:
     if settings.amqp.enabled and settings.inventory.path is None:
-        yield _Problem("enabled", "needs a path in section inventory")
+        yield _Problem("enabled", "requires path in section inventory, which is not set")
 
 
 def _trace_problems(settings: Settings) -> Iterator[_Problem]:
@@ -61,21 +61,25 @@
     if not trace.enabled:
         return
     if trace.folder is None:
-        yield _Problem("enabled", "needs a folder in section trace")
+        yield _Problem("enabled", "requires folder in section trace, which is not set")
     if trace.subject_key is None:
         return
     try:
-        if not MIN_SUBJECT_KEY_BYTES <= Path(trace.subject_key).stat().st_size <= MAX_SUBJECT_KEY_BYTES:
-            yield _Problem("subject-key", f"must hold {MIN_SUBJECT_KEY_BYTES} to {MAX_SUBJECT_KEY_BYTES} bytes")
+        size = Path(trace.subject_key).stat().st_size
+        if not MIN_SUBJECT_KEY_BYTES <= size <= MAX_SUBJECT_KEY_BYTES:
+            yield _Problem(
+                "subject-key",
+                f"expected a file of {MIN_SUBJECT_KEY_BYTES} to {MAX_SUBJECT_KEY_BYTES} bytes, got {size} bytes",
+            )
     except OSError as err:
         yield _Problem("subject-key", f"{trace.subject_key}: {err.strerror}")
 
 
 def _agent_problems(agent: AgentSettings) -> Iterator[_Problem]:
     if agent.slot_ops and len(set(agent.slot_ops)) != AGENT_SLOTS:
-        yield _Problem("slot-ops", "takes two addresses that differ")
+        yield _Problem("slot-ops", f"expected two different addresses, got '{' '.join(agent.slot_ops)}'")
     elif agent.slot_executors and len(agent.slot_executors) != AGENT_SLOTS:
-        yield _Problem("slot-executors", "takes two addresses")
+        yield _Problem("slot-executors", f"expected two addresses, got '{' '.join(agent.slot_executors)}'")
 
 
 def _rollout_problems(settings: Settings) -> Iterator[_Problem]:
@@ -83,13 +87,18 @@
     rollout = settings.rollout
     stage_numbers = range(1, len(rollout.stages) + 1)
     if rollout.min_bake_s > rollout.max_bake_s:
-        yield _Problem("bake-most", "must not be under bake")
+        yield _Problem("bake-most", f"expected at least bake ({rollout.min_bake_s:g}s), got {rollout.max_bake_s:g}s")
     elif rollout.confirm_timeout_s < rollout.warm_up_s + rollout.min_bake_s:
         yield _Problem(
-            "confirm", "must not be under warm-up and bake together, or each change is undone while it is watched"
+            "confirm",
+            f"expected at least the sum of warm-up and bake ({rollout.warm_up_s + rollout.min_bake_s:g}s), "
+            f"got {rollout.confirm_timeout_s:g}s; otherwise each change is rolled back during its bake time",
         )
     elif any(not stage.isdecimal() or int(stage) not in stage_numbers for stage in rollout.hold_after_stages):
-        yield _Problem("hold", f"takes numbers of stages from 1 to {len(rollout.stages)}")
+        yield _Problem(
+            "hold",
+            f"expected numbers of stages from 1 to {len(rollout.stages)}, got '{' '.join(rollout.hold_after_stages)}'",
+        )
 
 
 def _members_problems(settings: Settings) -> Iterator[_Problem]:
@@ -98,11 +107,17 @@
     if not members.enabled:
         return
     if not members.listen or not settings.fleet.group:
-        yield _Problem("enabled", "needs listen, and a group in section fleet")
+        yield _Problem("enabled", "requires listen, and group in section fleet; at least one of them is not set")
     elif members.configuration_overlap_s < members.lease_s * (1 + members.clock_drift_ratio):
-        yield _Problem("lists", "must not be under a lease and the drift, or two hosts could hold a lease by two lists")
+        yield _Problem(
+            "lists",
+            f"expected at least lease plus drift ({members.lease_s * (1 + members.clock_drift_ratio):g}s), "
+            f"got {members.configuration_overlap_s:g}s; otherwise two hosts could hold the same lease under two lists",
+        )
     elif members.vote_timeout_s >= members.lease_s / 2:
-        yield _Problem("answer", "must be under half of the lease")
+        yield _Problem(
+            "answer", f"expected less than half of lease ({members.lease_s / 2:g}s), got {members.vote_timeout_s:g}s"
+        )
     elif problem := _leases_problem(members.leases):
         yield problem
 
@@ -114,20 +129,26 @@
         name, _, count = lease.partition(":")
         has_valid_name = name.replace("-", "").isalnum()
         if not has_valid_name or not count.isdecimal() or not 1 <= int(count) <= MAX_LEASE_HOLDERS:
-            return _Problem("turns", f"{lease!r} is not NAME:K with K from 1 to {MAX_LEASE_HOLDERS}")
+            return _Problem("turns", f"expected NAME:K with K from 1 to {MAX_LEASE_HOLDERS}, got {lease!r}")
     if len(set(names)) < len(names):
-        return _Problem("turns", "names a lease twice")
+        return _Problem("turns", f"expected each lease once, got '{' '.join(leases)}'")
     return None
 
 
 def _fleet_problems(settings: Settings) -> Iterator[_Problem]:
     group = settings.fleet.group
     if group and settings.inventory.path is None:
-        yield _Problem("group", "needs a path in section inventory")
+        yield _Problem("group", "requires path in section inventory, which is not set")
     if group and settings.amqp.enabled and group == settings.inventory.group:
-        yield _Problem("group", "is that of the AMQP front's brokers, which are no worker hosts")
+        yield _Problem(
+            "group",
+            f"expected a group of worker hosts, got {group!r}, the group of the AMQP brokers in section inventory",
+        )
 
 
 def _inventory_problems(settings: Settings) -> Iterator[_Problem]:
     if settings.inventory.settle_s > settings.inventory.max_settle_s:
-        yield _Problem("settle-most", "must not be under settle")
+        yield _Problem(
+            "settle-most",
+            f"expected at least settle ({settings.inventory.settle_s:g}s), got {settings.inventory.max_settle_s:g}s",
+        )
--- a/lapispick/conf/parser.py
+++ b/lapispick/conf/parser.py
@@ -61,7 +61,9 @@
         """Parse the files that match a pattern, and collect their faults; ``location`` is that of the ``include``."""
         location = location or SourceLocation(str(pattern))
         if len(self._open_files) >= MAX_INCLUDE_DEPTH:
-            return self.faults.add(location, "include", f"{pattern} is included more than {MAX_INCLUDE_DEPTH} deep")
+            return self.faults.add(
+                location, "include", f"{pattern} exceeds the maximum include depth of {MAX_INCLUDE_DEPTH} files"
+            )
         try:
             files = self._read_files(pattern)
         except (OSError, ValueError) as err:
@@ -72,7 +74,9 @@
                 chain = " -> ".join(str(file) for file in (*self._open_files, path))
                 self.faults.add(location, "include", f"a file includes itself: {chain}")
             elif self._file_count > MAX_FILES:
-                return self.faults.add(location, "include", f"more than {MAX_FILES} files")
+                return self.faults.add(
+                    location, "include", f"the configuration exceeds the maximum of {MAX_FILES} files"
+                )
             else:
                 self._parse_text(path, text)
 
@@ -83,11 +87,19 @@
         for line_number, raw_line in enumerate(text.splitlines(), 1):
             self._line_count += 1
             if self._line_count > MAX_LINES:
-                self.faults.add(SourceLocation(str(path), line_number), "", f"more than {MAX_LINES} lines")
+                self.faults.add(
+                    SourceLocation(str(path), line_number),
+                    "",
+                    f"the configuration exceeds the maximum of {MAX_LINES} lines",
+                )
                 break
             self._parse_line(SourceLocation(str(path), line_number), raw_line)
         if self._open_section is not None:
-            self.faults.add(self._open_section.location, "section", f"{self._open_section.name} has no end")
+            self.faults.add(
+                self._open_section.location,
+                "section",
+                f"{self._open_section.name} is not closed; expected a line 'end' before the end of the file",
+            )
         self._open_section = outer_section
         self._open_files.pop()
 
@@ -107,28 +119,32 @@
         elif name == "end":
             self._end_section(location, arguments)
         elif self._open_section is None:
-            self.faults.add(location, name, "stands outside of a section")
+            self.faults.add(location, name, "not allowed outside of a section")
         else:
             self._open_section.lines.append(Line(location, name, arguments))
 
     def _include(self, location: SourceLocation, arguments: tuple[str, ...]) -> None:
         if len(arguments) != 1:
-            return self.faults.add(location, "include", "takes one path or pattern")
+            return self.faults.add(location, "include", f"expected one path or pattern, got {len(arguments)} arguments")
         if self._open_section is not None:
-            return self.faults.add(location, "include", f"stands within section {self._open_section.name}")
+            return self.faults.add(location, "include", f"not allowed within section {self._open_section.name}")
         self.parse_files(self._open_files[-1].parent / arguments[0], location)
 
     def _begin_section(self, location: SourceLocation, arguments: tuple[str, ...]) -> None:
         if len(arguments) != 1:
-            return self.faults.add(location, "section", "takes one name")
+            return self.faults.add(location, "section", f"expected one name, got {len(arguments)} arguments")
         if self._open_section is not None:
-            self.faults.add(location, "section", f"{self._open_section.name} has no end before this")
+            self.faults.add(
+                location,
+                "section",
+                f"{self._open_section.name} is not closed; expected a line 'end' before this section",
+            )
         self._open_section = Section(location, arguments[0])
         self.sections.append(self._open_section)
 
     def _end_section(self, location: SourceLocation, arguments: tuple[str, ...]) -> None:
         if arguments:
-            self.faults.add(location, "end", f"takes nothing, not {arguments[0]!r}")
+            self.faults.add(location, "end", f"expected no argument, got {arguments[0]!r}")
         if self._open_section is None:
-            self.faults.add(location, "end", "there is no section to end")
+            self.faults.add(location, "end", "not allowed outside of a section")
         self._open_section = None
--- a/lapispick/conf/settings.py
+++ b/lapispick/conf/settings.py
@@ -53,7 +53,7 @@
     sections_by_name: dict[str, list[Section]] = {}
     for section in parser.sections:
         if section.name not in types:
-            problem = f"{section.name} is unknown{suggest_nearest(section.name, types)}"
+            problem = f"unknown section {section.name}{suggest_nearest(section.name, types)}"
             faults.add(section.location, "section", problem)
         else:
             sections_by_name.setdefault(section.name, []).append(section)
@@ -118,7 +118,7 @@
     files: list[tuple[PurePath, str]] = []
     for file_path in paths:
         if file_path.stat().st_size > MAX_FILE_BYTES:
-            raise ValueError(f"over {MAX_FILE_BYTES} bytes")
+            raise ValueError(f"the file exceeds the maximum of {MAX_FILE_BYTES} bytes")
         files.append((PurePath(file_path), file_path.read_text(encoding="utf-8-sig")))
     return files
 
@@ -132,9 +132,8 @@
     first_locations: dict[str, SourceLocation] = {}
     for line in (line for section in sections for line in section.lines):
         if line.name not in known_directives:
-            faults.add(
-                line.location, line.name, f"unknown in section {name}{suggest_nearest(line.name, known_directives)}"
-            )
+            problem = f"unknown directive in section {name}{suggest_nearest(line.name, known_directives)}"
+            faults.add(line.location, line.name, problem)
         else:
             _read_line(line, known_directives[line.name], values, first_locations, faults)
     return type_(**values)
@@ -150,10 +149,10 @@
     """Add the value of one line to the section's values, or collect its fault."""
     directive = field.directive
     if line.name in first_locations and not directive.repeatable:
-        return faults.add(line.location, line.name, f"stands twice, first at {first_locations[line.name]}")
+        return faults.add(line.location, line.name, f"duplicate directive, first used at {first_locations[line.name]}")
     first_locations.setdefault(line.name, line.location)
     if not line.arguments or (len(line.arguments) > 1 and not directive.repeatable):
-        return faults.add(line.location, line.name, f"takes one value, not {len(line.arguments)}")
+        return faults.add(line.location, line.name, f"expected one value, got {len(line.arguments)} values")
     try:
         parsed = [directive.parse_value(raw) for raw in line.arguments]
     except ValueError as err:
--- a/lapispick/conf/value_types.py
+++ b/lapispick/conf/value_types.py
@@ -23,14 +23,14 @@
 def _quantity(text: str, units: Mapping[str, float], default_unit: str, example: str) -> float:
     match = re.fullmatch(r"(\d+(?:\.\d+)?)\s*([A-Za-z]*)", text)
     if not match or (match.group(2) or default_unit) not in units:
-        raise ValueError(f"{text!r} is not {example}; units are {', '.join(units)}")
+        raise ValueError(f"expected {example} (units: {', '.join(units)}), got {text!r}")
     return float(match.group(1)) * units[match.group(2) or default_unit]
 
 
 def text(raw: str) -> str:
     """Return any text without control characters."""
     if any(ord(character) < _FIRST_PRINTABLE_CODE_POINT for character in raw):
-        raise ValueError(f"{raw!r} holds a control character")
+        raise ValueError(f"expected text without control characters, got {raw!r}")
     return raw
 
 
@@ -40,19 +40,19 @@
         return True
     if raw.lower() in FALSE_VALUES:
         return False
-    raise ValueError(f"{raw!r} is neither yes nor no")
+    raise ValueError(f"expected yes or no, got {raw!r}")
 
 
 def count(raw: str) -> int:
     """Parse a whole number of at most 12 digits, without a sign."""
     if not re.fullmatch(r"\d{1,12}", raw):
-        raise ValueError(f"{raw!r} is not a whole number such as 20")
+        raise ValueError(f"expected a whole number such as 20, got {raw!r}")
     return int(raw)
 
 
 def duration(raw: str) -> float:
     """Parse a duration such as ``5s`` or ``200ms``, and return seconds; a number without a unit is seconds."""
-    return _quantity(raw, DURATION_UNITS_S, "s", "a span such as 5s")
+    return _quantity(raw, DURATION_UNITS_S, "s", "a duration such as 5s")
 
 
 def byte_size(raw: str) -> int:
@@ -67,14 +67,14 @@
     except ValueError:
         value = float("nan")
     if not isfinite(value) or not 0 <= value <= 1:
-        raise ValueError(f"{raw!r} is not a share such as 17% (0% to 100%)")
+        raise ValueError(f"expected a percentage from 0% to 100% such as 17%, got {raw!r}")
     return value
 
 
 def path(raw: str) -> PurePath:
     """Parse a path; the caller resolves a relative one against the folder of the settings file."""
     if not raw or "\0" in raw:
-        raise ValueError("must name a file or folder")
+        raise ValueError(f"expected the path of a file or folder, got {raw!r}")
     return PurePath(raw)
 
 
@@ -106,11 +106,11 @@
         """Parse one argument and check its bounds; raises ``ValueError``."""
         value = self.value_type(raw)
         if self.choices and value not in self.choices:
-            raise ValueError(f"{raw!r} is none of {', '.join(self.choices)}")
+            raise ValueError(f"expected one of {', '.join(self.choices)}, got {raw!r}")
         minimum = self.minimum
         maximum = self.maximum
         if (minimum is not None and value < minimum) or (maximum is not None and value > maximum):
             if minimum is None or maximum is None:
-                raise ValueError(f"{raw!r} is out of bounds")
-            raise ValueError(f"{raw!r} is outside of {format_value(minimum)} to {format_value(maximum)}")
+                raise ValueError(f"expected a value within the bounds of the directive, got {raw!r}")
+            raise ValueError(f"expected a value from {format_value(minimum)} to {format_value(maximum)}, got {raw!r}")
         return value
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -43,24 +43,45 @@
 @pytest.mark.parametrize(
     ("text", "fault"),
     [
-        ("path x\n", "a.conf:1: path: stands outside of a section"),
-        ("section inventory\npath x\n", "a.conf:1: section: inventory has no end"),
-        ("section inventory\nsection amqp\nend\n", "a.conf:2: section: inventory has no end before this"),
-        ("end\n", "a.conf:1: end: there is no section to end"),
-        ("section inventry\nend\n", "a.conf:1: section: inventry is unknown; did you mean inventory?"),
-        ("section amqp\nenable yes\nend\n", "a.conf:2: enable: unknown in section amqp; did you mean enabled?"),
-        ("section amqp\nenabled maybe\nend\n", "a.conf:2: enabled: 'maybe' is neither yes nor no"),
-        ("section amqp\nenabled\nend\n", "a.conf:2: enabled: takes one value, not 0"),
-        ("section amqp\nenabled yes\nend\n", "a.conf:1: enabled: needs a path in section inventory"),
-        ("section inventory\nloss 120%\nend\n", "a.conf:2: loss: '120%' is not a share such as 17%"),
-        ("section inventory\nloss nan\nend\n", "a.conf:2: loss: 'nan' is not a share"),
-        ("section inventory\nsettle 5 s\nend\n", "a.conf:2: settle: takes one value, not 2"),
-        ("section inventory\nsettle 5q\nend\n", "a.conf:2: settle: '5q' is not a span such as 5s; units are ms, s"),
-        ("section inventory\nlook 1ms\nend\n", "a.conf:2: look: '1ms' is outside of 0.02 to 3600"),
-        ("section inventory\nsettle 9s\nend\n", "a.conf:1: settle-most: must not be under settle"),
-        ("section inventory\ndelimiter dot\nend\n", "a.conf:2: delimiter: 'dot' is none of auto, comma"),
+        ("path x\n", "a.conf:1: path: not allowed outside of a section"),
+        (
+            "section inventory\npath x\n",
+            "a.conf:1: section: inventory is not closed; expected a line 'end' before the end",
+        ),
+        (
+            "section inventory\nsection amqp\nend\n",
+            "a.conf:2: section: inventory is not closed; expected a line 'end' before this section",
+        ),
+        ("end\n", "a.conf:1: end: not allowed outside of a section"),
+        ("section inventry\nend\n", "a.conf:1: section: unknown section inventry; did you mean inventory?"),
+        (
+            "section amqp\nenable yes\nend\n",
+            "a.conf:2: enable: unknown directive in section amqp; did you mean enabled?",
+        ),
+        ("section amqp\nenabled maybe\nend\n", "a.conf:2: enabled: expected yes or no, got 'maybe'"),
+        ("section amqp\nenabled\nend\n", "a.conf:2: enabled: expected one value, got 0 values"),
+        ("section amqp\nenabled yes\nend\n", "a.conf:1: enabled: requires path in section inventory, which is not set"),
+        (
+            "section inventory\nloss 120%\nend\n",
+            "a.conf:2: loss: expected a percentage from 0% to 100% such as 17%, got '120%'",
+        ),
+        (
+            "section inventory\nloss nan\nend\n",
+            "a.conf:2: loss: expected a percentage from 0% to 100% such as 17%, got 'nan'",
+        ),
+        ("section inventory\nsettle 5 s\nend\n", "a.conf:2: settle: expected one value, got 2 values"),
+        (
+            "section inventory\nsettle 5q\nend\n",
+            "a.conf:2: settle: expected a duration such as 5s (units: ms, s, m, h, d), got '5q'",
+        ),
+        ("section inventory\nlook 1ms\nend\n", "a.conf:2: look: expected a value from 0.02 to 3600, got '1ms'"),
+        ("section inventory\nsettle 9s\nend\n", "a.conf:1: settle-most: expected at least settle (9s), got 3s"),
+        (
+            "section inventory\ndelimiter dot\nend\n",
+            "a.conf:2: delimiter: expected one of auto, comma, semicolon, tab, bar, got 'dot'",
+        ),
         ("section inventory\ngroup 'a\nend\n", "a.conf:2: group: can't be split into words: No closing quotation"),
-        ("section inventory\ngroup a\ngroup b\nend\n", "a.conf:3: group: stands twice, first at"),
+        ("section inventory\ngroup a\ngroup b\nend\n", "a.conf:3: group: duplicate directive, first used at"),
         ("include no.conf\n", "a.conf:1: include: "),
         ("include a.conf\n", "a.conf:1: include: a file includes itself"),
     ],
@@ -80,7 +101,7 @@
 def test_the_depth_of_includes_is_limited(tmp_path):
     for n in range(12):
         write_files(tmp_path, **{f"f{n}": f"include f{n + 1}.conf\n"})
-    with pytest.raises(InvalidFileError, match="more than 8 deep"):
+    with pytest.raises(InvalidFileError, match="exceeds the maximum include depth of 8 files"):
         settings.parse(tmp_path / "f0.conf")
 
 
@@ -197,5 +218,6 @@
     )
     assert process.returncode == 2
     assert process.stderr.count("event=config-faulty") == 2
-    assert "own.conf:2: enable: unknown in section amqp; did you mean enabled?" in process.stderr
-    assert "own.conf:3: drain: '5x' is not a span such as 5s; units are ms, s, m, h, d" in process.stderr
+    assert "own.conf:2: enable: unknown directive in section amqp; did you mean enabled?" in process.stderr
+    drain_fault = "own.conf:3: drain: expected a duration such as 5s (units: ms, s, m, h, d), got '5x'"
+    assert drain_fault in process.stderr
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -36,16 +36,18 @@
 
 
 def test_a_host_is_read_with_its_addresses_failure_domain_and_weight():
-    found, found_faults = read_workers(LIST)
-    assert not found_faults
-    assert len(found) == 3
-    assert found[0] == Worker(
+    workers, worker_faults = read_workers(LIST)
+    assert not worker_faults
+    assert len(workers) == 3
+    assert workers[0] == Worker(
         "disp-01.berceni.example.org", "10.0.0.4:8444", "10.1.0.4:9101", "10.0.0.4:9200", "berceni", "", "", 2.0
     )
     name = "disp-06.pipera.example.org"
-    assert found[1] == Worker(name, f"{name}:8443", f"{name}:9100", f"{name}:9200", "pipera", "rack-2", "old-box", 1.0)
-    assert found[1].kind == ("pipera", "old-box")
-    assert found[1].failure_domain == ("pipera", "rack-2")
+    assert workers[1] == Worker(
+        name, f"{name}:8443", f"{name}:9100", f"{name}:9200", "pipera", "rack-2", "old-box", 1.0
+    )
+    assert workers[1].kind == ("pipera", "old-box")
+    assert workers[1].failure_domain == ("pipera", "rack-2")
 
 
 def test_two_spellings_of_a_worker_host_are_one_host():
@@ -53,9 +55,9 @@
         "hosts:\n        disp-[06:07].pipera.example.org:",
         "hosts:\n        DISP-06.Pipera.example.org.: {}\n        disp-[06:07].pipera.example.org:",
     )
-    found, found_faults = read_workers(twice)
-    assert not found_faults
-    assert len(found) == 3
+    workers, worker_faults = read_workers(twice)
+    assert not worker_faults
+    assert len(workers) == 3
 
 
 @pytest.mark.parametrize(
@@ -68,8 +70,8 @@
     ],
 )
 def test_faults_name_the_variable_and_its_valid_values(host_line, fault):
-    found = faults("dispatch:\n  hosts:\n    " + host_line, group="dispatch", schema=SCHEMA)
-    assert (fault in found[0]) if fault else found == []
+    messages = faults("dispatch:\n  hosts:\n    " + host_line, group="dispatch", schema=SCHEMA)
+    assert (fault in messages[0]) if fault else messages == []
 
 
 @pytest.mark.parametrize(
@@ -82,9 +84,9 @@
     ],
 )
 def test_invalid_and_duplicate_addresses_are_faults(variables, fault):
-    _, found_faults = read_workers(f"dispatch:\n  hosts:\n    a: {variables}\n    b: {{}}")
-    assert [f for f in map(str, found_faults) if fault in f]
-    assert str(found_faults[0]).startswith("f.yml:")
+    _, worker_faults = read_workers(f"dispatch:\n  hosts:\n    a: {variables}\n    b: {{}}")
+    assert any(fault in str(worker_fault) for worker_fault in worker_faults)
+    assert str(worker_faults[0]).startswith("f.yml:")
 
 
 @pytest.fixture
@@ -132,11 +134,11 @@
 @pytest.mark.parametrize(
     ("text", "fault"),
     [
-        ("section fleet\n group dispatch\nend\n", "needs a path in section inventory"),
+        ("section fleet\n group dispatch\nend\n", "group: requires path in section inventory, which is not set"),
         (
             "section inventory\n path l.yml\n group g\nend\n"
             "section amqp\n enabled yes\nend\nsection fleet\n group g\nend\n",
-            "is that of the AMQP front's brokers",
+            "group: expected a group of worker hosts, got 'g', the group of the AMQP brokers in section inventory",
         ),
     ],
 )
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -96,7 +96,7 @@
     ("text", "error"),
     [
         ("10s fly all", "line 1: fly is none of"),
-        ("x stop all", "line 1: 'x' is not a span"),
+        ("x stop all", "line 1: expected a duration such as 5s \\(units: ms, s, m, h, d\\), got 'x'"),
         ("1s loss all for 2s", "takes one value"),
         ("\n1s stop 5% for 1s 3", "line 2: stop takes no value"),
         ("1s", "line 1"),
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -127,7 +127,7 @@
     assert not settings.metrics.enabled
     path = tmp_path / "later.conf"
     path.write_text((SAMPLES / "settings-1.conf").read_text() + "section later\n x 1\nend\n")
-    with pytest.raises(conf.InvalidFileError, match="later is unknown"):
+    with pytest.raises(conf.InvalidFileError, match="unknown section later"):
         conf.parse(path)
 
 
