--- a/lapispick/host/addresses.py
+++ b/lapispick/host/addresses.py
@@ -11,5 +11,5 @@
     """Parse ``IP:port``, where an IPv6 address may be in brackets; raises ``ValueError``."""
     host, colon, port = text.rpartition(":")
     if not colon or not port.isdecimal() or not min_port <= int(port) <= MAX_PORT:
-        raise ValueError(f"{text!r} is not IP:port")
+        raise ValueError(f"expected IP:port with a port from {min_port} to {MAX_PORT}, got {text!r}")
     return str(ip_address(host.strip("[]"))), int(port)
--- a/lapispick/host/config.py
+++ b/lapispick/host/config.py
@@ -157,7 +157,7 @@
 def load(environ: Mapping[str, str] = os.environ) -> Config:
     """Read the file that ``LB_CONFIG`` names; ``LB_OPS`` takes precedence over its ``ops``. Raises ``ConfigError``."""
     path = environ.get(CONFIG_PATH_VARIABLE, "")
-    _require(bool(path), CONFIG_PATH_VARIABLE, "must name the configuration file")
+    _require(bool(path), CONFIG_PATH_VARIABLE, f"expected the path of the configuration file, got {path!r}")
     try:
         with open(path, "rb") as file:
             config = parse(file.read())
@@ -176,15 +176,16 @@
     _require(
         bool(config.store) or config.start_settings.host.downstream != SHARED_DOWNSTREAM,
         "store",
-        "must be there where settings.FamilyInfo.Below is shared",
+        "missing; expected an address, because settings.FamilyInfo.Below is shared",
     )
     _check_addresses(config)
     try:
         int(config.seed, 16)
     except ValueError:
-        raise ConfigError(f"seed: {config.seed!r} is not a hexadecimal number") from None
-    _require(bool(re.fullmatch(r"[!-~]+", config.name)), "name", "must be one word")
-    _require(config.stop_ms > 0, "stop_ms", "must be over 0")
+        raise ConfigError(f"seed: expected a hexadecimal number, got {config.seed!r}") from None
+    is_one_word = bool(re.fullmatch(r"[!-~]+", config.name))
+    _require(is_one_word, "name", f"expected one word of printable ASCII characters, got {config.name!r}")
+    _require(config.stop_ms > 0, "stop_ms", f"expected a number above 0, got {config.stop_ms}")
     _check_limits(config.limits)
     _check_start_settings(config.start_settings)
     return config
@@ -200,7 +201,7 @@
     except msgspec.ValidationError as err:
         raise ConfigError(_key_and_fault(err)) from None
     except msgspec.DecodeError as err:
-        raise ConfigError(f"the configuration is not JSON: {err}") from None
+        raise ConfigError(f"configuration: invalid JSON: {err}") from None
 
 
 def _key_and_fault(err: msgspec.ValidationError) -> str:
@@ -211,7 +212,7 @@
     path = location.group(1) if location else ""
     if missing:
         path = f"{path}.{missing.group(1)}".lstrip(".")
-    return f"{path or 'the whole'}: {text[: location.start()] if location else text}"
+    return f"{path or 'configuration'}: {text[: location.start()] if location else text}"
 
 
 def _require(condition: bool, key: str, requirement: str) -> None:
@@ -220,7 +221,7 @@
 
 
 def _require_one_of(value: str, choices: Collection[str], key: str) -> None:
-    _require(value in choices, key, f"must be one of {', '.join(choices)}")
+    _require(value in choices, key, f"expected one of {', '.join(choices)}, got {value!r}")
 
 
 def _require_address(text: str, key: str, min_port: int) -> None:
@@ -241,11 +242,15 @@
 
 
 def _check_limits(limits: Limits) -> None:
-    _require(limits.sockets >= MIN_SOCKETS, "limits.sockets", f"must be at least {MIN_SOCKETS}")
+    _require(
+        limits.sockets >= MIN_SOCKETS,
+        "limits.sockets",
+        f"expected a number of at least {MIN_SOCKETS}, got {limits.sockets}",
+    )
     _require(
         MIN_MEMORY_MB <= limits.memory_mb < MAX_MEMORY_MB + 1,
         "limits.memory_mb",
-        f"must be from {MIN_MEMORY_MB} to {MAX_MEMORY_MB}",
+        f"expected a number from {MIN_MEMORY_MB} to {MAX_MEMORY_MB}, got {limits.memory_mb}",
     )
 
 
@@ -253,9 +258,14 @@
     for i, request_class in enumerate(settings.request_classes):
         key = f"settings.Services[{i}]"
         _require_one_of(request_class.idempotency, IDEMPOTENCY, f"{key}.Idempotency")
-        _require(request_class.deadline_ms > 0, f"{key}.GiveUp", "must be over 0")
+        deadline_ms = request_class.deadline_ms
+        _require(deadline_ms > 0, f"{key}.GiveUp", f"expected a number above 0, got {deadline_ms}")
     names = [request_class.name for request_class in settings.request_classes]
-    _require(len(set(names)) == len(names) > 0, "settings.Services", "must hold classes with different names")
+    _require(
+        len(set(names)) == len(names) > 0,
+        "settings.Services",
+        f"expected at least one class and different names, got {names}",
+    )
     _check_host_properties(settings.host, len(names))
     try:
         admission_settings(settings).validate()
@@ -265,7 +275,11 @@
 
 def _check_host_properties(host: HostProperties, class_count: int) -> None:
     key = "settings.FamilyInfo"
-    has_all_classes = len(host.degraded_weights) == class_count
-    _require(has_all_classes, f"{key}.ClassSkipWorth", "must have one value a class")
+    weight_count = len(host.degraded_weights)
+    _require(
+        weight_count == class_count,
+        f"{key}.ClassSkipWorth",
+        f"expected one value per class ({class_count} values), got {weight_count} values",
+    )
     _require_one_of(host.cancel_mode, CANCEL_MODES, f"{key}.Halt")
     _require_one_of(host.backpressure_signal, BACKPRESSURE_SIGNALS, f"{key}.Advert")
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -32,7 +32,8 @@
     assert sum(c["verb"] == "EXEC" for c in worker.executor.commands) == 3  # no run was started twice
     wait_until(lambda: len(worker.registry.reports) > report_count, "a report at the new address")
     worker.reload(store="nowhere")
-    assert "event=reload-refused fault=\"store: 'nowhere'" in worker.log()
+    refusal = "event=reload-refused fault=\"store: expected IP:port with a port from 1 to 65535, got 'nowhere'"
+    assert refusal in worker.log()
     worker.reload("{")
     worker.reload(name="other", stop_ms=2000)
     assert "event=reloaded changed=stop_ms" in worker.log()
