--- a/lapispick/agent/generation_store.py
+++ b/lapispick/agent/generation_store.py
@@ -45,7 +45,9 @@
         total_bytes += len(data)
         files.append((str(path.relative_to(folder)), data))
         if len(files) > MAX_PROGRAM_FILES or total_bytes > MAX_PROGRAM_BYTES:
-            raise InvalidGenerationError(f"{folder}: over {MAX_PROGRAM_FILES} files or {MAX_PROGRAM_BYTES >> 20} MB")
+            raise InvalidGenerationError(
+                f"{folder}: expected at most {MAX_PROGRAM_FILES} files and {MAX_PROGRAM_BYTES >> 20} MB, got more"
+            )
     return files
 
 
@@ -75,11 +77,13 @@
     )
     if completed.returncode:
         stderr = completed.stderr.decode(errors="replace").strip()[-_MAX_SHOWN_STDERR:]
-        raise InvalidGenerationError(f"{program}: does not start: {stderr}")
+        raise InvalidGenerationError(
+            f"{program}: python -m lapispick.versions failed with exit status {completed.returncode}: {stderr}"
+        )
     try:
         return compat.parse_formats(msgspec.json.decode(completed.stdout))
     except (ValueError, AttributeError) as err:
-        raise InvalidGenerationError(f"{program}: says what can't be read of what it speaks: {err}") from None
+        raise InvalidGenerationError(f"{program}: invalid output of python -m lapispick.versions: {err}") from None
 
 
 class GenerationStore:
@@ -147,12 +151,12 @@
         """Return what is wrong with the files of a generation; empty if they match its digests."""
         generation = self.get(name)
         if generation is None:
-            return "it is not there, or not whole"
+            return "missing or incomplete"
         folder = self.folder / name
         if generations.files_digest(program_files(folder / PROGRAM_FOLDER)) != generation.program_digest:
-            return "its program has changed since it was put here"
+            return "the program files do not match their digest"
         if settings_digest((folder / SETTINGS_FILE).read_bytes()) != generation.settings_digest:
-            return "its settings have changed since they were put here"
+            return "the settings file does not match its digest"
         return ""
 
     def prune(self, keep: int, needed: set[str]) -> list[str]:
--- a/lapispick/rollout/pacing.py
+++ b/lapispick/rollout/pacing.py
@@ -82,12 +82,12 @@
         return None
     match = _HOURS_PATTERN.fullmatch(text)
     if not match:
-        raise ValueError(f"{text!r} is not HH:MM-HH:MM")
+        raise ValueError(f"expected HH:MM-HH:MM, got {text!r}")
     start_hour, start_minute, end_hour, end_minute = map(int, match.groups())
     start = 60 * start_hour + start_minute
     end = 60 * end_hour + end_minute
     if start > MINUTES_PER_DAY or end > MINUTES_PER_DAY or start == end:
-        raise ValueError(f"{text!r} is no span of a day")
+        raise ValueError(f"expected two different times of day up to 24:00, got {text!r}")
     return Hours(start, end)
 
 
--- a/lapispick/rollout/stages.py
+++ b/lapispick/rollout/stages.py
@@ -43,12 +43,12 @@
     if text.startswith(_NAMES_PREFIX):
         names = tuple(filter(None, text.removeprefix(_NAMES_PREFIX).split(",")))
         if not names:
-            raise ValueError(f"{text!r} names no box")
+            raise ValueError(f"expected box:NAME,NAME, got {text!r}")
         return StageSize(names)
     if text.endswith("%"):
         return StageSize(fraction=_parse_fraction(text))
     if not text.isdecimal() or not 0 < int(text) <= MAX_COUNT:
-        raise ValueError(f"{text!r} is neither a count, nor a share, nor box:NAME,NAME")
+        raise ValueError(f"expected a count, a percentage or box:NAME,NAME, got {text!r}")
     return StageSize(count=int(text))
 
 
@@ -58,7 +58,7 @@
     except ValueError:
         fraction = -1.0
     if not 0 < fraction <= 1:
-        raise ValueError(f"{text!r} is no share from 0% to 100%")
+        raise ValueError(f"expected a percentage above 0% and up to 100%, got {text!r}")
     return fraction
 
 
@@ -124,9 +124,9 @@
 def _check_names(named: Sequence[str], by_name: dict[str, Worker]) -> None:
     for name in named:
         if name not in by_name:
-            raise ValueError(f"there is no box {name}{suggest_nearest(name, by_name)}")
+            raise ValueError(f"unknown host {name}{suggest_nearest(name, by_name)}")
     if len(set(named)) != len(named):
-        raise ValueError("a box stands in two stages")
+        raise ValueError("a host is named in two stages")
 
 
 def _fill_stage(
@@ -160,7 +160,7 @@
             texts += _comparison_remarks(number, stage_hosts, [host for host in hosts if host.name not in assigned])
     missing = by_name.keys() - assigned
     if missing:
-        texts.append(f"{len(missing)} boxes stay as they are, such as {min(missing)}")
+        texts.append(f"{len(missing)} hosts are in no stage and are not changed, such as {min(missing)}")
     texts += [f"{host.name} has no agent (lapispick_agent)" for host in hosts if not host.agent]
     return texts
 
@@ -170,7 +170,7 @@
     for host in stage:
         taken.update(_failure_domains(host))
     return [
-        f"stage {number} takes {count} boxes of {' '.join(filter(None, domain))}; {capacities[domain]} may go at once"
+        f"stage {number} takes {count} hosts of {' '.join(filter(None, domain))}; expected at most {capacities[domain]}"
         for domain, count in sorted(taken.items())
         if count > capacities[domain]
     ]
@@ -179,6 +179,6 @@
 def _comparison_remarks(number: int, stage: list[Worker], unchanged: list[Worker]) -> list[str]:
     kinds = {host.kind for host in stage} - {host.kind for host in unchanged}
     return [
-        f"stage {number} leaves no box of {'/'.join(filter(None, kind)) or 'its kind'} to compare with"
+        f"stage {number} leaves no unchanged host of {'/'.join(filter(None, kind)) or 'its kind'} to compare with"
         for kind in sorted(kinds)
     ]
--- a/tests/test_rollout_stages.py
+++ b/tests/test_rollout_stages.py
@@ -45,7 +45,7 @@
             assert sum(host.startswith(f"z{zone}-") for host in stage) < max(2, size)
     shuffled = hosts[:]
     random.Random(1).shuffle(shuffled)
-    assert stages.assign(shuffled, sizes, name, limits) == assigned  # whatever the order of the list
+    assert stages.assign(shuffled, sizes, name, limits) == assigned  # independent of the order of the list
 
 
 @pytest.mark.parametrize("text", ["0", "x", "120%", "0%", "box:", "-1", "1.5"])
@@ -58,9 +58,12 @@
     hosts = make_workers(4, 4)
     assigned = stages.assign(hosts, [parse_size("box:z0-1,z1-2"), parse_size("100%")], "r", stages.Limits())
     assert assigned[0] == ["z0-1", "z1-2"]
-    with pytest.raises(ValueError, match="did you mean z0-1"):
+    with pytest.raises(ValueError, match="unknown host z0-11; did you mean z0-1"):
         stages.assign(hosts, [parse_size("box:z0-11")], "r", stages.Limits())
-    assert any("stay as they are" in remark for remark in stages.remarks(hosts, assigned[:1], stages.Limits()))
+    assert any(
+        "6 hosts are in no stage and are not changed" in remark
+        for remark in stages.remarks(hosts, assigned[:1], stages.Limits())
+    )
 
 
 @DETERMINISTIC
