--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements; each is a script of its own, prints a table and writes nothing. None runs in CI."""
+"""Benchmarks: separate scripts that print their results and store nothing. CI runs none of them."""
--- a/benchmarks/detectors.py
+++ b/benchmarks/detectors.py
@@ -1,10 +1,10 @@
-"""Alternative failure detectors for comparison, from their public descriptions, as members of the simulation.
+"""Alternative failure detectors to compare with, written from their public descriptions, as simulated members.
 
-- ``HeartbeatDetector``: every member sends a heartbeat to every other one each interval; silence for ``timeout_s`` is a
-  death.
-- ``PhiAccrualDetector``: the same messages; a normal distribution of the intervals between them is estimated for each
-  member, which is dead when its silence has a probability below 10 ** -phi (Hayashibara, Defago, Yared, Katayama, SRDS
-  2004).
+- ``HeartbeatDetector``: every member sends a heartbeat to every other member each interval; a member that is silent
+  for ``timeout_s`` is declared dead.
+- ``PhiAccrualDetector``: sends the same messages and estimates a normal distribution of each member's heartbeat
+  intervals; a member is declared dead when its silence has a probability below 10 ** -phi (Hayashibara, Defago, Yared,
+  Katayama, SRDS 2004).
 """
 
 from __future__ import annotations
@@ -17,17 +17,19 @@
 from lapispick.members.failure_detector import Outgoing
 from lapispick.members.member_state import MemberState, StateChange
 
-HEARTBEAT = b'{"say":"beat","fleet":"model","sender":"disp-0001","life":1}'  # as long as a message without gossip
+HEARTBEAT = (
+    b'{"say":"beat","fleet":"model","sender":"disp-0001","life":1}'  # has the length of a message without gossip
+)
 
 
 class Heartbeat(bytes):
-    """A heartbeat; its length is what it costs."""
+    """An encoded heartbeat; its length counts as sent bytes."""
 
     sender: str
 
 
 class HeartbeatDetector:
-    """Declares a member dead after a fixed silence."""
+    """Failure detector that declares a member dead after a fixed time without heartbeats."""
 
     def __init__(
         self, name: str, names: Iterable[str], now: float, rng: Any, interval_s: float = 1.0, timeout_s: float = 5.0
@@ -35,18 +37,18 @@
         self.name = name
         self.interval_s = interval_s
         self.timeout_s = timeout_s
-        self._peers = [each for each in names if each != name]
+        self._peers = [peer for peer in names if peer != name]
         self._next_heartbeat_at = now + rng.random() * interval_s
         self._last_heard = dict.fromkeys(self._peers, now)
         self._states = dict.fromkeys(self._peers, MemberState.ALIVE)
         self._changes: list[StateChange] = []
 
     def next_tick_at(self) -> float:
-        """Return when the next tick has something to do."""
+        """Return when the next heartbeat is due."""
         return self._next_heartbeat_at
 
     def tick(self, now: float) -> list[Outgoing]:
-        """Send heartbeats, and check who is silent."""
+        """Declare silent peers dead, and send heartbeats if they are due."""
         for peer in self._peers:
             if self._states[peer] is MemberState.ALIVE and self._is_silent(peer, now):
                 self._states[peer] = MemberState.DEAD
@@ -59,7 +61,7 @@
         return [Outgoing(peer, heartbeat) for peer in self._peers]  # type: ignore[arg-type]
 
     def receive(self, now: float, heartbeat: Any) -> list[Outgoing]:
-        """Take a heartbeat."""
+        """Record a heartbeat; a peer that was declared dead becomes alive again."""
         sender = heartbeat.sender
         self._record_heartbeat(sender, now)
         if self._states[sender] is not MemberState.ALIVE:
@@ -81,7 +83,7 @@
 
 
 class PhiAccrualDetector(HeartbeatDetector):
-    """Declares a member dead by the intervals between its heartbeats so far."""
+    """Failure detector that declares a member dead by the distribution of its heartbeat intervals."""
 
     MAX_SAMPLES = 100
     MIN_SAMPLES = 5
--- a/benchmarks/durable.py
+++ b/benchmarks/durable.py
@@ -2,9 +2,9 @@
 
     python -m benchmarks.durable
 
-Measures the latency of a durable write and how long a store takes to open. Needs ``pip install lmdb==3.0.0``, which
-the program itself does not use. A write counts once it is on disk; all waiting writes share one sync. ``LATENCY_S``
-sets how long each rate is played, ``DURABLE_FOLDER`` where the stores are written.
+Measures the latency of a durable write and how long a store takes to open. Requires ``pip install lmdb==3.0.0``, which
+the program itself does not use. A write is complete once it is on disk; all pending writes share one sync.
+``LATENCY_S`` sets how long each write rate is measured, ``DURABLE_FOLDER`` the folder that the stores are written to.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 WRITE_RATES = (20, 130, 1000)  # a second
 KEY_COUNTS = (1_000, 10_000, 100_000)
 KEY_BYTES = 16
-RESULT_BYTES = 300  # of a booking's answer
-WRITE_BATCH = 1000  # keys, for filling a store
+RESULT_BYTES = 300  # size of a booking's answer
+WRITE_BATCH = 1000  # keys per write while a store is filled
 EXPIRES_AT_MS = 1e15
 LMDB_MAP_BYTES = 1 << 30
 LATENCY_SEED = 5
@@ -45,7 +45,7 @@
 
 
 class Store(Protocol):
-    """What is compared; ``put`` returns once its batch is on disk."""
+    """A store under comparison; ``put`` returns once its batch is on disk."""
 
     def put(self, batch: Batch) -> None:
         """Write a batch and sync."""
@@ -58,7 +58,7 @@
 
 
 class LmdbStore:
-    """One B-tree file, a transaction for each batch."""
+    """Store in an LMDB B-tree file, with one transaction per batch."""
 
     def __init__(self, folder: Path) -> None:
         import lmdb
@@ -82,7 +82,7 @@
 
 
 class SqliteStore:
-    """The program's own store."""
+    """The SQLite store of the program itself."""
 
     def __init__(self, folder: Path) -> None:
         self._database = database.Database(folder / "x.db", "n3")
@@ -108,7 +108,7 @@
 
 
 class LogStore:
-    """An append-only file of records with a length and a checksum."""
+    """Append-only file of records, each with its length and checksum."""
 
     def __init__(self, folder: Path) -> None:
         self._path = folder / "x.log"
@@ -124,16 +124,16 @@
         """Read all records and return how many there are."""
         data = self._path.read_bytes()
         offset = 0
-        found = {}
+        records = {}
         while offset < len(data):
             length, checksum = RECORD_HEAD.unpack_from(data, offset)
             offset += RECORD_HEAD.size
             body = data[offset : offset + length]
             assert crc32c(body) == checksum
             state, key, incarnation, created_at_ms, expires_at_ms, result = msgspec.msgpack.decode(body)
-            found[key] = DurableRecord(KeyState(state), incarnation, created_at_ms, expires_at_ms, b"", result)
+            records[key] = DurableRecord(KeyState(state), incarnation, created_at_ms, expires_at_ms, b"", result)
             offset += length
-        return len(found)
+        return len(records)
 
     def close(self) -> None:
         """Close the store."""
@@ -153,26 +153,26 @@
 
 
 class GroupCommit(threading.Thread):
-    """Writes all that waits as one batch; the latencies of the writes are in ``latencies_ms``."""
+    """Thread that writes all pending records as one batch; ``latencies_ms`` has the latency of each write."""
 
     def __init__(self, store: Store) -> None:
         super().__init__()
         self.latencies_ms: list[float] = []
-        self.syncs = 0
+        self.sync_count = 0
         self._store = store
-        self._pending: queue.SimpleQueue[PendingWrite | None] = queue.SimpleQueue()  # None ends it
+        self._pending: queue.SimpleQueue[PendingWrite | None] = queue.SimpleQueue()  # None stops the thread
 
     def put(self, key: bytes, result: bytes) -> None:
         """Request a write."""
         self._pending.put(PendingWrite(time.perf_counter(), key, result))
 
     def finish(self) -> None:
-        """Write what waits, then end."""
+        """Write the pending records and wait for the thread to end."""
         self._pending.put(None)
         self.join()
 
     def run(self) -> None:
-        """Write batches until the end."""
+        """Write batches until ``finish`` is called."""
         while (first := self._pending.get()) is not None:
             batch = [first]
             ended = False
@@ -188,7 +188,7 @@
 
     def _write(self, batch: list[PendingWrite]) -> None:
         self._store.put([(write.key, write.result) for write in batch])
-        self.syncs += 1
+        self.sync_count += 1
         now = time.perf_counter()
         self.latencies_ms += [(now - write.requested_at) * 1000 for write in batch]
 
@@ -200,30 +200,30 @@
 
 
 def measure_latency(open_store: OpenStore, rate: float, seconds: float) -> GroupCommit:
-    """Write at this mean rate with exponential gaps; return the ended group commit."""
+    """Write at a mean rate with exponentially distributed gaps; return the finished group commit."""
     rng = random.Random(LATENCY_SEED)
     with _temporary_folder() as folder:
         store = open_store(folder)
-        commits = GroupCommit(store)
-        commits.start()
+        group_commit = GroupCommit(store)
+        group_commit.start()
         end = time.perf_counter() + seconds
         while time.perf_counter() < end:
-            commits.put(rng.randbytes(KEY_BYTES), rng.randbytes(RESULT_BYTES))
+            group_commit.put(rng.randbytes(KEY_BYTES), rng.randbytes(RESULT_BYTES))
             time.sleep(rng.expovariate(rate))
-        commits.finish()
+        group_commit.finish()
         store.close()
-    return commits
+    return group_commit
 
 
 class Recovery(NamedTuple):
-    """How long it took to open a store and read all, and its size."""
+    """Time to open a store and read all records, and the size of the store."""
 
     duration_ms: float
     bytes_per_key: float
 
 
 def measure_recovery(open_store: OpenStore, count: int) -> Recovery:
-    """Fill a store, close it, and measure how long it takes to open it and read all."""
+    """Fill and close a store, then measure the time to open it and read all records."""
     rng = random.Random(RECOVERY_SEED)
     with _temporary_folder() as folder:
         store = open_store(folder)
@@ -231,28 +231,28 @@
             store.put([(rng.randbytes(KEY_BYTES), rng.randbytes(RESULT_BYTES)) for _ in range(WRITE_BATCH)])
         store.close()
         size = sum(path.stat().st_size for path in folder.iterdir())
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         store = open_store(folder)
         assert store.count() == count
-        duration_s = time.perf_counter() - began
+        duration_s = time.perf_counter() - started_at
         store.close()
     return Recovery(duration_s * 1000, size / count)
 
 
 def latency_rows(seconds: float) -> Iterator[tuple[object, ...]]:
-    """Yield a row for each rate and store."""
+    """Yield a table row for each write rate and store."""
     for rate in WRITE_RATES:
         for name, open_store in STORES.items():
-            commits = measure_latency(open_store, rate, seconds)
-            latencies_ms = sorted(commits.latencies_ms)
+            group_commit = measure_latency(open_store, rate, seconds)
+            latencies_ms = sorted(group_commit.latencies_ms)
             writes = len(latencies_ms)
             p99_ms = latencies_ms[int(writes * 0.99)]
             median_ms = statistics.median(latencies_ms)
-            yield rate, name, writes, f"{commits.syncs / writes:.2f}", f"{median_ms:.2f}", f"{p99_ms:.2f}"
+            yield rate, name, writes, f"{group_commit.sync_count / writes:.2f}", f"{median_ms:.2f}", f"{p99_ms:.2f}"
 
 
 def recovery_rows() -> Iterator[tuple[object, ...]]:
-    """Yield a row for each number of keys and store."""
+    """Yield a table row for each number of keys and store."""
     for count in KEY_COUNTS:
         for name, open_store in STORES.items():
             recovery = measure_recovery(open_store, count)
@@ -260,7 +260,7 @@
 
 
 def main() -> None:
-    """Print both tables."""
+    """Print the tables of write latency and recovery time."""
     seconds = float(os.environ.get("LATENCY_S", DEFAULT_LATENCY_S))
     columns = ("a second", "store", "writes", "syncs a write", "p50, ms", "p99, ms")
     show("latency of a durable write", columns, list(latency_rows(seconds)))
--- a/benchmarks/inventory.py
+++ b/benchmarks/inventory.py
@@ -1,8 +1,10 @@
-"""Inventory files: reading and applying, the loop's longest stall, and what a host pays that has them off.
+"""Measures inventory files: loading, the longest stall of the event loop, and the cost to a host without them.
 
     python -m benchmarks.inventory [read] [helper] [loop] [off] [log]
 
-``off`` compares with an earlier version of the project, by default the last one without this subsystem.
+``read`` loads a list in this process, ``helper`` in a helper process. ``loop`` measures the event loop's stalls.
+``off`` compares a host that has inventory files switched off with the last version of the project that lacked them.
+``log`` compares the host's log formatter with structlog.
 """
 
 from __future__ import annotations
@@ -21,7 +23,7 @@
 
 import msgspec
 
-from benchmarks.common import against, comparison_row, main_thread_cpu_s, peak_memory_mb, show
+from benchmarks.common import comparison_row, main_thread_cpu_s, peak_memory_mb, show, temporary_checkout
 from lapispick.conf.sections import InventorySettings
 from lapispick.fakes.start_settings import PLATFORM_INFO
 from lapispick.fleet import snapshot
@@ -36,16 +38,16 @@
 from lapispick.platform_settings import StartSettings, admission_settings
 
 SIZES = (14, 500, 5000)
-BEFORE = "8ba3416"  # the last version without inventory files
+REVISION_BEFORE = "8ba3416"  # the last version without inventory files
 PLAIN = inventory_schema.schema(None)
-MIN_ROUND_S = 0.0002  # a shorter round is followed by a sleep, or the loop would never idle
+MIN_ROUND_S = 0.0002  # the gap meter sleeps after a shorter round, since the loop would otherwise never be idle
 IDLE_SLEEP_S = 0.0005
 MAX_DURATION_S = 60.0
 REQUESTS_PER_BATCH = 10
 
 
 def csv_list(count: int, changed: int = -1) -> str:
-    """Return a list in CSV; the host with the number ``changed`` has another port."""
+    """Return an inventory as CSV; the host with the number ``changed`` has a different port."""
     rows = [
         f"{_host_name(number)},shops,{_address(number)},{_port(number, changed)},bookings,book,pipera\n"
         for number in range(1, count + 1)
@@ -54,7 +56,7 @@
 
 
 def yaml_list(count: int, changed: int = -1) -> str:
-    """Return the same list in YAML."""
+    """Return the same inventory as YAML."""
     entries = ["all:\n  children:\n    shops:\n      vars: {amqp_user: shop}\n      hosts:\n"]
     for number in range(1, count + 1):
         entries.append(
@@ -79,11 +81,11 @@
     return 5 if number == changed else 4
 
 
-FORMATS = {"csv": csv_list, "yml": yaml_list}
+LIST_MAKERS = {"csv": csv_list, "yml": yaml_list}
 
 
 class LoadTimes(NamedTuple):
-    """How long the first load of a list took, and the load after a change of one host."""
+    """Duration of the first load of a list, and of the load after one host changed."""
 
     first_ms: float
     change_ms: float
@@ -92,22 +94,22 @@
 def _read_list(
     reader: InventoryReader, base: snapshot.Snapshot, form: str, text: str
 ) -> tuple[float, snapshot.Snapshot]:
-    """Read a list and apply what differs from ``base``; return the time that it took in ms, and the result."""
+    """Read a list and apply its differences from ``base``; return the duration in ms and the new snapshot."""
     files = [InventoryFile(f"list.{form}", text.encode())]
     gc.collect()
     gc.disable()
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     hosts = reader.read(files).hosts
     known = base.hosts
     updated = [host for name, host in hosts.items() if known.get(name) is not host]
     applied = base.with_changes(updated, [name for name in known if name not in hosts])
     snapshot.difference(base, applied)
-    duration_s = time.perf_counter() - began
+    duration_s = time.perf_counter() - started_at
     gc.enable()
     return duration_s * 1000, applied
 
 
-LoadList = Callable[[str, str, str], LoadTimes]  # from the form, a list, and the same list with one host changed
+LoadList = Callable[[str, str, str], LoadTimes]  # takes a format, a list, and the list with one host changed
 
 
 def _load_in_process(form: str, old: str, new: str) -> LoadTimes:
@@ -118,17 +120,19 @@
 
 
 def _load_rows(load: LoadList, rounds: int) -> Iterator[tuple[str, int, LoadTimes]]:
-    """Yield the form, the size and the median times of each list."""
-    for form, make in FORMATS.items():
+    """Yield the format, the size and the median load times of each list."""
+    for form, make_list in LIST_MAKERS.items():
         for size in SIZES:
-            times = [load(form, make(size), make(size, 1 + (size * number) // rounds)) for number in range(rounds)]
-            first_ms = statistics.median(each.first_ms for each in times)
-            change_ms = statistics.median(each.change_ms for each in times)
+            times = [
+                load(form, make_list(size), make_list(size, 1 + (size * number) // rounds)) for number in range(rounds)
+            ]
+            first_ms = statistics.median(load_times.first_ms for load_times in times)
+            change_ms = statistics.median(load_times.change_ms for load_times in times)
             yield form, size, LoadTimes(first_ms, change_ms)
 
 
-def read(rounds: int = 5) -> None:
-    """Read a list first, then with one host changed; medians."""
+def measure_reading(rounds: int = 5) -> None:
+    """Measure the first load of a list, and the load after one host changed, in this process."""
     rows = [
         (form, size, f"{times.first_ms:.1f}", f"{times.change_ms:.2f}", f"{times.change_ms / times.first_ms:.3f}")
         for form, size, times in _load_rows(_load_in_process, rounds)
@@ -136,8 +140,8 @@
     show("reading and applying, ms (medians)", ("form", "hosts", "first load", "one host changed", "ratio"), rows)
 
 
-def helper(rounds: int = 5) -> None:
-    """Let a real helper process read a list first, from its start on, and then with one host changed."""
+def measure_helper(rounds: int = 5) -> None:
+    """Measure the same loads in a real helper process; the first load includes the start of the process."""
     rows = [
         (form, size, f"{times.first_ms:.0f}", f"{times.change_ms:.2f}", f"{times.change_ms / times.first_ms:.3f}")
         for form, size, times in _load_rows(_load_in_helper, rounds)
@@ -152,7 +156,7 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / f"list.{form}"
         path.write_text(old)
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         ours, theirs = socket.socketpair()
         process = subprocess.Popen([sys.executable, "-m", "lapispick.fleet.helper"], stdin=theirs)
         theirs.close()
@@ -166,11 +170,11 @@
 
         request(Begin(str(path), 64 << 20, ReadOptions("shops", PLAIN)))
         request(Poll())
-        first_s = time.perf_counter() - began
+        first_s = time.perf_counter() - started_at
         path.write_text(new)
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         request(Poll())
-        change_s = time.perf_counter() - began
+        change_s = time.perf_counter() - started_at
         lines.close()
         ours.close()
         process.wait()
@@ -178,7 +182,7 @@
 
 
 class _GapMeter:
-    """The longest gap between two rounds of a loop, in s, by the phase of the measurement."""
+    """Meter of the longest gap between two rounds of a loop in each phase of the measurement."""
 
     def __init__(self, loop: EventLoop) -> None:
         self.phase = "idle"
@@ -186,7 +190,7 @@
         self._loop = loop
 
     def run(self) -> None:
-        """Yield to the loop again and again, and take the time."""
+        """Yield to the loop repeatedly and record the longest gap."""
         last = time.perf_counter()
         while True:
             self._loop.yield_control()
@@ -199,7 +203,7 @@
 
 
 def _load_and_change(loop: EventLoop, meter: _GapMeter, inventory: Inventory, path: Path, lists: list[Path]) -> None:
-    """Let the inventory load its list, then replace it by each of ``lists``; ends the loop."""
+    """Start the inventory, replace its list by each of ``lists`` in turn, then stop the loop."""
     loop.sleep(0.5)
     meter.phase = "first"
     loop.spawn(inventory.serve)
@@ -223,34 +227,34 @@
 
 
 class Stalls(NamedTuple):
-    """The longest gaps between two rounds of a loop, and the peak memory of both processes."""
+    """Longest gaps between two rounds of a loop, and the peak memory of both processes."""
 
     idle_ms: float
     first_load_ms: float
     change_ms: float
     helper_mb: float
-    own_mb: float
+    host_mb: float
 
 
 def _measure_stalls(size: int, form: str, rounds: int) -> Stalls:
-    """Follow a list on a real loop with a real helper, and replace it this often."""
+    """Watch a list with a real loop and a real helper process, and replace the list ``rounds`` times."""
     info = msgspec.convert(PLATFORM_INFO, StartSettings)
     loop = EventLoop()
     meter = _GapMeter(loop)
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / f"list.{form}"
-        path.write_text(FORMATS[form](size))
-        lists = [path.with_name(f"spare{number}") for number in range(rounds)]  # written ahead, not by the loop
-        for number, spare in enumerate(lists):
-            spare.write_text(FORMATS[form](size, 1 + number * size // rounds))
+        path.write_text(LIST_MAKERS[form](size))
+        lists = [path.with_name(f"spare{number}") for number in range(rounds)]  # written before the loop runs
+        for number, replacement in enumerate(lists):
+            replacement.write_text(LIST_MAKERS[form](size, 1 + number * size // rounds))
         settings = InventorySettings(path=path, group="shops", poll_interval_s=0.05, settle_s=0.1, max_settle_s=1.0)
         inventory = Inventory(loop, settings, inventory_schema.schema(info), _amqp_front(loop, info).apply)
         loop.spawn(meter.run)
         loop.spawn(_load_and_change, loop, meter, inventory, path, lists)
-        loop.call_later(MAX_DURATION_S, loop.stop)  # a list that is never accepted must not keep this running
+        loop.call_later(MAX_DURATION_S, loop.stop)  # limits the run if a list is never accepted
         loop.run()
-        assert inventory.helper.process is not None, "the list was not accepted"
-        assert meter.phase == "change", "the list was not accepted"
+        assert inventory.helper.process is not None, "expected a running helper process after the list was accepted"
+        assert meter.phase == "change", f"the first list was not accepted within {MAX_DURATION_S:g} s"
         helper_mb = peak_memory_mb(inventory.helper.process.pid)
         inventory.helper.process.kill()
         inventory.helper.process.wait()
@@ -258,19 +262,19 @@
     return Stalls(idle_ms, first_load_ms, change_ms, helper_mb, peak_memory_mb(os.getpid()))
 
 
-def loop(rounds: int = 5) -> None:
-    """Follow a list on a real loop with a real helper, and measure the longest gap between rounds."""
+def measure_loop(rounds: int = 5) -> None:
+    """Measure the longest gaps of a real loop and the peak memory, each list in a process of its own."""
     rows: list[tuple[Any, ...]] = []
-    for form in FORMATS:
+    for form in LIST_MAKERS:
         for size in SIZES:
-            done = subprocess.run(
+            completed = subprocess.run(
                 [sys.executable, "-m", "benchmarks.inventory", "stalls", form, str(size), str(rounds)],
                 capture_output=True,
                 text=True,
                 check=True,
                 timeout=90,
             )
-            rows.append((form, size, *done.stdout.split()))
+            rows.append((form, size, *completed.stdout.split()))
     show(
         "longest gap between two rounds of the loop, ms; memory at the peak, MB",
         ("form", "hosts", "idle", "first load", "one host changed", "helper", "host and front"),
@@ -279,14 +283,14 @@
 
 
 class HostCost(NamedTuple):
-    """What one run of a host cost."""
+    """Memory and CPU cost of one run of a host."""
 
-    memory_mb: float  # at start
+    memory_mb: float  # peak until the host is ready
     cpu_us_per_request: float
 
 
 def _measure_host(folder: Path, tree: Path, requests: int) -> HostCost:
-    """Run the host of a checkout, and send it requests in batches."""
+    """Run the host of a checkout and send it requests in batches."""
     from lapispick.fakes.host_process import HostProcess
 
     host = HostProcess(folder, cwd=tree)
@@ -301,17 +305,17 @@
     return cost
 
 
-def off(rounds: int = 5, requests: int = 1200) -> None:
-    """Compare a host that has all of it off with an earlier version: memory at start, CPU for a request."""
+def measure_disabled(rounds: int = 5, requests: int = 1200) -> None:
+    """Compare a host without inventory files with the earlier version: memory at start and CPU per request."""
     costs: dict[str, list[HostCost]] = {"before": [], "now": []}
-    with against(BEFORE) as old, tempfile.TemporaryDirectory() as folder:
+    with temporary_checkout(REVISION_BEFORE) as old, tempfile.TemporaryDirectory() as folder:
         for round_number in range(rounds):
             order = [("before", old), ("now", Path.cwd())]
             for name, tree in order if round_number % 2 else order[::-1]:
                 costs[name].append(_measure_host(Path(folder), tree, requests))
     before, now = costs["before"], costs["now"]
     show(
-        f"a host with all of it off against {BEFORE} (medians of {rounds} runs each)",
+        f"a host with all of it off against {REVISION_BEFORE} (medians of {rounds} runs each)",
         ("", "before", "now", "ratio"),
         [
             comparison_row(
@@ -352,8 +356,8 @@
 """
 
 
-def log(rounds: int = 5) -> None:
-    """Compare the host's formatter with structlog: memory of the import, cost of a line."""
+def measure_logging(rounds: int = 5) -> None:
+    """Compare the host's log formatter with structlog: memory of the import and CPU time per line."""
     rows = []
     for name, tool in (("the host's formatter", False), ("structlog, as the tools use it", True)):
         outputs = [
@@ -370,13 +374,22 @@
     show("log lines (medians)", ("", "memory of the import, MB", "a line, us"), rows)
 
 
+MEASUREMENTS: dict[str, Callable[[], None]] = {
+    "read": measure_reading,
+    "helper": measure_helper,
+    "loop": measure_loop,
+    "off": measure_disabled,
+    "log": measure_logging,
+}
+
+
 def main() -> None:
-    """Run the parts that are named, by default all."""
+    """Run the measurements that are named, by default all."""
     arguments = sys.argv[1:]
     if arguments[:1] == ["stalls"]:
         print(*(f"{value:.2f}" for value in _measure_stalls(int(arguments[2]), arguments[1], int(arguments[3]))))
         return
-    for name, measure in (("read", read), ("helper", helper), ("loop", loop), ("off", off), ("log", log)):
+    for name, measure in MEASUREMENTS.items():
         if not arguments or name in arguments:
             measure()
 
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,11 +1,12 @@
 """Measures membership and leases in simulations: ``python -m benchmarks.members [detectors] [sizes] [leases] [herd]``.
 
-- detectors: time to detect a death, and false deaths, with message loss, one-way links and pauses, beside heartbeats to
-  all and phi accrual in the same runs, by the same seeds and faults;
-- sizes: messages and bytes per member and second, and time to detect a death, at 14 to 5,000 members;
-- leases: time to obtain a lease with and without faults, by the number of members that request it;
-- herd: what 200 hosts do after one cause that all see at one instant, before jitter and leases (backoffs from 0.7 to 1,
-  fixed periods) and now: instants with more than 1.5 times the mean, and the busiest instant over the mean.
+- detectors: time to detect a death and number of false deaths, under message loss, one-way links and pauses, compared
+  with heartbeats to all members and with phi accrual under the same seeds and faults;
+- sizes: messages and bytes per member and second, and time to detect a death, for 14 to 5,000 members;
+- leases: time to obtain a lease, with and without faults, by the number of members that request it;
+- herd: load peaks of 200 hosts that react to the same event at the same time (a thundering herd), with the former code
+  (backoffs multiplied by 0.7 to 1, fixed periods, no leases) and with jitter and leases: the fraction of instants above
+  1.5 times the mean, and the busiest instant over the mean.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 RUN_S = 120.0
 DEATH_AT_S = 60.0
-FOREVER_S = 1000.0
+NEVER_RESTARTS_S = 1000.0  # longer than a run
 NOT_DETECTED = -1.0
 FAULTS = ("none", "loss 5%", "loss 20%", "loss 50%", "one way", "stalls", "slow")
 DETECTORS = ("swim", "swim, no health", "heartbeats", "phi accrual")
@@ -42,7 +43,7 @@
 
 
 class DetectorRun(NamedTuple):
-    """One run of one detector."""
+    """Settings of one run of one detector."""
 
     detector: str
     fault: str
@@ -73,9 +74,9 @@
 
 
 def _script(fault: str, names: list[str], seed: int) -> list[FaultStep]:
-    """Return the death of the last member, and the pauses of others."""
+    """Return the steps that kill the last member and pause other members."""
     rng = random.Random(f"{seed} {fault}")
-    script = [FaultStep(DEATH_AT_S, FaultKind.KILL, names[-1], FOREVER_S)]
+    script = [FaultStep(DEATH_AT_S, FaultKind.KILL, names[-1], NEVER_RESTARTS_S)]
     if fault == "stalls":
         script += [FaultStep(rng.uniform(5, 110), FaultKind.PAUSE, rng.choice(names[:-1]), 2.0) for _ in range(12)]
     if fault == "slow":  # one host that is paused for more than half of the time
@@ -85,7 +86,7 @@
 
 
 def _one_way_links(names: list[str], seed: int) -> set[tuple[str, str]]:
-    """Return three links that fail in one direction."""
+    """Return three links, as sender and receiver, that fail in one direction."""
     rng = random.Random(f"{seed} links")
     links = set()
     for _ in range(3):
@@ -95,7 +96,7 @@
 
 
 def run_detector(run: DetectorRun) -> DetectorResult:
-    """Run one detector with one fault and a death."""
+    """Simulate members with one detector, one fault and one death."""
     names = host_names(run.size)
     script = _script(run.fault, names, run.seed)
     cluster = SimulatedCluster(run.seed, run.size, _factory(run.detector, names), script, _loss(run.fault))
@@ -136,16 +137,16 @@
     }
 
 
-def _measure_detectors(pool: ProcessPoolExecutor, plays: int) -> list[Row]:
+def _measure_detectors(pool: ProcessPoolExecutor, run_count: int) -> list[Row]:
     rows = []
     for fault in FAULTS:
         for detector in DETECTORS:
-            detector_runs = [DetectorRun(detector, fault, seed) for seed in range(1, plays + 1)]
+            detector_runs = [DetectorRun(detector, fault, seed) for seed in range(1, run_count + 1)]
             rows.append(_detector_row(fault, detector, list(pool.map(run_detector, detector_runs, chunksize=4))))
     return rows
 
 
-def _measure_sizes(pool: ProcessPoolExecutor, _plays: int) -> list[Row]:
+def _measure_sizes(pool: ProcessPoolExecutor, _run_count: int) -> list[Row]:
     script = "20s kill 5% for 1000s"
     settings = [
         runs.RunSettings(14, 60.0, 0.0, 1, script),
@@ -156,32 +157,32 @@
     return [msgspec.to_builtins(metrics) for metrics in pool.map(runs.simulate, settings)]
 
 
-def _measure_leases(pool: ProcessPoolExecutor, plays: int) -> list[Row]:
+def _measure_leases(pool: ProcessPoolExecutor, run_count: int) -> list[Row]:
     rows = []
     for fault, (script, loss) in LEASE_FAULTS.items():
         for requesters in (1, 5):
-            seeds = range(1, max(2, plays // 4) + 1)
+            seeds = range(1, max(2, run_count // 4) + 1)
             settings = [runs.RunSettings(5, 120.0, loss, seed, script, requesters) for seed in seeds]
             metrics = list(pool.map(runs.simulate, settings))
-            leases = sum(each.leases for each in metrics)
-            total_wait_s = sum(each.mean_lease_wait_s * each.leases for each in metrics)
+            leases = sum(run_metrics.leases for run_metrics in metrics)
+            total_wait_s = sum(run_metrics.mean_lease_wait_s * run_metrics.leases for run_metrics in metrics)
             rows.append(
                 {
                     "fault": fault,
                     "requesters": requesters,
                     "leases": leases,
                     "wait_s": round(total_wait_s / max(1, leases), 2),
-                    "overlaps": sum(each.overlaps for each in metrics),
+                    "overlaps": sum(run_metrics.overlaps for run_metrics in metrics),
                 }
             )
     return rows
 
 
-def _measure_herd(_pool: ProcessPoolExecutor, plays: int) -> list[Row]:
-    return members_herd.measure(plays)
+def _measure_herd(_pool: ProcessPoolExecutor, run_count: int) -> list[Row]:
+    return members_herd.measure(run_count)
 
 
-PARTS = {
+MEASUREMENTS = {
     "detectors": _measure_detectors,
     "sizes": _measure_sizes,
     "leases": _measure_leases,
@@ -190,16 +191,16 @@
 
 
 def main() -> None:
-    """Measure the parts that are named, or all, and print them as JSON, a row a line."""
+    """Run the measurements that are named, by default all, and print their rows as JSON, one per line."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("parts", nargs="*", help=", ".join(PARTS))
-    parser.add_argument("--plays", type=int, default=20)
-    parser.add_argument("--jobs", type=int, default=4)
-    parser.add_argument("--plot", metavar="FILE", help="plot the sizes")
+    parser.add_argument("parts", nargs="*", help=", ".join(MEASUREMENTS))
+    parser.add_argument("--plays", type=int, default=20, help="runs per row; leases and herd use fewer")
+    parser.add_argument("--jobs", type=int, default=4, help="worker processes")
+    parser.add_argument("--plot", metavar="FILE", help="write a plot of the sizes to this file")
     options = parser.parse_args()
     with ProcessPoolExecutor(options.jobs) as pool:
-        for name in options.parts or PARTS:
-            rows = PARTS[name](pool, options.plays)
+        for name in options.parts or MEASUREMENTS:
+            rows = MEASUREMENTS[name](pool, options.plays)
             for row in rows:
                 print(name, msgspec.json.encode(row).decode(), flush=True)
             if name == "sizes" and options.plot:
--- a/benchmarks/members_host.py
+++ b/benchmarks/members_host.py
@@ -1,7 +1,8 @@
-"""Measures what membership costs running hosts: ``python -m benchmarks.members_host [--hosts N] [--seconds S]``.
+"""Measures the cost of membership to running hosts: ``python -m benchmarks.members_host [--hosts N] [--seconds S]``.
 
-Hosts with and without ``section members``, in one run, at rest: CPU of the host's process as the system counts it,
-memory, messages as the hosts count them, and the time until all see all after a start at one instant.
+Runs hosts without load, with and without ``section members``. Prints the CPU time of a host's process from the system's
+counters, its memory, the messages that the hosts count, and, after a simultaneous start, the time until all hosts see
+each other.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 from lapispick.fakes.fleet import Fleet
 from lapispick.fakes.member_cluster import MemberCluster
 
-DEFAULT_SETTINGS = ""  # of section members
+DEFAULT_SETTINGS = ""  # no directives in section members
 SEED = 3
 
 
@@ -26,15 +27,15 @@
 
 
 def measure(hosts: int, seconds: float, enabled: bool) -> dict[str, float]:
-    """Return what one host costs, as means."""
+    """Return the mean costs of one host."""
     with tempfile.TemporaryDirectory() as folder, Fleet(Path(folder), SEED, hosts, gateways=1, rate=1.0) as fleet:
         cluster = MemberCluster(fleet, DEFAULT_SETTINGS) if enabled else None
-        started = time.monotonic()
+        started_at = time.monotonic()
         if cluster is not None:
             cluster.start()
         else:
             fleet.start()
-        result = {"start_s": time.monotonic() - started}
+        result = {"start_s": time.monotonic() - started_at}
         if cluster is not None:
             result["agree_s"] = cluster.wait_for_agreement(cluster.names(), within=60.0)
         pids = [host.processes[-1].pid for host in fleet.hosts]
@@ -48,10 +49,10 @@
 
 
 def main() -> None:
-    """Measure both twice, alternately, and print the results."""
+    """Measure hosts without and with membership twice each, alternately, and print the results."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("--hosts", "--boxes", type=int, default=14)
-    parser.add_argument("--seconds", type=float, default=30.0)
+    parser.add_argument("--hosts", "--boxes", type=int, default=14, help="number of hosts")
+    parser.add_argument("--seconds", type=float, default=30.0, help="duration of each measurement")
     options = parser.parse_args()
     for enabled in (False, True, False, True):
         result = measure(options.hosts, options.seconds, enabled)
--- a/benchmarks/members_mutants.py
+++ b/benchmarks/members_mutants.py
@@ -1,8 +1,8 @@
-"""Mutation testing of the members' properties: removes one safeguard after the other, and finds a property that fails.
+"""Mutation tests of the membership properties: removes one safeguard at a time and expects a property to fail.
 
-``python -m benchmarks.members_mutants [--jobs N] [NAME...]`` copies the package, changes one place and checks
-properties until one fails. Ends with 1 if a mutant survives. About two minutes on four cores. ``--places`` only checks
-that each mutant's text occurs exactly once.
+``python -m benchmarks.members_mutants [--jobs N] [NAME...]`` copies the package, changes one place in
+the copy and checks properties until one fails. The exit code is 1 if a mutant survives. A run takes about two minutes
+on four cores. ``--places`` only checks that each mutant's original text occurs exactly once.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 
 
 class MutantPlaceError(Exception):
-    """The text that a mutant changes does not occur exactly once."""
+    """Raised if the text that a mutant replaces does not occur exactly once."""
 
     def __init__(self, mutant: Mutant, count: int) -> None:
-        super().__init__(f"{mutant.name}: its text occurs {count} times in {mutant.file}")
+        super().__init__(f"mutant '{mutant.name}': expected its text once in {mutant.file}, found it {count} times")
         self.mutant = mutant
         self.count = count
 
 
 class Mutant(NamedTuple):
-    """One change of a file of ``lapispick/members``, and the property that should fail."""
+    """A change of one file of ``lapispick/members``, and the property that should fail with it."""
 
     name: str
     file: str
@@ -41,7 +41,7 @@
     property_name: str
 
     def mutated(self, root: Path) -> str:
-        """Return the changed text of the file below ``root``; raises ``MutantPlaceError``."""
+        """Return the changed text of the file; raises ``MutantPlaceError``."""
         text = (root / PACKAGE / self.file).read_text()
         count = text.count(self.original)
         if count != 1:
@@ -49,12 +49,12 @@
         return text.replace(self.original, self.replacement)
 
     def apply(self, root: Path) -> None:
-        """Change the copy of the package below ``root``; raises ``MutantPlaceError``."""
+        """Change the file in the copy of the package below ``root``; raises ``MutantPlaceError``."""
         (root / PACKAGE / self.file).write_text(self.mutated(root))
 
 
 class Result(NamedTuple):
-    """What became of a mutant; ``failure`` is what the failing property observed, or empty."""
+    """Result of a mutant; ``failure`` is the message of the property that failed, or empty if the mutant survived."""
 
     mutant: Mutant
     failure: str
@@ -375,12 +375,12 @@
 
 
 def run_mutant(mutant: Mutant) -> Result:
-    """Check the property that should fail, then all others."""
+    """Check the property that should fail; if it passes, check all properties."""
     with tempfile.TemporaryDirectory() as folder:
         shutil.copytree(ROOT / "lapispick", Path(folder) / "lapispick", ignore=shutil.ignore_patterns("__pycache__"))
         mutant.apply(Path(folder))
         for names in ([mutant.property_name], []):
-            done = subprocess.run(
+            completed = subprocess.run(
                 [sys.executable, "-m", "lapispick", "model", "check", "--seeds", str(SEEDS), *names],
                 cwd=folder,
                 env={**os.environ, "PYTHONPATH": folder},
@@ -388,17 +388,17 @@
                 text=True,
                 check=False,
             )
-            if done.returncode:
-                return Result(mutant, (done.stderr.strip().splitlines() or ["?"])[-1])
+            if completed.returncode:
+                return Result(mutant, (completed.stderr.strip().splitlines() or ["?"])[-1])
     return Result(mutant, "")
 
 
 def main() -> int:
-    """Test all mutants, or those that are named."""
+    """Test the mutants that are named, by default all; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("names", nargs="*")
     parser.add_argument("--jobs", type=int, default=4)
-    parser.add_argument("--places", action="store_true", help="only check that each mutant's text occurs once")
+    parser.add_argument("--places", action="store_true", help="only check that each mutant's original text occurs once")
     options = parser.parse_args()
     selected = [mutant for mutant in MUTANTS if not options.names or mutant.name in options.names]
     for mutant in selected:
