--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -1,9 +1,12 @@
-"""Measures the canary analysis and rollouts in simulated time: ``python -m benchmarks.rollout``. Seeds count from 1.
+"""Measures the canary analysis and rollouts in simulated time: ``python -m benchmarks.rollout``.
 
-- false stops: rollouts of the same generation (A/A) by the analysis, and by a fixed threshold on raw metrics;
-- detection within the bake time of a change that is worse by 5, 10 and 30 % for one class, by number of hosts, by both;
-- requests lost to a change that fails 30 % of them: staged against all at once;
-- whole rollouts of 200 and 1,000 hosts: what they take, and the most hosts that were down.
+- whole: final phases of complete rollouts of an unchanged generation (A/A), in which each stop is a false one;
+- stages: how often the canary analysis and a fixed threshold on raw metrics stop a stage within the bake time, by the
+  number of hosts: falsely in an A/A stage, and correctly if the change is worse by 5, 10 or 30 % for one class;
+- lost: requests lost to a change that fails 30 % of them, in a staged rollout and in a change of all hosts at once;
+- large: duration, CPU time and maximum number of hosts down in complete rollouts to 200 and 1,000 hosts.
+
+Seeds count from 1.
 """
 
 from __future__ import annotations
@@ -24,23 +27,23 @@
 
 BAKE_SLICES = 60
 BASELINE_SLICES = 60
-THRESHOLD = 0.05  # of the unserved fraction, over the unchanged hosts', as an alert on raw metrics has it
-THRESHOLD_SLICES = 10
+THRESHOLD = 0.05  # excess of the unserved fraction over that of the unchanged hosts, as in an alert on raw metrics
+THRESHOLD_SLICES = 10  # over which the excess is averaged
 COMPARISON_S = 600.0
 WORSE_CLASS = "book"
 
 
 class Stage(NamedTuple):
-    """One stage that is played."""
+    """Settings of one simulated stage."""
 
     seed: int
     changed: int
     unchanged: int
-    worse: float
+    worse: float  # fraction of the served requests of ``WORSE_CLASS`` that the change makes fail
 
 
 class StageResult(NamedTuple):
-    """When the analysis and the threshold stopped it, in slices; 0 = they did not. ``outcome`` is the last one."""
+    """Slices until the analysis and the threshold stopped a stage (0: not stopped), and the last outcome."""
 
     stopped_by_analysis: int
     stopped_by_threshold: int
@@ -48,14 +51,14 @@
 
 
 class LostFractions(NamedTuple):
-    """The fraction of requests that a bad change loses."""
+    """Fractions of requests lost to a faulty change."""
 
     staged: float
     at_once: float
 
 
-def play_stage(stage: Stage) -> StageResult:
-    """Play one stage of a fleet whose hosts differ, drift and share a wave of load."""
+def simulate_stage(stage: Stage) -> StageResult:
+    """Simulate one stage of a fleet whose hosts differ, drift and share a fluctuation of the load."""
     fleet = SimulatedFleet(stage.seed, stage.changed + stage.unchanged, drift=0.001)
     names = list(fleet.hosts)
     changed = names[: stage.changed]
@@ -78,8 +81,8 @@
         analysis.add_canary(changed, unchanged, slices)
         excess = _unserved_fraction(slices, changed) - _unserved_fraction(slices, unchanged)
         excesses = [*excesses, excess][-THRESHOLD_SLICES:]
-        is_over = len(excesses) == THRESHOLD_SLICES and sum(excesses) / THRESHOLD_SLICES > THRESHOLD
-        if not stopped_by_threshold and is_over:
+        is_above_threshold = len(excesses) == THRESHOLD_SLICES and sum(excesses) / THRESHOLD_SLICES > THRESHOLD
+        if not stopped_by_threshold and is_above_threshold:
             stopped_by_threshold = number - BASELINE_SLICES
         if not stopped_by_analysis and analysis.verdict().outcome is Outcome.WORSE:
             stopped_by_analysis = number - BASELINE_SLICES
@@ -93,11 +96,11 @@
     return {name: slice_ for name, slice_ in drawn.items() if slice_ is not None}
 
 
-def _worsen(slice_: Slice, by: float, rng: random.Random) -> Slice:
+def _worsen(slice_: Slice, fraction: float, rng: random.Random) -> Slice:
     counts = slice_.classes[WORSE_CLASS]
     served = counts.requests - counts.rejected - counts.failed
-    more = sum(rng.random() < by for _ in range(served))
-    worse = counts._replace(failed=counts.failed + more, weight=counts.weight - more)
+    extra_failures = sum(rng.random() < fraction for _ in range(served))
+    worse = counts._replace(failed=counts.failed + extra_failures, weight=counts.weight - extra_failures)
     return slice_._replace(classes={**slice_.classes, WORSE_CLASS: worse})
 
 
@@ -111,15 +114,16 @@
     return (counts.rejected + counts.failed) / max(1, counts.requests)
 
 
-def play_rollout(seed: int) -> str:
-    """Play a whole A/A rollout of 40 hosts; an operator who is asked resumes it."""
+def simulate_rollout(seed: int) -> str:
+    """Simulate an A/A rollout to 40 hosts, in which the operator always resumes, and return its last phase."""
     return SimulatedFleet(seed, 40, drift=0.001).play().phase
 
 
 def lost_fractions(seed: int) -> LostFractions:
-    """Return what a change costs that fails 30 % of the requests: staged, and all at once.
+    """Return the fractions of requests lost to a change that fails 30 % of them, staged and all at once.
 
-    All at once there is nothing left to compare with, so nothing is decided, and an operator rolls it back when asked.
+    If all hosts change at once, no unchanged host is left to compare with, so the analysis reaches no verdict, and the
+    change is rolled back when the rollout awaits the operator's decision.
     """
     return LostFractions(_lost_fraction(seed, staged=True), _lost_fraction(seed, staged=False))
 
@@ -135,9 +139,9 @@
     return fleet.lost_requests / fleet.served_without_change
 
 
-def play_large(size: int) -> dict[str, object]:
-    """Roll a good change through many hosts."""
-    began = time.process_time()
+def simulate_large_rollout(size: int) -> dict[str, object]:
+    """Simulate the rollout of a correct change to many hosts."""
+    started_at = time.process_time()
     fleet = SimulatedFleet(1, size, rate=20.0)
     state = fleet.play(20_000)
     serving = sum(host.serving(fleet.now)[0] == NEW for host in fleet.hosts.values())
@@ -147,50 +151,50 @@
         "serving": serving,
         "hours": round(fleet.now / 3600, 2),
         "max_down": fleet.max_down,
-        "cpu_s": round(time.process_time() - began, 1),
+        "cpu_s": round(time.process_time() - started_at, 1),
     }
 
 
-def _measure_stages(pool: ProcessPoolExecutor, plays: int) -> list[dict[str, object]]:
+def _measure_stages(pool: ProcessPoolExecutor, run_count: int) -> list[dict[str, object]]:
     return [
-        _measure_stage(pool, changed, unchanged, worse, plays if not worse else max(20, plays // 5))
+        _measure_stage(pool, changed, unchanged, worse, run_count if not worse else max(20, run_count // 5))
         for changed, unchanged in ((1, 1), (4, 4), (4, 36), (20, 20))
         for worse in (0.0, 0.05, 0.1, 0.3)
     ]
 
 
 def _measure_stage(
-    pool: ProcessPoolExecutor, changed: int, unchanged: int, worse: float, plays: int
+    pool: ProcessPoolExecutor, changed: int, unchanged: int, worse: float, run_count: int
 ) -> dict[str, object]:
-    stages = [Stage(seed, changed, unchanged, worse) for seed in range(1, plays + 1)]
-    results = list(pool.map(play_stage, stages, chunksize=5))
+    stages = [Stage(seed, changed, unchanged, worse) for seed in range(1, run_count + 1)]
+    results = list(pool.map(simulate_stage, stages, chunksize=5))
     stops = sorted(result.stopped_by_analysis for result in results if result.stopped_by_analysis)
     return {
         "changed": changed,
         "unchanged": unchanged,
         "worse": worse,
-        "plays": plays,
-        "analysis": len(stops) / plays,
-        "threshold": sum(result.stopped_by_threshold > 0 for result in results) / plays,
+        "plays": run_count,
+        "analysis": len(stops) / run_count,
+        "threshold": sum(result.stopped_by_threshold > 0 for result in results) / run_count,
         "slices": stops[len(stops) // 2] if stops else 0,
-        "good": sum(result.outcome == Outcome.GOOD.value for result in results) / plays,
+        "good": sum(result.outcome == Outcome.GOOD.value for result in results) / run_count,
     }
 
 
-def _measure_rollouts(pool: ProcessPoolExecutor, plays: int) -> dict[str, int]:
-    phases = list(pool.map(play_rollout, range(1, plays + 1), chunksize=2))
+def _measure_rollouts(pool: ProcessPoolExecutor, run_count: int) -> dict[str, int]:
+    phases = list(pool.map(simulate_rollout, range(1, run_count + 1), chunksize=2))
     return {phase: phases.count(phase) for phase in sorted(set(phases))}
 
 
-def _measure_lost(pool: ProcessPoolExecutor, plays: int) -> dict[str, object]:
-    fractions = list(pool.map(lost_fractions, range(1, plays + 1)))
-    staged = sum(each.staged for each in fractions) / plays
-    at_once = sum(each.at_once for each in fractions) / plays
+def _measure_lost(pool: ProcessPoolExecutor, run_count: int) -> dict[str, object]:
+    fractions = list(pool.map(lost_fractions, range(1, run_count + 1)))
+    staged = sum(lost.staged for lost in fractions) / run_count
+    at_once = sum(lost.at_once for lost in fractions) / run_count
     return {"staged": round(staged, 5), "at once": round(at_once, 5), "ratio": round(staged / at_once, 3)}
 
 
 def plot(rows: list[dict[str, object]], path: str) -> None:
-    """Draw how often a stage was stopped, by how much worse it was: the analysis and the fixed threshold."""
+    """Plot the fraction of stages stopped, over how much worse the change is, for the analysis and the threshold."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -211,25 +215,25 @@
 
 
 def main() -> None:
-    """Play the parts that are named, or all, and print them as JSON."""
+    """Run the measurements that are named, by default all, and print the results as JSON."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("parts", nargs="*", help="whole, stages, lost, large")
-    parser.add_argument("--plays", type=int, default=400)
-    parser.add_argument("--jobs", type=int, default=4)
-    parser.add_argument("--plot", metavar="FILE", help="draw detection by hosts, for the part stages")
+    parser.add_argument("--plays", type=int, default=400, help="simulations per row; rows of a worse change use fewer")
+    parser.add_argument("--jobs", type=int, default=4, help="worker processes")
+    parser.add_argument("--plot", metavar="FILE", help="write a plot of the stages to this file")
     options = parser.parse_args()
     with ProcessPoolExecutor(options.jobs) as pool:
-        parts = {
+        measurements = {
             "whole": lambda: _measure_rollouts(pool, options.plays),
             "stages": lambda: _measure_stages(pool, options.plays),
             "lost": lambda: _measure_lost(pool, 8),
-            "large": lambda: list(pool.map(play_large, (200, 1000))),
+            "large": lambda: list(pool.map(simulate_large_rollout, (200, 1000))),
         }
-        for name in options.parts or parts:
-            found = parts[name]()
-            print(name, msgspec.json.encode(found).decode(), flush=True)
+        for name in options.parts or measurements:
+            result = measurements[name]()
+            print(name, msgspec.json.encode(result).decode(), flush=True)
             if name == "stages" and options.plot:
-                plot(found, options.plot)
+                plot(result, options.plot)
 
 
 if __name__ == "__main__":
--- a/benchmarks/rollout_fleet.py
+++ b/benchmarks/rollout_fleet.py
@@ -1,7 +1,8 @@
-"""Measures a good rollout on running hosts: weight served meanwhile, over the same load and seeds without one.
+"""Measures the weight that running hosts serve during a rollout of a correct change, and without a rollout.
 
-``python -m benchmarks.rollout_fleet [--hosts N] [--plays N]``, two minutes a play. Both halves of a play are runs of
-the same fleet, one after the other, in an order that changes from play to play.
+``python -m benchmarks.rollout_fleet [--hosts N] [--plays N]`` takes about two minutes per seed. For each seed, it runs
+the same fleet with the same load with and without a rollout, one after the other. The order alternates between seeds,
+so that it has no effect on the comparison.
 """
 
 from __future__ import annotations
@@ -26,19 +27,19 @@
  zone-most 100%
  look 300ms
 """
-RUN_S = 45.0  # of a run without a rollout
+RUN_S = 45.0  # duration of a run without a rollout
 
 
 class Result(NamedTuple):
-    """What one run measured."""
+    """Measurements of one run."""
 
-    served_weight: float  # of that asked for
+    served_weight: float  # fraction of the offered weight
     duration_s: float
     runs_per_attempt: float
 
 
-def run(seed: int, hosts: int, rate: float, work_s: float, rolls: bool) -> Result:
-    """Run a fleet with a rollout, or without."""
+def run(seed: int, hosts: int, rate: float, work_s: float, with_rollout: bool) -> Result:
+    """Run a fleet with or without a rollout."""
     with (
         tempfile.TemporaryDirectory() as folder,
         Fleet(Path(folder), seed, hosts, gateways=3, rate=rate, executor_options={"work_s": work_s}) as fleet,
@@ -47,44 +48,51 @@
         try:
             rollout_fleet.start()
             _, options = rollout_fleet.add_generation(settings=METRICS_SETTINGS + LOG_WARNINGS_SETTINGS)
-            began = time.time()
-            if rolls:
+            started_at = time.time()
+            if with_rollout:
                 rollout_fleet.start_controller("start", *options)
                 while rollout_fleet.wait_for_phase("done", "asking", within=180.0)["phase"] == "asking":
                     rollout_fleet.run_command("go")
                     rollout_fleet.wait_for_phase("confirming", "waiting", "changing", "baking", "done")
             else:
-                while time.time() - began < RUN_S:
+                while time.time() - started_at < RUN_S:
                     time.sleep(0.2)
             end = time.time() - fleet.patience_s
             broken = fleet.broken_rules()
             if broken:
-                raise SystemExit(f"a rule was broken: {broken[:3]}")
+                raise SystemExit(f"expected no broken rules, got {broken[:3]}")
             runs = sum(1 for execution in fleet.record.executions if execution.where == AT_EXECUTOR)
             return Result(
-                fleet.served_weight_fraction(began, end), end - began, runs / max(1, len(fleet.record.attempts))
+                fleet.served_weight_fraction(started_at, end),
+                end - started_at,
+                runs / max(1, len(fleet.record.attempts)),
             )
         finally:
             rollout_fleet.close()
 
 
 def main() -> None:
-    """Play and print ratios."""
+    """Run the fleet for each seed and print the ratios."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("--hosts", "--boxes", type=int, default=6)
-    parser.add_argument("--plays", type=int, default=3)
-    parser.add_argument("--rate", type=float, default=40.0)
-    parser.add_argument("--work-ms", type=float, default=4.0, help="of a run on one of a host's two emulated cores")
+    parser.add_argument("--hosts", "--boxes", type=int, default=6, help="number of hosts")
+    parser.add_argument("--plays", type=int, default=3, help="number of seeds, from 1")
+    parser.add_argument("--rate", type=float, default=40.0, help="requests per second of each of the three gateways")
+    parser.add_argument(
+        "--work-ms", type=float, default=4.0, help="duration of a run on one of a host's two emulated cores"
+    )
     options = parser.parse_args()
     for seed in range(1, options.plays + 1):
         order = ((True, False), (False, True))[seed % 2]
-        found = {rolls: run(seed, options.hosts, options.rate, options.work_ms / 1000, rolls) for rolls in order}
-        rolled = found[True]
-        still = found[False]
+        results = {
+            with_rollout: run(seed, options.hosts, options.rate, options.work_ms / 1000, with_rollout)
+            for with_rollout in order
+        }
+        rollout = results[True]
+        baseline = results[False]
         print(
-            f"seed {seed}: weight with a rollout {rolled.served_weight:.4f} in {rolled.duration_s:.0f} s, "
-            f"without {still.served_weight:.4f}, ratio {rolled.served_weight / still.served_weight:.4f}; "
-            f"runs an attempt {rolled.runs_per_attempt:.3f} and {still.runs_per_attempt:.3f}",
+            f"seed {seed}: weight with a rollout {rollout.served_weight:.4f} in {rollout.duration_s:.0f} s, "
+            f"without {baseline.served_weight:.4f}, ratio {rollout.served_weight / baseline.served_weight:.4f}; "
+            f"runs an attempt {rollout.runs_per_attempt:.3f} and {baseline.runs_per_attempt:.3f}",
             flush=True,
         )
 
--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -1,4 +1,4 @@
-"""Measures how long hosts take to be ready when many start at once, and which imports a start spends its time on.
+"""Measures how long hosts take to become ready when many start at once, and the import time by package.
 
 python -m benchmarks.starts [--hosts 20] [--busy 0 4 8] [--plays 3]
 """
@@ -19,51 +19,51 @@
 from lapispick.fakes.busy_processes import busy_processes
 from lapispick.fakes.host_process import HostProcess
 
-SHOWN_PACKAGES = 8
+SHOWN_PACKAGES = 8  # the packages with the longest import times
 
 
 class Start(NamedTuple):
-    """Durations of one start, s from the start of the process."""
+    """Times of one start, in s after the start of the process."""
 
     loaded_s: float
     ready_s: float
 
 
 class ImportCost(NamedTuple):
-    """How long the modules of a package took to import by themselves."""
+    """Import time of the modules of a package, without the modules that they import."""
 
     package: str
     duration_ms: float
 
 
 def event_time(log: str, event: str) -> float:
-    """Return when this event was logged, Unix s."""
+    """Return the Unix time in s at which an event was logged."""
     line = re.search(rf"ts=(\S+) .*event={event}\b", log)
-    assert line is not None, f"no {event}"
+    assert line is not None, f"expected event={event} in the log"
     return datetime.datetime.fromisoformat(line.group(1)).timestamp()
 
 
 def start_hosts(hosts: int, busy: int) -> list[Start]:
-    """Start hosts at once beside busy loops."""
+    """Start hosts at the same time, while busy processes use the CPU."""
     with busy_processes(busy), ExitStack() as stack:
-        started = []
-        began = []
+        host_processes = []
+        start_times = []
         for _ in range(hosts):
-            began.append(time.time())
+            start_times.append(time.time())
             host = HostProcess(Path(tempfile.mkdtemp()), wait_for_start=False)
             stack.callback(host.close)
-            started.append(host)
-        for host in started:
+            host_processes.append(host)
+        for host in host_processes:
             host.wait_for_log("ready")
-        logs = [host.log() for host in started]
+        logs = [host.log() for host in host_processes]
         return [
-            Start(event_time(log, "started") - began_at, event_time(log, "ready") - began_at)
-            for log, began_at in zip(logs, began, strict=True)
+            Start(event_time(log, "started") - started_at, event_time(log, "ready") - started_at)
+            for log, started_at in zip(logs, start_times, strict=True)
         ]
 
 
 def import_costs() -> list[ImportCost]:
-    """Return what an import of the host costs, by package, the most expensive first."""
+    """Return the import times of the host's packages, the longest first."""
     report = subprocess.run(
         [sys.executable, "-X", "importtime", "-c", "import lapispick.host.__main__"],
         capture_output=True,
@@ -80,7 +80,7 @@
 
 
 def print_starts(busy: int, starts: list[Start]) -> None:
-    """Print one row of the distribution."""
+    """Print a row with percentiles of the start times."""
     loaded = sorted(start.loaded_s for start in starts)
     ready = sorted(start.ready_s for start in starts)
     median = len(starts) // 2
@@ -89,11 +89,13 @@
 
 
 def main() -> None:
-    """Print the distribution of starts and the costs of imports."""
-    parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--hosts", type=int, default=20)
-    parser.add_argument("--busy", type=int, nargs="+", default=[0, 4, 8])
-    parser.add_argument("--plays", type=int, default=3)
+    """Print the percentiles of the start times, and the import times."""
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser.add_argument("--hosts", type=int, default=20, help="hosts that start at once")
+    parser.add_argument(
+        "--busy", type=int, nargs="+", default=[0, 4, 8], help="numbers of busy processes, one row each"
+    )
+    parser.add_argument("--plays", type=int, default=3, help="repetitions of each row")
     args = parser.parse_args()
     print(f"{args.hosts} at once, {args.plays} plays; s from the start of the process")
     print("busy loops  loaded p50  ready p50  p90  worst")
--- a/benchmarks/subsets.py
+++ b/benchmarks/subsets.py
@@ -1,13 +1,17 @@
-"""Compares ways to choose subsets, each from its public description: ``python -m benchmarks.subsets``.
-
-- random: each host draws its backends by a seed of its name;
-- rounds: hosts in rounds, each round with a shuffle of its own, cut into subsets (deterministic subsetting);
-- ring: hosts and backends evenly on a ring, each host has what its stretch covers (deterministic aperture);
-- rendezvous: rendezvous hashing with bounds on both sides, as in use (``lapispick/shares/subsets.py``).
-
-Hosts have equal weight and load. Reported: backends' loads with equal parts and with fitted ones; hosts of a backend;
-zones of a backend's hosts at least; pairs added when a host is removed, over those that it had; pairs added when a
-backend is removed, over all.
+"""Compares subsetting algorithms, written from their public descriptions: ``python -m benchmarks.subsets``.
+
+- random: each host draws its backends at random, with its name as the seed;
+- rounds: hosts are divided into rounds, and each round cuts its own shuffle of the backends into subsets, one for each
+  host (deterministic subsetting);
+- ring: hosts and backends are spaced evenly on a ring, and each host uses the backends in its arc (deterministic
+  aperture);
+- rendezvous: rendezvous hashing with bounds on the backends of a host and the hosts of a backend, the algorithm of the
+  program (``lapispick/shares/subsets.py``).
+
+All hosts have the same weight and load. The output has the loads of the backends if hosts divide theirs equally, and
+with fitted load fractions; the number of hosts of a backend; the minimum number of zones of a backend's hosts; the
+pairs of host and backend that are added when a host is removed, over the pairs that this host had; and the pairs that
+are added when a backend is removed, over all pairs.
 """
 
 from __future__ import annotations
@@ -30,7 +34,7 @@
 
 
 class Case(NamedTuple):
-    """A fleet: how many hosts and backends, and how many hosts each backend requires."""
+    """Size of a fleet, and the number of hosts that each backend requires."""
 
     hosts: int
     backends: int
@@ -41,7 +45,7 @@
 
 
 class Result(msgspec.Struct):
-    """What is printed of one way on one case; loads are multiples of the mean."""
+    """Result of one algorithm for one case; loads are multiples of the mean."""
 
     hosts: int
     backends: int
@@ -63,7 +67,7 @@
 
 
 def assign_random(hosts: list[Host], backends: list[Backend], min_hosts: int) -> Assignment:
-    """Draw the backends of each host by its name."""
+    """Draw the backends of each host at random, with its name as the seed."""
     names = sorted(backend.name for backend in backends)
     size = min(_subset_size(hosts, backends, min_hosts), len(names))
     return {host.name: tuple(random.Random(host.name).sample(names, size)) for host in hosts}
@@ -83,7 +87,7 @@
 
 
 def assign_ring(hosts: list[Host], backends: list[Backend], min_hosts: int) -> Assignment:
-    """Give each host the backends that its stretch of the ring covers, here none in part."""
+    """Assign to each host the backends in its arc of the ring; backends that are partly in the arc are included."""
     names = sorted(backend.name for backend in backends)
     width = max(min_hosts / len(hosts), 1 / len(hosts))
     assignment = {}
@@ -95,7 +99,7 @@
     return assignment
 
 
-WAYS: dict[str, Assign] = {
+ALGORITHMS: dict[str, Assign] = {
     "random": assign_random,
     "rounds": assign_rounds,
     "ring": assign_ring,
@@ -104,7 +108,7 @@
 
 
 def _equal_loads(assignment: Assignment, backends: list[Backend]) -> list[float]:
-    """Return the load of each backend where hosts divide theirs equally."""
+    """Return the load of each backend if every host divides its load equally."""
     loads = Counter({backend.name: 0.0 for backend in backends})
     for assigned in assignment.values():
         for backend in assigned:
@@ -115,15 +119,15 @@
 def _host_removed_added_ratio(
     assign: Assign, hosts: list[Host], backends: list[Backend], min_hosts: int, removed_hosts: list[Host]
 ) -> float:
-    """Return the pairs that are added when one host is removed, over those that it had."""
+    """Return the pairs that are added when one host is removed, over the pairs that it had."""
     before = assign(hosts, backends, min_hosts)
     added = 0
-    owned = 0
+    removed_pairs = 0
     for removed in removed_hosts:
         after = assign([host for host in hosts if host != removed], backends, min_hosts)
         added += len(subsets.compare_assignments(before, after).added)
-        owned += len(before[removed.name])
-    return added / max(1, owned)
+        removed_pairs += len(before[removed.name])
+    return added / max(1, removed_pairs)
 
 
 def _backend_removed_added_fraction(
@@ -138,9 +142,9 @@
     return added / len(removed_backends) / sum(map(len, before.values()))
 
 
-def measure(way: str, case: Case, removals: int) -> Result:
-    """Run one way on one case."""
-    assign = WAYS[way]
+def measure(algorithm: str, case: Case, removals: int) -> Result:
+    """Run one algorithm on one case."""
+    assign = ALGORITHMS[algorithm]
     hosts = [Host(f"disp-{number:04}", f"z{number % ZONES}") for number in range(case.hosts)]
     backends = [Backend(f"broker-{number:03}") for number in range(case.backends)]
     started_at = time.perf_counter()
@@ -155,16 +159,16 @@
         backend.name: [name for name, assigned in assignment.items() if backend.name in assigned]
         for backend in backends
     }
-    generator = random.Random(REMOVAL_SEED)
-    removed_hosts = generator.sample(hosts, removals)
-    removed_backends = generator.sample(backends, min(removals, len(backends)))
+    rng = random.Random(REMOVAL_SEED)
+    removed_hosts = rng.sample(hosts, removals)
+    removed_backends = rng.sample(backends, min(removals, len(backends)))
     host_removed = _host_removed_added_ratio(assign, hosts, backends, case.min_hosts, removed_hosts)
     backend_removed = _backend_removed_added_fraction(assign, hosts, backends, case.min_hosts, removed_backends)
     return Result(
         hosts=case.hosts,
         backends=case.backends,
         min_hosts=case.min_hosts,
-        way=way,
+        way=algorithm,
         max_load=round(max(loads) / mean_load, 2),
         min_load=round(min(loads) / mean_load, 2),
         max_fitted_load=round(max(fitted_loads.values()) / (len(hosts) / len(backends)), 2),
@@ -178,13 +182,15 @@
 
 
 def main() -> None:
-    """Run every way on every case."""
+    """Run every algorithm on every case and print the results as JSON, one per line."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("--plays", type=int, default=8, help="removals of a host and of a backend")
+    parser.add_argument(
+        "--plays", type=int, default=8, help="number of hosts and of backends that are removed, one at a time"
+    )
     options = parser.parse_args()
     for case in CASES:
-        for way in WAYS:
-            print(msgspec.json.encode(measure(way, case, options.plays)).decode(), flush=True)
+        for algorithm in ALGORITHMS:
+            print(msgspec.json.encode(measure(algorithm, case, options.plays)).decode(), flush=True)
 
 
 if __name__ == "__main__":
