--- a/benchmarks/reference_aggregation.py
+++ b/benchmarks/reference_aggregation.py
@@ -1,6 +1,7 @@
-"""Aggregates requests record by record: the baseline of ``lapispick.trace.aggregation``, and its check.
+"""Reference implementation of ``lapispick.trace.aggregation``, to check and to benchmark it.
 
-It states what a summary means in the plainest way. It remembers all that it has seen, and is slow.
+It processes one step at a time and keeps every request in memory. It is slow, but its code defines the meaning of a
+summary in the simplest way.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 from lapispick.trace.record_types import FAILED, REJECTED, SERVED, Answered, Arrival, Gap, Step
 from lapispick.trace.summary import UNKNOWN_NAME, WINDOW_MS, RequestTotals
 
-AttemptId = tuple[int, int]  # index of the source, and number of the request
+AttemptId = tuple[int, int]  # index of the source, and id of the request at that source
 
 
 @dataclasses.dataclass
 class ReferenceSummary:
-    """What became of the requests; durations are in ms, as they were recorded."""
+    """Summary of the outcomes of requests; durations are in ms, as recorded."""
 
     total: RequestTotals = dataclasses.field(default_factory=RequestTotals)
     classes: dict[str, RequestTotals] = dataclasses.field(default_factory=dict)
@@ -33,14 +34,14 @@
 
 
 class _Request:
-    """A request with all its attempts."""
+    """State of a request over all its attempts."""
 
     def __init__(self, class_name: str, settings: admission.ClassSettings, born_at: float) -> None:
         self.class_name = class_name
         self.settings = settings
         self.born_at = born_at
         retry_window_ms = max(settings.idempotency_window_ms, settings.deadline_ms) + RETRY_MARGIN_MS
-        self.remembered_until = born_at + retry_window_ms
+        self.expires_at = born_at + retry_window_ms
         self.account = ""
         self.answer = ""
         self.age_ms = 0.0
@@ -49,20 +50,20 @@
 
 
 class _Aggregator:
-    """Takes one step after the other."""
+    """Aggregator to which steps are added in order."""
 
     def __init__(self, sources: list[SourceInfo]) -> None:
         self._sources = sources
-        self._now = float("-inf")
+        self._now = float("-inf")  # ms, corrected for the clock of the source
         self._requests: list[_Request] = []
         self._by_attempt: dict[AttemptId, _Request] = {}
         self._by_subject: dict[bytes, _Request] = {}
-        self._open: set[AttemptId] = set()
-        self._received_at: dict[AttemptId, float] = {}  # of attempts that were not started
+        self._open_attempts: set[AttemptId] = set()
+        self._received_at: dict[AttemptId, float] = {}  # only attempts whose run has not started
         self._summary = ReferenceSummary()
 
     def add(self, step: Step) -> None:
-        """Add a step."""
+        """Add the events, notes and actions of a step."""
         source = self._sources[step.source_index]
         corrected = step.now - source.offset - source.drift * (step.now - source.at) / 1000
         self._now = max(self._now, corrected)
@@ -75,7 +76,7 @@
             self._add_action(step.source_index, action)
 
     def finish(self) -> ReferenceSummary:
-        """Return the summary."""
+        """Return the summary of all steps that were added."""
         summary = self._summary
         for request in self._requests:
             window = str(int(request.born_at // WINDOW_MS * WINDOW_MS))
@@ -87,14 +88,14 @@
 
     def _find(self, attempt: AttemptId) -> _Request | None:
         request = self._by_attempt.get(attempt)
-        return request if request is not None and request.remembered_until > self._now else None
+        return request if request is not None and request.expires_at > self._now else None
 
     def _add_event(self, source_index: int, event: Any, subjects: dict[int, bytes]) -> None:
         kind = type(event)
         if kind is admission.RequestReceived:
             self._add_attempt(source_index, event, subjects.get(event.id, b""))
         elif kind is admission.ClientCancelled:
-            self._open.discard((source_index, event.id))
+            self._open_attempts.discard((source_index, event.id))
         elif kind is admission.RunCompleted and event.outcome <= admission.Outcome.OK:
             request = self._find((source_index, event.id))
             if request is not None:
@@ -105,7 +106,7 @@
         request = self._find((source_index, event.retry_of)) if event.retry_of else None
         if request is None and subject:
             request = self._by_subject.get(subject)
-            if request is not None and request.remembered_until <= self._now:
+            if request is not None and request.expires_at <= self._now:
                 request = None
         if request is None:
             name, settings = self._sources[source_index].classes[event.class_index]
@@ -117,7 +118,7 @@
             request.attempts += 1
         attempt = (source_index, event.id)
         self._by_attempt[attempt] = request
-        self._open.add(attempt)
+        self._open_attempts.add(attempt)
         self._received_at[attempt] = self._now
 
     def _add_note(self, source_index: int, note: Any) -> None:
@@ -132,9 +133,9 @@
 
     def _add_answer(self, attempt: AttemptId, answer: str) -> None:
         request = self._find(attempt)
-        if request is None or attempt not in self._open:
+        if request is None or attempt not in self._open_attempts:
             return
-        self._open.discard(attempt)
+        self._open_attempts.discard(attempt)
         if request.answer != SERVED and answer in (SERVED, REJECTED, FAILED):
             request.answer = answer
             request.age_ms = self._now - request.born_at
--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -1,9 +1,10 @@
-"""Measures traces: size and speed against gzipped JSON lines, the recorder's cost, and estimates of clocks.
+"""Measures traces: size and speed compared with gzipped JSON lines, cost of the recorder, and clock estimates.
 
     python -m benchmarks.trace [file] [recorder] [clocks]
 
-``file`` drives the decision module with seeded arrivals on a clock of its own for an hour, or for MINUTES.
-``recorder`` compares a host with the recorder on and off, in turns. ``clocks`` compares estimates on made-up retries.
+``file`` runs the decision module with seeded arrivals on a simulated clock for an hour, or for ``MINUTES`` minutes.
+``recorder`` compares hosts with the recorder on and off, alternately. ``clocks`` compares clock estimates from
+simulated retries.
 """
 
 from __future__ import annotations
--- a/benchmarks/trace_clocks.py
+++ b/benchmarks/trace_clocks.py
@@ -1,4 +1,4 @@
-"""Compares the estimate of a clock with the mean of both directions, by the number of shared retries in an hour."""
+"""Compares clock estimates with the mean of both directions, by the number of retries that reach both hosts."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 OFFSET_MS = 1000.0
 DRIFT = 50e-6
 RETRY_COUNTS = (20, 50, 200, 1000)
-SLOW_FRACTION = 0.2  # of the retries: the gateway paused, or went to another host in between
+SLOW_FRACTION = 0.2  # of the retries; the gateway paused or tried another host before these
 MAX_PAUSE_MS = 2000
 
 
 class _Errors(NamedTuple):
-    """How far the estimates of one seed are off, ms."""
+    """Errors of the estimates for one seed, in ms, and the error bound that the estimate states."""
 
     estimate: float | None  # None: the clock is unknown
-    stated: float
+    stated_bound: float
     mean: float
 
 
-def _shown(host: str, true_ms: float) -> float:
-    """Return the time that a host's clock shows."""
+def _clock_time(host: str, true_ms: float) -> float:
+    """Return the time on a host's clock."""
     return true_ms if host == "a" else true_ms * (1 + DRIFT) + OFFSET_MS
 
 
@@ -39,8 +39,8 @@
         first, last = rng.sample(["a", "b"], 2)
         subject = b"%06d" % number
         arrived_at = at + transit
-        attempts.append(Attempt(subject, first, _shown(first, at - 20), _shown(first, at), False))
-        attempts.append(Attempt(subject, last, _shown(last, arrived_at), _shown(last, arrived_at + 30), True))
+        attempts.append(Attempt(subject, first, _clock_time(first, at - 20), _clock_time(first, at), False))
+        attempts.append(Attempt(subject, last, _clock_time(last, arrived_at), _clock_time(last, arrived_at + 30), True))
     return attempts
 
 
@@ -49,7 +49,7 @@
     reference, clocks = estimate_clocks(attempts, ["a", "b"])
     other = "b" if reference == "a" else "a"
     middle = HOUR_MS / 2
-    true_offset = _shown(other, middle) - _shown(reference, middle)
+    true_offset = _clock_time(other, middle) - _clock_time(reference, middle)
     transits = transits_by_hosts(attempts)
     forth, back = (
         statistics.mean(transit.duration for transit in transits[pair])
@@ -59,14 +59,14 @@
     clock = clocks[other]
     if not isinstance(clock, Clock):
         return _Errors(None, 0.0, mean_error)
-    return _Errors(abs(clock.offset_at(_shown(reference, middle)) - true_offset), clock.error, mean_error)
+    return _Errors(abs(clock.offset_at(_clock_time(reference, middle)) - true_offset), clock.error, mean_error)
 
 
 def _row(count: int) -> tuple[Any, ...]:
     errors = [_errors(seed, count) for seed in range(SEEDS)]
-    estimates = [each.estimate for each in errors if each.estimate is not None]
-    within = sum(1 for each in errors if each.estimate is not None and each.estimate <= each.stated + 1)
-    mean = statistics.median(each.mean for each in errors)
+    estimates = [error.estimate for error in errors if error.estimate is not None]
+    within = sum(1 for error in errors if error.estimate is not None and error.estimate <= error.stated_bound + 1)
+    mean = statistics.median(error.mean for error in errors)
     median = statistics.median(estimates)
     return (
         count,
@@ -80,7 +80,7 @@
 
 
 def measure_clocks() -> None:
-    """Print the errors by the number of retries."""
+    """Print the errors of both estimates by the number of retries."""
     show(
         "clocks a second apart that drift by 50 parts in a million: how far the estimate is off, ms",
         ("retries", "estimated", "median", "worst", "within its error", "mean of both directions", "ratio"),
--- a/benchmarks/trace_file.py
+++ b/benchmarks/trace_file.py
@@ -1,4 +1,4 @@
-"""Measures a trace of the real decision module against the same records as gzipped JSON lines."""
+"""Compares a trace of the real decision module with the same records as gzipped JSON lines."""
 
 from __future__ import annotations
 
@@ -29,20 +29,20 @@
 
 GZIP_LEVEL = 6
 CUT_MS = 60_000
-KEY = bytes(range(32))
+PSEUDONYM_KEY = bytes(range(32))
 
 
 class _Timed(NamedTuple):
-    """The result of a call, and how long it took."""
+    """Result of a call, and its duration."""
 
     seconds: float
     result: Any
 
 
 def _timed(call: Callable[[], Any]) -> _Timed:
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     result = call()
-    return _Timed(time.perf_counter() - began, result)
+    return _Timed(time.perf_counter() - started_at, result)
 
 
 def _make_header() -> Any:
@@ -69,7 +69,7 @@
 
 
 def _summarise_lines(path: Path) -> reference_aggregation.ReferenceSummary:
-    """Summarise JSON lines step by step, as a short script would."""
+    """Summarise JSON lines step by step, as a simple script would do it."""
     with gzip.open(path, "rb") as file:
         header = lines.decode_header(file.readline())
         sources = [aggregation.source_info(source) for source in header.sources]
@@ -82,7 +82,7 @@
 
 
 def _without_names(summary: Summary) -> Summary:
-    """Return a summary without the names of accounts: their totals in order."""
+    """Return a summary with a sorted list of account totals in place of the totals by account name."""
     accounts = sorted(map(msgspec.json.encode, summary.accounts.values()))
     return msgspec.structs.replace(summary, accounts=accounts)
 
@@ -105,7 +105,7 @@
 
 
 def _anonymise(path: Path, out: Path) -> None:
-    anonymiser = Anonymiser(KEY)
+    anonymiser = Anonymiser(PSEUDONYM_KEY)
     header = _make_header()
     anonymiser.replace_header(header)
     with files.TraceReader(path) as reader:
@@ -113,39 +113,42 @@
 
 
 def measure_file(minutes: float) -> None:
-    """Write, summarise, cut, merge, anonymise and replay a trace; print sizes and times."""
+    """Write, summarise, cut, merge, anonymise and replay a trace; print the sizes and durations."""
     header = _make_header()
-    with tempfile.TemporaryDirectory() as name:
-        folder = Path(name)
+    with tempfile.TemporaryDirectory() as folder_name:
+        folder = Path(folder_name)
         path, json_lines, cut, anonymous = (
-            folder / each for each in ("x.lptrace", "x.jsonl.gz", "cut.lptrace", "anonymous.lptrace")
+            folder / name for name in ("x.lptrace", "x.jsonl.gz", "cut.lptrace", "anonymous.lptrace")
         )
-        writing = _timed(lambda: files.write_trace(path, header, record_steps(minutes)))
+        timed_writing = _timed(lambda: files.write_trace(path, header, record_steps(minutes)))
         _write_lines(path, header, json_lines)
-        summarising = _timed(lambda: _summarise(path))
-        summarising_lines = _timed(lambda: _summarise_lines(json_lines))
-        decoding_lines = _timed(lambda: _decode_lines(json_lines))
+        timed_summary = _timed(lambda: _summarise(path))
+        timed_lines_summary = _timed(lambda: _summarise_lines(json_lines))
+        timed_lines_decoding = _timed(lambda: _decode_lines(json_lines))
         with files.TraceReader(path) as reader:
             middle = (reader.blocks[0].first + reader.blocks[-1].last) / 2
-            cutting = _timed(lambda: files.write_trace(cut, header, reader.steps(middle, middle + CUT_MS)))
+            timed_cut = _timed(lambda: files.write_trace(cut, header, reader.steps(middle, middle + CUT_MS)))
             read_fraction = reader.bytes_read / reader.size
         merged = _cut_in_two_and_merge(path, folder, header, middle)
         _anonymise(merged, anonymous)
         replayed = _replay(merged)
-        summary = summarising.result
-        reference = summarising_lines.result
+        summary = timed_summary.result
+        reference = timed_lines_summary.result
         size, lines_size = path.stat().st_size, json_lines.stat().st_size
         rows = (
-            ("requests, attempts, steps", f"{summary.total.requests}, {summary.total.attempts}, {writing.result}"),
+            (
+                "requests, attempts, steps",
+                f"{summary.total.requests}, {summary.total.attempts}, {timed_writing.result}",
+            ),
             ("bytes", size),
             ("bytes of gzipped JSON lines", lines_size),
             ("size ratio", f"{size / lines_size:.3f}"),
-            ("made and written, s", f"{writing.seconds:.0f}"),
-            ("summarise, s", f"{summarising.seconds:.2f}"),
-            ("summarise the JSON lines, s", _compared(summarising_lines, summarising)),
-            ("only decode the JSON lines, s", _compared(decoding_lines, summarising)),
+            ("made and written, s", f"{timed_writing.seconds:.0f}"),
+            ("summarise, s", f"{timed_summary.seconds:.2f}"),
+            ("summarise the JSON lines, s", _format_ratio(timed_lines_summary, timed_summary)),
+            ("only decode the JSON lines, s", _format_ratio(timed_lines_decoding, timed_summary)),
             ("both summaries agree", reference.total == summary.total and reference.accounts == summary.accounts),
-            ("a minute's cut", f"{cutting.seconds:.2f} s, reads {read_fraction:.2%}"),
+            ("a minute's cut", f"{timed_cut.seconds:.2f} s, reads {read_fraction:.2%}"),
             ("cut in two and merged: the same summary", _summarise(merged) == summary),
             ("anonymised: the same summary", _without_names(_summarise(anonymous)) == _without_names(summary)),
             ("replay: steps, different ones", f"{replayed.steps}, {replayed.differing_steps}"),
@@ -153,5 +156,5 @@
     show(f"a trace of {minutes:g} minutes at {REQUESTS_PER_S:g} requests a second", ("", "value"), rows)
 
 
-def _compared(measured: _Timed, baseline: _Timed) -> str:
+def _format_ratio(measured: _Timed, baseline: _Timed) -> str:
     return f"{measured.seconds:.1f}, {measured.seconds / baseline.seconds:.1f} times as long"
--- a/benchmarks/trace_workload.py
+++ b/benchmarks/trace_workload.py
@@ -1,8 +1,8 @@
-"""A trace of the real decision module under seeded arrivals, an executor that takes its time, and retries.
+"""Trace workload: the real decision module with seeded arrivals, simulated run and call durations, and retries.
 
-Values have the precision with which the platform's protocol and executor write them: ``born`` and ``patience`` in whole
-ms, four decimals of a rank, one of a size, runs to the us; the clock has steps of 2**-12 ms, as the system's has. Keyed
-requests have a subject, and one rejected or failed request in five is retried.
+Values have the precision of the platform's protocol and the executor: ``born`` and ``patience`` are whole ms, a rank
+has four decimals, a size one, and run durations are rounded to us; the clock has steps of 2**-12 ms, like the system's
+clock. Keyed requests have a subject, and one in five of the rejected and failed requests is retried.
 """
 
 from __future__ import annotations
@@ -27,21 +27,21 @@
 KEYED_FRACTION = 0.2
 RETRIED_FRACTION = 0.2
 MEAN_RETRY_PAUSE_MS = 200
-MEAN_RUN_PHASE_MS = 30.0  # before a call, and after it
+MEAN_RUN_PHASE_MS = 30.0  # of each part of a run, before and after its call
 CALL_MS = (3, 40)
 RUN_MS = (20, 90)
 PATIENCES_MS = (2900, 3000, 4000)
 ACCOUNTS = 6
 CALLERS = 4
 CLOCK_STEPS_PER_MS = 4096
-TIMERS_AFTER_END_MS = 10_000  # until the last requests have ended
+TIMERS_AFTER_END_MS = 10_000  # until the last requests are answered
 SETTINGS = admission_settings(msgspec.convert(make_platform_info(Cores=3, CallsOut=30.0), StartSettings))
 CLASS_NAMES = [service["Name"] for service in PLATFORM_INFO["Services"]]
 ACCOUNT_NAMES = [f"account-{number}" for number in range(ACCOUNTS)]
 
 
 class _Attempt(NamedTuple):
-    """One attempt of a made-up request."""
+    """One attempt of a simulated request."""
 
     class_index: int
     subject: bytes
@@ -50,8 +50,8 @@
     account: int
 
 
-class _Kind(enum.StrEnum):
-    """What is due."""
+class _ItemKind(enum.StrEnum):
+    """Kind of a scheduled item."""
 
     ARRIVAL = "arrive"
     RETRY = "again"
@@ -61,37 +61,37 @@
     RUN_END = "end"
 
 
-class _Due(NamedTuple):
-    """Something that happens at a time; ``order`` decides between equal times."""
+class _Scheduled(NamedTuple):
+    """Item that is due at a time; items with the same time are processed by ``order``."""
 
     at: float
     order: int
-    kind: _Kind
-    detail: Any  # the attempt of a retry, the token of a timer, else the request; nothing for an arrival
+    kind: _ItemKind
+    detail: Any  # attempt of a retry, token of a timer, None for an arrival; otherwise the request id
 
 
 class _Workload:
-    """Drives a controller on a clock of its own."""
+    """Simulated clock and peers that drive a controller."""
 
     def __init__(self, minutes: float, source_index: int) -> None:
         self._random = random.Random(SEED + source_index)
         self._controller = Controller(SETTINGS, SEED, START_MS)
-        self._end = START_MS + minutes * 60_000
-        self._queue = [_Due(START_MS + 1, 0, _Kind.ARRIVAL, None)]
+        self._end_at = START_MS + minutes * 60_000
+        self._queue = [_Scheduled(START_MS + 1, 0, _ItemKind.ARRIVAL, None)]
         self._last_request = 0
         self._action_count = 0
-        self._open: dict[int, _Attempt] = {}  # by request
+        self._open_attempts: dict[int, _Attempt] = {}  # by request id
         self._now = START_MS
 
     def steps(self) -> Iterator[Step]:
-        """Yield all steps."""
+        """Yield the steps until all scheduled items are processed."""
         yield Step(START_MS, (), tuple(self._controller.step(START_MS, [])))
-        heappush(self._queue, _Due(START_MS, -1, _Kind.TIMER, 0))
+        heappush(self._queue, _Scheduled(START_MS, -1, _ItemKind.TIMER, 0))
         while self._queue:
-            due = heappop(self._queue)
-            self._now = round(due.at * CLOCK_STEPS_PER_MS) / CLOCK_STEPS_PER_MS
+            item = heappop(self._queue)
+            self._now = round(item.at * CLOCK_STEPS_PER_MS) / CLOCK_STEPS_PER_MS
             notes: list[Any] = []
-            event = self._event(due, notes)
+            event = self._event(item, notes)
             if event is None:
                 continue
             actions = self._controller.step(self._now, [event])
@@ -100,36 +100,36 @@
                 self._carry_out(action, notes)
             yield Step(self._now, (event,), tuple(actions), tuple(notes))
 
-    def _push(self, at: float, kind: _Kind, detail: Any) -> None:
-        heappush(self._queue, _Due(at, self._action_count, kind, detail))
+    def _push(self, at: float, kind: _ItemKind, detail: Any) -> None:
+        heappush(self._queue, _Scheduled(at, self._action_count, kind, detail))
 
-    def _event(self, due: _Due, notes: list[Any]) -> Any:
-        """Return the event for the controller, None if there is none any more; adds its notes."""
+    def _event(self, item: _Scheduled, notes: list[Any]) -> Any:
+        """Return the event for the controller, or None if the item is obsolete; adds the notes of the event."""
         rng = self._random
-        if due.kind in (_Kind.ARRIVAL, _Kind.RETRY):
-            return self._request(due.detail, notes) if self._now <= self._end else None
-        if due.kind is _Kind.TIMER:
+        if item.kind in (_ItemKind.ARRIVAL, _ItemKind.RETRY):
+            return self._request(item.detail, notes) if self._now <= self._end_at else None
+        if item.kind is _ItemKind.TIMER:
             gauges = (round(rng.uniform(0.2, 1), 3), float(rng.randrange(30)), 0.1, 3.0)
-            return admission.TimerFired(due.detail, gauges)
-        if due.detail not in self._open:
+            return admission.TimerFired(item.detail, gauges)
+        if item.detail not in self._open_attempts:
             return None
-        if due.kind is _Kind.CALL_REQUEST:
-            return admission.CallRequested(due.detail)
-        if due.kind is _Kind.CALL_REPLY:
-            reply = admission.CallCompleted(due.detail, admission.Outcome.OK, round(rng.uniform(*CALL_MS), 3))
-            self._push(self._now + rng.expovariate(1 / MEAN_RUN_PHASE_MS), _Kind.RUN_END, due.detail)
+        if item.kind is _ItemKind.CALL_REQUEST:
+            return admission.CallRequested(item.detail)
+        if item.kind is _ItemKind.CALL_REPLY:
+            reply = admission.CallCompleted(item.detail, admission.Outcome.OK, round(rng.uniform(*CALL_MS), 3))
+            self._push(self._now + rng.expovariate(1 / MEAN_RUN_PHASE_MS), _ItemKind.RUN_END, item.detail)
             return reply
-        run = admission.RunCompleted(due.detail, admission.Outcome.OK, round(rng.uniform(*RUN_MS), 3))
-        notes.append(Answered(due.detail, SERVED, self._now - self._open.pop(due.detail).born_at))
-        return run
+        completion = admission.RunCompleted(item.detail, admission.Outcome.OK, round(rng.uniform(*RUN_MS), 3))
+        notes.append(Answered(item.detail, SERVED, self._now - self._open_attempts.pop(item.detail).born_at))
+        return completion
 
     def _request(self, retried: _Attempt | None, notes: list[Any]) -> admission.RequestReceived:
-        """Return the event of a new request, or of a retry."""
+        """Return the event of a new request or of a retry; adds its note."""
         rng = self._random
         self._last_request += 1
         number = self._last_request
         attempt = self._new_attempt() if retried is None else retried
-        self._open[number] = attempt
+        self._open_attempts[number] = attempt
         deadline_at = attempt.born_at + rng.choice(PATIENCES_MS)
         event = admission.RequestReceived(
             id=number,
@@ -146,36 +146,36 @@
         return event
 
     def _new_attempt(self) -> _Attempt:
-        """Return the attempt of a new request, and plan the next one."""
+        """Return the attempt of a new request, and schedule the next arrival."""
         rng = self._random
         class_index = int(rng.random() < KEYED_FRACTION)
         subject = rng.randbytes(8) if class_index else b""
         born_at = int(self._now - rng.uniform(0, 3))
         attempt = _Attempt(class_index, subject, born_at, 0, rng.randrange(ACCOUNTS))
-        self._push(self._now + rng.expovariate(REQUESTS_PER_S) * 1000, _Kind.ARRIVAL, None)
+        self._push(self._now + rng.expovariate(REQUESTS_PER_S) * 1000, _ItemKind.ARRIVAL, None)
         return attempt
 
     def _carry_out(self, action: Any, notes: list[Any]) -> None:
-        """Plan what follows from an action; adds the note of an answer."""
+        """Schedule the consequences of an action; adds the note of an answer."""
         rng = self._random
         kind = type(action)
         if kind is admission.StartRun:
-            self._push(self._now + rng.expovariate(1 / MEAN_RUN_PHASE_MS), _Kind.CALL_REQUEST, action.id)
+            self._push(self._now + rng.expovariate(1 / MEAN_RUN_PHASE_MS), _ItemKind.CALL_REQUEST, action.id)
         elif kind is admission.StartCall:
-            self._push(self._now + rng.uniform(*CALL_MS), _Kind.CALL_REPLY, action.id)
+            self._push(self._now + rng.uniform(*CALL_MS), _ItemKind.CALL_REPLY, action.id)
         elif kind is admission.SkipCall:
-            self._push(self._now + rng.uniform(*CALL_MS), _Kind.RUN_END, action.id)
-        elif kind is admission.SetTimer and self._now < self._end + TIMERS_AFTER_END_MS:
-            self._push(self._now + action.delay_ms, _Kind.TIMER, action.token)
-        elif kind in (admission.Reject, admission.Fail) and action.id in self._open:
-            attempt = self._open.pop(action.id)
+            self._push(self._now + rng.uniform(*CALL_MS), _ItemKind.RUN_END, action.id)
+        elif kind is admission.SetTimer and self._now < self._end_at + TIMERS_AFTER_END_MS:
+            self._push(self._now + action.delay_ms, _ItemKind.TIMER, action.token)
+        elif kind in (admission.Reject, admission.Fail) and action.id in self._open_attempts:
+            attempt = self._open_attempts.pop(action.id)
             answer = REJECTED if kind is admission.Reject else FAILED
             notes.append(Answered(action.id, answer, self._now - attempt.born_at))
             if rng.random() < RETRIED_FRACTION:
                 retry = attempt._replace(retry_of=action.id, born_at=int(self._now))
-                self._push(self._now + rng.expovariate(1 / MEAN_RETRY_PAUSE_MS), _Kind.RETRY, retry)
+                self._push(self._now + rng.expovariate(1 / MEAN_RETRY_PAUSE_MS), _ItemKind.RETRY, retry)
 
 
 def record_steps(minutes: float, source_index: int = 0) -> Iterator[Step]:
-    """Yield the steps of so many minutes."""
+    """Yield the steps of a workload whose arrivals last ``minutes``."""
     return _Workload(minutes, source_index).steps()
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -1,9 +1,10 @@
-"""Measures upgrades and the operators' address.
+"""Measures upgrades of a worker host, and calls to its operators' address under load.
 
     python -m benchmarks.upgrade [restart] [calls] [keys]
 
-Everything runs on loopback with the project's own emulators of peers and ends within a minute or two. ``ROUNDS`` sets
-the number of runs.
+``restart`` compares an upgrade under load with a stop and a start. ``calls`` measures calls that read the
+metrics. ``keys`` measures how long a new process takes to become ready. All of it runs on loopback with the project's
+fakes of the peers, and takes a minute or two. ``ROUNDS`` sets the number of runs.
 """
 
 from __future__ import annotations
@@ -28,10 +29,10 @@
 from lapispick.fakes.ports import reserved_address
 from lapispick.fakes.waiting import wait_until
 
-LOAD_S = 1.5  # before and after what is measured
+LOAD_S = 1.5  # duration of the load before and after the measured change
 CLIENTS = 6
 WARM_UP_REQUESTS = 100  # served before a measurement begins
-RECONNECT_PAUSE_S = 0.005  # of a client whose connection was refused
+RECONNECT_PAUSE_S = 0.005  # pause of a client after a refused connection
 STOP_MS = 2500
 DEFAULT_ROUNDS = 5
 KEY_COUNTS = (100, 2000, 10_000)
@@ -39,7 +40,7 @@
 
 
 class Client(threading.Thread):
-    """Sends requests without a pause, half of them on new connections."""
+    """Thread that sends one request after the other, half of them on new connections."""
 
     def __init__(self, address: str, seed: int, stop: threading.Event) -> None:
         super().__init__(daemon=True)
@@ -52,7 +53,7 @@
         self._gateway: GatewayConnection | None = None
 
     def run(self) -> None:
-        """Send requests until told to stop."""
+        """Send requests until the stop event is set."""
         while not self._stop_event.is_set():
             try:
                 self._request(self._connection())
@@ -86,7 +87,7 @@
 
     @property
     def served(self) -> int:
-        """Count the requests that were served."""
+        """Number of requests that were served."""
         return sum(len(client.served_at) for client in self.clients)
 
     def start(self) -> None:
@@ -108,20 +109,20 @@
 
 
 class Release(NamedTuple):
-    """What clients saw of one release."""
+    """Effects of one release on the clients."""
 
     refused_connections: int
     not_served: int
     longest_gap_ms: float
 
 
-def _stop(host: HostProcess) -> None:
+def _stop_host(host: HostProcess) -> None:
     host.terminate()
     host.process.wait()
 
 
 def measure_release(upgrade: bool, seed: int) -> Release:
-    """Replace a host under load, by an upgrade or by a stop and a start."""
+    """Replace a host process under load, by an upgrade or by a stop and a start."""
     with reserved_address() as address, tempfile.TemporaryDirectory() as folder:
         environ = {"TMPDIR": folder}
         old = HostProcess(
@@ -131,11 +132,11 @@
         load.start()
         time.sleep(LOAD_S)
         if not upgrade:
-            _stop(old)
+            _stop_host(old)
         new = old.start_successor(executor=Executor(work_s=0.003), environ=environ)
         wait_until(lambda: new.call_operators() == ["OK"])
         if upgrade:
-            _stop(old)
+            _stop_host(old)
         time.sleep(LOAD_S)
         load.stop()
         for host in (old, new):
@@ -147,8 +148,8 @@
     )
 
 
-def restart(rounds: int) -> None:
-    """Compare an upgrade with stopping the old process and then starting the new one."""
+def compare_restarts(rounds: int) -> None:
+    """Compare an upgrade with a stop of the old process and a start of the new one."""
     rows = []
     gaps_ms = {}
     for name, upgrade in (("stop and start", False), ("upgrade", True)):
@@ -166,7 +167,7 @@
     )
 
 
-# Both are processes of their own, or what is measured would be the load's own interpreter.
+# Both scripts run in a separate process. In this process, the clients' use of the interpreter would distort the result.
 READER = """
 import sys, time
 from lapispick.cli.ops import call
@@ -182,7 +183,7 @@
 
 
 class CallLoad(NamedTuple):
-    """What a host did under load while its metrics were read, or not."""
+    """Performance of a host under load, with or without reads of its metrics."""
 
     call_durations_ms: list[float]
     served_per_s: float
@@ -190,12 +191,12 @@
 
 
 def measure_calls(reading: bool, seed: int) -> CallLoad:
-    """Run a host under load, with its metrics read ten times a second or not at all."""
+    """Run a host under load, and read its metrics ten times a second or not at all."""
     with reserved_address() as address, tempfile.TemporaryDirectory() as folder:
         host = HostProcess(Path(folder), executor=Executor(work_s=0.001), listen=address, environ={"TMPDIR": folder})
         load = Load(address, seed)
         load.start()
-        began = time.monotonic()
+        started_at = time.monotonic()
         cpu_before_s = main_thread_cpu_s(host.process.pid)
         served_before = load.served
         script = READER if reading else SLEEPER
@@ -204,7 +205,7 @@
         served = load.served - served_before
         result = CallLoad(
             [float(line) for line in output.split()],
-            served / (time.monotonic() - began),
+            served / (time.monotonic() - started_at),
             (main_thread_cpu_s(host.process.pid) - cpu_before_s) / served * 1e6,
         )
         load.stop()
@@ -212,26 +213,29 @@
     return result
 
 
-def calls(rounds: int) -> None:
-    """Measure the slowest call under load, and the cost of reading the metrics ten times a second."""
-    idle: list[CallLoad] = []
-    read: list[CallLoad] = []
+def measure_metrics_calls(rounds: int) -> None:
+    """Measure the slowest metrics call under load, and the cost of ten such calls a second."""
+    without_reads: list[CallLoad] = []
+    with_reads: list[CallLoad] = []
     for round_number in range(rounds):
-        idle.append(measure_calls(reading=False, seed=2 * round_number))
-        read.append(measure_calls(reading=True, seed=2 * round_number + 1))
-    durations_ms = [duration_ms for each in read for duration_ms in each.call_durations_ms]
+        without_reads.append(measure_calls(reading=False, seed=2 * round_number))
+        with_reads.append(measure_calls(reading=True, seed=2 * round_number + 1))
+    durations_ms = [duration_ms for result in with_reads for duration_ms in result.call_durations_ms]
     show(
         f"metrics read ten times a second under load, {rounds} runs each; slowest of {len(durations_ms)} calls "
         f"{max(durations_ms):.0f} ms, median {statistics.median(durations_ms):.1f} ms",
         ("", "not read", "read", "ratio"),
         [
             comparison_row(
-                "served a second", [each.served_per_s for each in idle], [each.served_per_s for each in read], 0
+                "served a second",
+                [result.served_per_s for result in without_reads],
+                [result.served_per_s for result in with_reads],
+                0,
             ),
             comparison_row(
                 "CPU for a request, us",
-                [each.cpu_us_per_request for each in idle],
-                [each.cpu_us_per_request for each in read],
+                [result.cpu_us_per_request for result in without_reads],
+                [result.cpu_us_per_request for result in with_reads],
                 0,
             ),
         ],
@@ -239,14 +243,14 @@
 
 
 class Takeover(NamedTuple):
-    """How long a new process took to be ready, and the peak memory of both."""
+    """Time until a new process was ready, and the sum of the peak memory of both processes."""
 
     ready_after_s: float
     memory_mb: float
 
 
-def _fill(gateway: GatewayConnection, count: int) -> None:
-    """Let a host execute this many keyed requests."""
+def _execute_keyed_requests(gateway: GatewayConnection, count: int) -> None:
+    """Let a host execute ``count`` keyed requests."""
     for first in range(0, count, REQUESTS_IN_FLIGHT):
         batch = range(first, min(count, first + REQUESTS_IN_FLIGHT))
         numbers = [gateway.request("book", f"k{number}", f"{number:032x}") for number in batch]
@@ -255,32 +259,39 @@
 
 
 def measure_takeover(count: int) -> Takeover:
-    """Upgrade a host that knows this many keys."""
+    """Upgrade a host that has ``count`` idempotency records."""
     with reserved_address() as address, tempfile.TemporaryDirectory() as folder:
         environ = {"TMPDIR": folder}
         old = HostProcess(Path(folder), listen=address, environ=environ)
-        _fill(old.gateway(), count)
-        began = time.monotonic()
+        _execute_keyed_requests(old.gateway(), count)
+        started_at = time.monotonic()
         new = old.start_successor(environ=environ)
         wait_until(lambda: new.call_operators() == ["OK"])
-        duration_s = time.monotonic() - began
+        duration_s = time.monotonic() - started_at
         peak_mb = peak_memory_mb(old.process.pid) + peak_memory_mb(new.process.pid)
         new.close()
         old.close()
     return Takeover(duration_s, peak_mb)
 
 
-def keys(rounds: int) -> None:
-    """Measure how long a new process takes to be ready, by the number of keys that the old one knows."""
+def measure_takeovers(rounds: int) -> None:
+    """Measure how long a new process takes to be ready, by the number of idempotency records of the old one."""
     takeovers = {count: measure_takeover(count) for count in KEY_COUNTS}
     show(
         "from the start of the new process until it is ready, s, and the peak memory of both, MB",
         ("keys", "ready after", "memory"),
-        [(count, f"{each.ready_after_s:.2f}", f"{each.memory_mb:.0f}") for count, each in takeovers.items()],
+        [
+            (count, f"{takeover.ready_after_s:.2f}", f"{takeover.memory_mb:.0f}")
+            for count, takeover in takeovers.items()
+        ],
     )
 
 
-MEASUREMENTS: dict[str, Callable[[int], None]] = {"restart": restart, "calls": calls, "keys": keys}
+MEASUREMENTS: dict[str, Callable[[int], None]] = {
+    "restart": compare_restarts,
+    "calls": measure_metrics_calls,
+    "keys": measure_takeovers,
+}
 
 
 def main() -> None:
