--- a/tests/test_stored_samples.py
+++ b/tests/test_stored_samples.py
@@ -1,8 +1,8 @@
-"""Stored samples of every message, file and database that another version of the program reads.
+"""Tests that stored samples of messages, files and databases of other versions are read and written unchanged.
 
-The samples in ``tests/data/stored`` were written once and are not written again. Decoding a sample and encoding the
-result must give the same bytes. The tables below are the only place that names the code; whoever renames a class or a
-field in Python changes them and no sample.
+The samples in ``tests/data/stored`` cover every message, file and database that another version of the program reads.
+They are never regenerated: decoding a sample and encoding the result must give the same bytes. Only the tables below
+name the code. A rename of a class or a field in Python changes these tables and no sample.
 """
 
 import shutil
@@ -30,30 +30,30 @@
 from lapispick.members import leases
 from lapispick.members import messages as member_messages
 from lapispick.rollout import host_state as agent_state
-from lapispick.rollout import messages as agent_calls
+from lapispick.rollout import messages as agent_messages
 from lapispick.rollout import pacing, rollout_state
 from lapispick.rollout.compat import FormatSupport
 from lapispick.rollout.generations import Generation
 from lapispick.trace import helper as trace_writer
 
 STORED = Path(__file__).parent / "data" / "stored"
-SOURCE = "inventory.yml group brokers"  # of the stored list
+SOURCE = "inventory.yml group brokers"  # source of the stored inventory
 
 
-def as_json(value):
+def to_builtins(value):
     return msgspec.json.decode(msgspec.json.encode(value))
 
 
-def json_codec(kind):
-    return msgspec.json.Decoder(kind).decode, msgspec.json.encode
+def json_codec(decoded_type):
+    return msgspec.json.Decoder(decoded_type).decode, msgspec.json.encode
 
 
-# What the stored ledger holds of the rollout r1, beside its course.
-LOOKED = {
+# Objects of the rollout r1 in the stored database, in addition to its state.
+FLEET_SUMMARY = {
     "deviations": ["disp-06 runs something else"],
     "boxes": {"disp-01": ["0123456789abcdef", "steady", "late"]},
 }
-EXPLAINED = {
+EXPLANATION = {
     "stage": 2,
     "outcome": "wait",
     "ground": "too few slices",
@@ -75,7 +75,7 @@
     ],
 }
 
-# Sample -> (decode, encode), one value a line.
+# Sample -> (decode, encode); a sample has one value per line.
 CODECS = {
     "handover.jsonl": (handover_messages.decode, handover_messages.encode),
     "members.jsonl": (member_messages.decode, member_messages.encode),
@@ -84,10 +84,10 @@
     "inventory-state/history.jsonl": json_codec(last_good.HistoryEntry),
     "inventory-state/status.json": json_codec(InventoryStatus),
     "agent-calls.txt": (
-        lambda line: agent_calls.decode_call(line.decode()),
-        lambda call: agent_calls.encode_call(call).encode(),
+        lambda line: agent_messages.decode_call(line.decode()),
+        lambda call: agent_messages.encode_call(call).encode(),
     ),
-    "agent-status.jsonl": json_codec(agent_calls.Status),
+    "agent-status.jsonl": json_codec(agent_messages.Status),
     "agent-state.json": json_codec(agent_state.HostState),
     "generation.json": json_codec(Generation),
     "rollout-course.json": json_codec(rollout_state.RolloutState),
@@ -96,13 +96,13 @@
     "trace-writer-begin.json": json_codec(trace_writer.WriterOptions),
 }
 
-# Sample -> all kinds of messages that it must hold.
+# Sample -> union of the message types of which it must have examples.
 UNIONS = {
     "handover.jsonl": handover_messages.AnyMessage,
     "members.jsonl": member_messages.AnyMessage,
     "inventory-to-helper.jsonl": inventory_messages.ToHelper,
     "inventory-from-helper.jsonl": inventory_messages.FromHelper,
-    "agent-calls.txt": agent_calls.Call,
+    "agent-calls.txt": agent_messages.Call,
 }
 
 # Values that are written as arrays: concept -> (class, attributes in the order of the array, sample).
@@ -121,7 +121,7 @@
         ["disp-01", 1764576000, 4, "store", "10.0.0.9:80", 2.5, 17, 1.25, 1, "slow"],
     ),
     "ballot": (leases.Ballot, ("number", "proposer"), [7, "disp-01"]),
-    "learned": (
+    "learned estimates": (
         LearnedEstimates,
         (
             *("core_ms", "run_ms", "blocked_ms", "call_ms", "runs", "concurrency_limit", "call_times"),
@@ -132,8 +132,8 @@
     "learned call times": (CallTimes, ("usual_ms", "recent_ms"), [20.0, 30.0]),
     "learned prices": (Prices, ("occupancy", "cost"), [0.25, 0.75]),
     "compatibility of a format": (FormatSupport, ("writes", "oldest", "newest"), [2, 1, 3]),
-    "pace of a rollout": (pacing.Limits, ("max_changing", "min_serving_fraction"), [3, 0.75]),
-    "place in a file": (SourceLocation, ("file", "line", "column"), ["hosts.yml", 12, 5]),
+    "limits of a rollout": (pacing.Limits, ("max_changing", "min_serving_fraction"), [3, 0.75]),
+    "location in a file": (SourceLocation, ("file", "line", "column"), ["hosts.yml", 12, 5]),
     "fault of a file": (
         FileFault,
         ("location", "key", "message"),
@@ -141,39 +141,41 @@
     ),
 }
 
-# How the current code opens, reads and writes what is on disk.
+# Functions of the current code that open, read and write the files on disk.
 FILES = SimpleNamespace(
-    open_keys=database.Database,
+    open_database=database.Database,
     key_row=lambda key, record: (
         *(key, int(record.state), record.incarnation, record.created_at_ms, record.expires_at_ms),
         *(record.request_digest, record.result),
     ),
-    open_ledger=rollout_store.RolloutStore,
+    open_rollout_store=rollout_store.RolloutStore,
     open_agent_state=state_file.StateFile,
     open_generations=generation_store.GenerationStore,
-    kept_list=last_good.load,
-    keep_list=lambda folder, head, snapshot: last_good.save(folder, head.source, snapshot, head.at, head.reason),
-    history=last_good.load_history,
-    remember=last_good.append_history,
-    status=last_good.load_status,
-    accepting=last_good.load_operator_digest,
-    accept=last_good.save_operator_digest,
+    load_last_good=last_good.load,
+    save_last_good=lambda folder, header, snapshot: last_good.save(
+        folder, header.source, snapshot, header.at, header.reason
+    ),
+    load_history=last_good.load_history,
+    append_history=last_good.append_history,
+    load_status=last_good.load_status,
+    load_operator_digest=last_good.load_operator_digest,
+    save_operator_digest=last_good.save_operator_digest,
 )
 
 
-def lines(sample):
+def sample_lines(sample):
     return (STORED / sample).read_bytes().splitlines()
 
 
-def restored(sample, path):
+def restore_database(sample, path):
     with sqlite3.connect(path) as db:
         db.executescript((STORED / sample).read_text())
     db.close()
     return path
 
 
-def contents(path):
-    """Return the schema and all rows of a database as text."""
+def database_dump(path):
+    """Return the schema and all rows of a database as SQL statements."""
     db = sqlite3.connect(path)
     try:
         return list(db.iterdump())
@@ -181,7 +183,7 @@
         db.close()
 
 
-def rows(path, query):
+def query_rows(path, query):
     db = sqlite3.connect(path)
     try:
         return db.execute(query).fetchall()
@@ -189,151 +191,151 @@
         db.close()
 
 
-def schema(path):
-    return sorted(rows(path, "select type, name, sql from sqlite_master where name not like 'sqlite_%'"))
+def database_schema(path):
+    return sorted(query_rows(path, "select type, name, sql from sqlite_master where name not like 'sqlite_%'"))
 
 
-def unpopulated(value, path="value"):
-    """Yield the fields of structs that hold their default, or nothing where they have none."""
+def unpopulated_fields(value, path="value"):
+    """Yield the paths of struct fields that have their default, or are empty if they have no default."""
     if isinstance(value, msgspec.Struct):
         for field in msgspec.structs.fields(type(value)):
-            held = getattr(value, field.name)
+            field_value = getattr(value, field.name)
             if field.default is not msgspec.NODEFAULT:
-                empty = held == field.default
+                is_empty = field_value == field.default
             elif field.default_factory is not msgspec.NODEFAULT:
-                empty = held == field.default_factory()
+                is_empty = field_value == field.default_factory()
             else:
-                empty = not held
-            if empty and field.encode_name != "version":
+                is_empty = not field_value
+            if is_empty and field.encode_name != "version":
                 yield f"{path}.{field.encode_name}"
-            yield from unpopulated(held, f"{path}.{field.encode_name}")
+            yield from unpopulated_fields(field_value, f"{path}.{field.encode_name}")
     elif isinstance(value, dict):
-        for key, held in value.items():
-            yield from unpopulated(held, f"{path}[{key}]")
+        for key, item in value.items():
+            yield from unpopulated_fields(item, f"{path}[{key}]")
     elif isinstance(value, (list, tuple)):
-        for index, held in enumerate(value):
-            yield from unpopulated(held, f"{path}[{index}]")
+        for index, item in enumerate(value):
+            yield from unpopulated_fields(item, f"{path}[{index}]")
 
 
 @pytest.mark.parametrize("sample", CODECS)
 def test_a_sample_is_encoded_again_to_the_same_bytes(sample):
     decode, encode = CODECS[sample]
-    found = lines(sample)
-    assert found
-    assert [encode(decode(line)).removesuffix(b"\n") for line in found] == found
+    stored_lines = sample_lines(sample)
+    assert stored_lines
+    assert [encode(decode(line)).removesuffix(b"\n") for line in stored_lines] == stored_lines
 
 
 @pytest.mark.parametrize("sample", CODECS)
 def test_a_sample_populates_every_field(sample):
     decode, _ = CODECS[sample]
-    assert [path for line in lines(sample) for path in unpopulated(decode(line))] == []
+    assert [path for line in sample_lines(sample) for path in unpopulated_fields(decode(line))] == []
 
 
 @pytest.mark.parametrize("sample", UNIONS)
-def test_there_is_a_sample_of_every_kind_of_message(sample):
+def test_every_message_type_has_a_sample(sample):
     decode, _ = CODECS[sample]
-    assert {type(decode(line)) for line in lines(sample)} == set(get_args(UNIONS[sample]))
+    assert {type(decode(line)) for line in sample_lines(sample)} == set(get_args(UNIONS[sample]))
 
 
 @pytest.mark.parametrize("concept", ARRAYS)
-def test_the_places_of_an_array_keep_their_meaning(concept):
-    kind, attributes, sample = ARRAYS[concept]
+def test_the_positions_of_array_elements_are_unchanged(concept):
+    struct_type, attributes, sample = ARRAYS[concept]
     raw = msgspec.json.encode(sample)
-    made = msgspec.json.decode(raw, type=kind)
-    assert msgspec.json.encode([getattr(made, name) for name in attributes]) == raw
-    assert msgspec.json.encode(made) == raw
+    decoded = msgspec.json.decode(raw, type=struct_type)
+    assert msgspec.json.encode([getattr(decoded, name) for name in attributes]) == raw
+    assert msgspec.json.encode(decoded) == raw
 
 
-def test_the_stored_keys_are_loaded_and_only_the_number_of_the_life_changes(tmp_path):
-    path = restored("keys.sql", tmp_path / "keys.db")
-    before, stored = contents(path), rows(path, "select * from keys")
-    store = FILES.open_keys(path, "n3")
-    found = list(store.load())
+def test_stored_keys_are_loaded_and_only_the_incarnation_changes(tmp_path):
+    path = restore_database("keys.sql", tmp_path / "keys.db")
+    before, stored = database_dump(path), query_rows(path, "select * from keys")
+    store = FILES.open_database(path, "n3")
+    loaded = list(store.load())
     store.close()
-    assert [FILES.key_row(*each) for each in found] == stored
+    assert [FILES.key_row(key, record) for key, record in loaded] == stored
     assert len(stored) == 5
-    after = contents(path)
-    assert [(a, b) for a, b in zip(before, after, strict=True) if a != b] == [
+    after = database_dump(path)
+    assert [(old, new) for old, new in zip(before, after, strict=True) if old != new] == [
         ("INSERT INTO \"meta\" VALUES('life',1);", "INSERT INTO \"meta\" VALUES('life',2);")
     ]
 
 
 def test_keys_are_written_as_stored(tmp_path):
-    old = restored("keys.sql", tmp_path / "old.db")
-    source = FILES.open_keys(old, "n3")
-    new = FILES.open_keys(tmp_path / "new.db", "n3")
+    old = restore_database("keys.sql", tmp_path / "old.db")
+    source = FILES.open_database(old, "n3")
+    new = FILES.open_database(tmp_path / "new.db", "n3")
     new.write(list(source.load()))
     source.close()
     new.close()
-    assert schema(tmp_path / "new.db") == schema(old)
-    assert rows(tmp_path / "new.db", "select * from keys") == rows(old, "select * from keys")
-    assert rows(tmp_path / "new.db", "select * from meta") == [("box", "n3"), ("life", 1), ("version", 1)]
-
-
-def test_the_stored_ledger_is_read_and_left_unchanged(tmp_path):
-    path = restored("ledger.sql", tmp_path / "rollouts.db")
-    before = contents(path)
-    book = FILES.open_ledger(tmp_path)
-    stored = rows(path, "select * from rollouts order by began")
-    found = [(name, began, ended, msgspec.json.encode(state)) for name, began, ended, state in book.history()]
-    assert found == stored
+    assert database_schema(tmp_path / "new.db") == database_schema(old)
+    assert query_rows(tmp_path / "new.db", "select * from keys") == query_rows(old, "select * from keys")
+    assert query_rows(tmp_path / "new.db", "select * from meta") == [("box", "n3"), ("life", 1), ("version", 1)]
+
+
+def test_a_stored_rollout_database_is_read_and_left_unchanged(tmp_path):
+    path = restore_database("ledger.sql", tmp_path / "rollouts.db")
+    before = database_dump(path)
+    store = FILES.open_rollout_store(tmp_path)
+    stored = query_rows(path, "select * from rollouts order by began")
+    loaded = [(name, began, ended, msgspec.json.encode(state)) for name, began, ended, state in store.history()]
+    assert loaded == stored
     assert [row[0] for row in stored] == ["r0", "r1"]
-    assert msgspec.json.encode(book.get()) == stored[-1][3] == (STORED / "rollout-course.json").read_bytes().strip()
-    assert book.events("r1") == [(1764576010.5, "begun")]
-    assert as_json(book.fleet_summary("r1")) == LOOKED
-    assert rows(path, "select at from looks where rollout = 'r1'") == [(1764576012.0,)]
-    assert as_json(book.explanation("r1")) == [1764576013.0, EXPLAINED]
-    assert book.leadership() == ("alpha", 5, 1764576012.0)
-    assert contents(path) == before
-    assert book.take_over("beta", 0) == 6
-    assert book.take_orders("r1") == ["go", "hold"]
-    book.close()
-
-
-def test_a_ledger_is_written_as_stored(tmp_path):
-    old = restored("ledger.sql", tmp_path / "old.db")
-    state = CODECS["rollout-course.json"][0](lines("rollout-course.json")[0])
-    book = FILES.open_ledger(tmp_path / "new")
-    assert book.take_over("alpha", 4) == 5
-    book.save(state, 1764576010.0, [(1764576010.5, "begun")])
-    summary = msgspec.convert(LOOKED, rollout_records.FleetSummary)
-    book.record_heartbeat("r1", 1764576012.0, summary)
-    explanation = msgspec.convert(EXPLAINED, rollout_records.Explanation)
-    book.save_explanation("r1", 1764576013.0, explanation)
-    book.add_order("r1", "go")
-    book.close()
+    assert msgspec.json.encode(store.get()) == stored[-1][3] == (STORED / "rollout-course.json").read_bytes().strip()
+    assert store.events("r1") == [(1764576010.5, "begun")]
+    assert to_builtins(store.fleet_summary("r1")) == FLEET_SUMMARY
+    assert query_rows(path, "select at from looks where rollout = 'r1'") == [(1764576012.0,)]
+    assert to_builtins(store.explanation("r1")) == [1764576013.0, EXPLANATION]
+    assert store.leadership() == ("alpha", 5, 1764576012.0)
+    assert database_dump(path) == before
+    assert store.take_over("beta", 0) == 6
+    assert store.take_orders("r1") == ["go", "hold"]
+    store.close()
+
+
+def test_a_rollout_database_is_written_as_stored(tmp_path):
+    old = restore_database("ledger.sql", tmp_path / "old.db")
+    state = CODECS["rollout-course.json"][0](sample_lines("rollout-course.json")[0])
+    store = FILES.open_rollout_store(tmp_path / "new")
+    assert store.take_over("alpha", 4) == 5
+    store.save(state, 1764576010.0, [(1764576010.5, "begun")])
+    summary = msgspec.convert(FLEET_SUMMARY, rollout_records.FleetSummary)
+    store.record_heartbeat("r1", 1764576012.0, summary)
+    explanation = msgspec.convert(EXPLANATION, rollout_records.Explanation)
+    store.save_explanation("r1", 1764576013.0, explanation)
+    store.add_order("r1", "go")
+    store.close()
     new = tmp_path / "new" / "rollouts.db"
-    assert schema(new) == schema(old)
+    assert database_schema(new) == database_schema(old)
     for query in (
         *("select * from meta", "select * from explained", "select * from looks"),
         "select rollout, at, text from events where rollout = 'r1'",
         "select * from rollouts where name = 'r1'",
         "select * from orders where word = 'go'",
     ):
-        assert rows(new, query) == rows(old, query) != [], query
+        assert query_rows(new, query) == query_rows(old, query) != [], query
 
 
-def test_the_stored_list_of_an_inventory_is_read_and_written_again(tmp_path):
+def test_a_stored_inventory_is_read_and_written_unchanged(tmp_path):
     folder, fresh = STORED / "inventory-state", tmp_path / "fresh"
-    head, snapshot = FILES.kept_list(folder, SOURCE)
-    FILES.keep_list(fresh, head, snapshot)
-    for entry in FILES.history(folder):
-        FILES.remember(fresh, entry, 20)
-    FILES.accept(fresh, FILES.accepting(folder))
+    header, snapshot = FILES.load_last_good(folder, SOURCE)
+    FILES.save_last_good(fresh, header, snapshot)
+    for entry in FILES.load_history(folder):
+        FILES.append_history(fresh, entry, 20)
+    FILES.save_operator_digest(fresh, FILES.load_operator_digest(folder))
     for name in ("last-good.jsonl", "history.jsonl", "accept"):
         assert (fresh / name).read_bytes() == (folder / name).read_bytes(), name
-    assert msgspec.json.encode(FILES.status(folder)) == (folder / "status.json").read_bytes().strip()
-    assert [p for value in (head, *snapshot.hosts.values()) for p in unpopulated(value)] == []
+    assert msgspec.json.encode(FILES.load_status(folder)) == (folder / "status.json").read_bytes().strip()
+    assert [path for value in (header, *snapshot.hosts.values()) for path in unpopulated_fields(value)] == []
 
 
 def test_a_host_sends_the_status_of_its_inventory_as_stored(monkeypatch):
-    stored = next(line for line in lines("inventory-to-helper.jsonl") if b'"type":"status"' in line)
+    stored = next(line for line in sample_lines("inventory-to-helper.jsonl") if b'"type":"status"' in line)
     helper_line = msgspec.json.encode(msgspec.json.decode(stored)["told"])
-    assert helper_line == lines("inventory-state/status.json")[0]
+    assert helper_line == sample_lines("inventory-state/status.json")[0]
     sent = []
     inventory = host_inventory.Inventory(None, InventorySettings(), ANY_HOST, on_accepted=None)
     inventory.helper = SimpleNamespace(send=sent.append)
-    inventory.acceptance.accepted = FILES.kept_list(STORED / "inventory-state", SOURCE)[1]
+    inventory.acceptance.accepted = FILES.load_last_good(STORED / "inventory-state", SOURCE)[1]
     fault = FileFault(SourceLocation("hosts.yml", 12, 5), "amqp_port", "must be a number")
     verdict = acceptance.Verdict(acceptance.Phase.HELD, "too many left", is_new=True)
     monkeypatch.setattr(host_inventory.time, "time", lambda: 1764576000.5)
@@ -341,13 +343,13 @@
     assert [msgspec.json.encode(message) for message in sent] == [stored]
 
 
-def test_an_agent_finds_its_stored_state_and_writes_it_again(tmp_path):
+def test_an_agent_loads_its_stored_state_and_writes_it_unchanged(tmp_path):
     shutil.copy(STORED / "agent-state.json", tmp_path / "state.json")
     store = FILES.open_agent_state(tmp_path, "disp-01")
-    assert msgspec.json.encode(store.state) == lines("agent-state.json")[0]
+    assert msgspec.json.encode(store.state) == sample_lines("agent-state.json")[0]
     (tmp_path / "state.json").unlink()
     store.save(store.state)
-    assert (tmp_path / "state.json").read_bytes() == lines("agent-state.json")[0]
+    assert (tmp_path / "state.json").read_bytes() == sample_lines("agent-state.json")[0]
     assert (tmp_path / "agent.lock").exists()
 
 
@@ -356,11 +358,12 @@
     (folder / "program" / "lapispick").mkdir(parents=True)
     (folder / "lapispick.conf").touch()
     shutil.copy(STORED / "generation.json", folder / "generation.json")
-    found = FILES.open_generations(tmp_path).all()
-    assert [msgspec.json.encode(made) for made in found.values()] == lines("generation.json")
-    assert list(found) == ["0123456789abcdef"]
+    generations = FILES.open_generations(tmp_path).all()
+    encoded = [msgspec.json.encode(generation) for generation in generations.values()]
+    assert encoded == sample_lines("generation.json")
+    assert list(generations) == ["0123456789abcdef"]
 
 
-def test_a_stored_platform_configuration_passes_the_checks_of_a_start():
-    raw = lines("host-config.json")[0]
+def test_a_stored_host_configuration_is_valid_at_start():
+    raw = sample_lines("host-config.json")[0]
     assert msgspec.json.encode(host_config.parse(raw)) == raw
--- a/tests/test_wire_names.py
+++ b/tests/test_wire_names.py
@@ -1,7 +1,7 @@
-"""The names that leave the program: protocols, settings, figures, JSON output, words in stored states.
+"""Tests of the names that leave the program: protocols, settings, metrics, JSON output, values in stored states.
 
-``tests/data/wire_names.json`` is keyed by what stands on the wire. The tables below map its keys to the code; whoever
-renames a class, function or constant in Python changes them and not the list.
+``tests/data/wire_names.json`` lists these names by protocol or format. The tables below map its keys to the code. A
+rename of a class, function or constant in Python changes these tables and not the list.
 """
 
 import base64
@@ -26,7 +26,7 @@
 from lapispick.agent import service as agent_service
 from lapispick.cli.main import HIDDEN_ALIASES
 from lapispick.cli.main import cli as command_line
-from lapispick.conf import settings as operators_settings
+from lapispick.conf import settings as operator_settings
 from lapispick.fleet import acceptance, last_good
 from lapispick.fleet import messages as inventory_messages
 from lapispick.handover import messages as handover_messages
@@ -44,12 +44,12 @@
 from lapispick.members import messages as member_messages
 from lapispick.rollout import canary_analysis, rollout_plan, rollout_state
 from lapispick.rollout import host_state as agent_state
-from lapispick.rollout import messages as agent_calls
+from lapispick.rollout import messages as agent_messages
 from lapispick.rollout.generations import Generation
 from lapispick.simulator import adapter, codec
 from lapispick.trace import helper as trace_writer
 from lapispick.trace import lines as trace_text
-from lapispick.trace import record_types as trace_kinds
+from lapispick.trace import record_types
 from lapispick.trace import schema as trace_schema
 from lapispick.trace.block_reader import decode_block
 from lapispick.trace.block_writer import encode_block
@@ -59,7 +59,7 @@
 STORED = json.loads((Path(__file__).parent / "data" / "wire_names.json").read_text())
 SAMPLES = Path(__file__).parent / "data" / "stored"
 
-# Protocol -> the union of its messages, each with a tag.
+# Protocol -> union of its messages, each of which has a tag.
 TAGGED = {
     "handover": handover_messages.AnyMessage,
     "members": member_messages.AnyMessage,
@@ -68,8 +68,8 @@
     "votes on turns": leases.LeaseProposal | leases.LeaseVote | leases.LeaseRelease,
 }
 
-# What is read or written without a tag -> its class.
-PLAIN = {
+# Object that is encoded without a tag -> its class.
+UNTAGGED = {
     "platform, message": jsonrpc_messages.Message,
     "platform, parameters": jsonrpc_messages.Params,
     "executor, notice": executor.Notice,
@@ -83,7 +83,7 @@
     "start settings, tenant": platform_settings.Tenant,
     "module's settings": admission.Settings,
     "module's settings, class": admission.ClassSettings,
-    "agent, status": agent_calls.Status,
+    "agent, status": agent_messages.Status,
     "agent, stored state": agent_state.HostState,
     "agent, stored process": agent_state.HostProcess,
     "generation": Generation,
@@ -97,31 +97,31 @@
     "operators, one turn": member_reports.LeaseInfo,
 }
 
-# Words that stand in messages and stored states -> where the code has them.
-WORDS = {
+# Kind of values in messages and stored states -> function that returns these values from the code.
+VALUES = {
     "phases of an agent": lambda: list(agent_state.HostPhase),
     "roles of a process": lambda: list(agent_state.Role),
     "phases of a rollout": lambda: list(rollout_state.Phase),
     "phases after which a rollout is over": lambda: sorted(rollout_state.FINAL_PHASES),
-    "outcomes of the judge": lambda: [each.value for each in canary_analysis.Outcome],
+    "outcomes of the judge": lambda: [outcome.value for outcome in canary_analysis.Outcome],
     "states of a member": lambda: {name: int(state) for state, name in member_state.STATE_NAMES.items()},
-    "phases of an inventory": lambda: [each.value for each in acceptance.Phase],
+    "phases of an inventory": lambda: [phase.value for phase in acceptance.Phase],
     "effects of a class": lambda: list(platform_settings.IDEMPOTENCY),
     "ways to halt": lambda: list(platform_settings.CANCEL_MODES),
     "ways to advertise": lambda: list(platform_settings.BACKPRESSURE_SIGNALS),
-    "effects, in the module's settings": lambda: [each.value for each in admission.Idempotency],
-    "ways to halt, in the module's settings": lambda: [each.value for each in admission.CancelMode],
-    "ways to advertise, in the module's settings": lambda: [each.value for each in admission.BackpressureSignal],
-    "outcomes of a run or call": lambda: {outcome_name(each): int(each) for each in admission.Outcome},
+    "effects, in the module's settings": lambda: [idempotency.value for idempotency in admission.Idempotency],
+    "ways to halt, in the module's settings": lambda: [mode.value for mode in admission.CancelMode],
+    "ways to advertise, in the module's settings": lambda: [signal.value for signal in admission.BackpressureSignal],
+    "outcomes of a run or call": lambda: {outcome_name(outcome): int(outcome) for outcome in admission.Outcome},
     "kinds of an answer, in traces": lambda: [AnswerKind.SERVED, AnswerKind.REJECTED, AnswerKind.FAILED],
-    "ends of a run": lambda: {word: int(end) for word, end in executor.RUN_OUTCOMES.items()},
-    "formats and their versions": lambda: {kind: list(each) for kind, each in versions.FORMATS.items()},
+    "ends of a run": lambda: {name: int(outcome) for name, outcome in executor.RUN_OUTCOMES.items()},
+    "formats and their versions": lambda: {name: list(support) for name, support in versions.FORMATS.items()},
     "words in the lock of a hand-over": lambda: [key_lock.SERVING.decode(), key_lock.ENDED.decode()],
     "file with the number of a life": lambda: process_epoch.FILE_NAME,
     "host's calls that an agent passes on": lambda: list(agent_service.FORWARDED_CALLS),
 }
 
-# Simulator, event -> (code, class that the record becomes; none where it starts or ends an instance).
+# Event of the simulator -> (code, class of the decoded event; None for events that start or end an instance).
 EVENTS = {
     "run over": (codec.RUN_OVER, admission.RunCompleted),
     "born": (codec.BORN, None),
@@ -134,7 +134,7 @@
     "terminate soon": (codec.TERMINATE_SOON, admission.ShutdownRequested),
 }
 
-# Simulator, action -> (code, an action with different values).
+# Action of the simulator -> (code, an example whose fields have different values).
 ACTIONS = {
     "dispatch": (codec.DISPATCH, admission.StartRun(7)),
     "pin": (codec.PIN, admission.RetainKey(7, 2.5)),
@@ -154,7 +154,7 @@
 
 
 class StopError(Exception):
-    """Ends a part that would go on for ever."""
+    """Ends a service loop that would not return."""
 
 
 def stop(*_):
@@ -162,24 +162,24 @@
 
 
 class FakeStream:
-    """A connection that reads given lines, calls what stands between them, and keeps what is written."""
+    """Connection that reads the given lines, calls the functions between them, and records the written data."""
 
     closed = failed = eof_received = closing = discarding = False
     unsent_bytes = unread_bytes = received_bytes = 0
 
-    def __init__(self, *feed):
-        self.feed, self.written = list(feed), []
+    def __init__(self, *inputs):
+        self.inputs, self.written = list(inputs), []
 
     def read_line(self, timeout=None):
-        while self.feed:
-            item = self.feed.pop(0)
+        while self.inputs:
+            item = self.inputs.pop(0)
             if isinstance(item, bytes):
                 return item
             item()
         return None
 
     def read_exactly(self, size, timeout=None):
-        return self.feed.pop(0)
+        return self.inputs.pop(0)
 
     def write(self, data):
         self.written.append(data)
@@ -198,7 +198,7 @@
 
 
 class FakeLoop:
-    """Runs what is spawned at once, no timers, and ends whoever waits."""
+    """Event loop that runs spawned functions immediately, ignores timers, and raises ``StopError`` on every wait."""
 
     max_unsent_bytes = 1 << 20
     suspend = sleep = staticmethod(stop)
@@ -210,18 +210,18 @@
         pass
 
 
-def objects(written):
+def decode_lines(written):
     return [json.loads(line) for line in b"".join(written).splitlines()]
 
 
-def encoded_names(kind):
-    return list(kind.__struct_encode_fields__)
+def encoded_names(struct_type):
+    return list(struct_type.__struct_encode_fields__)
 
 
 def shape(value):
-    """Return a JSON value with its keys and without its values."""
+    """Return a JSON value with each scalar replaced by the name of its type, and lists cut to one element."""
     if isinstance(value, dict):
-        return {key: shape(held) for key, held in value.items()}
+        return {key: shape(item) for key, item in value.items()}
     if isinstance(value, list):
         return [shape(value[0])] if value else []
     return type(value).__name__
@@ -231,11 +231,11 @@
     return json.loads((SAMPLES / "host-config.json").read_text())["settings"]
 
 
-# What the parts write and read by hand.
+# Names that are read and written without a struct.
 
 
 def platform_answers():
-    """Talk to one connection and return what it writes, by occasion."""
+    """Send a message for each occasion, and return the lines that the connection writes."""
     info = msgspec.convert(start_settings(), platform_settings.StartSettings)
     context = jsonrpc_connection.ConnectionContext(
         loop=FakeLoop(),
@@ -247,9 +247,9 @@
         needs_timeout=True,
         on_closed=lambda connection: None,
     )
-    found = {}
+    answers = {}
 
-    def talk(occasion, method, respond=None, **message):
+    def exchange(occasion, method, respond=None, **message):
         params = {
             "trace": "0123456789abcdef",
             "born": time.time() * 1000,
@@ -269,20 +269,20 @@
         connection = jsonrpc_connection.Connection(context, stream)
         connection.serve()
         respond(connection, posted[0])
-        found[occasion] = objects(stream.written)
+        answers[occasion] = decode_lines(stream.written)
 
     def answer(*values):
         return lambda connection, item: item.request.reply(Answer(*values))
 
-    talk("served", "book", answer(AnswerKind.SERVED, "eA==", 0.0, False, 1.5))
-    talk("failed", "book", answer(AnswerKind.FAILED, None, 0.0, False, 1.5))
-    talk("refused", "book", answer(AnswerKind.REJECTED, None, 20.0, True, 1.5))
-    talk("fault of the peer", "book", answer(AnswerKind.FAILED, None, 0.0, False, 1.5, "a fault"))
-    talk("health", "probe", lambda connection, item: item.reply(True, 1.5), params={"thorough": True})
-    talk("leave", "probe", lambda connection, item: connection.send_goaway())
+    exchange("served", "book", answer(AnswerKind.SERVED, "eA==", 0.0, False, 1.5))
+    exchange("failed", "book", answer(AnswerKind.FAILED, None, 0.0, False, 1.5))
+    exchange("refused", "book", answer(AnswerKind.REJECTED, None, 20.0, True, 1.5))
+    exchange("fault of the peer", "book", answer(AnswerKind.FAILED, None, 0.0, False, 1.5, "a fault"))
+    exchange("health", "probe", lambda connection, item: item.reply(True, 1.5), params={"thorough": True})
+    exchange("leave", "probe", lambda connection, item: connection.send_goaway())
     give_up = json.dumps({"jsonrpc": "2.0", "method": "giveUp", "params": {"id": 5}}).encode()
-    talk("given up", "book", lambda connection, item: connection._on_line(give_up))
-    return found
+    exchange("given up", "book", lambda connection, item: connection._on_line(give_up))
+    return answers
 
 
 def platform_codes():
@@ -290,14 +290,14 @@
 
 
 def executor_commands(monkeypatch):
-    """Return what the executor's link writes, and what it posts of each notice."""
+    """Return the commands that the executor's link writes; also checks the events that it posts for notices."""
     posted = []
     link = executor.ExecutorLink(FakeLoop(), ("127.0.0.1", 1), posted.append)
 
-    def notice(**told):
-        return json.dumps(told).encode()
+    def notice(**fields):
+        return json.dumps(fields).encode()
 
-    def command():
+    def send_commands():
         link.commands.start_run("a", "book", "eA==", idempotent=False)
         link.commands.cancel_run("a")
         link.commands.resume_run("a")
@@ -308,7 +308,7 @@
 
     stream = FakeStream(
         notice(verb="WELCOME", outcome="chilly", spent=1.5),
-        command,
+        send_commands,
         notice(verb="CALLOUT", index=1, task="a", bytes="eA=="),
         notice(verb="EXIT", index=2, task="a", outcome="complete", spent=2.5, bytes="eQ=="),
         notice(verb="METERS", index=3, nonce="tick", readings=[1.5, 2.5]),
@@ -328,40 +328,45 @@
         events.RunUnknown("b"),
     ]
     assert posted == expected
-    return objects(stream.written)
+    return decode_lines(stream.written)
 
 
 def store_request(monkeypatch):
-    """Return the call as it is written; the wait differs from run to run."""
+    """Return the call as it is written, with N for the wait, which differs between runs."""
     posted = []
     stream = FakeStream(b"HTTP/1.1 503 Busy\r", b"X-Not-Run: 1\r", b"Content-Length: 2\r", b"\r", b"no")
     monkeypatch.setattr(store, "connect", lambda *_, **__: stream)
     client = store.StoreClient(FakeLoop(), ("127.0.0.1", 8080), posted.append, 10)
     client.start_call("0123456789abcdef", base64.b64encode(b"body").decode(), 250.0, idempotent=False)
-    assert [(each.outcome, each.body) for each in posted] == [(Outcome.FULL, base64.b64encode(b"no").decode())]
+    assert [(event.outcome, event.body) for event in posted] == [(Outcome.FULL, base64.b64encode(b"no").decode())]
     return re.sub(r"(?<=X-Wait-Ms: )\d+", "N", b"".join(stream.written).decode())
 
 
 def store_outcomes():
-    given = {"200": {}, "409, not run": {b"x-not-run": b"1"}, "503, not run": {b"x-not-run": b"1"}, "503": {}}
-    given |= {"504": {}, "500": {}}
-    return {told: int(store.outcome_of_reply(int(told[:3]), headers)) for told, headers in given.items()}
+    headers_by_reply = {
+        "200": {},
+        "409, not run": {b"x-not-run": b"1"},
+        "503, not run": {b"x-not-run": b"1"},
+        "503": {},
+    }
+    headers_by_reply |= {"504": {}, "500": {}}
+    return {reply: int(store.outcome_of_reply(int(reply[:3]), headers)) for reply, headers in headers_by_reply.items()}
 
 
-def roster_reports():
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as heard:
-        heard.bind(("127.0.0.1", 0))
-        heard.settimeout(5)
-        reports, client = [], registry.RegistryClient(FakeLoop(), heard.getsockname(), "n3")
+def registry_reports():
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as receiver:
+        receiver.bind(("127.0.0.1", 0))
+        receiver.settimeout(5)
+        reports, client = [], registry.RegistryClient(FakeLoop(), receiver.getsockname(), "n3")
         for listed in (True, False):
             client.set_listed(listed)
             with pytest.raises(StopError):
                 client.serve()
-            reports.append(heard.recv(200).decode())
+            reports.append(receiver.recv(200).decode())
     return reports
 
 
-def figure_names():
+def metric_names():
     basic = metrics.Metrics(["book"])
     extended = extended_metrics.ExtendedMetrics(["book"], [(100.0, 1.0, 0.5)], "0123456789abcdef", lambda: (1, 2))
 
@@ -372,34 +377,37 @@
 
 
 def directives():
-    """Return the directives by section with their defaults, as the program writes a settings file."""
-    found, section = {}, ""
-    for line in operators_settings.format_settings(operators_settings.Settings()):
+    """Return the directives of each section with their defaults, from the settings file that the program writes."""
+    sections, section = {}, ""
+    for line in operator_settings.format_settings(operator_settings.Settings()):
         words = line.split("# ")[0].split() if not line.lstrip().startswith("#") else [line.split()[1]]
         if words[0] == "section":
             section = words[1]
-            found[section] = {}
+            sections[section] = {}
         elif words[0] != "end":
-            found[section][words[0]] = " ".join(words[1:])
-    return found
+            sections[section][words[0]] = " ".join(words[1:])
+    return sections
 
 
-def environment():
-    """Return all names of environment variables of our own that stand in the code."""
-    named = re.compile(r"[\"'](LB_[A-Z_]*[A-Z]|LAPISPICK_[A-Z_]*[A-Z])[\"']")
-    code = [path.read_text() for path in (ROOT / "lapispick").rglob("*.py") if "standins" not in path.parts]
-    return sorted({name for text in code for name in named.findall(text)})
+def environment_variables():
+    """Return the names of the project's environment variables that occur in the code."""
+    pattern = re.compile(r"[\"'](LB_[A-Z_]*[A-Z]|LAPISPICK_[A-Z_]*[A-Z])[\"']")
+    source_texts = [path.read_text() for path in (ROOT / "lapispick").rglob("*.py") if "standins" not in path.parts]
+    return sorted({name for text in source_texts for name in pattern.findall(text)})
 
 
-def operators_answers():
-    """Return how an answer begins: to a known call, an unknown one, one without an end, one that is no text."""
-    made = ops.OperatorServer(scheduler.EventLoop(), ("127.0.0.1", 0), 4, {"check": lambda: ["OK"]})
-    return [made._answer(line)[0].split()[0] for line in (b"check", b"other", None, b"\xff")]
+def operator_answers():
+    """Return the first words of the answers to a known, an unknown, an unterminated and an undecodable call."""
+    server = ops.OperatorServer(scheduler.EventLoop(), ("127.0.0.1", 0), 4, {"check": lambda: ["OK"]})
+    return [server._answer(line)[0].split()[0] for line in (b"check", b"other", None, b"\xff")]
 
 
 def trace_lines():
-    """Return each kind of record by its number, as it stands in a trace's lines; places in a file follow this order."""
-    parts = {"events": trace_kinds.EVENTS, "actions": trace_kinds.ACTIONS, "notes": trace_kinds.NOTES}
+    """Return the keys and values of each record type in a line of a trace, by record number.
+
+    The columns of a trace file follow this order.
+    """
+    parts = {"events": record_types.EVENTS, "actions": record_types.ACTIONS, "notes": record_types.NOTES}
     examples = {
         "int": 7,
         "float": 2.5,
@@ -409,29 +417,31 @@
         "tuple[float, ...]": (1.5, 2.5),
         Outcome.__name__: Outcome.OK,
     }
-    found = {}
-    for part, kinds in parts.items():
-        for kind in kinds:
-            record = kind(*(examples[annotation] for _, annotation in trace_schema.RECORD_FIELDS[kind]))
-            step = trace_kinds.Step(1.5, **{part: (record,)})
+    records = {}
+    for part, types_of_part in parts.items():
+        for record_type in types_of_part:
+            fields = trace_schema.RECORD_FIELDS[record_type]
+            record = record_type(*(examples[annotation] for _, annotation in fields))
+            step = record_types.Step(1.5, **{part: (record,)})
             line = trace_text.encode_step(step, "n3")
             assert trace_text.decode_step(line, 1) == step
             assert decode_block(b"".join(encode_block([step]))) == [step]
-            found[str(trace_kinds.RECORD_NUMBERS[kind])] = [part, *map(list, json.loads(line)[part][0].items())]
-    return found
+            number = record_types.RECORD_NUMBERS[record_type]
+            records[str(number)] = [part, *map(list, json.loads(line)[part][0].items())]
+    return records
 
 
 def trace_messages():
     return {
-        name: {field.name: field.number for field in made.DESCRIPTOR.fields}
-        for name, made in trace_schema.MESSAGE_TYPES.items()
+        name: {field.name: field.number for field in message_type.DESCRIPTOR.fields}
+        for name, message_type in trace_schema.MESSAGE_TYPES.items()
     }
 
 
 def event_frames():
-    """Return the code and layout of each event, and a record as it is decoded from a frame."""
-    found = {}
-    for event, (code, kind) in EVENTS.items():
+    """Return the code, layout and example frame of each event, and the event that is decoded from the frame."""
+    frames = {}
+    for event, (code, event_type) in EVENTS.items():
         layout = codec.EVENTS[code]
         count = 2 if code in (codec.BORN, codec.DEADLINE_HIT) else 0
         values = list(range(2, len(re.findall(r"[A-Za-z]", layout.format)) + 2))
@@ -442,41 +452,42 @@
         frame = codec.BATCH_HEAD.pack(codec.BATCH_HEAD.size + len(body), 1.5, 9) + body
         clock, number, (record,) = codec.decode_batch(frame)
         assert (clock, number, record[0]) == (1.5, 9, code)
-        found[event] = {"code": code, "layout": layout.format, "frame": frame.hex()}
-        if kind is not None:
-            made = adapter.event_from(record)
-            assert type(made) is kind
-            found[event]["event"] = json.loads(msgspec.json.encode(tuple(made)))
-    return found
+        frames[event] = {"code": code, "layout": layout.format, "frame": frame.hex()}
+        if event_type is not None:
+            decoded = adapter.event_from(record)
+            assert type(decoded) is event_type
+            frames[event]["event"] = json.loads(msgspec.json.encode(tuple(decoded)))
+    return frames
 
 
 def action_records():
-    """Return the code of each action, and its record for instance 3."""
-    found = {}
+    """Return the code, layout and record of each action of instance 3."""
+    records = {}
     for action, (code, example) in ACTIONS.items():
         record = adapter.ENCODERS[type(example)](3, example)
         assert record[0] == code
         layout = codec.ACTIONS.get(code, codec.TEXT_HEAD).format
-        found[action] = {"code": code, "layout": layout, "record": record.hex()}
+        records[action] = {"code": code, "layout": layout, "record": record.hex()}
     text = codec.encode_text(codec.FATAL, 3, "text")
-    found["fatal"] = {"code": codec.FATAL, "layout": codec.TEXT_HEAD.format, "record": text.hex()}
-    return found
+    records["fatal"] = {"code": codec.FATAL, "layout": codec.TEXT_HEAD.format, "record": text.hex()}
+    return records
 
 
-def operators_calls(monkeypatch, folder):
-    """Return the calls that a worker host answers, with and without words behind them."""
-    found = {}
+def operator_calls(monkeypatch, folder):
+    """Return the calls that a worker host answers, with and without arguments."""
+    answered_calls = {}
 
     class FakeOperatorServer:
         def __init__(self, loop, listen, max_connections, calls):
-            found["host"] = sorted(calls)
-            found["check while it starts"] = calls["check"]()[0].split()[0]
-            found["last line of vars"] = calls["vars"]()[-1]
+            answered_calls["host"] = sorted(calls)
+            answered_calls["check while it starts"] = calls["check"]()[0].split()[0]
+            answered_calls["last line of vars"] = calls["vars"]()[-1]
 
         def add_calls(self, calls, handle_line):
-            found["members"] = sorted(calls)
+            answered_calls["members"] = sorted(calls)
             for call in ("why disp-01", "want restart owner 7", "done restart owner", "other"):
-                found[call] = "unknown" if handle_line(call)[0].startswith("ERR unknown call") else "known"
+                is_unknown = handle_line(call)[0].startswith("ERR unknown call")
+                answered_calls[call] = "unknown" if is_unknown else "known"
 
     (folder / "own.conf").write_text(
         "section handover\n enabled no\nend\nsection fleet\n group hosts\nend\n"
@@ -485,29 +496,29 @@
     (folder / "list.yml").write_text("hosts:\n  hosts:\n    n3:\n")
     config = json.loads((SAMPLES / "host-config.json").read_text()) | {"listen": "127.0.0.1:0"}
     monkeypatch.setattr(assembly, "OperatorServer", FakeOperatorServer)
-    made = assembly.Host(
+    host = assembly.Host(
         host_config.parse(json.dumps(config).encode()),
-        operators_settings.parse(folder / "own.conf"),
+        operator_settings.parse(folder / "own.conf"),
         SimpleNamespace(),
     )
-    made.gateways.close_listener()
-    return found
+    host.gateways.close_listener()
+    return answered_calls
 
 
 def handover_files(folder):
-    """Return the files in the folder that two processes share, and what the lock says."""
-    part = Handover(FakeLoop(), folder, HostIdentity("n3", "127.0.0.1:8443"), 1, None, None, None)
+    """Return the files in the folder that two processes of a host share, and the content of the lock."""
+    handover = Handover(FakeLoop(), folder, HostIdentity("n3", "127.0.0.1:8443"), 1, None, None, None)
     return {
         "files": sorted(path.name for path in folder.iterdir()),
         "lock": [path.read_text() for path in folder.glob("*.lock")],
-        "socket": Path(part.address.path).name,
+        "socket": Path(handover.address.path).name,
     }
 
 
-def ledger_objects():
-    """Return the keys of what a controller stores of a rollout beside its state."""
+def rollout_store_objects():
+    """Return the keys of the objects that a controller stores for a rollout in addition to its state."""
     state = msgspec.json.decode((SAMPLES / "rollout-course.json").read_bytes(), type=rollout_state.RolloutState)
-    status = msgspec.json.decode((SAMPLES / "agent-status.jsonl").read_bytes(), type=agent_calls.Status)
+    status = msgspec.json.decode((SAMPLES / "agent-status.jsonl").read_bytes(), type=agent_messages.Status)
     reports = {"disp-01": rollout_state.HostReport(status, 99.0)}
     explanation = stage_analysis.StageAnalysis(canary_analysis.AnalysisBounds()).add(state, reports, {})
     summary = rollout_records.summarize_fleet(rollout_state.deviations(state, reports), reports)
@@ -519,17 +530,17 @@
 
 
 def command_options(command, name="lapispick"):
-    """Return the options and arguments of each command."""
+    """Return the options and arguments of each command, by the full name of the command."""
     if not isinstance(command, click.Group):
-        return {name: sorted(word for each in command.params for word in (*each.opts, *each.secondary_opts))}
-    context, found = click.Context(command), {}
+        return {name: sorted(word for param in command.params for word in (*param.opts, *param.secondary_opts))}
+    context, options = click.Context(command), {}
     for word in (*command.list_commands(context), *(HIDDEN_ALIASES if command is command_line else ())):
-        found |= command_options(command.get_command(context, word), f"{name} {word}")
-    return found
+        options |= command_options(command.get_command(context, word), f"{name} {word}")
+    return options
 
 
 def json_outputs(folder):
-    """Return the keys of what commands print with ``--json``, by command."""
+    """Return the keys of the ``--json`` output of each command."""
     with sqlite3.connect(folder / "rollouts.db") as db:
         db.executescript((SAMPLES / "ledger.sql").read_text())
     db.close()
@@ -561,71 +572,71 @@
         "trace info": ["trace", "info", trace],
         "trace verify": ["trace", "verify", trace],
     }
-    found = {}
+    outputs = {}
     for title, command in commands.items():
-        done = CliRunner().invoke(command_line, [*command, "--json"])
-        assert done.stdout.lstrip()[:1] in ("{", "["), (title, done.output, done.exception)
-        found[title] = shape(json.loads(done.stdout))
-    return found
+        completed = CliRunner().invoke(command_line, [*command, "--json"])
+        assert completed.stdout.lstrip()[:1] in ("{", "["), (title, completed.output, completed.exception)
+        outputs[title] = shape(json.loads(completed.stdout))
+    return outputs
 
 
-# Section of the stored list -> what the code says today.
+# Section of the stored list -> function that returns the current names from the code.
 SECTIONS = {
     "tagged messages": lambda: {
         protocol: {
-            kind.__struct_config__.tag: [kind.__struct_config__.tag_field, *encoded_names(kind)]
-            for kind in get_args(union)
+            message.__struct_config__.tag: [message.__struct_config__.tag_field, *encoded_names(message)]
+            for message in get_args(union)
         }
         for protocol, union in TAGGED.items()
     },
-    "plain objects": lambda: {concept: encoded_names(kind) for concept, kind in PLAIN.items()},
-    "words": lambda: json.loads(json.dumps({concept: told() for concept, told in WORDS.items()})),
+    "plain objects": lambda: {concept: encoded_names(struct_type) for concept, struct_type in UNTAGGED.items()},
+    "words": lambda: json.loads(json.dumps({concept: values() for concept, values in VALUES.items()})),
     "platform, answers": platform_answers,
     "platform, codes of errors": platform_codes,
     "store, outcomes of replies": store_outcomes,
-    "roster, reports": roster_reports,
-    "operators, answers": operators_answers,
-    "figures": figure_names,
+    "roster, reports": registry_reports,
+    "operators, answers": operator_answers,
+    "figures": metric_names,
     "directives": directives,
-    "environment variables": environment,
+    "environment variables": environment_variables,
     "balancer.toml": lambda: list(tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())),
     "simulator, heads of frames": lambda: [codec.BATCH_HEAD.format, codec.REPLY_HEAD.format, codec.TEXT_HEAD.format],
     "simulator, events": event_frames,
     "simulator, actions": action_records,
     "trace, records": trace_lines,
     "trace, messages": trace_messages,
-    "ledger, objects": ledger_objects,
+    "ledger, objects": rollout_store_objects,
     "command line": lambda: command_options(command_line),
 }
 
 
 def test_every_section_of_the_stored_list_is_compared():
-    apart = {"executor, commands", "store, request", "output of commands as JSON", "operators, calls"}
-    assert set(STORED) == {*SECTIONS, *apart, "hand-over, files"}
+    separate_tests = {"executor, commands", "store, request", "output of commands as JSON", "operators, calls"}
+    assert set(STORED) == {*SECTIONS, *separate_tests, "hand-over, files"}
 
 
 @pytest.mark.parametrize("section", SECTIONS)
-def test_names_are_those_of_the_stored_list(section):
+def test_names_match_the_stored_list(section):
     assert SECTIONS[section]() == STORED[section]
 
 
-def test_commands_to_the_executor_and_its_notices_have_their_names(monkeypatch):
+def test_executor_commands_and_notices_match_the_stored_list(monkeypatch):
     assert executor_commands(monkeypatch) == STORED["executor, commands"]
 
 
-def test_a_call_of_the_store_has_its_path_and_headers(monkeypatch):
+def test_path_and_headers_of_a_store_call_match_the_stored_list(monkeypatch):
     assert store_request(monkeypatch) == STORED["store, request"]
 
 
-def test_operators_have_their_calls(monkeypatch, tmp_path):
-    assert operators_calls(monkeypatch, tmp_path) == STORED["operators, calls"]
+def test_operator_calls_match_the_stored_list(monkeypatch, tmp_path):
+    assert operator_calls(monkeypatch, tmp_path) == STORED["operators, calls"]
 
 
-def test_two_processes_of_a_host_find_each_other_by_the_same_files(tmp_path):
+def test_handover_files_match_the_stored_list(tmp_path):
     assert handover_files(tmp_path) == STORED["hand-over, files"]
 
 
-def test_the_json_output_of_commands_has_its_keys(tmp_path):
+def test_keys_of_json_output_match_the_stored_list(tmp_path):
     assert json_outputs(tmp_path) == STORED["output of commands as JSON"]
 
 
@@ -638,19 +649,19 @@
 def test_a_configuration_is_found_by_its_environment_variables(tmp_path):
     path = tmp_path / "config.json"
     path.write_bytes((SAMPLES / "host-config.json").read_bytes())
-    made = host_config.load({"LB_CONFIG": str(path), "LB_OPS": "127.0.0.1:9999"})
-    assert (made.name, made.ops) == ("n3", "127.0.0.1:9999")
-    assert operators_settings.settings_path({"LAPISPICK_CONF": "a.conf"}) == Path("a.conf")
+    config = host_config.load({"LB_CONFIG": str(path), "LB_OPS": "127.0.0.1:9999"})
+    assert (config.name, config.ops) == ("n3", "127.0.0.1:9999")
+    assert operator_settings.settings_path({"LAPISPICK_CONF": "a.conf"}) == Path("a.conf")
 
 
-def test_the_files_that_balancer_toml_names_are_there():
-    told = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    assert all((ROOT / path).exists() for path in (*told["policy"], *told["node"]))
+def test_files_named_in_balancer_toml_exist():
+    config = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    assert all((ROOT / path).exists() for path in (*config["policy"], *config["node"]))
     for key in ("run", "sim"):
-        module = re.search(r"python -m ([\w.]+)$", told[key]).group(1).replace(".", "/")
+        module = re.search(r"python -m ([\w.]+)$", config[key]).group(1).replace(".", "/")
         assert (ROOT / f"{module}.py").is_file() or (ROOT / module / "__main__.py").is_file()
 
 
-def test_the_settings_file_of_the_deployment_is_read():
-    made = operators_settings.parse(ROOT / "deploy" / "lapispick.conf")
-    assert (made.inventory.group, made.amqp.enabled) == ("dispatch_brokers", False)
+def test_the_deployment_settings_file_is_valid():
+    settings = operator_settings.parse(ROOT / "deploy" / "lapispick.conf")
+    assert (settings.inventory.group, settings.amqp.enabled) == ("dispatch_brokers", False)
