--- a/benchmarks/detectors.py
+++ b/benchmarks/detectors.py
@@ -17,9 +17,8 @@
 from lapispick.members.failure_detector import Outgoing
 from lapispick.members.member_state import MemberState, StateChange
 
-HEARTBEAT = (
-    b'{"say":"beat","fleet":"model","sender":"disp-0001","life":1}'  # has the length of a message without gossip
-)
+# Has the length of a message without gossip.
+HEARTBEAT = b'{"say":"beat","fleet":"model","sender":"disp-0001","life":1}'
 
 
 class Heartbeat(bytes):
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -194,7 +194,7 @@
     """Run the measurements that are named, by default all, and print their rows as JSON, one per line."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("parts", nargs="*", help=", ".join(MEASUREMENTS))
-    parser.add_argument("--plays", type=int, default=20, help="runs per row; leases and herd use fewer")
+    parser.add_argument("--plays", type=int, default=20, help="runs per row; leases and herd use fewer, sizes one")
     parser.add_argument("--jobs", type=int, default=4, help="worker processes")
     parser.add_argument("--plot", metavar="FILE", help="write a plot of the sizes to this file")
     options = parser.parse_args()
--- a/benchmarks/rollout_fleet.py
+++ b/benchmarks/rollout_fleet.py
@@ -1,8 +1,7 @@
 """Measures the weight that running hosts serve during a rollout of a correct change, and without a rollout.
 
 ``python -m benchmarks.rollout_fleet [--hosts N] [--plays N]`` takes about two minutes per seed. For each seed, it runs
-the same fleet with the same load with and without a rollout, one after the other. The order alternates between seeds,
-so that it has no effect on the comparison.
+the same fleet under the same load with and without a rollout, one after the other. The order alternates between seeds.
 """
 
 from __future__ import annotations
--- a/benchmarks/trace_clocks.py
+++ b/benchmarks/trace_clocks.py
@@ -1,4 +1,4 @@
-"""Compares clock estimates with the mean of both directions, by the number of retries that reach both hosts."""
+"""Compares clock estimates with the mean of both directions, by the number of retries shared in an hour."""
 
 from __future__ import annotations
 
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -2,9 +2,9 @@
 
     python -m benchmarks.upgrade [restart] [calls] [keys]
 
-``restart`` compares an upgrade under load with a stop and a start. ``calls`` measures calls that read the
-metrics. ``keys`` measures how long a new process takes to become ready. All of it runs on loopback with the project's
-fakes of the peers, and takes a minute or two. ``ROUNDS`` sets the number of runs.
+``restart`` compares an upgrade under load with a stop and a start. ``calls`` measures calls that read the metrics.
+``keys`` measures how long a new process takes to become ready. All of it runs on loopback with the project's fakes of
+the peers, and takes a minute or two. ``ROUNDS`` sets the number of runs.
 """
 
 from __future__ import annotations
