--- a/benchmarks/parity.py
+++ b/benchmarks/parity.py
@@ -1,7 +1,8 @@
-"""What the parity tools share: digests of recorded output, the comparison of two results, and the options.
+"""Shared parts of the parity tools: digests of recorded output, the comparison of two results, and options.
 
-A parity tool plays fixed scenarios against one checkout and records every piece of output. A scenario's result is
-one digest over all output and one digest per block of frames, so that the first difference can be located.
+A parity tool plays fixed scenarios against one checkout and records all output as frames. The result of a scenario has
+one digest over all frames, and the running digest after each block of frames, so that the first difference can be
+located.
 """
 
 from __future__ import annotations
@@ -19,23 +20,23 @@
 
 DIGEST_BYTES = 16
 FRAMES_PER_BLOCK = 50
-HASH_SEED = "PYTHONHASHSEED"
+HASH_SEED_VARIABLE = "PYTHONHASHSEED"
 
 
 class ScenarioResult(msgspec.Struct, frozen=True):
-    """The output of one scenario; ``blocks`` holds the running digest after each block of frames."""
+    """Digests and counts of one scenario; ``blocks`` holds the running digest after each block of frames."""
 
     name: str
     digest: str
     frames: int
     events: int
-    counts: dict[str, int]  # of the output, by kind
-    inputs: dict[str, int]  # by kind
+    counts: dict[str, int]  # number of outputs by kind
+    inputs: dict[str, int]  # number of input events by kind
     blocks: list[str]
 
 
 class ParityResult(msgspec.Struct, frozen=True):
-    """The output of one run of a parity tool."""
+    """Results of all scenarios of one run of a parity tool."""
 
     tool: str
     seed: int
@@ -44,7 +45,7 @@
 
 
 class Difference(msgspec.Struct, frozen=True):
-    """The first place at which two results differ; ``frame`` is -1 where no frame can be named."""
+    """First difference between two results; ``frame`` is -1 if the difference is not in a frame."""
 
     scenario: str
     frame: int
@@ -64,7 +65,7 @@
         self.inputs: Counter[str] = Counter()
 
     def record(self, frame: bytes) -> None:
-        """Add one frame; its length counts, so that frames can't run into one another."""
+        """Add one frame; its length is hashed too, so that frame boundaries affect the digest."""
         self._hash.update(len(frame).to_bytes(4, "big"))
         self._hash.update(frame)
         self._frames += 1
@@ -72,33 +73,35 @@
             self._blocks.append(self._hash.hexdigest())
 
     def result(self) -> ScenarioResult:
-        """Return what was recorded so far."""
+        """Return the result of the frames recorded so far."""
         counts, inputs = dict(sorted(self.counts.items())), dict(sorted(self.inputs.items()))
         digest = self._hash.hexdigest()
         return ScenarioResult(self._name, digest, self._frames, self.events, counts, inputs, self._blocks)
 
 
 def combine(tool: str, seed: int, scenarios: list[ScenarioResult]) -> ParityResult:
-    """Return the result of a run, with one digest over all scenarios."""
+    """Return the result of a run, with a total digest over all scenarios."""
     total = blake2b(digest_size=DIGEST_BYTES)
     for scenario in scenarios:
         total.update(f"{scenario.name} {scenario.digest}\n".encode())
     return ParityResult(tool, seed, scenarios, total.hexdigest())
 
 
-def first_difference(expected: ParityResult, found: ParityResult) -> Difference | None:
-    """Return the first difference between two results, or None where they are equal."""
-    if (expected.tool, expected.seed) != (found.tool, found.seed):
-        return Difference("-", -1, "the results are of different tools or seeds")
+def first_difference(expected: ParityResult, actual: ParityResult) -> Difference | None:
+    """Return the first difference between two results, or None if they are equal."""
+    if (expected.tool, expected.seed) != (actual.tool, actual.seed):
+        return Difference(
+            "-", -1, f"expected {expected.tool} with seed {expected.seed}, got {actual.tool} with seed {actual.seed}"
+        )
     names = [scenario.name for scenario in expected.scenarios]
-    if names != [scenario.name for scenario in found.scenarios]:
-        return Difference("-", -1, "the results are of different scenarios")
-    for old, new in zip(expected.scenarios, found.scenarios, strict=True):
+    if names != [scenario.name for scenario in actual.scenarios]:
+        return Difference("-", -1, "the results have different lists of scenarios")
+    for old, new in zip(expected.scenarios, actual.scenarios, strict=True):
         difference = _scenario_difference(old, new)
         if difference is not None:
             return difference
-    if expected.total != found.total:
-        return Difference("-", -1, "the total digests differ though no scenario does")
+    if expected.total != actual.total:
+        return Difference("-", -1, "the total digests differ, but all scenarios are equal")
     return None
 
 
@@ -113,7 +116,7 @@
 
 
 def print_result(result: ParityResult) -> None:
-    """Print digest, number of events and counts of each scenario, and the totals."""
+    """Print the digest, number of events and counts of each scenario, and the totals."""
     totals, inputs = Counter[str](), Counter[str]()
     for scenario in result.scenarios:
         click.echo(f"{scenario.name:24} {scenario.digest} {scenario.events:7} events {scenario.frames:7} frames")
@@ -132,7 +135,7 @@
 
 
 def require_counts(result: ParityResult, names: Iterable[str]) -> None:
-    """Exit with 1 unless each of these kinds of output and input came at least once in the whole run."""
+    """Exit with 1 unless the run has at least one output or input of each of these kinds."""
     totals = Counter[str]()
     for scenario in result.scenarios:
         totals.update(scenario.counts)
@@ -144,26 +147,26 @@
 
 
 def pin_hash_seed(module: str) -> None:
-    """Start this module again with a fixed hash seed, unless the environment sets one."""
-    if os.environ.get(HASH_SEED, "random") != "random":
+    """Restart ``module`` with a fixed hash seed, unless the environment sets one."""
+    if os.environ.get(HASH_SEED_VARIABLE, "random") != "random":
         return
     command = [sys.executable, "-m", module, *sys.argv[1:]]
-    os.execve(sys.executable, command, {**os.environ, HASH_SEED: "0"})
+    os.execve(sys.executable, command, {**os.environ, HASH_SEED_VARIABLE: "0"})
 
 
 def output_options(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Add the options that all parity tools have: ``--seed``, ``--json`` and ``--compare``."""
-    path = click.Path(dir_okay=False, path_type=Path)
-    old_path = click.Path(exists=True, dir_okay=False, path_type=Path)
-    command = click.option("--compare", "compare_file", type=old_path, help="exit 1 unless equal to this result")(
-        command
-    )
-    command = click.option("--json", "json_file", type=path, help="store the result here")(command)
+    """Add the options common to all parity tools: ``--seed``, ``--json`` and ``--compare``."""
+    output_path = click.Path(dir_okay=False, path_type=Path)
+    existing_path = click.Path(exists=True, dir_okay=False, path_type=Path)
+    command = click.option(
+        "--compare", "compare_file", type=existing_path, help="exit with 1 if the result differs from this file"
+    )(command)
+    command = click.option("--json", "json_file", type=output_path, help="write the result to this file")(command)
     return click.option("--seed", default=1, show_default=True)(command)
 
 
-def finish(result: ParityResult, json_file: Path | None, compare_file: Path | None) -> None:
-    """Print and store a result; exit 1 where it differs from the one to compare with."""
+def report_result(result: ParityResult, json_file: Path | None, compare_file: Path | None) -> None:
+    """Print a result and optionally store and compare it; exit with 1 if it differs."""
     print_result(result)
     if json_file is not None:
         encoded = msgspec.json.format(msgspec.json.encode(result), indent=1)
--- a/benchmarks/parity_requests.py
+++ b/benchmarks/parity_requests.py
@@ -1,4 +1,4 @@
-"""The requests that a modelled server has read, and the idempotency keys that it retains."""
+"""Requests that a modelled server has read, and the idempotency keys that it retains."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from benchmarks.parity_scenarios import ServiceClass
+from benchmarks.parity_scenarios import RequestClass
 
 
 class RequestState(Enum):
-    """Where a request stands."""
+    """State of a request in a modelled server."""
 
     QUEUED = auto()
     RUNNING = auto()
@@ -27,28 +27,28 @@
 
 @dataclass(eq=False)
 class ModelRequest:
-    """One request that a server has read; times in ms."""
+    """Request that a server has read; times in ms."""
 
     id: int
     class_index: int
-    service_class: ServiceClass
+    request_class: RequestClass
     key: int
     caller: int
     deadline: float
     memory_kb: float
     work_ms: float
     work_left_ms: float
-    prior_id: int = 0  # of the request that this one repeats; 0 = none
-    calls_at: list[float] = field(default_factory=list)  # the work left at each call, the next one last
+    retry_of: int = 0  # id of the attempt that this request repeats; 0 = none
+    calls_at: list[float] = field(default_factory=list)  # remaining work in ms at each call; the next call is last
     state: RequestState = RequestState.QUEUED
     started_at: float = 0.0
     call_started_at: float = 0.0
-    call_number: int = 0  # of the call in progress
-    answered: bool = False  # or cancelled
+    call_number: int = 0  # number of the call in progress
+    answered: bool = False  # answered or cancelled, so that no client waits
 
 
 class RequestTable:
-    """The requests that a process has not ended, and whether those that it has ended succeeded."""
+    """The open requests of a process, and the success of its ended requests."""
 
     def __init__(self) -> None:
         self._open: dict[int, ModelRequest] = {}
@@ -64,7 +64,7 @@
         return request_id in self._open
 
     def get(self, request_id: int) -> ModelRequest | None:
-        """Return an open request."""
+        """Return the open request with this id, or None."""
         return self._open.get(request_id)
 
     def add(self, request: ModelRequest) -> None:
@@ -72,12 +72,12 @@
         self._open[request.id] = request
 
     def end(self, request: ModelRequest, succeeded: bool) -> None:
-        """Take note that a request has ended."""
+        """Record the end of a request."""
         self._open.pop(request.id, None)
         self._succeeded[request.id] = succeeded
 
     def has_succeeded(self, request_id: int) -> bool:
-        """Tell whether a request that has ended succeeded; False where it is not known."""
+        """Return True if an ended request succeeded; False if the request is unknown."""
         return self._succeeded.get(request_id, False)
 
     def in_state(self, state: RequestState) -> list[ModelRequest]:
@@ -85,7 +85,7 @@
         return [request for request in self._open.values() if request.state is state]
 
     def find_equal(self, class_index: int, key: int) -> int:
-        """Return the first open request of a class and a key, 0 for none."""
+        """Return the id of the first open request with this class and key, 0 for none."""
         for request in self._open.values():
             if (request.class_index, request.key) == (class_index, key):
                 return request.id
@@ -94,14 +94,14 @@
 
 @dataclass
 class RetainedKey:
-    """One retained idempotency key."""
+    """Retained idempotency key."""
 
     owner_id: int
     expires_at: float
 
 
 class RetainedKeys:
-    """The idempotency keys that a process retains as its controller orders."""
+    """Idempotency keys that a process retains as its controller decides."""
 
     def __init__(self) -> None:
         self._keys: dict[tuple[int, int], RetainedKey] = {}
@@ -110,16 +110,16 @@
         return len(self._keys)
 
     def retain(self, request: ModelRequest, expires_at: float) -> None:
-        """Retain the key of a request until a time."""
+        """Retain the key of a request until ``expires_at``."""
         self._keys[request.class_index, request.key] = RetainedKey(request.id, expires_at)
 
     def release(self, owner_id: int) -> None:
-        """Release the keys that stand for a request."""
+        """Release the keys owned by a request."""
         for name, retained in list(self._keys.items()):
             if retained.owner_id == owner_id:
                 del self._keys[name]
 
     def find_owner(self, class_index: int, key: int, clock: float) -> int:
-        """Return the request that stands for a key, 0 for none."""
+        """Return the id of the request that owns a key, 0 for none."""
         retained = self._keys.get((class_index, key))
         return retained.owner_id if retained is not None and retained.expires_at > clock else 0
--- a/benchmarks/parity_server.py
+++ b/benchmarks/parity_server.py
@@ -1,7 +1,8 @@
-"""A small model of one server under load: turns the actions of a controller into its next events.
+"""Small model of one server under load: derives the next events from the actions of a controller.
 
-It is no simulator: cores are shared evenly, and callers, clients and the dependency are a few draws each. What matters
-is that its events are plausible, cover all kinds, and depend on nothing but a seed and the actions.
+The model is much simpler than the simulator: runs share the cores evenly, and callers, clients and the dependency take
+a few random draws each. It only has to produce plausible events of all kinds that depend on nothing but a seed and the
+actions.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 from benchmarks.parity_traffic import Traffic
 from benchmarks.parity_wire import Action, ActionCode
 
-TERMINATE_NOTICE_MS = 3000.0
-CRASH_FRACTION = 0.3  # of the ends of an instance come without a notice
-IMMEDIATE_RESTART_FRACTION = 0.5  # of the restarts
+SHUTDOWN_NOTICE_MS = 3000.0
+CRASH_FRACTION = 0.3  # fraction of ends of a process without a shutdown notice
+IMMEDIATE_RESTART_FRACTION = 0.5  # fraction of restarts without a pause; the others take RESTART_MS
 RESTART_MS = 700.0
 
 
 class Gauges:
-    """What a process measures of itself."""
+    """Gauges that a process reports."""
 
     def __init__(self, instance: Instance, requests: RequestTable, keys: RetainedKeys, cores: Cores) -> None:
         self._instance = instance
@@ -34,7 +35,7 @@
         self._cores = cores
 
     def read_all(self) -> list[float]:
-        """Return the gauges of the scenario in their order."""
+        """Return the values of the gauges in the order of the scenario."""
         return [self._read(name) for name in self._instance.scenario.gauges]
 
     def _read(self, name: str) -> float:
@@ -50,15 +51,15 @@
     def _memory_kb(self) -> float:
         scenario = self._instance.scenario
         requests_kb = sum(self._request_memory_kb(request) for request in self._requests)
-        return requests_kb + scenario.key_kb * len(self._keys)
+        return requests_kb + scenario.key_memory_kb * len(self._keys)
 
     def _request_memory_kb(self, request: ModelRequest) -> float:
         is_waiting = request.state in (RequestState.QUEUED, RequestState.COALESCED)
-        return request.memory_kb * (1.0 if is_waiting else self._instance.scenario.run_factor)
+        return request.memory_kb * (1.0 if is_waiting else self._instance.scenario.run_memory_factor)
 
 
 class ServerProcess:
-    """One process of an instance: its requests, runs, calls and clients; a restart begins with another one."""
+    """One process of an instance: its requests, runs, calls and clients; a restart creates a new one."""
 
     def __init__(self, instance: Instance, dependency: Dependency, warming_up: bool) -> None:
         self._instance = instance
@@ -71,9 +72,9 @@
         factory = RequestFactory(instance, self._requests, self._keys, self._traffic, self._cores)
         self._clients = Clients(instance, self._requests, self._traffic, factory, self._runs)
         self._gauges = Gauges(instance, self._requests, self._keys, self._cores)
-        self._action_handlers = self._handlers()
+        self._action_handlers = self._build_handlers()
 
-    def _handlers(self) -> dict[ActionCode, Callable[..., None]]:
+    def _build_handlers(self) -> dict[ActionCode, Callable[..., None]]:
         return {
             ActionCode.DISPATCH: self._runs.dispatch,
             ActionCode.PIN: self._retain_key,
@@ -89,13 +90,13 @@
             ActionCode.REPORT_FAILURE: self._clients.fail,
         }
 
-    def advance_runs(self, elapsed: float) -> None:
-        """Let all runs do their work of some time."""
-        self._runs.advance(elapsed)
+    def advance_runs(self, elapsed_ms: float) -> None:
+        """Advance all runs by an interval in ms."""
+        self._runs.advance(elapsed_ms)
 
-    def send_requests(self, elapsed: float) -> None:
-        """Let the clients send the new requests of some time."""
-        self._clients.send(elapsed)
+    def send_requests(self, elapsed_ms: float) -> None:
+        """Send the new requests of an interval in ms."""
+        self._clients.send(elapsed_ms)
 
     def apply(self, action: Action) -> None:
         """Carry out one action of the controller."""
@@ -112,33 +113,33 @@
         self._instance.schedule(delay_ms, self._fire_timer, token)
 
     def _fire_timer(self, token: int) -> None:
-        self._instance.emit(wire.deadline_hit(self._instance.number, token, self._gauges.read_all()))
+        self._instance.emit(wire.encode_timer_fired(self._instance.number, token, self._gauges.read_all()))
 
 
 class Server:
-    """One instance with its callers and its quota of the dependency, through crashes, withdrawals and restarts."""
+    """One instance with its callers and its dependency, across crashes, shutdowns and restarts."""
 
     def __init__(self, scenario: Scenario, number: int, seed: int, clock: float) -> None:
         self._instance = Instance(scenario, number, seed, clock)
         self._dependency = Dependency(self._instance)
-        self._is_alive = False
+        self._is_running = False
         self._start(scenario.warming_up)
 
-    # What the driver calls.
+    # Interface of the driver.
 
     def first_events(self) -> list[bytes]:
-        """Return the records of the start itself."""
+        """Return the encoded events of the first start."""
         return self._instance.take_records()
 
     def events(self, clock: float) -> list[bytes]:
-        """Let time pass up to ``clock``; return the records of what happened."""
+        """Advance the model to ``clock``; return the encoded events of this interval."""
         instance = self._instance
-        elapsed, instance.clock = clock - instance.clock, clock
-        if self._is_alive:
-            self._process.advance_runs(elapsed)
-        instance.agenda.run_due(clock)
-        if self._is_alive:
-            self._process.send_requests(elapsed)
+        elapsed_ms, instance.clock = clock - instance.clock, clock
+        if self._is_running:
+            self._process.advance_runs(elapsed_ms)
+        instance.scheduler.run_due(clock)
+        if self._is_running:
+            self._process.send_requests(elapsed_ms)
         return instance.take_records()
 
     def apply(self, action: Action) -> None:
@@ -149,26 +150,26 @@
 
     def _start(self, warming_up: bool) -> None:
         instance = self._instance
-        self._is_alive = True
+        self._is_running = True
         self._process = ServerProcess(instance, self._dependency, warming_up)
         settings = start_settings(instance.scenario, instance.number, warming_up)
-        instance.emit(wire.born(instance.number, instance.rng.getrandbits(64), settings))
+        instance.emit(wire.encode_instance_started(instance.number, instance.rng.getrandbits(64), settings))
         lifetime_ms = instance.scenario.mean_lifetime_ms * instance.rng.uniform(0.5, 1.5)
-        end_process = self._kill if instance.rng.random() < CRASH_FRACTION else self._terminate_soon
+        end_process = self._kill if instance.rng.random() < CRASH_FRACTION else self._announce_shutdown
         instance.schedule(lifetime_ms, end_process)
 
-    def _terminate_soon(self) -> None:
+    def _announce_shutdown(self) -> None:
         instance = self._instance
-        stop_at = instance.clock + TERMINATE_NOTICE_MS
-        instance.emit(wire.terminate_soon(instance.number, stop_at))
-        instance.agenda.add(stop_at, self._kill)
+        stop_at = instance.clock + SHUTDOWN_NOTICE_MS
+        instance.emit(wire.encode_shutdown_requested(instance.number, stop_at))
+        instance.scheduler.add(stop_at, self._kill)
 
     def _kill(self) -> None:
         instance = self._instance
-        self._is_alive = False
-        instance.agenda.clear()
+        self._is_running = False
+        instance.scheduler.clear()
         instance.drop_records()
-        instance.emit(wire.kill(instance.number))
+        instance.emit(wire.encode_instance_killed(instance.number))
         if instance.rng.random() < IMMEDIATE_RESTART_FRACTION:
             self._start(warming_up=True)
         else:
--- a/benchmarks/parity_wire.py
+++ b/benchmarks/parity_wire.py
@@ -1,7 +1,7 @@
-"""The simulator's wire from the simulator's side: encodes batches of events, decodes replies.
+"""The simulator's side of its wire protocol: encodes batches of events, decodes replies.
 
-It has struct tables of its own, as it must keep working whatever the project's modules are called. Codes have the names
-of the wire's description.
+It has struct tables of its own, because it must work with checkouts whose modules have other names. The names of event
+and action codes are those of the protocol description; their counts are printed under these names.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 from enum import IntEnum
 from typing import IO, NamedTuple
 
-BATCH_HEADER = struct.Struct(">IdI")
-REPLY_HEADER = struct.Struct(">III")
+BATCH_HEADER = struct.Struct(">IdI")  # length of the frame, clock in ms, batch number
+REPLY_HEADER = struct.Struct(">III")  # length of the frame, number of records, batch number
 LENGTH_BYTES = 4
 TEXT_LENGTH = struct.Struct(">H")
 
 
 class Outcome(IntEnum):
-    """How a run or a call ended."""
+    """Outcome of a run or a call."""
 
     ERROR = 0
     OK = 1
@@ -31,7 +31,7 @@
 
 
 class ActionCode(IntEnum):
-    """The action codes of a reply."""
+    """Codes of the actions of a reply."""
 
     DISPATCH = 1
     PIN = 2
@@ -51,7 +51,7 @@
 
 
 class EventCode(IntEnum):
-    """The event codes of a batch."""
+    """Codes of the events of a batch."""
 
     RUN_OVER = 1
     BORN = 2
@@ -80,24 +80,24 @@
     ActionCode.ARM: struct.Struct(">dQ"),
     ActionCode.REPORT_FAILURE: struct.Struct(">Q"),
 }
-RECORD_HEADER = struct.Struct(">BI")
+RECORD_HEADER = struct.Struct(">BI")  # code, instance
 
-KNOCK = struct.Struct(">BIQdQfdQBIfdHI")
-RUN_OVER = struct.Struct(">BIQBd")
-CAME_BACK = struct.Struct(">BIQdB")
-BY_ID = struct.Struct(">BIQ")
-BORN = struct.Struct(">BIQI")
-KILL = struct.Struct(">BI")
-DEADLINE_HIT = struct.Struct(">BIQB")
-TERMINATE_SOON = struct.Struct(">BId")
+REQUEST_RECEIVED_LAYOUT = struct.Struct(">BIQdQfdQBIfdHI")
+RUN_COMPLETED_LAYOUT = struct.Struct(">BIQBd")
+CALL_COMPLETED_LAYOUT = struct.Struct(">BIQdB")
+REQUEST_EVENT_LAYOUT = struct.Struct(">BIQ")
+INSTANCE_STARTED_LAYOUT = struct.Struct(">BIQI")
+INSTANCE_KILLED_LAYOUT = struct.Struct(">BI")
+TIMER_FIRED_LAYOUT = struct.Struct(">BIQB")
+SHUTDOWN_REQUESTED_LAYOUT = struct.Struct(">BId")
 
-COST_KNOWN = 1
-RETRY = 2
-WRITE = 4
+COST_KNOWN_BIT = 1
+RETRY_BIT = 2
+WRITE_BIT = 4
 
 
 class Action(NamedTuple):
-    """One action of a reply; ``fields`` are those after the instance, empty for a text."""
+    """Action of a reply; ``fields`` are the fields after the instance, empty for an action with a text."""
 
     code: ActionCode
     instance: int
@@ -105,39 +105,39 @@
 
 
 class ReplyError(Exception):
-    """The adapter's output is not a reply to the batch that was sent."""
+    """The output of the adapter is not a valid reply to the batch that was sent."""
 
 
-def run_over(instance: int, request: int, outcome: Outcome, took: float) -> bytes:
+def encode_run_completed(instance: int, request: int, outcome: Outcome, duration_ms: float) -> bytes:
     """Encode the end of a run."""
-    return RUN_OVER.pack(EventCode.RUN_OVER, instance, request, outcome, took)
+    return RUN_COMPLETED_LAYOUT.pack(EventCode.RUN_OVER, instance, request, outcome, duration_ms)
 
 
-def born(instance: int, seed: int, settings: bytes) -> bytes:
+def encode_instance_started(instance: int, seed: int, settings: bytes) -> bytes:
     """Encode the start of an instance."""
-    return BORN.pack(EventCode.BORN, instance, seed, len(settings)) + settings
+    return INSTANCE_STARTED_LAYOUT.pack(EventCode.BORN, instance, seed, len(settings)) + settings
 
 
-def blocked(instance: int, request: int) -> bytes:
-    """Encode that a run needs a call."""
-    return BY_ID.pack(EventCode.BLOCKED, instance, request)
+def encode_call_requested(instance: int, request: int) -> bytes:
+    """Encode the event that a run needs a call."""
+    return REQUEST_EVENT_LAYOUT.pack(EventCode.BLOCKED, instance, request)
 
 
-def hangup(instance: int, request: int) -> bytes:
-    """Encode that nobody waits for a request any more."""
-    return BY_ID.pack(EventCode.HANGUP, instance, request)
+def encode_client_cancelled(instance: int, request: int) -> bytes:
+    """Encode the event that the client cancelled a request."""
+    return REQUEST_EVENT_LAYOUT.pack(EventCode.HANGUP, instance, request)
 
 
-class Knock(NamedTuple):
-    """The fields of an arriving request, in the order of the wire."""
+class RequestReceived(NamedTuple):
+    """Fields of an arriving request, in the order of the wire."""
 
     request: int
     deadline: float
     key: int
     rank: float
-    unread_for: float
-    same_as: int
-    bits: int
+    age_ms: float
+    retry_of: int
+    flags: int
     tenant: int
     memory_kb: float
     cost: float
@@ -145,45 +145,45 @@
     caller: int
 
 
-def knock(instance: int, fields: Knock) -> bytes:
-    """Encode an arriving request."""
-    return KNOCK.pack(EventCode.KNOCK, instance, *fields)
+def encode_request_received(instance: int, fields: RequestReceived) -> bytes:
+    """Encode the arrival of a request."""
+    return REQUEST_RECEIVED_LAYOUT.pack(EventCode.KNOCK, instance, *fields)
 
 
-def came_back(instance: int, request: int, took: float, outcome: Outcome) -> bytes:
+def encode_call_completed(instance: int, request: int, duration_ms: float, outcome: Outcome) -> bytes:
     """Encode the end of a call."""
-    return CAME_BACK.pack(EventCode.CAME_BACK, instance, request, took, outcome)
+    return CALL_COMPLETED_LAYOUT.pack(EventCode.CAME_BACK, instance, request, duration_ms, outcome)
 
 
-def kill(instance: int) -> bytes:
-    """Encode the end of an instance."""
-    return KILL.pack(EventCode.KILL, instance)
+def encode_instance_killed(instance: int) -> bytes:
+    """Encode the kill of an instance."""
+    return INSTANCE_KILLED_LAYOUT.pack(EventCode.KILL, instance)
 
 
-def deadline_hit(instance: int, token: int, gauges: Sequence[float]) -> bytes:
-    """Encode an expired timer."""
-    return DEADLINE_HIT.pack(EventCode.DEADLINE_HIT, instance, token, len(gauges)) + struct.pack(
+def encode_timer_fired(instance: int, token: int, gauges: Sequence[float]) -> bytes:
+    """Encode the expiry of a timer, with the current gauges."""
+    return TIMER_FIRED_LAYOUT.pack(EventCode.DEADLINE_HIT, instance, token, len(gauges)) + struct.pack(
         f">{len(gauges)}f", *gauges
     )
 
 
-def terminate_soon(instance: int, stop_at: float) -> bytes:
-    """Encode the notice of withdrawal."""
-    return TERMINATE_SOON.pack(EventCode.TERMINATE_SOON, instance, stop_at)
+def encode_shutdown_requested(instance: int, stop_at: float) -> bytes:
+    """Encode the notice of a shutdown at ``stop_at``."""
+    return SHUTDOWN_REQUESTED_LAYOUT.pack(EventCode.TERMINATE_SOON, instance, stop_at)
 
 
-def event_name(record: bytes) -> str:
-    """Return the kind of an encoded event; with its outcome, where it has one."""
+def event_kind(record: bytes) -> str:
+    """Return the kind of an encoded event: the name of its code, followed by its outcome if it has one."""
     code = EventCode(record[0])
     if code is EventCode.RUN_OVER:
-        return f"{code.name}:{Outcome(RUN_OVER.unpack(record)[3]).name}"
+        return f"{code.name}:{Outcome(RUN_COMPLETED_LAYOUT.unpack(record)[3]).name}"
     if code is EventCode.CAME_BACK:
-        return f"{code.name}:{Outcome(CAME_BACK.unpack(record)[4]).name}"
+        return f"{code.name}:{Outcome(CALL_COMPLETED_LAYOUT.unpack(record)[4]).name}"
     return code.name
 
 
-def event_names() -> list[str]:
-    """Return all kinds of events that a run has to contain."""
+def required_event_kinds() -> list[str]:
+    """Return the kinds of events that a run must contain."""
     run_outcomes = (Outcome.OK, Outcome.ERROR, Outcome.CANCELLED, Outcome.MOOT)
     names = [code.name for code in EventCode if code not in (EventCode.RUN_OVER, EventCode.CAME_BACK)]
     names += [f"{EventCode.RUN_OVER.name}:{outcome.name}" for outcome in run_outcomes]
@@ -191,43 +191,43 @@
 
 
 def encode_batch(clock: float, number: int, records: Sequence[bytes]) -> bytes:
-    """Encode one batch."""
+    """Encode a batch of events."""
     body = b"".join(records)
     return BATCH_HEADER.pack(BATCH_HEADER.size + len(body), clock, number) + body
 
 
 def read_reply(stream: IO[bytes]) -> bytes:
-    """Read one reply frame; raises ``ReplyError`` where the output ends."""
-    head = stream.read(LENGTH_BYTES)
-    if len(head) < LENGTH_BYTES:
-        raise ReplyError("the adapter ended without a reply")
-    rest = int.from_bytes(head, "big") - LENGTH_BYTES
-    body = stream.read(rest)
-    if len(body) < rest:
-        raise ReplyError("the adapter ended within a reply")
-    return head + body
+    """Read one reply frame; raises ``ReplyError`` if the output ends early."""
+    length_field = stream.read(LENGTH_BYTES)
+    if len(length_field) < LENGTH_BYTES:
+        raise ReplyError(f"expected a reply, but the output ended after {len(length_field)} bytes of its length field")
+    remaining_bytes = int.from_bytes(length_field, "big") - LENGTH_BYTES
+    body = stream.read(remaining_bytes)
+    if len(body) < remaining_bytes:
+        raise ReplyError(f"expected {remaining_bytes} more bytes of a reply, but the output ended after {len(body)}")
+    return length_field + body
 
 
 def decode_reply(frame: bytes, number: int) -> list[Action]:
-    """Decode a reply to the batch of this number."""
-    _, count, answered = REPLY_HEADER.unpack_from(frame)
-    if answered != number:
-        raise ReplyError(f"batch {number} was answered as {answered}")
-    at = REPLY_HEADER.size
+    """Decode the reply to the batch with this number; raises ``ReplyError`` if it does not match."""
+    _, count, reply_number = REPLY_HEADER.unpack_from(frame)
+    if reply_number != number:
+        raise ReplyError(f"expected a reply to batch {number}, got one to batch {reply_number}")
+    offset = REPLY_HEADER.size
     actions = []
-    while at < len(frame):
-        code, instance = RECORD_HEADER.unpack_from(frame, at)
-        at += RECORD_HEADER.size
-        fields, at = _decode_fields(frame, at, ActionCode(code))
+    while offset < len(frame):
+        code, instance = RECORD_HEADER.unpack_from(frame, offset)
+        offset += RECORD_HEADER.size
+        fields, offset = _decode_fields(frame, offset, ActionCode(code))
         actions.append(Action(ActionCode(code), instance, fields))
     if len(actions) != count:
-        raise ReplyError(f"the reply to batch {number} has {len(actions)} records, not {count}")
+        raise ReplyError(f"expected {count} records in the reply to batch {number}, got {len(actions)}")
     return actions
 
 
-def _decode_fields(frame: bytes, at: int, code: ActionCode) -> tuple[tuple[float, ...], int]:
+def _decode_fields(frame: bytes, offset: int, code: ActionCode) -> tuple[tuple[float, ...], int]:
     if code in TEXT_CODES:
-        (length,) = TEXT_LENGTH.unpack_from(frame, at)
-        return (), at + TEXT_LENGTH.size + length
+        (length,) = TEXT_LENGTH.unpack_from(frame, offset)
+        return (), offset + TEXT_LENGTH.size + length
     layout = ACTION_FIELDS[code]
-    return layout.unpack_from(frame, at), at + layout.size
+    return layout.unpack_from(frame, offset), offset + layout.size
--- a/benchmarks/state_parity.py
+++ b/benchmarks/state_parity.py
@@ -384,7 +384,7 @@
     results += [play_rollout(seed, number) for number in range(ROLLOUT_SEEDS)]
     results += [play_keys(seed, number) for number in range(KEY_SEEDS)]
     results += [play_durable(seed, number) for number in range(DURABLE_SEEDS)]
-    parity.finish(parity.combine("state_parity", seed, results), json_file, compare_file)
+    parity.report_result(parity.combine("state_parity", seed, results), json_file, compare_file)
 
 
 if __name__ == "__main__":
