--- a/lapispick/fakes/fault_links.py
+++ b/lapispick/fakes/fault_links.py
@@ -1,4 +1,4 @@
-"""The links of a fault proxy: named ends, the state of each direction, and the bytes on their way."""
+"""Links of a fault proxy: named endpoints, the faults of each direction, and the buffered bytes."""
 
 import dataclasses
 import socket
@@ -6,26 +6,28 @@
 
 @dataclasses.dataclass
 class Direction:
-    """The state of one direction of a link; fractions are of datagrams."""
+    """Faults of one direction of a link; ``loss``, ``duplicate`` and ``reorder`` are fractions of its datagrams."""
 
-    is_paused: bool = False  # nothing passes, and nothing is lost
+    is_paused: bool = False  # streams are buffered until it ends; datagrams are dropped
     delay_s: float = 0.0
-    jitter_s: float = 0.0  # on top of the delay, drawn for each piece; the order of a stream stays
+    jitter_s: float = 0.0  # added to the delay, drawn for each read; the order within a stream is kept
     bytes_per_s: float = 0.0  # 0 = unlimited
-    reset_after_bytes: int = 0  # of a connection; 0 = never
+    reset_after_bytes: int = 0  # per connection; 0 = never
     loss: float = 0.0
     duplicate: float = 0.0
-    reorder: float = 0.0  # arrive late, after others
+    reorder: float = 0.0  # delivered late, after others
 
 
 class Link:
-    """One link from a named end to another one; its address is where the first end connects."""
+    """A link from one named endpoint to another; the first endpoint connects or sends to its address."""
 
     def __init__(self, ends, target, kind, port=0):
         self.ends = ends
         self.target = target
         self.kind = kind
-        self.reply_link = None  # by whose address the other end knows this one; datagrams leave there
+        # The link back, if there is one: its address is that of the first endpoint for the second one, so datagrams are
+        # forwarded from it.
+        self.reply_link = None
         self.forward = Direction()
         self.backward = Direction()
         self.refuses_connections = False
@@ -39,17 +41,17 @@
 
     @property
     def port(self):
-        """The port of the address."""
+        """Port of the link's address."""
         return self.sock.getsockname()[1]
 
     @property
     def target_address(self):
-        """Host and port of the other end."""
+        """Host and port of the second endpoint."""
         host, port = self.target.rsplit(":", 1)
         return host, int(port)
 
     def reset_state(self):
-        """Let both directions be as they were made."""
+        """Remove all faults of both directions."""
         # Flows keep references to the directions, so these are changed in place.
         self.forward.__init__()
         self.backward.__init__()
@@ -57,14 +59,14 @@
 
 
 class Flow:
-    """One direction of one connection, and its bytes on their way."""
+    """One direction of one connection, with the bytes that are read but not sent yet."""
 
     def __init__(self, link, source, sink, direction):
         self.link = link
         self.source = source
         self.sink = sink
         self.direction = direction
-        self.pending = []  # (due, data); no data is the end of the stream
+        self.pending = []  # (due, data); empty data marks the end of the stream
         self.pending_bytes = 0
         self.passed_bytes = 0
         self.next_send_at = 0.0
@@ -73,13 +75,13 @@
         self.opposite = None
 
     def add(self, data, due):
-        """Add bytes that are due at a time, or later where those before them are."""
+        """Queue bytes for a time, or for that of the bytes before them if it is later."""
         self.last_due = max(due, self.last_due)
         self.pending.append((self.last_due, data))
         self.pending_bytes += len(data)
 
     def next_piece(self, data, rate_interval_s):
-        """Return what may be sent of these bytes now."""
+        """Return the part of these bytes that the rate and the reset limit let pass now."""
         piece = data
         if self.direction.bytes_per_s:
             piece = data[: max(1, int(self.direction.bytes_per_s * rate_interval_s))]
@@ -88,7 +90,7 @@
         return piece
 
     def mark_sent(self, size, now):
-        """Remove the first bytes, which were sent."""
+        """Remove the first ``size`` bytes, which were sent."""
         due, data = self.pending[0]
         self.passed_bytes += size
         self.pending_bytes -= size
@@ -99,6 +101,6 @@
             self.pending.pop(0)
 
     def reached_reset(self):
-        """Tell whether the connection is to be reset."""
+        """Return True if the connection has passed as many bytes as it may before its reset."""
         limit = self.direction.reset_after_bytes
         return bool(limit) and self.passed_bytes >= limit
--- a/lapispick/fakes/fault_proxy.py
+++ b/lapispick/fakes/fault_proxy.py
@@ -1,7 +1,7 @@
-"""Every link between two processes as a proxy on loopback with faults: partitions, resets, delays, loss, one-way.
+"""Loopback proxy for the links between processes, with faults: partitions (also one-way), resets, delays and loss.
 
-A link joins two named ends. A fault of a link applies to all its connections, those to come too. A partition holds
-bytes back as a network does over which TCP sends again; they arrive when it heals, unless an end has given up.
+A link joins two named endpoints. Its faults apply to all its connections, current and future. A partition delays the
+bytes of a stream, as TCP retransmission does; they arrive when it heals, unless an endpoint has closed the connection.
 """
 
 import contextlib
@@ -17,17 +17,17 @@
 from lapispick.fakes.fault_links import Flow, Link
 
 READ_BYTES = 64 * 1024
-MAX_BUFFERED_BYTES = 1 << 20  # of one direction; beyond it nothing more is read, as with full buffers of the system
+MAX_BUFFERED_BYTES = 1 << 20  # per direction; reading stops beyond it, as with full socket buffers of the kernel
 MAX_SELECT_S = 1.0
-RATE_INTERVAL_S = 0.02  # a rate-limited direction sends as much at once as this takes
-BUSY_RETRY_S = 0.01
+RATE_INTERVAL_S = 0.02  # a rate-limited direction sends at once what its rate allows in this time
+BUSY_RETRY_S = 0.01  # after a send to a full socket buffer
 REORDER_DELAY_S = 0.05
 CONNECT_TIMEOUT_S = 2
 MAX_PORT_ATTEMPTS = 50
 
 
-class LinkMover:
-    """One thread that moves what the links carry."""
+class LinkForwarder:
+    """A thread that forwards the bytes and datagrams of all links."""
 
     def __init__(self, rng):
         self.random = rng
@@ -44,30 +44,31 @@
         self._thread.start()
 
     def add(self, link):
-        """Serve a link."""
+        """Start to forward a link."""
         with self.lock:
             self.links.append(link)
-        callback = self._accept if link.kind == socket.SOCK_STREAM else self._take_datagram
+        callback = self._accept if link.kind == socket.SOCK_STREAM else self._forward_datagram
         self._selector.register(link.sock, selectors.EVENT_READ, lambda: callback(link))
         self.wake()
 
     def wake(self):
-        """Let the thread look at all flows, after a change of their directions."""
+        """Make the thread check all flows, after a change of their directions."""
         with contextlib.suppress(OSError):
             self._wake_sender.send(b"x")
 
     def reset(self, flow):
         """Reset a connection."""
-        for each in (flow, flow.opposite):
-            flow.link.flows.discard(each)
+        both_flows = (flow, flow.opposite)
+        for either_flow in both_flows:
+            flow.link.flows.discard(either_flow)
             with contextlib.suppress(KeyError, ValueError):
-                self._selector.unregister(each.source)
-            each.pending = []
-        for each in (flow, flow.opposite):
-            _close_with_reset(each.source)
+                self._selector.unregister(either_flow.source)
+            either_flow.pending = []
+        for either_flow in both_flows:
+            _close_with_reset(either_flow.source)
 
     def close(self):
-        """End the thread and close all listeners."""
+        """Stop the thread and close the sockets of all links."""
         self._stopped = True
         self.wake()
         self._thread.join(5)
@@ -102,28 +103,28 @@
 
     def _accept(self, link):
         try:
-            near, _ = link.sock.accept()
+            client_sock, _ = link.sock.accept()
         except OSError:
             return
         if link.refuses_connections:
-            _close_with_reset(near)
+            _close_with_reset(client_sock)
             return
-        far = socket.socket()
+        target_sock = socket.socket()
         try:
-            far.settimeout(CONNECT_TIMEOUT_S)
-            far.connect(link.target_address)  # on this machine: at once, or refused
+            target_sock.settimeout(CONNECT_TIMEOUT_S)
+            target_sock.connect(link.target_address)  # on loopback it is accepted or refused at once
         except OSError:
-            far.close()
-            _close_with_reset(near)
+            target_sock.close()
+            _close_with_reset(client_sock)
             return
-        for sock in (near, far):
+        for sock in (client_sock, target_sock):
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._add_flows(link, near, far)
+        self._add_flows(link, client_sock, target_sock)
 
-    def _add_flows(self, link, near, far):
-        forward = Flow(link, near, far, link.forward)
-        backward = Flow(link, far, near, link.backward)
+    def _add_flows(self, link, client_sock, target_sock):
+        forward = Flow(link, client_sock, target_sock, link.forward)
+        backward = Flow(link, target_sock, client_sock, link.backward)
         forward.opposite = backward
         backward.opposite = forward
         for flow in (forward, backward):
@@ -150,7 +151,7 @@
         self._forward(flow)
 
     def _forward(self, flow):
-        """Send what is due of a flow."""
+        """Send the bytes of a flow that are due."""
         while flow.pending and not flow.direction.is_paused:
             due, data = flow.pending[0]
             now = time.monotonic()
@@ -177,7 +178,7 @@
             self._resume_reading(flow)
 
     def _forward_end(self, flow):
-        """Pass on the end of a stream; the connection is closed where the other direction has ended too."""
+        """Forward the end of a stream; close the connection if the other direction has ended too."""
         flow.pending.pop(0)
         with contextlib.suppress(OSError):
             flow.sink.shutdown(socket.SHUT_WR)
@@ -185,7 +186,7 @@
             self.reset(flow)
 
     def _resume_reading(self, flow):
-        """Read from the source again where it was too far ahead."""
+        """Read from the source again if reading had stopped at the buffer limit."""
         if flow.pending_bytes > MAX_BUFFERED_BYTES or flow.has_ended or flow.source.fileno() < 0:
             return
         with contextlib.suppress(KeyError, ValueError):
@@ -194,7 +195,7 @@
         with contextlib.suppress(ValueError):
             self._register(flow)
 
-    def _take_datagram(self, link):
+    def _forward_datagram(self, link):
         try:
             data, _ = link.sock.recvfrom(65536)
         except OSError:
@@ -212,90 +213,91 @@
 
 
 class FaultProxy:
-    """All links, and their faults; ``seed`` draws delays and lost datagrams."""
+    """All links and their faults; ``seed`` determines jitter and the faults of datagrams."""
 
     def __init__(self, seed):
-        self._mover = LinkMover(random.Random(seed))
+        self._forwarder = LinkForwarder(random.Random(seed))
 
-    def tcp(self, one, other, target):
-        """Join two ends by streams; returns the address at which the first reaches the target."""
-        return self._add(Link((one, other), target, socket.SOCK_STREAM))
+    def tcp(self, client, server, target):
+        """Add a TCP link between two endpoints; return the address at which the client reaches the target."""
+        return self._add(Link((client, server), target, socket.SOCK_STREAM))
 
-    def udp(self, one, other, target):
-        """Join two ends by datagrams; returns the address at which the first reaches the target."""
-        return self._add(Link((one, other), target, socket.SOCK_DGRAM))
+    def udp(self, client, server, target):
+        """Add a UDP link between two endpoints; return the address at which the client reaches the target."""
+        return self._add(Link((client, server), target, socket.SOCK_DGRAM))
 
-    def pair(self, one, other, address_of_one, address_of_other):
-        """Join two ends that receive datagrams and streams at one address each.
+    def pair(self, first, second, first_address, second_address):
+        """Join two endpoints that each receive datagrams and streams at one address.
 
-        Returns the addresses by which the first knows the second and the second the first; datagrams come from there.
+        Returns the address at which the first reaches the second, and that at which the second reaches the first. The
+        datagrams that an endpoint receives also come from the address at which it reaches the sender.
         """
         for _ in range(MAX_PORT_ATTEMPTS):
-            forward = Link((one, other), address_of_other, socket.SOCK_DGRAM)
-            backward = Link((other, one), address_of_one, socket.SOCK_DGRAM)
+            forward = Link((first, second), second_address, socket.SOCK_DGRAM)
+            backward = Link((second, first), first_address, socket.SOCK_DGRAM)
             forward.reply_link = backward
             backward.reply_link = forward
             links = [forward, backward]
             try:
                 for link in (forward, backward):
                     links.append(Link(link.ends, link.target, socket.SOCK_STREAM, link.port))
-            except OSError:  # another process uses the port for streams
+            except OSError:  # another process uses the TCP port
                 for link in links:
                     link.sock.close()
                 continue
             for link in links:
                 self._add(link)
             return forward.address, backward.address
-        raise AssertionError("no pair of ports is free")
+        raise AssertionError(f"no port free for both TCP and UDP in {MAX_PORT_ATTEMPTS} attempts")
 
-    def partition(self, ones, others, one_way=False):
-        """Let nothing pass between two groups, or only nothing from the first to the second."""
-        with self._mover.lock:
-            for _, towards_others, towards_ones in self._between(ones, others):
-                towards_others.is_paused = True
-                towards_ones.is_paused = towards_ones.is_paused or not one_way
-        self._mover.wake()
+    def partition(self, group, other_group, one_way=False):
+        """Block the links between two groups in both directions, or only from the first to the second."""
+        with self._forwarder.lock:
+            for _, outbound, inbound in self._between(group, other_group):
+                outbound.is_paused = True
+                inbound.is_paused = inbound.is_paused or not one_way
+        self._forwarder.wake()
 
-    def impair(self, ones, others, **changes):
+    def impair(self, group, other_group, **changes):
         """Set fields of ``Direction`` in both directions between two groups."""
-        with self._mover.lock:
-            for _, *directions in self._between(ones, others):
+        with self._forwarder.lock:
+            for _, *directions in self._between(group, other_group):
                 for direction in directions:
                     for name, value in changes.items():
                         setattr(direction, name, value)
-        self._mover.wake()
+        self._forwarder.wake()
 
-    def reset(self, ones, others, refuse_connections=False):
-        """Reset all connections between two groups, and perhaps refuse new ones."""
-        with self._mover.lock:
-            for link, _, _ in self._between(ones, others):
+    def reset(self, group, other_group, refuse_connections=False):
+        """Reset all connections between two groups; with ``refuse_connections`` refuse new ones too."""
+        with self._forwarder.lock:
+            for link, _, _ in self._between(group, other_group):
                 link.refuses_connections = refuse_connections
                 for flow in list(link.flows):
-                    self._mover.reset(flow)
-        self._mover.wake()
+                    self._forwarder.reset(flow)
+        self._forwarder.wake()
 
     def heal(self):
-        """End all faults."""
-        with self._mover.lock:
-            for link in self._mover.links:
+        """Remove all faults."""
+        with self._forwarder.lock:
+            for link in self._forwarder.links:
                 link.reset_state()
-        self._mover.wake()
+        self._forwarder.wake()
 
     def close(self):
         """Close all links."""
-        self._mover.close()
+        self._forwarder.close()
 
     def _add(self, link):
-        self._mover.add(link)
+        self._forwarder.add(link)
         return link.address
 
-    def _between(self, ones, others):
-        """Yield (link, direction from the first group to the second, direction back)."""
-        for link in self._mover.links:
+    def _between(self, group, other_group):
+        """Yield each link between two groups as (link, direction to the second group, direction to the first group)."""
+        for link in self._forwarder.links:
             first, second = link.ends
-            if first in ones and second in others:
+            if first in group and second in other_group:
                 yield link, link.forward, link.backward
-            elif second in ones and first in others:
+            elif second in group and first in other_group:
                 yield link, link.backward, link.forward
 
 
--- a/lapispick/fakes/fault_script.py
+++ b/lapispick/fakes/fault_script.py
@@ -1,8 +1,8 @@
-"""Seeded scripts of faults for an emulated fleet: what breaks, between whom, when, and what ends it.
+"""Seeded fault scripts for an emulated fleet: the kind, the host, the start and the duration of each fault.
 
-A step begins at a time or when a condition holds (a line of a log), lasts for a span, and is undone. The same seed
-gives the same script. Every step records its fault in the fleet's record, so that the rule checker excuses what it
-touched and nothing else.
+A step starts at a time or when a condition holds (for example a log line), lasts for its duration, and is undone. The
+same seed gives the same script. Every step but a slow link records its fault in the fleet's record, so that the rule
+checker excuses the attempts that the fault affected and no others.
 """
 
 import contextlib
@@ -22,16 +22,16 @@
 
 
 class FaultKind(enum.StrEnum):
-    """What breaks. After the kinds that change the disk, a host does not know what it ran."""
+    """Kinds of faults. After a kind that changes the disk, a host has lost the records of what it ran."""
 
-    PARTITION = "part"
-    ONE_WAY_PARTITION = "one way"
+    PARTITION = "partition"
+    ONE_WAY_PARTITION = "one-way partition"
     RESET = "reset"
     SLOW = "slow"
     STOP = "stop"
     KILL = "kill"
     KILL_AND_LOSE_DISK = "kill and lose the disk"
-    KILL_AND_RESTORE_DISK = "kill and put the disk back"
+    KILL_AND_RESTORE_DISK = "kill and restore an older disk"
 
 
 DISK_KEEPING_KINDS = (
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass
 class FaultStep:
-    """One fault: ``start`` is seconds from the script's start, or a function that tells when its condition holds."""
+    """A fault; ``start`` is in seconds after the script's start, or a function that returns True once it may start."""
 
     start: float | Callable[[], bool]
     kind: FaultKind
@@ -54,12 +54,12 @@
     duration_s: float = 1.0
 
     def __str__(self):
-        when = f"{self.start:.1f} s" if isinstance(self.start, float) else "a condition"
+        when = f"{self.start:.1f} s" if isinstance(self.start, float) else "its condition"
         return f"{self.kind} {self.host} at {when} for {self.duration_s:.1f} s"
 
 
 def draw(rng, fleet, step_count, span_s, kinds=DISK_KEEPING_KINDS):
-    """Draw a script: so many steps within a span, one host each, one after the other."""
+    """Draw a script of steps that start in sequence within a span and affect one host each."""
     starts = sorted(rng.uniform(0, span_s) for _ in range(step_count))
     steps = []
     for start in starts:
@@ -70,7 +70,7 @@
 
 
 def play(fleet, steps):
-    """Play a script, step by step."""
+    """Run the steps of a script in sequence."""
     started_at = time.monotonic()
     for step in steps:
         if callable(step.start):
@@ -83,7 +83,7 @@
 
 def _play_step(fleet, step):
     host = fleet[step.host]
-    host_names = {each.name for each in fleet.hosts}
+    host_names = {fleet_host.name for fleet_host in fleet.hosts}
     others = [name for name in fleet.endpoints() if name not in host_names]
     if step.kind in (FaultKind.PARTITION, FaultKind.ONE_WAY_PARTITION):
         heal = fleet.partition(others, [host.name], one_way=step.kind == FaultKind.ONE_WAY_PARTITION)
@@ -103,27 +103,27 @@
         time.sleep(step.duration_s)
         resume()
     else:
-        _kill(fleet, host, step)
+        _kill_and_restart(fleet, host, step)
 
 
-def _kill(fleet, host, step):
-    """Kill a host and start it again; its disk is kept, lost, or replaced by that of an earlier kill."""
+def _kill_and_restart(fleet, host, step):
+    """Kill a host and start it again; its disk is kept, lost, or replaced by its copy from an earlier kill."""
     disk = host.folder / "tmp"
-    copy = host.folder / "older"
+    older_disk = host.folder / "older"
     fault = fleet.record.begin_fault("killed", [host.name])
     host.kill(lose_disk=step.kind == FaultKind.KILL_AND_LOSE_DISK)
-    if step.kind == FaultKind.KILL_AND_RESTORE_DISK and copy.exists():
+    if step.kind == FaultKind.KILL_AND_RESTORE_DISK and older_disk.exists():
         shutil.rmtree(disk)
-        shutil.copytree(copy, disk, ignore=_sockets)
+        shutil.copytree(older_disk, disk, ignore=_socket_names)
     else:
-        shutil.rmtree(copy, ignore_errors=True)
+        shutil.rmtree(older_disk, ignore_errors=True)
         with contextlib.suppress(FileNotFoundError):
-            shutil.copytree(disk, copy, ignore=_sockets)
+            shutil.copytree(disk, older_disk, ignore=_socket_names)
     time.sleep(step.duration_s)
     host.start(skew=host.clock_skew_s)
     fleet.record.end_fault(fault)
     fleet.record.end_all_faults()
 
 
-def _sockets(_folder, names):
+def _socket_names(_folder, names):
     return [name for name in names if name.endswith(".sock")]
--- a/lapispick/fakes/fleet.py
+++ b/lapispick/fakes/fleet.py
@@ -1,8 +1,8 @@
-"""A fleet in one test: worker hosts with their executors, one store and registry, gateways, and faults between them.
+"""An emulated fleet for a test: worker hosts with executors, a store, a registry, gateways, and faults between them.
 
-Every link goes through a proxy (``fault_proxy.py``), every peer records what it saw (``rule_checker.py``), and one
-seed draws all that is random. Endpoints are named: gateways ``g0``.., hosts by their names, ``store``,
-``registry``, and ``controllers``.
+Every link goes through a proxy (``fault_proxy.py``), every peer records the events that it observes
+(``rule_checker.py``), and one seed determines all random choices. The names of the endpoints are ``g0``, ``g1`` and so
+on for gateways, the names of the hosts, ``store``, ``registry`` and ``controllers``.
 """
 
 import contextlib
@@ -25,8 +25,8 @@
 __all__ = ["CONTROLLERS", "FLEET_PLATFORM_INFO", "REGISTRY", "ROOT", "STORE", "Fleet"]
 
 CONTROLLERS = "controllers"
-LISTED_S = 3.0  # an entry of the registry expires so long after its last report
-MAX_READ_REPORTS = 200  # per host
+LISTING_LIFETIME_S = 3.0  # a registry entry expires after this time without a report
+MAX_READ_REPORTS_PER_HOST = 200
 IDEMPOTENCY_WINDOW_MS = 14_286.0
 SETTLE_SLACK_S = 1
 CALLS_OUT = 50.0
@@ -34,7 +34,7 @@
 
 
 class Fleet:
-    """Worker hosts with all their peers; use it as a context."""
+    """Worker hosts with all their peers, as a context manager."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         self.record.paused_s = self._pauses.paused_s
         self._pauses.start()
         self.gateways = [Gateway(self, n, rate, calls) for n in range(gateways)]
-        self._paths = {
+        self._proxied_addresses = {
             (gateway.name, host.name): self.net.tcp(gateway.name, host.name, host.address)
             for gateway in self.gateways
             for host in self.hosts
@@ -86,15 +86,15 @@
     def __getitem__(self, name):
         return next(host for host in self.hosts if host.name == name)
 
-    def path(self, gateway, host):
-        """Return the address at which a gateway reaches a host."""
-        return self._paths[gateway, host.name]
+    def proxied_address(self, gateway, host):
+        """Return the proxied address at which a gateway reaches a host."""
+        return self._proxied_addresses[gateway, host.name]
 
     def listed_hosts(self, _gateway):
-        """Return the hosts that report in time, as all gateways learn them."""
-        earliest = time.monotonic() - LISTED_S
+        """Return the hosts whose last report is recent and says "on"; all gateways get the same list."""
+        earliest = time.monotonic() - LISTING_LIFETIME_S
         last_reports = {}
-        for at, report in self.registry.reports[-MAX_READ_REPORTS * len(self.hosts) :]:
+        for at, report in self.registry.reports[-MAX_READ_REPORTS_PER_HOST * len(self.hosts) :]:
             last_reports[report.split()[1]] = (at, report.endswith(" on"))
         listed = []
         for host in self.hosts:
@@ -106,7 +106,7 @@
     # The load.
 
     def start(self, **options):
-        """Start all hosts at once and wait until each accepts clients."""
+        """Start all hosts in parallel and wait until each accepts clients."""
         threads = [threading.Thread(target=host.start, kwargs=options) for host in self.hosts]
         for thread in threads:
             thread.start()
@@ -114,7 +114,7 @@
             thread.join()
 
     def start_load(self):
-        """Let all gateways send requests from now on."""
+        """Start sending requests from all gateways."""
         for gateway in self.gateways:
             gateway.start()
 
@@ -122,12 +122,12 @@
         return sum(len(gateway.results) for gateway in self.gateways)
 
     def wait_for_results(self, more):
-        """Wait until so many more requests were answered or given up."""
+        """Wait until ``more`` further requests were answered or abandoned."""
         goal = self._result_count() + more
-        return wait_until(lambda: self._result_count() >= goal, f"{more} answers")
+        return wait_until(lambda: self._result_count() >= goal, f"{more} more results")
 
     def settle(self):
-        """End the load and wait until no attempt is open any more."""
+        """Stop the load and wait until every attempt is answered, disconnected or past its deadline."""
         for gateway in self.gateways:
             gateway.stop()
         end = time.time() + self.patience_s + SETTLE_SLACK_S
@@ -138,7 +138,7 @@
             time.sleep(0.02)
 
     def broken_rules(self):
-        """Settle, and return every rule that was broken."""
+        """Settle and return every rule violation as (rule, text)."""
         self.settle()
         for host in self.hosts:
             for used_mb in host.peak_memory_mb():
@@ -149,24 +149,24 @@
         return list(check(self.record, window_s=window_ms / 1000, grace_s=grace_ms / 1000))
 
     def served_weight_fraction(self, since=0.0, until=float("inf")):
-        """Return the weight served over that of all requests begun in a span."""
+        """Return the served fraction of the priority weight of the requests that began in a span."""
         results = [result for gateway in self.gateways for result in list(gateway.results)]
         in_span = [result for result in results if since <= result.request.began_at < until]
         total = sum(result.request.weight for result in in_span)
         served = sum(result.request.weight for result in in_span if result.is_served)
         return served / total if total else 0.0
 
-    # Faults that are recorded.
+    # Faults, which are recorded.
 
     def endpoints(self):
         """Return the names of all endpoints."""
         gateways = [gateway.name for gateway in self.gateways]
         return [*gateways, *(host.name for host in self.hosts), STORE, REGISTRY, CONTROLLERS]
 
-    def partition(self, ones, others, one_way=False):
-        """Let nothing pass between two groups of endpoints; returns what ends it."""
-        fault = self.record.begin_fault("partition", [*ones, *others])
-        self.net.partition(ones, others, one_way)
+    def partition(self, group, other_group, one_way=False):
+        """Block the links between two groups of endpoints; return a function that heals the partition."""
+        fault = self.record.begin_fault("partition", [*group, *other_group])
+        self.net.partition(group, other_group, one_way)
 
         def heal():
             self.net.heal()
@@ -175,7 +175,7 @@
         return heal
 
     def suspend(self, host):
-        """Stop a host's processes by SIGSTOP; returns what resumes them."""
+        """Stop a host's processes by SIGSTOP; return a function that resumes them."""
         fault = self.record.begin_fault("stopped", [host.name])
         pids = host.serving_pids()
         for pid in pids:
@@ -190,7 +190,7 @@
         return resume
 
     def close(self):
-        """End the load, all processes and all peers."""
+        """Stop the load, kill all processes and close all peers."""
         self._pauses.stop()
         for gateway in self.gateways:
             gateway.stop()
--- a/lapispick/fakes/fleet_gateway.py
+++ b/lapispick/fakes/fleet_gateway.py
@@ -1,4 +1,4 @@
-"""A gateway of an emulated fleet: sends requests at a rate, retries as the protocol allows, and records all of it."""
+"""Gateway of an emulated fleet: sends requests at a rate, retries as the protocol allows, and records all attempts."""
 
 import base64
 import random
@@ -16,13 +16,13 @@
 KEYED_WEIGHT = 5.0
 OTHER_WEIGHT = 1.0
 MAX_ATTEMPTS = 3
-MAX_BACKLOG_S = 0.5
-MIN_TIME_LEFT_S = 0.2
+MAX_BACKLOG_S = 0.5  # a gateway that falls further behind its rate skips requests
+MIN_TIME_LEFT_S = 0.2  # no retry starts closer to the deadline
 RETRY_PAUSE_S = (0.02, 0.1)
 
 
 class Request(NamedTuple):
-    """A request with the attempts that it has left."""
+    """A request and the number of its remaining attempts."""
 
     class_name: str
     body: str
@@ -38,15 +38,15 @@
 
 
 class Result(NamedTuple):
-    """What became of a request."""
+    """Outcome of a request."""
 
     request: Request
     is_served: bool
     duration_s: float
 
 
-class _Sent(NamedTuple):
-    """An attempt whose answer is awaited."""
+class _PendingAttempt(NamedTuple):
+    """An attempt without an answer so far."""
 
     attempt: Attempt
     host: Any
@@ -54,7 +54,7 @@
 
 
 class Gateway(threading.Thread):
-    """Sends requests to hosts that the registry lists; ``calls`` is the fraction with a call of the store."""
+    """Sends requests to hosts that the registry lists; ``calls`` is the fraction that calls the store."""
 
     def __init__(self, fleet, number, rate, calls):
         super().__init__(daemon=True)
@@ -68,7 +68,7 @@
         self._number = number
         self._stopped = threading.Event()
         self._request_count = 0
-        self._avoid_until = {}  # host -> when its Retry-After ends
+        self._avoid_until = {}  # host name -> Unix time when its Retry-After ends
 
     def run(self):
         due = time.monotonic()
@@ -90,7 +90,7 @@
         return Request(class_name, body, key, now, now + self.fleet.patience_s)
 
     def send(self, request, host=None, is_retry=False):
-        """Send an attempt of a request to a host, by default one that the registry lists."""
+        """Send an attempt of a request to a host, by default to a random one that the registry lists."""
         host = host or self._choose_host()
         if host is None:
             self._finish(request, is_served=False)
@@ -102,8 +102,10 @@
         )
         self.fleet.record.add_attempt(attempt)
         try:
-            self._pool(host).send_request(request.class_name, _Sent(attempt, host, request), self._params(attempt))
-        except OSError:  # the host accepts no connection
+            self._pool(host).send_request(
+                request.class_name, _PendingAttempt(attempt, host, request), self._params(attempt)
+            )
+        except OSError:  # the host did not accept the connection
             self.fleet.record.remove_attempt(attempt)
             self._retry(request, host if is_retry else None, is_retry)
 
@@ -116,7 +118,7 @@
 
     def _pool(self, host):
         if host.name not in self.pools:
-            self.pools[host.name] = ConnectionPool(self.fleet.path(self.name, host), self._on_answer)
+            self.pools[host.name] = ConnectionPool(self.fleet.proxied_address(self.name, host), self._on_answer)
         return self.pools[host.name]
 
     def _params(self, attempt):
@@ -152,7 +154,7 @@
             self._retry(request, host if attempt.key else None, is_retry=True)
 
     def _retry(self, request, host, is_retry):
-        """Send another attempt after a pause, if there is time."""
+        """Send another attempt after a pause if attempts and time remain; otherwise finish the request."""
         is_late = time.time() > request.due - MIN_TIME_LEFT_S
         if request.attempts_left <= 1 or is_late or self._stopped.is_set():
             self._finish(request, is_served=False)
@@ -166,5 +168,5 @@
         self.results.append(Result(request, is_served, time.time() - request.began_at))
 
     def stop(self):
-        """Send no more requests."""
+        """Stop sending requests."""
         self._stopped.set()
--- a/lapispick/fakes/fleet_peers.py
+++ b/lapispick/fakes/fleet_peers.py
@@ -1,4 +1,4 @@
-"""The executors and the shared store of an emulated fleet; each records what ran."""
+"""Executors and the shared store of an emulated fleet; each records what ran."""
 
 import base64
 import threading
@@ -11,7 +11,7 @@
 
 
 class RecordingExecutor(Executor):
-    """An executor that records what it ran; ``slowdown`` makes its work so many times longer."""
+    """An executor that records its runs; ``slowdown`` multiplies their duration."""
 
     def __init__(self, record, host, process, work_s=0.004, cores=2):
         self.record = record
@@ -22,7 +22,8 @@
         super().__init__(work_s, cores)
 
     def on_join(self, connection, command):
-        if command["index"] == 0 and self.notices:  # another process of the host: notices count from 1 again
+        # Another process of the host has joined, and its notices are numbered from 1 again.
+        if command["index"] == 0 and self.notices:
             self.notices = []
             self.connected_processes += 1
         super().on_join(connection, command)
@@ -33,15 +34,15 @@
         super().on_exec(connection, command)
 
     def _work(self, task, body):
-        started_for = self.connected_processes
+        process_count_at_start = self.connected_processes
         with self.slots:
             time.sleep(self.work_s * self.slowdown)
-        if started_for == self.connected_processes:
+        if process_count_at_start == self.connected_processes:
             self.end_run(task, result=f"did {body}")
 
 
 class SharedStore(Store):
-    """The shared store: ``slots`` calls at once, each ``work_s`` long, slower where it is overloaded."""
+    """The shared store: serves ``slots`` calls at once in ``work_s`` each, and is slower when overloaded."""
 
     def __init__(self, record, work_s=0.002, slots=16):
         self.record = record
--- a/lapispick/fakes/member_cluster.py
+++ b/lapispick/fakes/member_cluster.py
@@ -1,7 +1,7 @@
-"""Running hosts that are members: their lists, owners of leases, and a resource that checks fencing tokens.
+"""Emulated hosts that are cluster members: their member lists, lease owners, and a resource that checks fencing tokens.
 
-Each host has a list of its own, for it reaches each other host through a proxy of its own. Links are named as in
-``fleet.py``, so a partition between two hosts is ``fleet.partition(["disp-01"], ["disp-02"])``.
+Each host has its own member list, because it reaches every other host through a separate proxy. Endpoints are named as
+in ``fleet.py``, so a partition between two hosts is ``fleet.partition(["disp-01"], ["disp-02"])``.
 """
 
 import itertools
@@ -26,14 +26,14 @@
  turns job:1 pair:2
 """
 
-# Where a busy machine delays messages, so that its slowness is not mistaken for a fault of the members.
+# For tests in which a busy machine delays messages and the members must not count the delay as a fault.
 SLOW_SETTINGS = (
     FAST_SETTINGS.replace("period 200ms", "period 500ms")
     .replace("timeout 80ms", "timeout 250ms")
     .replace("suspicion 4", "suspicion 8")
 )
 
-# As in service: a suspicion lasts for at least 5 s.
+# Timing as in production: a suspicion lasts for at least 5 s.
 SERVICE_SETTINGS = (
     FAST_SETTINGS.replace("period 200ms", "period 1s")
     .replace("timeout 80ms", "timeout 300ms")
@@ -47,7 +47,7 @@
 
 
 class Action(NamedTuple):
-    """Something that a host did to the resource under a lease."""
+    """An action of a host on the resource under a lease."""
 
     at: float
     slot: str
@@ -56,7 +56,7 @@
 
 
 class FencedResource:
-    """What a lease protects: it rejects actions with a lower fencing token than it has seen for the slot."""
+    """Resource that a lease protects; it rejects actions whose fencing token is lower than one seen for the slot."""
 
     def __init__(self):
         self.accepted = []
@@ -75,7 +75,7 @@
                 self.accepted.append(action)
 
     def holds(self):
-        """Return the slots and fencing tokens under which something was done."""
+        """Return the (slot, fencing token) pairs of all accepted actions."""
         with self._lock:
             return {(action.slot, action.fencing_token) for action in self.accepted}
 
@@ -94,39 +94,39 @@
     valid_until: float
 
     def end(self, at):
-        """Note that the owner acts no more from a time on."""
+        """Record that the owner stops acting at a time."""
         self.valid_until = min(self.valid_until, at)
 
 
 class LeaseOwner(threading.Thread):
-    """Requests a lease of its host again and again, acts while it holds it, and releases it."""
+    """Repeatedly requests a lease through its host, acts on the resource while holding it, and releases it."""
 
-    def __init__(self, cluster, host, lease="job", hold_s=0.6, rest_s=0.05):
+    def __init__(self, cluster, host, lease="job", hold_s=0.6, pause_s=0.05):
         super().__init__(daemon=True)
         self.cluster = cluster
         self.host = host
         self.lease = lease
         self.hold_s = hold_s
-        self.rest_s = rest_s
+        self.pause_s = pause_s
         self.leases = []
         self._stopped = threading.Event()
 
     def run(self):
         while not self._stopped.is_set():
             if self._hold_once():
-                self._stopped.wait(self.rest_s)
+                self._stopped.wait(self.pause_s)
 
     def stop(self):
-        """Release the lease and request it no more."""
+        """Stop acting under the lease and requesting it."""
         self._stopped.set()
 
     def _hold_once(self):
-        """Wait for the lease once and use it; True if it was held."""
+        """Wait for the lease, hold it once and release it; return True if it was held and released."""
         lease = None
         release_at = 0.0
         while not self._stopped.is_set():
             requested_at = time.monotonic()
-            lines = call_operators(self._ops(), f"want {self.lease} worker", CALL_TIMEOUT_S)
+            lines = call_operators(self._operator_address(), f"want {self.lease} worker", CALL_TIMEOUT_S)
             fields = lines[0].split() if lines else []
             if fields[:2] == ["OK", "held"]:
                 slot, token = fields[2], int(fields[3])
@@ -137,7 +137,7 @@
                 lease.valid_until = max(lease.valid_until, requested_at + float(fields[4]))
                 if time.monotonic() < lease.valid_until:
                     self.cluster.resource.act(slot, token, self.host.name)
-            elif lease is not None and lines:  # the lease was lost, or the host leaves
+            elif lease is not None and lines:  # the lease was lost or the host is leaving
                 return self._release(lease)
             if lease is not None and time.monotonic() >= min(release_at, lease.valid_until):
                 return self._release(lease)
@@ -147,17 +147,17 @@
         return False
 
     def _release(self, lease):
-        """Do nothing more under the lease, and release it."""
+        """Stop acting under the lease and release it."""
         lease.end(time.monotonic())
-        call_operators(self._ops(), f"done {self.lease} worker", CALL_TIMEOUT_S)
+        call_operators(self._operator_address(), f"done {self.lease} worker", CALL_TIMEOUT_S)
         return True
 
-    def _ops(self):
+    def _operator_address(self):
         return self.host.processes[-1].ops
 
 
 class MemberCluster:
-    """The hosts of a fake fleet as members; ``settings`` are directives of ``section members``."""
+    """The hosts of an emulated fleet as members; ``settings`` are directives of ``section members``."""
 
     def __init__(self, fleet, settings=FAST_SETTINGS, names=None):
         self.fleet = fleet
@@ -173,12 +173,14 @@
             self.config_files[host.name].write_text(self._config(host))
 
     def _connect_all(self):
-        """Return the address by which each host (first key) reaches each other one, through a proxy."""
+        """Return the proxied address at which each host (first key) reaches each other host (second key)."""
         proxies = {host.name: {} for host in self.fleet.hosts}
-        for one, other in itertools.combinations(self.names(), 2):
-            there, back = self.fleet.net.pair(one, other, self.addresses[one], self.addresses[other])
-            proxies[one][other] = there
-            proxies[other][one] = back
+        for first, second in itertools.combinations(self.names(), 2):
+            address_of_second, address_of_first = self.fleet.net.pair(
+                first, second, self.addresses[first], self.addresses[second]
+            )
+            proxies[first][second] = address_of_second
+            proxies[second][first] = address_of_first
         return proxies
 
     def _config(self, host):
@@ -194,7 +196,7 @@
         return [host.name for host in self.fleet.hosts]
 
     def set_list(self, names, at=None):
-        """Write a list of these members, at all hosts or some."""
+        """Write a list of these members on all hosts, or on the hosts ``at``."""
         for reader in at or self.names():
             rows = "".join(
                 f"{name},{self.fleet[name].address.rsplit(':')[1]},"
@@ -206,7 +208,7 @@
             temporary.replace(self._list_files[reader])
 
     def start(self, names=None, clock_offsets=None):
-        """Start hosts in parallel, with offsets of their wall clocks in s where they are given."""
+        """Start hosts in parallel; ``clock_offsets`` are the skews of their wall clocks by host name, in s."""
         threads = []
         for host in self.fleet.hosts:
             if names is None or host.name in names:
@@ -220,55 +222,55 @@
             thread.join()
         return self
 
-    # Views.
+    # Membership views.
 
     def view(self, name):
-        """Return the membership view of a host; None if it does not answer."""
+        """Return the membership view of a host, or None if it does not answer."""
         host = self.fleet[name]
         lines = call_operators(host.processes[-1].ops, "members", CALL_TIMEOUT_S) if host.processes else None
         return json.loads(lines[1]) if lines and lines[0] == "OK" else None
 
     def process_epoch(self, observer, name):
-        """Return the process epoch of a member as another one knows it."""
-        return next(each["life"] for each in self.view(observer)["members"] if each["name"] == name)
+        """Return the process epoch of a member as the observer knows it."""
+        return next(member["life"] for member in self.view(observer)["members"] if member["name"] == name)
 
     def states(self, observer):
-        """Return the states of all other members, as a host sees them."""
+        """Return the states of all other members in the view of a host."""
         view = self.view(observer)
-        return {each["name"]: each["state"] for each in view["members"]} if view else {}
+        return {member["name"]: member["state"] for member in view["members"]} if view else {}
 
-    def believes(self, observer, alive, absent=()):
-        """Tell whether a host believes some members alive and some dead or left."""
+    def has_states(self, observer, alive, absent=()):
+        """Return True if the view of a host has the members ``alive`` as alive and ``absent`` as dead or left."""
         states = self.states(observer)
         if any(states.get(name) != "alive" for name in alive if name != observer):
             return False
         return all(states.get(name) in ABSENT_STATES for name in absent)
 
     def wait_for_agreement(self, names, absent=(), within=25.0):
-        """Wait until these hosts believe each other alive and some dead or left; returns the time that it took, s."""
+        """Wait until these hosts see each other as alive and ``absent`` as dead or left; return the duration in s."""
         started_at = time.monotonic()
         wait_until(
-            lambda: all(self.believes(observer, names, absent) for observer in names),
-            lambda: f"an agreement of { ({name: self.states(name) for name in names}) }",
+            lambda: all(self.has_states(observer, names, absent) for observer in names),
+            lambda: f"agreement of the views { ({name: self.states(name) for name in names}) }",
             within,
             POLL_INTERVAL_S,
         )
         return time.monotonic() - started_at
 
     def deaths(self):
-        """Return who declared whom dead, from the logs."""
-        found = []
+        """Return (observer, member) for each member declared dead in the logs."""
+        declared = []
         for host in self.fleet.hosts:
             for path in sorted(host.folder.glob("config-*.log")):
                 for line in path.read_text().splitlines():
                     if "event=member-dead " in line:
-                        found.append((host.name, line.split(" host=")[1].split()[0]))
-        return found
+                        declared.append((host.name, line.split(" host=")[1].split()[0]))
+        return declared
 
     # Leases.
 
     def request_leases(self, lease="job", names=None, hold_s=0.6):
-        """Let an owner at each host request a lease from now on."""
+        """Start a lease owner at each host, or at the hosts ``names``."""
         owners = [
             LeaseOwner(self, host, lease, hold_s) for host in self.fleet.hosts if names is None or host.name in names
         ]
@@ -278,7 +280,7 @@
         return owners
 
     def wait_for_holds(self, count, within=30.0):
-        """Wait until leases were held so many more times; returns the time that it took, s."""
+        """Wait until leases were held ``count`` more times; return the duration in s."""
         goal = len(self.resource.holds()) + count
         started_at = time.monotonic()
         wait_until(
@@ -290,24 +292,26 @@
         return time.monotonic() - started_at
 
     def overlaps(self):
-        """Return pairs of leases whose owners believed to hold one slot at one instant."""
+        """Return pairs of leases whose owners considered themselves holders of one slot at the same time."""
         leases = sorted((lease for owner in self.owners for lease in owner.leases), key=lambda lease: lease.valid_from)
         return [
-            (one, other)
-            for one, other in itertools.combinations(leases, 2)
-            if other.slot == one.slot
-            and other.valid_from < one.valid_until
-            and other.fencing_token != one.fencing_token
+            (earlier, later)
+            for earlier, later in itertools.combinations(leases, 2)
+            if later.slot == earlier.slot
+            and later.valid_from < earlier.valid_until
+            and later.fencing_token != earlier.fencing_token
         ]
 
     def check_invariants(self):
-        """Check what must hold whatever fails: one holder a slot, and no action under an outdated lease."""
+        """Check what must hold under any fault: one holder per slot, and no action under an outdated lease."""
         assert self.overlaps() == []
         assert self.resource.rejected == []
         holders = {}
         for action in self.resource.accepted:
             holder = holders.setdefault((action.slot, action.fencing_token), action.host)
-            assert holder == action.host, f"two hosts have token {action.fencing_token} of {action.slot}"
+            assert holder == action.host, (
+                f"{holder} and {action.host} both hold fencing token {action.fencing_token} of {action.slot}"
+            )
 
     def close(self):
         """Stop all owners."""
--- a/lapispick/fakes/rule_checker.py
+++ b/lapispick/fakes/rule_checker.py
@@ -1,8 +1,8 @@
-"""What all peers of an emulated fleet saw, and the one checker of the rules that reads it.
+"""Record of what all peers of an emulated fleet observed, and the checker of the platform's rules that reads it.
 
-Gateways record what they sent and were answered, executors and the store what ran, the test which faults it caused.
-Times are Unix seconds. A request that a fault hit is excused by the record of that fault only, and an answer is late
-only by time that the machine did not take itself (``host_pauses.py``).
+Gateways record their attempts and the answers, executors and the store record what ran, and the test records the faults
+that it caused. Times are Unix seconds. An attempt is excused only by a recorded fault that affected it, and the time
+for which the machine paused a process (``host_pauses.py``) does not count towards the lateness of an answer.
 """
 
 import collections
@@ -12,8 +12,8 @@
 
 from lapispick.fakes.messages import REJECTED_CODE
 
-LATE_SLACK_S = 0.11  # the rule's 60 ms and 50 ms of sockets
-SOCKET_SLACK_S = 0.05  # of each time limit, for the way
+LATE_SLACK_S = 0.11  # 60 ms that the rule allows and 50 ms for the sockets
+SOCKET_SLACK_S = 0.05  # added to time limits for the transit
 SERVED = "served"
 REJECTED = "refused"
 FAILED = "failed"
@@ -42,14 +42,14 @@
     sent_at: float
     due: float
     is_retry: bool = False
-    is_cancelled: bool = False  # the host was told that nobody waits
+    is_cancelled: bool = False  # the gateway cancelled it at the host
     answers: list = dataclasses.field(default_factory=list)
-    broken_at: float = 0.0  # when its connection ended without an answer
+    broken_at: float = 0.0  # when its connection ended without an answer; 0 = it did not
 
 
 @dataclasses.dataclass
 class Execution:
-    """Work that began at an executor, or a call that reached the store."""
+    """A run that started at an executor, or a call that reached the store."""
 
     at: float
     host: str
@@ -61,7 +61,7 @@
 
 @dataclasses.dataclass
 class Fault:
-    """A fault and the endpoints that it touches; it is open while ``ended_at`` is 0."""
+    """A fault and the endpoints that it affects; it lasts while ``ended_at`` is 0."""
 
     began_at: float
     ended_at: float
@@ -71,7 +71,7 @@
 
 @dataclasses.dataclass
 class Shutdown:
-    """A host was asked to shut down."""
+    """A request to a host's process to shut down."""
 
     at: float
     host: str
@@ -88,19 +88,19 @@
 
 
 def answer_kind(message):
-    """Return the kind of an answer in JSON-RPC."""
+    """Return the kind of a JSON-RPC answer."""
     if "result" in message:
         return SERVED
     return REJECTED if message["error"]["code"] == REJECTED_CODE else FAILED
 
 
-def never_paused(host, since, until):
-    """Return that the machine took nothing of a span, s."""
+def no_pauses(host, since, until):
+    """Return 0 s of pauses for any span, where pauses are not measured."""
     return 0.0
 
 
 class FleetRecord:
-    """What all peers saw. ``paused_s`` tells what the machine took of a span, where that is measured."""
+    """Record of all peers; ``paused_s(host, since, until)`` returns how long the machine paused a host in a span."""
 
     _LISTS = ("executions", "shutdowns", "memory", "faults", "unexpected_answers")
 
@@ -112,10 +112,10 @@
         self.memory = []
         self.faults = []
         self.unexpected_answers = []
-        self.paused_s = never_paused
+        self.paused_s = no_pauses
 
     def copy(self):
-        """Return the record of this moment: the load may go on."""
+        """Return a copy of the record, for a check while the load continues."""
         copied = FleetRecord()
         with self._lock:
             copied.attempts = dict(self.attempts)
@@ -130,12 +130,12 @@
             self.attempts[attempt.trace] = attempt
 
     def remove_attempt(self, attempt):
-        """Forget an attempt of which the host read nothing."""
+        """Remove an attempt of which the host has read nothing."""
         with self._lock:
             del self.attempts[attempt.trace]
 
     def add_answer(self, trace, message, result):
-        """Record an answer; ``trace`` is None for an unexpected one, ``message`` where the connection ended."""
+        """Record an answer; ``trace`` is None if it was unexpected, ``message`` is None if the connection ended."""
         with self._lock:
             if trace is None:
                 self.unexpected_answers.append(message)
@@ -145,12 +145,12 @@
                 self.attempts[trace].answers.append(Answer(time.time(), answer_kind(message), result))
 
     def add_execution(self, host, process, trace, body, where=AT_EXECUTOR):
-        """Record a run at an executor, or a call at the store."""
+        """Record a run at an executor or a call of the store."""
         with self._lock:
             self.executions.append(Execution(time.time(), host, process, trace, body, where))
 
     def add_shutdown(self, host, process):
-        """Record a shutdown of a host as a whole."""
+        """Record that a process of a host was asked to shut down."""
         with self._lock:
             self.shutdowns.append(Shutdown(time.time(), host, process))
 
@@ -160,24 +160,24 @@
             self.memory.append(MemoryUse(host, used_mb, limit_mb))
 
     def begin_fault(self, kind, endpoints):
-        """Record a fault from now on; returns it, for ``end_fault``."""
+        """Record the start of a fault and return it for ``end_fault``."""
         fault = Fault(time.time(), 0.0, kind, frozenset(endpoints))
         with self._lock:
             self.faults.append(fault)
         return fault
 
     def end_fault(self, fault):
-        """Record that a fault is over; one that ended before stays as it is."""
+        """Record the end of a fault, unless it has ended before."""
         with self._lock:
             fault.ended_at = fault.ended_at or time.time()
 
     def end_all_faults(self):
-        """Record that no fault is left."""
+        """Record the end of all faults that still last."""
         for fault in list(self.faults):
             self.end_fault(fault)
 
     def is_excused(self, attempt):
-        """Tell whether a fault touched an attempt's host or gateway while it was open."""
+        """Return True if a fault affected the host or the gateway of an attempt while the attempt was open."""
         return any(
             fault.began_at <= attempt.due + LATE_SLACK_S
             and (fault.ended_at or time.time()) >= attempt.sent_at - LATE_SLACK_S
@@ -186,7 +186,7 @@
         )
 
     def answer_counts(self, since=0.0, hosts=None):
-        """Count final answers by kind over attempts since a time, at some hosts or all."""
+        """Count the attempts sent since a time, at some hosts or all, by the kind of their final answer."""
         counts = collections.Counter()
         for attempt in list(self.attempts.values()):
             if since <= attempt.sent_at and (hosts is None or attempt.host in hosts):
@@ -194,7 +194,7 @@
         return counts
 
     def executions_by_key(self):
-        """Count the executors' runs by idempotency key, over the whole fleet."""
+        """Count the runs of all executors by idempotency key."""
         keys = {attempt.trace: attempt.key for attempt in list(self.attempts.values()) if attempt.key}
         return collections.Counter(
             keys[execution.trace]
@@ -204,35 +204,36 @@
 
 
 def expected_results(body):
-    """Return what runs of a body may make: with a call what the store said, or less without it."""
+    """Return the results that a run of a body may have: a call has that of the store or a degraded one."""
     return {f"called {body[5:]}", "poorer"} if body.startswith("call:") else {f"did {body}"}
 
 
 def check(record, expected=expected_results, window_s=14.286, grace_s=1.8):
-    """Return every broken rule as (rule, text); ``expected`` tells what runs of a body may make.
+    """Return every rule violation as (rule, text); ``expected`` returns the results that a run of a body may have.
 
-    ``window_s``: for so long a key must not run again; ``grace_s``: what came later after a shutdown must not run.
+    A key must not run again within ``window_s``. A request that is sent more than ``grace_s`` after a shutdown must not
+    run.
     """
     record = record.copy()
     return [
-        *_lost(record),
-        *_answered_twice(record),
-        *_ran_twice(record, window_s),
-        *_changed(record, expected),
-        *_late_starts(record, grace_s + SOCKET_SLACK_S),
-        *_rejected_after_run(record),
-        *_over_memory(record),
+        *_find_lost(record),
+        *_find_answered_twice(record),
+        *_find_ran_twice(record, window_s),
+        *_find_changed(record, expected),
+        *_find_late_starts(record, grace_s + SOCKET_SLACK_S),
+        *_find_rejected_after_run(record),
+        *_find_over_memory(record),
     ]
 
 
-def _lost(record):
+def _find_lost(record):
     now = time.time()
     for attempt in record.attempts.values():
         if attempt.is_cancelled or record.is_excused(attempt):
             continue
         if not attempt.answers:
             if attempt.broken_at or now > attempt.due + LATE_SLACK_S:
-                reason = "the connection ended" if attempt.broken_at else "no answer"
+                reason = "the connection ended" if attempt.broken_at else "no answer in time"
                 yield "lost", f"{attempt.trace} at {attempt.host}: {reason}"
             continue
         at = attempt.answers[0].at
@@ -240,17 +241,17 @@
             yield "lost", f"{attempt.trace} at {attempt.host}: answered {at - attempt.due:.3f} s late"
 
 
-def _answered_twice(record):
+def _find_answered_twice(record):
     for attempt in record.attempts.values():
         if len(attempt.answers) > 1:
             yield "doubled", f"{attempt.trace} at {attempt.host}: {len(attempt.answers)} answers"
     for message in record.unexpected_answers:
-        yield "doubled", f"an answer that nobody waits for: {message}"
+        yield "doubled", f"an answer to no open request: {message}"
 
 
-def _ran_twice(record, window_s):
+def _find_ran_twice(record, window_s):
     first_runs = {}
-    for execution in sorted(record.executions, key=lambda each: each.at):
+    for execution in sorted(record.executions, key=lambda execution: execution.at):
         attempt = record.attempts.get(execution.trace)
         if execution.where != AT_EXECUTOR or attempt is None or not attempt.key:
             continue
@@ -260,33 +261,40 @@
             yield "twice", f"key {attempt.key[:8]} ran at {places}"
 
 
-def _late_starts(record, grace_s):
+def _find_late_starts(record, grace_s):
     for execution in record.executions:
         attempt = record.attempts.get(execution.trace)
         if attempt is None or execution.where != AT_EXECUTOR:
             continue
         for shutdown in record.shutdowns:
-            is_there = (execution.host, execution.process) == (shutdown.host, shutdown.process)
-            if is_there and attempt.sent_at > shutdown.at + grace_s:
+            is_same_process = (execution.host, execution.process) == (shutdown.host, shutdown.process)
+            if is_same_process and attempt.sent_at > shutdown.at + grace_s:
                 late_s = attempt.sent_at - shutdown.at
-                yield "drain", f"{execution.trace} ran at {shutdown.host}; it came {late_s:.2f} s after the notice"
+                yield (
+                    "drain",
+                    f"{execution.trace} ran at {shutdown.host} and was sent {late_s:.2f} s after the shutdown began",
+                )
 
 
-def _rejected_after_run(record):
+def _find_rejected_after_run(record):
     ran = {execution.trace for execution in record.executions if execution.where == AT_EXECUTOR}
     for attempt in record.attempts.values():
         if attempt.trace in ran and attempt.answers and attempt.answers[0].kind == REJECTED:
-            yield "refused", f"{attempt.trace} at {attempt.host} ran and was refused"
+            yield "refused", f"{attempt.trace} at {attempt.host} was rejected after it ran"
 
 
-def _changed(record, expected):
+def _find_changed(record, expected):
     for attempt in record.attempts.values():
         for answer in attempt.answers:
             if answer.kind == SERVED and answer.result not in expected(attempt.body):
-                yield "changed", f"{attempt.trace} at {attempt.host}: {answer.result!r} is not what its run makes"
+                yield (
+                    "changed",
+                    f"{attempt.trace} at {attempt.host}: "
+                    f"expected one of {sorted(expected(attempt.body))}, got {answer.result!r}",
+                )
 
 
-def _over_memory(record):
+def _find_over_memory(record):
     for use in record.memory:
         if use.used_mb > use.limit_mb:
-            yield "memory", f"{use.host}: {use.used_mb:.0f} MB of {use.limit_mb:.0f}"
+            yield "memory", f"{use.host}: {use.used_mb:.0f} MB used, limit {use.limit_mb:.0f} MB"
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -1,4 +1,4 @@
-"""The emulated fleet itself: correct hosts pass its rule checker under faults, and rule-breaking hosts are detected."""
+"""The emulated fleet itself: correct hosts pass its rule checker under faults, and it detects rule-breaking hosts."""
 
 import contextlib
 import os
@@ -23,14 +23,14 @@
 from lapispick.fakes.waiting import wait_until
 
 
-def rules(broken):
-    """Return the names of the rules that were broken."""
-    return {rule for rule, _ in broken}
+def rule_names(violations):
+    """Return the names of the broken rules."""
+    return {rule for rule, _ in violations}
 
 
 @contextlib.contextmanager
 def loaded_fleet(folder, seed, answered=60, program_folder=None, **options):
-    """Start a fleet and its load, and wait for some answers."""
+    """Start a fleet and its load, and wait for ``answered`` results."""
     with Fleet(folder, seed, **options) as fleet:
         fleet.start(program=program_folder)
         fleet.start_load()
@@ -46,7 +46,7 @@
     return process
 
 
-def test_a_fleet_under_load_keeps_all_rules(tmp_path):
+def test_a_fleet_under_load_breaks_no_rule(tmp_path):
     with loaded_fleet(tmp_path, seed=1, hosts=3, rate=40, answered=300) as fleet:
         assert fleet.broken_rules() == []
         assert fleet.served_weight_fraction() > 0.98
@@ -54,7 +54,7 @@
 
 
 def repeat_one_key(fleet, host):
-    """Send attempts of one key until it ran twice; a host that is overloaded may reject some."""
+    """Send attempts of one key until it has run twice; an overloaded host may reject some of them."""
     key = make_idempotency_key()
 
     def ran_twice():
@@ -68,10 +68,10 @@
 
 
 def shut_down_under_load(fleet, host):
-    """Let a host shut down while gateways go on sending to it."""
+    """Shut down a host while the gateways continue to send to it."""
     process = shut_down(fleet, host)
-    fleet.listed_hosts = lambda _: fleet.hosts  # as for gateways that learn of it late, or never
-    wait_until(lambda: rules(check(fleet.record)) == {"drain"} or process.poll() is not None, "a late run")
+    fleet.listed_hosts = lambda _: fleet.hosts  # as for gateways that learn of the shutdown late or never
+    wait_until(lambda: rule_names(check(fleet.record)) == {"drain"} or process.poll() is not None, "a late run")
 
 
 @pytest.mark.parametrize("rule", RULE_BREAKING_HOSTS)
@@ -83,10 +83,10 @@
             repeat_one_key(fleet, fleet.hosts[0])
         if rule == "drain":
             shut_down_under_load(fleet, fleet.hosts[0])
-        assert rules(fleet.broken_rules()) == {rule}
+        assert rule_names(fleet.broken_rules()) == {rule}
 
 
-def test_a_host_that_shuts_down_breaks_no_rule_while_gateways_learn_of_it(tmp_path):
+def test_a_host_that_shuts_down_breaks_no_rule(tmp_path):
     with loaded_fleet(tmp_path, seed=3, hosts=2, rate=40) as fleet:
         process = shut_down(fleet, fleet.hosts[0])
         assert process.wait(5) == 0
@@ -142,7 +142,7 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_fleet_under_a_fault_keeps_all_rules_and_serves_again(tmp_path, fault):
+def test_a_fleet_under_a_fault_breaks_no_rule_and_the_host_serves_again(tmp_path, fault):
     with loaded_fleet(tmp_path, seed=4, hosts=3, rate=30) as fleet:
         host = fleet.hosts[0]
         FAULTS[fault](fleet, host, [gateway.name for gateway in fleet.gateways])
@@ -152,13 +152,13 @@
             return sum(attempt.host == host.name and bool(attempt.answers) for attempt in attempts)
 
         count = answered_count()
-        wait_until(lambda: answered_count() > count + 20, "service by the host again")
+        wait_until(lambda: answered_count() > count + 20, "new answers of the host after the fault")
         assert fleet.broken_rules() == []
         assert max(fleet.record.executions_by_key().values()) == 1
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_fleet_keeps_all_rules_through_a_random_script_of_faults(tmp_path, seed):
+def test_a_fleet_under_a_random_fault_script_breaks_no_rule(tmp_path, seed):
     options = {"hosts": 4, "zones": ("pipera", "militari"), "rate": 25}
     with loaded_fleet(tmp_path, seed, answered=40, **options) as fleet:
         fault_script.play(fleet, fault_script.draw(random.Random(seed), fleet, 5, 4.0))
@@ -166,7 +166,7 @@
         assert fleet.broken_rules() == []
 
 
-def test_a_fault_script_can_wait_for_a_condition(tmp_path):
+def test_a_fault_step_can_wait_for_a_condition(tmp_path):
     with Fleet(tmp_path, seed=9, hosts=2, rate=25) as fleet:
         fleet.start()
         fleet.start_load()
@@ -186,7 +186,7 @@
         assert fleet.record.answer_counts(hosts={"disp-02"})["served"] > 20
 
 
-def test_only_attempts_that_a_fault_touched_while_it_lasted_are_excused():
+def test_only_attempts_open_during_a_fault_of_their_host_are_excused():
     record = FleetRecord()
     now = time.time()
     for trace, host, at in (("a", "x", now - 5), ("b", "y", now - 5), ("c", "x", now - 50)):
@@ -208,7 +208,7 @@
     ],
 )
 def test_pauses_of_the_machine_are_subtracted_from_the_lateness_of_an_answer(spans, is_late):
-    """It is 300 ms late: what the machine did not take of it has to be within the slack."""
+    """The answer is 300 ms late; its lateness without the pauses must be within the slack of 110 ms."""
     record = FleetRecord()
     pauses = PauseMonitor([])
     record.paused_s = pauses.paused_s
@@ -222,7 +222,7 @@
 
 
 def test_time_that_a_process_waits_for_a_core_counts_as_a_pause(tmp_path):
-    """Three that want one core: each waits for the others two thirds of the time."""
+    """Each of three busy processes on one core waits for the others two thirds of the time."""
     core = min(os.sched_getaffinity(0))
     with busy_processes(3, cores=[core]) as processes:
         host = types.SimpleNamespace(name="x", serving_pids=lambda: [processes[0].pid])
@@ -230,14 +230,14 @@
         pauses.start()
         since = time.time()
         try:
-            wait_until(lambda: pauses.paused_s("x", since, time.time()) > 0.5, "that it waits")
+            wait_until(lambda: pauses.paused_s("x", since, time.time()) > 0.5, "0.5 s of waiting for a core")
         finally:
             pauses.stop()
     assert pauses.paused_s("y", since, time.time()) < pauses.paused_s("x", since, time.time())
 
 
 class EchoServer(FakeServer):
-    """Sends back what it receives."""
+    """Sends received bytes back."""
 
     def serve(self, connection):
         while data := connection.recv(1000):
@@ -246,7 +246,7 @@
 
 @pytest.fixture
 def fault_proxy():
-    """Links with faults, without any link so far."""
+    """Fault proxy without links."""
     proxy = FaultProxy(1)
     yield proxy
     proxy.close()
@@ -263,7 +263,7 @@
         return sock
 
     sock = connect()
-    fault_proxy.partition(["b"], ["a"], one_way=True)  # what b sends is delayed; nothing is lost
+    fault_proxy.partition(["b"], ["a"], one_way=True)  # delays what b sends and loses nothing
     sock.sendall(b"again")
     sock.settimeout(0.2)
     with pytest.raises(TimeoutError):
@@ -272,10 +272,10 @@
     sock.settimeout(5)
     assert sock.recv(10) == b"again"
     fault_proxy.impair(["a"], ["b"], reset_after_bytes=8)
-    fresh = socket.create_connection(address, timeout=5)
-    fresh.sendall(b"0123456789")
+    new_sock = socket.create_connection(address, timeout=5)
+    new_sock.sendall(b"0123456789")
     with pytest.raises(ConnectionError):
-        while fresh.recv(10):
+        while new_sock.recv(10):
             pass
         raise ConnectionError
     fault_proxy.heal()
@@ -297,8 +297,8 @@
         host, port = fault_proxy.udp("a", "b", "{}:{}".format(*receiver.getsockname())).split(":")
         fault_proxy.impair(["a"], ["b"], loss=0.3, duplicate=0.3, reorder=0.3)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
-            for n in range(200):
-                sender.sendto(str(n).encode(), (host, int(port)))
+            for number in range(200):
+                sender.sendto(str(number).encode(), (host, int(port)))
                 time.sleep(0.0005)
         received = []
         with contextlib.suppress(TimeoutError):
