--- a/benchmarks/members_host.py
+++ b/benchmarks/members_host.py
@@ -36,7 +36,7 @@
             fleet.start()
         result = {"start_s": time.monotonic() - started}
         if cluster is not None:
-            result["agree_s"] = cluster.wait_for_agreement(cluster.names(), within=60.0)
+            result["agree_s"] = cluster.wait_for_agreement(cluster.names(), timeout_s=60.0)
         pids = [host.processes[-1].pid for host in fleet.hosts]
         cpu_before = sum(map(process_cpu_s, pids))
         sent_before = _sent_messages(cluster)
--- a/benchmarks/rollout_fleet.py
+++ b/benchmarks/rollout_fleet.py
@@ -50,13 +50,13 @@
             began = time.time()
             if rolls:
                 rollout_fleet.start_controller("start", *options)
-                while rollout_fleet.wait_for_phase("done", "asking", within=180.0)["phase"] == "asking":
+                while rollout_fleet.wait_for_phase("done", "asking", timeout_s=180.0)["phase"] == "asking":
                     rollout_fleet.run_command("go")
                     rollout_fleet.wait_for_phase("confirming", "waiting", "changing", "baking", "done")
             else:
                 while time.time() - began < RUN_S:
                     time.sleep(0.2)
-            end = time.time() - fleet.patience_s
+            end = time.time() - fleet.request_timeout_s
             broken = fleet.broken_rules()
             if broken:
                 raise SystemExit(f"a rule was broken: {broken[:3]}")
--- a/lapispick/fakes/agents.py
+++ b/lapispick/fakes/agents.py
@@ -49,9 +49,9 @@
 _ASKING_NOTE = 'note="asking'
 
 
-def python_arguments(script, dies_at, times):
-    """Return the Python arguments that run the command line; with ``dies_at`` it kills itself at that failpoint."""
-    return ["-c", script, dies_at, str(times)] if dies_at else ["-m", "lapispick"]
+def python_arguments(script, crash_at, times):
+    """Return the Python arguments that run the command line; with ``crash_at`` it kills itself at that failpoint."""
+    return ["-c", script, crash_at, str(times)] if crash_at else ["-m", "lapispick"]
 
 
 class HostAgent:
@@ -83,16 +83,16 @@
         """Store a generation, by default the unpatched program, and return its digest."""
         path = self.folder / "own.conf"
         path.write_text(settings)
-        return self.store.add(folder or this_program(self.host.fleet), path, config or {}, label).digest
+        return self.store.add(folder or unpatched_program_folder(self.host.fleet), path, config or {}, label).digest
 
-    def start(self, adopt="", dies_at="", times=1, wait=True):
-        """Start the agent; with ``dies_at`` it kills itself at that failpoint, the ``times``-th time."""
+    def start(self, adopt="", crash_at="", times=1, wait=True):
+        """Start the agent; with ``crash_at`` it kills itself at that failpoint, the ``times``-th time."""
         self._start_count += 1
         self.log_path = self.folder / f"agent-{self._start_count}.log"
         arguments = ["agent", "run", "--conf", str(self.settings_file), *(["--adopt", adopt] if adopt else [])]
         environment = {k: v for k, v in self.host.environ().items() if not k.startswith(("LB_", "LAPISPICK_"))}
         self.process = subprocess.Popen(
-            [sys.executable, *python_arguments(CRASHING_AGENT, dies_at, times), *arguments],
+            [sys.executable, *python_arguments(CRASHING_AGENT, crash_at, times), *arguments],
             env=environment,
             cwd=ROOT,
             stderr=self.log_path.open("w"),
@@ -188,7 +188,7 @@
                 os.kill(pid, signal.SIGKILL)
 
 
-def this_program(fleet):
+def unpatched_program_folder(fleet):
     """Return a folder with an unpatched copy of the program only; it is created once per fleet."""
     folder = fleet.folder / "program"
     return folder if folder.exists() else program(folder)
@@ -248,7 +248,7 @@
             lambda: all(digest in agent.status().generations for agent in running),
             f"generation {digest} in the status of all agents",
         )
-        program_folder = folder or this_program(self.fleet)
+        program_folder = folder or unpatched_program_folder(self.fleet)
         options = ["--program", str(program_folder), "--settings", str(settings_file), "--config", str(config_file)]
         return digest, options
 
@@ -259,11 +259,11 @@
         """Run a command of ``lapispick rollout`` and return its result."""
         return run_lapispick(*self._arguments(command, *options))
 
-    def start_controller(self, command, *options, dies_at="", times=1):
-        """Start a controller process; with ``dies_at`` it kills itself at that failpoint, the ``times``-th time."""
+    def start_controller(self, command, *options, crash_at="", times=1):
+        """Start a controller process; with ``crash_at`` it kills itself at that failpoint, the ``times``-th time."""
         self._start_count += 1
         log = self.folder / f"controller-{self._start_count}.log"
-        program_arguments = python_arguments(CRASHING_CONTROLLER, dies_at, times)
+        program_arguments = python_arguments(CRASHING_CONTROLLER, crash_at, times)
         controller = subprocess.Popen(
             [sys.executable, *program_arguments, *self._arguments(command, *options)],
             cwd=ROOT,
@@ -279,7 +279,7 @@
         completed = self.run_command("status", "--json")
         return json.loads(completed.stdout) if completed.stdout.startswith("{") else None
 
-    def wait_for_phase(self, *phases, within=STAGE_TIMEOUT_S):
+    def wait_for_phase(self, *phases, timeout_s=STAGE_TIMEOUT_S):
         """Wait until the newest rollout is in one of these phases and return its status."""
 
         def reached():
@@ -291,7 +291,7 @@
             state = status and (status["phase"], status["reason"])
             return f"one of the phases {phases} (status {state}, log {self._last_log()})"
 
-        return wait_until(reached, description, within, STATUS_POLL_INTERVAL_S)
+        return wait_until(reached, description, timeout_s, STATUS_POLL_INTERVAL_S)
 
     def wait_for_bake(self):
         """Wait until the newest controller logs a bake note; the bake may be over before ``status`` answers."""
--- a/lapispick/fakes/fault_script.py
+++ b/lapispick/fakes/fault_script.py
@@ -120,7 +120,7 @@
         with contextlib.suppress(FileNotFoundError):
             shutil.copytree(disk, older_disk, ignore=_socket_names)
     time.sleep(step.duration_s)
-    host.start(skew=host.clock_skew_s)
+    host.start(clock_skew_s=host.clock_skew_s)
     fleet.record.end_fault(fault)
     fleet.record.end_all_faults()
 
--- a/lapispick/fakes/fleet.py
+++ b/lapispick/fakes/fleet.py
@@ -49,7 +49,7 @@
         executor_options=None,
         stop_ms=2500,
         memory_limit_mb=192,
-        patience_s=3.0,
+        request_timeout_s=3.0,
         slowdowns=None,
     ):
         print("seed", seed)
@@ -60,7 +60,7 @@
         self.info = info
         self.stop_ms = stop_ms
         self.memory_limit_mb = memory_limit_mb
-        self.patience_s = patience_s
+        self.request_timeout_s = request_timeout_s
         self.executor_options = executor_options or {}
         self.slowdowns = slowdowns or {}
         self.net = FaultProxy(seed)
@@ -130,7 +130,7 @@
         """Stop the load and wait until every attempt is answered, disconnected or past its deadline."""
         for gateway in self.gateways:
             gateway.stop()
-        end = time.time() + self.patience_s + SETTLE_SLACK_S
+        end = time.time() + self.request_timeout_s + SETTLE_SLACK_S
         while time.time() < end:
             attempts = list(self.record.attempts.values())
             if all(attempt.answers or attempt.broken_at for attempt in attempts):
--- a/lapispick/fakes/fleet_gateway.py
+++ b/lapispick/fakes/fleet_gateway.py
@@ -87,7 +87,7 @@
             body = f"call:{body}"
         key = f"{self.random.getrandbits(128):032x}" if class_name == KEYED_CLASS else ""
         now = time.time()
-        return Request(class_name, body, key, now, now + self.fleet.patience_s)
+        return Request(class_name, body, key, now, now + self.fleet.request_timeout_s)
 
     def send(self, request, host=None, is_retry=False):
         """Send an attempt of a request to a host, by default to a random one that the registry lists."""
--- a/lapispick/fakes/fleet_host.py
+++ b/lapispick/fakes/fleet_host.py
@@ -69,7 +69,7 @@
         """Return the environment variables of a process."""
         return {**os.environ, "TMPDIR": str(self.folder / "tmp"), "PYTHONPATH": str(ROOT), **overrides}
 
-    def start(self, program=None, conf=None, skew=0.0):
+    def start(self, program=None, conf=None, clock_skew_s=0.0):
         """Start a process without an agent and return it once it accepts clients."""
         slot = self.slot()
         self._start_count += 1
@@ -77,8 +77,8 @@
         path.write_text(json.dumps(self.config(**slot)))
         environ = self.environ(LB_CONFIG=str(path), **({"LAPISPICK_CONF": str(conf)} if conf else {}))
         environ["PYTHONPATH"] = str(program or ROOT)
-        self.clock_skew_s = skew
-        if skew:
+        self.clock_skew_s = clock_skew_s
+        if clock_skew_s:
             environ["PYTHONPATH"] = f"{self._skewed_clock_folder()}{os.pathsep}{environ['PYTHONPATH']}"
         process = subprocess.Popen(
             [sys.executable, "-m", "lapispick.host"],
--- a/lapispick/fakes/member_cluster.py
+++ b/lapispick/fakes/member_cluster.py
@@ -214,7 +214,7 @@
             if names is None or host.name in names:
                 options = {"conf": self.config_files[host.name]}
                 if clock_offsets is not None:
-                    options["skew"] = clock_offsets[host.name]
+                    options["clock_skew_s"] = clock_offsets[host.name]
                 threads.append(threading.Thread(target=host.start, kwargs=options))
         for thread in threads:
             thread.start()
@@ -246,13 +246,13 @@
             return False
         return all(states.get(name) in ABSENT_STATES for name in absent)
 
-    def wait_for_agreement(self, names, absent=(), within=25.0):
+    def wait_for_agreement(self, names, absent=(), timeout_s=25.0):
         """Wait until these hosts see each other as alive and ``absent`` as dead or left; return the duration in s."""
         started_at = time.monotonic()
         wait_until(
             lambda: all(self.has_states(observer, names, absent) for observer in names),
             lambda: f"agreement of the views { ({name: self.states(name) for name in names}) }",
-            within,
+            timeout_s,
             POLL_INTERVAL_S,
         )
         return time.monotonic() - started_at
@@ -279,14 +279,14 @@
         self.owners += owners
         return owners
 
-    def wait_for_holds(self, count, within=30.0):
+    def wait_for_holds(self, count, timeout_s=30.0):
         """Wait until leases were held ``count`` more times; return the duration in s."""
         goal = len(self.resource.holds()) + count
         started_at = time.monotonic()
         wait_until(
             lambda: len(self.resource.holds()) >= goal,
             lambda: f"{goal - len(self.resource.holds())} more holds of a lease",
-            within,
+            timeout_s,
             POLL_INTERVAL_S,
         )
         return time.monotonic() - started_at
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -199,7 +199,7 @@
     scenario.start()
     agent = scenario.agent
     agent.kill()
-    agent.start(dies_at=failpoint, times=times)
+    agent.start(crash_at=failpoint, times=times)
     wait_until(
         lambda: agent.process.poll() is not None or getattr(agent.status(), "serving", "") == scenario.good,
         "the first health check or the end of the agent",
@@ -230,7 +230,7 @@
     agent.wait_for_phase("proving", serving=scenario.new)
     wait_until(lambda: agent.running_generations() == [scenario.new], "the end of the old process")
     agent.kill()
-    agent.start(dies_at=failpoint, times=times)
+    agent.start(crash_at=failpoint, times=times)
     agent.call("back 1.a r1")
     agent.wait_ended()
     agent.start()
--- a/tests/test_member_cluster.py
+++ b/tests/test_member_cluster.py
@@ -145,7 +145,7 @@
     cluster.wait_for_agreement(rest, absent=[killed])
     for path in (cluster.fleet[killed].folder / "members").iterdir():
         path.unlink()
-    cluster.fleet[killed].start(conf=cluster.config_files[killed], skew=-3600.0)  # its clock was set back too
+    cluster.fleet[killed].start(conf=cluster.config_files[killed], clock_skew_s=-3600.0)  # its clock was set back too
     cluster.wait_for_agreement(hosts)
     assert cluster.view(killed)["life"] > epoch
     for name in rest:
@@ -194,7 +194,7 @@
     cluster.fleet.net.impair(hosts, hosts, loss=loss, duplicate=0.2, reorder=0.2, jitter_s=0.02)
     cluster.request_leases(hold_s=0.1)
     if loss < 0.5:
-        cluster.wait_for_holds(4, within=60.0)
+        cluster.wait_for_holds(4, timeout_s=60.0)
     else:
         let_time_pass(6.0)  # proposals may all fail here, but two hosts must never hold the lease
     if loss < 0.3:
@@ -230,7 +230,7 @@
     survivor = hosts[-1]
     for name in hosts[2:-1]:
         cluster.fleet[name].kill()
-    cluster.wait_for_agreement([survivor], absent=hosts[:-1], within=60.0)
+    cluster.wait_for_agreement([survivor], absent=hosts[:-1], timeout_s=60.0)
     assert cluster.view(survivor)["seen"] == 1
     assert cluster.view(survivor)["majority"] is False
     cluster.request_leases(names=[survivor])
@@ -258,7 +258,7 @@
         let_time_pass(0.5)
         if name == hosts[4]:
             heal()
-    cluster.wait_for_agreement(new, within=30.0)
+    cluster.wait_for_agreement(new, timeout_s=30.0)
     assert cluster.view(new[-1])["size"] == 7
     cluster.wait_for_holds(6)
     stop_owners_and_check(cluster)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -77,7 +77,7 @@
 @pytest.mark.parametrize("rule", RULE_BREAKING_HOSTS)
 def test_a_host_that_breaks_a_rule_is_detected(tmp_path, rule):
     folder = program(tmp_path / "rule_breaking_host", RULE_BREAKING_HOSTS[rule])
-    options = {"hosts": 1, "gateways": 2, "rate": 40, "stop_ms": 6000, "patience_s": 1.5}
+    options = {"hosts": 1, "gateways": 2, "rate": 40, "stop_ms": 6000, "request_timeout_s": 1.5}
     with loaded_fleet(tmp_path, seed=2, program_folder=folder, **options) as fleet:
         if rule == "twice":
             repeat_one_key(fleet, fleet.hosts[0])
@@ -178,8 +178,8 @@
 
 def test_a_host_with_a_skewed_clock_serves_and_breaks_no_rule(tmp_path):
     with Fleet(tmp_path, seed=10, hosts=2, rate=20) as fleet:
-        fleet.hosts[0].start(skew=0.0)
-        fleet.hosts[1].start(skew=-0.4)
+        fleet.hosts[0].start(clock_skew_s=0.0)
+        fleet.hosts[1].start(clock_skew_s=-0.4)
         fleet.start_load()
         fleet.wait_for_results(100)
         assert fleet.broken_rules() == []
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -166,7 +166,7 @@
 def test_a_controller_killed_at_any_point_is_resumed_by_another_one(make_fleet, point, times):
     rollout_fleet = make_fleet(plan(bake="0.6s", bake_most="1.2s")).start()
     new, options = rollout_fleet.add_generation(config={"stop_ms": 2400})
-    first = rollout_fleet.start_controller("start", *options, dies_at=point, times=times)
+    first = rollout_fleet.start_controller("start", *options, crash_at=point, times=times)
     if (point, times) in (("took-over", 1), ("decided", 1)):  # nothing is stored, so the rollout is started again
         assert first.wait(30) == -signal.SIGKILL
         rollout_fleet.start_controller("start", *options)
@@ -389,7 +389,7 @@
     ).start()
     _, options = rollout_fleet.add_generation(program(tmp_path / "bad", fails_keyed_requests(1)))
     rollout_fleet.start_controller("start", *options)
-    status = rollout_fleet.wait_for_phase("undone", "asking", "done", within=180.0)
+    status = rollout_fleet.wait_for_phase("undone", "asking", "done", timeout_s=180.0)
     assert status["phase"] == "undone", status
     assert "book" in status["reason"], status
     assert_rules_kept(rollout_fleet)
