--- a/lapispick/fakes/__init__.py
+++ b/lapispick/fakes/__init__.py
@@ -1,4 +1,4 @@
-"""Fakes of all that a worker host talks to, for tests, benchmarks and the demo.
+"""Fakes of the peers of a worker host, for tests, benchmarks and the demo.
 
-No module that a worker host loads imports this package.
+No module that a worker host loads may import this package.
 """
--- a/lapispick/fakes/broker.py
+++ b/lapispick/fakes/broker.py
@@ -1,4 +1,7 @@
-"""A fake AMQP 0-9-1 broker: queues, prefetch, redelivery, confirms, and what became of each message."""
+"""A fake AMQP 0-9-1 broker with queues, prefetch, redelivery and publisher confirms.
+
+It records how each message was settled.
+"""
 
 import contextlib
 from collections import deque
@@ -11,7 +14,11 @@
 
 
 class Message:
-    """One message; ``fate`` is None until it is settled, ``raw`` makes the frames of its first delivery's content."""
+    """A message in a queue.
+
+    ``fate`` is None until the message is settled. ``raw`` returns the content frames of the first delivery, given the
+    channel number.
+    """
 
     def __init__(self, properties, body, raw=None, redelivered=False):
         self.properties = properties
@@ -22,14 +29,14 @@
         self.delivery_count = 0
 
     def content_frames(self, channel_number):
-        """Return the frames of the content for the present delivery."""
+        """Return the content frames of the current delivery."""
         if self.raw and self.delivery_count == 1:
             return self.raw(channel_number)
         return content.encode_content(channel_number, self.properties, self.body, MAX_FRAME_BYTES)
 
 
 class Answer(NamedTuple):
-    """What a requester reads from the reply to its request."""
+    """The parts of a reply that a requester reads."""
 
     outcome: str
     body: str
@@ -37,15 +44,17 @@
 
 
 class Broker(FakeServer):
-    """Serves consumers of queues.
+    """A fake broker that serves the consumers of queues.
 
-    ``disconnect_on`` names a method of theirs on which the connection breaks, once; ``nacks_left`` publications are not
-    confirmed; ``message_during_cancel`` holds the properties of a message that comes while a consumer cancels.
+    - ``disconnect_on``: the name of a consumer's method; the broker breaks the connection on the next such method;
+    - ``nacks_left``: how many of the next publications are refused with a nack;
+    - ``returns_unroutable``: return all publications to their publisher as unroutable;
+    - ``message_during_cancel``: properties of a message that is delivered while a consumer cancels.
     """
 
     def __init__(self, heartbeat=10):
         self.heartbeat = heartbeat  # s
-        self.links = []  # a ``BrokerConnection`` for each connection that is served
+        self.links = []  # one ``BrokerConnection`` for each open connection
         self.messages = []
         self.replies = []
         self.methods = []
@@ -61,33 +70,33 @@
         super().__init__()
 
     def queue(self, name):
-        """Return the waiting messages of a queue, which exists from then on."""
+        """Return the waiting messages of a queue; the queue is created if it does not exist."""
         return self._queues.setdefault(name, deque())
 
     def put(self, queue, body, raw=None, redelivered=False, **properties):
-        """Put a message into a queue."""
+        """Put a message into a queue, deliver it if a consumer has capacity, and return it."""
         with self.lock:
             message = Message(Properties(**properties), body.encode(), raw, redelivered)
             self.messages.append(message)
             self.queue(queue).append(message)
             for link in self._open_links():
-                with contextlib.suppress(OSError):  # a connection that is just ending returns all
+                with contextlib.suppress(OSError):  # a connection that ends returns its messages to the queues
                     link.deliver()
         return message
 
     def reply(self, correlation_id):
-        """Return the answer to a request; None where there is none, and a failure where there are several."""
-        found = self.answers(correlation_id)
-        assert len(found) <= 1, "answered twice"
-        return found[0] if found else None
+        """Return the answer to a request, or None if there is none; fails if there are several."""
+        answers = self.answers(correlation_id)
+        assert len(answers) <= 1, f"request {correlation_id} was answered {len(answers)} times"
+        return answers[0] if answers else None
 
     def answers(self, correlation_id):
-        """Return all answers to a request; there are several where a message was delivered again."""
+        """Return all answers to a request; there may be several if its message was redelivered."""
         replies = [reply for reply in list(self.replies) if reply.properties.correlation_id == correlation_id]
         return [Answer(reply.properties.type, reply.body, reply.properties.headers) for reply in replies]
 
     def consumer_tags(self):
-        """Return the tags that consume now, over all connections."""
+        """Return the tags of the current consumers on all connections."""
         channels = [channel for link in self._open_links() for channel in list(link.channels.values())]
         return [channel.consumer_tag for channel in channels if channel.consumer_tag]
 
--- a/lapispick/fakes/broker_connection.py
+++ b/lapispick/fakes/broker_connection.py
@@ -1,4 +1,4 @@
-"""The broker's side of one AMQP 0-9-1 connection of a consumer: its channels, deliveries and publications."""
+"""The broker's side of an AMQP 0-9-1 connection: its channels, deliveries and publications."""
 
 import enum
 from typing import NamedTuple
@@ -15,15 +15,15 @@
 
 
 class Fate(enum.StrEnum):
-    """How a consumer settled a message; one that was requeued is delivered again."""
+    """How a consumer settled a message."""
 
     ACKED = "ack"
     REJECTED = "reject"
-    REQUEUED = "requeue"
+    REQUEUED = "requeue"  # the broker delivers the message again
 
 
 class Reply(NamedTuple):
-    """A message that was published to the broker."""
+    """A reply that a consumer published to the broker."""
 
     queue: str
     properties: Properties
@@ -31,13 +31,13 @@
 
 
 class Publication:
-    """A message that is being published; ``left_bytes`` of its body are not received yet."""
+    """A message that is being published; ``remaining_bytes`` of its body are still to be received."""
 
     def __init__(self, queue):
         self.queue = queue
         self.properties = None
         self.body = b""
-        self.left_bytes = 0
+        self.remaining_bytes = 0
 
 
 class Channel:
@@ -54,7 +54,7 @@
 
 
 class BrokerConnection:
-    """Serves one connection to ``broker``; its lock is held while a frame is handled."""
+    """A connection to ``broker``, whose lock is held while a frame is handled."""
 
     def __init__(self, broker, sock):
         self.sock = sock
@@ -66,7 +66,7 @@
         self.sock.sendall(methods.encode_method(channel_number, method))
 
     def serve(self):
-        """Serve the connection until it ends; what it did not settle is returned to the queues."""
+        """Serve the connection until it ends, then return its unsettled messages to the queues."""
         file = self.sock.makefile("rb")
         assert file.read(8) == codec.PROTOCOL_HEADER
         self.send_method(
@@ -80,12 +80,12 @@
             ),
         )
         try:
-            while head := file.read(codec.FRAME_HEADER.size):
-                kind, channel_number, size = codec.FRAME_HEADER.unpack(head)
+            while frame_header := file.read(codec.FRAME_HEADER.size):
+                frame_type, channel_number, size = codec.FRAME_HEADER.unpack(frame_header)
                 payload = file.read(size)
                 assert file.read(1) == FRAME_END
                 with self._broker.lock:
-                    if not self._take_frame(kind, channel_number, payload):
+                    if not self._handle_frame(frame_type, channel_number, payload):
                         return
         finally:
             with self._broker.lock:
@@ -93,11 +93,11 @@
                 for channel in self.channels.values():
                     self._return_unacked(channel)
 
-    def _take_frame(self, kind, channel_number, payload):
-        """Handle a frame; False where the connection breaks on it."""
-        if kind == FrameType.HEARTBEAT:
+    def _handle_frame(self, frame_type, channel_number, payload):
+        """Handle a frame; return False if the connection is to be broken on it."""
+        if frame_type == FrameType.HEARTBEAT:
             self._broker.heartbeat_count += 1
-        elif kind == FrameType.METHOD:
+        elif frame_type == FrameType.METHOD:
             method = methods.decode_method(payload)
             self._broker.methods.append(method.name)
             if method.name == self._broker.disconnect_on:
@@ -106,14 +106,14 @@
             handler = getattr(self, "on_" + method.name.replace(".", "_").replace("-", "_"))
             handler(channel_number, method)
         else:
-            self._take_content(channel_number, kind, payload)
+            self._handle_content(channel_number, frame_type, payload)
         return True
 
-    # The connection and its channels.
+    # Methods of the connection and its channels.
 
-    def on_connection_start_ok(self, number, method):
+    def on_connection_start_ok(self, channel_number, method):
         if method.response != LOGIN:
-            raise ValueError(f"a wrong login: {method.response!r}")
+            raise ValueError(f"expected the login {LOGIN!r}, got {method.response!r}")
         self.send_method(
             0,
             methods.ConnectionTune(
@@ -121,87 +121,87 @@
             ),
         )
 
-    def on_connection_tune_ok(self, number, method):
+    def on_connection_tune_ok(self, channel_number, method):
         assert method.frame_max == MAX_FRAME_BYTES
         assert method.heartbeat <= self._broker.heartbeat
 
-    def on_connection_open(self, number, method):
+    def on_connection_open(self, channel_number, method):
         self.send_method(0, methods.ConnectionOpenOk())
 
-    def on_connection_close(self, number, method):
+    def on_connection_close(self, channel_number, method):
         self._broker.close_count += 1
         self.send_method(0, methods.ConnectionCloseOk())
 
-    def on_connection_close_ok(self, number, method):
+    def on_connection_close_ok(self, channel_number, method):
         pass
 
-    def on_channel_open(self, number, method):
-        self.channels[number] = Channel()
-        self.send_method(number, methods.ChannelOpenOk())
+    def on_channel_open(self, channel_number, method):
+        self.channels[channel_number] = Channel()
+        self.send_method(channel_number, methods.ChannelOpenOk())
 
-    def on_channel_close(self, number, method):
-        self._return_unacked(self.channels.pop(number))
-        self.send_method(number, methods.ChannelCloseOk())
+    def on_channel_close(self, channel_number, method):
+        self._return_unacked(self.channels.pop(channel_number))
+        self.send_method(channel_number, methods.ChannelCloseOk())
 
-    def on_channel_close_ok(self, number, method):
+    def on_channel_close_ok(self, channel_number, method):
         pass
 
     # Consumers and deliveries.
 
-    def on_basic_qos(self, number, method):
-        self.channels[number].prefetch = method.prefetch_count
-        self.send_method(number, methods.BasicQosOk())
+    def on_basic_qos(self, channel_number, method):
+        self.channels[channel_number].prefetch = method.prefetch_count
+        self.send_method(channel_number, methods.BasicQosOk())
 
-    def on_basic_consume(self, number, method):
-        channel = self.channels[number]
+    def on_basic_consume(self, channel_number, method):
+        channel = self.channels[channel_number]
         channel.queue = method.queue
         channel.consumer_tag = method.consumer_tag
-        self.send_method(number, methods.BasicConsumeOk(consumer_tag=method.consumer_tag))
+        self.send_method(channel_number, methods.BasicConsumeOk(consumer_tag=method.consumer_tag))
         self.deliver()
 
-    def on_basic_cancel(self, number, method):
+    def on_basic_cancel(self, channel_number, method):
         self._broker.cancel_count += 1
-        channel = self.channels[number]
+        channel = self.channels[channel_number]
         if self._broker.message_during_cancel:
             self._broker.put(channel.queue, "crossing", **self._broker.message_during_cancel)
         channel.consumer_tag = None
-        self.send_method(number, methods.BasicCancelOk(consumer_tag=method.consumer_tag))
+        self.send_method(channel_number, methods.BasicCancelOk(consumer_tag=method.consumer_tag))
 
-    def on_basic_ack(self, number, method):
-        self._settle(number, method.delivery_tag, Fate.ACKED)
+    def on_basic_ack(self, channel_number, method):
+        self._settle(channel_number, method.delivery_tag, Fate.ACKED)
 
-    def on_basic_reject(self, number, method):
+    def on_basic_reject(self, channel_number, method):
         fate = Fate.REQUEUED if method.requeue else Fate.REJECTED
-        self._settle(number, method.delivery_tag, fate)
+        self._settle(channel_number, method.delivery_tag, fate)
 
-    def _settle(self, number, delivery_tag, fate):
-        message = self.channels[number].unacked.pop(delivery_tag)
+    def _settle(self, channel_number, delivery_tag, fate):
+        message = self.channels[channel_number].unacked.pop(delivery_tag)
         assert message.fate is None
         message.fate = fate
         self.deliver()
 
     def _return_unacked(self, channel):
-        """Put what a channel did not settle in front of its queue again."""
+        """Put the unsettled messages of a channel back at the front of its queue."""
         for message in reversed(channel.unacked.values()):
             message.redelivered = True
             self._broker.queue(channel.queue).appendleft(message)
 
     def deliver(self):
-        """Deliver to the consumers of this connection as much as their prefetch allows."""
-        for number, channel in self.channels.items():
+        """Deliver messages to the consumers of this connection up to their prefetch limits."""
+        for channel_number, channel in self.channels.items():
             if not channel.consumer_tag:
                 continue
             queue = self._broker.queue(channel.queue)
             while queue and len(channel.unacked) < channel.prefetch:
-                self._deliver_message(number, channel, queue.popleft())
+                self._deliver_message(channel_number, channel, queue.popleft())
 
-    def _deliver_message(self, number, channel, message):
+    def _deliver_message(self, channel_number, channel, message):
         channel.last_delivery_tag += 1
         channel.unacked[channel.last_delivery_tag] = message
         message.delivery_count += 1
         self._broker.max_unacked = max(self._broker.max_unacked, len(channel.unacked))
         self.send_method(
-            number,
+            channel_number,
             methods.BasicDeliver(
                 consumer_tag=channel.consumer_tag,
                 delivery_tag=channel.last_delivery_tag,
@@ -210,48 +210,52 @@
                 routing_key=channel.queue,
             ),
         )
-        self.sock.sendall(message.content_frames(number))
+        self.sock.sendall(message.content_frames(channel_number))
 
     # Publications.
 
-    def on_confirm_select(self, number, method):
-        self.send_method(number, methods.ConfirmSelectOk())
+    def on_confirm_select(self, channel_number, method):
+        self.send_method(channel_number, methods.ConfirmSelectOk())
 
-    def on_basic_publish(self, number, method):
-        self.channels[number].publication = Publication(method.routing_key)
+    def on_basic_publish(self, channel_number, method):
+        self.channels[channel_number].publication = Publication(method.routing_key)
 
-    def _take_content(self, number, kind, payload):
-        """Take the header or a part of the body of a publication."""
-        channel = self.channels[number]
+    def _handle_content(self, channel_number, frame_type, payload):
+        """Handle the header or a part of the body of a publication."""
+        channel = self.channels[channel_number]
         publication = channel.publication
-        if kind == FrameType.HEADER:
+        if frame_type == FrameType.HEADER:
             publication.properties = content.decode_properties(payload)
-            publication.left_bytes = content.decode_body_size(payload)
+            publication.remaining_bytes = content.decode_body_size(payload)
         else:
             publication.body += payload
-            publication.left_bytes -= len(payload)
-        if not publication.left_bytes:
+            publication.remaining_bytes -= len(payload)
+        if not publication.remaining_bytes:
             channel.publish_count += 1
-            self._confirm(number, publication, channel.publish_count)
+            self._confirm(channel_number, publication, channel.publish_count)
 
-    def _confirm(self, number, publication, delivery_tag):
-        """Keep a publication that is complete and confirm it, or do neither."""
+    def _confirm(self, channel_number, publication, delivery_tag):
+        """Store a complete publication and confirm it; refuse it with a nack, or return it, if the broker is set to."""
         if self._broker.nacks_left:
             self._broker.nacks_left -= 1
-            self.send_method(number, methods.BasicNack(delivery_tag=delivery_tag, multiple=False, requeue=False))
+            self.send_method(
+                channel_number, methods.BasicNack(delivery_tag=delivery_tag, multiple=False, requeue=False)
+            )
             return
         if self._broker.returns_unroutable:
-            self._return_publication(number, publication)
+            self._return_publication(channel_number, publication)
         else:
             reply = Reply(publication.queue, publication.properties, publication.body.decode())
             self._broker.replies.append(reply)
-        self.send_method(number, methods.BasicAck(delivery_tag=delivery_tag, multiple=False))
+        self.send_method(channel_number, methods.BasicAck(delivery_tag=delivery_tag, multiple=False))
 
-    def _return_publication(self, number, publication):
+    def _return_publication(self, channel_number, publication):
         self.send_method(
-            number,
+            channel_number,
             methods.BasicReturn(
                 reply_code=NO_ROUTE_CODE, reply_text="NO_ROUTE", exchange="", routing_key=publication.queue
             ),
         )
-        self.sock.sendall(content.encode_content(number, publication.properties, publication.body, MAX_FRAME_BYTES))
+        self.sock.sendall(
+            content.encode_content(channel_number, publication.properties, publication.body, MAX_FRAME_BYTES)
+        )
--- a/lapispick/fakes/busy_processes.py
+++ b/lapispick/fakes/busy_processes.py
@@ -1,12 +1,12 @@
-"""Processes that use the machine's cores beside what is tested or measured."""
+"""Processes that occupy the machine's cores during a test or measurement."""
 
 import contextlib
 import subprocess
 import sys
 
-MAX_DURATION_S = 120  # ends them where a test is killed
+MAX_DURATION_S = 120  # the processes end by then even if the test is killed
 
-SPIN_ON_CORES = """
+BUSY_LOOP_CODE = """
 import os, sys, time
 if sys.argv[2:]:
     os.sched_setaffinity(0, map(int, sys.argv[2:]))
@@ -18,8 +18,8 @@
 
 @contextlib.contextmanager
 def busy_processes(count, cores=()):
-    """Run processes that use a core each, on these cores or any; returns them."""
-    command = [sys.executable, "-c", SPIN_ON_CORES, str(MAX_DURATION_S), *map(str, cores)]
+    """Run processes that occupy one core each, of the given cores or any, and yield the processes."""
+    command = [sys.executable, "-c", BUSY_LOOP_CODE, str(MAX_DURATION_S), *map(str, cores)]
     processes = [subprocess.Popen(command) for _ in range(count)]
     try:
         yield processes
--- a/lapispick/fakes/commands.py
+++ b/lapispick/fakes/commands.py
@@ -1,4 +1,4 @@
-"""Runs of the command line as processes of their own."""
+"""Runs of the command line in separate processes."""
 
 import subprocess
 import sys
@@ -10,11 +10,11 @@
 
 
 def run_lapispick(*arguments, **options):
-    """Run ``lapispick`` with these arguments until it ends; returns its status and output as text."""
+    """Run ``lapispick`` with these arguments and return the completed process, with its output as text."""
     defaults = {"capture_output": True, "text": True, "timeout": COMMAND_TIMEOUT_S, "cwd": ROOT}
     return subprocess.run([*COMMAND, *arguments], **{**defaults, **options})
 
 
 def start_lapispick(*arguments, **options):
-    """Start ``lapispick`` with these arguments; returns the process."""
+    """Start ``lapispick`` with these arguments and return the process."""
     return subprocess.Popen([*COMMAND, *arguments], **{"cwd": ROOT, **options})
--- a/lapispick/fakes/connection_pool.py
+++ b/lapispick/fakes/connection_pool.py
@@ -1,17 +1,20 @@
-"""A gateway's connections to one worker host, as the protocol has them: bounded open requests, goaway obeyed."""
+"""A gateway's pool of connections to one worker host.
+
+As the protocol requires, the number of open requests on a connection is bounded, and no request is sent after a goaway.
+"""
 
 import contextlib
 import json
 import socket
 import threading
 
-MAX_OPEN_REQUESTS = 32  # on one connection; a host may close one with more
+MAX_OPEN_REQUESTS = 32  # on one connection; a host may close a connection with more
 CONNECT_TIMEOUT_S = 5
-CLOSED = None  # in place of an answer: the connection ended without one
+CLOSED = None  # instead of an answer: the connection ended before the answer arrived
 
 
 class PoolConnection:
-    """One connection, with a thread that reads it and calls ``on_answer(token, answer)`` for each request."""
+    """A connection with a reader thread, which calls ``on_answer(token, answer)`` for each request."""
 
     def __init__(self, address, on_answer):
         host, port = address.rsplit(":", 1)
@@ -28,19 +31,19 @@
         threading.Thread(target=self._read, daemon=True).start()
 
     def has_capacity(self):
-        """Tell whether the connection takes one more request."""
+        """Return True if another request may be sent on the connection."""
         return not self.is_closed and not self.goaway_received and len(self.open_tokens) < MAX_OPEN_REQUESTS
 
     def send(self, method, token, params):
-        """Send a request; False where the connection had ended, and nothing of it was sent."""
-        with self._send_lock:  # ids count up on the wire too
+        """Send a request; return False, with nothing sent, if the connection has no capacity."""
+        with self._send_lock:  # requests must be sent in the order of their ids
             with self.lock:
                 if not self.has_capacity():
                     return False
                 self.last_id += 1
                 self.open_tokens[self.last_id] = token
             message = {"jsonrpc": "2.0", "id": self.last_id, "method": method, "params": params}
-            with contextlib.suppress(OSError):  # the reader notices the end too, and reports all that was open
+            with contextlib.suppress(OSError):  # the reader detects the end too and reports all open requests
                 self.sock.sendall(json.dumps(message).encode() + b"\n")
         return True
 
@@ -49,7 +52,7 @@
             for line in self.sock.makefile("rb"):
                 if not line.endswith(b"\n"):
                     break
-                self._take(json.loads(line))
+                self._handle_message(json.loads(line))
         with self.lock:
             self.is_closed = True
             unanswered = list(self.open_tokens.values())
@@ -58,7 +61,7 @@
             self._on_answer(token, CLOSED)
         self.sock.close()
 
-    def _take(self, message):
+    def _handle_message(self, message):
         if message.get("method") == "goaway":
             self.goaway_received = True
         else:
@@ -69,15 +72,16 @@
             self.close()
 
     def close(self):
-        """Shut the connection down; its reader ends."""
+        """Shut the connection down, which ends its reader thread."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
 
 
 class ConnectionPool:
-    """As many connections as the open requests need. Threads that read call ``on_answer(token, answer)``.
+    """A pool of as many connections to a worker host as the open requests need.
 
-    The answer is ``CLOSED`` where a connection ended without one. A token of None is an answer that nobody asked for.
+    The reader threads call ``on_answer(token, answer)``. The answer is ``CLOSED`` if the connection ended before it
+    arrived. The token is None for an answer that belongs to no open request.
     """
 
     def __init__(self, address, on_answer):
@@ -87,7 +91,7 @@
         self._lock = threading.Lock()
 
     def send_request(self, method, token, params):
-        """Send a request on a connection with capacity; raises ``OSError`` where the host accepts none."""
+        """Send a request on a connection with capacity; raises ``OSError`` if the host refuses a new connection."""
         while True:
             connection = self._connection_with_capacity()
             if connection.send(method, token, params):
@@ -95,7 +99,7 @@
 
     def _connection_with_capacity(self):
         with self._lock:
-            self._connections = [each for each in self._connections if not each.is_closed]
+            self._connections = [connection for connection in self._connections if not connection.is_closed]
             for connection in self._connections:
                 if connection.has_capacity():
                     return connection
--- a/lapispick/fakes/executor.py
+++ b/lapispick/fakes/executor.py
@@ -7,7 +7,7 @@
 import time
 from typing import NamedTuple
 
-from lapispick.fakes.fake_server import FakeServer, has_ended
+from lapispick.fakes.fake_server import FakeServer, is_closed_by_peer
 from lapispick.fakes.messages import encode_base64
 from lapispick.fakes.waiting import wait_until
 
@@ -15,12 +15,12 @@
 RUN_SPENT_MS = 20.0
 WELCOME_SPENT_MS = 1000
 GAUGE_READINGS = (0.2, 0.5, 0.1, 3.0)
-# Bodies of requests that nobody waits for, and the outcome of their run.
-OUTCOME_BY_ABANDONED_BODY = {"over": "cancelled", "never": "unknown"}
+# Bodies of requests that the executor treats as abandoned: it ends them at once, without a run, with this outcome.
+ABANDONED_OUTCOME_BY_BODY = {"over": "cancelled", "never": "unknown"}
 
 
 class Run(NamedTuple):
-    """One run that was started."""
+    """A run that was started."""
 
     task: str
     handler: str
@@ -28,10 +28,14 @@
 
 
 class Executor(FakeServer):
-    """Executes requests as their body orders.
-
-    ``hold`` waits for ``end_run``, ``call:X`` requests a call of the store with body X, ``stay:X`` does so and then
-    waits for ``end_run``, ``error`` and ``unknown`` fail. Others end at once, or after ``work_s`` on one of the cores.
+    """A fake executor that runs each request as its body says.
+
+    - ``hold`` waits for ``end_run``;
+    - ``call:X`` requests a store call with body X and ends when the call returns;
+    - ``stay:X`` requests the same call and then waits for ``end_run``;
+    - ``error`` and ``unknown`` fail;
+    - the keys of ``ABANDONED_OUTCOME_BY_BODY`` end at once with their outcome;
+    - all others succeed at once, or after ``work_s`` on one of the cores.
     """
 
     def __init__(self, work_s=0.0, cores=2, is_up=True):
@@ -44,9 +48,11 @@
         self.work_s = work_s
         self.slots = threading.Semaphore(cores)
         self.resends_all_notices = False  # on a new connection
-        self.max_resent_notices = MAX_RESENT_NOTICES  # on a new connection; those before them are lost
-        self.withheld_fences = None  # a list: commands that ask whether all missed notices were read wait in it
-        self.ignores_commands = False  # reads commands and does nothing, like a connection about to break
+        self.max_resent_notices = MAX_RESENT_NOTICES  # on a new connection; older ones are lost
+        # If a list, it collects the commands for the fence of a link, which are then not answered. The answer shows the
+        # host that it has read all notices that it missed.
+        self.withheld_fences = None
+        self.ignores_commands = False  # read commands without handling them, like a connection about to break
         super().__init__()
 
     def serve(self, connection):
@@ -54,8 +60,8 @@
             command = json.loads(line)
             self.received_verbs.append(command["verb"])
             with self.lock:
-                if command["verb"] == "JOIN" and has_ended(connection):
-                    # The host may have joined on its next connection before this thread came to read this one.
+                if command["verb"] == "JOIN" and is_closed_by_peer(connection):
+                    # The host may already have joined on its next connection before this thread read the command.
                     return
                 if not self.ignores_commands:
                     self.commands.append(command)
@@ -63,11 +69,11 @@
                     handler(connection, command)
 
     def send(self, connection, **message):
-        """Send a message that is not numbered."""
+        """Send a message without an index."""
         connection.sendall(json.dumps(message).encode() + b"\n")
 
     def send_notice(self, **notice):
-        """Send a numbered notice on the present connection, if there is one, and keep it."""
+        """Store a notice with its index, and send it on the current connection, if it is open."""
         with self.lock:
             notice["index"] = len(self.notices) + 1
             self.notices.append(notice)
@@ -75,25 +81,25 @@
                 self.send(self.connection, **notice)
 
     def become_ready(self):
-        """Welcome the host, after a start with ``is_up=False``."""
+        """Send the host its WELCOME, after a start with ``is_up=False``."""
         with self.lock:
             self.is_up = True
             self.on_join(self.connection, {"index": 0})
 
     def end_run(self, task, outcome="complete", result="done"):
-        """End a run."""
+        """Send the notice that a run has ended."""
         self.send_notice(verb="EXIT", task=task, outcome=outcome, spent=RUN_SPENT_MS, bytes=encode_base64(result))
 
     def runs_of(self, body):
-        """Return the runs with a body."""
+        """Return the runs of requests with this body."""
         return [run for run in self.runs if run.body == body]
 
     def wait_for_run(self, body):
-        """Wait until a run with a body was started; returns it."""
+        """Wait until a request with this body was started, and return its first run."""
         return wait_until(lambda: self.runs_of(body), f"a run of {body}")[0]
 
     def end_run_of(self, body, result):
-        """End the first run with a body."""
+        """End the first run of a request with this body."""
         self.end_run(self.runs_of(body)[0].task, result=result)
 
     def on_join(self, connection, command):
@@ -110,8 +116,8 @@
         body = base64.b64decode(command["bytes"]).decode()
         if body == "unknown":
             self.send(connection, verb="BAD", outcome="EXEC", task=task)
-        elif body in OUTCOME_BY_ABANDONED_BODY:
-            self.send_notice(verb="EXIT", task=task, outcome=OUTCOME_BY_ABANDONED_BODY[body], spent=0, bytes="")
+        elif body in ABANDONED_OUTCOME_BY_BODY:
+            self.send_notice(verb="EXIT", task=task, outcome=ABANDONED_OUTCOME_BY_BODY[body], spent=0, bytes="")
         else:
             run = Run(task, command["handler"], body)
             self.runs.append(run)
@@ -136,7 +142,8 @@
     def on_kill(self, connection, command):
         self.end_run(command["task"], outcome="cancelled", result="")
 
-    def on_wake(self, connection, command):  # runs that it cancels have ended
+    def on_wake(self, connection, command):
+        # This executor cancels a run by ending it, so none can be resumed.
         self.send(connection, verb="BAD", outcome="WAKE", task=command["task"])
 
     def on_return(self, connection, command):
--- a/lapispick/fakes/fake_server.py
+++ b/lapispick/fakes/fake_server.py
@@ -1,4 +1,4 @@
-"""Base of fake peers that accept TCP connections."""
+"""Base class of the fake peers that accept TCP connections."""
 
 import contextlib
 import socket
@@ -11,8 +11,8 @@
 OLD_CONNECTIONS_CLOSE_AFTER_S = 1.5
 
 
-def has_ended(connection):
-    """Tell whether the peer has closed a connection, and nothing of it is left to read."""
+def is_closed_by_peer(connection):
+    """Return True if the peer has closed a connection and all its data was read."""
     try:
         return connection.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
     except BlockingIOError:
@@ -20,7 +20,7 @@
 
 
 class ByteByByteSocket:
-    """A socket that sends each byte by itself."""
+    """A socket that sends each byte in a separate call."""
 
     def __init__(self, sock):
         self._sock = sock
@@ -34,9 +34,9 @@
 
 
 class FakeServer:
-    """Accepts connections on a loopback port of the test worker's range, each served by a thread of its own."""
+    """A server on a loopback port of the test process's range, with one thread for each connection."""
 
-    byte_by_byte = False  # send each byte by itself
+    byte_by_byte = False  # send each byte in a separate call
 
     def __init__(self):
         self.lock = threading.RLock()
@@ -54,15 +54,15 @@
         self.start_accepting()
 
     def start_accepting(self):
-        """Accept connections of the present listener in a thread."""
+        """Accept connections on the current listener in a thread."""
         threading.Thread(target=self._accept, args=(self.sock,), daemon=True).start()
 
     def serve(self, connection):
-        """Serve one connection until it ends; for subclasses."""
+        """Serve one connection until it ends; subclasses implement this."""
         raise NotImplementedError
 
     def relocate(self, break_connections=True):
-        """Go on at a new address; the old listener and, by default, its connections are closed a little later."""
+        """Listen at a new address, and close the old listener and, by default, its connections shortly afterwards."""
         old_listener = self.sock
         old_connections = list(self.connections)
         self.listen()
@@ -93,9 +93,9 @@
             connection.close()
 
     def disconnect(self, connections=None):
-        """Break connections, by default all."""
-        broken = list(self.connections) if connections is None else connections
-        for connection in broken:
+        """Break the given connections, by default all."""
+        connections_to_break = list(self.connections) if connections is None else connections
+        for connection in connections_to_break:
             with contextlib.suppress(OSError):
                 connection.shutdown(socket.SHUT_RDWR)
             if connection in self.connections:
@@ -104,6 +104,6 @@
     def close(self):
         """Stop listening and break all connections."""
         with contextlib.suppress(OSError):
-            self.sock.shutdown(socket.SHUT_RDWR)  # or the thread that accepts would keep it open
+            self.sock.shutdown(socket.SHUT_RDWR)  # ends the accept call, which would keep the socket open
         self.sock.close()
         self.disconnect()
--- a/lapispick/fakes/gateway.py
+++ b/lapispick/fakes/gateway.py
@@ -1,4 +1,4 @@
-"""One JSON-RPC connection of a gateway to a worker host."""
+"""A JSON-RPC connection of a gateway to a worker host."""
 
 import base64
 import contextlib
@@ -8,12 +8,12 @@
 from lapispick.fakes.messages import request_params
 from lapispick.fakes.waiting import TIMEOUT_S
 
-MISBEHAVIOUR_DEADLINE_S = 3.0  # by then a misbehaving client has its rejection, error or close
-CLOSED = "closed"  # in place of a message
+MISBEHAVIOUR_DEADLINE_S = 3.0  # within this a misbehaving client must receive a rejection, an error or a close
+CLOSED = "closed"  # follows the last message if the connection was closed
 
 
 class GatewayConnection:
-    """Sends requests one by one on a connected socket and keeps their answers."""
+    """A gateway's end of a connection; it sends requests on a socket and stores their answers by request id."""
 
     def __init__(self, sock):
         self.sock = sock
@@ -29,64 +29,67 @@
         return cls(socket.create_connection((host, int(port)), timeout=TIMEOUT_S))
 
     def send(self, method, **params):
-        """Send a request with these parameters and return its id."""
+        """Send a request with the given parameters and return its id."""
         self.last_id += 1
         message = {"jsonrpc": "2.0", "id": self.last_id, "method": method, "params": params}
         self.send_line(json.dumps(message).encode())
         return self.last_id
 
     def send_line(self, line):
-        """Send bytes as they are, with an end of line."""
+        """Send bytes unchanged, followed by a line feed."""
         self.sock.sendall(line + b"\n")
 
-    def cancel(self, number):
-        """Tell the host that nobody waits for a request any more."""
-        message = {"jsonrpc": "2.0", "method": "giveUp", "params": {"id": number}}
+    def cancel(self, request_id):
+        """Tell the host that the client has cancelled a request."""
+        message = {"jsonrpc": "2.0", "method": "giveUp", "params": {"id": request_id}}
         self.send_line(json.dumps(message).encode())
 
-    def request_line(self, method, body="x", number=1, **over):
-        """Return a request as a line, with changes; what is changed to None is left out."""
-        params = {key: value for key, value in request_params(body, **over).items() if value is not None}
+    def request_line(self, method, body="x", number=1, **overrides):
+        """Return a request as a line, with some parameters overridden; fields and parameters of None are left out."""
+        params = {key: value for key, value in request_params(body, **overrides).items() if value is not None}
         message = {"jsonrpc": "2.0", "id": number, "method": method, "params": params}
         return json.dumps({key: value for key, value in message.items() if value is not None}).encode()
 
-    def request(self, method, body, nonce=None, **over):
-        """Send a request of a class with a body and perhaps an idempotency key; return its id."""
+    def request(self, method, body, nonce=None, **overrides):
+        """Send a request with an optional idempotency key and return its id; the method is the request class."""
         key = {"nonce": nonce} if nonce else {}
-        return self.send(method, **request_params(body, **over), **key)
+        return self.send(method, **request_params(body, **overrides), **key)
 
     def read(self):
-        """Read one message; an answer is kept under its id, and a second one for an id is a failure."""
+        """Read one message and store it if it is an answer; fails on a second answer to the same request."""
         line = self.file.readline()
         assert line, "the connection was closed"
         message = json.loads(line)
         if message.get("method") == "goaway":
             self.goaway_received = True
         else:
-            assert message["id"] not in self.answers
+            assert message["id"] not in self.answers, f"request {message['id']} was answered twice"
             self.answers[message["id"]] = message
         return message
 
-    def answer(self, number):
-        """Wait for the answer to a request."""
-        while number not in self.answers:
+    def answer(self, request_id):
+        """Wait for the answer to a request and return it."""
+        while request_id not in self.answers:
             self.read()
-        return self.answers[number]
+        return self.answers[request_id]
 
-    def result(self, number):
-        """Wait for the result of a request that was served."""
-        return base64.b64decode(self.answer(number)["result"]["doc"]).decode()
+    def result(self, request_id):
+        """Wait until a request is served and return its result."""
+        return base64.b64decode(self.answer(request_id)["result"]["doc"]).decode()
 
-    def error_code(self, number):
-        """Wait for the error code of a request that was rejected or failed."""
-        return self.answer(number)["error"]["code"]
+    def error_code(self, request_id):
+        """Wait until a request is rejected or fails and return its error code."""
+        return self.answer(request_id)["error"]["code"]
 
     def is_healthy(self):
-        """Ask for the health of the host, and return it."""
+        """Send a health check and return True if the host answers that it is healthy."""
         return self.answer(self.send("probe"))["result"]["healthy"]
 
     def read_until_quiet(self, within_s):
-        """Return the messages until none comes for a while, and ``CLOSED`` after them; the first is waited for."""
+        """Return the messages up to a silence of ``within_s``, followed by ``CLOSED`` if the connection was closed.
+
+        Waits up to ``MISBEHAVIOUR_DEADLINE_S`` for the first message.
+        """
         messages = []
         self.sock.settimeout(MISBEHAVIOUR_DEADLINE_S)
         with contextlib.suppress(OSError):
--- a/lapispick/fakes/host_pauses.py
+++ b/lapispick/fakes/host_pauses.py
@@ -1,8 +1,9 @@
-"""Measures how long the machine paused the test or a worker host, so that no rule counts it against the host.
+"""Measures for how long the machine paused the test or a worker host, so that no rule counts it against the host.
 
-A thread that wakes every few ms records each wake-up that came late; for the processes of hosts the system tells how
-long they were runnable without a core (``/proc/PID/schedstat``). The platform's rules leave out the time in which the
-machine pauses; here it is as much as was measured while a request was open, and nothing on a quiet machine.
+For the test, a thread with a timer of a few ms records each late wake-up. For the processes of hosts, the system
+reports how long they were runnable without a core (``/proc/PID/schedstat``). The platform's rules exclude the time for
+which the machine pauses. The tests exclude the pauses that were measured while a request was open, which is nothing on
+an idle machine.
 """
 
 import contextlib
@@ -12,14 +13,14 @@
 from typing import NamedTuple
 
 WAKE_INTERVAL_S = 0.01
-MIN_PAUSE_S = 0.02  # shorter ones within an interval are usual on any machine
-WAKES_PER_CHECK = 5  # of the hosts' processes
+MIN_PAUSE_S = 0.02  # shorter pauses within an interval occur on any machine
+WAKES_PER_CHECK = 5  # between two checks of the hosts' processes
 FIND_PROCESSES_INTERVAL_S = 1.0
-TEST_PROCESS = ""  # in place of a host's name
+TEST_PROCESS = ""  # instead of a host's name
 
 
 class Pause(NamedTuple):
-    """A span, Unix s, within which a host or the test was paused for a time."""
+    """A pause of a host or of the test, with the span (Unix time in s) within which it occurred."""
 
     since: float
     until: float
@@ -28,19 +29,19 @@
 
 
 class PauseMonitor(threading.Thread):
-    """Records pauses of the test and of hosts; each host has a ``name`` and ``serving_pids()``."""
+    """A thread that records pauses of the test and of hosts; each host needs ``name`` and ``serving_pids()``."""
 
     def __init__(self, hosts):
         super().__init__(daemon=True)
         self.pauses = []
         self._hosts = hosts
         self._stopped = threading.Event()
-        self._waited_s = {}  # process id -> time without a core so far
+        self._waited_s = {}  # process id -> total time for which it was runnable without a core
 
     def run(self):
         last_wake = time.time()
         last_check = last_wake
-        found_at = 0.0
+        processes_found_at = 0.0
         wakes = 0
         pids = []
         while not self._stopped.wait(WAKE_INTERVAL_S):
@@ -50,8 +51,8 @@
             wakes += 1
             if wakes % WAKES_PER_CHECK:
                 continue
-            if now - found_at >= FIND_PROCESSES_INTERVAL_S:
-                found_at = now
+            if now - processes_found_at >= FIND_PROCESSES_INTERVAL_S:
+                processes_found_at = now
                 pids = [(host.name, pid) for host in list(self._hosts) for pid in _serving_pids(host)]
             for name, pid in pids:
                 self._check_process(name, pid, last_check, now)
@@ -71,7 +72,7 @@
             self.pauses.append(Pause(since, until, host, paused_s))
 
     def paused_s(self, host, since, until):
-        """Return for how long the test and this host were paused in a span."""
+        """Return the total time, s, of the pauses of the test and this host that overlap a span."""
         return sum(
             pause.paused_s
             for pause in list(self.pauses)
@@ -84,14 +85,14 @@
 
 
 def _serving_pids(host):
-    with contextlib.suppress(OSError):  # it may end at any moment
+    with contextlib.suppress(OSError):  # a process may end while the host is asked
         return host.serving_pids()
     return []
 
 
 @contextlib.contextmanager
 def measure_pauses(host):
-    """Return what tells for how long the machine has paused a host process or the test since here, s."""
+    """Yield a function that returns the total time, s, of the pauses of a host process and the test since this call."""
     since = time.time()
     name = "host"
     monitor = PauseMonitor([types.SimpleNamespace(name=name, serving_pids=lambda: [host.process.pid])])
--- a/lapispick/fakes/host_process.py
+++ b/lapispick/fakes/host_process.py
@@ -1,4 +1,4 @@
-"""A worker host as a process, with fakes for its peers."""
+"""A worker host in a separate process, with fakes of its peers."""
 
 import contextlib
 import json
@@ -21,9 +21,9 @@
 
 
 class HostProcess:
-    """A process of the worker host.
+    """A process of a worker host.
 
-    ``omit`` names start settings that are left out; ``environ`` adds to the environment.
+    ``omit`` lists start settings to leave out; ``environ`` holds additional environment variables.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         self.process = subprocess.Popen(command, stderr=self.log_path.open("w"), cwd=cwd, env=environment)
 
     def _peer_addresses(self):
-        """Return the addresses of the peers, by their start settings."""
+        """Return the addresses of the peers, keyed by start setting."""
         return {
             "executor": self.executor.address,
             "store": self.store.address,
@@ -80,18 +80,18 @@
 
     def _wait_for_start(self, wait_for_ready):
         try:
-            line = wait_until(lambda: re.search(r"event=started .*listen=(\S+)", self.log()), "the start")
-            self.address = line.group(1)
-            found = re.search(r"event=started .*ops=(\S+)", self.log())
-            self.ops = found.group(1) if found else ""  # an earlier version has none
+            listen_match = wait_until(lambda: re.search(r"event=started .*listen=(\S+)", self.log()), "the start")
+            self.address = listen_match.group(1)
+            ops_match = re.search(r"event=started .*ops=(\S+)", self.log())
+            self.ops = ops_match.group(1) if ops_match else ""  # earlier versions have no ops address
             if wait_for_ready:
                 self.wait_for_log("ready")
         except AssertionError:
             self.close()
             raise
 
-    def start_successor(self, **over):
-        """Start the program again beside this process, as an upgrade does; the executor is another one."""
+    def start_successor(self, **overrides):
+        """Start a second process of this host, as an upgrade does, with a new executor."""
         options = {
             "store": self.store,
             "registry": self.registry,
@@ -99,10 +99,10 @@
             "stop_ms": self.config["stop_ms"],
             "info": self.config["settings"],
         }
-        return HostProcess(self.folder, **{**options, **over})
+        return HostProcess(self.folder, **{**options, **overrides})
 
     def log(self):
-        """Return what the process logged so far."""
+        """Return the log of the process so far."""
         return self.log_path.read_text()
 
     def wait_for_log(self, event):
@@ -110,58 +110,61 @@
         return wait_until(lambda: f"event={event}" in self.log(), f"log line {event}")
 
     def check_log(self):
-        """Fail where a part of the program raised."""
-        assert internal_errors(self.log()) == [], "a part of it raised"
+        """Fail if the process logged an internal error."""
+        assert internal_errors(self.log()) == [], "the host logged internal errors"
 
     def gateway(self):
-        """Return a new connection of a gateway."""
+        """Return a new gateway connection to the host."""
         return GatewayConnection.connect(self.address)
 
     def call_operators(self, line=b"check", end=b"\n"):
-        """Call as operators do; return the lines of the answer."""
+        """Send a call to the ops address and return the lines of the answer."""
         host, port = self.ops.split(":")
         with socket.create_connection((host, int(port)), timeout=TIMEOUT_S) as sock:
             sock.sendall(line + end)
             return sock.makefile("rb").read().decode().splitlines()
 
     def metrics(self):
-        """Return the metrics by name, without their ``app.``."""
+        """Return the metrics by name, without the prefix ``app.``."""
         *lines, last = self.call_operators(b"vars")
         assert last == "END"
         pairs = [re.fullmatch(r"app\.(\S+):(\d+)\|[cg]", line).groups() for line in lines]
         return {name: int(value) for name, value in pairs}
 
     def peak_memory_mb(self):
-        """Return the peak memory of the process."""
+        """Return the peak resident memory of the process, in MB."""
         with open(f"/proc/{self.process.pid}/status") as file:
             return int(re.search(r"VmHWM:\s+(\d+)", file.read()).group(1)) / 1024
 
-    def reload(self, text=None, omit=(), **over):
-        """Replace the start settings, by default with the peers' present addresses, send SIGHUP and wait."""
+    def reload(self, text=None, omit=(), **overrides):
+        """Replace the start settings, send SIGHUP and wait for the reload.
+
+        By default the settings are those of the start, with the current addresses of the peers.
+        """
         peers = {key: address for key, address in self._peer_addresses().items() if key not in omit}
         reloads_before = self.log().count("event=reload")
-        temporary = self.path.with_suffix(".new")
-        temporary.write_text(text or json.dumps({**self.config, **peers, **over}))
-        temporary.replace(self.path)
+        temporary_path = self.path.with_suffix(".new")
+        temporary_path.write_text(text or json.dumps({**self.config, **peers, **overrides}))
+        temporary_path.replace(self.path)
         self.process.send_signal(signal.SIGHUP)
         wait_until(lambda: self.log().count("event=reload") > reloads_before, "the reload")
 
     def terminate(self):
-        """Request a shutdown, by SIGTERM."""
+        """Request a shutdown with SIGTERM."""
         self.process.send_signal(signal.SIGTERM)
 
     @contextlib.contextmanager
     def suspended(self):
-        """Stop the process for a while: what is sent meanwhile is there at once when it goes on."""
+        """Suspend the process; when it resumes, it finds all data that was sent meanwhile at once."""
         self.process.send_signal(signal.SIGSTOP)
         try:
-            wait_until(self.is_suspended, "the stop")
+            wait_until(self.is_suspended, "the suspension of the process")
             yield
         finally:
             self.process.send_signal(signal.SIGCONT)
 
     def is_suspended(self):
-        """Tell whether the process is stopped, or has ended."""
+        """Return True if the process is suspended or has ended."""
         with open(f"/proc/{self.process.pid}/status") as file:
             return re.search(r"State:\s+[TZ]", file.read()) is not None
 
--- a/lapispick/fakes/messages.py
+++ b/lapispick/fakes/messages.py
@@ -1,14 +1,14 @@
-"""Contents of the messages that gateways and executors send."""
+"""Parts of the messages that gateways and executors send."""
 
 import base64
 import random
 import time
 
-REJECTED_CODE = -32050  # of a JSON-RPC error: the request was not executed
+REJECTED_CODE = -32050  # JSON-RPC error code: the request was rejected without being executed
 
 
 def encode_base64(body):
-    """Return text or bytes in base64, as text."""
+    """Return text or bytes encoded in base64, as text."""
     return base64.b64encode(body.encode() if isinstance(body, str) else body).decode()
 
 
@@ -17,8 +17,8 @@
     return f"{rng.getrandbits(128):032x}"
 
 
-def request_params(body="x", **over):
-    """Return the parameters of a JSON-RPC request, with changes."""
+def request_params(body="x", **overrides):
+    """Return the parameters of a JSON-RPC request, with some of them overridden."""
     return {
         "trace": f"{random.getrandbits(64):016x}",
         "born": time.time() * 1000,
@@ -28,5 +28,5 @@
         "size": 20.0,
         "order": 0.5,
         "doc": encode_base64(body),
-        **over,
+        **overrides,
     }
--- a/lapispick/fakes/ports.py
+++ b/lapispick/fakes/ports.py
@@ -1,4 +1,4 @@
-"""Ports for processes that a test starts, and calls to operators' addresses."""
+"""Ports for processes that a test starts, and calls to the ops address of a process."""
 
 import contextlib
 import functools
@@ -7,15 +7,15 @@
 import socket
 
 LOOPBACK = "127.0.0.1"
-FIRST_PORT = 10_000  # all ranges lie below the ports that the system gives to whoever asks for any
+FIRST_PORT = 10_000  # all ranges lie below the ephemeral ports of the system
 PORTS_PER_RANGE = 500
 MAX_RANGES = 40
 _port_numbers = itertools.count()
-_claims = []  # sockets that are bound as long as this process lives
+_range_claims = []  # sockets that stay bound until this process ends
 
 
 def free_port():
-    """Return a port that stays free until it is used; see ``bind_in_own_range``."""
+    """Return a port that no other process of the tests binds; see ``bind_in_own_range``."""
     with socket.socket() as sock:
         return bind_in_own_range(sock)
 
@@ -23,38 +23,38 @@
 def bind_in_own_range(sock):
     """Bind a socket to a loopback port that no other process of the tests uses, and return the port.
 
-    A port that the system chooses may have been another test's a moment before, and a client that has not noticed the
-    end of its server would connect to this one. Each process that runs tests therefore has a range of its own and goes
-    through it in turn.
+    An ephemeral port may have belonged to another test shortly before. A client of that test that has not yet noticed
+    that its server has ended would then connect to the new server. Therefore each process that runs tests has its own
+    range of ports and uses them in rotation.
     """
-    first = _claimed_range()
+    first_port = _claim_range()
     for _ in range(PORTS_PER_RANGE):
-        port = first + next(_port_numbers) % PORTS_PER_RANGE
+        port = first_port + next(_port_numbers) % PORTS_PER_RANGE
         with contextlib.suppress(OSError):
             sock.bind((LOOPBACK, port))
             return port
-    raise AssertionError("no port is free")
+    raise AssertionError(f"all {PORTS_PER_RANGE} ports from {first_port} on are in use")
 
 
 @functools.cache
-def _claimed_range():
-    """Claim a range for this process by binding its first port, and return that port."""
+def _claim_range():
+    """Claim a range of ports for this process by binding its first port, and return that port."""
     for number in range(MAX_RANGES):
-        first = FIRST_PORT + PORTS_PER_RANGE * ((os.getpid() + number) % MAX_RANGES)
+        first_port = FIRST_PORT + PORTS_PER_RANGE * ((os.getpid() + number) % MAX_RANGES)
         claim = socket.socket()
         try:
-            claim.bind((LOOPBACK, first))
+            claim.bind((LOOPBACK, first_port))
         except OSError:
             claim.close()
         else:
-            _claims.append(claim)
-            return first
-    raise AssertionError("no range of ports is free")
+            _range_claims.append(claim)
+            return first_port
+    raise AssertionError(f"all {MAX_RANGES} ranges of ports are in use")
 
 
 @contextlib.contextmanager
 def reserved_address():
-    """Reserve a port that several processes can listen on, and return its address."""
+    """Reserve a port that several processes can listen on, and yield its address."""
     with socket.socket() as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.bind((LOOPBACK, 0))
@@ -62,7 +62,7 @@
 
 
 def call_operators(address, line, timeout=2.0):
-    """Make a call as operators do; None where nobody answers."""
+    """Send a call to an ops address and return the lines of the answer, or None if the connection fails."""
     host, port = address.rsplit(":", 1)
     try:
         with socket.create_connection((host, int(port)), timeout=timeout) as sock:
--- a/lapispick/fakes/registry.py
+++ b/lapispick/fakes/registry.py
@@ -11,21 +11,21 @@
 
 
 class LoadReport(NamedTuple):
-    """One report, with the monotonic time of its arrival."""
+    """A load report, with the monotonic time of its arrival."""
 
     received_at: float
     text: str
 
 
 class ServiceRegistry:
-    """Collects the reports that come to its UDP address."""
+    """A fake service registry that collects the reports sent to its UDP address."""
 
     def __init__(self):
         self.reports = []
         self.relocate()
 
     def relocate(self):
-        """Listen at a new address only."""
+        """Receive reports at a new address; later ones at the old address are ignored."""
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.address = f"{LOOPBACK}:{bind_in_own_range(self.sock)}"
         threading.Thread(target=self._read, args=(self.sock,), daemon=True).start()
--- a/lapispick/fakes/start_settings.py
+++ b/lapispick/fakes/start_settings.py
@@ -1,4 +1,4 @@
-"""Start settings of worker hosts, in the names of the platform's JSON."""
+"""Start settings of worker hosts, with the platform's JSON names."""
 
 import copy
 from typing import Any
@@ -53,7 +53,7 @@
 
 
 def make_platform_info(services=(), **family):
-    """Return a copy of ``PLATFORM_INFO`` with changes of classes, by their place, and of ``FamilyInfo``."""
+    """Return a copy of ``PLATFORM_INFO`` with changes to ``FamilyInfo`` and to ``Services``, in their order."""
     info = copy.deepcopy(PLATFORM_INFO)
     for service, changes in zip(info["Services"], services, strict=False):
         service.update(changes)
@@ -61,8 +61,8 @@
     return info
 
 
-def make_start_settings(**over):
-    """Return the start settings of a worker host without peers, with changes."""
+def make_start_settings(**overrides):
+    """Return the start settings of a worker host without peers, with some of them overridden."""
     return {
         "name": "n3",
         "listen": "127.0.0.1:0",
@@ -72,5 +72,5 @@
         "seed": "8c1f30d27a5be964",
         "stop_ms": 1500,
         "settings": PLATFORM_INFO,
-        **over,
+        **overrides,
     }
--- a/lapispick/fakes/store.py
+++ b/lapispick/fakes/store.py
@@ -1,4 +1,4 @@
-"""A fake store: answers the calls that requests make while they run."""
+"""A fake store: answers the calls that runs of requests make."""
 
 import itertools
 import socket
@@ -10,7 +10,7 @@
 
 LATE_REPLY_AFTER_S = 0.5
 OK_STATUS_LINE = b"HTTP/1.1 200 OK\r\n"
-UNUSABLE_REPLIES = {  # call body -> pieces of the reply; the connection stays open
+UNUSABLE_REPLIES = {  # call body -> pieces of the reply; the store does not close the connection after them
     "noise": [b"\x00\xff\x17 nothing\r\n\r\n"],
     "bare": [OK_STATUS_LINE + b"\r\n"],
     "minus": [OK_STATUS_LINE + b"Content-Length: -4\r\n\r\n"],
@@ -22,23 +22,23 @@
 }
 
 
-class Surroundings(NamedTuple):
-    """Bytes before and after a good reply."""
+class ExtraBytes(NamedTuple):
+    """Bytes that are sent before and after a valid reply."""
 
     before: bytes = b""
     after: bytes = b""
 
 
-SURROUNDED_REPLIES = {  # call body -> what comes with the reply
-    "early": Surroundings(before=b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"),
-    "double": Surroundings(after=OK_STATUS_LINE + b"Content-Length: 5\r\n\r\nwrong"),
-    "trail": Surroundings(after=b"noise\r\n"),
+REPLIES_WITH_EXTRA_BYTES = {  # by call body
+    "early": ExtraBytes(before=b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"),
+    "double": ExtraBytes(after=OK_STATUS_LINE + b"Content-Length: 5\r\n\r\nwrong"),
+    "trail": ExtraBytes(after=b"noise\r\n"),
 }
-BODIES_WITH_STATUS_200 = {"late", "forget", "hang up", *SURROUNDED_REPLIES}
+BODIES_WITH_STATUS_200 = {"late", "forget", "hang up", *REPLIES_WITH_EXTRA_BYTES}
 
 
 class StoreCall(NamedTuple):
-    """One call that was received."""
+    """A call that the store received."""
 
     request: str
     wait_ms: float
@@ -47,30 +47,33 @@
 
 
 class Store(FakeServer):
-    """Answers a call by its body.
-
-    - ``STATUS`` or ``STATUS n``, perhaps with ``#name``: a reply with this status, with ``X-Not-Run`` for ``n``;
-    - ``late``: 200 after ``LATE_REPLY_AFTER_S``; ``hang``: no reply; ``break``: a close without a reply;
-    - ``forget`` and ``hang up``: a reset or a close where the connection was used before;
-    - ``cut N``: the first N bytes of a good reply;
-    - the keys of ``UNUSABLE_REPLIES`` and ``SURROUNDED_REPLIES``.
+    """A fake store that answers each call as its body says.
+
+    - ``STATUS`` or ``STATUS n``: a reply with this status, with the header ``X-Not-Run`` if ``n`` is given; a suffix
+      ``#name`` is ignored, so that calls with the same status can have different bodies;
+    - ``late``: 200 after ``LATE_REPLY_AFTER_S``;
+    - ``hang``: no reply;
+    - ``break``: a close without a reply;
+    - ``forget`` and ``hang up``: a reset or a close if the connection was used before, otherwise 200;
+    - ``cut N``: the first N bytes of a valid reply, then a close;
+    - the keys of ``UNUSABLE_REPLIES`` and ``REPLIES_WITH_EXTRA_BYTES``: these replies.
     """
 
     def __init__(self):
         self.calls = []
-        self.ended_requests = []  # whose call was closed while it hung
+        self.ended_requests = []  # requests whose connection was closed during a ``hang``
         self._used_connections = set()
         super().__init__()
 
     @staticmethod
     def read_calls(file):
-        """Yield headers and body of each call on a connection, as long as they are complete."""
+        """Yield the headers and the body of each call on a connection, until one is incomplete."""
         while file.readline():
             headers = {}
             while (line := file.readline()).strip():
                 name, _, value = line.decode().strip().partition(": ")
                 headers[name] = value
-            if not line:  # given up in the middle of its head
+            if not line:  # closed before the end of the headers
                 return
             size = int(headers["Content-Length"])
             body = file.read(size)
@@ -87,7 +90,7 @@
                 return
 
     def _reply(self, call, file):
-        """Reply to a call; False where the connection ends with it."""
+        """Reply to a call; return False if the connection is to be closed afterwards."""
         body = call.body
         if body == "hang":
             file.read(1)
@@ -96,8 +99,8 @@
         if body == "break":
             return False
         if body == "forget" and call.connection in self._used_connections:
-            linger_0 = struct.pack("ii", 1, 0)
-            call.connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger_0)  # closes with a reset
+            zero_linger = struct.pack("ii", 1, 0)
+            call.connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, zero_linger)  # the close sends a reset
             return False
         if body == "hang up" and call.connection in self._used_connections:
             return False
@@ -117,11 +120,11 @@
         return True
 
     def _send_reply(self, call):
-        """Send a reply with the status that the call's body names; what follows ``#`` is left out."""
-        surroundings = SURROUNDED_REPLIES.get(call.body, Surroundings())
-        named = "200" if call.body in BODIES_WITH_STATUS_200 else call.body
-        status, _, not_run = named.partition("#")[0].partition(" ")
+        """Send a reply with the status in the call's body, without its suffix ``#name``."""
+        extra_bytes = REPLIES_WITH_EXTRA_BYTES.get(call.body, ExtraBytes())
+        requested_status = "200" if call.body in BODIES_WITH_STATUS_200 else call.body
+        status, _, not_run = requested_status.partition("#")[0].partition(" ")
         extra_header = "X-Not-Run: 1\r\n" if not_run else ""
         reply = f"reply {len(self.calls)}"
         head = f"HTTP/1.1 {status} Said\r\n{extra_header}Content-Length: {len(reply)}\r\n\r\n"
-        call.connection.sendall(surroundings.before + head.encode() + reply.encode() + surroundings.after)
+        call.connection.sendall(extra_bytes.before + head.encode() + reply.encode() + extra_bytes.after)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What CI does with the list of tests that are known to fail."""
+"""Tests of the script with which CI reads the list of tests that are known to fail."""
 
 import shutil
 import subprocess
@@ -13,7 +13,7 @@
 
 
 def run_known_red(folder, text):
-    """Run the script in a folder whose list holds this text."""
+    """Run the script in a folder whose list contains this text."""
     (folder / ".ci").mkdir()
     (folder / "tests").mkdir()
     shutil.copy(ROOT / ".ci" / "known_red.py", folder / ".ci")
@@ -24,10 +24,10 @@
 
 @pytest.mark.parametrize(("text", "listed"), [(ENTRY, [TEST]), ("", [])])
 def test_a_listed_test_is_passed_over(tmp_path, text, listed):
-    done = run_known_red(tmp_path, text)
-    assert done.returncode == 0
-    assert done.stdout.split() == listed
-    assert done.stderr.count("known red, passed over: ") == len(listed)
+    result = run_known_red(tmp_path, text)
+    assert result.returncode == 0
+    assert result.stdout.split() == listed
+    assert result.stderr.count("known red, passed over: ") == len(listed)
 
 
 @pytest.mark.parametrize(
@@ -41,6 +41,6 @@
     ],
 )
 def test_a_malformed_list_ends_with_a_message(tmp_path, text, message):
-    done = run_known_red(tmp_path, text)
-    assert done.returncode != 0
-    assert message in done.stderr
+    result = run_known_red(tmp_path, text)
+    assert result.returncode != 0
+    assert message in result.stderr
--- a/tests/test_program_patches.py
+++ b/tests/test_program_patches.py
@@ -1,22 +1,23 @@
-"""The places of the program that the emulated fleet's faulty hosts change exist."""
+"""Tests that the program contains the texts that the patches of faulty hosts replace."""
 
 import pytest
 
 from lapispick.fakes import program_patches
-from lapispick.fakes.program_patches import PACKAGE_FOLDER, Patch, PatchError, Place, program
+from lapispick.fakes.program_patches import PACKAGE_FOLDER, Patch, PatchError, PatchTarget, program
 
-PLACES = {name: value for name, value in vars(program_patches).items() if isinstance(value, Place)}
+TARGETS = {name: value for name, value in vars(program_patches).items() if isinstance(value, PatchTarget)}
 
 
-@pytest.mark.parametrize("name", PLACES)
-def test_each_changed_place_exists(name):
-    place = PLACES[name]
-    assert place.text in (PACKAGE_FOLDER / place.file).read_text()
+@pytest.mark.parametrize("name", TARGETS)
+def test_each_patch_target_exists(name):
+    target = TARGETS[name]
+    assert target.text in (PACKAGE_FOLDER / target.file).read_text()
 
 
 @pytest.mark.parametrize(
-    "place", [Place("host/core/dispatcher.py", "no such text"), Place("host/none.py", "import logging\n")]
+    "target",
+    [PatchTarget("host/core/dispatcher.py", "no such text"), PatchTarget("host/none.py", "import logging\n")],
 )
-def test_a_patch_of_a_place_that_does_not_exist_is_an_error(place, tmp_path):
+def test_a_patch_of_a_missing_target_is_an_error(target, tmp_path):
     with pytest.raises(PatchError):
-        program(tmp_path / "program", [Patch(place, "")])
+        program(tmp_path / "program", [Patch(target, "")])
