--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -133,7 +133,7 @@
         if not upgrade:
             _stop(old)
         new = old.start_successor(executor=Executor(work_s=0.003), environ=environ)
-        wait_until(lambda: new.call_operators() == ["OK"])
+        wait_until(lambda: new.call_ops() == ["OK"])
         if upgrade:
             _stop(old)
         time.sleep(LOAD_S)
@@ -262,7 +262,7 @@
         _fill(old.gateway(), count)
         began = time.monotonic()
         new = old.start_successor(environ=environ)
-        wait_until(lambda: new.call_operators() == ["OK"])
+        wait_until(lambda: new.call_ops() == ["OK"])
         duration_s = time.monotonic() - began
         peak_mb = peak_memory_mb(old.process.pid) + peak_memory_mb(new.process.pid)
         new.close()
--- a/lapispick/fakes/agents.py
+++ b/lapispick/fakes/agents.py
@@ -12,8 +12,8 @@
 from lapispick.agent.processes import ProcessTable
 from lapispick.fakes.commands import run_lapispick
 from lapispick.fakes.fleet import CONTROLLERS, ROOT
-from lapispick.fakes.ports import call_operators, free_port
-from lapispick.fakes.program_patches import program
+from lapispick.fakes.ports import call_ops, free_port
+from lapispick.fakes.program_patches import make_program_folder
 from lapispick.fakes.waiting import wait_until
 from lapispick.rollout import host_calls, messages
 
@@ -118,7 +118,7 @@
 
     def call(self, line):
         """Call the agent directly; None where it does not answer."""
-        return call_operators(self.address, line, CALL_TIMEOUT_S)
+        return call_ops(self.address, line, CALL_TIMEOUT_S)
 
     def call_until_serving(self, line):
         """Call the agent, and again while its host does not serve, as a controller does."""
@@ -189,7 +189,7 @@
 def this_program(fleet):
     """Return a folder that holds this very program and nothing else, one for a fleet."""
     folder = fleet.folder / "program"
-    return folder if folder.exists() else program(folder)
+    return folder if folder.exists() else make_program_folder(folder)
 
 
 class RolloutFleet:
--- a/lapispick/fakes/broker.py
+++ b/lapispick/fakes/broker.py
@@ -16,22 +16,22 @@
 class Message:
     """A message in a queue.
 
-    ``fate`` is None until the message is settled. ``raw`` returns the content frames of the first delivery, given the
-    channel number.
+    ``settlement`` is None until the message is settled. ``encode_first_content`` returns the content frames of the
+    first delivery, given the channel number.
     """
 
-    def __init__(self, properties, body, raw=None, redelivered=False):
+    def __init__(self, properties, body, encode_first_content=None, redelivered=False):
         self.properties = properties
         self.body = body
-        self.raw = raw
+        self.encode_first_content = encode_first_content
         self.redelivered = redelivered
-        self.fate = None
+        self.settlement = None
         self.delivery_count = 0
 
     def content_frames(self, channel_number):
         """Return the content frames of the current delivery."""
-        if self.raw and self.delivery_count == 1:
-            return self.raw(channel_number)
+        if self.encode_first_content and self.delivery_count == 1:
+            return self.encode_first_content(channel_number)
         return content.encode_content(channel_number, self.properties, self.body, MAX_FRAME_BYTES)
 
 
@@ -73,10 +73,10 @@
         """Return the waiting messages of a queue; the queue is created if it does not exist."""
         return self._queues.setdefault(name, deque())
 
-    def put(self, queue, body, raw=None, redelivered=False, **properties):
+    def put(self, queue, body, encode_first_content=None, redelivered=False, **properties):
         """Put a message into a queue, deliver it if a consumer has capacity, and return it."""
         with self.lock:
-            message = Message(Properties(**properties), body.encode(), raw, redelivered)
+            message = Message(Properties(**properties), body.encode(), encode_first_content, redelivered)
             self.messages.append(message)
             self.queue(queue).append(message)
             for link in self._open_links():
--- a/lapispick/fakes/broker_connection.py
+++ b/lapispick/fakes/broker_connection.py
@@ -14,7 +14,7 @@
 NO_ROUTE_CODE = 312
 
 
-class Fate(enum.StrEnum):
+class Settlement(enum.StrEnum):
     """How a consumer settled a message."""
 
     ACKED = "ack"
@@ -168,16 +168,16 @@
         self.send_method(channel_number, methods.BasicCancelOk(consumer_tag=method.consumer_tag))
 
     def on_basic_ack(self, channel_number, method):
-        self._settle(channel_number, method.delivery_tag, Fate.ACKED)
+        self._settle(channel_number, method.delivery_tag, Settlement.ACKED)
 
     def on_basic_reject(self, channel_number, method):
-        fate = Fate.REQUEUED if method.requeue else Fate.REJECTED
-        self._settle(channel_number, method.delivery_tag, fate)
+        settlement = Settlement.REQUEUED if method.requeue else Settlement.REJECTED
+        self._settle(channel_number, method.delivery_tag, settlement)
 
-    def _settle(self, channel_number, delivery_tag, fate):
+    def _settle(self, channel_number, delivery_tag, settlement):
         message = self.channels[channel_number].unacked.pop(delivery_tag)
-        assert message.fate is None
-        message.fate = fate
+        assert message.settlement is None
+        message.settlement = settlement
         self.deliver()
 
     def _return_unacked(self, channel):
--- a/lapispick/fakes/fleet_host.py
+++ b/lapispick/fakes/fleet_host.py
@@ -12,7 +12,7 @@
 
 from lapispick.fakes.commands import ROOT
 from lapispick.fakes.fleet_peers import STORE, RecordingExecutor
-from lapispick.fakes.ports import call_operators, free_port
+from lapispick.fakes.ports import call_ops, free_port
 from lapispick.fakes.waiting import wait_until
 
 REGISTRY = "registry"
@@ -89,7 +89,7 @@
         self.processes.append(process)
         process.ops = slot["ops"]
         process.name = self.executors[-1].process
-        wait_until(lambda: call_operators(process.ops, "check") == ["OK"], f"yes from {self.name}")
+        wait_until(lambda: call_ops(process.ops, "check") == ["OK"], f"yes from {self.name}")
         return process
 
     def _skewed_clock_folder(self, skew):
--- a/lapispick/fakes/gateway.py
+++ b/lapispick/fakes/gateway.py
@@ -44,10 +44,10 @@
         message = {"jsonrpc": "2.0", "method": "giveUp", "params": {"id": request_id}}
         self.send_line(json.dumps(message).encode())
 
-    def request_line(self, method, body="x", number=1, **overrides):
+    def request_line(self, method, body="x", request_id=1, **overrides):
         """Return a request as a line, with some parameters overridden; fields and parameters of None are left out."""
         params = {key: value for key, value in request_params(body, **overrides).items() if value is not None}
-        message = {"jsonrpc": "2.0", "id": number, "method": method, "params": params}
+        message = {"jsonrpc": "2.0", "id": request_id, "method": method, "params": params}
         return json.dumps({key: value for key, value in message.items() if value is not None}).encode()
 
     def request(self, method, body, nonce=None, **overrides):
--- a/lapispick/fakes/host_process.py
+++ b/lapispick/fakes/host_process.py
@@ -109,7 +109,7 @@
         """Wait until an event is logged."""
         return wait_until(lambda: f"event={event}" in self.log(), f"log line {event}")
 
-    def check_log(self):
+    def check_no_internal_errors(self):
         """Fail if the process logged an internal error."""
         assert internal_errors(self.log()) == [], "the host logged internal errors"
 
@@ -117,7 +117,7 @@
         """Return a new gateway connection to the host."""
         return GatewayConnection.connect(self.address)
 
-    def call_operators(self, line=b"check", end=b"\n"):
+    def call_ops(self, line=b"check", end=b"\n"):
         """Send a call to the ops address and return the lines of the answer."""
         host, port = self.ops.split(":")
         with socket.create_connection((host, int(port)), timeout=TIMEOUT_S) as sock:
@@ -126,7 +126,7 @@
 
     def metrics(self):
         """Return the metrics by name, without the prefix ``app.``."""
-        *lines, last = self.call_operators(b"vars")
+        *lines, last = self.call_ops(b"vars")
         assert last == "END"
         pairs = [re.fullmatch(r"app\.(\S+):(\d+)\|[cg]", line).groups() for line in lines]
         return {name: int(value) for name, value in pairs}
--- a/lapispick/fakes/member_cluster.py
+++ b/lapispick/fakes/member_cluster.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from lapispick.fakes.ports import call_operators, free_port
+from lapispick.fakes.ports import call_ops, free_port
 from lapispick.fakes.waiting import wait_until
 
 LIST_HEADER = "host,lapispick_port,lapispick_members,ansible_host\n"
@@ -126,7 +126,7 @@
         release_at = 0.0
         while not self._stopped.is_set():
             requested_at = time.monotonic()
-            lines = call_operators(self._ops(), f"want {self.lease} worker", CALL_TIMEOUT_S)
+            lines = call_ops(self._ops(), f"want {self.lease} worker", CALL_TIMEOUT_S)
             fields = lines[0].split() if lines else []
             if fields[:2] == ["OK", "held"]:
                 slot, token = fields[2], int(fields[3])
@@ -149,7 +149,7 @@
     def _release(self, lease):
         """Do nothing more under the lease, and release it."""
         lease.end(time.monotonic())
-        call_operators(self._ops(), f"done {self.lease} worker", CALL_TIMEOUT_S)
+        call_ops(self._ops(), f"done {self.lease} worker", CALL_TIMEOUT_S)
         return True
 
     def _ops(self):
@@ -225,7 +225,7 @@
     def view(self, name):
         """Return the membership view of a host; None if it does not answer."""
         host = self.fleet[name]
-        lines = call_operators(host.processes[-1].ops, "members", CALL_TIMEOUT_S) if host.processes else None
+        lines = call_ops(host.processes[-1].ops, "members", CALL_TIMEOUT_S) if host.processes else None
         return json.loads(lines[1]) if lines and lines[0] == "OK" else None
 
     def process_epoch(self, observer, name):
--- a/lapispick/fakes/ports.py
+++ b/lapispick/fakes/ports.py
@@ -61,7 +61,7 @@
         yield f"{LOOPBACK}:{sock.getsockname()[1]}"
 
 
-def call_operators(address, line, timeout=2.0):
+def call_ops(address, line, timeout=2.0):
     """Send a call to an ops address and return the lines of the answer, or None if the connection fails."""
     host, port = address.rsplit(":", 1)
     try:
--- a/lapispick/fakes/program_patches.py
+++ b/lapispick/fakes/program_patches.py
@@ -31,7 +31,7 @@
     replacement: str
 
 
-def program(folder, patches=()):
+def make_program_folder(folder, patches=()):
     """Make a program folder with a copy of this program, apply the patches to it, and return the folder."""
     folder.mkdir(parents=True)
     package = folder / "lapispick"
@@ -139,7 +139,7 @@
     )
 
 
-def file_exists(path):
+def file_exists_condition(path):
     """Return the code of a condition that is true while a file exists."""
     return f"__import__('os').path.exists({str(path)!r})"
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -29,7 +29,7 @@
     yield start
     for process in processes:
         process.close()
-        process.check_log()
+        process.check_no_internal_errors()
 
 
 @pytest.fixture
--- a/tests/test_acceptance_terms.py
+++ b/tests/test_acceptance_terms.py
@@ -54,7 +54,7 @@
     yield start
     for worker in hosts:
         worker.close()
-        worker.check_log()
+        worker.check_no_internal_errors()
 
 
 def send_requests(hosts, duration_s, interval_s, rng, body, answer_timeout_s=10, **params):
@@ -202,7 +202,7 @@
     worker.registry.relocate()
     worker.reload()
     wait_until(lambda: worker.registry.reports, "a report at the new address")
-    assert worker.call_operators() == ["OK"]
+    assert worker.call_ops() == ["OK"]
     assert "Errno 24" not in worker.log()
     assert "accept-failed" not in worker.log()
     for sock in (*idle, *operator_connections):
@@ -216,7 +216,7 @@
     old = host(listen=address, limits={"sockets": 64}, command=shell)
     idle = [socket.create_connection((name, int(port)), timeout=15) for _ in range(100)]
     new = host(successor_of=old, limits={"sockets": 64}, command=shell)
-    wait_until(lambda: new.call_operators() == ["OK"], "a healthy answer of the successor")
+    wait_until(lambda: new.call_ops() == ["OK"], "a healthy answer of the successor")
     old.terminate()
     assert old.process.wait(10) == 0
     gateway = new.gateway()
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -12,13 +12,13 @@
 from lapispick.fakes.agents import HOST_STARTED, LOG_DEBUG_SETTINGS, METRICS_SETTINGS, HostAgent
 from lapispick.fakes.fleet import Fleet
 from lapispick.fakes.member_cluster import MemberCluster
-from lapispick.fakes.ports import call_operators
+from lapispick.fakes.ports import call_ops
 from lapispick.fakes.program_patches import (
     DOES_NOT_START,
     HANGS_AT_START,
     LOGS_DEBUG_LINES,
     exits_after_a_second,
-    program,
+    make_program_folder,
 )
 from lapispick.fakes.waiting import let_time_pass, wait_until
 
@@ -136,7 +136,7 @@
 
 @pytest.mark.parametrize("fault", FAULTY_PROGRAMS)
 def test_a_generation_that_fails_is_rolled_back_without_a_call(scenario, fault, tmp_path):
-    faulty_generation = scenario.agent.add_generation(program(tmp_path / "bad", FAULTY_PROGRAMS[fault]))
+    faulty_generation = scenario.agent.add_generation(make_program_folder(tmp_path / "bad", FAULTY_PROGRAMS[fault]))
     scenario.start_under_load()
     agent = scenario.agent
     agent.call(f"change 1.a r1 {faulty_generation} 60")
@@ -169,7 +169,7 @@
     os.rename(agent.store.folder / scenario.good, agent.store.folder / ".away")
     status = agent.wait_for_phase("stuck", serving=scenario.new)  # it can't roll back and continues to serve
     assert "gone from the shelf" in status.fault
-    assert call_operators(agent.operator_addresses[serving_slot(agent)], "check") == ["OK"]
+    assert call_ops(agent.operator_addresses[serving_slot(agent)], "check") == ["OK"]
 
 
 def serving_slot(agent):
@@ -290,7 +290,7 @@
 
 def test_valid_settings_that_end_the_host_after_a_second_are_rolled_back(scenario, tmp_path):
     """Both generations have the same program, which exits a second after its start if it logs debug lines."""
-    crashing_program = program(tmp_path / "crashing", exits_after_a_second(LOGS_DEBUG_LINES))
+    crashing_program = make_program_folder(tmp_path / "crashing", exits_after_a_second(LOGS_DEBUG_LINES))
     scenario.good = scenario.agent.add_generation(crashing_program, label="good")
     faulty_generation = scenario.agent.add_generation(crashing_program, settings=METRICS_SETTINGS + LOG_DEBUG_SETTINGS)
     scenario.start_under_load()
--- a/tests/test_amqp.py
+++ b/tests/test_amqp.py
@@ -142,7 +142,7 @@
     assert answer.headers["outcome"] == "served"
     assert answer.headers["advice"] >= 0
     assert host.broker.replies[0].queue == "answers"
-    wait_until(lambda: message.fate == "ack", "the acknowledgement")
+    wait_until(lambda: message.settlement == "ack", "the acknowledgement")
     assert host.broker.methods.index("basic.publish") < host.broker.methods.index("basic.ack")
     assert host.executor.runs[0][1:] == ("track", "hello")
 
@@ -174,7 +174,7 @@
     host = consuming_host()
     served, _ = put_request(host.broker, "fine", reply_to=None)
     failed, _ = put_request(host.broker, "error", class_name="book", reply_to=None)
-    wait_until(lambda: (served.fate, failed.fate) == ("ack", "reject"), "both settlements")
+    wait_until(lambda: (served.settlement, failed.settlement) == ("ack", "reject"), "both settlements")
     assert not host.broker.replies
 
 
@@ -182,7 +182,7 @@
     host = consuming_host()
     host.broker.disconnect_on = "basic.ack"
     message, correlation_id = put_request(host.broker, "booking", class_name="book")
-    wait_until(lambda: message.fate == "ack", "the acknowledgement of the redelivery")
+    wait_until(lambda: message.settlement == "ack", "the acknowledgement of the redelivery")
     assert message.delivery_count == 2
     assert len(host.executor.runs_of("booking")) == 1
     assert [answer.body for answer in host.broker.answers(correlation_id)] == ["did booking"] * 2
@@ -198,7 +198,7 @@
     answer = wait_for_answer(host, correlation_id)
     assert answer.outcome == "served"
     assert answer.body == "booked"
-    wait_until(lambda: message.fate == "ack", "the acknowledgement")
+    wait_until(lambda: message.settlement == "ack", "the acknowledgement")
     assert len(host.executor.runs) == 1
 
 
@@ -208,7 +208,7 @@
     _, read = put_request(host.broker, "again", redelivered=True)
     assert wait_for_answer(host, read).outcome == "served"
     assert wait_for_answer(host, correlation_id).outcome == "failed"
-    wait_until(lambda: write.fate == "ack", "the acknowledgement")
+    wait_until(lambda: write.settlement == "ack", "the acknowledgement")
     assert not host.executor.runs_of("elsewhere")
 
 
@@ -250,7 +250,7 @@
     host = consuming_host()
     without_reply, _ = put_request(host.broker, "nokey", class_name="book", message_id=None, reply_to=None)
     _, correlation_id = put_request(host.broker, "nokey", class_name="book", message_id=None)
-    wait_until(lambda: without_reply.fate == "reject", "the rejection")
+    wait_until(lambda: without_reply.settlement == "reject", "the rejection")
     assert wait_for_answer(host, correlation_id).outcome == "failed"
     assert not host.executor.runs
 
@@ -272,7 +272,7 @@
     invalid, _ = put_request(host.broker, overrides.pop("body", "bad"), reply_to=None, **overrides)
     _, correlation_id = put_request(host.broker, "good")
     assert wait_for_answer(host, correlation_id).outcome == "served"
-    wait_until(lambda: invalid.fate == "reject", "the rejection")
+    wait_until(lambda: invalid.settlement == "reject", "the rejection")
     assert len(host.executor.runs) == 1
 
 
@@ -290,7 +290,7 @@
 )
 def test_a_malformed_frame_ends_the_connection_and_a_new_one_is_opened(consuming_host, malformed_frame):
     host = consuming_host()
-    host.broker.put("jobs", "broken", raw=malformed_frame)
+    host.broker.put("jobs", "broken", encode_first_content=malformed_frame)
     wait_until(
         lambda: "event=connection-closed" in host.log() or "event=connection-lost" in host.log(),
         "the end of the connection",
@@ -304,7 +304,9 @@
     host = consuming_host()
     with host.suspended(), host.broker.lock:
         host.broker.put(
-            "jobs", "x", raw=lambda channel: codec.encode_frame(FrameType.BODY, channel, b"early") + b"x" * 150_000
+            "jobs",
+            "x",
+            encode_first_content=lambda channel: codec.encode_frame(FrameType.BODY, channel, b"early") + b"x" * 150_000,
         )
     wait_until(lambda: "connection.close" in host.broker.methods, "the close")
     wait_until(lambda: host.log().count("event=connected") == 2, "a new connection")
@@ -316,14 +318,14 @@
     malformed = host.broker.put(
         "jobs",
         "x",
-        raw=lambda channel: (
+        encode_first_content=lambda channel: (
             codec.encode_frame(FrameType.HEADER, channel, struct.pack(">HHQH", 60, 0, 1, 0x2000) + b"\x00\x00\xff\xff")
             + codec.encode_frame(FrameType.BODY, channel, b"x")
         ),
     )
     _, correlation_id = put_request(host.broker, "good")
     assert wait_for_answer(host, correlation_id).outcome == "served"
-    assert malformed.fate == "reject"
+    assert malformed.settlement == "reject"
     assert malformed.delivery_count == 1
 
 
@@ -343,11 +345,11 @@
     host.broker.nacks_left = 2
     message, correlation_id = put_request(host.broker, "nacked")
     assert wait_for_answer(host, correlation_id).outcome == "served"
-    wait_until(lambda: message.fate == "ack", "the acknowledgement")
+    wait_until(lambda: message.settlement == "ack", "the acknowledgement")
     host.broker.returns_unroutable = True
     served, _ = put_request(host.broker, "unroutable")
     failed, _ = put_request(host.broker, "error", class_name="book")
-    wait_until(lambda: (served.fate, failed.fate) == ("ack", "reject"), "both settlements")
+    wait_until(lambda: (served.settlement, failed.settlement) == ("ack", "reject"), "both settlements")
 
 
 def test_heartbeats_are_sent_and_a_broker_that_sends_none_is_reconnected(consuming_host):
@@ -379,13 +381,13 @@
     assert answer.body == "booked"
     assert host.process.wait(5) == 0
     assert time.monotonic() - started_at < 2.5
-    assert accepted.fate == "ack"
-    assert undelivered.fate is None
+    assert accepted.settlement == "ack"
+    assert undelivered.settlement is None
     assert undelivered.delivery_count == 0
     assert host.broker.close_count == 1
     sent_during_cancel = next(m for m in host.broker.messages if m.body == b"crossing")
     assert sent_during_cancel.delivery_count == 1
-    assert sent_during_cancel.fate == "requeue"  # so that another host may execute it
+    assert sent_during_cancel.settlement == "requeue"  # so that another host may execute it
     assert not host.executor.runs_of("undelivered")
     assert not host.executor.runs_of("crossing")
 
@@ -413,7 +415,7 @@
         wait_until(lambda fraction=fraction: len(requests) >= fraction * seconds / interval_s, "part of the requests")
         host.broker.disconnect_on = "basic.ack"
     thread.join()
-    wait_until(lambda: all(m.fate for _, m, _ in requests.values()), "the settlement of every message")
+    wait_until(lambda: all(m.settlement for _, m, _ in requests.values()), "the settlement of every message")
     executions = collections.Counter(body for _, handler, body in host.executor.runs if handler == "book")
     assert max(executions.values()) == 1
     assert host.broker.methods.count("connection.open") >= 3
@@ -434,5 +436,5 @@
     broker.byte_by_byte = True
     host = consuming_host(broker=broker)
     messages = [put_request(broker, f"x{i}", class_name="book") for i in range(5)]
-    wait_until(lambda: all(m.fate == "ack" for m, _ in messages), "the acknowledgement of every message")
+    wait_until(lambda: all(m.settlement == "ack" for m, _ in messages), "the acknowledgement of every message")
     assert len(host.executor.runs) == 5
--- a/tests/test_connection_overload.py
+++ b/tests/test_connection_overload.py
@@ -231,7 +231,7 @@
             assert gateway.result(gateway.request("track", f"x{number}")) == f"did x{number}"
             assert time.monotonic() - started_at < 2
             gateway.sock.close()
-            assert worker.call_operators() == ["OK"]
+            assert worker.call_ops() == ["OK"]
         for thread in threads:
             thread.join()
     finally:
@@ -246,9 +246,9 @@
     worker = host()
     other_gateway = worker.gateway()
     gateway = worker.gateway()
-    line = gateway.request_line("track", "cut", number=1) + b"\n"
+    line = gateway.request_line("track", "cut", request_id=1) + b"\n"
     for split_at in range(1, len(line)):
-        line = gateway.request_line("track", f"cut{split_at}", number=split_at) + b"\n"
+        line = gateway.request_line("track", f"cut{split_at}", request_id=split_at) + b"\n"
         gateway.sock.sendall(line[:split_at])
         other_gateway.answer(other_gateway.send("probe"))  # the host has read the first part when it answers this
         gateway.sock.sendall(line[split_at:])
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -61,7 +61,7 @@
     assert gateway.result(gateway.request("track", "call:200")) == "reply 1"
     assert gateway.result(gateway.request("book", "x", make_idempotency_key())) == "did x"
     for line in (b"check", b"vars", b"drain-on", b"drain-off"):
-        host_process.call_operators(line)
+        host_process.call_ops(line)
     host_process.reload()
     host_process.terminate()
     assert host_process.process.wait(6) == 0
--- a/tests/test_inventory_watch.py
+++ b/tests/test_inventory_watch.py
@@ -161,7 +161,9 @@
         self.is_running = False
         self.thread.join()
         self.fleet.wait_until_consumed(*self.fleet.brokers)
-        wait_until(lambda: all(message.fate for message in self.messages.values()), "the settlement of every message")
+        wait_until(
+            lambda: all(message.settlement for message in self.messages.values()), "the settlement of every message"
+        )
         replies = [reply for broker in self.fleet.brokers.values() for reply in broker.replies]
         reply_counts = collections.Counter(reply.properties.correlation_id for reply in replies)
         assert reply_counts == dict.fromkeys(self.messages, 1)
@@ -239,11 +241,11 @@
     row = fleet.remove("broker-b")
     fleet.wait_until_consumed("broker-a")
     fleet.put_request("broker-b", "later")
-    assert not message.fate
+    assert not message.settlement
     assert not broker.close_count
     fleet.host.executor.end_run(fleet.host.executor.runs[0].task, result="done")
     wait_until(
-        lambda: message.fate == "ack" and broker.close_count == 1,
+        lambda: message.settlement == "ack" and broker.close_count == 1,
         "the acknowledgement, then the close of the connection",
     )
     assert broker.reply("hold").outcome == "served"
@@ -421,7 +423,7 @@
     wait_until(lambda: not fleet.brokers["broker-a"].consumer_tags(), "the cancellation of the consumer")
     fleet.remove("broker-b")
     fleet.host.executor.end_run(fleet.host.executor.runs[0].task, result="done")
-    wait_until(lambda: message.fate == "ack", "the acknowledgement")
+    wait_until(lambda: message.settlement == "ack", "the acknowledgement")
     assert fleet.host.process.wait(6) == 0
     assert "event=ended unanswered=0" in fleet.host.log()
 
--- a/tests/test_misbehaving_clients.py
+++ b/tests/test_misbehaving_clients.py
@@ -43,11 +43,11 @@
     dict(doc=None),
     dict(doc="***"),
     dict(doc=encode_base64("x" * 3000)),
-    dict(number=None),
-    dict(number="one"),
-    dict(number=0),
-    dict(number=-4),
-    dict(number=10**22),
+    dict(request_id=None),
+    dict(request_id="one"),
+    dict(request_id=0),
+    dict(request_id=-4),
+    dict(request_id=10**22),
     dict(method="nothing"),
     dict(method="book"),
     dict(method="book", nonce="abc"),
@@ -101,7 +101,7 @@
     worker.executor.wait_for_run("hold")
     used_id.send_line(used_id.request_line("track", "other"))
     with contextlib.suppress(OSError):
-        too_many.send_line(b"\n".join(too_many.request_line("track", "many", number=n) for n in range(1, 300)))
+        too_many.send_line(b"\n".join(too_many.request_line("track", "many", request_id=n) for n in range(1, 300)))
     received = [gateway.read_until_quiet(1) for gateway in (same_id, used_id, too_many)]
     assert [is_rejected(messages) for messages in received] == [True] * 3, received
     assert valid.result(valid.request("track", "fine")) == "did fine"
@@ -138,7 +138,7 @@
     lines = []
     for number in range(1, 201):
         lines += [
-            cancelling.request_line("book", "cancelled", number=number, nonce=key),
+            cancelling.request_line("book", "cancelled", request_id=number, nonce=key),
             b'{"jsonrpc":"2.0","method":"giveUp","params":{"id":%d}}' % number,
         ]
     with contextlib.suppress(OSError):
@@ -154,7 +154,7 @@
     for _ in range(30):
         gateway = worker.gateway()
         keyed = gateway.request_line("book", "unknown", nonce=key)
-        idempotent = gateway.request_line("track", "unknown", number=2)
+        idempotent = gateway.request_line("track", "unknown", request_id=2)
         gateway.send_line(keyed + b"\n" + idempotent)
         assert is_rejected(gateway.read_until_quiet(0.05))
     gateway = worker.gateway()
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -25,32 +25,32 @@
 
 def test_each_call_is_answered_and_anything_else_is_an_error(host):
     worker = host()
-    assert worker.call_operators(b"check") == ["OK"]
-    assert worker.call_operators(b"check\r") == ["OK"]
+    assert worker.call_ops(b"check") == ["OK"]
+    assert worker.call_ops(b"check\r") == ["OK"]
     for invalid_call in (b"", b"CHECK", b"vars all", b"\xff\xfe", b"x" * 5000):
-        (answer,) = worker.call_operators(invalid_call)
+        (answer,) = worker.call_ops(invalid_call)
         assert answer.startswith("ERR "), invalid_call
         assert len(answer) > 10, invalid_call
     with socket.create_connection(worker.ops.split(":"), timeout=5) as sock:
         sock.sendall(b"che")
         sock.shutdown(socket.SHUT_WR)
         assert sock.makefile().read().startswith("ERR ")
-    assert worker.call_operators(b"check") == ["OK"]
+    assert worker.call_ops(b"check") == ["OK"]
 
 
 def test_check_succeeds_only_while_clients_are_accepted(host):
     executor = Executor(is_up=False)
     worker = host(executor=executor, wait_for_ready=False)
-    (answer,) = worker.call_operators()
+    (answer,) = worker.call_ops()
     assert answer.startswith("ERR ")
-    worker.call_operators(b"drain-on")  # takes effect when the executor comes up
+    worker.call_ops(b"drain-on")  # takes effect when the executor comes up
     wait_until(lambda: executor.commands, "the first message")
     executor.become_ready()
     worker.wait_for_log("ready")
-    assert worker.call_operators() == ["OK"]
+    assert worker.call_ops() == ["OK"]
     gateway = worker.gateway()
     assert gateway.answer(gateway.send("probe"))["result"]["healthy"] is False
-    worker.call_operators(b"drain-off")
+    worker.call_ops(b"drain-off")
     assert gateway.answer(gateway.send("probe"))["result"]["healthy"] is True
 
 
@@ -62,7 +62,7 @@
     for caller in callers[::2]:
         with contextlib.suppress(OSError):
             caller.sendall(b"va")
-    assert worker.call_operators() == ["OK"]
+    assert worker.call_ops() == ["OK"]
     assert worker.metrics()["inflight"] == 0
     assert time.monotonic() - began < 1
     assert len(os.listdir(f"/proc/{worker.process.pid}/fd")) < 30  # operators have at most 8 of the 256 descriptors
@@ -92,8 +92,8 @@
         longest_s = 0.0
         for _ in range(40):
             began = time.monotonic()
-            assert worker.call_operators() == ["OK"]
-            assert worker.call_operators(b"vars")[-1] == "END"
+            assert worker.call_ops() == ["OK"]
+            assert worker.call_ops(b"vars")[-1] == "END"
             longest_s = max(longest_s, time.monotonic() - began)
         assert longest_s < 1
     finally:
@@ -128,7 +128,7 @@
         if step % 100 == 50:
             worker.executor.disconnect()
         elif step % 100 == 70:
-            worker.call_operators(rng.choice([b"drain-on", b"drain-off"]))
+            worker.call_ops(rng.choice([b"drain-on", b"drain-off"]))
         elif step % 100 == 80:
             for peer in (worker.executor, worker.store, worker.registry):
                 peer.relocate()
@@ -172,15 +172,15 @@
     gateway = worker.gateway()
     for _ in range(3):
         for call, healthy in ((b"drain-on", False), (b"drain-on", False), (b"drain-off", True), (b"drain-off", True)):
-            assert worker.call_operators(call) == ["OK"]
+            assert worker.call_ops(call) == ["OK"]
             assert gateway.answer(gateway.send("probe"))["result"]["healthy"] is healthy
             assert gateway.result(gateway.request("track", "still")) == "did still"
-            assert worker.call_operators() == ["OK"]
-    worker.call_operators(b"drain-on")
+            assert worker.call_ops() == ["OK"]
+    worker.call_ops(b"drain-on")
     wait_until(lambda: worker.registry.reports[-1].text == "HERE n3 off", "a report that says off")
     worker.reload()
     assert gateway.answer(gateway.send("probe"))["result"]["healthy"] is False  # SIGHUP in a drain changes nothing
-    worker.call_operators(b"drain-off")
+    worker.call_ops(b"drain-off")
     wait_until(lambda: worker.registry.reports[-1].text == "HERE n3 on", "a report that says on")
 
 
@@ -189,11 +189,11 @@
     gateway = worker.gateway()
     request_id = gateway.request("track", "hold", patience=9000)
     wait_until(lambda: worker.executor.runs, "the run")
-    worker.call_operators(b"drain-on")
+    worker.call_ops(b"drain-on")
     worker.terminate()
     wait_until(lambda: gateway.read() and gateway.goaway_received, "goaway")
-    assert worker.call_operators()[0].startswith("ERR")
-    assert worker.call_operators(b"drain-off") == ["OK"]
+    assert worker.call_ops()[0].startswith("ERR")
+    assert worker.call_ops(b"drain-off") == ["OK"]
     assert gateway.answer(gateway.send("probe"))["result"]["healthy"] is False
     worker.executor.end_run(worker.executor.runs[0].task)
     assert gateway.result(request_id) == "done"
--- a/tests/test_program_patches.py
+++ b/tests/test_program_patches.py
@@ -3,7 +3,7 @@
 import pytest
 
 from lapispick.fakes import program_patches
-from lapispick.fakes.program_patches import PACKAGE_FOLDER, Patch, PatchError, PatchTarget, program
+from lapispick.fakes.program_patches import PACKAGE_FOLDER, Patch, PatchError, PatchTarget, make_program_folder
 
 TARGETS = {name: value for name, value in vars(program_patches).items() if isinstance(value, PatchTarget)}
 
@@ -20,4 +20,4 @@
 )
 def test_a_patch_of_a_missing_target_is_an_error(target, tmp_path):
     with pytest.raises(PatchError):
-        program(tmp_path / "program", [Patch(target, "")])
+        make_program_folder(tmp_path / "program", [Patch(target, "")])
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -18,7 +18,7 @@
 from lapispick.fakes.fleet_gateway import Request
 from lapispick.fakes.host_pauses import PauseMonitor
 from lapispick.fakes.messages import make_idempotency_key
-from lapispick.fakes.program_patches import RULE_BREAKING_HOSTS, program
+from lapispick.fakes.program_patches import RULE_BREAKING_HOSTS, make_program_folder
 from lapispick.fakes.rule_checker import Answer, Attempt, Fault, FleetRecord, check
 from lapispick.fakes.waiting import wait_until
 
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize("rule", RULE_BREAKING_HOSTS)
 def test_a_host_that_breaks_a_rule_is_detected(tmp_path, rule):
-    folder = program(tmp_path / "rule_breaking_host", RULE_BREAKING_HOSTS[rule])
+    folder = make_program_folder(tmp_path / "rule_breaking_host", RULE_BREAKING_HOSTS[rule])
     options = {"hosts": 1, "gateways": 2, "rate": 40, "stop_ms": 6000, "patience_s": 1.5}
     with loaded_fleet(tmp_path, seed=2, program_folder=folder, **options) as fleet:
         if rule == "twice":
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -15,9 +15,9 @@
     SKIPS_A_HANDOVER_VERSION,
     fails_keyed_requests,
     fails_keyed_requests_when_warm,
-    file_exists,
+    file_exists_condition,
     leaks_memory,
-    program,
+    make_program_folder,
 )
 from lapispick.fakes.waiting import let_time_pass, wait_until
 
@@ -109,7 +109,7 @@
 
 def test_a_change_that_is_worse_for_one_class_is_rolled_back(make_fleet, tmp_path):
     rollout_fleet = make_fleet(plan(bake="8s", bake_most="30s"), rate=60).start()
-    _, options = rollout_fleet.add_generation(program(tmp_path / "bad", fails_keyed_requests(4)))
+    _, options = rollout_fleet.add_generation(make_program_folder(tmp_path / "bad", fails_keyed_requests(4)))
     assert_rollout_is_rolled_back(rollout_fleet, options, reason="book")
     assert set(rollout_fleet.serving().values()) == {rollout_fleet.good}
     rolled_back = [agent for agent in rollout_fleet.agents.values() if agent.status().rolled_back_rollout == "r1"]
@@ -125,7 +125,7 @@
     old_hosts_marker = tmp_path / "old-hosts-serve"
     old_hosts_marker.touch()
     new, options = rollout_fleet.add_generation(
-        program(tmp_path / "bad", fails_keyed_requests(4, file_exists(old_hosts_marker)))
+        make_program_folder(tmp_path / "bad", fails_keyed_requests(4, file_exists_condition(old_hosts_marker)))
     )
 
     def remove_marker_without_old_hosts():
@@ -140,7 +140,7 @@
 
 def test_a_program_that_does_not_start_stops_the_rollout_at_once(make_fleet, tmp_path):
     rollout_fleet = make_fleet().start()
-    _, options = rollout_fleet.add_generation(program(tmp_path / "bad", DOES_NOT_START))
+    _, options = rollout_fleet.add_generation(make_program_folder(tmp_path / "bad", DOES_NOT_START))
     controller = rollout_fleet.start_controller("start", *options)
     status = rollout_fleet.wait_for_phase("undone")
     assert "ended before it took clients" in status["reason"]
@@ -256,7 +256,7 @@
 
 def test_a_rollout_that_skips_a_format_version_is_rejected_before_any_change(make_fleet, tmp_path):
     rollout_fleet = make_fleet().start()
-    later = program(tmp_path / "later", SKIPS_A_HANDOVER_VERSION)
+    later = make_program_folder(tmp_path / "later", SKIPS_A_HANDOVER_VERSION)
     new, options = rollout_fleet.add_generation(later)
     result = rollout_fleet.run_command("start", *options)
     assert result.returncode == 2
@@ -270,7 +270,7 @@
 
 def test_memory_past_its_limit_stops_the_rollout_at_once(make_fleet, tmp_path):
     rollout_fleet = make_fleet(plan(bake="20s", bake_most="40s", memory_most="30%")).start()
-    _, options = rollout_fleet.add_generation(program(tmp_path / "leak", leaks_memory(1 << 20)))
+    _, options = rollout_fleet.add_generation(make_program_folder(tmp_path / "leak", leaks_memory(1 << 20)))
     rollout_fleet.start_controller("start", *options)
     status = rollout_fleet.wait_for_phase("undone")
     assert "MB of at most" in status["reason"]
@@ -280,7 +280,7 @@
 
 def test_a_broken_rule_stops_the_rollout_at_once(make_fleet, tmp_path):
     rollout_fleet = make_fleet(plan(bake="20s", bake_most="40s")).start()
-    _, options = rollout_fleet.add_generation(program(tmp_path / "late", COUNTS_ONE_IN_40_AS_LATE))
+    _, options = rollout_fleet.add_generation(make_program_folder(tmp_path / "late", COUNTS_ONE_IN_40_AS_LATE))
     rollout_fleet.start_controller("start", *options)
     status = rollout_fleet.wait_for_phase("undone")
     assert "broke a rule" in status["reason"]
@@ -366,14 +366,16 @@
         plan(warm_up="3s", bake="8s", bake_most="30s"),
         rate=60,
     ).start()
-    _, options = rollout_fleet.add_generation(program(tmp_path / "bad", fails_keyed_requests_when_warm(4, after_s=3)))
+    _, options = rollout_fleet.add_generation(
+        make_program_folder(tmp_path / "bad", fails_keyed_requests_when_warm(4, after_s=3))
+    )
     assert_rollout_is_rolled_back(rollout_fleet, options, reason="book")
     assert_rules_kept(rollout_fleet)
 
 
 def test_memory_that_grows_slowly_stops_the_rollout_before_its_limit(make_fleet, tmp_path):
     rollout_fleet = make_fleet(plan(bake="20s", bake_most="60s"), rate=60).start()
-    _, options = rollout_fleet.add_generation(program(tmp_path / "leak", leaks_memory(40_000)))
+    _, options = rollout_fleet.add_generation(make_program_folder(tmp_path / "leak", leaks_memory(40_000)))
     rollout_fleet.start_controller("start", *options)
     status = rollout_fleet.wait_for_phase("undone", "asking", "done")
     assert status["phase"] == "undone", status
@@ -387,7 +389,7 @@
         hosts=4,
         rate=110,
     ).start()
-    _, options = rollout_fleet.add_generation(program(tmp_path / "bad", fails_keyed_requests(1)))
+    _, options = rollout_fleet.add_generation(make_program_folder(tmp_path / "bad", fails_keyed_requests(1)))
     rollout_fleet.start_controller("start", *options)
     status = rollout_fleet.wait_for_phase("undone", "asking", "done", within=180.0)
     assert status["phase"] == "undone", status
--- a/tests/test_side_by_side.py
+++ b/tests/test_side_by_side.py
@@ -20,7 +20,7 @@
 from lapispick.fakes.fleet import Fleet
 from lapispick.fakes.fleet_gateway import Request
 from lapispick.fakes.messages import make_idempotency_key
-from lapispick.fakes.program_patches import NEXT_HANDOVER_VERSION, program
+from lapispick.fakes.program_patches import NEXT_HANDOVER_VERSION, make_program_folder
 from lapispick.fakes.waiting import wait_until
 from lapispick.handover import messages as handover_messages
 from lapispick.idempotency.states import KeyState
@@ -143,7 +143,7 @@
     with Fleet(tmp_path, seed=7, hosts=1, gateways=2, rate=20) as fleet:
         agent = HostAgent(fleet.hosts[0])
         old = agent.add_generation(label="old")
-        new = agent.add_generation(program(tmp_path / "later", NEXT_HANDOVER_VERSION), label="later")
+        new = agent.add_generation(make_program_folder(tmp_path / "later", NEXT_HANDOVER_VERSION), label="later")
         agent.start(adopt=old)
         agent.wait_serving(old)
         fleet.start_load()
--- a/tests/test_trace_recorder.py
+++ b/tests/test_trace_recorder.py
@@ -114,10 +114,10 @@
 def test_a_recorded_trace_replays_exactly_and_the_commands_agree(tmp_path, host):
     recorded = RecordedHost(tmp_path, host, "rotate-age 1s", stop_ms=2000)
     deadline = time.monotonic() + 20
-    recorded.host.call_operators(b"drain-on")
+    recorded.host.call_ops(b"drain-on")
     while len(recorded.files()) < 2 and time.monotonic() < deadline:  # until there is more than one file
         assert len(recorded.send_requests()) == REQUESTS
-    recorded.host.call_operators(b"drain-off")
+    recorded.host.call_ops(b"drain-off")
     recorded.host.reload(stop_ms=1900)
     recorded.host.terminate()
     assert recorded.host.process.wait(6) == 0
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -166,12 +166,12 @@
 
 def test_a_drain_applies_to_both_processes_and_through_the_upgrade(host, shared_address):
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
-    old.call_operators(b"drain-on")
+    old.call_ops(b"drain-on")
     new = host(successor_of=old)
     wait_until_ready(new)
     gateway = connection_to(new, old)
     assert gateway.is_healthy() is False
-    new.call_operators(b"drain-off")
+    new.call_ops(b"drain-off")
     gateway = connection_to(old, new)
     wait_until(lambda: gateway.is_healthy(), "a passing health check at the old process")
     old.terminate()
@@ -184,7 +184,7 @@
     old = host(listen=shared_address(), info=LONG_WINDOW_INFO)
     new = host(successor_of=old, executor=Executor(is_up=False), wait_for_ready=False)  # starts but is never ready
     new.wait_for_log("linked")
-    assert new.call_operators()[0].startswith("ERR")
+    assert new.call_ops()[0].startswith("ERR")
     new.process.kill()
     old.wait_for_log("link-ended")
     gateway = old.gateway()
@@ -390,7 +390,7 @@
         return False
     new.ops = address
     with contextlib.suppress(OSError):
-        if new.call_operators() == ["OK"] and not getattr(old, "shut_down", False):
+        if new.call_ops() == ["OK"] and not getattr(old, "shut_down", False):
             old.shut_down = True
             old.terminate()
     return False
--- a/tests/upgrade_support.py
+++ b/tests/upgrade_support.py
@@ -29,7 +29,7 @@
 
 def wait_until_ready(process):
     """Wait until a process reports to operators that it is ready."""
-    return wait_until(lambda: process.call_operators() == ["OK"], "readiness of the new process")
+    return wait_until(lambda: process.call_ops() == ["OK"], "readiness of the new process")
 
 
 def execution_count(body, *processes):
