--- a/lapispick/fakes/program_patches.py
+++ b/lapispick/fakes/program_patches.py
@@ -132,7 +132,7 @@
 
 
 def fails_keyed_requests_when_warm(tenths, after_s):
-    """Return patches with which a host fails a number of tenths of the keyed requests ``after_s`` after its start."""
+    """Return patches with which a host fails tenths of the keyed requests from ``after_s`` seconds after its start."""
     return (
         *fails_keyed_requests(tenths, f"time.monotonic() - STARTED_AT > {after_s}"),
         add_module_code("import time\n\nSTARTED_AT = time.monotonic()"),
