--- a/lapispick/cli/__init__.py
+++ b/lapispick/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line; nothing that a worker host imports imports this."""
+"""The operators' command line. No module that a worker host imports may import this package."""
--- a/lapispick/cli/agent.py
+++ b/lapispick/cli/agent.py
@@ -11,7 +11,7 @@
 
 from lapispick.agent.errors import AgentError, InvalidGenerationError
 from lapispick.agent.generation_store import GenerationStore
-from lapispick.cli.config import FILE, load
+from lapispick.cli.config import CONF_OPTION, load_settings
 from lapispick.cli.ops import NoAnswerError, call
 from lapispick.cli.output import ExitCode, print_error, print_json, print_line, print_table
 from lapispick.conf.sections import AgentSettings
@@ -19,7 +19,7 @@
 from lapispick.rollout import messages
 from lapispick.rollout.host_state import SLOT_COUNT
 
-JSON = click.option("--json", "json_", is_flag=True, help="For programs.")
+JSON_OPTION = click.option("--json", "json_", is_flag=True, help="Print JSON.")
 
 
 @click.group()
@@ -27,16 +27,16 @@
     """Run a host's agent, manage its generations, or show its status."""
 
 
-def _settings(file: Path | None) -> AgentSettings:
-    settings = load(file).agent
+def _agent_settings(conf_file: Path | None) -> AgentSettings:
+    settings = load_settings(conf_file).agent
     if settings.folder is None:
-        print_error("no folder in section agent of the settings")
+        print_error("section agent of the settings: folder is missing")
         sys.exit(ExitCode.INVALID)
     return settings
 
 
-def _generation_store(file: Path | None) -> GenerationStore:
-    return GenerationStore(Path(str(_settings(file).folder)) / "generations")
+def _generation_store(conf_file: Path | None) -> GenerationStore:
+    return GenerationStore(Path(str(_agent_settings(conf_file).folder)) / "generations")
 
 
 def _read_config(path: Path) -> dict[str, Any]:
@@ -48,17 +48,20 @@
 
 
 @agent.command()
-@FILE
-@click.option("--adopt", metavar="GENERATION", default="", help="The good generation, where the host has none yet.")
-def run(file: Path | None, adopt: str) -> None:
-    """Run the agent of this host until SIGTERM or SIGINT; the host continues to serve without it."""
+@CONF_OPTION
+@click.option("--adopt", metavar="GENERATION", default="", help="Last good generation, if the host has none yet.")
+def run(conf_file: Path | None, adopt: str) -> None:
+    """Run the agent of this host until SIGTERM or SIGINT; the host continues to serve afterwards."""
     from lapispick.agent.service import Agent
     from lapispick.host import config as platform
     from lapispick.host import logs
 
-    settings = _settings(file)
+    settings = _agent_settings(conf_file)
     if settings.host_config is None or len(settings.slot_ops) != SLOT_COUNT:
-        print_error("section agent needs config and slot-ops")
+        print_error(
+            f"section agent of the settings: expected config and {SLOT_COUNT} slot-ops, "
+            f"got config {settings.host_config or '(none)'} and {len(settings.slot_ops)} slot-ops"
+        )
         sys.exit(ExitCode.INVALID)
     base = _read_config(Path(str(settings.host_config)))
     try:
@@ -73,29 +76,29 @@
 
 
 @agent.command()
-@FILE
+@CONF_OPTION
 @click.option(
     "--program",
     type=click.Path(path_type=Path, exists=True, file_okay=False),
     required=True,
-    help="The folder that holds the package lapispick.",
+    help="Folder that contains the package lapispick.",
 )
-@click.option("--settings", type=click.Path(path_type=Path, exists=True), help="The operators' settings file of it.")
+@click.option("--settings", type=click.Path(path_type=Path, exists=True), help="The program's settings file.")
 @click.option(
     "--config",
     type=click.Path(path_type=Path, exists=True),
-    help="JSON: what it changes of the platform's configuration, such as stop_ms.",
+    help="JSON file of changes to the platform's configuration, such as stop_ms.",
 )
-@click.option("--label", default="", help="A word for people.")
-def add(file: Path | None, program: Path, settings: Path | None, config: Path | None, label: str) -> None:
-    """Store a generation on this host and print its digest; nothing runs it yet."""
+@click.option("--label", default="", help="Free text that describes the generation.")
+def add(conf_file: Path | None, program: Path, settings: Path | None, config: Path | None, label: str) -> None:
+    """Store a generation on this host and print its digest, without starting it."""
     from lapispick.conf import settings as conf
     from lapispick.file_errors import InvalidFileError
 
     try:
         if settings is not None:
             conf.parse(settings)
-        generation = _generation_store(file).add(program, settings, _read_config(config) if config else {}, label)
+        generation = _generation_store(conf_file).add(program, settings, _read_config(config) if config else {}, label)
     except InvalidFileError as err:
         for fault in err.faults:
             print_error(str(fault))
@@ -107,26 +110,26 @@
 
 
 @agent.command("shelf")
-@FILE
-@JSON
-def list_generations(file: Path | None, json_: bool) -> None:
-    """List the generations stored on this host, and whether their files are what the digests say."""
-    store = _generation_store(file)
-    found = [(generation, store.verify(generation.digest)) for generation in store.all().values()]
+@CONF_OPTION
+@JSON_OPTION
+def list_generations(conf_file: Path | None, json_: bool) -> None:
+    """List the generations stored on this host, and check their files against the digests."""
+    store = _generation_store(conf_file)
+    verified = [(generation, store.verify(generation.digest)) for generation in store.all().values()]
     if json_:
-        return print_json([{**msgspec.to_builtins(generation), "fault": fault} for generation, fault in found])
+        return print_json([{**msgspec.to_builtins(generation), "fault": fault} for generation, fault in verified])
     rows = []
-    for generation, fault in found:
+    for generation, fault in verified:
         changes = " ".join(f"{key}={value}" for key, value in generation.config.items())
-        names = (generation.digest, generation.label, generation.program_digest, generation.settings_digest)
-        rows.append((*names, changes, fault or "none"))
+        identity = (generation.digest, generation.label, generation.program_digest, generation.settings_digest)
+        rows.append((*identity, changes, fault or "none"))
     print_table("generations", ("digest", "label", "program", "settings", "changes", "fault"), rows)
-    sys.exit(ExitCode.DIFFERENCES if any(fault for _, fault in found) else 0)
+    sys.exit(ExitCode.DIFFERENCES if any(fault for _, fault in verified) else 0)
 
 
 @agent.command()
-@click.option("--at", metavar="IP:PORT", required=True, help="Where the agent listens.")
-@JSON
+@click.option("--at", metavar="IP:PORT", required=True, help="Address of the agent.")
+@JSON_OPTION
 def status(at: str, json_: bool) -> None:
     """Show the status that an agent reports."""
     try:
@@ -134,9 +137,9 @@
     except (NoAnswerError, ValueError) as err:
         print_error(str(err))
         sys.exit(ExitCode.NO_STATE)
-    shown = msgspec.to_builtins(answer)
+    fields = msgspec.to_builtins(answer)
     if json_:
-        return print_json(shown)
-    for key, value in shown.items():
+        return print_json(fields)
+    for key, value in fields.items():
         print_line(f"{key:<10} {value}")
     return None
--- a/lapispick/cli/config.py
+++ b/lapispick/cli/config.py
@@ -1,4 +1,4 @@
-"""``lapispick config``: checks and shows the settings file and the platform's configuration."""
+"""``lapispick config``: checks the settings file and the platform's configuration, and shows the settings."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from lapispick.conf import settings as conf
 from lapispick.file_errors import InvalidFileError
 
-FILE = click.option(
+CONF_OPTION = click.option(
     "--conf",
-    "file",
+    "conf_file",
     type=click.Path(path_type=Path),
-    help="The settings file; by default LAPISPICK_CONF or deploy/lapispick.conf.",
+    help="The settings file; defaults to LAPISPICK_CONF, then to deploy/lapispick.conf.",
 )
 
 
-def load(file: Path | None) -> conf.Settings:
-    """Return the settings, or end with the faults of them."""
+def load_settings(conf_file: Path | None) -> conf.Settings:
+    """Return the settings; prints the faults and ends the program if the file is invalid."""
     try:
-        return conf.parse(file) if file is not None else conf.load()
+        return conf.parse(conf_file) if conf_file is not None else conf.load()
     except InvalidFileError as err:
         for fault in err.faults:
             print_error(str(fault))
@@ -37,15 +37,15 @@
 
 
 @config.command()
-@FILE
-@click.option("--json", "json_", is_flag=True, help="For programs.")
-def check(file: Path | None, json_: bool) -> None:
-    """List every fault of the settings file and of LB_CONFIG, if it is set."""
+@CONF_OPTION
+@click.option("--json", "json_", is_flag=True, help="Print JSON.")
+def check(conf_file: Path | None, json_: bool) -> None:
+    """List every fault of the settings file, and of the file that LB_CONFIG names, if it is set."""
     faults: list[str] = []
     try:
-        conf.parse(file) if file is not None else conf.load()
+        conf.parse(conf_file) if conf_file is not None else conf.load()
     except InvalidFileError as err:
-        faults += [str(f) for f in err.faults]
+        faults += [str(fault) for fault in err.faults]
     if os.environ.get("LB_CONFIG"):
         from lapispick.host import config as platform
 
@@ -58,16 +58,16 @@
     else:
         for fault in faults:
             print_error(fault)
-        print_line(f"{len(faults)} faults" if faults else f"{file or conf.located()} is in order")
+        print_line(f"{len(faults)} faults" if faults else f"{conf_file or conf.located()} is valid")
     sys.exit(ExitCode.INVALID if faults else 0)
 
 
 @config.command()
-@FILE
-@click.option("--json", "json_", is_flag=True, help="For programs.")
-def show(file: Path | None, json_: bool) -> None:
-    """Show all settings as they are in force, with defaults; the output reads back as a settings file."""
-    settings = load(file)
+@CONF_OPTION
+@click.option("--json", "json_", is_flag=True, help="Print JSON.")
+def show(conf_file: Path | None, json_: bool) -> None:
+    """Show all settings in effect, including defaults, in the format of the settings file."""
+    settings = load_settings(conf_file)
     if json_:
         print_json(msgspec.to_builtins(settings, enc_hook=str))
     else:
--- a/lapispick/cli/rollout.py
+++ b/lapispick/cli/rollout.py
@@ -1,4 +1,4 @@
-"""``lapispick rollout``: take a change through the fleet in stages, look at it, hold it, resume it, roll it back."""
+"""``lapispick rollout``: rolls out a change in stages; shows, holds, resumes and rolls back a rollout."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from lapispick.agent.errors import InvalidGenerationError
 from lapispick.agent.rollout_store import RolloutStore
 from lapispick.cli import rollout_show
-from lapispick.cli.config import FILE
+from lapispick.cli.config import CONF_OPTION
 from lapispick.cli.output import ExitCode, print_error, print_json, print_line, print_table
 from lapispick.cli.rollout_common import (
     CONTROLLER_TIMEOUT_S,
@@ -29,14 +29,14 @@
 FOLDER = click.Path(path_type=Path, exists=True, file_okay=False)
 EXISTING_FILE = click.Path(path_type=Path, exists=True)
 PROGRAM_OPTION = click.option(
-    "--program", type=FOLDER, required=True, help="The folder that holds the package lapispick."
+    "--program", type=FOLDER, required=True, help="Folder that contains the package lapispick."
 )
-SETTINGS_OPTION = click.option("--settings", type=EXISTING_FILE, help="Its operators' settings file.")
+SETTINGS_OPTION = click.option("--settings", type=EXISTING_FILE, help="The program's settings file.")
 CONFIG_OPTION = click.option(
-    "--config", type=EXISTING_FILE, help="JSON: what it changes of the platform's configuration."
+    "--config", type=EXISTING_FILE, help="JSON file of changes to the platform's configuration."
 )
 MEMORY_OPTION = click.option(
-    "--memory-mb", default=192.0, show_default=True, help="The limit of hosts whose agents tell none."
+    "--memory-mb", default=192.0, show_default=True, help="Memory limit of hosts whose agents report none."
 )
 PREVIEW_NAME = "next"
 MAX_SHOWN_HOSTS = 8
@@ -52,14 +52,14 @@
 
 
 @rollout.command()
-@FILE
+@CONF_OPTION
 @JSON_OPTION
 @click.option(
-    "--name", default=PREVIEW_NAME, show_default=True, help="The rollout's name; it draws which hosts come first."
+    "--name", default=PREVIEW_NAME, show_default=True, help="Name of the rollout; the order of the hosts depends on it."
 )
-def plan(file: Path | None, json_: bool, name: str) -> None:
-    """Show the stages of the plan."""
-    fleet = read_fleet(file, name)
+def plan(conf_file: Path | None, json_: bool, name: str) -> None:
+    """Show the stages that a rollout of this name would have."""
+    fleet = read_fleet(conf_file, name)
     for fault in fleet.faults:
         print_error(fault)
     if json_:
@@ -84,17 +84,17 @@
 
 
 @rollout.command()
-@FILE
+@CONF_OPTION
 @PROGRAM_OPTION
 @SETTINGS_OPTION
 @CONFIG_OPTION
-@click.option("--old", type=FOLDER, help="The program that runs now.")
+@click.option("--old", type=FOLDER, help="Folder of the program that runs now.")
 @JSON_OPTION
 def check(
-    file: Path | None, program: Path, settings: Path | None, config: Path | None, old: Path | None, json_: bool
+    conf_file: Path | None, program: Path, settings: Path | None, config: Path | None, old: Path | None, json_: bool
 ) -> None:
-    """Show what a rollout would break, without a fleet; ends with 2 where there is anything."""
-    fleet = read_fleet(file, PREVIEW_NAME)
+    """List the faults and incompatibilities of a rollout without asking agents. Exits with 2 if there are any."""
+    fleet = read_fleet(conf_file, PREVIEW_NAME)
     candidate = read_candidate(program, settings, config)
     faults = [*fleet.faults, *candidate.faults]
     if old is not None:
@@ -115,73 +115,75 @@
 
 
 @rollout.command()
-@FILE
+@CONF_OPTION
 @PROGRAM_OPTION
 @SETTINGS_OPTION
 @CONFIG_OPTION
-@click.option("--name", default="", help="Names the rollout; by default it is counted up.")
+@click.option("--name", default="", help="Name of the rollout; by default r and the next number.")
 @MEMORY_OPTION
 def start(
-    file: Path | None, program: Path, settings: Path | None, config: Path | None, name: str, memory_mb: float
+    conf_file: Path | None, program: Path, settings: Path | None, config: Path | None, name: str, memory_mb: float
 ) -> None:
-    """Begin a rollout and control it until it is over; `resume` continues where a controller ended."""
+    """Start a rollout and control it until it is over; `resume` continues it if the controller ends earlier."""
     from lapispick.cli.rollout_control import run_controller
 
-    store = open_store(file)
+    store = open_store(conf_file)
     candidate = read_candidate(program, settings, config)
     name = _new_name(store, name)
-    fleet = read_fleet(file, name)
+    fleet = read_fleet(conf_file, name)
     faults = [*fleet.faults, *candidate.faults, *agent_objections(fleet, candidate)]
     if faults or not fleet.workers:
-        fail(ExitCode.INVALID, *(faults or ["the list holds no worker hosts"]))
+        fail(ExitCode.INVALID, *(faults or ["the host list contains no worker hosts"]))
     state = RolloutState(name, make_plan(fleet, candidate.digest, memory_mb))
     run_controller(store, state, fleet, memory_mb)
 
 
 def _new_name(store: RolloutStore, name: str) -> str:
-    """Return the name of a new rollout, or end the command where there can be none."""
+    """Return the name of a new rollout; ends the program if another is not over or has this name."""
     records = store.history()
     name = name or f"r{len(records) + 1}"
     unfinished = next((record.name for record in records if not record.state.is_over), None)
     if unfinished is not None:
-        fail(ExitCode.DIFFERENCES, f"rollout {unfinished} is not over: resume it, or call it back")
+        fail(ExitCode.DIFFERENCES, f"rollout {unfinished} is not over: resume it or roll it back")
     if any(record.name == name for record in records):
-        fail(ExitCode.DIFFERENCES, f"there was a rollout {name} before")
+        fail(ExitCode.DIFFERENCES, f"a rollout named {name} already exists")
     return name
 
 
 @rollout.command()
-@FILE
+@CONF_OPTION
 @NAME_ARGUMENT
 @MEMORY_OPTION
-def resume(file: Path | None, name: str, memory_mb: float) -> None:
-    """Take control where another controller ended or was fenced."""
+def resume(conf_file: Path | None, name: str, memory_mb: float) -> None:
+    """Take control of a rollout whose controller ended or was fenced."""
     from lapispick.cli.rollout_control import run_controller
 
-    store = open_store(file)
+    store = open_store(conf_file)
     state = get_open_rollout(store, name)
-    run_controller(store, state, read_fleet(file, state.name), memory_mb)
+    run_controller(store, state, read_fleet(conf_file, state.name), memory_mb)
 
 
 def _order_command(order: Order, help_text: str) -> click.Command:
     @click.command(order.value, help=help_text)
-    @FILE
+    @CONF_OPTION
     @NAME_ARGUMENT
-    def command(file: Path | None, name: str) -> None:
-        store = open_store(file)
+    def command(conf_file: Path | None, name: str) -> None:
+        store = open_store(conf_file)
         state = get_open_rollout(store, name)
         store.add_order(state.name, order.value)
         if time.time() - store.leadership().seen_at > CONTROLLER_TIMEOUT_S:
-            print_line(f"{state.name}: {order} is stored, but no controller runs: lapispick rollout resume")
+            print_line(
+                f"{state.name}: the order {order} is stored, but no controller runs; run lapispick rollout resume"
+            )
         else:
-            print_line(f"{state.name}: told the controller: {order}")
+            print_line(f"{state.name}: the order {order} is stored for the controller")
 
     return command
 
 
 for _order, _help in (
-    (Order.HOLD, "Begin nothing more; what has changed is still watched."),
-    (Order.RESUME, "Resume where the plan holds or an operator is asked."),
-    (Order.ROLL_BACK, "Roll every host of the rollout back to what it ran before."),
+    (Order.HOLD, "Change no more hosts; changed hosts are still monitored."),
+    (Order.RESUME, "Continue a rollout that holds or waits for an operator's decision."),
+    (Order.ROLL_BACK, "Roll every host of the rollout back to its previous generation."),
 ):
     rollout.add_command(_order_command(_order, _help))
--- a/lapispick/cli/rollout_control.py
+++ b/lapispick/cli/rollout_control.py
@@ -8,7 +8,7 @@
 
 from lapispick.agent.controller import Controller, ControllerOptions
 from lapispick.agent.rollout_store import RolloutStore
-from lapispick.cli.inventory import Files
+from lapispick.cli.inventory import ListFiles
 from lapispick.cli.output import ExitCode, print_line
 from lapispick.cli.rollout_common import fail
 from lapispick.cli.rollout_planning import Fleet
@@ -25,18 +25,18 @@
 
 
 class ListReader:
-    """Reads the list of hosts again and again, and accepts what the fleet's policy lets pass."""
+    """Polls the host list and accepts lists by the fleet's acceptance policy."""
 
     def __init__(self, fleet: Fleet) -> None:
-        self._files = Files(fleet.source)
+        self._files = ListFiles(fleet.source)
         self._acceptance = Acceptance(acceptance_policy(fleet.source.settings))
 
     def accepted_workers(self) -> list[Worker] | None:
-        """Return the hosts of a list that this call accepted, None where it accepted none."""
+        """Read the list; return its hosts if this call accepted it, else None."""
         reading = self._files.read()
-        snapshot_read = None if reading.faults else snapshot.snapshot_of(reading.hosts)
+        read_list = None if reading.faults else snapshot.snapshot_of(reading.hosts)
         verdict = self._acceptance.observe(
-            time.monotonic(), Observation(snapshot_read, reading.faults, reading.incomplete_reason)
+            time.monotonic(), Observation(read_list, reading.faults, reading.incomplete_reason)
         )
         if verdict.accepted is None:
             return None
@@ -44,15 +44,15 @@
 
 
 def run_controller(store: RolloutStore, state: RolloutState, fleet: Fleet, default_memory_limit_mb: float) -> None:
-    """Control a rollout until it is over, and end the command by how it ended."""
+    """Control a rollout until it is over or another controller takes over, and end the program."""
     logs.configure_logging()
     options = _controller_options(state, fleet, default_memory_limit_mb)
     controller = Controller(store, state, fleet.workers, options, ListReader(fleet).accepted_workers)
-    ended = controller.run()
+    final_state = controller.run()
     if controller.ended_reason:
-        fail(ExitCode.NO_STATE, f"another controller is in charge, or this one failed: {controller.ended_reason}")
-    print_line(f"{ended.name}: {ended.phase}: {ended.reason}")
-    sys.exit(0 if ended.phase == Phase.DONE else ExitCode.DIFFERENCES)
+        fail(ExitCode.NO_STATE, f"another controller took over, or this one failed: {controller.ended_reason}")
+    print_line(f"{final_state.name}: {final_state.phase}: {final_state.reason}")
+    sys.exit(0 if final_state.phase == Phase.DONE else ExitCode.DIFFERENCES)
 
 
 def _controller_options(state: RolloutState, fleet: Fleet, default_memory_limit_mb: float) -> ControllerOptions:
--- a/lapispick/cli/rollout_planning.py
+++ b/lapispick/cli/rollout_planning.py
@@ -11,8 +11,8 @@
 
 from lapispick.agent import generation_store, line_client
 from lapispick.agent.errors import InvalidGenerationError
-from lapispick.cli.config import load
-from lapispick.cli.inventory import Files, source
+from lapispick.cli.config import load_settings
+from lapispick.cli.inventory import ListFiles, resolve_list_source
 from lapispick.cli.output import ExitCode
 from lapispick.cli.rollout_common import fail
 from lapispick.conf.sections import RolloutSettings
@@ -26,7 +26,7 @@
 
 
 class Candidate(NamedTuple):
-    """The generation that a rollout would be of; its digest is empty where it has none."""
+    """Generation that a rollout would install; its digest is empty if the generation could not be read."""
 
     digest: str
     formats: dict[str, FormatSupport]
@@ -34,18 +34,18 @@
 
 
 class Fleet(NamedTuple):
-    """The list of hosts, and the stages that follow from it and the settings."""
+    """Host list, and the stages that result from it and the settings."""
 
     settings: RolloutSettings
     workers: tuple[Worker, ...]
     stages: list[list[str]]
     remarks: list[str]
     faults: list[str]
-    source: Any  # of the list, as ``lapispick inventory`` reads it
+    source: Any  # of the host list; a ``ListSource``
 
 
 def read_candidate(program: Path, settings: Path | None, config: Path | None) -> Candidate:
-    """Return the generation as agents identify it, and what is wrong with it."""
+    """Return the generation with the digest that agents compute for it, and its faults."""
     try:
         changes = msgspec.json.decode(config.read_bytes(), type=dict[str, Any]) if config else {}
         faults = generations.config_faults(changes)
@@ -61,8 +61,8 @@
 
 
 def _settings_faults(program: Path, settings: Path) -> list[str]:
-    """Let the program that will read a settings file check it."""
-    done = subprocess.run(
+    """Return the faults of a settings file; the program that will read it checks it."""
+    completed = subprocess.run(
         [sys.executable, "-m", "lapispick", "config", "check", "--conf", str(settings.absolute())],
         cwd=program,
         capture_output=True,
@@ -70,33 +70,33 @@
         timeout=generation_store.PROGRAM_TIMEOUT_S,
         env=generation_store.program_environment(program.absolute()),
     )
-    return [line for line in done.stderr.splitlines() if line] if done.returncode else []
+    return [line for line in completed.stderr.splitlines() if line] if completed.returncode else []
 
 
-def read_fleet(settings_file: Path | None, rollout: str) -> Fleet:
-    """Return the fleet of the settings with the stages that a rollout of this name has."""
-    settings = load(settings_file)
+def read_fleet(conf_file: Path | None, rollout: str) -> Fleet:
+    """Return the fleet that the settings name, and the stages of a rollout with this name."""
+    settings = load_settings(conf_file)
     if not settings.fleet.group:
-        fail(ExitCode.INVALID, "no group in section fleet of the settings")
-    list_source = source(settings_file, None, settings.fleet.group)
-    reading = Files(list_source).read()
+        fail(ExitCode.INVALID, "section fleet of the settings: group is missing")
+    list_source = resolve_list_source(conf_file, None, settings.fleet.group)
+    reading = ListFiles(list_source).read()
     faults = [str(fault) for fault in reading.faults]
     workers, _ = hosts.workers(reading.hosts.values())
     limits = stages.Limits(settings.rollout.max_zone_fraction)
-    planned: list[list[str]] = []
+    planned_stages: list[list[str]] = []
     remarks: list[str] = []
     try:
         pacing.parse_hours(settings.rollout.hours)
         sizes = [stages.parse_size(size) for size in settings.rollout.stages]
-        planned = stages.assign(workers, sizes, rollout, limits)
-        remarks = stages.remarks(workers, planned, limits)
+        planned_stages = stages.assign(workers, sizes, rollout, limits)
+        remarks = stages.remarks(workers, planned_stages, limits)
     except ValueError as err:
         faults.append(f"section rollout: {err}")
-    return Fleet(settings.rollout, workers, planned, remarks, faults, list_source)
+    return Fleet(settings.rollout, workers, planned_stages, remarks, faults, list_source)
 
 
 def make_plan(fleet: Fleet, generation: str, default_memory_limit_mb: float) -> Plan:
-    """Return the plan of a rollout."""
+    """Return the plan of a rollout of a generation."""
     settings = fleet.settings
     return Plan(
         generation=generation,
@@ -119,19 +119,23 @@
 
 
 def agent_objections(fleet: Fleet, candidate: Candidate) -> list[str]:
-    """Ask the agents what runs now: a rollout that skips a step is rejected before it changes its first host."""
+    """Return why a candidate cannot run on the hosts, from the status that their agents report.
+
+    This is checked before the first host is changed. For example, a candidate may need an intermediate generation
+    because it does not read a format that the running generation writes.
+    """
     faults: list[str] = []
     answered = 0
     for worker in fleet.workers:
         status = _agent_status(worker)
-        if status is None:  # it is asked again in its stage, and its agent checks the same
+        if status is None:  # asked again in its stage, where the agent makes the same checks
             continue
         answered += 1
         running = {name: FormatSupport(*support) for name, support in status.formats.items()}
         faults += [f"{worker.name}: {reason}" for reason in compat.incompatibilities(running, candidate.formats)]
         if candidate.digest not in status.generations:
-            faults.append(f"{worker.name}: {candidate.digest} is not stored there (lapispick agent add)")
-    return faults[:MAX_SHOWN_FAULTS] if answered else ["no agent answers"]
+            faults.append(f"{worker.name}: generation {candidate.digest} is not stored there; run lapispick agent add")
+    return faults[:MAX_SHOWN_FAULTS] if answered else ["no agent answered"]
 
 
 def _agent_status(worker: Worker) -> messages.Status | None:
--- a/lapispick/cli/rollout_show.py
+++ b/lapispick/cli/rollout_show.py
@@ -15,7 +15,7 @@
 
 from lapispick.agent.rollout_records import MetricExplanation, RolloutRecord
 from lapispick.agent.rollout_store import RolloutStore
-from lapispick.cli.config import FILE
+from lapispick.cli.config import CONF_OPTION
 from lapispick.cli.output import ExitCode, print_json, print_line, print_table
 from lapispick.cli.rollout_common import (
     CONTROLLER_TIMEOUT_S,
@@ -29,12 +29,12 @@
 
 WATCH_INTERVAL_S = 0.25
 WATCH_FRAMES_PER_S = 4
-_NOBODY = "nobody"
-_INFINITE = "unknown"
+_NO_GENERATION = "nobody"  # stands for the generation of a host that serves none
+_UNKNOWN_BOUND = "unknown"
 
 
 def _summary(store: RolloutStore, state: RolloutState) -> dict[str, Any]:
-    """Return what ``status`` shows of a rollout, under the names of its JSON output."""
+    """Return the fields that ``status`` shows, by the keys of its JSON output."""
     leadership = store.leadership()
     fleet = store.fleet_summary(state.name)
     hosts = fleet.hosts if fleet is not None else {}
@@ -48,7 +48,7 @@
         "since": state.phase_since,
         "steered_by": f"{leadership.epoch}.{leadership.controller}",
         "seen_s_ago": round(time.time() - leadership.seen_at, 1),
-        "serving": dict(Counter(host.serving or _NOBODY for host in hosts.values())),
+        "serving": dict(Counter(host.serving or _NO_GENERATION for host in hosts.values())),
         "changing": state.stage_hosts,
         "controls": state.controls,
         "over": len(state.confirmed_hosts),
@@ -59,12 +59,15 @@
 
 
 @click.command()
-@FILE
+@CONF_OPTION
 @NAME_ARGUMENT
 @JSON_OPTION
-def status(file: Path | None, name: str, json_: bool) -> None:
-    """Show the state of a rollout, by default the newest. Ends with 1 where it was rolled back or asks an operator."""
-    store = open_store(file)
+def status(conf_file: Path | None, name: str, json_: bool) -> None:
+    """Show the state of a rollout, by default the newest.
+
+    Exits with 1 if the rollout was rolled back or waits for an operator's decision.
+    """
+    store = open_store(conf_file)
     state = get_rollout(store, name)
     summary = _summary(store, state)
     if json_:
@@ -74,17 +77,17 @@
             if key != "boxes":
                 print_line(f"{key:<11} {value}")
         if summary["seen_s_ago"] > CONTROLLER_TIMEOUT_S and not state.is_over:
-            print_line("no controller runs: lapispick rollout resume")
+            print_line("no controller runs; run lapispick rollout resume")
     sys.exit(ExitCode.DIFFERENCES if state.phase in (Phase.ROLLED_BACK, Phase.AWAITING_DECISION) else 0)
 
 
 @click.command()
-@FILE
+@CONF_OPTION
 @NAME_ARGUMENT
-@click.option("--seconds", type=float, default=0.0, help="End after this long; 0: when the rollout is over.")
-def watch(file: Path | None, name: str, seconds: float) -> None:
-    """Show stages and hosts live."""
-    store = open_store(file)
+@click.option("--seconds", type=float, default=0.0, help="Time to run; 0: until the rollout is over.")
+def watch(conf_file: Path | None, name: str, seconds: float) -> None:
+    """Show the stages and hosts of a rollout, and refresh them until it is over."""
+    store = open_store(conf_file)
     end = time.monotonic() + seconds if seconds else float("inf")
     with Live(_watch_table(store, name), refresh_per_second=WATCH_FRAMES_PER_S) as live:
         while time.monotonic() < end and not get_rollout(store, name).is_over:
@@ -96,14 +99,14 @@
     state = get_rollout(store, name)
     fleet = store.fleet_summary(state.name)
     hosts = fleet.hosts if fleet is not None else {}
-    shown = Table(title=f"{state.name} {state.phase}: {state.reason}", title_justify="left", box=None)
+    table = Table(title=f"{state.name} {state.phase}: {state.reason}", title_justify="left", box=None)
     for column in ("host", "stage", "serves", "phase", "fault"):
-        shown.add_column(column)
+        table.add_column(column)
     stage_of = {host: number for number, stage in enumerate(state.plan.stages, 1) for host in stage}
     for host, summary in hosts.items():
         stage = str(stage_of.get(host, "later"))
-        shown.add_row(host, stage, summary.serving or _NOBODY, summary.phase, summary.fault)
-    return shown
+        table.add_row(host, stage, summary.serving or _NO_GENERATION, summary.phase, summary.fault)
+    return table
 
 
 def _local_time(at: float) -> str:
@@ -111,12 +114,12 @@
 
 
 @click.command()
-@FILE
+@CONF_OPTION
 @NAME_ARGUMENT
 @JSON_OPTION
-def history(file: Path | None, name: str, json_: bool) -> None:
-    """List all rollouts, or what happened in one."""
-    store = open_store(file)
+def history(conf_file: Path | None, name: str, json_: bool) -> None:
+    """List all rollouts, or the events of one."""
+    store = open_store(conf_file)
     if name:
         _show_events(store, get_rollout(store, name), json_)
     else:
@@ -161,22 +164,22 @@
 
 
 @click.command()
-@FILE
+@CONF_OPTION
 @NAME_ARGUMENT
 @JSON_OPTION
-def explain(file: Path | None, name: str, json_: bool) -> None:
-    """Show why the canary analysis decides as it does, metric by metric."""
-    store = open_store(file)
+def explain(conf_file: Path | None, name: str, json_: bool) -> None:
+    """Show how the canary analysis reached its verdict, metric by metric."""
+    store = open_store(conf_file)
     state = get_rollout(store, name)
     stored = store.explanation(state.name)
     if stored is None:
-        fail(ExitCode.NO_STATE, f"{state.name}: there is no canary analysis yet")
+        fail(ExitCode.NO_STATE, f"{state.name}: no canary analysis is stored yet")
     explanation = stored.explanation
     if json_:
         print_json({"at": stored.at, **msgspec.to_builtins(explanation)})
         return
     print_line(f"{state.name} stage {explanation.stage}: {explanation.outcome}: {explanation.reason}")
-    changed = " ".join(explanation.changed) or "none warm"
+    changed = " ".join(explanation.changed) or "none warmed up"
     unchanged = " ".join(explanation.unchanged) or "none"
     print_line(f"changed: {changed}; compared with: {unchanged}")
     print_table(
@@ -201,4 +204,4 @@
 
 
 def _bound(value: float | None) -> str:
-    return f"{value:+.2%}" if value is not None else _INFINITE
+    return f"{value:+.2%}" if value is not None else _UNKNOWN_BOUND
--- a/lapispick/cli/shares.py
+++ b/lapispick/cli/shares.py
@@ -1,4 +1,4 @@
-"""``lapispick shares``: which backends each worker host uses, and what a change of the fleet would move."""
+"""``lapispick shares``: the backends of each worker host, and how they change with the fleet."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 import click
 
-from lapispick.cli.config import FILE, load
-from lapispick.cli.inventory import ANY_HOST, Files, Source, source
+from lapispick.cli.config import CONF_OPTION, load_settings
+from lapispick.cli.inventory import ANY_HOST, ListFiles, ListSource, resolve_list_source
 from lapispick.cli.output import ExitCode, print_error, print_json, print_line, print_table
 from lapispick.fleet import hosts as worker_hosts
 from lapispick.fleet.host_assembly import InventoryHost
@@ -22,29 +22,29 @@
 
 @click.group()
 def shares() -> None:
-    """Show which backends each worker host would use, computed from the inventories alone."""
+    """Show which backends each worker host uses, as computed from the inventories alone."""
 
 
-PATH = click.Path(exists=True, path_type=Path)
-LIST_OPTIONS = (
-    FILE,
-    click.option("--backends", "backends_path", type=PATH, required=True, help="The list of backends."),
-    click.option("--group", default="all", show_default=True, help="Of the backends, in their list."),
-    click.option("--least", "min_hosts", default=2, show_default=True, help="Hosts that each backend needs."),
-    click.option("--json", "json_", is_flag=True, help="For programs."),
+EXISTING_PATH = click.Path(exists=True, path_type=Path)
+COMMON_OPTIONS = (
+    CONF_OPTION,
+    click.option("--backends", "backends_path", type=EXISTING_PATH, required=True, help="Inventory of the backends."),
+    click.option("--group", default="all", show_default=True, help="Group of the backends in their inventory."),
+    click.option("--least", "min_hosts", default=2, show_default=True, help="Minimum number of hosts of each backend."),
+    click.option("--json", "json_", is_flag=True, help="Print JSON."),
 )
 
 
-def _list_options(command: Callable[..., Any]) -> Callable[..., Any]:
+def _common_options(command: Callable[..., Any]) -> Callable[..., Any]:
     """Add the options that all commands of this group have."""
-    for option in reversed(LIST_OPTIONS):
+    for option in reversed(COMMON_OPTIONS):
         command = option(command)
     return command
 
 
-def _read_hosts(files: Source) -> list[InventoryHost]:
-    """Return the hosts of an inventory; ends the program where it has faults."""
-    reading = Files(files).read()
+def _read_hosts(list_source: ListSource) -> list[InventoryHost]:
+    """Return the hosts of an inventory; prints the faults and ends the program if there are any."""
+    reading = ListFiles(list_source).read()
     if reading.faults:
         for fault in reading.faults:
             print_error(str(fault))
@@ -52,38 +52,38 @@
     return list(reading.hosts.values())
 
 
-def _worker_hosts(conf: Path | None, path: Path | None = None) -> list[Host]:
-    group = load(conf).fleet.group
+def _worker_hosts(conf_file: Path | None, path: Path | None = None) -> list[Host]:
+    group = load_settings(conf_file).fleet.group
     if not group:
-        print_error("no group in section fleet of the settings")
+        print_error("section fleet of the settings: group is missing")
         sys.exit(ExitCode.INVALID)
-    workers, _ = worker_hosts.workers(_read_hosts(source(conf, path, group)))
+    workers, _ = worker_hosts.workers(_read_hosts(resolve_list_source(conf_file, path, group)))
     return [Host(worker.name, worker.zone, worker.weight) for worker in workers]
 
 
-def _backends(conf: Path | None, path: Path, group: str) -> list[Backend]:
-    files = source(conf, path, group)._replace(schema=ANY_HOST)
-    return [Backend(host.name) for host in _read_hosts(files)]
+def _backends(conf_file: Path | None, path: Path, group: str) -> list[Backend]:
+    list_source = resolve_list_source(conf_file, path, group)._replace(schema=ANY_HOST)
+    return [Backend(host.name) for host in _read_hosts(list_source)]
 
 
-def _require_known(name: str, hosts: Sequence[Host]) -> None:
-    """End the program where no host has this name."""
+def _require_host(name: str, hosts: Sequence[Host]) -> None:
+    """End the program if no host has this name."""
     if name not in {host.name for host in hosts}:
-        print_error(f"{name} is no worker host of the list")
+        print_error(f"unknown worker host {name!r}: not in the host list")
         sys.exit(ExitCode.INVALID)
 
 
 def _host_counts(backends: Sequence[Backend], assignment: Assignment) -> list[int]:
-    """Return how many hosts each backend has."""
+    """Return the number of hosts of each backend."""
     return [sum(backend.name in assigned for assigned in assignment.values()) for backend in backends]
 
 
 @shares.command()
-@_list_options
-def show(file: Path | None, backends_path: Path, group: str, min_hosts: int, json_: bool) -> None:
-    """Show what every host uses, and the load of each backend where all hosts have as much as their weight."""
-    hosts = _worker_hosts(file)
-    backends = _backends(file, backends_path, group)
+@_common_options
+def show(conf_file: Path | None, backends_path: Path, group: str, min_hosts: int, json_: bool) -> None:
+    """Show the backends of every host, and the load of each backend if the load of each host equals its weight."""
+    hosts = _worker_hosts(conf_file)
+    backends = _backends(conf_file, backends_path, group)
     assignment = subsets.assign_backends(hosts, backends, min_hosts)
     fractions = load_fractions.load_fractions(hosts, backends, assignment)
     loads = load_fractions.backend_loads(hosts, fractions)
@@ -111,12 +111,12 @@
 
 @shares.command()
 @click.argument("name")
-@_list_options
-def subset(name: str, file: Path | None, backends_path: Path, group: str, min_hosts: int, json_: bool) -> None:
-    """Show what one host uses, and by which place in each backend's order it has it."""
-    hosts = _worker_hosts(file)
-    backends = _backends(file, backends_path, group)
-    _require_known(name, hosts)
+@_common_options
+def subset(name: str, conf_file: Path | None, backends_path: Path, group: str, min_hosts: int, json_: bool) -> None:
+    """Show the backends of one host, and its place in the order of hosts of each backend."""
+    hosts = _worker_hosts(conf_file)
+    backends = _backends(conf_file, backends_path, group)
+    _require_host(name, hosts)
     ranks = subsets.explain_assignment(name, hosts, backends, min_hosts)
     if json_:
         rows = [{"backend": rank.backend, "place": rank.place, "needs": rank.required_hosts} for rank in ranks]
@@ -126,37 +126,37 @@
 
 
 @shares.command("what-if")
-@click.option("--without", multiple=True, metavar="NAME", help="A host that goes; may stand several times.")
+@click.option("--without", multiple=True, metavar="NAME", help="Host to remove; may be given several times.")
 @click.option(
     "--boxes",
     "host_count",
     type=click.IntRange(1, MAX_HOSTS),
-    help="So many hosts: the last go, or new ones come.",
+    help="New number of hosts: the last by name are removed, or new ones added.",
 )
-@click.option("--list", "other_list", type=PATH, help="Another list of worker hosts.")
-@_list_options
+@click.option("--list", "other_list", type=EXISTING_PATH, help="Other inventory of worker hosts.")
+@_common_options
 def what_if(
     without: tuple[str, ...],
     host_count: int | None,
     other_list: Path | None,
-    file: Path | None,
+    conf_file: Path | None,
     backends_path: Path,
     group: str,
     min_hosts: int,
     json_: bool,
 ) -> None:
-    """Show what a change of the fleet would move: which hosts would release backends, and which would take them."""
+    """Show which pairs of host and backend would begin and end with a change of the fleet."""
     if sum((bool(without), host_count is not None, other_list is not None)) != 1:
-        print_error("name one of --without, --boxes, --list")
+        print_error("expected exactly one of --without, --boxes and --list")
         sys.exit(ExitCode.INVALID)
-    hosts = _worker_hosts(file)
-    backends = _backends(file, backends_path, group)
+    hosts = _worker_hosts(conf_file)
+    backends = _backends(conf_file, backends_path, group)
     for name in without:
-        _require_known(name, hosts)
+        _require_host(name, hosts)
     if host_count is not None:
         new_hosts = _resized(hosts, host_count)
     elif other_list is not None:
-        new_hosts = _worker_hosts(file, other_list)
+        new_hosts = _worker_hosts(conf_file, other_list)
     else:
         new_hosts = [host for host in hosts if host.name not in without]
     old = subsets.assign_backends(hosts, backends, min_hosts)
@@ -168,14 +168,14 @@
         return
     new_pair_count = sum(map(len, new.values()))
     print_line(
-        f"{len(hosts)} hosts become {len(new_hosts)}: {len(change.added)} of {new_pair_count} pairs begin, "
-        f"{len(change.removed)} end; {change.min_added} had to. Hosts of a backend: {fewest_hosts} at least"
+        f"from {len(hosts)} to {len(new_hosts)} hosts: {len(change.added)} of {new_pair_count} pairs begin "
+        f"(minimum {change.min_added}), {len(change.removed)} end; each backend has at least {fewest_hosts} hosts"
     )
     print_table("begin", ["host", "backend"], change.added)
 
 
 def _resized(hosts: Sequence[Host], host_count: int) -> list[Host]:
-    """Return the first hosts by name, and new ones evenly over the zones where there are too few."""
+    """Return the first hosts by name; if there are too few, add new ones evenly over the zones."""
     zones = sorted({host.zone for host in hosts})
     new_hosts = []
     for number in range(host_count - len(hosts)):
--- a/tests/test_inventory_watch.py
+++ b/tests/test_inventory_watch.py
@@ -352,7 +352,7 @@
     history = json.loads(fleet.output_of("inventory", "history", "--json"))
     assert [entry["boxes"] for entry in history["history"]] == [5, 3]
     assert history["status"]["phase"] == "accepted"
-    assert "nothing is held back" in fleet.run_command("inventory", "accept").stderr
+    assert "no list is held" in fleet.run_command("inventory", "accept").stderr
     assert not (fleet.folder / "state/accept").exists()
 
 
