--- a/lapispick/cli/leases.py
+++ b/lapispick/cli/leases.py
@@ -17,23 +17,24 @@
 from lapispick.host.members.reports import LeaseInfo
 
 RENEW_INTERVAL_S = 0.3  # the host drops requests that are not repeated within its setting ``keep``
-STOP_MARGIN_S = 0.5  # of the lease, for a command to end after SIGTERM
+STOP_MARGIN_S = 0.5  # before the lease expires, for the command to end after SIGTERM
 MIN_CALL_TIMEOUT_S = 0.3
 MAX_CALL_TIMEOUT_S = 2.0
 FENCING_TOKEN_VARIABLE = "LAPISPICK_FENCE"
-SIGNAL_EXIT_STATUS = 128  # plus the signal's number, as in a shell
+MIN_CHILD_WAIT_S = 0.01
+SIGNAL_EXIT_STATUS_BASE = 128  # the signal's number is added, as in a shell
 
 
-# Named as in earlier versions; it is given by position.
+# The parameter keeps its name from earlier versions; users pass it by position and see LEASE.
 LEASE_ARGUMENT = click.argument("turn", metavar="LEASE")
 
 
 @click.group()
 def leases() -> None:
-    """List named leases of the cluster, hold one while a command runs, release one."""
+    """List the named leases of the cluster, hold one while a command runs, or release one."""
 
 
-def _describe(lease: LeaseInfo) -> str:
+def _lease_state(lease: LeaseInfo) -> str:
     if lease.granted_to:
         return f"granted to {lease.granted_to}"
     return f"held, fencing token {lease.fencing_token}" if lease.fencing_token else "waiting"
@@ -41,14 +42,14 @@
 
 @leases.command("list")
 @ADDRESS_OPTION
-@click.option("--json", "json_", is_flag=True, help="For programs.")
+@click.option("--json", "json_", is_flag=True, help="Print JSON.")
 def list_(at: str | None, json_: bool) -> None:
-    """List the leases that are requested at a host, and those that it voted for."""
+    """List the leases that are requested at a host, and those for which it voted."""
     answer = fetch_json(resolve_address(at), "turns")
     if json_:
         return print_json(msgspec.json.decode(answer))
     rows = [
-        [lease.slot, lease.owner, _describe(lease), f"{lease.remaining_s:.1f} s", " ".join(lease.waiting)]
+        [lease.slot, lease.owner, _lease_state(lease), f"{lease.remaining_s:.1f} s", " ".join(lease.waiting)]
         for lease in msgspec.json.decode(answer, type=list[LeaseInfo])
     ]
     return print_table("leases", ["slot", "owner", "state", "expires in", "waiting"], rows)
@@ -58,17 +59,17 @@
 @ADDRESS_OPTION
 @LEASE_ARGUMENT
 def show(at: str | None, turn: str) -> None:
-    """Show who holds a lease, as far as a host voted for it. Ends with 1 where nobody holds it."""
-    found = [
-        each
-        for each in fetch(resolve_address(at), "turns", list[LeaseInfo])
-        if each.slot.split("/")[0] == turn and (each.granted_to or each.fencing_token)
+    """Show the holders of a lease that one host knows from its votes. Exits with 1 if it knows none."""
+    held_leases = [
+        lease
+        for lease in fetch(resolve_address(at), "turns", list[LeaseInfo])
+        if lease.slot.split("/")[0] == turn and (lease.granted_to or lease.fencing_token)
     ]
-    for each in found:
-        holder = each.granted_to or f"this host, for {each.owner}"
-        print_line(f"{each.slot}: {holder}, fencing token {each.fencing_token}, expires in {each.remaining_s:.1f} s")
-    if not found:
-        print_line(f"nobody holds {turn}, as far as this host's vote tells")
+    for lease in held_leases:
+        holder = lease.granted_to or f"this host, for {lease.owner}"
+        print_line(f"{lease.slot}: {holder}, fencing token {lease.fencing_token}, expires in {lease.remaining_s:.1f} s")
+    if not held_leases:
+        print_line(f"{turn}: this host knows no holder from its votes")
         sys.exit(ExitCode.DIFFERENCES)
 
 
@@ -77,7 +78,7 @@
 @LEASE_ARGUMENT
 @click.argument("owner")
 def release(at: str | None, turn: str, owner: str) -> None:
-    """Release a lease that an owner at a host holds or waits for; from then on its fencing token is outdated."""
+    """Release a lease that an owner at a host holds or waits for; its fencing token is outdated afterwards."""
     try:
         lines = call(resolve_address(at), f"done {turn} {owner}")
     except NoAnswerError as err:
@@ -89,22 +90,24 @@
 
 @leases.command(context_settings={"ignore_unknown_options": True})
 @ADDRESS_OPTION
-@click.option("--wait", default=600.0, show_default=True, help="Longest time to wait for the lease, in seconds.")
-@click.option("--priority", default=0, show_default=True, help="0 to 99; waiting compensates for it with time.")
+@click.option("--wait", default=600.0, show_default=True, help="Maximum time to wait for the lease, in seconds.")
+@click.option(
+    "--priority", default=0, show_default=True, help="0 to 99, higher first; it increases with the waiting time."
+)
 @LEASE_ARGUMENT
 @click.argument("command", nargs=-1, required=True, type=click.UNPROCESSED)
 def hold(at: str | None, wait: float, priority: int, turn: str, command: tuple[str, ...]) -> None:
     """Run a command while the host holds a lease, as in: lapispick leases hold compact -- vacuum-everything.
 
-    The command finds its fencing token in LAPISPICK_FENCE. If the lease is lost meanwhile (the host was paused, or cut
-    off from the majority), the command is ended before another host can obtain the lease. Ends with the command's own
-    status; with 1 where the lease was not obtained in time or was lost.
+    The command gets its fencing token in LAPISPICK_FENCE. If the lease is lost while the command runs (the host was
+    paused, or disconnected from the majority), the command is stopped before another host can obtain the lease. Exits
+    with the command's own status, or with 1 if the lease was not obtained in time or was lost.
     """
     sys.exit(_LeaseHolder(resolve_address(at), turn, priority, command).run(wait))
 
 
 class _LeaseHolder:
-    """Holds a lease by repeated requests to the host, and runs a command meanwhile."""
+    """Holds a lease by repeated requests to the host while a command runs."""
 
     def __init__(self, host: tuple[str, int], lease: str, priority: int, command: tuple[str, ...]) -> None:
         self._host = host
@@ -126,7 +129,8 @@
         finally:
             if self._child is not None and self._child.poll() is None:
                 _stop(self._child, self._expires_at)
-            with contextlib.suppress(NoAnswerError):  # the host drops a request that is not repeated
+            # Without an answer the lease is released too: the host drops a request that is not repeated.
+            with contextlib.suppress(NoAnswerError):
                 call(self._host, f"done {self._lease} {self._owner}")
 
     def _run(self, deadline: float, wait_s: float) -> int:
@@ -144,14 +148,14 @@
             stop_at = self._expires_at - STOP_MARGIN_S
             if _ends_within(self._child, min(RENEW_INTERVAL_S, max(0.0, stop_at - time.monotonic()))):
                 status = self._child.returncode
-                return status if status >= 0 else SIGNAL_EXIT_STATUS - status
+                return status if status >= 0 else SIGNAL_EXIT_STATUS_BASE - status
             if time.monotonic() >= stop_at:
                 _stop(self._child, self._expires_at)
-                print_error(f"{self._lease} was lost while the command ran; it was ended")
+                print_error(f"{self._lease} was lost while the command ran; the command was stopped")
                 return ExitCode.DIFFERENCES
 
     def _renew(self) -> str | None:
-        """Request the lease once, and start the command when it is obtained. Returns an error of the request."""
+        """Request the lease once, and start the command if the lease is obtained; return the error of a bad request."""
         requested_at = time.monotonic()
         try:
             line = call(self._host, f"want {self._lease} {self._owner} {self._priority}", self._timeout(requested_at))[
@@ -165,7 +169,9 @@
             return " ".join(fields)
         if status == "OK" and fields[:1] == ["held"]:
             _, _, token, remaining_s = fields
-            self._expires_at = requested_at + float(remaining_s)  # never later than the host's own
+            self._expires_at = requested_at + float(
+                remaining_s
+            )  # counted from the request, so not later than at the host
             if self._child is None:
                 self._child = subprocess.Popen(self._command, env={**os.environ, FENCING_TOKEN_VARIABLE: token})
         elif status == "OK" and self._child is not None:
@@ -180,14 +186,14 @@
 
 def _ends_within(child: subprocess.Popen[bytes], seconds: float) -> bool:
     try:
-        child.wait(max(0.01, seconds))
+        child.wait(max(MIN_CHILD_WAIT_S, seconds))
     except subprocess.TimeoutExpired:
         return False
     return True
 
 
 def _stop(child: subprocess.Popen[bytes], expires_at: float) -> None:
-    """End a command: by SIGTERM, and by SIGKILL when the lease expires."""
+    """Stop a command with SIGTERM, and with SIGKILL if it still runs when the lease expires."""
     child.terminate()
     if not _ends_within(child, expires_at - time.monotonic()):
         child.kill()
--- a/lapispick/cli/main.py
+++ b/lapispick/cli/main.py
@@ -10,9 +10,9 @@
 
 import click
 
-# Each is defined in the module of its name in this package.
+# Each command is defined in the module of the same name in this package.
 COMMANDS = ("agent", "config", "demo", "inventory", "leases", "members", "model", "ops", "rollout", "shares", "trace")
-HIDDEN_ALIASES = {"turns": "leases"}  # an earlier name -> the command
+HIDDEN_ALIASES = {"turns": "leases"}  # former name -> current name
 
 
 def _version() -> str:
@@ -23,20 +23,21 @@
 
 
 class _LazyGroup(click.Group):
-    """A group that imports only the command that is run, and reports broken pipes of peers.
+    """Group that imports only the selected command, and reports connections that a peer closed.
 
-    An agent is a process of this command line on every host: what other commands import must not stay in its memory.
+    The agent of every host is a process of this command line, so modules that only other commands need must not
+    take up its memory.
 
-    At a broken pipe click ends without a message, as if the reader of the output had left. Where the output is not
-    broken, a peer closed its connection, which is reported as an error.
+    On a broken pipe click exits without a message, because it assumes that the reader of standard output closed the
+    pipe. If standard output is intact, a peer closed its connection, and this is reported as an error.
     """
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Name all commands."""
+        """Return the names of all commands."""
         return sorted([*super().list_commands(ctx), *COMMANDS])
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """Return a command."""
+        """Return the command with this name or former name; imports its module."""
         name = HIDDEN_ALIASES.get(name, name)
         if name in COMMANDS:
             command: click.Command = getattr(importlib.import_module(f"lapispick.cli.{name}"), name)
@@ -44,7 +45,7 @@
         return super().get_command(ctx, name)
 
     def invoke(self, ctx: click.Context) -> Any:
-        """Run the command that was named."""
+        """Run the selected command; reports an ``OSError`` unless the reader of standard output closed the pipe."""
         try:
             return super().invoke(ctx)
         except OSError as err:
@@ -54,22 +55,25 @@
 
 
 def _output_is_broken() -> bool:
-    """Tell whether the reader of standard output has left; a flush would not show it where output is unbuffered."""
-    poll = select.poll()
+    """Return True if the reader of standard output closed the pipe.
+
+    A flush would not detect this if standard output is unbuffered.
+    """
+    poller = select.poll()
     try:
-        poll.register(sys.stdout.fileno(), 0)
+        poller.register(sys.stdout.fileno(), 0)
     except (OSError, ValueError):  # standard output has no descriptor
         return False
-    return bool(poll.poll(0))
+    return bool(poller.poll(0))
 
 
 @click.group(cls=_LazyGroup, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 110})
 @click.version_option(_version(), prog_name="lapispick")
 def cli() -> None:
-    """Overload control for worker hosts: the operators' commands.
+    """Operators' commands of lapispick, the overload control for worker hosts.
 
-    A worker host itself is started by `python -m lapispick.host`. Exit codes: 0 success, 1 differences or
-    faults were found, 2 the call or the settings are invalid, 3 there is no state to read or no answer.
+    Start a worker host itself with `python -m lapispick.host`. Exit codes: 0 success, 1 differences or faults
+    were found, 2 the arguments or the settings are invalid, 3 there is no state to read or no answer.
     """
 
 
--- a/lapispick/cli/members.py
+++ b/lapispick/cli/members.py
@@ -1,4 +1,4 @@
-"""``lapispick members``: who is alive, as a running worker host sees it."""
+"""``lapispick members``: the members of the cluster, as a running worker host sees them."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 Report = TypeVar("Report")
 
 
-def fetch_json(at: tuple[str, int], request: str) -> bytes:
-    """Return the JSON that a host answers; ends the program if it answers none."""
+def fetch_json(address: tuple[str, int], request: str) -> bytes:
+    """Return the JSON that a host answers; ends the program if there is none."""
     try:
-        lines = call(at, request)
+        lines = call(address, request)
     except NoAnswerError as err:
         print_error(str(err))
         sys.exit(ExitCode.NO_STATE)
@@ -35,14 +35,14 @@
     return lines[1].encode()
 
 
-def fetch(at: tuple[str, int], request: str, report_type: type[Report]) -> Report:
-    """Return a host's answer as a report; ends the program if there is none."""
-    return msgspec.json.decode(fetch_json(at, request), type=report_type)
+def fetch(address: tuple[str, int], request: str, report_type: type[Report]) -> Report:
+    """Return the report that a host answers; ends the program if there is none."""
+    return msgspec.json.decode(fetch_json(address, request), type=report_type)
 
 
 @click.group()
 def members() -> None:
-    """Show the cluster of worker hosts, as one of them sees it."""
+    """Show the members of the cluster of worker hosts, as one of them sees them."""
 
 
 def _summary(view: ViewInfo) -> str:
@@ -57,14 +57,14 @@
     return f"{' '.join(filter(None, parts))} ({fact.age_s:.0f} s)"
 
 
-def _table(view: ViewInfo) -> Table:
+def _members_table(view: ViewInfo) -> Table:
     table = Table(title=_summary(view))
     for heading in ("member", "state", "process epoch", "incarnation", "address", "facts"):
         table.add_column(heading)
     facts_by_author: dict[str, list[str]] = {}
     for fact in view.facts:
         facts_by_author.setdefault(fact.author, []).append(_fact_text(fact))
-    for member in sorted(view.members, key=lambda each: (each.state == ALIVE, each.name)):
+    for member in sorted(view.members, key=lambda member: (member.state == ALIVE, member.name)):
         table.add_row(
             member.name,
             member.state,
@@ -78,9 +78,9 @@
 
 @members.command()
 @ADDRESS_OPTION
-@click.option("--json", "json_", is_flag=True, help="For programs.")
+@click.option("--json", "json_", is_flag=True, help="Print JSON.")
 def show(at: str | None, json_: bool) -> None:
-    """Show who is alive, suspect, dead or left. Ends with 1 where the host sees no quorum."""
+    """Show which members are alive, suspect, dead or left. Exits with 1 if the host sees no quorum."""
     from rich.console import Console
 
     answer = fetch_json(resolve_address(at), "members")
@@ -88,34 +88,36 @@
     if json_:
         print_json(msgspec.json.decode(answer))
     else:
-        Console().print(_table(view))
+        Console().print(_members_table(view))
     sys.exit(0 if view.has_quorum else ExitCode.DIFFERENCES)
 
 
 @members.command()
 @ADDRESS_OPTION
-@click.option("--seconds", type=float, help="How long; by default until it is interrupted.")
+@click.option("--seconds", type=float, help="Time to run; by default until interrupted.")
 def watch(at: str | None, seconds: float | None) -> None:
-    """Show the members live."""
+    """Show the members and refresh them every second."""
     host = resolve_address(at)
     end = time.monotonic() + (seconds or float("inf"))
-    with Live(_table(fetch(host, "members", ViewInfo)), refresh_per_second=2) as live:
+    with Live(_members_table(fetch(host, "members", ViewInfo)), refresh_per_second=2) as live:
         while time.monotonic() < end:
             time.sleep(min(WATCH_INTERVAL_S, max(0.0, end - time.monotonic())))
-            live.update(_table(fetch(host, "members", ViewInfo)))
+            live.update(_members_table(fetch(host, "members", ViewInfo)))
 
 
 @members.command()
 @ADDRESS_OPTION
 @click.argument("name")
-@click.option("--json", "json_", is_flag=True, help="For programs.")
+@click.option("--json", "json_", is_flag=True, help="Print JSON.")
 def why(at: str | None, name: str, json_: bool) -> None:
-    """Show a member's last changes of state, each with its reason."""
+    """Show the last state changes of a member, each with its reason."""
     answer = fetch_json(resolve_address(at), f"why {name}")
     if json_:
         return print_json(msgspec.json.decode(answer))
     report = msgspec.json.decode(answer, type=ChangesInfo)
-    print_line(f"{report.name} is {report.state}" + ("" if report.changes else "; nothing has changed since the start"))
+    print_line(
+        f"{report.name} is {report.state}" + ("" if report.changes else "; no state changes since the host started")
+    )
     for change in report.changes:
         print_line(f"  {time.strftime('%H:%M:%S', time.localtime(change.time))}  {change.state:<8} {change.reason}")
     return None
--- a/lapispick/cli/model.py
+++ b/lapispick/cli/model.py
@@ -13,36 +13,36 @@
 
 @click.group()
 def model() -> None:
-    """Simulate membership and leases of large clusters: the same code on one simulated clock."""
+    """Simulate membership and leases of large clusters, with the code of the hosts and a simulated clock."""
 
 
-OPTIONS = (
+COMMON_OPTIONS = (
     click.option("--seconds", default=60.0, show_default=True, help="Simulated time."),
     click.option("--loss", default=0.0, show_default=True, help="Fraction of messages that are lost."),
     click.option("--seed", default=1, show_default=True),
     click.option(
         "--script",
         type=click.Path(exists=True, dir_okay=False, path_type=Path),
-        help="Faults, a line each: AT KIND HOSTS [for SPAN] [VALUE].",
+        help="File of faults, one per line: AT KIND HOSTS [for SPAN] [VALUE].",
     ),
     click.option(
         "--want",
         "lease_requesters",
         default=0,
         show_default=True,
-        help="Members that request the lease all the time.",
+        help="Number of members that request the lease continuously.",
     ),
 )
 
 
-def _options(command):  # type: ignore[no-untyped-def]
-    for option in reversed(OPTIONS):
+def _common_options(command):  # type: ignore[no-untyped-def]
+    for option in reversed(COMMON_OPTIONS):
         command = option(command)
     return command
 
 
 def _script_text(path: Path | None) -> str:
-    """Return a valid script; ends the program with an invalid one."""
+    """Return the text of a fault script; ends the program if it is invalid."""
     from lapispick.model import fault_script
 
     text = path.read_text() if path is not None else ""
@@ -55,9 +55,9 @@
 
 
 @model.command()
-@click.option("--size", default=14, show_default=True, help="Members.")
-@_options
-@click.option("--json", "json_", is_flag=True, help="For programs.")
+@click.option("--size", default=14, show_default=True, help="Number of members.")
+@_common_options
+@click.option("--json", "json_", is_flag=True, help="Print JSON.")
 def run(
     size: int, seconds: float, loss: float, seed: int, script: Path | None, lease_requesters: int, json_: bool
 ) -> None:
@@ -73,10 +73,12 @@
 
 
 @model.command()
-@click.option("--sizes", default="14,200,1000", show_default=True, help="Members, one run each.")
-@_options
-@click.option("--json", "json_", is_flag=True, help="For programs.")
-@click.option("--save", type=click.Path(path_type=Path), help="Write the rows here, for plot.")
+@click.option(
+    "--sizes", default="14,200,1000", show_default=True, help="Numbers of members, separated by commas; one run each."
+)
+@_common_options
+@click.option("--json", "json_", is_flag=True, help="Print JSON.")
+@click.option("--save", type=click.Path(path_type=Path), help="File to save the rows to, for plot.")
 def sweep(
     sizes: str,
     seconds: float,
@@ -94,7 +96,7 @@
     try:
         cluster_sizes = [int(size) for size in sizes.split(",")]
     except ValueError:
-        print_error(f"--sizes {sizes}: takes numbers with commas between")
+        print_error(f"--sizes: expected whole numbers separated by commas, got {sizes!r}")
         sys.exit(ExitCode.INVALID)
     rows = [
         runs.simulate(runs.RunSettings(size, seconds, loss, seed, text, lease_requesters)) for size in cluster_sizes
@@ -113,27 +115,27 @@
 @click.option("--first", default=0, show_default=True, help="The first seed.")
 @click.argument("names", nargs=-1)
 def check_(seeds: int, first: int, names: tuple[str, ...]) -> None:
-    """Check properties, all or by name. Ends with 1 if one does not hold, and prints the seed that shows it."""
+    """Check all properties, or those named. Prints the seed of each violation, and exits with 1 if there is any."""
     from lapispick.model.properties import FORMER_NAMES, PROPERTIES, check
 
     selected = [FORMER_NAMES.get(name, name) for name in names] or list(PROPERTIES)
     for name in selected:
         if name not in PROPERTIES:
-            print_error(f"no property {name}; there are {', '.join(PROPERTIES)}")
+            print_error(f"unknown property {name!r}; expected one of {', '.join(PROPERTIES)}")
             sys.exit(ExitCode.INVALID)
     violations = check(selected, range(first, first + seeds))
     for violation in violations:
         print_error(f"{violation.name}, seed {violation.seed}: {violation.observed}")
     if violations:
         sys.exit(ExitCode.DIFFERENCES)
-    print_line(f"{len(selected)} properties hold by {seeds} seeds each")
+    print_line(f"{len(selected)} properties hold with {seeds} seeds each")
 
 
 @model.command()
 @click.argument("rows", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 @click.argument("picture", type=click.Path(path_type=Path))
 def plot(rows: Path, picture: Path) -> None:
-    """Plot what sweep saved: time to detect a death, messages and bytes per member and second, by size."""
+    """Plot the rows saved by sweep, by size: time to detect a dead member, messages and bytes per member and second."""
     from lapispick.model import runs
 
     try:
--- a/lapispick/cli/ops.py
+++ b/lapispick/cli/ops.py
@@ -1,4 +1,4 @@
-"""``lapispick ops``: call a running worker host at its operators' address."""
+"""``lapispick ops``: calls a running worker host at its operators' address."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from lapispick.host.addresses import parse_address
 
 CALL_TIMEOUT_S = 2.0  # an answer is due within 1 s
-POLL_INTERVAL_S = 0.05  # of ``wait``
+POLL_INTERVAL_S = 0.05  # between two calls of ``wait``
 MAX_ANSWER_BYTES = 64 * 1024
 RECEIVE_BYTES = 4096
 MIN_SOCKET_TIMEOUT_S = 0.001  # 0 would make the socket non-blocking
@@ -24,25 +24,25 @@
 
 
 class NoAnswerError(Exception):
-    """Nobody answered at the operators' address, or the answer is invalid."""
+    """There was no answer from the operators' address, or an invalid one."""
 
 
-def call(at: tuple[str, int], line: str, timeout: float = CALL_TIMEOUT_S) -> list[str]:
+def call(address: tuple[str, int], line: str, timeout: float = CALL_TIMEOUT_S) -> list[str]:
     """Make one call and return the lines of the answer; raises ``NoAnswerError``."""
     try:
-        answer = _exchange(at, line, time.monotonic() + timeout, timeout)
+        answer = _exchange(address, line, time.monotonic() + timeout, timeout)
     except OSError as err:
-        raise NoAnswerError(f"{at[0]}:{at[1]}: {err}") from None
+        raise NoAnswerError(f"{address[0]}:{address[1]}: {err}") from None
     lines = answer.decode(errors="replace").splitlines()
     if not lines or not answer.endswith(b"\n"):
-        raise NoAnswerError(f"{at[0]}:{at[1]}: the answer is not whole")
+        raise NoAnswerError(f"{address[0]}:{address[1]}: the answer is incomplete")
     return lines
 
 
-def _exchange(at: tuple[str, int], line: str, deadline: float, timeout: float) -> bytearray:
-    """Send a line and read until the other side closes, the answer is too long or the deadline has passed."""
+def _exchange(address: tuple[str, int], line: str, deadline: float, timeout: float) -> bytearray:
+    """Send a line and read until the peer closes, the answer reaches its maximum size or the deadline has passed."""
     answer = bytearray()
-    with socket.create_connection(at, timeout=timeout) as sock:
+    with socket.create_connection(address, timeout=timeout) as sock:
         sock.sendall(f"{line}\n".encode())
         while len(answer) < MAX_ANSWER_BYTES:
             sock.settimeout(max(MIN_SOCKET_TIMEOUT_S, deadline - time.monotonic()))
@@ -54,45 +54,45 @@
 
 
 def parse_metrics(lines: list[str]) -> dict[str, int]:
-    """Read the answer to ``vars``; raises ``NoAnswerError``."""
+    """Parse the answer to ``vars``; raises ``NoAnswerError``."""
     if lines[-1] != "END":
-        raise NoAnswerError("the figures have no END")
+        raise NoAnswerError(f"metrics: expected END as the last line, got {lines[-1]!r}")
     metrics = {}
     for line in lines[:-1]:
         name, _, value = line.partition(":")
         number, _, kind = value.partition("|")
         if not number.isdecimal() or kind not in METRIC_KINDS:
-            raise NoAnswerError(f"{line!r} is no figure")
+            raise NoAnswerError(f"metrics: expected NAME:NUMBER|KIND with the kind c or g, got {line!r}")
         metrics[name.removeprefix(METRIC_PREFIX)] = int(number)
     return metrics
 
 
-class _StartSettings(msgspec.Struct):
-    """The part of the start settings that is read here."""
+class _PlatformConfig(msgspec.Struct):
+    """The one field that is read of the platform's configuration."""
 
     ops: str = ""
 
 
 def resolve_address(option: str | None) -> tuple[str, int]:
-    """Return the address that was named, else that of the environment; ends the program where there is none."""
+    """Return the address from the option or else the environment; ends the program if there is no valid one."""
     text = option or os.environ.get("LB_OPS", "")
     path = os.environ.get("LB_CONFIG")
     if not text and path:
         try:
             with open(path, "rb") as file:
-                text = msgspec.json.decode(file.read(), type=_StartSettings).ops
+                text = msgspec.json.decode(file.read(), type=_PlatformConfig).ops
         except (OSError, msgspec.DecodeError) as err:
             print_error(f"{path}: {err}")
             sys.exit(ExitCode.INVALID)
     try:
         return parse_address(text)
     except ValueError as err:
-        print_error(f"no operators' address (--at, LB_OPS or ops in LB_CONFIG): {err}")
+        print_error(f"expected the operators' address in --at, in LB_OPS or in ops of the file LB_CONFIG: {err}")
         sys.exit(ExitCode.INVALID)
 
 
 ADDRESS_OPTION = click.option(
-    "--at", metavar="IP:PORT", help="The operators' address; by default that of LB_OPS or LB_CONFIG."
+    "--at", metavar="IP:PORT", help="The operators' address; defaults to LB_OPS, then to ops in the file LB_CONFIG."
 )
 
 
@@ -102,7 +102,7 @@
 
 
 def _plain_command(name: str, help_text: str) -> click.Command:
-    """Return a command that makes the call of its name and prints the answer."""
+    """Return a command that sends its name to the host and prints the answer."""
 
     @click.command(name, help=help_text)
     @ADDRESS_OPTION
@@ -120,9 +120,9 @@
 
 
 PLAIN_COMMANDS = {
-    "check": "Tell whether the process takes clients.",
-    "drain-on": "Send clients away; what still comes is answered as always.",
-    "drain-off": "End the drain.",
+    "check": "Show whether the process accepts clients.",
+    "drain-on": "Start to drain: clients are asked to leave, and requests that still arrive are answered as usual.",
+    "drain-off": "Stop draining.",
 }
 for _name, _help_text in PLAIN_COMMANDS.items():
     ops.add_command(_plain_command(_name, _help_text))
@@ -130,7 +130,7 @@
 
 @ops.command("vars")
 @ADDRESS_OPTION
-@click.option("--json", "json_", is_flag=True, help="For programs.")
+@click.option("--json", "json_", is_flag=True, help="Print JSON.")
 def print_metrics(at: str | None, json_: bool) -> None:
     """Print the metrics."""
     try:
@@ -148,12 +148,12 @@
 
 @ops.command()
 @ADDRESS_OPTION
-@click.option("--seconds", default=6.0, show_default=True, help="How long to wait at most.")
+@click.option("--seconds", default=6.0, show_default=True, help="Maximum time to wait.")
 def wait(at: str | None, seconds: float) -> None:
-    """Wait until a started process accepts clients, as an upgrade must before SIGTERM is sent to the old one."""
+    """Wait until a new process accepts clients; an upgrade must do this before it sends SIGTERM to the old process."""
     host_address = resolve_address(at)
     started_at = time.monotonic()
-    last_answer = "nobody answered"
+    last_answer = "no answer"
     while time.monotonic() < started_at + seconds:
         try:
             last_answer = call(host_address, "check")[0]
@@ -161,8 +161,8 @@
             last_answer = str(err)
         else:
             if last_answer.startswith(OK):
-                print_line(f"yes after {time.monotonic() - started_at:.2f} s")
+                print_line(f"accepts clients after {time.monotonic() - started_at:.2f} s")
                 return
         time.sleep(POLL_INTERVAL_S)
-    print_error(f"not within {seconds:g} s: {last_answer}")
+    print_error(f"does not accept clients after {seconds:g} s: {last_answer}")
     sys.exit(ExitCode.DIFFERENCES)
--- a/lapispick/cli/output.py
+++ b/lapispick/cli/output.py
@@ -1,4 +1,4 @@
-"""What the commands print: tables for people, JSON for programs, log lines in the host's format."""
+"""Output of the commands: tables for people, JSON for programs, and log lines in the host's format."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 from lapispick.host import logs
 
-PIPE_WIDTH = 200  # characters of a table that is not printed to a terminal
+PIPE_WIDTH = 200  # characters; of a table that is not printed to a terminal
 FIRST_LOG_KEYS = ("ts", "level", "event")
 
 
@@ -28,23 +28,23 @@
 
 
 def _limit_rate(logger: Any, method: str, pairs: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-    """Drop a line of an event that is logged too often; a structlog processor."""
-    left_out = logs.count_line(str(pairs.get("event", "")))
-    if left_out is None:
+    """Drop log lines of an event above its rate limit. A structlog processor."""
+    omitted_lines = logs.count_line(str(pairs.get("event", "")))
+    if omitted_lines is None:
         raise structlog.DropEvent
-    if left_out:
-        pairs["left_out"] = left_out
+    if omitted_lines:
+        pairs["left_out"] = omitted_lines
     return pairs
 
 
 def _render_line(logger: Any, method: str, pairs: MutableMapping[str, Any]) -> str:
-    """Write an event as the host does; a structlog processor."""
-    first = {key: pairs.pop(key) for key in FIRST_LOG_KEYS if key in pairs}
-    return logs.render({**first, **pairs})
+    """Render an event in the host's line format. A structlog processor."""
+    first_pairs = {key: pairs.pop(key) for key in FIRST_LOG_KEYS if key in pairs}
+    return logs.render({**first_pairs, **pairs})
 
 
 def setup_logs() -> Any:
-    """Return a logger with the host's line format and its limit on lines a second."""
+    """Return a logger with the host's line format and its rate limit."""
     structlog.configure(
         processors=[
             _limit_rate,
@@ -59,7 +59,7 @@
 
 
 def print_table(title: str, columns: Iterable[str], rows: Iterable[Iterable[Any]]) -> None:
-    """Print a table for people; narrow terminals fold cells, pipes get ``PIPE_WIDTH``."""
+    """Print a table that folds its cells to the width of the terminal, or to ``PIPE_WIDTH`` in a pipe."""
     table = Table(title=title, title_justify="left", box=None, header_style="bold", pad_edge=False)
     for column in columns:
         table.add_column(column, overflow="fold")
@@ -75,7 +75,7 @@
 
 
 def print_line(text: str) -> None:
-    """Print a line."""
+    """Print a line on standard output."""
     click.echo(text)
 
 
@@ -85,5 +85,5 @@
 
 
 def format_pairs(mapping: Mapping[str, Any]) -> str:
-    """Write a mapping in one cell of a table."""
+    """Return a mapping as the text of one table cell."""
     return " ".join(f"{key}={value}" for key, value in mapping.items())
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -241,7 +241,7 @@
     assert lapispick("drain-off") == (0, "OK\n")
     assert json.loads(lapispick("vars", "--json")[1])["inflight"] == 0
     assert "backend_calls" in lapispick("vars")[1]
-    assert "yes after" in lapispick("wait")[1]
+    assert "accepts clients after" in lapispick("wait")[1]
     monkeypatch.delenv("LB_OPS")
     monkeypatch.setenv("LB_CONFIG", str(worker.path))
     worker.path.write_text(json.dumps({**worker.config, "ops": worker.ops}))
