--- a/tests/test_documentation.py
+++ b/tests/test_documentation.py
@@ -1,4 +1,4 @@
-"""The pages for newcomers name only files and definitions that exist, and link only to pages that exist."""
+"""Checks that the pages for newcomers name only existing files and definitions, and link only to existing pages."""
 
 import ast
 import re
@@ -17,23 +17,24 @@
     "docs/SECOND-SITE.md",
     "docs/ROADMAP.md",
 )
-PATH = re.compile(r"`((?:lapispick|tests|benchmarks|docs|deploy)/[\w./-]*)(?::([\w.]+))?`")
-LINK = re.compile(r"\]\(([\w./-]+\.md)\)")
+PATH_REFERENCE = re.compile(r"`((?:lapispick|tests|benchmarks|docs|deploy)/[\w./-]*)(?::([\w.]+))?`")
+PAGE_LINK = re.compile(r"\]\(([\w./-]+\.md)\)")
 
 
 def _defines(path, name):
-    """Tell whether a module defines ``Class``, ``function`` or ``Class.method``."""
+    """Return True if a module defines ``Class``, ``function`` or ``Class.method``."""
     body = ast.parse(path.read_text(encoding="utf-8")).body
     for part in name.split("."):
-        found = [node for node in body if getattr(node, "name", None) == part]
-        if not found:
+        matches = [node for node in body if getattr(node, "name", None) == part]
+        if not matches:
             return False
-        body = getattr(found[0], "body", [])
+        body = getattr(matches[0], "body", [])
     return True
 
 
 def _references(page):
-    return PATH.findall((ROOT / page).read_text(encoding="utf-8"))
+    """Return the paths that a page names, each with the name of a definition or an empty string."""
+    return PATH_REFERENCE.findall((ROOT / page).read_text(encoding="utf-8"))
 
 
 @pytest.mark.parametrize("page", PAGES)
@@ -48,11 +49,11 @@
 
 
 @pytest.mark.parametrize("page", PAGES)
-def test_links_lead_to_pages(page):
+def test_linked_pages_exist(page):
     folder = (ROOT / page).parent
-    links = LINK.findall((ROOT / page).read_text(encoding="utf-8"))
+    links = PAGE_LINK.findall((ROOT / page).read_text(encoding="utf-8"))
     assert [link for link in links if not (folder / link).exists()] == []
 
 
-def test_the_architecture_page_names_definitions():
+def test_the_architecture_page_names_some_definitions():
     assert any(name for _, name in _references("docs/ARCHITECTURE.md"))
