--- a/lapispick/cli/inventory.py
+++ b/lapispick/cli/inventory.py
@@ -154,8 +154,8 @@
     remarks = [reading.incomplete_reason] if reading.incomplete_reason else []
     accepted = _load_accepted(settings)
     if not reading.faults and accepted is not None:
-        objection = Acceptance(acceptance_policy(settings), accepted).objection(0.0, read_list)
-        remarks += [f"a host would hold this list: {objection}"] if objection else []
+        hold_reason = Acceptance(acceptance_policy(settings), accepted).hold_reason(0.0, read_list)
+        remarks += [f"a host would hold this list: {hold_reason}"] if hold_reason else []
     remarks += [
         f"one host under several spellings: {', '.join(host.spellings)}"
         for host in reading.hosts.values()
@@ -254,9 +254,9 @@
     old_list = _resolve_snapshot(old, list_source)
     new_list = _resolve_snapshot(new, list_source) if new is not None else _read_snapshot(list_source)
     difference = snapshot.difference(old_list, new_list)
-    objection = Acceptance(acceptance_policy(list_source.settings), old_list).objection(0.0, new_list)
+    hold_reason = Acceptance(acceptance_policy(list_source.settings), old_list).hold_reason(0.0, new_list)
     if json_:
-        print_json({"old": old_list.digest, "new": new_list.digest, **difference._asdict(), "held": objection})
+        print_json({"old": old_list.digest, "new": new_list.digest, **difference._asdict(), "held": hold_reason})
     else:
         for kind, names in difference._asdict().items():
             for name in names:
@@ -264,7 +264,7 @@
                 details = _details(list_source.schema, old_list, new_list, name) if is_in_both else ""
                 print_line(f"{kind:<8} {name}{details}")
         host_count = sum(difference.counts().values())
-        print_line(f"a host would hold the new list: {objection}" if objection else f"{host_count} hosts differ")
+        print_line(f"a host would hold the new list: {hold_reason}" if hold_reason else f"{host_count} hosts differ")
     sys.exit(ExitCode.DIFFERENCES if difference else 0)
 
 
