--- a/tests/test_trace_recorder.py
+++ b/tests/test_trace_recorder.py
@@ -150,7 +150,7 @@
     trace_output("cut", recorded.files()[0], output, "--since", first, "--until", (first + last) / 2)
     assert 0 < len(read_blocks(output)[0]) < len(steps)
     assert len(trace_output("cat", output).splitlines()) == len(read_blocks(output)[0])
-    assert "needs all files" in trace_process("replay", recorded.files()[1]).stderr
+    assert "expected all files of one incarnation of one host, starting with the first" in trace_process("replay", recorded.files()[1]).stderr
 
 
 def check_arrivals(notes, request_count):
