--- a/lapispick/admission/events.py
+++ b/lapispick/admission/events.py
@@ -41,7 +41,7 @@
 
     core_ms: tuple[float, ...]  # mean time on the cores
     run_ms: tuple[float, ...]  # mean total run time
-    blocked_ms: tuple[float, ...]  # mean time from requesting a downstream call to resuming the run
+    blocked_ms: tuple[float, ...]  # mean time from requesting a downstream call until the run resumes
     call_ms: tuple[float, ...]  # mean time with a call in flight
     runs: tuple[int, ...]  # number of runs that the means are based on, up to the span of the moving average
     concurrency_limit: float
--- a/lapispick/admission/request_state.py
+++ b/lapispick/admission/request_state.py
@@ -68,7 +68,7 @@
         self.value = 0.0
         self.call_needed_at = 0.0
         self.call_started_at = 0.0
-        self.blocked_ms = 0.0  # total time from requesting a downstream call to resuming the run
+        self.blocked_ms = 0.0  # total time from requesting a downstream call until the run resumes
         self.call_ms = 0.0  # part of ``blocked_ms`` with a call in flight
         self.queue_number = NOT_QUEUED
         self.queued_work_ms = 0.0  # work added to the total of its queue; exactly this amount is subtracted again
--- a/lapispick/admission/run_estimates.py
+++ b/lapispick/admission/run_estimates.py
@@ -23,7 +23,7 @@
     def __init__(self, classes: Sequence[ClassSettings]) -> None:
         self.core_ms = [settings.latency_objective_ms * INITIAL_RUN_FRACTION for settings in classes]
         self.run_ms = list(self.core_ms)
-        self.blocked_ms = [0.0] * len(classes)  # from requesting a call until the run resumes
+        self.blocked_ms = [0.0] * len(classes)  # from requesting a downstream call until the run resumes
         self.call_ms = [0.0] * len(classes)  # the part of ``blocked_ms`` with a call in flight
         self.runs = [0] * len(classes)
         self._max_expected_ms = [MAX_EXPECTED_FRACTION * settings.latency_objective_ms for settings in classes]
--- a/lapispick/admission/settings.py
+++ b/lapispick/admission/settings.py
@@ -40,7 +40,7 @@
     """Error for a setting with an invalid value."""
 
     def __init__(self, setting: str, value: object, requirement: str) -> None:
-        super().__init__(f"{setting} {requirement}, got {value!r}")
+        super().__init__(f"{setting}: {requirement}, got {value!r}")
         self.setting = setting
         self.value = value
 
@@ -84,22 +84,27 @@
 
     def validate(self) -> None:
         """Raise ``SettingsError`` for the first invalid setting."""
-        _require(len(self.classes) > 0, "classes", self.classes, "must contain at least one class")
-        _require(self.cores >= 1, "cores", self.cores, "must be at least 1")
-        _require(self.memory_kb > 0, "memory_kb", self.memory_kb, "must be positive")
-        _require(self.callers >= 0, "callers", self.callers, "must not be negative")
+        _require(len(self.classes) > 0, "classes", self.classes, "expected at least one class")
+        _require(self.cores >= 1, "cores", self.cores, "expected at least 1")
+        _require(self.memory_kb > 0, "memory_kb", self.memory_kb, "expected a number above 0")
+        _require(self.callers >= 0, "callers", self.callers, "expected at least 0")
         speed = self.initial_speed_fraction
-        _require(0 < speed <= 1, "initial_speed_fraction", speed, "must be greater than 0 and at most 1")
+        _require(0 < speed <= 1, "initial_speed_fraction", speed, "expected a number above 0 and at most 1")
         for class_index, settings in enumerate(self.classes):
             prefix = f"classes[{class_index}]"
             objective_ms = settings.latency_objective_ms
             in_range = 0 < objective_ms <= settings.deadline_ms
             _require(
-                in_range, f"{prefix}.latency_objective_ms", objective_ms, "must be positive and at most deadline_ms"
+                in_range,
+                f"{prefix}.latency_objective_ms",
+                objective_ms,
+                "expected a number above 0 and at most deadline_ms",
             )
             window_ms = settings.idempotency_window_ms
             has_window = settings.idempotency is not Idempotency.KEYED or window_ms > 0
-            _require(has_window, f"{prefix}.idempotency_window_ms", window_ms, "must be positive for a keyed class")
+            _require(
+                has_window, f"{prefix}.idempotency_window_ms", window_ms, "expected a number above 0 for a keyed class"
+            )
 
 
 def _require(condition: bool, setting: str, value: object, requirement: str) -> None:
--- a/lapispick/conf/parser.py
+++ b/lapispick/conf/parser.py
@@ -62,7 +62,10 @@
         location = location or SourceLocation(str(pattern))
         if len(self._open_files) >= MAX_INCLUDE_DEPTH:
             return self.faults.add(
-                location, "include", f"{pattern} exceeds the maximum include depth of {MAX_INCLUDE_DEPTH} files"
+                location,
+                "include",
+                f"expected an include depth of at most {MAX_INCLUDE_DEPTH} files, "
+                f"got {len(self._open_files) + 1} with {pattern}",
             )
         try:
             files = self._read_files(pattern)
@@ -75,7 +78,7 @@
                 self.faults.add(location, "include", f"a file includes itself: {chain}")
             elif self._file_count > MAX_FILES:
                 return self.faults.add(
-                    location, "include", f"the configuration exceeds the maximum of {MAX_FILES} files"
+                    location, "include", f"expected a configuration of at most {MAX_FILES} files, got more"
                 )
             else:
                 self._parse_text(path, text)
@@ -90,7 +93,7 @@
                 self.faults.add(
                     SourceLocation(str(path), line_number),
                     "",
-                    f"the configuration exceeds the maximum of {MAX_LINES} lines",
+                    f"expected a configuration of at most {MAX_LINES} lines, got more",
                 )
                 break
             self._parse_line(SourceLocation(str(path), line_number), raw_line)
--- a/lapispick/conf/settings.py
+++ b/lapispick/conf/settings.py
@@ -117,8 +117,8 @@
     paths = sorted(path.parent.glob(path.name)) if set(path.name) & set("*?[") else [path]
     files: list[tuple[PurePath, str]] = []
     for file_path in paths:
-        if file_path.stat().st_size > MAX_FILE_BYTES:
-            raise ValueError(f"the file exceeds the maximum of {MAX_FILE_BYTES} bytes")
+        if (size := file_path.stat().st_size) > MAX_FILE_BYTES:
+            raise ValueError(f"expected at most {MAX_FILE_BYTES} bytes, got {size}")
         files.append((PurePath(file_path), file_path.read_text(encoding="utf-8-sig")))
     return files
 
--- a/lapispick/durable/database.py
+++ b/lapispick/durable/database.py
@@ -148,7 +148,7 @@
         meta = dict(self._db.execute("select name, value from meta"))
         if meta["version"] > SCHEMA_VERSION:
             raise StoreUnusableError(
-                self.path, f"has schema version {meta['version']}, expected {SCHEMA_VERSION} or older"
+                self.path, f"unsupported version {meta['version']}, expected at most {SCHEMA_VERSION}"
             )
         if meta["box"] != host:
             raise StoreUnusableError(self.path, f"belongs to host {meta['box']}, expected {host}")
--- a/lapispick/fleet/csv_reader.py
+++ b/lapispick/fleet/csv_reader.py
@@ -86,7 +86,11 @@
                     continue
                 rows += self._read_row(line, cells)
                 if len(rows) > self._max_hosts:
-                    faults.add(SourceLocation(self._file, line), NAME_COLUMN, f"more than {self._max_hosts} hosts")
+                    faults.add(
+                        SourceLocation(self._file, line),
+                        NAME_COLUMN,
+                        f"expected at most {self._max_hosts} hosts, got more",
+                    )
                     return CsvRows([], self._cache)
         except csv.Error as err:
             # The parser stops at the error, so the rows before it are not a complete list.
@@ -113,7 +117,7 @@
             shown = ", ".join(header)[:_MAX_SHOWN_CHARACTERS]
             self._faults.add(location, NAME_COLUMN, f"missing column; the header has only {shown}")
         if len(header) > MAX_COLUMNS:
-            self._faults.add(location, "", f"{len(header)} columns exceed the limit of {MAX_COLUMNS}")
+            self._faults.add(location, "", f"expected at most {MAX_COLUMNS} columns, got {len(header)}")
         for column, key in enumerate(header, 1):
             first_column = header.index(key) + 1
             if first_column != column:
@@ -144,7 +148,7 @@
                 row[key] = LocatedValue(value, SourceLocation(self._file, line, column))
         name = row.pop(NAME_COLUMN, None)
         if name is None:
-            self._faults.add(location, NAME_COLUMN, "is empty")
+            self._faults.add(location, NAME_COLUMN, "is empty; expected a host name")
             return []
         group = row.pop(GROUP_COLUMN, None)
         try:
--- a/lapispick/fleet/entry_parser.py
+++ b/lapispick/fleet/entry_parser.py
@@ -158,7 +158,9 @@
         elif schema.item_name_variable in item_defaults:
             parsed.items.append(ParsedItem(item_defaults, entry_vars[schema.item_name_variable].location))
         if not parsed.items and not parsed.faults and schema.item_required:
-            parsed.faults.add(parsed.entry.location, schema.item_name_variable, "missing; a host needs at least one")
+            parsed.faults.add(
+                parsed.entry.location, schema.item_name_variable, "missing; expected at least one for each host"
+            )
 
     def _parse_item_list(self, parsed: ParsedEntry, item_defaults: dict[str, Any], item_list: LocatedValue) -> None:
         schema = self._schema
@@ -166,11 +168,11 @@
         key = schema.items_variable
         if not isinstance(item_list.value, list) or schema.item_name_variable in item_defaults:
             return parsed.faults.add(
-                location, key, f"must be a list, and can't be combined with {schema.item_name_variable}"
+                location, key, f"expected a list, which can't be combined with {schema.item_name_variable}"
             )
         if len(item_list.value) > MAX_ITEMS_PER_HOST:
             return parsed.faults.add(
-                location, key, f"{len(item_list.value)} items exceed the limit of {MAX_ITEMS_PER_HOST}"
+                location, key, f"expected at most {MAX_ITEMS_PER_HOST} items, got {len(item_list.value)}"
             )
         for element in item_list.value:
             if isinstance(element, YamlMapping):
@@ -194,6 +196,6 @@
                 parsed.faults.add(
                     var.location,
                     key,
-                    f"unknown item variable{schemas.suggest_nearest(key, variables)}; expected one of {known}",
+                    f"unknown item variable; expected one of {known}{schemas.suggest_nearest(key, variables)}",
                 )
         return item
--- a/lapispick/fleet/files.py
+++ b/lapispick/fleet/files.py
@@ -119,7 +119,7 @@
             if not stat.S_ISREG(before.st_mode):
                 raise OSError(f"{file.name} is not a regular file")
             if before.st_size > max_bytes:
-                raise OSError(f"{file.name} is over {max_bytes} bytes")
+                raise OSError(f"{file.name} has {before.st_size} bytes, expected at most {max_bytes}")
             with os.fdopen(os.dup(fd), "rb") as opened:
                 data = opened.read(max_bytes + 1)
             after = os.fstat(fd)
--- a/lapispick/fleet/groups.py
+++ b/lapispick/fleet/groups.py
@@ -48,7 +48,7 @@
         if (group := self.groups.get(name)) is None:
             group = self.groups[name] = Group(name, location)
             if len(self.groups) == MAX_GROUPS + 1:
-                self._faults.add(location, name, f"more than {MAX_GROUPS} groups")
+                self._faults.add(location, name, f"expected at most {MAX_GROUPS} groups, got more")
         return group
 
     def add(self, root: YamlMapping) -> None:
@@ -67,7 +67,7 @@
         if contents.value is None:
             return YamlMapping(contents.location)
         if not isinstance(contents.value, YamlMapping):
-            self._faults.add(contents.location, key, "must be a mapping")
+            self._faults.add(contents.location, key, "expected a mapping")
             return YamlMapping(contents.location)
         return contents.value
 
@@ -75,12 +75,12 @@
         group = self.get_or_create_group(name, contents.location)
         if depth > MAX_GROUP_DEPTH:
             return self._faults.add(
-                contents.location, name, f"groups are nested more than {MAX_GROUP_DEPTH} levels deep"
+                contents.location, name, f"expected groups nested at most {MAX_GROUP_DEPTH} levels deep, got more"
             )
         for key, inner in self._mapping(contents, name).items():
             if key not in GROUP_KEYS:
                 self._faults.add(
-                    inner.location, key, f"unknown key of a group; expected one of {', '.join(GROUP_KEYS)}"
+                    inner.location, key, f"unknown key in a group; expected one of {', '.join(GROUP_KEYS)}"
                 )
                 continue
             mapping = self._mapping(inner, key)
@@ -108,7 +108,11 @@
                 group.hosts[name] = (host_vars, contents.location)
             self._membership_count += len(names)
         if self._membership_count > self._max_memberships:
-            self._faults.add(group.location, group.name, f"more than {self._max_memberships} group memberships")
+            self._faults.add(
+                group.location,
+                group.name,
+                f"expected at most {self._max_memberships} group memberships, got more",
+            )
 
     def _expand(self, pattern: str, location: SourceLocation) -> list[str]:
         try:
@@ -236,7 +240,7 @@
     is_known = group in tree.groups or group == ALL or not all(name for name, _ in tree.rows)
     if not is_known and (tree.groups or tree.rows):
         known = ", ".join(sorted(tree.groups)) or "none"
-        problem = f"unknown group; known groups: {known[:_MAX_SHOWN_CHARACTERS]}"
+        problem = f"unknown group; expected one of {known[:_MAX_SHOWN_CHARACTERS]}"
         faults.add(SourceLocation("inventory"), group, problem)
         return False
     if cycle := find_cycle(tree.groups):
--- a/lapispick/fleet/host_assembly.py
+++ b/lapispick/fleet/host_assembly.py
@@ -69,11 +69,11 @@
             host = known[1]
             assembled[key] = known
             if (other := hosts.get(host.name)) is not None:
-                faults.add(host.locations[0], host.name, f"another host at {other.locations[0]} has the same name")
+                faults.add(host.locations[0], host.name, f"duplicate host, first used at {other.locations[0]}")
             hosts[host.name] = host
         self._hosts = assembled
         if len(hosts) > max_hosts:
-            faults.add(entries[0].location, "", f"{len(hosts)} hosts exceed the limit of {max_hosts}")
+            faults.add(entries[0].location, "", f"expected at most {max_hosts} hosts, got {len(hosts)}")
         return hosts
 
     def _parse(self, entries: list[Entry], faults: FaultCollector) -> list[ParsedEntry]:
@@ -162,7 +162,7 @@
                 item = defaults | values
                 name = item.get(schema.item_name_variable)
                 if not name:
-                    faults.add(location, schema.item_name_variable, "is empty")
+                    faults.add(location, schema.item_name_variable, "is empty; expected a name")
                 elif name in items:
                     faults.add(
                         location,
--- a/lapispick/fleet/hosts.py
+++ b/lapispick/fleet/hosts.py
@@ -120,7 +120,9 @@
         ):
             if address in host_names:
                 faults.add(
-                    host.locations[0], "host", f"{host.name}: {address} is already used by {host_names[address]}"
+                    host.locations[0],
+                    "host",
+                    f"{host.name}: duplicate address {address}, first used by {host_names[address]}",
                 )
             host_names.setdefault(address, host.name)
         worker_hosts.append(worker_host)
--- a/lapispick/fleet/last_good.py
+++ b/lapispick/fleet/last_good.py
@@ -107,9 +107,9 @@
     try:
         header = msgspec.json.decode(first_line, type=Header)
         if header.version != VERSION:
-            raise StateFolderError(path, f"expected format version {VERSION}, got {header.version}")
+            raise StateFolderError(path, f"unsupported version {header.version}, expected {VERSION}")
         if header.crc32 != _checksum(header, body):
-            raise StateFolderError(path, "the contents do not match the checksum in the header")
+            raise StateFolderError(path, "truncated or corrupt: the contents do not match the checksum in the header")
         hosts = [msgspec.json.decode(line, type=InventoryHost) for line in body.splitlines()]
     except msgspec.MsgspecError as err:
         raise StateFolderError(path, str(err)) from None
--- a/lapispick/fleet/ranges.py
+++ b/lapispick/fleet/ranges.py
@@ -17,7 +17,7 @@
     low, high, first, last, step_text = match.groups()
     step = int(step_text) if step_text else 1
     if step < 1:
-        raise HostRangeError(pattern, "has a step below 1")
+        raise HostRangeError(pattern, f"has step {step}; expected at least 1")
     if low is None:
         return _letter_values(pattern, first, last, step)
     return _number_values(pattern, low, high, step)
@@ -35,7 +35,7 @@
     if int(low) > int(high):
         raise HostRangeError(pattern, "is not ascending")
     if int(high) - int(low) >= MAX_RANGE_SPAN:
-        raise HostRangeError(pattern, f"is too long; the maximum is {MAX_RANGE_SPAN} numbers")
+        raise HostRangeError(pattern, f"has too many numbers; expected at most {MAX_RANGE_SPAN}")
     width = len(low) if low.startswith("0") else 0
     return [str(number).zfill(width) for number in range(int(low), int(high) + 1, step)]
 
@@ -52,7 +52,7 @@
     for match in _RANGE.finditer(text):
         values = _range_values(match)
         if len(names) * len(values) > max_names:
-            raise HostRangeError(repr(text), f"expands to more than {max_names} names")
+            raise HostRangeError(repr(text), f"expands to too many names; expected at most {max_names}")
         names = [prefix + text[end : match.start()] + value for prefix in names for value in values]
         end = match.end()
     rest = text[end:]
--- a/lapispick/fleet/yaml_values.py
+++ b/lapispick/fleet/yaml_values.py
@@ -87,13 +87,13 @@
         if id(node) in ancestors:
             self._reject(node, "the anchored value contains an alias of itself")
         if len(ancestors) > MAX_DEPTH:
-            self._reject(node, f"nested more than {MAX_DEPTH} levels deep")
+            self._reject(node, f"expected values nested at most {MAX_DEPTH} levels deep, got more")
         children = [child for pair in node.value for child in pair] if isinstance(node, MappingNode) else node.value
         size = 1
         for child in children:
             size += 1 if isinstance(child, ScalarNode) else self.check_size(child, (*ancestors, id(node)))
         if size > MAX_NODES:
-            self._reject(node, f"expands to more than {MAX_NODES} values")
+            self._reject(node, f"expected at most {MAX_NODES} values after expanding aliases, got {size}")
         self._sizes[id(node)] = size
         return size
 
@@ -138,7 +138,7 @@
             if key.tag == _YAML_TAG_PREFIX + "merge":
                 merged += self._merge_sources(value)
             elif not isinstance(key, ScalarNode):
-                self.faults.add(self.location(key), "", "a key must be a scalar")
+                self.faults.add(self.location(key), "", "expected a scalar as a key")
             elif key.value in mapping:
                 first = mapping[key.value].location
                 self.faults.add(self.location(key), key.value, f"duplicate key, first used at {first}")
--- a/lapispick/host/inventory.py
+++ b/lapispick/host/inventory.py
@@ -207,7 +207,7 @@
             self._loop.yield_control()
         if head.digest and head.digest != self._received.digest:
             raise HelperProtocolError(
-                f"the helper's list has the digest {head.digest}, the host's copy has {self._received.digest}"
+                f"expected a list with digest {head.digest} from the helper, got {self._received.digest}"
             )
 
     def _use_last_good(self, loaded: LastGoodLoaded) -> None:
--- a/lapispick/host/jsonrpc/__init__.py
+++ b/lapispick/host/jsonrpc/__init__.py
@@ -1,1 +1,1 @@
-"""JSON-RPC 2.0 front end: serves the requests that gateways send over TCP."""
+"""The JSON-RPC 2.0 front: serves the requests that gateways send over TCP."""
--- a/lapispick/host/jsonrpc/connection.py
+++ b/lapispick/host/jsonrpc/connection.py
@@ -31,7 +31,7 @@
 
 
 class ConnectionContext(msgspec.Struct, eq=False):
-    """Settings and callbacks that all connections of a front end share."""
+    """Settings and callbacks that all connections of a front share."""
 
     loop: EventLoop
     post: Callable[[events.Event], None]  # to the core
--- a/lapispick/host/jsonrpc/front.py
+++ b/lapispick/host/jsonrpc/front.py
@@ -1,4 +1,4 @@
-"""JSON-RPC 2.0 front end for gateways: accepts their TCP connections, on which each line is one message.
+"""The JSON-RPC 2.0 front for gateways: accepts their TCP connections, on which each line is one message.
 
 The core decides which requests are served.
 """
--- a/lapispick/host/requests.py
+++ b/lapispick/host/requests.py
@@ -1,4 +1,4 @@
-"""Requests that all front ends post to the core, and their final answers."""
+"""Requests that all fronts post to the core, and their final answers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import msgspec
 
-MAX_BODY_BYTES = 2048  # of a decoded request body, for all front ends
+MAX_BODY_BYTES = 2048  # of a decoded request body, for all fronts
 MAX_REQUEST_MEMORY_KB = 2000.0  # exclusive limit of the memory that one request reserves
 
 
--- a/lapispick/rollout/compat.py
+++ b/lapispick/rollout/compat.py
@@ -32,7 +32,7 @@
 
 def _parse_support(name: str, value: object) -> FormatSupport:
     if not isinstance(value, list | tuple) or len(value) != 3 or not all(type(v) is int and v >= 0 for v in value):
-        raise ValueError(f"{name}: {value!r} is not [writes, oldest read, newest read]")
+        raise ValueError(f"{name}: expected [writes, oldest read, newest read], got {value!r}")
     support = FormatSupport(*value)
     if not support.reads(support.writes):
         versions = f"{support.oldest} to {support.newest}"
--- a/lapispick/rollout/stages.py
+++ b/lapispick/rollout/stages.py
@@ -126,7 +126,7 @@
         if name not in by_name:
             raise ValueError(f"unknown host {name}{suggest_nearest(name, by_name)}")
     if len(set(named)) != len(named):
-        raise ValueError("a host is named in two stages")
+        raise ValueError(f"expected each host in one stage only, got '{' '.join(named)}'")
 
 
 def _fill_stage(
--- a/lapispick/simulator/codec.py
+++ b/lapispick/simulator/codec.py
@@ -89,9 +89,9 @@
         raise WireError(f"truncated frame: input ended after {len(head)} of the {LENGTH_BYTES} bytes of its length")
     size = int.from_bytes(head, "big")
     if size < BATCH_HEAD.size:
-        raise WireError(f"frame length {size} is shorter than the {BATCH_HEAD.size} bytes of a batch header")
+        raise WireError(f"expected a frame length of at least {BATCH_HEAD.size} bytes for the batch header, got {size}")
     if size > MAX_FRAME_BYTES:
-        raise WireError(f"frame length {size} exceeds the maximum of {MAX_FRAME_BYTES} bytes")
+        raise WireError(f"expected a frame length of at most {MAX_FRAME_BYTES} bytes, got {size}")
     body = _read_up_to(stream, size - LENGTH_BYTES)
     if len(body) < size - LENGTH_BYTES:
         raise WireError(f"truncated frame: input ended after {len(body) + LENGTH_BYTES} of {size} bytes")
@@ -139,7 +139,7 @@
             size = count if code == BORN else count * GAUGE_BYTES
             if position + size > end:
                 raise WireError(
-                    f"variable part of event code {code} ({size} bytes) exceeds the frame of batch {number}"
+                    f"truncated variable part of event code {code} in batch {number}: expected {size} bytes"
                 )
             tail = frame[position : position + size]
             fields = (*leading_fields, tail if code == BORN else struct.unpack(f">{count}f", tail))
--- a/lapispick/trace/layout.py
+++ b/lapispick/trace/layout.py
@@ -77,7 +77,7 @@
         raise TraceError(f"not a trace file: expected at least {PRELUDE.size} bytes that begin with {MAGIC!r}")
     _, major, minor, length, crc = PRELUDE.unpack(data)
     if major != MAJOR_VERSION:
-        raise TraceError(f"unsupported format version {major}.{minor}, expected {MAJOR_VERSION}.x")
+        raise TraceError(f"unsupported version {major}.{minor}, expected {MAJOR_VERSION}.x")
     if length > MAX_HEADER_BYTES:
         raise TraceError(f"invalid header size {length} bytes, expected at most {MAX_HEADER_BYTES}")
     header = read(length)
--- a/lapispick/trace/lines.py
+++ b/lapispick/trace/lines.py
@@ -114,7 +114,7 @@
         for field in RECORD_FIELDS[record_type]
     }
     if remaining:
-        raise ValueError(f"{record_name(record_type)} has no field {next(iter(remaining))!r}")
+        raise ValueError(f"unknown field {next(iter(remaining))!r} of {record_name(record_type)}")
     return record_type(**values)
 
 
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -101,7 +101,7 @@
 def test_the_depth_of_includes_is_limited(tmp_path):
     for n in range(12):
         write_files(tmp_path, **{f"f{n}": f"include f{n + 1}.conf\n"})
-    with pytest.raises(InvalidFileError, match="exceeds the maximum include depth of 8 files"):
+    with pytest.raises(InvalidFileError, match="expected an include depth of at most 8 files, got 9 with"):
         settings.parse(tmp_path / "f0.conf")
 
 
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -256,7 +256,7 @@
         Database(tmp_path / "x.db", "n4")
     with sqlite3.connect(tmp_path / "x.db") as db:
         db.execute("update meta set value = 9 where name = 'version'")
-    with pytest.raises(StoreUnusableError, match="has schema version 9, expected 1 or older"):
+    with pytest.raises(StoreUnusableError, match="unsupported version 9, expected at most 1"):
         Database(tmp_path / "x.db", "n3")
     (tmp_path / "y.db").write_bytes(b"no database at all" * 500)
     with pytest.raises(StoreUnusableError, match="not a database"):
--- a/tests/test_hosts.py
+++ b/tests/test_hosts.py
@@ -78,9 +78,9 @@
     ("variables", "fault"),
     [
         ("{lapispick_ops: nowhere}", "expected PORT or HOST:PORT, got 'nowhere'"),
-        ("{lapispick_ops: 8443}", "a:8443 is already used by a"),
+        ("{lapispick_ops: 8443}", "duplicate address a:8443, first used by a"),
         ("{lapispick_agent: 70000}", "has port 70000; expected a port from 1 to 65535"),
-        ("{lapispick_agent: 'b:8443'}", "b:8443 is already used by a"),
+        ("{lapispick_agent: 'b:8443'}", "duplicate address b:8443, first used by a"),
     ],
 )
 def test_invalid_and_duplicate_addresses_are_faults(variables, fault):
@@ -129,7 +129,8 @@
     # Checks the fleet's group, as the AMQP front is off.
     code, output = run_inventory("check", "--conf", inventory_folder / "own.conf")
     assert code == 1
-    assert "is already used by" in output
+    assert "duplicate address" in output
+    assert ", first used by" in output
 
 
 @pytest.mark.parametrize(
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -100,10 +100,10 @@
         ("d[01:100]", "widths"),
         ("d[c:A]", "one case"),
         ("d[1:5:0]", "step"),
-        ("d[1:200]", "more than 100"),
+        ("d[1:200]", "too many names; expected at most 100"),
         ("d[1:x]", "not a valid range"),
-        ("d[1:9]-[1:99]", "more than 100"),
-        ("d[0:99999999999]", "too long"),
+        ("d[1:9]-[1:99]", "too many names; expected at most 100"),
+        ("d[0:99999999999]", "too many numbers; expected at most 10000000"),
     ],
 )
 def test_ranges_that_cannot_be_expanded_are_rejected_with_the_reason(text, reason):
--- a/tests/test_inventory_files.py
+++ b/tests/test_inventory_files.py
@@ -45,7 +45,7 @@
         (lambda path: None, "No such file"),
         (lambda path: os.mkfifo(path), "not a regular file"),
         (lambda path: path.symlink_to(path), "Too many levels"),
-        (lambda path: path.write_bytes(b"x" * (MAX_BYTES + 1)), "over 1048576"),
+        (lambda path: path.write_bytes(b"x" * (MAX_BYTES + 1)), "has 1048577 bytes, expected at most 1048576"),
         (lambda path: path.symlink_to("/dev/zero"), "not a regular file"),
     ],
 )
--- a/tests/test_inventory_reading.py
+++ b/tests/test_inventory_reading.py
@@ -94,13 +94,17 @@
     ("name", "text", "message"),
     [
         ("i.csv", CSV_HEADER + "b,q,x\n", r"i\.csv:2:3: amqp_port: expected a whole number from 1 to 65535, got 'x'"),
-        ("i.csv", CSV_HEADER + "b,q,1\nc,,2\n", r"i\.csv:3:1: amqp_queue: missing; a host needs at least one"),
+        (
+            "i.csv",
+            CSV_HEADER + "b,q,1\nc,,2\n",
+            r"i\.csv:3:1: amqp_queue: missing; expected at least one for each host",
+        ),
         (
             "i.csv",
             "host,amqp_host,amqp_queue\nb,no host,q\n",
             r"i\.csv:2:2: amqp_host: 'no host' is not a valid host name",
         ),
-        ("i.csv", CSV_HEADER + ",q,1\n", r"i\.csv:2: host: is empty"),
+        ("i.csv", CSV_HEADER + ",q,1\n", r"i\.csv:2: host: is empty; expected a host name"),
         ("i.csv", CSV_HEADER + "b,q\n", r"i\.csv:2: amqp_port: expected 3 cells, got 2"),
         ("i.csv", "name,x\n", r"i\.csv:1: host: missing column; the header has only name, x"),
         ("i.csv", "host,host\n", r"i\.csv:1:2: host: duplicate column in the header, first used as column 1"),
@@ -148,13 +152,13 @@
         (
             "i.yml",
             YAML.replace("hosts: {b3", "host: {b3"),
-            r"i\.yml:16:7: host: unknown key of a group; expected one of hosts, vars",
+            r"i\.yml:16:7: host: unknown key in a group; expected one of hosts, vars",
         ),
-        ("i.yml", YAML.replace("    shops", "    shop"), r"shops: unknown group; known groups: all, elsewhere"),
+        ("i.yml", YAML.replace("    shops", "    shop"), r"shops: unknown group; expected one of all, elsewhere"),
         ("i.yml", "all: [\n", r"i\.yml:2:1: invalid YAML"),
-        ("i.yml", "all: 3\n", r"i\.yml:1:1: all: must be a mapping"),
+        ("i.yml", "all: 3\n", r"i\.yml:1:1: all: expected a mapping"),
         ("i.yml", "- a\n", r"i\.yml:1: expected a mapping of groups at the top level"),
-        ("i.yml", "? [a]\n: b\n", r"i\.yml:1:3: a key must be a scalar"),
+        ("i.yml", "? [a]\n: b\n", r"i\.yml:1:3: expected a scalar as a key"),
         ("i.yml", "shops: &a {children: {b: *a}}\n", r"i\.yml:1:8: the anchored value contains an alias of itself"),
         (
             "i.yml",
@@ -162,11 +166,15 @@
             r"amqp_queue: expected a value without a tag, got one with the tag !vault",
         ),
         ("i.yml", "shops: {children: {a: {children: {shops: {}}}}}\n", r"cycle of groups: a -> shops -> a"),
-        ("i.yml", "shops: " + "{children: {a: " * 40 + "{}" + "}}" * 40 + "\n", r"nested more than"),
+        (
+            "i.yml",
+            "shops: " + "{children: {a: " * 40 + "{}" + "}}" * 40 + "\n",
+            r"nested at most \d+ levels deep, got more",
+        ),
         (
             "i.yml",
             "a0: &a0 [x,x]\n" + "".join(f"a{n}: &a{n} [{','.join([f'*a{n - 1}'] * 9)}]\n" for n in range(1, 12)),
-            r"expands to more than 2000000 values",
+            r"expected at most 2000000 values after expanding aliases, got \d+",
         ),
         (
             "i.yml",
--- a/tests/test_inventory_watch.py
+++ b/tests/test_inventory_watch.py
@@ -380,7 +380,7 @@
         last_good.write_bytes(data.replace(b'"jobs"', b'"jobz"', 1))
     fleet.host = host(environ=fleet.environ)
     fleet.wait_for_event("inventory-rejected")
-    assert "shops.csv:2:1: amqp_queue: missing; a host needs at least one" in fleet.host.log()
+    assert "shops.csv:2:1: amqp_queue: missing; expected at least one for each host" in fleet.host.log()
     if damage != "none":
         assert re.search("event=last-good-unusable .*checksum", fleet.host.log())
         return fleet.wait_until_consumed()
--- a/tests/test_trace_files.py
+++ b/tests/test_trace_files.py
@@ -147,7 +147,7 @@
     data = files.encode_file(HEADER, make_blocks(2))
     newer_minor = data[:10] + b"\x07\0" + data[12:]
     assert read_blocks(write_bytes(tmp_path, newer_minor))[0] == make_blocks(2)[0]
-    with pytest.raises(layout.TraceError, match=r"unsupported format version 2\.0, expected 1\.x"):
+    with pytest.raises(layout.TraceError, match=r"unsupported version 2\.0, expected 1\.x"):
         files.TraceReader(write_bytes(tmp_path, data[:8] + b"\x02\0" + data[10:]))
     newer = block_message(make_step(1))
     for column in newer.columns:
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -167,8 +167,8 @@
     [
         (b"\x00\x00", "truncated frame"),
         (batch_frame(start_record())[:-5], "truncated frame"),
-        (b"\x7f\xff\xff\xff", "frame length 2147483647 exceeds the maximum"),
-        (b"\x00\x00\x00\x04", "shorter than"),
+        (b"\x7f\xff\xff\xff", "expected a frame length of at most 1073741824 bytes, got 2147483647"),
+        (b"\x00\x00\x00\x04", "expected a frame length of at least 16 bytes for the batch header, got 4"),
         (batch_frame(b"\x63\x00\x00\x00\x03"), "unknown event code 99"),
         (batch_frame(request_record()[:-4]), "truncated record"),
         (batch_frame(start_record(b"{nope")), "not JSON"),
