--- a/lapispick/host/streams.py
+++ b/lapispick/host/streams.py
@@ -199,7 +199,9 @@
         while (end := self._input.find(b"\n", start)) < 0:
             start = len(self._input)
             if start > self.max_line_bytes:
-                raise LineTooLongError(f"received no line feed within {self.max_line_bytes} bytes")
+                raise LineTooLongError(
+                    f"received a line of at least {start} bytes, expected at most {self.max_line_bytes}"
+                )
             if not self._receive(timeout):
                 return None
         if end > self.max_line_bytes:
