--- a/tests/test_trace_recorder.py
+++ b/tests/test_trace_recorder.py
@@ -114,10 +114,10 @@
 def test_a_recorded_trace_replays_exactly_and_the_commands_agree(tmp_path, host):
     recorded = RecordedHost(tmp_path, host, "rotate-age 1s", stop_ms=2000)
     deadline = time.monotonic() + 20
-    recorded.host.call_operators(b"drain-on")
+    recorded.host.call_ops(b"drain-on")
     while len(recorded.files()) < 2 and time.monotonic() < deadline:  # until there is more than one file
         assert len(recorded.send_requests()) == REQUESTS
-    recorded.host.call_operators(b"drain-off")
+    recorded.host.call_ops(b"drain-off")
     recorded.host.reload(stop_ms=1900)
     recorded.host.terminate()
     assert recorded.host.process.wait(6) == 0
@@ -150,7 +150,8 @@
     trace_output("cut", recorded.files()[0], output, "--since", first, "--until", (first + last) / 2)
     assert 0 < len(read_blocks(output)[0]) < len(steps)
     assert len(trace_output("cat", output).splitlines()) == len(read_blocks(output)[0])
-    assert "needs all files" in trace_process("replay", recorded.files()[1]).stderr
+    error = trace_process("replay", recorded.files()[1]).stderr
+    assert "expected all files of one incarnation of one host, starting with the first" in error
 
 
 def check_arrivals(notes, request_count):
